--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -10,7 +10,7 @@
   private final int task;
   private final long id;
   private final Machine machine;
-  private final long tenure;
+  private final long incarnation;
   private final long sentTick;
   private final long directToken;
   private final long sentMicros;
@@ -31,7 +31,7 @@
       int task,
       long id,
       Machine machine,
-      long tenure,
+      long incarnation,
       long sentTick,
       long directToken,
       long sentMicros) {
@@ -39,7 +39,7 @@
     this.task = task;
     this.id = id;
     this.machine = machine;
-    this.tenure = tenure;
+    this.incarnation = incarnation;
     this.sentTick = sentTick;
     this.directToken = directToken;
     this.sentMicros = sentMicros;
@@ -65,8 +65,8 @@
     return machine;
   }
 
-  public long tenure() {
-    return tenure;
+  public long incarnation() {
+    return incarnation;
   }
 
   public long sentTick() {
@@ -121,7 +121,7 @@
     return over;
   }
 
-  /** Why it ended, as reported; null if it vanished with its machine or session. */
+  /** Why it ended, as reported; null if it vanished with its machine or incarnation. */
   public ExitCause cause() {
     return cause;
   }
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -113,14 +113,15 @@
     long id = (term << TERM_SHIFT) | ++counter;
     return enter(
         direct
-            ? new Attempt(job, task, id, machine, machine.tenure(), -1, machine.token(), nowMicros)
+            ? new Attempt(
+                job, task, id, machine, machine.incarnation(), -1, machine.token(), nowMicros)
             : new Attempt(
-                job, task, id, machine, machine.tenure(), machine.ownTick(), -1, nowMicros));
+                job, task, id, machine, machine.incarnation(), machine.ownTick(), -1, nowMicros));
   }
 
   /** An attempt of an earlier term that its machine reports. */
   public Attempt adopt(Job job, int task, long id, Machine machine, long nowMicros) {
-    return enter(new Attempt(job, task, id, machine, machine.tenure(), -1, -1, nowMicros));
+    return enter(new Attempt(job, task, id, machine, machine.incarnation(), -1, -1, nowMicros));
   }
 
   /**
@@ -151,8 +152,8 @@
 
   /**
    * The attempt is surely over: reported as ended, missing from a report that would list it, of a
-   * session that has ended, or on a machine that was deleted. Its room and quota are free from here
-   * on.
+   * incarnation that has ended, or on a machine that was deleted. Its room and quota are free from
+   * here on.
    */
   public void end(Attempt attempt, ExitCause cause) {
     if (attempt.over()) {
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -22,7 +22,7 @@
   private final long knownSinceMicros;
 
   private RegistrationState enrolment = RegistrationState.NONE;
-  private long tenure;
+  private long incarnation;
   private long tick;
   private long ownTick;
   private long token;
@@ -116,8 +116,8 @@
     enrolment = otherEnrolment;
   }
 
-  public long tenure() {
-    return tenure;
+  public long incarnation() {
+    return incarnation;
   }
 
   public long tick() {
@@ -317,10 +317,10 @@
 
   /** A report of the machine arrived. */
   public void heardAt(WorkerReport report, long nowMicros, boolean own) {
-    if (report.tenure() > tenure) {
+    if (report.incarnation() > incarnation) {
       ownTick = 0;
     }
-    tenure = report.tenure();
+    incarnation = report.incarnation();
     tick = report.tick();
     lastSeenMicros = nowMicros;
     if (own) {
@@ -330,9 +330,9 @@
     reclaimAtMicros = report.noticed() ? nowMicros + (long) (report.reclaimInS() * 1e6) : -1;
   }
 
-  /** The session in which it was last known to another leader. */
-  public void session(long tenureThen) {
-    tenure = Math.max(tenure, tenureThen);
+  /** The incarnation in which it was last known to another leader. */
+  public void incarnation(long incarnationThen) {
+    incarnation = Math.max(incarnation, incarnationThen);
   }
 
   /** When the cloud takes it away, or -1. */
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -131,7 +131,7 @@
       log.debug(
           "the lease of {} session {} is not renewed for the leader, token {}: {}",
           report.host(),
-          report.tenure(),
+          report.incarnation(),
           report.baton(),
           refusal.reason());
     }
@@ -144,7 +144,7 @@
           "the lease of {} session {} is not renewed for the leader {}: it shows token {}, the"
               + " delegation has {}",
           report.host(),
-          report.tenure(),
+          report.incarnation(),
           when,
           report.baton(),
           right.token());
@@ -159,7 +159,7 @@
           "the lease of {} session {} is renewed for the leader, token {} for {}, ended jobs as of"
               + " {} ms ago, stops {}",
           report.host(),
-          report.tenure(),
+          report.incarnation(),
           evidence.token(),
           report.baton(),
           (loop.nowMicros() - evidence.endsKnownMicros()) / 1_000,
--- a/src/main/java/plumlever/leader/AttemptLog.java
+++ b/src/main/java/plumlever/leader/AttemptLog.java
@@ -9,7 +9,7 @@
 
 /**
  * The life of each attempt, for one search by job or machine: each line names task, attempt,
- * machine, session and token. Debug lines only, so many a second at most.
+ * machine, incarnation and token. Debug lines only, so many a second at most.
  */
 final class AttemptLog {
   private static final int LINES_PER_SECOND = 200;
@@ -38,7 +38,7 @@
           attempt.name().wireName(),
           attempt.id(),
           attempt.machine().id(),
-          attempt.tenure(),
+          attempt.incarnation(),
           direct ? "straight, with" : "with its answer,",
           attempt.machine().token(),
           (context.loop().nowMicros() - endsKnownMicros) / 1_000);
@@ -61,7 +61,7 @@
           attempt.id(),
           what,
           attempt.machine().id(),
-          attempt.tenure());
+          attempt.incarnation());
     }
   }
 
@@ -73,7 +73,7 @@
           attempt.name().wireName(),
           attempt.id(),
           attempt.machine().id(),
-          attempt.tenure(),
+          attempt.incarnation(),
           attempt.machine().token());
     }
   }
@@ -86,14 +86,14 @@
           attempt.name().wireName(),
           attempt.id(),
           report.host(),
-          report.tenure(),
+          report.incarnation(),
           report.baton(),
           attempt.directToken() < 0 ? "gone with an answer" : attempt.directToken());
     }
   }
 
   /** These starts had no answer in their time. */
-  void unanswered(Machine machine, long session, long token, List<Attempt> sent) {
+  void unanswered(Machine machine, long incarnation, long token, List<Attempt> sent) {
     if (enabled()) {
       log.debug(
           "starts of {} on {} session {} with token {} had no answer: they may be carried out until"
@@ -102,7 +102,7 @@
               .map(attempt -> attempt.name().wireName() + " attempt " + attempt.id())
               .toList(),
           machine.id(),
-          session,
+          incarnation,
           token,
           machine.token());
     }
--- a/src/main/java/plumlever/leader/CommandSender.java
+++ b/src/main/java/plumlever/leader/CommandSender.java
@@ -17,8 +17,8 @@
  * Orders sent straight to machines: planned tasks, so that they need not wait for the next report,
  * and empty ones that raise the token on machines that must be accounted for. A direct order may be
  * carried out late. So one that got no answer leaves its tasks possibly running, until the machine
- * has shown a higher token or its session has ended; and nothing started this way is reaped with
- * the token that started it (see {@link Machine#voidDirect}).
+ * has shown a higher token or its incarnation has ended; and nothing started this way is reaped
+ * with the token that started it (see {@link Machine#voidDirect}).
  */
 final class CommandSender {
   private static final long START_TIMEOUT_MICROS = 1_500_000;
@@ -78,7 +78,7 @@
       if (at == null
           || machine.calling()
           || machine.unsettled()
-          || machine.tenure() == 0
+          || machine.incarnation() == 0
           || !pass.recorded(machine)) {
         continue;
       }
@@ -100,7 +100,7 @@
     machine.calling(true);
     starts++;
     long token = machine.token();
-    long session = machine.tenure();
+    long incarnation = machine.incarnation();
     long since = context.loop().nowMicros();
     call(
         machine,
@@ -122,7 +122,7 @@
           } else if (status != HttpStatus.OK || r == null) {
             context.metrics().count("direct_unheard");
             machine.voidDirect();
-            attemptLog.unanswered(machine, session, token, sent);
+            attemptLog.unanswered(machine, incarnation, token, sent);
           }
           if (reports.takeChanged()) {
             changed.run();
@@ -161,9 +161,10 @@
           if (r == null) {
             return;
           }
-          boolean otherSession = status == HttpStatus.CONFLICT && r.tenure() != machine.tenure();
+          boolean otherIncarnation =
+              status == HttpStatus.CONFLICT && r.incarnation() != machine.incarnation();
           reports.apply(machine, r, false);
-          if (otherSession && !machine.accounted()) {
+          if (otherIncarnation && !machine.accounted()) {
             raise(machine);
           }
           if (reports.takeChanged()) {
@@ -218,7 +219,7 @@
   private void call(
       Machine machine, Endpoint at, List<Order> orders, long timeoutMicros, Answer then) {
     byte[] body =
-        Order.direct(machine.token(), Math.max(1, machine.tenure()), orders)
+        Order.direct(machine.token(), Math.max(1, machine.incarnation()), orders)
             .getBytes(StandardCharsets.UTF_8);
     context
         .caller()
--- a/src/main/java/plumlever/leader/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/HeartbeatAnswers.java
@@ -101,7 +101,7 @@
       log.debug(
           "the lease of {} session {} is not renewed, token {}: {}, ended jobs as of {} ms ago",
           report.host(),
-          report.tenure(),
+          report.incarnation(),
           report.baton(),
           refusal.reason(),
           (now - jobs.endsKnownMicros()) / 1_000);
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -255,7 +255,7 @@
       return;
     }
     boolean lost = machine.running();
-    reports.endSessionsBefore(machine, Long.MAX_VALUE);
+    reports.endIncarnationsBefore(machine, Long.MAX_VALUE);
     sharing.lapsed(machine);
     if (lost) {
       log.info("the lease of {} has lapsed", machine.id());
@@ -408,7 +408,7 @@
                 return;
               }
               for (Machine machine : out) {
-                reports.endSessionsBefore(machine, Long.MAX_VALUE);
+                reports.endIncarnationsBefore(machine, Long.MAX_VALUE);
                 deleted.add(machine.id());
                 fleet.remove(machine);
                 takeover.accounted(machine, "it was returned");
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/PoolSharing.java
@@ -253,7 +253,7 @@
     machine.tokenTerm(relayed.number());
     boolean news;
     if (relayed.lapsed()) {
-      reports.endSessionsBefore(machine, Long.MAX_VALUE);
+      reports.endIncarnationsBefore(machine, Long.MAX_VALUE);
       news = true;
     } else {
       news = reports.applyRelayed(machine, relayed.report());
--- a/src/main/java/plumlever/leader/ReportHandler.java
+++ b/src/main/java/plumlever/leader/ReportHandler.java
@@ -75,9 +75,11 @@
    */
   News apply(Machine machine, WorkerReport report, boolean own) {
     long now = context.loop().nowMicros();
-    if ((machine.tenure() > 0 || machine.tick() > 0)
-        && !report.newerThan(machine.tenure(), machine.tick())) {
-      if (own && report.tenure() == machine.tenure() && report.tick() > machine.ownTick()) {
+    if ((machine.incarnation() > 0 || machine.tick() > 0)
+        && !report.newerThan(machine.incarnation(), machine.tick())) {
+      if (own
+          && report.incarnation() == machine.incarnation()
+          && report.tick() > machine.ownTick()) {
         machine.overtaken(report.tick(), now);
         return News.OVERTAKEN;
       }
@@ -85,9 +87,9 @@
       // a sign of life.
       return News.COPY;
     }
-    boolean relapsed = machine.tenure() > 0 && report.tenure() > machine.tenure();
-    if (report.tenure() > machine.tenure()) {
-      endSessionsBefore(machine, report.tenure());
+    boolean relapsed = machine.incarnation() > 0 && report.incarnation() > machine.incarnation();
+    if (report.incarnation() > machine.incarnation()) {
+      endIncarnationsBefore(machine, report.incarnation());
     }
     boolean first = !machine.heard();
     boolean noticed = report.noticed() && machine.reclaimAtMicros() < 0;
@@ -137,12 +139,12 @@
    * @return false for a copy, which proves nothing
    */
   boolean applyRelayed(Machine machine, WorkerReport report) {
-    boolean known = machine.tenure() > 0 || machine.tick() > 0;
-    if (known && !report.newerThan(machine.tenure(), machine.tick())) {
+    boolean known = machine.incarnation() > 0 || machine.tick() > 0;
+    if (known && !report.newerThan(machine.incarnation(), machine.tick())) {
       return false;
     }
-    if (report.tenure() > machine.tenure()) {
-      endSessionsBefore(machine, report.tenure());
+    if (report.incarnation() > machine.incarnation()) {
+      endIncarnationsBefore(machine, report.incarnation());
     }
     long now = context.loop().nowMicros();
     machine.heardAt(report, now, true);
@@ -222,7 +224,7 @@
 
   /**
    * The worker answered that it carried nothing of this out, and it never will: its token or
-   * session has moved on.
+   * incarnation has moved on.
    */
   void refused(Iterable<Attempt> sent) {
     for (Attempt attempt : sent) {
@@ -234,14 +236,16 @@
     }
   }
 
-  /** A worker that starts a new session has killed and forgotten everything of the ones before. */
-  void endSessionsBefore(Machine machine, long tenure) {
+  /**
+   * A worker that starts a new incarnation has killed and forgotten everything of the ones before.
+   */
+  void endIncarnationsBefore(Machine machine, long incarnation) {
     if (fleet.away(machine.id()) != machine) {
       takeover.foreign(machine, 0);
     }
     List<Attempt> ended = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
-      if (attempt.tenure() < tenure) {
+      if (attempt.incarnation() < incarnation) {
         ended.add(attempt);
       }
     }
--- a/src/main/java/plumlever/leader/TransferDuty.java
+++ b/src/main/java/plumlever/leader/TransferDuty.java
@@ -252,7 +252,7 @@
             details.site(),
             details.spot(),
             now());
-    machine.session(record.session());
+    machine.incarnation(record.incarnation());
     machine.account();
     for (GuestTask guest : record.homes().get(own)) {
       Job job = jobs.get(guest.task().job());
@@ -288,7 +288,7 @@
   private void gone(TransferRecord record) {
     Machine machine = fleet.away(record.machine().id());
     if (machine != null) {
-      reports.endSessionsBefore(machine, Long.MAX_VALUE);
+      reports.endIncarnationsBefore(machine, Long.MAX_VALUE);
       empty.add(machine.id());
     }
     if (record.isHome(own)) {
@@ -404,7 +404,7 @@
         TransferRecord.offered(
             new TransferRecord.Details(
                 machine.id(), machine.endpoint(), machine.flavor(), machine.site(), machine.spot()),
-            machine.tenure(),
+            machine.incarnation(),
             own,
             Math.max(machine.tokenTerm(), before.map(TransferRecord::number).orElse(0L)),
             new TransferRecord.Offer(to, context.term().stamp(), sharing.digest()),
--- a/src/main/java/plumlever/lease/LeaseRenewal.java
+++ b/src/main/java/plumlever/lease/LeaseRenewal.java
@@ -6,7 +6,7 @@
 
 /**
  * The only place where an answer is built that renews a worker's lease: none can be given without
- * evidence. A renewed lease prolongs whatever may still be carried out in its session, so the
+ * evidence. A renewed lease prolongs whatever may still be carried out in its incarnation, so the
  * evidence has to account for commands without an answer as well as for the tasks that are listed.
  */
 public final class LeaseRenewal {
--- a/src/main/java/plumlever/lease/UnansweredCommands.java
+++ b/src/main/java/plumlever/lease/UnansweredCommands.java
@@ -2,8 +2,8 @@
 
 /**
  * Starts sent straight to a machine of which nothing has been heard: each may be carried out until
- * the machine has shown a higher token than theirs or its session has ended, whatever its reports
- * list.
+ * the machine has shown a higher token than theirs or its incarnation has ended, whatever its
+ * reports list.
  *
  * @param pending false if there are none
  * @param endsKnownMicros when the last read of ended jobs that was heard before they were sent had
--- a/src/main/java/plumlever/rehearsal/WorkerStandIn.java
+++ b/src/main/java/plumlever/rehearsal/WorkerStandIn.java
@@ -56,7 +56,7 @@
   private final Map<Long, Task> tasks = new LinkedHashMap<>();
   private int node;
   private Endpoint at;
-  private long session = 1;
+  private long incarnation = 1;
   private long sequence;
   private long token;
   private long leaseFromMicros;
@@ -98,7 +98,7 @@
     if (loop.nowMicros() - leaseFromMicros > around.leaseMicros()) {
       tasks.values().forEach(task -> around.results().left(task.name, machine));
       tasks.clear();
-      session++;
+      incarnation++;
       leaseFromMicros = loop.nowMicros();
       around.results().leaseLapsed();
     }
@@ -127,7 +127,7 @@
     changed = false;
     lastSentMicros = loop.nowMicros();
     long sentMicros = lastSentMicros;
-    long sentSession = session;
+    long sentIncarnation = incarnation;
     around
         .caller()
         .call(
@@ -139,7 +139,7 @@
             (status, body) -> {
               reporting = false;
               if (status == HttpStatus.OK) {
-                answered(body, sentMicros, sentSession);
+                answered(body, sentMicros, sentIncarnation);
                 schedule(changed ? LEAST_PAUSE_MICROS : around.reportMicros());
               } else {
                 goOn(status, body);
@@ -166,11 +166,11 @@
     }
   }
 
-  private void answered(byte[] body, long sentMicros, long sentSession) {
+  private void answered(byte[] body, long sentMicros, long sentIncarnation) {
     try {
       ObjectNode answer = Json.parseObject(body);
       long given = answer.path("baton").asLong();
-      if (sentSession != session || given < token) {
+      if (sentIncarnation != incarnation || given < token) {
         return;
       }
       changed |= given > token;
@@ -188,7 +188,7 @@
       try {
         ObjectNode request = Json.parseObject(body);
         long given = request.path("baton").asLong();
-        if (given < token || request.path("tenure").asLong() != session) {
+        if (given < token || request.path("tenure").asLong() != incarnation) {
           out.send(HttpStatus.CONFLICT, new String(state(), StandardCharsets.UTF_8));
           return;
         }
@@ -277,7 +277,7 @@
             .put("flavor", CloudStandIn.TYPE)
             .put("site", zone)
             .put("loaners", false)
-            .put("tenure", session)
+            .put("tenure", incarnation)
             .put("tick", ++sequence)
             .put("baton", token);
     ArrayNode pieces = report.putArray("pieces");
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -27,14 +27,14 @@
  * <p>Each home leaves the record once none of its tasks can be on the machine. A record without
  * homes is dropped, and what the machine was is in the record of owners only.
  *
- * @param session of the worker when it was offered
+ * @param incarnation of the worker when it was offered
  * @param number from the pool's counter, by which the present owner's commands are ordered
  * @param homes guest tasks by cell
  */
 public record TransferRecord(
     State state,
     Details machine,
-    long session,
+    long incarnation,
     String owner,
     long number,
     Optional<Offer> offer,
@@ -80,13 +80,13 @@
   /** The first record of a machine that its owner offers, or the next of one that has guests. */
   public static TransferRecord offered(
       Details machine,
-      long session,
+      long incarnation,
       String owner,
       long number,
       Offer offer,
       Map<String, List<GuestTask>> homes) {
     return new TransferRecord(
-        State.OFFERED, machine, session, owner, number, Optional.of(offer), homes);
+        State.OFFERED, machine, incarnation, owner, number, Optional.of(offer), homes);
   }
 
   /** The taker owns it from here on; its own tasks there are guests no more. */
@@ -94,26 +94,28 @@
     Map<String, List<GuestTask>> left = new TreeMap<>(homes);
     left.remove(taker);
     return new TransferRecord(
-        State.TAKEN, machine, session, taker, newNumber, Optional.empty(), left);
+        State.TAKEN, machine, incarnation, taker, newNumber, Optional.empty(), left);
   }
 
   /** The offer is taken back; the owner's own tasks need not be listed any more. */
   public TransferRecord withdrawn() {
     Map<String, List<GuestTask>> left = new TreeMap<>(homes);
     left.remove(owner);
-    return new TransferRecord(State.TAKEN, machine, session, owner, number, Optional.empty(), left);
+    return new TransferRecord(
+        State.TAKEN, machine, incarnation, owner, number, Optional.empty(), left);
   }
 
   /** The machine does not exist any more. */
   public TransferRecord gone() {
-    return new TransferRecord(State.GONE, machine, session, owner, number, Optional.empty(), homes);
+    return new TransferRecord(
+        State.GONE, machine, incarnation, owner, number, Optional.empty(), homes);
   }
 
   /** None of the cell's tasks can be on it any more. */
   public TransferRecord withoutHome(String cell) {
     Map<String, List<GuestTask>> left = new TreeMap<>(homes);
     left.remove(cell);
-    return new TransferRecord(state, machine, session, owner, number, offer, left);
+    return new TransferRecord(state, machine, incarnation, owner, number, offer, left);
   }
 
   /** True when nothing is left to be settled. */
@@ -130,7 +132,7 @@
             .put("flavor", machine.flavor())
             .put("site", machine.site())
             .put("spot", machine.spot())
-            .put("session", session)
+            .put("session", incarnation)
             .put("owner", owner)
             .put("number", number);
     offer.ifPresent(
--- a/src/main/java/plumlever/wire/Order.java
+++ b/src/main/java/plumlever/wire/Order.java
@@ -46,9 +46,9 @@
     return body(token, 0, orders);
   }
 
-  /** The body of a direct call, for one session of the worker. */
-  public static String direct(long token, long tenure, List<Order> orders) {
-    return body(token, tenure, orders);
+  /** The body of a direct call, for one incarnation of the worker. */
+  public static String direct(long token, long incarnation, List<Order> orders) {
+    return body(token, incarnation, orders);
   }
 
   /** The commands that an answer holds. */
@@ -71,13 +71,13 @@
     return orders;
   }
 
-  private static String body(long token, long tenure, List<Order> orders) {
+  private static String body(long token, long incarnation, List<Order> orders) {
     StringWriter out = new StringWriter(USUAL_LETTERS);
     try (JsonGenerator jsonGenerator = Json.generator(out)) {
       jsonGenerator.writeStartObject();
       jsonGenerator.writeNumberField("baton", token);
-      if (tenure > 0) {
-        jsonGenerator.writeNumberField("tenure", tenure);
+      if (incarnation > 0) {
+        jsonGenerator.writeNumberField("tenure", incarnation);
       }
       jsonGenerator.writeArrayFieldStart("orders");
       for (Order order : orders) {
--- a/src/main/java/plumlever/wire/RelayedReport.java
+++ b/src/main/java/plumlever/wire/RelayedReport.java
@@ -42,7 +42,7 @@
             .put("flavor", report.flavor())
             .put("site", report.site())
             .put("loaners", report.loaners())
-            .put("tenure", report.tenure())
+            .put("tenure", report.incarnation())
             .put("tick", report.tick())
             .put("baton", report.baton());
     if (report.noticed()) {
@@ -85,7 +85,7 @@
         report.flavor(),
         report.site(),
         report.loaners(),
-        report.tenure(),
+        report.incarnation(),
         report.tick(),
         report.baton(),
         report.reclaimInS(),
--- a/src/main/java/plumlever/wire/WorkerReport.java
+++ b/src/main/java/plumlever/wire/WorkerReport.java
@@ -13,7 +13,7 @@
     String flavor,
     String site,
     boolean loaners,
-    long tenure,
+    long incarnation,
     long tick,
     long baton,
     double reclaimInS,
@@ -40,8 +40,8 @@
     return reclaimInS >= 0;
   }
 
-  public boolean newerThan(long otherTenure, long otherTick) {
-    return tenure > otherTenure || (tenure == otherTenure && tick > otherTick);
+  public boolean newerThan(long otherIncarnation, long otherTick) {
+    return incarnation > otherIncarnation || (incarnation == otherIncarnation && tick > otherTick);
   }
 
   /**
@@ -62,7 +62,7 @@
           case "flavor" -> fields.flavor = text(jsonParser, name);
           case "site" -> fields.site = text(jsonParser, name);
           case "loaners" -> fields.loaners = flag(jsonParser, name);
-          case "tenure" -> fields.tenure = whole(jsonParser, name);
+          case "tenure" -> fields.incarnation = whole(jsonParser, name);
           case "tick" -> fields.tick = whole(jsonParser, name);
           case "baton" -> fields.baton = whole(jsonParser, name);
           case "reclaim_in_s" ->
@@ -89,7 +89,7 @@
     private String flavor;
     private String site;
     private Boolean loaners;
-    private long tenure = -1;
+    private long incarnation = -1;
     private long tick = -1;
     private long baton = -1;
     private double reclaimInS = NO_NOTICE;
@@ -102,7 +102,7 @@
           needed(flavor, "flavor"),
           needed(site, "site"),
           needed(loaners, "loaners"),
-          needed(tenure, "tenure"),
+          needed(incarnation, "tenure"),
           needed(tick, "tick"),
           needed(baton, "baton"),
           reclaimInS,
--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -20,7 +20,7 @@
  */
 final class DelegationChecker {
   /** A start sent straight to a machine that has not arrived. */
-  private record Start(String machine, long token, long tenure, String body) {}
+  private record Start(String machine, long token, long incarnation, String body) {}
 
   private final SimulatedCluster cluster;
   private final List<Start> underWay = new ArrayList<>();
@@ -80,9 +80,9 @@
   }
 
   /** A worker has taken an answer of a controller that does not lead. */
-  void renewedForLeader(String machine, long tenure, long token) {
+  void renewedForLeader(String machine, long incarnation, long token) {
     for (Start start : underWay) {
-      if (start.machine.equals(machine) && start.tenure == tenure) {
+      if (start.machine.equals(machine) && start.incarnation == incarnation) {
         if (start.token >= token) {
           cluster.invariants.broken.add(
               "the lease of "
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -38,7 +38,7 @@
   final FakeCloud.Vm vm;
   final Map<Long, Task> tasks = new LinkedHashMap<>();
   private final Set<Long> reaped = new HashSet<>();
-  private long tenure = 1;
+  private long incarnation = 1;
   private long tick;
   private long baton;
   private long leaseFrom;
@@ -119,7 +119,7 @@
     if (cluster.now() - leaseFrom > LEASE_MICROS) {
       tasks.values().forEach(t -> cluster.invariants.left(t.name, this));
       tasks.clear();
-      tenure++;
+      incarnation++;
       leaseFrom = cluster.now();
     }
     cluster.at(200_000, this::lease);
@@ -160,7 +160,7 @@
     due = false;
     lastSent = cluster.now();
     long sent = lastSent;
-    long session = tenure;
+    long orderIncarnation = incarnation;
     String node = at;
     cluster.send(
         vm.id,
@@ -176,7 +176,7 @@
           }
           int code = (Integer) a[0];
           if (code == 200) {
-            answered((String) a[1], sent, session, node);
+            answered((String) a[1], sent, orderIncarnation, node);
             schedule(due ? 500_000 : 2_250_000 + cluster.random.nextLong(1_500_000));
             return;
           }
@@ -199,11 +199,11 @@
         });
   }
 
-  private void answered(String body, long sent, long session, String by) {
+  private void answered(String body, long sent, long orderIncarnation, String by) {
     try {
       ObjectNode object = Json.parseObject(body);
       long token = object.path("baton").asLong();
-      if (session != tenure || token < baton) {
+      if (orderIncarnation != incarnation || token < baton) {
         return;
       }
       if (token > baton) {
@@ -213,7 +213,7 @@
       leaseFrom = Math.max(leaseFrom, sent);
       SimulatedCluster.Member member = cluster.members.get(by);
       if (member != null && !member.leads()) {
-        cluster.delegations.renewedForLeader(vm.id, tenure, token);
+        cluster.delegations.renewedForLeader(vm.id, incarnation, token);
       }
       execute(object.path("orders"));
     } catch (InvalidMessage e) {
@@ -315,7 +315,7 @@
             .put("flavor", vm.flavor)
             .put("site", vm.site)
             .put("loaners", vm.spot)
-            .put("tenure", tenure)
+            .put("tenure", incarnation)
             .put("tick", ++tick)
             .put("baton", baton);
     if (notice >= 0) {
@@ -358,7 +358,7 @@
     cluster.delegations.arrived(vm.id, body);
     try {
       ObjectNode object = Json.parseObject(body);
-      if (object.path("baton").asLong() < baton || object.path("tenure").asLong() != tenure) {
+      if (object.path("baton").asLong() < baton || object.path("tenure").asLong() != incarnation) {
         reply.send(409, Json.write(status()));
         return;
       }
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -330,7 +330,7 @@
           d.endOfTrouble();
           return () -> d.cluster.store.carriedOutAfterNewer > 10;
         }),
-    AN_OLD_REPORT_ARRIVES_AFTER_NEWER_ONES_ALSO_OF_EARLIER_SESSIONS(
+    AN_OLD_REPORT_ARRIVES_AFTER_NEWER_ONES_ALSO_OF_EARLIER_INCARNATIONS(
         d -> {
           d.cluster.copyReports = 0.6;
           d.machinesIn("a").stream()
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -233,9 +233,9 @@
   }
 
   /**
-   * A former version's delegation holds no token: a lease renewed under it could prolong a session
-   * in which a cancelled start is still to come, so none is. And a former version finds no zone in
-   * what is written now. Leases that lapse are the safe outcome of both.
+   * A former version's delegation holds no token: a lease renewed under it could prolong a
+   * incarnation in which a cancelled start is still to come, so none is. And a former version finds
+   * no zone in what is written now. Leases that lapse are the safe outcome of both.
    */
   @ParameterizedTest
   @ValueSource(strings = {PRODUCTION, FIRST_WITH_DEPENDENCIES})
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -23,11 +23,12 @@
  * deployment that has 56 s for it.
  *
  * <p>The cause: a command without an answer is voided by a higher token or by the end of the
- * session. The higher token stood in the leader's books only. The renewing controller answered with
- * the token that the machine's report showed and stopped what the report listed, so neither came.
+ * incarnation. The higher token stood in the leader's books only. The renewing controller answered
+ * with the token that the machine's report showed and stopped what the report listed, so neither
+ * came.
  *
  * <p>The evidence: starts with the first token of the term arriving at the moment at which the
- * partition ended, in sessions as old as the partition, while the stops to reached machines had
+ * partition ended, in incarnations as old as the partition, while the stops to reached machines had
  * long gone out with the next token.
  */
 final class HeldStartTest {
