--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -11,7 +11,7 @@
   private final long id;
   private final Machine machine;
   private final long incarnation;
-  private final long sentTick;
+  private final long sentSequenceNumber;
   private final long directToken;
   private final long sentMicros;
   private TaskStatus status;
@@ -23,7 +23,8 @@
   private long haltedMicros;
 
   /**
-   * @param sentTick number of the report whose answer carried the order, -1 for any other attempt
+   * @param sentSequenceNumber number of the report whose answer carried the order, -1 for any other
+   *     attempt
    * @param directToken token of the direct order that started it, -1 for any other attempt
    */
   Attempt(
@@ -32,7 +33,7 @@
       long id,
       Machine machine,
       long incarnation,
-      long sentTick,
+      long sentSequenceNumber,
       long directToken,
       long sentMicros) {
     this.job = job;
@@ -40,7 +41,7 @@
     this.id = id;
     this.machine = machine;
     this.incarnation = incarnation;
-    this.sentTick = sentTick;
+    this.sentSequenceNumber = sentSequenceNumber;
     this.directToken = directToken;
     this.sentMicros = sentMicros;
   }
@@ -69,8 +70,8 @@
     return incarnation;
   }
 
-  public long sentTick() {
-    return sentTick;
+  public long sentSequenceNumber() {
+    return sentSequenceNumber;
   }
 
   public long directToken() {
@@ -79,7 +80,7 @@
 
   /** True for an attempt of an earlier term that its machine reported. */
   public boolean adopted() {
-    return sentTick < 0 && directToken < 0;
+    return sentSequenceNumber < 0 && directToken < 0;
   }
 
   public long sentMicros() {
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -116,7 +116,14 @@
             ? new Attempt(
                 job, task, id, machine, machine.incarnation(), -1, machine.token(), nowMicros)
             : new Attempt(
-                job, task, id, machine, machine.incarnation(), machine.ownTick(), -1, nowMicros));
+                job,
+                task,
+                id,
+                machine,
+                machine.incarnation(),
+                machine.ownSequenceNumber(),
+                -1,
+                nowMicros));
   }
 
   /** An attempt of an earlier term that its machine reports. */
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -23,8 +23,8 @@
 
   private RegistrationState enrolment = RegistrationState.NONE;
   private long incarnation;
-  private long tick;
-  private long ownTick;
+  private long sequenceNumber;
+  private long ownSequenceNumber;
   private long token;
   private long tokenTerm;
   private long answeredToken;
@@ -120,15 +120,15 @@
     return incarnation;
   }
 
-  public long tick() {
-    return tick;
+  public long sequenceNumber() {
+    return sequenceNumber;
   }
 
   /**
    * Number of the last report that it sent itself; bodies of direct answers may have larger ones.
    */
-  public long ownTick() {
-    return ownTick;
+  public long ownSequenceNumber() {
+    return ownSequenceNumber;
   }
 
   /** The token that answers and orders to it carry now. */
@@ -277,8 +277,8 @@
   }
 
   /** A report of its own came after the body of a direct call that was sent later. */
-  public void overtaken(long reportTick, long nowMicros) {
-    ownTick = reportTick;
+  public void overtaken(long reportSequenceNumber, long nowMicros) {
+    ownSequenceNumber = reportSequenceNumber;
     lastReportMicros = nowMicros;
     lastSeenMicros = nowMicros;
   }
@@ -318,13 +318,13 @@
   /** A report of the machine arrived. */
   public void heardAt(WorkerReport report, long nowMicros, boolean own) {
     if (report.incarnation() > incarnation) {
-      ownTick = 0;
+      ownSequenceNumber = 0;
     }
     incarnation = report.incarnation();
-    tick = report.tick();
+    sequenceNumber = report.sequenceNumber();
     lastSeenMicros = nowMicros;
     if (own) {
-      ownTick = report.tick();
+      ownSequenceNumber = report.sequenceNumber();
       lastReportMicros = nowMicros;
     }
     reclaimAtMicros = report.noticed() ? nowMicros + (long) (report.reclaimInS() * 1e6) : -1;
--- a/src/main/java/plumlever/leader/ReportHandler.java
+++ b/src/main/java/plumlever/leader/ReportHandler.java
@@ -75,12 +75,12 @@
    */
   News apply(Machine machine, WorkerReport report, boolean own) {
     long now = context.loop().nowMicros();
-    if ((machine.incarnation() > 0 || machine.tick() > 0)
-        && !report.newerThan(machine.incarnation(), machine.tick())) {
+    if ((machine.incarnation() > 0 || machine.sequenceNumber() > 0)
+        && !report.newerThan(machine.incarnation(), machine.sequenceNumber())) {
       if (own
           && report.incarnation() == machine.incarnation()
-          && report.tick() > machine.ownTick()) {
-        machine.overtaken(report.tick(), now);
+          && report.sequenceNumber() > machine.ownSequenceNumber()) {
+        machine.overtaken(report.sequenceNumber(), now);
         return News.OVERTAKEN;
       }
       // Copies come seconds to minutes late. They must neither bring back what is gone nor count as
@@ -139,8 +139,8 @@
    * @return false for a copy, which proves nothing
    */
   boolean applyRelayed(Machine machine, WorkerReport report) {
-    boolean known = machine.incarnation() > 0 || machine.tick() > 0;
-    if (known && !report.newerThan(machine.incarnation(), machine.tick())) {
+    boolean known = machine.incarnation() > 0 || machine.sequenceNumber() > 0;
+    if (known && !report.newerThan(machine.incarnation(), machine.sequenceNumber())) {
       return false;
     }
     if (report.incarnation() > machine.incarnation()) {
@@ -177,7 +177,7 @@
       // be carried out late, until the worker has seen a higher token.
       if (attempt.directToken() >= 0
           ? report.baton() > attempt.directToken() || attempt.status() != null
-          : own && attempt.sentTick() < report.tick()) {
+          : own && attempt.sentSequenceNumber() < report.sequenceNumber()) {
         if (gone == null) {
           gone = new ArrayList<>();
         }
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -57,7 +57,7 @@
     final boolean spot;
     final String site;
     final Map<Long, Task> tasks = new LinkedHashMap<>();
-    long tick;
+    long sequenceNumber;
     long baton;
 
     Host(int number, String endpoint) {
@@ -239,7 +239,7 @@
             .put("site", otherHost.site)
             .put("loaners", otherHost.spot)
             .put("tenure", 1)
-            .put("tick", ++otherHost.tick)
+            .put("tick", ++otherHost.sequenceNumber)
             .put("baton", otherHost.baton)
             .putNull("reclaim_in_s");
     ArrayNode array = object.putArray("pieces");
--- a/src/main/java/plumlever/wire/RelayedReport.java
+++ b/src/main/java/plumlever/wire/RelayedReport.java
@@ -43,7 +43,7 @@
             .put("site", report.site())
             .put("loaners", report.loaners())
             .put("tenure", report.incarnation())
-            .put("tick", report.tick())
+            .put("tick", report.sequenceNumber())
             .put("baton", report.baton());
     if (report.noticed()) {
       object.put("reclaim_in_s", report.reclaimInS());
@@ -86,7 +86,7 @@
         report.site(),
         report.loaners(),
         report.incarnation(),
-        report.tick(),
+        report.sequenceNumber(),
         report.baton(),
         report.reclaimInS(),
         pieces);
--- a/src/main/java/plumlever/wire/WorkerReport.java
+++ b/src/main/java/plumlever/wire/WorkerReport.java
@@ -14,7 +14,7 @@
     String site,
     boolean loaners,
     long incarnation,
-    long tick,
+    long sequenceNumber,
     long baton,
     double reclaimInS,
     List<Piece> pieces) {
@@ -40,8 +40,9 @@
     return reclaimInS >= 0;
   }
 
-  public boolean newerThan(long otherIncarnation, long otherTick) {
-    return incarnation > otherIncarnation || (incarnation == otherIncarnation && tick > otherTick);
+  public boolean newerThan(long otherIncarnation, long otherSequenceNumber) {
+    return incarnation > otherIncarnation
+        || (incarnation == otherIncarnation && sequenceNumber > otherSequenceNumber);
   }
 
   /**
@@ -63,7 +64,7 @@
           case "site" -> fields.site = text(jsonParser, name);
           case "loaners" -> fields.loaners = flag(jsonParser, name);
           case "tenure" -> fields.incarnation = whole(jsonParser, name);
-          case "tick" -> fields.tick = whole(jsonParser, name);
+          case "tick" -> fields.sequenceNumber = whole(jsonParser, name);
           case "baton" -> fields.baton = whole(jsonParser, name);
           case "reclaim_in_s" ->
               fields.reclaimInS =
@@ -90,7 +91,7 @@
     private String site;
     private Boolean loaners;
     private long incarnation = -1;
-    private long tick = -1;
+    private long sequenceNumber = -1;
     private long baton = -1;
     private double reclaimInS = NO_NOTICE;
     private List<Piece> pieces = List.of();
@@ -103,7 +104,7 @@
           needed(site, "site"),
           needed(loaners, "loaners"),
           needed(incarnation, "tenure"),
-          needed(tick, "tick"),
+          needed(sequenceNumber, "tick"),
           needed(baton, "baton"),
           reclaimInS,
           pieces);
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -39,7 +39,7 @@
   final Map<Long, Task> tasks = new LinkedHashMap<>();
   private final Set<Long> reaped = new HashSet<>();
   private long incarnation = 1;
-  private long tick;
+  private long sequenceNumber;
   private long baton;
   private long leaseFrom;
   private String at;
@@ -316,7 +316,7 @@
             .put("site", vm.site)
             .put("loaners", vm.spot)
             .put("tenure", incarnation)
-            .put("tick", ++tick)
+            .put("tick", ++sequenceNumber)
             .put("baton", baton);
     if (notice >= 0) {
       object.put("reclaim_in_s", notice);
