--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -102,7 +102,7 @@
   private static DelegateEvidence evidence(
       DelegatedRenewal.Right right, WorkerReport report, long endsKnownMicros) {
     return new DelegateEvidence(
-        right.token(), report.baton(), right.validUntilMicros(), endsKnownMicros);
+        right.token(), report.fencingToken(), right.validUntilMicros(), endsKnownMicros);
   }
 
   private static Set<String> jobsOf(WorkerReport report) {
@@ -132,7 +132,7 @@
           "the lease of {} session {} is not renewed for the leader, token {}: {}",
           report.host(),
           report.incarnation(),
-          report.baton(),
+          report.fencingToken(),
           refusal.reason());
     }
     out.later(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
@@ -146,14 +146,14 @@
           report.host(),
           report.incarnation(),
           when,
-          report.baton(),
+          report.fencingToken(),
           right.token());
     }
   }
 
   /** Only what is more than the repetition of the last answer is worth a line. */
   private void logRenewal(WorkerReport report, DelegateEvidence evidence, List<Order> halts) {
-    boolean raises = evidence.token() > report.baton();
+    boolean raises = evidence.token() > report.fencingToken();
     if ((raises || !halts.isEmpty()) && lines.debug(loop.nowMicros())) {
       log.debug(
           "the lease of {} session {} is renewed for the leader, token {} for {}, ended jobs as of"
@@ -161,7 +161,7 @@
           report.host(),
           report.incarnation(),
           evidence.token(),
-          report.baton(),
+          report.fencingToken(),
           (loop.nowMicros() - evidence.endsKnownMicros()) / 1_000,
           halts);
     }
--- a/src/main/java/plumlever/leader/AttemptLog.java
+++ b/src/main/java/plumlever/leader/AttemptLog.java
@@ -87,7 +87,7 @@
           attempt.id(),
           report.host(),
           report.incarnation(),
-          report.baton(),
+          report.fencingToken(),
           attempt.directToken() < 0 ? "gone with an answer" : attempt.directToken());
     }
   }
--- a/src/main/java/plumlever/leader/GuestBook.java
+++ b/src/main/java/plumlever/leader/GuestBook.java
@@ -142,13 +142,13 @@
         lodging.ended.add(piece.attempt());
       }
     }
-    if (machine.hasSeen(report.baton())) {
+    if (machine.hasSeen(report.fencingToken())) {
       // What a former owner ordered can't come any more: what is not on the machine is over.
       lodging.byHome.values().forEach(guests -> guests.tasks.keySet().retainAll(listed));
     }
     lodging.orders.keySet().retainAll(listed);
     settleLoad(lodging);
-    if (machine.hasSeen(report.baton())) {
+    if (machine.hasSeen(report.fencingToken())) {
       lodging.byHome.forEach((home, guests) -> relay(lodging, home, guests, report, false));
     }
   }
@@ -285,7 +285,7 @@
       return List.of();
     }
     List<Order> orders = new ArrayList<>();
-    boolean current = machine.hasSeen(report.baton());
+    boolean current = machine.hasSeen(report.fencingToken());
     for (WorkerReport.Piece piece : report.pieces()) {
       Order order = lodging.orders.get(piece.attempt());
       boolean over = piece.status() == TaskStatus.ENDED;
--- a/src/main/java/plumlever/leader/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/HeartbeatAnswers.java
@@ -102,7 +102,7 @@
           "the lease of {} session {} is not renewed, token {}: {}, ended jobs as of {} ms ago",
           report.host(),
           report.incarnation(),
-          report.baton(),
+          report.fencingToken(),
           refusal.reason(),
           (now - jobs.endsKnownMicros()) / 1_000);
     }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -303,12 +303,14 @@
     if (sharing.answered(report, out)) {
       return true;
     }
-    if (!sharing.inPool() && Fleet.termOf(report.baton()) > term) {
+    if (!sharing.inPool() && Fleet.termOf(report.fencingToken()) > term) {
       // Somebody holds a later term, so this one is over whatever this node believes.
       context
           .election()
           .resign(
-              context.term(), "a worker has seen term " + Fleet.termOf(report.baton()), 1_000_000);
+              context.term(),
+              "a worker has seen term " + Fleet.termOf(report.fencingToken()),
+              1_000_000);
       out.later(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
     }
@@ -346,7 +348,7 @@
   private void takeIn(Machine machine, WorkerReport report, ReportHandler.News news) {
     if (machine.enrolment() == RegistrationState.NONE
         && !machine.returning()
-        && (machine.accounted() || report.baton() == 0)) {
+        && (machine.accounted() || report.fencingToken() == 0)) {
       // A report that shows an earlier term may be a late copy of a machine that is gone: nothing
       // is recorded for it.
       registry.enroll(machine);
@@ -372,7 +374,7 @@
     List<Order> orders = reports.standing(machine, report);
     orders.addAll(sharing.guestOrders(machine, report));
     if (news == ReportHandler.News.NEWS
-        && machine.hasSeen(report.baton())
+        && machine.hasSeen(report.fencingToken())
         && pass.hasPlan(machine)
         && pass.recorded(machine)
         && !machine.unsettled()) {
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/PoolSharing.java
@@ -180,7 +180,7 @@
 
   private boolean answeredOwn(WorkerReport report, Responder out) {
     Machine machine = fleet.machine(report.host());
-    if (machine != null && Fleet.termOf(report.baton()) > machine.tokenTerm()) {
+    if (machine != null && Fleet.termOf(report.fencingToken()) > machine.tokenTerm()) {
       // The machine has seen a newer owner or leader than this one knows of.
       out.later(HttpStatus.UNAVAILABLE, "a newer owner is known to the machine", 1);
       return true;
--- a/src/main/java/plumlever/leader/ReportHandler.java
+++ b/src/main/java/plumlever/leader/ReportHandler.java
@@ -101,8 +101,8 @@
       log.info("{} will be taken in {} s", machine.id(), report.reclaimInS());
     }
     LongHashSet listed = new LongHashSet();
-    boolean current = machine.hasSeen(report.baton());
-    machine.token(current ? report.baton() : 0);
+    boolean current = machine.hasSeen(report.fencingToken());
+    machine.token(current ? report.fencingToken() : 0);
     int foreign = 0;
     for (WorkerReport.Piece piece : report.pieces()) {
       if (sharing.get().isGuest(machine, piece.attempt())) {
@@ -176,7 +176,7 @@
       // direct order: it may
       // be carried out late, until the worker has seen a higher token.
       if (attempt.directToken() >= 0
-          ? report.baton() > attempt.directToken() || attempt.status() != null
+          ? report.fencingToken() > attempt.directToken() || attempt.status() != null
           : own && attempt.sentSequenceNumber() < report.sequenceNumber()) {
         if (gone == null) {
           gone = new ArrayList<>();
@@ -203,7 +203,7 @@
    */
   private void hears(Machine machine, WorkerReport report, boolean lost) {
     boolean wasDeaf = machine.deaf();
-    if (machine.answeredToken() > report.baton()) {
+    if (machine.answeredToken() > report.fencingToken()) {
       machine.unheard();
     } else if (lost) {
       machine.unheard();
@@ -465,7 +465,7 @@
         }
       }
     }
-    boolean current = machine.hasSeen(report.baton());
+    boolean current = machine.hasSeen(report.fencingToken());
     for (WorkerReport.Piece piece : report.pieces()) {
       if (machine.attempt(piece.attempt()) != null
           || sharing.get().isGuest(machine, piece.attempt())) {
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -58,7 +58,7 @@
     final String site;
     final Map<Long, Task> tasks = new LinkedHashMap<>();
     long sequenceNumber;
-    long baton;
+    long fencingToken;
 
     Host(int number, String endpoint) {
       this.id = String.format("i-%06d", number);
@@ -240,7 +240,7 @@
             .put("loaners", otherHost.spot)
             .put("tenure", 1)
             .put("tick", ++otherHost.sequenceNumber)
-            .put("baton", otherHost.baton)
+            .put("baton", otherHost.fencingToken)
             .putNull("reclaim_in_s");
     ArrayNode array = object.putArray("pieces");
     for (Task task : otherHost.tasks.values()) {
@@ -272,7 +272,7 @@
     } catch (InvalidMessage e) {
       throw new IllegalStateException("an answer that was just written can't be read", e);
     }
-    otherHost.baton = Math.max(otherHost.baton, object.path("baton").asLong());
+    otherHost.fencingToken = Math.max(otherHost.fencingToken, object.path("baton").asLong());
     for (JsonNode order : object.path("orders")) {
       long attempt = order.path("try").asLong();
       Task task = otherHost.tasks.get(attempt);
--- a/src/main/java/plumlever/wire/RelayedReport.java
+++ b/src/main/java/plumlever/wire/RelayedReport.java
@@ -44,7 +44,7 @@
             .put("loaners", report.loaners())
             .put("tenure", report.incarnation())
             .put("tick", report.sequenceNumber())
-            .put("baton", report.baton());
+            .put("baton", report.fencingToken());
     if (report.noticed()) {
       object.put("reclaim_in_s", report.reclaimInS());
     }
@@ -87,7 +87,7 @@
         report.loaners(),
         report.incarnation(),
         report.sequenceNumber(),
-        report.baton(),
+        report.fencingToken(),
         report.reclaimInS(),
         pieces);
   }
--- a/src/main/java/plumlever/wire/WorkerReport.java
+++ b/src/main/java/plumlever/wire/WorkerReport.java
@@ -15,7 +15,7 @@
     boolean loaners,
     long incarnation,
     long sequenceNumber,
-    long baton,
+    long fencingToken,
     double reclaimInS,
     List<Piece> pieces) {
 
@@ -65,7 +65,7 @@
           case "loaners" -> fields.loaners = flag(jsonParser, name);
           case "tenure" -> fields.incarnation = whole(jsonParser, name);
           case "tick" -> fields.sequenceNumber = whole(jsonParser, name);
-          case "baton" -> fields.baton = whole(jsonParser, name);
+          case "baton" -> fields.fencingToken = whole(jsonParser, name);
           case "reclaim_in_s" ->
               fields.reclaimInS =
                   jsonToken == JsonToken.VALUE_NULL ? NO_NOTICE : amount(jsonParser, name);
@@ -92,7 +92,7 @@
     private Boolean loaners;
     private long incarnation = -1;
     private long sequenceNumber = -1;
-    private long baton = -1;
+    private long fencingToken = -1;
     private double reclaimInS = NO_NOTICE;
     private List<Piece> pieces = List.of();
 
@@ -105,7 +105,7 @@
           needed(loaners, "loaners"),
           needed(incarnation, "tenure"),
           needed(sequenceNumber, "tick"),
-          needed(baton, "baton"),
+          needed(fencingToken, "baton"),
           reclaimInS,
           pieces);
     }
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -40,7 +40,7 @@
   private final Set<Long> reaped = new HashSet<>();
   private long incarnation = 1;
   private long sequenceNumber;
-  private long baton;
+  private long fencingToken;
   private long leaseFrom;
   private String at;
   private boolean inFlight;
@@ -203,11 +203,11 @@
     try {
       ObjectNode object = Json.parseObject(body);
       long token = object.path("baton").asLong();
-      if (orderIncarnation != incarnation || token < baton) {
+      if (orderIncarnation != incarnation || token < fencingToken) {
         return;
       }
-      if (token > baton) {
-        baton = token;
+      if (token > fencingToken) {
+        fencingToken = token;
         due = true;
       }
       leaseFrom = Math.max(leaseFrom, sent);
@@ -317,7 +317,7 @@
             .put("loaners", vm.spot)
             .put("tenure", incarnation)
             .put("tick", ++sequenceNumber)
-            .put("baton", baton);
+            .put("baton", fencingToken);
     if (notice >= 0) {
       object.put("reclaim_in_s", notice);
     }
@@ -358,12 +358,13 @@
     cluster.delegations.arrived(vm.id, body);
     try {
       ObjectNode object = Json.parseObject(body);
-      if (object.path("baton").asLong() < baton || object.path("tenure").asLong() != incarnation) {
+      if (object.path("baton").asLong() < fencingToken
+          || object.path("tenure").asLong() != incarnation) {
         reply.send(409, Json.write(status()));
         return;
       }
-      if (object.path("baton").asLong() > baton) {
-        baton = object.path("baton").asLong();
+      if (object.path("baton").asLong() > fencingToken) {
+        fencingToken = object.path("baton").asLong();
         change();
       }
       execute(object.path("orders"));
