--- a/src/main/java/plumlever/Node.java
+++ b/src/main/java/plumlever/Node.java
@@ -262,7 +262,7 @@
               }
 
               @Override
-              public void strayReport(String host) {
+              public void strayHeartbeat(String host) {
                 strays.put(host, loop.nowMicros());
               }
             },
--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -90,7 +90,7 @@
         ask(base + "/submissions/job-1", null);
         ask(base + "/submissions", "{\"uid\":\"job-1\"}");
         ask(base + "/submissions", JOB);
-        around.reportTo(new Endpoint("127.0.0.1", service.port()));
+        around.heartbeatTo(new Endpoint("127.0.0.1", service.port()));
         Thread.sleep(TERM_MS);
         ask(base + "/submissions/job-2", null);
         ask(base + "/submissions/job-2/abort", "");
@@ -137,27 +137,27 @@
     private void handle(String method, String path, byte[] body, Responder out) {
       if (path.equals("/orders")) {
         outside.order(machine, new String(body, StandardCharsets.UTF_8));
-        out.send(200, new String(outside.report(machine), StandardCharsets.UTF_8));
+        out.send(200, new String(outside.heartbeat(machine), StandardCharsets.UTF_8));
       } else {
         outside.handle(method, path, body, out::send);
       }
     }
 
     /** The machine reports there from now on. */
-    void reportTo(Endpoint node) {
+    void heartbeatTo(Endpoint node) {
       loop.execute(
           () ->
               caller.call(
                   node,
                   "POST",
                   "/hello",
-                  outside.report(machine),
+                  outside.heartbeat(machine),
                   2_000_000,
                   (status, data) -> {
                     if (status == 200) {
                       outside.order(machine, new String(data, StandardCharsets.UTF_8));
                     }
-                    loop.after(200_000, () -> reportTo(node));
+                    loop.after(200_000, () -> heartbeatTo(node));
                   }));
     }
 
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -45,7 +45,7 @@
 
   private static final int LEAST_SHARED = 32;
   private static final long LEAST_IDLE_MICROS = 12_000_000;
-  private static final int IDLE_REPORTS = 3;
+  private static final int IDLE_HEARTBEATS = 3;
   private static final long PEER_BODY = 512 * 1024;
   private static final int STOP_S = 3;
 
@@ -101,7 +101,8 @@
             new SplittableRandom().nextLong(),
             Logs.SERVICE);
     int users = sharedConnections(platform);
-    long idleMicros = Math.max(LEAST_IDLE_MICROS, IDLE_REPORTS * platform.workers().reportMicros());
+    long idleMicros =
+        Math.max(LEAST_IDLE_MICROS, IDLE_HEARTBEATS * platform.workers().heartbeatMicros());
     front =
         new Server(
             worker,
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -1,8 +1,8 @@
 package plumlever.fleet;
 
+import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
 import plumlever.wire.TaskName;
-import plumlever.wire.TaskStatus;
 
 /** One try at running a task on a machine. It ends only by proof, see {@link Fleet#end}. */
 public final class Attempt {
@@ -14,7 +14,7 @@
   private final long sentSequenceNumber;
   private final long directToken;
   private final long sentMicros;
-  private TaskStatus status;
+  private AttemptState state;
   private long runningSinceMicros = -1;
   private boolean over;
   private ExitCause cause;
@@ -23,8 +23,8 @@
   private long haltedMicros;
 
   /**
-   * @param sentSequenceNumber number of the report whose answer carried the order, -1 for any other
-   *     attempt
+   * @param sentSequenceNumber number of the heartbeat whose answer carried the order, -1 for any
+   *     other attempt
    * @param directToken token of the direct order that started it, -1 for any other attempt
    */
   Attempt(
@@ -88,27 +88,27 @@
   }
 
   /** Null until the worker has reported it. */
-  public TaskStatus status() {
-    return status;
+  public AttemptState state() {
+    return state;
   }
 
   public long runningSinceMicros() {
     return runningSinceMicros;
   }
 
-  /** A report shows the attempt in this state. */
-  public void see(TaskStatus now, long nowMicros) {
-    if (now == TaskStatus.RUNNING && runningSinceMicros < 0) {
+  /** a heartbeat shows the attempt in this state. */
+  public void see(AttemptState now, long nowMicros) {
+    if (now == AttemptState.RUNNING && runningSinceMicros < 0) {
       runningSinceMicros = nowMicros;
       job.begin();
     }
     settle();
-    status = now;
+    state = now;
   }
 
   /** True while it was sent straight to the machine and nothing has been heard of it. */
   boolean unheard() {
-    return directToken >= 0 && status == null && !over;
+    return directToken >= 0 && state == null && !over;
   }
 
   private void settle() {
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -158,9 +158,9 @@
   }
 
   /**
-   * The attempt is surely over: reported as ended, missing from a report that would list it, of a
-   * incarnation that has ended, or on a machine that was deleted. Its room and quota are free from
-   * here on.
+   * The attempt is surely over: reported as ended, missing from a heartbeat that would list it, of
+   * a incarnation that has ended, or on a machine that was deleted. Its room and quota are free
+   * from here on.
    */
   public void end(Attempt attempt, ExitCause cause) {
     if (attempt.over()) {
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -1,7 +1,7 @@
 package plumlever.fleet;
 
 import org.agrona.collections.Long2ObjectHashMap;
-import plumlever.wire.WorkerReport;
+import plumlever.wire.Heartbeat;
 
 /** What is known of one machine. */
 public final class Machine implements Registered {
@@ -34,7 +34,7 @@
   private int failedCalls;
   private int unheard;
   private boolean deaf;
-  private long lastReportMicros = -1;
+  private long lastHeartbeatMicros = -1;
   private long lastSeenMicros = -1;
   private long lastAnswerMicros = -1;
   private long renewedElsewhereMicros = Long.MIN_VALUE / 4;
@@ -125,7 +125,8 @@
   }
 
   /**
-   * Number of the last report that it sent itself; bodies of direct answers may have larger ones.
+   * Number of the last heartbeat that it sent itself; bodies of direct answers may have larger
+   * ones.
    */
   public long ownSequenceNumber() {
     return ownSequenceNumber;
@@ -213,8 +214,8 @@
   }
 
   /**
-   * Reports that show nothing of what was sent before them: an order that is lost, a token that is
-   * not taken. After two running, answers and orders seem not to arrive, and the machine gets
+   * Heartbeats that show nothing of what was sent before them: an order that is lost, a token that
+   * is not taken. After two running, answers and orders seem not to arrive, and the machine gets
    * neither work nor its lease renewed until it shows the token. Else each answer would push back
    * the time at which its lease has surely lapsed.
    */
@@ -235,16 +236,16 @@
 
   /** True once it has reported in this term. */
   public boolean heard() {
-    return lastReportMicros >= 0;
+    return lastHeartbeatMicros >= 0;
   }
 
-  public long lastReportMicros() {
-    return lastReportMicros;
+  public long lastHeartbeatMicros() {
+    return lastHeartbeatMicros;
   }
 
   /**
-   * When it last told anything, by a report or by the answer to a direct call; -1 for never in this
-   * term.
+   * When it last told anything, by a heartbeat or by the answer to a direct call; -1 for never in
+   * this term.
    */
   public long lastSeenMicros() {
     return lastSeenMicros;
@@ -276,10 +277,10 @@
     return answeredToken;
   }
 
-  /** A report of its own came after the body of a direct call that was sent later. */
-  public void overtaken(long reportSequenceNumber, long nowMicros) {
-    ownSequenceNumber = reportSequenceNumber;
-    lastReportMicros = nowMicros;
+  /** a heartbeat of its own came after the body of a direct call that was sent later. */
+  public void overtaken(long heartbeatSequenceNumber, long nowMicros) {
+    ownSequenceNumber = heartbeatSequenceNumber;
+    lastHeartbeatMicros = nowMicros;
     lastSeenMicros = nowMicros;
   }
 
@@ -315,19 +316,19 @@
     guests = now;
   }
 
-  /** A report of the machine arrived. */
-  public void heardAt(WorkerReport report, long nowMicros, boolean own) {
-    if (report.incarnation() > incarnation) {
+  /** a heartbeat of the machine arrived. */
+  public void heardAt(Heartbeat heartbeat, long nowMicros, boolean own) {
+    if (heartbeat.incarnation() > incarnation) {
       ownSequenceNumber = 0;
     }
-    incarnation = report.incarnation();
-    sequenceNumber = report.sequenceNumber();
+    incarnation = heartbeat.incarnation();
+    sequenceNumber = heartbeat.sequenceNumber();
     lastSeenMicros = nowMicros;
     if (own) {
-      ownSequenceNumber = report.sequenceNumber();
-      lastReportMicros = nowMicros;
+      ownSequenceNumber = heartbeat.sequenceNumber();
+      lastHeartbeatMicros = nowMicros;
     }
-    reclaimAtMicros = report.noticed() ? nowMicros + (long) (report.reclaimInS() * 1e6) : -1;
+    reclaimAtMicros = heartbeat.noticed() ? nowMicros + (long) (heartbeat.reclaimInS() * 1e6) : -1;
   }
 
   /** The incarnation in which it was last known to another leader. */
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -16,15 +16,15 @@
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
 import plumlever.store.JobRecordCache;
+import plumlever.wire.AttemptState;
+import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.Order;
-import plumlever.wire.TaskStatus;
-import plumlever.wire.WorkerReport;
 
 /**
  * Answers heartbeats for a leader that can't reach their zone: leases are renewed and tasks of
  * ended jobs stopped, nothing is started. The answer carries the token that the leader stored with
- * the delegation. With the token that the report shows, a start that the leader had sent before
+ * the delegation. With the token that the heartbeat shows, a start that the leader had sent before
  * could still be carried out, minutes later and after a cancellation.
  */
 public final class DelegatedHeartbeats {
@@ -56,112 +56,112 @@
   }
 
   /**
-   * Answers the report if leases in its zone may be renewed here.
+   * Answers the heartbeat if leases in its zone may be renewed here.
    *
    * @return false if they may not, and nothing was answered
    */
-  boolean answer(WorkerReport report, Responder out) {
-    Optional<DelegatedRenewal.Right> right = delegation.in(report.site());
+  boolean answer(Heartbeat heartbeat, Responder out) {
+    Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.site());
     // Nothing was read yet: what can be told without, is told before the jobs are asked for.
     if (right.isEmpty()
         || renewal
-            .refusal(evidence(right.get(), report, loop.nowMicros()), loop.nowMicros())
+            .refusal(evidence(right.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
             .isPresent()) {
-      right.ifPresent(known -> logRefusal(report, known, "before the jobs are looked up"));
+      right.ifPresent(known -> logRefusal(heartbeat, known, "before the jobs are looked up"));
       return false;
     }
-    jobs.endedOf(jobsOf(report), ends -> answer(report, Optional.ofNullable(ends), out));
+    jobs.endedOf(jobsOf(heartbeat), ends -> answer(heartbeat, Optional.ofNullable(ends), out));
     return true;
   }
 
-  private void answer(WorkerReport report, Optional<JobRecordCache.Ends> ends, Responder out) {
+  private void answer(Heartbeat heartbeat, Optional<JobRecordCache.Ends> ends, Responder out) {
     // Asked again: finding out took its time. A lease is not renewed for tasks whose halt can't be
     // given.
-    Optional<DelegatedRenewal.Right> right = delegation.in(report.site());
+    Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.site());
     if (right.isEmpty()) {
-      refuse(report, RenewalRefusal.DELEGATION_OVER, out);
+      refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
       return;
     }
     if (ends.isEmpty()) {
-      refuse(report, RenewalRefusal.ENDED_JOBS_UNKNOWN, out);
+      refuse(heartbeat, RenewalRefusal.ENDED_JOBS_UNKNOWN, out);
       return;
     }
-    List<Order> halts = halts(report, ends.get().uids());
-    DelegateEvidence evidence = evidence(right.get(), report, ends.get().askedMicros());
+    List<Order> halts = halts(heartbeat, ends.get().uids());
+    DelegateEvidence evidence = evidence(right.get(), heartbeat, ends.get().askedMicros());
     RenewalDecision decision = renewal.answer(evidence, halts, loop.nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
-      logRenewal(report, evidence, halts);
+      logRenewal(heartbeat, evidence, halts);
       metrics.count("leases_renewed_for_leader");
       delegation.renewed();
       out.send(HttpStatus.OK, renewed.body());
     } else if (decision instanceof RenewalDecision.Refused refused) {
-      refuse(report, refused.refusal(), out);
+      refuse(heartbeat, refused.refusal(), out);
     }
   }
 
   private static DelegateEvidence evidence(
-      DelegatedRenewal.Right right, WorkerReport report, long endsKnownMicros) {
+      DelegatedRenewal.Right right, Heartbeat heartbeat, long endsKnownMicros) {
     return new DelegateEvidence(
-        right.token(), report.fencingToken(), right.validUntilMicros(), endsKnownMicros);
+        right.token(), heartbeat.fencingToken(), right.validUntilMicros(), endsKnownMicros);
   }
 
-  private static Set<String> jobsOf(WorkerReport report) {
+  private static Set<String> jobsOf(Heartbeat heartbeat) {
     Set<String> uids = new HashSet<>();
-    for (WorkerReport.Piece piece : report.pieces()) {
-      if (piece.status() != TaskStatus.ENDED) {
-        uids.add(piece.task().job());
+    for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
+      if (attempt.state() != AttemptState.ENDED) {
+        uids.add(attempt.task().job());
       }
     }
     return uids;
   }
 
-  private static List<Order> halts(WorkerReport report, Set<String> ended) {
+  private static List<Order> halts(Heartbeat heartbeat, Set<String> ended) {
     List<Order> halts = new ArrayList<>();
-    for (WorkerReport.Piece piece : report.pieces()) {
-      if (piece.status() != TaskStatus.ENDED && ended.contains(piece.task().job())) {
-        halts.add(Order.halt(piece.task(), piece.attempt(), 0));
+    for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
+      if (attempt.state() != AttemptState.ENDED && ended.contains(attempt.task().job())) {
+        halts.add(Order.halt(attempt.task(), attempt.attempt(), 0));
       }
     }
     return halts;
   }
 
-  private void refuse(WorkerReport report, RenewalRefusal refusal, Responder out) {
+  private void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     metrics.count(refusal.counter());
     if (lines.debug(loop.nowMicros())) {
       log.debug(
           "the lease of {} session {} is not renewed for the leader, token {}: {}",
-          report.host(),
-          report.incarnation(),
-          report.fencingToken(),
+          heartbeat.host(),
+          heartbeat.incarnation(),
+          heartbeat.fencingToken(),
           refusal.reason());
     }
     out.later(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
   }
 
-  private void logRefusal(WorkerReport report, DelegatedRenewal.Right right, String when) {
+  private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.Right right, String when) {
     if (lines.debug(loop.nowMicros())) {
       log.debug(
           "the lease of {} session {} is not renewed for the leader {}: it shows token {}, the"
               + " delegation has {}",
-          report.host(),
-          report.incarnation(),
+          heartbeat.host(),
+          heartbeat.incarnation(),
           when,
-          report.fencingToken(),
+          heartbeat.fencingToken(),
           right.token());
     }
   }
 
   /** Only what is more than the repetition of the last answer is worth a line. */
-  private void logRenewal(WorkerReport report, DelegateEvidence evidence, List<Order> halts) {
-    boolean raises = evidence.token() > report.fencingToken();
+  private void logRenewal(Heartbeat heartbeat, DelegateEvidence evidence, List<Order> halts) {
+    boolean raises = evidence.token() > heartbeat.fencingToken();
     if ((raises || !halts.isEmpty()) && lines.debug(loop.nowMicros())) {
       log.debug(
           "the lease of {} session {} is renewed for the leader, token {} for {}, ended jobs as of"
               + " {} ms ago, stops {}",
-          report.host(),
-          report.incarnation(),
+          heartbeat.host(),
+          heartbeat.incarnation(),
           evidence.token(),
-          report.fencingToken(),
+          heartbeat.fencingToken(),
           (loop.nowMicros() - evidence.endsKnownMicros()) / 1_000,
           halts);
     }
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequests.java
@@ -7,11 +7,11 @@
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
-import plumlever.wire.RelayedReport;
+import plumlever.wire.RelayedHeartbeat;
 
 /** Requests that controllers of different cells of a pool make of each other. */
 public final class PoolRequests {
-  /** Where reports of machines are passed on to the cells whose tasks are on them. */
+  /** Where heartbeats of machines are passed on to the cells whose tasks are on them. */
   public static final String RELAY = "/relay";
 
   /** Where an operator has a machine given to another cell. */
@@ -32,7 +32,7 @@
       return;
     }
     try {
-      leader.relayed(RelayedReport.parse(body), out);
+      leader.relayed(RelayedHeartbeat.parse(body), out);
     } catch (InvalidMessage e) {
       out.error(HttpStatus.BAD_REQUEST, e.getMessage());
     }
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -3,10 +3,10 @@
 import plumlever.concurrent.Loop;
 import plumlever.leader.Leader;
 import plumlever.metrics.Metrics;
+import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
-import plumlever.wire.WorkerReport;
 
 /** Routes requests of users, workers and health checks. */
 public final class RequestRouter implements Server.Handler {
@@ -21,7 +21,7 @@
     boolean canTakeRequests();
 
     /** A worker reported to a node that does not lead. */
-    void strayReport(String host);
+    void strayHeartbeat(String host);
   }
 
   static final String JOBS = "/submissions";
@@ -55,7 +55,7 @@
     String path = queryStart < 0 ? pathAndQuery : pathAndQuery.substring(0, queryStart);
     if (path.equals("/hello")) {
       if (allowed(method, "POST", out)) {
-        hello(body, out);
+        heartbeat(body, out);
       }
     } else if (path.equals("/up")) {
       if (allowed(method, "GET", out)) {
@@ -97,10 +97,10 @@
     }
   }
 
-  private void hello(byte[] body, Responder out) {
-    WorkerReport report;
+  private void heartbeat(byte[] body, Responder out) {
+    Heartbeat heartbeat;
     try {
-      report = WorkerReport.parse(body);
+      heartbeat = Heartbeat.parse(body);
     } catch (InvalidMessage e) {
       metrics.count("reports_unreadable");
       out.error(HttpStatus.BAD_REQUEST, e.getMessage());
@@ -108,17 +108,17 @@
     }
     metrics.count("reports");
     if (out.crowded()) {
-      // Users come first: a worker can do with a connection for each report.
+      // Users come first: a worker can do with a connection for each heartbeat.
       metrics.count("reports_closed_crowded");
       out.closing();
     }
     Leader leader = house.leader();
     if (leader != null) {
-      leader.report(report, out);
+      leader.heartbeat(heartbeat, out);
       return;
     }
-    house.strayReport(report.host());
-    if (delegated.answer(report, out)) {
+    house.strayHeartbeat(heartbeat.host());
+    if (delegated.answer(heartbeat, out)) {
       return;
     }
     String label = house.leaderLabel();
--- a/src/main/java/plumlever/leader/AttemptLog.java
+++ b/src/main/java/plumlever/leader/AttemptLog.java
@@ -5,7 +5,7 @@
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Machine;
 import plumlever.metrics.LogBudget;
-import plumlever.wire.WorkerReport;
+import plumlever.wire.Heartbeat;
 
 /**
  * The life of each attempt, for one search by job or machine: each line names task, attempt,
@@ -79,15 +79,15 @@
   }
 
   /** Why a start that was never heard of, or a task that is not listed any more, is over. */
-  void settled(Attempt attempt, WorkerReport report) {
+  void settled(Attempt attempt, Heartbeat heartbeat) {
     if (enabled()) {
       log.debug(
           "{} attempt {} on {} session {} is over: a report shows token {}, the start had {}",
           attempt.name().wireName(),
           attempt.id(),
-          report.host(),
-          report.incarnation(),
-          report.fencingToken(),
+          heartbeat.host(),
+          heartbeat.incarnation(),
+          heartbeat.fencingToken(),
           attempt.directToken() < 0 ? "gone with an answer" : attempt.directToken());
     }
   }
--- a/src/main/java/plumlever/leader/CommandSender.java
+++ b/src/main/java/plumlever/leader/CommandSender.java
@@ -8,17 +8,17 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
 import plumlever.settings.Endpoint;
+import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Order;
-import plumlever.wire.WorkerReport;
 
 /**
- * Orders sent straight to machines: planned tasks, so that they need not wait for the next report,
- * and empty ones that raise the token on machines that must be accounted for. A direct order may be
- * carried out late. So one that got no answer leaves its tasks possibly running, until the machine
- * has shown a higher token or its incarnation has ended; and nothing started this way is reaped
- * with the token that started it (see {@link Machine#voidDirect}).
+ * Orders sent straight to machines: planned tasks, so that they need not wait for the next
+ * heartbeat, and empty ones that raise the token on machines that must be accounted for. A direct
+ * order may be carried out late. So one that got no answer leaves its tasks possibly running, until
+ * the machine has shown a higher token or its incarnation has ended; and nothing started this way
+ * is reaped with the token that started it (see {@link Machine#voidDirect}).
  */
 final class CommandSender {
   private static final long START_TIMEOUT_MICROS = 1_500_000;
@@ -34,7 +34,7 @@
   private final Logger log;
   private final Context context;
   private final SchedulingPass pass;
-  private final ReportHandler reports;
+  private final HeartbeatHandler heartbeats;
   private final TaskStarter starter;
   private final RenewalDelegation delegation;
   private final Runnable changed;
@@ -48,7 +48,7 @@
       Context context,
       ActiveJobs jobs,
       SchedulingPass pass,
-      ReportHandler reports,
+      HeartbeatHandler heartbeats,
       TaskStarter starter,
       RenewalDelegation delegation,
       Runnable changed) {
@@ -59,12 +59,12 @@
     this.attemptLog = new AttemptLog(context);
     this.jobs = jobs;
     this.pass = pass;
-    this.reports = reports;
+    this.heartbeats = heartbeats;
     this.changed = changed;
   }
 
   /**
-   * Sends what the round planned; what can't go now goes with the machine's next report, or is
+   * Sends what the round planned; what can't go now goes with the machine's next heartbeat, or is
    * planned anew.
    */
   void dispatch(Fleet fleet) {
@@ -115,16 +115,16 @@
           }
           context.metrics().time("direct", context.loop().nowMicros() - since);
           if (r != null) {
-            reports.apply(machine, r, false);
+            heartbeats.apply(machine, r, false);
           }
           if (status == HttpStatus.CONFLICT) {
-            reports.refused(sent);
+            heartbeats.refused(sent);
           } else if (status != HttpStatus.OK || r == null) {
             context.metrics().count("direct_unheard");
             machine.voidDirect();
             attemptLog.unanswered(machine, incarnation, token, sent);
           }
-          if (reports.takeChanged()) {
+          if (heartbeats.takeChanged()) {
             changed.run();
           }
         });
@@ -163,11 +163,11 @@
           }
           boolean otherIncarnation =
               status == HttpStatus.CONFLICT && r.incarnation() != machine.incarnation();
-          reports.apply(machine, r, false);
+          heartbeats.apply(machine, r, false);
           if (otherIncarnation && !machine.accounted()) {
             raise(machine);
           }
-          if (reports.takeChanged()) {
+          if (heartbeats.takeChanged()) {
             changed.run();
           }
         });
@@ -192,13 +192,13 @@
             (status, data) -> {
               raises--;
               machine.calling(false);
-              WorkerReport report = status == HttpStatus.OK ? read(machine, data) : null;
-              machine.called(report != null);
-              if (closed || report == null || !context.term().mayAct()) {
+              Heartbeat heartbeat = status == HttpStatus.OK ? read(machine, data) : null;
+              machine.called(heartbeat != null);
+              if (closed || heartbeat == null || !context.term().mayAct()) {
                 return;
               }
-              reports.apply(machine, report, false);
-              if (reports.takeChanged()) {
+              heartbeats.apply(machine, heartbeat, false);
+              if (heartbeats.takeChanged()) {
                 changed.run();
               }
             });
@@ -211,9 +211,9 @@
 
   private interface Answer {
     /**
-     * @param report null unless the machine answered with one of its own
+     * @param heartbeat null unless the machine answered with one of its own
      */
-    void take(int status, WorkerReport report);
+    void take(int status, Heartbeat heartbeat);
   }
 
   private void call(
@@ -235,11 +235,11 @@
             });
   }
 
-  /** The machine's own report, or null if it can't be read or is another's. */
-  private WorkerReport read(Machine machine, byte[] data) {
+  /** The machine's own heartbeat, or null if it can't be read or is another's. */
+  private Heartbeat read(Machine machine, byte[] data) {
     try {
-      WorkerReport report = WorkerReport.parse(data);
-      return report.host().equals(machine.id()) ? report : null;
+      Heartbeat heartbeat = Heartbeat.parse(data);
+      return heartbeat.host().equals(machine.id()) ? heartbeat : null;
     } catch (InvalidMessage e) {
       log.warn("the direct answer of {} can't be read: {}", machine.id(), e.getMessage());
       return null;
--- a/src/main/java/plumlever/leader/EarlyReports.java
+++ b/src/main/java/plumlever/leader/EarlyReports.java
@@ -7,19 +7,19 @@
 import java.util.function.BiConsumer;
 import plumlever.concurrent.Loop;
 import plumlever.http.Responder;
+import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.WorkerReport;
 
 /**
- * Reports of machines with tasks that come before a new leader has read which jobs there are. An
+ * Heartbeats of machines with tasks that come before a new leader has read which jobs there are. An
  * answer would renew leases of tasks whose jobs may have been cancelled long ago, so it waits until
  * the leader knows, within the time that a worker waits.
  */
-final class EarlyReports {
+final class EarlyHeartbeats {
   /** A worker gives up after 4 s, and what it hears must still get to it. */
   private static final long MOST_MICROS = 2_500_000;
 
-  private record Early(WorkerReport report, Responder out, long atMicros) {}
+  private record Early(Heartbeat heartbeat, Responder out, long atMicros) {}
 
   private final Loop loop;
 
@@ -28,27 +28,27 @@
 
   private final Map<String, Early> byHost = new LinkedHashMap<>();
 
-  EarlyReports(Loop loop, int socketLimit) {
+  EarlyHeartbeats(Loop loop, int socketLimit) {
     this.loop = loop;
     this.most = socketLimit;
   }
 
-  void keep(WorkerReport report, Responder out) {
+  void keep(Heartbeat heartbeat, Responder out) {
     long now = loop.nowMicros();
-    Early before = byHost.remove(report.host());
+    Early before = byHost.remove(heartbeat.host());
     if (before != null) {
       refuse(before);
     }
-    Early early = new Early(report, out, now);
+    Early early = new Early(heartbeat, out, now);
     if (byHost.size() >= most) {
       refuse(early);
       return;
     }
-    byHost.put(report.host(), early);
+    byHost.put(heartbeat.host(), early);
     loop.after(
         MOST_MICROS,
         () -> {
-          if (byHost.remove(report.host(), early)) {
+          if (byHost.remove(heartbeat.host(), early)) {
             refuse(early);
           }
         });
@@ -58,14 +58,14 @@
    * The leader knows its jobs: each is taken in a turn of its own, so that what comes meanwhile
    * need not wait for all.
    */
-  void release(BiConsumer<WorkerReport, Responder> take) {
+  void release(BiConsumer<Heartbeat, Responder> take) {
     List<Early> all = new ArrayList<>(byHost.values());
     byHost.clear();
     for (Early early : all) {
       loop.execute(
           () -> {
             if (loop.nowMicros() - early.atMicros <= MOST_MICROS) {
-              take.accept(early.report, early.out);
+              take.accept(early.heartbeat, early.out);
             } else {
               refuse(early);
             }
--- a/src/main/java/plumlever/leader/GuestBook.java
+++ b/src/main/java/plumlever/leader/GuestBook.java
@@ -20,12 +20,12 @@
 import plumlever.sharing.GuestTask;
 import plumlever.sharing.PoolView;
 import plumlever.sharing.TransferRecord;
+import plumlever.wire.AttemptState;
+import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Order;
-import plumlever.wire.RelayedReport;
-import plumlever.wire.TaskStatus;
-import plumlever.wire.WorkerReport;
+import plumlever.wire.RelayedHeartbeat;
 
 /**
  * Tasks of other cells on this cell's machines. Their home alone decides about them: what the
@@ -46,7 +46,7 @@
 
     private boolean calling;
     private long calledMicros = Long.MIN_VALUE / 4;
-    private WorkerReport lastReport;
+    private Heartbeat lastHeartbeat;
     private boolean lapsed;
     private boolean lapseTold;
   }
@@ -128,28 +128,28 @@
         && lodging.byHome.values().stream().anyMatch(guests -> guests.tasks.containsKey(attempt));
   }
 
-  /** A report of the machine was taken in. */
-  void reported(Machine machine, WorkerReport report) {
+  /** a heartbeat of the machine was taken in. */
+  void reported(Machine machine, Heartbeat heartbeat) {
     Lodging lodging = lodgings.get(machine.id());
     if (lodging == null) {
       return;
     }
     Set<Long> listed = new HashSet<>();
     lodging.ended.clear();
-    for (WorkerReport.Piece piece : report.pieces()) {
-      listed.add(piece.attempt());
-      if (piece.status() == TaskStatus.ENDED) {
-        lodging.ended.add(piece.attempt());
+    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
+      listed.add(reported.attempt());
+      if (reported.state() == AttemptState.ENDED) {
+        lodging.ended.add(reported.attempt());
       }
     }
-    if (machine.hasSeen(report.fencingToken())) {
+    if (machine.hasSeen(heartbeat.fencingToken())) {
       // What a former owner ordered can't come any more: what is not on the machine is over.
       lodging.byHome.values().forEach(guests -> guests.tasks.keySet().retainAll(listed));
     }
     lodging.orders.keySet().retainAll(listed);
     settleLoad(lodging);
-    if (machine.hasSeen(report.fencingToken())) {
-      lodging.byHome.forEach((home, guests) -> relay(lodging, home, guests, report, false));
+    if (machine.hasSeen(heartbeat.fencingToken())) {
+      lodging.byHome.forEach((home, guests) -> relay(lodging, home, guests, heartbeat, false));
     }
   }
 
@@ -180,17 +180,17 @@
     lodging.byHome.forEach(
         (home, guests) -> {
           guests.lapsed = true;
-          if (guests.lastReport != null && !guests.lapseTold) {
-            relay(lodging, home, guests, guests.lastReport, true);
+          if (guests.lastHeartbeat != null && !guests.lapseTold) {
+            relay(lodging, home, guests, guests.lastHeartbeat, true);
           }
         });
     settleLoad(lodging);
   }
 
   private void relay(
-      Lodging lodging, String home, Guests guests, WorkerReport report, boolean lapsed) {
+      Lodging lodging, String home, Guests guests, Heartbeat heartbeat, boolean lapsed) {
     long now = context.loop().nowMicros();
-    guests.lastReport = report;
+    guests.lastHeartbeat = heartbeat;
     guests.lapsed = lapsed;
     Optional<Endpoint> leader = leaderOf(home);
     if (closed
@@ -202,17 +202,17 @@
     }
     guests.calling = true;
     guests.calledMicros = now;
-    List<WorkerReport.Piece> pieces =
-        report.pieces().stream()
-            .filter(piece -> guests.tasks.containsKey(piece.attempt()))
+    List<Heartbeat.AttemptStatus> attempts =
+        heartbeat.attempts().stream()
+            .filter(reported -> guests.tasks.containsKey(reported.attempt()))
             .toList();
-    RelayedReport message =
-        new RelayedReport(
+    RelayedHeartbeat message =
+        new RelayedHeartbeat(
             sharing.own().name(),
             home,
             lodging.machine.tokenTerm(),
             lapsed,
-            RelayedReport.only(report, lapsed ? List.of() : pieces));
+            RelayedHeartbeat.only(heartbeat, lapsed ? List.of() : attempts));
     context
         .caller()
         .call(
@@ -279,18 +279,18 @@
   }
 
   /** What the homes want, and halts of jobs whose end is on record. */
-  List<Order> orders(Machine machine, WorkerReport report) {
+  List<Order> orders(Machine machine, Heartbeat heartbeat) {
     Lodging lodging = lodgings.get(machine.id());
     if (lodging == null) {
       return List.of();
     }
     List<Order> orders = new ArrayList<>();
-    boolean current = machine.hasSeen(report.fencingToken());
-    for (WorkerReport.Piece piece : report.pieces()) {
-      Order order = lodging.orders.get(piece.attempt());
-      boolean over = piece.status() == TaskStatus.ENDED;
-      if (!over && jobHasEnded(lodging, piece)) {
-        orders.add(Order.halt(piece.task(), piece.attempt(), 0));
+    boolean current = machine.hasSeen(heartbeat.fencingToken());
+    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
+      Order order = lodging.orders.get(reported.attempt());
+      boolean over = reported.state() == AttemptState.ENDED;
+      if (!over && jobHasEnded(lodging, reported)) {
+        orders.add(Order.halt(reported.task(), reported.attempt(), 0));
       } else if (order != null && (order.verb() == Order.Verb.REAP ? over && current : !over)) {
         orders.add(order);
       }
@@ -298,12 +298,12 @@
     return orders;
   }
 
-  private boolean jobHasEnded(Lodging lodging, WorkerReport.Piece piece) {
+  private boolean jobHasEnded(Lodging lodging, Heartbeat.AttemptStatus reported) {
     return lodging.byHome.entrySet().stream()
         .anyMatch(
             entry ->
-                entry.getValue().tasks.containsKey(piece.attempt())
-                    && watch(entry.getKey()).hasEnded(piece.task().job()));
+                entry.getValue().tasks.containsKey(reported.attempt())
+                    && watch(entry.getKey()).hasEnded(reported.task().job()));
   }
 
   void close() {
--- a/src/main/java/plumlever/leader/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/HeartbeatAnswers.java
@@ -13,9 +13,9 @@
 import plumlever.lease.RenewalRefusal;
 import plumlever.lease.UnansweredCommands;
 import plumlever.metrics.LogBudget;
+import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.Order;
-import plumlever.wire.WorkerReport;
 
 /** The leader's answers to heartbeats, as far as they renew a lease or refuse to. */
 final class HeartbeatAnswers {
@@ -49,22 +49,22 @@
    */
   boolean send(
       Machine machine,
-      WorkerReport report,
+      Heartbeat heartbeat,
       boolean holdsOpenTasks,
       List<Order> orders,
       Responder out) {
-    return send(report, evidence(machine, holdsOpenTasks), orders, out);
+    return send(heartbeat, evidence(machine, holdsOpenTasks), orders, out);
   }
 
   /**
    * Renews the lease of a machine without tasks before the jobs are known: nothing runs there that
    * could have been cancelled, and the term's token voids what a former leader has sent.
    */
-  void sendToIdle(WorkerReport report, Responder out) {
+  void sendToIdle(Heartbeat heartbeat, Responder out) {
     LeaderEvidence evidence =
         LeaderEvidence.ofIdleMachine(
             context.term()::mayAct, Fleet.firstToken(context.term().number()));
-    send(report, evidence, List.of(), out);
+    send(heartbeat, evidence, List.of(), out);
   }
 
   private LeaderEvidence evidence(Machine machine, boolean holdsOpenTasks) {
@@ -82,10 +82,10 @@
   }
 
   private boolean send(
-      WorkerReport report, LeaderEvidence evidence, List<Order> orders, Responder out) {
+      Heartbeat heartbeat, LeaderEvidence evidence, List<Order> orders, Responder out) {
     RenewalDecision decision = renewal.answer(evidence, orders, context.loop().nowMicros());
     if (decision instanceof RenewalDecision.Refused refused) {
-      refuse(report, refused.refusal(), out);
+      refuse(heartbeat, refused.refusal(), out);
       return false;
     }
     out.send(HttpStatus.OK, ((RenewalDecision.Renewed) decision).body());
@@ -93,16 +93,16 @@
   }
 
   /** Answers without renewing the lease. */
-  void refuse(WorkerReport report, RenewalRefusal refusal, Responder out) {
+  void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     context.metrics().count("renewals_refused");
     context.metrics().count(refusal.counter());
     long now = context.loop().nowMicros();
     if (lines.debug(now)) {
       log.debug(
           "the lease of {} session {} is not renewed, token {}: {}, ended jobs as of {} ms ago",
-          report.host(),
-          report.incarnation(),
-          report.fencingToken(),
+          heartbeat.host(),
+          heartbeat.incarnation(),
+          heartbeat.fencingToken(),
           refusal.reason(),
           (now - jobs.endsKnownMicros()) / 1_000);
     }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -18,11 +18,11 @@
 import plumlever.lease.RenewalRefusal;
 import plumlever.sharing.PoolView;
 import plumlever.store.JobStore;
+import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.JobState;
 import plumlever.wire.Order;
-import plumlever.wire.RelayedReport;
-import plumlever.wire.WorkerReport;
+import plumlever.wire.RelayedHeartbeat;
 
 /**
  * One term of office: everything the leading node knows and does, from election until it leaves.
@@ -37,8 +37,8 @@
   private static final long ANSWER_SHOWS_MICROS = 2_000_000;
   private static final long LATE_MICROS = 50_000;
 
-  /** The next report comes within so many usual pauses. */
-  private static final double REPORT_PAUSES = 1.5;
+  /** The next heartbeat comes within so many usual pauses. */
+  private static final double HEARTBEAT_PAUSES = 1.5;
 
   /** Calls under way at a time while late: enough to find out those that are gone. */
   private static final int MOST_RAISES_LATE = 6;
@@ -54,7 +54,7 @@
   private final StoredRecords records;
   private final Takeover takeover;
   private final ProgressWriter progress;
-  private final ReportHandler reports;
+  private final HeartbeatHandler heartbeats;
   private final TaskStarter starter;
   private final SchedulingPass pass;
   private final MachineRegistry registry;
@@ -62,7 +62,7 @@
   private final SuccessorHints hints;
   private final CommandSender commands;
   private final RecurringTask rounds;
-  private final EarlyReports early;
+  private final EarlyHeartbeats early;
   private final DependencyListCleanup lists;
   private final MachineSharing sharing;
   private final HeartbeatAnswers answers;
@@ -80,14 +80,14 @@
     this.records = new StoredRecords(context);
     this.takeover = new Takeover(context, fleet, this::sharing);
     this.progress = new ProgressWriter(context, jobs);
-    this.reports =
-        new ReportHandler(context, fleet, jobs, estimates, takeover, progress, this::sharing);
+    this.heartbeats =
+        new HeartbeatHandler(context, fleet, jobs, estimates, takeover, progress, this::sharing);
     this.starter = new TaskStarter(context, fleet, jobs, takeover);
     this.pass = new SchedulingPass(context, fleet, jobs, startedJobs, estimates, takeover);
     jobs.costs(pass::costMicros);
     RenewalDelegation delegation = new RenewalDelegation(context, fleet);
     this.commands =
-        new CommandSender(context, jobs, pass, reports, starter, delegation, this::changed);
+        new CommandSender(context, jobs, pass, heartbeats, starter, delegation, this::changed);
     this.registry = new MachineRegistry(context, this::changed);
     this.sharing =
         context
@@ -100,7 +100,7 @@
                         fleet,
                         jobs,
                         registry,
-                        reports,
+                        heartbeats,
                         pass,
                         takeover,
                         commands,
@@ -113,14 +113,14 @@
             fleet,
             registry,
             pass,
-            reports,
+            heartbeats,
             commands,
             delegation,
             takeover,
             sharing,
             this::changed);
     this.hints = new SuccessorHints(context, fleet, estimates);
-    this.early = new EarlyReports(context.loop(), context.platform().socketLimit());
+    this.early = new EarlyHeartbeats(context.loop(), context.platform().socketLimit());
     this.lists = new DependencyListCleanup(context, jobs);
     this.rounds = new RecurringTask("rounds", context.loop(), this::roundTurn);
   }
@@ -161,7 +161,7 @@
         count,
         takeover.open().size(),
         (context.loop().nowMicros() - takeover.startedMicros()) / 1_000);
-    early.release(this::report);
+    early.release(this::heartbeat);
     scope.own(sharing::close);
     scope.own(jobs::close);
     scope.own(startedJobs::close);
@@ -183,8 +183,8 @@
   }
 
   /**
-   * Shows the token to machines not accounted for, without waiting for their reports; and now and
-   * then to those that nothing seems to reach, whose reports are not answered meanwhile.
+   * Shows the token to machines not accounted for, without waiting for their heartbeats; and now
+   * and then to those that nothing seems to reach, whose heartbeats are not answered meanwhile.
    */
   private long raise() {
     long since = context.loop().nowMicros();
@@ -200,7 +200,8 @@
       // again, and nobody else.
       List<Machine> open = new ArrayList<>(takeover.open());
       open.sort(Comparator.comparingInt(Machine::failedCalls));
-      // Where time is short, calls make way for the reports that come anyhow: both tell the same,
+      // Where time is short, calls make way for the heartbeats that come anyhow: both tell the
+      // same,
       // and all machines that
       // still work report within seconds.
       int most =
@@ -268,20 +269,20 @@
     context.election().resign(context.term(), "the numbers of this term run out", 0);
   }
 
-  /** Answers a worker's report; the caller has checked that this node leads. */
-  public void report(WorkerReport report, Responder out) {
-    if (answeredWithoutTakingIn(report, out)) {
+  /** Answers a worker's heartbeat; the caller has checked that this node leads. */
+  public void heartbeat(Heartbeat heartbeat, Responder out) {
+    if (answeredWithoutTakingIn(heartbeat, out)) {
       return;
     }
-    Machine machine = known(report);
+    Machine machine = known(heartbeat);
     if (fleet.tokensRunOut(machine)) {
       endTermForNumbers();
     }
-    ReportHandler.News news = reports.apply(machine, report, true);
-    if (reports.takeChanged()) {
+    HeartbeatHandler.News news = heartbeats.apply(machine, heartbeat, true);
+    if (heartbeats.takeChanged()) {
       due = true;
     }
-    if (news == ReportHandler.News.COPY) {
+    if (news == HeartbeatHandler.News.COPY) {
       context.metrics().count("report_copies");
       out.later(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
     } else if (machine.deaf()) {
@@ -289,92 +290,94 @@
       // tasks.
       out.later(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
     } else {
-      takeIn(machine, report, news);
-      renew(machine, report, news, out);
+      takeIn(machine, heartbeat, news);
+      renew(machine, heartbeat, news, out);
     }
   }
 
-  /** Answers a report that tells this leader nothing: it must not act on it, or not yet. */
-  private boolean answeredWithoutTakingIn(WorkerReport report, Responder out) {
+  /** Answers a heartbeat that tells this leader nothing: it must not act on it, or not yet. */
+  private boolean answeredWithoutTakingIn(Heartbeat heartbeat, Responder out) {
     if (!context.term().mayAct()) {
       out.later(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
     }
-    if (sharing.answered(report, out)) {
+    if (sharing.answered(heartbeat, out)) {
       return true;
     }
-    if (!sharing.inPool() && Fleet.termOf(report.fencingToken()) > term) {
+    if (!sharing.inPool() && Fleet.termOf(heartbeat.fencingToken()) > term) {
       // Somebody holds a later term, so this one is over whatever this node believes.
       context
           .election()
           .resign(
               context.term(),
-              "a worker has seen term " + Fleet.termOf(report.fencingToken()),
+              "a worker has seen term " + Fleet.termOf(heartbeat.fencingToken()),
               1_000_000);
       out.later(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
     }
-    if (machines.isDeleted(report.host())) {
+    if (machines.isDeleted(heartbeat.host())) {
       out.later(HttpStatus.UNAVAILABLE, "this machine was returned", 1);
       return true;
     }
-    if (!loaded && report.holdsTasks()) {
-      early.keep(report, out);
+    if (!loaded && heartbeat.holdsTasks()) {
+      early.keep(heartbeat, out);
     } else if (!loaded) {
-      answers.sendToIdle(report, out);
+      answers.sendToIdle(heartbeat, out);
     }
     return !loaded;
   }
 
-  /** The machine of the report, which may be heard of for the first time. */
-  private Machine known(WorkerReport report) {
-    Machine machine = fleet.machine(report.host());
+  /** The machine of the heartbeat, which may be heard of for the first time. */
+  private Machine known(Heartbeat heartbeat) {
+    Machine machine = fleet.machine(heartbeat.host());
     if (machine == null) {
       machine =
           new Machine(
-              report.host(),
-              report.endpoint(),
-              report.flavor(),
-              report.site(),
-              report.loaners(),
+              heartbeat.host(),
+              heartbeat.endpoint(),
+              heartbeat.flavor(),
+              heartbeat.site(),
+              heartbeat.loaners(),
               context.loop().nowMicros());
       fleet.add(machine);
     }
-    machine.learnEndpoint(report.endpoint());
+    machine.learnEndpoint(heartbeat.endpoint());
     return machine;
   }
 
-  /** What follows from a report that may be answered, whether or not the lease is renewed. */
-  private void takeIn(Machine machine, WorkerReport report, ReportHandler.News news) {
+  /** What follows from a heartbeat that may be answered, whether or not the lease is renewed. */
+  private void takeIn(Machine machine, Heartbeat heartbeat, HeartbeatHandler.News news) {
     if (machine.enrolment() == RegistrationState.NONE
         && !machine.returning()
-        && (machine.accounted() || report.fencingToken() == 0)) {
-      // A report that shows an earlier term may be a late copy of a machine that is gone: nothing
+        && (machine.accounted() || heartbeat.fencingToken() == 0)) {
+      // a heartbeat that shows an earlier term may be a late copy of a machine that is gone:
+      // nothing
       // is recorded for it.
       registry.enroll(machine);
     }
-    if (news == ReportHandler.News.NEWS) {
-      notice(machine, report, context.loop().nowMicros());
+    if (news == HeartbeatHandler.News.NEWS) {
+      notice(machine, heartbeat, context.loop().nowMicros());
     }
-    sharing.reported(machine, report);
+    sharing.reported(machine, heartbeat);
   }
 
   /** Renews the lease, with all commands that are due, if there is evidence enough for it. */
-  private void renew(Machine machine, WorkerReport report, ReportHandler.News news, Responder out) {
-    boolean holdsOpenTasks = reports.holdsOpenTasks(report);
+  private void renew(
+      Machine machine, Heartbeat heartbeat, HeartbeatHandler.News news, Responder out) {
+    boolean holdsOpenTasks = heartbeats.holdsOpenTasks(heartbeat);
     Optional<RenewalRefusal> refusal = answers.refusal(machine, holdsOpenTasks);
     if (refusal.isPresent()) {
-      answers.refuse(report, refusal.get(), out);
+      answers.refuse(heartbeat, refusal.get(), out);
       if (refusal.get() == RenewalRefusal.UNANSWERED_COMMAND) {
-        // With a higher token the command is void, and the next report may be answered.
+        // With a higher token the command is void, and the next heartbeat may be answered.
         commands.raise(machine);
       }
       return;
     }
-    List<Order> orders = reports.standing(machine, report);
-    orders.addAll(sharing.guestOrders(machine, report));
-    if (news == ReportHandler.News.NEWS
-        && machine.hasSeen(report.fencingToken())
+    List<Order> orders = heartbeats.standing(machine, heartbeat);
+    orders.addAll(sharing.guestOrders(machine, heartbeat));
+    if (news == HeartbeatHandler.News.NEWS
+        && machine.hasSeen(heartbeat.fencingToken())
         && pass.hasPlan(machine)
         && pass.recorded(machine)
         && !machine.unsettled()) {
@@ -382,7 +385,7 @@
       pass.dropPlan(machine);
     }
     // Checked once more: a turn that ran late may have outlived the right to act.
-    if (answers.send(machine, report, holdsOpenTasks, orders, out)) {
+    if (answers.send(machine, heartbeat, holdsOpenTasks, orders, out)) {
       machine.answered(context.loop().nowMicros());
     }
   }
@@ -391,17 +394,17 @@
    * A machine about to be taken: tasks that can save are stopped in time, others are left to finish
    * if they can.
    */
-  private void notice(Machine machine, WorkerReport report, long now) {
-    if (!report.noticed()) {
+  private void notice(Machine machine, Heartbeat heartbeat, long now) {
+    if (!heartbeat.noticed()) {
       return;
     }
     for (Attempt attempt : machine.attempts()) {
       if (!attempt.over() && attempt.job().spec().checkpoints()) {
         double save = attempt.job().spec().snapshotS();
-        // The next report comes within a few seconds; what could not be saved after it is saved
+        // The next heartbeat comes within a few seconds; what could not be saved after it is saved
         // now.
-        double slack = REPORT_PAUSES * context.platform().workers().reportMicros() / 1e6 + 1;
-        if (report.reclaimInS() <= save + slack + 2) {
+        double slack = HEARTBEAT_PAUSES * context.platform().workers().heartbeatMicros() / 1e6 + 1;
+        if (heartbeat.reclaimInS() <= save + slack + 2) {
           attempt.halt(save + 1, now);
         }
       }
@@ -418,7 +421,7 @@
   }
 
   /** Another cell's leader passes on what a machine of its tells of this cell's tasks. */
-  public void relayed(RelayedReport relayed, Responder out) {
+  public void relayed(RelayedHeartbeat relayed, Responder out) {
     sharing.relayed(relayed, out);
   }
 
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -41,7 +41,7 @@
 
   private static final int PROBES = 3;
 
-  /** Names of returned machines kept, so that late copies of their reports bring none back. */
+  /** Names of returned machines kept, so that late copies of their heartbeats bring none back. */
   private static final int REMEMBERED = 20_000;
 
   /** What a turn of the duty and the pause before its first one take. */
@@ -64,7 +64,7 @@
   private final Fleet fleet;
   private final MachineRegistry registry;
   private final SchedulingPass pass;
-  private final ReportHandler reports;
+  private final HeartbeatHandler heartbeats;
   private final CommandSender commands;
   private final RenewalDelegation delegation;
   private final Takeover takeover;
@@ -96,7 +96,7 @@
       Fleet fleet,
       MachineRegistry registry,
       SchedulingPass pass,
-      ReportHandler reports,
+      HeartbeatHandler heartbeats,
       CommandSender commands,
       RenewalDelegation delegation,
       Takeover takeover,
@@ -108,7 +108,7 @@
     this.fleet = fleet;
     this.registry = registry;
     this.pass = pass;
-    this.reports = reports;
+    this.heartbeats = heartbeats;
     this.commands = commands;
     this.delegation = delegation;
     this.takeover = takeover;
@@ -255,7 +255,7 @@
       return;
     }
     boolean lost = machine.running();
-    reports.endIncarnationsBefore(machine, Long.MAX_VALUE);
+    heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
     sharing.lapsed(machine);
     if (lost) {
       log.info("the lease of {} has lapsed", machine.id());
@@ -408,7 +408,7 @@
                 return;
               }
               for (Machine machine : out) {
-                reports.endIncarnationsBefore(machine, Long.MAX_VALUE);
+                heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
                 deleted.add(machine.id());
                 fleet.remove(machine);
                 takeover.accounted(machine, "it was returned");
--- a/src/main/java/plumlever/leader/MachineSharing.java
+++ b/src/main/java/plumlever/leader/MachineSharing.java
@@ -9,10 +9,10 @@
 import plumlever.settings.Platform;
 import plumlever.sharing.LimitParts;
 import plumlever.store.StateClient;
+import plumlever.wire.Heartbeat;
 import plumlever.wire.HostEntry;
 import plumlever.wire.Order;
-import plumlever.wire.RelayedReport;
-import plumlever.wire.WorkerReport;
+import plumlever.wire.RelayedHeartbeat;
 
 /**
  * What a leader has to know of the pool that its machines belong to. Without a pool all machines
@@ -41,11 +41,11 @@
   }
 
   /**
-   * Answers the report of a machine that is not this cell's, or that it may not answer now.
+   * Answers the heartbeat of a machine that is not this cell's, or that it may not answer now.
    *
    * @return true if it has been answered
    */
-  default boolean answered(WorkerReport report, Responder out) {
+  default boolean answered(Heartbeat heartbeat, Responder out) {
     return false;
   }
 
@@ -67,8 +67,8 @@
     return false;
   }
 
-  /** A report of the machine was taken in. */
-  default void reported(Machine machine, WorkerReport report) {}
+  /** a heartbeat of the machine was taken in. */
+  default void reported(Machine machine, Heartbeat heartbeat) {}
 
   /** What is known of the jobs of other cells whose tasks may be on the machine. */
   default GuestEvidence guestEvidence(Machine machine) {
@@ -76,7 +76,7 @@
   }
 
   /** What the cells whose tasks are on the machine want done with them. */
-  default List<Order> guestOrders(Machine machine, WorkerReport report) {
+  default List<Order> guestOrders(Machine machine, Heartbeat heartbeat) {
     return List.of();
   }
 
@@ -84,7 +84,7 @@
   default void lapsed(Machine machine) {}
 
   /** Another cell's leader passes on what a machine of its tells of this cell's tasks. */
-  default void relayed(RelayedReport relayed, Responder out) {}
+  default void relayed(RelayedHeartbeat relayed, Responder out) {}
 
   /**
    * Gives a machine to another cell, whatever the policy says.
--- a/src/main/java/plumlever/leader/MachineSilence.java
+++ b/src/main/java/plumlever/leader/MachineSilence.java
@@ -86,12 +86,12 @@
     return count != null && count.mostlyTakenOver();
   }
 
-  /** Reports that are far apart make a machine seem silent later. */
+  /** Heartbeats that are far apart make a machine seem silent later. */
   long mostMicros() {
     return Math.max(
         context.tunables().silentMicros(),
-        2 * context.platform().workers().reportMicros()
-            + context.platform().workers().reportMicros() / 2);
+        2 * context.platform().workers().heartbeatMicros()
+            + context.platform().workers().heartbeatMicros() / 2);
   }
 
   /** For how long nothing was heard of the machine. */
@@ -130,7 +130,7 @@
         zone.open += open ? 1 : 0;
         // One missed report already: machines behind a cut fall silent one after the other, and by
         // the time the first is called silent all the others must have missed one as well.
-        if (of(machine, now) > context.platform().workers().latestReportMicros()) {
+        if (of(machine, now) > context.platform().workers().latestHeartbeatMicros()) {
           zone.silent++;
         }
       }
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/PoolSharing.java
@@ -18,12 +18,12 @@
 import plumlever.sharing.PoolView;
 import plumlever.sharing.TransferRecord;
 import plumlever.store.StateClient;
+import plumlever.wire.Heartbeat;
 import plumlever.wire.HostEntry;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.Json;
 import plumlever.wire.Order;
-import plumlever.wire.RelayedReport;
-import plumlever.wire.WorkerReport;
+import plumlever.wire.RelayedHeartbeat;
 
 /** One cell's part in a pool, for one term of its leader. */
 final class PoolSharing implements MachineSharing {
@@ -34,7 +34,7 @@
   private final SharingSettings sharing;
   private final Fleet fleet;
   private final MachineRegistry registry;
-  private final ReportHandler reports;
+  private final HeartbeatHandler heartbeats;
   private final Runnable changed;
   private final Scope scope = new Scope();
   private final PoolLink link;
@@ -54,7 +54,7 @@
       Fleet fleet,
       ActiveJobs jobs,
       MachineRegistry registry,
-      ReportHandler reports,
+      HeartbeatHandler heartbeats,
       SchedulingPass pass,
       Takeover takeover,
       CommandSender commands,
@@ -64,7 +64,7 @@
     this.sharing = sharing;
     this.fleet = fleet;
     this.registry = registry;
-    this.reports = reports;
+    this.heartbeats = heartbeats;
     this.changed = changed;
     this.link = new PoolLink(context, this::recordsChanged);
     this.view = link.view();
@@ -78,7 +78,7 @@
             sharing,
             fleet,
             jobs,
-            reports,
+            heartbeats,
             registry,
             pass,
             view,
@@ -155,14 +155,14 @@
   }
 
   @Override
-  public boolean answered(WorkerReport report, Responder out) {
-    String machine = report.host();
+  public boolean answered(Heartbeat heartbeat, Responder out) {
+    String machine = heartbeat.host();
     if (!loaded) {
       out.later(HttpStatus.UNAVAILABLE, "whose machine this is is not known yet", 1);
       return true;
     }
     if (transfers.owns(machine)) {
-      return answeredOwn(report, out);
+      return answeredOwn(heartbeat, out);
     }
     Optional<String> holder = view.holder(machine);
     if (holder.isEmpty()) {
@@ -178,9 +178,9 @@
     return true;
   }
 
-  private boolean answeredOwn(WorkerReport report, Responder out) {
-    Machine machine = fleet.machine(report.host());
-    if (machine != null && Fleet.termOf(report.fencingToken()) > machine.tokenTerm()) {
+  private boolean answeredOwn(Heartbeat heartbeat, Responder out) {
+    Machine machine = fleet.machine(heartbeat.host());
+    if (machine != null && Fleet.termOf(heartbeat.fencingToken()) > machine.tokenTerm()) {
       // The machine has seen a newer owner or leader than this one knows of.
       out.later(HttpStatus.UNAVAILABLE, "a newer owner is known to the machine", 1);
       return true;
@@ -216,8 +216,8 @@
   }
 
   @Override
-  public void reported(Machine machine, WorkerReport report) {
-    guests.reported(machine, report);
+  public void reported(Machine machine, Heartbeat heartbeat) {
+    guests.reported(machine, heartbeat);
   }
 
   @Override
@@ -226,8 +226,8 @@
   }
 
   @Override
-  public List<Order> guestOrders(Machine machine, WorkerReport report) {
-    return guests.orders(machine, report);
+  public List<Order> guestOrders(Machine machine, Heartbeat heartbeat) {
+    return guests.orders(machine, heartbeat);
   }
 
   @Override
@@ -236,8 +236,8 @@
   }
 
   @Override
-  public void relayed(RelayedReport relayed, Responder out) {
-    String id = relayed.report().host();
+  public void relayed(RelayedHeartbeat relayed, Responder out) {
+    String id = relayed.heartbeat().host();
     Optional<TransferRecord> record =
         loaded ? view.transfer(id).map(PoolView.Stamped::value) : Optional.empty();
     Machine machine = loaded ? fleet.away(id) : null;
@@ -253,16 +253,17 @@
     machine.tokenTerm(relayed.number());
     boolean news;
     if (relayed.lapsed()) {
-      reports.endIncarnationsBefore(machine, Long.MAX_VALUE);
+      heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
       news = true;
     } else {
-      news = reports.applyRelayed(machine, relayed.report());
+      news = heartbeats.applyRelayed(machine, relayed.heartbeat());
     }
-    if (news && relayed.report().pieces().isEmpty()) {
+    if (news && relayed.heartbeat().attempts().isEmpty()) {
       transfers.seenEmpty(machine);
     }
-    List<Order> orders = relayed.lapsed() ? List.of() : reports.standing(machine, relayed.report());
-    if (reports.takeChanged()) {
+    List<Order> orders =
+        relayed.lapsed() ? List.of() : heartbeats.standing(machine, relayed.heartbeat());
+    if (heartbeats.takeChanged()) {
       changed.run();
     }
     out.send(HttpStatus.OK, Order.relayed(orders));
--- a/src/main/java/plumlever/leader/Preemption.java
+++ b/src/main/java/plumlever/leader/Preemption.java
@@ -10,8 +10,8 @@
 import plumlever.fleet.Machine;
 import plumlever.placement.ResourceRequest;
 import plumlever.placement.Zones;
+import plumlever.wire.AttemptState;
 import plumlever.wire.Flavor;
-import plumlever.wire.TaskStatus;
 import plumlever.wire.Urgency;
 
 /**
@@ -32,7 +32,7 @@
   /** A task stopped sooner after its start was hardly worth starting. */
   private static final long SETTLED_MICROS = 35_000_000;
 
-  /** A halt goes out with the next answer, and the room is seen with the report after it. */
+  /** A halt goes out with the next answer, and the room is seen with the heartbeat after it. */
   private static final long ORDER_MICROS = 3_000_000;
 
   private static final double EPSILON = 1e-9;
@@ -178,7 +178,7 @@
       cores -= attempt.job().spec().cores();
       memory -= attempt.job().spec().memoryGb();
       accelerators -= attempt.job().spec().accelerators();
-      if (attempt.status() == TaskStatus.RUNNING
+      if (attempt.state() == AttemptState.RUNNING
           && attempt.job().spec().checkpoints()
           && attempt.job().urgency().compareTo(job.urgency()) > 0
           && now - attempt.runningSinceMicros() > SETTLED_MICROS) {
--- a/src/main/java/plumlever/leader/ReportHandler.java
+++ b/src/main/java/plumlever/leader/ReportHandler.java
@@ -10,13 +10,13 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
+import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
+import plumlever.wire.Heartbeat;
 import plumlever.wire.Order;
-import plumlever.wire.TaskStatus;
-import plumlever.wire.WorkerReport;
 
 /** Learns from reports, and writes the orders that answer them. */
-final class ReportHandler {
+final class HeartbeatHandler {
   private final Logger log;
   private final Context context;
   private final Fleet fleet;
@@ -28,7 +28,7 @@
   private final AttemptLog attemptLog;
   private boolean changed;
 
-  ReportHandler(
+  HeartbeatHandler(
       Context context,
       Fleet fleet,
       ActiveJobs jobs,
@@ -37,7 +37,7 @@
       ProgressWriter progress,
       Supplier<MachineSharing> sharing) {
     this.context = context;
-    this.log = context.logs().of(ReportHandler.class);
+    this.log = context.logs().of(HeartbeatHandler.class);
     this.fleet = fleet;
     this.jobs = jobs;
     this.estimates = estimates;
@@ -54,7 +54,7 @@
     return wasChanged;
   }
 
-  /** What a report is worth. */
+  /** What a heartbeat is worth. */
   enum News {
     /** The newest of its machine. */
     NEWS,
@@ -73,58 +73,58 @@
    * @param own sent by the worker itself; the body of a direct call proves nothing about an answer
    *     on its way
    */
-  News apply(Machine machine, WorkerReport report, boolean own) {
+  News apply(Machine machine, Heartbeat heartbeat, boolean own) {
     long now = context.loop().nowMicros();
     if ((machine.incarnation() > 0 || machine.sequenceNumber() > 0)
-        && !report.newerThan(machine.incarnation(), machine.sequenceNumber())) {
+        && !heartbeat.newerThan(machine.incarnation(), machine.sequenceNumber())) {
       if (own
-          && report.incarnation() == machine.incarnation()
-          && report.sequenceNumber() > machine.ownSequenceNumber()) {
-        machine.overtaken(report.sequenceNumber(), now);
+          && heartbeat.incarnation() == machine.incarnation()
+          && heartbeat.sequenceNumber() > machine.ownSequenceNumber()) {
+        machine.overtaken(heartbeat.sequenceNumber(), now);
         return News.OVERTAKEN;
       }
       // Copies come seconds to minutes late. They must neither bring back what is gone nor count as
       // a sign of life.
       return News.COPY;
     }
-    boolean relapsed = machine.incarnation() > 0 && report.incarnation() > machine.incarnation();
-    if (report.incarnation() > machine.incarnation()) {
-      endIncarnationsBefore(machine, report.incarnation());
+    boolean relapsed = machine.incarnation() > 0 && heartbeat.incarnation() > machine.incarnation();
+    if (heartbeat.incarnation() > machine.incarnation()) {
+      endIncarnationsBefore(machine, heartbeat.incarnation());
     }
     boolean first = !machine.heard();
-    boolean noticed = report.noticed() && machine.reclaimAtMicros() < 0;
-    machine.heardAt(report, now, own);
+    boolean noticed = heartbeat.noticed() && machine.reclaimAtMicros() < 0;
+    machine.heardAt(heartbeat, now, own);
     changed |= first && own;
     if (noticed) {
       changed = true;
       context.metrics().count("spot_notices");
-      log.info("{} will be taken in {} s", machine.id(), report.reclaimInS());
+      log.info("{} will be taken in {} s", machine.id(), heartbeat.reclaimInS());
     }
     LongHashSet listed = new LongHashSet();
-    boolean current = machine.hasSeen(report.fencingToken());
-    machine.token(current ? report.fencingToken() : 0);
+    boolean current = machine.hasSeen(heartbeat.fencingToken());
+    machine.token(current ? heartbeat.fencingToken() : 0);
     int foreign = 0;
-    for (WorkerReport.Piece piece : report.pieces()) {
-      if (sharing.get().isGuest(machine, piece.attempt())) {
+    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
+      if (sharing.get().isGuest(machine, reported.attempt())) {
         continue;
       }
-      listed.add(piece.attempt());
-      Attempt attempt = machine.attempt(piece.attempt());
+      listed.add(reported.attempt());
+      Attempt attempt = machine.attempt(reported.attempt());
       if (attempt != null
-          && attempt.task() == piece.task().number()
-          && attempt.job().uid().equals(piece.task().job())) {
-        update(attempt, piece, now);
+          && attempt.task() == reported.task().number()
+          && attempt.job().uid().equals(reported.task().job())) {
+        update(attempt, reported, now);
       } else if (attempt == null && current) {
-        unknown(machine, piece, now);
+        unknown(machine, reported, now);
       }
-      if (piece.status() != TaskStatus.ENDED && machine.attempt(piece.attempt()) == null) {
+      if (reported.state() != AttemptState.ENDED && machine.attempt(reported.attempt()) == null) {
         foreign++;
       }
     }
     takeover.foreign(machine, foreign);
-    boolean lost = forgetGone(machine, report, own, listed);
+    boolean lost = forgetGone(machine, heartbeat, own, listed);
     if (own) {
-      hears(machine, report, lost || relapsed);
+      hears(machine, heartbeat, lost || relapsed);
     }
     if (current && !machine.accounted()) {
       takeover.accounted(machine, own ? "it reported" : "it answered");
@@ -138,35 +138,36 @@
    *
    * @return false for a copy, which proves nothing
    */
-  boolean applyRelayed(Machine machine, WorkerReport report) {
+  boolean applyRelayed(Machine machine, Heartbeat heartbeat) {
     boolean known = machine.incarnation() > 0 || machine.sequenceNumber() > 0;
-    if (known && !report.newerThan(machine.incarnation(), machine.sequenceNumber())) {
+    if (known && !heartbeat.newerThan(machine.incarnation(), machine.sequenceNumber())) {
       return false;
     }
-    if (report.incarnation() > machine.incarnation()) {
-      endIncarnationsBefore(machine, report.incarnation());
+    if (heartbeat.incarnation() > machine.incarnation()) {
+      endIncarnationsBefore(machine, heartbeat.incarnation());
     }
     long now = context.loop().nowMicros();
-    machine.heardAt(report, now, true);
+    machine.heardAt(heartbeat, now, true);
     LongHashSet listed = new LongHashSet();
-    for (WorkerReport.Piece piece : report.pieces()) {
-      listed.add(piece.attempt());
-      Attempt attempt = machine.attempt(piece.attempt());
+    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
+      listed.add(reported.attempt());
+      Attempt attempt = machine.attempt(reported.attempt());
       if (attempt != null) {
-        update(attempt, piece, now);
-      } else if (piece.status() == TaskStatus.ENDED) {
-        unknown(machine, piece, now);
+        update(attempt, reported, now);
+      } else if (reported.state() == AttemptState.ENDED) {
+        unknown(machine, reported, now);
       }
     }
-    forgetGone(machine, report, true, listed);
+    forgetGone(machine, heartbeat, true, listed);
     return true;
   }
 
   /**
-   * Ends the attempts that the report proves the machine does not have; true if an order was lost.
+   * Ends the attempts that the heartbeat proves the machine does not have; true if an order was
+   * lost.
    */
   private boolean forgetGone(
-      Machine machine, WorkerReport report, boolean own, LongHashSet listed) {
+      Machine machine, Heartbeat heartbeat, boolean own, LongHashSet listed) {
     List<Attempt> gone = null;
     for (Attempt attempt : machine.attempts()) {
       if (listed.contains(attempt.id())) {
@@ -176,8 +177,8 @@
       // direct order: it may
       // be carried out late, until the worker has seen a higher token.
       if (attempt.directToken() >= 0
-          ? report.fencingToken() > attempt.directToken() || attempt.status() != null
-          : own && attempt.sentSequenceNumber() < report.sequenceNumber()) {
+          ? heartbeat.fencingToken() > attempt.directToken() || attempt.state() != null
+          : own && attempt.sentSequenceNumber() < heartbeat.sequenceNumber()) {
         if (gone == null) {
           gone = new ArrayList<>();
         }
@@ -188,9 +189,9 @@
     for (Attempt attempt : gone == null ? List.<Attempt>of() : gone) {
       if (!attempt.over()) {
         changed = true;
-        lost |= attempt.status() == null;
-        context.metrics().count(attempt.status() == null ? "runs_lost" : "attempts_vanished");
-        attemptLog.settled(attempt, report);
+        lost |= attempt.state() == null;
+        context.metrics().count(attempt.state() == null ? "runs_lost" : "attempts_vanished");
+        attemptLog.settled(attempt, heartbeat);
       }
       fleet.forget(attempt);
     }
@@ -201,13 +202,13 @@
    * Looks whether what was sent before arrives: a machine's reports may come through although
    * nothing reaches it.
    */
-  private void hears(Machine machine, WorkerReport report, boolean lost) {
+  private void hears(Machine machine, Heartbeat heartbeat, boolean lost) {
     boolean wasDeaf = machine.deaf();
-    if (machine.answeredToken() > report.fencingToken()) {
+    if (machine.answeredToken() > heartbeat.fencingToken()) {
       machine.unheard();
     } else if (lost) {
       machine.unheard();
-      // The next report tells by its token whether the next answer arrives.
+      // The next heartbeat tells by its token whether the next answer arrives.
       machine.token(machine.token() + 1);
     } else {
       machine.heardAnswer();
@@ -228,7 +229,7 @@
    */
   void refused(Iterable<Attempt> sent) {
     for (Attempt attempt : sent) {
-      if (!attempt.over() && attempt.status() == null) {
+      if (!attempt.over() && attempt.state() == null) {
         changed = true;
         context.metrics().count("runs_refused");
         fleet.forget(attempt);
@@ -258,16 +259,16 @@
     }
   }
 
-  private void update(Attempt attempt, WorkerReport.Piece piece, long now) {
+  private void update(Attempt attempt, Heartbeat.AttemptStatus reported, long now) {
     if (attempt.over()) {
       return;
     }
     boolean started =
-        piece.status() == TaskStatus.RUNNING && attempt.status() != TaskStatus.RUNNING;
+        reported.state() == AttemptState.RUNNING && attempt.state() != AttemptState.RUNNING;
     if (started && !attempt.job().begun()) {
       context.metrics().time("begin", now - attempt.job().acceptedMicros());
     }
-    attempt.see(piece.status(), now);
+    attempt.see(reported.state(), now);
     if (started) {
       attempt
           .machine()
@@ -284,8 +285,8 @@
       }
       attemptLog.runs(attempt);
     }
-    if (piece.status() == TaskStatus.ENDED) {
-      ended(attempt, piece.cause(), now);
+    if (reported.state() == AttemptState.ENDED) {
+      ended(attempt, reported.cause(), now);
     }
   }
 
@@ -368,14 +369,14 @@
   }
 
   /** A task this leader did not start there. */
-  private void unknown(Machine machine, WorkerReport.Piece piece, long now) {
-    Job job = jobs.get(piece.task().job());
-    if (job == null || job.over() || piece.task().number() >= job.spec().pieces()) {
+  private void unknown(Machine machine, Heartbeat.AttemptStatus reported, long now) {
+    Job job = jobs.get(reported.task().job());
+    if (job == null || job.over() || reported.task().number() >= job.spec().pieces()) {
       return;
     }
-    int task = piece.task().number();
-    if (piece.status() == TaskStatus.ENDED) {
-      if (piece.cause() == ExitCause.DONE) {
+    int task = reported.task().number();
+    if (reported.state() == AttemptState.ENDED) {
+      if (reported.cause() == ExitCause.DONE) {
         Attempt other = job.liveAttempt(task);
         if (other != null) {
           other.halt(0, now);
@@ -385,17 +386,18 @@
       }
       return;
     }
-    // Only the report that accounts for a machine may bring attempts of earlier terms: one that was
+    // Only the heartbeat that accounts for a machine may bring attempts of earlier terms: one that
+    // was
     // held back until
     // after the lease had lapsed lists tasks that are dead.
     if (!machine.accounted()
-        && fleet.ofEarlierTerm(piece.attempt())
+        && fleet.ofEarlierTerm(reported.attempt())
         && job.inherited()
         && !job.done().get(task)
         && job.liveAttempt(task) == null) {
-      Attempt attempt = fleet.adopt(job, task, piece.attempt(), machine, now);
-      attempt.see(piece.status(), now);
-      if (piece.status() == TaskStatus.RUNNING) {
+      Attempt attempt = fleet.adopt(job, task, reported.attempt(), machine, now);
+      attempt.see(reported.state(), now);
+      if (reported.state() == AttemptState.RUNNING) {
         machine.images().isReady(job.spec().bundle(), job.spec().imageGb());
       } else if (context.prices().flavor(machine.flavor()) != null) {
         machine
@@ -409,11 +411,12 @@
       changed = true;
       context.metrics().count("attempts_adopted");
     } else if (job.liveAttempt(task) != null) {
-      // Mostly a report that was held back in the network; if not, the halt that answers it comes
+      // Mostly a heartbeat that was held back in the network; if not, the halt that answers it
+      // comes
       // in time.
       log.info(
           "{} is reported by {} and runs on {}",
-          piece.task().wireName(),
+          reported.task().wireName(),
           machine.id(),
           job.liveAttempt(task).machine().id());
     }
@@ -423,9 +426,9 @@
    * True if the machine has tasks of jobs that are not known here to have ended; halts of the
    * others go with any answer.
    */
-  boolean holdsOpenTasks(WorkerReport report) {
-    for (WorkerReport.Piece piece : report.pieces()) {
-      if (piece.status() != TaskStatus.ENDED && jobs.get(piece.task().job()) != null) {
+  boolean holdsOpenTasks(Heartbeat heartbeat) {
+    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
+      if (reported.state() != AttemptState.ENDED && jobs.get(reported.task().job()) != null) {
         return true;
       }
     }
@@ -433,7 +436,7 @@
   }
 
   /** The orders that go without a plan: halts, and what the worker may forget. */
-  List<Order> standing(Machine machine, WorkerReport report) {
+  List<Order> standing(Machine machine, Heartbeat heartbeat) {
     long now = context.loop().nowMicros();
     List<Order> orders = new ArrayList<>();
     // A worker that has forgotten an attempt would start it again from a late copy of a direct
@@ -465,27 +468,28 @@
         }
       }
     }
-    boolean current = machine.hasSeen(report.fencingToken());
-    for (WorkerReport.Piece piece : report.pieces()) {
-      if (machine.attempt(piece.attempt()) != null
-          || sharing.get().isGuest(machine, piece.attempt())) {
+    boolean current = machine.hasSeen(heartbeat.fencingToken());
+    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
+      if (machine.attempt(reported.attempt()) != null
+          || sharing.get().isGuest(machine, reported.attempt())) {
         continue;
       }
-      Job job = jobs.get(piece.task().job());
-      if (piece.status() != TaskStatus.ENDED) {
-        // A report that shows an earlier term does not account for its machine, but tasks of jobs
+      Job job = jobs.get(reported.task().job());
+      if (reported.state() != AttemptState.ENDED) {
+        // a heartbeat that shows an earlier term does not account for its machine, but tasks of
+        // jobs
         // that have ended are
         // halted by the first answer: it renews their lease, and the machine may not hear another
         // one.
         if (current || job == null) {
-          orders.add(Order.halt(piece.task(), piece.attempt(), 0));
+          orders.add(Order.halt(reported.task(), reported.attempt(), 0));
         }
       } else if (current
           && mayReap
           && (job == null
-              || piece.cause() != ExitCause.DONE
-              || job.stored().get(piece.task().number()))) {
-        orders.add(Order.reap(piece.task(), piece.attempt()));
+              || reported.cause() != ExitCause.DONE
+              || job.stored().get(reported.task().number()))) {
+        orders.add(Order.reap(reported.task(), reported.attempt()));
       }
     }
     return orders;
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -25,9 +25,9 @@
 import plumlever.scaling.Standby;
 import plumlever.settings.Platform;
 import plumlever.sharing.CoreDemand;
+import plumlever.wire.AttemptState;
 import plumlever.wire.Flavor;
 import plumlever.wire.JobSpec;
-import plumlever.wire.TaskStatus;
 
 /**
  * The round of decisions: which free tasks go to which machine. A plan binds nobody: it is made
@@ -62,7 +62,7 @@
   private static final long ORDER_MICROS = 50_000;
 
   /**
-   * From the end of a job's last task to the start of the next one's in its chain: a report, the
+   * From the end of a job's last task to the start of the next one's in its chain: a heartbeat, the
    * record, a round, an order.
    */
   private static final long HAND_OVER_MICROS = 1_500_000;
@@ -420,11 +420,12 @@
   }
 
   private boolean usable(Machine machine, long now) {
-    // A new leader has the machines' answers to its direct calls before their own reports: without
+    // A new leader has the machines' answers to its direct calls before their own heartbeats:
+    // without
     // those machines
     // everything would seem to lack room, and be rented for.
-    long sign = machine.heard() ? machine.lastReportMicros() : takeover.startedMicros();
-    // A machine that missed a report may be gone, and one with an unheard direct order may have
+    long sign = machine.heard() ? machine.lastHeartbeatMicros() : takeover.startedMicros();
+    // A machine that missed a heartbeat may be gone, and one with an unheard direct order may have
     // taken it.
     return machine.enrolment() == RegistrationState.STORED
         && machine.accounted()
@@ -433,7 +434,7 @@
         && !machine.offered()
         && !machine.deaf()
         && !machine.unsettled()
-        && now - sign < context.platform().workers().latestReportMicros();
+        && now - sign < context.platform().workers().latestHeartbeatMicros();
   }
 
   /** Rented and not up yet, or up and not yet on record. */
@@ -546,7 +547,7 @@
             (estimates.runMicros(attempt.job())
                 * attempt.machine().slowness()
                 * (1 + context.tunables().paddingShare()));
-    if (attempt.status() == TaskStatus.RUNNING && attempt.runningSinceMicros() >= 0) {
+    if (attempt.state() == AttemptState.RUNNING && attempt.runningSinceMicros() >= 0) {
       long end = attempt.runningSinceMicros() + run;
       // A task past its estimate may take any time; the longer it has run, the longer it is
       // expected to.
--- a/src/main/java/plumlever/leader/TransferDuty.java
+++ b/src/main/java/plumlever/leader/TransferDuty.java
@@ -46,7 +46,7 @@
   private final String own;
   private final Fleet fleet;
   private final ActiveJobs jobs;
-  private final ReportHandler reports;
+  private final HeartbeatHandler heartbeats;
   private final MachineRegistry registry;
   private final SchedulingPass pass;
   private final PoolView view;
@@ -67,7 +67,7 @@
       SharingSettings sharing,
       Fleet fleet,
       ActiveJobs jobs,
-      ReportHandler reports,
+      HeartbeatHandler heartbeats,
       MachineRegistry registry,
       SchedulingPass pass,
       PoolView view,
@@ -82,7 +82,7 @@
     this.own = sharing.own().name();
     this.fleet = fleet;
     this.jobs = jobs;
-    this.reports = reports;
+    this.heartbeats = heartbeats;
     this.registry = registry;
     this.pass = pass;
     this.view = view;
@@ -288,7 +288,7 @@
   private void gone(TransferRecord record) {
     Machine machine = fleet.away(record.machine().id());
     if (machine != null) {
-      reports.endIncarnationsBefore(machine, Long.MAX_VALUE);
+      heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
       empty.add(machine.id());
     }
     if (record.isHome(own)) {
@@ -300,7 +300,7 @@
     }
   }
 
-  /** The owner has passed on a report of the machine that lists no task of this cell. */
+  /** The owner has passed on a heartbeat of the machine that lists no task of this cell. */
   void seenEmpty(Machine machine) {
     empty.add(machine.id());
     clearIfOver(machine);
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -9,9 +9,9 @@
  * @param mayAct the right to act, asked from the clock as the answer is built
  * @param token the machine's present token, above that of every command that has had no answer for
  *     its time
- * @param holdsOpenTasks true if the report lists a task of a job that is not known to have ended
+ * @param holdsOpenTasks true if the heartbeat lists a task of a job that is not known to have ended
  * @param endsKnownMicros when the last read of ended jobs that was heard had been sent
- * @param unanswered commands that may add to what the report lists
+ * @param unanswered commands that may add to what the heartbeat lists
  * @param guests tasks of other cells
  */
 public record LeaderEvidence(
--- a/src/main/java/plumlever/lease/LeaseRenewal.java
+++ b/src/main/java/plumlever/lease/LeaseRenewal.java
@@ -22,7 +22,7 @@
     return evidence.refusal(limit, nowMicros);
   }
 
-  /** The answer to a report, with these commands; to be sent at once. */
+  /** The answer to a heartbeat, with these commands; to be sent at once. */
   public RenewalDecision answer(RenewalEvidence evidence, List<Order> commands, long nowMicros) {
     Optional<RenewalRefusal> refusal = refusal(evidence, nowMicros);
     if (refusal.isPresent()) {
--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -38,7 +38,7 @@
   }
 
   /**
-   * True while a report that came in by {@code nowMicros} may be answered with 200 although its
+   * True while a heartbeat that came in by {@code nowMicros} may be answered with 200 although its
    * machine has tasks.
    *
    * @param knownMicros when the last read of ended jobs that was heard had been sent
--- a/src/main/java/plumlever/rehearsal/DrillFiles.java
+++ b/src/main/java/plumlever/rehearsal/DrillFiles.java
@@ -52,7 +52,7 @@
       int statePort,
       int cloudPort,
       List<JobShape> shapes,
-      long reportMicros,
+      long heartbeatMicros,
       long leaseMicros) {
     String seeds =
         all.stream()
@@ -87,7 +87,7 @@
         statePort,
         all.size(),
         teams,
-        reportMicros / MICROS_PER_S,
+        heartbeatMicros / MICROS_PER_S,
         leaseMicros / MICROS_PER_S);
   }
 
--- a/src/main/java/plumlever/rehearsal/SharingDrill.java
+++ b/src/main/java/plumlever/rehearsal/SharingDrill.java
@@ -61,7 +61,7 @@
   private static final int BUFFERS = 64;
   private static final int CONNECTIONS = 2_048;
   private static final long IDLE_MICROS = 60_000_000;
-  private static final long REPORT_MICROS = 1_500_000;
+  private static final long HEARTBEAT_MICROS = 1_500_000;
   private static final long LEASE_MICROS = 20_000_000;
   private static final long START_MICROS = 30_000_000;
   private static final long TICK_MICROS = 500_000;
@@ -185,7 +185,7 @@
               stateServer.port(),
               cloudServer.port(),
               shapes,
-              REPORT_MICROS,
+              HEARTBEAT_MICROS,
               LEASE_MICROS));
     }
     Files.writeString(
@@ -207,7 +207,7 @@
     users = new DrillUsers(loop, caller, front, results, random);
     WorkerStandIn.Surroundings around =
         new WorkerStandIn.Surroundings(
-            loop, caller, front, byLabel, results, REPORT_MICROS, LEASE_MICROS);
+            loop, caller, front, byLabel, results, HEARTBEAT_MICROS, LEASE_MICROS);
     for (int i = 1; i <= plan.machines(); i++) {
       String machine = String.format("i-%06d", i);
       Server server =
--- a/src/main/java/plumlever/rehearsal/WorkerStandIn.java
+++ b/src/main/java/plumlever/rehearsal/WorkerStandIn.java
@@ -10,12 +10,12 @@
 import plumlever.http.Caller;
 import plumlever.http.Responder;
 import plumlever.settings.Endpoint;
+import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
 import plumlever.wire.Order;
-import plumlever.wire.TaskStatus;
 
 /** The worker of one machine, by its protocol; tasks take the time that the results tell. */
 final class WorkerStandIn {
@@ -29,7 +29,7 @@
   private static final class Task {
     private final String name;
     private final long attempt;
-    private TaskStatus status = TaskStatus.PULLING;
+    private AttemptState status = AttemptState.FETCHING;
     private ExitCause cause;
 
     Task(String name, long attempt) {
@@ -45,7 +45,7 @@
       List<Endpoint> controllers,
       Map<String, Endpoint> byLabel,
       TaskResults results,
-      long reportMicros,
+      long heartbeatMicros,
       long leaseMicros) {}
 
   private final Surroundings around;
@@ -81,7 +81,8 @@
 
   /** Running tasks now. */
   int running() {
-    return (int) tasks.values().stream().filter(task -> task.status == TaskStatus.RUNNING).count();
+    return (int)
+        tasks.values().stream().filter(task -> task.status == AttemptState.RUNNING).count();
   }
 
   /** The machine does not exist any more. */
@@ -109,7 +110,7 @@
     if (timer != null) {
       timer.cancel();
     }
-    timer = loop.after(Math.max(0, delayMicros), this::report);
+    timer = loop.after(Math.max(0, delayMicros), this::heartbeat);
   }
 
   private void noteChange() {
@@ -119,7 +120,7 @@
     }
   }
 
-  private void report() {
+  private void heartbeat() {
     if (reporting || gone) {
       return;
     }
@@ -140,7 +141,7 @@
               reporting = false;
               if (status == HttpStatus.OK) {
                 answered(body, sentMicros, sentIncarnation);
-                schedule(changed ? LEAST_PAUSE_MICROS : around.reportMicros());
+                schedule(changed ? LEAST_PAUSE_MICROS : around.heartbeatMicros());
               } else {
                 goOn(status, body);
               }
@@ -214,12 +215,12 @@
         }
       }
       case HALT -> {
-        if (task != null && task.status != TaskStatus.ENDED) {
+        if (task != null && task.status != AttemptState.ENDED) {
           end(task, ExitCause.HALTED);
         }
       }
       case REAP -> {
-        if (task != null && task.status == TaskStatus.ENDED) {
+        if (task != null && task.status == AttemptState.ENDED) {
           tasks.remove(order.attempt());
         }
       }
@@ -231,10 +232,10 @@
     Task task = new Task(name, attempt);
     boolean alreadyHere =
         tasks.values().stream()
-            .anyMatch(other -> other.name.equals(name) && other.status != TaskStatus.ENDED);
+            .anyMatch(other -> other.name.equals(name) && other.status != AttemptState.ENDED);
     tasks.put(attempt, task);
     if (alreadyHere) {
-      task.status = TaskStatus.ENDED;
+      task.status = AttemptState.ENDED;
       task.cause = ExitCause.IN_USE;
     } else {
       loop.after(FETCH_MICROS, () -> begin(task));
@@ -242,13 +243,13 @@
     noteChange();
   }
 
-  private boolean lives(Task task, TaskStatus status) {
+  private boolean lives(Task task, AttemptState status) {
     return tasks.get(task.attempt) == task && task.status == status;
   }
 
   private void begin(Task task) {
-    if (lives(task, TaskStatus.PULLING)) {
-      task.status = TaskStatus.RUNNING;
+    if (lives(task, AttemptState.FETCHING)) {
+      task.status = AttemptState.RUNNING;
       long runMicros = around.results().started(task.name, machine);
       loop.after(runMicros, () -> complete(task));
       noteChange();
@@ -256,21 +257,21 @@
   }
 
   private void complete(Task task) {
-    if (lives(task, TaskStatus.RUNNING)) {
+    if (lives(task, AttemptState.RUNNING)) {
       around.results().completed(task.name);
       end(task, ExitCause.DONE);
     }
   }
 
   private void end(Task task, ExitCause cause) {
-    task.status = TaskStatus.ENDED;
+    task.status = AttemptState.ENDED;
     task.cause = cause;
     around.results().left(task.name, machine);
     noteChange();
   }
 
   private byte[] state() {
-    ObjectNode report =
+    ObjectNode heartbeat =
         Json.object()
             .put("host", machine)
             .put("endpoint", endpoint)
@@ -280,18 +281,18 @@
             .put("tenure", incarnation)
             .put("tick", ++sequence)
             .put("baton", token);
-    ArrayNode pieces = report.putArray("pieces");
+    ArrayNode attempts = heartbeat.putArray("pieces");
     for (Task task : tasks.values()) {
-      ObjectNode piece =
-          pieces
+      ObjectNode attempt =
+          attempts
               .addObject()
               .put("piece", task.name)
               .put("try", task.attempt)
               .put("status", task.status.wireName());
       if (task.cause != null) {
-        piece.put("exit_cause", task.cause.wireName());
+        attempt.put("exit_cause", task.cause.wireName());
       }
     }
-    return Json.write(report).getBytes(StandardCharsets.UTF_8);
+    return Json.write(heartbeat).getBytes(StandardCharsets.UTF_8);
   }
 }
--- a/src/main/java/plumlever/settings/Platform.java
+++ b/src/main/java/plumlever/settings/Platform.java
@@ -41,13 +41,13 @@
       String kind, String jobclass, double withinS, double times, double share) {}
 
   /** Times of the workers: between reports, of a lease, and for a cancellation. */
-  public record Workers(long reportMicros, long leaseMicros, long cancelMicros) {
+  public record Workers(long heartbeatMicros, long leaseMicros, long cancelMicros) {
     /**
-     * Reports come every so often, plus or minus a quarter; one that takes longer than this has
+     * Heartbeats come every so often, plus or minus a quarter; one that takes longer than this has
      * been missed.
      */
-    public long latestReportMicros() {
-      return reportMicros + reportMicros / 4 + 2_000_000;
+    public long latestHeartbeatMicros() {
+      return heartbeatMicros + heartbeatMicros / 4 + 2_000_000;
     }
   }
 
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -227,8 +227,8 @@
     return Json.write(out);
   }
 
-  /** The machine's report as it stands now. */
-  public byte[] report(String host) {
+  /** The machine's heartbeat as it stands now. */
+  public byte[] heartbeat(String host) {
     Host otherHost = hosts.get(host);
     long now = loop.nowMicros();
     ObjectNode object =
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -25,7 +25,7 @@
   private static final int MACHINES = 40;
   private static final int JOBS = 16;
   private static final long LIFE_MICROS = 40_000_000;
-  private static final long REPORT_MICROS = 1_000_000;
+  private static final long HEARTBEAT_MICROS = 1_000_000;
   private static final long WAY_MICROS = 5_000;
   private static final Endpoint STATE = new Endpoint("state", 1);
   private static final Endpoint CLOUD = new Endpoint("cloud", 1);
@@ -90,10 +90,10 @@
             life,
             c -> LoggerFactory.getLogger("practice." + c.getSimpleName()));
     node.start();
-    long apart = REPORT_MICROS / MACHINES;
+    long apart = HEARTBEAT_MICROS / MACHINES;
     int count = 0;
     for (String text : outside.machines()) {
-      loop.after(count++ * apart, () -> report(life, text));
+      loop.after(count++ * apart, () -> heartbeat(life, text));
     }
     for (int i = 0; i < JOBS; i++) {
       loop.after(500_000 + i * 1_500_000L, () -> submit(life));
@@ -115,7 +115,7 @@
               if (path.equals("/orders")) {
                 String host = outside.machineAt(to.toString());
                 outside.order(host, new String(body, StandardCharsets.UTF_8));
-                answer.take(200, outside.report(host));
+                answer.take(200, outside.heartbeat(host));
               } else {
                 outside.handle(
                     method,
@@ -133,7 +133,7 @@
             });
   }
 
-  private void report(int life, String host) {
+  private void heartbeat(int life, String host) {
     if (life != lives || node == null) {
       return;
     }
@@ -141,13 +141,13 @@
         .handle(
             "POST",
             "/hello",
-            outside.report(host),
+            outside.heartbeat(host),
             (status, json, retry) -> {
               if (status == 200) {
                 outside.order(host, json);
               }
             });
-    loop.after(REPORT_MICROS, () -> report(life, host));
+    loop.after(HEARTBEAT_MICROS, () -> heartbeat(life, host));
   }
 
   private void submit(int life) {
--- a/src/main/java/plumlever/wire/TaskStatus.java
+++ b/src/main/java/plumlever/wire/AttemptState.java
@@ -1,15 +1,15 @@
 package plumlever.wire;
 
 /** What a worker says of a task. */
-public enum TaskStatus {
-  PULLING("pulling"),
+public enum AttemptState {
+  FETCHING("pulling"),
   RUNNING("running"),
-  FLUSHING("flushing"),
+  SAVING("flushing"),
   ENDED("ended");
 
   private final String wireName;
 
-  TaskStatus(String wireName) {
+  AttemptState(String wireName) {
     this.wireName = wireName;
   }
 
@@ -18,8 +18,8 @@
   }
 
   /** By its name in reports. */
-  public static TaskStatus of(String name) throws InvalidMessage {
-    for (TaskStatus taskStatus : values()) {
+  public static AttemptState of(String name) throws InvalidMessage {
+    for (AttemptState taskStatus : values()) {
       if (taskStatus.wireName.equals(name)) {
         return taskStatus;
       }
--- a/src/main/java/plumlever/wire/WorkerReport.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -6,8 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a worker tells of itself: the body of a report, and of the answers of the direct calls. */
-public record WorkerReport(
+/**
+ * What a worker tells of itself: the body of a heartbeat, and of the answers of the direct calls.
+ */
+public record Heartbeat(
     String host,
     String endpoint,
     String flavor,
@@ -17,19 +19,19 @@
     long sequenceNumber,
     long fencingToken,
     double reclaimInS,
-    List<Piece> pieces) {
+    List<AttemptStatus> attempts) {
 
   /** A task on a machine. */
-  public record Piece(
-      TaskName task, long attempt, TaskStatus status, ExitCause cause, boolean saved) {}
+  public record AttemptStatus(
+      TaskName task, long attempt, AttemptState state, ExitCause cause, boolean saved) {}
 
   /** Stands in {@code reclaimInS} for a machine that nobody takes away. */
   public static final double NO_NOTICE = -1;
 
   /** True if any task is on the machine, in whatever state before its end. */
   public boolean holdsTasks() {
-    for (Piece piece : pieces) {
-      if (piece.status() != TaskStatus.ENDED) {
+    for (AttemptStatus attemptStatus : attempts) {
+      if (attemptStatus.state() != AttemptState.ENDED) {
         return true;
       }
     }
@@ -48,7 +50,7 @@
   /**
    * Read field by field: a leader takes hundreds a second, and nearly all of its JSON is in them.
    */
-  public static WorkerReport parse(byte[] body) throws InvalidMessage {
+  public static Heartbeat parse(byte[] body) throws InvalidMessage {
     try (JsonParser jsonParser = Json.parser(body)) {
       if (jsonParser.nextToken() != JsonToken.START_OBJECT) {
         throw new InvalidMessage("not a JSON object");
@@ -70,20 +72,21 @@
               fields.reclaimInS =
                   jsonToken == JsonToken.VALUE_NULL ? NO_NOTICE : amount(jsonParser, name);
           case "pieces" ->
-              fields.pieces = jsonToken == JsonToken.VALUE_NULL ? List.of() : pieces(jsonParser);
+              fields.attempts =
+                  jsonToken == JsonToken.VALUE_NULL ? List.of() : attempts(jsonParser);
           default -> jsonParser.skipChildren();
         }
       }
       if (jsonParser.currentToken() != JsonToken.END_OBJECT || jsonParser.nextToken() != null) {
         throw new InvalidMessage("not JSON");
       }
-      return fields.report();
+      return fields.heartbeat();
     } catch (IOException e) {
       throw new InvalidMessage("not JSON");
     }
   }
 
-  /** What has been read of a report so far. */
+  /** What has been read of a heartbeat so far. */
   private static final class Fields {
     private String host;
     private String endpoint;
@@ -94,10 +97,10 @@
     private long sequenceNumber = -1;
     private long fencingToken = -1;
     private double reclaimInS = NO_NOTICE;
-    private List<Piece> pieces = List.of();
+    private List<AttemptStatus> attempts = List.of();
 
-    WorkerReport report() throws InvalidMessage {
-      return new WorkerReport(
+    Heartbeat heartbeat() throws InvalidMessage {
+      return new Heartbeat(
           needed(host, "host"),
           needed(endpoint, "endpoint"),
           needed(flavor, "flavor"),
@@ -107,7 +110,7 @@
           needed(sequenceNumber, "tick"),
           needed(fencingToken, "baton"),
           reclaimInS,
-          pieces);
+          attempts);
     }
   }
 
@@ -125,24 +128,26 @@
     return value;
   }
 
-  private static List<Piece> pieces(JsonParser jsonParser) throws IOException, InvalidMessage {
+  private static List<AttemptStatus> attempts(JsonParser jsonParser)
+      throws IOException, InvalidMessage {
     if (jsonParser.currentToken() != JsonToken.START_ARRAY) {
       throw new InvalidMessage("pieces must be a list");
     }
-    List<Piece> pieces = new ArrayList<>();
+    List<AttemptStatus> attempts = new ArrayList<>();
     while (jsonParser.nextToken() == JsonToken.START_OBJECT) {
-      pieces.add(piece(jsonParser));
+      attempts.add(attemptStatus(jsonParser));
     }
     if (jsonParser.currentToken() != JsonToken.END_ARRAY) {
       throw new InvalidMessage("pieces must be a list of objects");
     }
-    return pieces;
+    return attempts;
   }
 
-  private static Piece piece(JsonParser jsonParser) throws IOException, InvalidMessage {
+  private static AttemptStatus attemptStatus(JsonParser jsonParser)
+      throws IOException, InvalidMessage {
     TaskName task = null;
     long attempt = -1;
-    TaskStatus status = null;
+    AttemptState status = null;
     ExitCause cause = ExitCause.OTHER;
     boolean saved = false;
     while (jsonParser.nextToken() == JsonToken.FIELD_NAME) {
@@ -151,7 +156,7 @@
       switch (name) {
         case "piece" -> task = TaskName.of(text(jsonParser, name));
         case "try" -> attempt = whole(jsonParser, name);
-        case "status" -> status = TaskStatus.of(text(jsonParser, name));
+        case "status" -> status = AttemptState.of(text(jsonParser, name));
         case "exit_cause" -> {
           cause = ExitCause.of(jsonToken == JsonToken.VALUE_STRING ? jsonParser.getText() : "");
           jsonParser.skipChildren();
@@ -160,11 +165,11 @@
         default -> jsonParser.skipChildren();
       }
     }
-    return new Piece(
+    return new AttemptStatus(
         needed(task, "piece"),
         needed(attempt, "try"),
         needed(status, "status"),
-        status == TaskStatus.ENDED ? cause : null,
+        status == AttemptState.ENDED ? cause : null,
         saved);
   }
 
--- a/src/main/java/plumlever/wire/Order.java
+++ b/src/main/java/plumlever/wire/Order.java
@@ -41,7 +41,7 @@
     return body(0, 0, orders);
   }
 
-  /** The body of an answer to a report: it renews the worker's lease. */
+  /** The body of an answer to a heartbeat: it renews the worker's lease. */
   public static String answer(long token, List<Order> orders) {
     return body(token, 0, orders);
   }
--- /dev/null
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -0,0 +1,94 @@
+package plumlever.wire;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+
+/**
+ * What the owner of a machine passes on to a cell whose tasks may be on it: the machine's own
+ * report, with that cell's tasks only.
+ *
+ * @param from the cell that owns the machine
+ * @param home the cell whose tasks these are
+ * @param number that the owner's commands to the machine carry
+ * @param lapsed the owner has proof that the machine's lease lapsed after this report
+ */
+public record RelayedHeartbeat(
+    String from, String home, long number, boolean lapsed, Heartbeat heartbeat) {
+  private static final String FROM = "from";
+  private static final String HOME = "home";
+  private static final String NUMBER = "number";
+  private static final String LAPSED = "lapsed";
+  private static final String HEARTBEAT = "report";
+
+  /** The body of the request. */
+  public byte[] write() {
+    ObjectNode object =
+        Json.object()
+            .put(FROM, from)
+            .put(HOME, home)
+            .put(NUMBER, number)
+            .put(LAPSED, lapsed)
+            .set(HEARTBEAT, json(heartbeat));
+    return Json.write(object).getBytes(StandardCharsets.UTF_8);
+  }
+
+  private static ObjectNode json(Heartbeat heartbeat) {
+    ObjectNode object =
+        Json.object()
+            .put("host", heartbeat.host())
+            .put("endpoint", heartbeat.endpoint())
+            .put("flavor", heartbeat.flavor())
+            .put("site", heartbeat.site())
+            .put("loaners", heartbeat.loaners())
+            .put("tenure", heartbeat.incarnation())
+            .put("tick", heartbeat.sequenceNumber())
+            .put("baton", heartbeat.fencingToken());
+    if (heartbeat.noticed()) {
+      object.put("reclaim_in_s", heartbeat.reclaimInS());
+    }
+    ArrayNode attempts = object.putArray("pieces");
+    for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
+      ObjectNode node =
+          attempts
+              .addObject()
+              .put("piece", attempt.task().wireName())
+              .put("try", attempt.attempt())
+              .put("status", attempt.state().wireName());
+      if (attempt.cause() != null) {
+        node.put("exit_cause", attempt.cause().wireName()).put("saved", attempt.saved());
+      }
+    }
+    return object;
+  }
+
+  /** Reads the body of such a request. */
+  public static RelayedHeartbeat parse(byte[] body) throws InvalidMessage {
+    ObjectNode object = Json.parseObject(body);
+    if (!(object.get(HEARTBEAT) instanceof ObjectNode heartbeat)) {
+      throw new InvalidMessage("report is missing");
+    }
+    return new RelayedHeartbeat(
+        Json.text(object, FROM),
+        Json.text(object, HOME),
+        Json.whole(object, NUMBER, 0, Long.MAX_VALUE),
+        Json.flag(object, LAPSED),
+        Heartbeat.parse(Json.write(heartbeat).getBytes(StandardCharsets.UTF_8)));
+  }
+
+  /** The same with the tasks that are given. */
+  public static Heartbeat only(Heartbeat heartbeat, List<Heartbeat.AttemptStatus> attempts) {
+    return new Heartbeat(
+        heartbeat.host(),
+        heartbeat.endpoint(),
+        heartbeat.flavor(),
+        heartbeat.site(),
+        heartbeat.loaners(),
+        heartbeat.incarnation(),
+        heartbeat.sequenceNumber(),
+        heartbeat.fencingToken(),
+        heartbeat.reclaimInS(),
+        attempts);
+  }
+}
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -69,7 +69,7 @@
     assertEquals(Optional.empty(), refusal(LeaderEvidence.ofIdleMachine(() -> true, TOKEN)));
   }
 
-  /** What the report does not list may still be started. */
+  /** What the heartbeat does not list may still be started. */
   @Test
   void anUnansweredCommandCountsAlthoughNothingIsListed() {
     UnansweredCommands unanswered = UnansweredCommands.sentAfter(NOW);
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -221,7 +221,7 @@
   int reportingTo(String node) {
     return (int)
         machines.values().stream()
-            .filter(v -> v.worker != null && v.worker.reportsTo(node))
+            .filter(v -> v.worker != null && v.worker.heartbeatsTo(node))
             .count();
   }
 
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -57,7 +57,7 @@
     this.leaseFrom = cluster.now();
     this.at = "n" + cluster.random.nextInt(cluster.members.size());
     cluster.services.put(cluster.workerAt.apply(vm.id), this);
-    cluster.at(0, this::report);
+    cluster.at(0, this::heartbeat);
     cluster.at(200_000, this::lease);
   }
 
@@ -68,7 +68,7 @@
     cluster.services.remove(cluster.workerAt.apply(vm.id));
   }
 
-  boolean reportsTo(String node) {
+  boolean heartbeatsTo(String node) {
     return !dead && at.equals(node);
   }
 
@@ -143,12 +143,12 @@
         delay,
         () -> {
           if (nextTimer == when) {
-            report();
+            heartbeat();
           }
         });
   }
 
-  private void report() {
+  private void heartbeat() {
     if (dead || inFlight) {
       return;
     }
@@ -336,7 +336,7 @@
     return object;
   }
 
-  /** A report as it would send it now. */
+  /** a heartbeat as it would send it now. */
   byte[] statusBytes() {
     return Json.write(status()).getBytes(java.nio.charset.StandardCharsets.UTF_8);
   }
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -185,9 +185,9 @@
           d.endOfTrouble();
           return () -> spread > 8;
         }),
-    AN_OLD_REPORT_REACHES_EVERY_CONTROLLER_AS_A_LEADER_BEGINS(
+    AN_OLD_HEARTBEAT_REACHES_EVERY_CONTROLLER_AS_A_LEADER_BEGINS(
         d -> {
-          d.cluster.copyReportsForNext = 0.3;
+          d.cluster.copyHeartbeatsForNext = 0.3;
           d.stream(8, 2, 5, 10);
           d.cluster.play(20);
           d.cluster.leader().crash(1);
@@ -248,7 +248,7 @@
           d.endOfTrouble();
           return () -> full;
         }),
-    A_REPORT_IS_HELD_BACK_UNTIL_A_NEW_LEADER_HAS_ACTED(
+    A_HEARTBEAT_IS_HELD_BACK_UNTIL_A_NEW_LEADER_HAS_ACTED(
         d -> {
           List<String> held = d.machinesIn("b");
           d.cluster
@@ -330,9 +330,9 @@
           d.endOfTrouble();
           return () -> d.cluster.store.carriedOutAfterNewer > 10;
         }),
-    AN_OLD_REPORT_ARRIVES_AFTER_NEWER_ONES_ALSO_OF_EARLIER_INCARNATIONS(
+    AN_OLD_HEARTBEAT_ARRIVES_AFTER_NEWER_ONES_ALSO_OF_EARLIER_INCARNATIONS(
         d -> {
-          d.cluster.copyReports = 0.6;
+          d.cluster.copyHeartbeats = 0.6;
           d.machinesIn("a").stream()
               .limit(2)
               .forEach(
@@ -552,8 +552,8 @@
     void endOfTrouble() {
       cluster.loseAnswer = 0;
       cluster.executeLate = 0;
-      cluster.copyReports = 0;
-      cluster.copyReportsForNext = 0;
+      cluster.copyHeartbeats = 0;
+      cluster.copyHeartbeatsForNext = 0;
       cluster.slowOrdersMicros = 0;
       cluster.mute.clear();
       cluster.cuts.clear();
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Reports of the machine arrive, nothing reaches it. */
+  /** Heartbeats of the machine arrive, nothing reaches it. */
   private String deafen(double seconds) {
     String host =
         cluster.cloud.machines.values().stream()
@@ -129,12 +129,12 @@
   }
 
   /**
-   * Reports come twice, seconds to minutes late, at any node, through two takeovers and after
+   * Heartbeats come twice, seconds to minutes late, at any node, through two takeovers and after
    * machines were returned.
    */
   @Test
-  void lateCopiesOfReportsChangeNothing() {
-    cluster.copyReports = 0.5;
+  void lateCopiesOfHeartbeatsChangeNothing() {
+    cluster.copyHeartbeats = 0.5;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       cluster.at(
@@ -160,7 +160,7 @@
   @Test
   void aCopyAtTheLeaderIsNotAnswered() {
     cluster.play(20);
-    byte[] report =
+    byte[] heartbeat =
         ("{\"host\":\"i-900000\",\"endpoint\":\"h:9\",\"flavor\":\"small\",\"site\":\"a\",\"loaners\":false,"
              + "\"tenure\":1,\"tick\":7,\"baton\":0,\"pieces\":[]}")
             .getBytes(StandardCharsets.UTF_8);
@@ -171,7 +171,7 @@
           .leader()
           .node()
           .router()
-          .handle("POST", "/hello", report, (s, json, retry) -> status[count] = s);
+          .handle("POST", "/hello", heartbeat, (s, json, retry) -> status[count] = s);
     }
     assertEquals(200, status[0]);
     assertEquals(503, status[1]);
@@ -408,7 +408,7 @@
 
   /** While an order is under way, reports that were sent before it arrived don't list its task. */
   @Test
-  void aReportThatCrossesADirectOrderProvesNothing() {
+  void aHeartbeatThatCrossesADirectOrderProvesNothing() {
     cluster.slowOrdersMicros = 1_200_000;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -12,7 +12,8 @@
 
 /**
  * No fixed limit stands below 4,000 machines: all of them are listed within the cloud's rate, kept
- * on record, and taken over by the next leader with the reports that come before it knows its jobs.
+ * on record, and taken over by the next leader with the heartbeats that come before it knows its
+ * jobs.
  */
 final class FourThousandMachinesTest {
   private static final int MACHINES = 4_200;
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -24,8 +24,8 @@
  *
  * <p>The cause: a command without an answer is voided by a higher token or by the end of the
  * incarnation. The higher token stood in the leader's books only. The renewing controller answered
- * with the token that the machine's report showed and stopped what the report listed, so neither
- * came.
+ * with the token that the machine's heartbeat showed and stopped what the heartbeat listed, so
+ * neither came.
  *
  * <p>The evidence: starts with the first token of the term arriving at the moment at which the
  * partition ended, in incarnations as old as the partition, while the stops to reached machines had
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -265,11 +265,12 @@
         cluster.members.values().stream()
             .mapToLong(m -> m.node().metrics().counted("seats_evaluated"))
             .sum();
-    long reports =
+    long heartbeats =
         cluster.members.values().stream()
             .mapToLong(m -> m.node().metrics().counted("reports"))
             .sum();
     assertTrue(
-        reports > 10_000 && seats / reports < 60, "work for each report: " + seats / reports);
+        heartbeats > 10_000 && seats / heartbeats < 60,
+        "work for each report: " + seats / heartbeats);
   }
 }
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -500,7 +500,7 @@
     }
     cluster.loseAnswer = 0.01;
     cluster.repeat = 0.02;
-    cluster.copyReports = 0.02;
+    cluster.copyHeartbeats = 0.02;
     cluster.store.lateWrites = 0.02;
     cluster.store.unheardWrites = 0.02;
     for (int i = 0; i < 12; i++) {
--- a/src/test/java/plumlever/sim/Processor.java
+++ b/src/test/java/plumlever/sim/Processor.java
@@ -10,7 +10,7 @@
 final class Processor {
   /** Kinds of work that are charged for. */
   enum Work {
-    REPORT,
+    HEARTBEAT,
     REQUEST,
     ANSWER,
     TIMER
@@ -25,7 +25,7 @@
    * @param warmAfterMicros work done until they take no longer than usual
    */
   record Costs(
-      long reportMicros,
+      long heartbeatMicros,
       long requestMicros,
       long answerMicros,
       long timerMicros,
@@ -87,7 +87,7 @@
     long seatsNow = seats.getAsLong();
     double plain =
         switch (item.work) {
-              case REPORT -> costs.reportMicros;
+              case HEARTBEAT -> costs.heartbeatMicros;
               case REQUEST -> costs.requestMicros;
               case ANSWER -> costs.answerMicros;
               case TIMER -> costs.timerMicros;
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -50,7 +50,7 @@
       cluster.play(40);
       cluster.holdOrders = 0.02;
       cluster.holdOrdersMicros = InvariantChecker.CANCEL_MICROS * 3 / 2;
-      cluster.copyReports = 0.01;
+      cluster.copyHeartbeats = 0.01;
       cluster.at(0, this::troubleNext);
       cluster.play(TROUBLED_S);
       troubled = false;
--- a/src/test/java/plumlever/sim/SharingDaysTest.java
+++ b/src/test/java/plumlever/sim/SharingDaysTest.java
@@ -75,7 +75,7 @@
     cluster.loseAnswer = 0.01;
     cluster.executeLate = 0.005;
     cluster.repeat = 0.02;
-    cluster.copyReports = 0.02;
+    cluster.copyHeartbeats = 0.02;
     for (int i = 0; i < 16; i++) {
       cluster.at(
           20_000_000L + cluster.random.nextLong(240_000_000L),
--- a/src/test/java/plumlever/sim/SharingHardCasesTest.java
+++ b/src/test/java/plumlever/sim/SharingHardCasesTest.java
@@ -215,15 +215,15 @@
   }
 
   @Test
-  void oldReportsReachTheFormerOwner() {
+  void oldHeartbeatsReachTheFormerOwner() {
     tasksRun(75, 25);
-    cluster.copyReports = 1;
+    cluster.copyHeartbeats = 1;
     pool.give(GIVER, machine, TAKER);
     cluster.play(60);
     pool.submit("n0", 20, 10);
     pool.submit("n2", 20, 10);
     cluster.play(30);
-    cluster.copyReports = 0;
+    cluster.copyHeartbeats = 0;
     pool.endsWell(200);
     pool.nothingWasStartedAnew();
   }
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -84,25 +84,27 @@
   /** Share of direct orders whose answer is lost. */
   double loseOrderAnswers;
 
-  /** Share of reports of which a copy comes late, at any node. */
-  double copyReports;
+  /** Share of heartbeats of which a copy comes late, at any node. */
+  double copyHeartbeats;
 
-  /** Share of reports of which a copy is kept, and comes to every node when a new leader begins. */
-  double copyReportsForNext;
+  /**
+   * Share of heartbeats of which a copy is kept, and comes to every node when a new leader begins.
+   */
+  double copyHeartbeatsForNext;
 
-  private final List<String> keptReports = new ArrayList<>();
+  private final List<String> keptHeartbeats = new ArrayList<>();
 
   /** How many copies a new leader was sent. */
   int copiesAtNext;
 
-  /** Machines whose reports reach no node, while direct commands reach them. */
+  /** Machines whose heartbeats reach no node, while direct commands reach them. */
   final java.util.Set<String> mute = new java.util.HashSet<>();
 
-  /** Longest time a copy of a report comes late: well over a lease. */
+  /** Longest time a copy of a heartbeat comes late: well over a lease. */
   static final long COPY_MICROS = 3 * FakeWorker.LEASE_MICROS;
 
   /**
-   * The most sockets that any node had in use: workers that report to it, and its direct calls
+   * The most sockets that any node had in use: workers that heartbeat to it, and its direct calls
    * under way.
    */
   int mostSockets;
@@ -323,8 +325,8 @@
 
   /** A term has begun. */
   void newTerm() {
-    List<String> copies = new ArrayList<>(keptReports);
-    keptReports.clear();
+    List<String> copies = new ArrayList<>(keptHeartbeats);
+    keptHeartbeats.clear();
     for (String body : copies) {
       for (String node : members.keySet()) {
         copiesAtNext++;
@@ -418,10 +420,10 @@
     if (path.equals("/hello") && mute.contains(from)) {
       return;
     }
-    if (path.equals("/hello") && random.nextDouble() < copyReportsForNext) {
-      keptReports.add(body);
+    if (path.equals("/hello") && random.nextDouble() < copyHeartbeatsForNext) {
+      keptHeartbeats.add(body);
     }
-    if (path.equals("/hello") && random.nextDouble() < copyReports) {
+    if (path.equals("/hello") && random.nextDouble() < copyHeartbeats) {
       Endpoint any = new Endpoint("n" + random.nextInt(members.size()), 1);
       deliver(
           from,
@@ -521,7 +523,7 @@
               awake(
                   mine,
                   decisions,
-                  path.equals("/hello") ? Processor.Work.REPORT : Processor.Work.REQUEST,
+                  path.equals("/hello") ? Processor.Work.HEARTBEAT : Processor.Work.REQUEST,
                   () ->
                       current
                           .router()
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -69,7 +69,7 @@
   static LongStream seeds() {
     long first = Long.getLong("plumlever.first", 2);
     LongStream asked = LongStream.range(first, first + Integer.getInteger("plumlever.seeds", 12));
-    // 395: a report held back beyond its lease once brought a dead task back, and a one-zone job
+    // 395: a heartbeat held back beyond its lease once brought a dead task back, and a one-zone job
     // into two zones.
     return first == 2 ? LongStream.concat(asked, LongStream.of(395)) : asked;
   }
@@ -87,7 +87,7 @@
     cluster.loseAnswer = 0.01;
     cluster.executeLate = 0.005;
     cluster.repeat = 0.02;
-    cluster.copyReports = 0.02;
+    cluster.copyHeartbeats = 0.02;
     for (int i = 0; i < 16; i++) {
       cluster.at(20_000_000L + cluster.random.nextLong(240_000_000L), () -> trouble(cluster));
     }
@@ -218,7 +218,7 @@
     cluster.loseAnswer = 0;
     cluster.executeLate = 0;
     cluster.repeat = 0;
-    cluster.copyReports = 0;
+    cluster.copyHeartbeats = 0;
     cluster.calmSince = cluster.now();
     cluster.cuts.clear();
     cluster.store.refused.clear();
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -71,43 +71,43 @@
 
   @Test
   void readsAReportAndWritesOrders() throws InvalidMessage {
-    WorkerReport report =
-        WorkerReport.parse(
+    Heartbeat heartbeat =
+        Heartbeat.parse(
             ("{\"host\":\"i-1\",\"endpoint\":\"h:1\",\"flavor\":\"g8\",\"site\":\"a\",\"loaners\":true,"
                  + "\"tenure\":1,\"tick\":88,\"baton\":41,\"reclaim_in_s\":null,\"pieces\":[{\"piece\":\"job-1/3\",\"try\":2,\"status\":\"ended\",\"exit_cause\":\"something"
                  + " new\"}]}")
                 .getBytes(java.nio.charset.StandardCharsets.UTF_8));
-    assertEquals(ExitCause.OTHER, report.pieces().get(0).cause());
+    assertEquals(ExitCause.OTHER, heartbeat.attempts().get(0).cause());
     assertTrue(
-        !report.noticed()
-            && report.newerThan(1, 87)
-            && !report.newerThan(2, 1)
-            && !report.newerThan(1, 88));
+        !heartbeat.noticed()
+            && heartbeat.newerThan(1, 87)
+            && !heartbeat.newerThan(2, 1)
+            && !heartbeat.newerThan(1, 88));
     assertEquals(
         "{\"baton\":41,\"orders\":[{\"verb\":\"halt\",\"piece\":\"job-1/3\",\"try\":2,\"wind_down_s\":10.0}]}",
         Order.answer(41, List.of(Order.halt(new TaskName("job-1", 3), 2, 10))));
     assertThrows(InvalidMessage.class, () -> TaskName.of("job-1/-3"));
   }
 
-  private static final String REPORT =
+  private static final String HEARTBEAT =
       "{\"host\":\"i-1\",\"endpoint\":\"h:1\",\"flavor\":\"g8\",\"site\":\"a\",\"loaners\":true,"
           + "\"tenure\":1,\"new\":{\"x\":[1,{\"host\":2}]},\"tick\":88,\"baton\":41,\"reclaim_in_s\":null,\"pieces\":[{\"piece\":\"job-1/3\","
           + "\"try\":2,\"status\":\"running\",\"more\":[[]]},{\"piece\":\"job-1/4\",\"try\":3,\"status\":\"ended\","
           + "\"exit_cause\":\"halted\",\"saved\":true}]}";
 
-  private static WorkerReport report(String text) throws InvalidMessage {
-    return WorkerReport.parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+  private static Heartbeat heartbeat(String text) throws InvalidMessage {
+    return Heartbeat.parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
   }
 
   /**
-   * Reports are read field by field: what they say must not hang on fields this version does not
+   * Heartbeats are read field by field: what they say must not hang on fields this version does not
    * know, nor on their order.
    */
   @Test
   void readsAReportWhateverElseIsInIt() throws InvalidMessage {
-    WorkerReport otherReport = report(REPORT);
+    Heartbeat otherHeartbeat = heartbeat(HEARTBEAT);
     assertEquals(
-        new WorkerReport(
+        new Heartbeat(
             "i-1",
             "h:1",
             "g8",
@@ -116,16 +116,17 @@
             1,
             88,
             41,
-            WorkerReport.NO_NOTICE,
+            Heartbeat.NO_NOTICE,
             List.of(
-                new WorkerReport.Piece(
-                    new TaskName("job-1", 3), 2, TaskStatus.RUNNING, null, false),
-                new WorkerReport.Piece(
-                    new TaskName("job-1", 4), 3, TaskStatus.ENDED, ExitCause.HALTED, true))),
-        otherReport);
+                new Heartbeat.AttemptStatus(
+                    new TaskName("job-1", 3), 2, AttemptState.RUNNING, null, false),
+                new Heartbeat.AttemptStatus(
+                    new TaskName("job-1", 4), 3, AttemptState.ENDED, ExitCause.HALTED, true))),
+        otherHeartbeat);
     assertEquals(
-        3.5, report(REPORT.replace("\"reclaim_in_s\":null", "\"reclaim_in_s\":3.5")).reclaimInS());
-    assertEquals(List.of(), report(REPORT.replaceAll(",\"pieces\".*", "}")).pieces());
+        3.5,
+        heartbeat(HEARTBEAT.replace("\"reclaim_in_s\":null", "\"reclaim_in_s\":3.5")).reclaimInS());
+    assertEquals(List.of(), heartbeat(HEARTBEAT.replaceAll(",\"pieces\".*", "}")).attempts());
   }
 
   @ParameterizedTest
@@ -152,26 +153,26 @@
         "\"pieces\":[|\"pieces\":[7,",
         "\"piece\":\"job-1/3\"|\"piece\":\"job-1\""
       })
-  void refusesABadReport(String good, String bad) {
-    String text = REPORT.replace(good, bad == null ? "" : bad);
-    assertTrue(!text.equals(REPORT));
-    assertThrows(InvalidMessage.class, () -> report(text));
+  void refusesABadHeartbeat(String good, String bad) {
+    String text = HEARTBEAT.replace(good, bad == null ? "" : bad);
+    assertTrue(!text.equals(HEARTBEAT));
+    assertThrows(InvalidMessage.class, () -> heartbeat(text));
   }
 
   @Test
-  void refusesWhatIsNoReport() {
+  void refusesWhatIsNoHeartbeat() {
     for (String text :
         List.of(
             "",
             "[]",
             "7",
             "{",
-            REPORT + "{}",
-            REPORT + "x",
-            REPORT.substring(0, REPORT.length() - 2),
+            HEARTBEAT + "{}",
+            HEARTBEAT + "x",
+            HEARTBEAT.substring(0, HEARTBEAT.length() - 2),
             "null",
             "{}")) {
-      assertThrows(InvalidMessage.class, () -> report(text), text);
+      assertThrows(InvalidMessage.class, () -> heartbeat(text), text);
     }
   }
 }
