--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -136,7 +136,7 @@
 
     private void handle(String method, String path, byte[] body, Responder out) {
       if (path.equals("/orders")) {
-        outside.order(machine, new String(body, StandardCharsets.UTF_8));
+        outside.command(machine, new String(body, StandardCharsets.UTF_8));
         out.send(200, new String(outside.heartbeat(machine), StandardCharsets.UTF_8));
       } else {
         outside.handle(method, path, body, out::send);
@@ -155,7 +155,7 @@
                   2_000_000,
                   (status, data) -> {
                     if (status == 200) {
-                      outside.order(machine, new String(data, StandardCharsets.UTF_8));
+                      outside.command(machine, new String(data, StandardCharsets.UTF_8));
                     }
                     loop.after(200_000, () -> heartbeatTo(node));
                   }));
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -18,14 +18,14 @@
   private long runningSinceMicros = -1;
   private boolean over;
   private ExitCause cause;
-  private boolean halting;
-  private double windDownS;
-  private long haltedMicros;
+  private boolean stopping;
+  private double gracePeriodS;
+  private long stoppedMicros;
 
   /**
-   * @param sentSequenceNumber number of the heartbeat whose answer carried the order, -1 for any
+   * @param sentSequenceNumber number of the heartbeat whose answer carried the command, -1 for any
    *     other attempt
-   * @param directToken token of the direct order that started it, -1 for any other attempt
+   * @param directToken token of the direct command that started it, -1 for any other attempt
    */
   Attempt(
       Job job,
@@ -136,26 +136,26 @@
     cause = why;
   }
 
-  public boolean halting() {
-    return halting;
+  public boolean stopping() {
+    return stopping;
   }
 
-  public double windDownS() {
-    return windDownS;
+  public double gracePeriodS() {
+    return gracePeriodS;
   }
 
-  /** From now on every answer to its machine says halt, until it is reported as ended. */
-  public void halt(double windDown, long nowMicros) {
-    if (!halting) {
-      halting = true;
-      haltedMicros = nowMicros;
-      windDownS = windDown;
+  /** From now on every answer to its machine says stop, until it is reported as ended. */
+  public void stop(double gracePeriod, long nowMicros) {
+    if (!stopping) {
+      stopping = true;
+      stoppedMicros = nowMicros;
+      gracePeriodS = gracePeriod;
     } else {
-      windDownS = Math.min(windDownS, windDown);
+      gracePeriodS = Math.min(gracePeriodS, gracePeriod);
     }
   }
 
-  public long haltedMicros() {
-    return haltedMicros;
+  public long stoppedMicros() {
+    return stoppedMicros;
   }
 }
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -139,7 +139,7 @@
     return counter >= LAST_ATTEMPT;
   }
 
-  /** The same of the tokens of one machine, which are raised with each direct order. */
+  /** The same of the tokens of one machine, which are raised with each direct command. */
   public boolean tokensRunOut(Machine machine) {
     return machine.token() >= firstToken(machine.tokenTerm()) + LAST_TOKEN;
   }
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -132,7 +132,7 @@
     return ownSequenceNumber;
   }
 
-  /** The token that answers and orders to it carry now. */
+  /** The token that answers and commands to it carry now. */
   public long token() {
     return token;
   }
@@ -158,8 +158,8 @@
   }
 
   /**
-   * A direct order carries the present token; until the token is raised a copy of it may be carried
-   * out late. There is no other without an answer at that time.
+   * A direct command carries the present token; until the token is raised a copy of it may be
+   * carried out late. There is no other without an answer at that time.
    *
    * @param endsKnownMicros when the last heard read of ended jobs had been sent
    */
@@ -168,25 +168,25 @@
     directEndsKnownMicros = endsKnownMicros;
   }
 
-  /** What was known of ended jobs when the last direct order was sent to it. */
+  /** What was known of ended jobs when the last direct command was sent to it. */
   public long directEndsKnownMicros() {
     return directEndsKnownMicros;
   }
 
-  /** From the next answer on, no direct order sent before will be carried out. */
+  /** From the next answer on, no direct command sent before will be carried out. */
   public void voidDirect() {
     token = Math.max(token, directToken + 1);
   }
 
   /**
-   * True while a late copy of a direct order could still be carried out, as far as this side has
+   * True while a late copy of a direct command could still be carried out, as far as this side has
    * seen to it.
    */
   public boolean directOpen() {
     return directToken >= token;
   }
 
-  /** A direct order is on its way or its answer is. */
+  /** A direct command is on its way or its answer is. */
   public boolean calling() {
     return calling;
   }
@@ -206,16 +206,16 @@
   }
 
   /**
-   * True while it may have started something that nothing has been heard of: a direct order without
-   * an answer.
+   * True while it may have started something that nothing has been heard of: a direct command
+   * without an answer.
    */
   public boolean unsettled() {
     return unheardOf > 0;
   }
 
   /**
-   * Heartbeats that show nothing of what was sent before them: an order that is lost, a token that
-   * is not taken. After two running, answers and orders seem not to arrive, and the machine gets
+   * Heartbeats that show nothing of what was sent before them: a command that is lost, a token that
+   * is not taken. After two running, answers and commands seem not to arrive, and the machine gets
    * neither work nor its lease renewed until it shows the token. Else each answer would push back
    * the time at which its lease has surely lapsed.
    */
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -19,7 +19,7 @@
 import plumlever.wire.AttemptState;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.Order;
+import plumlever.wire.WorkerCommand;
 
 /**
  * Answers heartbeats for a leader that can't reach their zone: leases are renewed and tasks of
@@ -75,7 +75,7 @@
   }
 
   private void answer(Heartbeat heartbeat, Optional<JobRecordCache.Ends> ends, Responder out) {
-    // Asked again: finding out took its time. A lease is not renewed for tasks whose halt can't be
+    // Asked again: finding out took its time. A lease is not renewed for tasks whose stop can't be
     // given.
     Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.site());
     if (right.isEmpty()) {
@@ -86,11 +86,11 @@
       refuse(heartbeat, RenewalRefusal.ENDED_JOBS_UNKNOWN, out);
       return;
     }
-    List<Order> halts = halts(heartbeat, ends.get().uids());
+    List<WorkerCommand> stops = stops(heartbeat, ends.get().uids());
     DelegateEvidence evidence = evidence(right.get(), heartbeat, ends.get().askedMicros());
-    RenewalDecision decision = renewal.answer(evidence, halts, loop.nowMicros());
+    RenewalDecision decision = renewal.answer(evidence, stops, loop.nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
-      logRenewal(heartbeat, evidence, halts);
+      logRenewal(heartbeat, evidence, stops);
       metrics.count("leases_renewed_for_leader");
       delegation.renewed();
       out.send(HttpStatus.OK, renewed.body());
@@ -115,14 +115,14 @@
     return uids;
   }
 
-  private static List<Order> halts(Heartbeat heartbeat, Set<String> ended) {
-    List<Order> halts = new ArrayList<>();
+  private static List<WorkerCommand> stops(Heartbeat heartbeat, Set<String> ended) {
+    List<WorkerCommand> stops = new ArrayList<>();
     for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
       if (attempt.state() != AttemptState.ENDED && ended.contains(attempt.task().job())) {
-        halts.add(Order.halt(attempt.task(), attempt.attempt(), 0));
+        stops.add(WorkerCommand.stop(attempt.task(), attempt.attempt(), 0));
       }
     }
-    return halts;
+    return stops;
   }
 
   private void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
@@ -152,9 +152,10 @@
   }
 
   /** Only what is more than the repetition of the last answer is worth a line. */
-  private void logRenewal(Heartbeat heartbeat, DelegateEvidence evidence, List<Order> halts) {
+  private void logRenewal(
+      Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stops) {
     boolean raises = evidence.token() > heartbeat.fencingToken();
-    if ((raises || !halts.isEmpty()) && lines.debug(loop.nowMicros())) {
+    if ((raises || !stops.isEmpty()) && lines.debug(loop.nowMicros())) {
       log.debug(
           "the lease of {} session {} is renewed for the leader, token {} for {}, ended jobs as of"
               + " {} ms ago, stops {}",
@@ -163,7 +164,7 @@
           evidence.token(),
           heartbeat.fencingToken(),
           (loop.nowMicros() - evidence.endsKnownMicros()) / 1_000,
-          halts);
+          stops);
     }
   }
 }
--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/ActiveJobs.java
@@ -46,7 +46,7 @@
   private boolean ending;
 
   /**
-   * What is put off until all jobs are there: the listing is in no order that the chains would
+   * What is put off until all jobs are there: the listing is in no command that the chains would
    * know.
    */
   private List<Runnable> atLoad = new ArrayList<>();
@@ -438,7 +438,7 @@
 
   /**
    * Another controller's word that these are cancelled: nothing more of them is started, and their
-   * tasks are halted.
+   * tasks are stopped.
    */
   void calledOff(Collection<String> uids) {
     for (String uid : uids) {
--- a/src/main/java/plumlever/leader/AttemptLog.java
+++ b/src/main/java/plumlever/leader/AttemptLog.java
@@ -67,7 +67,7 @@
 
   /** Its job has ended, so from now on every answer stops it. */
   void stopped(Attempt attempt) {
-    if (!attempt.halting() && enabled()) {
+    if (!attempt.stopping() && enabled()) {
       log.debug(
           "{} attempt {} on {} session {} is stopped with token {}: its job has ended",
           attempt.name().wireName(),
--- a/src/main/java/plumlever/leader/CommandSender.java
+++ b/src/main/java/plumlever/leader/CommandSender.java
@@ -11,14 +11,14 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
-import plumlever.wire.Order;
+import plumlever.wire.WorkerCommand;
 
 /**
  * Orders sent straight to machines: planned tasks, so that they need not wait for the next
  * heartbeat, and empty ones that raise the token on machines that must be accounted for. A direct
  * order may be carried out late. So one that got no answer leaves its tasks possibly running, until
  * the machine has shown a higher token or its incarnation has ended; and nothing started this way
- * is reaped with the token that started it (see {@link Machine#voidDirect}).
+ * is removed with the token that started it (see {@link Machine#voidDirect}).
  */
 final class CommandSender {
   private static final long START_TIMEOUT_MICROS = 1_500_000;
@@ -86,16 +86,17 @@
         context.metrics().count("starts_left_to_reports_delegated");
         continue;
       }
-      List<Order> orders = new ArrayList<>();
-      List<Attempt> sent = starter.start(machine, pass.planned(machine), true, orders);
+      List<WorkerCommand> commands = new ArrayList<>();
+      List<Attempt> sent = starter.start(machine, pass.planned(machine), true, commands);
       pass.dropPlan(machine);
       if (!sent.isEmpty()) {
-        start(machine, at, orders, sent);
+        start(machine, at, commands, sent);
       }
     }
   }
 
-  private void start(Machine machine, Endpoint at, List<Order> orders, List<Attempt> sent) {
+  private void start(
+      Machine machine, Endpoint at, List<WorkerCommand> commands, List<Attempt> sent) {
     machine.direct(jobs.endsKnownMicros());
     machine.calling(true);
     starts++;
@@ -105,7 +106,7 @@
     call(
         machine,
         at,
-        orders,
+        commands,
         START_TIMEOUT_MICROS,
         (status, r) -> {
           starts--;
@@ -217,9 +218,9 @@
   }
 
   private void call(
-      Machine machine, Endpoint at, List<Order> orders, long timeoutMicros, Answer then) {
+      Machine machine, Endpoint at, List<WorkerCommand> commands, long timeoutMicros, Answer then) {
     byte[] body =
-        Order.direct(machine.token(), Math.max(1, machine.incarnation()), orders)
+        WorkerCommand.direct(machine.token(), Math.max(1, machine.incarnation()), commands)
             .getBytes(StandardCharsets.UTF_8);
     context
         .caller()
--- a/src/main/java/plumlever/leader/GuestBook.java
+++ b/src/main/java/plumlever/leader/GuestBook.java
@@ -24,8 +24,8 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
-import plumlever.wire.Order;
 import plumlever.wire.RelayedHeartbeat;
+import plumlever.wire.WorkerCommand;
 
 /**
  * Tasks of other cells on this cell's machines. Their home alone decides about them: what the
@@ -55,7 +55,7 @@
   private static final class Lodging {
     private final Machine machine;
     private final Map<String, Guests> byHome = new LinkedHashMap<>();
-    private final Map<Long, Order> orders = new HashMap<>();
+    private final Map<Long, WorkerCommand> commands = new HashMap<>();
     private final Set<Long> ended = new HashSet<>();
 
     Lodging(Machine machine) {
@@ -146,7 +146,7 @@
       // What a former owner ordered can't come any more: what is not on the machine is over.
       lodging.byHome.values().forEach(guests -> guests.tasks.keySet().retainAll(listed));
     }
-    lodging.orders.keySet().retainAll(listed);
+    lodging.commands.keySet().retainAll(listed);
     settleLoad(lodging);
     if (machine.hasSeen(heartbeat.fencingToken())) {
       lodging.byHome.forEach((home, guests) -> relay(lodging, home, guests, heartbeat, false));
@@ -242,9 +242,10 @@
 
   private void take(Lodging lodging, Guests guests, byte[] body) {
     try {
-      for (Order order : Order.parseAnswer(body)) {
-        if (order.verb() != Order.Verb.RUN && guests.tasks.containsKey(order.attempt())) {
-          lodging.orders.put(order.attempt(), order);
+      for (WorkerCommand command : WorkerCommand.parseAnswer(body)) {
+        if (command.type() != WorkerCommand.CommandType.RUN
+            && guests.tasks.containsKey(command.attempt())) {
+          lodging.commands.put(command.attempt(), command);
         }
       }
     } catch (InvalidMessage e) {
@@ -278,24 +279,25 @@
     return new GuestEvidence(anyRunning, knownMicros);
   }
 
-  /** What the homes want, and halts of jobs whose end is on record. */
-  List<Order> orders(Machine machine, Heartbeat heartbeat) {
+  /** What the homes want, and stops of jobs whose end is on record. */
+  List<WorkerCommand> commands(Machine machine, Heartbeat heartbeat) {
     Lodging lodging = lodgings.get(machine.id());
     if (lodging == null) {
       return List.of();
     }
-    List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> commands = new ArrayList<>();
     boolean current = machine.hasSeen(heartbeat.fencingToken());
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
-      Order order = lodging.orders.get(reported.attempt());
+      WorkerCommand command = lodging.commands.get(reported.attempt());
       boolean over = reported.state() == AttemptState.ENDED;
       if (!over && jobHasEnded(lodging, reported)) {
-        orders.add(Order.halt(reported.task(), reported.attempt(), 0));
-      } else if (order != null && (order.verb() == Order.Verb.REAP ? over && current : !over)) {
-        orders.add(order);
+        commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
+      } else if (command != null
+          && (command.type() == WorkerCommand.CommandType.REMOVE ? over && current : !over)) {
+        commands.add(command);
       }
     }
-    return orders;
+    return commands;
   }
 
   private boolean jobHasEnded(Lodging lodging, Heartbeat.AttemptStatus reported) {
--- a/src/main/java/plumlever/leader/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/HeartbeatAnswers.java
@@ -15,7 +15,7 @@
 import plumlever.metrics.LogBudget;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.Order;
+import plumlever.wire.WorkerCommand;
 
 /** The leader's answers to heartbeats, as far as they renew a lease or refuse to. */
 final class HeartbeatAnswers {
@@ -51,9 +51,9 @@
       Machine machine,
       Heartbeat heartbeat,
       boolean holdsOpenTasks,
-      List<Order> orders,
+      List<WorkerCommand> commands,
       Responder out) {
-    return send(heartbeat, evidence(machine, holdsOpenTasks), orders, out);
+    return send(heartbeat, evidence(machine, holdsOpenTasks), commands, out);
   }
 
   /**
@@ -82,8 +82,8 @@
   }
 
   private boolean send(
-      Heartbeat heartbeat, LeaderEvidence evidence, List<Order> orders, Responder out) {
-    RenewalDecision decision = renewal.answer(evidence, orders, context.loop().nowMicros());
+      Heartbeat heartbeat, LeaderEvidence evidence, List<WorkerCommand> commands, Responder out) {
+    RenewalDecision decision = renewal.answer(evidence, commands, context.loop().nowMicros());
     if (decision instanceof RenewalDecision.Refused refused) {
       refuse(heartbeat, refused.refusal(), out);
       return false;
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -21,8 +21,8 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.JobState;
-import plumlever.wire.Order;
 import plumlever.wire.RelayedHeartbeat;
+import plumlever.wire.WorkerCommand;
 
 /**
  * One term of office: everything the leading node knows and does, from election until it leaves.
@@ -374,18 +374,18 @@
       }
       return;
     }
-    List<Order> orders = heartbeats.standing(machine, heartbeat);
-    orders.addAll(sharing.guestOrders(machine, heartbeat));
+    List<WorkerCommand> responseCommands = heartbeats.standing(machine, heartbeat);
+    responseCommands.addAll(sharing.guestCommands(machine, heartbeat));
     if (news == HeartbeatHandler.News.NEWS
         && machine.hasSeen(heartbeat.fencingToken())
         && pass.hasPlan(machine)
         && pass.recorded(machine)
         && !machine.unsettled()) {
-      starter.start(machine, pass.planned(machine), false, orders);
+      starter.start(machine, pass.planned(machine), false, responseCommands);
       pass.dropPlan(machine);
     }
     // Checked once more: a turn that ran late may have outlived the right to act.
-    if (answers.send(machine, heartbeat, holdsOpenTasks, orders, out)) {
+    if (answers.send(machine, heartbeat, holdsOpenTasks, responseCommands, out)) {
       machine.answered(context.loop().nowMicros());
     }
   }
@@ -405,7 +405,7 @@
         // now.
         double slack = HEARTBEAT_PAUSES * context.platform().workers().heartbeatMicros() / 1e6 + 1;
         if (heartbeat.reclaimInS() <= save + slack + 2) {
-          attempt.halt(save + 1, now);
+          attempt.stop(save + 1, now);
         }
       }
     }
@@ -456,7 +456,7 @@
     }
   }
 
-  /** Advice of another controller, which may only halt more. */
+  /** Advice of another controller, which may only stop more. */
   public void calledOff(Collection<String> uids) {
     if (loaded) {
       jobs.calledOff(uids);
--- a/src/main/java/plumlever/leader/MachineSharing.java
+++ b/src/main/java/plumlever/leader/MachineSharing.java
@@ -11,8 +11,8 @@
 import plumlever.store.StateClient;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HostEntry;
-import plumlever.wire.Order;
 import plumlever.wire.RelayedHeartbeat;
+import plumlever.wire.WorkerCommand;
 
 /**
  * What a leader has to know of the pool that its machines belong to. Without a pool all machines
@@ -76,7 +76,7 @@
   }
 
   /** What the cells whose tasks are on the machine want done with them. */
-  default List<Order> guestOrders(Machine machine, Heartbeat heartbeat) {
+  default List<WorkerCommand> guestCommands(Machine machine, Heartbeat heartbeat) {
     return List.of();
   }
 
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/PoolSharing.java
@@ -22,8 +22,8 @@
 import plumlever.wire.HostEntry;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.Json;
-import plumlever.wire.Order;
 import plumlever.wire.RelayedHeartbeat;
+import plumlever.wire.WorkerCommand;
 
 /** One cell's part in a pool, for one term of its leader. */
 final class PoolSharing implements MachineSharing {
@@ -226,8 +226,8 @@
   }
 
   @Override
-  public List<Order> guestOrders(Machine machine, Heartbeat heartbeat) {
-    return guests.orders(machine, heartbeat);
+  public List<WorkerCommand> guestCommands(Machine machine, Heartbeat heartbeat) {
+    return guests.commands(machine, heartbeat);
   }
 
   @Override
@@ -261,12 +261,12 @@
     if (news && relayed.heartbeat().attempts().isEmpty()) {
       transfers.seenEmpty(machine);
     }
-    List<Order> orders =
+    List<WorkerCommand> commands =
         relayed.lapsed() ? List.of() : heartbeats.standing(machine, relayed.heartbeat());
     if (heartbeats.takeChanged()) {
       changed.run();
     }
-    out.send(HttpStatus.OK, Order.relayed(orders));
+    out.send(HttpStatus.OK, WorkerCommand.relayed(commands));
   }
 
   @Override
--- a/src/main/java/plumlever/leader/Preemption.java
+++ b/src/main/java/plumlever/leader/Preemption.java
@@ -32,8 +32,8 @@
   /** A task stopped sooner after its start was hardly worth starting. */
   private static final long SETTLED_MICROS = 35_000_000;
 
-  /** A halt goes out with the next answer, and the room is seen with the heartbeat after it. */
-  private static final long ORDER_MICROS = 3_000_000;
+  /** A stop goes out with the next answer, and the room is seen with the heartbeat after it. */
+  private static final long COMMAND_MICROS = 3_000_000;
 
   private static final double EPSILON = 1e-9;
 
@@ -83,7 +83,7 @@
       }
       Offer offer = offers.get(next++);
       for (Attempt attempt : offer.victims) {
-        attempt.halt(attempt.job().spec().snapshotS() + 2, now);
+        attempt.stop(attempt.job().spec().snapshotS() + 2, now);
         context.metrics().count("preempted");
         if (log.isDebugEnabled()) {
           log.debug(
@@ -126,14 +126,14 @@
       }
       long ready =
           now
-              + ORDER_MICROS
+              + COMMAND_MICROS
               + machine
                   .images()
                   .fetchMicros(job.spec().bundle(), job.spec().imageGb(), flavor, now);
       int harmed = 0;
       for (Attempt attempt : stop) {
         ready =
-            Math.max(ready, now + ORDER_MICROS + (long) (attempt.job().spec().snapshotS() * 1e6));
+            Math.max(ready, now + COMMAND_MICROS + (long) (attempt.job().spec().snapshotS() * 1e6));
         harmed += harm.test(attempt, now) ? 1 : 0;
       }
       if (helps(request, startByMicros, ready)) {
@@ -171,7 +171,7 @@
       if (attempt.over()) {
         continue;
       }
-      if (attempt.halting()) {
+      if (attempt.stopping()) {
         // Room on its way already, meant for somebody.
         return List.of();
       }
--- a/src/main/java/plumlever/leader/ReportHandler.java
+++ b/src/main/java/plumlever/leader/ReportHandler.java
@@ -13,9 +13,9 @@
 import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
 import plumlever.wire.Heartbeat;
-import plumlever.wire.Order;
+import plumlever.wire.WorkerCommand;
 
-/** Learns from reports, and writes the orders that answer them. */
+/** Learns from reports, and writes the commands that answer them. */
 final class HeartbeatHandler {
   private final Logger log;
   private final Context context;
@@ -163,7 +163,7 @@
   }
 
   /**
-   * Ends the attempts that the heartbeat proves the machine does not have; true if an order was
+   * Ends the attempts that the heartbeat proves the machine does not have; true if a command was
    * lost.
    */
   private boolean forgetGone(
@@ -173,8 +173,8 @@
       if (listed.contains(attempt.id())) {
         continue;
       }
-      // An order in an answer: the worker has taken it in or dropped it before it sent this. A
-      // direct order: it may
+      // A command in an answer: the worker has taken it in or dropped it before it sent this. A
+      // direct command: it may
       // be carried out late, until the worker has seen a higher token.
       if (attempt.directToken() >= 0
           ? heartbeat.fencingToken() > attempt.directToken() || attempt.state() != null
@@ -319,7 +319,7 @@
           machine.drain();
         }
       }
-      case HALTED -> {
+      case STOPPED -> {
         context.metrics().count("tasks_halted");
         if (attempt.runningSinceMicros() < 0 && !waitsFor(machine, job.spec().bundle())) {
           machine.images().dropFetch(job.spec().bundle());
@@ -379,7 +379,7 @@
       if (reported.cause() == ExitCause.DONE) {
         Attempt other = job.liveAttempt(task);
         if (other != null) {
-          other.halt(0, now);
+          other.stop(0, now);
         }
         done(job, task);
         changed = true;
@@ -411,7 +411,7 @@
       changed = true;
       context.metrics().count("attempts_adopted");
     } else if (job.liveAttempt(task) != null) {
-      // Mostly a heartbeat that was held back in the network; if not, the halt that answers it
+      // Mostly a heartbeat that was held back in the network; if not, the stop that answers it
       // comes
       // in time.
       log.info(
@@ -423,7 +423,7 @@
   }
 
   /**
-   * True if the machine has tasks of jobs that are not known here to have ended; halts of the
+   * True if the machine has tasks of jobs that are not known here to have ended; stops of the
    * others go with any answer.
    */
   boolean holdsOpenTasks(Heartbeat heartbeat) {
@@ -435,36 +435,36 @@
     return false;
   }
 
-  /** The orders that go without a plan: halts, and what the worker may forget. */
-  List<Order> standing(Machine machine, Heartbeat heartbeat) {
+  /** The commands that go without a plan: stops, and what the worker may forget. */
+  List<WorkerCommand> standing(Machine machine, Heartbeat heartbeat) {
     long now = context.loop().nowMicros();
-    List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> commands = new ArrayList<>();
     // A worker that has forgotten an attempt would start it again from a late copy of a direct
     // order. So nothing is
-    // reaped until the answer that says so also makes such copies void, which has to wait for one
+    // removed until the answer that says so also makes such copies void, which has to wait for one
     // still under way.
     if (machine.directOpen() && !machine.calling()) {
       machine.voidDirect();
     }
-    boolean mayReap = !machine.directOpen();
+    boolean mayRemove = !machine.directOpen();
     for (Attempt attempt : machine.attempts()) {
       if (attempt.over()) {
-        if (mayReap
+        if (mayRemove
             && attempt.cause() != null
             && (attempt.cause() != ExitCause.DONE
                 || attempt.job().over()
                 || attempt.job().stored().get(attempt.task()))) {
-          orders.add(Order.reap(attempt.name(), attempt.id()));
+          commands.add(WorkerCommand.remove(attempt.name(), attempt.id()));
         }
       } else {
         if (attempt.job().over()
             || attempt.job().calledOff()
             || attempt.job().done().get(attempt.task())) {
           attemptLog.stopped(attempt);
-          attempt.halt(0, now);
+          attempt.stop(0, now);
         }
-        if (attempt.halting()) {
-          orders.add(Order.halt(attempt.name(), attempt.id(), attempt.windDownS()));
+        if (attempt.stopping()) {
+          commands.add(WorkerCommand.stop(attempt.name(), attempt.id(), attempt.gracePeriodS()));
         }
       }
     }
@@ -479,19 +479,19 @@
         // a heartbeat that shows an earlier term does not account for its machine, but tasks of
         // jobs
         // that have ended are
-        // halted by the first answer: it renews their lease, and the machine may not hear another
+        // stopped by the first answer: it renews their lease, and the machine may not hear another
         // one.
         if (current || job == null) {
-          orders.add(Order.halt(reported.task(), reported.attempt(), 0));
+          commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
         }
       } else if (current
-          && mayReap
+          && mayRemove
           && (job == null
               || reported.cause() != ExitCause.DONE
               || job.stored().get(reported.task().number()))) {
-        orders.add(Order.reap(reported.task(), reported.attempt()));
+        commands.add(WorkerCommand.remove(reported.task(), reported.attempt()));
       }
     }
-    return orders;
+    return commands;
   }
 }
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -58,12 +58,12 @@
   private static final long MISSED_MICROS = 120_000_000;
   private static final long LONG_WAIT_MICROS = 120_000_000;
 
-  /** About what an order takes that is sent to a machine. */
-  private static final long ORDER_MICROS = 50_000;
+  /** About what a command takes that is sent to a machine. */
+  private static final long COMMAND_MICROS = 50_000;
 
   /**
    * From the end of a job's last task to the start of the next one's in its chain: a heartbeat, the
-   * record, a round, an order.
+   * record, a round, a command.
    */
   private static final long HAND_OVER_MICROS = 1_500_000;
 
@@ -425,7 +425,8 @@
     // those machines
     // everything would seem to lack room, and be rented for.
     long sign = machine.heard() ? machine.lastHeartbeatMicros() : takeover.startedMicros();
-    // A machine that missed a heartbeat may be gone, and one with an unheard direct order may have
+    // A machine that missed a heartbeat may be gone, and one with an unheard direct command may
+    // have
     // taken it.
     return machine.enrolment() == RegistrationState.STORED
         && machine.accounted()
@@ -471,7 +472,7 @@
           add(machine, otherSeat);
         } else if (usable(machine, now)) {
           PlacementCandidate otherSeat =
-              candidate(machine, flavor, machine.slowness(), ORDER_MICROS);
+              candidate(machine, flavor, machine.slowness(), COMMAND_MICROS);
           for (Attempt attempt : machine.attempts()) {
             if (!attempt.over()) {
               occupy(otherSeat, attempt.job(), endsAt(attempt, flavor, now));
@@ -539,7 +540,7 @@
   }
 
   private long endsAt(Attempt attempt, Flavor flavor, long now) {
-    if (attempt.halting()) {
+    if (attempt.stopping()) {
       return now + (long) (attempt.job().spec().snapshotS() * 1e6);
     }
     long run =
--- a/src/main/java/plumlever/leader/TaskStarter.java
+++ b/src/main/java/plumlever/leader/TaskStarter.java
@@ -10,7 +10,7 @@
 import plumlever.placement.Zones;
 import plumlever.wire.Flavor;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Order;
+import plumlever.wire.WorkerCommand;
 
 /** Starts planned tasks: the last place where every rule about a start is checked. */
 final class TaskStarter {
@@ -60,12 +60,12 @@
     this.takeover = takeover;
   }
 
-  /** Takes the tasks planned for the machine, each rule checked again as the order is written. */
+  /** Takes the tasks planned for the machine, each rule checked again as the command is written. */
   List<Attempt> start(
       Machine machine,
       Iterable<SchedulingPass.PlannedTasks> planned,
       boolean direct,
-      List<Order> orders) {
+      List<WorkerCommand> commands) {
     Flavor flavor = context.prices().flavor(machine.flavor());
     if (flavor == null
         || !jobs.mayRenew()
@@ -103,7 +103,7 @@
         zones.add(machine.site());
         room.take(job.spec());
         machine.images().use(job.spec().bundle(), job.spec().imageGb(), flavor, now);
-        orders.add(Order.run(attempt.name(), attempt.id()));
+        commands.add(WorkerCommand.run(attempt.name(), attempt.id()));
         context.metrics().count("runs_ordered");
         context.metrics().time("wait", now - job.releasedMicros());
         attemptLog.started(attempt, direct, jobs.endsKnownMicros());
--- a/src/main/java/plumlever/lease/LeaseRenewal.java
+++ b/src/main/java/plumlever/lease/LeaseRenewal.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import plumlever.wire.Order;
+import plumlever.wire.WorkerCommand;
 
 /**
  * The only place where an answer is built that renews a worker's lease: none can be given without
@@ -23,11 +23,12 @@
   }
 
   /** The answer to a heartbeat, with these commands; to be sent at once. */
-  public RenewalDecision answer(RenewalEvidence evidence, List<Order> commands, long nowMicros) {
+  public RenewalDecision answer(
+      RenewalEvidence evidence, List<WorkerCommand> commands, long nowMicros) {
     Optional<RenewalRefusal> refusal = refusal(evidence, nowMicros);
     if (refusal.isPresent()) {
       return new RenewalDecision.Refused(refusal.get());
     }
-    return new RenewalDecision.Renewed(Order.answer(evidence.token(), commands));
+    return new RenewalDecision.Renewed(WorkerCommand.answer(evidence.token(), commands));
   }
 }
--- a/src/main/java/plumlever/peer/PeerStatus.java
+++ b/src/main/java/plumlever/peer/PeerStatus.java
@@ -18,7 +18,7 @@
  * @param workers how many workers reported to it in the last seconds
  * @param counts finished and running tasks by job, from the leader, for display
  * @param calledOff jobs whose users were lately told through this controller that they are
- *     cancelled: who leads halts their tasks even if the state service refuses to tell it
+ *     cancelled: who leads stops their tasks even if the state service refuses to tell it
  */
 public record PeerStatus(
     String label,
--- a/src/main/java/plumlever/placement/PlacementCandidate.java
+++ b/src/main/java/plumlever/placement/PlacementCandidate.java
@@ -26,7 +26,9 @@
   boolean busy;
   private long upMicros = Long.MIN_VALUE;
 
-  /** Time until an order reaches the machine: it is only given orders in answers to its reports. */
+  /**
+   * Time until a command reaches the machine: it is only given orders in answers to its reports.
+   */
   final long delayMicros;
 
   private final List<Release> releases = new ArrayList<>();
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -52,7 +52,7 @@
 
   /**
    * Tasks of one job, which are all alike, against all seats. Every seat is evaluated once and kept
-   * in the order of its score; the tie band slides over that order as seats fill up. Within a
+   * in the command of its score; the tie band slides over that order as seats fill up. Within a
    * search room only shrinks, so a seat that is no choice for one kind of choice never becomes one
    * again, and a kind that has run out stays so.
    */
@@ -62,7 +62,7 @@
     private final Zones zones;
     private final long nowMicros;
 
-    /** Until it could run once there is room: the order's way and the image. */
+    /** Until it could run once there is room: the command's way and the image. */
     private final long[] fetch;
 
     private final long[] run;
--- a/src/main/java/plumlever/rehearsal/WorkerStandIn.java
+++ b/src/main/java/plumlever/rehearsal/WorkerStandIn.java
@@ -15,7 +15,7 @@
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
-import plumlever.wire.Order;
+import plumlever.wire.WorkerCommand;
 
 /** The worker of one machine, by its protocol; tasks take the time that the results tell. */
 final class WorkerStandIn {
@@ -177,7 +177,7 @@
       changed |= given > token;
       token = given;
       leaseFromMicros = Math.max(leaseFromMicros, sentMicros);
-      Order.parseAnswer(body).forEach(this::execute);
+      WorkerCommand.parseAnswer(body).forEach(this::execute);
     } catch (InvalidMessage e) {
       around.results().broke("an answer to " + machine + " can't be read: " + e.getMessage());
     }
@@ -197,7 +197,7 @@
           token = given;
           noteChange();
         }
-        Order.parseAnswer(body).forEach(this::execute);
+        WorkerCommand.parseAnswer(body).forEach(this::execute);
       } catch (InvalidMessage e) {
         out.error(HttpStatus.BAD_REQUEST, e.getMessage());
         return;
@@ -206,25 +206,25 @@
     out.send(HttpStatus.OK, new String(state(), StandardCharsets.UTF_8));
   }
 
-  private void execute(Order order) {
-    Task task = tasks.get(order.attempt());
-    switch (order.verb()) {
+  private void execute(WorkerCommand command) {
+    Task task = tasks.get(command.attempt());
+    switch (command.type()) {
       case RUN -> {
         if (task == null) {
-          run(order.task().wireName(), order.attempt());
+          run(command.task().wireName(), command.attempt());
         }
       }
-      case HALT -> {
+      case STOP -> {
         if (task != null && task.status != AttemptState.ENDED) {
-          end(task, ExitCause.HALTED);
+          end(task, ExitCause.STOPPED);
         }
       }
-      case REAP -> {
+      case REMOVE -> {
         if (task != null && task.status == AttemptState.ENDED) {
-          tasks.remove(order.attempt());
+          tasks.remove(command.attempt());
         }
       }
-      default -> throw new IllegalStateException("no such command: " + order.verb());
+      default -> throw new IllegalStateException("no such command: " + command.type());
     }
   }
 
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -264,7 +264,7 @@
   }
 
   /** The machine carries out what an answer or a direct call says. */
-  public void order(String host, String answer) {
+  public void command(String host, String answer) {
     Host otherHost = hosts.get(host);
     ObjectNode object;
     try {
@@ -273,13 +273,13 @@
       throw new IllegalStateException("an answer that was just written can't be read", e);
     }
     otherHost.fencingToken = Math.max(otherHost.fencingToken, object.path("baton").asLong());
-    for (JsonNode order : object.path("orders")) {
-      long attempt = order.path("try").asLong();
+    for (JsonNode command : object.path("orders")) {
+      long attempt = command.path("try").asLong();
       Task task = otherHost.tasks.get(attempt);
-      switch (order.path("verb").asText()) {
+      switch (command.path("verb").asText()) {
         case "run" ->
             otherHost.tasks.putIfAbsent(
-                attempt, new Task(order.path("piece").asText(), attempt, loop.nowMicros()));
+                attempt, new Task(command.path("piece").asText(), attempt, loop.nowMicros()));
         case "halt" -> {
           if (task != null && task.exit == null) {
             task.exit = "halted";
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -114,7 +114,7 @@
               }
               if (path.equals("/orders")) {
                 String host = outside.machineAt(to.toString());
-                outside.order(host, new String(body, StandardCharsets.UTF_8));
+                outside.command(host, new String(body, StandardCharsets.UTF_8));
                 answer.take(200, outside.heartbeat(host));
               } else {
                 outside.handle(
@@ -144,7 +144,7 @@
             outside.heartbeat(host),
             (status, json, retry) -> {
               if (status == 200) {
-                outside.order(host, json);
+                outside.command(host, json);
               }
             });
     loop.after(HEARTBEAT_MICROS, () -> heartbeat(life, host));
--- a/src/main/java/plumlever/wire/ExitCause.java
+++ b/src/main/java/plumlever/wire/ExitCause.java
@@ -6,7 +6,7 @@
  */
 public enum ExitCause {
   DONE("done"),
-  HALTED("halted"),
+  STOPPED("halted"),
   ERROR("error"),
   FULL("full"),
   IN_USE("in_use"),
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -18,7 +18,7 @@
 import plumlever.settings.Platform;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
-import plumlever.wire.Order;
+import plumlever.wire.WorkerCommand;
 
 /** Leases are renewed in one place, and only with evidence that is sufficient. */
 final class LeaseRenewalTest {
@@ -42,7 +42,7 @@
   void aDelegatesAnswerCarriesTheDelegationsToken() {
     RenewalDecision decision = renewal.answer(delegate(TOKEN - 2, NOW + 1, NOW), List.of(), NOW);
     assertEquals(
-        Order.answer(TOKEN, List.of()),
+        WorkerCommand.answer(TOKEN, List.of()),
         assertInstanceOf(RenewalDecision.Renewed.class, decision).body());
   }
 
@@ -166,7 +166,7 @@
         .that()
         .doNotHaveFullyQualifiedName(LeaseRenewal.class.getName())
         .should()
-        .callMethod(Order.class, "answer", long.class, List.class)
+        .callMethod(WorkerCommand.class, "answer", long.class, List.class)
         .check(project);
   }
 }
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -37,7 +37,7 @@
   private final SimulatedCluster cluster;
   final FakeCloud.Vm vm;
   final Map<Long, Task> tasks = new LinkedHashMap<>();
-  private final Set<Long> reaped = new HashSet<>();
+  private final Set<Long> removed = new HashSet<>();
   private long incarnation = 1;
   private long sequenceNumber;
   private long fencingToken;
@@ -160,7 +160,7 @@
     due = false;
     lastSent = cluster.now();
     long sent = lastSent;
-    long orderIncarnation = incarnation;
+    long sentIncarnation = incarnation;
     String node = at;
     cluster.send(
         vm.id,
@@ -176,7 +176,7 @@
           }
           int code = (Integer) a[0];
           if (code == 200) {
-            answered((String) a[1], sent, orderIncarnation, node);
+            answered((String) a[1], sent, sentIncarnation, node);
             schedule(due ? 500_000 : 2_250_000 + cluster.random.nextLong(1_500_000));
             return;
           }
@@ -199,11 +199,11 @@
         });
   }
 
-  private void answered(String body, long sent, long orderIncarnation, String by) {
+  private void answered(String body, long sent, long sentIncarnation, String by) {
     try {
       ObjectNode object = Json.parseObject(body);
       long token = object.path("baton").asLong();
-      if (orderIncarnation != incarnation || token < fencingToken) {
+      if (sentIncarnation != incarnation || token < fencingToken) {
         return;
       }
       if (token > fencingToken) {
@@ -221,8 +221,8 @@
     }
   }
 
-  private void execute(JsonNode orders) {
-    for (JsonNode node : orders) {
+  private void execute(JsonNode commands) {
+    for (JsonNode node : commands) {
       String name = node.path("piece").asText();
       long attempt = node.path("try").asLong();
       Task task = tasks.get(attempt);
@@ -240,7 +240,7 @@
         case "reap" -> {
           if (task != null && task.status.equals("ended")) {
             tasks.remove(attempt);
-            reaped.add(attempt);
+            removed.add(attempt);
             due = true;
           }
         }
@@ -250,7 +250,7 @@
   }
 
   private void run(String name, long attempt) {
-    if (reaped.contains(attempt)) {
+    if (removed.contains(attempt)) {
       // Not a rule of the protocol, but each order that comes too late like this may break one.
       cluster.invariants.broken.add("started anew after it was reaped: " + name);
     }
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -107,7 +107,7 @@
         }),
     COMMANDS_ARE_HELD_UP_FOR_SECONDS_BY_MACHINES_THAT_GO_ON(
         d -> {
-          d.cluster.slowOrdersMicros = 3_000_000;
+          d.cluster.slowCommandsMicros = 3_000_000;
           d.cluster.cloud.machines.values().stream()
               .filter(v -> v.worker != null)
               .limit(4)
@@ -236,7 +236,7 @@
     MORE_WORK_THAN_ROOM_URGENT_AND_NOT_OVER_SLOW_LINKS(
         d -> {
           d.cluster.cloud.most = 5;
-          d.cluster.slowOrdersMicros = 900_000;
+          d.cluster.slowCommandsMicros = 900_000;
           d.cluster.store.slowMicros = 300_000;
           for (int i = 0; i < 30; i++) {
             Urgency urgency = Urgency.values()[i % 4];
@@ -554,7 +554,7 @@
       cluster.executeLate = 0;
       cluster.copyHeartbeats = 0;
       cluster.copyHeartbeatsForNext = 0;
-      cluster.slowOrdersMicros = 0;
+      cluster.slowCommandsMicros = 0;
       cluster.mute.clear();
       cluster.cuts.clear();
       cluster.store.slowMicros = 0;
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -373,12 +373,12 @@
   }
 
   /**
-   * Direct orders come again, up to a minute after they were carried out: a reaped task must not
+   * Direct orders come again, up to a minute after they were carried out: a removed task must not
    * start anew.
    */
   @Test
-  void aLateCopyOfADirectOrderStartsNothing() {
-    cluster.copyOrders = 1;
+  void aLateCopyOfADirectCommandStartsNothing() {
+    cluster.copyCommands = 1;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       JobSpec otherJob = job("blue", Urgency.STANDARD, 6, 2, 90, false);
@@ -390,13 +390,13 @@
     all.forEach(j -> assertEquals("aborted", cluster.invariants.lastTold.get(j.uid())));
   }
 
-  /** The answers to direct orders are lost, and with them the word whether the tasks run. */
+  /** The answers to direct commands are lost, and with them the word whether the tasks run. */
   @Test
-  void anUnheardDirectOrderHoldsItsTaskUntilTheTokenIsRaised() {
+  void anUnheardDirectCommandHoldsItsTaskUntilTheTokenIsRaised() {
     JobSpec first = submit(job("blue", Urgency.STANDARD, 8, 2, 5, false));
     cluster.play(40);
     assertDone(first);
-    cluster.loseOrderAnswers = 0.7;
+    cluster.loseCommandAnswers = 0.7;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       all.add(submit(job("blue", Urgency.STANDARD, 10, 2, 8, false)));
@@ -406,10 +406,10 @@
     assertDone(all.toArray(new JobSpec[0]));
   }
 
-  /** While an order is under way, reports that were sent before it arrived don't list its task. */
+  /** While a command is under way, reports that were sent before it arrived don't list its task. */
   @Test
-  void aHeartbeatThatCrossesADirectOrderProvesNothing() {
-    cluster.slowOrdersMicros = 1_200_000;
+  void aHeartbeatThatCrossesADirectCommandProvesNothing() {
+    cluster.slowCommandsMicros = 1_200_000;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       all.add(submit(job("blue", Urgency.STANDARD, 10, 2, 8, false)));
@@ -424,9 +424,9 @@
 
   /** Nor may it while another order to the same machine is still under way, with the same token. */
   @Test
-  void nothingIsReapedWhileALateCopyCouldStartItAnew() {
-    cluster.slowOrdersMicros = 1_200_000;
-    cluster.copyOrders = 1;
+  void nothingIsRemovedWhileALateCopyCouldStartItAnew() {
+    cluster.slowCommandsMicros = 1_200_000;
+    cluster.copyCommands = 1;
     cluster.cloud.most = 2;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -150,7 +150,7 @@
   }
 
   /**
-   * Sooner is better: the controller that confirmed a cancellation tells the leader, which halts
+   * Sooner is better: the controller that confirmed a cancellation tells the leader, which stops
    * the tasks.
    */
   @Test
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -35,7 +35,7 @@
   private static final double APART_S = 62;
   private static final long CANCEL_AFTER_MICROS = 2_600_000;
   private static final long CHANGE_AFTER_MICROS = 14_000_000;
-  private static final long ORDERS_TAKE_MICROS = 200_000;
+  private static final long COMMANDS_TAKE_MICROS = 200_000;
 
   private SimulatedCluster cluster;
   private FakeUsers users;
@@ -128,14 +128,14 @@
     Set<String> zone = machinesIn("a");
     assertTrue(attemptsIn(zone) > 0, "machines in the zone run tasks");
 
-    cluster.slowOrdersMicros = ORDERS_TAKE_MICROS;
-    long ordered = counted("runs_ordered");
+    cluster.slowCommandsMicros = COMMANDS_TAKE_MICROS;
+    long commanded = counted("runs_ordered");
     JobSpec cancelled = submit("blue", 24, 100);
-    while (counted("runs_ordered") == ordered) {
+    while (counted("runs_ordered") == commanded) {
       cluster.play(0.01);
     }
     cutZone(behind, zone, true);
-    cluster.slowOrdersMicros = 0;
+    cluster.slowCommandsMicros = 0;
     cluster.at(CANCEL_AFTER_MICROS, () -> users.cancel(cancelled.uid()));
     cluster.at((long) (APART_S * 1e6), () -> cutZone(behind, zone, false));
     cluster.at(CHANGE_AFTER_MICROS, whileApart);
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -48,14 +48,14 @@
     void play() {
       cluster.at(0, this::submitNext);
       cluster.play(40);
-      cluster.holdOrders = 0.02;
-      cluster.holdOrdersMicros = InvariantChecker.CANCEL_MICROS * 3 / 2;
+      cluster.holdCommands = 0.02;
+      cluster.holdCommandsMicros = InvariantChecker.CANCEL_MICROS * 3 / 2;
       cluster.copyHeartbeats = 0.01;
       cluster.at(0, this::troubleNext);
       cluster.play(TROUBLED_S);
       troubled = false;
       cluster.cuts.clear();
-      cluster.holdOrders = 0;
+      cluster.holdCommands = 0;
       cluster.store.refused.clear();
       cluster.store.endOutage();
       cluster.cloud.machines.values().stream()
--- a/src/test/java/plumlever/sim/SharingHardCasesTest.java
+++ b/src/test/java/plumlever/sim/SharingHardCasesTest.java
@@ -196,11 +196,11 @@
   }
 
   @Test
-  void ordersOfTheFormerOwnerCarriedOutMinutesLateStartNothing() {
+  void commandsOfTheFormerOwnerCarriedOutMinutesLateStartNothing() {
     for (int seed = 70; seed < 74; seed++) {
       pool = new PoolScenario(seed, 0, 9);
       cluster = pool.cluster;
-      cluster.copyOrders = 1;
+      cluster.copyCommands = 1;
       pool.submit("n0", 10, 12);
       pool.submit("n0", 10, 12);
       cluster.play(9);
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -70,19 +70,19 @@
   double executeLate;
   double repeat;
 
-  /** Share of direct orders that come once more, late. */
-  double copyOrders;
+  /** Share of direct commands that come once more, late. */
+  double copyCommands;
 
-  /** Extra time that direct orders are under way. */
-  long slowOrdersMicros;
+  /** Extra time that direct commands are under way. */
+  long slowCommandsMicros;
 
-  /** Share of direct orders that are held back, for up to the time below. */
-  double holdOrders;
+  /** Share of direct commands that are held back, for up to the time below. */
+  double holdCommands;
 
-  long holdOrdersMicros;
+  long holdCommandsMicros;
 
-  /** Share of direct orders whose answer is lost. */
-  double loseOrderAnswers;
+  /** Share of direct commands whose answer is lost. */
+  double loseCommandAnswers;
 
   /** Share of heartbeats of which a copy comes late, at any node. */
   double copyHeartbeats;
@@ -380,11 +380,11 @@
     }
     boolean lose =
         random.nextDouble() < loseAnswer
-            || (path.equals("/orders") && random.nextDouble() < loseOrderAnswers);
+            || (path.equals("/orders") && random.nextDouble() < loseCommandAnswers);
     long delay =
-        LATENCY_MICROS + random.nextInt(2_000) + (path.equals("/orders") ? slowOrdersMicros : 0);
-    if (path.equals("/orders") && holdOrders > 0 && random.nextDouble() < holdOrders) {
-      delay += random.nextLong(holdOrdersMicros);
+        LATENCY_MICROS + random.nextInt(2_000) + (path.equals("/orders") ? slowCommandsMicros : 0);
+    if (path.equals("/orders") && holdCommands > 0 && random.nextDouble() < holdCommands) {
+      delay += random.nextLong(holdCommandsMicros);
     }
     if (random.nextDouble() < executeLate) {
       delay += 1_000_000L + random.nextLong(60_000_000L);
@@ -412,7 +412,7 @@
                 });
           }
         };
-    if (path.equals("/orders") && random.nextDouble() < copyOrders) {
+    if (path.equals("/orders") && random.nextDouble() < copyCommands) {
       deliver(
           from, to, method, path, body, (st, t) -> {}, 4_000_000L + random.nextLong(16_000_000L));
       deliver(from, to, method, path, body, (st, t) -> {}, 500_000L + random.nextLong(COPY_MICROS));
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void readsAReportAndWritesOrders() throws InvalidMessage {
+  void readsAReportAndWritesCommands() throws InvalidMessage {
     Heartbeat heartbeat =
         Heartbeat.parse(
             ("{\"host\":\"i-1\",\"endpoint\":\"h:1\",\"flavor\":\"g8\",\"site\":\"a\",\"loaners\":true,"
@@ -85,7 +85,7 @@
             && !heartbeat.newerThan(1, 88));
     assertEquals(
         "{\"baton\":41,\"orders\":[{\"verb\":\"halt\",\"piece\":\"job-1/3\",\"try\":2,\"wind_down_s\":10.0}]}",
-        Order.answer(41, List.of(Order.halt(new TaskName("job-1", 3), 2, 10))));
+        WorkerCommand.answer(41, List.of(WorkerCommand.stop(new TaskName("job-1", 3), 2, 10))));
     assertThrows(InvalidMessage.class, () -> TaskName.of("job-1/-3"));
   }
 
@@ -121,7 +121,7 @@
                 new Heartbeat.AttemptStatus(
                     new TaskName("job-1", 3), 2, AttemptState.RUNNING, null, false),
                 new Heartbeat.AttemptStatus(
-                    new TaskName("job-1", 4), 3, AttemptState.ENDED, ExitCause.HALTED, true))),
+                    new TaskName("job-1", 4), 3, AttemptState.ENDED, ExitCause.STOPPED, true))),
         otherHeartbeat);
     assertEquals(
         3.5,
