--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -186,7 +186,7 @@
       loop.execute(
           () -> {
             node.close();
-            // The last request, which ends the grant, gets a moment to go out.
+            // The last request, which ends the lease, gets a moment to go out.
             loop.after(LAST_REQUEST_MICROS, stopped::countDown);
           });
       try {
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -14,7 +14,7 @@
 
 /**
  * A follower's right to renew leases for a leader that can't reach the workers of some zones,
- * although both reach the state service. The leader's delegation is a key on its grant, dropped by
+ * although both reach the state service. The leader's delegation is a key on its lease, dropped by
  * whoever is elected next. It counts here for a short time from when a read that showed it was
  * <em>sent</em>; the leader waits that long, and a lease, before it takes a machine of these zones
  * for lapsed (see {@code MachineManager.lapsesAt}), and that long before it sends a command there.
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -15,7 +15,7 @@
 import plumlever.wire.Json;
 
 /**
- * Who leads. The leader holds a key that hangs on a grant of the state service; taking it raises
+ * Who leads. The leader holds a key that hangs on a lease of the state service; taking it raises
  * the term in the same transaction. How long this node may act is counted from when its last
  * successful renewal was <em>sent</em>, so it ends before the state service lets anyone else in.
  *
@@ -55,7 +55,7 @@
   private final ElectionListener listener;
   private final SplittableRandom random;
   private final Scope scope = new Scope();
-  private final RecurringTask touching;
+  private final RecurringTask renewal;
   private final RecurringTask standing;
   private final String nonce;
 
@@ -103,7 +103,7 @@
     this.listener = listener;
     this.random = new SplittableRandom(seed);
     this.nonce = Long.toHexString(random.nextLong());
-    this.touching = scope.own(new RecurringTask("touch", loop, this::touch));
+    this.renewal = scope.own(new RecurringTask("touch", loop, this::renewLease));
     this.standing = scope.own(new RecurringTask("stand", loop, this::stand));
   }
 
@@ -149,7 +149,7 @@
   /** The live leader's label, or null if none is known lately. */
   public String leaderLabel() {
     boolean fresh =
-        loop.nowMicros() - leaderSeenMicros < FOLLOW_MICROS + 2 * tunables.grantTtlMicros();
+        loop.nowMicros() - leaderSeenMicros < FOLLOW_MICROS + 2 * tunables.leaseTtlMicros();
     String who = leaderLabel;
     return who != null && fresh && !(who.equals(label) && current == null) ? who : null;
   }
@@ -164,7 +164,7 @@
     notBeforeMicros = loop.nowMicros() + pauseMicros;
     if (current == of && of != null) {
       leave(why);
-      store.endGrant(of.permit());
+      store.revokeLease(of.leaseId());
     }
   }
 
@@ -301,7 +301,7 @@
     }
     busy = true;
     // The guards are what this decision was taken on: followed changes go on arriving while the
-    // grant is made, and
+    // lease is made, and
     // a guard on the newest stamp would depose a leader elected in between.
     long seenLeader = leaderStamp;
     long seenTerm = termStamp;
@@ -326,8 +326,8 @@
 
   private void stand(long now, long seenLeader, long seenTerm, PoolTerms.Next next) {
     long newTerm = next.term();
-    store.grant(
-        tunables.grantTtlMicros(),
+    store.createLease(
+        tunables.leaseTtlMicros(),
         p -> {
           if (p < 0) {
             busy = false;
@@ -362,7 +362,7 @@
   }
 
   /** An uncertain answer is settled by reading, never by assuming. */
-  private void settle(long permit, long newTerm, long sentAt, int tries) {
+  private void settle(long leaseId, long newTerm, long sentAt, int tries) {
     store.get(
         LEADER,
         StateClient.Class.URGENT,
@@ -372,18 +372,18 @@
               && nonce.equals(got.item().data().path("nonce").asText())
               && got.item().data().path("term").asLong() == newTerm) {
             // Both keys were put in one change and so have the same revision.
-            take(permit, newTerm, got.item().stamp(), sentAt);
+            take(leaseId, newTerm, got.item().stamp(), sentAt);
           } else if (got.found() || got.missing() || tries >= 3) {
-            giveUp(permit);
+            giveUp(leaseId);
           } else {
-            loop.after(RETRY_MICROS, () -> settle(permit, newTerm, sentAt, tries + 1));
+            loop.after(RETRY_MICROS, () -> settle(leaseId, newTerm, sentAt, tries + 1));
           }
         });
   }
 
-  private void giveUp(long permit) {
-    // Ending the grant makes a late execution of the transaction fail.
-    store.endGrant(permit);
+  private void giveUp(long leaseId) {
+    // Ending the lease makes a late execution of the transaction fail.
+    store.revokeLease(leaseId);
     busy = false;
     lost = Math.min(lost + 1, 6);
     loop.after(50_000, this::reread);
@@ -416,8 +416,8 @@
         });
   }
 
-  private void take(long permit, long newTerm, long stamp, long sentAt) {
-    Term otherTerm = new Term(loop, newTerm, stamp, permit);
+  private void take(long leaseId, long newTerm, long stamp, long sentAt) {
+    Term otherTerm = new Term(loop, newTerm, stamp, leaseId);
     busy = false;
     lost = 0;
     term = newTerm;
@@ -432,11 +432,11 @@
       return;
     }
     log.info("leading, term {}", newTerm);
-    touching.wakeIn(tunables.touchMicros());
+    renewal.wakeIn(tunables.leaseRenewalMicros());
     listener.elected(otherTerm);
   }
 
-  private long touch() {
+  private long renewLease() {
     Term term = current;
     if (term == null) {
       return -1;
@@ -451,8 +451,8 @@
       return -1;
     }
     listener.whenTurning(() -> turnedMicros = loop.nowMicros());
-    store.touch(
-        term.permit(),
+    store.renewLease(
+        term.leaseId(),
         result -> {
           if (current != term) {
             return;
@@ -461,12 +461,12 @@
             case RENEWED -> term.extendFrom(now, tunables);
             case ENDED -> leave("the grant has ended");
             case UNKNOWN ->
-                touching.wakeIn(
+                renewal.wakeIn(
                     Math.min(
                         RETRY_MICROS, Math.max(1, term.rightUntilMicros() - loop.nowMicros())));
           }
         });
-    return Math.min(tunables.touchMicros(), Math.max(1, term.rightUntilMicros() - now));
+    return Math.min(tunables.leaseRenewalMicros(), Math.max(1, term.rightUntilMicros() - now));
   }
 
   private void leave(String why) {
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -57,12 +57,12 @@
   }
 
   /** What the transaction holds that takes the term. */
-  Txn addTo(Txn txn, Next next, String label, long permit) {
+  Txn addTo(Txn txn, Next next, String label, long leaseId) {
     ObjectNode counter = Json.object().put(TERM, next.term());
     ObjectNode leader = Json.object().put("label", label).put(TERM, next.term());
     txn.guard(counterKey, next.counterStamp())
         .put(counterKey, counter)
-        .put(leaderKey, leader, permit);
+        .put(leaderKey, leader, leaseId);
     return next.counterStamp() == 0
         ? txn.put(ABSOLUTE_MARKER, Json.object().put("pool", true))
         : txn;
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -16,15 +16,15 @@
   private final Loop clock;
   private final long number;
   private final long stamp;
-  private final long permit;
+  private final long leaseId;
   private volatile long rightUntilMicros;
   private volatile boolean ended;
 
-  Term(Loop clock, long number, long stamp, long permit) {
+  Term(Loop clock, long number, long stamp, long leaseId) {
     this.clock = clock;
     this.number = number;
     this.stamp = stamp;
-    this.permit = permit;
+    this.leaseId = leaseId;
   }
 
   public long number() {
@@ -36,9 +36,9 @@
     return stamp;
   }
 
-  /** The grant that the office hangs on. */
-  public long permit() {
-    return permit;
+  /** The lease that the office hangs on. */
+  public long leaseId() {
+    return leaseId;
   }
 
   /**
@@ -67,7 +67,7 @@
    * @param sentMicros when that request had been sent
    */
   void extendFrom(long sentMicros, Tunables tunables) {
-    long lastsMicros = (long) (tunables.grantTtlMicros() * (1 - DRIFT));
+    long lastsMicros = (long) (tunables.leaseTtlMicros() * (1 - DRIFT));
     rightUntilMicros =
         Math.max(rightUntilMicros, sentMicros + lastsMicros - tunables.actMarginMicros());
   }
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -96,7 +96,7 @@
     return runningSinceMicros;
   }
 
-  /** a heartbeat shows the attempt in this state. */
+  /** A heartbeat shows the attempt in this state. */
   public void see(AttemptState now, long nowMicros) {
     if (now == AttemptState.RUNNING && runningSinceMicros < 0) {
       runningSinceMicros = nowMicros;
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -159,7 +159,7 @@
 
   /**
    * The attempt is surely over: reported as ended, missing from a heartbeat that would list it, of
-   * a incarnation that has ended, or on a machine that was deleted. Its room and quota are free
+   * an incarnation that has ended, or on a machine that was deleted. Its room and quota are free
    * from here on.
    */
   public void end(Attempt attempt, ExitCause cause) {
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -277,7 +277,7 @@
     return answeredToken;
   }
 
-  /** a heartbeat of its own came after the body of a direct call that was sent later. */
+  /** A heartbeat of its own came after the body of a direct call that was sent later. */
   public void overtaken(long heartbeatSequenceNumber, long nowMicros) {
     ownSequenceNumber = heartbeatSequenceNumber;
     lastHeartbeatMicros = nowMicros;
@@ -316,7 +316,7 @@
     guests = now;
   }
 
-  /** a heartbeat of the machine arrived. */
+  /** A heartbeat of the machine arrived. */
   public void heardAt(Heartbeat heartbeat, long nowMicros, boolean own) {
     if (heartbeat.incarnation() > incarnation) {
       ownSequenceNumber = 0;
--- a/src/main/java/plumlever/leader/EarlyReports.java
+++ b/src/main/java/plumlever/leader/EarlyHeartbeats.java
@@ -23,7 +23,7 @@
 
   private final Loop loop;
 
-  /** Each report holds a connection, so there are never more than sockets. */
+  /** Each heartbeat holds a connection, so there are never more than sockets. */
   private final int most;
 
   private final Map<String, Early> byHost = new LinkedHashMap<>();
--- a/src/main/java/plumlever/leader/GuestBook.java
+++ b/src/main/java/plumlever/leader/GuestBook.java
@@ -128,7 +128,7 @@
         && lodging.byHome.values().stream().anyMatch(guests -> guests.tasks.containsKey(attempt));
   }
 
-  /** a heartbeat of the machine was taken in. */
+  /** A heartbeat of the machine was taken in. */
   void reported(Machine machine, Heartbeat heartbeat) {
     Lodging lodging = lodgings.get(machine.id());
     if (lodging == null) {
@@ -258,7 +258,7 @@
 
   /**
    * What is known of the jobs whose tasks may be on the machine. Until it shows this owner's token,
-   * that is all that the homes handed over, whatever its reports list.
+   * that is all that the homes handed over, whatever its heartbeat list.
    */
   GuestEvidence evidence(Machine machine) {
     Lodging lodging = lodgings.get(machine.id());
--- a/src/main/java/plumlever/leader/ReportHandler.java
+++ b/src/main/java/plumlever/leader/HeartbeatHandler.java
@@ -15,7 +15,7 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.WorkerCommand;
 
-/** Learns from reports, and writes the commands that answer them. */
+/** Learns from heartbeats, and writes the commands that answer them. */
 final class HeartbeatHandler {
   private final Logger log;
   private final Context context;
@@ -476,7 +476,7 @@
       }
       Job job = jobs.get(reported.task().job());
       if (reported.state() != AttemptState.ENDED) {
-        // a heartbeat that shows an earlier term does not account for its machine, but tasks of
+        // A heartbeat that shows an earlier term does not account for its machine, but tasks of
         // jobs
         // that have ended are
         // stopped by the first answer: it renews their lease, and the machine may not hear another
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -350,7 +350,7 @@
     if (machine.enrolment() == RegistrationState.NONE
         && !machine.returning()
         && (machine.accounted() || heartbeat.fencingToken() == 0)) {
-      // a heartbeat that shows an earlier term may be a late copy of a machine that is gone:
+      // A heartbeat that shows an earlier term may be a late copy of a machine that is gone:
       // nothing
       // is recorded for it.
       registry.enroll(machine);
--- a/src/main/java/plumlever/leader/MachineSharing.java
+++ b/src/main/java/plumlever/leader/MachineSharing.java
@@ -67,7 +67,7 @@
     return false;
   }
 
-  /** a heartbeat of the machine was taken in. */
+  /** A heartbeat of the machine was taken in. */
   default void reported(Machine machine, Heartbeat heartbeat) {}
 
   /** What is known of the jobs of other cells whose tasks may be on the machine. */
--- a/src/main/java/plumlever/leader/MachineSilence.java
+++ b/src/main/java/plumlever/leader/MachineSilence.java
@@ -128,7 +128,8 @@
         ZoneCount zone = zones.computeIfAbsent(machine.site(), name -> new ZoneCount());
         zone.machines++;
         zone.open += open ? 1 : 0;
-        // One missed report already: machines behind a cut fall silent one after the other, and by
+        // One missed heartbeat already: machines behind a cut fall silent one after the other, and
+        // by
         // the time the first is called silent all the others must have missed one as well.
         if (of(machine, now) > context.platform().workers().latestHeartbeatMicros()) {
           zone.silent++;
--- a/src/main/java/plumlever/leader/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/RenewalDelegation.java
@@ -189,7 +189,7 @@
     context
         .store()
         .txn(
-            txn.put(LeaderElection.DELEGATION, record.write(), context.term().permit()),
+            txn.put(LeaderElection.DELEGATION, record.write(), context.term().leaseId()),
             StateClient.Class.URGENT,
             result -> {
               writing = false;
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -40,7 +40,7 @@
     if (!endsKnown) {
       return Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN);
     }
-    // The report does not list what such a command may add, so the lease must end in time for
+    // The heartbeat does not list what such a command may add, so the lease must end in time for
     // every cancellation that came after it was sent.
     if (unanswered.pending() && !limit.mayRenew(nowMicros, unanswered.endsKnownMicros())) {
       return Optional.of(RenewalRefusal.UNANSWERED_COMMAND);
--- a/src/main/java/plumlever/placement/PlacementCandidate.java
+++ b/src/main/java/plumlever/placement/PlacementCandidate.java
@@ -27,7 +27,7 @@
   private long upMicros = Long.MIN_VALUE;
 
   /**
-   * Time until a command reaches the machine: it is only given orders in answers to its reports.
+   * Time until a command reaches the machine: it is only given orders in answers to its heartbeat.
    */
   final long delayMicros;
 
--- a/src/main/java/plumlever/rehearsal/StateStandIn.java
+++ b/src/main/java/plumlever/rehearsal/StateStandIn.java
@@ -25,24 +25,24 @@
   private static final long MOST_TTL_MS = 600_000;
   private static final long EXPIRE_MICROS = 50_000;
 
-  private record Entry(JsonNode data, long stamp, long permit) {}
+  private record Entry(JsonNode data, long stamp, long leaseId) {}
 
   private record Change(long stamp, String key, JsonNode data) {}
 
   /** A lease: when it ends, unless it is renewed. */
-  private record Grant(long ttlMicros, long endsMicros) {}
+  private record Lease(long ttlMicros, long endsMicros) {}
 
   /** A watch that has found nothing yet. */
   private record Watch(String prefix, long since, long untilMicros, Responder out) {}
 
   private final Loop loop;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
-  private final Map<Long, Grant> grants = new HashMap<>();
+  private final Map<Long, Lease> leases = new HashMap<>();
   private final ArrayDeque<Change> changes = new ArrayDeque<>();
   private final List<Watch> watches = new ArrayList<>();
   private final BiConsumer<String, JsonNode> onPut;
   private long revision = 1;
-  private long lastPermit;
+  private long lastLeaseId;
   private long requests;
   private long puts;
 
@@ -93,7 +93,7 @@
       if (target.equals("/txn")) {
         transact(Json.parseObject(body), out);
       } else if (target.startsWith("/grants")) {
-        grant(method, target, body, out);
+        lease(method, target, body, out);
       } else if (target.startsWith("/keys/")) {
         get(target.substring("/keys/".length()), out);
       } else if (target.startsWith("/keys?")) {
@@ -119,7 +119,7 @@
 
   private static ObjectNode item(String key, Entry entry) {
     ObjectNode item =
-        Json.object().put("k", key).put("stamp", entry.stamp()).put("permit", entry.permit());
+        Json.object().put("k", key).put("stamp", entry.stamp()).put("permit", entry.leaseId());
     item.set("data", entry.data());
     return item;
   }
@@ -160,7 +160,7 @@
       return;
     }
     for (JsonNode change : transaction.path("then")) {
-      if (change.hasNonNull("permit") && !grants.containsKey(change.get("permit").asLong())) {
+      if (change.hasNonNull("permit") && !leases.containsKey(change.get("permit").asLong())) {
         out.error(HttpStatus.BAD_REQUEST, "no such lease");
         return;
       }
@@ -196,34 +196,34 @@
     }
   }
 
-  private void grant(String method, String target, byte[] body, Responder out)
+  private void lease(String method, String target, byte[] body, Responder out)
       throws InvalidMessage {
     if (target.equals("/grants")) {
       long ttlMicros =
           Json.whole(Json.parseObject(body), "ttl_ms", LEAST_TTL_MS, MOST_TTL_MS) * 1_000;
-      grants.put(++lastPermit, new Grant(ttlMicros, loop.nowMicros() + ttlMicros));
-      out.send(HttpStatus.OK, Json.write(Json.object().put("permit", lastPermit)));
+      leases.put(++lastLeaseId, new Lease(ttlMicros, loop.nowMicros() + ttlMicros));
+      out.send(HttpStatus.OK, Json.write(Json.object().put("permit", lastLeaseId)));
       return;
     }
-    long permit = Long.parseLong(target.split("/")[2]);
-    Grant grant = grants.get(permit);
-    if (grant == null) {
+    long leaseId = Long.parseLong(target.split("/")[2]);
+    Lease lease = leases.get(leaseId);
+    if (lease == null) {
       out.error(HttpStatus.NOT_FOUND, "no such lease");
     } else if (method.equals("DELETE")) {
-      end(permit);
+      end(leaseId);
       out.send(HttpStatus.OK, "{}");
     } else {
-      grants.put(permit, new Grant(grant.ttlMicros(), loop.nowMicros() + grant.ttlMicros()));
+      leases.put(leaseId, new Lease(lease.ttlMicros(), loop.nowMicros() + lease.ttlMicros()));
       out.send(HttpStatus.OK, "{}");
     }
   }
 
-  private void end(long permit) {
-    grants.remove(permit);
+  private void end(long leaseId) {
+    leases.remove(leaseId);
     List<String> keys = new ArrayList<>();
     entries.forEach(
         (key, entry) -> {
-          if (entry.permit() == permit) {
+          if (entry.leaseId() == leaseId) {
             keys.add(key);
           }
         });
@@ -236,7 +236,7 @@
 
   private void expire() {
     long now = loop.nowMicros();
-    grants.entrySet().stream()
+    leases.entrySet().stream()
         .filter(entry -> entry.getValue().endsMicros() <= now)
         .map(Map.Entry::getKey)
         .toList()
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -65,8 +65,8 @@
             number("padding_share", tunables.paddingShare(), 0, 1),
             number("tie_share", tunables.tieShare(), 0, 1),
             micros("start_target_s", tunables.startTargetMicros(), 0, 1e6),
-            micros("grant_ttl_s", tunables.grantTtlMicros(), 1, 600),
-            micros("touch_s", tunables.touchMicros(), 0.1, 100),
+            micros("grant_ttl_s", tunables.leaseTtlMicros(), 1, 600),
+            micros("touch_s", tunables.leaseRenewalMicros(), 0.1, 100),
             micros("act_margin_s", tunables.actMarginMicros(), 0.05, 10),
             micros("progress_s", tunables.progressMicros(), 0.1, 60),
             micros("round_budget_s", tunables.roundBudgetMicros(), 0.001, 1),
@@ -82,7 +82,7 @@
     if (!left.isEmpty()) {
       throw new SettingsException(file + ": " + left.keySet().iterator().next() + " is unknown");
     }
-    if (read.touchMicros() * 2 + read.actMarginMicros() > read.grantTtlMicros()) {
+    if (read.leaseRenewalMicros() * 2 + read.actMarginMicros() > read.leaseTtlMicros()) {
       throw new SettingsException(
           file + ": grant_ttl_s must exceed twice touch_s and act_margin_s");
     }
--- a/src/main/java/plumlever/settings/Tunables.java
+++ b/src/main/java/plumlever/settings/Tunables.java
@@ -7,10 +7,10 @@
  * @param paddingShare added to run-time estimates when a deadline is checked; the design's default
  * @param tieShare scores this close to the least are a tie; the design's default
  * @param startTargetMicros a task with no deadline should start within this; the design's default
- * @param grantTtlMicros how long a silent leader stays in office: short enough for a quick
+ * @param leaseTtlMicros how long a silent leader stays in office: short enough for a quick
  *     successor, long enough that a node running behind its processor share does not lose office
- * @param touchMicros pause between renewals of the leader's grant
- * @param actMarginMicros the leader stops this long before its grant may end, for a round that runs
+ * @param touchMicros pause between renewals of the leader's lease
+ * @param actMarginMicros the leader stops this long before its lease may end, for a round that runs
  *     late
  * @param progressMicros pause between writes of task progress; the design's default
  * @param roundBudgetMicros the longest a round of decisions may take before it lets requests
@@ -34,8 +34,8 @@
     double paddingShare,
     double tieShare,
     long startTargetMicros,
-    long grantTtlMicros,
-    long touchMicros,
+    long leaseTtlMicros,
+    long leaseRenewalMicros,
     long actMarginMicros,
     long progressMicros,
     long roundBudgetMicros,
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -24,8 +24,8 @@
  * refused here, at once. Answers that can't be understood count as no answer.
  */
 public final class StateClient {
-  /** A key with its value, revision and the grant it hangs on (0: none). */
-  public record Item(String key, JsonNode data, long stamp, long permit) {}
+  /** A key with its value, revision and the lease it hangs on (0: none). */
+  public record Item(String key, JsonNode data, long stamp, long leaseId) {}
 
   /**
    * @param status 200, 404, or anything else for "not known"; 0 without an answer
@@ -52,13 +52,13 @@
   public record Changes(int status, long epoch, List<Change> log) {}
 
   /** What a renewal brought. */
-  public enum Touch {
+  public enum RenewalResult {
     RENEWED,
     ENDED,
     UNKNOWN
   }
 
-  /** Ordinary requests wait their turn; urgent ones (office, grants) go whatever the rate. */
+  /** Ordinary requests wait their turn; urgent ones (office, leases) go whatever the rate. */
   public enum Class {
     URGENT,
     ORDINARY
@@ -251,7 +251,7 @@
         TIMEOUT_MICROS,
         (status, o) -> {
           if (status == HttpStatus.PAYLOAD_TOO_LARGE
-              || (status == HttpStatus.BAD_REQUEST && !txn.hangsOnGrant())) {
+              || (status == HttpStatus.BAD_REQUEST && !txn.isAttachedToLease())) {
             limits.refused(txn);
           }
           Txn.Outcome outcome =
@@ -277,9 +277,9 @@
   }
 
   /**
-   * @param then takes the permit, or -1
+   * @param then takes the lease id, or -1
    */
-  public void grant(long ttlMicros, Consumer<Long> then) {
+  public void createLease(long ttlMicros, Consumer<Long> then) {
     send(
         Class.URGENT,
         0,
@@ -294,24 +294,26 @@
                     : -1L));
   }
 
-  /** Renews a grant. */
-  public void touch(long permit, Consumer<Touch> then) {
+  /** Renews a lease. */
+  public void renewLease(long leaseId, Consumer<RenewalResult> then) {
     send(
         Class.URGENT,
         0,
         "POST",
-        "/grants/" + permit + "/touch",
+        "/grants/" + leaseId + "/touch",
         Json.object(),
         TIMEOUT_MICROS,
         (status, o) ->
             then.accept(
                 status == HttpStatus.OK
-                    ? Touch.RENEWED
-                    : status == HttpStatus.NOT_FOUND ? Touch.ENDED : Touch.UNKNOWN));
+                    ? RenewalResult.RENEWED
+                    : status == HttpStatus.NOT_FOUND
+                        ? RenewalResult.ENDED
+                        : RenewalResult.UNKNOWN));
   }
 
-  public void endGrant(long permit) {
-    send(Class.URGENT, 0, "DELETE", "/grants/" + permit, null, TIMEOUT_MICROS, (status, o) -> {});
+  public void revokeLease(long leaseId) {
+    send(Class.URGENT, 0, "DELETE", "/grants/" + leaseId, null, TIMEOUT_MICROS, (status, o) -> {});
   }
 
   /**
--- a/src/main/java/plumlever/store/Txn.java
+++ b/src/main/java/plumlever/store/Txn.java
@@ -36,7 +36,7 @@
   private final ObjectNode body = Json.object();
   private final ArrayNode guards = body.putArray("guards");
   private final ArrayNode then = body.putArray("then");
-  private boolean grant;
+  private boolean leased;
   private boolean absolute;
 
   /**
@@ -55,11 +55,11 @@
     return this;
   }
 
-  /** Puts a value that is deleted when the grant ends. */
-  public Txn put(String key, JsonNode data, long permit) {
-    grant = true;
+  /** Puts a value that is deleted when the lease ends. */
+  public Txn put(String key, JsonNode data, long leaseId) {
+    leased = true;
     absolute |= key.charAt(0) == '/';
-    ObjectNode object = then.addObject().put("put", key).put("permit", permit);
+    ObjectNode object = then.addObject().put("put", key).put("permit", leaseId);
     object.set("data", data);
     return this;
   }
@@ -69,9 +69,9 @@
     return absolute;
   }
 
-  /** True if it puts a key on a grant: such a transaction is malformed once the grant has ended. */
-  boolean hangsOnGrant() {
-    return grant;
+  /** True if it puts a key on a lease: such a transaction is malformed once the lease has ended. */
+  boolean isAttachedToLease() {
+    return leased;
   }
 
   /** Removes a key, if it is there. */
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -23,7 +23,7 @@
     void send(int status, String body);
   }
 
-  private record Entry(JsonNode data, long stamp, long permit) {}
+  private record Entry(JsonNode data, long stamp, long leaseId) {}
 
   private record Change(long stamp, String key, JsonNode data) {}
 
@@ -74,7 +74,7 @@
   private final List<Change> log = new ArrayList<>();
   private final Map<String, Host> hosts = new LinkedHashMap<>();
   private long epoch = 1;
-  private long permits;
+  private long leaseIds;
 
   /**
    * @param endpoint where the machines take direct calls; a place for the machine's number in it
@@ -110,7 +110,7 @@
         reply.send(
             200,
             method.equals("POST") && path.equals("/grants")
-                ? "{\"permit\":" + ++permits + "}"
+                ? "{\"permit\":" + ++leaseIds + "}"
                 : "{}");
       } else if (path.startsWith("/keys/")) {
         Entry entry = keys.get(path.substring(6));
@@ -145,7 +145,7 @@
 
   private static ObjectNode item(String key, Entry entry) {
     ObjectNode object =
-        Json.object().put("k", key).put("stamp", entry.stamp).put("permit", entry.permit);
+        Json.object().put("k", key).put("stamp", entry.stamp).put("permit", entry.leaseId);
     object.set("data", entry.data);
     return object;
   }
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -12,7 +12,7 @@
  * @param from the cell that owns the machine
  * @param home the cell whose tasks these are
  * @param number that the owner's commands to the machine carry
- * @param lapsed the owner has proof that the machine's lease lapsed after this report
+ * @param lapsed the owner has proof that the machine's lease lapsed after this heartbeat
  */
 public record RelayedHeartbeat(
     String from, String home, long number, boolean lapsed, Heartbeat heartbeat) {
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -15,18 +15,18 @@
 
 /** The state service, by its protocol. */
 final class FakeStore implements SimulatedCluster.Service {
-  private record Entry(JsonNode data, long stamp, long permit) {}
+  private record Entry(JsonNode data, long stamp, long leaseId) {}
 
   private record Change(long stamp, String key, JsonNode data) {}
 
   private final SimulatedCluster cluster;
   private final TreeMap<String, Entry> keys = new TreeMap<>();
-  private final Map<Long, Long> grantEnds = new HashMap<>();
-  private final Map<Long, Long> grantTtl = new HashMap<>();
+  private final Map<Long, Long> leaseEnds = new HashMap<>();
+  private final Map<Long, Long> leaseTtl = new HashMap<>();
   private final List<Change> log = new ArrayList<>();
   private final List<Runnable> waiting = new ArrayList<>();
   private long epoch = 10;
-  private long permits;
+  private long leaseIds;
   boolean outage;
   final Set<String> refused = new HashSet<>();
 
@@ -101,13 +101,13 @@
   void endOutage() {
     outage = false;
     // Every lease has its full time again.
-    grantTtl.forEach((p, ttl) -> grantEnds.computeIfPresent(p, (k, end) -> cluster.now() + ttl));
+    leaseTtl.forEach((p, ttl) -> leaseEnds.computeIfPresent(p, (k, end) -> cluster.now() + ttl));
   }
 
   private void expire() {
     if (!outage) {
-      for (Long value : new ArrayList<>(grantEnds.keySet())) {
-        if (grantEnds.get(value) <= cluster.now()) {
+      for (Long value : new ArrayList<>(leaseEnds.keySet())) {
+        if (leaseEnds.get(value) <= cluster.now()) {
           end(value);
         }
       }
@@ -115,13 +115,13 @@
     cluster.at(50_000, this::expire);
   }
 
-  private void end(long permit) {
-    grantEnds.remove(permit);
-    grantTtl.remove(permit);
+  private void end(long leaseId) {
+    leaseEnds.remove(leaseId);
+    leaseTtl.remove(leaseId);
     List<String> gone = new ArrayList<>();
     keys.forEach(
         (k, e) -> {
-          if (e.permit == permit) {
+          if (e.leaseId == leaseId) {
             gone.add(k);
           }
         });
@@ -165,7 +165,7 @@
 
   /** Replaces a value behind everybody's back; its stamp stays. */
   void forge(String prefix, JsonNode data) {
-    keys.replaceAll((k, e) -> k.startsWith(prefix) ? new Entry(data, e.stamp, e.permit) : e);
+    keys.replaceAll((k, e) -> k.startsWith(prefix) ? new Entry(data, e.stamp, e.leaseId) : e);
   }
 
   /** When the last leader was elected. */
@@ -246,19 +246,19 @@
         write(from, Json.parseObject(body), reply);
       } else if (path.equals("/grants")) {
         long ttl = Json.parseObject(body).path("ttl_ms").asLong() * 1_000;
-        grantEnds.put(++permits, cluster.now() + ttl);
-        grantTtl.put(permits, ttl);
-        reply.send(200, "{\"permit\":" + permits + "}");
+        leaseEnds.put(++leaseIds, cluster.now() + ttl);
+        leaseTtl.put(leaseIds, ttl);
+        reply.send(200, "{\"permit\":" + leaseIds + "}");
       } else if (path.startsWith("/grants/")) {
         String[] parts = path.split("/");
-        long permit = Long.parseLong(parts[2]);
-        if (!grantEnds.containsKey(permit)) {
+        long leaseId = Long.parseLong(parts[2]);
+        if (!leaseEnds.containsKey(leaseId)) {
           reply.send(404, "{}");
         } else if (method.equals("DELETE")) {
-          end(permit);
+          end(leaseId);
           reply.send(200, "{}");
         } else {
-          grantEnds.put(permit, cluster.now() + grantTtl.get(permit));
+          leaseEnds.put(leaseId, cluster.now() + leaseTtl.get(leaseId));
           reply.send(200, "{}");
         }
       } else if (path.startsWith("/keys/")) {
@@ -283,7 +283,7 @@
 
   private static ObjectNode item(String text, Entry entry) {
     ObjectNode object =
-        Json.object().put("k", text).put("stamp", entry.stamp).put("permit", entry.permit);
+        Json.object().put("k", text).put("stamp", entry.stamp).put("permit", entry.leaseId);
     object.set("data", entry.data);
     return object;
   }
@@ -401,7 +401,7 @@
       }
     }
     for (JsonNode change : object.path("then")) {
-      if (change.hasNonNull("permit") && !grantEnds.containsKey(change.get("permit").asLong())) {
+      if (change.hasNonNull("permit") && !leaseEnds.containsKey(change.get("permit").asLong())) {
         reply.send(400, "{\"error\":\"no such lease\"}");
         return;
       }
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -336,7 +336,7 @@
     return object;
   }
 
-  /** a heartbeat as it would send it now. */
+  /** A heartbeat as it would send it now. */
   byte[] statusBytes() {
     return Json.write(status()).getBytes(java.nio.charset.StandardCharsets.UTF_8);
   }
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -91,7 +91,7 @@
   }
 
   /**
-   * A leader stands still for longer than its grant lasts, and wakes to reports that came
+   * A leader stands still for longer than its lease lasts, and wakes to reports that came
    * meanwhile: it must see by the clock that it is none any more before it answers the first of
    * them.
    */
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -138,7 +138,7 @@
   }
 
   /**
-   * Refused for its size, the next write is smaller; a grant that has ended tells nothing of sizes.
+   * Refused for its size, the next write is smaller; a lease that has ended tells nothing of sizes.
    */
   @Test
   void limitsThatFallWithoutNoticeAreLearnt() {
@@ -162,8 +162,8 @@
     assertTrue(
         writeLimits.valueBytes() >= WriteLimits.LEAST_VALUE_BYTES
             && writeLimits.txnOps() >= WriteLimits.LEAST_OPS);
-    assertTrue(new Txn().put("a", Json.object(), 7).hangsOnGrant());
-    assertFalse(txn.hangsOnGrant());
+    assertTrue(new Txn().put("a", Json.object(), 7).isAttachedToLease());
+    assertFalse(txn.isAttachedToLease());
   }
 
   @Test
