--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -38,7 +38,7 @@
   private final StateClient store;
   private final LeaderElection election;
   private long readSentMicros = Long.MIN_VALUE / 2;
-  private long stamp = -1;
+  private long revision = -1;
   private long announced = -1;
   private DelegationRecord delegation = new DelegationRecord(-1, Map.of());
 
@@ -65,7 +65,7 @@
         StateClient.Class.URGENT,
         got -> {
           if (got.found()) {
-            take(DelegationRecord.read(got.item().data()), got.item().stamp(), sent);
+            take(DelegationRecord.read(got.item().data()), got.item().revision(), sent);
           } else if (got.missing()) {
             // Only an answer that says so ends it before its time.
             delegation = new DelegationRecord(-1, Map.of());
@@ -74,8 +74,8 @@
     return READ_MICROS;
   }
 
-  private void take(DelegationRecord read, long readStamp, long sentMicros) {
-    if (readStamp < stamp) {
+  private void take(DelegationRecord read, long readRevision, long sentMicros) {
+    if (readRevision < revision) {
       // Answers may overtake each other; an older record may name tokens that are not sufficient
       // any more.
       return;
@@ -86,11 +86,11 @@
               + " ms ago)",
           read.term(),
           read.tokenByZone(),
-          readStamp,
+          readRevision,
           (loop.nowMicros() - sentMicros) / 1_000);
     }
     delegation = read;
-    stamp = readStamp;
+    revision = readRevision;
     readSentMicros = Math.max(readSentMicros, sentMicros);
   }
 
@@ -99,10 +99,10 @@
    * take the delegation back.
    */
   public void renewed() {
-    if (announced == stamp) {
+    if (announced == revision) {
       return;
     }
-    long now = stamp;
+    long now = revision;
     announced = now;
     store.txn(
         new Txn().put(LeaderElection.RENEWAL_ANNOUNCEMENT, Json.object().put("mandate", now)),
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -66,12 +66,12 @@
   private volatile boolean barred;
 
   private boolean known;
-  private long epoch = -1;
-  private long leaderStamp;
+  private long storeRevision = -1;
+  private long leaderRevision;
   private volatile String leaderLabel;
   private String leaderNonce;
   private volatile long leaderSeenMicros;
-  private long termStamp;
+  private long termRevision;
   private volatile long term;
 
   /** The term in which this node leads, or null. */
@@ -180,24 +180,24 @@
             loop.after(RETRY_MICROS + random.nextInt(200_000), this::read);
             return;
           }
-          leaderStamp = 0;
+          leaderRevision = 0;
           leaderLabel = null;
-          termStamp = 0;
+          termRevision = 0;
           delegationSeen = listing.items().stream().anyMatch(i -> i.key().equals(DELEGATION));
           seePool(listing.items().stream().anyMatch(i -> i.key().equals(PoolTerms.MARKER)));
           long newTerm = 0;
           for (StateClient.Item item : listing.items()) {
             if (item.key().equals(LEADER)) {
-              seeLeader(item.data(), item.stamp());
+              seeLeader(item.data(), item.revision());
             } else if (item.key().equals(TERM)) {
-              termStamp = item.stamp();
+              termRevision = item.revision();
               newTerm = item.data().path("term").asLong();
             }
           }
           if (current == null) {
             term = newTerm;
           }
-          epoch = listing.epoch();
+          storeRevision = listing.storeRevision();
           known = true;
           changed();
           follow();
@@ -212,8 +212,8 @@
     barred = nowBarred;
   }
 
-  private void seeLeader(com.fasterxml.jackson.databind.JsonNode data, long stamp) {
-    leaderStamp = stamp;
+  private void seeLeader(com.fasterxml.jackson.databind.JsonNode data, long revision) {
+    leaderRevision = revision;
     leaderLabel = data.path("label").asText();
     leaderNonce = data.path("nonce").asText();
     leaderSeenMicros = loop.nowMicros();
@@ -225,7 +225,7 @@
     }
     store.follow(
         PREFIX,
-        epoch,
+        storeRevision,
         FOLLOW_MICROS,
         changes -> {
           if (changes.status() == HttpStatus.GONE) {
@@ -238,14 +238,14 @@
             loop.after(RETRY_MICROS + random.nextInt(200_000), this::read);
             return;
           }
-          epoch = Math.max(epoch, changes.epoch());
+          storeRevision = Math.max(storeRevision, changes.storeRevision());
           for (StateClient.Change change : changes.log()) {
             if (change.key().equals(LEADER)) {
-              if (change.data() == null && change.stamp() > leaderStamp) {
-                leaderStamp = 0;
+              if (change.data() == null && change.revision() > leaderRevision) {
+                leaderRevision = 0;
                 leaderLabel = null;
-              } else if (change.data() != null && change.stamp() > leaderStamp) {
-                seeLeader(change.data(), change.stamp());
+              } else if (change.data() != null && change.revision() > leaderRevision) {
+                seeLeader(change.data(), change.revision());
               }
             } else if (change.key().equals(RENEWAL_ANNOUNCEMENT) && change.data() != null) {
               announcedDelegation = change.data().path("mandate").asLong(-1);
@@ -255,8 +255,8 @@
               delegationSeen = change.data() != null;
             } else if (change.key().equals(TERM)
                 && change.data() != null
-                && change.stamp() > termStamp) {
-              termStamp = change.stamp();
+                && change.revision() > termRevision) {
+              termRevision = change.revision();
               if (current == null) {
                 term = change.data().path("term").asLong();
               }
@@ -276,10 +276,10 @@
 
   private void changed() {
     if (current != null) {
-      if (!busy && leaderStamp != 0 && !mine()) {
+      if (!busy && leaderRevision != 0 && !mine()) {
         leave("another node holds the office");
       }
-    } else if (!busy && (leaderStamp == 0 || label.equals(leaderLabel))) {
+    } else if (!busy && (leaderRevision == 0 || label.equals(leaderLabel))) {
       // A key of this node's own that it does not act on is left from an earlier life of this
       // process:
       // that one is dead, so the office is free.
@@ -292,7 +292,7 @@
         || busy
         || !known
         || barred
-        || !(leaderStamp == 0 || label.equals(leaderLabel))) {
+        || !(leaderRevision == 0 || label.equals(leaderLabel))) {
       return -1;
     }
     long now = loop.nowMicros();
@@ -302,9 +302,9 @@
     busy = true;
     // The guards are what this decision was taken on: followed changes go on arriving while the
     // lease is made, and
-    // a guard on the newest stamp would depose a leader elected in between.
-    long seenLeader = leaderStamp;
-    long seenTerm = termStamp;
+    // a guard on the newest revision would depose a leader elected in between.
+    long seenLeader = leaderRevision;
+    long seenTerm = termRevision;
     if (poolTerms.isEmpty()) {
       stand(now, seenLeader, seenTerm, new PoolTerms.Next(term + 1, 0));
       return -1;
@@ -353,7 +353,7 @@
               StateClient.Class.URGENT,
               result -> {
                 switch (result.outcome()) {
-                  case APPLIED -> take(p, newTerm, result.epoch(), sentAt);
+                  case APPLIED -> take(p, newTerm, result.revision(), sentAt);
                   case UNKNOWN -> settle(p, newTerm, sentAt, 0);
                   default -> giveUp(p);
                 }
@@ -372,7 +372,7 @@
               && nonce.equals(got.item().data().path("nonce").asText())
               && got.item().data().path("term").asLong() == newTerm) {
             // Both keys were put in one change and so have the same revision.
-            take(leaseId, newTerm, got.item().stamp(), sentAt);
+            take(leaseId, newTerm, got.item().revision(), sentAt);
           } else if (got.found() || got.missing() || tries >= 3) {
             giveUp(leaseId);
           } else {
@@ -399,14 +399,14 @@
             for (StateClient.Item item : listing.items()) {
               if (item.key().equals(LEADER)) {
                 leaderFound = true;
-                seeLeader(item.data(), item.stamp());
+                seeLeader(item.data(), item.revision());
               } else if (item.key().equals(TERM)) {
-                termStamp = item.stamp();
+                termRevision = item.revision();
                 term = item.data().path("term").asLong();
               }
             }
             if (!leaderFound) {
-              leaderStamp = 0;
+              leaderRevision = 0;
               leaderLabel = null;
             }
             changed();
@@ -416,8 +416,8 @@
         });
   }
 
-  private void take(long leaseId, long newTerm, long stamp, long sentAt) {
-    Term otherTerm = new Term(loop, newTerm, stamp, leaseId);
+  private void take(long leaseId, long newTerm, long revision, long sentAt) {
+    Term otherTerm = new Term(loop, newTerm, revision, leaseId);
     busy = false;
     lost = 0;
     term = newTerm;
@@ -478,7 +478,7 @@
     if (mine()) {
       // Until the key is seen to go, or somebody else's comes, nothing is known of who leads.
       leaderLabel = null;
-      leaderStamp = -1;
+      leaderRevision = -1;
     }
     loop.after(RETRY_MICROS, this::reread);
   }
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -23,7 +23,7 @@
   private static final String TERM = "term";
 
   /** The next term, and what its transaction holds besides. */
-  record Next(long term, long counterStamp) {}
+  record Next(long term, long counterRevision) {}
 
   private final StateClient store;
   private final String counterKey;
@@ -47,7 +47,7 @@
         got -> {
           if (got.found()) {
             long counted = got.item().data().path(TERM).asLong();
-            then.accept(Optional.of(new Next(Math.max(last, counted) + 1, got.item().stamp())));
+            then.accept(Optional.of(new Next(Math.max(last, counted) + 1, got.item().revision())));
           } else if (got.missing()) {
             then.accept(Optional.of(new Next(last + 1, 0)));
           } else {
@@ -60,10 +60,10 @@
   Txn addTo(Txn txn, Next next, String label, long leaseId) {
     ObjectNode counter = Json.object().put(TERM, next.term());
     ObjectNode leader = Json.object().put("label", label).put(TERM, next.term());
-    txn.guard(counterKey, next.counterStamp())
+    txn.guard(counterKey, next.counterRevision())
         .put(counterKey, counter)
         .put(leaderKey, leader, leaseId);
-    return next.counterStamp() == 0
+    return next.counterRevision() == 0
         ? txn.put(ABSOLUTE_MARKER, Json.object().put("pool", true))
         : txn;
   }
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -15,15 +15,15 @@
 
   private final Loop clock;
   private final long number;
-  private final long stamp;
+  private final long revision;
   private final long leaseId;
   private volatile long rightUntilMicros;
   private volatile boolean ended;
 
-  Term(Loop clock, long number, long stamp, long leaseId) {
+  Term(Loop clock, long number, long revision, long leaseId) {
     this.clock = clock;
     this.number = number;
-    this.stamp = stamp;
+    this.revision = revision;
     this.leaseId = leaseId;
   }
 
@@ -32,8 +32,8 @@
   }
 
   /** The revision at which the term was taken. */
-  public long stamp() {
-    return stamp;
+  public long revision() {
+    return revision;
   }
 
   /** The lease that the office hangs on. */
@@ -54,7 +54,7 @@
    * carries it, so that a write carried out late can't spoil a successor's.
    */
   public Txn guard() {
-    return new Txn().guard(LeaderElection.TERM, stamp);
+    return new Txn().guard(LeaderElection.TERM, revision);
   }
 
   long rightUntilMicros() {
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -90,7 +90,7 @@
     long releasedMicros;
 
     /** Revision of its record: a job has a later one than those it waits on. */
-    long stamp;
+    long revision;
 
     EffectiveGoal own;
     EffectiveGoal goal;
@@ -109,7 +109,7 @@
   private final List<String> released = new ArrayList<>();
   private final List<String> aborted = new ArrayList<>();
   private final PriorityQueue<Node> stale =
-      new PriorityQueue<>(Comparator.comparingLong((Node n) -> n.stamp).reversed());
+      new PriorityQueue<>(Comparator.comparingLong((Node n) -> n.revision).reversed());
 
   private Node node(String uid) {
     return nodes.computeIfAbsent(uid, Node::new);
@@ -120,13 +120,13 @@
    *
    * @return the jobs named of which nothing was known: what their records say is to be told too
    */
-  public List<String> accepted(String uid, long stamp, Collection<String> waitsOn) {
+  public List<String> accepted(String uid, long revision, Collection<String> waitsOn) {
     Node otherNode = node(uid);
     if (otherNode.standing != State.UNKNOWN) {
       return List.of();
     }
     otherNode.standing = State.WAITING;
-    otherNode.stamp = stamp;
+    otherNode.revision = revision;
     List<String> unknown = new ArrayList<>();
     Node cause = null;
     for (String name : waitsOn) {
@@ -214,9 +214,9 @@
   }
 
   /** The revision of its record; 0 where nothing is known of it. */
-  public long stamp(String uid) {
+  public long revision(String uid) {
     Node node = nodes.get(uid);
-    return node == null ? 0 : node.stamp;
+    return node == null ? 0 : node.revision;
   }
 
   /** The job whose abort aborted this one. */
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -15,7 +15,7 @@
   private static final long MOST_PAUSE_MICROS = 60_000_000;
 
   private final JobSpec spec;
-  private final long stamp;
+  private final long revision;
   private final long acceptedMicros;
 
   /** When the last job that it waits on ended; what counts waiting work counts from here. */
@@ -54,9 +54,9 @@
   /**
    * @param acceptedMicros on this node's steady clock
    */
-  public Job(JobSpec spec, long stamp, long acceptedMicros, boolean inherited) {
+  public Job(JobSpec spec, long revision, long acceptedMicros, boolean inherited) {
     this.spec = spec;
-    this.stamp = stamp;
+    this.revision = revision;
     this.acceptedMicros = acceptedMicros;
     this.releasedMicros = acceptedMicros;
     this.goal =
@@ -79,8 +79,8 @@
   }
 
   /** Revision of the record that accepted it; its end is guarded by it. */
-  public long stamp() {
-    return stamp;
+  public long revision() {
+    return revision;
   }
 
   public long acceptedMicros() {
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -266,9 +266,9 @@
         () ->
             lists.store(
                 acceptance,
-                anchorStamp -> {
-                  if (anchorStamp.isPresent()) {
-                    accept(spec, acceptance.anchoredAt(anchorStamp.getAsLong()), out, TRIES);
+                anchorRevision -> {
+                  if (anchorRevision.isPresent()) {
+                    accept(spec, acceptance.anchoredAt(anchorRevision.getAsLong()), out, TRIES);
                   } else {
                     unavailable(out);
                   }
@@ -301,7 +301,7 @@
               if (spec.waits()) {
                 jobRecords.acceptedWaiting(
                     uid,
-                    result.epoch(),
+                    result.revision(),
                     spec.waitsOn(),
                     look -> {
                       if (look.found()) {
@@ -312,7 +312,7 @@
                     });
                 return;
               }
-              jobRecords.accepted(uid, result.epoch());
+              jobRecords.accepted(uid, result.revision());
               out.send(HttpStatus.CREATED, state(uid, JobState.PENDING, null));
             }
             // Without an answer it is not known either whether this request or an earlier one made
@@ -450,16 +450,16 @@
               if (tries == 0) {
                 unavailable(out);
               } else {
-                end(uid, look.stamp(), out, tries);
+                end(uid, look.revision(), out, tries);
               }
             }
           }
         });
   }
 
-  private void end(String uid, long stamp, Admitted out, int tries) {
+  private void end(String uid, long revision, Admitted out, int tries) {
     store.txn(
-        layout.end(uid, stamp, JobState.ABORTED, loop.wallMicros(), List.of()),
+        layout.end(uid, revision, JobState.ABORTED, loop.wallMicros(), List.of()),
         StateClient.Class.URGENT,
         result -> {
           switch (result.outcome()) {
--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/ActiveJobs.java
@@ -54,7 +54,7 @@
   /** Which stored pack each job's progress was found in. */
   private final Map<Job, Integer> packs = new HashMap<>();
 
-  private final Map<String, Long> packStamps = new HashMap<>();
+  private final Map<String, Long> packRevisions = new HashMap<>();
   private final Map<Job, Map<String, Long>> chunks = new HashMap<>();
   private final List<String> strays = new ArrayList<>();
   private final RenewalLimit limit;
@@ -96,8 +96,8 @@
     return active.values();
   }
 
-  Map<String, Long> packStamps() {
-    return packStamps;
+  Map<String, Long> packRevisions() {
+    return packRevisions;
   }
 
   /** Keys of stored progress by job, and those of jobs that have ended. */
@@ -136,20 +136,20 @@
     knownMicros = found.askedMicros();
     StateClient.Listing jobs = found.under(JobStore.ACTIVE);
     startedJobs.read(found.under(JobStore.BEGUN).items());
-    jobs.items().forEach(i -> put(i.key(), i.data(), i.stamp(), true));
+    jobs.items().forEach(i -> put(i.key(), i.data(), i.revision(), true));
     found.under(JobStore.PROGRESS).items().forEach(this::readProgress);
     startedJobs.loaded(this);
     List<Runnable> put = atLoad;
     atLoad = null;
     put.forEach(Runnable::run);
     settleChains();
-    watch.followFrom(jobs.epoch());
+    watch.followFrom(jobs.storeRevision());
   }
 
   private void readProgress(StateClient.Item item) {
     int pack = JobStore.packOf(item.key());
     if (pack >= 0) {
-      packStamps.put(item.key(), item.stamp());
+      packRevisions.put(item.key(), item.revision());
       JobStore.readPack(item.data())
           .forEach(
               (uid, done) -> {
@@ -171,7 +171,7 @@
       strays.add(item.key());
       return;
     }
-    chunks.computeIfAbsent(job, j -> new LinkedHashMap<>()).put(item.key(), item.stamp());
+    chunks.computeIfAbsent(job, j -> new LinkedHashMap<>()).put(item.key(), item.revision());
     try {
       context.layout().readChunk(item.data(), rest.substring(slash + 1), job.stored());
       job.stored().stream().forEach(job::markDone);
@@ -183,7 +183,7 @@
   /**
    * @param known the job was there when the term began
    */
-  private void put(String key, JsonNode data, long stamp, boolean known) {
+  private void put(String key, JsonNode data, long revision, boolean known) {
     String uid = key.substring(JobStore.ACTIVE.length());
     if (active.containsKey(uid)) {
       return;
@@ -193,7 +193,7 @@
       Job job =
           new Job(
               JobStore.spec(data),
-              stamp,
+              revision,
               context.loop().nowMicros() - Math.max(0, age),
               known && startedJobs.mayHaveBegun(uid));
       active.put(uid, job);
@@ -258,7 +258,7 @@
 
   /** The job and what it waits on are known: those of which nothing was told yet are looked up. */
   private void chain(Job job, List<String> waitsOn) {
-    List<String> unknown = dependencies.accepted(job.uid(), job.stamp(), waitsOn);
+    List<String> unknown = dependencies.accepted(job.uid(), job.revision(), waitsOn);
     dependencies.goal(job.uid(), job.goal(), cost.applyAsLong(job));
     for (String name : unknown) {
       Job before = active.get(name);
@@ -357,7 +357,7 @@
                 .layout()
                 .end(
                     job.uid(),
-                    job.stamp(),
+                    job.revision(),
                     JobState.ABORTED,
                     context.loop().wallMicros(),
                     List.of()),
@@ -458,7 +458,7 @@
         .forEach(
             i -> {
               listed.add(i.key().substring(JobStore.ACTIVE.length()));
-              put(i.key(), i.data(), i.stamp(), false);
+              put(i.key(), i.data(), i.revision(), false);
             });
     List<String> gone = new ArrayList<>(active.keySet());
     gone.removeAll(listed);
@@ -474,7 +474,7 @@
       if (change.data() == null) {
         drop(change.key().substring(JobStore.ACTIVE.length()), null);
       } else {
-        put(change.key(), change.data(), change.stamp(), false);
+        put(change.key(), change.data(), change.revision(), false);
       }
     }
     if (!changes.isEmpty()) {
--- a/src/main/java/plumlever/leader/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/DependencyListCleanup.java
@@ -30,7 +30,7 @@
   private boolean listing;
   private boolean closed;
 
-  private record Unused(JobStore.ListName list, long anchorStamp) {}
+  private record Unused(JobStore.ListName list, long anchorRevision) {}
 
   DependencyListCleanup(Context context, ActiveJobs jobs) {
     this.context = context;
@@ -68,28 +68,28 @@
     lists.forEach(
         (list, items) ->
             unused.put(
-                new Unused(list, anchorStamp(list, items)),
+                new Unused(list, anchorRevision(list, items)),
                 new ArrayList<>(items.stream().map(StateClient.Item::key).toList())));
     firstSeenMicros.keySet().retainAll(unused.keySet());
     unused.forEach(
         (list, keys) -> {
           if (now - firstSeenMicros.computeIfAbsent(list, first -> now) >= UNUSED_MICROS) {
-            remove(list.list(), list.anchorStamp(), keys);
+            remove(list.list(), list.anchorRevision(), keys);
           }
         });
   }
 
-  private static long anchorStamp(JobStore.ListName list, List<StateClient.Item> items) {
+  private static long anchorRevision(JobStore.ListName list, List<StateClient.Item> items) {
     String anchor = JobStore.anchorOf(list);
     return items.stream()
         .filter(item -> item.key().equals(anchor))
-        .mapToLong(StateClient.Item::stamp)
+        .mapToLong(StateClient.Item::revision)
         .findFirst()
         .orElse(0);
   }
 
   /** Part by part, the anchor with the first; what fails is found again by the next listing. */
-  private void remove(JobStore.ListName list, long anchorStamp, List<String> keys) {
+  private void remove(JobStore.ListName list, long anchorRevision, List<String> keys) {
     if (closed || keys.isEmpty()) {
       return;
     }
@@ -98,7 +98,7 @@
       keys.add(0, anchor);
     }
     int sent = Math.min(keys.size(), context.layout().limits().txnOps());
-    Txn txn = context.layout().removeList(context.term().guard(), list, anchorStamp, keys);
+    Txn txn = context.layout().removeList(context.term().guard(), list, anchorRevision, keys);
     context
         .store()
         .txn(
--- a/src/main/java/plumlever/leader/HomeWatch.java
+++ b/src/main/java/plumlever/leader/HomeWatch.java
@@ -24,7 +24,7 @@
   private final Set<String> watched = new HashSet<>();
   private final Set<String> unread = new HashSet<>();
   private final Set<String> ended = new HashSet<>();
-  private long epoch = -1;
+  private long storeRevision = -1;
   private long knownMicros = Long.MIN_VALUE / 4;
   private boolean following;
   private boolean closed;
@@ -48,7 +48,7 @@
     if (!following) {
       following = true;
       begin();
-    } else if (epoch >= 0) {
+    } else if (storeRevision >= 0) {
       readJob(uid);
     }
   }
@@ -81,7 +81,7 @@
     long sent = context.loop().nowMicros();
     context
         .store()
-        .epoch(
+        .storeRevision(
             now -> {
               if (closed) {
                 return;
@@ -90,7 +90,7 @@
                 context.loop().after(RETRY_MICROS, this::begin);
                 return;
               }
-              epoch = now;
+              storeRevision = now;
               knownMicros = sent;
               unread.addAll(watched);
               Set.copyOf(unread).forEach(this::readJob);
@@ -125,7 +125,7 @@
     }
     if (watched.isEmpty()) {
       following = false;
-      epoch = -1;
+      storeRevision = -1;
       return;
     }
     long sent = context.loop().nowMicros();
@@ -133,7 +133,7 @@
         .store()
         .follow(
             prefix,
-            epoch,
+            storeRevision,
             limit.watchMicros(),
             changes -> {
               if (closed) {
@@ -145,7 +145,7 @@
               } else if (changes.status() != HttpStatus.OK) {
                 context.loop().after(RETRY_MICROS, this::follow);
               } else {
-                epoch = Math.max(epoch, changes.epoch());
+                storeRevision = Math.max(storeRevision, changes.storeRevision());
                 knownMicros = sent;
                 for (StateClient.Change change : changes.log()) {
                   String uid = change.key().substring(prefix.length());
--- a/src/main/java/plumlever/leader/LimitDuty.java
+++ b/src/main/java/plumlever/leader/LimitDuty.java
@@ -145,7 +145,7 @@
   private void give(Platform.Team team, LimitPolicy.Gift gift) {
     giving.put(team.name(), gift.cores());
     String key = LimitParts.keyOf(team.name());
-    long seen = view.stampOf(key);
+    long seen = view.revisionOf(key);
     writer.submit(
         new PoolWriter.Step() {
           @Override
@@ -153,7 +153,7 @@
             // Once the record has moved on, this was carried out or never will be: a second try
             // could give twice.
             return view.limit(team.name())
-                .filter(parts -> view.stampOf(key) == seen)
+                .filter(parts -> view.revisionOf(key) == seen)
                 .map(parts -> parts.moved(own, gift.to(), gift.cores(), 0))
                 .map(parts -> transaction().put(key, parts.toJson()));
           }
--- a/src/main/java/plumlever/leader/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/MachineRegistry.java
@@ -66,7 +66,7 @@
           entries.add(machine);
         }
       }
-      records.load(number, item.stamp(), entries);
+      records.load(number, item.revision(), entries);
     }
   }
 
--- a/src/main/java/plumlever/leader/OfferTaker.java
+++ b/src/main/java/plumlever/leader/OfferTaker.java
@@ -55,7 +55,8 @@
       return;
     }
     Map<String, List<String>> groups = new TreeMap<>();
-    for (Map.Entry<String, PoolView.Stamped<TransferRecord>> entry : view.transfers().entrySet()) {
+    for (Map.Entry<String, PoolView.Versioned<TransferRecord>> entry :
+        view.transfers().entrySet()) {
       String machine = entry.getKey();
       if (isOffered(entry.getValue().value()) && !steps.isUnderWay(machine)) {
         String owner = entry.getValue().value().owner();
@@ -93,16 +94,16 @@
     if (offered.isEmpty()) {
       return Optional.empty();
     }
-    long termStamp = offered.get(0).offer().orElseThrow().termStamp();
+    long termRevision = offered.get(0).offer().orElseThrow().termRevision();
     List<TransferRecord> ofOneTerm =
         offered.stream()
-            .filter(record -> record.offer().orElseThrow().termStamp() == termStamp)
+            .filter(record -> record.offer().orElseThrow().termRevision() == termRevision)
             .toList();
     String giver = sharing.cell(offered.get(0).owner()).prefix();
     TransferSteps.Taking built = steps.take(ofOneTerm);
     taking = built.taken();
     return Optional.of(
-        built.transaction().guard(KeySpace.absolute(giver, LeaderElection.TERM), termStamp));
+        built.transaction().guard(KeySpace.absolute(giver, LeaderElection.TERM), termRevision));
   }
 
   /** What has guests is found by its record; what has none is acquired here. */
--- a/src/main/java/plumlever/leader/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/OwnerClaims.java
@@ -164,7 +164,7 @@
       @Override
       public Optional<PoolTransaction> build() {
         Optional<TransferRecord> record =
-            view.transfer(machine).map(PoolView.Stamped::value).filter(OwnerClaims.this::lives);
+            view.transfer(machine).map(PoolView.Versioned::value).filter(OwnerClaims.this::lives);
         if (record.isEmpty()) {
           return Optional.empty();
         }
--- a/src/main/java/plumlever/leader/PoolLink.java
+++ b/src/main/java/plumlever/leader/PoolLink.java
@@ -62,17 +62,17 @@
   void load(StateClient.Listing listing, long askedMicros) {
     take(listing);
     knownMicros = askedMicros;
-    watch.followFrom(listing.epoch());
+    watch.followFrom(listing.storeRevision());
   }
 
   private void take(StateClient.Listing listing) {
     List<String> keys = new ArrayList<>();
     for (StateClient.Item item : listing.items()) {
       keys.add(item.key());
-      apply(new StateClient.Change(item.key(), item.data(), item.stamp()));
+      apply(new StateClient.Change(item.key(), item.data(), item.revision()));
     }
     try {
-      view.retain(keys, listing.epoch());
+      view.retain(keys, listing.storeRevision());
     } catch (InvalidMessage e) {
       throw new IllegalStateException("a drop can't be malformed", e);
     }
@@ -81,7 +81,7 @@
   /** A record has changed, by this controller's own transaction or by another's. */
   void apply(StateClient.Change change) {
     try {
-      view.apply(change.key(), change.data(), change.stamp());
+      view.apply(change.key(), change.data(), change.revision());
     } catch (InvalidMessage e) {
       // Nothing is guessed of it: the machine stays with whoever the records named before.
       log.error("{} can't be read and is left alone: {}", change.key(), e.getMessage());
@@ -91,11 +91,11 @@
   /**
    * A read has shown that there is no such record.
    *
-   * @param stampBefore what was known when the read was sent: a record stored since stays
+   * @param revisionBefore what was known when the read was sent: a record stored since stays
    */
-  void absent(String key, long stampBefore) {
+  void absent(String key, long revisionBefore) {
     try {
-      view.absent(key, stampBefore);
+      view.absent(key, revisionBefore);
     } catch (InvalidMessage e) {
       throw new IllegalStateException("a drop can't be malformed", e);
     }
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/PoolSharing.java
@@ -239,7 +239,7 @@
   public void relayed(RelayedHeartbeat relayed, Responder out) {
     String id = relayed.heartbeat().host();
     Optional<TransferRecord> record =
-        loaded ? view.transfer(id).map(PoolView.Stamped::value) : Optional.empty();
+        loaded ? view.transfer(id).map(PoolView.Versioned::value) : Optional.empty();
     Machine machine = loaded ? fleet.away(id) : null;
     boolean fits =
         record.isPresent()
--- a/src/main/java/plumlever/leader/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/PoolTransaction.java
@@ -28,14 +28,14 @@
 
   PoolTransaction guard(String key) {
     if (guarded.add(key)) {
-      txn.guard(key, view.stampOf(key));
+      txn.guard(key, view.revisionOf(key));
     }
     return this;
   }
 
   /** Guards a key that is not the pool's. */
-  PoolTransaction guard(String key, long stamp) {
-    txn.guard(key, stamp);
+  PoolTransaction guard(String key, long revision) {
+    txn.guard(key, revision);
     return this;
   }
 
--- a/src/main/java/plumlever/leader/PoolWriter.java
+++ b/src/main/java/plumlever/leader/PoolWriter.java
@@ -98,7 +98,7 @@
                       .changes()
                       .forEach(
                           (key, data) ->
-                              link.apply(new StateClient.Change(key, data, result.epoch())));
+                              link.apply(new StateClient.Change(key, data, result.revision())));
                   end(step);
                   changed.run();
                 }
@@ -125,7 +125,7 @@
       return;
     }
     String key = keys.get(index);
-    long stampBefore = link.view().stampOf(key);
+    long revisionBefore = link.view().revisionOf(key);
     context
         .store()
         .get(
@@ -136,10 +136,10 @@
                 return;
               }
               if (got.found()) {
-                link.apply(new StateClient.Change(key, got.item().data(), got.item().stamp()));
+                link.apply(new StateClient.Change(key, got.item().data(), got.item().revision()));
                 read(keys, index + 1, then);
               } else if (got.missing()) {
-                link.absent(key, stampBefore);
+                link.absent(key, revisionBefore);
                 read(keys, index + 1, then);
               } else {
                 context.loop().after(RETRY_MICROS, () -> read(keys, index, then));
--- a/src/main/java/plumlever/leader/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/ProgressWriter.java
@@ -56,7 +56,7 @@
   private final Map<Job, BitSet> dirty = new LinkedHashMap<>();
 
   /** The revision of each record, 0 where there is none; without an entry it is to be read. */
-  private final Map<String, Long> stamps = new HashMap<>();
+  private final Map<String, Long> revisions = new HashMap<>();
 
   /** The records of a large job. */
   private final Map<Job, Set<String>> keysOf = new HashMap<>();
@@ -82,11 +82,11 @@
    * they are written this one stays as it is.
    */
   void loaded() {
-    stamps.putAll(jobs.packStamps());
+    revisions.putAll(jobs.packRevisions());
     jobs.chunks()
         .forEach(
             (job, keys) -> {
-              stamps.putAll(keys);
+              revisions.putAll(keys);
               keysOf.computeIfAbsent(job, j -> new LinkedHashSet<>()).addAll(keys.keySet());
             });
     strays.addAll(jobs.strays());
@@ -172,7 +172,7 @@
             .layout()
             .end(
                 job.uid(),
-                job.stamp(),
+                job.revision(),
                 JobState.DONE,
                 context.loop().wallMicros(),
                 records.subList(0, dropped));
@@ -248,7 +248,7 @@
       }
       String key = JobStore.packKey(pack.number);
       keys.add(key);
-      txn.guard(key, stamps.getOrDefault(key, 0L)).put(key, context.layout().pack(done));
+      txn.guard(key, revisions.getOrDefault(key, 0L)).put(key, context.layout().pack(done));
     }
     for (Map.Entry<Job, BitSet> entry : dirty.entrySet()) {
       Job job = entry.getKey();
@@ -264,7 +264,7 @@
         String key = JobStore.progressKey(job.uid(), first);
         keys.add(key);
         keysOf.computeIfAbsent(job, j -> new LinkedHashSet<>()).add(key);
-        txn.guard(key, stamps.getOrDefault(key, 0L))
+        txn.guard(key, revisions.getOrDefault(key, 0L))
             .put(key, context.layout().chunk(job.done(), first, tasksPerChunk));
         BitSet part = job.done().get(first, first + tasksPerChunk);
         int from = first;
@@ -296,7 +296,7 @@
             result -> {
               if (result.applied()) {
                 writing = false;
-                keys.forEach(k -> stamps.put(k, result.epoch()));
+                keys.forEach(k -> revisions.put(k, result.revision()));
                 snapshots.forEach((job, bits) -> job.stored().or(bits));
                 return;
               }
@@ -330,9 +330,9 @@
             StateClient.Class.ORDINARY,
             got -> {
               if (got.found()) {
-                stamps.put(key, got.item().stamp());
+                revisions.put(key, got.item().revision());
               } else if (got.missing()) {
-                stamps.remove(key);
+                revisions.remove(key);
               }
               reread(keys);
             });
--- a/src/main/java/plumlever/leader/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/RenewalDelegation.java
@@ -55,7 +55,7 @@
   private final Map<String, Long> endedMicros = new HashMap<>();
 
   /** Revision of the record, 0 if there is none as after an election, -1 when that is not known. */
-  private long stamp;
+  private long revision;
 
   private final Map<String, Long> barredUntil = new HashMap<>();
   private long givenMicros;
@@ -98,7 +98,7 @@
     if (!given.isEmpty()
         && !writing
         && now - givenMicros > PATIENCE_MICROS
-        && context.election().announcedDelegation() != stamp) {
+        && context.election().announcedDelegation() != revision) {
       // Nobody else reaches these workers either: their leases lapse, and it must be seen when they
       // have.
       given.forEach(s -> barredUntil.put(s, now + BARRED_MICROS));
@@ -113,7 +113,7 @@
     // A zone that is wanted no more stays covered until the whole delegation has ended: others may
     // not
     // have read it yet.
-    if (sites.isEmpty() || stamp < 0) {
+    if (sites.isEmpty() || revision < 0) {
       end();
     } else if (!given.containsAll(sites)) {
       give(sites);
@@ -133,18 +133,18 @@
         context.term().number(),
         tokens);
     write(
-        context.term().guard().guard(LeaderElection.DELEGATION, stamp),
+        context.term().guard().guard(LeaderElection.DELEGATION, revision),
         given,
         result -> {
           switch (result.outcome()) {
-            case APPLIED -> stamp = result.epoch();
+            case APPLIED -> revision = result.revision();
             // Surely not given, nor later, since what it was guarded by has moved on.
             case CONFLICT -> {
               given.retainAll(before);
-              stamp = -1;
+              revision = -1;
             }
             case REFUSED -> given.retainAll(before);
-            case UNKNOWN -> stamp = -1;
+            case UNKNOWN -> revision = -1;
           }
         });
   }
@@ -170,7 +170,7 @@
         Set.of(),
         result -> {
           if (result.applied()) {
-            stamp = result.epoch();
+            revision = result.revision();
             long now = context.loop().nowMicros();
             given.forEach(s -> endedMicros.put(s, now));
             if (!given.isEmpty()) {
--- a/src/main/java/plumlever/leader/ShareDuty.java
+++ b/src/main/java/plumlever/leader/ShareDuty.java
@@ -34,7 +34,7 @@
   private static final long HOLD_RENTAL_MICROS = 5_000_000;
 
   /** What was given to a cell since it last told what it lacks. */
-  private record Given(long stamp, int machines) {}
+  private record Given(long revision, int machines) {}
 
   private final Logger log;
   private final Context context;
@@ -208,9 +208,9 @@
       }
       return Optional.empty();
     }
-    long stamp = view.stampOf(CellDemand.keyOf(cell.name()));
+    long revision = view.revisionOf(CellDemand.keyOf(cell.name()));
     Given before = given.get(cell.name());
-    int already = before != null && before.stamp() == stamp ? before.machines() : 0;
+    int already = before != null && before.revision() == revision ? before.machines() : 0;
     int wanted = Math.max(0, demand.wanted() - already - transfers.offeredTo(cell.name()));
     return Optional.of(
         new SharePolicy.CellState(
@@ -242,10 +242,10 @@
       count++;
     }
     if (count > 0) {
-      long stamp = view.stampOf(CellDemand.keyOf(to));
+      long revision = view.revisionOf(CellDemand.keyOf(to));
       Given before = given.get(to);
-      int already = before != null && before.stamp() == stamp ? before.machines() : 0;
-      given.put(to, new Given(stamp, already + count));
+      int already = before != null && before.revision() == revision ? before.machines() : 0;
+      given.put(to, new Given(revision, already + count));
     }
     return count;
   }
@@ -274,7 +274,7 @@
   /** Machines that are offered to this cell. */
   List<RentalPlan.Kind> coming() {
     List<RentalPlan.Kind> kinds = new ArrayList<>();
-    for (PoolView.Stamped<TransferRecord> stamped : view.transfers().values()) {
+    for (PoolView.Versioned<TransferRecord> stamped : view.transfers().values()) {
       TransferRecord record = stamped.value();
       if (record.offer().filter(offer -> offer.to().equals(own)).isPresent()) {
         TransferRecord.Details details = record.machine();
--- a/src/main/java/plumlever/leader/SharedRecords.java
+++ b/src/main/java/plumlever/leader/SharedRecords.java
@@ -45,7 +45,7 @@
   private static final class Chunk<E> {
     final int number;
     final Set<E> entries = new LinkedHashSet<>();
-    long stamp;
+    long revision;
     int bytes;
 
     /** Of these, bytes of entries on their way to other values. */
@@ -94,9 +94,9 @@
    * Takes over a value as an earlier leader stored it; entries that are no use any more may be
    * missing.
    */
-  void load(int number, long stamp, List<E> entries) {
+  void load(int number, long revision, List<E> entries) {
     Chunk<E> chunk = new Chunk<>(number, layout.baseBytes());
-    chunk.stamp = stamp;
+    chunk.revision = revision;
     chunk.writtenMicros = context.loop().nowMicros();
     chunks.put(number, chunk);
     for (E entry : entries) {
@@ -240,7 +240,7 @@
     chunk.writtenMicros = context.loop().nowMicros();
     List<E> written = new ArrayList<>(chunk.entries);
     String key = layout.key(chunk.number);
-    Txn txn = context.term().guard().guard(key, chunk.stamp);
+    Txn txn = context.term().guard().guard(key, chunk.revision);
     if (written.isEmpty()) {
       txn.drop(key);
     } else {
@@ -257,7 +257,7 @@
               }
               switch (result.outcome()) {
                 case APPLIED -> {
-                  chunk.stamp = written.isEmpty() ? 0 : result.epoch();
+                  chunk.revision = written.isEmpty() ? 0 : result.revision();
                   chunk.writing = false;
                   stored(chunk, written);
                   Set<Chunk<E>> left = new LinkedHashSet<>();
@@ -312,9 +312,9 @@
             StateClient.Class.ORDINARY,
             got -> {
               if (got.found()) {
-                chunk.stamp = got.item().stamp();
+                chunk.revision = got.item().revision();
               } else if (got.missing()) {
-                chunk.stamp = 0;
+                chunk.revision = 0;
               }
               again(chunk);
             });
--- a/src/main/java/plumlever/leader/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/StartedJobIndex.java
@@ -31,7 +31,7 @@
   private static final String JOBS = "jobs";
   private static final int BASE_BYTES = 32;
 
-  private record Found(int number, long stamp, List<String> uids) {}
+  private record Found(int number, long revision, List<String> uids) {}
 
   private final SharedRecords<Job> records;
   private final List<Found> found = new ArrayList<>();
@@ -61,7 +61,7 @@
       for (JsonNode node : item.data().path(JOBS)) {
         uids.add(node.asText());
       }
-      found.add(new Found(number, item.stamp(), uids));
+      found.add(new Found(number, item.revision(), uids));
       foundUids.addAll(uids);
     }
   }
@@ -85,7 +85,7 @@
           entries.add(job);
         }
       }
-      records.load(record.number, record.stamp, entries);
+      records.load(record.number, record.revision, entries);
     }
   }
 
--- a/src/main/java/plumlever/leader/TransferDuty.java
+++ b/src/main/java/plumlever/leader/TransferDuty.java
@@ -123,7 +123,7 @@
    * Brings machines and records in line: run whenever the records have changed, and now and then.
    */
   void reconcile() {
-    for (Map.Entry<String, PoolView.Stamped<TransferRecord>> entry :
+    for (Map.Entry<String, PoolView.Versioned<TransferRecord>> entry :
         List.copyOf(view.transfers().entrySet())) {
       TransferRecord record = entry.getValue().value();
       if (record.state() == TransferRecord.State.GONE) {
@@ -407,7 +407,7 @@
             machine.incarnation(),
             own,
             Math.max(machine.tokenTerm(), before.map(TransferRecord::number).orElse(0L)),
-            new TransferRecord.Offer(to, context.term().stamp(), sharing.digest()),
+            new TransferRecord.Offer(to, context.term().revision(), sharing.digest()),
             homes);
     int bytes = Json.write(offer.toJson()).getBytes(StandardCharsets.UTF_8).length;
     if (bytes > context.layout().valueBytes()) {
@@ -441,7 +441,7 @@
     TransferRecord.Offer offer = record.offer().orElseThrow();
     if (record.owner().equals(own)) {
       long since = offeredMicros.getOrDefault(machine, Long.MIN_VALUE / 2);
-      boolean ofThisTerm = offer.termStamp() == context.term().stamp();
+      boolean ofThisTerm = offer.termRevision() == context.term().revision();
       if (!ofThisTerm || now() - since > OFFER_MICROS) {
         withdraw(machine);
       }
--- a/src/main/java/plumlever/leader/TransferSteps.java
+++ b/src/main/java/plumlever/leader/TransferSteps.java
@@ -54,7 +54,7 @@
 
   /** Where the machine's transfer stands, as far as is known. */
   Optional<TransferRecord> record(String machine) {
-    return view.transfer(machine).map(PoolView.Stamped::value);
+    return view.transfer(machine).map(PoolView.Versioned::value);
   }
 
   /** A transaction of this leader, which fails once another has taken over. */
--- a/src/main/java/plumlever/rehearsal/StateStandIn.java
+++ b/src/main/java/plumlever/rehearsal/StateStandIn.java
@@ -25,9 +25,9 @@
   private static final long MOST_TTL_MS = 600_000;
   private static final long EXPIRE_MICROS = 50_000;
 
-  private record Entry(JsonNode data, long stamp, long leaseId) {}
+  private record Entry(JsonNode data, long revision, long leaseId) {}
 
-  private record Change(long stamp, String key, JsonNode data) {}
+  private record Change(long revision, String key, JsonNode data) {}
 
   /** A lease: when it ends, unless it is renewed. */
   private record Lease(long ttlMicros, long endsMicros) {}
@@ -119,7 +119,7 @@
 
   private static ObjectNode item(String key, Entry entry) {
     ObjectNode item =
-        Json.object().put("k", key).put("stamp", entry.stamp()).put("permit", entry.leaseId());
+        Json.object().put("k", key).put("stamp", entry.revision()).put("permit", entry.leaseId());
     item.set("data", entry.data());
     return item;
   }
@@ -149,7 +149,7 @@
     ArrayNode failed = Json.object().arrayNode();
     for (JsonNode guard : transaction.path("guards")) {
       Entry entry = entries.get(guard.path("k").asText());
-      if ((entry == null ? 0 : entry.stamp()) != guard.path("stamp").asLong()) {
+      if ((entry == null ? 0 : entry.revision()) != guard.path("stamp").asLong()) {
         failed.add(guard.path("k"));
       }
     }
@@ -253,7 +253,7 @@
 
   private void follow(Query query, Responder out) {
     long since = query.number("since", 0);
-    if (changes.size() == REMEMBERED && changes.peek().stamp() > since) {
+    if (changes.size() == REMEMBERED && changes.peek().revision() > since) {
       out.error(HttpStatus.GONE, "too old");
       return;
     }
@@ -268,7 +268,7 @@
 
   private List<Change> found(Watch watch) {
     return changes.stream()
-        .filter(change -> change.stamp() > watch.since())
+        .filter(change -> change.revision() > watch.since())
         .filter(change -> change.key().startsWith(watch.prefix()))
         .toList();
   }
@@ -277,7 +277,7 @@
     ObjectNode answer = Json.object().put("epoch", revision);
     ArrayNode log = answer.putArray("log");
     for (Change change : found(watch)) {
-      ObjectNode node = log.addObject().put("stamp", change.stamp());
+      ObjectNode node = log.addObject().put("stamp", change.revision());
       if (change.data() == null) {
         node.put("drop", change.key());
       } else {
--- a/src/main/java/plumlever/sharing/PoolView.java
+++ b/src/main/java/plumlever/sharing/PoolView.java
@@ -25,18 +25,18 @@
   private static final String NUMBER = "term";
 
   /** A record with its revision. */
-  public record Stamped<T>(T value, long stamp) {}
+  public record Versioned<T>(T value, long revision) {}
 
   /** Dropped keys remembered, far more than change while one transaction is under way. */
   private static final int MOST_DROPPED = 2_000;
 
-  private final Map<String, Long> stamps = new HashMap<>();
+  private final Map<String, Long> revisions = new HashMap<>();
 
   /** Revisions of drops: an older put of the key that comes later must not bring it back. */
   private final Map<String, Long> dropped = new HashMap<>();
 
   private final Map<String, OwnerRecord> owners = new HashMap<>();
-  private final Map<String, Stamped<TransferRecord>> transfers = new TreeMap<>();
+  private final Map<String, Versioned<TransferRecord>> transfers = new TreeMap<>();
   private final Map<String, String> leaders = new HashMap<>();
   private final Map<String, CellDemand> demands = new TreeMap<>();
   private final Map<String, LimitParts> limits = new TreeMap<>();
@@ -48,11 +48,11 @@
   }
 
   /** A record is stored, or was dropped if {@code data} is null. */
-  public void apply(String key, JsonNode data, long stamp) throws InvalidMessage {
-    if (stamp <= stamps.getOrDefault(key, 0L)) {
+  public void apply(String key, JsonNode data, long revision) throws InvalidMessage {
+    if (revision <= revisions.getOrDefault(key, 0L)) {
       return;
     }
-    stamps.put(key, stamp);
+    revisions.put(key, revision);
     if (OwnerRecord.isKey(key)) {
       set(owners, key, data == null ? null : OwnerRecord.parse(data));
     } else if (TransferRecord.isKey(key)) {
@@ -60,7 +60,7 @@
       set(
           transfers,
           machine,
-          data == null ? null : new Stamped<>(TransferRecord.parse(machine, data), stamp));
+          data == null ? null : new Versioned<>(TransferRecord.parse(machine, data), revision));
     } else if (key.startsWith(LEADERS)) {
       set(
           leaders,
@@ -77,9 +77,9 @@
       dropped.remove(key);
       return;
     }
-    dropped.put(key, stamp);
+    dropped.put(key, revision);
     if (dropped.size() > MOST_DROPPED) {
-      stamps.keySet().removeAll(dropped.keySet());
+      revisions.keySet().removeAll(dropped.keySet());
       dropped.clear();
     }
   }
@@ -95,26 +95,26 @@
   /**
    * A read has shown that there is no such record.
    *
-   * @param stampBefore what was known when the read was sent: a record stored since stays
+   * @param revisionBefore what was known when the read was sent: a record stored since stays
    */
-  public void absent(String key, long stampBefore) throws InvalidMessage {
-    if (stampBefore != 0 && stampOf(key) == stampBefore) {
-      apply(key, null, stampBefore + 1);
+  public void absent(String key, long revisionBefore) throws InvalidMessage {
+    if (revisionBefore != 0 && revisionOf(key) == revisionBefore) {
+      apply(key, null, revisionBefore + 1);
     }
   }
 
   /** Everything was read anew: what is not among these keys is gone. */
-  public void retain(Collection<String> keys, long epoch) throws InvalidMessage {
-    for (String key : List.copyOf(stamps.keySet())) {
+  public void retain(Collection<String> keys, long storeRevision) throws InvalidMessage {
+    for (String key : List.copyOf(revisions.keySet())) {
       if (!keys.contains(key) && !dropped.containsKey(key)) {
-        apply(key, null, epoch);
+        apply(key, null, storeRevision);
       }
     }
   }
 
   /** The revision of a key to guard a transaction with; 0 while there is none. */
-  public long stampOf(String key) {
-    return dropped.containsKey(key) ? 0 : stamps.getOrDefault(key, 0L);
+  public long revisionOf(String key) {
+    return dropped.containsKey(key) ? 0 : revisions.getOrDefault(key, 0L);
   }
 
   /** Who owns the machine. */
@@ -133,12 +133,12 @@
   }
 
   /** Where the machine's transfer stands. */
-  public Optional<Stamped<TransferRecord>> transfer(String machine) {
+  public Optional<Versioned<TransferRecord>> transfer(String machine) {
     return Optional.ofNullable(transfers.get(machine));
   }
 
   /** All machines with a transfer that is not settled. */
-  public Map<String, Stamped<TransferRecord>> transfers() {
+  public Map<String, Versioned<TransferRecord>> transfers() {
     return Collections.unmodifiableMap(transfers);
   }
 
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -52,10 +52,10 @@
   /**
    * To whom a machine is offered.
    *
-   * @param termStamp revision of the offering cell's term: the offer holds as long as it does
+   * @param termRevision revision of the offering cell's term: the offer holds as long as it does
    * @param digest of the sharing file of the offering controller
    */
-  public record Offer(String to, long termStamp, String digest) {}
+  public record Offer(String to, long termRevision, String digest) {}
 
   private static final String PREFIX = "/pool/transfers/";
 
@@ -140,7 +140,7 @@
             object
                 .putObject("offer")
                 .put("to", made.to())
-                .put("term_stamp", made.termStamp())
+                .put("term_stamp", made.termRevision())
                 .put("digest", made.digest()));
     ObjectNode stored = object.putObject("homes");
     homes.forEach(
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -76,7 +76,7 @@
               return;
             }
             Map<String, Long> stored = new HashMap<>();
-            listing.items().forEach(item -> stored.put(item.key(), item.stamp()));
+            listing.items().forEach(item -> stored.put(item.key(), item.revision()));
             if (stored.containsKey(anchor)) {
               storeRest(stored);
             } else {
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -55,7 +55,7 @@
   private Set<String> whole = new HashSet<>();
 
   /** Ends up to this revision are in the book; -1 before the first. */
-  private long epoch = -1;
+  private long storeRevision = -1;
 
   private List<Question> gathered = new ArrayList<>();
 
@@ -82,8 +82,8 @@
   /**
    * The revision of a job's record that is in the book with all that it waits on; 0 for any other.
    */
-  long stamp(String uid) {
-    return whole.contains(uid) ? dependencies.stamp(uid) : 0;
+  long revision(String uid) {
+    return whole.contains(uid) ? dependencies.revision(uid) : 0;
   }
 
   /** An end that this node knows of. */
@@ -116,27 +116,27 @@
     if (dependencies.size() > MOST_JOBS) {
       reset();
     }
-    if (epoch >= 0) {
+    if (storeRevision >= 0) {
       complete(asked);
       return;
     }
     // Where to begin: whatever ends after this revision is told by the changes, whatever did before
     // by the records.
-    store.epoch(
+    store.storeRevision(
         now -> {
           if (now < 0) {
             answer(asked, Answer.UNAVAILABLE);
           } else {
-            epoch = epoch < 0 ? now : epoch;
+            storeRevision = storeRevision < 0 ? now : storeRevision;
             complete(asked);
           }
         });
   }
 
   /** The job was accepted here a moment ago: its own record need not be read. */
-  void accepted(String uid, long stamp, List<String> waitsOn) {
-    if (epoch >= 0) {
-      dependencies.accepted(uid, stamp, waitsOn);
+  void accepted(String uid, long revision, List<String> waitsOn) {
+    if (storeRevision >= 0) {
+      dependencies.accepted(uid, revision, waitsOn);
       forgetNews();
     }
   }
@@ -252,7 +252,7 @@
     }
 
     private void enter(StateClient.Item item, List<String> waitsOn) {
-      into.accepted(item.key().substring(JobStore.ACTIVE.length()), item.stamp(), waitsOn);
+      into.accepted(item.key().substring(JobStore.ACTIVE.length()), item.revision(), waitsOn);
       name(waitsOn);
     }
 
@@ -307,7 +307,7 @@
     DependencyGraph into = dependencies;
     store.follow(
         JobStore.ENDED,
-        epoch,
+        storeRevision,
         0,
         changes -> {
           if (into != dependencies) {
@@ -338,7 +338,7 @@
               whole.remove(uid);
             }
           }
-          epoch = Math.max(epoch, changes.epoch());
+          storeRevision = Math.max(storeRevision, changes.storeRevision());
           forgetNews();
           for (Question question : asked) {
             question.then.accept(
@@ -373,6 +373,6 @@
   private void reset() {
     dependencies = new DependencyGraph();
     whole = new HashSet<>();
-    epoch = -1;
+    storeRevision = -1;
   }
 }
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -33,9 +33,9 @@
   }
 
   /**
-   * @param stamp of the record of an active job, else 0; {@code how} is null unless it has ended
+   * @param revision of the record of an active job, else 0; {@code how} is null unless it has ended
    */
-  public record JobStatus(Presence standing, long stamp, JobState how) {
+  public record JobStatus(Presence standing, long revision, JobState how) {
     static final JobStatus MISSING = new JobStatus(Presence.MISSING, 0, null);
     static final JobStatus UNAVAILABLE = new JobStatus(Presence.UNAVAILABLE, 0, null);
 
@@ -44,7 +44,7 @@
     }
   }
 
-  private record Question(String uid, long stamp, int tries, Consumer<JobStatus> then) {}
+  private record Question(String uid, long revision, int tries, Consumer<JobStatus> then) {}
 
   private static final long GATHER_MICROS = 25_000;
   private static final long AGAIN_MICROS = 150_000;
@@ -64,7 +64,7 @@
   private final Cache<String, JobState> ended =
       CacheBuilder.newBuilder().concurrencyLevel(1).maximumSize(20_000).build();
 
-  private final Cache<String, Long> stamps =
+  private final Cache<String, Long> revisions =
       CacheBuilder.newBuilder().concurrencyLevel(1).maximumSize(5_000).build();
 
   /** Jobs that were active, by when that was asked. */
@@ -87,7 +87,7 @@
             new DependencyRecordCache.Ends() {
               @Override
               public void ended(String uid, JobState how) {
-                stamps.invalidate(uid);
+                revisions.invalidate(uid);
                 ended.put(uid, how);
               }
 
@@ -98,25 +98,26 @@
             });
   }
 
-  /** The job has been accepted with this stamp. */
-  public void accepted(String uid, long stamp) {
-    if (stamp > 0) {
-      stamps.put(uid, stamp);
+  /** The job has been accepted with this revision. */
+  public void accepted(String uid, long revision) {
+    if (revision > 0) {
+      revisions.put(uid, revision);
     }
   }
 
   /**
-   * A job that waits for others has been accepted with this stamp: what follows from how those end.
+   * A job that waits for others has been accepted with this revision: what follows from how those
+   * end.
    */
   public void acceptedWaiting(
-      String uid, long stamp, List<String> waitsOn, Consumer<JobStatus> then) {
-    dependencyRecords.accepted(uid, stamp, waitsOn);
-    chain(uid, stamp, then);
+      String uid, long revision, List<String> waitsOn, Consumer<JobStatus> then) {
+    dependencyRecords.accepted(uid, revision, waitsOn);
+    chain(uid, revision, then);
   }
 
   /** The job's end is stored. */
   public void ended(String uid, JobState how) {
-    stamps.invalidate(uid);
+    revisions.invalidate(uid);
     ended.put(uid, how);
     dependencyRecords.ended(uid, how);
   }
@@ -129,7 +130,7 @@
   public void unknownOf(Collection<String> uids, Consumer<Set<String>> then) {
     Set<String> open = new HashSet<>();
     for (String uid : uids) {
-      if (stamps.getIfPresent(uid) == null && ended.getIfPresent(uid) == null) {
+      if (revisions.getIfPresent(uid) == null && ended.getIfPresent(uid) == null) {
         open.add(uid);
       }
     }
@@ -220,11 +221,11 @@
       then.accept(new JobStatus(Presence.ENDED, 0, how));
       return;
     }
-    Long stamp = stamps.getIfPresent(uid);
-    if (stamp == null) {
+    Long revision = revisions.getIfPresent(uid);
+    if (revision == null) {
       // One that waits and is in the book need not be read again: what has ended is asked for all
       // of them.
-      long waiting = dependencyRecords.stamp(uid);
+      long waiting = dependencyRecords.revision(uid);
       if (waiting > 0) {
         chain(uid, waiting, then);
       } else {
@@ -232,7 +233,7 @@
       }
       return;
     }
-    gathered.add(new Question(uid, stamp, tries, then));
+    gathered.add(new Question(uid, revision, tries, then));
     if (gathered.size() == 1) {
       loop.after(GATHER_MICROS, this::compare);
     } else if (gathered.size() >= 4 * layout.limits().txnOps()) {
@@ -250,7 +251,7 @@
     Set<String> keys = new HashSet<>();
     for (Question question : asked) {
       if (keys.add(question.uid)) {
-        txn.guard(JobStore.activeKey(question.uid), question.stamp);
+        txn.guard(JobStore.activeKey(question.uid), question.revision);
       }
     }
     metrics.count("looks_shared", asked.size());
@@ -260,7 +261,7 @@
         result -> {
           switch (result.outcome()) {
             case APPLIED ->
-                asked.forEach(q -> q.then.accept(new JobStatus(Presence.ACTIVE, q.stamp, null)));
+                asked.forEach(q -> q.then.accept(new JobStatus(Presence.ACTIVE, q.revision, null)));
             case CONFLICT -> {
               Set<String> failed = new HashSet<>(result.failed());
               for (Question question : asked) {
@@ -269,7 +270,7 @@
                 if (failed.isEmpty()
                     || failed.contains(JobStore.activeKey(question.uid))
                     || question.tries <= 1) {
-                  stamps.invalidate(question.uid);
+                  revisions.invalidate(question.uid);
                   read(question.uid, TRIES, question.then);
                 } else {
                   look(question.uid, question.tries - 1, question.then);
@@ -300,10 +301,10 @@
         StateClient.Class.ORDINARY,
         got -> {
           if (got.found() && JobStore.waits(got.item().data())) {
-            chain(uid, got.item().stamp(), then);
+            chain(uid, got.item().revision(), then);
           } else if (got.found()) {
-            stamps.put(uid, got.item().stamp());
-            then.accept(new JobStatus(Presence.ACTIVE, got.item().stamp(), null));
+            revisions.put(uid, got.item().revision());
+            then.accept(new JobStatus(Presence.ACTIVE, got.item().revision(), null));
           } else if (got.missing()) {
             readEnded(uid, tries, then);
           } else {
@@ -316,18 +317,18 @@
    * A job that waits for others, or did: whether it is aborted through one of them follows from how
    * those ended.
    */
-  private void chain(String uid, long stamp, Consumer<JobStatus> then) {
+  private void chain(String uid, long revision, Consumer<JobStatus> then) {
     dependencyRecords.ask(
         uid,
         answer -> {
           switch (answer) {
-            case WAITING -> then.accept(new JobStatus(Presence.ACTIVE, stamp, null));
+            case WAITING -> then.accept(new JobStatus(Presence.ACTIVE, revision, null));
             case RELEASED -> {
               // Nothing before it can be aborted any more: from now on it is a job like others.
-              stamps.put(uid, stamp);
-              then.accept(new JobStatus(Presence.ACTIVE, stamp, null));
+              revisions.put(uid, revision);
+              then.accept(new JobStatus(Presence.ACTIVE, revision, null));
             }
-            case ABORTED -> abortThrough(uid, stamp, then);
+            case ABORTED -> abortThrough(uid, revision, then);
             case ENDED -> readEnded(uid, TRIES, then);
             case UNAVAILABLE -> then.accept(JobStatus.UNAVAILABLE);
           }
@@ -335,9 +336,9 @@
   }
 
   /** Stored before it is told, like every end. */
-  private void abortThrough(String uid, long stamp, Consumer<JobStatus> then) {
+  private void abortThrough(String uid, long revision, Consumer<JobStatus> then) {
     String through = dependencyRecords.through(uid);
-    Txn txn = layout.end(uid, stamp, JobState.ABORTED, loop.wallMicros(), List.of());
+    Txn txn = layout.end(uid, revision, JobState.ABORTED, loop.wallMicros(), List.of());
     store.txn(
         txn,
         StateClient.Class.URGENT,
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -182,8 +182,8 @@
     }
 
     /** The transaction, which fails if the list has been removed since its anchor was seen. */
-    public Txn anchoredAt(long anchorStamp) {
-      return txn.guard(anchor(), anchorStamp);
+    public Txn anchoredAt(long anchorRevision) {
+      return txn.guard(anchor(), anchorRevision);
     }
   }
 
@@ -299,12 +299,12 @@
    * Removes parts of a list that no job uses: its job has no active record, and the anchor is as it
    * was seen. What is left without an anchor is not counted by whoever stores the list anew.
    *
-   * @param anchorStamp of the anchor as listed, 0 where it is gone
+   * @param anchorRevision of the anchor as listed, 0 where it is gone
    * @param keys parts that were listed, as many as one transaction drops, the anchor among the
    *     first
    */
-  public Txn removeList(Txn guarded, ListName list, long anchorStamp, List<String> keys) {
-    guarded.guard(activeKey(list.uid()), 0).guard(anchorOf(list), anchorStamp);
+  public Txn removeList(Txn guarded, ListName list, long anchorRevision, List<String> keys) {
+    guarded.guard(activeKey(list.uid()), 0).guard(anchorOf(list), anchorRevision);
     keys.stream().limit(limits.txnOps()).forEach(guarded::drop);
     return guarded;
   }
@@ -321,10 +321,10 @@
    *
    * @param drops records of it that are of no use any more, as many as the transaction takes
    */
-  public Txn end(String uid, long stamp, JobState how, long wallMicros, List<String> drops) {
+  public Txn end(String uid, long revision, JobState how, long wallMicros, List<String> drops) {
     Txn txn =
         new Txn()
-            .guard(activeKey(uid), stamp)
+            .guard(activeKey(uid), revision)
             .put(endedKey(uid), state(how.wireName()).put(ENDED_MS, wallMicros / 1_000))
             .drop(activeKey(uid));
     drops.stream().limit(Math.max(0, limits.txnOps() - txn.changes())).forEach(txn::drop);
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -25,7 +25,7 @@
   private final LongSupplier waitMicros;
   private final long retryMicros;
   private final Listener listener;
-  private long epoch;
+  private long storeRevision;
   private boolean closed;
 
   /**
@@ -49,7 +49,7 @@
 
   /** Follows what changes after that revision. */
   public void followFrom(long revision) {
-    epoch = revision;
+    storeRevision = revision;
     follow();
   }
 
@@ -60,7 +60,7 @@
     long sent = loop.nowMicros();
     store.follow(
         prefix,
-        epoch,
+        storeRevision,
         waitMicros.getAsLong(),
         changes -> {
           if (closed) {
@@ -71,7 +71,7 @@
           } else if (changes.status() != HttpStatus.OK) {
             loop.after(retryMicros, this::follow);
           } else {
-            epoch = Math.max(epoch, changes.epoch());
+            storeRevision = Math.max(storeRevision, changes.storeRevision());
             listener.changed(changes.log(), sent);
             follow();
           }
@@ -94,7 +94,7 @@
             loop.after(retryMicros, this::relist);
             return;
           }
-          epoch = listing.epoch();
+          storeRevision = listing.storeRevision();
           listener.listed(listing, sent);
           follow();
         });
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -25,7 +25,7 @@
  */
 public final class StateClient {
   /** A key with its value, revision and the lease it hangs on (0: none). */
-  public record Item(String key, JsonNode data, long stamp, long leaseId) {}
+  public record Item(String key, JsonNode data, long revision, long leaseId) {}
 
   /**
    * @param status 200, 404, or anything else for "not known"; 0 without an answer
@@ -41,15 +41,15 @@
   }
 
   /** All keys under a prefix, as of a revision from which changes can be followed. */
-  public record Listing(List<Item> items, long epoch) {}
+  public record Listing(List<Item> items, long storeRevision) {}
 
   /** One change; {@code data} is null when the key was dropped. */
-  public record Change(String key, JsonNode data, long stamp) {}
+  public record Change(String key, JsonNode data, long revision) {}
 
   /**
    * @param status 200, 410 when {@code since} was too old, else not known
    */
-  public record Changes(int status, long epoch, List<Change> log) {}
+  public record Changes(int status, long storeRevision, List<Change> log) {}
 
   /** What a renewal brought. */
   public enum RenewalResult {
@@ -180,7 +180,7 @@
       String since,
       Class priority,
       List<Item> into,
-      long firstEpoch,
+      long firstStoreRevision,
       Consumer<Listing> then) {
     String path =
         "/keys?under="
@@ -215,17 +215,18 @@
           }
           // Pages are read at different revisions; following from the first one misses nothing in
           // between.
-          long epoch = firstEpoch >= 0 ? firstEpoch : o.get("epoch").longValue();
+          long storeRevision =
+              firstStoreRevision >= 0 ? firstStoreRevision : o.get("epoch").longValue();
           if (o.path("more").asBoolean(false) && last != null) {
-            page(prefix, last, priority, into, epoch, then);
+            page(prefix, last, priority, into, storeRevision, then);
           } else {
-            then.accept(new Listing(into, epoch));
+            then.accept(new Listing(into, storeRevision));
           }
         });
   }
 
   /** The revision now; -1 when that can't be found out. */
-  public void epoch(Consumer<Long> then) {
+  public void storeRevision(Consumer<Long> then) {
     send(
         Class.ORDINARY,
         0,
--- a/src/main/java/plumlever/store/Txn.java
+++ b/src/main/java/plumlever/store/Txn.java
@@ -24,10 +24,10 @@
    * What became of it.
    *
    * @param status of the answer; 0 without one
-   * @param epoch the revision of its changes when applied, else -1
+   * @param storeRevision the revision of its changes when applied, else -1
    * @param failed keys of guards that did not hold, as far as told
    */
-  public record Result(Outcome outcome, int status, long epoch, List<String> failed) {
+  public record Result(Outcome outcome, int status, long revision, List<String> failed) {
     public boolean applied() {
       return outcome == Outcome.APPLIED;
     }
@@ -40,11 +40,11 @@
   private boolean absolute;
 
   /**
-   * @param stamp 0: the key must not exist
+   * @param revision 0: the key must not exist
    */
-  public Txn guard(String key, long stamp) {
+  public Txn guard(String key, long revision) {
     absolute |= key.charAt(0) == '/';
-    guards.addObject().put("k", key).put("stamp", stamp);
+    guards.addObject().put("k", key).put("stamp", revision);
     return this;
   }
 
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -23,9 +23,9 @@
     void send(int status, String body);
   }
 
-  private record Entry(JsonNode data, long stamp, long leaseId) {}
+  private record Entry(JsonNode data, long revision, long leaseId) {}
 
-  private record Change(long stamp, String key, JsonNode data) {}
+  private record Change(long revision, String key, JsonNode data) {}
 
   private static final long MOST_WAIT_MICROS = 300_000;
   private static final long FETCH_MICROS = 800_000;
@@ -73,7 +73,7 @@
   private final TreeMap<String, Entry> keys = new TreeMap<>();
   private final List<Change> log = new ArrayList<>();
   private final Map<String, Host> hosts = new LinkedHashMap<>();
-  private long epoch = 1;
+  private long storeRevision = 1;
   private long leaseIds;
 
   /**
@@ -117,7 +117,7 @@
         reply.send(
             entry == null ? 404 : 200,
             entry == null
-                ? "{\"epoch\":" + epoch + "}"
+                ? "{\"epoch\":" + storeRevision + "}"
                 : Json.write(item(path.substring(6), entry)));
       } else if (path.startsWith("/keys?")) {
         list(parameter(path, "under"), reply);
@@ -145,7 +145,7 @@
 
   private static ObjectNode item(String key, Entry entry) {
     ObjectNode object =
-        Json.object().put("k", key).put("stamp", entry.stamp).put("permit", entry.leaseId);
+        Json.object().put("k", key).put("stamp", entry.revision).put("permit", entry.leaseId);
     object.set("data", entry.data);
     return object;
   }
@@ -153,28 +153,30 @@
   private void txn(ObjectNode object, Reply reply) {
     for (JsonNode node : object.path("guards")) {
       Entry entry = keys.get(node.path("k").asText());
-      if ((entry == null ? 0 : entry.stamp) != node.path("stamp").asLong()) {
+      if ((entry == null ? 0 : entry.revision) != node.path("stamp").asLong()) {
         reply.send(
-            409, "{\"failed\":[" + Json.write(node.path("k")) + "],\"epoch\":" + epoch + "}");
+            409,
+            "{\"failed\":[" + Json.write(node.path("k")) + "],\"epoch\":" + storeRevision + "}");
         return;
       }
     }
-    epoch++;
+    storeRevision++;
     for (JsonNode change : object.path("then")) {
       String key =
           change.hasNonNull("put") ? change.get("put").asText() : change.path("drop").asText();
       if (change.hasNonNull("put")) {
-        keys.put(key, new Entry(change.path("data"), epoch, change.path("permit").asLong(0)));
-        log.add(new Change(epoch, key, change.path("data")));
+        keys.put(
+            key, new Entry(change.path("data"), storeRevision, change.path("permit").asLong(0)));
+        log.add(new Change(storeRevision, key, change.path("data")));
       } else if (keys.remove(key) != null) {
-        log.add(new Change(epoch, key, null));
+        log.add(new Change(storeRevision, key, null));
       }
     }
-    reply.send(200, "{\"epoch\":" + epoch + "}");
+    reply.send(200, "{\"epoch\":" + storeRevision + "}");
   }
 
   private void list(String under, Reply reply) {
-    ObjectNode out = Json.object().put("epoch", epoch).put("more", false);
+    ObjectNode out = Json.object().put("epoch", storeRevision).put("more", false);
     ArrayNode items = out.putArray("items");
     keys.tailMap(under, true)
         .forEach(
@@ -187,14 +189,14 @@
   }
 
   private void follow(String under, long since, boolean mayWait, Reply reply) {
-    ObjectNode out = Json.object().put("epoch", epoch);
+    ObjectNode out = Json.object().put("epoch", storeRevision);
     ArrayNode array = out.putArray("log");
     for (Change change : log) {
-      if (change.stamp > since && change.key.startsWith(under)) {
+      if (change.revision > since && change.key.startsWith(under)) {
         ObjectNode answer =
             array
                 .addObject()
-                .put("stamp", change.stamp)
+                .put("stamp", change.revision)
                 .put(change.data == null ? "drop" : "put", change.key);
         if (change.data != null) {
           answer.set("data", change.data);
--- a/src/test/java/plumlever/sharing/PoolRecordsTest.java
+++ b/src/test/java/plumlever/sharing/PoolRecordsTest.java
@@ -95,7 +95,7 @@
     view.apply(key, null, 13);
     view.apply(key, OwnerRecord.EMPTY.with("i-000001", "b").toJson(), 12);
     assertEquals(Optional.empty(), view.holder("i-000001"));
-    assertEquals(0, view.stampOf(key), "absent keys are guarded by 0");
+    assertEquals(0, view.revisionOf(key), "absent keys are guarded by 0");
     view.apply(key, OwnerRecord.EMPTY.with("i-000001", "c").toJson(), 14);
     view.absent(key, 12);
     assertEquals(Optional.of("c"), view.holder("i-000001"), "stored since that read was sent");
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -15,9 +15,9 @@
 
 /** The state service, by its protocol. */
 final class FakeStore implements SimulatedCluster.Service {
-  private record Entry(JsonNode data, long stamp, long leaseId) {}
+  private record Entry(JsonNode data, long revision, long leaseId) {}
 
-  private record Change(long stamp, String key, JsonNode data) {}
+  private record Change(long revision, String key, JsonNode data) {}
 
   private final SimulatedCluster cluster;
   private final TreeMap<String, Entry> keys = new TreeMap<>();
@@ -25,7 +25,7 @@
   private final Map<Long, Long> leaseTtl = new HashMap<>();
   private final List<Change> log = new ArrayList<>();
   private final List<Runnable> waiting = new ArrayList<>();
-  private long epoch = 10;
+  private long storeRevision = 10;
   private long leaseIds;
   boolean outage;
   final Set<String> refused = new HashSet<>();
@@ -126,11 +126,11 @@
           }
         });
     if (!gone.isEmpty()) {
-      epoch++;
+      storeRevision++;
       gone.forEach(
           k -> {
             keys.remove(k);
-            log.add(new Change(epoch, k, null));
+            log.add(new Change(storeRevision, k, null));
           });
       wake();
     }
@@ -163,9 +163,9 @@
     mostChanges = Math.max(mostChanges, changes);
   }
 
-  /** Replaces a value behind everybody's back; its stamp stays. */
+  /** Replaces a value behind everybody's back; its revision stays. */
   void forge(String prefix, JsonNode data) {
-    keys.replaceAll((k, e) -> k.startsWith(prefix) ? new Entry(data, e.stamp, e.leaseId) : e);
+    keys.replaceAll((k, e) -> k.startsWith(prefix) ? new Entry(data, e.revision, e.leaseId) : e);
   }
 
   /** When the last leader was elected. */
@@ -191,15 +191,15 @@
 
   /** Replaces all keys under the prefix, as one who writes them would. */
   void rewrite(String prefix, Map<String, JsonNode> values) {
-    epoch++;
+    storeRevision++;
     for (String key : entries(prefix).keySet()) {
       keys.remove(key);
-      log.add(new Change(epoch, key, null));
+      log.add(new Change(storeRevision, key, null));
     }
     values.forEach(
         (k, v) -> {
-          keys.put(k, new Entry(v, epoch, 0));
-          log.add(new Change(epoch, k, v));
+          keys.put(k, new Entry(v, storeRevision, 0));
+          log.add(new Change(storeRevision, k, v));
         });
     wake();
   }
@@ -265,7 +265,7 @@
         String key = path.substring(6);
         Entry entry = keys.get(key);
         if (entry == null) {
-          reply.send(404, "{\"epoch\":" + epoch + "}");
+          reply.send(404, "{\"epoch\":" + storeRevision + "}");
         } else {
           reply.send(200, Json.write(item(key, entry)));
         }
@@ -283,7 +283,7 @@
 
   private static ObjectNode item(String text, Entry entry) {
     ObjectNode object =
-        Json.object().put("k", text).put("stamp", entry.stamp).put("permit", entry.leaseId);
+        Json.object().put("k", text).put("stamp", entry.revision).put("permit", entry.leaseId);
     object.set("data", entry.data);
     return object;
   }
@@ -299,7 +299,7 @@
 
   private void list(Map<String, String> map, SimulatedCluster.Reply reply) {
     String under = map.get("under");
-    ObjectNode out = Json.object().put("epoch", epoch);
+    ObjectNode out = Json.object().put("epoch", storeRevision);
     ArrayNode items = out.putArray("items");
     int page = Integer.parseInt(map.getOrDefault("page", "100"));
     boolean more = false;
@@ -324,9 +324,9 @@
       String node, Map<String, String> map, long since, SimulatedCluster.Reply reply) {
     String under = map.get("under");
     long from = Long.parseLong(map.get("since"));
-    ObjectNode out = Json.object().put("epoch", epoch);
+    ObjectNode out = Json.object().put("epoch", storeRevision);
     ArrayNode array = out.putArray("log");
-    if (log.size() > remembered && log.get(log.size() - remembered).stamp > from) {
+    if (log.size() > remembered && log.get(log.size() - remembered).revision > from) {
       reply.send(410, "{}");
       return;
     }
@@ -334,8 +334,8 @@
       if (under.equals(untold) && (untoldNode == null || untoldNode.equals(node))) {
         break;
       }
-      if (change.stamp > from && change.key.startsWith(under)) {
-        ObjectNode object = array.addObject().put("stamp", change.stamp);
+      if (change.revision > from && change.key.startsWith(under)) {
+        ObjectNode object = array.addObject().put("stamp", change.revision);
         if (change.data == null) {
           object.put("drop", change.key);
         } else {
@@ -395,8 +395,8 @@
   private void txn(ObjectNode object, SimulatedCluster.Reply reply) {
     for (JsonNode node : object.path("guards")) {
       Entry entry = keys.get(node.path("k").asText());
-      if (!ignoreGuards && (entry == null ? 0 : entry.stamp) != node.path("stamp").asLong()) {
-        reply.send(409, "{\"failed\":[],\"epoch\":" + epoch + "}");
+      if (!ignoreGuards && (entry == null ? 0 : entry.revision) != node.path("stamp").asLong()) {
+        reply.send(409, "{\"failed\":[],\"epoch\":" + storeRevision + "}");
         return;
       }
     }
@@ -421,7 +421,7 @@
       reply.send(400, "{\"error\":\"too many\"}");
       return;
     }
-    epoch++;
+    storeRevision++;
     for (JsonNode change : object.path("then")) {
       if (change.hasNonNull("put")) {
         largestValue = Math.max(largestValue, Json.write(change.path("data")).length());
@@ -437,13 +437,13 @@
         }
         keys.put(
             change.get("put").asText(),
-            new Entry(change.path("data"), epoch, change.path("permit").asLong(0)));
-        log.add(new Change(epoch, change.get("put").asText(), change.path("data")));
+            new Entry(change.path("data"), storeRevision, change.path("permit").asLong(0)));
+        log.add(new Change(storeRevision, change.get("put").asText(), change.path("data")));
       } else if (keys.remove(change.path("drop").asText()) != null) {
-        log.add(new Change(epoch, change.get("drop").asText(), null));
+        log.add(new Change(storeRevision, change.get("drop").asText(), null));
       }
     }
-    reply.send(200, "{\"epoch\":" + epoch + "}");
+    reply.send(200, "{\"epoch\":" + storeRevision + "}");
     wake();
   }
 }
