--- a/src/main/java/plumlever/Node.java
+++ b/src/main/java/plumlever/Node.java
@@ -188,7 +188,7 @@
                         () ->
                             officeStore.list(
                                 prefix,
-                                StateClient.Class.URGENT,
+                                StateClient.RequestPriority.URGENT,
                                 listing -> loop.execute(() -> then.accept(listing)))),
                 this::latenessMicros,
                 logs,
@@ -424,7 +424,7 @@
    */
   private long listen() {
     if (loop.nowMicros() - store.lastServedMicros() >= LISTEN_MICROS / 2) {
-      store.get(JobStore.CATALOG, StateClient.Class.URGENT, got -> {});
+      store.get(JobStore.CATALOG, StateClient.RequestPriority.URGENT, got -> {});
     }
     return LISTEN_MICROS;
   }
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -84,7 +84,7 @@
         + " bytes (now "
         + limits.formerValueBytes()
         + "), "
-        + limits.txnOps()
+        + limits.transactionOps()
         + " changes a transaction, "
         + limits.writeRps()
         + " changes and "
--- a/src/main/java/plumlever/cloud/MachineTypeDuty.java
+++ b/src/main/java/plumlever/cloud/MachineTypeDuty.java
@@ -10,7 +10,7 @@
 import plumlever.metrics.Logs;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 import plumlever.wire.Flavor;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
@@ -62,7 +62,7 @@
   private void readStored() {
     store.get(
         JobStore.CATALOG,
-        StateClient.Class.ORDINARY,
+        StateClient.RequestPriority.ORDINARY,
         got -> {
           if (got.found() && !prices.known()) {
             take(got.item().data());
@@ -85,12 +85,14 @@
   private void storeOnce(List<Flavor> flavors) {
     store.get(
         JobStore.CATALOG,
-        StateClient.Class.ORDINARY,
+        StateClient.RequestPriority.ORDINARY,
         got -> {
           if (got.missing()) {
-            store.txn(
-                new Txn().guard(JobStore.CATALOG, 0).put(JobStore.CATALOG, record(flavors)),
-                StateClient.Class.ORDINARY,
+            store.transaction(
+                new Transaction()
+                    .require(JobStore.CATALOG, 0)
+                    .put(JobStore.CATALOG, record(flavors)),
+                StateClient.RequestPriority.ORDINARY,
                 result -> log.debug("machine types stored: {}", result.outcome()));
           }
         });
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -9,7 +9,7 @@
 import plumlever.lease.DelegationRecord;
 import plumlever.metrics.Logs;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 import plumlever.wire.Json;
 
 /**
@@ -62,7 +62,7 @@
     long sent = loop.nowMicros();
     store.get(
         LeaderElection.DELEGATION,
-        StateClient.Class.URGENT,
+        StateClient.RequestPriority.URGENT,
         got -> {
           if (got.found()) {
             take(DelegationRecord.read(got.item().data()), got.item().revision(), sent);
@@ -104,9 +104,10 @@
     }
     long now = revision;
     announced = now;
-    store.txn(
-        new Txn().put(LeaderElection.RENEWAL_ANNOUNCEMENT, Json.object().put("mandate", now)),
-        StateClient.Class.URGENT,
+    store.transaction(
+        new Transaction()
+            .put(LeaderElection.RENEWAL_ANNOUNCEMENT, Json.object().put("mandate", now)),
+        StateClient.RequestPriority.URGENT,
         result -> {
           if (!result.applied() && announced == now) {
             announced = -1;
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -10,7 +10,7 @@
 import plumlever.metrics.Logs;
 import plumlever.settings.Tunables;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.Json;
 
@@ -174,7 +174,7 @@
     }
     store.list(
         PREFIX,
-        StateClient.Class.URGENT,
+        StateClient.RequestPriority.URGENT,
         listing -> {
           if (listing == null) {
             loop.after(RETRY_MICROS + random.nextInt(200_000), this::read);
@@ -300,9 +300,10 @@
       return notBeforeMicros - now;
     }
     busy = true;
-    // The guards are what this decision was taken on: followed changes go on arriving while the
+    // The preconditions are what this decision was taken on: followed changes go on arriving while
+    // the
     // lease is made, and
-    // a guard on the newest revision would depose a leader elected in between.
+    // a precondition on the newest revision would depose a leader elected in between.
     long seenLeader = leaderRevision;
     long seenTerm = termRevision;
     if (poolTerms.isEmpty()) {
@@ -337,20 +338,20 @@
           long sentAt = now;
           ObjectNode leader =
               Json.object().put("label", label).put("nonce", nonce).put("term", newTerm);
-          Txn txn =
-              new Txn()
-                  .guard(LEADER, seenLeader)
-                  .guard(TERM, seenTerm)
+          Transaction transaction =
+              new Transaction()
+                  .require(LEADER, seenLeader)
+                  .require(TERM, seenTerm)
                   .put(LEADER, leader, p)
                   .put(TERM, Json.object().put("term", newTerm));
           if (poolTerms.isPresent()) {
-            poolTerms.get().addTo(txn, next, label, p);
+            poolTerms.get().addTo(transaction, next, label, p);
           } else {
-            txn.drop(DELEGATION);
+            transaction.drop(DELEGATION);
           }
-          store.txn(
-              txn,
-              StateClient.Class.URGENT,
+          store.transaction(
+              transaction,
+              StateClient.RequestPriority.URGENT,
               result -> {
                 switch (result.outcome()) {
                   case APPLIED -> take(p, newTerm, result.revision(), sentAt);
@@ -365,7 +366,7 @@
   private void settle(long leaseId, long newTerm, long sentAt, int tries) {
     store.get(
         LEADER,
-        StateClient.Class.URGENT,
+        StateClient.RequestPriority.URGENT,
         got -> {
           if (got.found()
               && label.equals(got.item().data().path("label").asText())
@@ -392,7 +393,7 @@
   private void reread() {
     store.list(
         PREFIX,
-        StateClient.Class.URGENT,
+        StateClient.RequestPriority.URGENT,
         listing -> {
           if (listing != null && current == null && !busy) {
             boolean leaderFound = false;
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 import plumlever.wire.Json;
 
 /**
@@ -43,7 +43,7 @@
   void next(long last, Consumer<Optional<Next>> then) {
     store.get(
         counterKey,
-        StateClient.Class.URGENT,
+        StateClient.RequestPriority.URGENT,
         got -> {
           if (got.found()) {
             long counted = got.item().data().path(TERM).asLong();
@@ -57,14 +57,15 @@
   }
 
   /** What the transaction holds that takes the term. */
-  Txn addTo(Txn txn, Next next, String label, long leaseId) {
+  Transaction addTo(Transaction transaction, Next next, String label, long leaseId) {
     ObjectNode counter = Json.object().put(TERM, next.term());
     ObjectNode leader = Json.object().put("label", label).put(TERM, next.term());
-    txn.guard(counterKey, next.counterRevision())
+    transaction
+        .require(counterKey, next.counterRevision())
         .put(counterKey, counter)
         .put(leaderKey, leader, leaseId);
     return next.counterRevision() == 0
-        ? txn.put(ABSOLUTE_MARKER, Json.object().put("pool", true))
-        : txn;
+        ? transaction.put(ABSOLUTE_MARKER, Json.object().put("pool", true))
+        : transaction;
   }
 }
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -2,7 +2,7 @@
 
 import plumlever.concurrent.Loop;
 import plumlever.settings.Tunables;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 
 /**
  * One term of office, and the right to act in it. Once it has ended it never comes back, also if
@@ -50,11 +50,11 @@
   }
 
   /**
-   * A guard that holds as long as no later term has begun: what a leader writes of its own work
-   * carries it, so that a write carried out late can't spoil a successor's.
+   * A precondition that holds as long as no later term has begun: what a leader writes of its own
+   * work carries it, so that a write carried out late can't spoil a successor's.
    */
-  public Txn guard() {
-    return new Txn().guard(LeaderElection.TERM, revision);
+  public Transaction requireTerm() {
+    return new Transaction().require(LeaderElection.TERM, revision);
   }
 
   long rightUntilMicros() {
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -11,7 +11,7 @@
 import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 import plumlever.wire.ForwardedRequest;
 import plumlever.wire.HttpStatus;
 
@@ -63,13 +63,13 @@
   }
 
   private void find(String uid, int tries, Consumer<Location> then) {
-    Txn txn = new Txn();
+    Transaction transaction = new Transaction();
     for (SharingSettings.Cell cell : sharing.others()) {
-      txn.guard(activeKey(cell, uid), 0).guard(endedKey(cell, uid), 0);
+      transaction.require(activeKey(cell, uid), 0).require(endedKey(cell, uid), 0);
     }
-    store.txn(
-        txn,
-        StateClient.Class.ORDINARY,
+    store.transaction(
+        transaction,
+        StateClient.RequestPriority.ORDINARY,
         result -> {
           switch (result.outcome()) {
             case APPLIED -> then.accept(Location.NOWHERE);
@@ -103,14 +103,14 @@
     Location here = new Location(Presence.IN_CELL, Optional.of(cell));
     store.get(
         activeKey(cell, uid),
-        StateClient.Class.ORDINARY,
+        StateClient.RequestPriority.ORDINARY,
         active -> {
           if (active.found()) {
             then.accept(here);
           } else if (active.missing()) {
             store.get(
                 endedKey(cell, uid),
-                StateClient.Class.ORDINARY,
+                StateClient.RequestPriority.ORDINARY,
                 ended -> {
                   if (ended.found()) {
                     then.accept(here);
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -14,7 +14,7 @@
 import plumlever.store.JobRecordCache;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 import plumlever.wire.ForwardedRequest;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
@@ -212,7 +212,7 @@
     if (spec.waits()) {
       afterOthers(spec, acceptance, out);
     } else {
-      accept(spec, acceptance.txn(), out, TRIES);
+      accept(spec, acceptance.transaction(), out, TRIES);
     }
   }
 
@@ -256,7 +256,7 @@
   /** Stores the names that do not fit the job's record, then accepts it. */
   private void storeList(JobSpec spec, JobStore.Acceptance acceptance, Admitted out) {
     if (!acceptance.hasList()) {
-      accept(spec, acceptance.txn(), out, TRIES);
+      accept(spec, acceptance.transaction(), out, TRIES);
       return;
     }
     // Nothing is stored for the repeat of a known job, whose list may be another or removed.
@@ -289,11 +289,11 @@
    * Accepted means stored: 201 only once the transaction that creates the record has been carried
    * out.
    */
-  private void accept(JobSpec spec, Txn txn, Admitted out, int tries) {
+  private void accept(JobSpec spec, Transaction transaction, Admitted out, int tries) {
     String uid = spec.uid();
-    store.txn(
-        txn,
-        StateClient.Class.ORDINARY,
+    store.transaction(
+        transaction,
+        StateClient.RequestPriority.ORDINARY,
         result -> {
           switch (result.outcome()) {
             case APPLIED -> {
@@ -320,7 +320,7 @@
             case CONFLICT, UNKNOWN -> known(uid, out);
             case REFUSED -> {
               if (tries > 1 && recentlyServed()) {
-                loop.after(AGAIN_MICROS, () -> accept(spec, txn, out, tries - 1));
+                loop.after(AGAIN_MICROS, () -> accept(spec, transaction, out, tries - 1));
               } else {
                 unavailable(out);
               }
@@ -458,9 +458,9 @@
   }
 
   private void end(String uid, long revision, Admitted out, int tries) {
-    store.txn(
+    store.transaction(
         layout.end(uid, revision, JobState.ABORTED, loop.wallMicros(), List.of()),
-        StateClient.Class.URGENT,
+        StateClient.RequestPriority.URGENT,
         result -> {
           switch (result.outcome()) {
             case APPLIED -> {
--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/ActiveJobs.java
@@ -19,7 +19,7 @@
 import plumlever.store.JobStore;
 import plumlever.store.PrefixWatch;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.JobState;
 
@@ -243,7 +243,7 @@
         .store()
         .get(
             parts.get(next),
-            StateClient.Class.ORDINARY,
+            StateClient.RequestPriority.ORDINARY,
             got -> {
               if (got.found()) {
                 names.addAll(JobStore.names(got.item().data()));
@@ -352,7 +352,7 @@
     ending = true;
     context
         .store()
-        .txn(
+        .transaction(
             context
                 .layout()
                 .end(
@@ -361,14 +361,14 @@
                     JobState.ABORTED,
                     context.loop().wallMicros(),
                     List.of()),
-            StateClient.Class.ORDINARY,
+            StateClient.RequestPriority.ORDINARY,
             result -> {
               ending = false;
               if (result.applied()) {
                 context.metrics().count("jobs_aborted_through");
                 ended(job.uid(), JobState.ABORTED);
                 endDoomed();
-              } else if (result.outcome() == Txn.Outcome.CONFLICT) {
+              } else if (result.outcome() == Transaction.Outcome.CONFLICT) {
                 // Stored by whoever was asked about it: the followed changes will say so.
                 doomed.remove(job.uid());
                 context.loop().after(RETRY_MICROS, this::endDoomed);
--- a/src/main/java/plumlever/leader/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/DeadCellAdoption.java
@@ -104,7 +104,7 @@
           }
           TransferRecord before = steps.record(machine).orElseGet(() -> unmoved(host, dead));
           String office = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
-          return Optional.of(taken(before.withoutHome(dead.name())).guard(office, 0));
+          return Optional.of(taken(before.withoutHome(dead.name())).require(office, 0));
         },
         () -> {
           if (view.holder(machine).equals(Optional.of(sharing.own().name()))) {
--- a/src/main/java/plumlever/leader/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/DependencyListCleanup.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 
 /**
  * Removes stored dependency lists that no job uses: those of jobs that have ended, and those of
@@ -45,7 +45,7 @@
           .store()
           .list(
               JobStore.WAITS,
-              StateClient.Class.ORDINARY,
+              StateClient.RequestPriority.ORDINARY,
               found -> {
                 listing = false;
                 if (found != null && !closed) {
@@ -97,13 +97,14 @@
     if (keys.remove(anchor)) {
       keys.add(0, anchor);
     }
-    int sent = Math.min(keys.size(), context.layout().limits().txnOps());
-    Txn txn = context.layout().removeList(context.term().guard(), list, anchorRevision, keys);
+    int sent = Math.min(keys.size(), context.layout().limits().transactionOps());
+    Transaction transaction =
+        context.layout().removeList(context.term().requireTerm(), list, anchorRevision, keys);
     context
         .store()
-        .txn(
-            txn,
-            StateClient.Class.ORDINARY,
+        .transaction(
+            transaction,
+            StateClient.RequestPriority.ORDINARY,
             result -> {
               if (result.applied()) {
                 context.metrics().count("dependency_list_parts_removed", sent);
--- a/src/main/java/plumlever/leader/HomeWatch.java
+++ b/src/main/java/plumlever/leader/HomeWatch.java
@@ -103,7 +103,7 @@
         .store()
         .get(
             prefix + uid,
-            StateClient.Class.ORDINARY,
+            StateClient.RequestPriority.ORDINARY,
             got -> {
               if (closed || !unread.contains(uid)) {
                 return;
--- a/src/main/java/plumlever/leader/LimitDuty.java
+++ b/src/main/java/plumlever/leader/LimitDuty.java
@@ -126,7 +126,7 @@
   }
 
   private PoolTransaction transaction() {
-    return new PoolTransaction(view, context.term().guard());
+    return new PoolTransaction(view, context.term().requireTerm());
   }
 
   private void give(Platform.Team team) {
--- a/src/main/java/plumlever/leader/OfferTaker.java
+++ b/src/main/java/plumlever/leader/OfferTaker.java
@@ -103,7 +103,7 @@
     TransferSteps.Taking built = steps.take(ofOneTerm);
     taking = built.taken();
     return Optional.of(
-        built.transaction().guard(KeySpace.absolute(giver, LeaderElection.TERM), termRevision));
+        built.transaction().require(KeySpace.absolute(giver, LeaderElection.TERM), termRevision));
   }
 
   /** What has guests is found by its record; what has none is acquired here. */
--- a/src/main/java/plumlever/leader/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/OwnerClaims.java
@@ -15,7 +15,7 @@
 import plumlever.sharing.OwnerRecord;
 import plumlever.sharing.PoolView;
 import plumlever.sharing.TransferRecord;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 
 /**
  * Makes machines this cell's own that nobody owns, and gives up those that are to be returned. A
@@ -170,7 +170,7 @@
         }
         String key = TransferRecord.keyOf(machine);
         TransferRecord gone = record.get().withoutHome(own).gone();
-        PoolTransaction transaction = new PoolTransaction(view, context.term().guard());
+        PoolTransaction transaction = new PoolTransaction(view, context.term().requireTerm());
         return Optional.of(
             gone.isSettled() ? transaction.drop(key) : transaction.put(key, gone.toJson()));
       }
@@ -198,7 +198,7 @@
     for (String machine : machines) {
       record = holder == null ? record.without(machine) : record.with(machine, holder);
     }
-    Txn base = context.term().guard();
+    Transaction base = context.term().requireTerm();
     PoolTransaction transaction = new PoolTransaction(view, base);
     return Optional.of(
         record.isEmpty() ? transaction.drop(key) : transaction.put(key, record.toJson()));
--- a/src/main/java/plumlever/leader/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/PoolTransaction.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import plumlever.sharing.PoolView;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 
 /**
  * A transaction on records of the pool. Each record that it changes is guarded by the revision that
@@ -14,42 +14,42 @@
  */
 final class PoolTransaction {
   private final PoolView view;
-  private final Txn txn;
-  private final Set<String> guarded = new LinkedHashSet<>();
+  private final Transaction transaction;
+  private final Set<String> required = new LinkedHashSet<>();
   private final Map<String, JsonNode> changes = new LinkedHashMap<>();
 
   /**
-   * @param base guards the office of whoever sends it
+   * @param base preconditions the office of whoever sends it
    */
-  PoolTransaction(PoolView view, Txn base) {
+  PoolTransaction(PoolView view, Transaction base) {
     this.view = view;
-    this.txn = base;
+    this.transaction = base;
   }
 
-  PoolTransaction guard(String key) {
-    if (guarded.add(key)) {
-      txn.guard(key, view.revisionOf(key));
+  PoolTransaction require(String key) {
+    if (required.add(key)) {
+      transaction.require(key, view.revisionOf(key));
     }
     return this;
   }
 
   /** Guards a key that is not the pool's. */
-  PoolTransaction guard(String key, long revision) {
-    txn.guard(key, revision);
+  PoolTransaction require(String key, long revision) {
+    transaction.require(key, revision);
     return this;
   }
 
   PoolTransaction put(String key, JsonNode data) {
-    guard(key);
+    require(key);
     changes.put(key, data);
-    txn.put(key, data);
+    transaction.put(key, data);
     return this;
   }
 
   PoolTransaction drop(String key) {
-    guard(key);
+    require(key);
     changes.put(key, null);
-    txn.drop(key);
+    transaction.drop(key);
     return this;
   }
 
@@ -59,11 +59,11 @@
   }
 
   /** The keys of the pool that it rests on. */
-  Set<String> guarded() {
-    return guarded;
+  Set<String> required() {
+    return required;
   }
 
-  Txn txn() {
-    return txn;
+  Transaction transaction() {
+    return transaction;
   }
 }
--- a/src/main/java/plumlever/leader/PoolWriter.java
+++ b/src/main/java/plumlever/leader/PoolWriter.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 import org.slf4j.Logger;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 
 /**
- * Changes records of the pool, one transaction at a time. A step that lost its guard, or had no
- * answer, is built anew from what a read then shows; it says itself whether there is still anything
- * to do.
+ * Changes records of the pool, one transaction at a time. A step that lost its precondition, or had
+ * no answer, is built anew from what a read then shows; it says itself whether there is still
+ * anything to do.
  */
 final class PoolWriter {
   /** A change that is wanted. */
@@ -85,9 +85,9 @@
     PoolTransaction transaction = built.get();
     context
         .store()
-        .txn(
-            transaction.txn(),
-            StateClient.Class.ORDINARY,
+        .transaction(
+            transaction.transaction(),
+            StateClient.RequestPriority.ORDINARY,
             result -> {
               if (closed) {
                 return;
@@ -109,9 +109,9 @@
   }
 
   /** What became of it is settled by reading the records that it rests on. */
-  private void reread(Step step, PoolTransaction transaction, Txn.Outcome outcome) {
+  private void reread(Step step, PoolTransaction transaction, Transaction.Outcome outcome) {
     log.debug("a change of the pool's records: {}, guards are read anew", outcome);
-    List<String> keys = new ArrayList<>(transaction.guarded());
+    List<String> keys = new ArrayList<>(transaction.required());
     read(keys, 0, () -> run(step));
   }
 
@@ -130,7 +130,7 @@
         .store()
         .get(
             key,
-            StateClient.Class.ORDINARY,
+            StateClient.RequestPriority.ORDINARY,
             got -> {
               if (closed) {
                 return;
--- a/src/main/java/plumlever/leader/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/ProgressWriter.java
@@ -13,7 +13,7 @@
 import plumlever.fleet.Job;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 import plumlever.wire.JobState;
 
 /**
@@ -167,7 +167,7 @@
     }
     List<String> records = List.copyOf(keysOf.getOrDefault(job, Set.of()));
     int dropped = Math.min(records.size(), context.layout().dropsAtEnd());
-    Txn txn =
+    Transaction transaction =
         context
             .layout()
             .end(
@@ -178,9 +178,9 @@
                 records.subList(0, dropped));
     context
         .store()
-        .txn(
-            txn,
-            StateClient.Class.URGENT,
+        .transaction(
+            transaction,
+            StateClient.RequestPriority.URGENT,
             result -> {
               switch (result.outcome()) {
                 case APPLIED -> {
@@ -202,7 +202,7 @@
         .store()
         .get(
             JobStore.endedKey(job.uid()),
-            StateClient.Class.URGENT,
+            StateClient.RequestPriority.URGENT,
             got -> {
               JobState how = got.found() ? JobStore.finalState(got.item().data()) : null;
               if (how != null) {
@@ -226,12 +226,12 @@
     if (writing || closed) {
       return pause;
     }
-    Txn txn = context.term().guard();
+    Transaction transaction = context.term().requireTerm();
     Map<Job, BitSet> snapshots = new LinkedHashMap<>();
     List<Pack> sentPacks = new ArrayList<>();
     Map<Job, BitSet> sentChunks = new LinkedHashMap<>();
     Set<String> keys = new LinkedHashSet<>();
-    int room = context.layout().limits().txnOps();
+    int room = context.layout().limits().transactionOps();
     long bytes = 0;
     for (Pack pack : packs.values()) {
       if (!pack.dirty || room == 0 || bytes + pack.bytes > MOST_BYTES) {
@@ -248,7 +248,9 @@
       }
       String key = JobStore.packKey(pack.number);
       keys.add(key);
-      txn.guard(key, revisions.getOrDefault(key, 0L)).put(key, context.layout().pack(done));
+      transaction
+          .require(key, revisions.getOrDefault(key, 0L))
+          .put(key, context.layout().pack(done));
     }
     for (Map.Entry<Job, BitSet> entry : dirty.entrySet()) {
       Job job = entry.getKey();
@@ -264,7 +266,8 @@
         String key = JobStore.progressKey(job.uid(), first);
         keys.add(key);
         keysOf.computeIfAbsent(job, j -> new LinkedHashSet<>()).add(key);
-        txn.guard(key, revisions.getOrDefault(key, 0L))
+        transaction
+            .require(key, revisions.getOrDefault(key, 0L))
             .put(key, context.layout().chunk(job.done(), first, tasksPerChunk));
         BitSet part = job.done().get(first, first + tasksPerChunk);
         int from = first;
@@ -280,9 +283,9 @@
       // Of a job that has ended for good: whatever is written there is of no use.
       room--;
       dropped.add(strays.poll());
-      txn.drop(dropped.get(dropped.size() - 1));
+      transaction.drop(dropped.get(dropped.size() - 1));
     }
-    if (txn.changes() == 0) {
+    if (transaction.changes() == 0) {
       return pause;
     }
     sentChunks.forEach((job, written) -> dirty.get(job).andNot(written));
@@ -290,9 +293,9 @@
     writing = true;
     context
         .store()
-        .txn(
-            txn,
-            StateClient.Class.ORDINARY,
+        .transaction(
+            transaction,
+            StateClient.RequestPriority.ORDINARY,
             result -> {
               if (result.applied()) {
                 writing = false;
@@ -304,7 +307,7 @@
               sentChunks.forEach(
                   (job, chunks) -> dirty.computeIfAbsent(job, j -> new BitSet()).or(chunks));
               strays.addAll(dropped);
-              if (result.outcome() == Txn.Outcome.REFUSED) {
+              if (result.outcome() == Transaction.Outcome.REFUSED) {
                 writing = false;
               } else {
                 // It may have been carried out, or may be yet: the next write is guarded by what is
@@ -327,7 +330,7 @@
         .store()
         .get(
             key,
-            StateClient.Class.ORDINARY,
+            StateClient.RequestPriority.ORDINARY,
             got -> {
               if (got.found()) {
                 revisions.put(key, got.item().revision());
--- a/src/main/java/plumlever/leader/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/RenewalDelegation.java
@@ -15,7 +15,7 @@
 import plumlever.fleet.Machine;
 import plumlever.lease.DelegationRecord;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 
 /**
  * Lets the other controllers renew leases in zones that this leader can't reach, for as long as it
@@ -133,7 +133,7 @@
         context.term().number(),
         tokens);
     write(
-        context.term().guard().guard(LeaderElection.DELEGATION, revision),
+        context.term().requireTerm().require(LeaderElection.DELEGATION, revision),
         given,
         result -> {
           switch (result.outcome()) {
@@ -166,7 +166,7 @@
    */
   private void end() {
     write(
-        context.term().guard(),
+        context.term().requireTerm(),
         Set.of(),
         result -> {
           if (result.applied()) {
@@ -181,16 +181,17 @@
         });
   }
 
-  private void write(Txn txn, Set<String> sites, Consumer<Txn.Result> then) {
+  private void write(
+      Transaction transaction, Set<String> sites, Consumer<Transaction.Result> then) {
     writing = true;
     Map<String, Long> tokenByZone = new HashMap<>(tokens);
     tokenByZone.keySet().retainAll(sites);
     DelegationRecord record = new DelegationRecord(context.term().number(), tokenByZone);
     context
         .store()
-        .txn(
-            txn.put(LeaderElection.DELEGATION, record.write(), context.term().leaseId()),
-            StateClient.Class.URGENT,
+        .transaction(
+            transaction.put(LeaderElection.DELEGATION, record.write(), context.term().leaseId()),
+            StateClient.RequestPriority.URGENT,
             result -> {
               writing = false;
               then.accept(result);
--- a/src/main/java/plumlever/leader/ShareDuty.java
+++ b/src/main/java/plumlever/leader/ShareDuty.java
@@ -161,9 +161,9 @@
     String key = CellDemand.keyOf(own);
     context
         .store()
-        .txn(
-            context.term().guard().put(key, demand.toJson()),
-            StateClient.Class.ORDINARY,
+        .transaction(
+            context.term().requireTerm().put(key, demand.toJson()),
+            StateClient.RequestPriority.ORDINARY,
             result -> {
               telling = false;
               told = result.applied() ? demand : null;
--- a/src/main/java/plumlever/leader/SharedRecords.java
+++ b/src/main/java/plumlever/leader/SharedRecords.java
@@ -11,7 +11,7 @@
 import plumlever.fleet.Registered;
 import plumlever.fleet.RegistrationState;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 
 /**
  * Entries of which many share one stored value, since changes are what the state service has least
@@ -240,17 +240,17 @@
     chunk.writtenMicros = context.loop().nowMicros();
     List<E> written = new ArrayList<>(chunk.entries);
     String key = layout.key(chunk.number);
-    Txn txn = context.term().guard().guard(key, chunk.revision);
+    Transaction transaction = context.term().requireTerm().require(key, chunk.revision);
     if (written.isEmpty()) {
-      txn.drop(key);
+      transaction.drop(key);
     } else {
-      txn.put(key, layout.value(written));
+      transaction.put(key, layout.value(written));
     }
     context
         .store()
-        .txn(
-            txn,
-            StateClient.Class.ORDINARY,
+        .transaction(
+            transaction,
+            StateClient.RequestPriority.ORDINARY,
             result -> {
               if (closed) {
                 return;
@@ -309,7 +309,7 @@
         .store()
         .get(
             layout.key(chunk.number),
-            StateClient.Class.ORDINARY,
+            StateClient.RequestPriority.ORDINARY,
             got -> {
               if (got.found()) {
                 chunk.revision = got.item().revision();
--- a/src/main/java/plumlever/leader/SuccessorHints.java
+++ b/src/main/java/plumlever/leader/SuccessorHints.java
@@ -14,7 +14,7 @@
 import plumlever.fleet.Machine;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
-import plumlever.store.Txn;
+import plumlever.store.Transaction;
 import plumlever.wire.Json;
 
 /**
@@ -156,7 +156,7 @@
     }
     List<ObjectNode> now = parts();
     int all = Math.max(now.size(), written.size());
-    Txn txn = context.term().guard();
+    Transaction transaction = context.term().requireTerm();
     Map<Integer, ObjectNode> sent = new HashMap<>();
     for (int n = 0; n < all && sent.size() < MOST_AT_ONCE; n++) {
       int index = cursor++ % all;
@@ -166,9 +166,9 @@
       }
       sent.put(index, part);
       if (part == GONE) {
-        txn.drop(JobStore.hintsKey(index));
+        transaction.drop(JobStore.hintsKey(index));
       } else {
-        txn.put(JobStore.hintsKey(index), part);
+        transaction.put(JobStore.hintsKey(index), part);
       }
     }
     cursor %= all;
@@ -176,9 +176,9 @@
       writing = true;
       context
           .store()
-          .txn(
-              txn,
-              StateClient.Class.ORDINARY,
+          .transaction(
+              transaction,
+              StateClient.RequestPriority.ORDINARY,
               result -> {
                 writing = false;
                 sent.forEach(
--- a/src/main/java/plumlever/leader/TransferDuty.java
+++ b/src/main/java/plumlever/leader/TransferDuty.java
@@ -417,7 +417,7 @@
     return Optional.of(
         steps
             .transaction()
-            .guard(OwnerRecord.keyOf(machine.id()))
+            .require(OwnerRecord.keyOf(machine.id()))
             .put(TransferRecord.keyOf(machine.id()), offer.toJson()));
   }
 
--- a/src/main/java/plumlever/leader/TransferSteps.java
+++ b/src/main/java/plumlever/leader/TransferSteps.java
@@ -59,7 +59,7 @@
 
   /** A transaction of this leader, which fails once another has taken over. */
   PoolTransaction transaction() {
-    return new PoolTransaction(view, context.term().guard());
+    return new PoolTransaction(view, context.term().requireTerm());
   }
 
   /** The machine's record becomes this one, or is dropped if that says nothing more. */
@@ -70,7 +70,7 @@
 
   /** How many machines one transaction can make this cell's. */
   int mostOwnedAtOnce() {
-    return context.layout().limits().txnOps() - SHARED_PUTS;
+    return context.layout().limits().transactionOps() - SHARED_PUTS;
   }
 
   /**
--- a/src/main/java/plumlever/rehearsal/StateStandIn.java
+++ b/src/main/java/plumlever/rehearsal/StateStandIn.java
@@ -147,10 +147,10 @@
 
   private void transact(ObjectNode transaction, Responder out) {
     ArrayNode failed = Json.object().arrayNode();
-    for (JsonNode guard : transaction.path("guards")) {
-      Entry entry = entries.get(guard.path("k").asText());
-      if ((entry == null ? 0 : entry.revision()) != guard.path("stamp").asLong()) {
-        failed.add(guard.path("k"));
+    for (JsonNode precondition : transaction.path("guards")) {
+      Entry entry = entries.get(precondition.path("k").asText());
+      if ((entry == null ? 0 : entry.revision()) != precondition.path("stamp").asLong()) {
+        failed.add(precondition.path("k"));
       }
     }
     if (!failed.isEmpty()) {
--- a/src/main/java/plumlever/settings/Platform.java
+++ b/src/main/java/plumlever/settings/Platform.java
@@ -59,9 +59,9 @@
    *     records out by it
    */
   public record StateLimits(
-      double rps, double writeRps, int valueBytes, int txnOps, int formerValueBytes) {
-    public StateLimits(double rps, double writeRps, int valueBytes, int txnOps) {
-      this(rps, writeRps, valueBytes, txnOps, valueBytes);
+      double rps, double writeRps, int valueBytes, int transactionOps, int formerValueBytes) {
+    public StateLimits(double rps, double writeRps, int valueBytes, int transactionOps) {
+      this(rps, writeRps, valueBytes, transactionOps, valueBytes);
     }
 
     StateLimits within(StateLimits next) {
@@ -69,7 +69,7 @@
           Math.min(rps, next.rps),
           Math.min(writeRps, next.writeRps),
           Math.min(valueBytes, next.valueBytes),
-          Math.min(txnOps, next.txnOps),
+          Math.min(transactionOps, next.transactionOps),
           formerValueBytes);
     }
   }
@@ -206,11 +206,11 @@
           all || node.has("value_kb")
               ? (int) (amount(node, at, "value_kb", 1, 1e6) * 1024)
               : otherwise.valueBytes();
-      int txnOps =
+      int transactionOps =
           all || node.has("txn_ops")
               ? (int) amount(node, at, "txn_ops", 3, 1e6)
-              : otherwise.txnOps();
-      return new StateLimits(rps, writeRps, valueBytes, txnOps);
+              : otherwise.transactionOps();
+      return new StateLimits(rps, writeRps, valueBytes, transactionOps);
     }
 
     private SettingsException bad(String key, String why) {
--- a/src/main/java/plumlever/settings/SharingSettings.java
+++ b/src/main/java/plumlever/settings/SharingSettings.java
@@ -114,7 +114,7 @@
       if (floors > machines) {
         throw wrong("cells", "have floors of " + floors + " machines, the pool has " + machines);
       }
-      if (platform.stateLimits().txnOps() < LEAST_OPS) {
+      if (platform.stateLimits().transactionOps() < LEAST_OPS) {
         throw wrong("cells", "need " + LEAST_OPS + " changes a transaction of the state service");
       }
       Cell own =
--- a/src/main/java/plumlever/sharing/PoolView.java
+++ b/src/main/java/plumlever/sharing/PoolView.java
@@ -112,7 +112,7 @@
     }
   }
 
-  /** The revision of a key to guard a transaction with; 0 while there is none. */
+  /** The revision of a key to precondition a transaction with; 0 while there is none. */
   public long revisionOf(String key) {
     return dropped.containsKey(key) ? 0 : revisions.getOrDefault(key, 0L);
   }
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -69,7 +69,7 @@
     void look() {
       store.list(
           anchor.substring(0, anchor.lastIndexOf('/') + 1),
-          StateClient.Class.ORDINARY,
+          StateClient.RequestPriority.ORDINARY,
           listing -> {
             if (listing == null) {
               giveUp();
@@ -87,7 +87,7 @@
 
     /** What else is there is only counted once it was seen beside the anchor. */
     private void storeAnchor() {
-      send(new Txn().guard(anchor, 0).put(anchor, parts.get(anchor)), this::look);
+      send(new Transaction().require(anchor, 0).put(anchor, parts.get(anchor)), this::look);
     }
 
     private void storeRest(Map<String, Long> stored) {
@@ -97,24 +97,25 @@
         then.accept(OptionalLong.of(stored.get(anchor)));
         return;
       }
-      Txn txn = new Txn().guard(anchor, stored.get(anchor));
+      Transaction transaction = new Transaction().require(anchor, stored.get(anchor));
       int most =
           Math.min(
-              layout.limits().txnOps(), Math.max(1, MOST_TRANSACTION_BYTES / layout.valueBytes()));
+              layout.limits().transactionOps(),
+              Math.max(1, MOST_TRANSACTION_BYTES / layout.valueBytes()));
       List<String> sent = missing.subList(0, Math.min(most, missing.size()));
-      sent.forEach(key -> txn.guard(key, 0).put(key, parts.get(key)));
+      sent.forEach(key -> transaction.require(key, 0).put(key, parts.get(key)));
       send(
-          txn,
+          transaction,
           () -> {
             sent.forEach(key -> stored.put(key, 0L));
             storeRest(stored);
           });
     }
 
-    private void send(Txn txn, Runnable applied) {
-      store.txn(
-          txn,
-          StateClient.Class.ORDINARY,
+    private void send(Transaction transaction, Runnable applied) {
+      store.transaction(
+          transaction,
+          StateClient.RequestPriority.ORDINARY,
           result -> {
             if (result.applied()) {
               applied.run();
@@ -126,8 +127,8 @@
           });
     }
 
-    private boolean isFinal(Txn.Result result) {
-      return result.outcome() == Txn.Outcome.REFUSED
+    private boolean isFinal(Transaction.Result result) {
+      return result.outcome() == Transaction.Outcome.REFUSED
           && result.status() != HttpStatus.TOO_MANY_REQUESTS;
     }
 
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -206,7 +206,7 @@
         open.addAll(unread);
         store.list(
             JobStore.ACTIVE,
-            StateClient.Class.ORDINARY,
+            StateClient.RequestPriority.ORDINARY,
             listing -> {
               if (listing == null) {
                 then.accept(false);
@@ -280,7 +280,7 @@
       String first = keys.get(0);
       store.list(
           first.substring(0, first.lastIndexOf('/') + 1),
-          StateClient.Class.ORDINARY,
+          StateClient.RequestPriority.ORDINARY,
           listing -> {
             Map<String, List<String>> parts = new HashMap<>();
             if (listing != null) {
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -56,7 +56,7 @@
     }
     store.list(
         JobStore.ACTIVE,
-        StateClient.Class.ORDINARY,
+        StateClient.RequestPriority.ORDINARY,
         active -> {
           if (active == null) {
             then.accept(null);
@@ -86,7 +86,7 @@
       List<String> uids, Map<String, Found> found, Consumer<Map<String, Found>> then) {
     store.list(
         JobStore.ENDED,
-        StateClient.Class.ORDINARY,
+        StateClient.RequestPriority.ORDINARY,
         ended -> {
           if (ended == null) {
             then.accept(null);
@@ -134,7 +134,7 @@
     private void active(String uid, int tries) {
       store.get(
           JobStore.activeKey(uid),
-          StateClient.Class.ORDINARY,
+          StateClient.RequestPriority.ORDINARY,
           got -> {
             if (got.found()) {
               take(uid, new Found(got.item(), null, 0));
@@ -149,7 +149,7 @@
     private void end(String uid, int tries) {
       store.get(
           JobStore.endedKey(uid),
-          StateClient.Class.ORDINARY,
+          StateClient.RequestPriority.ORDINARY,
           got -> {
             if (got.found() && JobStore.finalState(got.item().data()) != null) {
               take(uid, ended(got.item()));
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -20,8 +20,8 @@
 /**
  * What the state service says of jobs. Every answer but a final state rests on a read begun after
  * it was asked for. Most questions are about jobs that have not ended, whose record is known: these
- * are put together, and one transaction of guards only finds out for all of them whether anything
- * has changed.
+ * are put together, and one transaction of preconditions only finds out for all of them whether
+ * anything has changed.
  */
 public final class JobRecordCache {
   /** What is known of a job. */
@@ -236,7 +236,7 @@
     gathered.add(new Question(uid, revision, tries, then));
     if (gathered.size() == 1) {
       loop.after(GATHER_MICROS, this::compare);
-    } else if (gathered.size() >= 4 * layout.limits().txnOps()) {
+    } else if (gathered.size() >= 4 * layout.limits().transactionOps()) {
       compare();
     }
   }
@@ -247,17 +247,17 @@
     }
     List<Question> asked = gathered;
     gathered = new ArrayList<>();
-    Txn txn = new Txn();
+    Transaction transaction = new Transaction();
     Set<String> keys = new HashSet<>();
     for (Question question : asked) {
       if (keys.add(question.uid)) {
-        txn.guard(JobStore.activeKey(question.uid), question.revision);
+        transaction.require(JobStore.activeKey(question.uid), question.revision);
       }
     }
     metrics.count("looks_shared", asked.size());
-    store.txn(
-        txn,
-        StateClient.Class.ORDINARY,
+    store.transaction(
+        transaction,
+        StateClient.RequestPriority.ORDINARY,
         result -> {
           switch (result.outcome()) {
             case APPLIED ->
@@ -298,7 +298,7 @@
   private void read(String uid, int tries, Consumer<JobStatus> then) {
     store.get(
         JobStore.activeKey(uid),
-        StateClient.Class.ORDINARY,
+        StateClient.RequestPriority.ORDINARY,
         got -> {
           if (got.found() && JobStore.waits(got.item().data())) {
             chain(uid, got.item().revision(), then);
@@ -338,10 +338,11 @@
   /** Stored before it is told, like every end. */
   private void abortThrough(String uid, long revision, Consumer<JobStatus> then) {
     String through = dependencyRecords.through(uid);
-    Txn txn = layout.end(uid, revision, JobState.ABORTED, loop.wallMicros(), List.of());
-    store.txn(
-        txn,
-        StateClient.Class.URGENT,
+    Transaction transaction =
+        layout.end(uid, revision, JobState.ABORTED, loop.wallMicros(), List.of());
+    store.transaction(
+        transaction,
+        StateClient.RequestPriority.URGENT,
         result -> {
           switch (result.outcome()) {
             case APPLIED -> {
@@ -371,7 +372,7 @@
     }
     store.get(
         JobStore.endedKey(uid),
-        StateClient.Class.ORDINARY,
+        StateClient.RequestPriority.ORDINARY,
         got -> {
           JobState how = got.found() ? JobStore.finalState(got.item().data()) : null;
           if (how != null) {
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -168,9 +168,9 @@
    *
    * @param parts what has to be stored before the transaction, by key: the names that it depends
    *     on, if they do not fit; the anchor of the list first
-   * @param txn creates the job's record
+   * @param transaction creates the job's record
    */
-  public record Acceptance(Map<String, ObjectNode> parts, Txn txn) {
+  public record Acceptance(Map<String, ObjectNode> parts, Transaction transaction) {
     /** True if the names that the job depends on have to be stored first. */
     public boolean hasList() {
       return !parts.isEmpty();
@@ -182,8 +182,8 @@
     }
 
     /** The transaction, which fails if the list has been removed since its anchor was seen. */
-    public Txn anchoredAt(long anchorRevision) {
-      return txn.guard(anchor(), anchorRevision);
+    public Transaction anchoredAt(long anchorRevision) {
+      return transaction.require(anchor(), anchorRevision);
     }
   }
 
@@ -201,16 +201,17 @@
     if (bytes(active) > statedValueBytes) {
       return null;
     }
-    Txn txn =
-        new Txn()
-            .guard(activeKey(spec.uid()), 0)
-            .guard(endedKey(spec.uid()), 0)
+    Transaction transaction =
+        new Transaction()
+            .require(activeKey(spec.uid()), 0)
+            .require(endedKey(spec.uid()), 0)
             .put(activeKey(spec.uid()), active);
     for (String prefix : otherCells) {
-      txn.guard(KeySpace.absolute(prefix, activeKey(spec.uid())), 0)
-          .guard(KeySpace.absolute(prefix, endedKey(spec.uid())), 0);
+      transaction
+          .require(KeySpace.absolute(prefix, activeKey(spec.uid())), 0)
+          .require(KeySpace.absolute(prefix, endedKey(spec.uid())), 0);
     }
-    return new Acceptance(parts, txn);
+    return new Acceptance(parts, transaction);
   }
 
   private static int bytes(JsonNode value) {
@@ -303,10 +304,11 @@
    * @param keys parts that were listed, as many as one transaction drops, the anchor among the
    *     first
    */
-  public Txn removeList(Txn guarded, ListName list, long anchorRevision, List<String> keys) {
-    guarded.guard(activeKey(list.uid()), 0).guard(anchorOf(list), anchorRevision);
-    keys.stream().limit(limits.txnOps()).forEach(guarded::drop);
-    return guarded;
+  public Transaction removeList(
+      Transaction conditional, ListName list, long anchorRevision, List<String> keys) {
+    conditional.require(activeKey(list.uid()), 0).require(anchorOf(list), anchorRevision);
+    keys.stream().limit(limits.transactionOps()).forEach(conditional::drop);
+    return conditional;
   }
 
   /** The names that a part holds. */
@@ -321,19 +323,22 @@
    *
    * @param drops records of it that are of no use any more, as many as the transaction takes
    */
-  public Txn end(String uid, long revision, JobState how, long wallMicros, List<String> drops) {
-    Txn txn =
-        new Txn()
-            .guard(activeKey(uid), revision)
+  public Transaction end(
+      String uid, long revision, JobState how, long wallMicros, List<String> drops) {
+    Transaction transaction =
+        new Transaction()
+            .require(activeKey(uid), revision)
             .put(endedKey(uid), state(how.wireName()).put(ENDED_MS, wallMicros / 1_000))
             .drop(activeKey(uid));
-    drops.stream().limit(Math.max(0, limits.txnOps() - txn.changes())).forEach(txn::drop);
-    return txn;
+    drops.stream()
+        .limit(Math.max(0, limits.transactionOps() - transaction.changes()))
+        .forEach(transaction::drop);
+    return transaction;
   }
 
   /** How many records the end of a job can drop. */
   public int dropsAtEnd() {
-    return Math.max(0, limits.txnOps() - 2);
+    return Math.max(0, limits.transactionOps() - 2);
   }
 
   /**
--- a/src/main/java/plumlever/store/KeySpace.java
+++ b/src/main/java/plumlever/store/KeySpace.java
@@ -59,9 +59,9 @@
   /** The body of a transaction with all keys as they are stored. */
   ObjectNode stored(ObjectNode body) {
     ObjectNode out = Json.object();
-    ArrayNode guards = out.putArray("guards");
-    for (JsonNode guard : body.path("guards")) {
-      guards.add(renamed(guard, "k"));
+    ArrayNode preconditions = out.putArray("guards");
+    for (JsonNode precondition : body.path("guards")) {
+      preconditions.add(renamed(precondition, "k"));
     }
     ArrayNode then = out.putArray("then");
     for (JsonNode change : body.path("then")) {
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -85,7 +85,7 @@
     long sent = loop.nowMicros();
     store.list(
         prefix,
-        StateClient.Class.URGENT,
+        StateClient.RequestPriority.URGENT,
         listing -> {
           if (closed) {
             return;
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -30,7 +30,7 @@
   /**
    * @param status 200, 404, or anything else for "not known"; 0 without an answer
    */
-  public record Got(int status, Item item) {
+  public record ReadResult(int status, Item item) {
     public boolean found() {
       return status == HttpStatus.OK;
     }
@@ -59,7 +59,7 @@
   }
 
   /** Ordinary requests wait their turn; urgent ones (office, leases) go whatever the rate. */
-  public enum Class {
+  public enum RequestPriority {
     URGENT,
     ORDINARY
   }
@@ -141,7 +141,7 @@
   }
 
   /** Reads one key. */
-  public void get(String key, Class priority, Consumer<Got> then) {
+  public void get(String key, RequestPriority priority, Consumer<ReadResult> then) {
     send(
         priority,
         0,
@@ -155,7 +155,7 @@
               && o.hasNonNull("data")
               && o.path("stamp").isIntegralNumber()) {
             then.accept(
-                new Got(
+                new ReadResult(
                     HttpStatus.OK,
                     new Item(
                         key,
@@ -163,7 +163,7 @@
                         o.get("stamp").longValue(),
                         o.path("permit").asLong(0))));
           } else {
-            then.accept(new Got(status == HttpStatus.OK ? 0 : status, null));
+            then.accept(new ReadResult(status == HttpStatus.OK ? 0 : status, null));
           }
         });
   }
@@ -171,14 +171,14 @@
   /**
    * @param then takes null when the keys could not all be read
    */
-  public void list(String prefix, Class priority, Consumer<Listing> then) {
+  public void list(String prefix, RequestPriority priority, Consumer<Listing> then) {
     page(prefix, null, priority, new ArrayList<>(), -1, then);
   }
 
   private void page(
       String prefix,
       String since,
-      Class priority,
+      RequestPriority priority,
       List<Item> into,
       long firstStoreRevision,
       Consumer<Listing> then) {
@@ -228,7 +228,7 @@
   /** The revision now; -1 when that can't be found out. */
   public void storeRevision(Consumer<Long> then) {
     send(
-        Class.ORDINARY,
+        RequestPriority.ORDINARY,
         0,
         "GET",
         "/keys?under=" + NOTHING + "&page=1",
@@ -242,29 +242,32 @@
   }
 
   /** Sends a transaction; without an answer it may have been carried out, or may be later. */
-  public void txn(Txn txn, Class priority, Consumer<Txn.Result> then) {
+  public void transaction(
+      Transaction transaction, RequestPriority priority, Consumer<Transaction.Result> then) {
     send(
         priority,
-        txn.changes(),
+        transaction.changes(),
         "POST",
         "/txn",
-        keySpace.isRoot() && !txn.namesAbsolute() ? txn.body() : keySpace.stored(txn.body()),
+        keySpace.isRoot() && !transaction.namesAbsolute()
+            ? transaction.body()
+            : keySpace.stored(transaction.body()),
         TIMEOUT_MICROS,
         (status, o) -> {
           if (status == HttpStatus.PAYLOAD_TOO_LARGE
-              || (status == HttpStatus.BAD_REQUEST && !txn.isAttachedToLease())) {
-            limits.refused(txn);
+              || (status == HttpStatus.BAD_REQUEST && !transaction.isAttachedToLease())) {
+            limits.refused(transaction);
           }
-          Txn.Outcome outcome =
+          Transaction.Outcome outcome =
               switch (status) {
-                case HttpStatus.OK -> Txn.Outcome.APPLIED;
-                case HttpStatus.CONFLICT -> Txn.Outcome.CONFLICT;
+                case HttpStatus.OK -> Transaction.Outcome.APPLIED;
+                case HttpStatus.CONFLICT -> Transaction.Outcome.CONFLICT;
                 case HttpStatus.BAD_REQUEST,
                     HttpStatus.PAYLOAD_TOO_LARGE,
                     HttpStatus.TOO_MANY_REQUESTS,
                     HttpStatus.UNAVAILABLE ->
-                    Txn.Outcome.REFUSED;
-                default -> Txn.Outcome.UNKNOWN;
+                    Transaction.Outcome.REFUSED;
+                default -> Transaction.Outcome.UNKNOWN;
               };
           List<String> failed = new ArrayList<>();
           if (o != null) {
@@ -273,7 +276,8 @@
                     k -> failed.add(keySpace.isRoot() ? k.asText() : keySpace.known(k.asText())));
           }
           then.accept(
-              new Txn.Result(outcome, status, o == null ? -1 : o.path("epoch").asLong(-1), failed));
+              new Transaction.Result(
+                  outcome, status, o == null ? -1 : o.path("epoch").asLong(-1), failed));
         });
   }
 
@@ -282,7 +286,7 @@
    */
   public void createLease(long ttlMicros, Consumer<Long> then) {
     send(
-        Class.URGENT,
+        RequestPriority.URGENT,
         0,
         "POST",
         "/grants",
@@ -298,7 +302,7 @@
   /** Renews a lease. */
   public void renewLease(long leaseId, Consumer<RenewalResult> then) {
     send(
-        Class.URGENT,
+        RequestPriority.URGENT,
         0,
         "POST",
         "/grants/" + leaseId + "/touch",
@@ -314,7 +318,14 @@
   }
 
   public void revokeLease(long leaseId) {
-    send(Class.URGENT, 0, "DELETE", "/grants/" + leaseId, null, TIMEOUT_MICROS, (status, o) -> {});
+    send(
+        RequestPriority.URGENT,
+        0,
+        "DELETE",
+        "/grants/" + leaseId,
+        null,
+        TIMEOUT_MICROS,
+        (status, o) -> {});
   }
 
   /**
@@ -330,7 +341,7 @@
             + "&wait_ms="
             + waitMicros / 1_000;
     send(
-        Class.URGENT,
+        RequestPriority.URGENT,
         0,
         "GET",
         path,
@@ -366,7 +377,7 @@
   }
 
   private void send(
-      Class priority,
+      RequestPriority priority,
       int changes,
       String method,
       String path,
@@ -374,7 +385,7 @@
       long timeoutMicros,
       Parsed then) {
     long now = loop.nowMicros();
-    if (priority == Class.URGENT) {
+    if (priority == RequestPriority.URGENT) {
       requests.force(1, now);
       writes.force(changes, now);
     } else if (!requests.take(1, now) || (changes > 0 && !writes.take(changes, now))) {
--- a/src/main/java/plumlever/store/Txn.java
+++ b/src/main/java/plumlever/store/Transaction.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import plumlever.wire.Json;
 
-/** A guarded transaction under construction. */
-public final class Txn {
+/** A transaction with preconditions under construction. */
+public final class Transaction {
   /** What became of a transaction. */
   public enum Outcome {
     /** Carried out. */
     APPLIED,
-    /** A guard did not hold; nothing was changed. */
+    /** A precondition did not hold; nothing was changed. */
     CONFLICT,
     /** Surely not carried out: refused by a limit, an outage or as malformed. */
     REFUSED,
@@ -25,7 +25,7 @@
    *
    * @param status of the answer; 0 without one
    * @param storeRevision the revision of its changes when applied, else -1
-   * @param failed keys of guards that did not hold, as far as told
+   * @param failed keys of preconditions that did not hold, as far as told
    */
   public record Result(Outcome outcome, int status, long revision, List<String> failed) {
     public boolean applied() {
@@ -34,32 +34,32 @@
   }
 
   private final ObjectNode body = Json.object();
-  private final ArrayNode guards = body.putArray("guards");
-  private final ArrayNode then = body.putArray("then");
+  private final ArrayNode preconditions = body.putArray("guards");
+  private final ArrayNode operations = body.putArray("then");
   private boolean leased;
   private boolean absolute;
 
   /**
    * @param revision 0: the key must not exist
    */
-  public Txn guard(String key, long revision) {
+  public Transaction require(String key, long revision) {
     absolute |= key.charAt(0) == '/';
-    guards.addObject().put("k", key).put("stamp", revision);
+    preconditions.addObject().put("k", key).put("stamp", revision);
     return this;
   }
 
   /** Puts a value that stays. */
-  public Txn put(String key, JsonNode data) {
+  public Transaction put(String key, JsonNode data) {
     absolute |= key.charAt(0) == '/';
-    then.addObject().put("put", key).set("data", data);
+    operations.addObject().put("put", key).set("data", data);
     return this;
   }
 
   /** Puts a value that is deleted when the lease ends. */
-  public Txn put(String key, JsonNode data, long leaseId) {
+  public Transaction put(String key, JsonNode data, long leaseId) {
     leased = true;
     absolute |= key.charAt(0) == '/';
-    ObjectNode object = then.addObject().put("put", key).put("permit", leaseId);
+    ObjectNode object = operations.addObject().put("put", key).put("permit", leaseId);
     object.set("data", data);
     return this;
   }
@@ -75,14 +75,14 @@
   }
 
   /** Removes a key, if it is there. */
-  public Txn drop(String key) {
+  public Transaction drop(String key) {
     absolute |= key.charAt(0) == '/';
-    then.addObject().put("drop", key);
+    operations.addObject().put("drop", key);
     return this;
   }
 
   public int changes() {
-    return then.size();
+    return operations.size();
   }
 
   ObjectNode body() {
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -22,12 +22,12 @@
 
   private final int formerValueBytes;
   private int valueBytes;
-  private int txnOps;
+  private int transactionOps;
 
   /** The limits that the settings state. */
   public WriteLimits(Platform.StateLimits settings) {
     this.valueBytes = settings.valueBytes();
-    this.txnOps = settings.txnOps();
+    this.transactionOps = settings.transactionOps();
     this.formerValueBytes = settings.formerValueBytes();
   }
 
@@ -36,9 +36,9 @@
     return valueBytes;
   }
 
-  /** The most puts and drops in one transaction; it takes four times as many guards. */
-  public int txnOps() {
-    return txnOps;
+  /** The most puts and drops in one transaction; it takes four times as many preconditions. */
+  public int transactionOps() {
+    return transactionOps;
   }
 
   /** What versions that knew of no later limit took for the most that a value may take. */
@@ -50,32 +50,32 @@
    * A transaction was called malformed. Nothing but its size can be wrong with it, so what comes
    * next is smaller.
    */
-  void refused(Txn txn) {
+  void refused(Transaction transaction) {
     int largest = 0;
-    for (JsonNode change : txn.body().path("then")) {
+    for (JsonNode change : transaction.body().path("then")) {
       if (change.has("data")) {
         largest =
             Math.max(
                 largest, Json.write(change.get("data")).getBytes(StandardCharsets.UTF_8).length);
       }
     }
-    int fewer = Math.max(LEAST_OPS, Math.min(txnOps, txn.changes() / 2));
+    int fewer = Math.max(LEAST_OPS, Math.min(transactionOps, transaction.changes() / 2));
     int smaller = Math.max(LEAST_VALUE_BYTES, Math.min(valueBytes, largest / 2));
-    if (txn.changes() <= LEAST_OPS) {
-      fewer = txnOps;
+    if (transaction.changes() <= LEAST_OPS) {
+      fewer = transactionOps;
     }
     if (largest <= LEAST_VALUE_BYTES) {
       smaller = valueBytes;
     }
-    if (fewer < txnOps || smaller < valueBytes) {
+    if (fewer < transactionOps || smaller < valueBytes) {
       LOG.warn(
           "a write of {} changes and values of up to {} bytes was refused: from now on {} changes"
               + " of {} bytes at most",
-          txn.changes(),
+          transaction.changes(),
           largest,
           fewer,
           smaller);
-      txnOps = fewer;
+      transactionOps = fewer;
       valueBytes = smaller;
     }
   }
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -105,7 +105,7 @@
   public void handle(String method, String path, byte[] body, Reply reply) {
     try {
       if (path.equals("/txn")) {
-        txn(Json.parseObject(body), reply);
+        transaction(Json.parseObject(body), reply);
       } else if (path.startsWith("/grants")) {
         reply.send(
             200,
@@ -150,7 +150,7 @@
     return object;
   }
 
-  private void txn(ObjectNode object, Reply reply) {
+  private void transaction(ObjectNode object, Reply reply) {
     for (JsonNode node : object.path("guards")) {
       Entry entry = keys.get(node.path("k").asText());
       if ((entry == null ? 0 : entry.revision) != node.path("stamp").asLong()) {
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -119,10 +119,11 @@
         "'' | 100 | 20 | 4096 | 8"
       })
   void writesWithinTheSmallerOfNowAndNext(
-      String next, double rps, double writeRps, int valueBytes, int txnOps) throws Exception {
+      String next, double rps, double writeRps, int valueBytes, int transactionOps)
+      throws Exception {
     Platform.StateLimits limits =
         Platform.load(file(withNext(next.replace("; ", "\n")))).stateLimits();
-    assertEquals(new Platform.StateLimits(rps, writeRps, valueBytes, txnOps, 4096), limits);
+    assertEquals(new Platform.StateLimits(rps, writeRps, valueBytes, transactionOps, 4096), limits);
   }
 
   @ParameterizedTest
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -65,7 +65,7 @@
   private void smallValues() {
     deployment(7, new Platform.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = 2048;
-    cluster.store.txnOps = 4;
+    cluster.store.transactionOps = 4;
   }
 
   @Test
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -36,7 +36,7 @@
   /** What it takes: beyond it a transaction is malformed. */
   int valueBytes = Integer.MAX_VALUE;
 
-  int txnOps = 8;
+  int transactionOps = 8;
   int malformed;
   int requestsSeen;
 
@@ -87,8 +87,8 @@
   /** How often each node was answered 503. */
   final Map<String, Integer> refusals = new HashMap<>();
 
-  /** For tests of the checks: transactions whose guards are not looked at. */
-  boolean ignoreGuards;
+  /** For tests of the checks: transactions whose preconditions are not looked at. */
+  boolean ignorePreconditions;
 
   /** For tests of the checks: a prefix under which listings find nothing. */
   String hidden;
@@ -371,31 +371,32 @@
     if (unheardOnce != null && Json.write(object).contains("\"put\":\"" + unheardOnce)) {
       unheardOnce = null;
       carriedOutUnheard++;
-      txn(object, (status, text) -> {});
+      transaction(object, (status, text) -> {});
     } else if (changes && cluster.random.nextDouble() < unheardWrites) {
       carriedOutUnheard++;
-      txn(object, (status, text) -> {});
+      transaction(object, (status, text) -> {});
     } else if (changes && cluster.random.nextDouble() < lateWrites) {
       cluster.at(
           2_000_000 + cluster.random.nextLong(10_000_000),
           () -> {
             if (!outage && newestOf.getOrDefault(from, 0L) > number) {
               carriedOutAfterNewer++;
-              txn(object, (status, text) -> {});
+              transaction(object, (status, text) -> {});
             }
           });
     } else {
       if (changes) {
         newestOf.put(from, number);
       }
-      txn(object, reply);
+      transaction(object, reply);
     }
   }
 
-  private void txn(ObjectNode object, SimulatedCluster.Reply reply) {
+  private void transaction(ObjectNode object, SimulatedCluster.Reply reply) {
     for (JsonNode node : object.path("guards")) {
       Entry entry = keys.get(node.path("k").asText());
-      if (!ignoreGuards && (entry == null ? 0 : entry.revision) != node.path("stamp").asLong()) {
+      if (!ignorePreconditions
+          && (entry == null ? 0 : entry.revision) != node.path("stamp").asLong()) {
         reply.send(409, "{\"failed\":[],\"epoch\":" + storeRevision + "}");
         return;
       }
@@ -413,8 +414,8 @@
     for (JsonNode change : object.path("then")) {
       tooLarge |= Json.write(change.path("data")).length() > valueBytes;
     }
-    if (object.path("then").size() > txnOps
-        || object.path("guards").size() > 4 * txnOps
+    if (object.path("then").size() > transactionOps
+        || object.path("guards").size() > 4 * transactionOps
         || tooLarge
         || Json.write(object).length() > 65_536) {
       malformed++;
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -620,9 +620,9 @@
    * The checks can fail: transactions carried out late, whatever they are guarded by, break rules.
    */
   @Test
-  void withoutGuardsLateTransactionsBreakRules() {
+  void withoutPreconditionsLateTransactionsBreakRules() {
     Deployment deployment = new Deployment(3_003);
-    deployment.cluster.store.ignoreGuards = true;
+    deployment.cluster.store.ignorePreconditions = true;
     deployment.cluster.store.lateWrites = 0.5;
     FaultCombination.CANCELLATIONS_QUESTIONS_AND_REPEATS_MEET_THE_LAST_TASKS_END.play.in(
         deployment);
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -343,14 +343,14 @@
   }
 
   /**
-   * A list as long as a body holds, against small values, small transactions and few guards; a
-   * small one beside it.
+   * A list as long as a body holds, against small values, small transactions and few preconditions;
+   * a small one beside it.
    */
   @Test
   void anyLegalListIsTaken() {
     deployment(6, new Platform.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = 2048;
-    cluster.store.txnOps = 4;
+    cluster.store.transactionOps = 4;
     List<JobSpec> roots = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       JobSpec otherJob = job(1, 2, JobSpec.NO_DEADLINE, Urgency.STANDARD, List.of());
@@ -475,7 +475,7 @@
   void troubledDayWithPipelines(long seed) {
     deployment(4_000 + seed, new Platform.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = seed % 2 == 0 ? 2048 : 4096;
-    cluster.store.txnOps = seed % 2 == 0 ? 4 : 8;
+    cluster.store.transactionOps = seed % 2 == 0 ? 4 : 8;
     users.closeLooks = seed % 2 == 0;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 14; i++) {
@@ -512,7 +512,7 @@
         120_000_000,
         () -> {
           cluster.store.valueBytes = 2048;
-          cluster.store.txnOps = 4;
+          cluster.store.transactionOps = 4;
         });
     cluster.play(240);
     cluster.store.lateWrites = 0;
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -243,7 +243,7 @@
         limitsFall,
         () -> {
           cluster.store.valueBytes = NEXT_BYTES;
-          cluster.store.txnOps = 4;
+          cluster.store.transactionOps = 4;
         });
     for (int turn = 0; turn < 8; turn++) {
       cluster.play(18);
@@ -332,7 +332,7 @@
         cluster.store.values("fleet/").stream().anyMatch(v -> Json.write(v).length() > NEXT_BYTES),
         "too large to be written now");
     cluster.store.valueBytes = NEXT_BYTES;
-    cluster.store.txnOps = 4;
+    cluster.store.transactionOps = 4;
     int[] looks = new int[1];
     for (int i = 0; i < 1_200; i++) {
       cluster.at(
@@ -412,7 +412,7 @@
     cluster.play(45);
     assertTrue(cluster.store.largestValue > NEXT_BYTES);
     cluster.store.valueBytes = NEXT_BYTES;
-    cluster.store.txnOps = 4;
+    cluster.store.transactionOps = 4;
     // A machine that goes has the record that it shares with dozens written anew.
     cluster.cloud.machines.keySet().stream().limit(4).toList().forEach(cluster.cloud::delete);
     cluster.play(60);
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -120,7 +120,7 @@
                 JobSpec.NO_DEADLINE)
             .waitingOn(names);
     JobStore.Acceptance acceptance = jobStore.accept(spec, 5_000);
-    JsonNode active = acceptance.txn().body().path("then").get(0).path("data");
+    JsonNode active = acceptance.transaction().body().path("then").get(0).path("data");
     assertTrue(Json.write(active).length() <= valueBytes);
     List<String> back = new ArrayList<>();
     for (String key : JobStore.waitsKeys("job-99", active)) {
@@ -134,7 +134,7 @@
     assertEquals(Map.of(), small.parts());
     assertEquals(
         List.of("job-1", "job-2"),
-        JobStore.waitsInline(small.txn().body().path("then").get(0).path("data")));
+        JobStore.waitsInline(small.transaction().body().path("then").get(0).path("data")));
   }
 
   /**
@@ -143,27 +143,27 @@
   @Test
   void limitsThatFallWithoutNoticeAreLearnt() {
     WriteLimits writeLimits = new WriteLimits(new Platform.StateLimits(100, 20, 16384, 12, 16384));
-    Txn txn = new Txn().put("a", Json.object().put("x", "y".repeat(9_000)));
-    writeLimits.refused(txn);
+    Transaction transaction = new Transaction().put("a", Json.object().put("x", "y".repeat(9_000)));
+    writeLimits.refused(transaction);
     assertTrue(
         writeLimits.valueBytes() < 9_000 && writeLimits.valueBytes() >= 4_000,
         "" + writeLimits.valueBytes());
-    assertEquals(12, writeLimits.txnOps(), "one change is not too many");
-    Txn many = new Txn();
+    assertEquals(12, writeLimits.transactionOps(), "one change is not too many");
+    Transaction many = new Transaction();
     for (int i = 0; i < 10; i++) {
       many.drop("k" + i);
     }
     writeLimits.refused(many);
-    assertEquals(5, writeLimits.txnOps());
+    assertEquals(5, writeLimits.transactionOps());
     for (int i = 0; i < 20; i++) {
-      writeLimits.refused(txn);
+      writeLimits.refused(transaction);
       writeLimits.refused(many);
     }
     assertTrue(
         writeLimits.valueBytes() >= WriteLimits.LEAST_VALUE_BYTES
-            && writeLimits.txnOps() >= WriteLimits.LEAST_OPS);
-    assertTrue(new Txn().put("a", Json.object(), 7).isAttachedToLease());
-    assertFalse(txn.isAttachedToLease());
+            && writeLimits.transactionOps() >= WriteLimits.LEAST_OPS);
+    assertTrue(new Transaction().put("a", Json.object(), 7).isAttachedToLease());
+    assertFalse(transaction.isAttachedToLease());
   }
 
   @Test
