--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -38,7 +38,7 @@
   /** The last term; every write of a leader is guarded by it. */
   public static final String TERM = PREFIX + "term";
 
-  private static final long FOLLOW_MICROS = 5_000_000;
+  private static final long WATCH_MICROS = 5_000_000;
   private static final long RETRY_MICROS = 400_000;
 
   /**
@@ -149,7 +149,7 @@
   /** The live leader's label, or null if none is known lately. */
   public String leaderLabel() {
     boolean fresh =
-        loop.nowMicros() - leaderSeenMicros < FOLLOW_MICROS + 2 * tunables.leaseTtlMicros();
+        loop.nowMicros() - leaderSeenMicros < WATCH_MICROS + 2 * tunables.leaseTtlMicros();
     String who = leaderLabel;
     return who != null && fresh && !(who.equals(label) && current == null) ? who : null;
   }
@@ -200,7 +200,7 @@
           storeRevision = listing.storeRevision();
           known = true;
           changed();
-          follow();
+          watch();
         });
   }
 
@@ -219,14 +219,14 @@
     leaderSeenMicros = loop.nowMicros();
   }
 
-  private void follow() {
+  private void watch() {
     if (scope.closed()) {
       return;
     }
-    store.follow(
+    store.watch(
         PREFIX,
         storeRevision,
-        FOLLOW_MICROS,
+        WATCH_MICROS,
         changes -> {
           if (changes.status() == HttpStatus.GONE) {
             read();
@@ -239,7 +239,7 @@
             return;
           }
           storeRevision = Math.max(storeRevision, changes.storeRevision());
-          for (StateClient.Change change : changes.log()) {
+          for (StateClient.KeyEvent change : changes.events()) {
             if (change.key().equals(LEADER)) {
               if (change.data() == null && change.revision() > leaderRevision) {
                 leaderRevision = 0;
@@ -266,7 +266,7 @@
             leaderSeenMicros = loop.nowMicros();
           }
           changed();
-          follow();
+          watch();
         });
   }
 
@@ -300,7 +300,7 @@
       return notBeforeMicros - now;
     }
     busy = true;
-    // The preconditions are what this decision was taken on: followed changes go on arriving while
+    // The preconditions are what this decision was taken on: watch events go on arriving while
     // the
     // lease is made, and
     // a precondition on the newest revision would depose a leader elected in between.
--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/ActiveJobs.java
@@ -23,7 +23,7 @@
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.JobState;
 
-/** The jobs that have not ended, kept up with the state service by following it. */
+/** The jobs that have not ended, kept up with the state service by watching it. */
 final class ActiveJobs {
   private static final long RETRY_MICROS = 500_000;
 
@@ -86,8 +86,8 @@
               }
 
               @Override
-              public void changed(List<StateClient.Change> changes, long sentMicros) {
-                followed(changes, sentMicros);
+              public void changed(List<StateClient.KeyEvent> changes, long sentMicros) {
+                onEvents(changes, sentMicros);
               }
             });
   }
@@ -131,7 +131,7 @@
     return knownMicros;
   }
 
-  /** Takes in all jobs and which of them earlier leaders may have begun, and goes on following. */
+  /** Takes in all jobs and which of them earlier leaders may have begun, and goes on watching. */
   void load(StoredRecords found) {
     knownMicros = found.askedMicros();
     StateClient.Listing jobs = found.under(JobStore.ACTIVE);
@@ -143,7 +143,7 @@
     atLoad = null;
     put.forEach(Runnable::run);
     settleChains();
-    watch.followFrom(jobs.storeRevision());
+    watch.watchFrom(jobs.storeRevision());
   }
 
   private void readProgress(StateClient.Item item) {
@@ -307,7 +307,7 @@
             settleChains();
           }
           // What is neither active here nor ended was accepted a moment ago: it comes with the
-          // followed changes.
+          // watch events.
           context
               .loop()
               .after(found == null || !unread.isEmpty() ? RETRY_MICROS : 0, this::readEnds);
@@ -369,7 +369,7 @@
                 ended(job.uid(), JobState.ABORTED);
                 endDoomed();
               } else if (result.outcome() == Transaction.Outcome.CONFLICT) {
-                // Stored by whoever was asked about it: the followed changes will say so.
+                // Stored by whoever was asked about it: the watch events will say so.
                 doomed.remove(job.uid());
                 context.loop().after(RETRY_MICROS, this::endDoomed);
               } else {
@@ -430,7 +430,7 @@
     }
   }
 
-  /** The job's end is stored, known before the followed changes say so. */
+  /** The job's end is stored, known before the watch events say so. */
   void ended(String uid, JobState how) {
     drop(uid, how);
     changed.run();
@@ -468,9 +468,9 @@
     changed.run();
   }
 
-  private void followed(List<StateClient.Change> changes, long sentMicros) {
+  private void onEvents(List<StateClient.KeyEvent> changes, long sentMicros) {
     knownMicros = sentMicros;
-    for (StateClient.Change change : changes) {
+    for (StateClient.KeyEvent change : changes) {
       if (change.data() == null) {
         drop(change.key().substring(JobStore.ACTIVE.length()), null);
       } else {
--- a/src/main/java/plumlever/leader/HomeWatch.java
+++ b/src/main/java/plumlever/leader/HomeWatch.java
@@ -26,7 +26,7 @@
   private final Set<String> ended = new HashSet<>();
   private long storeRevision = -1;
   private long knownMicros = Long.MIN_VALUE / 4;
-  private boolean following;
+  private boolean watching;
   private boolean closed;
 
   /**
@@ -45,8 +45,8 @@
       return;
     }
     unread.add(uid);
-    if (!following) {
-      following = true;
+    if (!watching) {
+      watching = true;
       begin();
     } else if (storeRevision >= 0) {
       readJob(uid);
@@ -94,7 +94,7 @@
               knownMicros = sent;
               unread.addAll(watched);
               Set.copyOf(unread).forEach(this::readJob);
-              follow();
+              watch();
             });
   }
 
@@ -119,19 +119,19 @@
             });
   }
 
-  private void follow() {
+  private void watch() {
     if (closed) {
       return;
     }
     if (watched.isEmpty()) {
-      following = false;
+      watching = false;
       storeRevision = -1;
       return;
     }
     long sent = context.loop().nowMicros();
     context
         .store()
-        .follow(
+        .watch(
             prefix,
             storeRevision,
             limit.watchMicros(),
@@ -143,17 +143,17 @@
                 log.debug("changes of {} were missed, all guests' jobs are read anew", prefix);
                 begin();
               } else if (changes.status() != HttpStatus.OK) {
-                context.loop().after(RETRY_MICROS, this::follow);
+                context.loop().after(RETRY_MICROS, this::watch);
               } else {
                 storeRevision = Math.max(storeRevision, changes.storeRevision());
                 knownMicros = sent;
-                for (StateClient.Change change : changes.log()) {
+                for (StateClient.KeyEvent change : changes.events()) {
                   String uid = change.key().substring(prefix.length());
                   if (change.data() == null && watched.contains(uid)) {
                     ended.add(uid);
                   }
                 }
-                follow();
+                watch();
               }
             });
   }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -449,7 +449,7 @@
     return into;
   }
 
-  /** The job's end is stored; its tasks are stopped without waiting for the followed changes. */
+  /** The job's end is stored; its tasks are stopped without waiting for the watch events. */
   public void aborted(String uid) {
     if (loaded) {
       jobs.ended(uid, JobState.ABORTED);
--- a/src/main/java/plumlever/leader/PoolLink.java
+++ b/src/main/java/plumlever/leader/PoolLink.java
@@ -8,9 +8,9 @@
 import plumlever.store.StateClient;
 import plumlever.wire.InvalidMessage;
 
-/** Keeps the view of the pool's records up with the state service, by following them. */
+/** Keeps the view of the pool's records up with the state service, by watching them. */
 final class PoolLink {
-  private static final long FOLLOW_MICROS = 2_000_000;
+  private static final long WATCH_MICROS = 2_000_000;
   private static final long RETRY_MICROS = 300_000;
 
   private final Logger log;
@@ -28,7 +28,7 @@
             context.loop(),
             context.store(),
             PoolView.PREFIX,
-            () -> FOLLOW_MICROS,
+            () -> WATCH_MICROS,
             RETRY_MICROS,
             new PrefixWatch.Listener() {
               @Override
@@ -39,7 +39,7 @@
               }
 
               @Override
-              public void changed(List<StateClient.Change> changes, long sentMicros) {
+              public void changed(List<StateClient.KeyEvent> changes, long sentMicros) {
                 knownMicros = sentMicros;
                 changes.forEach(PoolLink.this::apply);
                 if (!changes.isEmpty()) {
@@ -58,18 +58,18 @@
     return knownMicros;
   }
 
-  /** Takes in what was read after the term had been taken, and goes on following. */
+  /** Takes in what was read after the term had been taken, and goes on watching. */
   void load(StateClient.Listing listing, long askedMicros) {
     take(listing);
     knownMicros = askedMicros;
-    watch.followFrom(listing.storeRevision());
+    watch.watchFrom(listing.storeRevision());
   }
 
   private void take(StateClient.Listing listing) {
     List<String> keys = new ArrayList<>();
     for (StateClient.Item item : listing.items()) {
       keys.add(item.key());
-      apply(new StateClient.Change(item.key(), item.data(), item.revision()));
+      apply(new StateClient.KeyEvent(item.key(), item.data(), item.revision()));
     }
     try {
       view.retain(keys, listing.storeRevision());
@@ -79,7 +79,7 @@
   }
 
   /** A record has changed, by this controller's own transaction or by another's. */
-  void apply(StateClient.Change change) {
+  void apply(StateClient.KeyEvent change) {
     try {
       view.apply(change.key(), change.data(), change.revision());
     } catch (InvalidMessage e) {
--- a/src/main/java/plumlever/leader/PoolWriter.java
+++ b/src/main/java/plumlever/leader/PoolWriter.java
@@ -98,7 +98,7 @@
                       .changes()
                       .forEach(
                           (key, data) ->
-                              link.apply(new StateClient.Change(key, data, result.revision())));
+                              link.apply(new StateClient.KeyEvent(key, data, result.revision())));
                   end(step);
                   changed.run();
                 }
@@ -136,7 +136,7 @@
                 return;
               }
               if (got.found()) {
-                link.apply(new StateClient.Change(key, got.item().data(), got.item().revision()));
+                link.apply(new StateClient.KeyEvent(key, got.item().data(), got.item().revision()));
                 read(keys, index + 1, then);
               } else if (got.missing()) {
                 link.absent(key, revisionBefore);
--- a/src/main/java/plumlever/leader/SuccessorHints.java
+++ b/src/main/java/plumlever/leader/SuccessorHints.java
@@ -20,7 +20,7 @@
 /**
  * What a successor would otherwise have to learn anew: which machines have which images, and how
  * far estimates are off. Written now and then, in as many values as a large fleet takes: without it
- * each change of leader costs a fetch for most tasks that follow. It is advice only: wrong or
+ * each change of leader costs a fetch for most tasks that watch. It is advice only: wrong or
  * missing hints cost time, no rule.
  */
 final class SuccessorHints {
--- a/src/main/java/plumlever/rehearsal/StateStandIn.java
+++ b/src/main/java/plumlever/rehearsal/StateStandIn.java
@@ -99,7 +99,7 @@
       } else if (target.startsWith("/keys?")) {
         list(Query.of(target), out);
       } else if (target.startsWith("/follow?")) {
-        follow(Query.of(target), out);
+        watch(Query.of(target), out);
       } else {
         out.error(HttpStatus.NOT_FOUND, "no such path");
       }
@@ -251,7 +251,7 @@
     loop.after(EXPIRE_MICROS, this::expire);
   }
 
-  private void follow(Query query, Responder out) {
+  private void watch(Query query, Responder out) {
     long since = query.number("since", 0);
     if (changes.size() == REMEMBERED && changes.peek().revision() > since) {
       out.error(HttpStatus.GONE, "too old");
--- a/src/main/java/plumlever/sharing/CoreDemand.java
+++ b/src/main/java/plumlever/sharing/CoreDemand.java
@@ -18,7 +18,7 @@
   private CoreDemand() {}
 
   /**
-   * Processors that have to work all the time from now on. Tasks that can follow each other until
+   * Processors that have to work all the time from now on. Tasks that can watch each other until
    * the deadline share theirs; with less time left than one takes, all have to run at once.
    *
    * @param limits of teams that have one
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -305,7 +305,7 @@
   /** All that ended since the last look, as of now. */
   private void look(List<Question> asked) {
     DependencyGraph into = dependencies;
-    store.follow(
+    store.watch(
         JobStore.ENDED,
         storeRevision,
         0,
@@ -327,7 +327,7 @@
             }
             return;
           }
-          for (StateClient.Change change : changes.log()) {
+          for (StateClient.KeyEvent change : changes.events()) {
             JobState how = change.data() == null ? null : JobStore.finalState(change.data());
             if (how != null) {
               String uid = change.key().substring(JobStore.ENDED.length());
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -16,7 +16,7 @@
     void listed(StateClient.Listing listing, long sentMicros);
 
     /** Nothing else has changed; the list may be empty. */
-    void changed(List<StateClient.Change> changes, long sentMicros);
+    void changed(List<StateClient.KeyEvent> changes, long sentMicros);
   }
 
   private final Loop loop;
@@ -48,17 +48,17 @@
   }
 
   /** Follows what changes after that revision. */
-  public void followFrom(long revision) {
+  public void watchFrom(long revision) {
     storeRevision = revision;
-    follow();
+    watch();
   }
 
-  private void follow() {
+  private void watch() {
     if (closed) {
       return;
     }
     long sent = loop.nowMicros();
-    store.follow(
+    store.watch(
         prefix,
         storeRevision,
         waitMicros.getAsLong(),
@@ -69,11 +69,11 @@
           if (changes.status() == HttpStatus.GONE) {
             relist();
           } else if (changes.status() != HttpStatus.OK) {
-            loop.after(retryMicros, this::follow);
+            loop.after(retryMicros, this::watch);
           } else {
             storeRevision = Math.max(storeRevision, changes.storeRevision());
-            listener.changed(changes.log(), sent);
-            follow();
+            listener.changed(changes.events(), sent);
+            watch();
           }
         });
   }
@@ -96,7 +96,7 @@
           }
           storeRevision = listing.storeRevision();
           listener.listed(listing, sent);
-          follow();
+          watch();
         });
   }
 
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -40,16 +40,16 @@
     }
   }
 
-  /** All keys under a prefix, as of a revision from which changes can be followed. */
+  /** All keys under a prefix, as of a revision from which changes can be watched. */
   public record Listing(List<Item> items, long storeRevision) {}
 
   /** One change; {@code data} is null when the key was dropped. */
-  public record Change(String key, JsonNode data, long revision) {}
+  public record KeyEvent(String key, JsonNode data, long revision) {}
 
   /**
    * @param status 200, 410 when {@code since} was too old, else not known
    */
-  public record Changes(int status, long storeRevision, List<Change> log) {}
+  public record WatchResponse(int status, long storeRevision, List<KeyEvent> events) {}
 
   /** What a renewal brought. */
   public enum RenewalResult {
@@ -213,7 +213,7 @@
                     node.path("stamp").asLong(),
                     node.path("permit").asLong(0)));
           }
-          // Pages are read at different revisions; following from the first one misses nothing in
+          // Pages are read at different revisions; watching from the first one misses nothing in
           // between.
           long storeRevision =
               firstStoreRevision >= 0 ? firstStoreRevision : o.get("epoch").longValue();
@@ -332,7 +332,7 @@
    * Asks for the changes under a prefix since a revision, waiting for the first if there is none
    * yet.
    */
-  public void follow(String prefix, long since, long waitMicros, Consumer<Changes> then) {
+  public void watch(String prefix, long since, long waitMicros, Consumer<WatchResponse> then) {
     String path =
         "/follow?under="
             + keySpace.stored(prefix)
@@ -349,26 +349,26 @@
         waitMicros + TIMEOUT_MICROS,
         (status, o) -> {
           if (status != HttpStatus.OK || o == null || !o.path("epoch").isIntegralNumber()) {
-            then.accept(new Changes(status == HttpStatus.OK ? 0 : status, since, List.of()));
+            then.accept(new WatchResponse(status == HttpStatus.OK ? 0 : status, since, List.of()));
             return;
           }
-          List<Change> log = new ArrayList<>();
+          List<KeyEvent> events = new ArrayList<>();
           for (JsonNode node : o.path("log")) {
             if (node.hasNonNull("put")) {
-              log.add(
-                  new Change(
+              events.add(
+                  new KeyEvent(
                       keySpace.known(node.get("put").asText(), prefix),
                       node.path("data"),
                       node.path("stamp").asLong()));
             } else if (node.hasNonNull("drop")) {
-              log.add(
-                  new Change(
+              events.add(
+                  new KeyEvent(
                       keySpace.known(node.get("drop").asText(), prefix),
                       null,
                       node.path("stamp").asLong()));
             }
           }
-          then.accept(new Changes(HttpStatus.OK, o.get("epoch").longValue(), log));
+          then.accept(new WatchResponse(HttpStatus.OK, o.get("epoch").longValue(), events));
         });
   }
 
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -122,7 +122,7 @@
       } else if (path.startsWith("/keys?")) {
         list(parameter(path, "under"), reply);
       } else if (path.startsWith("/follow?")) {
-        follow(parameter(path, "under"), Long.parseLong(parameter(path, "since")), true, reply);
+        watch(parameter(path, "under"), Long.parseLong(parameter(path, "since")), true, reply);
       } else if (path.equals("/catalog")) {
         reply.send(200, CATALOG);
       } else if (path.startsWith("/hosts?")) {
@@ -188,7 +188,7 @@
     reply.send(200, Json.write(out));
   }
 
-  private void follow(String under, long since, boolean mayWait, Reply reply) {
+  private void watch(String under, long since, boolean mayWait, Reply reply) {
     ObjectNode out = Json.object().put("epoch", storeRevision);
     ArrayNode array = out.putArray("log");
     for (Change change : log) {
@@ -204,7 +204,7 @@
       }
     }
     if (array.isEmpty() && mayWait) {
-      loop.after(MOST_WAIT_MICROS, () -> follow(under, since, false, reply));
+      loop.after(MOST_WAIT_MICROS, () -> watch(under, since, false, reply));
     } else {
       reply.send(200, Json.write(out));
     }
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -272,7 +272,7 @@
       } else if (path.startsWith("/keys?")) {
         list(query(path), reply);
       } else if (path.startsWith("/follow?")) {
-        follow(from, query(path), cluster.now(), reply);
+        watch(from, query(path), cluster.now(), reply);
       } else {
         reply.send(404, "{}");
       }
@@ -320,7 +320,7 @@
     reply.send(200, Json.write(out));
   }
 
-  private void follow(
+  private void watch(
       String node, Map<String, String> map, long since, SimulatedCluster.Reply reply) {
     String under = map.get("under");
     long from = Long.parseLong(map.get("since"));
@@ -353,7 +353,7 @@
         () -> {
           if (!woken[0]) {
             woken[0] = true;
-            follow(node, map, since, reply);
+            watch(node, map, since, reply);
           }
         };
     waiting.add(again);
--- a/src/test/java/plumlever/sim/SharingDaysTest.java
+++ b/src/test/java/plumlever/sim/SharingDaysTest.java
@@ -14,7 +14,7 @@
 
 /**
  * Days of three cells by seed: machines are given away with their tasks every few seconds, through
- * all the troubles that a single cell is played with. The checks follow each task over cells.
+ * all the troubles that a single cell is played with. The checks watch each task over cells.
  */
 final class SharingDaysTest {
   private static final List<String> CELLS =
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -140,7 +140,7 @@
   }
 
   @Test
-  void peersFollowEachOther() {
+  void peersWatchEachOther() {
     byte[] theirs =
         HexFormat.of()
             .parseHex(new String(sample("peer-status.hex"), StandardCharsets.US_ASCII).trim());
