--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -17,11 +17,11 @@
 import plumlever.settings.Endpoint;
 import plumlever.settings.Platform;
 import plumlever.store.TokenBucket;
-import plumlever.wire.Flavor;
 import plumlever.wire.HostEntry;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
+import plumlever.wire.MachineType;
 
 /** The cloud's client. Answers that can't be understood count as no answer. */
 public final class CloudClient {
@@ -75,21 +75,21 @@
   /**
    * @param then takes null when the catalogue can't be had now
    */
-  public void catalog(Consumer<List<Flavor>> then) {
+  public void catalog(Consumer<List<MachineType>> then) {
     send(
         "GET",
         "/catalog",
         null,
         (status, o) -> {
-          List<Flavor> flavors = null;
+          List<MachineType> machineTypes = null;
           if (status == HttpStatus.OK && o != null) {
             try {
-              flavors = Flavor.parseCatalog(o);
+              machineTypes = MachineType.parseCatalog(o);
             } catch (InvalidMessage e) {
               surprise("catalog", e.getMessage());
             }
           }
-          then.accept(flavors);
+          then.accept(machineTypes);
         });
   }
 
@@ -136,11 +136,11 @@
 
   /** Rents machines of one kind under a request name that is never used for anything else. */
   public void rent(
-      String name, String flavor, String site, boolean spot, int count, RentAnswer then) {
+      String name, String machineType, String site, boolean spot, int count, RentAnswer then) {
     ObjectNode body =
         Json.object()
             .put("rental", name)
-            .put("flavor", flavor)
+            .put("flavor", machineType)
             .put("site", site)
             .put("loaners", spot)
             .put("count", count);
--- a/src/main/java/plumlever/cloud/MachineTypeDuty.java
+++ b/src/main/java/plumlever/cloud/MachineTypeDuty.java
@@ -11,9 +11,9 @@
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
-import plumlever.wire.Flavor;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
+import plumlever.wire.MachineType;
 
 /**
  * Learns the machine types once: from the cloud, which are then stored, or from what was last
@@ -48,10 +48,10 @@
       return -1;
     }
     cloud.catalog(
-        flavors -> {
-          if (flavors != null) {
-            prices.update(flavors);
-            storeOnce(flavors);
+        machineTypes -> {
+          if (machineTypes != null) {
+            prices.update(machineTypes);
+            storeOnce(machineTypes);
           } else {
             readStored();
           }
@@ -75,14 +75,14 @@
       return;
     }
     try {
-      prices.update(Flavor.parseCatalog(catalog));
+      prices.update(MachineType.parseCatalog(catalog));
       log.info("machine types taken from the state service, the cloud does not answer");
     } catch (InvalidMessage e) {
       log.warn("the stored machine types can't be read: {}", e.getMessage());
     }
   }
 
-  private void storeOnce(List<Flavor> flavors) {
+  private void storeOnce(List<MachineType> machineTypes) {
     store.get(
         JobStore.CATALOG,
         StateClient.RequestPriority.ORDINARY,
@@ -91,29 +91,29 @@
             store.transaction(
                 new Transaction()
                     .require(JobStore.CATALOG, 0)
-                    .put(JobStore.CATALOG, record(flavors)),
+                    .put(JobStore.CATALOG, record(machineTypes)),
                 StateClient.RequestPriority.ORDINARY,
                 result -> log.debug("machine types stored: {}", result.outcome()));
           }
         });
   }
 
-  private static ObjectNode record(List<Flavor> flavors) {
+  private static ObjectNode record(List<MachineType> machineTypes) {
     ObjectNode catalog = Json.object();
     ArrayNode array = catalog.putArray("flavors");
-    for (Flavor flavor : flavors) {
+    for (MachineType machineType : machineTypes) {
       ObjectNode type = array.addObject();
-      type.put("sku", flavor.sku())
-          .put("cores", flavor.cores())
-          .put("accelerators", flavor.accelerators())
-          .put("memory_gb", flavor.memoryGb())
-          .put("cache_gb", flavor.cacheGb())
-          .put("fetch_gb_per_s", flavor.fetchGbPerS())
-          .put("hourly", flavor.hourly())
-          .put("low_price", flavor.lowPrice())
-          .put("startup_s", flavor.startupS());
+      type.put("sku", machineType.name())
+          .put("cores", machineType.cores())
+          .put("accelerators", machineType.accelerators())
+          .put("memory_gb", machineType.memoryGb())
+          .put("cache_gb", machineType.cacheGb())
+          .put("fetch_gb_per_s", machineType.fetchGbPerS())
+          .put("hourly", machineType.hourly())
+          .put("low_price", machineType.spotPrice())
+          .put("startup_s", machineType.startupS());
       ArrayNode sites = type.putArray("sites");
-      flavor.sites().forEach(sites::add);
+      machineType.sites().forEach(sites::add);
     }
     return catalog;
   }
--- a/src/main/java/plumlever/cloud/PriceBook.java
+++ b/src/main/java/plumlever/cloud/PriceBook.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 import plumlever.settings.Tunables;
-import plumlever.wire.Flavor;
 import plumlever.wire.JobSpec;
+import plumlever.wire.MachineType;
 
 /** The machine types and their current prices; empty until the catalogue has been read. */
 public final class PriceBook {
-  private final Map<String, Flavor> flavors = new LinkedHashMap<>();
+  private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
   private final Map<String, Double> ownedHourly;
 
   public PriceBook(Tunables tunables) {
@@ -18,38 +18,38 @@
   }
 
   /** Takes in the machine types as the cloud lists them now. */
-  public void update(List<Flavor> catalog) {
-    for (Flavor flavor : catalog) {
-      if (flavor.cores() > 0 && flavor.memoryGb() > 0) {
-        flavors.put(flavor.sku(), flavor);
+  public void update(List<MachineType> catalog) {
+    for (MachineType machineType : catalog) {
+      if (machineType.cores() > 0 && machineType.memoryGb() > 0) {
+        machineTypes.put(machineType.name(), machineType);
       }
     }
   }
 
   public boolean known() {
-    return !flavors.isEmpty();
+    return !machineTypes.isEmpty();
   }
 
-  public Flavor flavor(String sku) {
-    return flavors.get(sku);
+  public MachineType machineType(String typeName) {
+    return machineTypes.get(typeName);
   }
 
-  public Collection<Flavor> flavors() {
-    return flavors.values();
+  public Collection<MachineType> machineTypes() {
+    return machineTypes.values();
   }
 
   /** What an hour costs; owned types carry what the operator set. */
-  public double hourly(Flavor flavor, boolean spot) {
-    Double owned = ownedHourly.get(flavor.sku());
-    return owned != null ? owned : flavor.hourly(spot);
+  public double hourly(MachineType machineType, boolean spot) {
+    Double owned = ownedHourly.get(machineType.name());
+    return owned != null ? owned : machineType.hourly(spot);
   }
 
   /** True if some machine type that the job allows can hold one of its tasks. */
   public boolean fits(JobSpec job) {
-    return flavors.values().stream()
+    return machineTypes.values().stream()
         .anyMatch(
             f ->
-                (job.flavors() == null || job.flavors().contains(f.sku()))
+                (job.machineTypes() == null || job.machineTypes().contains(f.name()))
                     && (job.site() == null || f.sites().isEmpty() || f.sites().contains(job.site()))
                     && f.share(job) <= 1);
   }
--- a/src/main/java/plumlever/fleet/ImageCache.java
+++ b/src/main/java/plumlever/fleet/ImageCache.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import plumlever.wire.Flavor;
+import plumlever.wire.MachineType;
 
 /**
  * The images that a machine should have or is fetching, as far as that follows from the tasks that
@@ -14,7 +14,7 @@
   private final LinkedHashMap<String, Image> images = new LinkedHashMap<>(8, 0.75f, true);
 
   /** Tells how long a task that needs the image would wait for it, as far as known. */
-  public long fetchMicros(String image, double gb, Flavor type, long nowMicros) {
+  public long fetchMicros(String image, double gb, MachineType type, long nowMicros) {
     Image held = images.get(image);
     if (held != null && held.ready || type.fetchGbPerS() <= 0) {
       return 0;
@@ -33,7 +33,7 @@
   }
 
   /** A task that needs the image goes to the machine. */
-  public void use(String image, double gb, Flavor type, long nowMicros) {
+  public void use(String image, double gb, MachineType type, long nowMicros) {
     Image held = images.get(image);
     if (held == null) {
       images.put(image, new Image(gb, nowMicros));
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -16,7 +16,7 @@
 
   private final String id;
   private String endpoint;
-  private final String flavor;
+  private final String machineType;
   private final String site;
   private final boolean spot;
   private final long knownSinceMicros;
@@ -65,10 +65,10 @@
 
   /** A machine that is known by name and has not reported yet. */
   public Machine(
-      String id, String endpoint, String flavor, String site, boolean spot, long nowMicros) {
+      String id, String endpoint, String machineType, String site, boolean spot, long nowMicros) {
     this.id = id;
     this.endpoint = endpoint;
-    this.flavor = flavor;
+    this.machineType = machineType;
     this.site = site;
     this.spot = spot;
     this.knownSinceMicros = nowMicros;
@@ -90,8 +90,8 @@
     }
   }
 
-  public String flavor() {
-    return flavor;
+  public String machineType() {
+    return machineType;
   }
 
   public String site() {
--- a/src/main/java/plumlever/leader/FleetSizing.java
+++ b/src/main/java/plumlever/leader/FleetSizing.java
@@ -10,7 +10,7 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
 import plumlever.scaling.RentalPlan;
-import plumlever.wire.Flavor;
+import plumlever.wire.MachineType;
 
 /** Closes machines that the aims can do without, where money matters, and opens them again. */
 final class FleetSizing {
@@ -113,8 +113,8 @@
       if (any && cores <= 0) {
         break;
       }
-      Flavor flavor = context.prices().flavor(machine.flavor());
-      cores -= flavor == null ? 0 : flavor.cores() - load(machine);
+      MachineType machineType = context.prices().machineType(machine.machineType());
+      cores -= machineType == null ? 0 : machineType.cores() - load(machine);
       closed.remove(machine);
       any = true;
     }
@@ -127,10 +127,11 @@
 
   /** Price for each processor; spot prices move a little, so kinds are compared coarsely. */
   private double price(Machine machine) {
-    Flavor flavor = context.prices().flavor(machine.flavor());
-    return flavor == null
+    MachineType machineType = context.prices().machineType(machine.machineType());
+    return machineType == null
         ? Double.MAX_VALUE
-        : Math.round(context.prices().hourly(flavor, machine.spot()) / flavor.cores() * COARSE);
+        : Math.round(
+            context.prices().hourly(machineType, machine.spot()) / machineType.cores() * COARSE);
   }
 
   private static double load(Machine machine) {
--- a/src/main/java/plumlever/leader/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/HeartbeatHandler.java
@@ -399,13 +399,13 @@
       attempt.see(reported.state(), now);
       if (reported.state() == AttemptState.RUNNING) {
         machine.images().isReady(job.spec().bundle(), job.spec().imageGb());
-      } else if (context.prices().flavor(machine.flavor()) != null) {
+      } else if (context.prices().machineType(machine.machineType()) != null) {
         machine
             .images()
             .use(
                 job.spec().bundle(),
                 job.spec().imageGb(),
-                context.prices().flavor(machine.flavor()),
+                context.prices().machineType(machine.machineType()),
                 now);
       }
       changed = true;
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -335,7 +335,7 @@
           new Machine(
               heartbeat.host(),
               heartbeat.endpoint(),
-              heartbeat.flavor(),
+              heartbeat.machineType(),
               heartbeat.site(),
               heartbeat.loaners(),
               context.loop().nowMicros());
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -13,8 +13,8 @@
 import plumlever.election.DelegatedRenewal;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.wire.Flavor;
 import plumlever.wire.HostEntry;
+import plumlever.wire.MachineType;
 
 /**
  * Rents and returns machines, keeps the record of those that may hold tasks, and finds the ones
@@ -159,12 +159,12 @@
     context
         .cloud()
         .catalog(
-            flavors -> {
+            machineTypes -> {
               cataloguing = false;
-              if (flavors != null) {
+              if (machineTypes != null) {
                 boolean news = !context.prices().known();
                 catalogMicros = context.loop().nowMicros();
-                context.prices().update(flavors);
+                context.prices().update(machineTypes);
                 if (news) {
                   changed.run();
                 }
@@ -195,7 +195,7 @@
                       new Machine(
                           hostEntry.uid(),
                           hostEntry.endpoint(),
-                          hostEntry.flavor(),
+                          hostEntry.machineType(),
                           hostEntry.site(),
                           hostEntry.loaners(),
                           now - (long) (hostEntry.ageS() * 1e6));
@@ -290,8 +290,9 @@
   }
 
   private boolean bootsTooLong(Machine machine, long now) {
-    Flavor flavor = context.prices().flavor(machine.flavor());
-    double bootS = flavor == null ? UNKNOWN_BOOT_S : Math.max(flavor.startupS(), LEAST_BOOT_S);
+    MachineType machineType = context.prices().machineType(machine.machineType());
+    double bootS =
+        machineType == null ? UNKNOWN_BOOT_S : Math.max(machineType.startupS(), LEAST_BOOT_S);
     long patience = (long) (bootS * 1e6 * context.tunables().bootFactor());
     long since = Math.max(machine.knownSinceMicros(), takeover.startedMicros() - patience / 2);
     return now - since > patience;
@@ -368,7 +369,7 @@
     log.info(
         "returning {} ({} in {}{}): {}",
         machine.id(),
-        machine.flavor(),
+        machine.machineType(),
         machine.site(),
         machine.spot() ? ", spot" : "",
         why);
--- a/src/main/java/plumlever/leader/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/MachineRegistry.java
@@ -115,9 +115,13 @@
       for (Machine machine : machines) {
         int kind =
             numbers.computeIfAbsent(
-                machine.flavor() + "/" + machine.site() + "/" + machine.spot(),
+                machine.machineType() + "/" + machine.site() + "/" + machine.spot(),
                 k -> {
-                  kinds.addArray().add(machine.flavor()).add(machine.site()).add(machine.spot());
+                  kinds
+                      .addArray()
+                      .add(machine.machineType())
+                      .add(machine.site())
+                      .add(machine.spot());
                   return kinds.size() - 1;
                 });
         hosts.addArray().add(machine.id()).add(machine.endpoint()).add(kind);
--- a/src/main/java/plumlever/leader/MachineRentals.java
+++ b/src/main/java/plumlever/leader/MachineRentals.java
@@ -10,7 +10,7 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
 import plumlever.scaling.RentalPlan;
-import plumlever.wire.Flavor;
+import plumlever.wire.MachineType;
 
 /** Rents machines for what waits; a request without an answer is repeated until it has one. */
 final class MachineRentals {
@@ -102,15 +102,15 @@
     // Machines that are booting are booked already; these are not known by name yet.
     List<RentalPlan.Coming> coming = new ArrayList<>();
     for (OpenRental rental : open) {
-      Flavor flavor = context.prices().flavor(rental.kind.flavor());
-      for (int i = 0; flavor != null && i < rental.count; i++) {
-        coming.add(new RentalPlan.Coming(rental.kind, flavor));
+      MachineType machineType = context.prices().machineType(rental.kind.machineType());
+      for (int i = 0; machineType != null && i < rental.count; i++) {
+        coming.add(new RentalPlan.Coming(rental.kind, machineType));
       }
     }
     for (RentalPlan.Kind kind : sharing.coming()) {
-      Flavor flavor = context.prices().flavor(kind.flavor());
-      if (flavor != null) {
-        coming.add(new RentalPlan.Coming(kind, flavor));
+      MachineType machineType = context.prices().machineType(kind.machineType());
+      if (machineType != null) {
+        coming.add(new RentalPlan.Coming(kind, machineType));
       }
     }
     for (RentalPlan.Rental planned :
@@ -141,7 +141,7 @@
         .cloud()
         .rent(
             rental.name,
-            rental.kind.flavor(),
+            rental.kind.machineType(),
             rental.kind.site(),
             rental.kind.spot(),
             rental.count,
@@ -158,7 +158,7 @@
                       "rented {} of {} {} in {}{}",
                       hosts.size(),
                       rental.count,
-                      rental.kind.flavor(),
+                      rental.kind.machineType(),
                       rental.kind.site(),
                       rental.kind.spot() ? ", spot" : "");
                   context.metrics().count("machines_rented", hosts.size());
@@ -183,7 +183,7 @@
 
   private void rented(String host, RentalPlan.Kind kind, long now) {
     if (fleet.machine(host) == null && !isDeleted.test(host)) {
-      fleet.add(new Machine(host, null, kind.flavor(), kind.site(), kind.spot(), now));
+      fleet.add(new Machine(host, null, kind.machineType(), kind.site(), kind.spot(), now));
     }
   }
 }
--- a/src/main/java/plumlever/leader/Preemption.java
+++ b/src/main/java/plumlever/leader/Preemption.java
@@ -11,7 +11,7 @@
 import plumlever.placement.ResourceRequest;
 import plumlever.placement.Zones;
 import plumlever.wire.AttemptState;
-import plumlever.wire.Flavor;
+import plumlever.wire.MachineType;
 import plumlever.wire.Urgency;
 
 /**
@@ -113,14 +113,14 @@
     }
     Zones zones = SchedulingPass.zones(job);
     for (Machine machine : fleet.machines()) {
-      Flavor flavor = context.prices().flavor(machine.flavor());
-      if (flavor == null
+      MachineType machineType = context.prices().machineType(machine.machineType());
+      if (machineType == null
           || !usable.test(machine, now)
-          || !job.spec().allows(machine.flavor(), machine.site(), machine.spot())
+          || !job.spec().allows(machine.machineType(), machine.site(), machine.spot())
           || !zones.allows(machine.site())) {
         continue;
       }
-      List<Attempt> stop = victims(machine, flavor, job, now);
+      List<Attempt> stop = victims(machine, machineType, job, now);
       if (stop.isEmpty()) {
         continue;
       }
@@ -129,7 +129,7 @@
               + COMMAND_MICROS
               + machine
                   .images()
-                  .fetchMicros(job.spec().bundle(), job.spec().imageGb(), flavor, now);
+                  .fetchMicros(job.spec().bundle(), job.spec().imageGb(), machineType, now);
       int harmed = 0;
       for (Attempt attempt : stop) {
         ready =
@@ -162,10 +162,10 @@
    * The fewest tasks on the machine that have to stop; empty if it would not be enough or nothing
    * has to.
    */
-  private List<Attempt> victims(Machine machine, Flavor flavor, Job job, long now) {
-    double cores = flavor.cores();
-    double memory = flavor.memoryGb();
-    double accelerators = flavor.accelerators();
+  private List<Attempt> victims(Machine machine, MachineType machineType, Job job, long now) {
+    double cores = machineType.cores();
+    double memory = machineType.memoryGb();
+    double accelerators = machineType.accelerators();
     List<Attempt> candidates = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
       if (attempt.over()) {
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -26,8 +26,8 @@
 import plumlever.settings.Platform;
 import plumlever.sharing.CoreDemand;
 import plumlever.wire.AttemptState;
-import plumlever.wire.Flavor;
 import plumlever.wire.JobSpec;
+import plumlever.wire.MachineType;
 
 /**
  * The round of decisions: which free tasks go to which machine. A plan binds nobody: it is made
@@ -159,10 +159,11 @@
   long costMicros(Job job) {
     double fetch = 0;
     int types = 0;
-    for (Flavor flavor : context.prices().flavors()) {
-      if (flavor.fetchGbPerS() > 0
-          && (job.spec().flavors() == null || job.spec().flavors().contains(flavor.sku()))) {
-        fetch += job.spec().imageGb() / flavor.fetchGbPerS() * 1e6;
+    for (MachineType machineType : context.prices().machineTypes()) {
+      if (machineType.fetchGbPerS() > 0
+          && (job.spec().machineTypes() == null
+              || job.spec().machineTypes().contains(machineType.name()))) {
+        fetch += job.spec().imageGb() / machineType.fetchGbPerS() * 1e6;
         types++;
       }
     }
@@ -266,11 +267,11 @@
   /** When the last task that runs on the machine should end. */
   long lastEndMicros(Machine machine) {
     long now = context.loop().nowMicros();
-    Flavor flavor = context.prices().flavor(machine.flavor());
+    MachineType machineType = context.prices().machineType(machine.machineType());
     long last = machine.guests().tasks() > 0 ? now + GUESTS_STAY_MICROS : now;
     for (Attempt attempt : machine.attempts()) {
-      if (!attempt.over() && flavor != null) {
-        last = Math.max(last, endsAt(attempt, flavor, now));
+      if (!attempt.over() && machineType != null) {
+        last = Math.max(last, endsAt(attempt, machineType, now));
       }
     }
     return last;
@@ -459,23 +460,24 @@
     FleetSnapshot(long now, Set<Machine> without, boolean withPlans) {
       this.now = now;
       for (Machine machine : fleet.machines()) {
-        Flavor flavor = context.prices().flavor(machine.flavor());
-        if (flavor == null || without.contains(machine)) {
+        MachineType machineType = context.prices().machineType(machine.machineType());
+        if (machineType == null || without.contains(machine)) {
           continue;
         }
         if (coming(machine, now)) {
           long up =
               Math.max(
-                  now + 1_000_000, machine.knownSinceMicros() + (long) (flavor.startupS() * 1.2e6));
-          PlacementCandidate otherSeat = candidate(machine, flavor, 1, 0);
+                  now + 1_000_000,
+                  machine.knownSinceMicros() + (long) (machineType.startupS() * 1.2e6));
+          PlacementCandidate otherSeat = candidate(machine, machineType, 1, 0);
           otherSeat.comesUp(up);
           add(machine, otherSeat);
         } else if (usable(machine, now)) {
           PlacementCandidate otherSeat =
-              candidate(machine, flavor, machine.slowness(), COMMAND_MICROS);
+              candidate(machine, machineType, machine.slowness(), COMMAND_MICROS);
           for (Attempt attempt : machine.attempts()) {
             if (!attempt.over()) {
-              occupy(otherSeat, attempt.job(), endsAt(attempt, flavor, now));
+              occupy(otherSeat, attempt.job(), endsAt(attempt, machineType, now));
             }
           }
           occupyByGuests(otherSeat, machine.guests());
@@ -492,22 +494,22 @@
     }
 
     private PlacementCandidate candidate(
-        Machine machine, Flavor flavor, double slowness, long delay) {
+        Machine machine, MachineType machineType, double slowness, long delay) {
       // Where only speed matters no machine is dearer than another for its size: what is left of
       // the score is the time
       // that a task holds its share, with the image if it has to be fetched.
       double price =
           context.moneyMatters()
-              ? context.prices().hourly(flavor, machine.spot()) / 3600
-              : Math.max(flavor.cores(), flavor.memoryGb() / SPEED_GB_FOR_CORE);
+              ? context.prices().hourly(machineType, machine.spot()) / 3600
+              : Math.max(machineType.cores(), machineType.memoryGb() / SPEED_GB_FOR_CORE);
       return new PlacementCandidate(
           machine.id(),
-          machine.flavor(),
+          machine.machineType(),
           machine.site(),
           machine.spot(),
-          flavor.cores(),
-          flavor.accelerators(),
-          flavor.memoryGb(),
+          machineType.cores(),
+          machineType.accelerators(),
+          machineType.memoryGb(),
           price,
           slowness,
           delay);
@@ -539,7 +541,7 @@
     }
   }
 
-  private long endsAt(Attempt attempt, Flavor flavor, long now) {
+  private long endsAt(Attempt attempt, MachineType machineType, long now) {
     if (attempt.stopping()) {
       return now + (long) (attempt.job().spec().snapshotS() * 1e6);
     }
@@ -555,8 +557,8 @@
       return end > now ? end : now + (now - attempt.runningSinceMicros()) / 5 + 1_000_000;
     }
     long fetch =
-        flavor.fetchGbPerS() > 0
-            ? (long) (attempt.job().spec().imageGb() / flavor.fetchGbPerS() * 1e6)
+        machineType.fetchGbPerS() > 0
+            ? (long) (attempt.job().spec().imageGb() / machineType.fetchGbPerS() * 1e6)
             : 0;
     return Math.max(now, attempt.sentMicros() + fetch) + run;
   }
@@ -575,7 +577,7 @@
         estimates.runMicros(job),
         objectives.finishBy(job, now),
         startBy,
-        job.spec().flavors(),
+        job.spec().machineTypes(),
         job.spec().site(),
         job.spec().loaners(),
         job.spec().checkpoints());
@@ -621,7 +623,11 @@
           Machine otherMachine = snapshot.machines.get(seat);
           return otherMachine
               .images()
-              .fetchMicros(image, gb, context.prices().flavor(otherMachine.flavor()), snapshot.now);
+              .fetchMicros(
+                  image,
+                  gb,
+                  context.prices().machineType(otherMachine.machineType()),
+                  snapshot.now);
         },
         snapshot.now);
   }
--- a/src/main/java/plumlever/leader/ShareDuty.java
+++ b/src/main/java/plumlever/leader/ShareDuty.java
@@ -20,7 +20,7 @@
 import plumlever.sharing.SharePolicy;
 import plumlever.sharing.TransferRecord;
 import plumlever.store.StateClient;
-import plumlever.wire.Flavor;
+import plumlever.wire.MachineType;
 
 /**
  * Tells the other cells what this one has and lacks, and offers them the machines that the policy
@@ -127,9 +127,9 @@
   private double coresOwned() {
     double cores = 0;
     for (Machine machine : fleet.machines()) {
-      Flavor flavor = context.prices().flavor(machine.flavor());
-      if (flavor != null && !machine.returning() && !machine.offered()) {
-        cores += flavor.cores() - machine.guests().cores();
+      MachineType machineType = context.prices().machineType(machine.machineType());
+      if (machineType != null && !machine.returning() && !machine.offered()) {
+        cores += machineType.cores() - machine.guests().cores();
       }
     }
     return cores;
@@ -139,16 +139,19 @@
     double cores = 0;
     int count = 0;
     for (Machine machine : fleet.machines()) {
-      Flavor flavor = context.prices().flavor(machine.flavor());
-      if (flavor != null) {
-        cores += flavor.cores();
+      MachineType machineType = context.prices().machineType(machine.machineType());
+      if (machineType != null) {
+        cores += machineType.cores();
         count++;
       }
     }
     if (count > 0) {
       return cores / count;
     }
-    return context.prices().flavors().stream().mapToDouble(Flavor::cores).average().orElse(1);
+    return context.prices().machineTypes().stream()
+        .mapToDouble(MachineType::cores)
+        .average()
+        .orElse(1);
   }
 
   private void tell(CellDemand demand, long now) {
@@ -278,7 +281,7 @@
       TransferRecord record = stamped.value();
       if (record.offer().filter(offer -> offer.to().equals(own)).isPresent()) {
         TransferRecord.Details details = record.machine();
-        kinds.add(new RentalPlan.Kind(details.flavor(), details.site(), details.spot()));
+        kinds.add(new RentalPlan.Kind(details.machineType(), details.site(), details.spot()));
       }
     }
     return kinds;
--- a/src/main/java/plumlever/leader/Takeover.java
+++ b/src/main/java/plumlever/leader/Takeover.java
@@ -13,7 +13,7 @@
 import plumlever.fleet.RegistrationState;
 import plumlever.settings.Platform;
 import plumlever.sharing.LimitParts;
-import plumlever.wire.Flavor;
+import plumlever.wire.MachineType;
 
 /**
  * What earlier leaders may have left running. Until every machine that could hold one of its tasks
@@ -179,12 +179,12 @@
     unsureCores = 0;
     unsureAccelerators = 0;
     for (Machine machine : unsure) {
-      Flavor flavor = context.prices().flavor(machine.flavor());
-      if (flavor == null) {
+      MachineType machineType = context.prices().machineType(machine.machineType());
+      if (machineType == null) {
         return false;
       }
-      unsureCores += flavor.cores();
-      unsureAccelerators += flavor.accelerators();
+      unsureCores += machineType.cores();
+      unsureAccelerators += machineType.accelerators();
     }
     unsureKnown = true;
     return true;
--- a/src/main/java/plumlever/leader/TaskStarter.java
+++ b/src/main/java/plumlever/leader/TaskStarter.java
@@ -8,8 +8,8 @@
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
 import plumlever.placement.Zones;
-import plumlever.wire.Flavor;
 import plumlever.wire.JobSpec;
+import plumlever.wire.MachineType;
 import plumlever.wire.WorkerCommand;
 
 /** Starts planned tasks: the last place where every rule about a start is checked. */
@@ -22,10 +22,10 @@
     private double accelerators;
     private double memoryGb;
 
-    Room(Machine machine, Flavor flavor) {
-      cores = flavor.cores() - machine.guests().cores();
-      accelerators = flavor.accelerators() - machine.guests().accelerators();
-      memoryGb = flavor.memoryGb() - machine.guests().memoryGb();
+    Room(Machine machine, MachineType machineType) {
+      cores = machineType.cores() - machine.guests().cores();
+      accelerators = machineType.accelerators() - machine.guests().accelerators();
+      memoryGb = machineType.memoryGb() - machine.guests().memoryGb();
       for (Attempt attempt : machine.attempts()) {
         if (!attempt.over()) {
           take(attempt.job().spec());
@@ -66,8 +66,8 @@
       Iterable<SchedulingPass.PlannedTasks> planned,
       boolean direct,
       List<WorkerCommand> commands) {
-    Flavor flavor = context.prices().flavor(machine.flavor());
-    if (flavor == null
+    MachineType machineType = context.prices().machineType(machine.machineType());
+    if (machineType == null
         || !jobs.mayRenew()
         || machine.draining()
         || machine.returning()
@@ -78,7 +78,7 @@
       return List.of();
     }
     List<Attempt> started = new ArrayList<>();
-    Room room = new Room(machine, flavor);
+    Room room = new Room(machine, machineType);
     long now = context.loop().nowMicros();
     for (SchedulingPass.PlannedTasks otherPlanned : planned) {
       Job job = otherPlanned.job;
@@ -87,7 +87,7 @@
           || job.waiting()
           || job.enrolment() != RegistrationState.STORED
           || takeover.blocks(job)
-          || !job.spec().allows(machine.flavor(), machine.site(), machine.spot())) {
+          || !job.spec().allows(machine.machineType(), machine.site(), machine.spot())) {
         continue;
       }
       Zones zones = SchedulingPass.zones(job);
@@ -102,7 +102,7 @@
         started.add(attempt);
         zones.add(machine.site());
         room.take(job.spec());
-        machine.images().use(job.spec().bundle(), job.spec().imageGb(), flavor, now);
+        machine.images().use(job.spec().bundle(), job.spec().imageGb(), machineType, now);
         commands.add(WorkerCommand.run(attempt.name(), attempt.id()));
         context.metrics().count("runs_ordered");
         context.metrics().time("wait", now - job.releasedMicros());
--- a/src/main/java/plumlever/leader/TransferDuty.java
+++ b/src/main/java/plumlever/leader/TransferDuty.java
@@ -20,8 +20,8 @@
 import plumlever.sharing.OwnerRecord;
 import plumlever.sharing.PoolView;
 import plumlever.sharing.TransferRecord;
-import plumlever.wire.Flavor;
 import plumlever.wire.Json;
+import plumlever.wire.MachineType;
 
 /**
  * Carries transfers on, from whatever state the records show: offers this cell's machines, takes
@@ -204,10 +204,10 @@
           new Machine(
               details.id(),
               details.endpoint(),
-              details.flavor(),
+              details.machineType(),
               details.site(),
               details.spot(),
-              now() - bootMicros(details.flavor()));
+              now() - bootMicros(details.machineType()));
     }
     machine.tokenTerm(record.number());
     machine.renewedElsewhere(now() + OFFER_VIEW_MICROS);
@@ -221,8 +221,8 @@
   }
 
   /** It is up already, so it is known for at least as long as it takes to boot. */
-  private long bootMicros(String flavor) {
-    Flavor known = context.prices().flavor(flavor);
+  private long bootMicros(String machineType) {
+    MachineType known = context.prices().machineType(machineType);
     return known == null ? 0 : (long) (known.startupS() * BOOT_MARGIN * 1e6);
   }
 
@@ -248,7 +248,7 @@
         new Machine(
             details.id(),
             details.endpoint(),
-            details.flavor(),
+            details.machineType(),
             details.site(),
             details.spot(),
             now());
@@ -403,7 +403,11 @@
     TransferRecord offer =
         TransferRecord.offered(
             new TransferRecord.Details(
-                machine.id(), machine.endpoint(), machine.flavor(), machine.site(), machine.spot()),
+                machine.id(),
+                machine.endpoint(),
+                machine.machineType(),
+                machine.site(),
+                machine.spot()),
             machine.incarnation(),
             own,
             Math.max(machine.tokenTerm(), before.map(TransferRecord::number).orElse(0L)),
--- a/src/main/java/plumlever/placement/PlacementCandidate.java
+++ b/src/main/java/plumlever/placement/PlacementCandidate.java
@@ -12,7 +12,7 @@
   private static final double EPSILON = 1e-9;
 
   final String machine;
-  final String flavor;
+  final String machineType;
   final String zone;
   final boolean spot;
   final double totalCores;
@@ -37,7 +37,7 @@
   /** A machine with all its room free from now on. */
   public PlacementCandidate(
       String machine,
-      String flavor,
+      String machineType,
       String zone,
       boolean spot,
       double totalCores,
@@ -47,7 +47,7 @@
       double slowness,
       long delayMicros) {
     this.machine = machine;
-    this.flavor = flavor;
+    this.machineType = machineType;
     this.zone = zone;
     this.spot = spot;
     this.totalCores = totalCores;
--- a/src/main/java/plumlever/placement/ResourceRequest.java
+++ b/src/main/java/plumlever/placement/ResourceRequest.java
@@ -8,7 +8,7 @@
  * @param runMicros run time to plan with on a machine of nominal speed
  * @param deadlineMicros when it should be complete; Long.MAX_VALUE for none
  * @param startByMicros when it should run; Long.MAX_VALUE for none
- * @param flavors null for any
+ * @param machineTypes null for any
  * @param site null for any
  * @param spot whether spot machines are allowed
  * @param saves whether a task that is stopped loses little
@@ -22,13 +22,13 @@
     long runMicros,
     long deadlineMicros,
     long startByMicros,
-    List<String> flavors,
+    List<String> machineTypes,
     String site,
     boolean spot,
     boolean saves) {
 
   boolean allows(PlacementCandidate candidate) {
-    return (flavors == null || flavors.contains(candidate.flavor))
+    return (machineTypes == null || machineTypes.contains(candidate.machineType))
         && (site == null || site.equals(candidate.zone))
         && (spot || !candidate.spot);
   }
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import plumlever.cloud.PriceBook;
-import plumlever.wire.Flavor;
 import plumlever.wire.JobSpec;
+import plumlever.wire.MachineType;
 
 /** What to rent for tasks that no machine, here or coming, can start in time. Pure. */
 public final class RentalPlan {
@@ -15,20 +15,20 @@
   public record Demand(JobSpec job, String zone, int tasks, long runMicros) {}
 
   /** A kind of machine the cloud may have. */
-  public record Kind(String flavor, String site, boolean spot) {
+  public record Kind(String machineType, String site, boolean spot) {
     // Written out for the same reason as in Endpoint: a new leader asks for it in its first
     // moments.
     @Override
     public boolean equals(Object object) {
       return object instanceof Kind kind
           && kind.spot == spot
-          && kind.flavor.equals(flavor)
+          && kind.machineType.equals(machineType)
           && kind.site.equals(site);
     }
 
     @Override
     public int hashCode() {
-      return (flavor.hashCode() * 31 + site.hashCode()) * 2 + (spot ? 1 : 0);
+      return (machineType.hashCode() * 31 + site.hashCode()) * 2 + (spot ? 1 : 0);
     }
   }
 
@@ -43,11 +43,11 @@
     private double memoryGb;
 
     /** A machine of this kind with all its room. */
-    public Coming(Kind kind, Flavor flavor) {
+    public Coming(Kind kind, MachineType machineType) {
       this.kind = kind;
-      this.cores = flavor.cores();
-      this.accelerators = flavor.accelerators();
-      this.memoryGb = flavor.memoryGb();
+      this.cores = machineType.cores();
+      this.accelerators = machineType.accelerators();
+      this.memoryGb = machineType.memoryGb();
     }
 
     private int take(JobSpec job, int most) {
@@ -106,7 +106,7 @@
         if (kind == null) {
           break;
         }
-        Coming otherComing = new Coming(kind, prices.flavor(kind.flavor));
+        Coming otherComing = new Coming(kind, prices.machineType(kind.machineType));
         int got = otherComing.take(demand.job(), left);
         if (got == 0) {
           break;
@@ -123,7 +123,7 @@
   }
 
   private static boolean allowed(Demand demand, Kind kind) {
-    return demand.job().allows(kind.flavor, kind.site, kind.spot)
+    return demand.job().allows(kind.machineType, kind.site, kind.spot)
         && (demand.zone() == null || demand.zone().equals(kind.site));
   }
 
@@ -135,21 +135,21 @@
       Demand demand, int left, Predicate<Kind> available, Map<Kind, Integer> planned) {
     Kind best = null;
     double least = Double.MAX_VALUE;
-    for (Flavor flavor : prices.flavors()) {
-      double share = flavor.share(demand.job());
+    for (MachineType machineType : prices.machineTypes()) {
+      double share = machineType.share(demand.job());
       if (share > 1 + 1e-9) {
         continue;
       }
-      for (String site : flavor.sites()) {
+      for (String site : machineType.sites()) {
         for (boolean spot : new boolean[] {true, false}) {
-          Kind kind = new Kind(flavor.sku(), site, spot);
+          Kind kind = new Kind(machineType.name(), site, spot);
           if (!allowed(demand, kind) || !available.test(kind)) {
             continue;
           }
           int tasks = Math.max(1, Math.min(left, (int) (1 / Math.max(share, 1e-6) + 1e-9)));
-          double cost = prices.hourly(flavor, spot) / tasks;
+          double cost = prices.hourly(machineType, spot) / tasks;
           if (!moneyMatters) {
-            cost *= 1 + flavor.startupS() / 300;
+            cost *= 1 + machineType.startupS() / 300;
           }
           // Spreads requests over zones, so that one zone's trouble or shortage takes less at once.
           cost *=
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -47,7 +47,8 @@
   }
 
   /** What a machine is, for an owner that has never heard of it. */
-  public record Details(String id, String endpoint, String flavor, String site, boolean spot) {}
+  public record Details(
+      String id, String endpoint, String machineType, String site, boolean spot) {}
 
   /**
    * To whom a machine is offered.
@@ -129,7 +130,7 @@
         Json.object()
             .put("state", state.name())
             .put("endpoint", machine.endpoint())
-            .put("flavor", machine.flavor())
+            .put("flavor", machine.machineType())
             .put("site", machine.site())
             .put("spot", machine.spot())
             .put("session", incarnation)
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -12,7 +12,7 @@
 public record Heartbeat(
     String host,
     String endpoint,
-    String flavor,
+    String machineType,
     String site,
     boolean loaners,
     long incarnation,
@@ -62,7 +62,7 @@
         switch (name) {
           case "host" -> fields.host = text(jsonParser, name);
           case "endpoint" -> fields.endpoint = text(jsonParser, name);
-          case "flavor" -> fields.flavor = text(jsonParser, name);
+          case "flavor" -> fields.machineType = text(jsonParser, name);
           case "site" -> fields.site = text(jsonParser, name);
           case "loaners" -> fields.loaners = flag(jsonParser, name);
           case "tenure" -> fields.incarnation = whole(jsonParser, name);
@@ -90,7 +90,7 @@
   private static final class Fields {
     private String host;
     private String endpoint;
-    private String flavor;
+    private String machineType;
     private String site;
     private Boolean loaners;
     private long incarnation = -1;
@@ -103,7 +103,7 @@
       return new Heartbeat(
           needed(host, "host"),
           needed(endpoint, "endpoint"),
-          needed(flavor, "flavor"),
+          needed(machineType, "flavor"),
           needed(site, "site"),
           needed(loaners, "loaners"),
           needed(incarnation, "tenure"),
--- a/src/main/java/plumlever/wire/HostEntry.java
+++ b/src/main/java/plumlever/wire/HostEntry.java
@@ -6,7 +6,7 @@
 public record HostEntry(
     String uid,
     String endpoint,
-    String flavor,
+    String machineType,
     String site,
     boolean loaners,
     String status,
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -20,7 +20,7 @@
     double memoryGb,
     String bundle,
     double imageGb,
-    List<String> flavors,
+    List<String> machineTypes,
     String site,
     boolean oneZone,
     boolean spread,
@@ -43,7 +43,7 @@
       double memoryGb,
       String bundle,
       double imageGb,
-      List<String> flavors,
+      List<String> machineTypes,
       String site,
       boolean oneZone,
       boolean spread,
@@ -63,7 +63,7 @@
         memoryGb,
         bundle,
         imageGb,
-        flavors,
+        machineTypes,
         site,
         oneZone,
         spread,
@@ -107,18 +107,18 @@
     if (!"sweep".equals(Json.text(object, "shape"))) {
       throw new InvalidMessage("shape is unknown");
     }
-    List<String> flavors = null;
+    List<String> machineTypes = null;
     JsonNode node = object.get("flavors");
     if (node != null && !node.isNull()) {
       if (!node.isArray() || node.isEmpty() || node.size() > 100) {
         throw new InvalidMessage("flavors must be null or a list of 1 to 100 names");
       }
-      flavors = new ArrayList<>();
+      machineTypes = new ArrayList<>();
       for (JsonNode element : node) {
         if (!element.isTextual() || element.textValue().isEmpty()) {
           throw new InvalidMessage("flavors must hold names");
         }
-        flavors.add(element.textValue());
+        machineTypes.add(element.textValue());
       }
     }
     double cores = Json.amount(object, "cores", 0);
@@ -135,7 +135,7 @@
         memory,
         Json.text(object, "bundle"),
         Json.amount(object, "image_gb", 0),
-        flavors == null ? null : List.copyOf(flavors),
+        machineTypes == null ? null : List.copyOf(machineTypes),
         Json.textOrNull(object, "site"),
         Json.flag(object, "one_zone"),
         Json.flag(object, "spread"),
@@ -182,7 +182,7 @@
         memoryGb,
         bundle,
         imageGb,
-        flavors,
+        machineTypes,
         site,
         oneZone,
         spread,
@@ -225,9 +225,9 @@
     if (hasDeadline()) {
       object.put("due_s", dueS);
     }
-    if (flavors != null) {
+    if (machineTypes != null) {
       var array = object.putArray("flavors");
-      flavors.forEach(array::add);
+      machineTypes.forEach(array::add);
     }
     if (waits()) {
       var array = object.putArray(WAITS_ON);
@@ -237,8 +237,8 @@
   }
 
   /** True if a task may run on such a machine; rules about several tasks aside. */
-  public boolean allows(String flavor, String zone, boolean spot) {
-    return (flavors == null || flavors.contains(flavor))
+  public boolean allows(String machineType, String zone, boolean spot) {
+    return (machineTypes == null || machineTypes.contains(machineType))
         && (site == null || site.equals(zone))
         && (loaners || !spot);
   }
--- a/src/main/java/plumlever/wire/Flavor.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -6,25 +6,25 @@
 import java.util.List;
 
 /** A machine type, as the cloud's catalogue lists it. */
-public record Flavor(
-    String sku,
+public record MachineType(
+    String name,
     double cores,
     double accelerators,
     double memoryGb,
     double cacheGb,
     double fetchGbPerS,
     double hourly,
-    double lowPrice,
+    double spotPrice,
     double startupS,
     List<String> sites) {
 
   /** Reads the cloud's machine types. */
-  public static List<Flavor> parseCatalog(ObjectNode body) throws InvalidMessage {
+  public static List<MachineType> parseCatalog(ObjectNode body) throws InvalidMessage {
     JsonNode array = body.get("flavors");
     if (array == null || !array.isArray()) {
       throw new InvalidMessage("flavors must be a list");
     }
-    List<Flavor> out = new ArrayList<>();
+    List<MachineType> out = new ArrayList<>();
     for (JsonNode node : array) {
       List<String> sites = new ArrayList<>();
       JsonNode site = node.get("sites");
@@ -33,7 +33,7 @@
       }
       double hourly = Json.amount(node, "hourly", 0);
       out.add(
-          new Flavor(
+          new MachineType(
               Json.text(node, "sku"),
               Json.amount(node, "cores", 0),
               Json.amount(node, "accelerators", 0),
@@ -49,7 +49,7 @@
   }
 
   public double hourly(boolean spot) {
-    return spot ? lowPrice : hourly;
+    return spot ? spotPrice : hourly;
   }
 
   /** The largest share of a machine of this type that one task takes; above 1 it does not fit. */
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -39,7 +39,7 @@
         Json.object()
             .put("host", heartbeat.host())
             .put("endpoint", heartbeat.endpoint())
-            .put("flavor", heartbeat.flavor())
+            .put("flavor", heartbeat.machineType())
             .put("site", heartbeat.site())
             .put("loaners", heartbeat.loaners())
             .put("tenure", heartbeat.incarnation())
@@ -82,7 +82,7 @@
     return new Heartbeat(
         heartbeat.host(),
         heartbeat.endpoint(),
-        heartbeat.flavor(),
+        heartbeat.machineType(),
         heartbeat.site(),
         heartbeat.loaners(),
         heartbeat.incarnation(),
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -26,23 +26,23 @@
       {"sku":"large","cores":16,"accelerators":0,"memory_gb":64,"cache_gb":40,"fetch_gb_per_s":0.5,"hourly":0.9,"low_price":0.3,"startup_s":8,"sites":["a","b"]}]}
       """;
 
-  static double coresOf(String flavor) {
-    return flavor.equals("small") ? 4 : 16;
+  static double coresOf(String machineType) {
+    return machineType.equals("small") ? 4 : 16;
   }
 
   /** A rented machine. */
   static final class Vm {
     final String id;
-    final String flavor;
+    final String machineType;
     final String site;
     final boolean spot;
     final long bornMicros;
     FakeWorker worker;
     boolean dead;
 
-    Vm(String id, String flavor, String site, boolean spot, long born) {
+    Vm(String id, String machineType, String site, boolean spot, long born) {
       this.id = id;
-      this.flavor = flavor;
+      this.machineType = machineType;
       this.site = site;
       this.spot = spot;
       this.bornMicros = born;
@@ -79,7 +79,7 @@
       list.addObject()
           .put("uid", vm.id)
           .put("endpoint", cluster.workerAt.apply(vm.id).toString())
-          .put("flavor", vm.flavor)
+          .put("flavor", vm.machineType)
           .put("site", vm.site)
           .put("loaners", vm.spot)
           .put("status", vm.worker == null ? "booting" : "running")
@@ -210,7 +210,7 @@
         machines.values().stream()
             .filter(
                 v ->
-                    v.flavor.equals(object.path("flavor").asText())
+                    v.machineType.equals(object.path("flavor").asText())
                         && v.site.equals(object.path("site").asText())
                         && v.spot == object.path("loaners").asBoolean())
             .count();
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -312,7 +312,7 @@
         Json.object()
             .put("host", vm.id)
             .put("endpoint", cluster.workerAt.apply(vm.id).toString())
-            .put("flavor", vm.flavor)
+            .put("flavor", vm.machineType)
             .put("site", vm.site)
             .put("loaners", vm.spot)
             .put("tenure", incarnation)
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -128,7 +128,7 @@
       onByJob.merge(otherJob.uid(), 1, Integer::sum);
       noteCancelledOn(otherJob.uid());
     }
-    if (!otherJob.allows(worker.vm.flavor, worker.vm.site, worker.vm.spot)) {
+    if (!otherJob.allows(worker.vm.machineType, worker.vm.site, worker.vm.spot)) {
       broke("wrong_place", task + " on " + worker.vm.id);
     }
     int here = 0;
@@ -370,10 +370,10 @@
 
   private boolean machineHasRoom(JobSpec otherJob) {
     for (FakeCloud.Vm vm : cluster.cloud.machines.values()) {
-      if (vm.worker == null || !otherJob.allows(vm.flavor, vm.site, vm.spot)) {
+      if (vm.worker == null || !otherJob.allows(vm.machineType, vm.site, vm.spot)) {
         continue;
       }
-      double cores = FakeCloud.coresOf(vm.flavor);
+      double cores = FakeCloud.coresOf(vm.machineType);
       for (FakeWorker.Task task : vm.worker.tasks.values()) {
         cores -= task.status.equals("ended") ? 0 : submitted.get(job(task.name)).cores();
       }
