--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -39,7 +39,7 @@
     """
         .formatted(
             platform.label(),
-            platform.area(),
+            platform.zone(),
             platform.bind(),
             platform.back(),
             others,
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -136,12 +136,12 @@
 
   /** Rents machines of one kind under a request name that is never used for anything else. */
   public void rent(
-      String name, String machineType, String site, boolean spot, int count, RentAnswer then) {
+      String name, String machineType, String zone, boolean spot, int count, RentAnswer then) {
     ObjectNode body =
         Json.object()
             .put("rental", name)
             .put("flavor", machineType)
-            .put("site", site)
+            .put("site", zone)
             .put("loaners", spot)
             .put("count", count);
     send(
--- a/src/main/java/plumlever/cloud/MachineTypeDuty.java
+++ b/src/main/java/plumlever/cloud/MachineTypeDuty.java
@@ -112,8 +112,8 @@
           .put("hourly", machineType.hourly())
           .put("low_price", machineType.spotPrice())
           .put("startup_s", machineType.startupS());
-      ArrayNode sites = type.putArray("sites");
-      machineType.sites().forEach(sites::add);
+      ArrayNode zones = type.putArray("sites");
+      machineType.zones().forEach(zones::add);
     }
     return catalog;
   }
--- a/src/main/java/plumlever/cloud/PriceBook.java
+++ b/src/main/java/plumlever/cloud/PriceBook.java
@@ -50,7 +50,7 @@
         .anyMatch(
             f ->
                 (job.machineTypes() == null || job.machineTypes().contains(f.name()))
-                    && (job.site() == null || f.sites().isEmpty() || f.sites().contains(job.site()))
+                    && (job.zone() == null || f.zones().isEmpty() || f.zones().contains(job.zone()))
                     && f.share(job) <= 1);
   }
 }
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -269,7 +269,7 @@
     if (!spec.oneZone() || live.isEmpty()) {
       return null;
     }
-    return live.values().iterator().next().machine().site();
+    return live.values().iterator().next().machine().zone();
   }
 
   /**
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -17,7 +17,7 @@
   private final String id;
   private String endpoint;
   private final String machineType;
-  private final String site;
+  private final String zone;
   private final boolean spot;
   private final long knownSinceMicros;
 
@@ -65,11 +65,11 @@
 
   /** A machine that is known by name and has not reported yet. */
   public Machine(
-      String id, String endpoint, String machineType, String site, boolean spot, long nowMicros) {
+      String id, String endpoint, String machineType, String zone, boolean spot, long nowMicros) {
     this.id = id;
     this.endpoint = endpoint;
     this.machineType = machineType;
-    this.site = site;
+    this.zone = zone;
     this.spot = spot;
     this.knownSinceMicros = nowMicros;
   }
@@ -94,8 +94,8 @@
     return machineType;
   }
 
-  public String site() {
-    return site;
+  public String zone() {
+    return zone;
   }
 
   public boolean spot() {
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -61,7 +61,7 @@
    * @return false if they may not, and nothing was answered
    */
   boolean answer(Heartbeat heartbeat, Responder out) {
-    Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.site());
+    Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.zone());
     // Nothing was read yet: what can be told without, is told before the jobs are asked for.
     if (right.isEmpty()
         || renewal
@@ -77,7 +77,7 @@
   private void answer(Heartbeat heartbeat, Optional<JobRecordCache.Ends> ends, Responder out) {
     // Asked again: finding out took its time. A lease is not renewed for tasks whose stop can't be
     // given.
-    Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.site());
+    Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.zone());
     if (right.isEmpty()) {
       refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
       return;
--- a/src/main/java/plumlever/leader/CommandSender.java
+++ b/src/main/java/plumlever/leader/CommandSender.java
@@ -82,7 +82,7 @@
           || !pass.recorded(machine)) {
         continue;
       }
-      if (!delegation.mayCommand(machine.site())) {
+      if (!delegation.mayCommand(machine.zone())) {
         context.metrics().count("starts_left_to_reports_delegated");
         continue;
       }
@@ -141,7 +141,7 @@
     if (at == null || machine.calling() || raises >= MOST_RAISES || !context.term().mayAct()) {
       return;
     }
-    if (!delegation.mayCommand(machine.site())) {
+    if (!delegation.mayCommand(machine.zone())) {
       probe(machine);
       return;
     }
--- a/src/main/java/plumlever/leader/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/DeadCellAdoption.java
@@ -124,7 +124,7 @@
     return new TransferRecord(
         TransferRecord.State.TAKEN,
         new TransferRecord.Details(
-            host.uid(), host.endpoint(), host.machineType(), host.site(), host.loaners()),
+            host.uid(), host.endpoint(), host.machineType(), host.zone(), host.loaners()),
         0,
         owner.name(),
         0,
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -336,7 +336,7 @@
               heartbeat.host(),
               heartbeat.endpoint(),
               heartbeat.machineType(),
-              heartbeat.site(),
+              heartbeat.zone(),
               heartbeat.loaners(),
               context.loop().nowMicros());
       fleet.add(machine);
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -196,7 +196,7 @@
                           hostEntry.uid(),
                           hostEntry.endpoint(),
                           hostEntry.machineType(),
-                          hostEntry.site(),
+                          hostEntry.zone(),
                           hostEntry.loaners(),
                           now - (long) (hostEntry.ageS() * 1e6));
                   machine.returning(sharing.mustReturn(hostEntry.uid()));
@@ -209,14 +209,14 @@
   }
 
   private long lapsesAt(Machine machine) {
-    if (delegation.covers(machine.site())) {
+    if (delegation.covers(machine.zone())) {
       return Long.MAX_VALUE;
     }
     // An answer of this term renewed the lease at the latest; before the first, an earlier leader
     // may have, or a
     // delegate of its, whose last read of the delegation is good for a while longer.
     long renewedForLeader =
-        Math.max(takeover.loadedMicros(), delegation.endedMicros(machine.site()))
+        Math.max(takeover.loadedMicros(), delegation.endedMicros(machine.zone()))
             + DelegatedRenewal.VALID_MICROS;
     long renewed =
         Math.max(
@@ -300,8 +300,8 @@
 
   /** Many silent at once in a zone look like a cut, behind which they go on working. */
   private boolean isGone(Machine machine, long now) {
-    int leases = delegation.covers(machine.site()) ? LEASES_DELEGATED : LEASES_BEHIND_CUT;
-    return !silence.isCut(machine.site())
+    int leases = delegation.covers(machine.zone()) ? LEASES_DELEGATED : LEASES_BEHIND_CUT;
+    return !silence.isCut(machine.zone())
         || silence.of(machine, now) > leases * context.platform().workers().leaseMicros();
   }
 
@@ -317,12 +317,12 @@
     }
     Map<String, Integer> calls = new HashMap<>();
     for (Machine machine : fleet.machines()) {
-      if (!machine.heard() || !silence.isCut(machine.site())) {
+      if (!machine.heard() || !silence.isCut(machine.zone())) {
         continue;
       }
       if (now - machine.lastSeenMicros() < REACHED_MICROS) {
-        unreached.remove(machine.site());
-      } else if (calls.merge(machine.site(), 1, Integer::sum) <= PROBES) {
+        unreached.remove(machine.zone());
+      } else if (calls.merge(machine.zone(), 1, Integer::sum) <= PROBES) {
         commands.probe(machine);
       }
     }
@@ -341,7 +341,7 @@
         || now - takeover.loadedMicros() < HOLD_UP_MICROS) {
       return false;
     }
-    return silence.isMostlyTakenOver(machine.site());
+    return silence.isMostlyTakenOver(machine.zone());
   }
 
   private boolean idleTooLong(Machine machine, boolean crowded, long now) {
@@ -370,7 +370,7 @@
         "returning {} ({} in {}{}): {}",
         machine.id(),
         machine.machineType(),
-        machine.site(),
+        machine.zone(),
         machine.spot() ? ", spot" : "",
         why);
     machine.returning(true);
--- a/src/main/java/plumlever/leader/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/MachineRegistry.java
@@ -115,12 +115,12 @@
       for (Machine machine : machines) {
         int kind =
             numbers.computeIfAbsent(
-                machine.machineType() + "/" + machine.site() + "/" + machine.spot(),
+                machine.machineType() + "/" + machine.zone() + "/" + machine.spot(),
                 k -> {
                   kinds
                       .addArray()
                       .add(machine.machineType())
-                      .add(machine.site())
+                      .add(machine.zone())
                       .add(machine.spot());
                   return kinds.size() - 1;
                 });
--- a/src/main/java/plumlever/leader/MachineRentals.java
+++ b/src/main/java/plumlever/leader/MachineRentals.java
@@ -117,7 +117,7 @@
         plan.plan(
             pass.demands(),
             coming,
-            k -> now >= shortUntil.getOrDefault(k, 0L) && !isCut.test(k.site()),
+            k -> now >= shortUntil.getOrDefault(k, 0L) && !isCut.test(k.zone()),
             MOST_PER_ROUND)) {
       if (open.size() >= MOST_OPEN) {
         break;
@@ -142,7 +142,7 @@
         .rent(
             rental.name,
             rental.kind.machineType(),
-            rental.kind.site(),
+            rental.kind.zone(),
             rental.kind.spot(),
             rental.count,
             (outcome, hosts) -> {
@@ -159,7 +159,7 @@
                       hosts.size(),
                       rental.count,
                       rental.kind.machineType(),
-                      rental.kind.site(),
+                      rental.kind.zone(),
                       rental.kind.spot() ? ", spot" : "");
                   context.metrics().count("machines_rented", hosts.size());
                   sizeChangedMicros = now;
@@ -183,7 +183,7 @@
 
   private void rented(String host, RentalPlan.Kind kind, long now) {
     if (fleet.machine(host) == null && !isDeleted.test(host)) {
-      fleet.add(new Machine(host, null, kind.machineType(), kind.site(), kind.spot(), now));
+      fleet.add(new Machine(host, null, kind.machineType(), kind.zone(), kind.spot(), now));
     }
   }
 }
--- a/src/main/java/plumlever/leader/MachineSilence.java
+++ b/src/main/java/plumlever/leader/MachineSilence.java
@@ -125,7 +125,7 @@
     for (Machine machine : fleet.machines()) {
       boolean open = takeover.open().contains(machine);
       if (machine.heard() || open) {
-        ZoneCount zone = zones.computeIfAbsent(machine.site(), name -> new ZoneCount());
+        ZoneCount zone = zones.computeIfAbsent(machine.zone(), name -> new ZoneCount());
         zone.machines++;
         zone.open += open ? 1 : 0;
         // One missed heartbeat already: machines behind a cut fall silent one after the other, and
--- a/src/main/java/plumlever/leader/Preemption.java
+++ b/src/main/java/plumlever/leader/Preemption.java
@@ -116,8 +116,8 @@
       MachineType machineType = context.prices().machineType(machine.machineType());
       if (machineType == null
           || !usable.test(machine, now)
-          || !job.spec().allows(machine.machineType(), machine.site(), machine.spot())
-          || !zones.allows(machine.site())) {
+          || !job.spec().allows(machine.machineType(), machine.zone(), machine.spot())
+          || !zones.allows(machine.zone())) {
         continue;
       }
       List<Attempt> stop = victims(machine, machineType, job, now);
--- a/src/main/java/plumlever/leader/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/RenewalDelegation.java
@@ -67,34 +67,34 @@
     this.log = context.logs().of(RenewalDelegation.class);
   }
 
-  boolean covers(String site) {
-    return given.contains(site);
+  boolean covers(String zone) {
+    return given.contains(zone);
   }
 
   /**
    * False while another controller may renew leases in the zone: what is sent there now could have
    * the very token that its renewals carry, and would not be voided by them.
    */
-  boolean mayCommand(String site) {
-    return !given.contains(site)
-        && context.loop().nowMicros() >= endedMicros(site) + READ_LASTS_MICROS;
+  boolean mayCommand(String zone) {
+    return !given.contains(zone)
+        && context.loop().nowMicros() >= endedMicros(zone) + READ_LASTS_MICROS;
   }
 
   /** When the delegation of the zone was surely gone from the state service, or long ago. */
-  long endedMicros(String site) {
-    return endedMicros.getOrDefault(site, Long.MIN_VALUE / 4);
+  long endedMicros(String zone) {
+    return endedMicros.getOrDefault(zone, Long.MIN_VALUE / 4);
   }
 
   /** One look: these zones can't be reached now. */
   void want(Set<String> unreached) {
     long now = context.loop().nowMicros();
-    Set<String> sites = new HashSet<>(unreached);
+    Set<String> zones = new HashSet<>(unreached);
     barredUntil.values().removeIf(until -> until < now);
-    sites.removeAll(barredUntil.keySet());
-    List<String> inOrder = new ArrayList<>(sites);
+    zones.removeAll(barredUntil.keySet());
+    List<String> inOrder = new ArrayList<>(zones);
     inOrder.sort(
-        Comparator.comparing((String site) -> !given.contains(site)).thenComparing(s -> s));
-    inOrder.stream().skip(MOST_ZONES).forEach(sites::remove);
+        Comparator.comparing((String zone) -> !given.contains(zone)).thenComparing(s -> s));
+    inOrder.stream().skip(MOST_ZONES).forEach(zones::remove);
     if (!given.isEmpty()
         && !writing
         && now - givenMicros > PATIENCE_MICROS
@@ -102,10 +102,10 @@
       // Nobody else reaches these workers either: their leases lapse, and it must be seen when they
       // have.
       given.forEach(s -> barredUntil.put(s, now + BARRED_MICROS));
-      sites.clear();
+      zones.clear();
     }
     if (writing
-        || sites.equals(given)
+        || zones.equals(given)
         || context.platform().seeds().isEmpty()
         || context.sharing().isPresent()) {
       return;
@@ -113,20 +113,20 @@
     // A zone that is wanted no more stays covered until the whole delegation has ended: others may
     // not
     // have read it yet.
-    if (sites.isEmpty() || revision < 0) {
+    if (zones.isEmpty() || revision < 0) {
       end();
-    } else if (!given.containsAll(sites)) {
-      give(sites);
+    } else if (!given.containsAll(zones)) {
+      give(zones);
     }
   }
 
-  private void give(Set<String> sites) {
+  private void give(Set<String> zones) {
     Set<String> before = new HashSet<>(given);
     givenMicros = context.loop().nowMicros();
-    given.addAll(sites);
+    given.addAll(zones);
     given.stream()
-        .filter(site -> !before.contains(site))
-        .forEach(site -> tokens.put(site, sufficientToken(site)));
+        .filter(zone -> !before.contains(zone))
+        .forEach(zone -> tokens.put(zone, sufficientToken(zone)));
     log.info(
         "leases in {} may be renewed by the other controllers, term {}, tokens {}",
         given,
@@ -150,10 +150,10 @@
   }
 
   /** Above the tokens of all commands sent to the zone, and of all earlier delegations of it. */
-  private long sufficientToken(String site) {
-    long highest = tokens.getOrDefault(site, Fleet.firstToken(context.term().number()));
+  private long sufficientToken(String zone) {
+    long highest = tokens.getOrDefault(zone, Fleet.firstToken(context.term().number()));
     for (Machine machine : fleet.machines()) {
-      if (machine.site().equals(site)) {
+      if (machine.zone().equals(zone)) {
         highest = Math.max(highest, machine.token());
       }
     }
@@ -182,10 +182,10 @@
   }
 
   private void write(
-      Transaction transaction, Set<String> sites, Consumer<Transaction.Result> then) {
+      Transaction transaction, Set<String> zones, Consumer<Transaction.Result> then) {
     writing = true;
     Map<String, Long> tokenByZone = new HashMap<>(tokens);
-    tokenByZone.keySet().retainAll(sites);
+    tokenByZone.keySet().retainAll(zones);
     DelegationRecord record = new DelegationRecord(context.term().number(), tokenByZone);
     context
         .store()
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -505,7 +505,7 @@
       return new PlacementCandidate(
           machine.id(),
           machine.machineType(),
-          machine.site(),
+          machine.zone(),
           machine.spot(),
           machineType.cores(),
           machineType.accelerators(),
@@ -578,7 +578,7 @@
         objectives.finishBy(job, now),
         startBy,
         job.spec().machineTypes(),
-        job.spec().site(),
+        job.spec().zone(),
         job.spec().loaners(),
         job.spec().checkpoints());
   }
@@ -594,7 +594,7 @@
     }
     Zones zones = new Zones(job.spec().oneZone(), job.spec().zoneLimit());
     for (Attempt attempt : job.live()) {
-      zones.add(attempt.machine().site());
+      zones.add(attempt.machine().zone());
     }
     return zones;
   }
--- a/src/main/java/plumlever/leader/ShareDuty.java
+++ b/src/main/java/plumlever/leader/ShareDuty.java
@@ -281,7 +281,7 @@
       TransferRecord record = stamped.value();
       if (record.offer().filter(offer -> offer.to().equals(own)).isPresent()) {
         TransferRecord.Details details = record.machine();
-        kinds.add(new RentalPlan.Kind(details.machineType(), details.site(), details.spot()));
+        kinds.add(new RentalPlan.Kind(details.machineType(), details.zone(), details.spot()));
       }
     }
     return kinds;
--- a/src/main/java/plumlever/leader/TaskStarter.java
+++ b/src/main/java/plumlever/leader/TaskStarter.java
@@ -87,20 +87,20 @@
           || job.waiting()
           || job.enrolment() != RegistrationState.STORED
           || takeover.blocks(job)
-          || !job.spec().allows(machine.machineType(), machine.site(), machine.spot())) {
+          || !job.spec().allows(machine.machineType(), machine.zone(), machine.spot())) {
         continue;
       }
       Zones zones = SchedulingPass.zones(job);
       for (int i = 0; i < otherPlanned.tasks && job.hasFree(); i++) {
         if (!room.holds(job.spec())
-            || !zones.allows(machine.site())
+            || !zones.allows(machine.zone())
             || takeover.quotaRoom(job) < 1) {
           break;
         }
         int task = job.firstFree();
         Attempt attempt = fleet.start(job, task, machine, direct, now);
         started.add(attempt);
-        zones.add(machine.site());
+        zones.add(machine.zone());
         room.take(job.spec());
         machine.images().use(job.spec().bundle(), job.spec().imageGb(), machineType, now);
         commands.add(WorkerCommand.run(attempt.name(), attempt.id()));
--- a/src/main/java/plumlever/leader/TransferDuty.java
+++ b/src/main/java/plumlever/leader/TransferDuty.java
@@ -205,7 +205,7 @@
               details.id(),
               details.endpoint(),
               details.machineType(),
-              details.site(),
+              details.zone(),
               details.spot(),
               now() - bootMicros(details.machineType()));
     }
@@ -249,7 +249,7 @@
             details.id(),
             details.endpoint(),
             details.machineType(),
-            details.site(),
+            details.zone(),
             details.spot(),
             now());
     machine.incarnation(record.incarnation());
@@ -406,7 +406,7 @@
                 machine.id(),
                 machine.endpoint(),
                 machine.machineType(),
-                machine.site(),
+                machine.zone(),
                 machine.spot()),
             machine.incarnation(),
             own,
--- a/src/main/java/plumlever/lease/DelegationRecord.java
+++ b/src/main/java/plumlever/lease/DelegationRecord.java
@@ -10,7 +10,7 @@
 
 /**
  * The leader's delegation of lease renewal, as it is stored. Versions that would renew without
- * voiding commands look for a field {@code sites}; there is none, so they are given no right. What
+ * voiding commands look for a field {@code zones}; there is none, so they are given no right. What
  * they themselves have written holds no token and gives no right here.
  *
  * @param term the leader's term
--- a/src/main/java/plumlever/placement/ResourceRequest.java
+++ b/src/main/java/plumlever/placement/ResourceRequest.java
@@ -9,7 +9,7 @@
  * @param deadlineMicros when it should be complete; Long.MAX_VALUE for none
  * @param startByMicros when it should run; Long.MAX_VALUE for none
  * @param machineTypes null for any
- * @param site null for any
+ * @param zone null for any
  * @param spot whether spot machines are allowed
  * @param saves whether a task that is stopped loses little
  */
@@ -23,13 +23,13 @@
     long deadlineMicros,
     long startByMicros,
     List<String> machineTypes,
-    String site,
+    String zone,
     boolean spot,
     boolean saves) {
 
   boolean allows(PlacementCandidate candidate) {
     return (machineTypes == null || machineTypes.contains(candidate.machineType))
-        && (site == null || site.equals(candidate.zone))
+        && (zone == null || zone.equals(candidate.zone))
         && (spot || !candidate.spot);
   }
 
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -15,7 +15,7 @@
   public record Demand(JobSpec job, String zone, int tasks, long runMicros) {}
 
   /** A kind of machine the cloud may have. */
-  public record Kind(String machineType, String site, boolean spot) {
+  public record Kind(String machineType, String zone, boolean spot) {
     // Written out for the same reason as in Endpoint: a new leader asks for it in its first
     // moments.
     @Override
@@ -23,12 +23,12 @@
       return object instanceof Kind kind
           && kind.spot == spot
           && kind.machineType.equals(machineType)
-          && kind.site.equals(site);
+          && kind.zone.equals(zone);
     }
 
     @Override
     public int hashCode() {
-      return (machineType.hashCode() * 31 + site.hashCode()) * 2 + (spot ? 1 : 0);
+      return (machineType.hashCode() * 31 + zone.hashCode()) * 2 + (spot ? 1 : 0);
     }
   }
 
@@ -123,8 +123,8 @@
   }
 
   private static boolean allowed(Demand demand, Kind kind) {
-    return demand.job().allows(kind.machineType, kind.site, kind.spot)
-        && (demand.zone() == null || demand.zone().equals(kind.site));
+    return demand.job().allows(kind.machineType, kind.zone, kind.spot)
+        && (demand.zone() == null || demand.zone().equals(kind.zone));
   }
 
   /**
@@ -140,9 +140,9 @@
       if (share > 1 + 1e-9) {
         continue;
       }
-      for (String site : machineType.sites()) {
+      for (String zone : machineType.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          Kind kind = new Kind(machineType.name(), site, spot);
+          Kind kind = new Kind(machineType.name(), zone, spot);
           if (!allowed(demand, kind) || !available.test(kind)) {
             continue;
           }
--- a/src/main/java/plumlever/settings/Platform.java
+++ b/src/main/java/plumlever/settings/Platform.java
@@ -17,7 +17,7 @@
  */
 public record Platform(
     String label,
-    String area,
+    String zone,
     Endpoint bind,
     Endpoint back,
     List<Seed> seeds,
@@ -31,7 +31,7 @@
     int socketLimit) {
 
   /** Another controller. */
-  public record Seed(String label, String area, Endpoint endpoint) {}
+  public record Seed(String label, String zone, Endpoint endpoint) {}
 
   /** A team's guarantee and limit; 0 means none. */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -48,7 +48,7 @@
 
   /** What a machine is, for an owner that has never heard of it. */
   public record Details(
-      String id, String endpoint, String machineType, String site, boolean spot) {}
+      String id, String endpoint, String machineType, String zone, boolean spot) {}
 
   /**
    * To whom a machine is offered.
@@ -131,7 +131,7 @@
             .put("state", state.name())
             .put("endpoint", machine.endpoint())
             .put("flavor", machine.machineType())
-            .put("site", machine.site())
+            .put("site", machine.zone())
             .put("spot", machine.spot())
             .put("session", incarnation)
             .put("owner", owner)
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -55,7 +55,7 @@
     final String endpoint;
     final boolean large;
     final boolean spot;
-    final String site;
+    final String zone;
     final Map<Long, Task> tasks = new LinkedHashMap<>();
     long sequenceNumber;
     long fencingToken;
@@ -65,7 +65,7 @@
       this.endpoint = endpoint;
       this.large = number % 2 == 0;
       this.spot = number % 3 == 0;
-      this.site = number % 4 < 2 ? "a" : "b";
+      this.zone = number % 4 < 2 ? "a" : "b";
     }
   }
 
@@ -222,7 +222,7 @@
                     .put("uid", h.id)
                     .put("endpoint", h.endpoint)
                     .put("flavor", h.large ? "large" : "small")
-                    .put("site", h.site)
+                    .put("site", h.zone)
                     .put("loaners", h.spot)
                     .put("status", "running")
                     .put("age_s", 100.0));
@@ -238,7 +238,7 @@
             .put("host", otherHost.id)
             .put("endpoint", otherHost.endpoint)
             .put("flavor", otherHost.large ? "large" : "small")
-            .put("site", otherHost.site)
+            .put("site", otherHost.zone)
             .put("loaners", otherHost.spot)
             .put("tenure", 1)
             .put("tick", ++otherHost.sequenceNumber)
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -46,7 +46,7 @@
     this.platform =
         new Platform(
             "practice",
-            real.area(),
+            real.zone(),
             real.bind(),
             real.back(),
             List.of(),
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -13,7 +13,7 @@
     String host,
     String endpoint,
     String machineType,
-    String site,
+    String zone,
     boolean loaners,
     long incarnation,
     long sequenceNumber,
@@ -63,7 +63,7 @@
           case "host" -> fields.host = text(jsonParser, name);
           case "endpoint" -> fields.endpoint = text(jsonParser, name);
           case "flavor" -> fields.machineType = text(jsonParser, name);
-          case "site" -> fields.site = text(jsonParser, name);
+          case "site" -> fields.zone = text(jsonParser, name);
           case "loaners" -> fields.loaners = flag(jsonParser, name);
           case "tenure" -> fields.incarnation = whole(jsonParser, name);
           case "tick" -> fields.sequenceNumber = whole(jsonParser, name);
@@ -91,7 +91,7 @@
     private String host;
     private String endpoint;
     private String machineType;
-    private String site;
+    private String zone;
     private Boolean loaners;
     private long incarnation = -1;
     private long sequenceNumber = -1;
@@ -104,7 +104,7 @@
           needed(host, "host"),
           needed(endpoint, "endpoint"),
           needed(machineType, "flavor"),
-          needed(site, "site"),
+          needed(zone, "site"),
           needed(loaners, "loaners"),
           needed(incarnation, "tenure"),
           needed(sequenceNumber, "tick"),
--- a/src/main/java/plumlever/wire/HostEntry.java
+++ b/src/main/java/plumlever/wire/HostEntry.java
@@ -7,7 +7,7 @@
     String uid,
     String endpoint,
     String machineType,
-    String site,
+    String zone,
     boolean loaners,
     String status,
     double ageS) {
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -21,7 +21,7 @@
     String bundle,
     double imageGb,
     List<String> machineTypes,
-    String site,
+    String zone,
     boolean oneZone,
     boolean spread,
     boolean loaners,
@@ -44,7 +44,7 @@
       String bundle,
       double imageGb,
       List<String> machineTypes,
-      String site,
+      String zone,
       boolean oneZone,
       boolean spread,
       boolean loaners,
@@ -64,7 +64,7 @@
         bundle,
         imageGb,
         machineTypes,
-        site,
+        zone,
         oneZone,
         spread,
         loaners,
@@ -183,7 +183,7 @@
         bundle,
         imageGb,
         machineTypes,
-        site,
+        zone,
         oneZone,
         spread,
         loaners,
@@ -219,8 +219,8 @@
         .put("expect_s", expectS)
         .put("snapshot_every_s", snapshotEveryS)
         .put("snapshot_s", snapshotS);
-    if (site != null) {
-      object.put("site", site);
+    if (zone != null) {
+      object.put("site", zone);
     }
     if (hasDeadline()) {
       object.put("due_s", dueS);
@@ -237,9 +237,9 @@
   }
 
   /** True if a task may run on such a machine; rules about several tasks aside. */
-  public boolean allows(String machineType, String zone, boolean spot) {
+  public boolean allows(String machineType, String machineZone, boolean spot) {
     return (machineTypes == null || machineTypes.contains(machineType))
-        && (site == null || site.equals(zone))
+        && (zone == null || zone.equals(machineZone))
         && (loaners || !spot);
   }
 
--- a/src/main/java/plumlever/wire/MachineType.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -16,7 +16,7 @@
     double hourly,
     double spotPrice,
     double startupS,
-    List<String> sites) {
+    List<String> zones) {
 
   /** Reads the cloud's machine types. */
   public static List<MachineType> parseCatalog(ObjectNode body) throws InvalidMessage {
@@ -26,10 +26,10 @@
     }
     List<MachineType> out = new ArrayList<>();
     for (JsonNode node : array) {
-      List<String> sites = new ArrayList<>();
-      JsonNode site = node.get("sites");
-      if (site != null && site.isArray()) {
-        site.forEach(x -> sites.add(x.asText()));
+      List<String> zones = new ArrayList<>();
+      JsonNode zone = node.get("sites");
+      if (zone != null && zone.isArray()) {
+        zone.forEach(x -> zones.add(x.asText()));
       }
       double hourly = Json.amount(node, "hourly", 0);
       out.add(
@@ -43,7 +43,7 @@
               hourly,
               Json.absent(node, "low_price") ? hourly : Json.amount(node, "low_price", 0),
               Json.amount(node, "startup_s", 0),
-              List.copyOf(sites)));
+              List.copyOf(zones)));
     }
     return List.copyOf(out);
   }
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -40,7 +40,7 @@
             .put("host", heartbeat.host())
             .put("endpoint", heartbeat.endpoint())
             .put("flavor", heartbeat.machineType())
-            .put("site", heartbeat.site())
+            .put("site", heartbeat.zone())
             .put("loaners", heartbeat.loaners())
             .put("tenure", heartbeat.incarnation())
             .put("tick", heartbeat.sequenceNumber())
@@ -83,7 +83,7 @@
         heartbeat.host(),
         heartbeat.endpoint(),
         heartbeat.machineType(),
-        heartbeat.site(),
+        heartbeat.zone(),
         heartbeat.loaners(),
         heartbeat.incarnation(),
         heartbeat.sequenceNumber(),
--- a/src/test/java/plumlever/placement/PlacerTest.java
+++ b/src/test/java/plumlever/placement/PlacerTest.java
@@ -118,7 +118,7 @@
   }
 
   private static boolean allowed(ResourceRequest request, Plain plain, Zones zones) {
-    return (request.site() == null || request.site().equals(plain.zone))
+    return (request.zone() == null || request.zone().equals(plain.zone))
         && (request.spot() || !plain.spot)
         && zones.allows(plain.zone)
         && request.cores() <= plain.total
@@ -281,10 +281,10 @@
       long run,
       long deadline,
       long startBy,
-      String site,
+      String zone,
       boolean spot) {
     return new ResourceRequest(
-        cores, 0, memory, "img", 1, run, deadline, startBy, null, site, spot, run % 2 == 0);
+        cores, 0, memory, "img", 1, run, deadline, startBy, null, zone, spot, run % 2 == 0);
   }
 
   @Test
--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -67,7 +67,7 @@
     boolean counts =
         vm != null
             && Fleet.termOf(start.token) == term
-            && cluster.now() < countsUntil.getOrDefault(vm.site, 0L);
+            && cluster.now() < countsUntil.getOrDefault(vm.zone, 0L);
     if (counts) {
       cluster.invariants.broken.add(
           "a start was sent straight to " + machine + " in a delegated zone: " + body);
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -34,16 +34,16 @@
   static final class Vm {
     final String id;
     final String machineType;
-    final String site;
+    final String zone;
     final boolean spot;
     final long bornMicros;
     FakeWorker worker;
     boolean dead;
 
-    Vm(String id, String machineType, String site, boolean spot, long born) {
+    Vm(String id, String machineType, String zone, boolean spot, long born) {
       this.id = id;
       this.machineType = machineType;
-      this.site = site;
+      this.zone = zone;
       this.spot = spot;
       this.bornMicros = born;
     }
@@ -80,7 +80,7 @@
           .put("uid", vm.id)
           .put("endpoint", cluster.workerAt.apply(vm.id).toString())
           .put("flavor", vm.machineType)
-          .put("site", vm.site)
+          .put("site", vm.zone)
           .put("loaners", vm.spot)
           .put("status", vm.worker == null ? "booting" : "running")
           .put("age_s", (cluster.now() - vm.bornMicros) / 1e6);
@@ -211,7 +211,7 @@
             .filter(
                 v ->
                     v.machineType.equals(object.path("flavor").asText())
-                        && v.site.equals(object.path("site").asText())
+                        && v.zone.equals(object.path("site").asText())
                         && v.spot == object.path("loaners").asBoolean())
             .count();
     return rented < Math.max(1, Math.round(most / 8.0));
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -313,7 +313,7 @@
             .put("host", vm.id)
             .put("endpoint", cluster.workerAt.apply(vm.id).toString())
             .put("flavor", vm.machineType)
-            .put("site", vm.site)
+            .put("site", vm.zone)
             .put("loaners", vm.spot)
             .put("tenure", incarnation)
             .put("tick", ++sequenceNumber)
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -495,9 +495,9 @@
       return cluster.leader().platform.label();
     }
 
-    List<String> machinesIn(String site) {
+    List<String> machinesIn(String zone) {
       return cluster.cloud.machines.values().stream()
-          .filter(v -> v.site.equals(site) && v.worker != null)
+          .filter(v -> v.zone.equals(zone) && v.worker != null)
           .map(v -> v.id)
           .toList();
     }
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -258,7 +258,7 @@
     String leader = cluster.leader().platform.label();
     List<String> behind =
         cluster.cloud.machines.values().stream()
-            .filter(v -> v.site.equals("a") && v.worker != null)
+            .filter(v -> v.zone.equals("a") && v.worker != null)
             .map(v -> v.id)
             .toList();
     assertTrue(behind.size() >= 4, "the zone has machines");
@@ -290,7 +290,7 @@
     }
     cluster.play(45);
     cluster.cloud.machines.values().stream()
-        .filter(v -> v.site.equals("a") && v.worker != null)
+        .filter(v -> v.zone.equals("a") && v.worker != null)
         .forEach(v -> cluster.cuts.put(v.id + ">*", true));
     cluster.play(48);
     assertTrue(
@@ -314,7 +314,7 @@
     String leader = cluster.leader().platform.label();
     List<String> behind =
         cluster.cloud.machines.values().stream()
-            .filter(v -> v.site.equals("a") && v.worker != null)
+            .filter(v -> v.zone.equals("a") && v.worker != null)
             .map(v -> v.id)
             .toList();
     behind.forEach(h -> cluster.cut(leader, h, true));
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -271,7 +271,7 @@
     String leader = cluster.leader().platform.label();
     List<String> behind = new ArrayList<>();
     for (FakeCloud.Vm machine : cluster.cloud.machines.values()) {
-      if (machine.site.equals("a") && machine.worker != null) {
+      if (machine.zone.equals("a") && machine.worker != null) {
         behind.add(machine.id);
       }
     }
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -80,7 +80,7 @@
   private Set<String> machinesIn(String zone) {
     Set<String> ids = new TreeSet<>();
     cluster.cloud.machines.values().stream()
-        .filter(vm -> vm.site.equals(zone) && vm.worker != null)
+        .filter(vm -> vm.zone.equals(zone) && vm.worker != null)
         .forEach(vm -> ids.add(vm.id));
     return ids;
   }
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -128,23 +128,23 @@
       onByJob.merge(otherJob.uid(), 1, Integer::sum);
       noteCancelledOn(otherJob.uid());
     }
-    if (!otherJob.allows(worker.vm.machineType, worker.vm.site, worker.vm.spot)) {
+    if (!otherJob.allows(worker.vm.machineType, worker.vm.zone, worker.vm.spot)) {
       broke("wrong_place", task + " on " + worker.vm.id);
     }
     int here = 0;
     for (int i = 0; i < otherJob.pieces(); i++) {
       for (FakeWorker other : on.getOrDefault(otherJob.uid() + "/" + i, Set.of())) {
-        if (other.vm.site.equals(worker.vm.site)) {
+        if (other.vm.zone.equals(worker.vm.zone)) {
           here++;
         } else if (otherJob.oneZone()) {
           broke(
               "wrong_place",
-              task + " in " + worker.vm.site + " while another is in " + other.vm.site);
+              task + " in " + worker.vm.zone + " while another is in " + other.vm.zone);
         }
       }
     }
     if (here > otherJob.zoneLimit()) {
-      broke("wrong_place", task + " is one too many in " + worker.vm.site);
+      broke("wrong_place", task + " is one too many in " + worker.vm.zone);
     }
     double used = held.merge(otherJob.owner(), joins ? otherJob.cores() : 0, Double::sum);
     double limit = teams.get(otherJob.owner()).cpusMax();
@@ -370,7 +370,7 @@
 
   private boolean machineHasRoom(JobSpec otherJob) {
     for (FakeCloud.Vm vm : cluster.cloud.machines.values()) {
-      if (vm.worker == null || !otherJob.allows(vm.machineType, vm.site, vm.spot)) {
+      if (vm.worker == null || !otherJob.allows(vm.machineType, vm.zone, vm.spot)) {
         continue;
       }
       double cores = FakeCloud.coresOf(vm.machineType);
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -231,7 +231,7 @@
     cluster.play(hangS);
     List<String> behind =
         cluster.cloud.machines.values().stream()
-            .filter(v -> v.site.equals("b"))
+            .filter(v -> v.zone.equals("b"))
             .map(v -> v.id)
             .toList();
     behind.forEach(
@@ -258,7 +258,7 @@
     assertTrue(
         cluster.store.mostChanges <= 60,
         "changes in the busiest second: " + cluster.store.mostChanges);
-    // One for each worker, and calls that are under way; the users' own sites have room for 300
+    // One for each worker, and calls that are under way; the users' own zones have room for 300
     // more.
     assertTrue(cluster.mostSockets <= 1_600 + 112, "sockets in use: " + cluster.mostSockets);
     long seats =
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -128,7 +128,7 @@
 
     private List<String> machinesIn(String zone) {
       return cluster.cloud.machines.values().stream()
-          .filter(vm -> vm.site.equals(zone))
+          .filter(vm -> vm.zone.equals(zone))
           .map(vm -> vm.id)
           .toList();
     }
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -177,7 +177,7 @@
       }
       default ->
           cluster.cloud.machines.values().stream()
-              .filter(v -> v.site.equals("a"))
+              .filter(v -> v.zone.equals("a"))
               .forEach(
                   v ->
                       hold(
@@ -315,7 +315,7 @@
             .orElseThrow();
     List<String> behind =
         cluster.cloud.machines.values().stream()
-            .filter(v -> v.site.equals("a") && v.worker != null && !v.worker.tasks.isEmpty())
+            .filter(v -> v.zone.equals("a") && v.worker != null && !v.worker.tasks.isEmpty())
             .map(v -> v.id)
             .toList();
     assertTrue(behind.size() >= 3, "the zone has machines");
@@ -380,7 +380,7 @@
     cluster.play(60);
     for (String text :
         cluster.cloud.machines.values().stream()
-            .filter(v -> v.site.equals("a"))
+            .filter(v -> v.zone.equals("a"))
             .map(v -> v.id)
             .toList()) {
       hold(cluster, text + ">*", "*>" + text, 60_000_000);
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -22,7 +22,7 @@
   void readsASubmissionAndWritesItBack() throws InvalidMessage {
     JobSpec job = JobSpec.parse(Json.parseObject(GOOD));
     assertEquals(16, job.pieces());
-    assertNull(job.site());
+    assertNull(job.zone());
     assertEquals(job, JobSpec.parse(job.toJson()));
     assertEquals(
         5,
