--- a/src/main/java/plumlever/Node.java
+++ b/src/main/java/plumlever/Node.java
@@ -262,8 +262,8 @@
               }
 
               @Override
-              public void strayHeartbeat(String host) {
-                strays.put(host, loop.nowMicros());
+              public void strayHeartbeat(String machineId) {
+                strays.put(machineId, loop.nowMicros());
               }
             },
             new DelegatedHeartbeats(
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -17,10 +17,10 @@
 import plumlever.settings.Endpoint;
 import plumlever.settings.Platform;
 import plumlever.store.TokenBucket;
-import plumlever.wire.HostEntry;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
+import plumlever.wire.ListedMachine;
 import plumlever.wire.MachineType;
 
 /** The cloud's client. Answers that can't be understood count as no answer. */
@@ -33,9 +33,9 @@
     UNKNOWN
   }
 
-  /** Takes the answer to a rental request; {@code hosts} is empty unless it was filled. */
+  /** Takes the answer to a rental request; {@code machineIds} is empty unless it was filled. */
   public interface RentAnswer {
-    void take(Rent outcome, List<String> hosts);
+    void take(Rent outcome, List<String> machineIds);
   }
 
   public static final int MOST_PER_RENTAL = 50;
@@ -96,11 +96,11 @@
   /**
    * @param then takes null when the list can't be had whole
    */
-  public void list(Consumer<List<HostEntry>> then) {
+  public void list(Consumer<List<ListedMachine>> then) {
     page(null, new ArrayList<>(), then);
   }
 
-  private void page(String since, List<HostEntry> into, Consumer<List<HostEntry>> then) {
+  private void page(String since, List<ListedMachine> into, Consumer<List<ListedMachine>> then) {
     if (since != null && !requests.has(1 + LEFT_TO_OTHERS, loop.nowMicros())) {
       loop.after(PAGE_PAUSE_MICROS, () -> page(since, into, then));
       return;
@@ -117,9 +117,9 @@
           String last = null;
           try {
             for (JsonNode node : o.get("hosts")) {
-              HostEntry hostEntry = HostEntry.parse(node);
-              last = hostEntry.uid();
-              into.add(hostEntry);
+              ListedMachine listedMachine = ListedMachine.parse(node);
+              last = listedMachine.id();
+              into.add(listedMachine);
             }
           } catch (InvalidMessage e) {
             surprise("hosts", e.getMessage());
@@ -149,20 +149,20 @@
         "/hosts",
         body,
         (status, o) -> {
-          List<String> hosts = new ArrayList<>();
+          List<String> machineIds = new ArrayList<>();
           if (status == HttpStatus.OK && o != null && o.path("hosts").isArray()) {
-            o.get("hosts").forEach(h -> hosts.add(h.asText()));
-            then.take(Rent.RENTED, hosts);
+            o.get("hosts").forEach(h -> machineIds.add(h.asText()));
+            then.take(Rent.RENTED, machineIds);
           } else if (status == HttpStatus.UNAVAILABLE
               && o != null
               && o.path("error").asText().contains("capacity")) {
-            then.take(Rent.NO_CAPACITY, hosts);
+            then.take(Rent.NO_CAPACITY, machineIds);
           } else if (status == HttpStatus.UNAVAILABLE
               || status == HttpStatus.TOO_MANY_REQUESTS
               || status == HttpStatus.BAD_REQUEST) {
-            then.take(Rent.NOT_NOW, hosts);
+            then.take(Rent.NOT_NOW, machineIds);
           } else {
-            then.take(Rent.UNKNOWN, hosts);
+            then.take(Rent.UNKNOWN, machineIds);
           }
         });
   }
@@ -170,10 +170,10 @@
   /**
    * @param then takes true when the machines are surely gone
    */
-  public void giveBack(List<String> hosts, Consumer<Boolean> then) {
+  public void giveBack(List<String> machineIds, Consumer<Boolean> then) {
     ObjectNode body = Json.object();
     ArrayNode names = body.putArray("hosts");
-    hosts.forEach(names::add);
+    machineIds.forEach(names::add);
     send("POST", "/hosts/return", body, (status, o) -> then.accept(status == HttpStatus.OK));
   }
 
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -130,7 +130,7 @@
     if (lines.debug(loop.nowMicros())) {
       log.debug(
           "the lease of {} session {} is not renewed for the leader, token {}: {}",
-          heartbeat.host(),
+          heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
           refusal.reason());
@@ -143,7 +143,7 @@
       log.debug(
           "the lease of {} session {} is not renewed for the leader {}: it shows token {}, the"
               + " delegation has {}",
-          heartbeat.host(),
+          heartbeat.machineId(),
           heartbeat.incarnation(),
           when,
           heartbeat.fencingToken(),
@@ -159,7 +159,7 @@
       log.debug(
           "the lease of {} session {} is renewed for the leader, token {} for {}, ended jobs as of"
               + " {} ms ago, stops {}",
-          heartbeat.host(),
+          heartbeat.machineId(),
           heartbeat.incarnation(),
           evidence.token(),
           heartbeat.fencingToken(),
--- a/src/main/java/plumlever/leader/AttemptLog.java
+++ b/src/main/java/plumlever/leader/AttemptLog.java
@@ -85,7 +85,7 @@
           "{} attempt {} on {} session {} is over: a report shows token {}, the start had {}",
           attempt.name().wireName(),
           attempt.id(),
-          heartbeat.host(),
+          heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
           attempt.directToken() < 0 ? "gone with an answer" : attempt.directToken());
--- a/src/main/java/plumlever/leader/CommandSender.java
+++ b/src/main/java/plumlever/leader/CommandSender.java
@@ -68,11 +68,11 @@
    * planned anew.
    */
   void dispatch(Fleet fleet) {
-    for (String host : pass.plannedMachines()) {
+    for (String machineId : pass.plannedMachines()) {
       if (starts >= MOST_STARTS || !context.term().mayAct()) {
         return;
       }
-      Machine machine = fleet.machine(host);
+      Machine machine = fleet.machine(machineId);
       Endpoint at =
           machine == null || machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
       if (at == null
@@ -240,7 +240,7 @@
   private Heartbeat read(Machine machine, byte[] data) {
     try {
       Heartbeat heartbeat = Heartbeat.parse(data);
-      return heartbeat.host().equals(machine.id()) ? heartbeat : null;
+      return heartbeat.machineId().equals(machine.id()) ? heartbeat : null;
     } catch (InvalidMessage e) {
       log.warn("the direct answer of {} can't be read: {}", machine.id(), e.getMessage());
       return null;
--- a/src/main/java/plumlever/leader/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/DeadCellAdoption.java
@@ -11,7 +11,7 @@
 import plumlever.sharing.PoolView;
 import plumlever.sharing.TransferRecord;
 import plumlever.store.KeySpace;
-import plumlever.wire.HostEntry;
+import plumlever.wire.ListedMachine;
 
 /**
  * Adopts the machines of cells that have had no leader for long. Nobody has renewed their leases
@@ -61,15 +61,15 @@
    * The cloud lists a machine of another cell. If that has had no leader for long, all leases there
    * have lapsed, and the machine is adopted.
    */
-  void listed(HostEntry host) {
-    Optional<String> holder = view.holder(host.uid());
-    if (holder.isEmpty() || host.endpoint() == null || steps.isUnderWay(host.uid())) {
+  void listed(ListedMachine machineId) {
+    Optional<String> holder = view.holder(machineId.id());
+    if (holder.isEmpty() || machineId.endpoint() == null || steps.isUnderWay(machineId.id())) {
       return;
     }
     Optional<SharingSettings.Cell> cell =
         sharing.others().stream().filter(other -> other.name().equals(holder.get())).findFirst();
     if (cell.isPresent() && isDead(cell.get())) {
-      adopt(host, cell.get());
+      adopt(machineId, cell.get());
     }
   }
 
@@ -94,15 +94,15 @@
     return since != Long.MAX_VALUE && now() - since > patience;
   }
 
-  private void adopt(HostEntry host, SharingSettings.Cell dead) {
-    String machine = host.uid();
+  private void adopt(ListedMachine machineId, SharingSettings.Cell dead) {
+    String machine = machineId.id();
     steps.step(
         machine,
         () -> {
           if (!view.holder(machine).equals(Optional.of(dead.name())) || !isDead(dead)) {
             return Optional.empty();
           }
-          TransferRecord before = steps.record(machine).orElseGet(() -> unmoved(host, dead));
+          TransferRecord before = steps.record(machine).orElseGet(() -> unmoved(machineId, dead));
           String office = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
           return Optional.of(taken(before.withoutHome(dead.name())).require(office, 0));
         },
@@ -120,11 +120,15 @@
     return built.transaction();
   }
 
-  private static TransferRecord unmoved(HostEntry host, SharingSettings.Cell owner) {
+  private static TransferRecord unmoved(ListedMachine machineId, SharingSettings.Cell owner) {
     return new TransferRecord(
         TransferRecord.State.TAKEN,
         new TransferRecord.Details(
-            host.uid(), host.endpoint(), host.machineType(), host.zone(), host.loaners()),
+            machineId.id(),
+            machineId.endpoint(),
+            machineId.machineType(),
+            machineId.zone(),
+            machineId.loaners()),
         0,
         owner.name(),
         0,
--- a/src/main/java/plumlever/leader/EarlyHeartbeats.java
+++ b/src/main/java/plumlever/leader/EarlyHeartbeats.java
@@ -26,7 +26,7 @@
   /** Each heartbeat holds a connection, so there are never more than sockets. */
   private final int most;
 
-  private final Map<String, Early> byHost = new LinkedHashMap<>();
+  private final Map<String, Early> byMachine = new LinkedHashMap<>();
 
   EarlyHeartbeats(Loop loop, int socketLimit) {
     this.loop = loop;
@@ -35,20 +35,20 @@
 
   void keep(Heartbeat heartbeat, Responder out) {
     long now = loop.nowMicros();
-    Early before = byHost.remove(heartbeat.host());
+    Early before = byMachine.remove(heartbeat.machineId());
     if (before != null) {
       refuse(before);
     }
     Early early = new Early(heartbeat, out, now);
-    if (byHost.size() >= most) {
+    if (byMachine.size() >= most) {
       refuse(early);
       return;
     }
-    byHost.put(heartbeat.host(), early);
+    byMachine.put(heartbeat.machineId(), early);
     loop.after(
         MOST_MICROS,
         () -> {
-          if (byHost.remove(heartbeat.host(), early)) {
+          if (byMachine.remove(heartbeat.machineId(), early)) {
             refuse(early);
           }
         });
@@ -59,8 +59,8 @@
    * need not wait for all.
    */
   void release(BiConsumer<Heartbeat, Responder> take) {
-    List<Early> all = new ArrayList<>(byHost.values());
-    byHost.clear();
+    List<Early> all = new ArrayList<>(byMachine.values());
+    byMachine.clear();
     for (Early early : all) {
       loop.execute(
           () -> {
--- a/src/main/java/plumlever/leader/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/HeartbeatAnswers.java
@@ -100,7 +100,7 @@
     if (lines.debug(now)) {
       log.debug(
           "the lease of {} session {} is not renewed, token {}: {}, ended jobs as of {} ms ago",
-          heartbeat.host(),
+          heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
           refusal.reason(),
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -315,7 +315,7 @@
       out.later(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
     }
-    if (machines.isDeleted(heartbeat.host())) {
+    if (machines.isDeleted(heartbeat.machineId())) {
       out.later(HttpStatus.UNAVAILABLE, "this machine was returned", 1);
       return true;
     }
@@ -329,11 +329,11 @@
 
   /** The machine of the heartbeat, which may be heard of for the first time. */
   private Machine known(Heartbeat heartbeat) {
-    Machine machine = fleet.machine(heartbeat.host());
+    Machine machine = fleet.machine(heartbeat.machineId());
     if (machine == null) {
       machine =
           new Machine(
-              heartbeat.host(),
+              heartbeat.machineId(),
               heartbeat.endpoint(),
               heartbeat.machineType(),
               heartbeat.zone(),
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -13,7 +13,7 @@
 import plumlever.election.DelegatedRenewal;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.wire.HostEntry;
+import plumlever.wire.ListedMachine;
 import plumlever.wire.MachineType;
 
 /**
@@ -120,8 +120,8 @@
     this.sizing = new FleetSizing(context, fleet, pass, takeover, rentals, changed);
   }
 
-  boolean isDeleted(String host) {
-    return deleted.contains(host);
+  boolean isDeleted(String machineId) {
+    return deleted.contains(machineId);
   }
 
   /** One turn of the duty. */
@@ -177,33 +177,33 @@
     context
         .cloud()
         .list(
-            hosts -> {
+            machineIds -> {
               listing = false;
-              if (hosts == null || closed) {
+              if (machineIds == null || closed) {
                 return;
               }
               long now = context.loop().nowMicros();
               listedMicros = now;
               context.metrics().count("lists_read");
-              for (HostEntry hostEntry : hosts) {
-                if (deleted.contains(hostEntry.uid()) || !sharing.isOwn(hostEntry)) {
+              for (ListedMachine listedMachine : machineIds) {
+                if (deleted.contains(listedMachine.id()) || !sharing.isOwn(listedMachine)) {
                   continue;
                 }
-                Machine machine = fleet.machine(hostEntry.uid());
+                Machine machine = fleet.machine(listedMachine.id());
                 if (machine == null) {
                   machine =
                       new Machine(
-                          hostEntry.uid(),
-                          hostEntry.endpoint(),
-                          hostEntry.machineType(),
-                          hostEntry.zone(),
-                          hostEntry.loaners(),
-                          now - (long) (hostEntry.ageS() * 1e6));
-                  machine.returning(sharing.mustReturn(hostEntry.uid()));
+                          listedMachine.id(),
+                          listedMachine.endpoint(),
+                          listedMachine.machineType(),
+                          listedMachine.zone(),
+                          listedMachine.loaners(),
+                          now - (long) (listedMachine.ageS() * 1e6));
+                  machine.returning(sharing.mustReturn(listedMachine.id()));
                   fleet.add(machine);
                 }
-                machine.learnEndpoint(hostEntry.endpoint());
-                machine.listed(now, hostEntry.status().equals("failed"));
+                machine.learnEndpoint(listedMachine.endpoint());
+                machine.listed(now, listedMachine.status().equals("failed"));
               }
             });
   }
--- a/src/main/java/plumlever/leader/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/MachineRegistry.java
@@ -20,7 +20,7 @@
  */
 final class MachineRegistry {
   private static final long PAUSE_MICROS = 250_000;
-  private static final String HOSTS = "hosts";
+  private static final String MACHINES = "hosts";
   private static final String KINDS = "kinds";
   private static final int KINDS_BYTES = 500;
 
@@ -47,7 +47,7 @@
       }
       List<Machine> entries = new ArrayList<>();
       JsonNode kinds = item.data().path(KINDS);
-      for (JsonNode node : item.data().path(HOSTS)) {
+      for (JsonNode node : item.data().path(MACHINES)) {
         JsonNode kind = kinds.path(node.path(2).asInt());
         String id = node.path(0).asText();
         Machine known = fleet.machine(id);
@@ -110,7 +110,7 @@
     public ObjectNode value(List<Machine> machines) {
       ObjectNode object = Json.object();
       ArrayNode kinds = object.putArray(KINDS);
-      ArrayNode hosts = object.putArray(HOSTS);
+      ArrayNode machineIds = object.putArray(MACHINES);
       Map<String, Integer> numbers = new HashMap<>();
       for (Machine machine : machines) {
         int kind =
@@ -124,7 +124,7 @@
                       .add(machine.spot());
                   return kinds.size() - 1;
                 });
-        hosts.addArray().add(machine.id()).add(machine.endpoint()).add(kind);
+        machineIds.addArray().add(machine.id()).add(machine.endpoint()).add(kind);
       }
       return object;
     }
--- a/src/main/java/plumlever/leader/MachineRentals.java
+++ b/src/main/java/plumlever/leader/MachineRentals.java
@@ -145,26 +145,26 @@
             rental.kind.zone(),
             rental.kind.spot(),
             rental.count,
-            (outcome, hosts) -> {
+            (outcome, machineIds) -> {
               rental.inFlight = false;
               long now = context.loop().nowMicros();
               switch (outcome) {
                 case RENTED -> {
                   open.remove(rental);
-                  if (hosts.size() < rental.count) {
+                  if (machineIds.size() < rental.count) {
                     shortUntil.put(rental.kind, now + NO_CAPACITY_PAUSE_MICROS);
                   }
                   log.info(
                       "rented {} of {} {} in {}{}",
-                      hosts.size(),
+                      machineIds.size(),
                       rental.count,
                       rental.kind.machineType(),
                       rental.kind.zone(),
                       rental.kind.spot() ? ", spot" : "");
-                  context.metrics().count("machines_rented", hosts.size());
+                  context.metrics().count("machines_rented", machineIds.size());
                   sizeChangedMicros = now;
                   changed.run();
-                  sharing.claim(hosts, host -> rented(host, rental.kind, now));
+                  sharing.claim(machineIds, machineId -> rented(machineId, rental.kind, now));
                 }
                 case NO_CAPACITY -> {
                   open.remove(rental);
@@ -181,9 +181,9 @@
             });
   }
 
-  private void rented(String host, RentalPlan.Kind kind, long now) {
-    if (fleet.machine(host) == null && !isDeleted.test(host)) {
-      fleet.add(new Machine(host, null, kind.machineType(), kind.zone(), kind.spot(), now));
+  private void rented(String machineId, RentalPlan.Kind kind, long now) {
+    if (fleet.machine(machineId) == null && !isDeleted.test(machineId)) {
+      fleet.add(new Machine(machineId, null, kind.machineType(), kind.zone(), kind.spot(), now));
     }
   }
 }
--- a/src/main/java/plumlever/leader/MachineSharing.java
+++ b/src/main/java/plumlever/leader/MachineSharing.java
@@ -10,7 +10,7 @@
 import plumlever.sharing.LimitParts;
 import plumlever.store.StateClient;
 import plumlever.wire.Heartbeat;
-import plumlever.wire.HostEntry;
+import plumlever.wire.ListedMachine;
 import plumlever.wire.RelayedHeartbeat;
 import plumlever.wire.WorkerCommand;
 
@@ -31,7 +31,7 @@
   default void loaded(StateClient.Listing pool, long askedMicros) {}
 
   /** True if a machine that the cloud lists is this cell's. */
-  default boolean isOwn(HostEntry listed) {
+  default boolean isOwn(ListedMachine listed) {
     return true;
   }
 
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/PoolSharing.java
@@ -19,9 +19,9 @@
 import plumlever.sharing.TransferRecord;
 import plumlever.store.StateClient;
 import plumlever.wire.Heartbeat;
-import plumlever.wire.HostEntry;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.Json;
+import plumlever.wire.ListedMachine;
 import plumlever.wire.RelayedHeartbeat;
 import plumlever.wire.WorkerCommand;
 
@@ -140,11 +140,11 @@
   }
 
   @Override
-  public boolean isOwn(HostEntry listed) {
-    if (transfers.owns(listed.uid()) || claims.isRetired(listed.uid())) {
+  public boolean isOwn(ListedMachine listed) {
+    if (transfers.owns(listed.id()) || claims.isRetired(listed.id())) {
       return true;
     }
-    claims.found(listed.uid());
+    claims.found(listed.id());
     adoption.listed(listed);
     return false;
   }
@@ -156,7 +156,7 @@
 
   @Override
   public boolean answered(Heartbeat heartbeat, Responder out) {
-    String machine = heartbeat.host();
+    String machine = heartbeat.machineId();
     if (!loaded) {
       out.later(HttpStatus.UNAVAILABLE, "whose machine this is is not known yet", 1);
       return true;
@@ -179,7 +179,7 @@
   }
 
   private boolean answeredOwn(Heartbeat heartbeat, Responder out) {
-    Machine machine = fleet.machine(heartbeat.host());
+    Machine machine = fleet.machine(heartbeat.machineId());
     if (machine != null && Fleet.termOf(heartbeat.fencingToken()) > machine.tokenTerm()) {
       // The machine has seen a newer owner or leader than this one knows of.
       out.later(HttpStatus.UNAVAILABLE, "a newer owner is known to the machine", 1);
@@ -237,7 +237,7 @@
 
   @Override
   public void relayed(RelayedHeartbeat relayed, Responder out) {
-    String id = relayed.heartbeat().host();
+    String id = relayed.heartbeat().machineId();
     Optional<TransferRecord> record =
         loaded ? view.transfer(id).map(PoolView.Versioned::value) : Optional.empty();
     Machine machine = loaded ? fleet.away(id) : null;
--- a/src/main/java/plumlever/rehearsal/CloudStandIn.java
+++ b/src/main/java/plumlever/rehearsal/CloudStandIn.java
@@ -22,11 +22,11 @@
       """;
 
   private static final double AGE_S = 600;
-  private static final int MOST_HOSTS = 500;
+  private static final int MOST_MACHINES = 500;
 
-  private record Host(String endpoint, String zone) {}
+  private record RentedMachine(String endpoint, String zone) {}
 
-  private final TreeMap<String, Host> hosts = new TreeMap<>();
+  private final TreeMap<String, RentedMachine> machinesById = new TreeMap<>();
   private final Consumer<String> onReturn;
   private int returned;
 
@@ -38,7 +38,7 @@
   }
 
   void add(String machine, String endpoint, String zone) {
-    hosts.put(machine, new Host(endpoint, zone));
+    machinesById.put(machine, new RentedMachine(endpoint, zone));
   }
 
   /** Machines that were returned. */
@@ -62,10 +62,10 @@
 
   private void giveBack(byte[] body, Responder out) {
     try {
-      for (JsonNode host : Json.parseObject(body).path("hosts")) {
-        if (hosts.remove(host.asText()) != null) {
+      for (JsonNode machine : Json.parseObject(body).path("hosts")) {
+        if (machinesById.remove(machine.asText()) != null) {
           returned++;
-          onReturn.accept(host.asText());
+          onReturn.accept(machine.asText());
         }
       }
       out.send(HttpStatus.OK, "{}");
@@ -78,8 +78,8 @@
     ObjectNode answer = Json.object();
     ArrayNode listed = answer.putArray("hosts");
     boolean more = false;
-    for (var entry : hosts.tailMap(query.text("since"), false).entrySet()) {
-      more = listed.size() == query.number("page", MOST_HOSTS);
+    for (var entry : machinesById.tailMap(query.text("since"), false).entrySet()) {
+      more = listed.size() == query.number("page", MOST_MACHINES);
       if (more) {
         break;
       }
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -50,7 +50,7 @@
     }
   }
 
-  private static final class Host {
+  private static final class EmulatedMachine {
     final String id;
     final String endpoint;
     final boolean large;
@@ -60,7 +60,7 @@
     long sequenceNumber;
     long fencingToken;
 
-    Host(int number, String endpoint) {
+    EmulatedMachine(int number, String endpoint) {
       this.id = String.format("i-%06d", number);
       this.endpoint = endpoint;
       this.large = number % 2 == 0;
@@ -72,7 +72,7 @@
   private final Loop loop;
   private final TreeMap<String, Entry> keys = new TreeMap<>();
   private final List<Change> log = new ArrayList<>();
-  private final Map<String, Host> hosts = new LinkedHashMap<>();
+  private final Map<String, EmulatedMachine> machinesById = new LinkedHashMap<>();
   private long storeRevision = 1;
   private long leaseIds;
 
@@ -83,18 +83,18 @@
   public WarmUpServices(Loop loop, int machines, String endpoint) {
     this.loop = loop;
     for (int i = 1; i <= machines; i++) {
-      Host host = new Host(i, String.format(endpoint, i));
-      hosts.put(host.id, host);
+      EmulatedMachine machine = new EmulatedMachine(i, String.format(endpoint, i));
+      machinesById.put(machine.id, machine);
     }
   }
 
   public List<String> machines() {
-    return List.copyOf(hosts.keySet());
+    return List.copyOf(machinesById.keySet());
   }
 
   /** Which machine takes direct calls there. */
   String machineAt(String endpoint) {
-    return hosts.values().stream()
+    return machinesById.values().stream()
         .filter(h -> h.endpoint.equals(endpoint))
         .findFirst()
         .orElseThrow()
@@ -213,7 +213,7 @@
   private String listed() {
     ObjectNode out = Json.object().put("more", false);
     ArrayNode array = out.putArray("hosts");
-    hosts
+    machinesById
         .values()
         .forEach(
             h ->
@@ -230,22 +230,22 @@
   }
 
   /** The machine's heartbeat as it stands now. */
-  public byte[] heartbeat(String host) {
-    Host otherHost = hosts.get(host);
+  public byte[] heartbeat(String machine) {
+    EmulatedMachine otherMachine = machinesById.get(machine);
     long now = loop.nowMicros();
     ObjectNode object =
         Json.object()
-            .put("host", otherHost.id)
-            .put("endpoint", otherHost.endpoint)
-            .put("flavor", otherHost.large ? "large" : "small")
-            .put("site", otherHost.zone)
-            .put("loaners", otherHost.spot)
+            .put("host", otherMachine.id)
+            .put("endpoint", otherMachine.endpoint)
+            .put("flavor", otherMachine.large ? "large" : "small")
+            .put("site", otherMachine.zone)
+            .put("loaners", otherMachine.spot)
             .put("tenure", 1)
-            .put("tick", ++otherHost.sequenceNumber)
-            .put("baton", otherHost.fencingToken)
+            .put("tick", ++otherMachine.sequenceNumber)
+            .put("baton", otherMachine.fencingToken)
             .putNull("reclaim_in_s");
     ArrayNode array = object.putArray("pieces");
-    for (Task task : otherHost.tasks.values()) {
+    for (Task task : otherMachine.tasks.values()) {
       long age = now - task.sinceMicros;
       if (task.exit == null && age > FETCH_MICROS + RUN_MICROS) {
         task.exit = "done";
@@ -266,28 +266,28 @@
   }
 
   /** The machine carries out what an answer or a direct call says. */
-  public void command(String host, String answer) {
-    Host otherHost = hosts.get(host);
+  public void command(String machine, String answer) {
+    EmulatedMachine otherMachine = machinesById.get(machine);
     ObjectNode object;
     try {
       object = Json.parseObject(answer);
     } catch (InvalidMessage e) {
       throw new IllegalStateException("an answer that was just written can't be read", e);
     }
-    otherHost.fencingToken = Math.max(otherHost.fencingToken, object.path("baton").asLong());
+    otherMachine.fencingToken = Math.max(otherMachine.fencingToken, object.path("baton").asLong());
     for (JsonNode command : object.path("orders")) {
       long attempt = command.path("try").asLong();
-      Task task = otherHost.tasks.get(attempt);
+      Task task = otherMachine.tasks.get(attempt);
       switch (command.path("verb").asText()) {
         case "run" ->
-            otherHost.tasks.putIfAbsent(
+            otherMachine.tasks.putIfAbsent(
                 attempt, new Task(command.path("piece").asText(), attempt, loop.nowMicros()));
         case "halt" -> {
           if (task != null && task.exit == null) {
             task.exit = "halted";
           }
         }
-        default -> otherHost.tasks.remove(attempt);
+        default -> otherMachine.tasks.remove(attempt);
       }
     }
   }
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -113,9 +113,9 @@
                 return;
               }
               if (path.equals("/orders")) {
-                String host = outside.machineAt(to.toString());
-                outside.command(host, new String(body, StandardCharsets.UTF_8));
-                answer.take(200, outside.heartbeat(host));
+                String machineId = outside.machineAt(to.toString());
+                outside.command(machineId, new String(body, StandardCharsets.UTF_8));
+                answer.take(200, outside.heartbeat(machineId));
               } else {
                 outside.handle(
                     method,
@@ -133,7 +133,7 @@
             });
   }
 
-  private void heartbeat(int life, String host) {
+  private void heartbeat(int life, String machineId) {
     if (life != lives || node == null) {
       return;
     }
@@ -141,13 +141,13 @@
         .handle(
             "POST",
             "/hello",
-            outside.heartbeat(host),
+            outside.heartbeat(machineId),
             (status, json, retry) -> {
               if (status == 200) {
-                outside.command(host, json);
+                outside.command(machineId, json);
               }
             });
-    loop.after(HEARTBEAT_MICROS, () -> heartbeat(life, host));
+    loop.after(HEARTBEAT_MICROS, () -> heartbeat(life, machineId));
   }
 
   private void submit(int life) {
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -10,7 +10,7 @@
  * What a worker tells of itself: the body of a heartbeat, and of the answers of the direct calls.
  */
 public record Heartbeat(
-    String host,
+    String machineId,
     String endpoint,
     String machineType,
     String zone,
@@ -60,7 +60,7 @@
         String name = jsonParser.currentName();
         JsonToken jsonToken = jsonParser.nextToken();
         switch (name) {
-          case "host" -> fields.host = text(jsonParser, name);
+          case "host" -> fields.machineId = text(jsonParser, name);
           case "endpoint" -> fields.endpoint = text(jsonParser, name);
           case "flavor" -> fields.machineType = text(jsonParser, name);
           case "site" -> fields.zone = text(jsonParser, name);
@@ -88,7 +88,7 @@
 
   /** What has been read of a heartbeat so far. */
   private static final class Fields {
-    private String host;
+    private String machineId;
     private String endpoint;
     private String machineType;
     private String zone;
@@ -101,7 +101,7 @@
 
     Heartbeat heartbeat() throws InvalidMessage {
       return new Heartbeat(
-          needed(host, "host"),
+          needed(machineId, "host"),
           needed(endpoint, "endpoint"),
           needed(machineType, "flavor"),
           needed(zone, "site"),
--- a/src/main/java/plumlever/wire/HostEntry.java
+++ b/src/main/java/plumlever/wire/ListedMachine.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** A machine of the cloud's list. */
-public record HostEntry(
-    String uid,
+public record ListedMachine(
+    String id,
     String endpoint,
     String machineType,
     String zone,
@@ -12,8 +12,8 @@
     String status,
     double ageS) {
   /** Reads one entry of the cloud's list. */
-  public static HostEntry parse(JsonNode node) throws InvalidMessage {
-    return new HostEntry(
+  public static ListedMachine parse(JsonNode node) throws InvalidMessage {
+    return new ListedMachine(
         Json.text(node, "uid"),
         Json.text(node, "endpoint"),
         Json.text(node, "flavor"),
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -37,7 +37,7 @@
   private static ObjectNode json(Heartbeat heartbeat) {
     ObjectNode object =
         Json.object()
-            .put("host", heartbeat.host())
+            .put("host", heartbeat.machineId())
             .put("endpoint", heartbeat.endpoint())
             .put("flavor", heartbeat.machineType())
             .put("site", heartbeat.zone())
@@ -80,7 +80,7 @@
   /** The same with the tasks that are given. */
   public static Heartbeat only(Heartbeat heartbeat, List<Heartbeat.AttemptStatus> attempts) {
     return new Heartbeat(
-        heartbeat.host(),
+        heartbeat.machineId(),
         heartbeat.endpoint(),
         heartbeat.machineType(),
         heartbeat.zone(),
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -113,9 +113,9 @@
       } else if (path.startsWith("/hosts?")) {
         long then = cluster.now() - LAG_MICROS - cluster.random.nextLong(LAG_MICROS);
         ArrayNode listed = Json.object().putArray("hosts");
-        for (Object[] host : history) {
-          if ((Long) host[0] <= then) {
-            listed = (ArrayNode) host[1];
+        for (Object[] machineId : history) {
+          if ((Long) machineId[0] <= then) {
+            listed = (ArrayNode) machineId[1];
           }
         }
         reply.send(200, Json.write(page(listed, path)));
@@ -136,15 +136,15 @@
     Matcher since = SINCE.matcher(path);
     String from = since.find() ? since.group(1) : "";
     ObjectNode out = Json.object();
-    ArrayNode hosts = out.putArray("hosts");
+    ArrayNode machineIds = out.putArray("hosts");
     boolean more = false;
-    for (JsonNode host : listed) {
-      if (host.path("uid").asText().compareTo(from) > 0) {
-        more = hosts.size() == PAGE;
+    for (JsonNode machineId : listed) {
+      if (machineId.path("uid").asText().compareTo(from) > 0) {
+        more = machineIds.size() == PAGE;
         if (more) {
           break;
         }
-        hosts.add(host);
+        machineIds.add(machineId);
       }
     }
     return out.put("more", more);
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -67,15 +67,15 @@
 
   /** Heartbeats of the machine arrive, nothing reaches it. */
   private String deafen(double seconds) {
-    String host =
+    String machineId =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
             .map(v -> v.id)
             .findFirst()
             .orElseThrow();
-    cluster.cuts.put("*>" + host, true);
-    cluster.at((long) (seconds * 1e6), () -> cluster.cuts.remove("*>" + host));
-    return host;
+    cluster.cuts.put("*>" + machineId, true);
+    cluster.at((long) (seconds * 1e6), () -> cluster.cuts.remove("*>" + machineId));
+    return machineId;
   }
 
   @Test
--- a/src/test/java/plumlever/sim/FormerVersion.java
+++ b/src/test/java/plumlever/sim/FormerVersion.java
@@ -56,21 +56,21 @@
   private void fleet() {
     Map<String, JsonNode> out = new LinkedHashMap<>();
     ArrayNode kinds = null;
-    ArrayNode hosts = null;
+    ArrayNode machineIds = null;
     Map<String, Integer> numbers = new LinkedHashMap<>();
     int bytes = 0;
     for (JsonNode node : store.values("fleet/")) {
-      for (JsonNode host : node.path("hosts")) {
-        int more = host.path(0).asText().length() + host.path(1).asText().length() + 11;
-        if (hosts == null || bytes + more > valueBytes) {
+      for (JsonNode machineId : node.path("hosts")) {
+        int more = machineId.path(0).asText().length() + machineId.path(1).asText().length() + 11;
+        if (machineIds == null || bytes + more > valueBytes) {
           ObjectNode object = Json.object();
           kinds = object.putArray("kinds");
-          hosts = object.putArray("hosts");
+          machineIds = object.putArray("hosts");
           numbers = new LinkedHashMap<>();
           out.put("fleet/" + out.size(), object);
           bytes = 500;
         }
-        JsonNode kind = node.path("kinds").path(host.path(2).asInt());
+        JsonNode kind = node.path("kinds").path(machineId.path(2).asInt());
         ArrayNode into = kinds;
         int number =
             numbers.computeIfAbsent(
@@ -79,7 +79,7 @@
                   into.add(kind);
                   return into.size() - 1;
                 });
-        hosts.addArray().add(host.path(0)).add(host.path(1)).add(number);
+        machineIds.addArray().add(machineId.path(0)).add(machineId.path(1)).add(number);
         bytes += more;
       }
     }
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -23,7 +23,9 @@
     cluster
         .store
         .values("fleet/")
-        .forEach(value -> value.path("hosts").forEach(host -> names.add(host.path(0).asText())));
+        .forEach(
+            value ->
+                value.path("hosts").forEach(machineId -> names.add(machineId.path(0).asText())));
     return names;
   }
 
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -189,9 +189,9 @@
   }
 
   /** Its reports arrive; answers and commands to it don't, and come late if at all. */
-  private static void deafen(SimulatedCluster cluster, String host, long time) {
-    cluster.cuts.put("*>" + host, true);
-    cluster.at(time, () -> cluster.cuts.remove("*>" + host));
+  private static void deafen(SimulatedCluster cluster, String machineId, long time) {
+    cluster.cuts.put("*>" + machineId, true);
+    cluster.at(time, () -> cluster.cuts.remove("*>" + machineId));
   }
 
   private static void loseAllButWorkers(
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -323,8 +323,8 @@
           false);
     }
     cluster.play(60);
-    Set<String> hosts = hosts(cluster);
-    assertTrue(hosts.size() > 60, "machines on record: " + hosts.size());
+    Set<String> machineIds = machineIds(cluster);
+    assertTrue(machineIds.size() > 60, "machines on record: " + machineIds.size());
     cluster.leader().crash(1);
     cluster.play(0.05);
     new FormerVersion(cluster.store, NOW_BYTES).leads();
@@ -338,10 +338,10 @@
       cluster.at(
           i * 20_000L,
           () -> {
-            Set<String> now = hosts(cluster);
-            for (String host : hosts) {
-              if (!now.contains(host) && cluster.cloud.machines.containsKey(host)) {
-                cluster.invariants.broken.add(host + " is on no record");
+            Set<String> now = machineIds(cluster);
+            for (String machineId : machineIds) {
+              if (!now.contains(machineId) && cluster.cloud.machines.containsKey(machineId)) {
+                cluster.invariants.broken.add(machineId + " is on no record");
               }
             }
             looks[0]++;
@@ -358,7 +358,7 @@
         "all in parts by now");
   }
 
-  private static Set<String> hosts(SimulatedCluster cluster) {
+  private static Set<String> machineIds(SimulatedCluster cluster) {
     Set<String> out = new HashSet<>();
     cluster
         .store
