--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
 import plumlever.wire.JobState;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * Jobs that wait for others, and what follows from how those end. Pure: it is told what the stored
@@ -46,7 +46,7 @@
    * @param tailMicros what the jobs after this one take, on the longest way to that job and with it
    */
   public record EffectiveGoal(
-      long submittedMicros, long dueMicros, String jobclass, long tailMicros, Urgency urgency) {
+      long submittedMicros, long dueMicros, String jobclass, long tailMicros, Priority priority) {
     /** By when this job has to be done; Long.MAX_VALUE for any time. */
     public long byMicros() {
       return dueMicros == Long.MAX_VALUE
@@ -60,20 +60,20 @@
           dueMicros,
           jobclass,
           dueMicros == Long.MAX_VALUE ? 0 : tailMicros + costMicros,
-          urgency);
+          priority);
     }
 
     private EffectiveGoal with(EffectiveGoal other) {
       EffectiveGoal sooner = other.byMicros() < byMicros() ? other : this;
-      Urgency otherUrgency = other.urgency.compareTo(urgency) < 0 ? other.urgency : urgency;
-      return sooner.urgency == otherUrgency
+      Priority otherPriority = other.priority.compareTo(priority) < 0 ? other.priority : priority;
+      return sooner.priority == otherPriority
           ? sooner
           : new EffectiveGoal(
               sooner.submittedMicros,
               sooner.dueMicros,
               sooner.jobclass,
               sooner.tailMicros,
-              otherUrgency);
+              otherPriority);
     }
   }
 
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -151,7 +151,7 @@
   private Attempt enter(Attempt attempt) {
     attempt.machine().add(attempt);
     attempt.job().occupy(attempt);
-    Held held = heldByTeam.computeIfAbsent(attempt.job().spec().owner(), k -> new Held());
+    Held held = heldByTeam.computeIfAbsent(attempt.job().spec().team(), k -> new Held());
     held.cores += attempt.job().spec().cores();
     held.accelerators += attempt.job().spec().accelerators();
     return attempt;
@@ -168,7 +168,7 @@
     }
     attempt.end(cause);
     attempt.job().release(attempt);
-    Held held = heldByTeam.get(attempt.job().spec().owner());
+    Held held = heldByTeam.get(attempt.job().spec().team());
     held.cores -= attempt.job().spec().cores();
     held.accelerators -= attempt.job().spec().accelerators();
   }
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -3,7 +3,7 @@
 import java.util.BitSet;
 import org.agrona.collections.Int2ObjectHashMap;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /** An accepted job that has not ended, and what is known of its tasks. */
 public final class Job implements Registered {
@@ -65,9 +65,9 @@
             spec.hasDeadline() ? (long) (spec.dueS() * 1e6) : Long.MAX_VALUE,
             spec.jobclass(),
             0,
-            spec.urgency());
+            spec.priority());
     this.inherited = inherited;
-    free.set(0, spec.pieces());
+    free.set(0, spec.taskCount());
   }
 
   public JobSpec spec() {
@@ -119,7 +119,7 @@
     return releasedMicros;
   }
 
-  /** What it is worth: its own deadline and urgency, or what jobs that need it leave it. */
+  /** What it is worth: its own deadline and priority, or what jobs that need it leave it. */
   public DependencyGraph.EffectiveGoal goal() {
     return goal;
   }
@@ -129,8 +129,8 @@
   }
 
   /** Its own, or of a more urgent job that needs it. */
-  public Urgency urgency() {
-    return goal.urgency();
+  public Priority priority() {
+    return goal.priority();
   }
 
   public boolean hasDeadline() {
@@ -176,7 +176,7 @@
   }
 
   public boolean complete() {
-    return doneCount == spec.pieces();
+    return doneCount == spec.taskCount();
   }
 
   public int freeCount() {
@@ -225,7 +225,7 @@
 
   /** The task has completed; repeated calls change nothing. */
   public void markDone(int task) {
-    if (task < spec.pieces() && !done.get(task)) {
+    if (task < spec.taskCount() && !done.get(task)) {
       done.set(task);
       doneCount++;
       free.clear(task);
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -177,7 +177,7 @@
       ifUnknown(uid, out, () -> out.error(HttpStatus.BAD_REQUEST, e.getMessage()));
       return;
     }
-    if (!teams.contains(spec.owner())) {
+    if (!teams.contains(spec.team())) {
       ifUnknown(uid, out, () -> out.error(HttpStatus.UNPROCESSABLE, "owner is unknown"));
       return;
     }
@@ -277,7 +277,7 @@
 
   private boolean overLimit(JobSpec spec) {
     for (Platform.Team team : limits) {
-      if (team.name().equals(spec.owner())) {
+      if (team.name().equals(spec.team())) {
         return (team.cpusMax() > 0 && spec.cores() > team.cpusMax())
             || (team.gpusMax() > 0 && spec.accelerators() > team.gpusMax());
       }
--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/ActiveJobs.java
@@ -200,7 +200,7 @@
       log.debug(
           "{} taken in: {} tasks of class {}, accepted {} ms ago",
           uid,
-          job.spec().pieces(),
+          job.spec().taskCount(),
           job.spec().jobclass(),
           age / 1_000);
       List<String> parts = JobStore.waitsKeys(uid, data);
@@ -383,7 +383,7 @@
     cost = ofTask;
   }
 
-  /** Brings deadlines and urgency along the chains up to date; cheap where nothing changed. */
+  /** Brings deadlines and priority along the chains up to date; cheap where nothing changed. */
   void settleAims(boolean costsToo) {
     if (dependencies.size() == 0) {
       return;
--- a/src/main/java/plumlever/leader/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/HeartbeatHandler.java
@@ -273,7 +273,7 @@
       attempt
           .machine()
           .images()
-          .isReady(attempt.job().spec().bundle(), attempt.job().spec().imageGb());
+          .isReady(attempt.job().spec().image(), attempt.job().spec().imageGb());
       context.metrics().time("start", now - attempt.job().acceptedMicros());
       if (!attempt.adopted()) {
         // What images cost: room that is held while a task waits for its own.
@@ -321,8 +321,8 @@
       }
       case STOPPED -> {
         context.metrics().count("tasks_halted");
-        if (attempt.runningSinceMicros() < 0 && !waitsFor(machine, job.spec().bundle())) {
-          machine.images().dropFetch(job.spec().bundle());
+        if (attempt.runningSinceMicros() < 0 && !waitsFor(machine, job.spec().image())) {
+          machine.images().dropFetch(job.spec().image());
         }
       }
       default -> {
@@ -334,7 +334,7 @@
 
   private static boolean waitsFor(Machine machine, String image) {
     for (Attempt attempt : machine.attempts()) {
-      if (!attempt.over() && attempt.job().spec().bundle().equals(image)) {
+      if (!attempt.over() && attempt.job().spec().image().equals(image)) {
         return true;
       }
     }
@@ -371,7 +371,7 @@
   /** A task this leader did not start there. */
   private void unknown(Machine machine, Heartbeat.AttemptStatus reported, long now) {
     Job job = jobs.get(reported.task().job());
-    if (job == null || job.over() || reported.task().number() >= job.spec().pieces()) {
+    if (job == null || job.over() || reported.task().number() >= job.spec().taskCount()) {
       return;
     }
     int task = reported.task().number();
@@ -398,12 +398,12 @@
       Attempt attempt = fleet.adopt(job, task, reported.attempt(), machine, now);
       attempt.see(reported.state(), now);
       if (reported.state() == AttemptState.RUNNING) {
-        machine.images().isReady(job.spec().bundle(), job.spec().imageGb());
+        machine.images().isReady(job.spec().image(), job.spec().imageGb());
       } else if (context.prices().machineType(machine.machineType()) != null) {
         machine
             .images()
             .use(
-                job.spec().bundle(),
+                job.spec().image(),
                 job.spec().imageGb(),
                 context.prices().machineType(machine.machineType()),
                 now);
--- a/src/main/java/plumlever/leader/Preemption.java
+++ b/src/main/java/plumlever/leader/Preemption.java
@@ -12,7 +12,7 @@
 import plumlever.placement.Zones;
 import plumlever.wire.AttemptState;
 import plumlever.wire.MachineType;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * Makes room for a task that would miss its aim, by stopping tasks of less urgent jobs. Only tasks
@@ -107,7 +107,7 @@
    */
   private List<Offer> offers(Job job, ResourceRequest request, long startByMicros, long now) {
     List<Offer> out = new ArrayList<>();
-    if (job.urgency() == Urgency.IDLE) {
+    if (job.priority() == Priority.IDLE) {
       // Nothing is less urgent, and in a full fleet most of what waits is like this.
       return out;
     }
@@ -129,7 +129,7 @@
               + COMMAND_MICROS
               + machine
                   .images()
-                  .fetchMicros(job.spec().bundle(), job.spec().imageGb(), machineType, now);
+                  .fetchMicros(job.spec().image(), job.spec().imageGb(), machineType, now);
       int harmed = 0;
       for (Attempt attempt : stop) {
         ready =
@@ -180,7 +180,7 @@
       accelerators -= attempt.job().spec().accelerators();
       if (attempt.state() == AttemptState.RUNNING
           && attempt.job().spec().checkpoints()
-          && attempt.job().urgency().compareTo(job.urgency()) > 0
+          && attempt.job().priority().compareTo(job.priority()) > 0
           && now - attempt.runningSinceMicros() > SETTLED_MICROS) {
         candidates.add(attempt);
       }
--- a/src/main/java/plumlever/leader/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/ProgressWriter.java
@@ -255,7 +255,7 @@
     for (Map.Entry<Job, BitSet> entry : dirty.entrySet()) {
       Job job = entry.getKey();
       int each =
-          Math.min(context.layout().valueBytes(), job.spec().pieces() / TASKS_PER_BYTE + 100);
+          Math.min(context.layout().valueBytes(), job.spec().taskCount() / TASKS_PER_BYTE + 100);
       BitSet written = new BitSet();
       for (int first = entry.getValue().nextSetBit(0);
           first >= 0 && room > 0 && bytes + each <= MOST_BYTES;
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -258,8 +258,7 @@
       long start = objectives.startBy(job, guaranteed(job), now);
       long left = Math.min(finish, start == Long.MAX_VALUE ? start : start + runMicros) - now;
       int tasks = job.freeCount() + job.liveCount();
-      works.add(
-          new CoreDemand.Work(job.spec().owner(), tasks, job.spec().cores(), runMicros, left));
+      works.add(new CoreDemand.Work(job.spec().team(), tasks, job.spec().cores(), runMicros, left));
     }
     return works;
   }
@@ -372,7 +371,7 @@
   }
 
   /**
-   * What must begin first, the oldest first; then work within a guarantee, then by urgency, then
+   * What must begin first, the oldest first; then work within a guarantee, then by priority, then
    * what can still meet its aim, the most pressing first.
    */
   private List<Job> order(long now) {
@@ -391,10 +390,10 @@
         continue;
       }
       double cores =
-          used.merge(job.spec().owner(), job.spec().pieces() * job.spec().cores(), Double::sum);
+          used.merge(job.spec().team(), job.spec().taskCount() * job.spec().cores(), Double::sum);
       // Decided once, when the job comes: what finishes later does not move a job that came beyond
       // the guarantee.
-      if (within.putIfAbsent(job, cores <= guaranteed.getOrDefault(job.spec().owner(), 0.0)) == null
+      if (within.putIfAbsent(job, cores <= guaranteed.getOrDefault(job.spec().team(), 0.0)) == null
           && within.get(job)) {
         context.metrics().count("jobs_guaranteed");
       }
@@ -413,7 +412,7 @@
     waiting.sort(
         Comparator.<Job>comparingLong(j -> mustBegin(j, now) ? j.releasedMicros() : Long.MAX_VALUE)
             .thenComparingInt(j -> within.get(j) ? 0 : 1)
-            .thenComparing(j -> j.urgency())
+            .thenComparing(j -> j.priority())
             .thenComparingInt(j -> missed(latest.get(j), now) ? 1 : 0)
             .thenComparingLong(latest::get)
             .thenComparingLong(Job::releasedMicros));
@@ -572,7 +571,7 @@
         job.spec().cores(),
         job.spec().accelerators(),
         job.spec().memoryGb(),
-        job.spec().bundle(),
+        job.spec().image(),
         job.spec().imageGb(),
         estimates.runMicros(job),
         objectives.finishBy(job, now),
@@ -736,7 +735,7 @@
 
   /** What one task of the job takes of its team's limit is given away in this round. */
   private void planned(Job job) {
-    double[] planned = plannedByTeam.computeIfAbsent(job.spec().owner(), k -> new double[2]);
+    double[] planned = plannedByTeam.computeIfAbsent(job.spec().team(), k -> new double[2]);
     planned[0] += job.spec().cores();
     planned[1] += job.spec().accelerators();
   }
@@ -762,7 +761,7 @@
    */
   int quotaRoom(Job job) {
     int room = takeover.quotaRoom(job);
-    double[] planned = plannedByTeam.get(job.spec().owner());
+    double[] planned = plannedByTeam.get(job.spec().team());
     if (planned != null && room != Integer.MAX_VALUE) {
       if (job.spec().cores() > 0) {
         room -= (int) Math.ceil(planned[0] / job.spec().cores() - 1e-9);
--- a/src/main/java/plumlever/leader/Takeover.java
+++ b/src/main/java/plumlever/leader/Takeover.java
@@ -137,11 +137,11 @@
 
   /** How many more tasks of the job its team's limit allows. */
   int quotaRoom(Job job) {
-    Platform.Team team = teams.get(job.spec().owner());
+    Platform.Team team = teams.get(job.spec().team());
     if (team == null) {
       return 0;
     }
-    Fleet.Held held = fleet.held(job.spec().owner());
+    Fleet.Held held = fleet.held(job.spec().team());
     double cores = held.cores();
     double accelerators = held.accelerators();
     if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
--- a/src/main/java/plumlever/leader/TaskStarter.java
+++ b/src/main/java/plumlever/leader/TaskStarter.java
@@ -102,7 +102,7 @@
         started.add(attempt);
         zones.add(machine.zone());
         room.take(job.spec());
-        machine.images().use(job.spec().bundle(), job.spec().imageGb(), machineType, now);
+        machine.images().use(job.spec().image(), job.spec().imageGb(), machineType, now);
         commands.add(WorkerCommand.run(attempt.name(), attempt.id()));
         context.metrics().count("runs_ordered");
         context.metrics().time("wait", now - job.releasedMicros());
--- a/src/main/java/plumlever/leader/TransferDuty.java
+++ b/src/main/java/plumlever/leader/TransferDuty.java
@@ -258,7 +258,7 @@
       Job job = jobs.get(guest.task().job());
       int task = guest.task().number();
       boolean open =
-          job != null && !job.over() && task < job.spec().pieces() && !job.done().get(task);
+          job != null && !job.over() && task < job.spec().taskCount() && !job.done().get(task);
       if (open && job.liveAttempt(task) == null) {
         fleet.adopt(job, task, guest.attempt(), machine, now());
       }
--- a/src/main/java/plumlever/scaling/Standby.java
+++ b/src/main/java/plumlever/scaling/Standby.java
@@ -28,7 +28,7 @@
 
   /** A job came whose start can't wait for a rental. */
   public void arrived(long atMicros, JobSpec job) {
-    double cores = job.pieces() * job.cores();
+    double cores = job.taskCount() * job.cores();
     arrivals.add(new Arrival(atMicros, cores, job));
     squares += cores * cores;
   }
--- a/src/main/java/plumlever/settings/Tunables.java
+++ b/src/main/java/plumlever/settings/Tunables.java
@@ -23,7 +23,7 @@
  * @param rentMicros about what it takes to rent a machine and have it up: what a waiting task must
  *     have left
  * @param beginMicros a job of which nothing has run after this goes before all others, whatever its
- *     urgency: age must win in the end
+ *     priority: age must win in the end
  * @param standbySpreads room that stands by for work that must start sooner than a machine can be
  *     rented, in standard deviations of what comes in meanwhile; 0 for none
  * @param spotRisk where only speed matters, share by which a spot machine seems dearer to a task
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -402,7 +402,7 @@
   public static int packSize(JobSpec spec) {
     return spec.uid().length()
         + PACKED_ENTRY_BYTES
-        + (spec.pieces() + TASKS_IN_LETTERS - 1) / TASKS_IN_LETTERS * BASE64_LETTERS;
+        + (spec.taskCount() + TASKS_IN_LETTERS - 1) / TASKS_IN_LETTERS * BASE64_LETTERS;
   }
 
   /** Room in a pack. */
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -19,7 +19,7 @@
   /** The first seconds belong to those who wait for the process to be up. */
   private static final long AFTER_MICROS = 4_000_000;
 
-  private static final long PIECE_MICROS = 15_000;
+  private static final long SLICE_MICROS = 15_000;
   private static final long PAUSE_MICROS = 30_000;
   private static final long BUSY_PAUSE_MICROS = 500_000;
 
@@ -74,7 +74,7 @@
       practice = new WarmUpTerms(platform, tunables, loop.wallMicros());
     }
     boolean more = true;
-    while (more && loop.nowMicros() - start < PIECE_MICROS) {
+    while (more && loop.nowMicros() - start < SLICE_MICROS) {
       more = practice.step();
     }
     if (!more) {
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -13,7 +13,7 @@
 import plumlever.settings.Tunables;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * A node played to itself: two terms of a small deployment in memory, with the service's own code
@@ -151,13 +151,13 @@
   }
 
   private void submit(int life) {
-    Urgency urgency = Urgency.values()[submitted % Urgency.values().length];
+    Priority priority = Priority.values()[submitted % Priority.values().length];
     JobSpec job =
         new JobSpec(
             "job-" + ++submitted,
             "c" + submitted % 3,
             "practice",
-            urgency,
+            priority,
             24,
             1 + submitted % 2,
             0,
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -12,13 +12,13 @@
 public record JobSpec(
     String uid,
     String jobclass,
-    String owner,
-    Urgency urgency,
-    int pieces,
+    String team,
+    Priority priority,
+    int taskCount,
     double cores,
     double accelerators,
     double memoryGb,
-    String bundle,
+    String image,
     double imageGb,
     List<String> machineTypes,
     String zone,
@@ -35,13 +35,13 @@
   public JobSpec(
       String uid,
       String jobclass,
-      String owner,
-      Urgency urgency,
-      int pieces,
+      String team,
+      Priority priority,
+      int taskCount,
       double cores,
       double accelerators,
       double memoryGb,
-      String bundle,
+      String image,
       double imageGb,
       List<String> machineTypes,
       String zone,
@@ -55,13 +55,13 @@
     this(
         uid,
         jobclass,
-        owner,
-        urgency,
-        pieces,
+        team,
+        priority,
+        taskCount,
         cores,
         accelerators,
         memoryGb,
-        bundle,
+        image,
         imageGb,
         machineTypes,
         zone,
@@ -75,7 +75,7 @@
         List.of());
   }
 
-  public static final int MAX_PIECES = 100_000;
+  public static final int MAX_TASKS = 100_000;
 
   /** Stands in {@code dueS} for a job with no deadline. */
   public static final double NO_DEADLINE = -1;
@@ -128,8 +128,8 @@
         uid,
         Json.text(object, "jobclass"),
         Json.text(object, "owner"),
-        Urgency.of(Json.text(object, "urgency")),
-        (int) Json.whole(object, "pieces", 1, MAX_PIECES),
+        Priority.of(Json.text(object, "urgency")),
+        (int) Json.whole(object, "pieces", 1, MAX_TASKS),
         cores,
         accelerators,
         memory,
@@ -174,13 +174,13 @@
     return new JobSpec(
         uid,
         jobclass,
-        owner,
-        urgency,
-        pieces,
+        team,
+        priority,
+        taskCount,
         cores,
         accelerators,
         memoryGb,
-        bundle,
+        image,
         imageGb,
         machineTypes,
         zone,
@@ -204,14 +204,14 @@
     object
         .put("uid", uid)
         .put("jobclass", jobclass)
-        .put("owner", owner)
+        .put("owner", team)
         .put("shape", "sweep")
-        .put("urgency", urgency.wireName())
-        .put("pieces", pieces)
+        .put("urgency", priority.wireName())
+        .put("pieces", taskCount)
         .put("cores", cores)
         .put("accelerators", accelerators)
         .put("memory_gb", memoryGb)
-        .put("bundle", bundle)
+        .put("bundle", image)
         .put("image_gb", imageGb)
         .put("one_zone", oneZone)
         .put("spread", spread)
@@ -245,6 +245,6 @@
 
   /** The most tasks that may be in one zone at a time. */
   public int zoneLimit() {
-    return spread ? (pieces + 1) / 2 : pieces;
+    return spread ? (taskCount + 1) / 2 : taskCount;
   }
 }
--- a/src/main/java/plumlever/wire/Urgency.java
+++ b/src/main/java/plumlever/wire/Priority.java
@@ -1,7 +1,7 @@
 package plumlever.wire;
 
 /** Priorities, the most urgent first. */
-public enum Urgency {
+public enum Priority {
   PROD("prod"),
   HIGH("high"),
   STANDARD("standard"),
@@ -9,7 +9,7 @@
 
   private final String wireName;
 
-  Urgency(String wireName) {
+  Priority(String wireName) {
     this.wireName = wireName;
   }
 
@@ -18,10 +18,10 @@
   }
 
   /** By its name in submissions. */
-  public static Urgency of(String name) throws InvalidMessage {
-    for (Urgency urgency : values()) {
-      if (urgency.wireName.equals(name)) {
-        return urgency;
+  public static Priority of(String name) throws InvalidMessage {
+    for (Priority priority : values()) {
+      if (priority.wireName.equals(name)) {
+        return priority;
       }
     }
     throw new InvalidMessage("urgency is unknown");
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import plumlever.wire.JobState;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * The chains beside a slow plain model that works everything out anew from the records each time.
@@ -58,15 +58,15 @@
       return by;
     }
 
-    Urgency urgency(String uid) {
-      Urgency otherUrgency = own.get(uid).urgency();
+    Priority priority(String uid) {
+      Priority otherPriority = own.get(uid).priority();
       for (String after : needs.keySet()) {
         if (needs.get(after).contains(uid) && ended.get(after) == null && !aborted(after)) {
-          Urgency theirs = urgency(after);
-          otherUrgency = theirs.compareTo(otherUrgency) < 0 ? theirs : otherUrgency;
+          Priority theirs = priority(after);
+          otherPriority = theirs.compareTo(otherPriority) < 0 ? theirs : otherPriority;
         }
       }
-      return otherUrgency;
+      return otherPriority;
     }
   }
 
@@ -132,7 +132,7 @@
             random.nextInt(3) == 0 ? 100 + random.nextLong(200) : Long.MAX_VALUE,
             "c",
             0,
-            Urgency.values()[random.nextInt(4)]));
+            Priority.values()[random.nextInt(4)]));
     List<String> unknown = dependencies.accepted(uid, 1 + all.size(), needs);
     for (String name : unknown) {
       JobState how = model.ended.get(name);
@@ -171,13 +171,13 @@
       if (now != DependencyGraph.State.ABORTED) {
         assertEquals(model.by(uid), dependencies.goal(uid).byMicros(), uid + " has its deadline");
         assertEquals(
-            model.urgency(uid), dependencies.goal(uid).urgency(), uid + " has its urgency");
+            model.priority(uid), dependencies.goal(uid).priority(), uid + " has its urgency");
       }
     }
   }
 
-  private static DependencyGraph.EffectiveGoal aim(long due, Urgency urgency) {
-    return new DependencyGraph.EffectiveGoal(0, due, "c", 0, urgency);
+  private static DependencyGraph.EffectiveGoal aim(long due, Priority priority) {
+    return new DependencyGraph.EffectiveGoal(0, due, "c", 0, priority);
   }
 
   /**
@@ -193,14 +193,14 @@
           "job-" + i,
           aim(
               i == count - 1 ? 1_000_000 : Long.MAX_VALUE,
-              i == count - 1 ? Urgency.PROD : Urgency.IDLE),
+              i == count - 1 ? Priority.PROD : Priority.IDLE),
           10);
     }
     int[] changed = new int[1];
     dependencies.settleAims(uid -> changed[0]++);
     assertEquals(count, changed[0], "each once");
     assertEquals(1_000_000 - 10L * (count - 1), dependencies.goal("job-0").byMicros());
-    assertEquals(Urgency.PROD, dependencies.goal("job-0").urgency());
+    assertEquals(Priority.PROD, dependencies.goal("job-0").priority());
     dependencies.settleAims(uid -> changed[0]++);
     assertEquals(count, changed[0], "nothing changed, nothing is done");
     dependencies.takeReleased();
@@ -231,16 +231,16 @@
   void aDeadlineIsUndoneWithTheJobThatHadIt() {
     DependencyGraph dependencies = new DependencyGraph();
     dependencies.accepted("job-1", 1, List.of());
-    dependencies.goal("job-1", aim(Long.MAX_VALUE, Urgency.IDLE), 7);
+    dependencies.goal("job-1", aim(Long.MAX_VALUE, Priority.IDLE), 7);
     dependencies.settleAims(uid -> {});
     dependencies.accepted("job-2", 2, List.of("job-1"));
-    dependencies.goal("job-2", aim(90, Urgency.HIGH), 20);
+    dependencies.goal("job-2", aim(90, Priority.HIGH), 20);
     dependencies.settleAims(uid -> {});
     assertEquals(70, dependencies.goal("job-1").byMicros());
-    assertEquals(Urgency.HIGH, dependencies.goal("job-1").urgency());
+    assertEquals(Priority.HIGH, dependencies.goal("job-1").priority());
     dependencies.ended("job-2", JobState.ABORTED, 0);
     dependencies.settleAims(uid -> {});
     assertEquals(Long.MAX_VALUE, dependencies.goal("job-1").byMicros());
-    assertEquals(Urgency.IDLE, dependencies.goal("job-1").urgency());
+    assertEquals(Priority.IDLE, dependencies.goal("job-1").priority());
   }
 }
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -15,19 +15,19 @@
 import plumlever.settings.Platform;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /** What the users' page asks of jobs that depend on others, sentence by sentence. */
 final class DependencyAcceptanceTest extends DependencyScenario {
   private static final List<String> NODES = List.of("n0", "n1", "n2");
   private static final double REMOVED_WITHIN_S = 1_600;
 
-  private JobSpec ofTeam(String team, Urgency urgency, int tasks, double runS, JobSpec... names) {
+  private JobSpec ofTeam(String team, Priority priority, int tasks, double runS, JobSpec... names) {
     return new JobSpec(
             users.nextUid(),
             "c1",
             team,
-            urgency,
+            priority,
             tasks,
             1,
             0,
@@ -59,7 +59,7 @@
     }
     cluster.store.rewrite("ended/", ended);
     names.add(running.uid());
-    return job(1, 2, JobSpec.NO_DEADLINE, Urgency.STANDARD, names);
+    return job(1, 2, JobSpec.NO_DEADLINE, Priority.STANDARD, names);
   }
 
   private void smallValues() {
@@ -70,23 +70,23 @@
 
   @Test
   void namesMayBeInAnyStateAndOfAnotherTeam() {
-    JobSpec done = ofTeam("red", Urgency.IDLE, 1, 2);
-    JobSpec cancelled = ofTeam("red", Urgency.IDLE, 1, 300);
-    JobSpec running = ofTeam("red", Urgency.IDLE, 1, 90);
+    JobSpec done = ofTeam("red", Priority.IDLE, 1, 2);
+    JobSpec cancelled = ofTeam("red", Priority.IDLE, 1, 300);
+    JobSpec running = ofTeam("red", Priority.IDLE, 1, 90);
     submit(done, cancelled, running);
     cluster.play(45);
     assertTold("done", done);
     users.cancelled(cancelled);
     assertEquals(200, ask("n1", "POST", "/submissions/" + cancelled.uid() + "/abort", "").status());
-    JobSpec after = ofTeam("blue", Urgency.HIGH, 1, 2, done, running);
-    JobSpec doomed = ofTeam("blue", Urgency.HIGH, 1, 2, done, cancelled, running);
+    JobSpec after = ofTeam("blue", Priority.HIGH, 1, 2, done, running);
+    JobSpec doomed = ofTeam("blue", Priority.HIGH, 1, 2, done, cancelled, running);
     assertEquals(201, submitAt("n2", after).status());
     Answer answer = submitAt("n0", doomed);
     assertEquals(201, answer.status(), "accepted all the same");
     assertTrue(answer.body().contains("\"aborted\""), answer.body());
     cluster.play(100);
     assertTrue(ask("n1", "GET", "/submissions/" + after.uid(), null).body().contains("\"done\""));
-    JobSpec longAfter = ofTeam("blue", Urgency.HIGH, 1, 2, cancelled);
+    JobSpec longAfter = ofTeam("blue", Priority.HIGH, 1, 2, cancelled);
     assertTrue(submitAt("n1", longAfter).body().contains("\"aborted\""));
     assertEquals(List.of(), cluster.invariants.broken);
   }
@@ -94,7 +94,7 @@
   @Test
   void aJobReleasedAfterItsDeadlineStillRuns() {
     JobSpec first = idle(1, 90);
-    JobSpec last = job(2, 3, 20, Urgency.HIGH, List.of(first.uid()));
+    JobSpec last = job(2, 3, 20, Priority.HIGH, List.of(first.uid()));
     submit(first, last);
     cluster.play(140);
     assertTold("done", first, last);
@@ -107,8 +107,8 @@
    */
   @Test
   void aJobThatWaitsForMinutesCountsFromItsRelease() {
-    JobSpec first = ofTeam("blue", Urgency.IDLE, 1, 330);
-    JobSpec last = ofTeam("red", Urgency.IDLE, 40, 4, first);
+    JobSpec first = ofTeam("blue", Priority.IDLE, 1, 330);
+    JobSpec last = ofTeam("red", Priority.IDLE, 40, 4, first);
     submit(first, last);
     cluster.play(60);
     int machines = cluster.cloud.machines.size();
@@ -120,7 +120,7 @@
     assertTrue(cluster.cloud.machines.size() <= machines, "none for a job that waits");
     cluster.leader().crash(1);
     cluster.play(20);
-    JobSpec urgent = ofTeam("red", Urgency.HIGH, 40, 30);
+    JobSpec urgent = ofTeam("red", Priority.HIGH, 40, 30);
     submit(urgent);
     cluster.play(30);
     assertTrue(
@@ -226,17 +226,17 @@
   @Test
   void aSharedStageServesThePipelineThatIsDueFirst() {
     JobSpec shared = idle(1, 200);
-    JobSpec soon = job(1, 5, 300, Urgency.HIGH, List.of(shared.uid()));
-    JobSpec later = job(1, 5, 900, Urgency.STANDARD, List.of(shared.uid()));
+    JobSpec soon = job(1, 5, 300, Priority.HIGH, List.of(shared.uid()));
+    JobSpec later = job(1, 5, 900, Priority.STANDARD, List.of(shared.uid()));
     submit(shared, later, soon);
     cluster.play(10);
     Job stage = cluster.leader().node().leader().job(shared.uid());
     long dueForSoon = stage.deadlineMicros();
-    assertEquals(Urgency.HIGH, stage.urgency());
+    assertEquals(Priority.HIGH, stage.priority());
     users.cancelled(soon);
     assertEquals(200, ask("n0", "POST", "/submissions/" + soon.uid() + "/abort", "").status());
     cluster.play(5);
-    assertEquals(Urgency.STANDARD, stage.urgency());
+    assertEquals(Priority.STANDARD, stage.priority());
     assertTrue(stage.deadlineMicros() - dueForSoon > 500_000_000L);
     cluster.play(250);
     assertTold("done", shared, later);
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -8,7 +8,7 @@
 import plumlever.settings.Platform;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /** A small deployment, and jobs in it that depend on others. */
 abstract class DependencyScenario {
@@ -33,17 +33,17 @@
     cluster.play(5);
   }
 
-  JobSpec job(int pieces, double runS, double dueS, Urgency urgency, List<String> waitsOn) {
+  JobSpec job(int taskCount, double runS, double dueS, Priority priority, List<String> waitsOn) {
     return new JobSpec(
             users.nextUid(),
-            "c" + urgency.ordinal(),
+            "c" + priority.ordinal(),
             "blue",
-            urgency,
-            pieces,
+            priority,
+            taskCount,
             1,
             0,
             2,
-            "img-" + pieces % 3,
+            "img-" + taskCount % 3,
             1,
             null,
             null,
@@ -57,12 +57,12 @@
         .waitingOn(waitsOn);
   }
 
-  JobSpec idle(int pieces, double runS, JobSpec... waitsOn) {
+  JobSpec idle(int taskCount, double runS, JobSpec... waitsOn) {
     return job(
-        pieces,
+        taskCount,
         runS,
         JobSpec.NO_DEADLINE,
-        Urgency.IDLE,
+        Priority.IDLE,
         List.of(waitsOn).stream().map(JobSpec::uid).toList());
   }
 
@@ -72,7 +72,7 @@
     JobSpec check = idle(8, 6, ingest);
     JobSpec checkToo = idle(5, 9, ingest);
     JobSpec merge = idle(2, 5, check, checkToo);
-    JobSpec publish = job(2, 2, 120, Urgency.HIGH, List.of(merge.uid()));
+    JobSpec publish = job(2, 2, 120, Priority.HIGH, List.of(merge.uid()));
     return List.of(ingest, check, checkToo, merge, publish);
   }
 
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -10,7 +10,7 @@
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /** Users who submit, poll, cancel some, and ask about jobs that nobody submitted. */
 final class FakeUsers {
@@ -118,7 +118,7 @@
   }
 
   /** A job like many. */
-  JobSpec submit(int pieces, double cores, double expectS, boolean cancel) {
+  JobSpec submit(int taskCount, double cores, double expectS, boolean cancel) {
     boolean oneZone = cluster.random.nextInt(4) == 0;
     boolean spread = !oneZone && cluster.random.nextInt(4) == 0;
     JobSpec job =
@@ -126,8 +126,8 @@
             nextUid(),
             "c" + next % 3,
             next % 2 == 0 ? "red" : "blue",
-            Urgency.values()[cluster.random.nextInt(4)],
-            pieces,
+            Priority.values()[cluster.random.nextInt(4)],
+            taskCount,
             cores,
             0,
             2,
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -14,7 +14,7 @@
 import plumlever.settings.Endpoint;
 import plumlever.settings.Platform;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * Two troubles at a time, as the operators' list names them. Each test brings its meeting about,
@@ -239,8 +239,8 @@
           d.cluster.slowCommandsMicros = 900_000;
           d.cluster.store.slowMicros = 300_000;
           for (int i = 0; i < 30; i++) {
-            Urgency urgency = Urgency.values()[i % 4];
-            d.cluster.at(i * 1_500_000L, () -> d.submit("blue", urgency, 6, 2, 15, false, false));
+            Priority priority = Priority.values()[i % 4];
+            d.cluster.at(i * 1_500_000L, () -> d.submit("blue", priority, 6, 2, 15, false, false));
           }
           d.cluster.at(20_000_000, () -> d.users.cancelNow(4, 6, 3));
           d.cluster.play(50);
@@ -434,14 +434,14 @@
       assertTrue(cluster.invariants.starts >= 20, "tasks run: " + cluster.invariants.starts);
     }
 
-    JobSpec submit(String owner, int pieces, double cores, double runS, boolean cancel) {
-      return submit(owner, Urgency.STANDARD, pieces, cores, runS, false, cancel);
+    JobSpec submit(String team, int taskCount, double cores, double runS, boolean cancel) {
+      return submit(team, Priority.STANDARD, taskCount, cores, runS, false, cancel);
     }
 
     JobSpec submit(
-        String owner,
-        Urgency urgency,
-        int pieces,
+        String team,
+        Priority priority,
+        int taskCount,
         double cores,
         double runS,
         boolean oneZone,
@@ -449,10 +449,10 @@
       JobSpec job =
           new JobSpec(
               users.nextUid(),
-              "c" + urgency.ordinal() % 2,
-              owner,
-              urgency,
-              pieces,
+              "c" + priority.ordinal() % 2,
+              team,
+              priority,
+              taskCount,
               cores,
               0,
               2,
@@ -472,14 +472,14 @@
       return job;
     }
 
-    void oneZone(int pieces, double runS) {
-      submit("blue", Urgency.STANDARD, pieces, 2, runS, true, false);
+    void oneZone(int taskCount, double runS) {
+      submit("blue", Priority.STANDARD, taskCount, 2, runS, true, false);
     }
 
     /** Jobs that go on coming. */
-    void stream(int jobs, double everyS, int pieces, double runS) {
+    void stream(int jobs, double everyS, int taskCount, double runS) {
       for (int i = 0; i < jobs; i++) {
-        cluster.at((long) (i * everyS * 1e6), () -> submit("blue", pieces, 1, runS, false));
+        cluster.at((long) (i * everyS * 1e6), () -> submit("blue", taskCount, 1, runS, false));
       }
     }
 
@@ -515,7 +515,7 @@
                                           .invariants
                                           .submitted
                                           .get(t.name.substring(0, t.name.indexOf('/')))
-                                          .owner()
+                                          .team()
                                           .equals(team)))
           .map(v -> v.id)
           .findFirst()
@@ -657,7 +657,7 @@
             deployment.users.nextUid(),
             "c0",
             "blue",
-            Urgency.STANDARD,
+            Priority.STANDARD,
             1,
             1,
             0,
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.settings.Platform;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * The troubles that came with the protocol's addition, each by itself and with the ones that make
@@ -30,13 +30,18 @@
   private final FakeUsers users = new FakeUsers(cluster);
 
   private JobSpec job(
-      String owner, Urgency urgency, int pieces, double cores, double expectS, boolean oneZone) {
+      String team,
+      Priority priority,
+      int taskCount,
+      double cores,
+      double expectS,
+      boolean oneZone) {
     return new JobSpec(
         users.nextUid(),
-        urgency == Urgency.IDLE ? "slow" : "quick",
-        owner,
-        urgency,
-        pieces,
+        priority == Priority.IDLE ? "slow" : "quick",
+        team,
+        priority,
+        taskCount,
         cores,
         0,
         2,
@@ -80,12 +85,12 @@
 
   @Test
   void aMachineThatNothingReachesLosesItsTasksToOthers() {
-    JobSpec otherJob = submit(job("blue", Urgency.STANDARD, 12, 2, 30, false));
+    JobSpec otherJob = submit(job("blue", Priority.STANDARD, 12, 2, 30, false));
     cluster.play(35);
     deafen(400);
     cluster.play(150);
     assertDone(otherJob);
-    JobSpec next = submit(job("blue", Urgency.STANDARD, 12, 2, 10, false));
+    JobSpec next = submit(job("blue", Priority.STANDARD, 12, 2, 10, false));
     cluster.play(60);
     assertDone(next);
   }
@@ -97,7 +102,7 @@
    */
   @Test
   void aLeaderThatStoodStillAnswersNobody() {
-    JobSpec otherJob = submit(job("blue", Urgency.STANDARD, 40, 2, 40, false));
+    JobSpec otherJob = submit(job("blue", Priority.STANDARD, 40, 2, 40, false));
     cluster.play(40);
     SimulatedCluster.Member stands = cluster.leader();
     stands.freeze(12);
@@ -115,8 +120,8 @@
    */
   @Test
   void aMachineThatNothingReachesHoldsUpNoTakeoverForLong() {
-    JobSpec full = submit(job("red", Urgency.STANDARD, 24, 2, 60, false));
-    JobSpec waiting = submit(job("red", Urgency.STANDARD, 10, 2, 10, false));
+    JobSpec full = submit(job("red", Priority.STANDARD, 24, 2, 60, false));
+    JobSpec waiting = submit(job("red", Priority.STANDARD, 10, 2, 10, false));
     cluster.play(45);
     deafen(500);
     // The cloud can't take it back meanwhile.
@@ -139,7 +144,7 @@
     for (int i = 0; i < 8; i++) {
       cluster.at(
           i * 15_000_000L,
-          () -> all.add(submit(job("blue", Urgency.STANDARD, 10, 2, 20, i(all) % 2 == 0))));
+          () -> all.add(submit(job("blue", Priority.STANDARD, 10, 2, 20, i(all) % 2 == 0))));
     }
     cluster.play(50);
     cluster.leader().crash(0.2);
@@ -185,7 +190,7 @@
   void aLeaderLeftWithItsWorkersOnlyMakesWayAndSendsItsUsersAway() {
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 9; i++) {
-      all.add(submit(job("blue", Urgency.STANDARD, 6, 2, 60, false)));
+      all.add(submit(job("blue", Priority.STANDARD, 6, 2, 60, false)));
     }
     cluster.play(50);
     String alone = cluster.leader().platform.label();
@@ -230,7 +235,7 @@
   void aLeaderThatLostItsWorkersMakesWay() {
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      all.add(submit(job("blue", Urgency.STANDARD, 6, 2, 60, false)));
+      all.add(submit(job("blue", Priority.STANDARD, 6, 2, 60, false)));
     }
     cluster.play(50);
     String alone = cluster.leader().platform.label();
@@ -250,9 +255,9 @@
   void leasesBehindAPartitionAreRenewedByOthers() {
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      all.add(submit(job("blue", Urgency.STANDARD, 8, 2, 90, false)));
+      all.add(submit(job("blue", Priority.STANDARD, 8, 2, 90, false)));
     }
-    JobSpec cancelled = job("blue", Urgency.STANDARD, 12, 2, 200, false);
+    JobSpec cancelled = job("blue", Priority.STANDARD, 12, 2, 200, false);
     users.submit(cancelled, false);
     cluster.play(45);
     String leader = cluster.leader().platform.label();
@@ -286,7 +291,7 @@
   void aZoneThatNobodyReachesIsNotWaitedFor() {
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      all.add(submit(job("blue", Urgency.STANDARD, 8, 2, 60, false)));
+      all.add(submit(job("blue", Priority.STANDARD, 8, 2, 60, false)));
     }
     cluster.play(45);
     cluster.cloud.machines.values().stream()
@@ -308,7 +313,7 @@
   void aSuccessorWaitsForDelegates() {
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      all.add(submit(job("blue", Urgency.STANDARD, 8, 2, 60, i % 2 == 0)));
+      all.add(submit(job("blue", Priority.STANDARD, 8, 2, 60, i % 2 == 0)));
     }
     cluster.play(45);
     String leader = cluster.leader().platform.label();
@@ -358,7 +363,7 @@
     cluster.repeat = 0.05;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      all.add(submit(job("blue", Urgency.STANDARD, 6, 2, 40, i % 2 == 0)));
+      all.add(submit(job("blue", Priority.STANDARD, 6, 2, 40, i % 2 == 0)));
     }
     cluster.play(40);
     for (int round = 0; round < 6; round++) {
@@ -381,7 +386,7 @@
     cluster.copyCommands = 1;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      JobSpec otherJob = job("blue", Urgency.STANDARD, 6, 2, 90, false);
+      JobSpec otherJob = job("blue", Priority.STANDARD, 6, 2, 90, false);
       all.add(otherJob);
       users.submit(otherJob, true);
     }
@@ -393,13 +398,13 @@
   /** The answers to direct commands are lost, and with them the word whether the tasks run. */
   @Test
   void anUnheardDirectCommandHoldsItsTaskUntilTheTokenIsRaised() {
-    JobSpec first = submit(job("blue", Urgency.STANDARD, 8, 2, 5, false));
+    JobSpec first = submit(job("blue", Priority.STANDARD, 8, 2, 5, false));
     cluster.play(40);
     assertDone(first);
     cluster.loseCommandAnswers = 0.7;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      all.add(submit(job("blue", Urgency.STANDARD, 10, 2, 8, false)));
+      all.add(submit(job("blue", Priority.STANDARD, 10, 2, 8, false)));
       cluster.play(10);
     }
     cluster.play(120);
@@ -412,7 +417,7 @@
     cluster.slowCommandsMicros = 1_200_000;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      all.add(submit(job("blue", Urgency.STANDARD, 10, 2, 8, false)));
+      all.add(submit(job("blue", Priority.STANDARD, 10, 2, 8, false)));
       cluster.play(8);
     }
     cluster.play(120);
@@ -430,7 +435,7 @@
     cluster.cloud.most = 2;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      all.add(submit(job("blue", Urgency.STANDARD, 3 + i % 4, 1, 3 + i % 5, false)));
+      all.add(submit(job("blue", Priority.STANDARD, 3 + i % 4, 1, 3 + i % 5, false)));
       cluster.play(3);
     }
     cluster.play(120);
@@ -445,10 +450,10 @@
   void theLargestOfTheLeastUrgentBeginsWithinFourMinutes() {
     cluster.cloud.most = 6;
     for (int i = 0; i < 150; i++) {
-      cluster.at(i * 2_000_000L, () -> submit(job("red", Urgency.PROD, 6, 2, 20, false)));
+      cluster.at(i * 2_000_000L, () -> submit(job("red", Priority.PROD, 6, 2, 20, false)));
     }
     cluster.play(30);
-    JobSpec large = submit(job("red", Urgency.IDLE, 40, 4, 20, true));
+    JobSpec large = submit(job("red", Priority.IDLE, 40, 4, 20, true));
     cluster.play(245);
     assertTrue(cluster.invariants.began(large.uid()), "it has begun");
     assertEquals(List.of(), cluster.invariants.broken);
@@ -457,7 +462,7 @@
   /** The checks can fail: questions left unanswered, and a job that never begins, are seen. */
   @Test
   void theChecksSeeForgottenAndUnservedJobs() {
-    JobSpec otherJob = submit(job("blue", Urgency.STANDARD, 4, 2, 400, false));
+    JobSpec otherJob = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
     cluster.play(20);
     assertFalse(cluster.invariants.lastTold.isEmpty());
     cluster.members.values().forEach(SimulatedCluster.Member::kill);
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -30,7 +30,7 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
 import plumlever.wire.Json;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * What former versions stored and sent, written by those versions themselves: {@code production/}
@@ -154,7 +154,7 @@
     assertFalse(slow.waiting());
     assertTrue(slow.inherited() && large.inherited(), "on record as started");
     assertTrue(next.waiting() && last.waiting() && many.waiting());
-    assertEquals(Urgency.HIGH, slow.urgency(), "its last job's priority reaches back to it");
+    assertEquals(Priority.HIGH, slow.priority(), "its last job's priority reaches back to it");
     assertTrue(large.doneCount() > 10, "progress " + large.doneCount());
     assertTrue(answer(cluster, "job-000005").contains("\"aborted\""));
     assertTrue(answer(cluster, "job-000004").contains("\"pending\""));
@@ -249,7 +249,7 @@
               users.nextUid(),
               "c0",
               "blue",
-              Urgency.STANDARD,
+              Priority.STANDARD,
               8,
               2,
               0,
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -13,7 +13,7 @@
 import plumlever.settings.Endpoint;
 import plumlever.settings.Platform;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * What a leader does not know: jobs are cancelled through another controller while it can't hear of
@@ -39,7 +39,7 @@
               users.nextUid(),
               "c0",
               "blue",
-              Urgency.STANDARD,
+              Priority.STANDARD,
               6,
               2,
               0,
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import plumlever.settings.Platform;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * The story: two zones lost each other a few milliseconds after the leader had sent the first tasks
@@ -51,14 +51,14 @@
     users = new FakeUsers(cluster);
   }
 
-  private JobSpec submit(String team, int pieces, double expectS) {
+  private JobSpec submit(String team, int taskCount, double expectS) {
     JobSpec job =
         new JobSpec(
             users.nextUid(),
             "c0",
             team,
-            Urgency.STANDARD,
-            pieces,
+            Priority.STANDARD,
+            taskCount,
             2,
             0,
             2,
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -132,7 +132,7 @@
       broke("wrong_place", task + " on " + worker.vm.id);
     }
     int here = 0;
-    for (int i = 0; i < otherJob.pieces(); i++) {
+    for (int i = 0; i < otherJob.taskCount(); i++) {
       for (FakeWorker other : on.getOrDefault(otherJob.uid() + "/" + i, Set.of())) {
         if (other.vm.zone.equals(worker.vm.zone)) {
           here++;
@@ -146,10 +146,10 @@
     if (here > otherJob.zoneLimit()) {
       broke("wrong_place", task + " is one too many in " + worker.vm.zone);
     }
-    double used = held.merge(otherJob.owner(), joins ? otherJob.cores() : 0, Double::sum);
-    double limit = teams.get(otherJob.owner()).cpusMax();
+    double used = held.merge(otherJob.team(), joins ? otherJob.cores() : 0, Double::sum);
+    double limit = teams.get(otherJob.team()).cpusMax();
     if (limit > 0 && used > limit + 1e-6) {
-      broke("quota", otherJob.owner() + " uses " + used);
+      broke("quota", otherJob.team() + " uses " + used);
     }
   }
 
@@ -160,7 +160,7 @@
         JobSpec otherJob = submitted.get(job(task));
         onByJob.merge(otherJob.uid(), -1, Integer::sum);
         noteCancelledOn(otherJob.uid());
-        held.merge(otherJob.owner(), -otherJob.cores(), Double::sum);
+        held.merge(otherJob.team(), -otherJob.cores(), Double::sum);
       }
       if (at.isEmpty()) {
         on.remove(task);
@@ -220,17 +220,17 @@
     for (JobSpec job : submitted.values()) {
       if (answeredAt.containsKey(job.uid()) && !abortedAt.containsKey(job.uid())) {
         groups.computeIfAbsent("class " + job.jobclass(), k -> new ArrayList<>()).add(job);
-        groups.computeIfAbsent("team " + job.owner(), k -> new ArrayList<>()).add(job);
+        groups.computeIfAbsent("team " + job.team(), k -> new ArrayList<>()).add(job);
       }
     }
     Map<String, List<JobSpec>> largest = new HashMap<>();
     groups.forEach(
         (name, all) -> {
           if (name.startsWith("class ")) {
-            int most = all.stream().mapToInt(JobSpec::pieces).max().orElse(0);
+            int most = all.stream().mapToInt(JobSpec::taskCount).max().orElse(0);
             largest.put(
                 "largest of " + name,
-                all.stream().filter(j -> j.pieces() * 4 >= most * 3).toList());
+                all.stream().filter(j -> j.taskCount() * 4 >= most * 3).toList());
           }
         });
     largest.forEach(
@@ -355,7 +355,7 @@
   }
 
   private boolean nothingOn(JobSpec job) {
-    for (int i = 0; i < job.pieces(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       if (on.containsKey(job.uid() + "/" + i)) {
         return false;
       }
@@ -364,8 +364,8 @@
   }
 
   private boolean teamHasRoom(JobSpec job) {
-    double limit = teams.get(job.owner()).cpusMax();
-    return limit <= 0 || held.getOrDefault(job.owner(), 0.0) + job.cores() <= limit + 1e-6;
+    double limit = teams.get(job.team()).cpusMax();
+    return limit <= 0 || held.getOrDefault(job.team(), 0.0) + job.cores() <= limit + 1e-6;
   }
 
   private boolean machineHasRoom(JobSpec otherJob) {
@@ -406,7 +406,7 @@
   }
 
   boolean allDone(String uid) {
-    for (int i = 0; i < submitted.get(uid).pieces(); i++) {
+    for (int i = 0; i < submitted.get(uid).taskCount(); i++) {
       if (!completed.contains(uid + "/" + i)) {
         return false;
       }
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.settings.Platform;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * Hundreds of machines and thousands of tasks, through a crash, a wave and an outage; bounded by
@@ -43,7 +43,7 @@
                     users.nextUid(),
                     count % 3 == 0 ? "slow" : "quick",
                     count % 2 == 0 ? "red" : "blue",
-                    count % 3 == 0 ? Urgency.IDLE : Urgency.STANDARD,
+                    count % 3 == 0 ? Priority.IDLE : Priority.STANDARD,
                     TASKS,
                     2,
                     0,
@@ -178,7 +178,7 @@
                     users.nextUid(),
                     count % 3 == 0 ? "slow" : "quick",
                     count % 2 == 0 ? "red" : "blue",
-                    count % 3 == 0 ? Urgency.IDLE : Urgency.STANDARD,
+                    count % 3 == 0 ? Priority.IDLE : Priority.STANDARD,
                     count < 70 ? 140 : 40,
                     2,
                     0,
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -20,7 +20,7 @@
 import plumlever.settings.Platform;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /** Jobs that wait for others, through all that may happen meanwhile. */
 final class PipelinesTest extends DependencyScenario {
@@ -41,13 +41,13 @@
   /** While it waits a job takes nothing of its team's limit, nor does it make machines stand by. */
   @Test
   void aWaitingJobHoldsNothing() {
-    JobSpec first = job(2, 60, JobSpec.NO_DEADLINE, Urgency.IDLE, List.of());
+    JobSpec first = job(2, 60, JobSpec.NO_DEADLINE, Priority.IDLE, List.of());
     JobSpec large =
         new JobSpec(
                 users.nextUid(),
                 "c1",
                 "red",
-                Urgency.PROD,
+                Priority.PROD,
                 48,
                 1,
                 0,
@@ -71,7 +71,7 @@
             users.nextUid(),
             "c1",
             "red",
-            Urgency.IDLE,
+            Priority.IDLE,
             40,
             1,
             0,
@@ -161,7 +161,7 @@
     JobSpec root = idle(1, 400);
     JobSpec middle = idle(1, 5, root);
     JobSpec other = idle(1, 5);
-    JobSpec last = job(1, 5, 60, Urgency.HIGH, List.of(middle.uid(), other.uid()));
+    JobSpec last = job(1, 5, 60, Priority.HIGH, List.of(middle.uid(), other.uid()));
     assertEquals(201, submitAt("n0", root).status());
     assertEquals(201, submitAt("n1", middle).status());
     assertEquals(201, submitAt("n0", other).status());
@@ -266,7 +266,7 @@
   void anOutageRightAfterTheRootsCancellation() {
     JobSpec root = idle(4, 200);
     JobSpec next = idle(2, 5, root);
-    JobSpec last = job(1, 5, 90, Urgency.HIGH, List.of(next.uid()));
+    JobSpec last = job(1, 5, 90, Priority.HIGH, List.of(next.uid()));
     submit(root, next, last);
     cluster.play(30);
     assertTrue(cluster.invariants.began(root.uid()));
@@ -353,7 +353,7 @@
     cluster.store.transactionOps = 4;
     List<JobSpec> roots = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      JobSpec otherJob = job(1, 2, JobSpec.NO_DEADLINE, Urgency.STANDARD, List.of());
+      JobSpec otherJob = job(1, 2, JobSpec.NO_DEADLINE, Priority.STANDARD, List.of());
       roots.add(otherJob);
       users.submit(otherJob, false);
       cluster.play(0.3);
@@ -372,7 +372,7 @@
     }
     cluster.store.rewrite("ended/", more);
     names.add(running.uid());
-    JobSpec last = job(1, 3, JobSpec.NO_DEADLINE, Urgency.HIGH, names);
+    JobSpec last = job(1, 3, JobSpec.NO_DEADLINE, Priority.HIGH, names);
     String body = Json.write(last.toJson());
     assertTrue(body.length() > 60_000 && body.length() <= 65_536, "" + body.length());
     names.forEach(
@@ -384,7 +384,7 @@
                         k,
                         "c",
                         "blue",
-                        Urgency.IDLE,
+                        Priority.IDLE,
                         1,
                         1,
                         0,
@@ -578,13 +578,13 @@
   @Test
   void aDeadlineReachesBackAtANewLeader() {
     JobSpec first = idle(1, 300);
-    JobSpec last = job(1, 10, 400, Urgency.HIGH, List.of(first.uid()));
+    JobSpec last = job(1, 10, 400, Priority.HIGH, List.of(first.uid()));
     submit(first, last);
     cluster.play(10);
     for (int i = 0; i < 2; i++) {
       plumlever.fleet.Job otherJob = cluster.leader().node().leader().job(first.uid());
       cluster.play(1);
-      assertEquals(Urgency.HIGH, otherJob.urgency());
+      assertEquals(Priority.HIGH, otherJob.priority());
       long left = otherJob.deadlineMicros() - otherJob.acceptedMicros();
       assertTrue(
           left > 370_000_000L && left < 390_000_000L, "400 s less what the last takes: " + left);
@@ -594,8 +594,8 @@
     assertEquals(200, ask("n0", "POST", "/submissions/" + last.uid() + "/abort", "").status());
     cluster.play(2);
     assertEquals(
-        Urgency.IDLE,
-        cluster.leader().node().leader().job(first.uid()).urgency(),
+        Priority.IDLE,
+        cluster.leader().node().leader().job(first.uid()).priority(),
         "undone with the job that had it");
     assertEquals(List.of(), cluster.invariants.broken);
   }
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -14,7 +14,7 @@
 import plumlever.sharing.OwnerRecord;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /** Three cells of two controllers each, with tasks of one cell running on its machines. */
 final class PoolScenario {
@@ -74,7 +74,7 @@
             users.nextUid(),
             "c1",
             team,
-            Urgency.STANDARD,
+            Priority.STANDARD,
             tasks,
             1,
             0,
@@ -180,7 +180,7 @@
 
   /** No task was started a second time. */
   void nothingWasStartedAnew() {
-    int tasks = jobs.stream().mapToInt(JobSpec::pieces).sum();
+    int tasks = jobs.stream().mapToInt(JobSpec::taskCount).sum();
     assertEquals(tasks, cluster.invariants.starts, "starts");
   }
 }
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.settings.Platform;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * Days on which links hold messages back for seconds up to beyond the time of a cancellation, zones
@@ -84,7 +84,7 @@
           users.nextUid(),
           "c0",
           cluster.random.nextInt(3) == 0 ? "red" : "blue",
-          Urgency.STANDARD,
+          Priority.STANDARD,
           1 + cluster.random.nextInt(4),
           2,
           0,
--- a/src/test/java/plumlever/sim/SharingMeasurement.java
+++ b/src/test/java/plumlever/sim/SharingMeasurement.java
@@ -14,7 +14,7 @@
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * Measures sharing on simulated machines: load that goes from cell to cell, on shared machines, on
@@ -73,7 +73,7 @@
             users.nextUid(),
             "c1",
             "red",
-            Urgency.STANDARD,
+            Priority.STANDARD,
             TASKS_PER_JOB,
             1,
             0,
@@ -124,7 +124,7 @@
         machines,
         mode,
         phases,
-        jobs.stream().mapToInt(JobSpec::pieces).sum(),
+        jobs.stream().mapToInt(JobSpec::taskCount).sum(),
         cluster.invariants.starts,
         moves,
         cluster.store.changesOf("") - changesBefore,
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -14,7 +14,7 @@
 import plumlever.settings.Platform;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /**
  * The whole service in a simulated deployment, with seeded troubles; the rules are checked after
@@ -392,7 +392,7 @@
             users.nextUid(),
             "c1",
             "blue",
-            Urgency.STANDARD,
+            Priority.STANDARD,
             6,
             1,
             0,
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -30,7 +30,7 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
 import plumlever.wire.Json;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /** The production version and this one side by side, by samples that the former wrote itself. */
 final class UpgradeTest {
@@ -195,7 +195,7 @@
               users.nextUid(),
               "c0",
               i % 3 == 0 ? "red" : "blue",
-              Urgency.STANDARD,
+              Priority.STANDARD,
               2 + i % 9,
               0.5,
               0,
@@ -219,7 +219,7 @@
             users.nextUid(),
             "c1",
             "blue",
-            Urgency.HIGH,
+            Priority.HIGH,
             6_000,
             0.02,
             0,
@@ -304,7 +304,7 @@
               users.nextUid(),
               "c0",
               "blue",
-              Urgency.STANDARD,
+              Priority.STANDARD,
               14,
               1,
               0,
@@ -390,7 +390,7 @@
               users.nextUid(),
               "c0",
               "blue",
-              Urgency.STANDARD,
+              Priority.STANDARD,
               12,
               1,
               0,
@@ -440,7 +440,7 @@
             users.nextUid(),
             "c0",
             "blue",
-            Urgency.STANDARD,
+            Priority.STANDARD,
             2,
             1,
             0,
@@ -466,7 +466,7 @@
                 users.nextUid(),
                 "c0",
                 "blue",
-                Urgency.STANDARD,
+                Priority.STANDARD,
                 2,
                 1,
                 0,
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -20,7 +20,7 @@
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Urgency;
+import plumlever.wire.Priority;
 
 /** The layout of records. */
 final class JobStoreTest {
@@ -102,7 +102,7 @@
                 "job-99",
                 "c",
                 "red",
-                Urgency.HIGH,
+                Priority.HIGH,
                 1,
                 1,
                 0,
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -21,7 +21,7 @@
   @Test
   void readsASubmissionAndWritesItBack() throws InvalidMessage {
     JobSpec job = JobSpec.parse(Json.parseObject(GOOD));
-    assertEquals(16, job.pieces());
+    assertEquals(16, job.taskCount());
     assertNull(job.zone());
     assertEquals(job, JobSpec.parse(job.toJson()));
     assertEquals(
