--- a/src/main/java/plumlever/Node.java
+++ b/src/main/java/plumlever/Node.java
@@ -61,7 +61,7 @@
   /**
    * For as long as peers are told: the state service may have refused one of them all that time.
    */
-  private static final long CALLED_OFF_MICROS = 20_000_000;
+  private static final long CONFIRMED_CANCELLATION_MICROS = 20_000_000;
 
   private static final long STRAY_MICROS = 5_000_000;
   private static final long PULSE_MICROS = 500_000;
@@ -83,7 +83,7 @@
   private final Map<String, Long> strays = new HashMap<>();
 
   /** Jobs whose users were told through this node that they are cancelled, by when. */
-  private final Map<String, Long> calledOff = new LinkedHashMap<>();
+  private final Map<String, Long> confirmedCancellations = new LinkedHashMap<>();
 
   private Leader leader;
   private long pulseDueMicros;
@@ -202,7 +202,7 @@
             this::status,
             s -> {
               if (leader != null) {
-                leader.calledOff(s.calledOff());
+                leader.cancellationsConfirmed(s.confirmedCancellations());
               }
             });
     this.jobRecords = new JobRecordCache(loop, store, layout, metrics);
@@ -218,10 +218,10 @@
             metrics,
             new UserApi.LeaderView() {
               @Override
-              public void aborted(String uid) {
-                calledOff.put(uid, loop.nowMicros());
+              public void jobCancelled(String uid) {
+                confirmedCancellations.put(uid, loop.nowMicros());
                 if (leader != null) {
-                  leader.aborted(uid);
+                  leader.jobCancelled(uid);
                 }
               }
 
@@ -464,7 +464,7 @@
   private PeerStatus status() {
     long now = loop.nowMicros();
     strays.values().removeIf(at -> now - at > STRAY_MICROS);
-    calledOff.values().removeIf(at -> now - at > CALLED_OFF_MICROS);
+    confirmedCancellations.values().removeIf(at -> now - at > CONFIRMED_CANCELLATION_MICROS);
     return new PeerStatus(
         platform.label(),
         election.term(),
@@ -473,7 +473,7 @@
         Math.max(0, latenessMicros()),
         strays.size(),
         leader == null ? Map.of() : leader.allCounts(new LinkedHashMap<>()),
-        List.copyOf(calledOff.keySet()));
+        List.copyOf(confirmedCancellations.keySet()));
   }
 
   @Override
--- a/src/main/java/plumlever/concurrent/Loop.java
+++ b/src/main/java/plumlever/concurrent/Loop.java
@@ -15,7 +15,7 @@
 
   void execute(Runnable action);
 
-  /** A pending action that can be called off. */
+  /** A pending action that can be cancelled. */
   interface Timer {
     void cancel();
   }
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -17,8 +17,8 @@
  * records say and asked what that means, by the controllers that answer users and by the leader
  * alike.
  *
- * <p>A job is released when all jobs that it waits on are stored as done, and aborted as soon as
- * one before it, directly or through others, is stored as aborted, unless it has ended itself.
+ * <p>A job is released when all jobs that it waits on are stored as done, and cancelled as soon as
+ * one before it, directly or through others, is stored as cancelled, unless it has ended itself.
  * Where only a later job has a deadline or is urgent, those before it get their part of that
  * ({@link EffectiveGoal}). Records never change and a job names only such as were accepted before
  * it, so there are no cycles; each word costs what it changes and no recursion.
@@ -32,8 +32,8 @@
     WAITING,
     /** All that it waits on are done. */
     RELEASED,
-    /** It or a job before it is aborted. */
-    ABORTED,
+    /** It or a job before it is cancelled. */
+    CANCELLED,
     DONE
   }
 
@@ -101,13 +101,13 @@
     }
 
     boolean over() {
-      return standing == State.DONE || standing == State.ABORTED;
+      return standing == State.DONE || standing == State.CANCELLED;
     }
   }
 
   private final Map<String, Node> nodes = new HashMap<>();
   private final List<String> released = new ArrayList<>();
-  private final List<String> aborted = new ArrayList<>();
+  private final List<String> jobCancelled = new ArrayList<>();
   private final PriorityQueue<Node> stale =
       new PriorityQueue<>(Comparator.comparingLong((Node n) -> n.revision).reversed());
 
@@ -140,12 +140,12 @@
       before.neededBy.add(otherNode);
       if (before.standing == State.UNKNOWN) {
         unknown.add(name);
-      } else if (before.standing == State.ABORTED) {
+      } else if (before.standing == State.CANCELLED) {
         cause = before;
       }
     }
     if (cause != null) {
-      abort(otherNode, cause.uid);
+      cancel(otherNode, cause.uid);
     } else if (otherNode.open == 0) {
       release(otherNode);
     }
@@ -163,9 +163,9 @@
     if (node == null || node.standing == State.DONE) {
       return;
     }
-    if (how == JobState.ABORTED) {
-      if (node.standing != State.ABORTED) {
-        abort(node, uid);
+    if (how == JobState.CANCELLED) {
+      if (node.standing != State.CANCELLED) {
+        cancel(node, uid);
       }
       forget(node);
       return;
@@ -189,18 +189,18 @@
   }
 
   /** Aborts it and all that need it; each is visited once. */
-  private void abort(Node first, String through) {
+  private void cancel(Node first, String through) {
     List<Node> next = new ArrayList<>();
-    first.standing = State.ABORTED;
+    first.standing = State.CANCELLED;
     first.through = through;
     next.add(first);
     for (int i = 0; i < next.size(); i++) {
       Node node = next.get(i);
-      aborted.add(node.uid);
+      jobCancelled.add(node.uid);
       node.needs.forEach(this::outdated);
       for (Node after : node.neededBy) {
         if (!after.over()) {
-          after.standing = State.ABORTED;
+          after.standing = State.CANCELLED;
           after.through = through;
           next.add(after);
         }
@@ -219,7 +219,7 @@
     return node == null ? 0 : node.revision;
   }
 
-  /** The job whose abort aborted this one. */
+  /** The job whose cancel cancelled this one. */
   public String through(String uid) {
     Node node = nodes.get(uid);
     return node == null ? null : node.through;
@@ -250,9 +250,9 @@
     return take(released);
   }
 
-  /** The jobs aborted since asked last, the ones that were told among them. */
-  public List<String> takeAborted() {
-    return take(aborted);
+  /** The jobs cancelled since asked last, the ones that were told among them. */
+  public List<String> takeCancelled() {
+    return take(jobCancelled);
   }
 
   private static List<String> take(List<String> from) {
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -22,7 +22,7 @@
   private long releasedMicros;
 
   private boolean waiting;
-  private boolean calledOff;
+  private boolean cancellationConfirmed;
   private DependencyGraph.EffectiveGoal goal;
 
   /** An earlier leader may have started its tasks on machines not yet accounted for. */
@@ -100,12 +100,12 @@
    * Another controller says that it is cancelled: true before it is known here from the records,
    * and for ever.
    */
-  public boolean calledOff() {
-    return calledOff;
+  public boolean cancellationConfirmed() {
+    return cancellationConfirmed;
   }
 
-  public void callOff() {
-    calledOff = true;
+  public void confirmCancellation() {
+    cancellationConfirmed = true;
   }
 
   /** All that it waits on is done. */
@@ -214,7 +214,7 @@
     return live.get(task);
   }
 
-  /** True once the job is done, aborted or dropped: none of its tasks may start any more. */
+  /** True once the job is done, cancelled or dropped: none of its tasks may start any more. */
   public boolean over() {
     return over;
   }
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -25,7 +25,7 @@
   }
 
   static final String JOBS = "/submissions";
-  static final String ABORT = "/abort";
+  static final String CANCEL = "/abort";
 
   private final Loop clock;
   private final UserApi users;
@@ -67,9 +67,9 @@
       }
     } else if (path.startsWith(JOBS + "/")) {
       String rest = path.substring(JOBS.length() + 1);
-      if (rest.endsWith(ABORT)) {
+      if (rest.endsWith(CANCEL)) {
         if (allowed(method, "POST", out)) {
-          users.abort(rest.substring(0, rest.length() - ABORT.length()), out);
+          users.cancel(rest.substring(0, rest.length() - CANCEL.length()), out);
         }
       } else if (rest.indexOf('/') >= 0) {
         out.error(HttpStatus.NOT_FOUND, "no such path");
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -30,7 +30,7 @@
 public final class UserApi {
   /** Told of what users changed through this node, and asked for counts to display. */
   public interface LeaderView {
-    void aborted(String uid);
+    void jobCancelled(String uid);
 
     /** Finished and running tasks, or null if not known here. */
     int[] counts(String uid);
@@ -423,16 +423,16 @@
   }
 
   /** Cancels a job, unless it is done already. */
-  public void abort(String uid, Responder raw) {
+  public void cancel(String uid, Responder raw) {
     ForwardedRequest request =
-        new ForwardedRequest("POST", JOBS + "/" + uid + RequestRouter.ABORT, "");
+        new ForwardedRequest("POST", JOBS + "/" + uid + RequestRouter.CANCEL, "");
     Admitted out = admitKnown("abort", request, uid, raw);
     if (out != null) {
-      abort(uid, out, TRIES);
+      cancel(uid, out, TRIES);
     }
   }
 
-  private void abort(String uid, Admitted out, int tries) {
+  private void cancel(String uid, Admitted out, int tries) {
     jobRecords.look(
         uid,
         look -> {
@@ -441,8 +441,8 @@
                 ifNowhere(uid, out, () -> out.error(HttpStatus.NOT_FOUND, "no such job"));
             case UNAVAILABLE -> unavailable(out);
             case ENDED -> {
-              if (look.how() == JobState.ABORTED) {
-                leaderView.aborted(uid);
+              if (look.how() == JobState.CANCELLED) {
+                leaderView.jobCancelled(uid);
               }
               out.send(HttpStatus.OK, describe(uid, look));
             }
@@ -459,19 +459,19 @@
 
   private void end(String uid, long revision, Admitted out, int tries) {
     store.transaction(
-        layout.end(uid, revision, JobState.ABORTED, loop.wallMicros(), List.of()),
+        layout.end(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of()),
         StateClient.RequestPriority.URGENT,
         result -> {
           switch (result.outcome()) {
             case APPLIED -> {
-              jobRecords.ended(uid, JobState.ABORTED);
+              jobRecords.ended(uid, JobState.CANCELLED);
               metrics.count("jobs_aborted");
-              leaderView.aborted(uid);
-              out.send(HttpStatus.OK, state(uid, JobState.ABORTED, null));
+              leaderView.jobCancelled(uid);
+              out.send(HttpStatus.OK, state(uid, JobState.CANCELLED, null));
             }
             case REFUSED -> unavailable(out);
             // The stored state decides, whatever became of this transaction.
-            default -> abort(uid, out, tries - 1);
+            default -> cancel(uid, out, tries - 1);
           }
         });
   }
--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/ActiveJobs.java
@@ -34,7 +34,7 @@
   private final Map<String, Job> active = new LinkedHashMap<>();
   private final DependencyGraph dependencies = new DependencyGraph();
 
-  /** Jobs aborted through another, whose end is to be stored. */
+  /** Jobs cancelled through another, whose end is to be stored. */
   private final Map<String, Job> doomed = new LinkedHashMap<>();
 
   /** What a task of the job takes, its image included, to plan with. */
@@ -329,7 +329,7 @@
         changed.run();
       }
     }
-    for (String uid : dependencies.takeAborted()) {
+    for (String uid : dependencies.takeCancelled()) {
       Job job = active.get(uid);
       if (job != null && job.waiting() && doomed.put(uid, job) == null) {
         log.info("{} is aborted through {}", uid, dependencies.through(uid));
@@ -358,7 +358,7 @@
                 .end(
                     job.uid(),
                     job.revision(),
-                    JobState.ABORTED,
+                    JobState.CANCELLED,
                     context.loop().wallMicros(),
                     List.of()),
             StateClient.RequestPriority.ORDINARY,
@@ -366,7 +366,7 @@
               ending = false;
               if (result.applied()) {
                 context.metrics().count("jobs_aborted_through");
-                ended(job.uid(), JobState.ABORTED);
+                ended(job.uid(), JobState.CANCELLED);
                 endDoomed();
               } else if (result.outcome() == Transaction.Outcome.CONFLICT) {
                 // Stored by whoever was asked about it: the watch events will say so.
@@ -420,7 +420,7 @@
     }
     if (how == null && !dependencies.needed(uid)) {
       // Nobody waits to be told how.
-      how = JobState.ABORTED;
+      how = JobState.CANCELLED;
     }
     if (how != null) {
       dependencies.ended(uid, how, context.loop().wallMicros());
@@ -440,11 +440,11 @@
    * Another controller's word that these are cancelled: nothing more of them is started, and their
    * tasks are stopped.
    */
-  void calledOff(Collection<String> uids) {
+  void cancellationsConfirmed(Collection<String> uids) {
     for (String uid : uids) {
       Job job = active.get(uid);
       if (job != null && !job.over()) {
-        job.callOff();
+        job.confirmCancellation();
         changed.run();
       }
     }
--- a/src/main/java/plumlever/leader/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/HeartbeatHandler.java
@@ -458,7 +458,7 @@
         }
       } else {
         if (attempt.job().over()
-            || attempt.job().calledOff()
+            || attempt.job().cancellationConfirmed()
             || attempt.job().done().get(attempt.task())) {
           attemptLog.stopped(attempt);
           attempt.stop(0, now);
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -450,16 +450,16 @@
   }
 
   /** The job's end is stored; its tasks are stopped without waiting for the watch events. */
-  public void aborted(String uid) {
+  public void jobCancelled(String uid) {
     if (loaded) {
-      jobs.ended(uid, JobState.ABORTED);
+      jobs.ended(uid, JobState.CANCELLED);
     }
   }
 
   /** Advice of another controller, which may only stop more. */
-  public void calledOff(Collection<String> uids) {
+  public void cancellationsConfirmed(Collection<String> uids) {
     if (loaded) {
-      jobs.calledOff(uids);
+      jobs.cancellationsConfirmed(uids);
     }
   }
 
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -250,7 +250,7 @@
     long now = context.loop().nowMicros();
     List<CoreDemand.Work> works = new ArrayList<>();
     for (Job job : jobs.all()) {
-      if (job.complete() || job.over() || job.calledOff() || job.waiting()) {
+      if (job.complete() || job.over() || job.cancellationConfirmed() || job.waiting()) {
         continue;
       }
       long runMicros = costMicros(job);
@@ -386,7 +386,7 @@
     Map<String, Double> used = new HashMap<>();
     List<Job> waiting = new ArrayList<>();
     for (Job job : byAge) {
-      if (job.complete() || job.over() || job.calledOff() || job.waiting()) {
+      if (job.complete() || job.over() || job.cancellationConfirmed() || job.waiting()) {
         continue;
       }
       double cores =
@@ -632,7 +632,7 @@
   }
 
   private void place(Job job) {
-    if (job.over() || job.calledOff() || job.waiting() || !job.hasFree()) {
+    if (job.over() || job.cancellationConfirmed() || job.waiting() || !job.hasFree()) {
       return;
     }
     long now = snapshot.now;
--- a/src/main/java/plumlever/leader/TaskStarter.java
+++ b/src/main/java/plumlever/leader/TaskStarter.java
@@ -83,7 +83,7 @@
     for (SchedulingPass.PlannedTasks otherPlanned : planned) {
       Job job = otherPlanned.job;
       if (job.over()
-          || job.calledOff()
+          || job.cancellationConfirmed()
           || job.waiting()
           || job.enrolment() != RegistrationState.STORED
           || takeover.blocks(job)
--- a/src/main/java/plumlever/peer/PeerStatus.java
+++ b/src/main/java/plumlever/peer/PeerStatus.java
@@ -28,13 +28,13 @@
     long lateMicros,
     int workers,
     Map<String, int[]> counts,
-    List<String> calledOff) {
+    List<String> confirmedCancellations) {
 
   /** Kryo's form of it; written out, so that nothing is looked up by reflection at start. */
   public static final class Codec {
     private static final int MOST_BYTES = 256 * 1024;
     private static final int MOST_COUNTS = 5_000;
-    private static final int MOST_CALLED_OFF = 500;
+    private static final int MOST_CONFIRMED_CANCELLATIONS = 500;
     private final Kryo kryo = new Kryo();
     private final Output output = new Output(4 * 1024, MOST_BYTES);
 
@@ -83,9 +83,10 @@
         out.writeVarInt(entry.getValue()[1], true);
       }
       // Earlier versions read as far as here and leave the rest.
-      int size = Math.min(peerStatus.calledOff.size(), Codec.MOST_CALLED_OFF);
+      int size =
+          Math.min(peerStatus.confirmedCancellations.size(), Codec.MOST_CONFIRMED_CANCELLATIONS);
       out.writeVarInt(size, true);
-      peerStatus.calledOff.stream().limit(size).forEach(out::writeString);
+      peerStatus.confirmedCancellations.stream().limit(size).forEach(out::writeString);
     }
 
     @Override
@@ -104,17 +105,18 @@
       for (int i = 0; i < count; i++) {
         counts.put(in.readString(), new int[] {in.readVarInt(true), in.readVarInt(true)});
       }
-      List<String> calledOff = new ArrayList<>();
+      List<String> confirmedCancellations = new ArrayList<>();
       if (in.position() < in.limit()) {
         int size = in.readVarInt(true);
-        if (size < 0 || size > Codec.MOST_CALLED_OFF) {
+        if (size < 0 || size > Codec.MOST_CONFIRMED_CANCELLATIONS) {
           throw new KryoException("out of range");
         }
         for (int i = 0; i < size; i++) {
-          calledOff.add(in.readString());
+          confirmedCancellations.add(in.readString());
         }
       }
-      return new PeerStatus(label, term, leading, silent, late, workers, counts, calledOff);
+      return new PeerStatus(
+          label, term, leading, silent, late, workers, counts, confirmedCancellations);
     }
   }
 }
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -25,7 +25,7 @@
   enum Answer {
     WAITING,
     RELEASED,
-    ABORTED,
+    CANCELLED,
     ENDED,
     UNAVAILABLE
   }
@@ -74,7 +74,7 @@
     this.ends = ends;
   }
 
-  /** The job whose abort aborted this one, or null. */
+  /** The job whose cancel cancelled this one, or null. */
   String through(String uid) {
     return dependencies.through(uid);
   }
@@ -95,7 +95,7 @@
 
   private void forgetNews() {
     dependencies.takeReleased();
-    dependencies.takeAborted();
+    dependencies.takeCancelled();
   }
 
   /** Finds out what follows for a job that waits, or waited, for others. */
@@ -347,7 +347,7 @@
                     : switch (dependencies.standing(question.uid)) {
                       case WAITING -> Answer.WAITING;
                       case RELEASED -> Answer.RELEASED;
-                      case ABORTED -> Answer.ABORTED;
+                      case CANCELLED -> Answer.CANCELLED;
                       case DONE -> Answer.ENDED;
                       case UNKNOWN -> Answer.UNAVAILABLE;
                     });
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -314,8 +314,8 @@
   }
 
   /**
-   * A job that waits for others, or did: whether it is aborted through one of them follows from how
-   * those ended.
+   * A job that waits for others, or did: whether it is cancelled through one of them follows from
+   * how those ended.
    */
   private void chain(String uid, long revision, Consumer<JobStatus> then) {
     dependencyRecords.ask(
@@ -324,11 +324,11 @@
           switch (answer) {
             case WAITING -> then.accept(new JobStatus(Presence.ACTIVE, revision, null));
             case RELEASED -> {
-              // Nothing before it can be aborted any more: from now on it is a job like others.
+              // Nothing before it can be cancelled any more: from now on it is a job like others.
               revisions.put(uid, revision);
               then.accept(new JobStatus(Presence.ACTIVE, revision, null));
             }
-            case ABORTED -> abortThrough(uid, revision, then);
+            case CANCELLED -> cancelWithDependency(uid, revision, then);
             case ENDED -> readEnded(uid, TRIES, then);
             case UNAVAILABLE -> then.accept(JobStatus.UNAVAILABLE);
           }
@@ -336,10 +336,10 @@
   }
 
   /** Stored before it is told, like every end. */
-  private void abortThrough(String uid, long revision, Consumer<JobStatus> then) {
+  private void cancelWithDependency(String uid, long revision, Consumer<JobStatus> then) {
     String through = dependencyRecords.through(uid);
     Transaction transaction =
-        layout.end(uid, revision, JobState.ABORTED, loop.wallMicros(), List.of());
+        layout.end(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of());
     store.transaction(
         transaction,
         StateClient.RequestPriority.URGENT,
@@ -348,8 +348,8 @@
             case APPLIED -> {
               LOG.info("{} is aborted through {}", uid, through);
               metrics.count("jobs_aborted_through");
-              ended(uid, JobState.ABORTED);
-              then.accept(new JobStatus(Presence.ENDED, 0, JobState.ABORTED));
+              ended(uid, JobState.CANCELLED);
+              then.accept(new JobStatus(Presence.ENDED, 0, JobState.CANCELLED));
             }
             case REFUSED -> then.accept(JobStatus.UNAVAILABLE);
             // Somebody else stored it, or this was carried out unheard: the record tells.
--- a/src/main/java/plumlever/wire/JobState.java
+++ b/src/main/java/plumlever/wire/JobState.java
@@ -5,7 +5,7 @@
   PENDING("pending"),
   RUNNING("running"),
   DONE("done"),
-  ABORTED("aborted");
+  CANCELLED("aborted");
 
   private final String wireName;
 
@@ -18,6 +18,6 @@
   }
 
   public boolean isFinal() {
-    return this == DONE || this == ABORTED;
+    return this == DONE || this == CANCELLED;
   }
 }
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -29,9 +29,9 @@
     final Map<String, DependencyGraph.EffectiveGoal> own = new HashMap<>();
     final Map<String, Long> cost = new HashMap<>();
 
-    boolean aborted(String uid) {
-      return ended.get(uid) == JobState.ABORTED
-          || (ended.get(uid) == null && needs.get(uid).stream().anyMatch(this::aborted));
+    boolean cancelled(String uid) {
+      return ended.get(uid) == JobState.CANCELLED
+          || (ended.get(uid) == null && needs.get(uid).stream().anyMatch(this::cancelled));
     }
 
     boolean released(String uid) {
@@ -41,8 +41,8 @@
     DependencyGraph.State standing(String uid) {
       return ended.get(uid) == JobState.DONE
           ? DependencyGraph.State.DONE
-          : aborted(uid)
-              ? DependencyGraph.State.ABORTED
+          : cancelled(uid)
+              ? DependencyGraph.State.CANCELLED
               : released(uid) ? DependencyGraph.State.RELEASED : DependencyGraph.State.WAITING;
     }
 
@@ -50,7 +50,7 @@
     long by(String uid) {
       long by = own.get(uid).byMicros();
       for (String after : needs.keySet()) {
-        if (needs.get(after).contains(uid) && ended.get(after) == null && !aborted(after)) {
+        if (needs.get(after).contains(uid) && ended.get(after) == null && !cancelled(after)) {
           long theirs = by(after);
           by = Math.min(by, theirs == Long.MAX_VALUE ? theirs : theirs - cost.get(after));
         }
@@ -61,7 +61,7 @@
     Priority priority(String uid) {
       Priority otherPriority = own.get(uid).priority();
       for (String after : needs.keySet()) {
-        if (needs.get(after).contains(uid) && ended.get(after) == null && !aborted(after)) {
+        if (needs.get(after).contains(uid) && ended.get(after) == null && !cancelled(after)) {
           Priority theirs = priority(after);
           otherPriority = theirs.compareTo(otherPriority) < 0 ? theirs : otherPriority;
         }
@@ -74,7 +74,9 @@
     return LongStream.range(0, 150);
   }
 
-  /** Jobs come, end and are aborted in any order, and their records are told of late and twice. */
+  /**
+   * Jobs come, end and are cancelled in any order, and their records are told of late and twice.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
   void agreesWithThePlainModel(long seed) {
@@ -83,16 +85,16 @@
     DependencyGraph dependencies = new DependencyGraph();
     List<String> all = new ArrayList<>();
     Set<String> released = new HashSet<>();
-    Set<String> aborted = new HashSet<>();
+    Set<String> cancelled = new HashSet<>();
     for (int step = 0; step < 60; step++) {
       if (all.size() < 14 && random.nextInt(3) > 0) {
         accept(random, model, dependencies, all);
       } else if (!all.isEmpty()) {
         String uid = all.get(random.nextInt(all.size()));
         if (model.ended.get(uid) == null) {
-          boolean done = model.released(uid) && !model.aborted(uid) && random.nextInt(3) > 0;
+          boolean done = model.released(uid) && !model.cancelled(uid) && random.nextInt(3) > 0;
           if (done || random.nextInt(4) == 0) {
-            model.ended.put(uid, done ? JobState.DONE : JobState.ABORTED);
+            model.ended.put(uid, done ? JobState.DONE : JobState.CANCELLED);
             dependencies.ended(uid, model.ended.get(uid), step);
           }
         } else {
@@ -107,8 +109,8 @@
       }
       dependencies.settleAims(uid -> {});
       released.addAll(dependencies.takeReleased());
-      aborted.addAll(dependencies.takeAborted());
-      check(model, dependencies, all, released, aborted);
+      cancelled.addAll(dependencies.takeCancelled());
+      check(model, dependencies, all, released, cancelled);
     }
     assertTrue(!released.isEmpty() && all.size() > 5);
   }
@@ -149,7 +151,7 @@
       DependencyGraph dependencies,
       List<String> all,
       Set<String> released,
-      Set<String> aborted) {
+      Set<String> cancelled) {
     for (String uid : all) {
       DependencyGraph.State now = model.standing(uid);
       if (model.ended.get(uid) != null) {
@@ -162,13 +164,13 @@
       assertEquals(now, dependencies.standing(uid), uid);
       assertEquals(
           now == DependencyGraph.State.RELEASED,
-          released.contains(uid) && !aborted.contains(uid),
+          released.contains(uid) && !cancelled.contains(uid),
           uid + " was told to be released");
       assertEquals(
-          now == DependencyGraph.State.ABORTED,
-          aborted.contains(uid),
+          now == DependencyGraph.State.CANCELLED,
+          cancelled.contains(uid),
           uid + " was told to be aborted");
-      if (now != DependencyGraph.State.ABORTED) {
+      if (now != DependencyGraph.State.CANCELLED) {
         assertEquals(model.by(uid), dependencies.goal(uid).byMicros(), uid + " has its deadline");
         assertEquals(
             model.priority(uid), dependencies.goal(uid).priority(), uid + " has its urgency");
@@ -204,8 +206,8 @@
     dependencies.settleAims(uid -> changed[0]++);
     assertEquals(count, changed[0], "nothing changed, nothing is done");
     dependencies.takeReleased();
-    dependencies.ended("job-0", JobState.ABORTED, 0);
-    assertEquals(count, dependencies.takeAborted().size());
+    dependencies.ended("job-0", JobState.CANCELLED, 0);
+    assertEquals(count, dependencies.takeCancelled().size());
     assertEquals("job-0", dependencies.through("job-" + (count - 1)));
 
     DependencyGraph wide = new DependencyGraph();
@@ -226,7 +228,7 @@
     assertEquals(count, wide.releasedMicros("job-last"));
   }
 
-  /** A later job's deadline reaches back when it comes, and goes with it when it is aborted. */
+  /** A later job's deadline reaches back when it comes, and goes with it when it is cancelled. */
   @Test
   void aDeadlineIsUndoneWithTheJobThatHadIt() {
     DependencyGraph dependencies = new DependencyGraph();
@@ -238,7 +240,7 @@
     dependencies.settleAims(uid -> {});
     assertEquals(70, dependencies.goal("job-1").byMicros());
     assertEquals(Priority.HIGH, dependencies.goal("job-1").priority());
-    dependencies.ended("job-2", JobState.ABORTED, 0);
+    dependencies.ended("job-2", JobState.CANCELLED, 0);
     dependencies.settleAims(uid -> {});
     assertEquals(Long.MAX_VALUE, dependencies.goal("job-1").byMicros());
     assertEquals(Priority.IDLE, dependencies.goal("job-1").priority());
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -214,7 +214,7 @@
     return out;
   }
 
-  /** A share of the jobs is called off, asked about and repeated at the moment of the end. */
+  /** A share of the jobs is cancelled, asked about and repeated at the moment of the end. */
   void meetEnds(double share) {
     cluster.invariants.whenComplete =
         uid -> {
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -126,7 +126,7 @@
     assertEquals(JobState.DONE, JobStore.finalState(done));
     assertEquals(done.path("at_ms").asLong() * 1_000, JobStore.endedWallMicros(done));
     assertTrue(JobStore.endedWallMicros(done) > 0);
-    assertEquals(JobState.ABORTED, JobStore.finalState(records.get("ended/job-000005")));
+    assertEquals(JobState.CANCELLED, JobStore.finalState(records.get("ended/job-000005")));
   }
 
   /** A new leader goes on with chains that the former version left, a long list among them. */
@@ -228,7 +228,7 @@
     assertEquals(610, read.workers());
     assertArrayEquals(new int[] {3, 1}, read.counts().get("job-12"));
     assertArrayEquals(new int[] {0, 70_000}, read.counts().get("job-7"));
-    assertEquals(List.of("job-000412", "job-5"), read.calledOff());
+    assertEquals(List.of("job-000412", "job-5"), read.confirmedCancellations());
     assertArrayEquals(theirs, codec.write(read));
   }
 
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -24,7 +24,7 @@
   final Map<String, Long> submittedAt = new HashMap<>();
   private final Map<String, Long> answeredAt = new HashMap<>();
   private final Map<String, Long> beganAt = new HashMap<>();
-  final Map<String, Long> abortedAt = new HashMap<>();
+  final Map<String, Long> cancelledAt = new HashMap<>();
   final Map<String, String> lastTold = new HashMap<>();
   private final Map<String, Set<FakeWorker>> on = new HashMap<>();
 
@@ -94,7 +94,7 @@
 
   /** A machine carries out the command to start the task, whether or not it has its image yet. */
   void commandedToStart(String task, FakeWorker worker) {
-    Long cancelled = abortedAt.get(job(task));
+    Long cancelled = cancelledAt.get(job(task));
     if (cancelled != null && cluster.now() > cancelled + CANCEL_MICROS) {
       broke(
           "ran_cancelled",
@@ -109,7 +109,7 @@
 
   void started(String task, FakeWorker worker) {
     starts++;
-    if (abortedAt.containsKey(job(task))) {
+    if (cancelledAt.containsKey(job(task))) {
       startsAfterCancel++;
     }
     JobSpec otherJob = submitted.get(job(task));
@@ -169,7 +169,7 @@
   }
 
   private void noteCancelledOn(String uid) {
-    if (abortedAt.containsKey(uid) && onByJob.getOrDefault(uid, 0) > 0) {
+    if (cancelledAt.containsKey(uid) && onByJob.getOrDefault(uid, 0) > 0) {
       cancelledOn.add(uid);
     } else {
       cancelledOn.remove(uid);
@@ -178,7 +178,7 @@
 
   void check() {
     for (String uid : cancelledOn) {
-      if (cluster.now() > abortedAt.get(uid) + CANCEL_MICROS) {
+      if (cluster.now() > cancelledAt.get(uid) + CANCEL_MICROS) {
         broke("ran_cancelled", uid + " with " + onByJob.get(uid) + " tasks on machines");
         return;
       }
@@ -218,7 +218,7 @@
   void checkServed() {
     Map<String, List<JobSpec>> groups = new HashMap<>();
     for (JobSpec job : submitted.values()) {
-      if (answeredAt.containsKey(job.uid()) && !abortedAt.containsKey(job.uid())) {
+      if (answeredAt.containsKey(job.uid()) && !cancelledAt.containsKey(job.uid())) {
         groups.computeIfAbsent("class " + job.jobclass(), k -> new ArrayList<>()).add(job);
         groups.computeIfAbsent("team " + job.team(), k -> new ArrayList<>()).add(job);
       }
@@ -281,7 +281,7 @@
     acceptedSeen.add(uid);
     String cause =
         status.equals("pending") || status.equals("running")
-            ? calledOffBefore(uid, askedMicros)
+            ? cancelledBefore(uid, askedMicros)
             : null;
     if (cause != null) {
       broke(
@@ -298,7 +298,7 @@
    * A job before it, directly or through others, of which a user had been told by then that it is
    * cancelled; or null.
    */
-  private String calledOffBefore(String uid, long askedMicros) {
+  private String cancelledBefore(String uid, long askedMicros) {
     Set<String> seen = new HashSet<>();
     java.util.ArrayDeque<String> open = new java.util.ArrayDeque<>(List.of(uid));
     while (!open.isEmpty()) {
@@ -338,7 +338,7 @@
           job != null
               && acceptedSeen.contains(job.uid())
               && !finalState.containsKey(job.uid())
-              && !abortedAt.containsKey(job.uid())
+              && !cancelledAt.containsKey(job.uid())
               && !allDone(job.uid())
               && waitsFrom(job) <= cluster.now()
               && nothingOn(job)
@@ -399,7 +399,7 @@
       broke("went_back", uid + " from " + before + " to " + status);
     }
     if (status.equals("aborted")) {
-      abortedAt.putIfAbsent(uid, cluster.now());
+      cancelledAt.putIfAbsent(uid, cluster.now());
       noteCancelledOn(uid);
     }
     lastTold.put(uid, status);
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -198,7 +198,7 @@
 
   /** No leader is alive: the nodes left derive and store it all the same. */
   @Test
-  void anAbortRunsThroughWithoutALeader() {
+  void anCancelRunsThroughWithoutALeader() {
     JobSpec root = idle(1, 400);
     JobSpec last = idle(1, 5, root);
     submit(root, last);
@@ -224,7 +224,7 @@
 
   /** If the cancellation came too late, what comes after goes on. */
   @Test
-  void anAbortThatIsAnsweredDoneStopsNothing() {
+  void anCancelThatIsAnsweredDoneStopsNothing() {
     JobSpec root = idle(1, 3);
     JobSpec last = idle(1, 3, root);
     submit(root);
@@ -323,9 +323,9 @@
         ends.getOrDefault("aborted", 0L) > 3 && ends.getOrDefault("done", 0L) > 3, "" + ends);
   }
 
-  /** A submission and the abort of the job that it names, at two nodes within milliseconds. */
+  /** A submission and the cancel of the job that it names, at two nodes within milliseconds. */
   @Test
-  void aSubmissionRacesWithTheAbortOfWhatItNames() {
+  void aSubmissionRacesWithTheCancelOfWhatItNames() {
     List<JobSpec> after = new ArrayList<>();
     users.closeLooks = true;
     for (int i = 0; i < 25; i++) {
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -172,7 +172,7 @@
     cluster.play(seconds);
     assertEquals(List.of(), cluster.invariants.broken);
     for (JobSpec job : jobs) {
-      String expected = cluster.invariants.abortedAt.containsKey(job.uid()) ? "aborted" : "done";
+      String expected = cluster.invariants.cancelledAt.containsKey(job.uid()) ? "aborted" : "done";
       assertEquals(expected, cluster.invariants.lastTold.get(job.uid()), job.uid());
     }
     assertEquals(Map.of(), cluster.store.entries("pool/transfers/"), "all transfers are settled");
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -221,7 +221,7 @@
       }
       renewed += day.counted("leases_renewed_for_leader");
       voided += day.cluster.delegations.voided;
-      cancelled += day.cluster.invariants.abortedAt.size();
+      cancelled += day.cluster.invariants.cancelledAt.size();
       startsAfterCancel += day.cluster.invariants.startsAfterCancel;
     }
     System.out.printf(
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -153,7 +153,7 @@
     assertEquals(1_200, read.lateMicros());
     assertEquals(610, read.workers());
     assertArrayEquals(new int[] {0, 70_000}, read.counts().get("job-7"));
-    assertEquals(List.of(), read.calledOff());
+    assertEquals(List.of(), read.confirmedCancellations());
     PeerStatus news =
         new PeerStatus(
             read.label(),
@@ -169,7 +169,7 @@
         theirs,
         Arrays.copyOf(ours, theirs.length),
         "it reads as far as its own fields, and finds them unchanged");
-    assertEquals(news.calledOff(), codec.read(ours).calledOff());
+    assertEquals(news.confirmedCancellations(), codec.read(ours).confirmedCancellations());
   }
 
   static LongStream seeds() {
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void anAbortIsFinal() {
+  void anCancelIsFinal() {
     cluster.invariants.submitted.put("job-1", null);
     ask("POST", "/submissions", JOB);
     assertEquals(200, ask("POST", "/submissions/job-1/abort", ""));
