--- a/src/main/java/plumlever/Node.java
+++ b/src/main/java/plumlever/Node.java
@@ -86,7 +86,7 @@
   private final Map<String, Long> confirmedCancellations = new LinkedHashMap<>();
 
   private Leader leader;
-  private long pulseDueMicros;
+  private long pulseDeadlineMicros;
   private long lateMicros;
 
   /** A node that does everything on one loop. */
@@ -432,17 +432,19 @@
   /** How late this comes tells whether the processor's share is enough. */
   private long pulse() {
     long now = loop.nowMicros();
-    if (pulseDueMicros > 0) {
-      lateMicros = now - pulseDueMicros;
+    if (pulseDeadlineMicros > 0) {
+      lateMicros = now - pulseDeadlineMicros;
       metrics.time("late", lateMicros);
     }
-    pulseDueMicros = now + PULSE_MICROS;
+    pulseDeadlineMicros = now + PULSE_MICROS;
     return PULSE_MICROS;
   }
 
   /** How late the thread that decides was lately. */
   public long latenessMicros() {
-    return pulseDueMicros == 0 ? 0 : Math.max(lateMicros, loop.nowMicros() - pulseDueMicros);
+    return pulseDeadlineMicros == 0
+        ? 0
+        : Math.max(lateMicros, loop.nowMicros() - pulseDeadlineMicros);
   }
 
   /** The most that another controller lately told of. */
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -41,25 +41,29 @@
    * What a job is worth: its own, or what a job that needs it leaves it.
    *
    * @param submittedMicros when the job with the deadline was submitted
-   * @param dueMicros its deadline, from then on; Long.MAX_VALUE for none
-   * @param jobclass its class, whose aims say by how much the deadline may be missed
+   * @param deadlineMicros its deadline, from then on; Long.MAX_VALUE for none
+   * @param jobClass its class, whose aims say by how much the deadline may be missed
    * @param tailMicros what the jobs after this one take, on the longest way to that job and with it
    */
   public record EffectiveGoal(
-      long submittedMicros, long dueMicros, String jobclass, long tailMicros, Priority priority) {
+      long submittedMicros,
+      long deadlineMicros,
+      String jobClass,
+      long tailMicros,
+      Priority priority) {
     /** By when this job has to be done; Long.MAX_VALUE for any time. */
     public long byMicros() {
-      return dueMicros == Long.MAX_VALUE
+      return deadlineMicros == Long.MAX_VALUE
           ? Long.MAX_VALUE
-          : submittedMicros + dueMicros - tailMicros;
+          : submittedMicros + deadlineMicros - tailMicros;
     }
 
     private EffectiveGoal before(long costMicros) {
       return new EffectiveGoal(
           submittedMicros,
-          dueMicros,
-          jobclass,
-          dueMicros == Long.MAX_VALUE ? 0 : tailMicros + costMicros,
+          deadlineMicros,
+          jobClass,
+          deadlineMicros == Long.MAX_VALUE ? 0 : tailMicros + costMicros,
           priority);
     }
 
@@ -70,8 +74,8 @@
           ? sooner
           : new EffectiveGoal(
               sooner.submittedMicros,
-              sooner.dueMicros,
-              sooner.jobclass,
+              sooner.deadlineMicros,
+              sooner.jobClass,
               sooner.tailMicros,
               otherPriority);
     }
@@ -120,7 +124,7 @@
    *
    * @return the jobs named of which nothing was known: what their records say is to be told too
    */
-  public List<String> accepted(String uid, long revision, Collection<String> waitsOn) {
+  public List<String> accepted(String uid, long revision, Collection<String> dependencies) {
     Node otherNode = node(uid);
     if (otherNode.standing != State.UNKNOWN) {
       return List.of();
@@ -129,7 +133,7 @@
     otherNode.revision = revision;
     List<String> unknown = new ArrayList<>();
     Node cause = null;
-    for (String name : waitsOn) {
+    for (String name : dependencies) {
       Node before = node(name);
       otherNode.needs.add(before);
       if (before.standing == State.DONE) {
--- a/src/main/java/plumlever/fleet/Estimates.java
+++ b/src/main/java/plumlever/fleet/Estimates.java
@@ -16,27 +16,27 @@
 
   private final Map<String, Double> ratios = new HashMap<>();
 
-  public void observe(String jobclass, double ratio) {
+  public void observe(String jobClass, double ratio) {
     double bounded = Math.max(LEAST_RATIO, Math.min(MOST_RATIO, ratio));
-    ratios.merge(jobclass, bounded, (old, seen) -> old * (1 - WEIGHT) + seen * WEIGHT);
+    ratios.merge(jobClass, bounded, (old, seen) -> old * (1 - WEIGHT) + seen * WEIGHT);
   }
 
   /** What an earlier leader found. */
-  public void suggest(String jobclass, double ratio) {
-    ratios.putIfAbsent(jobclass, Math.max(LEAST_RATIO, Math.min(MOST_RATIO, ratio)));
+  public void suggest(String jobClass, double ratio) {
+    ratios.putIfAbsent(jobClass, Math.max(LEAST_RATIO, Math.min(MOST_RATIO, ratio)));
   }
 
   public Map<String, Double> ratios() {
     return ratios;
   }
 
-  public double ratio(String jobclass) {
-    return ratios.getOrDefault(jobclass, 1.0);
+  public double ratio(String jobClass) {
+    return ratios.getOrDefault(jobClass, 1.0);
   }
 
   /** Run time to plan with for a task of the job, on a machine of nominal speed. */
   public long runMicros(Job job) {
-    double ratio = job.ratio(ratio(job.spec().jobclass()));
-    return Math.max(LEAST_RUN_MICROS, (long) (job.spec().expectS() * 1e6 * ratio));
+    double ratio = job.ratio(ratio(job.spec().jobClass()));
+    return Math.max(LEAST_RUN_MICROS, (long) (job.spec().expectedRunS() * 1e6 * ratio));
   }
 }
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -21,7 +21,7 @@
   /** When the last job that it waits on ended; what counts waiting work counts from here. */
   private long releasedMicros;
 
-  private boolean waiting;
+  private boolean waitsForDependencies;
   private boolean cancellationConfirmed;
   private DependencyGraph.EffectiveGoal goal;
 
@@ -62,8 +62,8 @@
     this.goal =
         new DependencyGraph.EffectiveGoal(
             acceptedMicros,
-            spec.hasDeadline() ? (long) (spec.dueS() * 1e6) : Long.MAX_VALUE,
-            spec.jobclass(),
+            spec.hasDeadline() ? (long) (spec.deadlineS() * 1e6) : Long.MAX_VALUE,
+            spec.jobClass(),
             0,
             spec.priority());
     this.inherited = inherited;
@@ -88,12 +88,12 @@
   }
 
   /** It waits for other jobs: none of its tasks may start, and it counts for nothing yet. */
-  public boolean waiting() {
-    return waiting;
+  public boolean waitsForDependencies() {
+    return waitsForDependencies;
   }
 
   public void hold() {
-    waiting = true;
+    waitsForDependencies = true;
   }
 
   /**
@@ -110,7 +110,7 @@
 
   /** All that it waits on is done. */
   public void release(long sinceMicros) {
-    waiting = false;
+    waitsForDependencies = false;
     releasedMicros = Math.max(acceptedMicros, sinceMicros);
   }
 
@@ -134,7 +134,7 @@
   }
 
   public boolean hasDeadline() {
-    return goal.dueMicros() != Long.MAX_VALUE;
+    return goal.deadlineMicros() != Long.MAX_VALUE;
   }
 
   /**
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -39,7 +39,7 @@
   private long lastAnswerMicros = -1;
   private long renewedElsewhereMicros = Long.MIN_VALUE / 4;
   private boolean accounted;
-  private long reclaimAtMicros = -1;
+  private long preemptedAtMicros = -1;
   private boolean draining;
   private boolean returning;
   private boolean offered;
@@ -328,7 +328,8 @@
       ownSequenceNumber = heartbeat.sequenceNumber();
       lastHeartbeatMicros = nowMicros;
     }
-    reclaimAtMicros = heartbeat.noticed() ? nowMicros + (long) (heartbeat.reclaimInS() * 1e6) : -1;
+    preemptedAtMicros =
+        heartbeat.noticed() ? nowMicros + (long) (heartbeat.preemptionNoticeS() * 1e6) : -1;
   }
 
   /** The incarnation in which it was last known to another leader. */
@@ -337,12 +338,12 @@
   }
 
   /** When the cloud takes it away, or -1. */
-  public long reclaimAtMicros() {
-    return reclaimAtMicros;
+  public long preemptedAtMicros() {
+    return preemptedAtMicros;
   }
 
   public boolean draining() {
-    return draining || reclaimAtMicros >= 0;
+    return draining || preemptedAtMicros >= 0;
   }
 
   public void drain() {
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -209,7 +209,7 @@
       ifUnknown(uid, out, () -> out.error(HttpStatus.BAD_REQUEST, "the submission is too long"));
       return;
     }
-    if (spec.waits()) {
+    if (spec.hasDependencies()) {
       afterOthers(spec, acceptance, out);
     } else {
       accept(spec, acceptance.transaction(), out, TRIES);
@@ -222,7 +222,7 @@
    * stored, from the records of all that it waits on.
    */
   private void afterOthers(JobSpec spec, JobStore.Acceptance acceptance, Admitted out) {
-    if (spec.waitsOn().contains(spec.uid())) {
+    if (spec.dependencies().contains(spec.uid())) {
       ifUnknown(
           spec.uid(),
           out,
@@ -230,7 +230,7 @@
       return;
     }
     jobRecords.unknownOf(
-        spec.waitsOn(),
+        spec.dependencies(),
         unknown -> {
           if (unknown == null) {
             unavailable(out);
@@ -298,11 +298,11 @@
           switch (result.outcome()) {
             case APPLIED -> {
               metrics.count("jobs_accepted");
-              if (spec.waits()) {
+              if (spec.hasDependencies()) {
                 jobRecords.acceptedWaiting(
                     uid,
                     result.revision(),
-                    spec.waitsOn(),
+                    spec.dependencies(),
                     look -> {
                       if (look.found()) {
                         out.send(HttpStatus.CREATED, describe(uid, look));
--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/ActiveJobs.java
@@ -32,7 +32,7 @@
   private final StartedJobIndex startedJobs;
   private final Runnable changed;
   private final Map<String, Job> active = new LinkedHashMap<>();
-  private final DependencyGraph dependencies = new DependencyGraph();
+  private final DependencyGraph dependencyGraph = new DependencyGraph();
 
   /** Jobs cancelled through another, whose end is to be stored. */
   private final Map<String, Job> doomed = new LinkedHashMap<>();
@@ -201,17 +201,17 @@
           "{} taken in: {} tasks of class {}, accepted {} ms ago",
           uid,
           job.spec().taskCount(),
-          job.spec().jobclass(),
+          job.spec().jobClass(),
           age / 1_000);
       List<String> parts = JobStore.waitsKeys(uid, data);
       if (!parts.isEmpty()) {
         job.hold();
         whenLoaded(() -> readWaits(job, parts, 0, new ArrayList<>()));
-      } else if (job.spec().waits()) {
+      } else if (job.spec().hasDependencies()) {
         job.hold();
-        whenLoaded(() -> chain(job, job.spec().waitsOn()));
-      } else if (dependencies.standing(uid) == DependencyGraph.State.UNKNOWN
-          && dependencies.needed(uid)) {
+        whenLoaded(() -> chain(job, job.spec().dependencies()));
+      } else if (dependencyGraph.standing(uid) == DependencyGraph.State.UNKNOWN
+          && dependencyGraph.needed(uid)) {
         chain(job, List.of());
       }
     } catch (InvalidMessage e) {
@@ -257,20 +257,20 @@
   }
 
   /** The job and what it waits on are known: those of which nothing was told yet are looked up. */
-  private void chain(Job job, List<String> waitsOn) {
-    List<String> unknown = dependencies.accepted(job.uid(), job.revision(), waitsOn);
-    dependencies.goal(job.uid(), job.goal(), cost.applyAsLong(job));
+  private void chain(Job job, List<String> dependencies) {
+    List<String> unknown = dependencyGraph.accepted(job.uid(), job.revision(), dependencies);
+    dependencyGraph.goal(job.uid(), job.goal(), cost.applyAsLong(job));
     for (String name : unknown) {
       Job before = active.get(name);
       if (before == null) {
         readEnd(name);
-      } else if (!before.waiting()) {
+      } else if (!before.waitsForDependencies()) {
         chain(before, List.of());
       }
       // One that waits itself is told by its own turn.
     }
-    if (!waitsOn.isEmpty() && job.waiting() && log.isDebugEnabled()) {
-      log.debug("{} waits on {}", job.uid(), dependencies.waitsFor(job.uid()));
+    if (!dependencies.isEmpty() && job.waitsForDependencies() && log.isDebugEnabled()) {
+      log.debug("{} waits on {}", job.uid(), dependencyGraph.waitsFor(job.uid()));
     }
   }
 
@@ -285,7 +285,7 @@
   }
 
   private void readEnds() {
-    unread.removeIf(uid -> active.containsKey(uid) || !dependencies.needed(uid));
+    unread.removeIf(uid -> active.containsKey(uid) || !dependencyGraph.needed(uid));
     if (closed || unread.isEmpty()) {
       readingEnds = false;
       return;
@@ -301,7 +301,7 @@
                 (uid, f) -> {
                   if (f.how() != null) {
                     unread.remove(uid);
-                    dependencies.ended(uid, f.how(), f.endedWallMicros());
+                    dependencyGraph.ended(uid, f.how(), f.endedWallMicros());
                   }
                 });
             settleChains();
@@ -317,10 +317,10 @@
   /** Carries out what follows from what is known of the chains now. */
   private void settleChains() {
     long wall = context.loop().wallMicros();
-    for (String uid : dependencies.takeReleased()) {
+    for (String uid : dependencyGraph.takeReleased()) {
       Job job = active.get(uid);
-      if (job != null && job.waiting()) {
-        long ended = dependencies.releasedMicros(uid);
+      if (job != null && job.waitsForDependencies()) {
+        long ended = dependencyGraph.releasedMicros(uid);
         long age = ended > 0 ? Math.max(0, wall - ended) : 0;
         job.release(context.loop().nowMicros() - age);
         context.metrics().count("jobs_released");
@@ -329,10 +329,10 @@
         changed.run();
       }
     }
-    for (String uid : dependencies.takeCancelled()) {
+    for (String uid : dependencyGraph.takeCancelled()) {
       Job job = active.get(uid);
-      if (job != null && job.waiting() && doomed.put(uid, job) == null) {
-        log.info("{} is aborted through {}", uid, dependencies.through(uid));
+      if (job != null && job.waitsForDependencies() && doomed.put(uid, job) == null) {
+        log.info("{} is aborted through {}", uid, dependencyGraph.through(uid));
       }
     }
     endDoomed();
@@ -385,21 +385,21 @@
 
   /** Brings deadlines and priority along the chains up to date; cheap where nothing changed. */
   void settleAims(boolean costsToo) {
-    if (dependencies.size() == 0) {
+    if (dependencyGraph.size() == 0) {
       return;
     }
     if (costsToo) {
-      dependencies.costs(
+      dependencyGraph.costs(
           uid -> {
             Job job = active.get(uid);
             return job == null ? 0 : cost.applyAsLong(job);
           });
     }
-    dependencies.settleAims(
+    dependencyGraph.settleAims(
         uid -> {
           Job job = active.get(uid);
           if (job != null) {
-            job.goal(dependencies.goal(uid));
+            job.goal(dependencyGraph.goal(uid));
           }
         });
   }
@@ -415,15 +415,15 @@
       log.debug("{} has ended", uid);
     }
     doomed.remove(uid);
-    if (dependencies.standing(uid) == DependencyGraph.State.UNKNOWN) {
+    if (dependencyGraph.standing(uid) == DependencyGraph.State.UNKNOWN) {
       return;
     }
-    if (how == null && !dependencies.needed(uid)) {
+    if (how == null && !dependencyGraph.needed(uid)) {
       // Nobody waits to be told how.
       how = JobState.CANCELLED;
     }
     if (how != null) {
-      dependencies.ended(uid, how, context.loop().wallMicros());
+      dependencyGraph.ended(uid, how, context.loop().wallMicros());
       settleChains();
     } else {
       readEnd(uid);
--- a/src/main/java/plumlever/leader/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/DeadCellAdoption.java
@@ -128,7 +128,7 @@
             machineId.endpoint(),
             machineId.machineType(),
             machineId.zone(),
-            machineId.loaners()),
+            machineId.spot()),
         0,
         owner.name(),
         0,
--- a/src/main/java/plumlever/leader/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/HeartbeatHandler.java
@@ -92,13 +92,13 @@
       endIncarnationsBefore(machine, heartbeat.incarnation());
     }
     boolean first = !machine.heard();
-    boolean noticed = heartbeat.noticed() && machine.reclaimAtMicros() < 0;
+    boolean noticed = heartbeat.noticed() && machine.preemptedAtMicros() < 0;
     machine.heardAt(heartbeat, now, own);
     changed |= first && own;
     if (noticed) {
       changed = true;
       context.metrics().count("spot_notices");
-      log.info("{} will be taken in {} s", machine.id(), heartbeat.reclaimInS());
+      log.info("{} will be taken in {} s", machine.id(), heartbeat.preemptionNoticeS());
     }
     LongHashSet listed = new LongHashSet();
     boolean current = machine.hasSeen(heartbeat.fencingToken());
@@ -348,7 +348,7 @@
       return;
     }
     double took = now - attempt.runningSinceMicros();
-    double estimate = attempt.job().spec().expectS() * 1e6;
+    double estimate = attempt.job().spec().expectedRunS() * 1e6;
     if (estimate <= 0 || took <= 0) {
       return;
     }
@@ -356,7 +356,7 @@
     attempt.machine().observe(took / planned);
     double ratio = took / attempt.machine().slowness() / estimate;
     attempt.job().observe(ratio);
-    estimates.observe(attempt.job().spec().jobclass(), ratio);
+    estimates.observe(attempt.job().spec().jobClass(), ratio);
   }
 
   private void done(Job job, int task) {
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -337,7 +337,7 @@
               heartbeat.endpoint(),
               heartbeat.machineType(),
               heartbeat.zone(),
-              heartbeat.loaners(),
+              heartbeat.spot(),
               context.loop().nowMicros());
       fleet.add(machine);
     }
@@ -400,11 +400,11 @@
     }
     for (Attempt attempt : machine.attempts()) {
       if (!attempt.over() && attempt.job().spec().checkpoints()) {
-        double save = attempt.job().spec().snapshotS();
+        double save = attempt.job().spec().checkpointS();
         // The next heartbeat comes within a few seconds; what could not be saved after it is saved
         // now.
         double slack = HEARTBEAT_PAUSES * context.platform().workers().heartbeatMicros() / 1e6 + 1;
-        if (heartbeat.reclaimInS() <= save + slack + 2) {
+        if (heartbeat.preemptionNoticeS() <= save + slack + 2) {
           attempt.stop(save + 1, now);
         }
       }
--- a/src/main/java/plumlever/leader/LimitDuty.java
+++ b/src/main/java/plumlever/leader/LimitDuty.java
@@ -80,7 +80,7 @@
   private double coresNeeded(Platform.Team team) {
     double waiting = 0;
     for (Job job : jobs.all()) {
-      if (job.spec().team().equals(team.name()) && !job.over() && !job.waiting()) {
+      if (job.spec().team().equals(team.name()) && !job.over() && !job.waitsForDependencies()) {
         waiting += job.freeCount() * job.spec().cores();
       }
     }
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -197,7 +197,7 @@
                           listedMachine.endpoint(),
                           listedMachine.machineType(),
                           listedMachine.zone(),
-                          listedMachine.loaners(),
+                          listedMachine.spot(),
                           now - (long) (listedMachine.ageS() * 1e6));
                   machine.returning(sharing.mustReturn(listedMachine.id()));
                   fleet.add(machine);
--- a/src/main/java/plumlever/leader/Preemption.java
+++ b/src/main/java/plumlever/leader/Preemption.java
@@ -83,7 +83,7 @@
       }
       Offer offer = offers.get(next++);
       for (Attempt attempt : offer.victims) {
-        attempt.stop(attempt.job().spec().snapshotS() + 2, now);
+        attempt.stop(attempt.job().spec().checkpointS() + 2, now);
         context.metrics().count("preempted");
         if (log.isDebugEnabled()) {
           log.debug(
@@ -133,7 +133,8 @@
       int harmed = 0;
       for (Attempt attempt : stop) {
         ready =
-            Math.max(ready, now + COMMAND_MICROS + (long) (attempt.job().spec().snapshotS() * 1e6));
+            Math.max(
+                ready, now + COMMAND_MICROS + (long) (attempt.job().spec().checkpointS() * 1e6));
         harmed += harm.test(attempt, now) ? 1 : 0;
       }
       if (helps(request, startByMicros, ready)) {
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -250,7 +250,10 @@
     long now = context.loop().nowMicros();
     List<CoreDemand.Work> works = new ArrayList<>();
     for (Job job : jobs.all()) {
-      if (job.complete() || job.over() || job.cancellationConfirmed() || job.waiting()) {
+      if (job.complete()
+          || job.over()
+          || job.cancellationConfirmed()
+          || job.waitsForDependencies()) {
         continue;
       }
       long runMicros = costMicros(job);
@@ -330,7 +333,10 @@
     if (missing > 0 && like != null && like.cores() > 0) {
       lastStandby =
           new RentalPlan.Demand(
-              like, null, (int) Math.ceil(missing / like.cores()), (long) (like.expectS() * 1e6));
+              like,
+              null,
+              (int) Math.ceil(missing / like.cores()),
+              (long) (like.expectedRunS() * 1e6));
       demands.add(lastStandby);
     }
   }
@@ -386,7 +392,10 @@
     Map<String, Double> used = new HashMap<>();
     List<Job> waiting = new ArrayList<>();
     for (Job job : byAge) {
-      if (job.complete() || job.over() || job.cancellationConfirmed() || job.waiting()) {
+      if (job.complete()
+          || job.over()
+          || job.cancellationConfirmed()
+          || job.waitsForDependencies()) {
         continue;
       }
       double cores =
@@ -542,7 +551,7 @@
 
   private long endsAt(Attempt attempt, MachineType machineType, long now) {
     if (attempt.stopping()) {
-      return now + (long) (attempt.job().spec().snapshotS() * 1e6);
+      return now + (long) (attempt.job().spec().checkpointS() * 1e6);
     }
     long run =
         (long)
@@ -578,7 +587,7 @@
         startBy,
         job.spec().machineTypes(),
         job.spec().zone(),
-        job.spec().loaners(),
+        job.spec().spotAllowed(),
         job.spec().checkpoints());
   }
 
@@ -632,7 +641,7 @@
   }
 
   private void place(Job job) {
-    if (job.over() || job.cancellationConfirmed() || job.waiting() || !job.hasFree()) {
+    if (job.over() || job.cancellationConfirmed() || job.waitsForDependencies() || !job.hasFree()) {
       return;
     }
     long now = snapshot.now;
--- a/src/main/java/plumlever/leader/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/ServiceObjectives.java
@@ -23,7 +23,7 @@
     this.startTargetMicros = startTargetMicros;
     for (Platform.Objective objective : objectives) {
       long within = (long) (objective.withinS() * 1e6);
-      if (objective.jobclass() == null) {
+      if (objective.jobClass() == null) {
         if (objective.kind().equals("guarantee")) {
           guaranteedWithin = Math.min(guaranteedWithin, within);
         }
@@ -31,12 +31,12 @@
       }
       switch (objective.kind()) {
         case "wait" ->
-            startWithin.merge(objective.jobclass(), new long[] {within}, ServiceObjectives::both);
+            startWithin.merge(objective.jobClass(), new long[] {within}, ServiceObjectives::both);
         case "finished" ->
-            finishWithin.merge(objective.jobclass(), new long[] {within}, ServiceObjectives::both);
+            finishWithin.merge(objective.jobClass(), new long[] {within}, ServiceObjectives::both);
         case "deadline" ->
             deadlineTimes.merge(
-                objective.jobclass(),
+                objective.jobClass(),
                 new double[] {objective.times()},
                 (a, b) -> {
                   double[] all = Arrays.copyOf(a, a.length + 1);
@@ -71,7 +71,7 @@
    * Long.MAX_VALUE for a job that has only a deadline.
    */
   long startBy(Job job, boolean withinGuarantee, long now) {
-    long[] aims = startWithin.get(job.spec().jobclass());
+    long[] aims = startWithin.get(job.spec().jobClass());
     long by =
         aims != null
             ? nextOf(aims, job.releasedMicros(), now)
@@ -95,17 +95,17 @@
     if (job.hasDeadline()) {
       by = job.deadlineMicros();
       DependencyGraph.EffectiveGoal goal = job.goal();
-      for (double times : deadlineTimes.getOrDefault(goal.jobclass(), new double[0])) {
+      for (double times : deadlineTimes.getOrDefault(goal.jobClass(), new double[0])) {
         if (by >= now) {
           break;
         }
         by =
             goal.submittedMicros()
-                + (long) (goal.dueMicros() * Math.max(1, times))
+                + (long) (goal.deadlineMicros() * Math.max(1, times))
                 - goal.tailMicros();
       }
     }
-    long[] aims = finishWithin.get(job.spec().jobclass());
+    long[] aims = finishWithin.get(job.spec().jobClass());
     return aims == null ? by : Math.min(by, nextOf(aims, job.releasedMicros(), now));
   }
 
--- a/src/main/java/plumlever/leader/TaskStarter.java
+++ b/src/main/java/plumlever/leader/TaskStarter.java
@@ -84,7 +84,7 @@
       Job job = otherPlanned.job;
       if (job.over()
           || job.cancellationConfirmed()
-          || job.waiting()
+          || job.waitsForDependencies()
           || job.enrolment() != RegistrationState.STORED
           || takeover.blocks(job)
           || !job.spec().allows(machine.machineType(), machine.zone(), machine.spot())) {
--- a/src/main/java/plumlever/settings/Platform.java
+++ b/src/main/java/plumlever/settings/Platform.java
@@ -36,9 +36,9 @@
   /** A team's guarantee and limit; 0 means none. */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-  /** An aim of the users: {@code jobclass} is null where it stands for all work. */
+  /** An aim of the users: {@code jobClass} is null where it stands for all work. */
   public record Objective(
-      String kind, String jobclass, double withinS, double times, double share) {}
+      String kind, String jobClass, double withinS, double times, double share) {}
 
   /** Times of the workers: between reports, of a lease, and for a cancellation. */
   public record Workers(long heartbeatMicros, long leaseMicros, long cancelMicros) {
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -49,7 +49,7 @@
   /** Told of each end that is read. */
   private final Ends ends;
 
-  private DependencyGraph dependencies = new DependencyGraph();
+  private DependencyGraph dependencyGraph = new DependencyGraph();
 
   /** Jobs of which all that they wait on, directly or through others, is in the book. */
   private Set<String> whole = new HashSet<>();
@@ -76,26 +76,26 @@
 
   /** The job whose cancel cancelled this one, or null. */
   String through(String uid) {
-    return dependencies.through(uid);
+    return dependencyGraph.through(uid);
   }
 
   /**
    * The revision of a job's record that is in the book with all that it waits on; 0 for any other.
    */
   long revision(String uid) {
-    return whole.contains(uid) ? dependencies.revision(uid) : 0;
+    return whole.contains(uid) ? dependencyGraph.revision(uid) : 0;
   }
 
   /** An end that this node knows of. */
   void ended(String uid, JobState how) {
-    dependencies.ended(uid, how, 0);
+    dependencyGraph.ended(uid, how, 0);
     whole.remove(uid);
     forgetNews();
   }
 
   private void forgetNews() {
-    dependencies.takeReleased();
-    dependencies.takeCancelled();
+    dependencyGraph.takeReleased();
+    dependencyGraph.takeCancelled();
   }
 
   /** Finds out what follows for a job that waits, or waited, for others. */
@@ -113,7 +113,7 @@
   private void turn() {
     List<Question> asked = gathered;
     gathered = new ArrayList<>();
-    if (dependencies.size() > MOST_JOBS) {
+    if (dependencyGraph.size() > MOST_JOBS) {
       reset();
     }
     if (storeRevision >= 0) {
@@ -134,9 +134,9 @@
   }
 
   /** The job was accepted here a moment ago: its own record need not be read. */
-  void accepted(String uid, long revision, List<String> waitsOn) {
+  void accepted(String uid, long revision, List<String> dependencies) {
     if (storeRevision >= 0) {
-      dependencies.accepted(uid, revision, waitsOn);
+      dependencyGraph.accepted(uid, revision, dependencies);
       forgetNews();
     }
   }
@@ -149,12 +149,12 @@
         unread.add(question.uid);
       }
     }
-    DependencyGraph into = dependencies;
+    DependencyGraph into = dependencyGraph;
     new Reading(
             into,
             unread,
             fine -> {
-              if (!fine || into != dependencies) {
+              if (!fine || into != dependencyGraph) {
                 answer(asked, Answer.UNAVAILABLE);
                 return;
               }
@@ -251,9 +251,9 @@
       }
     }
 
-    private void enter(StateClient.Item item, List<String> waitsOn) {
-      into.accepted(item.key().substring(JobStore.ACTIVE.length()), item.revision(), waitsOn);
-      name(waitsOn);
+    private void enter(StateClient.Item item, List<String> dependencies) {
+      into.accepted(item.key().substring(JobStore.ACTIVE.length()), item.revision(), dependencies);
+      name(dependencies);
     }
 
     private void name(List<String> uids) {
@@ -304,13 +304,13 @@
 
   /** All that ended since the last look, as of now. */
   private void look(List<Question> asked) {
-    DependencyGraph into = dependencies;
+    DependencyGraph into = dependencyGraph;
     store.watch(
         JobStore.ENDED,
         storeRevision,
         0,
         changes -> {
-          if (into != dependencies) {
+          if (into != dependencyGraph) {
             answer(asked, Answer.UNAVAILABLE);
             return;
           }
@@ -334,7 +334,7 @@
               // Also of jobs that are not in the book: one that was read before it ended may be on
               // its way into it.
               ends.ended(uid, how);
-              dependencies.ended(uid, how, JobStore.endedWallMicros(change.data()));
+              dependencyGraph.ended(uid, how, JobStore.endedWallMicros(change.data()));
               whole.remove(uid);
             }
           }
@@ -344,7 +344,7 @@
             question.then.accept(
                 ends.known(question.uid) != null
                     ? Answer.ENDED
-                    : switch (dependencies.standing(question.uid)) {
+                    : switch (dependencyGraph.standing(question.uid)) {
                       case WAITING -> Answer.WAITING;
                       case RELEASED -> Answer.RELEASED;
                       case CANCELLED -> Answer.CANCELLED;
@@ -371,7 +371,7 @@
   }
 
   private void reset() {
-    dependencies = new DependencyGraph();
+    dependencyGraph = new DependencyGraph();
     whole = new HashSet<>();
     storeRevision = -1;
   }
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -110,8 +110,8 @@
    * end.
    */
   public void acceptedWaiting(
-      String uid, long revision, List<String> waitsOn, Consumer<JobStatus> then) {
-    dependencyRecords.accepted(uid, revision, waitsOn);
+      String uid, long revision, List<String> dependencies, Consumer<JobStatus> then) {
+    dependencyRecords.accepted(uid, revision, dependencies);
     chain(uid, revision, then);
   }
 
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -192,10 +192,10 @@
     ObjectNode active = Json.object().put(ACCEPTED_MS, wallMicros / 1_000);
     active.set(SPEC, spec.toJson());
     Map<String, ObjectNode> parts = Map.of();
-    if (spec.waits() && bytes(active) > valueBytes()) {
-      active.set(SPEC, spec.waitingOn(List.of()).toJson());
-      String digest = digest(spec.waitsOn());
-      parts = parts(waitsKey(spec.uid(), digest), spec.waitsOn());
+    if (spec.hasDependencies() && bytes(active) > valueBytes()) {
+      active.set(SPEC, spec.withDependencies(List.of()).toJson());
+      String digest = digest(spec.dependencies());
+      parts = parts(waitsKey(spec.uid(), digest), spec.dependencies());
       active.putObject(WAITS_AT).put(DIGEST, digest).put(PARTS, parts.size());
     }
     if (bytes(active) > statedValueBytes) {
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -14,18 +14,18 @@
     String endpoint,
     String machineType,
     String zone,
-    boolean loaners,
+    boolean spot,
     long incarnation,
     long sequenceNumber,
     long fencingToken,
-    double reclaimInS,
+    double preemptionNoticeS,
     List<AttemptStatus> attempts) {
 
   /** A task on a machine. */
   public record AttemptStatus(
       TaskName task, long attempt, AttemptState state, ExitCause cause, boolean saved) {}
 
-  /** Stands in {@code reclaimInS} for a machine that nobody takes away. */
+  /** Stands in {@code preemptionNoticeS} for a machine that nobody takes away. */
   public static final double NO_NOTICE = -1;
 
   /** True if any task is on the machine, in whatever state before its end. */
@@ -39,7 +39,7 @@
   }
 
   public boolean noticed() {
-    return reclaimInS >= 0;
+    return preemptionNoticeS >= 0;
   }
 
   public boolean newerThan(long otherIncarnation, long otherSequenceNumber) {
@@ -64,12 +64,12 @@
           case "endpoint" -> fields.endpoint = text(jsonParser, name);
           case "flavor" -> fields.machineType = text(jsonParser, name);
           case "site" -> fields.zone = text(jsonParser, name);
-          case "loaners" -> fields.loaners = flag(jsonParser, name);
+          case "loaners" -> fields.spot = flag(jsonParser, name);
           case "tenure" -> fields.incarnation = whole(jsonParser, name);
           case "tick" -> fields.sequenceNumber = whole(jsonParser, name);
           case "baton" -> fields.fencingToken = whole(jsonParser, name);
           case "reclaim_in_s" ->
-              fields.reclaimInS =
+              fields.preemptionNoticeS =
                   jsonToken == JsonToken.VALUE_NULL ? NO_NOTICE : amount(jsonParser, name);
           case "pieces" ->
               fields.attempts =
@@ -92,11 +92,11 @@
     private String endpoint;
     private String machineType;
     private String zone;
-    private Boolean loaners;
+    private Boolean spot;
     private long incarnation = -1;
     private long sequenceNumber = -1;
     private long fencingToken = -1;
-    private double reclaimInS = NO_NOTICE;
+    private double preemptionNoticeS = NO_NOTICE;
     private List<AttemptStatus> attempts = List.of();
 
     Heartbeat heartbeat() throws InvalidMessage {
@@ -105,11 +105,11 @@
           needed(endpoint, "endpoint"),
           needed(machineType, "flavor"),
           needed(zone, "site"),
-          needed(loaners, "loaners"),
+          needed(spot, "loaners"),
           needed(incarnation, "tenure"),
           needed(sequenceNumber, "tick"),
           needed(fencingToken, "baton"),
-          reclaimInS,
+          preemptionNoticeS,
           attempts);
     }
   }
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -11,7 +11,7 @@
 /** A job as its user submits it. */
 public record JobSpec(
     String uid,
-    String jobclass,
+    String jobClass,
     String team,
     Priority priority,
     int taskCount,
@@ -24,17 +24,17 @@
     String zone,
     boolean oneZone,
     boolean spread,
-    boolean loaners,
-    double expectS,
-    double snapshotEveryS,
-    double snapshotS,
-    double dueS,
-    List<String> waitsOn) {
+    boolean spotAllowed,
+    double expectedRunS,
+    double checkpointIntervalS,
+    double checkpointS,
+    double deadlineS,
+    List<String> dependencies) {
 
   /** A job that waits for no other. */
   public JobSpec(
       String uid,
-      String jobclass,
+      String jobClass,
       String team,
       Priority priority,
       int taskCount,
@@ -47,14 +47,14 @@
       String zone,
       boolean oneZone,
       boolean spread,
-      boolean loaners,
-      double expectS,
-      double snapshotEveryS,
-      double snapshotS,
-      double dueS) {
+      boolean spotAllowed,
+      double expectedRunS,
+      double checkpointIntervalS,
+      double checkpointS,
+      double deadlineS) {
     this(
         uid,
-        jobclass,
+        jobClass,
         team,
         priority,
         taskCount,
@@ -67,20 +67,20 @@
         zone,
         oneZone,
         spread,
-        loaners,
-        expectS,
-        snapshotEveryS,
-        snapshotS,
-        dueS,
+        spotAllowed,
+        expectedRunS,
+        checkpointIntervalS,
+        checkpointS,
+        deadlineS,
         List.of());
   }
 
   public static final int MAX_TASKS = 100_000;
 
-  /** Stands in {@code dueS} for a job with no deadline. */
+  /** Stands in {@code deadlineS} for a job with no deadline. */
   public static final double NO_DEADLINE = -1;
 
-  private static final String WAITS_ON = "waits_on";
+  private static final String DEPENDENCIES = "waits_on";
   private static final Pattern UID = Pattern.compile("job-[0-9]{1,18}");
 
   public static boolean validUid(String uid) {
@@ -88,11 +88,11 @@
   }
 
   public boolean hasDeadline() {
-    return dueS >= 0;
+    return deadlineS >= 0;
   }
 
   public boolean checkpoints() {
-    return snapshotEveryS > 0;
+    return checkpointIntervalS > 0;
   }
 
   /**
@@ -144,15 +144,15 @@
         Json.amount(object, "snapshot_every_s", 0),
         Json.amount(object, "snapshot_s", 0),
         Json.absent(object, "due_s") ? NO_DEADLINE : Json.amount(object, "due_s", 0),
-        waitsOn(object));
+        dependencies(object));
   }
 
   /**
    * The jobs that have to be done before this one starts, each once; a body holds a few thousand at
    * most.
    */
-  private static List<String> waitsOn(ObjectNode object) throws InvalidMessage {
-    JsonNode list = object.get(WAITS_ON);
+  private static List<String> dependencies(ObjectNode object) throws InvalidMessage {
+    JsonNode list = object.get(DEPENDENCIES);
     if (list == null || list.isNull()) {
       return List.of();
     }
@@ -170,10 +170,10 @@
   }
 
   /** The same job with another list of those that it waits on. */
-  public JobSpec waitingOn(List<String> others) {
+  public JobSpec withDependencies(List<String> others) {
     return new JobSpec(
         uid,
-        jobclass,
+        jobClass,
         team,
         priority,
         taskCount,
@@ -186,16 +186,16 @@
         zone,
         oneZone,
         spread,
-        loaners,
-        expectS,
-        snapshotEveryS,
-        snapshotS,
-        dueS,
+        spotAllowed,
+        expectedRunS,
+        checkpointIntervalS,
+        checkpointS,
+        deadlineS,
         List.copyOf(others));
   }
 
-  public boolean waits() {
-    return !waitsOn.isEmpty();
+  public boolean hasDependencies() {
+    return !dependencies.isEmpty();
   }
 
   /** The same fields again, for the state service. */
@@ -203,7 +203,7 @@
     ObjectNode object = Json.object();
     object
         .put("uid", uid)
-        .put("jobclass", jobclass)
+        .put("jobclass", jobClass)
         .put("owner", team)
         .put("shape", "sweep")
         .put("urgency", priority.wireName())
@@ -215,23 +215,23 @@
         .put("image_gb", imageGb)
         .put("one_zone", oneZone)
         .put("spread", spread)
-        .put("loaners", loaners)
-        .put("expect_s", expectS)
-        .put("snapshot_every_s", snapshotEveryS)
-        .put("snapshot_s", snapshotS);
+        .put("loaners", spotAllowed)
+        .put("expect_s", expectedRunS)
+        .put("snapshot_every_s", checkpointIntervalS)
+        .put("snapshot_s", checkpointS);
     if (zone != null) {
       object.put("site", zone);
     }
     if (hasDeadline()) {
-      object.put("due_s", dueS);
+      object.put("due_s", deadlineS);
     }
     if (machineTypes != null) {
       var array = object.putArray("flavors");
       machineTypes.forEach(array::add);
     }
-    if (waits()) {
-      var array = object.putArray(WAITS_ON);
-      waitsOn.forEach(array::add);
+    if (hasDependencies()) {
+      var array = object.putArray(DEPENDENCIES);
+      dependencies.forEach(array::add);
     }
     return object;
   }
@@ -240,7 +240,7 @@
   public boolean allows(String machineType, String machineZone, boolean spot) {
     return (machineTypes == null || machineTypes.contains(machineType))
         && (zone == null || zone.equals(machineZone))
-        && (loaners || !spot);
+        && (spotAllowed || !spot);
   }
 
   /** The most tasks that may be in one zone at a time. */
--- a/src/main/java/plumlever/wire/ListedMachine.java
+++ b/src/main/java/plumlever/wire/ListedMachine.java
@@ -8,7 +8,7 @@
     String endpoint,
     String machineType,
     String zone,
-    boolean loaners,
+    boolean spot,
     String status,
     double ageS) {
   /** Reads one entry of the cloud's list. */
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -41,12 +41,12 @@
             .put("endpoint", heartbeat.endpoint())
             .put("flavor", heartbeat.machineType())
             .put("site", heartbeat.zone())
-            .put("loaners", heartbeat.loaners())
+            .put("loaners", heartbeat.spot())
             .put("tenure", heartbeat.incarnation())
             .put("tick", heartbeat.sequenceNumber())
             .put("baton", heartbeat.fencingToken());
     if (heartbeat.noticed()) {
-      object.put("reclaim_in_s", heartbeat.reclaimInS());
+      object.put("reclaim_in_s", heartbeat.preemptionNoticeS());
     }
     ArrayNode attempts = object.putArray("pieces");
     for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
@@ -84,11 +84,11 @@
         heartbeat.endpoint(),
         heartbeat.machineType(),
         heartbeat.zone(),
-        heartbeat.loaners(),
+        heartbeat.spot(),
         heartbeat.incarnation(),
         heartbeat.sequenceNumber(),
         heartbeat.fencingToken(),
-        heartbeat.reclaimInS(),
+        heartbeat.preemptionNoticeS(),
         attempts);
   }
 }
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -43,7 +43,7 @@
             0,
             0,
             JobSpec.NO_DEADLINE)
-        .waitingOn(List.of(names).stream().map(JobSpec::uid).toList());
+        .withDependencies(List.of(names).stream().map(JobSpec::uid).toList());
   }
 
   /** A job with so many names that they do not fit its record: most of them have ended. */
@@ -115,7 +115,7 @@
     assertTrue(machines <= 2, "for one task: " + machines);
     cluster.play(200);
     Job waiting = cluster.leader().node().leader().job(last.uid());
-    assertTrue(waiting.waiting());
+    assertTrue(waiting.waitsForDependencies());
     assertEquals("pending", told(last));
     assertTrue(cluster.cloud.machines.size() <= machines, "none for a job that waits");
     cluster.leader().crash(1);
@@ -129,7 +129,7 @@
     for (int i = 0; i < 1_300 && released == 0; i++) {
       cluster.play(0.1);
       Job job = cluster.leader().node().leader().job(last.uid());
-      released = job != null && !job.waiting() ? job.releasedMicros() : 0;
+      released = job != null && !job.waitsForDependencies() ? job.releasedMicros() : 0;
     }
     assertTrue(cluster.now() - released < 10_000_000, "its times begin with its release");
     cluster.play(60);
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -33,7 +33,8 @@
     cluster.play(5);
   }
 
-  JobSpec job(int taskCount, double runS, double dueS, Priority priority, List<String> waitsOn) {
+  JobSpec job(
+      int taskCount, double runS, double deadlineS, Priority priority, List<String> dependencies) {
     return new JobSpec(
             users.nextUid(),
             "c" + priority.ordinal(),
@@ -53,17 +54,17 @@
             runS,
             0,
             0,
-            dueS)
-        .waitingOn(waitsOn);
+            deadlineS)
+        .withDependencies(dependencies);
   }
 
-  JobSpec idle(int taskCount, double runS, JobSpec... waitsOn) {
+  JobSpec idle(int taskCount, double runS, JobSpec... dependencies) {
     return job(
         taskCount,
         runS,
         JobSpec.NO_DEADLINE,
         Priority.IDLE,
-        List.of(waitsOn).stream().map(JobSpec::uid).toList());
+        List.of(dependencies).stream().map(JobSpec::uid).toList());
   }
 
   /** Ingest, some checks, merge, publish: as the users' pipelines are. */
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -118,7 +118,7 @@
   }
 
   /** A job like many. */
-  JobSpec submit(int taskCount, double cores, double expectS, boolean cancel) {
+  JobSpec submit(int taskCount, double cores, double expectedRunS, boolean cancel) {
     boolean oneZone = cluster.random.nextInt(4) == 0;
     boolean spread = !oneZone && cluster.random.nextInt(4) == 0;
     JobSpec job =
@@ -138,7 +138,7 @@
             oneZone,
             spread,
             cluster.random.nextInt(3) > 0,
-            expectS,
+            expectedRunS,
             0,
             0,
             cluster.random.nextBoolean() ? 60 : JobSpec.NO_DEADLINE);
@@ -408,7 +408,7 @@
         return true;
       }
       JobSpec job = cluster.invariants.submitted.get(next);
-      (job == null ? List.<String>of() : job.waitsOn())
+      (job == null ? List.<String>of() : job.dependencies())
           .stream().filter(seen::add).forEach(open::add);
     }
     return false;
@@ -426,7 +426,7 @@
       submitWhen(
           job,
           () ->
-              job.waitsOn().stream()
+              job.dependencies().stream()
                   .allMatch(
                       n ->
                           accepted.contains(n)
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -34,7 +34,7 @@
       Priority priority,
       int taskCount,
       double cores,
-      double expectS,
+      double expectedRunS,
       boolean oneZone) {
     return new JobSpec(
         users.nextUid(),
@@ -52,7 +52,7 @@
         oneZone,
         false,
         true,
-        expectS,
+        expectedRunS,
         0,
         0,
         JobSpec.NO_DEADLINE);
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -151,17 +151,20 @@
     Job last = job(cluster, "job-000004");
     Job large = job(cluster, "job-000006");
     Job many = job(cluster, "job-000007");
-    assertFalse(slow.waiting());
+    assertFalse(slow.waitsForDependencies());
     assertTrue(slow.inherited() && large.inherited(), "on record as started");
-    assertTrue(next.waiting() && last.waiting() && many.waiting());
+    assertTrue(
+        next.waitsForDependencies() && last.waitsForDependencies() && many.waitsForDependencies());
     assertEquals(Priority.HIGH, slow.priority(), "its last job's priority reaches back to it");
     assertTrue(large.doneCount() > 10, "progress " + large.doneCount());
     assertTrue(answer(cluster, "job-000005").contains("\"aborted\""));
     assertTrue(answer(cluster, "job-000004").contains("\"pending\""));
     end(cluster, "job-000002");
     cluster.play(4);
-    assertFalse(next.waiting() || many.waiting(), "released by the end of the last one");
-    assertTrue(last.waiting());
+    assertFalse(
+        next.waitsForDependencies() || many.waitsForDependencies(),
+        "released by the end of the last one");
+    assertTrue(last.waitsForDependencies());
   }
 
   /**
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -51,7 +51,7 @@
     users = new FakeUsers(cluster);
   }
 
-  private JobSpec submit(String team, int taskCount, double expectS) {
+  private JobSpec submit(String team, int taskCount, double expectedRunS) {
     JobSpec job =
         new JobSpec(
             users.nextUid(),
@@ -69,7 +69,7 @@
             false,
             false,
             true,
-            expectS,
+            expectedRunS,
             0,
             0,
             JobSpec.NO_DEADLINE);
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -77,7 +77,7 @@
   }
 
   long runMicros(String task) {
-    return (long) (submitted.get(job(task)).expectS() * 1e6);
+    return (long) (submitted.get(job(task)).expectedRunS() * 1e6);
   }
 
   boolean completed(String task) {
@@ -114,7 +114,7 @@
     }
     JobSpec otherJob = submitted.get(job(task));
     beganAt.putIfAbsent(otherJob.uid(), cluster.now());
-    for (String name : otherJob.waitsOn()) {
+    for (String name : otherJob.dependencies()) {
       if (!allDone(name)) {
         broke("too_early", task + " starts before " + name + " is done");
       }
@@ -219,7 +219,7 @@
     Map<String, List<JobSpec>> groups = new HashMap<>();
     for (JobSpec job : submitted.values()) {
       if (answeredAt.containsKey(job.uid()) && !cancelledAt.containsKey(job.uid())) {
-        groups.computeIfAbsent("class " + job.jobclass(), k -> new ArrayList<>()).add(job);
+        groups.computeIfAbsent("class " + job.jobClass(), k -> new ArrayList<>()).add(job);
         groups.computeIfAbsent("team " + job.team(), k -> new ArrayList<>()).add(job);
       }
     }
@@ -303,7 +303,7 @@
     java.util.ArrayDeque<String> open = new java.util.ArrayDeque<>(List.of(uid));
     while (!open.isEmpty()) {
       JobSpec job = submitted.get(open.poll());
-      for (String name : job == null ? List.<String>of() : job.waitsOn()) {
+      for (String name : job == null ? List.<String>of() : job.dependencies()) {
         if ("aborted".equals(finalState.get(name)) && finalAt.get(name) <= askedMicros) {
           return name;
         }
@@ -318,7 +318,7 @@
   /** From when waiting counts: submitted, and all that it waits on done. */
   private long waitsFrom(JobSpec job) {
     long from = submittedAt.getOrDefault(job.uid(), 0L);
-    for (String name : job.waitsOn()) {
+    for (String name : job.dependencies()) {
       from =
           Math.max(from, allDone(name) ? completedAt.getOrDefault(name, 0L) : Long.MAX_VALUE / 2);
     }
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -63,7 +63,7 @@
                 0,
                 0,
                 JobSpec.NO_DEADLINE)
-            .waitingOn(List.of(first.uid()));
+            .withDependencies(List.of(first.uid()));
     submit(first, large);
     cluster.play(15);
     JobSpec other =
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -74,7 +74,7 @@
             Json.parseObject(Json.write(spec.toJson())),
             "nothing is read otherwise than it was written");
         assertTrue(JobStore.acceptedWallMicros(entry.getValue()) > 0);
-        assertEquals(List.of(), spec.waitsOn());
+        assertEquals(List.of(), spec.dependencies());
       } else if (entry.getKey().startsWith(JobStore.ENDED)) {
         assertTrue(JobStore.finalState(entry.getValue()) != null);
         assertEquals(0, JobStore.endedWallMicros(entry.getValue()), "when it ended is not told");
@@ -482,7 +482,7 @@
                 0,
                 0,
                 JobSpec.NO_DEADLINE)
-            .waitingOn(List.of(first.uid()));
+            .withDependencies(List.of(first.uid()));
     users.submit(next, false);
     cluster.play(60);
     assertEquals(List.of(), cluster.invariants.broken);
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -118,7 +118,7 @@
                 0,
                 0,
                 JobSpec.NO_DEADLINE)
-            .waitingOn(names);
+            .withDependencies(names);
     JobStore.Acceptance acceptance = jobStore.accept(spec, 5_000);
     JsonNode active = acceptance.transaction().body().path("then").get(0).path("data");
     assertTrue(Json.write(active).length() <= valueBytes);
@@ -130,7 +130,8 @@
     assertEquals(names, back);
     assertEquals(List.of(), JobStore.waitsInline(active));
     assertTrue(JobStore.waits(active));
-    JobStore.Acceptance small = jobStore.accept(spec.waitingOn(List.of("job-1", "job-2")), 5_000);
+    JobStore.Acceptance small =
+        jobStore.accept(spec.withDependencies(List.of("job-1", "job-2")), 5_000);
     assertEquals(Map.of(), small.parts());
     assertEquals(
         List.of("job-1", "job-2"),
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -125,7 +125,8 @@
         otherHeartbeat);
     assertEquals(
         3.5,
-        heartbeat(HEARTBEAT.replace("\"reclaim_in_s\":null", "\"reclaim_in_s\":3.5")).reclaimInS());
+        heartbeat(HEARTBEAT.replace("\"reclaim_in_s\":null", "\"reclaim_in_s\":3.5"))
+            .preemptionNoticeS());
     assertEquals(List.of(), heartbeat(HEARTBEAT.replaceAll(",\"pieces\".*", "}")).attempts());
   }
 
