--- a/src/main/java/plumlever/Node.java
+++ b/src/main/java/plumlever/Node.java
@@ -63,8 +63,8 @@
    */
   private static final long CONFIRMED_CANCELLATION_MICROS = 20_000_000;
 
-  private static final long STRAY_MICROS = 5_000_000;
-  private static final long PULSE_MICROS = 500_000;
+  private static final long UNKNOWN_MACHINE_MICROS = 5_000_000;
+  private static final long LIVENESS_TICK_MICROS = 500_000;
 
   private final Loop loop;
   private final Optional<SharingSettings> sharing;
@@ -80,7 +80,7 @@
   private final Function<Term, Context> contexts;
   private final JobRecordCache jobRecords;
   private final DelegatedRenewal delegatedRenewal;
-  private final Map<String, Long> strays = new HashMap<>();
+  private final Map<String, Long> unknownMachines = new HashMap<>();
 
   /** Jobs whose users were told through this node that they are cancelled, by when. */
   private final Map<String, Long> confirmedCancellations = new LinkedHashMap<>();
@@ -103,13 +103,14 @@
   }
 
   /**
-   * @param officeLoop what the office runs on, with its own way out, so that nothing here delays it
+   * @param electionLoop what leadership runs on, with its own way out, so that nothing here delays
+   *     it
    */
   public Node(
       Loop loop,
       Caller bare,
-      Loop officeLoop,
-      Caller officeCaller,
+      Loop electionLoop,
+      Caller electionCaller,
       Platform platform,
       OperatorSettings settings,
       long seed,
@@ -134,19 +135,24 @@
             sharing
                 .map(pool -> pool.others().stream().map(SharingSettings.Cell::prefix).toList())
                 .orElse(List.of()));
-    StateClient officeStore =
+    StateClient electionStore =
         new StateClient(
-            officeLoop, officeCaller, platform.state(), platform.stateLimits(), metrics, keySpace);
+            electionLoop,
+            electionCaller,
+            platform.state(),
+            platform.stateLimits(),
+            metrics,
+            keySpace);
     Optional<PoolTerms> poolTerms =
         sharing.map(
             pool ->
                 new PoolTerms(
-                    officeStore, PoolView.COUNTER, PoolView.leaderKey(pool.own().name())));
+                    electionStore, PoolView.COUNTER, PoolView.leaderKey(pool.own().name())));
     this.election =
         new LeaderElection(
             platform.label(),
-            officeLoop,
-            officeStore,
+            electionLoop,
+            electionStore,
             tunables,
             new ElectionListener() {
               @Override
@@ -155,7 +161,7 @@
               }
 
               @Override
-              public void left(Term term) {
+              public void steppedDown(Term term) {
                 loop.execute(Node.this::stopLeading);
               }
 
@@ -184,9 +190,9 @@
                 metrics,
                 this::workersElsewhere,
                 (prefix, then) ->
-                    officeLoop.execute(
+                    electionLoop.execute(
                         () ->
-                            officeStore.list(
+                            electionStore.list(
                                 prefix,
                                 StateClient.RequestPriority.URGENT,
                                 listing -> loop.execute(() -> then.accept(listing)))),
@@ -231,13 +237,13 @@
               }
 
               @Override
-              public boolean alone() {
-                return Node.this.alone();
+              public boolean isRefusedAlone() {
+                return Node.this.isRefusedAlone();
               }
 
               @Override
-              public boolean barred() {
-                return election.barred();
+              public boolean ineligible() {
+                return election.ineligible();
               }
             },
             sharing.map(pool -> new JobForwarder(loop, store, caller, platform, pool)));
@@ -258,12 +264,12 @@
 
               @Override
               public boolean canTakeRequests() {
-                return !election.barred() && !alone() && !othersAreSooner();
+                return !election.ineligible() && !isRefusedAlone() && !othersAreSooner();
               }
 
               @Override
-              public void strayHeartbeat(String machineId) {
-                strays.put(machineId, loop.nowMicros());
+              public void unknownMachine(String machineId) {
+                unknownMachines.put(machineId, loop.nowMicros());
               }
             },
             new DelegatedHeartbeats(
@@ -305,7 +311,7 @@
     scope.own(peers.duty()).start();
     scope.own(delegatedRenewal.duty()).start();
     scope.own(new RecurringTask("listen", loop, this::listen)).start();
-    scope.own(new RecurringTask("pulse", loop, this::pulse)).start();
+    scope.own(new RecurringTask("pulse", loop, this::livenessTick)).start();
     scope
         .own(
             new RecurringTask(
@@ -388,7 +394,7 @@
    * to ask. A node that hears of no peer either is cut off from all of them, and can't tell what
    * they get.
    */
-  private boolean alone() {
+  private boolean isRefusedAlone() {
     if (store.refusedForMicros() < ALONE_MICROS || platform.seeds().isEmpty()) {
       return false;
     }
@@ -430,14 +436,14 @@
   }
 
   /** How late this comes tells whether the processor's share is enough. */
-  private long pulse() {
+  private long livenessTick() {
     long now = loop.nowMicros();
     if (pulseDeadlineMicros > 0) {
       lateMicros = now - pulseDeadlineMicros;
       metrics.time("late", lateMicros);
     }
-    pulseDeadlineMicros = now + PULSE_MICROS;
-    return PULSE_MICROS;
+    pulseDeadlineMicros = now + LIVENESS_TICK_MICROS;
+    return LIVENESS_TICK_MICROS;
   }
 
   /** How late the thread that decides was lately. */
@@ -465,7 +471,7 @@
 
   private PeerStatus status() {
     long now = loop.nowMicros();
-    strays.values().removeIf(at -> now - at > STRAY_MICROS);
+    unknownMachines.values().removeIf(at -> now - at > UNKNOWN_MACHINE_MICROS);
     confirmedCancellations.values().removeIf(at -> now - at > CONFIRMED_CANCELLATION_MICROS);
     return new PeerStatus(
         platform.label(),
@@ -473,7 +479,7 @@
         election.leading(),
         store.refusedForMicros(),
         Math.max(0, latenessMicros()),
-        strays.size(),
+        unknownMachines.size(),
         leader == null ? Map.of() : leader.allCounts(new LinkedHashMap<>()),
         List.copyOf(confirmedCancellations.keySet()));
   }
--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -169,7 +169,8 @@
   }
 
   /**
-   * A leader's classes too, which nobody needs here: taking office must not wait for them to load.
+   * A leader's classes too, which nobody needs here: taking leadership must not wait for them to
+   * load.
    */
   private static void loadOwnClasses() throws IOException {
     Path jar =
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -22,7 +22,7 @@
 import plumlever.warmup.WarmUp;
 
 /**
- * A controller with its sockets: one XNIO I/O thread that is the loop, one for the office, and the
+ * A controller with its sockets: one XNIO I/O thread that is the loop, one for leadership, and the
  * two listeners.
  */
 final class Service implements AutoCloseable {
@@ -52,7 +52,7 @@
   private final Platform platform;
   private final OperatorSettings settings;
   private XnioWorker worker;
-  private XnioWorker officeWorker;
+  private XnioWorker electionWorker;
   private XnioLoop loop;
   private Node node;
   private UndertowCaller caller;
@@ -79,23 +79,23 @@
 
   void start() throws java.io.IOException {
     worker = worker("plumlever");
-    officeWorker = worker("office");
+    electionWorker = worker("office");
     loop = new XnioLoop(worker.getIoThread());
     caller =
         new UndertowCaller(
             loop, worker.getIoThread(), new DefaultByteBufferPool(false, BUFFER_BYTES, BUFFERS, 4));
-    XnioLoop officeLoop = new XnioLoop(officeWorker.getIoThread());
-    UndertowCaller officeCaller =
+    XnioLoop electionLoop = new XnioLoop(electionWorker.getIoThread());
+    UndertowCaller electionCaller =
         new UndertowCaller(
-            officeLoop,
-            officeWorker.getIoThread(),
+            electionLoop,
+            electionWorker.getIoThread(),
             new DefaultByteBufferPool(false, BUFFER_BYTES, 8, 1));
     node =
         new Node(
             loop,
             caller,
-            officeLoop,
-            officeCaller,
+            electionLoop,
+            electionCaller,
             platform,
             settings,
             new SplittableRandom().nextLong(),
@@ -176,7 +176,7 @@
   }
 
   /**
-   * Orderly: no new requests, the office given up so that a successor need not wait, then the
+   * Orderly: no new requests, leadership given up so that a successor need not wait, then the
    * sockets.
    */
   @Override
@@ -206,8 +206,8 @@
     if (worker != null) {
       worker.shutdownNow();
     }
-    if (officeWorker != null) {
-      officeWorker.shutdownNow();
+    if (electionWorker != null) {
+      electionWorker.shutdownNow();
     }
   }
 }
--- a/src/main/java/plumlever/election/ElectionListener.java
+++ b/src/main/java/plumlever/election/ElectionListener.java
@@ -6,7 +6,7 @@
   void elected(Term term);
 
   /** A term of this node has ended. */
-  void left(Term term);
+  void steppedDown(Term term);
 
   /** Runs on the thread that decides, to see whether it still turns. */
   void whenTurning(Runnable action);
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -20,7 +20,7 @@
  * successful renewal was <em>sent</em>, so it ends before the state service lets anyone else in.
  *
  * <p>It runs on a loop of its own, so that no round, no crowd of reports and no first use of code
- * delays a renewal or an election; one that has lost the thread that decides gives the office up.
+ * delays a renewal or an election; one that has lost the thread that decides gives leadership up.
  * Everything public may be asked on any thread.
  */
 public final class LeaderElection implements AutoCloseable {
@@ -45,7 +45,7 @@
    * A leader whose decisions have stood still for this long serves nobody: far longer than any
    * lateness it may survive.
    */
-  private static final long STANDSTILL_MICROS = 10_000_000;
+  private static final long STALLED_MICROS = 10_000_000;
 
   private final Logger log;
   private final String label;
@@ -56,14 +56,14 @@
   private final SplittableRandom random;
   private final Scope scope = new Scope();
   private final RecurringTask renewal;
-  private final RecurringTask standing;
+  private final RecurringTask candidacy;
   private final String nonce;
 
   /** Where terms come from if this is one cell of a pool. */
   private final Optional<PoolTerms> poolTerms;
 
   /** The state service holds a pool, of which this controller knows nothing. */
-  private volatile boolean barred;
+  private volatile boolean ineligible;
 
   private boolean known;
   private long storeRevision = -1;
@@ -81,8 +81,8 @@
   private volatile boolean delegationSeen;
   private volatile long announcedDelegation = -1;
   private long notBeforeMicros;
-  private volatile long turnedMicros;
-  private int lost;
+  private volatile long lastTurnMicros;
+  private int lostElections;
 
   /** A candidate that stands once it is started. */
   public LeaderElection(
@@ -104,7 +104,7 @@
     this.random = new SplittableRandom(seed);
     this.nonce = Long.toHexString(random.nextLong());
     this.renewal = scope.own(new RecurringTask("touch", loop, this::renewLease));
-    this.standing = scope.own(new RecurringTask("stand", loop, this::stand));
+    this.candidacy = scope.own(new RecurringTask("stand", loop, this::campaign));
   }
 
   public void start() {
@@ -127,7 +127,7 @@
     return announcedDelegation;
   }
 
-  /** True if a delegation was there when the office was last heard of: advice to look. */
+  /** True if a delegation was there when leadership was last heard of: advice to look. */
   public boolean delegationSeen() {
     return delegationSeen;
   }
@@ -136,8 +136,8 @@
    * True where the state service holds a pool of cells and this controller has no sharing file: it
    * neither stands nor answers, for it would take the pool's machines for its own.
    */
-  public boolean barred() {
-    return barred;
+  public boolean ineligible() {
+    return ineligible;
   }
 
   /** True while this node may act for the controllers, in whatever term. */
@@ -154,16 +154,16 @@
     return who != null && fresh && !(who.equals(label) && current == null) ? who : null;
   }
 
-  /** Gives the office up, at once, and does not stand for a while so that another node gets it. */
+  /** Gives leadership up, at once, and does not stand for a while so that another node gets it. */
   public void resign(Term of, String why, long pauseMicros) {
     of.end();
-    loop.execute(() -> giveUp(of, why, pauseMicros));
+    loop.execute(() -> withdraw(of, why, pauseMicros));
   }
 
-  private void giveUp(Term of, String why, long pauseMicros) {
+  private void withdraw(Term of, String why, long pauseMicros) {
     notBeforeMicros = loop.nowMicros() + pauseMicros;
     if (current == of && of != null) {
-      leave(why);
+      stepDown(why);
       store.revokeLease(of.leaseId());
     }
   }
@@ -205,11 +205,11 @@
   }
 
   private void seePool(boolean found) {
-    boolean nowBarred = found && poolTerms.isEmpty();
-    if (nowBarred && !barred) {
+    boolean nowIneligible = found && poolTerms.isEmpty();
+    if (nowIneligible && !ineligible) {
       log.error("the state service holds a pool of cells: this controller needs its sharing file");
     }
-    barred = nowBarred;
+    ineligible = nowIneligible;
   }
 
   private void seeLeader(com.fasterxml.jackson.databind.JsonNode data, long revision) {
@@ -270,28 +270,28 @@
         });
   }
 
-  private boolean mine() {
+  private boolean leadsByRecord() {
     return label.equals(leaderLabel) && nonce.equals(leaderNonce);
   }
 
   private void changed() {
     if (current != null) {
-      if (!busy && leaderRevision != 0 && !mine()) {
-        leave("another node holds the office");
+      if (!busy && leaderRevision != 0 && !leadsByRecord()) {
+        stepDown("another node holds the office");
       }
     } else if (!busy && (leaderRevision == 0 || label.equals(leaderLabel))) {
       // A key of this node's own that it does not act on is left from an earlier life of this
       // process:
-      // that one is dead, so the office is free.
-      standing.wakeIn(lost * 150_000L + random.nextInt(250_000));
+      // that one is dead, so leadership is free.
+      candidacy.wakeIn(lostElections * 150_000L + random.nextInt(250_000));
     }
   }
 
-  private long stand() {
+  private long campaign() {
     if (current != null
         || busy
         || !known
-        || barred
+        || ineligible
         || !(leaderRevision == 0 || label.equals(leaderLabel))) {
       return -1;
     }
@@ -307,7 +307,7 @@
     long seenLeader = leaderRevision;
     long seenTerm = termRevision;
     if (poolTerms.isEmpty()) {
-      stand(now, seenLeader, seenTerm, new PoolTerms.Next(term + 1, 0));
+      campaign(now, seenLeader, seenTerm, new PoolTerms.Next(term + 1, 0));
       return -1;
     }
     poolTerms
@@ -317,22 +317,22 @@
             next -> {
               if (next.isEmpty()) {
                 busy = false;
-                standing.wakeIn(RETRY_MICROS + random.nextInt(400_000));
+                candidacy.wakeIn(RETRY_MICROS + random.nextInt(400_000));
               } else {
-                stand(loop.nowMicros(), seenLeader, seenTerm, next.get());
+                campaign(loop.nowMicros(), seenLeader, seenTerm, next.get());
               }
             });
     return -1;
   }
 
-  private void stand(long now, long seenLeader, long seenTerm, PoolTerms.Next next) {
+  private void campaign(long now, long seenLeader, long seenTerm, PoolTerms.Next next) {
     long newTerm = next.term();
     store.createLease(
         tunables.leaseTtlMicros(),
         p -> {
           if (p < 0) {
             busy = false;
-            standing.wakeIn(RETRY_MICROS + random.nextInt(400_000));
+            candidacy.wakeIn(RETRY_MICROS + random.nextInt(400_000));
             return;
           }
           long sentAt = now;
@@ -354,16 +354,16 @@
               StateClient.RequestPriority.URGENT,
               result -> {
                 switch (result.outcome()) {
-                  case APPLIED -> take(p, newTerm, result.revision(), sentAt);
-                  case UNKNOWN -> settle(p, newTerm, sentAt, 0);
-                  default -> giveUp(p);
+                  case APPLIED -> becomeLeader(p, newTerm, result.revision(), sentAt);
+                  case UNKNOWN -> resolveUncertainElection(p, newTerm, sentAt, 0);
+                  default -> withdraw(p);
                 }
               });
         });
   }
 
   /** An uncertain answer is settled by reading, never by assuming. */
-  private void settle(long leaseId, long newTerm, long sentAt, int tries) {
+  private void resolveUncertainElection(long leaseId, long newTerm, long sentAt, int tries) {
     store.get(
         LEADER,
         StateClient.RequestPriority.URGENT,
@@ -373,20 +373,21 @@
               && nonce.equals(got.item().data().path("nonce").asText())
               && got.item().data().path("term").asLong() == newTerm) {
             // Both keys were put in one change and so have the same revision.
-            take(leaseId, newTerm, got.item().revision(), sentAt);
+            becomeLeader(leaseId, newTerm, got.item().revision(), sentAt);
           } else if (got.found() || got.missing() || tries >= 3) {
-            giveUp(leaseId);
+            withdraw(leaseId);
           } else {
-            loop.after(RETRY_MICROS, () -> settle(leaseId, newTerm, sentAt, tries + 1));
+            loop.after(
+                RETRY_MICROS, () -> resolveUncertainElection(leaseId, newTerm, sentAt, tries + 1));
           }
         });
   }
 
-  private void giveUp(long leaseId) {
+  private void withdraw(long leaseId) {
     // Ending the lease makes a late execution of the transaction fail.
     store.revokeLease(leaseId);
     busy = false;
-    lost = Math.min(lost + 1, 6);
+    lostElections = Math.min(lostElections + 1, 6);
     loop.after(50_000, this::reread);
   }
 
@@ -412,24 +413,24 @@
             }
             changed();
           } else if (listing == null) {
-            standing.wakeIn(RETRY_MICROS + random.nextInt(400_000));
+            candidacy.wakeIn(RETRY_MICROS + random.nextInt(400_000));
           }
         });
   }
 
-  private void take(long leaseId, long newTerm, long revision, long sentAt) {
+  private void becomeLeader(long leaseId, long newTerm, long revision, long sentAt) {
     Term otherTerm = new Term(loop, newTerm, revision, leaseId);
     busy = false;
-    lost = 0;
+    lostElections = 0;
     term = newTerm;
     leaderLabel = label;
     leaderNonce = nonce;
     leaderSeenMicros = loop.nowMicros();
-    turnedMicros = loop.nowMicros();
+    lastTurnMicros = loop.nowMicros();
     otherTerm.extendFrom(sentAt, tunables);
     current = otherTerm;
     if (!otherTerm.mayAct()) {
-      leave("the grant ran out while the office was taken");
+      stepDown("the grant ran out while the office was taken");
       return;
     }
     log.info("leading, term {}", newTerm);
@@ -444,14 +445,14 @@
     }
     long now = loop.nowMicros();
     if (!term.mayAct()) {
-      leave("the grant could not be renewed");
+      stepDown("the grant could not be renewed");
       return -1;
     }
-    if (now - turnedMicros > STANDSTILL_MICROS) {
-      giveUp(term, "its decisions stand still", STANDSTILL_MICROS);
+    if (now - lastTurnMicros > STALLED_MICROS) {
+      withdraw(term, "its decisions stand still", STALLED_MICROS);
       return -1;
     }
-    listener.whenTurning(() -> turnedMicros = loop.nowMicros());
+    listener.whenTurning(() -> lastTurnMicros = loop.nowMicros());
     store.renewLease(
         term.leaseId(),
         result -> {
@@ -460,7 +461,7 @@
           }
           switch (result) {
             case RENEWED -> term.extendFrom(now, tunables);
-            case ENDED -> leave("the grant has ended");
+            case ENDED -> stepDown("the grant has ended");
             case UNKNOWN ->
                 renewal.wakeIn(
                     Math.min(
@@ -470,13 +471,13 @@
     return Math.min(tunables.leaseRenewalMicros(), Math.max(1, term.rightUntilMicros() - now));
   }
 
-  private void leave(String why) {
+  private void stepDown(String why) {
     Term term = current;
     term.end();
     current = null;
     log.info("no longer leading term {}: {}", term.number(), why);
-    listener.left(term);
-    if (mine()) {
+    listener.steppedDown(term);
+    if (leadsByRecord()) {
       // Until the key is seen to go, or somebody else's comes, nothing is known of who leads.
       leaderLabel = null;
       leaderRevision = -1;
@@ -488,7 +489,7 @@
   public void close() {
     loop.execute(
         () -> {
-          giveUp(current, "shutting down", 3_600_000_000L);
+          withdraw(current, "shutting down", 3_600_000_000L);
           scope.close();
         });
   }
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -5,9 +5,9 @@
 import plumlever.store.Transaction;
 
 /**
- * One term of office, and the right to act in it. Once it has ended it never comes back, also if
- * the same node is elected again: whoever still works for the old term must not go on under the
- * right of the new one. Extended on the office's thread, asked on any.
+ * One term of leadership, and the right to act in it. Once it has ended it never comes back, also
+ * if the same node is elected again: whoever still works for the old term must not go on under the
+ * right of the new one. Extended on leadership's thread, asked on any.
  */
 public final class Term {
   /** Both clocks may be off by 0.05%; this allows for twice the sum. */
@@ -36,7 +36,7 @@
     return revision;
   }
 
-  /** The lease that the office hangs on. */
+  /** The lease that leadership hangs on. */
   public long leaseId() {
     return leaseId;
   }
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -21,7 +21,7 @@
     boolean canTakeRequests();
 
     /** A worker reported to a node that does not lead. */
-    void strayHeartbeat(String machineId);
+    void unknownMachine(String machineId);
   }
 
   static final String JOBS = "/submissions";
@@ -117,7 +117,7 @@
       leader.heartbeat(heartbeat, out);
       return;
     }
-    house.strayHeartbeat(heartbeat.machineId());
+    house.unknownMachine(heartbeat.machineId());
     if (delegated.answer(heartbeat, out)) {
       return;
     }
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -36,10 +36,10 @@
     int[] counts(String uid);
 
     /** True when the state service serves others but not this node. */
-    boolean alone();
+    boolean isRefusedAlone();
 
     /** True when this node may not answer for the jobs in the state service. */
-    boolean barred();
+    boolean ineligible();
   }
 
   private static final String JOBS = RequestRouter.JOBS;
@@ -125,7 +125,7 @@
 
   /** Counts a request while it is open; too many at once are turned away. */
   private Admitted admit(String kind, ForwardedRequest request, Responder out) {
-    if (leaderView.barred()) {
+    if (leaderView.ineligible()) {
       out.later(HttpStatus.UNAVAILABLE, "this controller lacks the sharing file", RETRY_AFTER_S);
       return null;
     }
@@ -143,7 +143,7 @@
    * those that can.
    */
   private void unavailable(Responder out) {
-    if (leaderView.alone()) {
+    if (leaderView.isRefusedAlone()) {
       metrics.count("users_sent_away");
       out.closing();
     }
--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/ActiveJobs.java
@@ -56,7 +56,7 @@
 
   private final Map<String, Long> packRevisions = new HashMap<>();
   private final Map<Job, Map<String, Long>> chunks = new HashMap<>();
-  private final List<String> strays = new ArrayList<>();
+  private final List<String> unknownMachines = new ArrayList<>();
   private final RenewalLimit limit;
   private final PrefixWatch watch;
 
@@ -105,8 +105,8 @@
     return chunks;
   }
 
-  List<String> strays() {
-    return strays;
+  List<String> unknownMachines() {
+    return unknownMachines;
   }
 
   Map<Job, Integer> packs() {
@@ -168,7 +168,7 @@
     if (job == null) {
       // Left by a job that ended with more chunks than one transaction drops, or written late.
       context.metrics().count("progress_strays");
-      strays.add(item.key());
+      unknownMachines.add(item.key());
       return;
     }
     chunks.computeIfAbsent(job, j -> new LinkedHashMap<>()).put(item.key(), item.revision());
--- a/src/main/java/plumlever/leader/Context.java
+++ b/src/main/java/plumlever/leader/Context.java
@@ -21,7 +21,7 @@
 /**
  * What a leader works with, in one term.
  *
- * @param term the term of office that it is for
+ * @param term the term of leadership that it is for
  * @param reader reads what earlier leaders left, not on this thread
  * @param latenessMicros how late this thread was lately: what can wait makes way
  * @param moneyMatters whether to save money where the aims leave time; asked for each machine of
--- a/src/main/java/plumlever/leader/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/DeadCellAdoption.java
@@ -103,8 +103,8 @@
             return Optional.empty();
           }
           TransferRecord before = steps.record(machine).orElseGet(() -> unmoved(machineId, dead));
-          String office = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
-          return Optional.of(taken(before.withoutHome(dead.name())).require(office, 0));
+          String leadership = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
+          return Optional.of(taken(before.withoutHome(dead.name())).require(leadership, 0));
         },
         () -> {
           if (view.holder(machine).equals(Optional.of(sharing.own().name()))) {
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -25,7 +25,8 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * One term of office: everything the leading node knows and does, from election until it leaves.
+ * One term of leadership: everything the leading node knows and does, from election until it
+ * leaves.
  */
 public final class Leader implements AutoCloseable {
   private static final long ROUND_EVERY_MICROS = 150_000;
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -33,7 +33,7 @@
   private static final double DRIFT = 0.002;
   private static final long HOLD_UP_MICROS = 2_000_000;
 
-  /** How long a leader that steps aside leaves the office to others. */
+  /** How long a leader that steps aside leaves leadership to others. */
   private static final long AWAY_MICROS = 10_000_000;
 
   /** A machine heard of this lately can be reached. */
--- a/src/main/java/plumlever/leader/MachineSilence.java
+++ b/src/main/java/plumlever/leader/MachineSilence.java
@@ -104,7 +104,7 @@
 
   /**
    * True when most machines are silent here while many report elsewhere: this node has lost its
-   * workers, not the workers their controllers. It could keep the office for ever, and no machine
+   * workers, not the workers their controllers. It could keep leadership for ever, and no machine
    * would get an answer or a command.
    */
   boolean lostItsWorkers() {
--- a/src/main/java/plumlever/leader/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/OwnerClaims.java
@@ -143,11 +143,11 @@
           new PoolWriter.Step() {
             @Override
             public Optional<PoolTransaction> build() {
-              List<String> left =
+              List<String> steppedDown =
                   group.stream()
                       .filter(name -> view.holder(name).equals(Optional.of(retired(own))))
                       .toList();
-              return change(left, null);
+              return change(steppedDown, null);
             }
 
             @Override
--- a/src/main/java/plumlever/leader/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/PoolTransaction.java
@@ -19,7 +19,7 @@
   private final Map<String, JsonNode> changes = new LinkedHashMap<>();
 
   /**
-   * @param base preconditions the office of whoever sends it
+   * @param base preconditions leadership of whoever sends it
    */
   PoolTransaction(PoolView view, Transaction base) {
     this.view = view;
--- a/src/main/java/plumlever/leader/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/ProgressWriter.java
@@ -62,7 +62,7 @@
   private final Map<Job, Set<String>> keysOf = new HashMap<>();
 
   /** Records of jobs that have ended. */
-  private final ArrayDeque<String> strays = new ArrayDeque<>();
+  private final ArrayDeque<String> unknownMachines = new ArrayDeque<>();
 
   private final Set<Job> ending = new LinkedHashSet<>();
   private int tasksPerChunk;
@@ -89,7 +89,7 @@
               revisions.putAll(keys);
               keysOf.computeIfAbsent(job, j -> new LinkedHashSet<>()).addAll(keys.keySet());
             });
-    strays.addAll(jobs.strays());
+    unknownMachines.addAll(jobs.unknownMachines());
     List<Job> moved = new ArrayList<>();
     jobs.packs()
         .forEach(
@@ -186,7 +186,7 @@
                 case APPLIED -> {
                   context.metrics().count("jobs_done");
                   log.debug("{} done", job.uid());
-                  strays.addAll(records.subList(dropped, records.size()));
+                  unknownMachines.addAll(records.subList(dropped, records.size()));
                   keysOf.remove(job);
                   ended(job, JobState.DONE);
                 }
@@ -279,10 +279,10 @@
       }
     }
     List<String> dropped = new ArrayList<>();
-    while (room > 0 && !strays.isEmpty()) {
+    while (room > 0 && !unknownMachines.isEmpty()) {
       // Of a job that has ended for good: whatever is written there is of no use.
       room--;
-      dropped.add(strays.poll());
+      dropped.add(unknownMachines.poll());
       transaction.drop(dropped.get(dropped.size() - 1));
     }
     if (transaction.changes() == 0) {
@@ -306,7 +306,7 @@
               sentPacks.forEach(p -> p.dirty = true);
               sentChunks.forEach(
                   (job, chunks) -> dirty.computeIfAbsent(job, j -> new BitSet()).or(chunks));
-              strays.addAll(dropped);
+              unknownMachines.addAll(dropped);
               if (result.outcome() == Transaction.Outcome.REFUSED) {
                 writing = false;
               } else {
@@ -316,7 +316,9 @@
               }
             });
     boolean more =
-        !dirty.isEmpty() || !strays.isEmpty() || packs.values().stream().anyMatch(p -> p.dirty);
+        !dirty.isEmpty()
+            || !unknownMachines.isEmpty()
+            || packs.values().stream().anyMatch(p -> p.dirty);
     return more ? pause / 8 : pause;
   }
 
@@ -381,7 +383,7 @@
         .removeIf(
             e -> {
               if (e.getKey().over()) {
-                strays.addAll(e.getValue());
+                unknownMachines.addAll(e.getValue());
               }
               return e.getKey().over();
             });
--- a/src/main/java/plumlever/leader/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/RenewalDelegation.java
@@ -33,7 +33,7 @@
    */
   private static final long PATIENCE_MICROS = 9_000_000;
 
-  private static final long BARRED_MICROS = 90_000_000;
+  private static final long INELIGIBLE_MICROS = 90_000_000;
 
   /** The other controller's clock may be slower by twice the bound on drift. */
   private static final long READ_LASTS_MICROS =
@@ -57,7 +57,7 @@
   /** Revision of the record, 0 if there is none as after an election, -1 when that is not known. */
   private long revision;
 
-  private final Map<String, Long> barredUntil = new HashMap<>();
+  private final Map<String, Long> ineligibleUntil = new HashMap<>();
   private long givenMicros;
   private boolean writing;
 
@@ -89,8 +89,8 @@
   void want(Set<String> unreached) {
     long now = context.loop().nowMicros();
     Set<String> zones = new HashSet<>(unreached);
-    barredUntil.values().removeIf(until -> until < now);
-    zones.removeAll(barredUntil.keySet());
+    ineligibleUntil.values().removeIf(until -> until < now);
+    zones.removeAll(ineligibleUntil.keySet());
     List<String> inOrder = new ArrayList<>(zones);
     inOrder.sort(
         Comparator.comparing((String zone) -> !given.contains(zone)).thenComparing(s -> s));
@@ -101,7 +101,7 @@
         && context.election().announcedDelegation() != revision) {
       // Nobody else reaches these workers either: their leases lapse, and it must be seen when they
       // have.
-      given.forEach(s -> barredUntil.put(s, now + BARRED_MICROS));
+      given.forEach(s -> ineligibleUntil.put(s, now + INELIGIBLE_MICROS));
       zones.clear();
     }
     if (writing
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -259,9 +259,12 @@
       long runMicros = costMicros(job);
       long finish = objectives.finishBy(job, now);
       long start = objectives.startBy(job, guaranteed(job), now);
-      long left = Math.min(finish, start == Long.MAX_VALUE ? start : start + runMicros) - now;
+      long steppedDown =
+          Math.min(finish, start == Long.MAX_VALUE ? start : start + runMicros) - now;
       int tasks = job.freeCount() + job.liveCount();
-      works.add(new CoreDemand.Work(job.spec().team(), tasks, job.spec().cores(), runMicros, left));
+      works.add(
+          new CoreDemand.Work(
+              job.spec().team(), tasks, job.spec().cores(), runMicros, steppedDown));
     }
     return works;
   }
@@ -617,8 +620,8 @@
       return false;
     }
     long run = estimates.runMicros(attempt.job());
-    long left = Math.max(run / 10, run - (now - attempt.runningSinceMicros()));
-    return now + left <= finish && now + left + RESTART_MICROS > finish;
+    long steppedDown = Math.max(run / 10, run - (now - attempt.runningSinceMicros()));
+    return now + steppedDown <= finish && now + steppedDown + RESTART_MICROS > finish;
   }
 
   private Placer.Search search(ResourceRequest request, Zones zones, FleetSnapshot snapshot) {
--- a/src/main/java/plumlever/leader/SharedRecords.java
+++ b/src/main/java/plumlever/leader/SharedRecords.java
@@ -260,15 +260,15 @@
                   chunk.revision = written.isEmpty() ? 0 : result.revision();
                   chunk.writing = false;
                   stored(chunk, written);
-                  Set<Chunk<E>> left = new LinkedHashSet<>();
+                  Set<Chunk<E>> steppedDown = new LinkedHashSet<>();
                   for (E entry : written) {
                     Chunk<E> from = chunkOf.get(entry);
                     if (movingTo.get(entry) == chunk) {
                       moved(entry, chunk);
-                      left.add(from);
+                      steppedDown.add(from);
                     }
                   }
-                  left.forEach(this::write);
+                  steppedDown.forEach(this::write);
                   write(chunk);
                 }
                 case REFUSED -> again(chunk);
--- a/src/main/java/plumlever/leader/StoredRecords.java
+++ b/src/main/java/plumlever/leader/StoredRecords.java
@@ -12,7 +12,7 @@
 /**
  * What earlier leaders left in the state service, read by a new one. All of it is asked for at
  * once: their writes are guarded by their terms, so nothing of it changes any more but the jobs
- * that come and end. It is read on the office's thread: on the one that decides each answer would
+ * that come and end. It is read on leadership's thread: on the one that decides each answer would
  * wait behind the crowd of workers that come to a new leader.
  */
 final class StoredRecords {
--- a/src/main/java/plumlever/metrics/Metrics.java
+++ b/src/main/java/plumlever/metrics/Metrics.java
@@ -8,7 +8,7 @@
 
 /**
  * Counters and histograms, summed up in one log line a minute. Two threads count: the one that
- * decides, and the office's.
+ * decides, and leadership's.
  */
 public final class Metrics {
   private static final int HTTP_TOO_MANY_REQUESTS = 429;
--- a/src/main/java/plumlever/rehearsal/WorkerStandIn.java
+++ b/src/main/java/plumlever/rehearsal/WorkerStandIn.java
@@ -88,7 +88,7 @@
   /** The machine does not exist any more. */
   void remove() {
     gone = true;
-    tasks.values().forEach(task -> around.results().left(task.name, machine));
+    tasks.values().forEach(task -> around.results().steppedDown(task.name, machine));
     tasks.clear();
   }
 
@@ -97,7 +97,7 @@
       return;
     }
     if (loop.nowMicros() - leaseFromMicros > around.leaseMicros()) {
-      tasks.values().forEach(task -> around.results().left(task.name, machine));
+      tasks.values().forEach(task -> around.results().steppedDown(task.name, machine));
       tasks.clear();
       incarnation++;
       leaseFromMicros = loop.nowMicros();
@@ -266,7 +266,7 @@
   private void end(Task task, ExitCause cause) {
     task.status = AttemptState.ENDED;
     task.cause = cause;
-    around.results().left(task.name, machine);
+    around.results().steppedDown(task.name, machine);
     noteChange();
   }
 
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -95,23 +95,23 @@
     List<Coming> fresh = new ArrayList<>(coming);
     int total = 0;
     for (Demand demand : demands) {
-      int left = demand.tasks();
+      int steppedDown = demand.tasks();
       for (Coming otherComing : fresh) {
-        if (left > 0 && allowed(demand, otherComing.kind)) {
-          left -= otherComing.take(demand.job(), left);
+        if (steppedDown > 0 && allowed(demand, otherComing.kind)) {
+          steppedDown -= otherComing.take(demand.job(), steppedDown);
         }
       }
-      while (left > 0 && total < mostMachines) {
-        Kind kind = cheapest(demand, left, available, rent);
+      while (steppedDown > 0 && total < mostMachines) {
+        Kind kind = cheapest(demand, steppedDown, available, rent);
         if (kind == null) {
           break;
         }
         Coming otherComing = new Coming(kind, prices.machineType(kind.machineType));
-        int got = otherComing.take(demand.job(), left);
+        int got = otherComing.take(demand.job(), steppedDown);
         if (got == 0) {
           break;
         }
-        left -= got;
+        steppedDown -= got;
         fresh.add(otherComing);
         rent.merge(kind, 1, Integer::sum);
         total++;
@@ -132,7 +132,7 @@
    * price.
    */
   private Kind cheapest(
-      Demand demand, int left, Predicate<Kind> available, Map<Kind, Integer> planned) {
+      Demand demand, int steppedDown, Predicate<Kind> available, Map<Kind, Integer> planned) {
     Kind best = null;
     double least = Double.MAX_VALUE;
     for (MachineType machineType : prices.machineTypes()) {
@@ -146,7 +146,7 @@
           if (!allowed(demand, kind) || !available.test(kind)) {
             continue;
           }
-          int tasks = Math.max(1, Math.min(left, (int) (1 / Math.max(share, 1e-6) + 1e-9)));
+          int tasks = Math.max(1, Math.min(steppedDown, (int) (1 / Math.max(share, 1e-6) + 1e-9)));
           double cost = prices.hourly(machineType, spot) / tasks;
           if (!moneyMatters) {
             cost *= 1 + machineType.startupS() / 300;
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -18,11 +18,11 @@
  */
 public final class OperatorFile {
   private final String file;
-  private final Map<String, Object> left;
+  private final Map<String, Object> steppedDown;
 
   private OperatorFile(String file, Map<String, Object> values) {
     this.file = file;
-    this.left = values;
+    this.steppedDown = values;
   }
 
   /** Reads the operators' file; an unknown key or a value out of range is an error. */
@@ -48,7 +48,7 @@
   }
 
   private Optional<SharingSettings> sharing(Platform platform) throws SettingsException {
-    Object table = left.remove("sharing");
+    Object table = steppedDown.remove("sharing");
     if (table == null) {
       return Optional.empty();
     }
@@ -79,8 +79,9 @@
             number("standby_spreads", tunables.standbySpreads(), 0, 100),
             number("spot_risk", tunables.spotRisk(), 0, 100),
             owned());
-    if (!left.isEmpty()) {
-      throw new SettingsException(file + ": " + left.keySet().iterator().next() + " is unknown");
+    if (!steppedDown.isEmpty()) {
+      throw new SettingsException(
+          file + ": " + steppedDown.keySet().iterator().next() + " is unknown");
     }
     if (read.leaseRenewalMicros() * 2 + read.actMarginMicros() > read.leaseTtlMicros()) {
       throw new SettingsException(
@@ -90,7 +91,7 @@
   }
 
   private Map<String, Double> owned() throws SettingsException {
-    Object object = left.remove("owned_hourly");
+    Object object = steppedDown.remove("owned_hourly");
     if (object == null) {
       return Map.of();
     }
@@ -111,7 +112,7 @@
 
   private double number(String key, double otherwise, double min, double max)
       throws SettingsException {
-    Object object = left.remove(key);
+    Object object = steppedDown.remove(key);
     if (object == null) {
       return otherwise;
     }
--- a/src/main/java/plumlever/settings/Tunables.java
+++ b/src/main/java/plumlever/settings/Tunables.java
@@ -7,8 +7,8 @@
  * @param paddingShare added to run-time estimates when a deadline is checked; the design's default
  * @param tieShare scores this close to the least are a tie; the design's default
  * @param startTargetMicros a task with no deadline should start within this; the design's default
- * @param leaseTtlMicros how long a silent leader stays in office: short enough for a quick
- *     successor, long enough that a node running behind its processor share does not lose office
+ * @param leaseTtlMicros how long a silent leader stays leading: short enough for a quick successor,
+ *     long enough that a node running behind its processor share does not lose leadership
  * @param touchMicros pause between renewals of the leader's lease
  * @param actMarginMicros the leader stops this long before its lease may end, for a round that runs
  *     late
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -92,18 +92,18 @@
 
   /** The taker owns it from here on; its own tasks there are guests no more. */
   public TransferRecord taken(String taker, long newNumber) {
-    Map<String, List<GuestTask>> left = new TreeMap<>(homes);
-    left.remove(taker);
+    Map<String, List<GuestTask>> steppedDown = new TreeMap<>(homes);
+    steppedDown.remove(taker);
     return new TransferRecord(
-        State.TAKEN, machine, incarnation, taker, newNumber, Optional.empty(), left);
+        State.TAKEN, machine, incarnation, taker, newNumber, Optional.empty(), steppedDown);
   }
 
   /** The offer is taken back; the owner's own tasks need not be listed any more. */
   public TransferRecord withdrawn() {
-    Map<String, List<GuestTask>> left = new TreeMap<>(homes);
-    left.remove(owner);
+    Map<String, List<GuestTask>> steppedDown = new TreeMap<>(homes);
+    steppedDown.remove(owner);
     return new TransferRecord(
-        State.TAKEN, machine, incarnation, owner, number, Optional.empty(), left);
+        State.TAKEN, machine, incarnation, owner, number, Optional.empty(), steppedDown);
   }
 
   /** The machine does not exist any more. */
@@ -114,9 +114,9 @@
 
   /** None of the cell's tasks can be on it any more. */
   public TransferRecord withoutHome(String cell) {
-    Map<String, List<GuestTask>> left = new TreeMap<>(homes);
-    left.remove(cell);
-    return new TransferRecord(state, machine, incarnation, owner, number, offer, left);
+    Map<String, List<GuestTask>> steppedDown = new TreeMap<>(homes);
+    steppedDown.remove(cell);
+    return new TransferRecord(state, machine, incarnation, owner, number, offer, steppedDown);
   }
 
   /** True when nothing is left to be settled. */
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -58,7 +58,7 @@
     UNKNOWN
   }
 
-  /** Ordinary requests wait their turn; urgent ones (office, leases) go whatever the rate. */
+  /** Ordinary requests wait their turn; urgent ones (leadership, leases) go whatever the rate. */
   public enum RequestPriority {
     URGENT,
     ORDINARY
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -156,17 +156,17 @@
   @Test
   void whatNeedsACancelledJobIsCancelledAndNothingElse() {
     JobSpec root = idle(1, 60);
-    JobSpec left = idle(1, 400, root);
+    JobSpec steppedDown = idle(1, 400, root);
     JobSpec right = idle(1, 5, root);
-    JobSpec joined = idle(1, 5, left, right);
+    JobSpec joined = idle(1, 5, steppedDown, right);
     JobSpec last = idle(1, 5, joined);
     JobSpec beside = idle(1, 5, right);
-    submit(root, left, right, joined, last, beside);
+    submit(root, steppedDown, right, joined, last, beside);
     cluster.play(10);
     NODES.forEach(n -> ask(n, "GET", "/submissions/" + last.uid(), null));
-    users.cancelled(left);
+    users.cancelled(steppedDown);
     assertTrue(
-        ask("n2", "POST", "/submissions/" + left.uid() + "/abort", "")
+        ask("n2", "POST", "/submissions/" + steppedDown.uid() + "/abort", "")
             .body()
             .contains("\"aborted\""));
     for (String node : NODES) {
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -124,18 +124,18 @@
         }),
     A_LEADER_WITH_ITS_WORKERS_ONLY_WHILE_JOBS_ARE_CANCELLED_ELSEWHERE(
         d -> {
-          String alone = d.leaderLabel();
+          String isRefusedAlone = d.leaderLabel();
           List.of("n0", "n1", "n2", "state").stream()
-              .filter(n -> !n.equals(alone))
-              .forEach(n -> d.cluster.cut(alone, n, true));
-          int reporting = d.cluster.cloud.reportingTo(alone);
+              .filter(n -> !n.equals(isRefusedAlone))
+              .forEach(n -> d.cluster.cut(isRefusedAlone, n, true));
+          int reporting = d.cluster.cloud.reportingTo(isRefusedAlone);
           d.cluster.play(5);
           String next = d.leaderLabel();
           List<Integer> told = new ArrayList<>();
           d.running(3).forEach(uid -> d.users.cancelAt(new Endpoint(next, 1), uid, told::add));
           d.cluster.play(LEASE_S + 10);
           d.endOfTrouble();
-          return () -> reporting > 0 && !next.equals(alone) && told.contains(200);
+          return () -> reporting > 0 && !next.equals(isRefusedAlone) && told.contains(200);
         }),
     WORKERS_REACH_NO_CONTROLLER_WHILE_COMMANDS_REACH_THEM(
         d -> {
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -193,20 +193,20 @@
       all.add(submit(job("blue", Priority.STANDARD, 6, 2, 60, false)));
     }
     cluster.play(50);
-    String alone = cluster.leader().platform.label();
+    String isRefusedAlone = cluster.leader().platform.label();
     for (String other : List.of("state", "n0", "n1", "n2")) {
-      if (!other.equals(alone)) {
-        cluster.cut(alone, other, true);
+      if (!other.equals(isRefusedAlone)) {
+        cluster.cut(isRefusedAlone, other, true);
       }
     }
     cluster.calmSince = cluster.now();
     cluster.play(12);
-    assertNotEquals(alone, cluster.leader().platform.label(), "another leads");
+    assertNotEquals(isRefusedAlone, cluster.leader().platform.label(), "another leads");
     int[] up = new int[1];
     boolean[] closed = new boolean[1];
     cluster.send(
         "probe",
-        new plumlever.settings.Endpoint(alone, 1),
+        new plumlever.settings.Endpoint(isRefusedAlone, 1),
         "GET",
         "/up",
         null,
@@ -214,7 +214,7 @@
         a -> up[0] = (Integer) a[0]);
     cluster.send(
         "probe",
-        new plumlever.settings.Endpoint(alone, 1),
+        new plumlever.settings.Endpoint(isRefusedAlone, 1),
         "GET",
         "/submissions/job-000001",
         null,
@@ -238,10 +238,10 @@
       all.add(submit(job("blue", Priority.STANDARD, 6, 2, 60, false)));
     }
     cluster.play(50);
-    String alone = cluster.leader().platform.label();
-    cluster.cloud.machines.keySet().forEach(h -> cluster.cut(alone, h, true));
+    String isRefusedAlone = cluster.leader().platform.label();
+    cluster.cloud.machines.keySet().forEach(h -> cluster.cut(isRefusedAlone, h, true));
     cluster.play(22);
-    assertNotEquals(alone, cluster.leader().platform.label(), "another leads");
+    assertNotEquals(isRefusedAlone, cluster.leader().platform.label(), "another leads");
     cluster.play(250);
     assertDone(all.toArray(new JobSpec[0]));
   }
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -133,17 +133,18 @@
   @Test
   void chainsOfTheFormerVersionGoOn() throws InvalidMessage {
     SimulatedCluster cluster = cluster(21);
-    Map<String, JsonNode> left = records(FIRST_WITH_DEPENDENCIES);
-    left.remove("office/leader");
+    Map<String, JsonNode> steppedDown = records(FIRST_WITH_DEPENDENCIES);
+    steppedDown.remove("office/leader");
     // The sample keeps a tenth of the ended jobs that the long list names; all had ended.
-    for (String key : List.copyOf(left.keySet())) {
+    for (String key : List.copyOf(steppedDown.keySet())) {
       if (key.startsWith("waits/")) {
-        JobStore.names(left.get(key))
-            .forEach(name -> left.putIfAbsent("ended/" + name, Json.object().put("s", "done")));
+        JobStore.names(steppedDown.get(key))
+            .forEach(
+                name -> steppedDown.putIfAbsent("ended/" + name, Json.object().put("s", "done")));
       }
     }
-    left.remove("ended/job-000002");
-    cluster.store.rewrite("", left);
+    steppedDown.remove("ended/job-000002");
+    cluster.store.rewrite("", steppedDown);
     cluster.cloud.outage = true;
     cluster.play(4);
     Job slow = job(cluster, "job-000002");
@@ -174,8 +175,8 @@
   @Test
   void progressInSeveralPartsIsReadByTheLimitItWasCutUpBy() throws InvalidMessage {
     SimulatedCluster cluster = cluster(22);
-    Map<String, JsonNode> left = records(PRODUCTION, "large-progress.json");
-    cluster.store.rewrite("", left);
+    Map<String, JsonNode> steppedDown = records(PRODUCTION, "large-progress.json");
+    cluster.store.rewrite("", steppedDown);
     cluster.cloud.outage = true;
     cluster.play(4);
     BitSet done = job(cluster, "job-000001").done();
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -111,7 +111,7 @@
   }
 
   /**
-   * The leader keeps its office, for its lease is renewed, but its watches are never answered:
+   * The leader keeps its leadership, for its lease is renewed, but its watches are never answered:
    * nothing tells it of what is cancelled elsewhere. Here the bound is all there is.
    */
   private void withoutWatches(long believedCancelMicros) {
--- a/src/test/java/plumlever/sim/LittleProcessorTest.java
+++ b/src/test/java/plumlever/sim/LittleProcessorTest.java
@@ -21,12 +21,12 @@
   private static final int MACHINES = 600;
   private static final double SLOW = 3;
 
-  private static SimulatedCluster cluster(long seed, boolean officeApart) {
+  private static SimulatedCluster cluster(long seed, boolean electionApart) {
     SimulatedCluster cluster = new SimulatedCluster(seed, 3, TEAMS, false);
     cluster.costs = Processor.Costs.little();
     cluster.cloud.most = MACHINES;
     for (SimulatedCluster.Member member : cluster.members.values()) {
-      member.officeApart = officeApart;
+      member.electionApart = electionApart;
       member.kill();
       member.start();
     }
@@ -75,11 +75,11 @@
   /**
    * Several hundred workers come to each process that has just started, and everything takes many
    * times as long there: neither the election nor the renewals may wait behind them. Without a
-   * thread of its own the office does.
+   * thread of its own leadership does.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aCrowdAtAColdProcessCostsNobodyTheOffice(long seed) {
+  void aCrowdAtAColdProcessCostsNobodyTheLeadership(long seed) {
     SimulatedCluster cluster = cluster(seed, true);
     FakeUsers users = busy(cluster, 60, 2);
     int led = ledAfterACrashOfAll(cluster);
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void withoutAThreadOfItsOwnTheOfficeWaitsBehindTheCrowd() {
+  void withoutAThreadOfItsOwnTheLeadershipWaitsBehindTheCrowd() {
     SimulatedCluster cluster = cluster(1, false);
     busy(cluster, 60, 2);
     int led = ledAfterACrashOfAll(cluster);
@@ -114,7 +114,7 @@
 
   /**
    * A leader that stood still for seconds finds all its workers silent, and hears that they have
-   * been seen elsewhere. It was it that did not listen: it keeps the office, and returns no
+   * been seen elsewhere. It was it that did not listen: it keeps leadership, and returns no
    * machine.
    */
   @ParameterizedTest
@@ -200,11 +200,11 @@
   }
 
   /**
-   * Decisions that stand still for much longer cost the office, and never act in a later term of
+   * Decisions that stand still for much longer cost leadership, and never act in a later term of
    * the same node.
    */
   @Test
-  void anOfficeWhoseDecisionsStandStillIsGivenUp() {
+  void anLeadershipWhoseDecisionsStandStillIsGivenUp() {
     SimulatedCluster cluster = new SimulatedCluster(5, 3, TEAMS, false);
     quiet(cluster);
     cluster.play(40);
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -585,9 +585,10 @@
       plumlever.fleet.Job otherJob = cluster.leader().node().leader().job(first.uid());
       cluster.play(1);
       assertEquals(Priority.HIGH, otherJob.priority());
-      long left = otherJob.deadlineMicros() - otherJob.acceptedMicros();
+      long steppedDown = otherJob.deadlineMicros() - otherJob.acceptedMicros();
       assertTrue(
-          left > 370_000_000L && left < 390_000_000L, "400 s less what the last takes: " + left);
+          steppedDown > 370_000_000L && steppedDown < 390_000_000L,
+          "400 s less what the last takes: " + steppedDown);
       cluster.leader().crash(1);
       cluster.play(15);
     }
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -304,7 +304,7 @@
    * Nor is this a rule of the protocol: a lease is renewed only in the name of the latest leader,
    * but for what a delegate has read a moment ago.
    */
-  private void checkInOffice(String answer, boolean asLeader) {
+  private void checkInLeadership(String answer, boolean asLeader) {
     try {
       long term = Fleet.termOf(Json.parseObject(answer).path("baton").asLong());
       if (term < store.term()
@@ -472,13 +472,13 @@
     private long stalledUntil;
     private int calls;
 
-    /** The thread that decides, and the office's. */
+    /** The thread that decides, and leadership's. */
     private Processor decisions;
 
-    private Processor office;
+    private Processor leadership;
 
-    /** False: the office has no thread of its own, as if nothing had been learnt. */
-    boolean officeApart = true;
+    /** False: leadership has no thread of its own, as if nothing had been learnt. */
+    boolean electionApart = true;
 
     Member(Platform platform) {
       this.platform = platform;
@@ -495,7 +495,8 @@
 
     void start() {
       int mine = ++life;
-      // The office's thread gets on whatever the other has to do, but on the same processor, so at
+      // The leadership's thread gets on whatever the other has to do, but on the same processor, so
+      // at
       // half the speed.
       decisions =
           new Processor(
@@ -503,15 +504,16 @@
               costs,
               1,
               () -> node == null ? 0 : node.metrics().counted("seats_evaluated"));
-      office = officeApart ? new Processor(SimulatedCluster.this, costs, 2, () -> 0L) : decisions;
+      leadership =
+          electionApart ? new Processor(SimulatedCluster.this, costs, 2, () -> 0L) : decisions;
       Loop loop = loop(mine, decisions);
-      Loop officeLoop = loop(mine, office);
+      Loop electionLoop = loop(mine, leadership);
       node =
           new Node(
               loop,
               caller(mine, decisions),
-              officeLoop,
-              caller(mine, office),
+              electionLoop,
+              caller(mine, leadership),
               platform,
               new OperatorSettings(Tunables.defaults(), sharing(platform.label())),
               random.nextLong(),
@@ -542,7 +544,7 @@
                                 @Override
                                 public void send(int status, String json, int retry) {
                                   if (status == 200 && path.equals("/hello") && cells.isEmpty()) {
-                                    checkInOffice(json, current.leader() != null);
+                                    checkInLeadership(json, current.leader() != null);
                                   }
                                   if (life == mine && closing) {
                                     reply.sendClosing(status, json);
@@ -665,7 +667,7 @@
       decisions.slower(times);
     }
 
-    /** The thread that decides stands still; the office's goes on. */
+    /** The thread that decides stands still; leadership's goes on. */
     void stall(double seconds) {
       stalledUntil = now + (long) (seconds * 1e6);
     }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -91,12 +91,12 @@
   @Test
   void takesOverWhatItLeft() throws InvalidMessage {
     SimulatedCluster cluster = cluster(1);
-    Map<String, JsonNode> left = records();
-    left.keySet().removeIf(k -> k.startsWith("office/leader"));
-    cluster.store.rewrite("", left);
+    Map<String, JsonNode> steppedDown = records();
+    steppedDown.keySet().removeIf(k -> k.startsWith("office/leader"));
+    cluster.store.rewrite("", steppedDown);
     cluster.cloud.outage = true;
     cluster.play(4);
-    for (Map.Entry<String, JsonNode> entry : left.entrySet()) {
+    for (Map.Entry<String, JsonNode> entry : steppedDown.entrySet()) {
       if (entry.getKey().startsWith(JobStore.ACTIVE)) {
         assertTrue(
             cluster.leader().node().leader().job(entry.getKey().substring(JobStore.ACTIVE.length()))
@@ -104,7 +104,7 @@
             entry.getKey());
       }
     }
-    BitSet packed = JobStore.readPack(left.get("progress/pack/0")).get("job-000030");
+    BitSet packed = JobStore.readPack(steppedDown.get("progress/pack/0")).get("job-000030");
     Job small = cluster.leader().node().leader().job("job-000030");
     if (small != null) {
       assertEquals(packed, small.done());
@@ -115,7 +115,7 @@
         large.done(),
         "by its own size of chunks");
     assertTrue(large.doneCount() > 1000 && large.inherited());
-    int machines = left.get("fleet/0").path("hosts").size();
+    int machines = steppedDown.get("fleet/0").path("hosts").size();
     assertTrue(machines > 5);
     assertEquals(200, status(cluster, "job-000003", "aborted"));
   }
