--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/ActiveJobs.java
@@ -132,7 +132,7 @@
   }
 
   /** Takes in all jobs and which of them earlier leaders may have begun, and goes on watching. */
-  void load(StoredRecords found) {
+  void load(RecoveryRead found) {
     knownMicros = found.askedMicros();
     StateClient.Listing jobs = found.under(JobStore.ACTIVE);
     startedJobs.read(found.under(JobStore.BEGUN).items());
--- a/src/main/java/plumlever/leader/Takeover.java
+++ b/src/main/java/plumlever/leader/Failover.java
@@ -20,7 +20,7 @@
  * is accounted for, no task of a job that an earlier leader knew is started; and a machine not
  * accounted for counts against every team's limit with all it could hold.
  */
-final class Takeover {
+final class Failover {
   /**
    * Nearly all machines that can be reached have come over by then, also those of a large fleet.
    */
@@ -38,18 +38,18 @@
   private final Set<Machine> open = new LinkedHashSet<>();
 
   /** Machines that run tasks of jobs this leader does not know. */
-  private final Set<Machine> foreign = new LinkedHashSet<>();
+  private final Set<Machine> untracked = new LinkedHashSet<>();
 
   private boolean loaded;
-  private boolean unsureKnown;
-  private double unsureCores;
-  private double unsureAccelerators;
+  private boolean unaccountedKnown;
+  private double unaccountedCores;
+  private double unaccountedAccelerators;
   private long loadedMicros;
 
-  Takeover(Context context, Fleet fleet, Supplier<MachineSharing> sharing) {
+  Failover(Context context, Fleet fleet, Supplier<MachineSharing> sharing) {
     this.sharing = sharing;
     this.context = context;
-    this.log = context.logs().of(Takeover.class);
+    this.log = context.logs().of(Failover.class);
     this.fleet = fleet;
     this.startedMicros = context.loop().nowMicros();
     context.platform().teams().forEach(t -> teams.put(t.name(), t));
@@ -70,7 +70,7 @@
   /** All machines that may hold tasks are in the fleet now. */
   void loaded() {
     loaded = true;
-    unsureKnown = false;
+    unaccountedKnown = false;
     loadedMicros = context.loop().nowMicros();
     for (Machine machine : fleet.machines()) {
       if (machine.enrolment() == RegistrationState.STORED
@@ -104,7 +104,7 @@
   void accounted(Machine machine, String how) {
     machine.account();
     if (open.remove(machine)) {
-      unsureKnown = false;
+      unaccountedKnown = false;
       log.debug("{} accounted for: {}", machine.id(), how);
       if (open.isEmpty()) {
         long took = context.loop().nowMicros() - startedMicros;
@@ -119,15 +119,15 @@
   }
 
   /** The machine lists so many running tasks that this leader does not keep. */
-  void foreign(Machine machine, int tasks) {
-    if (tasks > 0 ? foreign.add(machine) : foreign.remove(machine)) {
-      unsureKnown = false;
+  void untracked(Machine machine, int tasks) {
+    if (tasks > 0 ? untracked.add(machine) : untracked.remove(machine)) {
+      unaccountedKnown = false;
     }
   }
 
   /** True while the machine runs tasks that this leader does not keep. */
-  boolean holdsForeign(Machine machine) {
-    return foreign.contains(machine);
+  boolean runsUntracked(Machine machine) {
+    return untracked.contains(machine);
   }
 
   /** True while a task of the job could be running on a machine not accounted for. */
@@ -147,11 +147,11 @@
     if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
       return Integer.MAX_VALUE;
     }
-    if (!countUnsure()) {
+    if (!countUnaccounted()) {
       return 0;
     }
-    cores += unsureCores;
-    accelerators += unsureAccelerators;
+    cores += unaccountedCores;
+    accelerators += unaccountedAccelerators;
     LimitParts.Part limit = sharing.get().limit(team);
     return Math.min(
         room(limit.cores(), cores, job.spec().cores()),
@@ -160,7 +160,7 @@
 
   /** Processors that the team's tasks may be using, wherever they are. */
   double coresHeld(String team) {
-    return fleet.held(team).cores() + (countUnsure() ? unsureCores : 0);
+    return fleet.held(team).cores() + (countUnaccounted() ? unaccountedCores : 0);
   }
 
   /**
@@ -170,23 +170,23 @@
    *
    * @return false when the size of one of them is not known
    */
-  private boolean countUnsure() {
-    if (unsureKnown) {
+  private boolean countUnaccounted() {
+    if (unaccountedKnown) {
       return true;
     }
     Set<Machine> unsure = new HashSet<>(open);
-    unsure.addAll(foreign);
-    unsureCores = 0;
-    unsureAccelerators = 0;
+    unsure.addAll(untracked);
+    unaccountedCores = 0;
+    unaccountedAccelerators = 0;
     for (Machine machine : unsure) {
       MachineType machineType = context.prices().machineType(machine.machineType());
       if (machineType == null) {
         return false;
       }
-      unsureCores += machineType.cores();
-      unsureAccelerators += machineType.accelerators();
+      unaccountedCores += machineType.cores();
+      unaccountedAccelerators += machineType.accelerators();
     }
-    unsureKnown = true;
+    unaccountedKnown = true;
     return true;
   }
 
--- a/src/main/java/plumlever/leader/FleetSizing.java
+++ b/src/main/java/plumlever/leader/FleetSizing.java
@@ -26,7 +26,7 @@
   private final Context context;
   private final Fleet fleet;
   private final SchedulingPass pass;
-  private final Takeover takeover;
+  private final Failover failover;
   private final MachineRentals rentals;
   private final Runnable changed;
   private int closeStep = 1;
@@ -36,14 +36,14 @@
       Context context,
       Fleet fleet,
       SchedulingPass pass,
-      Takeover takeover,
+      Failover failover,
       MachineRentals rentals,
       Runnable changed) {
     this.context = context;
     this.log = context.logs().of(FleetSizing.class);
     this.fleet = fleet;
     this.pass = pass;
-    this.takeover = takeover;
+    this.failover = failover;
     this.rentals = rentals;
     this.changed = changed;
   }
@@ -61,7 +61,7 @@
       sizedMicros = now;
       return;
     }
-    if (now - sizedMicros < SIZE_EVERY_MICROS || !takeover.complete()) {
+    if (now - sizedMicros < SIZE_EVERY_MICROS || !failover.complete()) {
       return;
     }
     sizedMicros = now;
--- a/src/main/java/plumlever/leader/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/HeartbeatHandler.java
@@ -22,7 +22,7 @@
   private final Fleet fleet;
   private final ActiveJobs jobs;
   private final Estimates estimates;
-  private final Takeover takeover;
+  private final Failover failover;
   private final ProgressWriter progress;
   private final Supplier<MachineSharing> sharing;
   private final AttemptLog attemptLog;
@@ -33,7 +33,7 @@
       Fleet fleet,
       ActiveJobs jobs,
       Estimates estimates,
-      Takeover takeover,
+      Failover failover,
       ProgressWriter progress,
       Supplier<MachineSharing> sharing) {
     this.context = context;
@@ -41,7 +41,7 @@
     this.fleet = fleet;
     this.jobs = jobs;
     this.estimates = estimates;
-    this.takeover = takeover;
+    this.failover = failover;
     this.progress = progress;
     this.sharing = sharing;
     this.attemptLog = new AttemptLog(context);
@@ -103,7 +103,7 @@
     LongHashSet listed = new LongHashSet();
     boolean current = machine.hasSeen(heartbeat.fencingToken());
     machine.token(current ? heartbeat.fencingToken() : 0);
-    int foreign = 0;
+    int untracked = 0;
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       if (sharing.get().isGuest(machine, reported.attempt())) {
         continue;
@@ -118,16 +118,16 @@
         unknown(machine, reported, now);
       }
       if (reported.state() != AttemptState.ENDED && machine.attempt(reported.attempt()) == null) {
-        foreign++;
+        untracked++;
       }
     }
-    takeover.foreign(machine, foreign);
+    failover.untracked(machine, untracked);
     boolean lost = forgetGone(machine, heartbeat, own, listed);
     if (own) {
       hears(machine, heartbeat, lost || relapsed);
     }
     if (current && !machine.accounted()) {
-      takeover.accounted(machine, own ? "it reported" : "it answered");
+      failover.accounted(machine, own ? "it reported" : "it answered");
       changed = true;
     }
     return News.NEWS;
@@ -242,7 +242,7 @@
    */
   void endIncarnationsBefore(Machine machine, long incarnation) {
     if (fleet.away(machine.id()) != machine) {
-      takeover.foreign(machine, 0);
+      failover.untracked(machine, 0);
     }
     List<Attempt> ended = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -52,15 +52,15 @@
   private final StartedJobIndex startedJobs;
   private final ActiveJobs jobs;
   private final Estimates estimates = new Estimates();
-  private final StoredRecords records;
-  private final Takeover takeover;
+  private final RecoveryRead records;
+  private final Failover failover;
   private final ProgressWriter progress;
   private final HeartbeatHandler heartbeats;
   private final TaskStarter starter;
   private final SchedulingPass pass;
   private final MachineRegistry registry;
   private final MachineManager machines;
-  private final SuccessorHints hints;
+  private final WarmState hints;
   private final CommandSender commands;
   private final RecurringTask rounds;
   private final EarlyHeartbeats early;
@@ -78,13 +78,13 @@
     this.fleet = new Fleet(term);
     this.startedJobs = new StartedJobIndex(context, this::recorded);
     this.jobs = new ActiveJobs(context, startedJobs, this::changed);
-    this.records = new StoredRecords(context);
-    this.takeover = new Takeover(context, fleet, this::sharing);
+    this.records = new RecoveryRead(context);
+    this.failover = new Failover(context, fleet, this::sharing);
     this.progress = new ProgressWriter(context, jobs);
     this.heartbeats =
-        new HeartbeatHandler(context, fleet, jobs, estimates, takeover, progress, this::sharing);
-    this.starter = new TaskStarter(context, fleet, jobs, takeover);
-    this.pass = new SchedulingPass(context, fleet, jobs, startedJobs, estimates, takeover);
+        new HeartbeatHandler(context, fleet, jobs, estimates, failover, progress, this::sharing);
+    this.starter = new TaskStarter(context, fleet, jobs, failover);
+    this.pass = new SchedulingPass(context, fleet, jobs, startedJobs, estimates, failover);
     jobs.costs(pass::costMicros);
     RenewalDelegation delegation = new RenewalDelegation(context, fleet);
     this.commands =
@@ -103,7 +103,7 @@
                         registry,
                         heartbeats,
                         pass,
-                        takeover,
+                        failover,
                         commands,
                         this::changed))
             .orElse(MachineSharing.NONE);
@@ -117,10 +117,10 @@
             heartbeats,
             commands,
             delegation,
-            takeover,
+            failover,
             sharing,
             this::changed);
-    this.hints = new SuccessorHints(context, fleet, estimates);
+    this.hints = new WarmState(context, fleet, estimates);
     this.early = new EarlyHeartbeats(context.loop(), context.platform().socketLimit());
     this.lists = new DependencyListCleanup(context, jobs);
     this.rounds = new RecurringTask("rounds", context.loop(), this::roundTurn);
@@ -139,7 +139,7 @@
     records.read(this::loaded);
   }
 
-  private void loaded(StoredRecords found) {
+  private void loaded(RecoveryRead found) {
     registry.load(found.under(JobStore.FLEET).items(), fleet);
     hints.load(found.under(JobStore.HINTS).items());
     jobs.load(found);
@@ -147,7 +147,7 @@
       sharing.loaded(found.under(PoolView.PREFIX), found.askedMicros());
     }
     loaded = true;
-    takeover.loaded();
+    failover.loaded();
     progress.loaded();
     int count = 0;
     for (Job job : jobs.all()) {
@@ -160,8 +160,8 @@
         "term {} begins with {} jobs and {} machines to account for, {} ms after election",
         term,
         count,
-        takeover.open().size(),
-        (context.loop().nowMicros() - takeover.startedMicros()) / 1_000);
+        failover.open().size(),
+        (context.loop().nowMicros() - failover.startedMicros()) / 1_000);
     early.release(this::heartbeat);
     scope.own(sharing::close);
     scope.own(jobs::close);
@@ -191,7 +191,7 @@
     long since = context.loop().nowMicros();
     raiseOpen();
     context.metrics().spent("raise", context.loop().nowMicros() - since);
-    return takeover.complete() ? RAISE_DEAF_EVERY_MICROS : RAISE_EVERY_MICROS;
+    return failover.complete() ? RAISE_DEAF_EVERY_MICROS : RAISE_EVERY_MICROS;
   }
 
   private void raiseOpen() {
@@ -199,7 +199,7 @@
       long now = context.loop().nowMicros();
       // Those that did not answer come last: dozens behind a cut would else be called again and
       // again, and nobody else.
-      List<Machine> open = new ArrayList<>(takeover.open());
+      List<Machine> open = new ArrayList<>(failover.open());
       open.sort(Comparator.comparingInt(Machine::failedCalls));
       // Where time is short, calls make way for the heartbeats that come anyhow: both tell the
       // same,
@@ -217,7 +217,7 @@
           commands.raise(machine);
         }
       }
-      if (takeover.complete()) {
+      if (failover.complete()) {
         for (Machine machine : fleet.machines()) {
           if (machine.deaf()) {
             commands.raise(machine);
@@ -427,8 +427,8 @@
   }
 
   /** True once nothing that earlier leaders started is unknown. */
-  public boolean tookOver() {
-    return takeover.complete();
+  public boolean failoverComplete() {
+    return failover.complete();
   }
 
   /** The job as this leader knows it, or null. */
--- a/src/main/java/plumlever/leader/LimitDuty.java
+++ b/src/main/java/plumlever/leader/LimitDuty.java
@@ -23,7 +23,7 @@
   private final SharingSettings sharing;
   private final String own;
   private final ActiveJobs jobs;
-  private final Takeover takeover;
+  private final Failover failover;
   private final PoolView view;
   private final PoolWriter writer;
 
@@ -34,7 +34,7 @@
       Context context,
       SharingSettings sharing,
       ActiveJobs jobs,
-      Takeover takeover,
+      Failover failover,
       PoolView view,
       PoolWriter writer) {
     this.context = context;
@@ -42,7 +42,7 @@
     this.sharing = sharing;
     this.own = sharing.own().name();
     this.jobs = jobs;
-    this.takeover = takeover;
+    this.failover = failover;
     this.view = view;
     this.writer = writer;
   }
@@ -84,7 +84,7 @@
         waiting += job.freeCount() * job.spec().cores();
       }
     }
-    return Math.min(team.cpusMax(), takeover.coresHeld(team.name()) + waiting);
+    return Math.min(team.cpusMax(), failover.coresHeld(team.name()) + waiting);
   }
 
   /** Cuts limits up that nobody has cut up yet, and gives what is spare. */
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -67,7 +67,7 @@
   private final HeartbeatHandler heartbeats;
   private final CommandSender commands;
   private final RenewalDelegation delegation;
-  private final Takeover takeover;
+  private final Failover failover;
   private final MachineSharing sharing;
   private final MachineSilence silence;
   private final MachineRentals rentals;
@@ -99,7 +99,7 @@
       HeartbeatHandler heartbeats,
       CommandSender commands,
       RenewalDelegation delegation,
-      Takeover takeover,
+      Failover failover,
       MachineSharing sharing,
       Runnable changed) {
     this.sharing = sharing;
@@ -111,13 +111,13 @@
     this.heartbeats = heartbeats;
     this.commands = commands;
     this.delegation = delegation;
-    this.takeover = takeover;
+    this.failover = failover;
     this.changed = changed;
-    this.silence = new MachineSilence(context, fleet, takeover);
+    this.silence = new MachineSilence(context, fleet, failover);
     this.rentals =
         new MachineRentals(
-            context, fleet, pass, takeover, sharing, deleted::contains, silence::isCut, changed);
-    this.sizing = new FleetSizing(context, fleet, pass, takeover, rentals, changed);
+            context, fleet, pass, failover, sharing, deleted::contains, silence::isCut, changed);
+    this.sizing = new FleetSizing(context, fleet, pass, failover, rentals, changed);
   }
 
   boolean isDeleted(String machineId) {
@@ -216,7 +216,7 @@
     // may have, or a
     // delegate of its, whose last read of the delegation is good for a while longer.
     long renewedForLeader =
-        Math.max(takeover.loadedMicros(), delegation.endedMicros(machine.zone()))
+        Math.max(failover.loadedMicros(), delegation.endedMicros(machine.zone()))
             + DelegatedRenewal.VALID_MICROS;
     long renewed =
         Math.max(
@@ -262,7 +262,7 @@
       changed.run();
     }
     if (!machine.accounted()) {
-      takeover.accounted(machine, "its lease lapsed");
+      failover.accounted(machine, "its lease lapsed");
       changed.run();
     }
   }
@@ -274,10 +274,10 @@
     if (machine.failed()) {
       return "it failed";
     }
-    if (!machine.heard() && !takeover.open().contains(machine)) {
+    if (!machine.heard() && !failover.open().contains(machine)) {
       return bootsTooLong(machine, now) ? "it does not come up" : null;
     }
-    if (holdsUpTakeover(machine, now)) {
+    if (holdsUpFailover(machine, now)) {
       return "it holds up the takeover";
     }
     if (silence.of(machine, now) > silence.mostMicros()) {
@@ -294,7 +294,7 @@
     double bootS =
         machineType == null ? UNKNOWN_BOOT_S : Math.max(machineType.startupS(), LEAST_BOOT_S);
     long patience = (long) (bootS * 1e6 * context.tunables().bootFactor());
-    long since = Math.max(machine.knownSinceMicros(), takeover.startedMicros() - patience / 2);
+    long since = Math.max(machine.knownSinceMicros(), failover.startedMicros() - patience / 2);
     return now - since > patience;
   }
 
@@ -312,7 +312,7 @@
    */
   private void reachOut(long now) {
     Set<String> unreached = new HashSet<>();
-    if (takeover.complete()) {
+    if (failover.complete()) {
       unreached.addAll(silence.cutZones());
     }
     Map<String, Integer> calls = new HashMap<>();
@@ -335,17 +335,17 @@
    * them, so they are given up sooner. One that has not been called twice in vain may just not have
    * had its turn: a large fleet takes seconds to come over.
    */
-  private boolean holdsUpTakeover(Machine machine, long now) {
-    if (!takeover.open().contains(machine)
+  private boolean holdsUpFailover(Machine machine, long now) {
+    if (!failover.open().contains(machine)
         || machine.failedCalls() < 2
-        || now - takeover.loadedMicros() < HOLD_UP_MICROS) {
+        || now - failover.loadedMicros() < HOLD_UP_MICROS) {
       return false;
     }
     return silence.isMostlyTakenOver(machine.zone());
   }
 
   private boolean idleTooLong(Machine machine, boolean crowded, long now) {
-    if (machine.running() || pass.hasPlan(machine) || !takeover.complete()) {
+    if (machine.running() || pass.hasPlan(machine) || !failover.complete()) {
       machine.idleSince(-1);
       return false;
     }
@@ -412,7 +412,7 @@
                 heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
                 deleted.add(machine.id());
                 fleet.remove(machine);
-                takeover.accounted(machine, "it was returned");
+                failover.accounted(machine, "it was returned");
                 registry.remove(machine);
               }
               sharing.returned(out);
--- a/src/main/java/plumlever/leader/MachineRentals.java
+++ b/src/main/java/plumlever/leader/MachineRentals.java
@@ -38,7 +38,7 @@
   private final Context context;
   private final Fleet fleet;
   private final SchedulingPass pass;
-  private final Takeover takeover;
+  private final Failover failover;
   private final MachineSharing sharing;
   private final Predicate<String> isDeleted;
   private final Predicate<String> isCut;
@@ -57,7 +57,7 @@
       Context context,
       Fleet fleet,
       SchedulingPass pass,
-      Takeover takeover,
+      Failover failover,
       MachineSharing sharing,
       Predicate<String> isDeleted,
       Predicate<String> isCut,
@@ -66,7 +66,7 @@
     this.log = context.logs().of(MachineRentals.class);
     this.fleet = fleet;
     this.pass = pass;
-    this.takeover = takeover;
+    this.failover = failover;
     this.sharing = sharing;
     this.isDeleted = isDeleted;
     this.isCut = isCut;
@@ -94,7 +94,7 @@
     // Demands found before the last machine came or was opened again may be served by it: they are
     // not rented for twice.
     if (!context.prices().known()
-        || !(takeover.complete() || takeover.overdue(now))
+        || !(failover.complete() || failover.overdue(now))
         || pass.finishedMicros() <= sizeChangedMicros
         || !sharing.mayRent()) {
       return;
--- a/src/main/java/plumlever/leader/MachineSilence.java
+++ b/src/main/java/plumlever/leader/MachineSilence.java
@@ -32,7 +32,7 @@
     private int machines;
     private int silent;
 
-    /** Machines that the takeover still waits for. */
+    /** Machines that the failover still waits for. */
     private int open;
 
     boolean isCut() {
@@ -48,7 +48,7 @@
   private final Logger log;
   private final Context context;
   private final Fleet fleet;
-  private final Takeover takeover;
+  private final Failover failover;
   private final Map<String, ZoneCount> zones = new HashMap<>();
 
   /** Zones whose machines seem to be behind a cut: nothing is returned or rented there. */
@@ -56,11 +56,11 @@
 
   private long punctualSinceMicros;
 
-  MachineSilence(Context context, Fleet fleet, Takeover takeover) {
+  MachineSilence(Context context, Fleet fleet, Failover failover) {
     this.context = context;
     this.log = context.logs().of(MachineSilence.class);
     this.fleet = fleet;
-    this.takeover = takeover;
+    this.failover = failover;
   }
 
   /** A thread that runs late has read too little to judge who is silent. */
@@ -99,7 +99,7 @@
     // What a thread that runs late has not read yet is no silence.
     return now
         - Math.max(
-            machine.lastSeenMicros(), Math.max(takeover.loadedMicros(), punctualSinceMicros));
+            machine.lastSeenMicros(), Math.max(failover.loadedMicros(), punctualSinceMicros));
   }
 
   /**
@@ -123,7 +123,7 @@
   void look(long now) {
     zones.clear();
     for (Machine machine : fleet.machines()) {
-      boolean open = takeover.open().contains(machine);
+      boolean open = failover.open().contains(machine);
       if (machine.heard() || open) {
         ZoneCount zone = zones.computeIfAbsent(machine.zone(), name -> new ZoneCount());
         zone.machines++;
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/PoolSharing.java
@@ -56,7 +56,7 @@
       MachineRegistry registry,
       HeartbeatHandler heartbeats,
       SchedulingPass pass,
-      Takeover takeover,
+      Failover failover,
       CommandSender commands,
       Runnable changed) {
     this.context = context;
@@ -84,11 +84,11 @@
             view,
             steps,
             guests,
-            takeover,
+            failover,
             commands::raise);
     this.adoption = new DeadCellAdoption(context, sharing, link, steps, transfers::acquire);
-    this.limits = new LimitDuty(context, sharing, jobs, takeover, view, writer);
-    this.share = new ShareDuty(context, sharing, fleet, pass, takeover, view, transfers, limits);
+    this.limits = new LimitDuty(context, sharing, jobs, failover, view, writer);
+    this.share = new ShareDuty(context, sharing, fleet, pass, failover, view, transfers, limits);
   }
 
   @Override
--- a/src/main/java/plumlever/leader/StoredRecords.java
+++ b/src/main/java/plumlever/leader/RecoveryRead.java
@@ -15,7 +15,7 @@
  * that come and end. It is read on leadership's thread: on the one that decides each answer would
  * wait behind the crowd of workers that come to a new leader.
  */
-final class StoredRecords {
+final class RecoveryRead {
   private static final long RETRY_MICROS = 500_000;
 
   private final List<String> prefixes =
@@ -25,17 +25,17 @@
 
   private final Context context;
   private final Map<String, StateClient.Listing> read = new HashMap<>();
-  private Consumer<StoredRecords> then;
+  private Consumer<RecoveryRead> then;
   private long askedMicros;
 
-  StoredRecords(Context context) {
+  RecoveryRead(Context context) {
     this.context = context;
   }
 
   /**
    * @param whenRead runs once, when everything has been read
    */
-  void read(Consumer<StoredRecords> whenRead) {
+  void read(Consumer<RecoveryRead> whenRead) {
     then = whenRead;
     if (context.sharing().isPresent()) {
       prefixes.add(PoolView.PREFIX);
@@ -61,7 +61,7 @@
               }
               read.put(prefix, listing);
               if (read.size() == prefixes.size()) {
-                Consumer<StoredRecords> whole = then;
+                Consumer<RecoveryRead> whole = then;
                 then = null;
                 whole.accept(this);
               }
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -88,7 +88,7 @@
   private final ActiveJobs jobs;
   private final StartedJobIndex startedJobs;
   private final Estimates estimates;
-  private final Takeover takeover;
+  private final Failover failover;
   private final Placer placer;
   private final Preemption preemption;
   private final ServiceObjectives objectives;
@@ -118,14 +118,14 @@
       ActiveJobs jobs,
       StartedJobIndex startedJobs,
       Estimates estimates,
-      Takeover takeover) {
+      Failover failover) {
     this.context = context;
     this.log = context.logs().of(SchedulingPass.class);
     this.fleet = fleet;
     this.jobs = jobs;
     this.startedJobs = startedJobs;
     this.estimates = estimates;
-    this.takeover = takeover;
+    this.failover = failover;
     this.placer =
         new Placer(
             context.tunables().paddingShare(),
@@ -199,7 +199,7 @@
     for (Job job : order(now)) {
       ResourceRequest request = request(job, now);
       Placer.Search search = search(request, zones(job), snapshot);
-      int want = Math.min(job.freeCount(), takeover.quotaRoom(job));
+      int want = Math.min(job.freeCount(), failover.quotaRoom(job));
       for (int i = 0; i < want; i++) {
         Placer.Choice choice = search.next();
         if (choice.candidate() < 0
@@ -415,7 +415,7 @@
               < context.tunables().rentMicros()) {
         standby.arrived(now, job.spec());
       }
-      if (job.hasFree() && job.notBeforeMicros() <= now && !takeover.blocks(job)) {
+      if (job.hasFree() && job.notBeforeMicros() <= now && !failover.blocks(job)) {
         waiting.add(job);
       }
     }
@@ -436,7 +436,7 @@
     // without
     // those machines
     // everything would seem to lack room, and be rented for.
-    long sign = machine.heard() ? machine.lastHeartbeatMicros() : takeover.startedMicros();
+    long sign = machine.heard() ? machine.lastHeartbeatMicros() : failover.startedMicros();
     // A machine that missed a heartbeat may be gone, and one with an unheard direct command may
     // have
     // taken it.
@@ -452,7 +452,7 @@
 
   /** Rented and not up yet, or up and not yet on record. */
   private boolean coming(Machine machine, long now) {
-    if (takeover.overdue(now) && takeover.open().contains(machine)) {
+    if (failover.overdue(now) && failover.open().contains(machine)) {
       return false;
     }
     return !machine.returning()
@@ -772,7 +772,7 @@
    * How many more tasks the job's team may run, counting whatever may still be running anywhere.
    */
   int quotaRoom(Job job) {
-    int room = takeover.quotaRoom(job);
+    int room = failover.quotaRoom(job);
     double[] planned = plannedByTeam.get(job.spec().team());
     if (planned != null && room != Integer.MAX_VALUE) {
       if (job.spec().cores() > 0) {
--- a/src/main/java/plumlever/leader/ShareDuty.java
+++ b/src/main/java/plumlever/leader/ShareDuty.java
@@ -42,7 +42,7 @@
   private final String own;
   private final Fleet fleet;
   private final SchedulingPass pass;
-  private final Takeover takeover;
+  private final Failover failover;
   private final PoolView view;
   private final TransferDuty transfers;
   private final LimitDuty limits;
@@ -58,7 +58,7 @@
       SharingSettings sharing,
       Fleet fleet,
       SchedulingPass pass,
-      Takeover takeover,
+      Failover failover,
       PoolView view,
       TransferDuty transfers,
       LimitDuty limits) {
@@ -68,7 +68,7 @@
     this.own = sharing.own().name();
     this.fleet = fleet;
     this.pass = pass;
-    this.takeover = takeover;
+    this.failover = failover;
     this.view = view;
     this.transfers = transfers;
     this.limits = limits;
@@ -76,7 +76,7 @@
 
   /** One look at what this cell has, lacks and can give. */
   void turn() {
-    if (!takeover.complete() || !context.prices().known()) {
+    if (!failover.complete() || !context.prices().known()) {
       return;
     }
     long now = context.loop().nowMicros();
--- a/src/main/java/plumlever/leader/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/StartedJobIndex.java
@@ -19,7 +19,7 @@
 /**
  * The stored record of the jobs that a leader may have ordered something of: a job is in it before
  * its first order goes out. So what a new leader does not find here was never on any machine, and
- * need not wait until all machines are accounted for: a takeover takes seconds, and where a zone is
+ * need not wait until all machines are accounted for: a failover takes seconds, and where a zone is
  * cut off as long as a lease.
  */
 final class StartedJobIndex {
@@ -91,7 +91,7 @@
 
   /**
    * The job is to be recorded, since there is room for one of its tasks; until that is stored none
-   * is ordered. Not sooner: in a full fleet jobs wait for long, and through a takeover only those
+   * is ordered. Not sooner: in a full fleet jobs wait for long, and through a failover only those
    * that were begun must.
    */
   void enroll(Job job) {
--- a/src/main/java/plumlever/leader/TaskStarter.java
+++ b/src/main/java/plumlever/leader/TaskStarter.java
@@ -49,15 +49,15 @@
   private final Context context;
   private final Fleet fleet;
   private final ActiveJobs jobs;
-  private final Takeover takeover;
+  private final Failover failover;
   private final AttemptLog attemptLog;
 
-  TaskStarter(Context context, Fleet fleet, ActiveJobs jobs, Takeover takeover) {
+  TaskStarter(Context context, Fleet fleet, ActiveJobs jobs, Failover failover) {
     this.context = context;
     this.attemptLog = new AttemptLog(context);
     this.fleet = fleet;
     this.jobs = jobs;
-    this.takeover = takeover;
+    this.failover = failover;
   }
 
   /** Takes the tasks planned for the machine, each rule checked again as the command is written. */
@@ -86,7 +86,7 @@
           || job.cancellationConfirmed()
           || job.waitsForDependencies()
           || job.enrolment() != RegistrationState.STORED
-          || takeover.blocks(job)
+          || failover.blocks(job)
           || !job.spec().allows(machine.machineType(), machine.zone(), machine.spot())) {
         continue;
       }
@@ -94,7 +94,7 @@
       for (int i = 0; i < otherPlanned.tasks && job.hasFree(); i++) {
         if (!room.holds(job.spec())
             || !zones.allows(machine.zone())
-            || takeover.quotaRoom(job) < 1) {
+            || failover.quotaRoom(job) < 1) {
           break;
         }
         int task = job.firstFree();
--- a/src/main/java/plumlever/leader/TransferDuty.java
+++ b/src/main/java/plumlever/leader/TransferDuty.java
@@ -53,7 +53,7 @@
   private final TransferSteps steps;
   private final OfferTaker takes;
   private final GuestBook guests;
-  private final Takeover takeover;
+  private final Failover failover;
   private final Consumer<Machine> raiseToken;
   private final Map<String, Long> offeredMicros = new HashMap<>();
 
@@ -73,7 +73,7 @@
       PoolView view,
       TransferSteps steps,
       GuestBook guests,
-      Takeover takeover,
+      Failover failover,
       Consumer<Machine> raiseToken) {
     this.raiseToken = raiseToken;
     this.context = context;
@@ -89,7 +89,7 @@
     this.steps = steps;
     this.takes = new OfferTaker(sharing, view, steps, this::acquire);
     this.guests = guests;
-    this.takeover = takeover;
+    this.failover = failover;
   }
 
   private long now() {
@@ -366,7 +366,7 @@
         && !machine.deaf()
         && !machine.calling()
         && !machine.unsettled()
-        && !takeover.holdsForeign(machine)
+        && !failover.runsUntracked(machine)
         && !steps.isUnderWay(machine.id());
   }
 
--- a/src/main/java/plumlever/leader/SuccessorHints.java
+++ b/src/main/java/plumlever/leader/WarmState.java
@@ -23,7 +23,7 @@
  * each change of leader costs a fetch for most tasks that watch. It is advice only: wrong or
  * missing hints cost time, no rule.
  */
-final class SuccessorHints {
+final class WarmState {
   private static final long EVERY_MICROS = 10_000_000;
 
   /** Changes in one transaction: submissions must not wait for these. */
@@ -53,7 +53,7 @@
   private int cursor;
   private boolean writing;
 
-  SuccessorHints(Context context, Fleet fleet, Estimates estimates) {
+  WarmState(Context context, Fleet fleet, Estimates estimates) {
     this.context = context;
     this.fleet = fleet;
     this.estimates = estimates;
--- a/src/main/java/plumlever/leader/package-info.java
+++ b/src/main/java/plumlever/leader/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One term of the leader: takeover, reports, scheduling passes, preemption, machines, progress,
+ * One term of the leader: failover, reports, scheduling passes, preemption, machines, progress,
  * hints.
  *
  * <p>Nothing of it outlives its term but what is stored. Nobody but the node makes one.
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -119,7 +119,7 @@
    * inherited waits.
    */
   @Test
-  void aMachineThatNothingReachesHoldsUpNoTakeoverForLong() {
+  void aMachineThatNothingReachesHoldsUpNoFailoverForLong() {
     JobSpec full = submit(job("red", Priority.STANDARD, 24, 2, 60, false));
     JobSpec waiting = submit(job("red", Priority.STANDARD, 10, 2, 10, false));
     cluster.play(45);
@@ -128,13 +128,14 @@
     cluster.cloud.outage = true;
     cluster.leader().crash(3);
     cluster.play(75);
-    assertTrue(cluster.leader().node().leader().tookOver(), "all machines are accounted for");
+    assertTrue(
+        cluster.leader().node().leader().failoverComplete(), "all machines are accounted for");
     cluster.play(150);
     assertDone(full, waiting);
   }
 
   /**
-   * Heartbeats come twice, seconds to minutes late, at any node, through two takeovers and after
+   * Heartbeats come twice, seconds to minutes late, at any node, through two failover and after
    * machines were returned.
    */
   @Test
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -50,7 +50,7 @@
     assertEquals(0, cluster.cloud.refused, "requests over the cloud's rate");
     cluster.leader().crash(3);
     cluster.play(12);
-    assertTrue(cluster.leader().node().leader().tookOver(), "taken over in seconds");
+    assertTrue(cluster.leader().node().leader().failoverComplete(), "taken over in seconds");
     cluster.calmSince = cluster.now();
     cluster.play(120);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -85,7 +85,8 @@
     cluster.leader().crash(5);
     cluster.play(12);
     assertTrue(
-        cluster.leader().node().leader().tookOver(), "a large fleet is taken over in seconds");
+        cluster.leader().node().leader().failoverComplete(),
+        "a large fleet is taken over in seconds");
     cluster.cloud.machines.values().stream()
         .filter(v -> v.spot && v.worker != null)
         .map(v -> v.id)
@@ -243,7 +244,7 @@
     cluster.leader().crash(3);
     cluster.play(FakeWorker.LEASE_MICROS / 1e6 + 10);
     assertTrue(
-        cluster.leader().node().leader().tookOver(),
+        cluster.leader().node().leader().failoverComplete(),
         "a cut zone holds a takeover up for no longer than a lease");
     cluster.cuts.clear();
     cluster.calmSince = cluster.now();
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -240,7 +240,7 @@
    * A leader crashes while a machine that runs tasks can't be reached for a while, and there is
    * room elsewhere.
    */
-  private static SimulatedCluster takeoverWithAHiddenMachine(
+  private static SimulatedCluster failoverWithAHiddenMachine(
       Consumer<SimulatedCluster> beforeTheCrash) {
     SimulatedCluster cluster = cluster(21);
     FakeUsers users = new FakeUsers(cluster);
@@ -271,7 +271,7 @@
   @Test
   void withoutTheRecordOfBegunJobsTasksRunTwice() {
     SimulatedCluster cluster =
-        takeoverWithAHiddenMachine(
+        failoverWithAHiddenMachine(
             v -> v.store.forge("begun/", Json.object().set("jobs", Json.object().arrayNode())));
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
@@ -284,7 +284,7 @@
    */
   @Test
   void withoutTheRecordOfMachinesTasksRunTwice() {
-    SimulatedCluster cluster = takeoverWithAHiddenMachine(v -> v.store.hidden = "fleet/");
+    SimulatedCluster cluster = failoverWithAHiddenMachine(v -> v.store.hidden = "fleet/");
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
         "the checks must see the missing guard");
@@ -292,7 +292,7 @@
 
   @Test
   void withTheRecordOfMachinesNoTaskRunsTwice() {
-    SimulatedCluster cluster = takeoverWithAHiddenMachine(v -> {});
+    SimulatedCluster cluster = failoverWithAHiddenMachine(v -> {});
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
@@ -361,12 +361,12 @@
             .filter(SimulatedCluster.Member::leads)
             .findFirst()
             .orElseThrow();
-    assertTrue(next.node().leader().tookOver(), "the takeover is complete");
+    assertTrue(next.node().leader().failoverComplete(), "the takeover is complete");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
   /**
-   * While a zone is cut off a takeover lasts as long as a lease. What no earlier leader began need
+   * While a zone is cut off a failover lasts as long as a lease. What no earlier leader began need
    * not wait for it, and machines are rented for it.
    */
   @Test
@@ -411,7 +411,8 @@
     users.submit(late, false);
     cluster.play(16);
     assertFalse(
-        cluster.leader().node().leader().tookOver(), "the cut zone is not accounted for yet");
+        cluster.leader().node().leader().failoverComplete(),
+        "the cut zone is not accounted for yet");
     assertTrue(
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null)
