--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -97,23 +97,23 @@
   }
 
   /** A heartbeat shows the attempt in this state. */
-  public void see(AttemptState now, long nowMicros) {
+  public void observed(AttemptState now, long nowMicros) {
     if (now == AttemptState.RUNNING && runningSinceMicros < 0) {
       runningSinceMicros = nowMicros;
       job.begin();
     }
-    settle();
+    confirm();
     state = now;
   }
 
   /** True while it was sent straight to the machine and nothing has been heard of it. */
-  boolean unheard() {
+  boolean unconfirmed() {
     return directToken >= 0 && state == null && !over;
   }
 
-  private void settle() {
-    if (unheard()) {
-      machine.heardOf();
+  private void confirm() {
+    if (unconfirmed()) {
+      machine.attemptConfirmed();
     }
   }
 
@@ -128,7 +128,7 @@
   }
 
   void end(ExitCause why) {
-    settle();
+    confirm();
     if (!over) {
       machine.ended();
     }
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -42,7 +42,7 @@
   /** Tasks that ran before: what they take the next time tells nothing of their whole run time. */
   private final BitSet restarted = new BitSet();
 
-  private RegistrationState enrolment = RegistrationState.NONE;
+  private RegistrationState registration = RegistrationState.NONE;
   private int doneCount;
   private boolean over;
   private boolean begun;
@@ -154,13 +154,13 @@
    * a machine.
    */
   @Override
-  public RegistrationState enrolment() {
-    return enrolment;
+  public RegistrationState registration() {
+    return registration;
   }
 
   @Override
-  public void enrolment(RegistrationState otherEnrolment) {
-    enrolment = otherEnrolment;
+  public void registration(RegistrationState otherRegistration) {
+    registration = otherRegistration;
   }
 
   public BitSet done() {
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -21,7 +21,7 @@
   private final boolean spot;
   private final long knownSinceMicros;
 
-  private RegistrationState enrolment = RegistrationState.NONE;
+  private RegistrationState registration = RegistrationState.NONE;
   private long incarnation;
   private long sequenceNumber;
   private long ownSequenceNumber;
@@ -30,10 +30,10 @@
   private long answeredToken;
   private long directToken = -1;
   private long directEndsKnownMicros;
-  private boolean calling;
+  private boolean commandInFlight;
   private int failedCalls;
-  private int unheard;
-  private boolean deaf;
+  private int answerLost;
+  private boolean unreachable;
   private long lastHeartbeatMicros = -1;
   private long lastSeenMicros = -1;
   private long lastAnswerMicros = -1;
@@ -58,7 +58,7 @@
    */
   private int live;
 
-  private int unheardOf;
+  private int unconfirmedAttempts;
   private final Long2ObjectHashMap<Attempt> attempts = new Long2ObjectHashMap<>();
 
   private final ImageCache images = new ImageCache();
@@ -107,13 +107,13 @@
   }
 
   @Override
-  public RegistrationState enrolment() {
-    return enrolment;
+  public RegistrationState registration() {
+    return registration;
   }
 
   @Override
-  public void enrolment(RegistrationState otherEnrolment) {
-    enrolment = otherEnrolment;
+  public void registration(RegistrationState otherRegistration) {
+    registration = otherRegistration;
   }
 
   public long incarnation() {
@@ -163,7 +163,7 @@
    *
    * @param endsKnownMicros when the last heard read of ended jobs had been sent
    */
-  public void direct(long endsKnownMicros) {
+  public void commandSent(long endsKnownMicros) {
     directToken = token;
     directEndsKnownMicros = endsKnownMicros;
   }
@@ -174,7 +174,7 @@
   }
 
   /** From the next answer on, no direct command sent before will be carried out. */
-  public void voidDirect() {
+  public void voidDirectCommands() {
     token = Math.max(token, directToken + 1);
   }
 
@@ -182,21 +182,21 @@
    * True while a late copy of a direct command could still be carried out, as far as this side has
    * seen to it.
    */
-  public boolean directOpen() {
+  public boolean directCommandOpen() {
     return directToken >= token;
   }
 
   /** A direct command is on its way or its answer is. */
-  public boolean calling() {
-    return calling;
+  public boolean commandInFlight() {
+    return commandInFlight;
   }
 
-  public void calling(boolean now) {
-    calling = now;
+  public void commandInFlight(boolean now) {
+    commandInFlight = now;
   }
 
   /** A direct call came to its end. */
-  public void called(boolean answered) {
+  public void directCallEnded(boolean answered) {
     failedCalls = answered ? 0 : failedCalls + 1;
   }
 
@@ -209,8 +209,8 @@
    * True while it may have started something that nothing has been heard of: a direct command
    * without an answer.
    */
-  public boolean unsettled() {
-    return unheardOf > 0;
+  public boolean hasUnconfirmedStart() {
+    return unconfirmedAttempts > 0;
   }
 
   /**
@@ -219,23 +219,23 @@
    * neither work nor its lease renewed until it shows the token. Else each answer would push back
    * the time at which its lease has surely lapsed.
    */
-  public void unheard() {
-    if (++unheard >= 2) {
-      deaf = true;
+  public void answerLost() {
+    if (++answerLost >= 2) {
+      unreachable = true;
     }
   }
 
-  public void heardAnswer() {
-    unheard = 0;
-    deaf = false;
+  public void answerDelivered() {
+    answerLost = 0;
+    unreachable = false;
   }
 
-  public boolean deaf() {
-    return deaf;
+  public boolean unreachable() {
+    return unreachable;
   }
 
   /** True once it has reported in this term. */
-  public boolean heard() {
+  public boolean hasReported() {
     return lastHeartbeatMicros >= 0;
   }
 
@@ -278,7 +278,7 @@
   }
 
   /** A heartbeat of its own came after the body of a direct call that was sent later. */
-  public void overtaken(long heartbeatSequenceNumber, long nowMicros) {
+  public void heartbeatOvertaken(long heartbeatSequenceNumber, long nowMicros) {
     ownSequenceNumber = heartbeatSequenceNumber;
     lastHeartbeatMicros = nowMicros;
     lastSeenMicros = nowMicros;
@@ -289,12 +289,12 @@
     return accounted;
   }
 
-  public void account() {
+  public void markAccounted() {
     accounted = true;
   }
 
   /** It has changed hands: what may run on it has to be found out anew. */
-  public void unaccount() {
+  public void markUnaccounted() {
     accounted = false;
   }
 
@@ -317,7 +317,7 @@
   }
 
   /** A heartbeat of the machine arrived. */
-  public void heardAt(Heartbeat heartbeat, long nowMicros, boolean own) {
+  public void observed(Heartbeat heartbeat, long nowMicros, boolean own) {
     if (heartbeat.incarnation() > incarnation) {
       ownSequenceNumber = 0;
     }
@@ -390,12 +390,12 @@
   void add(Attempt attempt) {
     attempts.put(attempt.id(), attempt);
     live++;
-    unheardOf += attempt.unheard() ? 1 : 0;
+    unconfirmedAttempts += attempt.unconfirmed() ? 1 : 0;
   }
 
   /** Something was heard of an attempt that was sent directly, or it is over. */
-  void heardOf() {
-    unheardOf--;
+  void attemptConfirmed() {
+    unconfirmedAttempts--;
   }
 
   /** An attempt is over. */
--- a/src/main/java/plumlever/fleet/Registered.java
+++ b/src/main/java/plumlever/fleet/Registered.java
@@ -2,7 +2,7 @@
 
 /** What has to be on record in the state service before anything is ordered of it. */
 public interface Registered {
-  RegistrationState enrolment();
+  RegistrationState registration();
 
-  void enrolment(RegistrationState enrolment);
+  void registration(RegistrationState registration);
 }
--- a/src/main/java/plumlever/leader/CommandSender.java
+++ b/src/main/java/plumlever/leader/CommandSender.java
@@ -76,8 +76,8 @@
       Endpoint at =
           machine == null || machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
       if (at == null
-          || machine.calling()
-          || machine.unsettled()
+          || machine.commandInFlight()
+          || machine.hasUnconfirmedStart()
           || machine.incarnation() == 0
           || !pass.recorded(machine)) {
         continue;
@@ -97,8 +97,8 @@
 
   private void start(
       Machine machine, Endpoint at, List<WorkerCommand> commands, List<Attempt> sent) {
-    machine.direct(jobs.endsKnownMicros());
-    machine.calling(true);
+    machine.commandSent(jobs.endsKnownMicros());
+    machine.commandInFlight(true);
     starts++;
     long token = machine.token();
     long incarnation = machine.incarnation();
@@ -110,7 +110,7 @@
         START_TIMEOUT_MICROS,
         (status, r) -> {
           starts--;
-          machine.calling(false);
+          machine.commandInFlight(false);
           if (closed) {
             return;
           }
@@ -122,7 +122,7 @@
             heartbeats.refused(sent);
           } else if (status != HttpStatus.OK || r == null) {
             context.metrics().count("direct_unheard");
-            machine.voidDirect();
+            machine.voidDirectCommands();
             attemptLog.unanswered(machine, incarnation, token, sent);
           }
           if (heartbeats.takeChanged()) {
@@ -138,7 +138,10 @@
    */
   void raise(Machine machine) {
     Endpoint at = machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
-    if (at == null || machine.calling() || raises >= MOST_RAISES || !context.term().mayAct()) {
+    if (at == null
+        || machine.commandInFlight()
+        || raises >= MOST_RAISES
+        || !context.term().mayAct()) {
       return;
     }
     if (!delegation.mayCommand(machine.zone())) {
@@ -146,7 +149,7 @@
       return;
     }
     raises++;
-    machine.calling(true);
+    machine.commandInFlight(true);
     call(
         machine,
         at,
@@ -154,11 +157,11 @@
         RAISE_TIMEOUT_MICROS,
         (status, r) -> {
           raises--;
-          machine.calling(false);
+          machine.commandInFlight(false);
           if (closed || !context.term().mayAct()) {
             return;
           }
-          machine.called(r != null);
+          machine.directCallEnded(r != null);
           if (r == null) {
             return;
           }
@@ -177,11 +180,14 @@
   /** Asks the machine how it is, without a command: it may be in a zone where none may be sent. */
   void probe(Machine machine) {
     Endpoint at = machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
-    if (at == null || machine.calling() || raises >= MOST_RAISES || !context.term().mayAct()) {
+    if (at == null
+        || machine.commandInFlight()
+        || raises >= MOST_RAISES
+        || !context.term().mayAct()) {
       return;
     }
     raises++;
-    machine.calling(true);
+    machine.commandInFlight(true);
     context
         .caller()
         .call(
@@ -192,9 +198,9 @@
             RAISE_TIMEOUT_MICROS,
             (status, data) -> {
               raises--;
-              machine.calling(false);
+              machine.commandInFlight(false);
               Heartbeat heartbeat = status == HttpStatus.OK ? read(machine, data) : null;
-              machine.called(heartbeat != null);
+              machine.directCallEnded(heartbeat != null);
               if (closed || heartbeat == null || !context.term().mayAct()) {
                 return;
               }
--- a/src/main/java/plumlever/leader/Failover.java
+++ b/src/main/java/plumlever/leader/Failover.java
@@ -73,7 +73,7 @@
     unaccountedKnown = false;
     loadedMicros = context.loop().nowMicros();
     for (Machine machine : fleet.machines()) {
-      if (machine.enrolment() == RegistrationState.STORED
+      if (machine.registration() == RegistrationState.STORED
           && !machine.accounted()
           && machine.tokenTerm() == context.term().number()) {
         open.add(machine);
@@ -102,7 +102,7 @@
 
   /** Nothing that an earlier leader started on the machine is unknown any more, or it is gone. */
   void accounted(Machine machine, String how) {
-    machine.account();
+    machine.markAccounted();
     if (open.remove(machine)) {
       unaccountedKnown = false;
       log.debug("{} accounted for: {}", machine.id(), how);
--- a/src/main/java/plumlever/leader/FleetSizing.java
+++ b/src/main/java/plumlever/leader/FleetSizing.java
@@ -67,7 +67,7 @@
     sizedMicros = now;
     List<Machine> able = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
-      if (machine.heard()
+      if (machine.hasReported()
           && !closed.contains(machine)
           && !machine.returning()
           && !machine.draining()
--- a/src/main/java/plumlever/leader/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/HeartbeatAnswers.java
@@ -69,7 +69,7 @@
 
   private LeaderEvidence evidence(Machine machine, boolean holdsOpenTasks) {
     UnansweredCommands unanswered =
-        machine.unsettled()
+        machine.hasUnconfirmedStart()
             ? UnansweredCommands.sentAfter(machine.directEndsKnownMicros())
             : UnansweredCommands.NONE;
     return new LeaderEvidence(
--- a/src/main/java/plumlever/leader/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/HeartbeatHandler.java
@@ -80,20 +80,21 @@
       if (own
           && heartbeat.incarnation() == machine.incarnation()
           && heartbeat.sequenceNumber() > machine.ownSequenceNumber()) {
-        machine.overtaken(heartbeat.sequenceNumber(), now);
+        machine.heartbeatOvertaken(heartbeat.sequenceNumber(), now);
         return News.OVERTAKEN;
       }
       // Copies come seconds to minutes late. They must neither bring back what is gone nor count as
       // a sign of life.
       return News.COPY;
     }
-    boolean relapsed = machine.incarnation() > 0 && heartbeat.incarnation() > machine.incarnation();
+    boolean incarnationChanged =
+        machine.incarnation() > 0 && heartbeat.incarnation() > machine.incarnation();
     if (heartbeat.incarnation() > machine.incarnation()) {
       endIncarnationsBefore(machine, heartbeat.incarnation());
     }
-    boolean first = !machine.heard();
+    boolean first = !machine.hasReported();
     boolean noticed = heartbeat.noticed() && machine.preemptedAtMicros() < 0;
-    machine.heardAt(heartbeat, now, own);
+    machine.observed(heartbeat, now, own);
     changed |= first && own;
     if (noticed) {
       changed = true;
@@ -124,7 +125,7 @@
     failover.untracked(machine, untracked);
     boolean lost = forgetGone(machine, heartbeat, own, listed);
     if (own) {
-      hears(machine, heartbeat, lost || relapsed);
+      noteAnswerDelivery(machine, heartbeat, lost || incarnationChanged);
     }
     if (current && !machine.accounted()) {
       failover.accounted(machine, own ? "it reported" : "it answered");
@@ -147,7 +148,7 @@
       endIncarnationsBefore(machine, heartbeat.incarnation());
     }
     long now = context.loop().nowMicros();
-    machine.heardAt(heartbeat, now, true);
+    machine.observed(heartbeat, now, true);
     LongHashSet listed = new LongHashSet();
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       listed.add(reported.attempt());
@@ -202,24 +203,24 @@
    * Looks whether what was sent before arrives: a machine's reports may come through although
    * nothing reaches it.
    */
-  private void hears(Machine machine, Heartbeat heartbeat, boolean lost) {
-    boolean wasDeaf = machine.deaf();
+  private void noteAnswerDelivery(Machine machine, Heartbeat heartbeat, boolean lost) {
+    boolean wasUnreachable = machine.unreachable();
     if (machine.answeredToken() > heartbeat.fencingToken()) {
-      machine.unheard();
+      machine.answerLost();
     } else if (lost) {
-      machine.unheard();
+      machine.answerLost();
       // The next heartbeat tells by its token whether the next answer arrives.
       machine.token(machine.token() + 1);
     } else {
-      machine.heardAnswer();
+      machine.answerDelivered();
     }
-    if (machine.deaf() != wasDeaf) {
+    if (machine.unreachable() != wasUnreachable) {
       changed = true;
-      context.metrics().count(wasDeaf ? "machines_hear_again" : "machines_deaf");
+      context.metrics().count(wasUnreachable ? "machines_hear_again" : "machines_deaf");
       log.info(
           "{} {}",
           machine.id(),
-          wasDeaf ? "takes answers again" : "reports, but nothing seems to reach it");
+          wasUnreachable ? "takes answers again" : "reports, but nothing seems to reach it");
     }
   }
 
@@ -268,7 +269,7 @@
     if (started && !attempt.job().begun()) {
       context.metrics().time("begin", now - attempt.job().acceptedMicros());
     }
-    attempt.see(reported.state(), now);
+    attempt.observed(reported.state(), now);
     if (started) {
       attempt
           .machine()
@@ -396,7 +397,7 @@
         && !job.done().get(task)
         && job.liveAttempt(task) == null) {
       Attempt attempt = fleet.adopt(job, task, reported.attempt(), machine, now);
-      attempt.see(reported.state(), now);
+      attempt.observed(reported.state(), now);
       if (reported.state() == AttemptState.RUNNING) {
         machine.images().isReady(job.spec().image(), job.spec().imageGb());
       } else if (context.prices().machineType(machine.machineType()) != null) {
@@ -443,10 +444,10 @@
     // order. So nothing is
     // removed until the answer that says so also makes such copies void, which has to wait for one
     // still under way.
-    if (machine.directOpen() && !machine.calling()) {
-      machine.voidDirect();
+    if (machine.directCommandOpen() && !machine.commandInFlight()) {
+      machine.voidDirectCommands();
     }
-    boolean mayRemove = !machine.directOpen();
+    boolean mayRemove = !machine.directCommandOpen();
     for (Attempt attempt : machine.attempts()) {
       if (attempt.over()) {
         if (mayRemove
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -33,7 +33,7 @@
   private static final long ROUND_PAUSE_MOST_MICROS = 1_500_000;
   private static final int ROUND_PAUSE_TIMES = 3;
   private static final long SLICE_PAUSE_MICROS = 5_000;
-  private static final long RAISE_DEAF_EVERY_MICROS = 4_000_000;
+  private static final long RAISE_UNREACHABLE_EVERY_MICROS = 4_000_000;
   private static final long RAISE_EVERY_MICROS = 100_000;
   private static final long ANSWER_SHOWS_MICROS = 2_000_000;
   private static final long LATE_MICROS = 50_000;
@@ -191,7 +191,7 @@
     long since = context.loop().nowMicros();
     raiseOpen();
     context.metrics().spent("raise", context.loop().nowMicros() - since);
-    return failover.complete() ? RAISE_DEAF_EVERY_MICROS : RAISE_EVERY_MICROS;
+    return failover.complete() ? RAISE_UNREACHABLE_EVERY_MICROS : RAISE_EVERY_MICROS;
   }
 
   private void raiseOpen() {
@@ -219,7 +219,7 @@
       }
       if (failover.complete()) {
         for (Machine machine : fleet.machines()) {
-          if (machine.deaf()) {
+          if (machine.unreachable()) {
             commands.raise(machine);
           }
         }
@@ -286,7 +286,7 @@
     if (news == HeartbeatHandler.News.COPY) {
       context.metrics().count("report_copies");
       out.later(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
-    } else if (machine.deaf()) {
+    } else if (machine.unreachable()) {
       // Were it answered, its lease would count as renewed for ever, and nobody else could have its
       // tasks.
       out.later(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
@@ -348,7 +348,7 @@
 
   /** What follows from a heartbeat that may be answered, whether or not the lease is renewed. */
   private void takeIn(Machine machine, Heartbeat heartbeat, HeartbeatHandler.News news) {
-    if (machine.enrolment() == RegistrationState.NONE
+    if (machine.registration() == RegistrationState.NONE
         && !machine.returning()
         && (machine.accounted() || heartbeat.fencingToken() == 0)) {
       // A heartbeat that shows an earlier term may be a late copy of a machine that is gone:
@@ -381,7 +381,7 @@
         && machine.hasSeen(heartbeat.fencingToken())
         && pass.hasPlan(machine)
         && pass.recorded(machine)
-        && !machine.unsettled()) {
+        && !machine.hasUnconfirmedStart()) {
       starter.start(machine, pass.planned(machine), false, responseCommands);
       pass.dropPlan(machine);
     }
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -274,7 +274,7 @@
     if (machine.failed()) {
       return "it failed";
     }
-    if (!machine.heard() && !failover.open().contains(machine)) {
+    if (!machine.hasReported() && !failover.open().contains(machine)) {
       return bootsTooLong(machine, now) ? "it does not come up" : null;
     }
     if (holdsUpFailover(machine, now)) {
@@ -317,7 +317,7 @@
     }
     Map<String, Integer> calls = new HashMap<>();
     for (Machine machine : fleet.machines()) {
-      if (!machine.heard() || !silence.isCut(machine.zone())) {
+      if (!machine.hasReported() || !silence.isCut(machine.zone())) {
         continue;
       }
       if (now - machine.lastSeenMicros() < REACHED_MICROS) {
--- a/src/main/java/plumlever/leader/MachineSilence.java
+++ b/src/main/java/plumlever/leader/MachineSilence.java
@@ -124,7 +124,7 @@
     zones.clear();
     for (Machine machine : fleet.machines()) {
       boolean open = failover.open().contains(machine);
-      if (machine.heard() || open) {
+      if (machine.hasReported() || open) {
         ZoneCount zone = zones.computeIfAbsent(machine.zone(), name -> new ZoneCount());
         zone.machines++;
         zone.open += open ? 1 : 0;
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -238,7 +238,7 @@
   /** True if something of the plan can be ordered: its job is on record. */
   boolean recorded(Machine machine) {
     for (PlannedTasks otherPlanned : planned(machine)) {
-      if (otherPlanned.job.enrolment() == RegistrationState.STORED) {
+      if (otherPlanned.job.registration() == RegistrationState.STORED) {
         return true;
       }
     }
@@ -436,17 +436,17 @@
     // without
     // those machines
     // everything would seem to lack room, and be rented for.
-    long sign = machine.heard() ? machine.lastHeartbeatMicros() : failover.startedMicros();
+    long sign = machine.hasReported() ? machine.lastHeartbeatMicros() : failover.startedMicros();
     // A machine that missed a heartbeat may be gone, and one with an unheard direct command may
     // have
     // taken it.
-    return machine.enrolment() == RegistrationState.STORED
+    return machine.registration() == RegistrationState.STORED
         && machine.accounted()
         && !machine.draining()
         && !machine.returning()
         && !machine.offered()
-        && !machine.deaf()
-        && !machine.unsettled()
+        && !machine.unreachable()
+        && !machine.hasUnconfirmedStart()
         && now - sign < context.platform().workers().latestHeartbeatMicros();
   }
 
@@ -458,8 +458,8 @@
     return !machine.returning()
         && !machine.failed()
         && !machine.draining()
-        && (!machine.heard() || machine.enrolment() != RegistrationState.STORED)
-        && machine.accounted() == machine.heard();
+        && (!machine.hasReported() || machine.registration() != RegistrationState.STORED)
+        && machine.accounted() == machine.hasReported();
   }
 
   /** The machines as one round sees them, with what it gives away as it goes. */
--- a/src/main/java/plumlever/leader/SharedRecords.java
+++ b/src/main/java/plumlever/leader/SharedRecords.java
@@ -100,7 +100,7 @@
     chunk.writtenMicros = context.loop().nowMicros();
     chunks.put(number, chunk);
     for (E entry : entries) {
-      entry.enrolment(RegistrationState.STORED);
+      entry.registration(RegistrationState.STORED);
       enter(chunk, entry);
     }
   }
@@ -113,10 +113,10 @@
 
   /** The entry is to be recorded, if it is not yet. */
   void enroll(E entry) {
-    if (entry.enrolment() != RegistrationState.NONE) {
+    if (entry.registration() != RegistrationState.NONE) {
       return;
     }
-    entry.enrolment(RegistrationState.WRITING);
+    entry.registration(RegistrationState.WRITING);
     Chunk<E> into = withRoom(layout.bytes(entry));
     enter(into, entry);
     into.due = true;
@@ -180,7 +180,7 @@
    */
   void remove(E entry) {
     // It may come back, and is not on record then.
-    entry.enrolment(RegistrationState.NONE);
+    entry.registration(RegistrationState.NONE);
     Chunk<E> to = movingTo.remove(entry);
     if (to != null && to.entries.remove(entry)) {
       to.bytes -= layout.bytes(entry);
@@ -281,8 +281,8 @@
     boolean news = false;
     for (E entry : written) {
       boolean stillHere = chunkOf.get(entry) == chunk || movingTo.get(entry) == chunk;
-      if (stillHere && entry.enrolment() == RegistrationState.WRITING) {
-        entry.enrolment(RegistrationState.STORED);
+      if (stillHere && entry.registration() == RegistrationState.WRITING) {
+        entry.registration(RegistrationState.STORED);
         news = true;
       }
     }
--- a/src/main/java/plumlever/leader/TaskStarter.java
+++ b/src/main/java/plumlever/leader/TaskStarter.java
@@ -72,9 +72,9 @@
         || machine.draining()
         || machine.returning()
         || machine.offered()
-        || machine.enrolment() != RegistrationState.STORED
+        || machine.registration() != RegistrationState.STORED
         || !machine.accounted()
-        || machine.deaf()) {
+        || machine.unreachable()) {
       return List.of();
     }
     List<Attempt> started = new ArrayList<>();
@@ -85,7 +85,7 @@
       if (job.over()
           || job.cancellationConfirmed()
           || job.waitsForDependencies()
-          || job.enrolment() != RegistrationState.STORED
+          || job.registration() != RegistrationState.STORED
           || failover.blocks(job)
           || !job.spec().allows(machine.machineType(), machine.zone(), machine.spot())) {
         continue;
--- a/src/main/java/plumlever/leader/TransferDuty.java
+++ b/src/main/java/plumlever/leader/TransferDuty.java
@@ -183,7 +183,7 @@
     if (machine.tokenTerm() < record.number()) {
       // It went and came back before this was seen.
       machine.tokenTerm(record.number());
-      machine.unaccount();
+      machine.markUnaccounted();
       machine.renewedElsewhere(now() + OFFER_VIEW_MICROS);
       raiseToken.accept(machine);
     } else if (!machine.accounted() && machine.renewedElsewhereMicros() < 0) {
@@ -198,7 +198,7 @@
     empty.remove(details.id());
     if (machine != null) {
       fleet.forgetAway(machine);
-      machine.unaccount();
+      machine.markUnaccounted();
     } else {
       machine =
           new Machine(
@@ -253,7 +253,7 @@
             details.spot(),
             now());
     machine.incarnation(record.incarnation());
-    machine.account();
+    machine.markAccounted();
     for (GuestTask guest : record.homes().get(own)) {
       Job job = jobs.get(guest.task().job());
       int task = guest.task().number();
@@ -356,16 +356,16 @@
   /** True if the machine can be given away as it is. */
   boolean canOffer(Machine machine) {
     return owns(machine.id())
-        && machine.heard()
+        && machine.hasReported()
         && machine.accounted()
         && machine.endpoint() != null
         && !machine.offered()
         && !machine.draining()
         && !machine.returning()
         && !machine.failed()
-        && !machine.deaf()
-        && !machine.calling()
-        && !machine.unsettled()
+        && !machine.unreachable()
+        && !machine.commandInFlight()
+        && !machine.hasUnconfirmedStart()
         && !failover.runsUntracked(machine)
         && !steps.isUnderWay(machine.id());
   }
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -71,7 +71,7 @@
   }
 
   /** Heartbeats of the machine arrive, nothing reaches it. */
-  private String deafen(double seconds) {
+  private String makeUnreachable(double seconds) {
     String machineId =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
@@ -87,7 +87,7 @@
   void aMachineThatNothingReachesLosesItsTasksToOthers() {
     JobSpec otherJob = submit(job("blue", Priority.STANDARD, 12, 2, 30, false));
     cluster.play(35);
-    deafen(400);
+    makeUnreachable(400);
     cluster.play(150);
     assertDone(otherJob);
     JobSpec next = submit(job("blue", Priority.STANDARD, 12, 2, 10, false));
@@ -123,7 +123,7 @@
     JobSpec full = submit(job("red", Priority.STANDARD, 24, 2, 60, false));
     JobSpec waiting = submit(job("red", Priority.STANDARD, 10, 2, 10, false));
     cluster.play(45);
-    deafen(500);
+    makeUnreachable(500);
     // The cloud can't take it back meanwhile.
     cluster.cloud.outage = true;
     cluster.leader().crash(3);
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -153,7 +153,7 @@
           cluster.cloud.machines.values().stream()
               .filter(v -> v.worker != null)
               .limit(2)
-              .forEach(v -> deafen(cluster, v.id, 2 * time));
+              .forEach(v -> makeUnreachable(cluster, v.id, 2 * time));
       case 11 -> loseAllButWorkers(cluster, leader, time);
       case 12 -> loseAllButWorkers(cluster, one, time);
       case 14 ->
@@ -189,7 +189,7 @@
   }
 
   /** Its reports arrive; answers and commands to it don't, and come late if at all. */
-  private static void deafen(SimulatedCluster cluster, String machineId, long time) {
+  private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
     cluster.cuts.put("*>" + machineId, true);
     cluster.at(time, () -> cluster.cuts.remove("*>" + machineId));
   }
