--- a/src/main/java/plumlever/Node.java
+++ b/src/main/java/plumlever/Node.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.Function;
 import plumlever.cloud.CloudClient;
-import plumlever.cloud.MachineTypeDuty;
+import plumlever.cloud.MachineTypeRefresh;
 import plumlever.cloud.PriceBook;
 import plumlever.concurrent.Loop;
 import plumlever.concurrent.RecurringTask;
@@ -72,7 +72,7 @@
   private final Metrics metrics;
   private final Scope scope = new Scope();
   private final StateClient store;
-  private final MachineTypeDuty machineTypes;
+  private final MachineTypeRefresh machineTypes;
   private final PriceBook prices;
   private final LeaderElection election;
   private final Peers peers;
@@ -128,7 +128,7 @@
     CloudClient cloud =
         new CloudClient(loop, caller, platform.cloud(), platform.cloudLimits(), metrics);
     this.prices = new PriceBook(tunables);
-    this.machineTypes = new MachineTypeDuty(loop, cloud, store, prices, logs);
+    this.machineTypes = new MachineTypeRefresh(loop, cloud, store, prices, logs);
     JobStore layout =
         new JobStore(
             store.limits(),
--- a/src/main/java/plumlever/cloud/MachineTypeDuty.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -19,7 +19,7 @@
  * Learns the machine types once: from the cloud, which are then stored, or from what was last
  * stored while the cloud does not answer.
  */
-public final class MachineTypeDuty {
+public final class MachineTypeRefresh {
   private static final long RETRY_MICROS = 1_500_000;
 
   private final Logger log;
@@ -29,9 +29,9 @@
   private final PriceBook prices;
 
   /** Fills the price book by these clients. */
-  public MachineTypeDuty(
+  public MachineTypeRefresh(
       Loop loop, CloudClient cloud, StateClient store, PriceBook prices, Logs logs) {
-    this.log = logs.of(MachineTypeDuty.class);
+    this.log = logs.of(MachineTypeRefresh.class);
     this.loop = loop;
     this.cloud = cloud;
     this.store = store;
--- a/src/main/java/plumlever/leader/Failover.java
+++ b/src/main/java/plumlever/leader/Failover.java
@@ -136,7 +136,7 @@
   }
 
   /** How many more tasks of the job its team's limit allows. */
-  int quotaRoom(Job job) {
+  int quotaHeadroom(Job job) {
     Platform.Team team = teams.get(job.spec().team());
     if (team == null) {
       return 0;
@@ -154,8 +154,8 @@
     accelerators += unaccountedAccelerators;
     LimitParts.Part limit = sharing.get().limit(team);
     return Math.min(
-        room(limit.cores(), cores, job.spec().cores()),
-        room(limit.accelerators(), accelerators, job.spec().accelerators()));
+        headroom(limit.cores(), cores, job.spec().cores()),
+        headroom(limit.accelerators(), accelerators, job.spec().accelerators()));
   }
 
   /** Processors that the team's tasks may be using, wherever they are. */
@@ -190,7 +190,7 @@
     return true;
   }
 
-  private static int room(double limit, double used, double each) {
+  private static int headroom(double limit, double used, double each) {
     if (limit <= 0 || each <= 0) {
       return Integer.MAX_VALUE;
     }
--- a/src/main/java/plumlever/leader/FleetSizing.java
+++ b/src/main/java/plumlever/leader/FleetSizing.java
@@ -29,7 +29,7 @@
   private final Failover failover;
   private final MachineRentals rentals;
   private final Runnable changed;
-  private int closeStep = 1;
+  private int cordonStep = 1;
   private long sizedMicros;
 
   FleetSizing(
@@ -54,10 +54,10 @@
    * rented.
    */
   void size(long now) {
-    Set<Machine> closed = pass.closed();
+    Set<Machine> closed = pass.cordoned();
     closed.removeIf(m -> fleet.machine(m.id()) != m);
     if (!pass.demands().isEmpty()) {
-      reopen(closed, now);
+      uncordon(closed, now);
       sizedMicros = now;
       return;
     }
@@ -77,7 +77,7 @@
     }
     able.sort(
         Comparator.comparingDouble(this::price).reversed().thenComparingDouble(FleetSizing::load));
-    int step = Math.min(closeStep, able.size());
+    int step = Math.min(cordonStep, able.size());
     if (step == 0) {
       return;
     }
@@ -89,14 +89,14 @@
       log.debug("{} more machines get no new tasks, the others will do", step);
       // A large fleet is too large by many machines at a time; what goes well is tried twice as
       // far.
-      closeStep = Math.min(Math.max(1, able.size() / 10), closeStep * 2);
+      cordonStep = Math.min(Math.max(1, able.size() / 10), cordonStep * 2);
     } else {
-      closeStep = Math.max(1, closeStep / 2);
+      cordonStep = Math.max(1, cordonStep / 2);
     }
   }
 
   /** The cheapest closed machines, as many as hold what waits, are opened again. */
-  private void reopen(Set<Machine> closed, long now) {
+  private void uncordon(Set<Machine> closed, long now) {
     double cores = 0;
     for (RentalPlan.Demand demand : pass.demands()) {
       cores += demand.tasks() * demand.job().cores();
@@ -122,7 +122,7 @@
       rentals.sizeChanged(now);
       changed.run();
     }
-    closeStep = 1;
+    cordonStep = 1;
   }
 
   /** Price for each processor; spot prices move a little, so kinds are compared coarsely. */
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -29,9 +29,9 @@
  * leaves.
  */
 public final class Leader implements AutoCloseable {
-  private static final long ROUND_EVERY_MICROS = 150_000;
-  private static final long ROUND_PAUSE_MOST_MICROS = 1_500_000;
-  private static final int ROUND_PAUSE_TIMES = 3;
+  private static final long PASS_EVERY_MICROS = 150_000;
+  private static final long PASS_PAUSE_MOST_MICROS = 1_500_000;
+  private static final int PASS_PAUSE_TIMES = 3;
   private static final long SLICE_PAUSE_MICROS = 5_000;
   private static final long RAISE_UNREACHABLE_EVERY_MICROS = 4_000_000;
   private static final long RAISE_EVERY_MICROS = 100_000;
@@ -62,7 +62,7 @@
   private final MachineManager machines;
   private final WarmState hints;
   private final CommandSender commands;
-  private final RecurringTask rounds;
+  private final RecurringTask passes;
   private final EarlyHeartbeats early;
   private final DependencyListCleanup lists;
   private final MachineSharing sharing;
@@ -123,7 +123,7 @@
     this.hints = new WarmState(context, fleet, estimates);
     this.early = new EarlyHeartbeats(context.loop(), context.platform().socketLimit());
     this.lists = new DependencyListCleanup(context, jobs);
-    this.rounds = new RecurringTask("rounds", context.loop(), this::roundTurn);
+    this.passes = new RecurringTask("rounds", context.loop(), this::runPass);
   }
 
   private MachineSharing sharing() {
@@ -180,7 +180,7 @@
     scope
         .own(new RecurringTask("dependency lists", context.loop(), lists::run))
         .wakeIn(DependencyListCleanup.EVERY_MICROS);
-    scope.own(rounds).start();
+    scope.own(passes).start();
   }
 
   /**
@@ -241,13 +241,13 @@
    * Rounds are gathered: each pauses for a few times what the last one took, so that requests come
    * first.
    */
-  private long roundTurn() {
+  private long runPass() {
     if (!due || !context.term().mayAct()) {
-      return ROUND_EVERY_MICROS;
+      return PASS_EVERY_MICROS;
     }
     if (fleet.numbersRunOut()) {
       endTermForNumbers();
-      return ROUND_EVERY_MICROS;
+      return PASS_EVERY_MICROS;
     }
     long since = context.loop().nowMicros();
     boolean finished = pass.run();
@@ -261,8 +261,8 @@
     due = false;
     // A thread that runs late has reports and requests before it that come first.
     long pause =
-        ROUND_PAUSE_TIMES * Math.max(pass.spentMicros(), context.latenessMicros().getAsLong());
-    return Math.max(ROUND_EVERY_MICROS, Math.min(ROUND_PAUSE_MOST_MICROS, pause));
+        PASS_PAUSE_TIMES * Math.max(pass.spentMicros(), context.latenessMicros().getAsLong());
+    return Math.max(PASS_EVERY_MICROS, Math.min(PASS_PAUSE_MOST_MICROS, pause));
   }
 
   /** A new term starts all numbers anew; this node may take it itself. */
--- a/src/main/java/plumlever/leader/LimitDuty.java
+++ b/src/main/java/plumlever/leader/LimitSharing.java
@@ -17,7 +17,7 @@
  * Holds this cell's part of each team's limit, and gives away what of it nothing uses. A part that
  * is being given counts as given from before the transaction is sent until its outcome is known.
  */
-final class LimitDuty {
+final class LimitSharing {
   private final Logger log;
   private final Context context;
   private final SharingSettings sharing;
@@ -30,7 +30,7 @@
   /** Processors of this cell's parts that are being given away. */
   private final Map<String, Double> giving = new HashMap<>();
 
-  LimitDuty(
+  LimitSharing(
       Context context,
       SharingSettings sharing,
       ActiveJobs jobs,
@@ -38,7 +38,7 @@
       PoolView view,
       PoolWriter writer) {
     this.context = context;
-    this.log = context.logs().of(LimitDuty.class);
+    this.log = context.logs().of(LimitSharing.class);
     this.sharing = sharing;
     this.own = sharing.own().name();
     this.jobs = jobs;
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -352,7 +352,7 @@
     if (machine.idleSinceMicros() < 0) {
       machine.idleSince(now);
     }
-    if (pass.closed().contains(machine)) {
+    if (pass.cordoned().contains(machine)) {
       return now - machine.knownSinceMicros() > FleetSizing.LEAST_CHARGE_MICROS;
     }
     // Tasks that wait although the cloud has no more may need the place of a machine that does not
--- a/src/main/java/plumlever/leader/MachineRentals.java
+++ b/src/main/java/plumlever/leader/MachineRentals.java
@@ -16,7 +16,7 @@
 final class MachineRentals {
   private static final long NO_CAPACITY_PAUSE_MICROS = 12_000_000;
   private static final long REPEAT_MICROS = 2_000_000;
-  private static final int MOST_PER_ROUND = 300;
+  private static final int MOST_PER_PASS = 300;
   private static final int MOST_OPEN = 6;
 
   /** A request that is not settled. */
@@ -118,7 +118,7 @@
             pass.demands(),
             coming,
             k -> now >= shortUntil.getOrDefault(k, 0L) && !isCut.test(k.zone()),
-            MOST_PER_ROUND)) {
+            MOST_PER_PASS)) {
       if (open.size() >= MOST_OPEN) {
         break;
       }
--- a/src/main/java/plumlever/leader/ShareDuty.java
+++ b/src/main/java/plumlever/leader/MachineShareBalancer.java
@@ -26,7 +26,7 @@
  * Tells the other cells what this one has and lacks, and offers them the machines that the policy
  * says: idle ones first, then those whose tasks end soonest, none that a deadline here needs.
  */
-final class ShareDuty {
+final class MachineShareBalancer {
   private static final long TELL_MICROS = 2_000_000;
   private static final long TELL_ANYHOW_MICROS = 30_000_000;
 
@@ -44,8 +44,8 @@
   private final SchedulingPass pass;
   private final Failover failover;
   private final PoolView view;
-  private final TransferDuty transfers;
-  private final LimitDuty limits;
+  private final MachineTransfers transfers;
+  private final LimitSharing limits;
   private final Map<String, Given> given = new HashMap<>();
   private CellDemand told;
   private long toldMicros = Long.MIN_VALUE / 4;
@@ -53,17 +53,17 @@
   private boolean telling;
   private boolean digestsDiffer;
 
-  ShareDuty(
+  MachineShareBalancer(
       Context context,
       SharingSettings sharing,
       Fleet fleet,
       SchedulingPass pass,
       Failover failover,
       PoolView view,
-      TransferDuty transfers,
-      LimitDuty limits) {
+      MachineTransfers transfers,
+      LimitSharing limits) {
     this.context = context;
-    this.log = context.logs().of(ShareDuty.class);
+    this.log = context.logs().of(MachineShareBalancer.class);
     this.sharing = sharing;
     this.own = sharing.own().name();
     this.fleet = fleet;
@@ -119,7 +119,7 @@
         limitOf.put(team.name(), team.cpusMax());
       }
     }
-    double late = CoreDemand.coresNeeded(pass.workLeft(), limitOf) - coresOwned();
+    double late = CoreDemand.coresNeeded(pass.remainingWork(), limitOf) - coresOwned();
     double cores = Math.max(pass.coresWaitedFor(), late);
     return (int) Math.min(sharing.machines(), Math.ceil(Math.max(0, cores) / usualCores()));
   }
@@ -232,7 +232,7 @@
             .thenComparingLong(pass::lastEndMicros)
             .thenComparing(Machine::id));
     int count = 0;
-    Set<Machine> without = new HashSet<>(pass.closed());
+    Set<Machine> without = new HashSet<>(pass.cordoned());
     for (Machine machine : able) {
       if (count == most) {
         break;
--- a/src/main/java/plumlever/leader/TransferDuty.java
+++ b/src/main/java/plumlever/leader/MachineTransfers.java
@@ -28,7 +28,7 @@
  * what others offer, and settles what is left of its tasks on machines that others own. Each state
  * can be taken up by the next leader of either cell.
  */
-final class TransferDuty {
+final class MachineTransfers {
   /** An offer that nobody takes is withdrawn after this. */
   private static final long OFFER_MICROS = 8_000_000;
 
@@ -62,7 +62,7 @@
 
   private boolean digestMismatchLogged;
 
-  TransferDuty(
+  MachineTransfers(
       Context context,
       SharingSettings sharing,
       Fleet fleet,
@@ -77,7 +77,7 @@
       Consumer<Machine> raiseToken) {
     this.raiseToken = raiseToken;
     this.context = context;
-    this.log = context.logs().of(TransferDuty.class);
+    this.log = context.logs().of(MachineTransfers.class);
     this.sharing = sharing;
     this.own = sharing.own().name();
     this.fleet = fleet;
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/PoolSharing.java
@@ -42,10 +42,10 @@
   private final PoolWriter writer;
   private final OwnerClaims claims;
   private final GuestBook guests;
-  private final TransferDuty transfers;
+  private final MachineTransfers transfers;
   private final DeadCellAdoption adoption;
-  private final LimitDuty limits;
-  private final ShareDuty share;
+  private final LimitSharing limits;
+  private final MachineShareBalancer share;
   private boolean loaded;
 
   PoolSharing(
@@ -73,7 +73,7 @@
     this.guests = new GuestBook(context, sharing, view);
     TransferSteps steps = new TransferSteps(context, sharing.own().name(), view, writer);
     this.transfers =
-        new TransferDuty(
+        new MachineTransfers(
             context,
             sharing,
             fleet,
@@ -87,8 +87,9 @@
             failover,
             commands::raise);
     this.adoption = new DeadCellAdoption(context, sharing, link, steps, transfers::acquire);
-    this.limits = new LimitDuty(context, sharing, jobs, failover, view, writer);
-    this.share = new ShareDuty(context, sharing, fleet, pass, failover, view, transfers, limits);
+    this.limits = new LimitSharing(context, sharing, jobs, failover, view, writer);
+    this.share =
+        new MachineShareBalancer(context, sharing, fleet, pass, failover, view, transfers, limits);
   }
 
   @Override
@@ -186,7 +187,7 @@
       return true;
     }
     boolean viewIsOld =
-        context.loop().nowMicros() - link.knownMicros() > TransferDuty.OFFER_VIEW_MICROS;
+        context.loop().nowMicros() - link.knownMicros() > MachineTransfers.OFFER_VIEW_MICROS;
     if (machine != null && machine.offered() && viewIsOld) {
       out.later(HttpStatus.UNAVAILABLE, "the machine may have another owner by now", 1);
       return true;
--- a/src/main/java/plumlever/leader/Preemption.java
+++ b/src/main/java/plumlever/leader/Preemption.java
@@ -74,7 +74,7 @@
     }
 
     /** True if tasks were told to stop so that one more task of the job will fit. */
-    boolean makeRoom() {
+    boolean freeCapacity() {
       if (offers == null) {
         offers = offers(job, request, startByMicros, now);
       }
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -21,8 +21,8 @@
 import plumlever.placement.Placer;
 import plumlever.placement.ResourceRequest;
 import plumlever.placement.Zones;
+import plumlever.scaling.CapacityHeadroom;
 import plumlever.scaling.RentalPlan;
-import plumlever.scaling.Standby;
 import plumlever.settings.Platform;
 import plumlever.sharing.CoreDemand;
 import plumlever.wire.AttemptState;
@@ -44,7 +44,7 @@
    * Jobs in one round for which no machine has room now, and that are looked at closely all the
    * same: the most pressing.
    */
-  private static final int MOST_ROOMLESS = 24;
+  private static final int MOST_UNSCHEDULABLE = 24;
 
   /**
    * About what a task that is stopped loses until it runs again: saving, waiting for room, its
@@ -53,8 +53,8 @@
   private static final long RESTART_MICROS = 60_000_000;
 
   private static final double SPEED_GB_FOR_CORE = 4;
-  private static final long STANDBY_WINDOW_MICROS = 120_000_000;
-  private static final long STAND_BY_EVERY_MICROS = 1_000_000;
+  private static final long HEADROOM_WINDOW_MICROS = 120_000_000;
+  private static final long HEADROOM_EVERY_MICROS = 1_000_000;
   private static final long MISSED_MICROS = 120_000_000;
   private static final long LONG_WAIT_MICROS = 120_000_000;
 
@@ -65,7 +65,7 @@
    * From the end of a job's last task to the start of the next one's in its chain: a heartbeat, the
    * record, a round, a command.
    */
-  private static final long HAND_OVER_MICROS = 1_500_000;
+  private static final long STAGE_HANDOVER_MICROS = 1_500_000;
 
   private static final long COSTS_EVERY_MICROS = 10_000_000;
 
@@ -94,15 +94,15 @@
   private final ServiceObjectives objectives;
   private final Map<String, Map<Job, PlannedTasks>> plans = new HashMap<>();
   private final Map<String, double[]> plannedByTeam = new HashMap<>();
-  private final Map<Job, Boolean> within = new HashMap<>();
+  private final Map<Job, Boolean> withinGuarantee = new HashMap<>();
   private final Set<Job> seen = new HashSet<>();
-  private final Standby standby;
+  private final CapacityHeadroom headroom;
   private List<Job> order = List.of();
-  private final Set<Machine> closed = new LinkedHashSet<>();
+  private final Set<Machine> cordoned = new LinkedHashSet<>();
   private int cursor;
-  private int roomless;
+  private int unschedulable;
   private long finishedMicros;
-  private long stoodByMicros = Long.MIN_VALUE / 2;
+  private long headroomCheckedMicros = Long.MIN_VALUE / 2;
   private long spentMicros;
   private long costedMicros;
   private FleetSnapshot snapshot;
@@ -110,7 +110,7 @@
   private List<RentalPlan.Demand> lastDemands = List.of();
 
   /** The last demand for work that has not come yet. */
-  private RentalPlan.Demand lastStandby;
+  private RentalPlan.Demand lastHeadroomDemand;
 
   SchedulingPass(
       Context context,
@@ -133,11 +133,11 @@
             hedge(context),
             context.moneyMatters() ? 0 : context.tunables().spotRisk());
     this.preemption = new Preemption(context, fleet, this::usable, this::harmed);
-    this.standby =
-        new Standby(
-            STANDBY_WINDOW_MICROS,
+    this.headroom =
+        new CapacityHeadroom(
+            HEADROOM_WINDOW_MICROS,
             context.tunables().rentMicros(),
-            context.tunables().standbySpreads());
+            context.tunables().headroomDeviations());
     this.objectives =
         new ServiceObjectives(
             context.platform().objectives(), context.tunables().startTargetMicros());
@@ -168,12 +168,12 @@
       }
     }
     long run = (long) (estimates.runMicros(job) * (1 + context.tunables().paddingShare()));
-    return run + (types == 0 ? 0 : (long) (fetch / types)) + HAND_OVER_MICROS;
+    return run + (types == 0 ? 0 : (long) (fetch / types)) + STAGE_HANDOVER_MICROS;
   }
 
   /** Machines that get no new tasks, because the others will do; they go once they are empty. */
-  Set<Machine> closed() {
-    return closed;
+  Set<Machine> cordoned() {
+    return cordoned;
   }
 
   /**
@@ -183,7 +183,7 @@
   boolean canDoWithout(Set<Machine> without) {
     long now = context.loop().nowMicros();
     FleetSnapshot snapshot = new FleetSnapshot(now, without, false);
-    return servesAllInTime(snapshot, now) && snapshot.spareCores() >= standby.cores(now);
+    return servesAllInTime(snapshot, now) && snapshot.spareCores() >= headroom.cores(now);
   }
 
   /**
@@ -199,7 +199,7 @@
     for (Job job : order(now)) {
       ResourceRequest request = request(job, now);
       Placer.Search search = search(request, zones(job), snapshot);
-      int want = Math.min(job.freeCount(), failover.quotaRoom(job));
+      int want = Math.min(job.freeCount(), failover.quotaHeadroom(job));
       for (int i = 0; i < want; i++) {
         Placer.Choice choice = search.next();
         if (choice.candidate() < 0
@@ -222,7 +222,7 @@
   double coresWaitedFor() {
     double cores = 0;
     for (RentalPlan.Demand demand : lastDemands) {
-      cores += demand == lastStandby ? 0 : demand.tasks() * demand.job().cores();
+      cores += demand == lastHeadroomDemand ? 0 : demand.tasks() * demand.job().cores();
     }
     return cores;
   }
@@ -237,8 +237,8 @@
 
   /** True if something of the plan can be ordered: its job is on record. */
   boolean recorded(Machine machine) {
-    for (PlannedTasks otherPlanned : planned(machine)) {
-      if (otherPlanned.job.registration() == RegistrationState.STORED) {
+    for (PlannedTasks plannedTasks : planned(machine)) {
+      if (plannedTasks.job.registration() == RegistrationState.STORED) {
         return true;
       }
     }
@@ -246,7 +246,7 @@
   }
 
   /** What is left of the jobs that may run, and the time that each has left. */
-  List<CoreDemand.Work> workLeft() {
+  List<CoreDemand.Work> remainingWork() {
     long now = context.loop().nowMicros();
     List<CoreDemand.Work> works = new ArrayList<>();
     for (Job job : jobs.all()) {
@@ -297,13 +297,13 @@
       costedMicros = start - costedMicros > COSTS_EVERY_MICROS ? start : costedMicros;
       order = order(start);
       cursor = 0;
-      roomless = 0;
+      unschedulable = 0;
       spentMicros = 0;
-      snapshot = order.isEmpty() ? null : new FleetSnapshot(start, closed, true);
+      snapshot = order.isEmpty() ? null : new FleetSnapshot(start, cordoned, true);
     }
     while (cursor < order.size()) {
       place(order.get(cursor++));
-      if (context.loop().nowMicros() - start > context.tunables().roundBudgetMicros()
+      if (context.loop().nowMicros() - start > context.tunables().passBudgetMicros()
           && cursor < order.size()) {
         spentMicros += context.loop().nowMicros() - start;
         context.metrics().count("rounds_cut");
@@ -314,9 +314,9 @@
     // needed each time.
     if (snapshot != null
         || !lastDemands.isEmpty()
-        || start - stoodByMicros >= STAND_BY_EVERY_MICROS) {
-      stoodByMicros = start;
-      standBy(snapshot == null ? new FleetSnapshot(start, closed, true) : snapshot);
+        || start - headroomCheckedMicros >= HEADROOM_EVERY_MICROS) {
+      headroomCheckedMicros = start;
+      demandHeadroom(snapshot == null ? new FleetSnapshot(start, cordoned, true) : snapshot);
     }
     snapshot = null;
     lastDemands = demands;
@@ -330,17 +330,17 @@
    * Asks for room that is missing for work that has not come yet but must start at once when it
    * does.
    */
-  private void standBy(FleetSnapshot snapshot) {
-    double missing = standby.cores(snapshot.now) - snapshot.spareCores();
-    JobSpec like = standby.typical();
+  private void demandHeadroom(FleetSnapshot snapshot) {
+    double missing = headroom.cores(snapshot.now) - snapshot.spareCores();
+    JobSpec like = headroom.typical();
     if (missing > 0 && like != null && like.cores() > 0) {
-      lastStandby =
+      lastHeadroomDemand =
           new RentalPlan.Demand(
               like,
               null,
               (int) Math.ceil(missing / like.cores()),
               (long) (like.expectedRunS() * 1e6));
-      demands.add(lastStandby);
+      demands.add(lastHeadroomDemand);
     }
   }
 
@@ -390,8 +390,8 @@
     }
     List<Job> byAge = new ArrayList<>(jobs.all());
     byAge.sort(Comparator.comparingLong(Job::releasedMicros));
-    within.keySet().retainAll(byAge);
-    seen.retainAll(within.keySet());
+    withinGuarantee.keySet().retainAll(byAge);
+    seen.retainAll(withinGuarantee.keySet());
     Map<String, Double> used = new HashMap<>();
     List<Job> waiting = new ArrayList<>();
     for (Job job : byAge) {
@@ -405,15 +405,16 @@
           used.merge(job.spec().team(), job.spec().taskCount() * job.spec().cores(), Double::sum);
       // Decided once, when the job comes: what finishes later does not move a job that came beyond
       // the guarantee.
-      if (within.putIfAbsent(job, cores <= guaranteed.getOrDefault(job.spec().team(), 0.0)) == null
-          && within.get(job)) {
+      if (withinGuarantee.putIfAbsent(job, cores <= guaranteed.getOrDefault(job.spec().team(), 0.0))
+              == null
+          && withinGuarantee.get(job)) {
         context.metrics().count("jobs_guaranteed");
       }
       if (seen.add(job)
-          && now - job.releasedMicros() < STANDBY_WINDOW_MICROS
+          && now - job.releasedMicros() < HEADROOM_WINDOW_MICROS
           && objectives.startBy(job, guaranteed(job), job.releasedMicros()) - job.releasedMicros()
               < context.tunables().rentMicros()) {
-        standby.arrived(now, job.spec());
+        headroom.arrived(now, job.spec());
       }
       if (job.hasFree() && job.notBeforeMicros() <= now && !failover.blocks(job)) {
         waiting.add(job);
@@ -423,7 +424,7 @@
     waiting.forEach(j -> latest.put(j, latestStart(j, now)));
     waiting.sort(
         Comparator.<Job>comparingLong(j -> mustBegin(j, now) ? j.releasedMicros() : Long.MAX_VALUE)
-            .thenComparingInt(j -> within.get(j) ? 0 : 1)
+            .thenComparingInt(j -> withinGuarantee.get(j) ? 0 : 1)
             .thenComparing(j -> j.priority())
             .thenComparingInt(j -> missed(latest.get(j), now) ? 1 : 0)
             .thenComparingLong(latest::get)
@@ -465,7 +466,7 @@
   /** The machines as one round sees them, with what it gives away as it goes. */
   private final class FleetSnapshot {
     private final long now;
-    private final List<PlacementCandidate> seats = new ArrayList<>();
+    private final List<PlacementCandidate> candidates = new ArrayList<>();
     private final List<Machine> machines = new ArrayList<>();
 
     FleetSnapshot(long now, Set<Machine> without, boolean withPlans) {
@@ -480,26 +481,26 @@
               Math.max(
                   now + 1_000_000,
                   machine.knownSinceMicros() + (long) (machineType.startupS() * 1.2e6));
-          PlacementCandidate otherSeat = candidate(machine, machineType, 1, 0);
-          otherSeat.comesUp(up);
-          add(machine, otherSeat);
+          PlacementCandidate candidate = candidate(machine, machineType, 1, 0);
+          candidate.comesUp(up);
+          add(machine, candidate);
         } else if (usable(machine, now)) {
-          PlacementCandidate otherSeat =
+          PlacementCandidate candidate =
               candidate(machine, machineType, machine.slowness(), COMMAND_MICROS);
           for (Attempt attempt : machine.attempts()) {
             if (!attempt.over()) {
-              occupy(otherSeat, attempt.job(), endsAt(attempt, machineType, now));
+              occupy(candidate, attempt.job(), endsAt(attempt, machineType, now));
             }
           }
-          occupyByGuests(otherSeat, machine.guests());
+          occupyByGuests(candidate, machine.guests());
           if (withPlans) {
-            for (PlannedTasks otherPlanned : planned(machine)) {
-              for (int i = 0; i < otherPlanned.tasks; i++) {
-                occupy(otherSeat, otherPlanned.job, now + estimates.runMicros(otherPlanned.job));
+            for (PlannedTasks plannedTasks : planned(machine)) {
+              for (int i = 0; i < plannedTasks.tasks; i++) {
+                occupy(candidate, plannedTasks.job, now + estimates.runMicros(plannedTasks.job));
               }
             }
           }
-          add(machine, otherSeat);
+          add(machine, candidate);
         }
       }
     }
@@ -528,12 +529,12 @@
 
     private void add(Machine machine, PlacementCandidate candidate) {
       machines.add(machine);
-      seats.add(candidate);
+      candidates.add(candidate);
     }
 
     double spareCores() {
       double spare = 0;
-      for (PlacementCandidate candidate : seats) {
+      for (PlacementCandidate candidate : candidates) {
         spare += candidate.spareCores();
       }
       return spare;
@@ -595,7 +596,7 @@
   }
 
   private boolean guaranteed(Job job) {
-    return within.getOrDefault(job, false);
+    return withinGuarantee.getOrDefault(job, false);
   }
 
   /** The job's rules about zones, all its tasks counted that may still be on a machine. */
@@ -625,13 +626,13 @@
   }
 
   private Placer.Search search(ResourceRequest request, Zones zones, FleetSnapshot snapshot) {
-    context.metrics().count("seats_evaluated", snapshot.seats.size());
+    context.metrics().count("seats_evaluated", snapshot.candidates.size());
     return placer.search(
         request,
-        snapshot.seats,
+        snapshot.candidates,
         zones,
-        (seat, machine, image, gb) -> {
-          Machine otherMachine = snapshot.machines.get(seat);
+        (candidate, machine, image, gb) -> {
+          Machine otherMachine = snapshot.machines.get(candidate);
           return otherMachine
               .images()
               .fetchMicros(
@@ -650,7 +651,7 @@
     long now = snapshot.now;
     ResourceRequest request = request(job, now);
     Zones zones = zones(job);
-    int quota = quotaRoom(job);
+    int quota = quotaHeadroom(job);
     if (quota < 1 && mustBegin(job, now)) {
       // What its team's smaller tasks leave of the limit would go to the next of them, again and
       // again.
@@ -660,7 +661,8 @@
     if (want < 1) {
       return;
     }
-    if (!Placer.roomNow(request, snapshot.seats, zones) && ++roomless > MOST_ROOMLESS) {
+    if (!Placer.hasFreeCapacityNow(request, snapshot.candidates, zones)
+        && ++unschedulable > MOST_UNSCHEDULABLE) {
       // Behind so many that wait as well there is no machine that could be booked for soon; where
       // hundreds of jobs wait
       // in a full fleet, searching for each would take longer than until the next urgent one comes.
@@ -683,7 +685,7 @@
           && choice.startMicros() > now
           && mayPreempt
           && preempted < MOST_PREEMPTED) {
-        if (room.makeRoom()) {
+        if (room.freeCapacity()) {
           preempted++;
           continue;
         }
@@ -717,7 +719,7 @@
         startedJobs.enroll(job);
         plans
             .computeIfAbsent(
-                snapshot.seats.get(choice.candidate()).machine(), k -> new LinkedHashMap<>())
+                snapshot.candidates.get(choice.candidate()).machine(), k -> new LinkedHashMap<>())
             .computeIfAbsent(job, PlannedTasks::new)
             .tasks++;
         planned(job);
@@ -771,8 +773,8 @@
   /**
    * How many more tasks the job's team may run, counting whatever may still be running anywhere.
    */
-  int quotaRoom(Job job) {
-    int room = failover.quotaRoom(job);
+  int quotaHeadroom(Job job) {
+    int room = failover.quotaHeadroom(job);
     double[] planned = plannedByTeam.get(job.spec().team());
     if (planned != null && room != Integer.MAX_VALUE) {
       if (job.spec().cores() > 0) {
--- a/src/main/java/plumlever/leader/TaskStarter.java
+++ b/src/main/java/plumlever/leader/TaskStarter.java
@@ -17,12 +17,12 @@
   private static final double EPSILON = 1e-9;
 
   /** What is free on a machine, while tasks are added to it. */
-  private static final class Room {
+  private static final class FreeCapacity {
     private double cores;
     private double accelerators;
     private double memoryGb;
 
-    Room(Machine machine, MachineType machineType) {
+    FreeCapacity(Machine machine, MachineType machineType) {
       cores = machineType.cores() - machine.guests().cores();
       accelerators = machineType.accelerators() - machine.guests().accelerators();
       memoryGb = machineType.memoryGb() - machine.guests().memoryGb();
@@ -78,7 +78,7 @@
       return List.of();
     }
     List<Attempt> started = new ArrayList<>();
-    Room room = new Room(machine, machineType);
+    FreeCapacity room = new FreeCapacity(machine, machineType);
     long now = context.loop().nowMicros();
     for (SchedulingPass.PlannedTasks otherPlanned : planned) {
       Job job = otherPlanned.job;
@@ -94,7 +94,7 @@
       for (int i = 0; i < otherPlanned.tasks && job.hasFree(); i++) {
         if (!room.holds(job.spec())
             || !zones.allows(machine.zone())
-            || failover.quotaRoom(job) < 1) {
+            || failover.quotaHeadroom(job) < 1) {
           break;
         }
         int task = job.firstFree();
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -11,7 +11,7 @@
  * free processors.
  */
 public final class Placer {
-  /** Where one task goes: {@code seat} is -1 if nowhere now. */
+  /** Where one task goes: {@code candidate} is -1 if nowhere now. */
   public record Choice(int candidate, long startMicros, boolean feasible) {
     static final Choice NONE = new Choice(-1, Long.MAX_VALUE, false);
   }
@@ -58,7 +58,7 @@
    */
   public final class Search {
     private final ResourceRequest request;
-    private final List<PlacementCandidate> seats;
+    private final List<PlacementCandidate> candidates;
     private final Zones zones;
     private final long nowMicros;
 
@@ -77,22 +77,22 @@
 
     private Search(
         ResourceRequest request,
-        List<PlacementCandidate> seats,
+        List<PlacementCandidate> candidates,
         Zones zones,
         Fetch fetchTimes,
         long nowMicros) {
       this.request = request;
-      this.seats = seats;
+      this.candidates = candidates;
       this.zones = zones;
       this.nowMicros = nowMicros;
-      int size = seats.size();
+      int size = candidates.size();
       fetch = new long[size];
       run = new long[size];
       score = new double[size];
       long[] keys = new long[size];
       int count = 0;
       for (int i = 0; i < size; i++) {
-        PlacementCandidate candidate = seats.get(i);
+        PlacementCandidate candidate = candidates.get(i);
         double share = request.share(candidate);
         if (share > 1 + ROUNDING || !request.allows(candidate)) {
           continue;
@@ -121,7 +121,7 @@
         int candidate = band.best();
         if (candidate >= 0) {
           return new Choice(
-              candidate, seats.get(candidate).earliest(request, nowMicros), kind < UNPADDED);
+              candidate, candidates.get(candidate).earliest(request, nowMicros), kind < UNPADDED);
         }
         kind++;
         if (kind < KINDS) {
@@ -135,7 +135,7 @@
 
     /** The task goes there: now, or booked for later. */
     public void commit(Choice choice) {
-      PlacementCandidate candidate = seats.get(choice.candidate);
+      PlacementCandidate candidate = candidates.get(choice.candidate);
       long end =
           choice.startMicros
               + fetch[choice.candidate]
@@ -153,15 +153,15 @@
     }
 
     private boolean suits(int candidate, int asKind) {
-      PlacementCandidate otherSeat = seats.get(candidate);
-      if (!zones.allows(otherSeat.zone)) {
+      PlacementCandidate otherCandidate = candidates.get(candidate);
+      if (!zones.allows(otherCandidate.zone)) {
         return false;
       }
       boolean later = (asKind & 1) == 1;
-      if (otherSeat.fitsNow(request) == later) {
+      if (otherCandidate.fitsNow(request) == later) {
         return false;
       }
-      long start = otherSeat.earliest(request, nowMicros);
+      long start = otherCandidate.earliest(request, nowMicros);
       if (start == Long.MAX_VALUE || (start > nowMicros) != later) {
         return false;
       }
@@ -169,7 +169,7 @@
       long runs = start + fetch[candidate];
       // Room that others leave may come later than estimated; room on a machine that is booting
       // does not hang on that.
-      if (pad > 0 && later && start > otherSeat.upMicros()) {
+      if (pad > 0 && later && start > otherCandidate.upMicros()) {
         runs += hedgeMicros;
       }
       return runs <= request.startByMicros()
@@ -220,42 +220,43 @@
         sink();
       }
 
-      private void push(int seat) {
+      private void push(int candidate) {
         if (size == heap.length) {
           heap = Arrays.copyOf(heap, size * 2);
         }
         int index = size++;
-        while (index > 0 && before(seat, heap[(index - 1) / 2])) {
+        while (index > 0 && before(candidate, heap[(index - 1) / 2])) {
           heap[index] = heap[(index - 1) / 2];
           index = (index - 1) / 2;
         }
-        heap[index] = seat;
+        heap[index] = candidate;
       }
 
       private void sink() {
         if (size == 0) {
           return;
         }
-        int seat = heap[0];
+        int candidate = heap[0];
         int index = 0;
         while (2 * index + 1 < size) {
           int child = 2 * index + 1;
           if (child + 1 < size && before(heap[child + 1], heap[child])) {
             child++;
           }
-          if (!before(heap[child], seat)) {
+          if (!before(heap[child], candidate)) {
             break;
           }
           heap[index] = heap[child];
           index = child;
         }
-        heap[index] = seat;
+        heap[index] = candidate;
       }
 
       private boolean before(int first, int second) {
-        PlacementCandidate leftSeat = seats.get(first);
-        PlacementCandidate rightSeat = seats.get(second);
-        return winsTie(leftSeat, rightSeat) || (!winsTie(rightSeat, leftSeat) && first < second);
+        PlacementCandidate leftCandidate = candidates.get(first);
+        PlacementCandidate rightCandidate = candidates.get(second);
+        return winsTie(leftCandidate, rightCandidate)
+            || (!winsTie(rightCandidate, leftCandidate) && first < second);
       }
     }
 
@@ -272,29 +273,29 @@
         }
       }
 
-      private void add(int seat) {
+      private void add(int candidate) {
         long start =
-            zones.allows(seats.get(seat).zone)
-                ? seats.get(seat).earliest(request, nowMicros)
+            zones.allows(candidates.get(candidate).zone)
+                ? candidates.get(candidate).earliest(request, nowMicros)
                 : Long.MAX_VALUE;
         if (start != Long.MAX_VALUE) {
-          heap.add(new long[] {start + fetch[seat], seat});
+          heap.add(new long[] {start + fetch[candidate], candidate});
         }
       }
 
       Choice best() {
         while (!heap.isEmpty()) {
           long[] top = heap.peek();
-          int seat = (int) top[1];
+          int candidate = (int) top[1];
           long start =
-              zones.allows(seats.get(seat).zone)
-                  ? seats.get(seat).earliest(request, nowMicros)
+              zones.allows(candidates.get(candidate).zone)
+                  ? candidates.get(candidate).earliest(request, nowMicros)
                   : Long.MAX_VALUE;
-          if (start != Long.MAX_VALUE && start + fetch[seat] == top[0]) {
-            return new Choice(seat, start, false);
+          if (start != Long.MAX_VALUE && start + fetch[candidate] == top[0]) {
+            return new Choice(candidate, start, false);
           }
           heap.poll();
-          add(seat);
+          add(candidate);
         }
         return Choice.NONE;
       }
@@ -303,20 +304,20 @@
 
   public Search search(
       ResourceRequest request,
-      List<PlacementCandidate> seats,
+      List<PlacementCandidate> candidates,
       Zones zones,
       Fetch fetchTimes,
       long nowMicros) {
-    return new Search(request, seats, zones, fetchTimes, nowMicros);
+    return new Search(request, candidates, zones, fetchTimes, nowMicros);
   }
 
   /**
    * True if some seat has room for one such task now: a quick look, where a search sees to score
    * and time as well.
    */
-  public static boolean roomNow(
-      ResourceRequest request, List<PlacementCandidate> seats, Zones zones) {
-    for (PlacementCandidate candidate : seats) {
+  public static boolean hasFreeCapacityNow(
+      ResourceRequest request, List<PlacementCandidate> candidates, Zones zones) {
+    for (PlacementCandidate candidate : candidates) {
       if (candidate.fitsNow(request)
           && request.allows(candidate)
           && zones.allows(candidate.zone)
--- a/src/main/java/plumlever/scaling/Standby.java
+++ b/src/main/java/plumlever/scaling/CapacityHeadroom.java
@@ -8,22 +8,22 @@
  * the whole as much comes free as comes in; what must be there is the spread of what comes in while
  * a machine is rented and comes up. Pure.
  */
-public final class Standby {
+public final class CapacityHeadroom {
   private record Arrival(long atMicros, double cores, JobSpec job) {}
 
   private final long windowMicros;
   private final long rentMicros;
-  private final double spreads;
+  private final double deviations;
   private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
   private double squares;
 
   /**
    * @param spreads how many times the standard deviation stands by
    */
-  public Standby(long windowMicros, long rentMicros, double spreads) {
+  public CapacityHeadroom(long windowMicros, long rentMicros, double deviations) {
     this.windowMicros = windowMicros;
     this.rentMicros = rentMicros;
-    this.spreads = spreads;
+    this.deviations = deviations;
   }
 
   /** A job came whose start can't wait for a rental. */
@@ -39,7 +39,7 @@
       Arrival old = arrivals.poll();
       squares = arrivals.isEmpty() ? 0 : squares - old.cores * old.cores;
     }
-    return spreads * Math.sqrt(Math.max(0, squares) * rentMicros / windowMicros);
+    return deviations * Math.sqrt(Math.max(0, squares) * rentMicros / windowMicros);
   }
 
   /** What most likely comes next is like what came last; null when nothing came lately. */
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -69,14 +69,14 @@
             micros("touch_s", tunables.leaseRenewalMicros(), 0.1, 100),
             micros("act_margin_s", tunables.actMarginMicros(), 0.05, 10),
             micros("progress_s", tunables.progressMicros(), 0.1, 60),
-            micros("round_budget_s", tunables.roundBudgetMicros(), 0.001, 1),
+            micros("round_budget_s", tunables.passBudgetMicros(), 0.001, 1),
             micros("silent_s", tunables.silentMicros(), 1, 600),
             micros("idle_money_s", tunables.idleMoneyMicros(), 0, 1e6),
             micros("idle_speed_s", tunables.idleSpeedMicros(), 0, 1e6),
             number("boot_factor", tunables.bootFactor(), 1, 100),
             micros("rent_s", tunables.rentMicros(), 0, 3600),
             micros("begin_s", tunables.beginMicros(), 1, 1e6),
-            number("standby_spreads", tunables.standbySpreads(), 0, 100),
+            number("standby_spreads", tunables.headroomDeviations(), 0, 100),
             number("spot_risk", tunables.spotRisk(), 0, 100),
             owned());
     if (!steppedDown.isEmpty()) {
--- a/src/main/java/plumlever/settings/Tunables.java
+++ b/src/main/java/plumlever/settings/Tunables.java
@@ -38,14 +38,14 @@
     long leaseRenewalMicros,
     long actMarginMicros,
     long progressMicros,
-    long roundBudgetMicros,
+    long passBudgetMicros,
     long silentMicros,
     long idleMoneyMicros,
     long idleSpeedMicros,
     double bootFactor,
     long rentMicros,
     long beginMicros,
-    double standbySpreads,
+    double headroomDeviations,
     double spotRisk,
     java.util.Map<String, Double> ownedHourly) {
 
--- a/src/test/java/plumlever/placement/PlacerTest.java
+++ b/src/test/java/plumlever/placement/PlacerTest.java
@@ -133,7 +133,7 @@
     int infeasible = 0;
     for (int round = 0; round < 3_000; round++) {
       List<Plain> plain = new ArrayList<>();
-      List<PlacementCandidate> seats = new ArrayList<>();
+      List<PlacementCandidate> candidates = new ArrayList<>();
       for (int i = 0; i < 1 + random.nextInt(8); i++) {
         Plain otherPlain = new Plain();
         otherPlain.zone = random.nextBoolean() ? "a" : "b";
@@ -143,7 +143,7 @@
         otherPlain.price = (otherPlain.spot ? 1 : 3) * (otherPlain.total == 4 ? 1.0 : 4.1);
         otherPlain.delay = random.nextInt(3) * 1_000_000L;
         otherPlain.fetch = random.nextInt(3) * 5_000_000L;
-        PlacementCandidate otherSeat =
+        PlacementCandidate otherCandidate =
             new PlacementCandidate(
                 "m" + i,
                 "f",
@@ -159,7 +159,7 @@
         otherPlain.freeMemory = otherPlain.totalMemory;
         if (random.nextInt(5) == 0) {
           otherPlain.up = NOW + (1 + random.nextInt(40)) * 1_000_000L;
-          otherSeat.comesUp(otherPlain.up);
+          otherCandidate.comesUp(otherPlain.up);
           otherPlain.ends.add(
               new double[] {otherPlain.up, otherPlain.total, otherPlain.totalMemory});
           otherPlain.free = 0;
@@ -171,14 +171,14 @@
           long end = NOW + random.nextInt(90) * 1_000_000L;
           ResourceRequest on =
               request(cores, memory, 0, Long.MAX_VALUE, Long.MAX_VALUE, null, true);
-          otherSeat.occupy(cores, 0, memory, end);
+          otherCandidate.occupy(cores, 0, memory, end);
           otherPlain.free -= cores;
           otherPlain.freeMemory -= memory;
           otherPlain.busy = true;
           otherPlain.ends.add(new double[] {end, cores, memory});
         }
         plain.add(otherPlain);
-        seats.add(otherSeat);
+        candidates.add(otherCandidate);
       }
       Zones zones = new Zones(random.nextInt(4) == 0, 1 + random.nextInt(5));
       if (random.nextBoolean()) {
@@ -201,9 +201,9 @@
           new Placer(PADDING, TIE, HEDGE, RISK)
               .search(
                   otherAsk,
-                  seats,
+                  candidates,
                   zones,
-                  (seat, machine, image, gb) ->
+                  (candidate, machine, image, gb) ->
                       plain.get(Integer.parseInt(machine.substring(1))).fetch,
                   NOW)
               .next();
@@ -226,7 +226,7 @@
     Placer placer = new Placer(PADDING, TIE, HEDGE, RISK);
     int[] kinds = new int[3];
     for (int round = 0; round < 400; round++) {
-      List<PlacementCandidate> seats = new ArrayList<>();
+      List<PlacementCandidate> candidates = new ArrayList<>();
       for (int i = 0; i < 1 + random.nextInt(12); i++) {
         double total = random.nextBoolean() ? 4 : 16;
         PlacementCandidate candidate =
@@ -244,7 +244,7 @@
         for (double free = total; free > 0 && random.nextInt(3) > 0; free--) {
           candidate.occupy(1, 0, 4, NOW + 1 + random.nextInt(60) * 1_000_000L);
         }
-        seats.add(candidate);
+        candidates.add(candidate);
       }
       Zones zones =
           new Zones(random.nextInt(5) == 0, random.nextInt(3) == 0 ? 5 : Integer.MAX_VALUE);
@@ -258,9 +258,9 @@
               null,
               random.nextInt(3) > 0);
       Placer.Fetch fetch = (n, m, i, g) -> n % 3 * 4_000_000L;
-      Placer.Search going = placer.search(otherAsk, seats, zones, fetch, NOW);
+      Placer.Search going = placer.search(otherAsk, candidates, zones, fetch, NOW);
       for (int task = 0; task < 25; task++) {
-        Placer.Choice fresh = placer.search(otherAsk, seats, zones, fetch, NOW).next();
+        Placer.Choice fresh = placer.search(otherAsk, candidates, zones, fetch, NOW).next();
         Placer.Choice next = going.next();
         assertEquals(fresh, next, "round " + round + " task " + task);
         if (next.candidate() < 0) {
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -116,11 +116,11 @@
     assertTrue(
         cluster.store.mostChanges <= 60,
         "changes in the busiest second: " + cluster.store.mostChanges);
-    long seats =
+    long candidates =
         cluster.members.values().stream()
             .mapToLong(m -> m.node().metrics().counted("seats_evaluated"))
             .sum();
-    assertTrue(seats > 0 && seats < 3_000_000, "seats evaluated: " + seats);
+    assertTrue(candidates > 0 && candidates < 3_000_000, "seats evaluated: " + candidates);
   }
 
   /**
@@ -143,11 +143,11 @@
     cluster.play(60);
     long before = cluster.leader().node().metrics().counted("seats_evaluated");
     cluster.play(10);
-    long seats = cluster.leader().node().metrics().counted("seats_evaluated") - before;
+    long candidates = cluster.leader().node().metrics().counted("seats_evaluated") - before;
     long rounds = 10_000_000 / 150_000;
     assertTrue(
-        seats > 0 && seats < rounds * cluster.cloud.machines.size() * 30,
-        "seats evaluated: " + seats + " for " + cluster.cloud.machines.size() + " machines");
+        candidates > 0 && candidates < rounds * cluster.cloud.machines.size() * 30,
+        "seats evaluated: " + candidates + " for " + cluster.cloud.machines.size() + " machines");
   }
 
   /**
@@ -262,7 +262,7 @@
     // One for each worker, and calls that are under way; the users' own zones have room for 300
     // more.
     assertTrue(cluster.mostSockets <= 1_600 + 112, "sockets in use: " + cluster.mostSockets);
-    long seats =
+    long candidates =
         cluster.members.values().stream()
             .mapToLong(m -> m.node().metrics().counted("seats_evaluated"))
             .sum();
@@ -271,7 +271,7 @@
             .mapToLong(m -> m.node().metrics().counted("reports"))
             .sum();
     assertTrue(
-        heartbeats > 10_000 && seats / heartbeats < 60,
-        "work for each report: " + seats / heartbeats);
+        heartbeats > 10_000 && candidates / heartbeats < 60,
+        "work for each report: " + candidates / heartbeats);
   }
 }
--- a/src/test/java/plumlever/sim/Processor.java
+++ b/src/test/java/plumlever/sim/Processor.java
@@ -29,7 +29,7 @@
       long requestMicros,
       long answerMicros,
       long timerMicros,
-      double seatMicros,
+      double candidateMicros,
       long startMicros,
       double coldTimes,
       long warmAfterMicros) {
@@ -43,21 +43,21 @@
   private final SimulatedCluster cluster;
   private final Costs costs;
   private double slower;
-  private final LongSupplier seats;
+  private final LongSupplier candidates;
   private final ArrayDeque<Item> line = new ArrayDeque<>();
   private long freeAt;
   private long worked;
-  private long seatsBefore;
+  private long candidatesBefore;
   private boolean running;
 
   /**
-   * @param seats seats evaluated so far, each of which takes its time
+   * @param candidates seats evaluated so far, each of which takes its time
    */
-  Processor(SimulatedCluster cluster, Costs costs, double slower, LongSupplier seats) {
+  Processor(SimulatedCluster cluster, Costs costs, double slower, LongSupplier candidates) {
     this.cluster = cluster;
     this.costs = costs;
     this.slower = slower;
-    this.seats = seats;
+    this.candidates = candidates;
     this.freeAt = costs == null ? 0 : cluster.now() + costs.startMicros;
   }
 
@@ -84,7 +84,7 @@
       return;
     }
     item.action.run();
-    long seatsNow = seats.getAsLong();
+    long candidatesNow = candidates.getAsLong();
     double plain =
         switch (item.work) {
               case HEARTBEAT -> costs.heartbeatMicros;
@@ -92,8 +92,8 @@
               case ANSWER -> costs.answerMicros;
               case TIMER -> costs.timerMicros;
             }
-            + Math.max(0, seatsNow - seatsBefore) * costs.seatMicros;
-    seatsBefore = seatsNow;
+            + Math.max(0, candidatesNow - candidatesBefore) * costs.candidateMicros;
+    candidatesBefore = candidatesNow;
     double cold =
         worked >= costs.warmAfterMicros
             ? 1
