--- a/src/main/java/plumlever/Node.java
+++ b/src/main/java/plumlever/Controller.java
@@ -33,9 +33,9 @@
 import plumlever.peer.PeerStatus;
 import plumlever.peer.Peers;
 import plumlever.settings.OperatorSettings;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
-import plumlever.settings.Tunables;
 import plumlever.sharing.PoolView;
 import plumlever.store.JobRecordCache;
 import plumlever.store.JobStore;
@@ -43,10 +43,10 @@
 import plumlever.store.StateClient;
 
 /** One controller, without its sockets: everything lives on the loop it is given. */
-public final class Node implements AutoCloseable {
+public final class Controller implements AutoCloseable {
   private static final long SUMMARY_MICROS = 60_000_000;
 
-  /** Longer than it takes any node to notice a common outage and tell its peers. */
+  /** Longer than it takes any controller to notice a common outage and tell its peers. */
   private static final long ALONE_MICROS = 3_000_000;
 
   private static final long PEER_FRESH_MICROS = 3_500_000;
@@ -68,7 +68,7 @@
 
   private final Loop loop;
   private final Optional<SharingSettings> sharing;
-  private final Platform platform;
+  private final PlatformConfiguration platform;
   private final Metrics metrics;
   private final Scope scope = new Scope();
   private final StateClient store;
@@ -82,22 +82,27 @@
   private final DelegatedRenewal delegatedRenewal;
   private final Map<String, Long> unknownMachines = new HashMap<>();
 
-  /** Jobs whose users were told through this node that they are cancelled, by when. */
+  /** Jobs whose users were told through this controller that they are cancelled, by when. */
   private final Map<String, Long> confirmedCancellations = new LinkedHashMap<>();
 
   private Leader leader;
   private long pulseDeadlineMicros;
   private long lateMicros;
 
-  /** A node that does everything on one loop. */
-  public Node(Loop loop, Caller caller, Platform platform, Tunables tunables, long seed) {
+  /** A controller that does everything on one loop. */
+  public Controller(
+      Loop loop,
+      Caller caller,
+      PlatformConfiguration platform,
+      SchedulerParameters parameters,
+      long seed) {
     this(
         loop,
         caller,
         loop,
         caller,
         platform,
-        new OperatorSettings(tunables, Optional.empty()),
+        new OperatorSettings(parameters, Optional.empty()),
         seed,
         Logs.SERVICE);
   }
@@ -106,16 +111,16 @@
    * @param electionLoop what leadership runs on, with its own way out, so that nothing here delays
    *     it
    */
-  public Node(
+  public Controller(
       Loop loop,
       Caller bare,
       Loop electionLoop,
       Caller electionCaller,
-      Platform platform,
+      PlatformConfiguration platform,
       OperatorSettings settings,
       long seed,
       Logs logs) {
-    Tunables tunables = settings.tunables();
+    SchedulerParameters parameters = settings.parameters();
     this.sharing = settings.sharing();
     KeySpace keySpace =
         sharing.map(pool -> KeySpace.under(pool.own().prefix())).orElse(KeySpace.ROOT);
@@ -127,7 +132,7 @@
         new StateClient(loop, caller, platform.state(), platform.stateLimits(), metrics, keySpace);
     CloudClient cloud =
         new CloudClient(loop, caller, platform.cloud(), platform.cloudLimits(), metrics);
-    this.prices = new PriceBook(tunables);
+    this.prices = new PriceBook(parameters);
     this.machineTypes = new MachineTypeRefresh(loop, cloud, store, prices, logs);
     JobStore layout =
         new JobStore(
@@ -153,7 +158,7 @@
             platform.label(),
             electionLoop,
             electionStore,
-            tunables,
+            parameters,
             new ElectionListener() {
               @Override
               public void elected(Term term) {
@@ -162,7 +167,7 @@
 
               @Override
               public void steppedDown(Term term) {
-                loop.execute(Node.this::stopLeading);
+                loop.execute(Controller.this::stopLeading);
               }
 
               @Override
@@ -173,13 +178,13 @@
             poolTerms,
             seed,
             logs);
-    boolean moneyMatters = platform.moneyMatters(tunables.rentMicros());
+    boolean moneyMatters = platform.moneyMatters(parameters.rentMicros());
     this.contexts =
         term ->
             new Context(
                 loop,
                 platform,
-                tunables,
+                parameters,
                 election,
                 term,
                 store,
@@ -233,12 +238,12 @@
 
               @Override
               public int[] counts(String uid) {
-                return Node.this.counts(uid);
+                return Controller.this.counts(uid);
               }
 
               @Override
               public boolean isRefusedAlone() {
-                return Node.this.isRefusedAlone();
+                return Controller.this.isRefusedAlone();
               }
 
               @Override
@@ -282,7 +287,7 @@
             metrics);
   }
 
-  /** Notes what the answers to this node's own calls take. */
+  /** Notes what the answers to this controller's own calls take. */
   private Caller metered(Caller bare) {
     return (to, method, path, body, timeout, answer) -> {
       String work =
@@ -370,7 +375,7 @@
     return metrics;
   }
 
-  /** True while this node may act for the controllers. */
+  /** True while this controller may act for the controllers. */
   public boolean mayAct() {
     return election.mayAct();
   }
@@ -389,10 +394,10 @@
   }
 
   /**
-   * True when the state service serves others but not this node, by refusals or by silence: users
-   * are better off with another. In a common outage no node is alone, or there would be nobody left
-   * to ask. A node that hears of no peer either is cut off from all of them, and can't tell what
-   * they get.
+   * True when the state service serves others but not this controller, by refusals or by silence:
+   * users are better off with another. In a common outage no controller is alone, or there would be
+   * nobody left to ask. A controller that hears of no peer either is cut off from all of them, and
+   * can't tell what they get.
    */
   private boolean isRefusedAlone() {
     if (store.refusedForMicros() < ALONE_MICROS || platform.seeds().isEmpty()) {
@@ -409,8 +414,9 @@
   }
 
   /**
-   * True when this node runs so late that users wait for seconds, as a leader does whom hundreds of
-   * workers come to, while another is on time. Where nobody is, all go on taking what they can.
+   * True when this controller runs so late that users wait for seconds, as a leader does whom
+   * hundreds of workers come to, while another is on time. Where nobody is, all go on taking what
+   * they can.
    */
   private boolean othersAreSooner() {
     if (latenessMicros() < LATE_MICROS) {
--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -17,9 +17,9 @@
 import plumlever.http.XnioLoop;
 import plumlever.settings.Endpoint;
 import plumlever.settings.OperatorSettings;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SettingsException;
-import plumlever.settings.Tunables;
 import plumlever.warmup.WarmUp;
 import plumlever.warmup.WarmUpServices;
 
@@ -81,7 +81,7 @@
       Files.writeString(file, String.format(SETTINGS, around.port()));
       Main.run(new String[] {"--config", file.toString(), "--check"});
       loadOwnClasses();
-      Platform platform = Platform.load(file);
+      PlatformConfiguration platform = PlatformConfiguration.load(file);
       Service service = new Service(platform, OperatorSettings.defaults());
       try (service) {
         service.start();
@@ -96,7 +96,7 @@
         ask(base + "/submissions/job-2/abort", "");
       }
       around.close();
-      WarmUp.playAll(platform, Tunables.defaults());
+      WarmUp.playAll(platform, SchedulerParameters.defaults());
       return 0;
     } catch (IOException | SettingsException e) {
       System.err.println("plumlever: the start could not be rehearsed: " + e);
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -3,9 +3,9 @@
 import java.util.stream.Collectors;
 import plumlever.http.Server;
 import plumlever.settings.OperatorSettings;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
-import plumlever.settings.Tunables;
 
 /** What would run with the settings given, for {@code --check}. */
 final class Check {
@@ -13,8 +13,8 @@
 
   private Check() {}
 
-  static String describe(Platform platform, OperatorSettings settings) {
-    Tunables tunables = settings.tunables();
+  static String describe(PlatformConfiguration platform, OperatorSettings settings) {
+    SchedulerParameters parameters = settings.parameters();
     return String.join(
         "\n",
         addresses(platform),
@@ -22,12 +22,14 @@
         connections(platform),
         limits(platform.stateLimits()),
         "teams: "
-            + platform.teams().stream().map(Platform.Team::name).collect(Collectors.joining(", ")),
-        money(platform, tunables),
-        placement(tunables));
+            + platform.teams().stream()
+                .map(PlatformConfiguration.Team::name)
+                .collect(Collectors.joining(", ")),
+        money(platform, parameters),
+        placement(parameters));
   }
 
-  private static String addresses(Platform platform) {
+  private static String addresses(PlatformConfiguration platform) {
     String others =
         platform.seeds().stream()
             .map(seed -> seed.label() + " at " + seed.endpoint())
@@ -69,7 +71,7 @@
             .collect(Collectors.joining(", "));
   }
 
-  private static String connections(Platform platform) {
+  private static String connections(PlatformConfiguration platform) {
     int shared = Service.sharedConnections(platform);
     return "connections: "
         + shared
@@ -78,7 +80,7 @@
         + " each worker gets one for each report";
   }
 
-  private static String limits(Platform.StateLimits limits) {
+  private static String limits(PlatformConfiguration.StateLimits limits) {
     return "writes to the state service, within the limits now and next: values of "
         + limits.valueBytes()
         + " bytes (now "
@@ -92,22 +94,22 @@
         + " requests a second";
   }
 
-  private static String money(Platform platform, Tunables tunables) {
-    return platform.moneyMatters(tunables.rentMicros())
+  private static String money(PlatformConfiguration platform, SchedulerParameters parameters) {
+    return platform.moneyMatters(parameters.rentMicros())
         ? "money is saved where the aims leave time: idle machines are returned after "
-            + seconds(tunables.idleMoneyMicros())
+            + seconds(parameters.idleMoneyMicros())
         : "machines stand by, since an aim leaves no time to rent one: idle machines are returned"
             + " after "
-            + seconds(tunables.idleSpeedMicros());
+            + seconds(parameters.idleSpeedMicros());
   }
 
-  private static String placement(Tunables tunables) {
+  private static String placement(SchedulerParameters parameters) {
     return "padding "
-        + tunables.paddingShare()
+        + parameters.paddingShare()
         + ", tie band "
-        + tunables.tieShare()
+        + parameters.tieShare()
         + ", start target "
-        + seconds(tunables.startTargetMicros());
+        + seconds(parameters.startTargetMicros());
   }
 
   private static String seconds(long micros) {
--- a/src/main/java/plumlever/cli/Main.java
+++ b/src/main/java/plumlever/cli/Main.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.ParseException;
 import plumlever.settings.OperatorFile;
 import plumlever.settings.OperatorSettings;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SettingsException;
 
 /** The command line. */
@@ -86,10 +86,10 @@
     if (!line.hasOption("config")) {
       return wrong("Missing required option: --config FILE");
     }
-    Platform platform;
+    PlatformConfiguration platform;
     OperatorSettings settings;
     try {
-      platform = Platform.load(Path.of(line.getOptionValue("config")));
+      platform = PlatformConfiguration.load(Path.of(line.getOptionValue("config")));
       settings =
           line.hasOption("settings")
               ? OperatorFile.load(Path.of(line.getOptionValue("settings")), platform)
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -11,14 +11,14 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import plumlever.Node;
+import plumlever.Controller;
 import plumlever.concurrent.RecurringTask;
 import plumlever.http.Server;
 import plumlever.http.UndertowCaller;
 import plumlever.http.XnioLoop;
 import plumlever.metrics.Logs;
 import plumlever.settings.OperatorSettings;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.warmup.WarmUp;
 
 /**
@@ -49,17 +49,17 @@
   private static final long PEER_BODY = 512 * 1024;
   private static final int STOP_S = 3;
 
-  private final Platform platform;
+  private final PlatformConfiguration platform;
   private final OperatorSettings settings;
   private XnioWorker worker;
   private XnioWorker electionWorker;
   private XnioLoop loop;
-  private Node node;
+  private Controller node;
   private UndertowCaller caller;
   private Server front;
   private Server back;
 
-  Service(Platform platform, OperatorSettings settings) {
+  Service(PlatformConfiguration platform, OperatorSettings settings) {
     this.platform = platform;
     this.settings = settings;
   }
@@ -91,7 +91,7 @@
             electionWorker.getIoThread(),
             new DefaultByteBufferPool(false, BUFFER_BYTES, 8, 1));
     node =
-        new Node(
+        new Controller(
             loop,
             caller,
             electionLoop,
@@ -131,7 +131,11 @@
                     / BYTES_PER_MB);
     WarmUp warmUp =
         new WarmUp(
-            loop, platform, settings.tunables(), node::latenessMicros, () -> node.leader() != null);
+            loop,
+            platform,
+            settings.parameters(),
+            node::latenessMicros,
+            () -> node.leader() != null);
     node.metrics()
         .gauge(
             "cpu_ms",
@@ -151,7 +155,10 @@
         platform.label(),
         platform.bind(),
         platform.back(),
-        platform.objectives().stream().map(Platform.Objective::kind).distinct().toList());
+        platform.objectives().stream()
+            .map(PlatformConfiguration.Objective::kind)
+            .distinct()
+            .toList());
   }
 
   static XnioWorker worker(String name) throws java.io.IOException {
@@ -167,7 +174,7 @@
   }
 
   /** Connections that users and workers share. */
-  static int sharedConnections(Platform platform) {
+  static int sharedConnections(PlatformConfiguration platform) {
     return Math.max(LEAST_SHARED, platform.socketLimit() - RESERVED);
   }
 
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -15,7 +15,7 @@
 import plumlever.http.Caller;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.store.TokenBucket;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
@@ -64,7 +64,11 @@
 
   /** A client that keeps within the cloud's rate limit. */
   public CloudClient(
-      Loop loop, Caller caller, Endpoint at, Platform.CloudLimits limits, Metrics metrics) {
+      Loop loop,
+      Caller caller,
+      Endpoint at,
+      PlatformConfiguration.CloudLimits limits,
+      Metrics metrics) {
     this.metrics = metrics;
     this.loop = loop;
     this.caller = caller;
--- a/src/main/java/plumlever/cloud/PriceBook.java
+++ b/src/main/java/plumlever/cloud/PriceBook.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import plumlever.settings.Tunables;
+import plumlever.settings.SchedulerParameters;
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 
@@ -13,8 +13,8 @@
   private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
   private final Map<String, Double> ownedHourly;
 
-  public PriceBook(Tunables tunables) {
-    this.ownedHourly = tunables.ownedHourly();
+  public PriceBook(SchedulerParameters parameters) {
+    this.ownedHourly = parameters.ownedHourly();
   }
 
   /** Takes in the machine types as the cloud lists them now. */
--- a/src/main/java/plumlever/concurrent/RecurringTask.java
+++ b/src/main/java/plumlever/concurrent/RecurringTask.java
@@ -56,7 +56,8 @@
     try {
       pause = turn.run();
     } catch (RuntimeException e) {
-      // A duty that died in silence would leave the node half alive; it is tried again instead.
+      // A duty that died in silence would leave the controller half alive; it is tried again
+      // instead.
       LOG.error("duty {} failed, tried again in a second", name, e);
       pause = AFTER_FAILURE_MICROS;
     } finally {
--- a/src/main/java/plumlever/election/ElectionListener.java
+++ b/src/main/java/plumlever/election/ElectionListener.java
@@ -1,11 +1,11 @@
 package plumlever.election;
 
-/** Told on the election's own loop how this node's terms begin and end. */
+/** Told on the election's own loop how this controller's terms begin and end. */
 public interface ElectionListener {
-  /** A term of this node has begun. */
+  /** A term of this controller has begun. */
   void elected(Term term);
 
-  /** A term of this node has ended. */
+  /** A term of this controller has ended. */
   void steppedDown(Term term);
 
   /** Runs on the thread that decides, to see whether it still turns. */
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -8,7 +8,7 @@
 import plumlever.concurrent.RecurringTask;
 import plumlever.concurrent.Scope;
 import plumlever.metrics.Logs;
-import plumlever.settings.Tunables;
+import plumlever.settings.SchedulerParameters;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.HttpStatus;
@@ -16,7 +16,7 @@
 
 /**
  * Who leads. The leader holds a key that hangs on a lease of the state service; taking it raises
- * the term in the same transaction. How long this node may act is counted from when its last
+ * the term in the same transaction. How long this controller may act is counted from when its last
  * successful renewal was <em>sent</em>, so it ends before the state service lets anyone else in.
  *
  * <p>It runs on a loop of its own, so that no round, no crowd of reports and no first use of code
@@ -51,7 +51,7 @@
   private final String label;
   private final Loop loop;
   private final StateClient store;
-  private final Tunables tunables;
+  private final SchedulerParameters parameters;
   private final ElectionListener listener;
   private final SplittableRandom random;
   private final Scope scope = new Scope();
@@ -74,7 +74,7 @@
   private long termRevision;
   private volatile long term;
 
-  /** The term in which this node leads, or null. */
+  /** The term in which this controller leads, or null. */
   private volatile Term current;
 
   private boolean busy;
@@ -89,7 +89,7 @@
       String label,
       Loop loop,
       StateClient store,
-      Tunables tunables,
+      SchedulerParameters parameters,
       ElectionListener listener,
       Optional<PoolTerms> poolTerms,
       long seed,
@@ -99,7 +99,7 @@
     this.label = label;
     this.loop = loop;
     this.store = store;
-    this.tunables = tunables;
+    this.parameters = parameters;
     this.listener = listener;
     this.random = new SplittableRandom(seed);
     this.nonce = Long.toHexString(random.nextLong());
@@ -140,7 +140,7 @@
     return ineligible;
   }
 
-  /** True while this node may act for the controllers, in whatever term. */
+  /** True while this controller may act for the controllers, in whatever term. */
   public boolean mayAct() {
     Term term = current;
     return term != null && term.mayAct();
@@ -149,12 +149,15 @@
   /** The live leader's label, or null if none is known lately. */
   public String leaderLabel() {
     boolean fresh =
-        loop.nowMicros() - leaderSeenMicros < WATCH_MICROS + 2 * tunables.leaseTtlMicros();
+        loop.nowMicros() - leaderSeenMicros < WATCH_MICROS + 2 * parameters.leaseTtlMicros();
     String who = leaderLabel;
     return who != null && fresh && !(who.equals(label) && current == null) ? who : null;
   }
 
-  /** Gives leadership up, at once, and does not stand for a while so that another node gets it. */
+  /**
+   * Gives leadership up, at once, and does not stand for a while so that another controller gets
+   * it.
+   */
   public void resign(Term of, String why, long pauseMicros) {
     of.end();
     loop.execute(() -> withdraw(of, why, pauseMicros));
@@ -280,7 +283,7 @@
         stepDown("another node holds the office");
       }
     } else if (!busy && (leaderRevision == 0 || label.equals(leaderLabel))) {
-      // A key of this node's own that it does not act on is left from an earlier life of this
+      // A key of this controller's own that it does not act on is left from an earlier life of this
       // process:
       // that one is dead, so leadership is free.
       candidacy.wakeIn(lostElections * 150_000L + random.nextInt(250_000));
@@ -328,7 +331,7 @@
   private void campaign(long now, long seenLeader, long seenTerm, PoolTerms.Next next) {
     long newTerm = next.term();
     store.createLease(
-        tunables.leaseTtlMicros(),
+        parameters.leaseTtlMicros(),
         p -> {
           if (p < 0) {
             busy = false;
@@ -427,14 +430,14 @@
     leaderNonce = nonce;
     leaderSeenMicros = loop.nowMicros();
     lastTurnMicros = loop.nowMicros();
-    otherTerm.extendFrom(sentAt, tunables);
+    otherTerm.extendFrom(sentAt, parameters);
     current = otherTerm;
     if (!otherTerm.mayAct()) {
       stepDown("the grant ran out while the office was taken");
       return;
     }
     log.info("leading, term {}", newTerm);
-    renewal.wakeIn(tunables.leaseRenewalMicros());
+    renewal.wakeIn(parameters.leaseRenewalMicros());
     listener.elected(otherTerm);
   }
 
@@ -460,7 +463,7 @@
             return;
           }
           switch (result) {
-            case RENEWED -> term.extendFrom(now, tunables);
+            case RENEWED -> term.extendFrom(now, parameters);
             case ENDED -> stepDown("the grant has ended");
             case UNKNOWN ->
                 renewal.wakeIn(
@@ -468,7 +471,7 @@
                         RETRY_MICROS, Math.max(1, term.rightUntilMicros() - loop.nowMicros())));
           }
         });
-    return Math.min(tunables.leaseRenewalMicros(), Math.max(1, term.rightUntilMicros() - now));
+    return Math.min(parameters.leaseRenewalMicros(), Math.max(1, term.rightUntilMicros() - now));
   }
 
   private void stepDown(String why) {
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -1,13 +1,13 @@
 package plumlever.election;
 
 import plumlever.concurrent.Loop;
-import plumlever.settings.Tunables;
+import plumlever.settings.SchedulerParameters;
 import plumlever.store.Transaction;
 
 /**
  * One term of leadership, and the right to act in it. Once it has ended it never comes back, also
- * if the same node is elected again: whoever still works for the old term must not go on under the
- * right of the new one. Extended on leadership's thread, asked on any.
+ * if the same controller is elected again: whoever still works for the old term must not go on
+ * under the right of the new one. Extended on leadership's thread, asked on any.
  */
 public final class Term {
   /** Both clocks may be off by 0.05%; this allows for twice the sum. */
@@ -66,10 +66,10 @@
    *
    * @param sentMicros when that request had been sent
    */
-  void extendFrom(long sentMicros, Tunables tunables) {
-    long lastsMicros = (long) (tunables.leaseTtlMicros() * (1 - DRIFT));
+  void extendFrom(long sentMicros, SchedulerParameters parameters) {
+    long lastsMicros = (long) (parameters.leaseTtlMicros() * (1 - DRIFT));
     rightUntilMicros =
-        Math.max(rightUntilMicros, sentMicros + lastsMicros - tunables.actMarginMicros());
+        Math.max(rightUntilMicros, sentMicros + lastsMicros - parameters.actMarginMicros());
   }
 
   void end() {
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -81,10 +81,10 @@
     }
   }
 
-  private static final class Node {
+  private static final class Vertex {
     final String uid;
-    final List<Node> needs = new ArrayList<>();
-    final List<Node> neededBy = new ArrayList<>();
+    final List<Vertex> needs = new ArrayList<>();
+    final List<Vertex> neededBy = new ArrayList<>();
 
     /** How many of the jobs that it waits on are not done, as far as is known. */
     int open;
@@ -100,7 +100,7 @@
     EffectiveGoal goal;
     long costMicros;
 
-    Node(String uid) {
+    Vertex(String uid) {
       this.uid = uid;
     }
 
@@ -109,14 +109,14 @@
     }
   }
 
-  private final Map<String, Node> nodes = new HashMap<>();
+  private final Map<String, Vertex> vertices = new HashMap<>();
   private final List<String> released = new ArrayList<>();
   private final List<String> jobCancelled = new ArrayList<>();
-  private final PriorityQueue<Node> stale =
-      new PriorityQueue<>(Comparator.comparingLong((Node n) -> n.revision).reversed());
+  private final PriorityQueue<Vertex> stale =
+      new PriorityQueue<>(Comparator.comparingLong((Vertex n) -> n.revision).reversed());
 
-  private Node node(String uid) {
-    return nodes.computeIfAbsent(uid, Node::new);
+  private Vertex vertex(String uid) {
+    return vertices.computeIfAbsent(uid, Vertex::new);
   }
 
   /**
@@ -125,16 +125,16 @@
    * @return the jobs named of which nothing was known: what their records say is to be told too
    */
   public List<String> accepted(String uid, long revision, Collection<String> dependencies) {
-    Node otherNode = node(uid);
+    Vertex otherNode = vertex(uid);
     if (otherNode.stateOf != State.UNKNOWN) {
       return List.of();
     }
     otherNode.stateOf = State.WAITING;
     otherNode.revision = revision;
     List<String> unknown = new ArrayList<>();
-    Node cause = null;
+    Vertex cause = null;
     for (String name : dependencies) {
-      Node before = node(name);
+      Vertex before = vertex(name);
       otherNode.needs.add(before);
       if (before.stateOf == State.DONE) {
         otherNode.releasedMicros = Math.max(otherNode.releasedMicros, before.releasedMicros);
@@ -156,53 +156,53 @@
     return unknown;
   }
 
-  private void release(Node node) {
-    node.stateOf = State.RELEASED;
-    released.add(node.uid);
+  private void release(Vertex vertex) {
+    vertex.stateOf = State.RELEASED;
+    released.add(vertex.uid);
   }
 
   /** The stored end of a job, of which anything may be known or not. */
   public void ended(String uid, JobState how, long atMicros) {
-    Node node = nodes.get(uid);
-    if (node == null || node.stateOf == State.DONE) {
+    Vertex vertex = vertices.get(uid);
+    if (vertex == null || vertex.stateOf == State.DONE) {
       return;
     }
     if (how == JobState.CANCELLED) {
-      if (node.stateOf != State.CANCELLED) {
-        cancel(node, uid);
+      if (vertex.stateOf != State.CANCELLED) {
+        cancel(vertex, uid);
       }
-      forget(node);
+      forget(vertex);
       return;
     }
-    node.stateOf = State.DONE;
-    for (Node after : node.neededBy) {
+    vertex.stateOf = State.DONE;
+    for (Vertex after : vertex.neededBy) {
       after.releasedMicros = Math.max(after.releasedMicros, atMicros);
       if (--after.open == 0 && after.stateOf == State.WAITING) {
         release(after);
       }
     }
-    forget(node);
+    forget(vertex);
   }
 
   /**
    * What has ended has told all that it ever will; should a later job name it, its record is read
    * again.
    */
-  private void forget(Node node) {
-    nodes.remove(node.uid, node);
+  private void forget(Vertex vertex) {
+    vertices.remove(vertex.uid, vertex);
   }
 
   /** Aborts it and all that need it; each is visited once. */
-  private void cancel(Node first, String failedDependencyOf) {
-    List<Node> next = new ArrayList<>();
+  private void cancel(Vertex first, String failedDependencyOf) {
+    List<Vertex> next = new ArrayList<>();
     first.stateOf = State.CANCELLED;
     first.failedDependencyOf = failedDependencyOf;
     next.add(first);
     for (int i = 0; i < next.size(); i++) {
-      Node node = next.get(i);
-      jobCancelled.add(node.uid);
-      node.needs.forEach(this::outdated);
-      for (Node after : node.neededBy) {
+      Vertex vertex = next.get(i);
+      jobCancelled.add(vertex.uid);
+      vertex.needs.forEach(this::outdated);
+      for (Vertex after : vertex.neededBy) {
         if (!after.over()) {
           after.stateOf = State.CANCELLED;
           after.failedDependencyOf = failedDependencyOf;
@@ -213,40 +213,40 @@
   }
 
   public State stateOf(String uid) {
-    Node node = nodes.get(uid);
-    return node == null ? State.UNKNOWN : node.stateOf;
+    Vertex vertex = vertices.get(uid);
+    return vertex == null ? State.UNKNOWN : vertex.stateOf;
   }
 
   /** The revision of its record; 0 where nothing is known of it. */
   public long revision(String uid) {
-    Node node = nodes.get(uid);
-    return node == null ? 0 : node.revision;
+    Vertex vertex = vertices.get(uid);
+    return vertex == null ? 0 : vertex.revision;
   }
 
   /** The job whose cancel cancelled this one. */
   public String failedDependencyOf(String uid) {
-    Node node = nodes.get(uid);
-    return node == null ? null : node.failedDependencyOf;
+    Vertex vertex = vertices.get(uid);
+    return vertex == null ? null : vertex.failedDependencyOf;
   }
 
   /** When the last job that it waits on ended; 0 if that is not known or there is none. */
   public long releasedMicros(String uid) {
-    Node node = nodes.get(uid);
-    return node == null ? 0 : node.releasedMicros;
+    Vertex vertex = vertices.get(uid);
+    return vertex == null ? 0 : vertex.releasedMicros;
   }
 
   /** The jobs that it still waits on, for the log. */
   public List<String> waitsFor(String uid) {
-    Node node = nodes.get(uid);
-    return node == null
+    Vertex vertex = vertices.get(uid);
+    return vertex == null
         ? List.of()
-        : node.needs.stream().filter(b -> b.stateOf != State.DONE).map(b -> b.uid).toList();
+        : vertex.needs.stream().filter(b -> b.stateOf != State.DONE).map(b -> b.uid).toList();
   }
 
   /** True if some job not over waits on it. */
   public boolean needed(String uid) {
-    Node node = nodes.get(uid);
-    return node != null && node.neededBy.stream().anyMatch(a -> !a.over());
+    Vertex vertex = vertices.get(uid);
+    return vertex != null && vertex.neededBy.stream().anyMatch(a -> !a.over());
   }
 
   /** The jobs released since asked last. */
@@ -267,37 +267,37 @@
 
   /** How many jobs are kept in mind. */
   public int size() {
-    return nodes.size();
+    return vertices.size();
   }
 
   /** What the job itself asks for, and what it takes once it is released. */
   public void goal(String uid, EffectiveGoal own, long costMicros) {
-    Node node = nodes.get(uid);
-    if (node == null) {
+    Vertex vertex = vertices.get(uid);
+    if (vertex == null) {
       return;
     }
-    node.own = own;
-    node.costMicros = costMicros;
-    outdated(node);
-    node.needs.forEach(this::outdated);
+    vertex.own = own;
+    vertex.costMicros = costMicros;
+    outdated(vertex);
+    vertex.needs.forEach(this::outdated);
   }
 
   /** What jobs take is better known now than when they came. */
   public void costs(ToLongFunction<String> costMicros) {
-    for (Node node : nodes.values()) {
-      if (node.own != null && !node.over()) {
-        long now = costMicros.applyAsLong(node.uid);
-        if (now != node.costMicros) {
-          node.costMicros = now;
-          node.needs.forEach(this::outdated);
+    for (Vertex vertex : vertices.values()) {
+      if (vertex.own != null && !vertex.over()) {
+        long now = costMicros.applyAsLong(vertex.uid);
+        if (now != vertex.costMicros) {
+          vertex.costMicros = now;
+          vertex.needs.forEach(this::outdated);
         }
       }
     }
   }
 
-  private void outdated(Node node) {
-    if (node.own != null && !node.over()) {
-      stale.add(node);
+  private void outdated(Vertex vertex) {
+    if (vertex.own != null && !vertex.over()) {
+      stale.add(vertex);
     }
   }
 
@@ -308,30 +308,30 @@
    * @param changed takes each job whose aim is another now
    */
   public void propagateGoals(Consumer<String> changed) {
-    Node last = null;
+    Vertex last = null;
     while (!stale.isEmpty()) {
-      Node node = stale.poll();
-      if (node == last || node.over()) {
+      Vertex vertex = stale.poll();
+      if (vertex == last || vertex.over()) {
         continue;
       }
-      last = node;
-      EffectiveGoal now = node.own;
-      for (Node after : node.neededBy) {
+      last = vertex;
+      EffectiveGoal now = vertex.own;
+      for (Vertex after : vertex.neededBy) {
         if (!after.over() && after.goal != null) {
           now = now.with(after.goal.before(after.costMicros));
         }
       }
-      if (!now.equals(node.goal)) {
-        node.goal = now;
-        changed.accept(node.uid);
-        node.needs.forEach(this::outdated);
+      if (!now.equals(vertex.goal)) {
+        vertex.goal = now;
+        changed.accept(vertex.uid);
+        vertex.needs.forEach(this::outdated);
       }
     }
   }
 
   /** What it is worth, what needs it considered; null before {@link #settleAims}. */
   public EffectiveGoal goal(String uid) {
-    Node node = nodes.get(uid);
-    return node == null ? null : node.goal;
+    Vertex vertex = vertices.get(uid);
+    return vertex == null ? null : vertex.goal;
   }
 }
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -52,7 +52,7 @@
   private int ratioCount;
 
   /**
-   * @param acceptedMicros on this node's steady clock
+   * @param acceptedMicros on this controller's steady clock
    */
   public Job(JobSpec spec, long revision, long acceptedMicros, boolean inherited) {
     this.spec = spec;
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -251,7 +251,7 @@
     return lastSeenMicros;
   }
 
-  /** When this node last let it renew its lease; -1 for never. */
+  /** When this controller last let it renew its lease; -1 for never. */
   public long lastAnswerMicros() {
     return lastAnswerMicros;
   }
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import plumlever.concurrent.Loop;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
@@ -44,12 +44,16 @@
   private final Loop loop;
   private final StateClient store;
   private final Caller caller;
-  private final Platform platform;
+  private final PlatformConfiguration platform;
   private final SharingSettings sharing;
 
   /** Looks in the other cells of this pool. */
   public JobForwarder(
-      Loop loop, StateClient store, Caller caller, Platform platform, SharingSettings sharing) {
+      Loop loop,
+      StateClient store,
+      Caller caller,
+      PlatformConfiguration platform,
+      SharingSettings sharing) {
     this.loop = loop;
     this.store = store;
     this.caller = caller;
@@ -128,14 +132,14 @@
 
   /** Has a controller of the cell answer the request, the first that can be reached. */
   public void forward(SharingSettings.Cell cell, ForwardedRequest request, Responder out) {
-    List<Platform.Seed> members =
+    List<PlatformConfiguration.Seed> members =
         platform.seeds().stream()
             .filter(seed -> cell.controllers().contains(seed.label()))
             .toList();
     forward(members.iterator(), request.write(), out);
   }
 
-  private void forward(Iterator<Platform.Seed> members, byte[] body, Responder out) {
+  private void forward(Iterator<PlatformConfiguration.Seed> members, byte[] body, Responder out) {
     if (!members.hasNext()) {
       out.later(
           HttpStatus.UNAVAILABLE, "no controller of the job's cell can be reached", RETRY_AFTER_S);
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -10,9 +10,9 @@
 
 /** Routes requests of users, workers and health checks. */
 public final class RequestRouter implements Server.Handler {
-  /** What the front has to know of this node. */
+  /** What the front has to know of this controller. */
   public interface House {
-    /** The leader here, or null when this node does not lead. */
+    /** The leader here, or null when this controller does not lead. */
     Leader leader();
 
     /** Label of the live leader, or null. */
@@ -20,7 +20,7 @@
 
     boolean canTakeRequests();
 
-    /** A worker reported to a node that does not lead. */
+    /** A worker reported to a controller that does not lead. */
     void unknownMachine(String machineId);
   }
 
@@ -33,7 +33,7 @@
   private final Metrics metrics;
   private final DelegatedHeartbeats delegated;
 
-  /** Routes requests to the parts of this node. */
+  /** Routes requests to the parts of this controller. */
   public RequestRouter(
       Loop clock, UserApi users, House house, DelegatedHeartbeats delegated, Metrics metrics) {
     this.delegated = delegated;
--- a/src/main/java/plumlever/http/Responder.java
+++ b/src/main/java/plumlever/http/Responder.java
@@ -12,7 +12,7 @@
     return false;
   }
 
-  /** The connection ends with the answer, so that its user finds another node. */
+  /** The connection ends with the answer, so that its user finds another controller. */
   default void closing() {}
 
   /** True when connections are short: one that can be done without is better closed. */
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -9,7 +9,7 @@
 import plumlever.cloud.PriceBook;
 import plumlever.concurrent.Loop;
 import plumlever.metrics.Metrics;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.store.DependencyLists;
 import plumlever.store.JobRecordCache;
 import plumlever.store.JobStore;
@@ -24,21 +24,21 @@
 
 /**
  * Users' requests. Every answer but a final state rests on a read of the state service begun after
- * the request came in, so any node can give it; what can't be found out now is refused at once,
- * with the time to come back.
+ * the request came in, so any controller can give it; what can't be found out now is refused at
+ * once, with the time to come back.
  */
 public final class UserApi {
-  /** Told of what users changed through this node, and asked for counts to display. */
+  /** Told of what users changed through this controller, and asked for counts to display. */
   public interface LeaderView {
     void jobCancelled(String uid);
 
     /** Finished and running tasks, or null if not known here. */
     int[] counts(String uid);
 
-    /** True when the state service serves others but not this node. */
+    /** True when the state service serves others but not this controller. */
     boolean isRefusedAlone();
 
-    /** True when this node may not answer for the jobs in the state service. */
+    /** True when this controller may not answer for the jobs in the state service. */
     boolean ineligible();
   }
 
@@ -59,7 +59,7 @@
   private final Metrics metrics;
   private final LeaderView leaderView;
   private final Set<String> teams = new HashSet<>();
-  private final List<Platform.Team> limits;
+  private final List<PlatformConfiguration.Team> limits;
   private final JobRecordCache jobRecords;
   private final Optional<JobForwarder> otherCells;
   private final DependencyLists lists;
@@ -72,7 +72,7 @@
       JobRecordCache jobRecords,
       JobStore layout,
       PriceBook prices,
-      Platform platform,
+      PlatformConfiguration platform,
       Metrics metrics,
       LeaderView leaderView,
       Optional<JobForwarder> otherCells) {
@@ -139,8 +139,8 @@
   }
 
   /**
-   * A user's connection stays on its node: one that alone can't answer must not keep its users from
-   * those that can.
+   * A user's connection stays on its controller: one that alone can't answer must not keep its
+   * users from those that can.
    */
   private void unavailable(Responder out) {
     if (leaderView.isRefusedAlone()) {
@@ -276,7 +276,7 @@
   }
 
   private boolean overLimit(JobSpec spec) {
-    for (Platform.Team team : limits) {
+    for (PlatformConfiguration.Team team : limits) {
       if (team.name().equals(spec.team())) {
         return (team.cpusMax() > 0 && spec.cores() > team.cpusMax())
             || (team.gpusMax() > 0 && spec.accelerators() > team.gpusMax());
--- a/src/main/java/plumlever/leader/Context.java
+++ b/src/main/java/plumlever/leader/Context.java
@@ -12,9 +12,9 @@
 import plumlever.http.Caller;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
-import plumlever.settings.Tunables;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 
@@ -31,8 +31,8 @@
  */
 public record Context(
     Loop loop,
-    Platform platform,
-    Tunables tunables,
+    PlatformConfiguration platform,
+    SchedulerParameters parameters,
     LeaderElection election,
     Term term,
     StateClient store,
--- a/src/main/java/plumlever/leader/Failover.java
+++ b/src/main/java/plumlever/leader/Failover.java
@@ -11,7 +11,7 @@
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.sharing.LimitParts;
 import plumlever.wire.MachineType;
 
@@ -34,7 +34,7 @@
   private final Fleet fleet;
   private final Supplier<MachineSharing> sharing;
   private final long startedMicros;
-  private final Map<String, Platform.Team> teams = new HashMap<>();
+  private final Map<String, PlatformConfiguration.Team> teams = new HashMap<>();
   private final Set<Machine> open = new LinkedHashSet<>();
 
   /** Machines that run tasks of jobs this leader does not know. */
@@ -137,7 +137,7 @@
 
   /** How many more tasks of the job its team's limit allows. */
   int quotaHeadroom(Job job) {
-    Platform.Team team = teams.get(job.spec().team());
+    PlatformConfiguration.Team team = teams.get(job.spec().team());
     if (team == null) {
       return 0;
     }
--- a/src/main/java/plumlever/leader/GuestBook.java
+++ b/src/main/java/plumlever/leader/GuestBook.java
@@ -15,7 +15,7 @@
 import plumlever.fleet.Machine;
 import plumlever.lease.GuestEvidence;
 import plumlever.settings.Endpoint;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.GuestTask;
 import plumlever.sharing.PoolView;
@@ -237,7 +237,7 @@
                 context.platform().seeds().stream()
                     .filter(seed -> seed.label().equals(label))
                     .findFirst())
-        .map(Platform.Seed::endpoint);
+        .map(PlatformConfiguration.Seed::endpoint);
   }
 
   private void take(Lodging lodging, Guests guests, byte[] body) {
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -25,7 +25,7 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * One term of leadership: everything the leading node knows and does, from election until it
+ * One term of leadership: everything the leading controller knows and does, from election until it
  * leaves.
  */
 public final class Leader implements AutoCloseable {
@@ -265,12 +265,12 @@
     return Math.max(PASS_EVERY_MICROS, Math.min(PASS_PAUSE_MOST_MICROS, pause));
   }
 
-  /** A new term starts all numbers anew; this node may take it itself. */
+  /** A new term starts all numbers anew; this controller may take it itself. */
   private void endTermForNumbers() {
     context.election().resign(context.term(), "the numbers of this term run out", 0);
   }
 
-  /** Answers a worker's heartbeat; the caller has checked that this node leads. */
+  /** Answers a worker's heartbeat; the caller has checked that this controller leads. */
   public void heartbeat(Heartbeat heartbeat, Responder out) {
     if (answeredWithoutTakingIn(heartbeat, out)) {
       return;
@@ -306,7 +306,7 @@
       return true;
     }
     if (!sharing.inPool() && Fleet.termOf(heartbeat.fencingToken()) > term) {
-      // Somebody holds a later term, so this one is over whatever this node believes.
+      // Somebody holds a later term, so this one is over whatever this controller believes.
       context
           .election()
           .resign(
--- a/src/main/java/plumlever/leader/LimitSharing.java
+++ b/src/main/java/plumlever/leader/LimitSharing.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import plumlever.fleet.Job;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.CellDemand;
 import plumlever.sharing.LimitParts;
@@ -48,7 +48,7 @@
   }
 
   /** What this cell may use of the team's limit now; a resource without a limit has 0. */
-  LimitParts.Part limit(Platform.Team team) {
+  LimitParts.Part limit(PlatformConfiguration.Team team) {
     if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
       return LimitParts.Part.NONE;
     }
@@ -68,7 +68,7 @@
   /** Processors by team that this cell lacks under its parts. */
   Map<String, Double> coresWanted() {
     Map<String, Double> wanted = new TreeMap<>();
-    for (Platform.Team team : context.platform().teams()) {
+    for (PlatformConfiguration.Team team : context.platform().teams()) {
       double lacking = coresNeeded(team) - limit(team).cores();
       if (team.cpusMax() > 0 && lacking > 0) {
         wanted.put(team.name(), Math.ceil(lacking));
@@ -77,7 +77,7 @@
     return wanted;
   }
 
-  private double coresNeeded(Platform.Team team) {
+  private double coresNeeded(PlatformConfiguration.Team team) {
     double waiting = 0;
     for (Job job : jobs.all()) {
       if (job.spec().team().equals(team.name()) && !job.over() && !job.waitsForDependencies()) {
@@ -89,7 +89,7 @@
 
   /** Cuts limits up that nobody has cut up yet, and gives what is spare. */
   void turn() {
-    for (Platform.Team team : context.platform().teams()) {
+    for (PlatformConfiguration.Team team : context.platform().teams()) {
       if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
         continue;
       }
@@ -101,7 +101,7 @@
     }
   }
 
-  private void cutUp(Platform.Team team) {
+  private void cutUp(PlatformConfiguration.Team team) {
     if (giving.putIfAbsent(team.name(), 0.0) != null) {
       return;
     }
@@ -129,7 +129,7 @@
     return new PoolTransaction(view, context.term().requireTerm());
   }
 
-  private void give(Platform.Team team) {
+  private void give(PlatformConfiguration.Team team) {
     double spare = limit(team).cores() - coresNeeded(team);
     Map<String, Double> wanted = new TreeMap<>();
     for (SharingSettings.Cell cell : sharing.others()) {
@@ -142,7 +142,7 @@
     LimitPolicy.gift(spare, wanted).ifPresent(gift -> give(team, gift));
   }
 
-  private void give(Platform.Team team, LimitPolicy.Gift gift) {
+  private void give(PlatformConfiguration.Team team, LimitPolicy.Gift gift) {
     giving.put(team.name(), gift.cores());
     String key = LimitParts.keyOf(team.name());
     long seen = view.revisionOf(key);
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -293,7 +293,7 @@
     MachineType machineType = context.prices().machineType(machine.machineType());
     double bootS =
         machineType == null ? UNKNOWN_BOOT_S : Math.max(machineType.startupS(), LEAST_BOOT_S);
-    long patience = (long) (bootS * 1e6 * context.tunables().bootFactor());
+    long patience = (long) (bootS * 1e6 * context.parameters().bootFactor());
     long since = Math.max(machine.knownSinceMicros(), failover.startedMicros() - patience / 2);
     return now - since > patience;
   }
@@ -359,8 +359,8 @@
     // suit them.
     long limit =
         context.moneyMatters() || crowded
-            ? context.tunables().idleMoneyMicros()
-            : context.tunables().idleSpeedMicros();
+            ? context.parameters().idleMoneyMicros()
+            : context.parameters().idleSpeedMicros();
     return now - machine.idleSinceMicros() > limit
         && now - machine.knownSinceMicros() > FleetSizing.LEAST_CHARGE_MICROS;
   }
--- a/src/main/java/plumlever/leader/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/MachineShareBalancer.java
@@ -12,7 +12,7 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
 import plumlever.scaling.RentalPlan;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.CellDemand;
 import plumlever.sharing.CoreDemand;
@@ -114,7 +114,7 @@
    */
   private int machinesLacking() {
     Map<String, Double> limitOf = new HashMap<>();
-    for (Platform.Team team : context.platform().teams()) {
+    for (PlatformConfiguration.Team team : context.platform().teams()) {
       if (team.cpusMax() > 0) {
         limitOf.put(team.name(), team.cpusMax());
       }
--- a/src/main/java/plumlever/leader/MachineSharing.java
+++ b/src/main/java/plumlever/leader/MachineSharing.java
@@ -6,7 +6,7 @@
 import plumlever.http.Responder;
 import plumlever.lease.GuestEvidence;
 import plumlever.scaling.RentalPlan;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.sharing.LimitParts;
 import plumlever.store.StateClient;
 import plumlever.wire.Heartbeat;
@@ -111,7 +111,7 @@
   }
 
   /** What this cell may use of the team's limit; a resource without a limit has 0. */
-  default LimitParts.Part limit(Platform.Team team) {
+  default LimitParts.Part limit(PlatformConfiguration.Team team) {
     return new LimitParts.Part(team.cpusMax(), team.gpusMax());
   }
 
--- a/src/main/java/plumlever/leader/MachineSilence.java
+++ b/src/main/java/plumlever/leader/MachineSilence.java
@@ -89,7 +89,7 @@
   /** Heartbeats that are far apart make a machine seem silent later. */
   long mostMicros() {
     return Math.max(
-        context.tunables().silentMicros(),
+        context.parameters().silentMicros(),
         2 * context.platform().workers().heartbeatMicros()
             + context.platform().workers().heartbeatMicros() / 2);
   }
@@ -103,9 +103,9 @@
   }
 
   /**
-   * True when most machines are silent here while many report elsewhere: this node has lost its
-   * workers, not the workers their controllers. It could keep leadership for ever, and no machine
-   * would get an answer or a command.
+   * True when most machines are silent here while many report elsewhere: this controller has lost
+   * its workers, not the workers their controllers. It could keep leadership for ever, and no
+   * machine would get an answer or a command.
    */
   boolean lostItsWorkers() {
     int all = 0;
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/PoolSharing.java
@@ -12,7 +12,7 @@
 import plumlever.http.Responder;
 import plumlever.lease.GuestEvidence;
 import plumlever.scaling.RentalPlan;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.LimitParts;
 import plumlever.sharing.PoolView;
@@ -297,7 +297,7 @@
   }
 
   @Override
-  public LimitParts.Part limit(Platform.Team team) {
+  public LimitParts.Part limit(PlatformConfiguration.Team team) {
     return limits.limit(team);
   }
 
--- a/src/main/java/plumlever/leader/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/ProgressWriter.java
@@ -196,7 +196,9 @@
             });
   }
 
-  /** Somebody else ended it, or an earlier write of this node's own was carried out unheard. */
+  /**
+   * Somebody else ended it, or an earlier write of this controller's own was carried out unheard.
+   */
   private void settle(Job job) {
     context
         .store()
@@ -220,7 +222,7 @@
 
   /** One turn of the duty: as much as one transaction takes, the oldest first. */
   long write() {
-    long pause = context.tunables().progressMicros();
+    long pause = context.parameters().progressMicros();
     forgetEnded();
     fitLimits();
     if (writing || closed) {
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -23,7 +23,7 @@
 import plumlever.placement.Zones;
 import plumlever.scaling.CapacityHeadroom;
 import plumlever.scaling.RentalPlan;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.sharing.CoreDemand;
 import plumlever.wire.AttemptState;
 import plumlever.wire.JobSpec;
@@ -128,19 +128,19 @@
     this.failover = failover;
     this.placer =
         new Placer(
-            context.tunables().paddingShare(),
-            context.tunables().tieShare(),
+            context.parameters().paddingShare(),
+            context.parameters().tieShare(),
             hedge(context),
-            context.moneyMatters() ? 0 : context.tunables().spotRisk());
+            context.moneyMatters() ? 0 : context.parameters().spotRisk());
     this.preemption = new Preemption(context, fleet, this::usable, this::harmed);
     this.headroom =
         new CapacityHeadroom(
             HEADROOM_WINDOW_MICROS,
-            context.tunables().rentMicros(),
-            context.tunables().headroomDeviations());
+            context.parameters().rentMicros(),
+            context.parameters().headroomDeviations());
     this.objectives =
         new ServiceObjectives(
-            context.platform().objectives(), context.tunables().startTargetMicros());
+            context.platform().objectives(), context.parameters().startTargetMicros());
   }
 
   /** When the demands were found. */
@@ -149,7 +149,7 @@
   }
 
   private static long hedge(Context context) {
-    return context.moneyMatters() ? context.tunables().rentMicros() : 0;
+    return context.moneyMatters() ? context.parameters().rentMicros() : 0;
   }
 
   /**
@@ -167,7 +167,7 @@
         types++;
       }
     }
-    long run = (long) (estimates.runMicros(job) * (1 + context.tunables().paddingShare()));
+    long run = (long) (estimates.runMicros(job) * (1 + context.parameters().paddingShare()));
     return run + (types == 0 ? 0 : (long) (fetch / types)) + STAGE_HANDOVER_MICROS;
   }
 
@@ -303,7 +303,7 @@
     }
     while (cursor < order.size()) {
       place(order.get(cursor++));
-      if (context.loop().nowMicros() - start > context.tunables().passBudgetMicros()
+      if (context.loop().nowMicros() - start > context.parameters().passBudgetMicros()
           && cursor < order.size()) {
         spentMicros += context.loop().nowMicros() - start;
         context.metrics().count("rounds_cut");
@@ -357,7 +357,7 @@
   /** By when its next task has to run; tasks that ran before have met any aim for a start. */
   private long latestStart(Job job, long now) {
     long finish = objectives.finishBy(job, now);
-    long run = (long) (estimates.runMicros(job) * (1 + context.tunables().paddingShare()));
+    long run = (long) (estimates.runMicros(job) * (1 + context.parameters().paddingShare()));
     long byFinish = finish == Long.MAX_VALUE ? Long.MAX_VALUE : finish - run;
     return job.hasFreshFree()
         ? Math.min(byFinish, objectives.startBy(job, guaranteed(job), now))
@@ -376,7 +376,7 @@
    * to begin goes first.
    */
   private boolean mustBegin(Job job, long now) {
-    return !job.begun() && now - job.releasedMicros() > context.tunables().beginMicros();
+    return !job.begun() && now - job.releasedMicros() > context.parameters().beginMicros();
   }
 
   /**
@@ -385,7 +385,7 @@
    */
   private List<Job> order(long now) {
     Map<String, Double> guaranteed = new HashMap<>();
-    for (Platform.Team team : context.platform().teams()) {
+    for (PlatformConfiguration.Team team : context.platform().teams()) {
       guaranteed.put(team.name(), team.cpus());
     }
     List<Job> byAge = new ArrayList<>(jobs.all());
@@ -413,7 +413,7 @@
       if (seen.add(job)
           && now - job.releasedMicros() < HEADROOM_WINDOW_MICROS
           && objectives.startBy(job, guaranteed(job), job.releasedMicros()) - job.releasedMicros()
-              < context.tunables().rentMicros()) {
+              < context.parameters().rentMicros()) {
         headroom.arrived(now, job.spec());
       }
       if (job.hasFree() && job.notBeforeMicros() <= now && !failover.blocks(job)) {
@@ -561,7 +561,7 @@
         (long)
             (estimates.runMicros(attempt.job())
                 * attempt.machine().slowness()
-                * (1 + context.tunables().paddingShare()));
+                * (1 + context.parameters().paddingShare()));
     if (attempt.state() == AttemptState.RUNNING && attempt.runningSinceMicros() >= 0) {
       long end = attempt.runningSinceMicros() + run;
       // A task past its estimate may take any time; the longer it has run, the longer it is
@@ -696,7 +696,7 @@
         // the next one.
         relaxed = true;
         long later =
-            objectives.startBy(job, guaranteed(job), now + context.tunables().rentMicros());
+            objectives.startBy(job, guaranteed(job), now + context.parameters().rentMicros());
         if (later > request.startByMicros()) {
           request = request(job, now, later);
           search = search(request, zones, snapshot);
@@ -710,7 +710,7 @@
         boolean spare =
             context.moneyMatters()
                 && request.startByMicros() != Long.MAX_VALUE
-                && request.startByMicros() - now > 2 * context.tunables().rentMicros();
+                && request.startByMicros() - now > 2 * context.parameters().rentMicros();
         waiting += spare ? 1 : want - i;
         break;
       }
@@ -756,7 +756,7 @@
 
   private boolean needsRental(Job job, Placer.Choice choice, ResourceRequest request, long now) {
     if (!context.moneyMatters()) {
-      return choice.startMicros() - now > context.tunables().rentMicros();
+      return choice.startMicros() - now > context.parameters().rentMicros();
     }
     return !choice.feasible()
         && (rentalHelps(job, request, now) || choice.startMicros() - now > LONG_WAIT_MICROS);
@@ -764,7 +764,7 @@
 
   /** True if a machine rented now could still serve the task in time. */
   private boolean rentalHelps(Job job, ResourceRequest request, long now) {
-    long up = now + context.tunables().rentMicros();
+    long up = now + context.parameters().rentMicros();
     return up <= objectives.startBy(job, guaranteed(job), up)
         && (request.deadlineMicros() == Long.MAX_VALUE
             || up + request.runMicros() <= request.deadlineMicros());
--- a/src/main/java/plumlever/leader/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/ServiceObjectives.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import plumlever.fleet.DependencyGraph;
 import plumlever.fleet.Job;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 
 /**
  * By when a job's tasks should run and be complete: its own deadline, what the aims say of its
@@ -19,9 +19,9 @@
   private final long startTargetMicros;
   private long guaranteedWithin = Long.MAX_VALUE;
 
-  ServiceObjectives(List<Platform.Objective> objectives, long startTargetMicros) {
+  ServiceObjectives(List<PlatformConfiguration.Objective> objectives, long startTargetMicros) {
     this.startTargetMicros = startTargetMicros;
-    for (Platform.Objective objective : objectives) {
+    for (PlatformConfiguration.Objective objective : objectives) {
       long within = (long) (objective.withinS() * 1e6);
       if (objective.jobClass() == null) {
         if (objective.kind().equals("guarantee")) {
--- a/src/main/java/plumlever/leader/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/StartedJobIndex.java
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Takes in what earlier leaders stored; read after this node took its term, so nobody else can
-   * add to it.
+   * Takes in what earlier leaders stored; read after this controller took its term, so nobody else
+   * can add to it.
    */
   void read(List<StateClient.Item> items) {
     found.clear();
--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -1,6 +1,6 @@
 package plumlever.lease;
 
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 
 /**
  * How long a lease may still be renewed by one who may not know of the latest cancellations (safety
@@ -30,7 +30,7 @@
   private final long slackMicros;
 
   /** The bound that follows from these lease and cancellation times. */
-  public RenewalLimit(Platform.Workers workers) {
+  public RenewalLimit(PlatformConfiguration.Workers workers) {
     this.slackMicros =
         (long) (workers.cancelMicros() * (1 - DRIFT))
             - (long) (workers.leaseMicros() * (1 + DRIFT))
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -8,7 +8,7 @@
 import plumlever.concurrent.RecurringTask;
 import plumlever.http.Caller;
 import plumlever.http.Responder;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.HttpStatus;
 
 /** The links between controllers: each tells the others its status, over HTTP with Kryo bodies. */
@@ -22,7 +22,7 @@
 
   private final Loop loop;
   private final Caller caller;
-  private final Platform platform;
+  private final PlatformConfiguration platform;
   private final Supplier<PeerStatus> own;
   private final Consumer<PeerStatus> news;
   private final PeerStatus.Codec codec = new PeerStatus.Codec();
@@ -32,7 +32,7 @@
   public Peers(
       Loop loop,
       Caller caller,
-      Platform platform,
+      PlatformConfiguration platform,
       Supplier<PeerStatus> own,
       Consumer<PeerStatus> news) {
     this.news = news;
@@ -48,7 +48,7 @@
 
   private long tell() {
     byte[] body = codec.write(own.get());
-    for (Platform.Seed seed : platform.seeds()) {
+    for (PlatformConfiguration.Seed seed : platform.seeds()) {
       caller.call(seed.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
     }
     return EVERY_MICROS;
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -26,7 +26,8 @@
   }
 
   /** Reads the operators' file; an unknown key or a value out of range is an error. */
-  public static OperatorSettings load(Path path, Platform platform) throws SettingsException {
+  public static OperatorSettings load(Path path, PlatformConfiguration platform)
+      throws SettingsException {
     Object root;
     try (Reader in = Files.newBufferedReader(path)) {
       root = new Yaml(new SafeConstructor(new LoaderOptions())).load(in);
@@ -47,7 +48,8 @@
     return new OperatorSettings(operatorFile.read(), sharing);
   }
 
-  private Optional<SharingSettings> sharing(Platform platform) throws SettingsException {
+  private Optional<SharingSettings> sharing(PlatformConfiguration platform)
+      throws SettingsException {
     Object table = steppedDown.remove("sharing");
     if (table == null) {
       return Optional.empty();
@@ -58,26 +60,26 @@
     return Optional.of(SharingSettings.read(file, map, platform));
   }
 
-  private Tunables read() throws SettingsException {
-    Tunables tunables = Tunables.defaults();
-    Tunables read =
-        new Tunables(
-            number("padding_share", tunables.paddingShare(), 0, 1),
-            number("tie_share", tunables.tieShare(), 0, 1),
-            micros("start_target_s", tunables.startTargetMicros(), 0, 1e6),
-            micros("grant_ttl_s", tunables.leaseTtlMicros(), 1, 600),
-            micros("touch_s", tunables.leaseRenewalMicros(), 0.1, 100),
-            micros("act_margin_s", tunables.actMarginMicros(), 0.05, 10),
-            micros("progress_s", tunables.progressMicros(), 0.1, 60),
-            micros("round_budget_s", tunables.passBudgetMicros(), 0.001, 1),
-            micros("silent_s", tunables.silentMicros(), 1, 600),
-            micros("idle_money_s", tunables.idleMoneyMicros(), 0, 1e6),
-            micros("idle_speed_s", tunables.idleSpeedMicros(), 0, 1e6),
-            number("boot_factor", tunables.bootFactor(), 1, 100),
-            micros("rent_s", tunables.rentMicros(), 0, 3600),
-            micros("begin_s", tunables.beginMicros(), 1, 1e6),
-            number("standby_spreads", tunables.headroomDeviations(), 0, 100),
-            number("spot_risk", tunables.spotRisk(), 0, 100),
+  private SchedulerParameters read() throws SettingsException {
+    SchedulerParameters parameters = SchedulerParameters.defaults();
+    SchedulerParameters read =
+        new SchedulerParameters(
+            number("padding_share", parameters.paddingShare(), 0, 1),
+            number("tie_share", parameters.tieShare(), 0, 1),
+            micros("start_target_s", parameters.startTargetMicros(), 0, 1e6),
+            micros("grant_ttl_s", parameters.leaseTtlMicros(), 1, 600),
+            micros("touch_s", parameters.leaseRenewalMicros(), 0.1, 100),
+            micros("act_margin_s", parameters.actMarginMicros(), 0.05, 10),
+            micros("progress_s", parameters.progressMicros(), 0.1, 60),
+            micros("round_budget_s", parameters.passBudgetMicros(), 0.001, 1),
+            micros("silent_s", parameters.silentMicros(), 1, 600),
+            micros("idle_money_s", parameters.idleMoneyMicros(), 0, 1e6),
+            micros("idle_speed_s", parameters.idleSpeedMicros(), 0, 1e6),
+            number("boot_factor", parameters.bootFactor(), 1, 100),
+            micros("rent_s", parameters.rentMicros(), 0, 3600),
+            micros("begin_s", parameters.beginMicros(), 1, 1e6),
+            number("standby_spreads", parameters.headroomDeviations(), 0, 100),
+            number("spot_risk", parameters.spotRisk(), 0, 100),
             owned());
     if (!steppedDown.isEmpty()) {
       throw new SettingsException(
--- a/src/main/java/plumlever/settings/OperatorSettings.java
+++ b/src/main/java/plumlever/settings/OperatorSettings.java
@@ -7,9 +7,9 @@
  *
  * @param sharing how machines are shared among cells, where they are
  */
-public record OperatorSettings(Tunables tunables, Optional<SharingSettings> sharing) {
+public record OperatorSettings(SchedulerParameters parameters, Optional<SharingSettings> sharing) {
   /** What holds without a file. */
   public static OperatorSettings defaults() {
-    return new OperatorSettings(Tunables.defaults(), Optional.empty());
+    return new OperatorSettings(SchedulerParameters.defaults(), Optional.empty());
   }
 }
--- a/src/main/java/plumlever/settings/Platform.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -15,7 +15,7 @@
  * The settings file that the platform hands over. Unknown fields are ignored, since new ones may
  * appear.
  */
-public record Platform(
+public record PlatformConfiguration(
     String label,
     String zone,
     Endpoint bind,
@@ -90,7 +90,7 @@
   }
 
   /** Reads the platform's file; what is missing or wrong is told with file, key and reason. */
-  public static Platform load(Path file) throws SettingsException {
+  public static PlatformConfiguration load(Path file) throws SettingsException {
     String text;
     try {
       text = Files.readString(file);
@@ -118,7 +118,7 @@
       this.root = root;
     }
 
-    Platform platform() throws SettingsException {
+    PlatformConfiguration platform() throws SettingsException {
       List<Seed> seeds = new ArrayList<>();
       Set<String> labels = new HashSet<>();
       labels.add(text(root, "", "label"));
@@ -163,7 +163,7 @@
       JsonNode node = table(dep, "deployment.", "state");
       JsonNode cloud = table(dep, "deployment.", "cloud");
       JsonNode quota = table(dep, "deployment.", "quota");
-      return new Platform(
+      return new PlatformConfiguration(
           text(root, "", "label"),
           text(root, "", "area"),
           endpoint(root, "", "bind"),
--- a/src/main/java/plumlever/settings/Tunables.java
+++ b/src/main/java/plumlever/settings/SchedulerParameters.java
@@ -2,13 +2,13 @@
 
 /**
  * Everything an operator may turn, with its unit in the name. The defaults hold for any deployment;
- * what a deployment states itself (leases, rates, lags) is in {@link Platform}.
+ * what a deployment states itself (leases, rates, lags) is in {@link PlatformConfiguration}.
  *
  * @param paddingShare added to run-time estimates when a deadline is checked; the design's default
  * @param tieShare scores this close to the least are a tie; the design's default
  * @param startTargetMicros a task with no deadline should start within this; the design's default
  * @param leaseTtlMicros how long a silent leader stays leading: short enough for a quick successor,
- *     long enough that a node running behind its processor share does not lose leadership
+ *     long enough that a controller running behind its processor share does not lose leadership
  * @param touchMicros pause between renewals of the leader's lease
  * @param actMarginMicros the leader stops this long before its lease may end, for a round that runs
  *     late
@@ -30,7 +30,7 @@
  *     that can't save its work: one task that is lost makes its whole job late
  * @param ownedHourly cost per hour the operator sets for owned machine types, by type name
  */
-public record Tunables(
+public record SchedulerParameters(
     double paddingShare,
     double tieShare,
     long startTargetMicros,
@@ -50,8 +50,8 @@
     java.util.Map<String, Double> ownedHourly) {
 
   /** The values that hold where operators say nothing. */
-  public static Tunables defaults() {
-    return new Tunables(
+  public static SchedulerParameters defaults() {
+    return new SchedulerParameters(
         0.05,
         0.02,
         30_000_000,
--- a/src/main/java/plumlever/settings/SharingSettings.java
+++ b/src/main/java/plumlever/settings/SharingSettings.java
@@ -84,7 +84,7 @@
    *
    * @param file to name in errors
    */
-  static SharingSettings read(String file, Map<?, ?> table, Platform platform)
+  static SharingSettings read(String file, Map<?, ?> table, PlatformConfiguration platform)
       throws SettingsException {
     return new Reader(file, platform).read(table);
   }
@@ -92,10 +92,10 @@
   /** Reads and checks one table. */
   private static final class Reader {
     private final String file;
-    private final Platform platform;
+    private final PlatformConfiguration platform;
     private final Set<String> controllers = new HashSet<>();
 
-    Reader(String file, Platform platform) {
+    Reader(String file, PlatformConfiguration platform) {
       this.file = file;
       this.platform = platform;
       controllers.add(platform.label());
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -86,7 +86,7 @@
     return whole.contains(uid) ? dependencyGraph.revision(uid) : 0;
   }
 
-  /** An end that this node knows of. */
+  /** An end that this controller knows of. */
   void ended(String uid, JobState how) {
     dependencyGraph.ended(uid, how, 0);
     whole.remove(uid);
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -41,8 +41,8 @@
  *       value. A job is in one of them before its first order, so what a new leader does not find
  *       there is on no machine.
  *   <li>{@code hints/N}: what a leader learnt of images and estimates, for its successor.
- *   <li>{@code catalog}: the last machine types read, for a node that starts while the cloud is
- *       down.
+ *   <li>{@code catalog}: the last machine types read, for a controller that starts while the cloud
+ *       is down.
  * </ul>
  */
 public final class JobStore {
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -14,14 +14,14 @@
 import plumlever.http.Caller;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
 
 /**
- * The state service's client. Keeps this node's part of the request limits; a request over it is
- * refused here, at once. Answers that can't be understood count as no answer.
+ * The state service's client. Keeps this controller's part of the request limits; a request over it
+ * is refused here, at once. Answers that can't be understood count as no answer.
  */
 public final class StateClient {
   /** A key with its value, revision and the lease it hangs on (0: none). */
@@ -67,7 +67,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
   private static final long TIMEOUT_MICROS = 1_800_000;
 
-  /** The limits are shared by all nodes, so each takes up to this part. */
+  /** The limits are shared by all controllers, so each takes up to this part. */
   private static final double PART = 0.5;
 
   /** Of the changes the leader needs most: ends of jobs, records of jobs and machines, progress. */
@@ -93,7 +93,11 @@
 
   /** A client that keeps within its part of the limits. */
   public StateClient(
-      Loop loop, Caller caller, Endpoint at, Platform.StateLimits limits, Metrics metrics) {
+      Loop loop,
+      Caller caller,
+      Endpoint at,
+      PlatformConfiguration.StateLimits limits,
+      Metrics metrics) {
     this(loop, caller, at, limits, metrics, KeySpace.ROOT);
   }
 
@@ -102,7 +106,7 @@
       Loop loop,
       Caller caller,
       Endpoint at,
-      Platform.StateLimits limits,
+      PlatformConfiguration.StateLimits limits,
       Metrics metrics,
       KeySpace keySpace) {
     this.keySpace = keySpace;
@@ -122,19 +126,19 @@
     return limits;
   }
 
-  /** This node leads now, or does no more. */
+  /** This controller leads now, or does no more. */
   public void leads(boolean now) {
     writes.rate(writesPerS * (now ? LEADER_PART : PART), loop.nowMicros());
   }
 
-  /** When the service last did anything but refuse this node. */
+  /** When the service last did anything but refuse this controller. */
   public long lastServedMicros() {
     return lastServedMicros;
   }
 
   /**
-   * How long every request has been refused or unanswered; 0 while the service serves this node. A
-   * quiet node asks little, so silence alone is no sign.
+   * How long every request has been refused or unanswered; 0 while the service serves this
+   * controller. A quiet controller asks little, so silence alone is no sign.
    */
   public long refusedForMicros() {
     return refusedSinceMicros < 0 ? 0 : loop.nowMicros() - refusedSinceMicros;
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.Json;
 
 /**
@@ -25,7 +25,7 @@
   private int transactionOps;
 
   /** The limits that the settings state. */
-  public WriteLimits(Platform.StateLimits settings) {
+  public WriteLimits(PlatformConfiguration.StateLimits settings) {
     this.valueBytes = settings.valueBytes();
     this.transactionOps = settings.transactionOps();
     this.formerValueBytes = settings.formerValueBytes();
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -5,8 +5,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import plumlever.concurrent.Loop;
-import plumlever.settings.Platform;
-import plumlever.settings.Tunables;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
 
 /**
  * Lets a controller that does not lead practise leading, in small pieces while it has nothing
@@ -30,8 +30,8 @@
   private final LongSupplier latenessMicros;
   private final BooleanSupplier leads;
   private final long beganMicros;
-  private final Platform platform;
-  private final Tunables tunables;
+  private final PlatformConfiguration platform;
+  private final SchedulerParameters parameters;
   private WarmUpTerms practice;
   private boolean over;
 
@@ -40,8 +40,8 @@
    */
   public WarmUp(
       Loop loop,
-      Platform platform,
-      Tunables tunables,
+      PlatformConfiguration platform,
+      SchedulerParameters parameters,
       LongSupplier latenessMicros,
       BooleanSupplier leads) {
     this.loop = loop;
@@ -49,12 +49,12 @@
     this.leads = leads;
     this.beganMicros = loop.nowMicros();
     this.platform = platform;
-    this.tunables = tunables;
+    this.parameters = parameters;
   }
 
   /** All of it at once. */
-  public static void playAll(Platform platform, Tunables tunables) {
-    WarmUpTerms practice = new WarmUpTerms(platform, tunables, 0);
+  public static void playAll(PlatformConfiguration platform, SchedulerParameters parameters) {
+    WarmUpTerms practice = new WarmUpTerms(platform, parameters, 0);
     boolean more = true;
     while (more) {
       more = practice.step();
@@ -71,7 +71,7 @@
       return BUSY_PAUSE_MICROS;
     }
     if (practice == null) {
-      practice = new WarmUpTerms(platform, tunables, loop.wallMicros());
+      practice = new WarmUpTerms(platform, parameters, loop.wallMicros());
     }
     boolean more = true;
     while (more && loop.nowMicros() - start < SLICE_MICROS) {
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -13,9 +13,9 @@
 import plumlever.wire.Json;
 
 /**
- * What a node practises with: a state service, a cloud and machines that do as they are told, in
- * memory. It keeps to the forms of the protocol but to few of its rules, since one node alone uses
- * it and nothing depends on what comes of it.
+ * What a controller practises with: a state service, a cloud and machines that do as they are told,
+ * in memory. It keeps to the forms of the protocol but to few of its rules, since one controller
+ * alone uses it and nothing depends on what comes of it.
  */
 public final class WarmUpServices {
   /** Takes the answer to one request. */
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import java.util.Optional;
 import org.slf4j.LoggerFactory;
-import plumlever.Node;
+import plumlever.Controller;
 import plumlever.http.Caller;
 import plumlever.http.Responder;
 import plumlever.settings.Endpoint;
 import plumlever.settings.OperatorSettings;
-import plumlever.settings.Platform;
-import plumlever.settings.Tunables;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 
 /**
- * A node played to itself: two terms of a small deployment in memory, with the service's own code
- * and a clock turned by hand. What it is for is that this code has run when it is needed: code that
- * never ran is interpreted, some twenty times slower, and on little processor the first minute of a
- * term would be lost to that.
+ * A controller played to itself: two terms of a small deployment in memory, with the service's own
+ * code and a clock turned by hand. What it is for is that this code has run when it is needed: code
+ * that never ran is interpreted, some twenty times slower, and on little processor the first minute
+ * of a term would be lost to that.
  */
 final class WarmUpTerms {
   private static final int MACHINES = 40;
@@ -32,19 +32,19 @@
 
   private final WarmUpLoop loop;
   private final WarmUpServices outside;
-  private final Platform platform;
-  private final Tunables tunables;
-  private Node node;
+  private final PlatformConfiguration platform;
+  private final SchedulerParameters parameters;
+  private Controller node;
   private long lifeEndsMicros;
   private int lives;
   private int submitted;
 
-  WarmUpTerms(Platform real, Tunables tunables, long wallMicros) {
+  WarmUpTerms(PlatformConfiguration real, SchedulerParameters parameters, long wallMicros) {
     this.loop = new WarmUpLoop(wallMicros);
     this.outside = new WarmUpServices(loop, MACHINES, "practice-%d:9");
-    this.tunables = tunables;
+    this.parameters = parameters;
     this.platform =
-        new Platform(
+        new PlatformConfiguration(
             "practice",
             real.zone(),
             real.bind(),
@@ -52,7 +52,7 @@
             List.of(),
             CLOUD,
             STATE,
-            List.of(new Platform.Team("practice", 0, 0, 0, 0)),
+            List.of(new PlatformConfiguration.Team("practice", 0, 0, 0, 0)),
             real.objectives(),
             real.workers(),
             real.stateLimits(),
@@ -80,13 +80,13 @@
     int life = ++lives;
     lifeEndsMicros = loop.nowMicros() + LIFE_MICROS;
     node =
-        new Node(
+        new Controller(
             loop,
             caller(life),
             loop,
             caller(life),
             platform,
-            new OperatorSettings(tunables, Optional.empty()),
+            new OperatorSettings(parameters, Optional.empty()),
             life,
             c -> LoggerFactory.getLogger("practice." + c.getSimpleName()));
     node.start();
--- a/src/test/java/plumlever/cli/CheckTest.java
+++ b/src/test/java/plumlever/cli/CheckTest.java
@@ -6,26 +6,29 @@
 import org.junit.jupiter.api.Test;
 import plumlever.settings.Endpoint;
 import plumlever.settings.OperatorSettings;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 
 /** What {@code --check} tells. */
 final class CheckTest {
   @Test
   void tellsWhatWouldRunAndWithinWhichLimits() {
-    Platform platform =
-        new Platform(
+    PlatformConfiguration platform =
+        new PlatformConfiguration(
             "lever-0",
             "a",
             new Endpoint("127.0.0.1", 8080),
             new Endpoint("127.0.0.1", 8081),
-            List.of(new Platform.Seed("lever-1", "b", new Endpoint("127.0.0.2", 8081))),
+            List.of(
+                new PlatformConfiguration.Seed("lever-1", "b", new Endpoint("127.0.0.2", 8081))),
             new Endpoint("127.0.0.1", 1),
             new Endpoint("127.0.0.1", 2),
-            List.of(new Platform.Team("t", 1, 2, 0, 0), new Platform.Team("u", 1, 2, 0, 0)),
+            List.of(
+                new PlatformConfiguration.Team("t", 1, 2, 0, 0),
+                new PlatformConfiguration.Team("u", 1, 2, 0, 0)),
             List.of(),
-            new Platform.Workers(3_000_000, 20_000_000, 40_000_000),
-            new Platform.StateLimits(100, 15, 2048, 4, 4096),
-            new Platform.CloudLimits(5, 3_000_000),
+            new PlatformConfiguration.Workers(3_000_000, 20_000_000, 40_000_000),
+            new PlatformConfiguration.StateLimits(100, 15, 2048, 4, 4096),
+            new PlatformConfiguration.CloudLimits(5, 3_000_000),
             256);
     assertEquals(
         """
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import plumlever.fleet.Fleet;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
 import plumlever.wire.WorkerCommand;
@@ -28,7 +28,8 @@
   private static final long TOKEN = Fleet.firstToken(5) + 3;
 
   private final LeaseRenewal renewal =
-      new LeaseRenewal(new RenewalLimit(new Platform.Workers(3_000_000, LEASE, CANCEL)));
+      new LeaseRenewal(
+          new RenewalLimit(new PlatformConfiguration.Workers(3_000_000, LEASE, CANCEL)));
 
   private static DelegateEvidence delegate(long reported, long validUntil, long known) {
     return new DelegateEvidence(TOKEN, reported, validUntil, known);
--- a/src/test/java/plumlever/settings/DeployFilesTest.java
+++ b/src/test/java/plumlever/settings/DeployFilesTest.java
@@ -10,22 +10,22 @@
 final class DeployFilesTest {
   @Test
   void theSharingFileFitsADeploymentOfThree() throws Exception {
-    Platform platform =
-        new Platform(
+    PlatformConfiguration platform =
+        new PlatformConfiguration(
             "lever-1",
             "a",
             new Endpoint("127.0.0.1", 1),
             new Endpoint("127.0.0.1", 2),
             List.of(
-                new Platform.Seed("lever-0", "a", new Endpoint("127.0.0.1", 3)),
-                new Platform.Seed("lever-2", "a", new Endpoint("127.0.0.1", 4))),
+                new PlatformConfiguration.Seed("lever-0", "a", new Endpoint("127.0.0.1", 3)),
+                new PlatformConfiguration.Seed("lever-2", "a", new Endpoint("127.0.0.1", 4))),
             new Endpoint("127.0.0.1", 5),
             new Endpoint("127.0.0.1", 6),
             List.of(),
             List.of(),
-            new Platform.Workers(3_000_000, 20_000_000, 40_000_000),
-            new Platform.StateLimits(100, 20, 4096, 8),
-            new Platform.CloudLimits(6, 3_000_000),
+            new PlatformConfiguration.Workers(3_000_000, 20_000_000, 40_000_000),
+            new PlatformConfiguration.StateLimits(100, 20, 4096, 8),
+            new PlatformConfiguration.CloudLimits(6, 3_000_000),
             2_000);
     SharingSettings sharing =
         OperatorFile.load(Path.of("deploy/sharing.yaml"), platform).sharing().orElseThrow();
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -66,7 +66,7 @@
 
   @Test
   void readsThePlatformsFileAndIgnoresUnknownFields() throws Exception {
-    Platform platform = Platform.load(file(GOOD));
+    PlatformConfiguration platform = PlatformConfiguration.load(file(GOOD));
     assertEquals(20_000_000, platform.workers().leaseMicros());
     assertEquals(new Endpoint("127.0.0.2", 8081), platform.seeds().get(0).endpoint());
     assertEquals(4096, platform.stateLimits().valueBytes());
@@ -78,26 +78,28 @@
         dir.resolve("s") + ": deployment.workers.lease_s must be a number",
         assertThrows(
                 SettingsException.class,
-                () -> Platform.load(file(GOOD.replace("lease_s = 20.0", "lease_s = \"x\""))))
+                () ->
+                    PlatformConfiguration.load(
+                        file(GOOD.replace("lease_s = 20.0", "lease_s = \"x\""))))
             .getMessage());
     assertEquals(
         dir.resolve("s") + ": outside.state is missing",
         assertThrows(
                 SettingsException.class,
-                () -> Platform.load(file(GOOD.replace("state = \"127.0.0.1:2\"", ""))))
+                () -> PlatformConfiguration.load(file(GOOD.replace("state = \"127.0.0.1:2\"", ""))))
             .getMessage());
     assertEquals(
         dir.resolve("s") + ": bind must be ADDRESS:PORT",
         assertThrows(
                 SettingsException.class,
-                () -> Platform.load(file(GOOD.replace("127.0.0.1:8080", "8080"))))
+                () -> PlatformConfiguration.load(file(GOOD.replace("127.0.0.1:8080", "8080"))))
             .getMessage());
     assertTrue(
-        assertThrows(SettingsException.class, () -> Platform.load(file("label = ")))
+        assertThrows(SettingsException.class, () -> PlatformConfiguration.load(file("label = ")))
             .getMessage()
             .contains("not TOML"));
     assertTrue(
-        assertThrows(SettingsException.class, () -> Platform.load(dir.resolve("none")))
+        assertThrows(SettingsException.class, () -> PlatformConfiguration.load(dir.resolve("none")))
             .getMessage()
             .contains("cannot be read"));
   }
@@ -121,9 +123,11 @@
   void writesWithinTheSmallerOfNowAndNext(
       String next, double rps, double writeRps, int valueBytes, int transactionOps)
       throws Exception {
-    Platform.StateLimits limits =
-        Platform.load(file(withNext(next.replace("; ", "\n")))).stateLimits();
-    assertEquals(new Platform.StateLimits(rps, writeRps, valueBytes, transactionOps, 4096), limits);
+    PlatformConfiguration.StateLimits limits =
+        PlatformConfiguration.load(file(withNext(next.replace("; ", "\n")))).stateLimits();
+    assertEquals(
+        new PlatformConfiguration.StateLimits(rps, writeRps, valueBytes, transactionOps, 4096),
+        limits);
   }
 
   @ParameterizedTest
@@ -138,7 +142,8 @@
   void limitsThatCannotWorkEndTheStart(String next, String reason) {
     assertEquals(
         dir.resolve("s") + ": " + reason,
-        assertThrows(SettingsException.class, () -> Platform.load(file(withNext(next))))
+        assertThrows(
+                SettingsException.class, () -> PlatformConfiguration.load(file(withNext(next))))
             .getMessage());
   }
 
@@ -148,12 +153,14 @@
         dir.resolve("s") + ": deployment.state.next must be a table",
         assertThrows(
                 SettingsException.class,
-                () -> Platform.load(file(GOOD.replace("txn_ops = 8", "txn_ops = 8\nnext = 7"))))
+                () ->
+                    PlatformConfiguration.load(
+                        file(GOOD.replace("txn_ops = 8", "txn_ops = 8\nnext = 7"))))
             .getMessage());
   }
 
   private OperatorSettings operators(String yaml) throws Exception {
-    Platform platform = Platform.load(file(GOOD));
+    PlatformConfiguration platform = PlatformConfiguration.load(file(GOOD));
     return OperatorFile.load(file(yaml), platform);
   }
 
@@ -219,11 +226,12 @@
   }
 
   @Test
-  void operatorsFileChangesTunablesAndRefusesUnknownKeys() throws Exception {
-    Tunables tunables = operators("padding_share: 0.1\nowned_hourly:\n  rack: 0.02\n").tunables();
-    assertEquals(0.1, tunables.paddingShare());
-    assertEquals(0.02, tunables.ownedHourly().get("rack"));
-    assertEquals(Tunables.defaults().tieShare(), tunables.tieShare());
+  void operatorsFileChangesParametersAndRefusesUnknownKeys() throws Exception {
+    SchedulerParameters parameters =
+        operators("padding_share: 0.1\nowned_hourly:\n  rack: 0.02\n").parameters();
+    assertEquals(0.1, parameters.paddingShare());
+    assertEquals(0.02, parameters.ownedHourly().get("rack"));
+    assertEquals(SchedulerParameters.defaults().tieShare(), parameters.tieShare());
     assertTrue(
         assertThrows(SettingsException.class, () -> operators("pading_share: 0.1"))
             .getMessage()
@@ -236,11 +244,11 @@
 
   @Test
   void moneyMattersWhereAimsNameItOrLeaveTimeToRent() throws Exception {
-    assertTrue(Platform.load(file(GOOD)).moneyMatters(35_000_000));
+    assertTrue(PlatformConfiguration.load(file(GOOD)).moneyMatters(35_000_000));
     String urgent = GOOD.replace("within_s = 250.0", "within_s = 8.0");
-    assertFalse(Platform.load(file(urgent)).moneyMatters(35_000_000));
+    assertFalse(PlatformConfiguration.load(file(urgent)).moneyMatters(35_000_000));
     assertTrue(
-        Platform.load(
+        PlatformConfiguration.load(
                 file(
                     urgent.replace(
                         "[deployment.workers]",
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import plumlever.fleet.Job;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
@@ -63,7 +63,7 @@
   }
 
   private void smallValues() {
-    deployment(7, new Platform.StateLimits(200, 25, 2048, 4, 4096));
+    deployment(7, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = 2048;
     cluster.store.transactionOps = 4;
   }
@@ -152,7 +152,9 @@
     assertEquals(released / 1e6, job.releasedMicros() / 1e6, 2);
   }
 
-  /** Cancelled in the middle of a diamond, asked in every way at every node right after that. */
+  /**
+   * Cancelled in the middle of a diamond, asked in every way at every controller right after that.
+   */
   @Test
   void whatNeedsACancelledJobIsCancelledAndNothingElse() {
     JobSpec root = idle(1, 60);
@@ -202,7 +204,9 @@
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
-  /** A node that no longer hears what ends refuses to answer instead of telling what it knew. */
+  /**
+   * A controller that no longer hears what ends refuses to answer instead of telling what it knew.
+   */
   @Test
   void aNodeWithAnOldViewTellsNothingOlder() {
     JobSpec root = idle(1, 400);
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
@@ -17,15 +17,17 @@
 
   @BeforeEach
   void begin() {
-    deployment(5, new Platform.StateLimits(200, 25, 4096, 8));
+    deployment(5, new PlatformConfiguration.StateLimits(200, 25, 4096, 8));
   }
 
-  void deployment(long seed, Platform.StateLimits limits) {
+  void deployment(long seed, PlatformConfiguration.StateLimits limits) {
     cluster =
         new SimulatedCluster(
             seed,
             3,
-            List.of(new Platform.Team("red", 16, 48, 0, 0), new Platform.Team("blue", 16, 0, 0, 0)),
+            List.of(
+                new PlatformConfiguration.Team("red", 16, 48, 0, 0),
+                new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
             false,
             InvariantChecker.CANCEL_MICROS,
             limits);
@@ -92,7 +94,7 @@
     }
   }
 
-  /** What a node answered to one request. */
+  /** What a controller answered to one request. */
   record Answer(int status, String body, int retryAfterS) {}
 
   Answer ask(String node, String method, String path, String body) {
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -217,7 +217,7 @@
     return rented < Math.max(1, Math.round(most / 8.0));
   }
 
-  /** Workers whose connection is with that node. */
+  /** Workers whose connection is with that controller. */
   int reportingTo(String node) {
     return (int)
         machines.values().stream()
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -43,7 +43,7 @@
   /** For tests of the checks: a prefix of which watches tell nothing. */
   String untold;
 
-  /** The only node that is told nothing; null for all. */
+  /** The only controller that is told nothing; null for all. */
   String untoldNode;
 
   /** For tests of the checks: a field that records of jobs lose. */
@@ -68,8 +68,8 @@
   double unheardWrites;
 
   /**
-   * How many were carried out after a newer one of the same node, and how many at once without an
-   * answer.
+   * How many were carried out after a newer one of the same controller, and how many at once
+   * without an answer.
    */
   int carriedOutAfterNewer;
 
@@ -84,7 +84,7 @@
   /** Listings under this prefix are not answered. */
   String slowPrefix;
 
-  /** How often each node was answered 503. */
+  /** How often each controller was answered 503. */
   final Map<String, Integer> refusals = new HashMap<>();
 
   /** For tests of the checks: transactions whose preconditions are not looked at. */
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -22,8 +22,8 @@
   private int next;
 
   /**
-   * Users ask at all nodes within milliseconds, and repeat the submission, after each answer that
-   * brings news.
+   * Users ask at all controllers within milliseconds, and repeat the submission, after each answer
+   * that brings news.
    */
   boolean closeLooks;
 
@@ -54,8 +54,9 @@
   }
 
   /**
-   * A user's connection stays on its node, whatever that answers, until it ends: by the node's own
-   * word, by a failure, or when the load balancer has found the node unhealthy for five seconds.
+   * A user's connection stays on its controller, whatever that answers, until it ends: by the
+   * controller's own word, by a failure, or when the load balancer has found the controller
+   * unhealthy for five seconds.
    */
   private Endpoint nodeOf(String uid) {
     Endpoint at = connected.get(uid);
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 import plumlever.settings.Endpoint;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
@@ -423,8 +423,8 @@
               seed,
               3,
               List.of(
-                  new Platform.Team("red", 16, LIMIT, 0, 0),
-                  new Platform.Team("blue", 16, 0, 0, 0)),
+                  new PlatformConfiguration.Team("red", 16, LIMIT, 0, 0),
+                  new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
               seed % 2 == 0);
       users = new FakeUsers(cluster);
       for (int i = 0; i < 8; i++) {
@@ -630,7 +630,7 @@
         !deployment.cluster.invariants.broken.isEmpty(), "the checks must see the missing guards");
   }
 
-  /** The checks can fail: an answer older than one given before, at another node, is seen. */
+  /** The checks can fail: an answer older than one given before, at another controller, is seen. */
   @Test
   void theChecksSeeAnOlderAnswer() {
     Deployment deployment = new Deployment(3_001);
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
@@ -25,7 +25,8 @@
           61,
           3,
           List.of(
-              new Platform.Team("red", 16, LIMIT, 0, 0), new Platform.Team("blue", 16, 0, 0, 0)),
+              new PlatformConfiguration.Team("red", 16, LIMIT, 0, 0),
+              new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
           false);
   private final FakeUsers users = new FakeUsers(cluster);
 
@@ -135,8 +136,8 @@
   }
 
   /**
-   * Heartbeats come twice, seconds to minutes late, at any node, through two failover and after
-   * machines were returned.
+   * Heartbeats come twice, seconds to minutes late, at any controller, through two failover and
+   * after machines were returned.
    */
   @Test
   void lateCopiesOfHeartbeatsChangeNothing() {
@@ -162,7 +163,7 @@
     return list.size();
   }
 
-  /** Asked the same again, the node neither renews a lease nor gives work. */
+  /** Asked the same again, the controller neither renews a lease nor gives work. */
   @Test
   void aCopyAtTheLeaderIsNotAnswered() {
     cluster.play(20);
@@ -338,7 +339,7 @@
     assertDone(all.toArray(new JobSpec[0]));
   }
 
-  /** A common outage, by refusals or by silence, leaves every node healthy. */
+  /** A common outage, by refusals or by silence, leaves every controller healthy. */
   @Test
   void aCommonOutageMakesNoNodeUnhealthy() {
     cluster.play(10);
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import plumlever.fleet.Job;
 import plumlever.peer.PeerStatus;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.store.JobStore;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.JobSpec;
@@ -67,10 +67,12 @@
     return new SimulatedCluster(
         seed,
         3,
-        List.of(new Platform.Team("red", 16, 48, 0, 0), new Platform.Team("blue", 16, 0, 0, 0)),
+        List.of(
+            new PlatformConfiguration.Team("red", 16, 48, 0, 0),
+            new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
         false,
         InvariantChecker.CANCEL_MICROS,
-        new Platform.StateLimits(200, 25, NEXT_BYTES, 4, NOW_BYTES));
+        new PlatformConfiguration.StateLimits(200, 25, NEXT_BYTES, 4, NOW_BYTES));
   }
 
   /** The samples hold every kind of record that the version writes. */
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 
 /**
  * No fixed limit stands below 4,000 machines: all of them are listed within the cloud's rate, kept
@@ -35,7 +35,9 @@
         new SimulatedCluster(
             79,
             3,
-            List.of(new Platform.Team("red", 0, 0, 0, 0), new Platform.Team("blue", 0, 0, 0, 0)),
+            List.of(
+                new PlatformConfiguration.Team("red", 0, 0, 0, 0),
+                new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
             false);
     cluster.cloud.limitsRate = true;
     cluster.cloud.provide(MACHINES);
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import plumlever.settings.Endpoint;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
@@ -29,7 +29,9 @@
         new SimulatedCluster(
             seed,
             3,
-            List.of(new Platform.Team("red", 16, 48, 0, 0), new Platform.Team("blue", 16, 0, 0, 0)),
+            List.of(
+                new PlatformConfiguration.Team("red", 16, 48, 0, 0),
+                new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
             false,
             believedCancelMicros);
     users = new FakeUsers(cluster);
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
@@ -46,7 +46,9 @@
         new SimulatedCluster(
             seed,
             3,
-            List.of(new Platform.Team("red", 16, 96, 0, 0), new Platform.Team("blue", 16, 0, 0, 0)),
+            List.of(
+                new PlatformConfiguration.Team("red", 16, 96, 0, 0),
+                new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
             false);
     users = new FakeUsers(cluster);
   }
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 
 /**
@@ -19,7 +19,7 @@
   static final long BEGIN_MICROS = 240_000_000;
 
   private final SimulatedCluster cluster;
-  private final Map<String, Platform.Team> teams = new HashMap<>();
+  private final Map<String, PlatformConfiguration.Team> teams = new HashMap<>();
   final Map<String, JobSpec> submitted = new HashMap<>();
   final Map<String, Long> submittedAt = new HashMap<>();
   private final Map<String, Long> answeredAt = new HashMap<>();
@@ -52,7 +52,7 @@
 
   private final Map<String, Long> completedAt = new HashMap<>();
 
-  /** Final states by when a user was told them, at whatever node. */
+  /** Final states by when a user was told them, at whatever controller. */
   private final Map<String, Long> finalAt = new HashMap<>();
 
   private final Map<String, String> finalState = new HashMap<>();
@@ -63,7 +63,7 @@
 
   static final long WAITING_MICROS = 90_000_000;
 
-  InvariantChecker(SimulatedCluster cluster, List<Platform.Team> teams) {
+  InvariantChecker(SimulatedCluster cluster, List<PlatformConfiguration.Team> teams) {
     this.cluster = cluster;
     teams.forEach(t -> this.teams.put(t.name(), t));
   }
@@ -261,9 +261,9 @@
   }
 
   /**
-   * An answer that a user got from any node, also to questions asked at once at all of them: one to
-   * a question that was asked after some user had been told an end, or that the job is accepted,
-   * must not be older than that.
+   * An answer that a user got from any controller, also to questions asked at once at all of them:
+   * one to a question that was asked after some user had been told an end, or that the job is
+   * accepted, must not be older than that.
    *
    * @param status null for a 404
    */
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
@@ -27,8 +27,8 @@
             77,
             3,
             List.of(
-                new Platform.Team("red", 2000, 9000, 0, 0),
-                new Platform.Team("blue", 2000, 0, 0, 0)),
+                new PlatformConfiguration.Team("red", 2000, 9000, 0, 0),
+                new PlatformConfiguration.Team("blue", 2000, 0, 0, 0)),
             false);
     cluster.cloud.most = 1_000;
     FakeUsers users = new FakeUsers(cluster);
@@ -133,7 +133,9 @@
         new SimulatedCluster(
             78,
             3,
-            List.of(new Platform.Team("red", 0, 0, 0, 0), new Platform.Team("blue", 0, 0, 0, 0)),
+            List.of(
+                new PlatformConfiguration.Team("red", 0, 0, 0, 0),
+                new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
             false);
     cluster.cloud.most = 80;
     FakeUsers users = new FakeUsers(cluster);
@@ -163,8 +165,8 @@
             78,
             3,
             List.of(
-                new Platform.Team("red", 4000, 14_000, 0, 0),
-                new Platform.Team("blue", 4000, 0, 0, 0)),
+                new PlatformConfiguration.Team("red", 4000, 14_000, 0, 0),
+                new PlatformConfiguration.Team("blue", 4000, 0, 0, 0)),
             false);
     cluster.cloud.most = 1_600;
     FakeUsers users = new FakeUsers(cluster);
--- a/src/test/java/plumlever/sim/LittleProcessorTest.java
+++ b/src/test/java/plumlever/sim/LittleProcessorTest.java
@@ -9,15 +9,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import plumlever.settings.Endpoint;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 
 /**
  * The deployment on processors so small that everything takes its time, and far longer in a process
  * that has just started.
  */
 final class LittleProcessorTest {
-  private static final List<Platform.Team> TEAMS =
-      List.of(new Platform.Team("red", 0, 0, 0, 0), new Platform.Team("blue", 0, 0, 0, 0));
+  private static final List<PlatformConfiguration.Team> TEAMS =
+      List.of(
+          new PlatformConfiguration.Team("red", 0, 0, 0, 0),
+          new PlatformConfiguration.Team("blue", 0, 0, 0, 0));
   private static final int MACHINES = 600;
   private static final double SLOW = 3;
 
@@ -201,7 +203,7 @@
 
   /**
    * Decisions that stand still for much longer cost leadership, and never act in a later term of
-   * the same node.
+   * the same controller.
    */
   @Test
   void anLeadershipWhoseDecisionsStandStillIsGivenUp() {
--- a/src/test/java/plumlever/sim/LoadStand.java
+++ b/src/test/java/plumlever/sim/LoadStand.java
@@ -17,7 +17,7 @@
 import plumlever.http.UndertowCaller;
 import plumlever.http.XnioLoop;
 import plumlever.settings.Endpoint;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 
 /**
  * Serves the stand-ins of the tests on loopback, so that a controller can be run as a plain process
@@ -66,7 +66,9 @@
     cluster =
         new SimulatedCluster(
             1,
-            List.of(new Platform.Team("red", 0, 0, 0, 0), new Platform.Team("blue", 0, 0, 0, 0)),
+            List.of(
+                new PlatformConfiguration.Team("red", 0, 0, 0, 0),
+                new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
             names);
     cluster.cloud.most = machines;
     cluster.workerAt =
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import plumlever.settings.Endpoint;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Accepted at one node, cancelled at another, asked at a third: from the moment one user is told
-   * all say the same.
+   * Accepted at one controller, cancelled at another, asked at a third: from the moment one user is
+   * told all say the same.
    */
   @Test
   void everyNodeSaysTheSameAtOnce() {
@@ -196,7 +196,7 @@
         "stored for all of them");
   }
 
-  /** No leader is alive: the nodes left derive and store it all the same. */
+  /** No leader is alive: the controllers left derive and store it all the same. */
   @Test
   void anCancelRunsThroughWithoutALeader() {
     JobSpec root = idle(1, 400);
@@ -304,7 +304,7 @@
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
   void cancellationsAtTheEndOfPredecessors(long seed) {
-    deployment(seed, new Platform.StateLimits(200, 25, 4096, 8));
+    deployment(seed, new PlatformConfiguration.StateLimits(200, 25, 4096, 8));
     users.closeLooks = true;
     users.meetEnds(0.9);
     List<JobSpec> all = new ArrayList<>();
@@ -323,7 +323,9 @@
         ends.getOrDefault("aborted", 0L) > 3 && ends.getOrDefault("done", 0L) > 3, "" + ends);
   }
 
-  /** A submission and the cancel of the job that it names, at two nodes within milliseconds. */
+  /**
+   * A submission and the cancel of the job that it names, at two controllers within milliseconds.
+   */
   @Test
   void aSubmissionRacesWithTheCancelOfWhatItNames() {
     List<JobSpec> after = new ArrayList<>();
@@ -348,7 +350,7 @@
    */
   @Test
   void anyLegalListIsTaken() {
-    deployment(6, new Platform.StateLimits(200, 25, 2048, 4, 4096));
+    deployment(6, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = 2048;
     cluster.store.transactionOps = 4;
     List<JobSpec> roots = new ArrayList<>();
@@ -433,7 +435,7 @@
     assertTold("done", all.toArray(new JobSpec[0]));
   }
 
-  /** A long chain, asked about at every node: what a question costs does not grow with it. */
+  /** A long chain, asked about at every controller: what a question costs does not grow with it. */
   @Test
   void questionsAboutALongChainAreFew() {
     List<JobSpec> all = new ArrayList<>();
@@ -473,7 +475,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void troubledDayWithPipelines(long seed) {
-    deployment(4_000 + seed, new Platform.StateLimits(200, 25, 2048, 4, 4096));
+    deployment(4_000 + seed, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = seed % 2 == 0 ? 2048 : 4096;
     cluster.store.transactionOps = seed % 2 == 0 ? 4 : 8;
     users.closeLooks = seed % 2 == 0;
@@ -540,8 +542,8 @@
   }
 
   /**
-   * The check can fail: nodes that are not told of ends go on calling a job pending after its root
-   * was cancelled.
+   * The check can fail: controllers that are not told of ends go on calling a job pending after its
+   * root was cancelled.
    */
   @Test
   void withoutTheChangesJobsAreOrphaned() {
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import plumlever.settings.Endpoint;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.OwnerRecord;
 import plumlever.wire.InvalidMessage;
@@ -51,11 +51,11 @@
             seed,
             6,
             List.of(
-                new Platform.Team("red", 20, redLimit, 0, 0),
-                new Platform.Team("blue", 20, 0, 0, 0)),
+                new PlatformConfiguration.Team("red", 20, redLimit, 0, 0),
+                new PlatformConfiguration.Team("blue", 20, 0, 0, 0)),
             false,
             cancelMicros,
-            new Platform.StateLimits(400, 60, 4096, 8),
+            new PlatformConfiguration.StateLimits(400, 60, 4096, 8),
             CELLS);
     cluster.cloud.most = 1;
     cluster.cloud.provide(machines);
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
@@ -40,7 +40,8 @@
               seed,
               3,
               List.of(
-                  new Platform.Team("red", 16, 64, 0, 0), new Platform.Team("blue", 16, 0, 0, 0)),
+                  new PlatformConfiguration.Team("red", 16, 64, 0, 0),
+                  new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
               false);
       users = new FakeUsers(cluster);
     }
--- a/src/test/java/plumlever/sim/SharingDaysTest.java
+++ b/src/test/java/plumlever/sim/SharingDaysTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 
 /**
  * Days of three cells by seed: machines are given away with their tasks every few seconds, through
@@ -32,10 +32,12 @@
         new SimulatedCluster(
             seed,
             6,
-            List.of(new Platform.Team("red", 16, 48, 0, 0), new Platform.Team("blue", 16, 0, 0, 0)),
+            List.of(
+                new PlatformConfiguration.Team("red", 16, 48, 0, 0),
+                new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
             seed % 2 == 0,
             InvariantChecker.CANCEL_MICROS,
-            new Platform.StateLimits(400, 60, 4096, 8),
+            new PlatformConfiguration.StateLimits(400, 60, 4096, 8),
             PoolScenario.CELLS);
     cluster.cloud.most = 20;
     cluster.cloud.provide(6);
--- a/src/test/java/plumlever/sim/SharingMeasurement.java
+++ b/src/test/java/plumlever/sim/SharingMeasurement.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.OwnerRecord;
 import plumlever.wire.InvalidMessage;
@@ -46,10 +46,10 @@
         new SimulatedCluster(
             5,
             mode.equals("one") ? 3 : 6,
-            List.of(new Platform.Team("red", 0, 0, 0, 0)),
+            List.of(new PlatformConfiguration.Team("red", 0, 0, 0, 0)),
             false,
             InvariantChecker.CANCEL_MICROS,
-            new Platform.StateLimits(300, 40, 16_384, 12),
+            new PlatformConfiguration.StateLimits(300, 40, 16_384, 12),
             cells);
     cluster.mostMoving = mostMoving;
     cluster.cloud.most = 1;
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import plumlever.Node;
+import plumlever.Controller;
 import plumlever.concurrent.Loop;
 import plumlever.election.DelegatedRenewal;
 import plumlever.fleet.Fleet;
@@ -21,15 +21,15 @@
 import plumlever.metrics.Logs;
 import plumlever.settings.Endpoint;
 import plumlever.settings.OperatorSettings;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
-import plumlever.settings.Tunables;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
 
 /**
- * A simulated deployment: the service's nodes as they are, with stand-ins for all that is round
- * them, on one clock.
+ * A simulated deployment: the service's controllers as they are, with stand-ins for all that is
+ * round them, on one clock.
  */
 public final class SimulatedCluster {
   /** Answers a request, now or later. */
@@ -84,11 +84,12 @@
   /** Share of direct commands whose answer is lost. */
   double loseCommandAnswers;
 
-  /** Share of heartbeats of which a copy comes late, at any node. */
+  /** Share of heartbeats of which a copy comes late, at any controller. */
   double copyHeartbeats;
 
   /**
-   * Share of heartbeats of which a copy is kept, and comes to every node when a new leader begins.
+   * Share of heartbeats of which a copy is kept, and comes to every controller when a new leader
+   * begins.
    */
   double copyHeartbeatsForNext;
 
@@ -97,15 +98,15 @@
   /** How many copies a new leader was sent. */
   int copiesAtNext;
 
-  /** Machines whose heartbeats reach no node, while direct commands reach them. */
+  /** Machines whose heartbeats reach no controller, while direct commands reach them. */
   final java.util.Set<String> mute = new java.util.HashSet<>();
 
   /** Longest time a copy of a heartbeat comes late: well over a lease. */
   static final long COPY_MICROS = 3 * FakeWorker.LEASE_MICROS;
 
   /**
-   * The most sockets that any node had in use: workers that heartbeat to it, and its direct calls
-   * under way.
+   * The most sockets that any controller had in use: workers that heartbeat to it, and its direct
+   * calls under way.
    */
   int mostSockets;
 
@@ -126,7 +127,8 @@
   private long seq;
   private long now = 1_000_000_000L;
 
-  public SimulatedCluster(long seed, int nodes, List<Platform.Team> teams, boolean money) {
+  public SimulatedCluster(
+      long seed, int nodes, List<PlatformConfiguration.Team> teams, boolean money) {
     this(seed, nodes, teams, money, InvariantChecker.CANCEL_MICROS);
   }
 
@@ -135,8 +137,18 @@
    *     checks
    */
   SimulatedCluster(
-      long seed, int nodes, List<Platform.Team> teams, boolean money, long cancelMicros) {
-    this(seed, nodes, teams, money, cancelMicros, new Platform.StateLimits(200, 25, 4096, 8));
+      long seed,
+      int nodes,
+      List<PlatformConfiguration.Team> teams,
+      boolean money,
+      long cancelMicros) {
+    this(
+        seed,
+        nodes,
+        teams,
+        money,
+        cancelMicros,
+        new PlatformConfiguration.StateLimits(200, 25, 4096, 8));
   }
 
   /**
@@ -145,10 +157,10 @@
   SimulatedCluster(
       long seed,
       int nodes,
-      List<Platform.Team> teams,
+      List<PlatformConfiguration.Team> teams,
       boolean money,
       long cancelMicros,
-      Platform.StateLimits limits) {
+      PlatformConfiguration.StateLimits limits) {
     this(seed, nodes, teams, money, cancelMicros, limits, List.of());
   }
 
@@ -158,10 +170,10 @@
   SimulatedCluster(
       long seed,
       int nodes,
-      List<Platform.Team> teams,
+      List<PlatformConfiguration.Team> teams,
       boolean money,
       long cancelMicros,
-      Platform.StateLimits limits,
+      PlatformConfiguration.StateLimits limits,
       List<SharingSettings.Cell> cells) {
     this.cells = cells;
     random = new SplittableRandom(seed);
@@ -171,18 +183,18 @@
     services.put(STATE, store);
     services.put(CLOUD, cloud);
     for (int i = 0; i < nodes; i++) {
-      List<Platform.Seed> seeds = new ArrayList<>();
+      List<PlatformConfiguration.Seed> seeds = new ArrayList<>();
       for (int j = 0; j < nodes; j++) {
         if (j != i) {
-          seeds.add(new Platform.Seed("n" + j, "z" + j, new Endpoint("n" + j, 2)));
+          seeds.add(new PlatformConfiguration.Seed("n" + j, "z" + j, new Endpoint("n" + j, 2)));
         }
       }
-      List<Platform.Objective> aims =
+      List<PlatformConfiguration.Objective> aims =
           money
-              ? List.of(new Platform.Objective("price", null, 0, 1, 1))
-              : List.of(new Platform.Objective("wait", "c0", 5, 1, 0.9));
-      Platform platform =
-          new Platform(
+              ? List.of(new PlatformConfiguration.Objective("price", null, 0, 1, 1))
+              : List.of(new PlatformConfiguration.Objective("wait", "c0", 5, 1, 0.9));
+      PlatformConfiguration platform =
+          new PlatformConfiguration(
               "n" + i,
               "z" + i,
               new Endpoint("n" + i, 1),
@@ -192,9 +204,9 @@
               STATE,
               teams,
               aims,
-              new Platform.Workers(3_000_000, FakeWorker.LEASE_MICROS, cancelMicros),
+              new PlatformConfiguration.Workers(3_000_000, FakeWorker.LEASE_MICROS, cancelMicros),
               limits,
-              new Platform.CloudLimits(6, FakeCloud.LAG_MICROS),
+              new PlatformConfiguration.CloudLimits(6, FakeCloud.LAG_MICROS),
               1000);
       members.put(platform.label(), new Member(platform));
     }
@@ -229,7 +241,7 @@
    * A world round controllers that run elsewhere, as processes of their own: whoever builds it
    * turns its clock.
    */
-  SimulatedCluster(long seed, List<Platform.Team> teams, List<String> nodes) {
+  SimulatedCluster(long seed, List<PlatformConfiguration.Team> teams, List<String> nodes) {
     cells = List.of();
     random = new SplittableRandom(seed);
     invariants = new InvariantChecker(this, teams);
@@ -465,8 +477,8 @@
 
   /** One controller, which can be killed and started again. */
   final class Member {
-    final Platform platform;
-    private Node node;
+    final PlatformConfiguration platform;
+    private Controller node;
     private int life;
     private long frozenUntil;
     private long stalledUntil;
@@ -480,12 +492,12 @@
     /** False: leadership has no thread of its own, as if nothing had been learnt. */
     boolean electionApart = true;
 
-    Member(Platform platform) {
+    Member(PlatformConfiguration platform) {
       this.platform = platform;
       start();
     }
 
-    Node node() {
+    Controller node() {
       return node;
     }
 
@@ -509,16 +521,16 @@
       Loop loop = loop(mine, decisions);
       Loop electionLoop = loop(mine, leadership);
       node =
-          new Node(
+          new Controller(
               loop,
               caller(mine, decisions),
               electionLoop,
               caller(mine, leadership),
               platform,
-              new OperatorSettings(Tunables.defaults(), sharing(platform.label())),
+              new OperatorSettings(SchedulerParameters.defaults(), sharing(platform.label())),
               random.nextLong(),
               Logs.SERVICE);
-      Node current = node;
+      Controller current = node;
       services.put(
           platform.bind(),
           (from, method, path, body, reply) ->
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
@@ -21,8 +21,10 @@
  * each step.
  */
 final class SimulationTest {
-  private static final List<Platform.Team> TEAMS =
-      List.of(new Platform.Team("red", 16, 48, 0, 0), new Platform.Team("blue", 16, 0, 0, 0));
+  private static final List<PlatformConfiguration.Team> TEAMS =
+      List.of(
+          new PlatformConfiguration.Team("red", 16, 48, 0, 0),
+          new PlatformConfiguration.Team("blue", 16, 0, 0, 0));
 
   private static SimulatedCluster cluster(long seed) {
     return new SimulatedCluster(seed, 3, TEAMS, seed % 2 == 0);
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import plumlever.fleet.Job;
 import plumlever.peer.PeerStatus;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.store.JobStore;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.JobSpec;
@@ -56,10 +56,12 @@
     return new SimulatedCluster(
         seed,
         3,
-        List.of(new Platform.Team("red", 16, 48, 0, 0), new Platform.Team("blue", 16, 0, 0, 0)),
+        List.of(
+            new PlatformConfiguration.Team("red", 16, 48, 0, 0),
+            new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
         false,
         InvariantChecker.CANCEL_MICROS,
-        new Platform.StateLimits(200, 25, NEXT_BYTES, 4, NOW_BYTES));
+        new PlatformConfiguration.StateLimits(200, 25, NEXT_BYTES, 4, NOW_BYTES));
   }
 
   @Test
@@ -377,10 +379,10 @@
         new SimulatedCluster(
             78,
             3,
-            List.of(new Platform.Team("blue", 16, 0, 0, 0)),
+            List.of(new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
             false,
             InvariantChecker.CANCEL_MICROS,
-            new Platform.StateLimits(200, 25, NOW_BYTES, 8));
+            new PlatformConfiguration.StateLimits(200, 25, NOW_BYTES, 8));
     FakeUsers users = new FakeUsers(cluster);
     cluster.cloud.most = 200;
     List<JobSpec> all = new ArrayList<>();
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 
 /** What users are told, in ordinary and in bad times. */
 final class UsersTest {
@@ -25,7 +25,9 @@
 
   @BeforeEach
   void begin() {
-    cluster = new SimulatedCluster(1, 3, List.of(new Platform.Team("red", 4, 8, 0, 0)), true);
+    cluster =
+        new SimulatedCluster(
+            1, 3, List.of(new PlatformConfiguration.Team("red", 4, 8, 0, 0)), true);
     cluster.play(5);
   }
 
@@ -137,7 +139,7 @@
     }
   }
 
-  /** Refused by the state service alone: users should go to another node. */
+  /** Refused by the state service alone: users should go to another controller. */
   @Test
   void aNodeThatAloneIsRefusedCallsItselfUnhealthy() {
     cluster.store.refused.add("n0");
--- a/src/test/java/plumlever/sim/package-info.java
+++ b/src/test/java/plumlever/sim/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A simulated deployment on simulated time: the service's own nodes among stand-ins of the state
- * service, the cloud, the workers and the users, with the protocol's rules checked as it runs.
+ * A simulated deployment on simulated time: the service's own controllers among stand-ins of the
+ * state service, the cloud, the workers and the users, with the protocol's rules checked as it
+ * runs.
  */
 package plumlever.sim;
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import plumlever.settings.Platform;
+import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
@@ -26,7 +26,8 @@
 final class JobStoreTest {
   private static JobStore layout(int valueBytes, int formerValueBytes) {
     return new JobStore(
-        new WriteLimits(new Platform.StateLimits(100, 20, valueBytes, 4, formerValueBytes)));
+        new WriteLimits(
+            new PlatformConfiguration.StateLimits(100, 20, valueBytes, 4, formerValueBytes)));
   }
 
   /**
@@ -143,7 +144,8 @@
    */
   @Test
   void limitsThatFallWithoutNoticeAreLearnt() {
-    WriteLimits writeLimits = new WriteLimits(new Platform.StateLimits(100, 20, 16384, 12, 16384));
+    WriteLimits writeLimits =
+        new WriteLimits(new PlatformConfiguration.StateLimits(100, 20, 16384, 12, 16384));
     Transaction transaction = new Transaction().put("a", Json.object().put("x", "y".repeat(9_000)));
     writeLimits.refused(transaction);
     assertTrue(
