--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -24,7 +24,7 @@
 import plumlever.warmup.WarmUpServices;
 
 /**
- * Starts a controller on loopback with stand-ins round it and lets it lead for a few seconds, so
+ * Starts a controller on loopback with emulators round it and lets it lead for a few seconds, so
  * that the build can archive the classes that a start and a term need: what is not in the archive
  * is loaded, linked and checked when it is needed, which on little processor takes seconds. Nothing
  * it does reaches beyond this process.
@@ -76,7 +76,7 @@
   static int run() {
     Path file = null;
     try {
-      StandIns around = new StandIns();
+      Emulators around = new Emulators();
       file = Files.createTempFile("plumlever", ".toml");
       Files.writeString(file, String.format(SETTINGS, around.port()));
       Main.run(new String[] {"--config", file.toString(), "--check"});
@@ -112,7 +112,7 @@
   }
 
   /** The state service, the cloud and one machine, served on loopback. */
-  private static final class StandIns implements AutoCloseable {
+  private static final class Emulators implements AutoCloseable {
     private final XnioWorker worker = Service.worker("stand-ins");
     private final XnioLoop loop = new XnioLoop(worker.getIoThread());
     private final UndertowCaller caller =
@@ -122,7 +122,7 @@
     private final WarmUpServices outside;
     private final String machine;
 
-    StandIns() throws IOException {
+    Emulators() throws IOException {
       server =
           new Server(worker, new Endpoint("127.0.0.1", 0), 64, 60_000_000, 1 << 20, this::handle);
       server.start();
--- a/src/main/java/plumlever/rehearsal/CloudStandIn.java
+++ b/src/main/java/plumlever/rehearsal/CloudEmulator.java
@@ -11,7 +11,7 @@
 import plumlever.wire.Json;
 
 /** A cloud by its protocol that has no more machines than those that are up. */
-final class CloudStandIn {
+final class CloudEmulator {
   /** The only type of machine. */
   static final String TYPE = "plain-4";
 
@@ -33,7 +33,7 @@
   /**
    * @param onReturn told of each machine that is returned
    */
-  CloudStandIn(Consumer<String> onReturn) {
+  CloudEmulator(Consumer<String> onReturn) {
     this.onReturn = onReturn;
   }
 
--- a/src/main/java/plumlever/rehearsal/SharingDrill.java
+++ b/src/main/java/plumlever/rehearsal/SharingDrill.java
@@ -28,7 +28,7 @@
 import plumlever.wire.Json;
 
 /**
- * Three controllers of three cells as processes of their own, with stand-ins for all that is round
+ * Three controllers of three cells as processes of their own, with emulators for all that is round
  * them. Load goes from cell to cell, so that shares move; machines with tasks are given away
  * besides, and controllers are killed and paused right after. It passes if every job is done, each
  * result was produced once, no two copies of a task ever ran, and no move had a task started anew.
@@ -87,11 +87,11 @@
   private final UndertowCaller caller;
   private final TaskResults results = new TaskResults();
   private final TransferLog transfers;
-  private final StateStandIn state;
-  private final CloudStandIn cloud;
+  private final StateServiceEmulator state;
+  private final CloudEmulator cloud;
   private final List<Server> servers = new ArrayList<>();
   private final List<ControllerProcess> controllers = new ArrayList<>();
-  private final Map<String, WorkerStandIn> workers = new LinkedHashMap<>();
+  private final Map<String, WorkerEmulator> workers = new LinkedHashMap<>();
   private final CompletableFuture<Outcome> outcome = new CompletableFuture<>();
   private final List<String> events = new ArrayList<>();
   private DrillUsers users;
@@ -120,8 +120,8 @@
         new UndertowCaller(
             loop, worker.getIoThread(), new DefaultByteBufferPool(false, BUFFER_BYTES, BUFFERS, 4));
     this.transfers = new TransferLog(loop);
-    this.state = new StateStandIn(loop, transfers::put);
-    this.cloud = new CloudStandIn(machine -> workers.get(machine).remove());
+    this.state = new StateServiceEmulator(loop, transfers::put);
+    this.cloud = new CloudEmulator(machine -> workers.get(machine).remove());
   }
 
   /** Plays the drill; it takes about as long as its plan says, and a minute or two more. */
@@ -205,8 +205,8 @@
       front.add(controller.users());
     }
     users = new DrillUsers(loop, caller, front, results, random);
-    WorkerStandIn.Surroundings around =
-        new WorkerStandIn.Surroundings(
+    WorkerEmulator.Surroundings around =
+        new WorkerEmulator.Surroundings(
             loop, caller, front, byLabel, results, HEARTBEAT_MICROS, LEASE_MICROS);
     for (int i = 1; i <= plan.machines(); i++) {
       String machine = String.format("i-%06d", i);
@@ -216,7 +216,7 @@
       String zone = i % 2 == 0 ? "a" : "b";
       cloud.add(machine, endpoint, zone);
       workers.put(
-          machine, new WorkerStandIn(around, machine, zone, endpoint, i % controllers.size()));
+          machine, new WorkerEmulator(around, machine, zone, endpoint, i % controllers.size()));
     }
     loop.after(START_MICROS, this::beginLoad);
   }
--- a/src/main/java/plumlever/rehearsal/StateStandIn.java
+++ b/src/main/java/plumlever/rehearsal/StateServiceEmulator.java
@@ -18,7 +18,7 @@
 import plumlever.wire.Json;
 
 /** A state service by its protocol, in memory. */
-final class StateStandIn {
+final class StateServiceEmulator {
   private static final int REMEMBERED = 10_000;
   private static final int MOST_ITEMS = 1_000;
   private static final long LEAST_TTL_MS = 100;
@@ -49,7 +49,7 @@
   /**
    * @param onPut told of each value that is put
    */
-  StateStandIn(Loop loop, BiConsumer<String, JsonNode> onPut) {
+  StateServiceEmulator(Loop loop, BiConsumer<String, JsonNode> onPut) {
     this.onPut = onPut;
     this.loop = loop;
     loop.after(EXPIRE_MICROS, this::expire);
--- a/src/main/java/plumlever/rehearsal/WorkerStandIn.java
+++ b/src/main/java/plumlever/rehearsal/WorkerEmulator.java
@@ -18,7 +18,7 @@
 import plumlever.wire.WorkerCommand;
 
 /** The worker of one machine, by its protocol; tasks take the time that the results tell. */
-final class WorkerStandIn {
+final class WorkerEmulator {
   private static final long LEAST_PAUSE_MICROS = 500_000;
   private static final long NEXT_NODE_MICROS = 1_000_000;
   private static final long TIMEOUT_MICROS = 4_000_000;
@@ -66,7 +66,7 @@
   private Loop.Timer timer;
   private boolean gone;
 
-  WorkerStandIn(Surroundings around, String machine, String zone, String endpoint, int firstNode) {
+  WorkerEmulator(Surroundings around, String machine, String zone, String endpoint, int firstNode) {
     this.around = around;
     this.loop = around.loop();
     this.machine = machine;
@@ -275,7 +275,7 @@
         Json.object()
             .put("host", machine)
             .put("endpoint", endpoint)
-            .put("flavor", CloudStandIn.TYPE)
+            .put("flavor", CloudEmulator.TYPE)
             .put("site", zone)
             .put("loaners", false)
             .put("tenure", incarnation)
--- a/src/test/java/plumlever/sim/LoadStand.java
+++ b/src/test/java/plumlever/sim/LoadStand.java
@@ -20,7 +20,7 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * Serves the stand-ins of the tests on loopback, so that a controller can be run as a plain process
+ * Serves the emulators of the tests on loopback, so that a controller can be run as a plain process
  * under a known load and looked at with the JDK's own means. No test: docs/limits.md says how the
  * figures there were got with it.
  *
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -28,7 +28,7 @@
 import plumlever.wire.Json;
 
 /**
- * A simulated deployment: the service's controllers as they are, with stand-ins for all that is
+ * A simulated deployment: the service's controllers as they are, with emulators for all that is
  * round them, on one clock.
  */
 public final class SimulatedCluster {
@@ -42,7 +42,7 @@
     }
   }
 
-  /** A stand-in that takes requests. */
+  /** A emulator that takes requests. */
   public interface Service {
     void handle(String from, String method, String path, String body, Reply reply);
   }
--- a/src/test/java/plumlever/sim/package-info.java
+++ b/src/test/java/plumlever/sim/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A simulated deployment on simulated time: the service's own controllers among stand-ins of the
+ * A simulated deployment on simulated time: the service's own controllers among emulators of the
  * state service, the cloud, the workers and the users, with the protocol's rules checked as it
  * runs.
  */
