--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -86,7 +86,7 @@
   private final Map<String, Long> confirmedCancellations = new LinkedHashMap<>();
 
   private Leader leader;
-  private long pulseDeadlineMicros;
+  private long livenessTickDueMicros;
   private long lateMicros;
 
   /** A controller that does everything on one loop. */
@@ -444,19 +444,19 @@
   /** How late this comes tells whether the processor's share is enough. */
   private long livenessTick() {
     long now = loop.nowMicros();
-    if (pulseDeadlineMicros > 0) {
-      lateMicros = now - pulseDeadlineMicros;
+    if (livenessTickDueMicros > 0) {
+      lateMicros = now - livenessTickDueMicros;
       metrics.time("late", lateMicros);
     }
-    pulseDeadlineMicros = now + LIVENESS_TICK_MICROS;
+    livenessTickDueMicros = now + LIVENESS_TICK_MICROS;
     return LIVENESS_TICK_MICROS;
   }
 
   /** How late the thread that decides was lately. */
   public long latenessMicros() {
-    return pulseDeadlineMicros == 0
+    return livenessTickDueMicros == 0
         ? 0
-        : Math.max(lateMicros, loop.nowMicros() - pulseDeadlineMicros);
+        : Math.max(lateMicros, loop.nowMicros() - livenessTickDueMicros);
   }
 
   /** The most that another controller lately told of. */
--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -76,9 +76,9 @@
   static int run() {
     Path file = null;
     try {
-      Emulators around = new Emulators();
+      Emulators environment = new Emulators();
       file = Files.createTempFile("plumlever", ".toml");
-      Files.writeString(file, String.format(SETTINGS, around.port()));
+      Files.writeString(file, String.format(SETTINGS, environment.port()));
       Main.run(new String[] {"--config", file.toString(), "--check"});
       loadOwnClasses();
       PlatformConfiguration platform = PlatformConfiguration.load(file);
@@ -90,12 +90,12 @@
         ask(base + "/submissions/job-1", null);
         ask(base + "/submissions", "{\"uid\":\"job-1\"}");
         ask(base + "/submissions", JOB);
-        around.heartbeatTo(new Endpoint("127.0.0.1", service.port()));
+        environment.heartbeatTo(new Endpoint("127.0.0.1", service.port()));
         Thread.sleep(TERM_MS);
         ask(base + "/submissions/job-2", null);
         ask(base + "/submissions/job-2/abort", "");
       }
-      around.close();
+      environment.close();
       WarmUp.playAll(platform, SchedulerParameters.defaults());
       return 0;
     } catch (IOException | SettingsException e) {
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -100,7 +100,7 @@
   public void observed(AttemptState now, long nowMicros) {
     if (now == AttemptState.RUNNING && runningSinceMicros < 0) {
       runningSinceMicros = nowMicros;
-      job.begin();
+      job.markStarted();
     }
     confirm();
     state = now;
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -45,7 +45,7 @@
   private RegistrationState registration = RegistrationState.NONE;
   private int doneCount;
   private boolean over;
-  private boolean begun;
+  private boolean hasStarted;
   private int errors;
   private long notBeforeMicros;
   private double ratioSum;
@@ -233,12 +233,12 @@
   }
 
   /** True once any of its tasks was seen to run. */
-  public boolean begun() {
-    return begun || doneCount > 0;
+  public boolean hasStarted() {
+    return hasStarted || doneCount > 0;
   }
 
-  public void begin() {
-    begun = true;
+  public void markStarted() {
+    hasStarted = true;
   }
 
   /** A task may be on a machine from now on. */
--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/ActiveJobs.java
@@ -46,8 +46,8 @@
   private boolean cancelling;
 
   /**
-   * What is put off until all jobs are there: the listing is in no command that the chains would
-   * know.
+   * What is put off until all jobs are there: the listing is in no command that the dependency
+   * chains would know.
    */
   private List<Runnable> atLoad = new ArrayList<>();
 
@@ -135,7 +135,7 @@
   void load(RecoveryRead found) {
     knownMicros = found.askedMicros();
     StateClient.Listing jobs = found.under(JobStore.ACTIVE);
-    startedJobs.read(found.under(JobStore.BEGUN).items());
+    startedJobs.read(found.under(JobStore.STARTED).items());
     jobs.items().forEach(i -> put(i.key(), i.data(), i.revision(), true));
     found.under(JobStore.PROGRESS).items().forEach(this::readProgress);
     startedJobs.loaded(this);
@@ -195,7 +195,7 @@
               JobStore.spec(data),
               revision,
               context.loop().nowMicros() - Math.max(0, age),
-              known && startedJobs.mayHaveBegun(uid));
+              known && startedJobs.mayHaveStarted(uid));
       active.put(uid, job);
       log.debug(
           "{} taken in: {} tasks of class {}, accepted {} ms ago",
@@ -314,7 +314,7 @@
         });
   }
 
-  /** Carries out what follows from what is known of the chains now. */
+  /** Carries out what follows from what is known of the dependency chains now. */
   private void resolveDependencies() {
     long wall = context.loop().wallMicros();
     for (String uid : dependencyGraph.takeReleased()) {
@@ -383,7 +383,10 @@
     cost = ofTask;
   }
 
-  /** Brings deadlines and priority along the chains up to date; cheap where nothing changed. */
+  /**
+   * Brings deadlines and priority along the dependency chains up to date; cheap where nothing
+   * changed.
+   */
   void propagateGoals(boolean costsToo) {
     if (dependencyGraph.size() == 0) {
       return;
--- a/src/main/java/plumlever/leader/CommandSender.java
+++ b/src/main/java/plumlever/leader/CommandSender.java
@@ -64,7 +64,7 @@
   }
 
   /**
-   * Sends what the round planned; what can't go now goes with the machine's next heartbeat, or is
+   * Sends what the pass planned; what can't go now goes with the machine's next heartbeat, or is
    * planned anew.
    */
   void dispatch(Fleet fleet) {
--- a/src/main/java/plumlever/leader/FleetSizing.java
+++ b/src/main/java/plumlever/leader/FleetSizing.java
@@ -54,10 +54,10 @@
    * rented.
    */
   void size(long now) {
-    Set<Machine> closed = pass.cordoned();
-    closed.removeIf(m -> fleet.machine(m.id()) != m);
+    Set<Machine> cordoned = pass.cordoned();
+    cordoned.removeIf(m -> fleet.machine(m.id()) != m);
     if (!pass.demands().isEmpty()) {
-      uncordon(closed, now);
+      uncordon(cordoned, now);
       sizedMicros = now;
       return;
     }
@@ -68,7 +68,7 @@
     List<Machine> able = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       if (machine.hasReported()
-          && !closed.contains(machine)
+          && !cordoned.contains(machine)
           && !machine.returning()
           && !machine.draining()
           && now - machine.knownSinceMicros() > LEAST_CHARGE_MICROS) {
@@ -81,10 +81,10 @@
     if (step == 0) {
       return;
     }
-    Set<Machine> fewer = new LinkedHashSet<>(closed);
+    Set<Machine> fewer = new LinkedHashSet<>(cordoned);
     fewer.addAll(able.subList(0, step));
     if (pass.canDoWithout(fewer)) {
-      closed.addAll(fewer);
+      cordoned.addAll(fewer);
       context.metrics().count("machines_closed", step);
       log.debug("{} more machines get no new tasks, the others will do", step);
       // A large fleet is too large by many machines at a time; what goes well is tried twice as
@@ -96,13 +96,13 @@
   }
 
   /** The cheapest closed machines, as many as hold what waits, are opened again. */
-  private void uncordon(Set<Machine> closed, long now) {
+  private void uncordon(Set<Machine> cordoned, long now) {
     double cores = 0;
     for (RentalPlan.Demand demand : pass.demands()) {
       cores += demand.tasks() * demand.job().cores();
     }
     List<Machine> able = new ArrayList<>();
-    for (Machine machine : closed) {
+    for (Machine machine : cordoned) {
       if (!machine.returning() && !machine.draining()) {
         able.add(machine);
       }
@@ -115,7 +115,7 @@
       }
       MachineType machineType = context.prices().machineType(machine.machineType());
       cores -= machineType == null ? 0 : machineType.cores() - load(machine);
-      closed.remove(machine);
+      cordoned.remove(machine);
       any = true;
     }
     if (any) {
--- a/src/main/java/plumlever/leader/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/HeartbeatHandler.java
@@ -266,7 +266,7 @@
     }
     boolean started =
         reported.state() == AttemptState.RUNNING && attempt.state() != AttemptState.RUNNING;
-    if (started && !attempt.job().begun()) {
+    if (started && !attempt.job().hasStarted()) {
       context.metrics().time("begin", now - attempt.job().acceptedMicros());
     }
     attempt.observed(reported.state(), now);
@@ -437,7 +437,7 @@
   }
 
   /** The commands that go without a plan: stops, and what the worker may forget. */
-  List<WorkerCommand> standing(Machine machine, Heartbeat heartbeat) {
+  List<WorkerCommand> standingCommands(Machine machine, Heartbeat heartbeat) {
     long now = context.loop().nowMicros();
     List<WorkerCommand> commands = new ArrayList<>();
     // A worker that has forgotten an attempt would start it again from a late copy of a direct
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -60,7 +60,7 @@
   private final SchedulingPass pass;
   private final MachineRegistry registry;
   private final MachineManager machines;
-  private final WarmState hints;
+  private final WarmState warmState;
   private final CommandSender commands;
   private final RecurringTask passes;
   private final EarlyHeartbeats early;
@@ -120,7 +120,7 @@
             failover,
             sharing,
             this::changed);
-    this.hints = new WarmState(context, fleet, estimates);
+    this.warmState = new WarmState(context, fleet, estimates);
     this.early = new EarlyHeartbeats(context.loop(), context.platform().socketLimit());
     this.lists = new DependencyListCleanup(context, jobs);
     this.passes = new RecurringTask("rounds", context.loop(), this::runPass);
@@ -141,7 +141,7 @@
 
   private void loaded(RecoveryRead found) {
     registry.load(found.under(JobStore.FLEET).items(), fleet);
-    hints.load(found.under(JobStore.HINTS).items());
+    warmState.load(found.under(JobStore.WARM_STATE).items());
     jobs.load(found);
     if (sharing.inPool()) {
       sharing.loaded(found.under(PoolView.PREFIX), found.askedMicros());
@@ -175,7 +175,7 @@
     scope.own(new RecurringTask("begun", context.loop(), startedJobs::tidy)).start();
     scope.own(new RecurringTask("progress", context.loop(), progress::write)).start();
     scope.own(new RecurringTask("machines", context.loop(), machines::turn)).start();
-    scope.own(new RecurringTask("hints", context.loop(), hints::write)).start();
+    scope.own(new RecurringTask("hints", context.loop(), warmState::write)).start();
     scope.own(new RecurringTask("raise", context.loop(), this::raise)).start();
     scope
         .own(new RecurringTask("dependency lists", context.loop(), lists::run))
@@ -375,7 +375,7 @@
       }
       return;
     }
-    List<WorkerCommand> responseCommands = heartbeats.standing(machine, heartbeat);
+    List<WorkerCommand> responseCommands = heartbeats.standingCommands(machine, heartbeat);
     responseCommands.addAll(sharing.guestCommands(machine, heartbeat));
     if (news == HeartbeatHandler.News.NEWS
         && machine.hasSeen(heartbeat.fencingToken())
--- a/src/main/java/plumlever/leader/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/MachineRegistry.java
@@ -93,7 +93,7 @@
   private static final class Layout implements SharedRecords.Layout<Machine> {
     @Override
     public String key(int number) {
-      return JobStore.rosterKey(number);
+      return JobStore.machinesKey(number);
     }
 
     @Override
--- a/src/main/java/plumlever/leader/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/MachineShareBalancer.java
@@ -277,8 +277,8 @@
   /** Machines that are offered to this cell. */
   List<RentalPlan.Kind> coming() {
     List<RentalPlan.Kind> kinds = new ArrayList<>();
-    for (PoolView.Versioned<TransferRecord> stamped : view.transfers().values()) {
-      TransferRecord record = stamped.value();
+    for (PoolView.Versioned<TransferRecord> versioned : view.transfers().values()) {
+      TransferRecord record = versioned.value();
       if (record.offer().filter(offer -> offer.to().equals(own)).isPresent()) {
         TransferRecord.Details details = record.machine();
         kinds.add(new RentalPlan.Kind(details.machineType(), details.zone(), details.spot()));
--- a/src/main/java/plumlever/leader/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/MachineTransfers.java
@@ -113,7 +113,7 @@
             .filter(
                 machine ->
                     view.transfer(machine)
-                        .flatMap(stamped -> stamped.value().offer())
+                        .flatMap(versioned -> versioned.value().offer())
                         .filter(offer -> offer.to().equals(cell))
                         .isPresent())
             .count();
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/PoolSharing.java
@@ -263,7 +263,7 @@
       transfers.seenEmpty(machine);
     }
     List<WorkerCommand> commands =
-        relayed.lapsed() ? List.of() : heartbeats.standing(machine, relayed.heartbeat());
+        relayed.lapsed() ? List.of() : heartbeats.standingCommands(machine, relayed.heartbeat());
     if (heartbeats.takeChanged()) {
       changed.run();
     }
--- a/src/main/java/plumlever/leader/RecoveryRead.java
+++ b/src/main/java/plumlever/leader/RecoveryRead.java
@@ -21,7 +21,11 @@
   private final List<String> prefixes =
       new ArrayList<>(
           List.of(
-              JobStore.FLEET, JobStore.HINTS, JobStore.BEGUN, JobStore.ACTIVE, JobStore.PROGRESS));
+              JobStore.FLEET,
+              JobStore.WARM_STATE,
+              JobStore.STARTED,
+              JobStore.ACTIVE,
+              JobStore.PROGRESS));
 
   private final Context context;
   private final Map<String, StateClient.Listing> read = new HashMap<>();
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -30,9 +30,9 @@
 import plumlever.wire.MachineType;
 
 /**
- * The round of decisions: which free tasks go to which machine. A plan binds nobody: it is made
- * anew as things change, and a task is only taken when its machine's answer is written. A round
- * that uses up its time goes on with the next job when it is called again.
+ * The scheduling pass: which free tasks go to which machine. A plan binds nobody: it is made anew
+ * as things change, and a task is only taken when its machine's answer is written. A round that
+ * uses up its time goes on with the next job when it is called again.
  */
 final class SchedulingPass {
   /** Tasks of one job looked at in one round beyond those that find room at once. */
@@ -376,7 +376,7 @@
    * to begin goes first.
    */
   private boolean mustBegin(Job job, long now) {
-    return !job.begun() && now - job.releasedMicros() > context.parameters().beginMicros();
+    return !job.hasStarted() && now - job.releasedMicros() > context.parameters().beginMicros();
   }
 
   /**
--- a/src/main/java/plumlever/leader/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/StartedJobIndex.java
@@ -70,7 +70,7 @@
    * True if an earlier leader may have ordered something of it. Without any record that is not
    * known, and so may be.
    */
-  boolean mayHaveBegun(String uid) {
+  boolean mayHaveStarted(String uid) {
     return found.isEmpty() || foundUids.contains(uid);
   }
 
@@ -114,7 +114,7 @@
   private static final class Layout implements SharedRecords.Layout<Job> {
     @Override
     public String key(int number) {
-      return JobStore.begunKey(number);
+      return JobStore.startedKey(number);
     }
 
     @Override
--- a/src/main/java/plumlever/leader/WarmState.java
+++ b/src/main/java/plumlever/leader/WarmState.java
@@ -166,9 +166,9 @@
       }
       sent.put(index, part);
       if (part == GONE) {
-        transaction.drop(JobStore.hintsKey(index));
+        transaction.drop(JobStore.warmStateKey(index));
       } else {
-        transaction.put(JobStore.hintsKey(index), part);
+        transaction.put(JobStore.warmStateKey(index), part);
       }
     }
     cursor %= all;
--- a/src/main/java/plumlever/rehearsal/SharingDrill.java
+++ b/src/main/java/plumlever/rehearsal/SharingDrill.java
@@ -205,8 +205,8 @@
       front.add(controller.users());
     }
     users = new DrillUsers(loop, caller, front, results, random);
-    WorkerEmulator.Surroundings around =
-        new WorkerEmulator.Surroundings(
+    WorkerEmulator.Environment environment =
+        new WorkerEmulator.Environment(
             loop, caller, front, byLabel, results, HEARTBEAT_MICROS, LEASE_MICROS);
     for (int i = 1; i <= plan.machines(); i++) {
       String machine = String.format("i-%06d", i);
@@ -216,7 +216,8 @@
       String zone = i % 2 == 0 ? "a" : "b";
       cloud.add(machine, endpoint, zone);
       workers.put(
-          machine, new WorkerEmulator(around, machine, zone, endpoint, i % controllers.size()));
+          machine,
+          new WorkerEmulator(environment, machine, zone, endpoint, i % controllers.size()));
     }
     loop.after(START_MICROS, this::beginLoad);
   }
--- a/src/main/java/plumlever/rehearsal/WorkerEmulator.java
+++ b/src/main/java/plumlever/rehearsal/WorkerEmulator.java
@@ -39,7 +39,7 @@
   }
 
   /** What all workers of a drill share. */
-  record Surroundings(
+  record Environment(
       Loop loop,
       Caller caller,
       List<Endpoint> controllers,
@@ -48,7 +48,7 @@
       long heartbeatMicros,
       long leaseMicros) {}
 
-  private final Surroundings around;
+  private final Environment environment;
   private final Loop loop;
   private final String machine;
   private final String zone;
@@ -66,14 +66,15 @@
   private Loop.Timer timer;
   private boolean gone;
 
-  WorkerEmulator(Surroundings around, String machine, String zone, String endpoint, int firstNode) {
-    this.around = around;
-    this.loop = around.loop();
+  WorkerEmulator(
+      Environment environment, String machine, String zone, String endpoint, int firstNode) {
+    this.environment = environment;
+    this.loop = environment.loop();
     this.machine = machine;
     this.zone = zone;
     this.endpoint = endpoint;
     this.node = firstNode;
-    this.at = around.controllers().get(firstNode);
+    this.at = environment.controllers().get(firstNode);
     this.leaseFromMicros = loop.nowMicros();
     schedule(0);
     loop.after(LEASE_CHECK_MICROS, this::checkLease);
@@ -88,7 +89,7 @@
   /** The machine does not exist any more. */
   void remove() {
     gone = true;
-    tasks.values().forEach(task -> around.results().steppedDown(task.name, machine));
+    tasks.values().forEach(task -> environment.results().steppedDown(task.name, machine));
     tasks.clear();
   }
 
@@ -96,12 +97,12 @@
     if (gone) {
       return;
     }
-    if (loop.nowMicros() - leaseFromMicros > around.leaseMicros()) {
-      tasks.values().forEach(task -> around.results().steppedDown(task.name, machine));
+    if (loop.nowMicros() - leaseFromMicros > environment.leaseMicros()) {
+      tasks.values().forEach(task -> environment.results().steppedDown(task.name, machine));
       tasks.clear();
       incarnation++;
       leaseFromMicros = loop.nowMicros();
-      around.results().leaseLapsed();
+      environment.results().leaseLapsed();
     }
     loop.after(LEASE_CHECK_MICROS, this::checkLease);
   }
@@ -129,7 +130,7 @@
     lastSentMicros = loop.nowMicros();
     long sentMicros = lastSentMicros;
     long sentIncarnation = incarnation;
-    around
+    environment
         .caller()
         .call(
             at,
@@ -141,7 +142,7 @@
               reporting = false;
               if (status == HttpStatus.OK) {
                 answered(body, sentMicros, sentIncarnation);
-                schedule(changed ? LEAST_PAUSE_MICROS : around.heartbeatMicros());
+                schedule(changed ? LEAST_PAUSE_MICROS : environment.heartbeatMicros());
               } else {
                 goOn(status, body);
               }
@@ -152,7 +153,7 @@
     Endpoint named = null;
     if (status == HttpStatus.MISDIRECTED_REQUEST) {
       try {
-        named = around.byLabel().get(Json.parseObject(body).path("foreman").asText());
+        named = environment.byLabel().get(Json.parseObject(body).path("foreman").asText());
       } catch (InvalidMessage e) {
         named = null;
       }
@@ -161,8 +162,8 @@
       at = named;
       schedule(LEAST_PAUSE_MICROS / 2);
     } else {
-      node = (node + 1) % around.controllers().size();
-      at = around.controllers().get(node);
+      node = (node + 1) % environment.controllers().size();
+      at = environment.controllers().get(node);
       schedule(NEXT_NODE_MICROS);
     }
   }
@@ -179,7 +180,7 @@
       leaseFromMicros = Math.max(leaseFromMicros, sentMicros);
       WorkerCommand.parseAnswer(body).forEach(this::execute);
     } catch (InvalidMessage e) {
-      around.results().broke("an answer to " + machine + " can't be read: " + e.getMessage());
+      environment.results().broke("an answer to " + machine + " can't be read: " + e.getMessage());
     }
   }
 
@@ -250,7 +251,7 @@
   private void begin(Task task) {
     if (lives(task, AttemptState.FETCHING)) {
       task.status = AttemptState.RUNNING;
-      long runMicros = around.results().started(task.name, machine);
+      long runMicros = environment.results().started(task.name, machine);
       loop.after(runMicros, () -> complete(task));
       noteChange();
     }
@@ -258,7 +259,7 @@
 
   private void complete(Task task) {
     if (lives(task, AttemptState.RUNNING)) {
-      around.results().completed(task.name);
+      environment.results().completed(task.name);
       end(task, ExitCause.DONE);
     }
   }
@@ -266,7 +267,7 @@
   private void end(Task task, ExitCause cause) {
     task.status = AttemptState.ENDED;
     task.cause = cause;
-    around.results().steppedDown(task.name, machine);
+    environment.results().steppedDown(task.name, machine);
     noteChange();
   }
 
--- a/src/main/java/plumlever/settings/SchedulerParameters.java
+++ b/src/main/java/plumlever/settings/SchedulerParameters.java
@@ -13,8 +13,7 @@
  * @param actMarginMicros the leader stops this long before its lease may end, for a round that runs
  *     late
  * @param progressMicros pause between writes of task progress; the design's default
- * @param roundBudgetMicros the longest a round of decisions may take before it lets requests
- *     through
+ * @param roundBudgetMicros the longest a scheduling pass may take before it lets requests through
  * @param silentMicros a machine that has not reported for this long is asked directly, and if alone
  *     in its silence returned
  * @param idleMoneyMicros an idle machine is returned after this where money matters
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -18,7 +18,7 @@
  * What the state service says of jobs that wait for others. Their records never change until they
  * end, so they are read once, with those that they name, directly and through others; from then on
  * one question for what has ended since the last one, begun after the users asked, answers all of
- * them. Nothing hangs on who leads, nor on a version's knowing of chains.
+ * them. Nothing hangs on who leads, nor on a version's knowing of dependency chains.
  */
 final class DependencyRecordCache {
   /** What follows for a job from the records, as of a moment after it was asked about. */
@@ -36,10 +36,13 @@
   private static final long AGAIN_MICROS = 150_000;
   private static final int TRIES = 4;
 
-  /** After so many steps back along chains all active jobs are read at once. */
+  /** After so many steps back along dependency chains all active jobs are read at once. */
   private static final int MOST_STEPS = 3;
 
-  /** Beyond this much the book is begun anew; chains are read again as they are asked about. */
+  /**
+   * Beyond this much the book is begun anew; dependency chains are read again as they are asked
+   * about.
+   */
   private static final int MOST_JOBS = 50_000;
 
   private final Loop loop;
@@ -141,7 +144,7 @@
     }
   }
 
-  /** Reads what is missing of the chains asked about, step by step away from them. */
+  /** Reads what is missing of the dependency chains asked about, step by step away from them. */
   private void complete(List<Question> asked) {
     Set<String> unread = new LinkedHashSet<>();
     for (Question question : asked) {
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -49,9 +49,9 @@
   public static final String ACTIVE = "active/";
   public static final String PROGRESS = "progress/";
   public static final String FLEET = "fleet/";
-  public static final String BEGUN = "begun/";
+  public static final String STARTED = "begun/";
   public static final String CATALOG = "catalog";
-  public static final String HINTS = "hints/";
+  public static final String WARM_STATE = "hints/";
   public static final String ENDED = "ended/";
   private static final String SHARED_CHUNK = PROGRESS + "pack/";
   private static final String SHARED = "p";
@@ -121,16 +121,16 @@
     return ACTIVE + uid;
   }
 
-  public static String rosterKey(int chunk) {
+  public static String machinesKey(int chunk) {
     return FLEET + chunk;
   }
 
-  public static String begunKey(int chunk) {
-    return BEGUN + chunk;
+  public static String startedKey(int chunk) {
+    return STARTED + chunk;
   }
 
-  public static String hintsKey(int part) {
-    return HINTS + part;
+  public static String warmStateKey(int part) {
+    return WARM_STATE + part;
   }
 
   /** Number of a record that entries share, or -1. */
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -19,7 +19,8 @@
 import plumlever.wire.Priority;
 
 /**
- * The chains beside a slow plain model that works everything out anew from the records each time.
+ * The dependency chains beside a slow plain model that works everything out anew from the records
+ * each time.
  */
 final class DependencyGraphTest {
   /** The records, as they are. */
@@ -38,7 +39,7 @@
       return needs.get(uid).stream().allMatch(n -> ended.get(n) == JobState.DONE);
     }
 
-    DependencyGraph.State standing(String uid) {
+    DependencyGraph.State state(String uid) {
       return ended.get(uid) == JobState.DONE
           ? DependencyGraph.State.DONE
           : cancelled(uid)
@@ -153,7 +154,7 @@
       Set<String> released,
       Set<String> cancelled) {
     for (String uid : all) {
-      DependencyGraph.State now = model.standing(uid);
+      DependencyGraph.State now = model.state(uid);
       if (model.ended.get(uid) != null) {
         assertEquals(
             DependencyGraph.State.UNKNOWN,
--- a/src/test/java/plumlever/sharing/SharePolicyTest.java
+++ b/src/test/java/plumlever/sharing/SharePolicyTest.java
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void coresAreNeededForWhatCanNotWatchInTime() {
+  void coresAreNeededForWhatCannotFollowInTime() {
     CoreDemand.Work urgent = new CoreDemand.Work("t", 10, 2, 30, 20);
     CoreDemand.Work relaxed = new CoreDemand.Work("t", 12, 1, 10, 49);
     assertEquals(20, CoreDemand.coresNeeded(List.of(urgent), Map.of()));
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -192,10 +192,10 @@
     JobSpec last = idle(1, 5, root);
     submit(root, last);
     cluster.play(10);
-    cluster.store.unheardOnce = "ended/" + root.uid();
+    cluster.store.answerLostOnce = "ended/" + root.uid();
     users.cancelled(root);
     Answer answer = ask("n1", "POST", "/submissions/" + root.uid() + "/abort", "");
-    assertEquals(1, cluster.store.carriedOutUnheard);
+    assertEquals(1, cluster.store.appliedUnanswered);
     assertTrue(answer.body().contains("\"aborted\""), answer.body());
     for (String node : NODES) {
       assertTrue(
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -53,7 +53,7 @@
   int remembered = 10_000;
 
   /** The next transaction that puts a key under this prefix is carried out and gets no answer. */
-  String unheardOnce;
+  String answerLostOnce;
 
   /** What happens right before the next transaction that puts a key under this prefix. */
   String interveneBefore;
@@ -65,7 +65,7 @@
    */
   double lateWrites;
 
-  double unheardWrites;
+  double unansweredWrites;
 
   /**
    * How many were carried out after a newer one of the same controller, and how many at once
@@ -73,7 +73,7 @@
    */
   int carriedOutAfterNewer;
 
-  int carriedOutUnheard;
+  int appliedUnanswered;
 
   /** Time that each answer takes longer. */
   long slowMicros;
@@ -368,12 +368,12 @@
       interveneBefore = null;
       intervention.run();
     }
-    if (unheardOnce != null && Json.write(object).contains("\"put\":\"" + unheardOnce)) {
-      unheardOnce = null;
-      carriedOutUnheard++;
+    if (answerLostOnce != null && Json.write(object).contains("\"put\":\"" + answerLostOnce)) {
+      answerLostOnce = null;
+      appliedUnanswered++;
       transaction(object, (status, text) -> {});
-    } else if (changes && cluster.random.nextDouble() < unheardWrites) {
-      carriedOutUnheard++;
+    } else if (changes && cluster.random.nextDouble() < unansweredWrites) {
+      appliedUnanswered++;
       transaction(object, (status, text) -> {});
     } else if (changes && cluster.random.nextDouble() < lateWrites) {
       cluster.at(
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -400,7 +400,7 @@
   }
 
   /** True if its user called it off, or a job that it waits on, directly or through others. */
-  private boolean calledOff(String uid) {
+  private boolean cancelRequested(String uid) {
     Set<String> seen = new HashSet<>(Set.of(uid));
     java.util.ArrayDeque<String> open = new java.util.ArrayDeque<>(seen);
     while (!open.isEmpty()) {
@@ -454,7 +454,8 @@
     }
     try {
       cluster.invariants.answered(uid);
-      cluster.invariants.told(uid, Json.parseObject(body).path("status").asText(), calledOff(uid));
+      cluster.invariants.told(
+          uid, Json.parseObject(body).path("status").asText(), cancelRequested(uid));
     } catch (InvalidMessage e) {
       cluster.invariants.broken.add("unreadable: " + body);
     }
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -148,15 +148,15 @@
           d.endOfTrouble();
           return () -> muted;
         }),
-    TRANSACTIONS_CARRIED_OUT_UNHEARD_WHILE_OTHERS_READ(
+    TRANSACTIONS_APPLIED_WITHOUT_AN_ANSWER_WHILE_OTHERS_READ(
         d -> {
-          d.cluster.store.unheardWrites = 0.4;
+          d.cluster.store.unansweredWrites = 0.4;
           d.users.closeLooks = true;
           d.stream(10, 2, 4, 6);
           d.cluster.at(6_000_000, () -> d.users.cancelNow(3, 0, 0));
           d.cluster.play(40);
           d.endOfTrouble();
-          return () -> d.cluster.store.carriedOutUnheard > 10 && d.users.looks > 20;
+          return () -> d.cluster.store.appliedUnanswered > 10 && d.users.looks > 20;
         }),
     JOBS_BOUND_TO_ONE_ZONE_LOSE_MACHINES(
         d -> {
@@ -559,7 +559,7 @@
       cluster.cuts.clear();
       cluster.store.slowMicros = 0;
       cluster.store.lateWrites = 0;
-      cluster.store.unheardWrites = 0;
+      cluster.store.unansweredWrites = 0;
       cluster.store.refused.clear();
       cluster.store.endOutage();
       cluster.cloud.machines.values().stream()
@@ -648,7 +648,7 @@
 
   /** The checks can fail: a job that waits although there is room is seen. */
   @Test
-  void theChecksSeeAJobThatWaitsBesideRoom() {
+  void theChecksSeeAJobThatWaitsBesideFreeCapacity() {
     Deployment deployment = new Deployment(3_002);
     deployment.cluster.play(120);
     deployment.cluster.calmSince = deployment.cluster.now();
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -399,7 +399,7 @@
 
   /** The answers to direct commands are lost, and with them the word whether the tasks run. */
   @Test
-  void anUnheardDirectCommandHoldsItsTaskUntilTheTokenIsRaised() {
+  void anUnansweredDirectCommandHoldsItsTaskUntilTheTokenIsRaised() {
     JobSpec first = submit(job("blue", Priority.STANDARD, 8, 2, 5, false));
     cluster.play(40);
     assertDone(first);
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -131,7 +131,10 @@
     assertEquals(JobState.CANCELLED, JobStore.finalState(records.get("ended/job-000005")));
   }
 
-  /** A new leader goes on with chains that the former version left, a long list among them. */
+  /**
+   * A new leader goes on with dependency chains that the former version left, a long list among
+   * them.
+   */
   @Test
   void chainsOfTheFormerVersionGoOn() throws InvalidMessage {
     SimulatedCluster cluster = cluster(21);
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -128,7 +128,7 @@
    * machine.
    */
   @Test
-  void roundsStayShortWhereHundredsOfJobsWait() {
+  void passesStayShortWhereHundredsOfJobsWait() {
     SimulatedCluster cluster =
         new SimulatedCluster(
             78,
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -290,10 +290,10 @@
   @Test
   void anEndWithoutAnAnswerReleasesAllTheSame() {
     List<JobSpec> list = pipeline();
-    cluster.store.unheardOnce = "ended/" + list.get(0).uid();
+    cluster.store.answerLostOnce = "ended/" + list.get(0).uid();
     users.pipeline(list, false);
     cluster.play(120);
-    assertEquals(1, cluster.store.carriedOutUnheard);
+    assertEquals(1, cluster.store.appliedUnanswered);
     assertTold("done", list.toArray(new JobSpec[0]));
   }
 
@@ -421,7 +421,7 @@
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
-  /** Watches that have fallen too far behind read the chains anew. */
+  /** Watches that have fallen too far behind read the dependency chains anew. */
   @Test
   void aBookThatIsTooOldIsReadAnew() {
     cluster.store.remembered = 3;
@@ -504,7 +504,7 @@
     cluster.repeat = 0.02;
     cluster.copyHeartbeats = 0.02;
     cluster.store.lateWrites = 0.02;
-    cluster.store.unheardWrites = 0.02;
+    cluster.store.unansweredWrites = 0.02;
     for (int i = 0; i < 12; i++) {
       cluster.at(
           20_000_000L + cluster.random.nextLong(200_000_000L),
@@ -518,7 +518,7 @@
         });
     cluster.play(240);
     cluster.store.lateWrites = 0;
-    cluster.store.unheardWrites = 0;
+    cluster.store.unansweredWrites = 0;
     SimulationTest.calm(cluster);
     cluster.play(300);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/SharingHardCasesTest.java
+++ b/src/test/java/plumlever/sim/SharingHardCasesTest.java
@@ -251,7 +251,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2})
-  void theMachineIsReclaimedAsItMoves(int step) {
+  void theMachineIsPreemptedAsItMoves(int step) {
     tasksRun(78, 25);
     pool.beforeStep(
         step,
@@ -423,14 +423,14 @@
     cluster.store.intervention =
         () -> {
           // Only the giver does not hear that its part is the other's now.
-          cluster.store.unheardOnce = "pool/limits/";
+          cluster.store.answerLostOnce = "pool/limits/";
           cluster.store.untold = "pool/";
           cluster.store.untoldNode = cluster.leader(GIVER).platform.label();
           pool.submit("n0", "red", 8, 20);
           cluster.at(4_000_000, () -> cluster.store.untold = null);
         };
     cluster.play(60);
-    assertTrue(cluster.store.carriedOutUnheard > 0, "a part was given unheard");
+    assertTrue(cluster.store.appliedUnanswered > 0, "a part was given unheard");
     pool.endsWell(250);
   }
 
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -271,7 +271,7 @@
    * twice.
    */
   @Test
-  void withoutTheRecordOfBegunJobsTasksRunTwice() {
+  void withoutTheRecordOfStartedJobsTasksRunTwice() {
     SimulatedCluster cluster =
         failoverWithAHiddenMachine(
             v -> v.store.forge("begun/", Json.object().set("jobs", Json.object().arrayNode())));
@@ -338,7 +338,7 @@
    * inherits.
    */
   @Test
-  void aVanishedMachineHoldsUpATakeoverOnlyShortly() {
+  void aVanishedMachineHoldsUpAFailoverOnlyShortly() {
     SimulatedCluster cluster = cluster(43);
     FakeUsers users = new FakeUsers(cluster);
     for (int i = 0; i < 8; i++) {
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -113,7 +113,7 @@
 
   /** The transaction is carried out, its answer is lost: the record decides, never a guess. */
   @Test
-  void anUnheardAcceptanceIsSettledByReading() {
+  void anUnansweredAcceptanceIsSettledByReading() {
     cluster.cuts.put("state>n0", true);
     assertEquals(503, ask("POST", "/submissions", JOB));
     cluster.cuts.clear();
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void readsAReportAndWritesCommands() throws InvalidMessage {
+  void readsAHeartbeatAndWritesCommands() throws InvalidMessage {
     Heartbeat heartbeat =
         Heartbeat.parse(
             ("{\"host\":\"i-1\",\"endpoint\":\"h:1\",\"flavor\":\"g8\",\"site\":\"a\",\"loaners\":true,"
@@ -104,7 +104,7 @@
    * know, nor on their order.
    */
   @Test
-  void readsAReportWhateverElseIsInIt() throws InvalidMessage {
+  void readsAHeartbeatWhateverElseIsInIt() throws InvalidMessage {
     Heartbeat otherHeartbeat = heartbeat(HEARTBEAT);
     assertEquals(
         new Heartbeat(
