--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -284,8 +284,7 @@
       }
     } else if (!busy && (leaderRevision == 0 || label.equals(leaderLabel))) {
       // A key of this controller's own that it does not act on is left from an earlier life of this
-      // process:
-      // that one is dead, so leadership is free.
+      // process: that one is dead, so leadership is free.
       candidacy.wakeIn(lostElections * 150_000L + random.nextInt(250_000));
     }
   }
@@ -303,10 +302,9 @@
       return notBeforeMicros - now;
     }
     busy = true;
-    // The preconditions are what this decision was taken on: watch events go on arriving while
-    // the
-    // lease is made, and
-    // a precondition on the newest revision would depose a leader elected in between.
+    // The preconditions are what this decision was taken on: watch events go on arriving while the
+    // lease is made, and a precondition on the newest revision would depose a leader elected in
+    // between.
     long seenLeader = leaderRevision;
     long seenTerm = termRevision;
     if (poolTerms.isEmpty()) {
--- a/src/main/java/plumlever/leader/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/HeartbeatHandler.java
@@ -175,8 +175,7 @@
         continue;
       }
       // A command in an answer: the worker has taken it in or dropped it before it sent this. A
-      // direct command: it may
-      // be carried out late, until the worker has seen a higher token.
+      // direct command: it may be carried out late, until the worker has seen a higher token.
       if (attempt.directToken() >= 0
           ? heartbeat.fencingToken() > attempt.directToken() || attempt.state() != null
           : own && attempt.sentSequenceNumber() < heartbeat.sequenceNumber()) {
@@ -388,9 +387,7 @@
       return;
     }
     // Only the heartbeat that accounts for a machine may bring attempts of earlier terms: one that
-    // was
-    // held back until
-    // after the lease had lapsed lists tasks that are dead.
+    // was held back until after the lease had lapsed lists tasks that are dead.
     if (!machine.accounted()
         && fleet.ofEarlierTerm(reported.attempt())
         && job.inherited()
@@ -413,8 +410,7 @@
       context.metrics().count("attempts_adopted");
     } else if (job.liveAttempt(task) != null) {
       // Mostly a heartbeat that was held back in the network; if not, the stop that answers it
-      // comes
-      // in time.
+      // comes in time.
       log.info(
           "{} is reported by {} and runs on {}",
           reported.task().wireName(),
@@ -441,9 +437,8 @@
     long now = context.loop().nowMicros();
     List<WorkerCommand> commands = new ArrayList<>();
     // A worker that has forgotten an attempt would start it again from a late copy of a direct
-    // order. So nothing is
-    // removed until the answer that says so also makes such copies void, which has to wait for one
-    // still under way.
+    // order. So nothing is removed until the answer that says so also makes such copies void, which
+    // has to wait for one still under way.
     if (machine.directCommandOpen() && !machine.commandInFlight()) {
       machine.voidDirectCommands();
     }
@@ -478,10 +473,8 @@
       Job job = jobs.get(reported.task().job());
       if (reported.state() != AttemptState.ENDED) {
         // A heartbeat that shows an earlier term does not account for its machine, but tasks of
-        // jobs
-        // that have ended are
-        // stopped by the first answer: it renews their lease, and the machine may not hear another
-        // one.
+        // jobs that have ended are stopped by the first answer: it renews their lease, and the
+        // machine may not hear another one.
         if (current || job == null) {
           commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
         }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -202,9 +202,7 @@
       List<Machine> open = new ArrayList<>(failover.open());
       open.sort(Comparator.comparingInt(Machine::failedCalls));
       // Where time is short, calls make way for the heartbeats that come anyhow: both tell the
-      // same,
-      // and all machines that
-      // still work report within seconds.
+      // same, and all machines that still work report within seconds.
       int most =
           context.latenessMicros().getAsLong() > LATE_MICROS ? MOST_RAISES_LATE : Integer.MAX_VALUE;
       for (Machine machine : open) {
@@ -352,8 +350,7 @@
         && !machine.returning()
         && (machine.accounted() || heartbeat.fencingToken() == 0)) {
       // A heartbeat that shows an earlier term may be a late copy of a machine that is gone:
-      // nothing
-      // is recorded for it.
+      // nothing is recorded for it.
       registry.enroll(machine);
     }
     if (news == HeartbeatHandler.News.NEWS) {
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/MachineManager.java
@@ -213,8 +213,7 @@
       return Long.MAX_VALUE;
     }
     // An answer of this term renewed the lease at the latest; before the first, an earlier leader
-    // may have, or a
-    // delegate of its, whose last read of the delegation is good for a while longer.
+    // may have, or a delegate of its, whose last read of the delegation is good for a while longer.
     long renewedForLeader =
         Math.max(failover.loadedMicros(), delegation.endedMicros(machine.zone()))
             + DelegatedRenewal.VALID_MICROS;
--- a/src/main/java/plumlever/leader/MachineSilence.java
+++ b/src/main/java/plumlever/leader/MachineSilence.java
@@ -129,8 +129,7 @@
         zone.machines++;
         zone.open += open ? 1 : 0;
         // One missed heartbeat already: machines behind a cut fall silent one after the other, and
-        // by
-        // the time the first is called silent all the others must have missed one as well.
+        // by the time the first is called silent all the others must have missed one as well.
         if (of(machine, now) > context.platform().workers().latestHeartbeatMicros()) {
           zone.silent++;
         }
--- a/src/main/java/plumlever/leader/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/RenewalDelegation.java
@@ -111,8 +111,7 @@
       return;
     }
     // A zone that is wanted no more stays covered until the whole delegation has ended: others may
-    // not
-    // have read it yet.
+    // not have read it yet.
     if (zones.isEmpty() || revision < 0) {
       end();
     } else if (!given.containsAll(zones)) {
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/SchedulingPass.java
@@ -434,13 +434,10 @@
 
   private boolean usable(Machine machine, long now) {
     // A new leader has the machines' answers to its direct calls before their own heartbeats:
-    // without
-    // those machines
-    // everything would seem to lack room, and be rented for.
+    // without those machines everything would seem to lack room, and be rented for.
     long sign = machine.hasReported() ? machine.lastHeartbeatMicros() : failover.startedMicros();
     // A machine that missed a heartbeat may be gone, and one with an unheard direct command may
-    // have
-    // taken it.
+    // have taken it.
     return machine.registration() == RegistrationState.STORED
         && machine.accounted()
         && !machine.draining()
@@ -508,8 +505,7 @@
     private PlacementCandidate candidate(
         Machine machine, MachineType machineType, double slowness, long delay) {
       // Where only speed matters no machine is dearer than another for its size: what is left of
-      // the score is the time
-      // that a task holds its share, with the image if it has to be fetched.
+      // the score is the time that a task holds its share, with the image if it has to be fetched.
       double price =
           context.moneyMatters()
               ? context.prices().hourly(machineType, machine.spot()) / 3600
@@ -664,8 +660,8 @@
     if (!Placer.hasFreeCapacityNow(request, snapshot.candidates, zones)
         && ++unschedulable > MOST_UNSCHEDULABLE) {
       // Behind so many that wait as well there is no machine that could be booked for soon; where
-      // hundreds of jobs wait
-      // in a full fleet, searching for each would take longer than until the next urgent one comes.
+      // hundreds of jobs wait in a full fleet, searching for each would take longer than until the
+      // next urgent one comes.
       if (!context.moneyMatters()) {
         demands.add(new RentalPlan.Demand(job.spec(), job.boundZone(), want, request.runMicros()));
       }
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -508,8 +508,7 @@
     void start() {
       int mine = ++life;
       // The leadership's thread gets on whatever the other has to do, but on the same processor, so
-      // at
-      // half the speed.
+      // at half the speed.
       decisions =
           new Processor(
               SimulatedCluster.this,
