--- a/src/main/java/plumlever/leader/Context.java
+++ b/src/main/java/plumlever/leader/context/Context.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.context;
 
 import java.util.Optional;
 import java.util.function.Consumer;
--- a/src/main/java/plumlever/leader/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.context;
 
 import java.util.List;
 import java.util.function.Consumer;
@@ -18,7 +18,7 @@
  * What a leader has to know of the pool that its machines belong to. Without a pool all machines
  * are its own, and nothing is asked or stored.
  */
-interface MachineSharing {
+public interface MachineSharing {
   /** A leader that has all machines for itself. */
   MachineSharing NONE = new MachineSharing() {};
 
--- a/src/main/java/plumlever/leader/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.failover;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -11,6 +11,8 @@
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
+import plumlever.leader.context.Context;
+import plumlever.leader.context.MachineSharing;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.sharing.LimitParts;
 import plumlever.wire.MachineType;
@@ -20,7 +22,7 @@
  * is accounted for, no task of a job that an earlier leader knew is started; and a machine not
  * accounted for counts against every team's limit with all it could hold.
  */
-final class Failover {
+public final class Failover {
   /**
    * Nearly all machines that can be reached have come over by then, also those of a large fleet.
    */
@@ -46,7 +48,12 @@
   private double unaccountedAccelerators;
   private long loadedMicros;
 
-  Failover(Context context, Fleet fleet, Supplier<MachineSharing> sharing) {
+  /**
+   * The failover that begins with this term.
+   *
+   * @param sharing asked for the limits of teams; it is set up later than this
+   */
+  public Failover(Context context, Fleet fleet, Supplier<MachineSharing> sharing) {
     this.sharing = sharing;
     this.context = context;
     this.log = context.logs().of(Failover.class);
@@ -55,7 +62,7 @@
     context.platform().teams().forEach(t -> teams.put(t.name(), t));
   }
 
-  long startedMicros() {
+  public long startedMicros() {
     return startedMicros;
   }
 
@@ -63,12 +70,12 @@
    * From here on each answer to a machine is on record; before, an answer may have renewed any
    * lease.
    */
-  long loadedMicros() {
+  public long loadedMicros() {
     return loadedMicros;
   }
 
   /** All machines that may hold tasks are in the fleet now. */
-  void loaded() {
+  public void loaded() {
     loaded = true;
     unaccountedKnown = false;
     loadedMicros = context.loop().nowMicros();
@@ -84,7 +91,7 @@
     }
   }
 
-  boolean complete() {
+  public boolean complete() {
     return loaded && open.isEmpty();
   }
 
@@ -92,16 +99,16 @@
    * True when what is still open will not come over soon: it is gone or behind a cut, and nothing
    * can be planned with it.
    */
-  boolean overdue(long now) {
+  public boolean overdue(long now) {
     return loaded && !open.isEmpty() && now - loadedMicros > OVERDUE_MICROS;
   }
 
-  Set<Machine> open() {
+  public Set<Machine> open() {
     return open;
   }
 
   /** Nothing that an earlier leader started on the machine is unknown any more, or it is gone. */
-  void accounted(Machine machine, String how) {
+  public void accounted(Machine machine, String how) {
     machine.markAccounted();
     if (open.remove(machine)) {
       unaccountedKnown = false;
@@ -119,24 +126,24 @@
   }
 
   /** The machine lists so many running tasks that this leader does not keep. */
-  void untracked(Machine machine, int tasks) {
+  public void untracked(Machine machine, int tasks) {
     if (tasks > 0 ? untracked.add(machine) : untracked.remove(machine)) {
       unaccountedKnown = false;
     }
   }
 
   /** True while the machine runs tasks that this leader does not keep. */
-  boolean runsUntracked(Machine machine) {
+  public boolean runsUntracked(Machine machine) {
     return untracked.contains(machine);
   }
 
   /** True while a task of the job could be running on a machine not accounted for. */
-  boolean blocks(Job job) {
+  public boolean blocks(Job job) {
     return !loaded || (job.inherited() && !open.isEmpty());
   }
 
   /** How many more tasks of the job its team's limit allows. */
-  int quotaHeadroom(Job job) {
+  public int quotaHeadroom(Job job) {
     PlatformConfiguration.Team team = teams.get(job.spec().team());
     if (team == null) {
       return 0;
@@ -159,7 +166,7 @@
   }
 
   /** Processors that the team's tasks may be using, wherever they are. */
-  double coresHeld(String team) {
+  public double coresHeld(String team) {
     return fleet.held(team).cores() + (countUnaccounted() ? unaccountedCores : 0);
   }
 
--- a/src/main/java/plumlever/leader/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.failover;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -12,6 +12,7 @@
 import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
@@ -23,7 +24,7 @@
  * each change of leader costs a fetch for most tasks that watch. It is advice only: wrong or
  * missing hints cost time, no rule.
  */
-final class WarmState {
+public final class WarmState {
   private static final long EVERY_MICROS = 10_000_000;
 
   /** Changes in one transaction: submissions must not wait for these. */
@@ -53,14 +54,15 @@
   private int cursor;
   private boolean writing;
 
-  WarmState(Context context, Fleet fleet, Estimates estimates) {
+  /** Warm state of this term, to be loaded once and then written now and then. */
+  public WarmState(Context context, Fleet fleet, Estimates estimates) {
     this.context = context;
     this.fleet = fleet;
     this.estimates = estimates;
   }
 
   /** Takes what the last leader left. */
-  void load(List<StateClient.Item> items) {
+  public void load(List<StateClient.Item> items) {
     for (StateClient.Item item : items) {
       apply(item.data());
       known(JobStore.numberOf(item.key()));
@@ -150,7 +152,7 @@
   }
 
   /** One turn of the duty: some of what has changed, going on where the last turn stopped. */
-  long write() {
+  public long write() {
     if (writing) {
       return EVERY_MICROS;
     }
--- a/src/main/java/plumlever/leader/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -1,9 +1,10 @@
-package plumlever.leader;
+package plumlever.leader.heartbeat;
 
 import java.util.List;
 import org.slf4j.Logger;
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
 import plumlever.metrics.LogBudget;
 import plumlever.wire.Heartbeat;
 
@@ -11,14 +12,15 @@
  * The life of each attempt, for one search by job or machine: each line names task, attempt,
  * machine, incarnation and token. Debug lines only, so many a second at most.
  */
-final class AttemptLog {
+public final class AttemptLog {
   private static final int LINES_PER_SECOND = 200;
 
   private final Context context;
   private final Logger log;
   private final LogBudget lines;
 
-  AttemptLog(Context context) {
+  /** A log of the attempts of one term. */
+  public AttemptLog(Context context) {
     this.context = context;
     this.log = context.logs().of(AttemptLog.class);
     this.lines = new LogBudget(log, LINES_PER_SECOND);
@@ -31,7 +33,7 @@
   /**
    * @param endsKnownMicros when the last heard read of ended jobs had been sent
    */
-  void started(Attempt attempt, boolean direct, long endsKnownMicros) {
+  public void started(Attempt attempt, boolean direct, long endsKnownMicros) {
     if (enabled()) {
       log.debug(
           "{} attempt {} goes to {} session {} {} token {}, ended jobs as of {} ms ago",
@@ -93,7 +95,7 @@
   }
 
   /** These starts had no answer in their time. */
-  void unanswered(Machine machine, long incarnation, long token, List<Attempt> sent) {
+  public void unanswered(Machine machine, long incarnation, long token, List<Attempt> sent) {
     if (enabled()) {
       log.debug(
           "starts of {} on {} session {} with token {} had no answer: they may be carried out until"
--- a/src/main/java/plumlever/leader/EarlyHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/EarlyHeartbeats.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.heartbeat;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -15,7 +15,7 @@
  * answer would renew leases of tasks whose jobs may have been cancelled long ago, so it waits until
  * the leader knows, within the time that a worker waits.
  */
-final class EarlyHeartbeats {
+public final class EarlyHeartbeats {
   /** A worker gives up after 4 s, and what it hears must still get to it. */
   private static final long MOST_MICROS = 2_500_000;
 
@@ -28,12 +28,13 @@
 
   private final Map<String, Early> byMachine = new LinkedHashMap<>();
 
-  EarlyHeartbeats(Loop loop, int socketLimit) {
+  public EarlyHeartbeats(Loop loop, int socketLimit) {
     this.loop = loop;
     this.most = socketLimit;
   }
 
-  void keep(Heartbeat heartbeat, Responder out) {
+  /** Keeps the heartbeat until the jobs are known, or refuses it if too many wait. */
+  public void keep(Heartbeat heartbeat, Responder out) {
     long now = loop.nowMicros();
     Early before = byMachine.remove(heartbeat.machineId());
     if (before != null) {
@@ -58,7 +59,7 @@
    * The leader knows its jobs: each is taken in a turn of its own, so that what comes meanwhile
    * need not wait for all.
    */
-  void release(BiConsumer<Heartbeat, Responder> take) {
+  public void release(BiConsumer<Heartbeat, Responder> take) {
     List<Early> all = new ArrayList<>(byMachine.values());
     byMachine.clear();
     for (Early early : all) {
@@ -73,7 +74,7 @@
     }
   }
 
-  void close() {
+  public void close() {
     release((r, out) -> out.later(HttpStatus.UNAVAILABLE, "not in office", 1));
   }
 
--- a/src/main/java/plumlever/leader/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.heartbeat;
 
 import java.util.List;
 import java.util.Optional;
@@ -6,6 +6,9 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
 import plumlever.http.Responder;
+import plumlever.leader.context.Context;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.job.ActiveJobs;
 import plumlever.lease.LeaderEvidence;
 import plumlever.lease.LeaseRenewal;
 import plumlever.lease.RenewalDecision;
@@ -18,7 +21,7 @@
 import plumlever.wire.WorkerCommand;
 
 /** The leader's answers to heartbeats, as far as they renew a lease or refuse to. */
-final class HeartbeatAnswers {
+public final class HeartbeatAnswers {
   private static final int LINES_PER_SECOND = 20;
 
   private final Context context;
@@ -28,7 +31,8 @@
   private final Logger log;
   private final LogBudget lines;
 
-  HeartbeatAnswers(Context context, ActiveJobs jobs, MachineSharing sharing) {
+  /** Answers under the evidence that these jobs and this view of a pool give. */
+  public HeartbeatAnswers(Context context, ActiveJobs jobs, MachineSharing sharing) {
     this.context = context;
     this.jobs = jobs;
     this.sharing = sharing;
@@ -38,7 +42,7 @@
   }
 
   /** Why the machine's lease may not be renewed now, if it may not. */
-  Optional<RenewalRefusal> refusal(Machine machine, boolean holdsOpenTasks) {
+  public Optional<RenewalRefusal> refusal(Machine machine, boolean holdsOpenTasks) {
     return renewal.refusal(evidence(machine, holdsOpenTasks), context.loop().nowMicros());
   }
 
@@ -47,7 +51,7 @@
    *
    * @return true if it was renewed
    */
-  boolean send(
+  public boolean send(
       Machine machine,
       Heartbeat heartbeat,
       boolean holdsOpenTasks,
@@ -60,7 +64,7 @@
    * Renews the lease of a machine without tasks before the jobs are known: nothing runs there that
    * could have been cancelled, and the term's token voids what a former leader has sent.
    */
-  void sendToIdle(Heartbeat heartbeat, Responder out) {
+  public void sendToIdle(Heartbeat heartbeat, Responder out) {
     LeaderEvidence evidence =
         LeaderEvidence.ofIdleMachine(
             context.term()::mayAct, Fleet.firstToken(context.term().number()));
@@ -93,7 +97,7 @@
   }
 
   /** Answers without renewing the lease. */
-  void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
+  public void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     context.metrics().count("renewals_refused");
     context.metrics().count(refusal.counter());
     long now = context.loop().nowMicros();
--- a/src/main/java/plumlever/leader/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.heartbeat;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,13 +10,18 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.leader.progress.ProgressWriter;
 import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.WorkerCommand;
 
 /** Learns from heartbeats, and writes the commands that answer them. */
-final class HeartbeatHandler {
+public final class HeartbeatHandler {
   private final Logger log;
   private final Context context;
   private final Fleet fleet;
@@ -28,7 +33,8 @@
   private final AttemptLog attemptLog;
   private boolean changed;
 
-  HeartbeatHandler(
+  /** Handles the heartbeats of one term; {@code sharing} is set up later than this. */
+  public HeartbeatHandler(
       Context context,
       Fleet fleet,
       ActiveJobs jobs,
@@ -48,14 +54,14 @@
   }
 
   /** True if anything changed that placement cares for, since asked last. */
-  boolean takeChanged() {
+  public boolean takeChanged() {
     boolean wasChanged = changed;
     changed = false;
     return wasChanged;
   }
 
   /** What a heartbeat is worth. */
-  enum News {
+  public enum News {
     /** The newest of its machine. */
     NEWS,
     /** The worker waits for its answer, but the body of a direct call that came first was newer. */
@@ -73,7 +79,7 @@
    * @param own sent by the worker itself; the body of a direct call proves nothing about an answer
    *     on its way
    */
-  News apply(Machine machine, Heartbeat heartbeat, boolean own) {
+  public News apply(Machine machine, Heartbeat heartbeat, boolean own) {
     long now = context.loop().nowMicros();
     if ((machine.incarnation() > 0 || machine.sequenceNumber() > 0)
         && !heartbeat.newerThan(machine.incarnation(), machine.sequenceNumber())) {
@@ -139,7 +145,7 @@
    *
    * @return false for a copy, which proves nothing
    */
-  boolean applyRelayed(Machine machine, Heartbeat heartbeat) {
+  public boolean applyRelayed(Machine machine, Heartbeat heartbeat) {
     boolean known = machine.incarnation() > 0 || machine.sequenceNumber() > 0;
     if (known && !heartbeat.newerThan(machine.incarnation(), machine.sequenceNumber())) {
       return false;
@@ -227,7 +233,7 @@
    * The worker answered that it carried nothing of this out, and it never will: its token or
    * incarnation has moved on.
    */
-  void refused(Iterable<Attempt> sent) {
+  public void refused(Iterable<Attempt> sent) {
     for (Attempt attempt : sent) {
       if (!attempt.over() && attempt.state() == null) {
         changed = true;
@@ -240,7 +246,7 @@
   /**
    * A worker that starts a new incarnation has killed and forgotten everything of the ones before.
    */
-  void endIncarnationsBefore(Machine machine, long incarnation) {
+  public void endIncarnationsBefore(Machine machine, long incarnation) {
     if (fleet.away(machine.id()) != machine) {
       failover.untracked(machine, 0);
     }
@@ -423,7 +429,7 @@
    * True if the machine has tasks of jobs that are not known here to have ended; stops of the
    * others go with any answer.
    */
-  boolean holdsOpenTasks(Heartbeat heartbeat) {
+  public boolean holdsOpenTasks(Heartbeat heartbeat) {
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       if (reported.state() != AttemptState.ENDED && jobs.get(reported.task().job()) != null) {
         return true;
@@ -433,7 +439,7 @@
   }
 
   /** The commands that go without a plan: stops, and what the worker may forget. */
-  List<WorkerCommand> standingCommands(Machine machine, Heartbeat heartbeat) {
+  public List<WorkerCommand> standingCommands(Machine machine, Heartbeat heartbeat) {
     long now = context.loop().nowMicros();
     List<WorkerCommand> commands = new ArrayList<>();
     // A worker that has forgotten an attempt would start it again from a late copy of a direct
--- a/src/main/java/plumlever/leader/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.heartbeat;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,6 +13,7 @@
 import plumlever.election.LeaderElection;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
 import plumlever.lease.DelegationRecord;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
@@ -26,7 +27,7 @@
  * they void the starts that have had no answer; and it stays above all commands, since none is sent
  * while a renewal can still carry it.
  */
-final class RenewalDelegation {
+public final class RenewalDelegation {
 
   /**
    * Workers try one controller after the other; by then some have come to one that reaches them.
@@ -61,13 +62,14 @@
   private long givenMicros;
   private boolean writing;
 
-  RenewalDelegation(Context context, Fleet fleet) {
+  /** The delegations of one term: none at first. */
+  public RenewalDelegation(Context context, Fleet fleet) {
     this.context = context;
     this.fleet = fleet;
     this.log = context.logs().of(RenewalDelegation.class);
   }
 
-  boolean covers(String zone) {
+  public boolean covers(String zone) {
     return given.contains(zone);
   }
 
@@ -75,18 +77,18 @@
    * False while another controller may renew leases in the zone: what is sent there now could have
    * the very token that its renewals carry, and would not be voided by them.
    */
-  boolean mayCommand(String zone) {
+  public boolean mayCommand(String zone) {
     return !given.contains(zone)
         && context.loop().nowMicros() >= endedMicros(zone) + READ_LASTS_MICROS;
   }
 
   /** When the delegation of the zone was surely gone from the state service, or long ago. */
-  long endedMicros(String zone) {
+  public long endedMicros(String zone) {
     return endedMicros.getOrDefault(zone, Long.MIN_VALUE / 4);
   }
 
   /** One look: these zones can't be reached now. */
-  void want(Set<String> unreached) {
+  public void want(Set<String> unreached) {
     long now = context.loop().nowMicros();
     Set<String> zones = new HashSet<>(unreached);
     ineligibleUntil.values().removeIf(until -> until < now);
--- a/src/main/java/plumlever/leader/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.job;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -14,6 +14,8 @@
 import org.slf4j.Logger;
 import plumlever.fleet.DependencyGraph;
 import plumlever.fleet.Job;
+import plumlever.leader.context.Context;
+import plumlever.leader.record.RecoveryRead;
 import plumlever.lease.RenewalLimit;
 import plumlever.store.JobFinder;
 import plumlever.store.JobStore;
@@ -24,7 +26,7 @@
 import plumlever.wire.JobState;
 
 /** The jobs that have not ended, kept up with the state service by watching it. */
-final class ActiveJobs {
+public final class ActiveJobs {
   private static final long RETRY_MICROS = 500_000;
 
   private final Logger log;
@@ -65,7 +67,12 @@
 
   private boolean closed;
 
-  ActiveJobs(Context context, StartedJobIndex startedJobs, Runnable changed) {
+  /**
+   * The jobs of one term, empty until they are loaded.
+   *
+   * @param changed runs when a job has come, has ended or may start
+   */
+  public ActiveJobs(Context context, StartedJobIndex startedJobs, Runnable changed) {
     this.context = context;
     this.log = context.logs().of(ActiveJobs.class);
     this.startedJobs = startedJobs;
@@ -92,28 +99,28 @@
             });
   }
 
-  Collection<Job> all() {
+  public Collection<Job> all() {
     return active.values();
   }
 
-  Map<String, Long> sharedChunkRevisions() {
+  public Map<String, Long> sharedChunkRevisions() {
     return sharedChunkRevisions;
   }
 
   /** Keys of stored progress by job, and those of jobs that have ended. */
-  Map<Job, Map<String, Long>> chunks() {
+  public Map<Job, Map<String, Long>> chunks() {
     return chunks;
   }
 
-  List<String> unknownMachines() {
+  public List<String> unknownMachines() {
     return unknownMachines;
   }
 
-  Map<Job, Integer> sharedChunks() {
+  public Map<Job, Integer> sharedChunks() {
     return sharedChunks;
   }
 
-  Job get(String uid) {
+  public Job get(String uid) {
     return active.get(uid);
   }
 
@@ -122,17 +129,17 @@
    * cancellation that this leader has not heard of might come to its end of time before the lease
    * does.
    */
-  boolean mayRenew() {
+  public boolean mayRenew() {
     return limit.mayRenew(context.loop().nowMicros(), knownMicros);
   }
 
   /** When the last read of ended jobs that was heard had been sent. */
-  long endsKnownMicros() {
+  public long endsKnownMicros() {
     return knownMicros;
   }
 
   /** Takes in all jobs and which of them earlier leaders may have begun, and goes on watching. */
-  void load(RecoveryRead found) {
+  public void load(RecoveryRead found) {
     knownMicros = found.askedMicros();
     StateClient.Listing jobs = found.under(JobStore.ACTIVE);
     startedJobs.read(found.under(JobStore.STARTED).items());
@@ -379,7 +386,7 @@
   }
 
   /** What a task takes, with which the deadlines along a chain are worked out. */
-  void costs(ToLongFunction<Job> ofTask) {
+  public void costs(ToLongFunction<Job> ofTask) {
     cost = ofTask;
   }
 
@@ -387,7 +394,7 @@
    * Brings deadlines and priority along the dependency chains up to date; cheap where nothing
    * changed.
    */
-  void propagateGoals(boolean costsToo) {
+  public void propagateGoals(boolean costsToo) {
     if (dependencyGraph.size() == 0) {
       return;
     }
@@ -434,7 +441,7 @@
   }
 
   /** The job's end is stored, known before the watch events say so. */
-  void ended(String uid, JobState how) {
+  public void ended(String uid, JobState how) {
     drop(uid, how);
     changed.run();
   }
@@ -443,7 +450,7 @@
    * Another controller's word that these are cancelled: nothing more of them is started, and their
    * tasks are stopped.
    */
-  void cancellationsConfirmed(Collection<String> uids) {
+  public void cancellationsConfirmed(Collection<String> uids) {
     for (String uid : uids) {
       Job job = active.get(uid);
       if (job != null && !job.over()) {
@@ -486,7 +493,7 @@
     }
   }
 
-  void close() {
+  public void close() {
     watch.close();
     closed = true;
   }
--- a/src/main/java/plumlever/leader/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -1,10 +1,11 @@
-package plumlever.leader;
+package plumlever.leader.job;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import plumlever.leader.context.Context;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
@@ -17,8 +18,8 @@
  * plumlever.store.DependencyLists}). The time that a list is left alone is for controllers of
  * earlier versions, which accept a job without looking at the anchor of its list.
  */
-final class DependencyListCleanup {
-  static final long EVERY_MICROS = 300_000_000;
+public final class DependencyListCleanup {
+  public static final long EVERY_MICROS = 300_000_000;
   static final long UNUSED_MICROS = 900_000_000;
 
   private final Context context;
@@ -32,13 +33,13 @@
 
   private record Unused(JobStore.ListName list, long anchorRevision) {}
 
-  DependencyListCleanup(Context context, ActiveJobs jobs) {
+  public DependencyListCleanup(Context context, ActiveJobs jobs) {
     this.context = context;
     this.jobs = jobs;
   }
 
   /** One turn of the duty; the answer is the pause until the next. */
-  long run() {
+  public long run() {
     if (!listing && context.term().mayAct()) {
       listing = true;
       context
@@ -113,7 +114,7 @@
             });
   }
 
-  void close() {
+  public void close() {
     closed = true;
   }
 }
--- a/src/main/java/plumlever/leader/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.job;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -12,6 +12,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import plumlever.fleet.Job;
+import plumlever.leader.context.Context;
+import plumlever.leader.record.SharedRecords;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.wire.Json;
@@ -22,7 +24,7 @@
  * need not wait until all machines are accounted for: a failover takes seconds, and where a zone is
  * cut off as long as a lease.
  */
-final class StartedJobIndex {
+public final class StartedJobIndex {
   private static final Logger LOG = LoggerFactory.getLogger(StartedJobIndex.class);
 
   /** Jobs come one at a time and their first start waits for this, so little is gathered. */
@@ -40,7 +42,7 @@
   /**
    * @param recorded runs when jobs have come to be on record
    */
-  StartedJobIndex(Context context, Runnable recorded) {
+  public StartedJobIndex(Context context, Runnable recorded) {
     this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, recorded);
   }
 
@@ -94,7 +96,7 @@
    * is ordered. Not sooner: in a full fleet jobs wait for long, and through a failover only those
    * that were begun must.
    */
-  void enroll(Job job) {
+  public void enroll(Job job) {
     records.enroll(job);
   }
 
@@ -103,11 +105,11 @@
     records.remove(job);
   }
 
-  long tidy() {
+  public long tidy() {
     return records.tidy();
   }
 
-  void close() {
+  public void close() {
     records.close();
   }
 
--- a/src/main/java/plumlever/leader/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.machine;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,6 +9,9 @@
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.scaling.RentalPlan;
 import plumlever.wire.MachineType;
 
--- a/src/main/java/plumlever/leader/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.machine;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -13,6 +13,13 @@
 import plumlever.election.DelegatedRenewal;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.heartbeat.RenewalDelegation;
+import plumlever.leader.scheduling.CommandSender;
+import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.wire.ListedMachine;
 import plumlever.wire.MachineType;
 
@@ -20,7 +27,7 @@
  * Rents and returns machines, keeps the record of those that may hold tasks, and finds the ones
  * that are gone.
  */
-final class MachineManager {
+public final class MachineManager {
   private static final long LIST_EVERY_MICROS = 6_000_000;
   private static final long CATALOG_EVERY_MICROS = 30_000_000;
 
@@ -91,7 +98,12 @@
   private boolean cataloguing;
   private boolean closed;
 
-  MachineManager(
+  /**
+   * Manages the machines of one term.
+   *
+   * @param changed runs when something changed that placement depends on
+   */
+  public MachineManager(
       Context context,
       Fleet fleet,
       MachineRegistry registry,
@@ -120,12 +132,12 @@
     this.sizing = new FleetSizing(context, fleet, pass, failover, rentals, changed);
   }
 
-  boolean isDeleted(String machineId) {
+  public boolean isDeleted(String machineId) {
     return deleted.contains(machineId);
   }
 
   /** One turn of the duty. */
-  long turn() {
+  public long turn() {
     if (closed || !context.term().mayAct()) {
       return NOT_YET_MICROS;
     }
@@ -419,7 +431,7 @@
             });
   }
 
-  void close() {
+  public void close() {
     closed = true;
   }
 }
--- a/src/main/java/plumlever/leader/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.machine;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,6 +10,8 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.record.SharedRecords;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.wire.Json;
@@ -18,7 +20,7 @@
  * The stored record of the machines that may hold tasks: a machine is in it before anything is
  * ordered from it.
  */
-final class MachineRegistry {
+public final class MachineRegistry {
   private static final long PAUSE_MICROS = 250_000;
   private static final String MACHINES = "hosts";
   private static final String KINDS = "kinds";
@@ -31,14 +33,19 @@
   private final Context context;
   private final SharedRecords<Machine> records;
 
-  MachineRegistry(Context context, Runnable changed) {
+  /**
+   * The records of one term, empty until they are loaded.
+   *
+   * @param changed runs when machines have come to be on record
+   */
+  public MachineRegistry(Context context, Runnable changed) {
     this.context = context;
     this.log = context.logs().of(MachineRegistry.class);
     this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, changed);
   }
 
   /** Takes over what earlier leaders stored. */
-  void load(List<StateClient.Item> items, Fleet fleet) {
+  public void load(List<StateClient.Item> items, Fleet fleet) {
     for (StateClient.Item item : items) {
       int number = JobStore.numberOf(item.key());
       if (number < 0) {
@@ -71,22 +78,22 @@
   }
 
   /** The machine is to be recorded; until its enrolment is stored it takes no orders. */
-  void enroll(Machine machine) {
+  public void enroll(Machine machine) {
     if (machine.endpoint() != null) {
       records.enroll(machine);
     }
   }
 
   /** The machine is gone for good. */
-  void remove(Machine machine) {
+  public void remove(Machine machine) {
     records.remove(machine);
   }
 
-  long tidy() {
+  public long tidy() {
     return records.tidy();
   }
 
-  void close() {
+  public void close() {
     records.close();
   }
 
--- a/src/main/java/plumlever/leader/MachineSilence.java
+++ b/src/main/java/plumlever/leader/machine/MachineSilence.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.machine;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -6,6 +6,8 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.failover.Failover;
 
 /**
  * Which machines are silent, and what that means: that one is gone, that a zone is cut off, or that
--- a/src/main/java/plumlever/leader/package-info.java
+++ b/src/main/java/plumlever/leader/package-info.java
@@ -1,7 +1,5 @@
 /**
- * One term of the leader: failover, reports, scheduling passes, preemption, machines, progress,
- * hints.
- *
- * <p>Nothing of it outlives its term but what is stored. Nobody but the controller makes one.
+ * One term of the leader: assembles the parts of a term from the packages below and ends them with
+ * it. What the parts decide is known there, not here.
  */
 package plumlever.leader;
--- a/src/main/java/plumlever/leader/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadCellAdoption.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import java.util.HashMap;
 import java.util.List;
@@ -7,6 +7,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import plumlever.election.LeaderElection;
+import plumlever.leader.context.Context;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.PoolView;
 import plumlever.sharing.TransferRecord;
--- a/src/main/java/plumlever/leader/GuestBook.java
+++ b/src/main/java/plumlever/leader/pool/GuestBook.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -13,6 +13,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.GuestLoad;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
 import plumlever.lease.GuestEvidence;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
--- a/src/main/java/plumlever/leader/HomeWatch.java
+++ b/src/main/java/plumlever/leader/pool/HomeWatch.java
@@ -1,8 +1,9 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import java.util.HashSet;
 import java.util.Set;
 import org.slf4j.Logger;
+import plumlever.leader.context.Context;
 import plumlever.lease.RenewalLimit;
 import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
--- a/src/main/java/plumlever/leader/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -6,6 +6,9 @@
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import plumlever.fleet.Job;
+import plumlever.leader.context.Context;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.job.ActiveJobs;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.CellDemand;
--- a/src/main/java/plumlever/leader/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,6 +11,9 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.scaling.RentalPlan;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
--- a/src/main/java/plumlever/leader/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -15,6 +15,12 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.leader.machine.MachineRegistry;
+import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.GuestTask;
 import plumlever.sharing.OwnerRecord;
--- a/src/main/java/plumlever/leader/OfferTaker.java
+++ b/src/main/java/plumlever/leader/pool/OfferTaker.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import com.google.common.collect.Lists;
 import java.util.ArrayList;
--- a/src/main/java/plumlever/leader/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,6 +11,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.OwnerRecord;
 import plumlever.sharing.PoolView;
--- a/src/main/java/plumlever/leader/PoolLink.java
+++ b/src/main/java/plumlever/leader/pool/PoolLink.java
@@ -1,8 +1,9 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
+import plumlever.leader.context.Context;
 import plumlever.sharing.PoolView;
 import plumlever.store.PrefixWatch;
 import plumlever.store.StateClient;
--- a/src/main/java/plumlever/leader/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,6 +10,14 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
 import plumlever.http.Responder;
+import plumlever.leader.context.Context;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.leader.machine.MachineRegistry;
+import plumlever.leader.scheduling.CommandSender;
+import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.lease.GuestEvidence;
 import plumlever.scaling.RentalPlan;
 import plumlever.settings.PlatformConfiguration;
@@ -26,7 +34,7 @@
 import plumlever.wire.WorkerCommand;
 
 /** One cell's part in a pool, for one term of its leader. */
-final class PoolSharing implements MachineSharing {
+public final class PoolSharing implements MachineSharing {
   private static final long TURN_MICROS = 500_000;
 
   private final Logger log;
@@ -48,7 +56,8 @@
   private final MachineShareBalancer share;
   private boolean loaded;
 
-  PoolSharing(
+  /** The sharing of one term; nothing is answered before the records of the pool are loaded. */
+  public PoolSharing(
       Context context,
       SharingSettings sharing,
       Fleet fleet,
--- a/src/main/java/plumlever/leader/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/pool/PoolTransaction.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.LinkedHashMap;
--- a/src/main/java/plumlever/leader/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -1,10 +1,11 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import org.slf4j.Logger;
+import plumlever.leader.context.Context;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 
--- a/src/main/java/plumlever/leader/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.pool;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import plumlever.leader.context.Context;
 import plumlever.sharing.OwnerRecord;
 import plumlever.sharing.PoolView;
 import plumlever.sharing.TransferRecord;
--- a/src/main/java/plumlever/leader/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.progress;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,6 +11,8 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import plumlever.fleet.Job;
+import plumlever.leader.context.Context;
+import plumlever.leader.job.ActiveJobs;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
@@ -23,7 +25,7 @@
  * at once. All the same each record is guarded by its own revision, so that a write carried out
  * late undoes nothing, and one at a time is under way.
  */
-final class ProgressWriter {
+public final class ProgressWriter {
   private static final long RETRY_MICROS = 300_000;
 
   /** Base64 holds six tasks in each byte. */
@@ -69,7 +71,8 @@
   private boolean writing;
   private boolean closed;
 
-  ProgressWriter(Context context, ActiveJobs jobs) {
+  /** Writes the progress of these jobs. */
+  public ProgressWriter(Context context, ActiveJobs jobs) {
     this.context = context;
     this.log = context.logs().of(ProgressWriter.class);
     this.jobs = jobs;
@@ -81,7 +84,7 @@
    * jobs. What an earlier limit let share one record may not fit any more: the rest goes to others,
    * and until they are written this one stays as it is.
    */
-  void loaded() {
+  public void loaded() {
     revisions.putAll(jobs.sharedChunkRevisions());
     jobs.chunks()
         .forEach(
@@ -127,7 +130,10 @@
     dirty.computeIfAbsent(job, j -> new BitSet()).set(task / tasksPerChunk * tasksPerChunk);
   }
 
-  void taskDone(Job job, int task) {
+  /**
+   * Has the finished task stored with the next write, or the job's end at once if it was the last.
+   */
+  public void taskDone(Job job, int task) {
     if (job.complete()) {
       dirty.remove(job);
       if (ending.add(job)) {
@@ -221,7 +227,7 @@
   }
 
   /** One turn of the duty: as much as one transaction takes, the oldest first. */
-  long write() {
+  public long write() {
     long pause = context.parameters().progressMicros();
     forgetEnded();
     fitLimits();
@@ -401,7 +407,7 @@
     }
   }
 
-  void close() {
+  public void close() {
     closed = true;
   }
 }
--- a/src/main/java/plumlever/leader/RecoveryRead.java
+++ b/src/main/java/plumlever/leader/record/RecoveryRead.java
@@ -1,10 +1,11 @@
-package plumlever.leader;
+package plumlever.leader.record;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import plumlever.leader.context.Context;
 import plumlever.sharing.PoolView;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
@@ -15,7 +16,7 @@
  * that come and end. It is read on leadership's thread: on the one that decides each answer would
  * wait behind the crowd of workers that come to a new leader.
  */
-final class RecoveryRead {
+public final class RecoveryRead {
   private static final long RETRY_MICROS = 500_000;
 
   private final List<String> prefixes =
@@ -32,14 +33,14 @@
   private Consumer<RecoveryRead> then;
   private long askedMicros;
 
-  RecoveryRead(Context context) {
+  public RecoveryRead(Context context) {
     this.context = context;
   }
 
   /**
    * @param whenRead runs once, when everything has been read
    */
-  void read(Consumer<RecoveryRead> whenRead) {
+  public void read(Consumer<RecoveryRead> whenRead) {
     then = whenRead;
     if (context.sharing().isPresent()) {
       prefixes.add(PoolView.PREFIX);
@@ -73,16 +74,16 @@
   }
 
   /** The keys under the prefix, as they were after the term had been taken. */
-  StateClient.Listing under(String prefix) {
+  public StateClient.Listing under(String prefix) {
     return read.get(prefix);
   }
 
   /** When the read of the active jobs had been sent: whatever ended before it is known. */
-  long askedMicros() {
+  public long askedMicros() {
     return askedMicros;
   }
 
-  void close() {
+  public void close() {
     then = null;
   }
 }
--- a/src/main/java/plumlever/leader/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.record;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -10,6 +10,7 @@
 import java.util.Set;
 import plumlever.fleet.Registered;
 import plumlever.fleet.RegistrationState;
+import plumlever.leader.context.Context;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 
@@ -24,12 +25,12 @@
  * stored does it leave the large one. Broken off at any point an entry is in one value or in two,
  * never in none.
  */
-final class SharedRecords<E extends Registered> {
+public final class SharedRecords<E extends Registered> {
   private static final long TIDY_MICROS = 5_000_000;
   private static final long RETRY_MICROS = 300_000;
 
   /** How entries are written. */
-  interface Layout<E> {
+  public interface Layout<E> {
     String key(int number);
 
     /** Room that the entry takes of a value. */
@@ -83,7 +84,7 @@
   /**
    * @param stored runs when entries have come to be on record
    */
-  SharedRecords(Context context, Layout<E> layout, long pauseMicros, Runnable stored) {
+  public SharedRecords(Context context, Layout<E> layout, long pauseMicros, Runnable stored) {
     this.context = context;
     this.layout = layout;
     this.pauseMicros = pauseMicros;
@@ -94,7 +95,7 @@
    * Takes over a value as an earlier leader stored it; entries that are no use any more may be
    * missing.
    */
-  void load(int number, long revision, List<E> entries) {
+  public void load(int number, long revision, List<E> entries) {
     Chunk<E> chunk = new Chunk<>(number, layout.baseBytes());
     chunk.revision = revision;
     chunk.writtenMicros = context.loop().nowMicros();
@@ -112,7 +113,7 @@
   }
 
   /** The entry is to be recorded, if it is not yet. */
-  void enroll(E entry) {
+  public void enroll(E entry) {
     if (entry.registration() != RegistrationState.NONE) {
       return;
     }
@@ -178,7 +179,7 @@
   /**
    * The entry is of no use any more; it goes with the next write, or when there is time for one.
    */
-  void remove(E entry) {
+  public void remove(E entry) {
     // It may come back, and is not on record then.
     entry.registration(RegistrationState.NONE);
     Chunk<E> to = movingTo.remove(entry);
@@ -196,7 +197,7 @@
   }
 
   /** One turn of the duty. */
-  long tidy() {
+  public long tidy() {
     long now = context.loop().nowMicros();
     for (Chunk<E> chunk : List.copyOf(chunks.values())) {
       if (chunk.bytes > context.layout().valueBytes()) {
@@ -320,7 +321,7 @@
             });
   }
 
-  void close() {
+  public void close() {
     closed = true;
   }
 }
--- a/src/main/java/plumlever/leader/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.scheduling;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -7,6 +7,11 @@
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.heartbeat.AttemptLog;
+import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.heartbeat.RenewalDelegation;
+import plumlever.leader.job.ActiveJobs;
 import plumlever.settings.Endpoint;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
@@ -20,7 +25,7 @@
  * the machine has shown a higher token or its incarnation has ended; and nothing started this way
  * is removed with the token that started it (see {@link Machine#voidDirect}).
  */
-final class CommandSender {
+public final class CommandSender {
   private static final long START_TIMEOUT_MICROS = 1_500_000;
   private static final long RAISE_TIMEOUT_MICROS = 1_000_000;
 
@@ -44,7 +49,12 @@
   private int raises;
   private boolean closed;
 
-  CommandSender(
+  /**
+   * Sends the commands of one term.
+   *
+   * @param changed runs when an answer changed something that placement depends on
+   */
+  public CommandSender(
       Context context,
       ActiveJobs jobs,
       SchedulingPass pass,
@@ -67,7 +77,7 @@
    * Sends what the pass planned; what can't go now goes with the machine's next heartbeat, or is
    * planned anew.
    */
-  void dispatch(Fleet fleet) {
+  public void dispatch(Fleet fleet) {
     for (String machineId : pass.plannedMachines()) {
       if (starts >= MOST_STARTS || !context.term().mayAct()) {
         return;
@@ -136,7 +146,7 @@
    * it. Asked often, it calls no machine again before the last call came to its end, and only so
    * many at a time.
    */
-  void raise(Machine machine) {
+  public void raise(Machine machine) {
     Endpoint at = machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
     if (at == null
         || machine.commandInFlight()
@@ -178,7 +188,7 @@
   }
 
   /** Asks the machine how it is, without a command: it may be in a zone where none may be sent. */
-  void probe(Machine machine) {
+  public void probe(Machine machine) {
     Endpoint at = machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
     if (at == null
         || machine.commandInFlight()
@@ -212,7 +222,7 @@
   }
 
   /** How many machines are being called to raise the token. */
-  int raises() {
+  public int raises() {
     return raises;
   }
 
@@ -253,7 +263,7 @@
     }
   }
 
-  void close() {
+  public void close() {
     closed = true;
   }
 }
--- a/src/main/java/plumlever/leader/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,6 +8,7 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
 import plumlever.placement.ResourceRequest;
 import plumlever.placement.Zones;
 import plumlever.wire.AttemptState;
--- a/src/main/java/plumlever/leader/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -17,6 +17,10 @@
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
+import plumlever.leader.context.Context;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.leader.job.StartedJobIndex;
 import plumlever.placement.PlacementCandidate;
 import plumlever.placement.Placer;
 import plumlever.placement.ResourceRequest;
@@ -34,7 +38,7 @@
  * as things change, and a task is only taken when its machine's answer is written. A round that
  * uses up its time goes on with the next job when it is called again.
  */
-final class SchedulingPass {
+public final class SchedulingPass {
   /** Tasks of one job looked at in one round beyond those that find room at once. */
   private static final int MOST_BOOKED = 64;
 
@@ -112,7 +116,8 @@
   /** The last demand for work that has not come yet. */
   private RentalPlan.Demand lastHeadroomDemand;
 
-  SchedulingPass(
+  /** The passes of one term; nothing is planned before the first run. */
+  public SchedulingPass(
       Context context,
       Fleet fleet,
       ActiveJobs jobs,
@@ -144,7 +149,7 @@
   }
 
   /** When the demands were found. */
-  long finishedMicros() {
+  public long finishedMicros() {
     return finishedMicros;
   }
 
@@ -156,7 +161,7 @@
    * What a task of the job takes from its release on, padded, its image included: what it leaves
    * those before it in a chain.
    */
-  long costMicros(Job job) {
+  public long costMicros(Job job) {
     double fetch = 0;
     int types = 0;
     for (MachineType machineType : context.prices().machineTypes()) {
@@ -172,7 +177,7 @@
   }
 
   /** Machines that get no new tasks, because the others will do; they go once they are empty. */
-  Set<Machine> cordoned() {
+  public Set<Machine> cordoned() {
     return cordoned;
   }
 
@@ -180,7 +185,7 @@
    * True if all that waits would still be served in time without these machines. Nothing is
    * changed.
    */
-  boolean canDoWithout(Set<Machine> without) {
+  public boolean canDoWithout(Set<Machine> without) {
     long now = context.loop().nowMicros();
     FleetSnapshot snapshot = new FleetSnapshot(now, without, false);
     return servesAllInTime(snapshot, now) && snapshot.spareCores() >= headroom.cores(now);
@@ -190,7 +195,7 @@
    * The same of what waits now only: what stands by for work that may come is less than what waits
    * in another cell.
    */
-  boolean servesWaitingWithout(Set<Machine> without) {
+  public boolean servesWaitingWithout(Set<Machine> without) {
     long now = context.loop().nowMicros();
     return servesAllInTime(new FleetSnapshot(now, without, false), now);
   }
@@ -214,12 +219,12 @@
   }
 
   /** What waits for machines, as of the last whole round. */
-  List<RentalPlan.Demand> demands() {
+  public List<RentalPlan.Demand> demands() {
     return lastDemands;
   }
 
   /** Processors that tasks wait for which are there already, as of the last whole round. */
-  double coresWaitedFor() {
+  public double coresWaitedFor() {
     double cores = 0;
     for (RentalPlan.Demand demand : lastDemands) {
       cores += demand == lastHeadroomDemand ? 0 : demand.tasks() * demand.job().cores();
@@ -227,16 +232,16 @@
     return cores;
   }
 
-  Iterable<PlannedTasks> planned(Machine machine) {
+  public Iterable<PlannedTasks> planned(Machine machine) {
     return plans.getOrDefault(machine.id(), Map.of()).values();
   }
 
-  boolean hasPlan(Machine machine) {
+  public boolean hasPlan(Machine machine) {
     return plans.containsKey(machine.id());
   }
 
   /** True if something of the plan can be ordered: its job is on record. */
-  boolean recorded(Machine machine) {
+  public boolean recorded(Machine machine) {
     for (PlannedTasks plannedTasks : planned(machine)) {
       if (plannedTasks.job.registration() == RegistrationState.STORED) {
         return true;
@@ -246,7 +251,7 @@
   }
 
   /** What is left of the jobs that may run, and the time that each has left. */
-  List<CoreDemand.Work> remainingWork() {
+  public List<CoreDemand.Work> remainingWork() {
     long now = context.loop().nowMicros();
     List<CoreDemand.Work> works = new ArrayList<>();
     for (Job job : jobs.all()) {
@@ -270,7 +275,7 @@
   }
 
   /** When the last task that runs on the machine should end. */
-  long lastEndMicros(Machine machine) {
+  public long lastEndMicros(Machine machine) {
     long now = context.loop().nowMicros();
     MachineType machineType = context.prices().machineType(machine.machineType());
     long last = machine.guests().tasks() > 0 ? now + GUESTS_STAY_MICROS : now;
@@ -282,12 +287,12 @@
     return last;
   }
 
-  void dropPlan(Machine machine) {
+  public void dropPlan(Machine machine) {
     plans.remove(machine.id());
   }
 
   /** Goes through the jobs, most urgent first; true when it came to the end within its time. */
-  boolean run() {
+  public boolean run() {
     long start = context.loop().nowMicros();
     if (cursor >= order.size()) {
       plans.clear();
@@ -345,7 +350,7 @@
   }
 
   /** What the last whole round took, without the pauses in it. */
-  long spentMicros() {
+  public long spentMicros() {
     return spentMicros;
   }
 
--- a/src/main/java/plumlever/leader/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.scheduling;
 
 import java.util.Arrays;
 import java.util.HashMap;
--- a/src/main/java/plumlever/leader/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -1,4 +1,4 @@
-package plumlever.leader;
+package plumlever.leader.scheduling;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,13 +7,17 @@
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
+import plumlever.leader.context.Context;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.heartbeat.AttemptLog;
+import plumlever.leader.job.ActiveJobs;
 import plumlever.placement.Zones;
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 import plumlever.wire.WorkerCommand;
 
 /** Starts planned tasks: the last place where every rule about a start is checked. */
-final class TaskStarter {
+public final class TaskStarter {
   private static final double EPSILON = 1e-9;
 
   /** What is free on a machine, while tasks are added to it. */
@@ -52,7 +56,8 @@
   private final Failover failover;
   private final AttemptLog attemptLog;
 
-  TaskStarter(Context context, Fleet fleet, ActiveJobs jobs, Failover failover) {
+  /** Starts tasks of these jobs on machines of the fleet. */
+  public TaskStarter(Context context, Fleet fleet, ActiveJobs jobs, Failover failover) {
     this.context = context;
     this.attemptLog = new AttemptLog(context);
     this.fleet = fleet;
@@ -61,7 +66,7 @@
   }
 
   /** Takes the tasks planned for the machine, each rule checked again as the command is written. */
-  List<Attempt> start(
+  public List<Attempt> start(
       Machine machine,
       Iterable<SchedulingPass.PlannedTasks> planned,
       boolean direct,
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -321,6 +321,7 @@
                         : RenewalResult.UNKNOWN));
   }
 
+  /** Ends a lease at once; the keys that are attached to it are deleted. */
   public void revokeLease(long leaseId) {
     send(
         RequestPriority.URGENT,
--- a/src/test/java/plumlever/architecture/PackageDependenciesTest.java
+++ b/src/test/java/plumlever/architecture/PackageDependenciesTest.java
@@ -1,6 +1,7 @@
 package plumlever.architecture;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
@@ -24,23 +25,39 @@
   private static final Map<String, List<String>> ALLOWED =
       new TreeMap<>(
           Map.ofEntries(
-              Map.entry("wire", List.of()),
-              Map.entry("concurrent", List.of()),
-              Map.entry("metrics", List.of()),
-              Map.entry("settings", List.of()),
-              Map.entry("placement", List.of()),
-              Map.entry("sharing", List.of("wire")),
-              Map.entry("fleet", List.of("wire")),
-              Map.entry("lease", List.of("fleet", "settings", "wire")),
-              Map.entry("scaling", List.of("cloud", "wire")),
-              Map.entry("peer", List.of("concurrent", "http", "settings", "wire")),
               Map.entry(
-                  "store", List.of("concurrent", "fleet", "http", "metrics", "settings", "wire")),
+                  "",
+                  List.of(
+                      "cloud",
+                      "concurrent",
+                      "election",
+                      "http",
+                      "leader",
+                      "leader.context",
+                      "lease",
+                      "metrics",
+                      "peer",
+                      "settings",
+                      "sharing",
+                      "store")),
+              Map.entry(
+                  "cli",
+                  List.of(
+                      "",
+                      "concurrent",
+                      "http",
+                      "metrics",
+                      "rehearsal",
+                      "settings",
+                      "warmup",
+                      "wire")),
               Map.entry(
                   "cloud", List.of("concurrent", "http", "metrics", "settings", "store", "wire")),
+              Map.entry("concurrent", List.of()),
               Map.entry(
                   "election",
-                  List.of("concurrent", "fleet", "lease", "metrics", "settings", "store", "wire")),
+                  List.of("concurrent", "lease", "metrics", "settings", "store", "wire")),
+              Map.entry("fleet", List.of("wire")),
               Map.entry(
                   "http",
                   List.of(
@@ -55,6 +72,28 @@
                       "wire")),
               Map.entry(
                   "leader",
+                  List.of(
+                      "concurrent",
+                      "election",
+                      "fleet",
+                      "http",
+                      "leader.context",
+                      "leader.failover",
+                      "leader.heartbeat",
+                      "leader.job",
+                      "leader.machine",
+                      "leader.pool",
+                      "leader.progress",
+                      "leader.record",
+                      "leader.scheduling",
+                      "lease",
+                      "metrics",
+                      "settings",
+                      "sharing",
+                      "store",
+                      "wire")),
+              Map.entry(
+                  "leader.context",
                   List.of(
                       "cloud",
                       "concurrent",
@@ -63,40 +102,137 @@
                       "http",
                       "lease",
                       "metrics",
-                      "placement",
                       "scaling",
                       "settings",
                       "sharing",
                       "store",
                       "wire")),
-              Map.entry("warmup", List.of("", "concurrent", "http", "metrics", "settings", "wire")),
               Map.entry(
-                  "cli",
+                  "leader.failover",
                   List.of(
-                      "",
+                      "cloud",
+                      "concurrent",
+                      "election",
+                      "fleet",
+                      "leader.context",
+                      "metrics",
+                      "settings",
+                      "sharing",
+                      "store",
+                      "wire")),
+              Map.entry(
+                  "leader.heartbeat",
+                  List.of(
+                      "cloud",
                       "concurrent",
+                      "election",
+                      "fleet",
                       "http",
+                      "leader.context",
+                      "leader.failover",
+                      "leader.job",
+                      "leader.progress",
+                      "lease",
                       "metrics",
-                      "rehearsal",
                       "settings",
-                      "warmup",
+                      "store",
                       "wire")),
-              Map.entry("rehearsal", List.of("concurrent", "http", "settings", "sharing", "wire")),
               Map.entry(
-                  "",
+                  "leader.job",
+                  List.of(
+                      "concurrent",
+                      "election",
+                      "fleet",
+                      "leader.context",
+                      "leader.record",
+                      "lease",
+                      "metrics",
+                      "settings",
+                      "store",
+                      "wire")),
+              Map.entry(
+                  "leader.machine",
                   List.of(
                       "cloud",
                       "concurrent",
                       "election",
+                      "fleet",
+                      "leader.context",
+                      "leader.failover",
+                      "leader.heartbeat",
+                      "leader.record",
+                      "leader.scheduling",
+                      "metrics",
+                      "scaling",
+                      "settings",
+                      "store",
+                      "wire")),
+              Map.entry(
+                  "leader.pool",
+                  List.of(
+                      "cloud",
+                      "concurrent",
+                      "election",
+                      "fleet",
                       "http",
-                      "leader",
+                      "leader.context",
+                      "leader.failover",
+                      "leader.heartbeat",
+                      "leader.job",
+                      "leader.machine",
+                      "leader.scheduling",
                       "lease",
                       "metrics",
-                      "peer",
+                      "scaling",
                       "settings",
                       "sharing",
                       "store",
-                      "wire"))));
+                      "wire")),
+              Map.entry(
+                  "leader.progress",
+                  List.of(
+                      "concurrent",
+                      "election",
+                      "fleet",
+                      "leader.context",
+                      "leader.job",
+                      "metrics",
+                      "settings",
+                      "store",
+                      "wire")),
+              Map.entry(
+                  "leader.record",
+                  List.of("concurrent", "election", "fleet", "leader.context", "sharing", "store")),
+              Map.entry(
+                  "leader.scheduling",
+                  List.of(
+                      "cloud",
+                      "concurrent",
+                      "election",
+                      "fleet",
+                      "http",
+                      "leader.context",
+                      "leader.failover",
+                      "leader.heartbeat",
+                      "leader.job",
+                      "metrics",
+                      "placement",
+                      "scaling",
+                      "settings",
+                      "sharing",
+                      "wire")),
+              Map.entry("lease", List.of("fleet", "settings", "wire")),
+              Map.entry("metrics", List.of()),
+              Map.entry("peer", List.of("concurrent", "http", "settings", "wire")),
+              Map.entry("placement", List.of()),
+              Map.entry("rehearsal", List.of("concurrent", "http", "settings", "sharing", "wire")),
+              Map.entry("scaling", List.of("cloud", "wire")),
+              Map.entry("settings", List.of()),
+              Map.entry("sharing", List.of("wire")),
+              Map.entry(
+                  "store", List.of("concurrent", "fleet", "http", "metrics", "settings", "wire")),
+              Map.entry("warmup", List.of("", "concurrent", "http", "settings", "wire")),
+              Map.entry("wire", List.of())));
 
   /** Packages that are functions of their arguments: no I/O, no threads, no clock. */
   private static final List<String> PURE = List.of("placement", "scaling", "fleet");
@@ -131,6 +267,12 @@
     return name.equals(ROOT) ? "" : name.substring(ROOT.length() + 1);
   }
 
+  /** Each part of the leader can be read without those above it. */
+  @Test
+  void thePartsOfTheLeaderFormNoCycle() {
+    slices().matching(ROOT + ".leader.(*)..").should().beFreeOfCycles().check(project());
+  }
+
   private static ArchRule pure(String name) {
     return classes()
         .that()
