--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -183,7 +183,7 @@
       for (JarEntry jarEntry : Collections.list(jarFile.entries())) {
         String name = jarEntry.getName();
         if (name.startsWith("plumlever/")
-            && !name.startsWith("plumlever/rehearsal/")
+            && !name.startsWith("plumlever/drill/")
             && !name.startsWith("plumlever/sharing/")
             && name.endsWith(".class")) {
           try {
--- a/src/main/java/plumlever/cli/DrillCommand.java
+++ b/src/main/java/plumlever/cli/DrillCommand.java
@@ -9,7 +9,7 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import plumlever.rehearsal.SharingDrill;
+import plumlever.drill.SharingDrill;
 import plumlever.wire.InvalidMessage;
 
 /** {@code plumlever drill NAME}: plays a drill and tells whether it passed. */
--- a/src/main/java/plumlever/rehearsal/ControllerProcess.java
+++ b/src/main/java/plumlever/drill/ControllerProcess.java
@@ -1,4 +1,4 @@
-package plumlever.rehearsal;
+package plumlever.drill;
 
 import java.io.File;
 import java.io.IOException;
--- a/src/main/java/plumlever/rehearsal/DrillFiles.java
+++ b/src/main/java/plumlever/drill/DrillFiles.java
@@ -1,4 +1,4 @@
-package plumlever.rehearsal;
+package plumlever.drill;
 
 import java.util.List;
 import java.util.stream.Collectors;
--- a/src/main/java/plumlever/rehearsal/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -1,4 +1,4 @@
-package plumlever.rehearsal;
+package plumlever.drill;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/main/java/plumlever/rehearsal/Query.java
+++ b/src/main/java/plumlever/drill/Query.java
@@ -1,4 +1,4 @@
-package plumlever.rehearsal;
+package plumlever.drill;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/plumlever/rehearsal/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -1,4 +1,4 @@
-package plumlever.rehearsal;
+package plumlever.drill;
 
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
--- a/src/main/java/plumlever/rehearsal/TaskResults.java
+++ b/src/main/java/plumlever/drill/TaskResults.java
@@ -1,4 +1,4 @@
-package plumlever.rehearsal;
+package plumlever.drill;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/plumlever/rehearsal/TransferLog.java
+++ b/src/main/java/plumlever/drill/TransferLog.java
@@ -1,4 +1,4 @@
-package plumlever.rehearsal;
+package plumlever.drill;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
--- a/src/main/java/plumlever/rehearsal/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -1,4 +1,4 @@
-package plumlever.rehearsal;
+package plumlever.drill;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/plumlever/rehearsal/package-info.java
+++ b/src/main/java/plumlever/drill/package-info.java
@@ -3,4 +3,4 @@
  * controllers as processes of their own, and drills that bring failures about and end with a clear
  * pass or fail.
  */
-package plumlever.rehearsal;
+package plumlever.drill;
--- a/src/test/java/plumlever/architecture/PackageDependenciesTest.java
+++ b/src/test/java/plumlever/architecture/PackageDependenciesTest.java
@@ -43,14 +43,7 @@
               Map.entry(
                   "cli",
                   List.of(
-                      "",
-                      "concurrent",
-                      "http",
-                      "metrics",
-                      "rehearsal",
-                      "settings",
-                      "warmup",
-                      "wire")),
+                      "", "concurrent", "http", "metrics", "drill", "settings", "warmup", "wire")),
               Map.entry(
                   "cloud", List.of("concurrent", "http", "metrics", "settings", "store", "wire")),
               Map.entry("concurrent", List.of()),
@@ -225,7 +218,7 @@
               Map.entry("metrics", List.of()),
               Map.entry("peer", List.of("concurrent", "http", "settings", "wire")),
               Map.entry("placement", List.of()),
-              Map.entry("rehearsal", List.of("concurrent", "http", "settings", "sharing", "wire")),
+              Map.entry("drill", List.of("concurrent", "http", "settings", "sharing", "wire")),
               Map.entry("scaling", List.of("cloud", "wire")),
               Map.entry("settings", List.of()),
               Map.entry("sharing", List.of("wire")),
--- a/src/test/java/plumlever/rehearsal/SharingDrillTest.java
+++ b/src/test/java/plumlever/drill/SharingDrillTest.java
@@ -1,4 +1,4 @@
-package plumlever.rehearsal;
+package plumlever.drill;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/plumlever/rehearsal/package-info.java
+++ b/src/test/java/plumlever/drill/package-info.java
@@ -1,2 +1,2 @@
 /** Short forms of the drills. */
-package plumlever.rehearsal;
+package plumlever.drill;
