--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -41,6 +41,7 @@
 import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
 import plumlever.store.StateClient;
+import plumlever.wire.ProtocolPath;
 
 /** One controller, without its sockets: everything lives on the loop it is given. */
 public final class Controller implements AutoCloseable {
@@ -293,7 +294,9 @@
       String work =
           to.equals(platform.state())
               ? "state"
-              : to.equals(platform.cloud()) ? "cloud" : path.equals("/orders") ? "orders" : "peers";
+              : to.equals(platform.cloud())
+                  ? "cloud"
+                  : path.equals(ProtocolPath.COMMANDS) ? "orders" : "peers";
       bare.call(
           to,
           method,
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -22,6 +22,8 @@
 import plumlever.wire.Json;
 import plumlever.wire.ListedMachine;
 import plumlever.wire.MachineType;
+import plumlever.wire.ProtocolField;
+import plumlever.wire.ProtocolPath;
 
 /** The cloud's client. Answers that can't be understood count as no answer. */
 public final class CloudClient {
@@ -82,7 +84,7 @@
   public void catalog(Consumer<List<MachineType>> then) {
     send(
         "GET",
-        "/catalog",
+        ProtocolPath.MACHINE_TYPES,
         null,
         (status, o) -> {
           List<MachineType> machineTypes = null;
@@ -111,22 +113,24 @@
     }
     send(
         "GET",
-        "/hosts?page=" + PAGE + (since == null ? "" : "&since=" + since),
+        ProtocolPath.MACHINES + "?page=" + PAGE + (since == null ? "" : "&since=" + since),
         null,
         (status, o) -> {
-          if (status != HttpStatus.OK || o == null || !o.path("hosts").isArray()) {
+          if (status != HttpStatus.OK
+              || o == null
+              || !o.path(ProtocolField.MACHINE_IDS).isArray()) {
             then.accept(null);
             return;
           }
           String last = null;
           try {
-            for (JsonNode node : o.get("hosts")) {
+            for (JsonNode node : o.get(ProtocolField.MACHINE_IDS)) {
               ListedMachine listedMachine = ListedMachine.parse(node);
               last = listedMachine.id();
               into.add(listedMachine);
             }
           } catch (InvalidMessage e) {
-            surprise("hosts", e.getMessage());
+            surprise(ProtocolField.MACHINE_IDS, e.getMessage());
             then.accept(null);
             return;
           }
@@ -143,19 +147,19 @@
       String name, String machineType, String zone, boolean spot, int count, RentAnswer then) {
     ObjectNode body =
         Json.object()
-            .put("rental", name)
-            .put("flavor", machineType)
-            .put("site", zone)
-            .put("loaners", spot)
-            .put("count", count);
+            .put(ProtocolField.RENTAL_REQUEST, name)
+            .put(ProtocolField.MACHINE_TYPE, machineType)
+            .put(ProtocolField.ZONE, zone)
+            .put(ProtocolField.SPOT, spot)
+            .put(ProtocolField.COUNT, count);
     send(
         "POST",
-        "/hosts",
+        ProtocolPath.MACHINES,
         body,
         (status, o) -> {
           List<String> machineIds = new ArrayList<>();
-          if (status == HttpStatus.OK && o != null && o.path("hosts").isArray()) {
-            o.get("hosts").forEach(h -> machineIds.add(h.asText()));
+          if (status == HttpStatus.OK && o != null && o.path(ProtocolField.MACHINE_IDS).isArray()) {
+            o.get(ProtocolField.MACHINE_IDS).forEach(h -> machineIds.add(h.asText()));
             then.take(Rent.RENTED, machineIds);
           } else if (status == HttpStatus.UNAVAILABLE
               && o != null
@@ -176,9 +180,13 @@
    */
   public void giveBack(List<String> machineIds, Consumer<Boolean> then) {
     ObjectNode body = Json.object();
-    ArrayNode names = body.putArray("hosts");
+    ArrayNode names = body.putArray(ProtocolField.MACHINE_IDS);
     machineIds.forEach(names::add);
-    send("POST", "/hosts/return", body, (status, o) -> then.accept(status == HttpStatus.OK));
+    send(
+        "POST",
+        ProtocolPath.RETURN_MACHINES,
+        body,
+        (status, o) -> then.accept(status == HttpStatus.OK));
   }
 
   private interface Parsed {
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -14,6 +14,7 @@
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
 import plumlever.wire.MachineType;
+import plumlever.wire.ProtocolField;
 
 /**
  * Learns the machine types once: from the cloud, which are then stored, or from what was last
@@ -100,19 +101,19 @@
 
   private static ObjectNode record(List<MachineType> machineTypes) {
     ObjectNode catalog = Json.object();
-    ArrayNode array = catalog.putArray("flavors");
+    ArrayNode array = catalog.putArray(ProtocolField.MACHINE_TYPES);
     for (MachineType machineType : machineTypes) {
       ObjectNode type = array.addObject();
-      type.put("sku", machineType.name())
+      type.put(ProtocolField.MACHINE_TYPE_NAME, machineType.name())
           .put("cores", machineType.cores())
           .put("accelerators", machineType.accelerators())
           .put("memory_gb", machineType.memoryGb())
           .put("cache_gb", machineType.cacheGb())
           .put("fetch_gb_per_s", machineType.fetchGbPerS())
           .put("hourly", machineType.hourly())
-          .put("low_price", machineType.spotPrice())
+          .put(ProtocolField.SPOT_PRICE, machineType.spotPrice())
           .put("startup_s", machineType.startupS());
-      ArrayNode zones = type.putArray("sites");
+      ArrayNode zones = type.putArray(ProtocolField.ZONES);
       machineType.zones().forEach(zones::add);
     }
     return catalog;
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -7,6 +7,8 @@
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
 import plumlever.wire.Json;
+import plumlever.wire.ProtocolField;
+import plumlever.wire.ProtocolPath;
 
 /** Routes requests of users, workers and health checks. */
 public final class RequestRouter implements Server.Handler {
@@ -24,9 +26,6 @@
     void unknownMachine(String machineId);
   }
 
-  static final String JOBS = "/submissions";
-  static final String CANCEL = "/abort";
-
   private final Loop clock;
   private final UserApi users;
   private final House house;
@@ -47,29 +46,31 @@
   public void handle(String method, String pathAndQuery, byte[] body, Responder out) {
     long since = clock.nowMicros();
     route(method, pathAndQuery, body, out);
-    metrics.spent(pathAndQuery.equals("/hello") ? "reports" : "users", clock.nowMicros() - since);
+    metrics.spent(
+        pathAndQuery.equals(ProtocolPath.HEARTBEAT) ? "reports" : "users",
+        clock.nowMicros() - since);
   }
 
   private void route(String method, String pathAndQuery, byte[] body, Responder out) {
     int queryStart = pathAndQuery.indexOf('?');
     String path = queryStart < 0 ? pathAndQuery : pathAndQuery.substring(0, queryStart);
-    if (path.equals("/hello")) {
+    if (path.equals(ProtocolPath.HEARTBEAT)) {
       if (allowed(method, "POST", out)) {
         heartbeat(body, out);
       }
-    } else if (path.equals("/up")) {
+    } else if (path.equals(ProtocolPath.HEALTH)) {
       if (allowed(method, "GET", out)) {
         up(out);
       }
-    } else if (path.equals(JOBS)) {
+    } else if (path.equals(ProtocolPath.SUBMISSIONS)) {
       if (allowed(method, "POST", out)) {
         users.submit(body, out);
       }
-    } else if (path.startsWith(JOBS + "/")) {
-      String rest = path.substring(JOBS.length() + 1);
-      if (rest.endsWith(CANCEL)) {
+    } else if (path.startsWith(ProtocolPath.SUBMISSIONS + "/")) {
+      String rest = path.substring(ProtocolPath.SUBMISSIONS.length() + 1);
+      if (rest.endsWith(ProtocolPath.CANCEL_SUFFIX)) {
         if (allowed(method, "POST", out)) {
-          users.cancel(rest.substring(0, rest.length() - CANCEL.length()), out);
+          users.cancel(rest.substring(0, rest.length() - ProtocolPath.CANCEL_SUFFIX.length()), out);
         }
       } else if (rest.indexOf('/') >= 0) {
         out.error(HttpStatus.NOT_FOUND, "no such path");
@@ -124,6 +125,6 @@
     String label = house.leaderLabel();
     out.send(
         HttpStatus.MISDIRECTED_REQUEST,
-        Json.write(label == null ? Json.object() : Json.object().put("foreman", label)));
+        Json.write(label == null ? Json.object() : Json.object().put(ProtocolField.LEADER, label)));
   }
 }
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -21,6 +21,8 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
 import plumlever.wire.Json;
+import plumlever.wire.ProtocolField;
+import plumlever.wire.ProtocolPath;
 
 /**
  * Users' requests. Every answer but a final state rests on a read of the state service begun after
@@ -42,7 +44,7 @@
     boolean ineligible();
   }
 
-  private static final String JOBS = RequestRouter.JOBS;
+  private static final String JOBS = ProtocolPath.SUBMISSIONS;
   private static final int MOST_AT_ONCE = 256;
   private static final int RETRY_AFTER_S = 1;
   private static final long AGAIN_MICROS = 150_000;
@@ -156,7 +158,7 @@
     String uid;
     try {
       object = Json.parseObject(body);
-      uid = Json.text(object, "uid");
+      uid = Json.text(object, ProtocolField.JOB_ID);
       if (!JobSpec.validUid(uid)) {
         throw new InvalidMessage("uid must be job- and digits");
       }
@@ -178,7 +180,8 @@
       return;
     }
     if (!teams.contains(spec.team())) {
-      ifUnknown(uid, out, () -> out.error(HttpStatus.UNPROCESSABLE, "owner is unknown"));
+      ifUnknown(
+          uid, out, () -> out.error(HttpStatus.UNPROCESSABLE, ProtocolField.TEAM + " is unknown"));
       return;
     }
     if (overLimit(spec)) {
@@ -226,7 +229,9 @@
       ifUnknown(
           spec.uid(),
           out,
-          () -> out.error(HttpStatus.UNPROCESSABLE, "waits_on names the job itself"));
+          () ->
+              out.error(
+                  HttpStatus.UNPROCESSABLE, ProtocolField.DEPENDENCIES + " names the job itself"));
       return;
     }
     jobRecords.unknownOf(
@@ -246,7 +251,9 @@
                         () ->
                             out.error(
                                 HttpStatus.UNPROCESSABLE,
-                                "waits_on names a job that was never accepted: " + name)));
+                                ProtocolField.DEPENDENCIES
+                                    + " names a job that was never accepted: "
+                                    + name)));
           } else {
             storeList(spec, acceptance, out);
           }
@@ -391,7 +398,8 @@
   }
 
   private static String state(String uid, JobState jobState, int[] counts) {
-    ObjectNode object = Json.object().put("uid", uid).put("status", jobState.wireName());
+    ObjectNode object =
+        Json.object().put(ProtocolField.JOB_ID, uid).put(ProtocolField.STATUS, jobState.wireName());
     if (counts != null) {
       object.put("done", counts[0]).put("running", counts[1]);
     }
@@ -425,7 +433,7 @@
   /** Cancels a job, unless it is done already. */
   public void cancel(String uid, Responder raw) {
     ForwardedRequest request =
-        new ForwardedRequest("POST", JOBS + "/" + uid + RequestRouter.CANCEL, "");
+        new ForwardedRequest("POST", JOBS + "/" + uid + ProtocolPath.CANCEL_SUFFIX, "");
     Admitted out = admitKnown("abort", request, uid, raw);
     if (out != null) {
       cancel(uid, out, TRIES);
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -30,6 +30,7 @@
 import plumlever.wire.HttpStatus;
 import plumlever.wire.Json;
 import plumlever.wire.ListedMachine;
+import plumlever.wire.ProtocolField;
 import plumlever.wire.RelayedHeartbeat;
 import plumlever.wire.WorkerCommand;
 
@@ -181,7 +182,8 @@
     Optional<String> leader = holder.flatMap(view::leader);
     if (leader.isPresent() && !leader.get().equals(context.platform().label())) {
       out.send(
-          HttpStatus.MISDIRECTED_REQUEST, Json.write(Json.object().put("foreman", leader.get())));
+          HttpStatus.MISDIRECTED_REQUEST,
+          Json.write(Json.object().put(ProtocolField.LEADER, leader.get())));
     } else {
       out.later(HttpStatus.UNAVAILABLE, "nobody answers for this machine now", 1);
     }
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -16,6 +16,7 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessage;
+import plumlever.wire.ProtocolPath;
 import plumlever.wire.WorkerCommand;
 
 /**
@@ -203,7 +204,7 @@
         .call(
             at,
             "GET",
-            "/inspect",
+            ProtocolPath.INSPECT,
             null,
             RAISE_TIMEOUT_MICROS,
             (status, data) -> {
@@ -243,7 +244,7 @@
         .call(
             at,
             "POST",
-            "/orders",
+            ProtocolPath.COMMANDS,
             body,
             timeoutMicros,
             (status, data) -> {
--- a/src/main/java/plumlever/store/KeySpace.java
+++ b/src/main/java/plumlever/store/KeySpace.java
@@ -59,13 +59,15 @@
   /** The body of a transaction with all keys as they are stored. */
   ObjectNode stored(ObjectNode body) {
     ObjectNode out = Json.object();
-    ArrayNode preconditions = out.putArray("guards");
-    for (JsonNode precondition : body.path("guards")) {
-      preconditions.add(renamed(precondition, "k"));
+    ArrayNode preconditions = out.putArray(StateProtocol.PRECONDITIONS);
+    for (JsonNode precondition : body.path(StateProtocol.PRECONDITIONS)) {
+      preconditions.add(renamed(precondition, StateProtocol.KEY));
     }
-    ArrayNode then = out.putArray("then");
-    for (JsonNode change : body.path("then")) {
-      then.add(renamed(change, change.has("put") ? "put" : "drop"));
+    ArrayNode then = out.putArray(StateProtocol.OPERATIONS);
+    for (JsonNode change : body.path(StateProtocol.OPERATIONS)) {
+      then.add(
+          renamed(
+              change, change.has(StateProtocol.PUT) ? StateProtocol.PUT : StateProtocol.DELETE));
     }
     return out;
   }
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -150,22 +150,22 @@
         priority,
         0,
         "GET",
-        "/keys/" + keySpace.stored(key),
+        StateProtocol.KEYS + keySpace.stored(key),
         null,
         TIMEOUT_MICROS,
         (status, o) -> {
           if (status == HttpStatus.OK
               && o != null
-              && o.hasNonNull("data")
-              && o.path("stamp").isIntegralNumber()) {
+              && o.hasNonNull(StateProtocol.VALUE)
+              && o.path(StateProtocol.REVISION).isIntegralNumber()) {
             then.accept(
                 new ReadResult(
                     HttpStatus.OK,
                     new Item(
                         key,
-                        o.get("data"),
-                        o.get("stamp").longValue(),
-                        o.path("permit").asLong(0))));
+                        o.get(StateProtocol.VALUE),
+                        o.get(StateProtocol.REVISION).longValue(),
+                        o.path(StateProtocol.LEASE_ID).asLong(0))));
           } else {
             then.accept(new ReadResult(status == HttpStatus.OK ? 0 : status, null));
           }
@@ -187,11 +187,11 @@
       long firstStoreRevision,
       Consumer<Listing> then) {
     String path =
-        "/keys?under="
+        StateProtocol.KEYS_BY_PREFIX
             + keySpace.stored(prefix)
-            + "&page="
+            + StateProtocol.PAGE_SIZE_PARAMETER
             + PAGE
-            + (since == null ? "" : "&since=" + since);
+            + (since == null ? "" : StateProtocol.AFTER_PARAMETER + since);
     send(
         priority,
         0,
@@ -202,26 +202,28 @@
         (status, o) -> {
           if (status != HttpStatus.OK
               || o == null
-              || !o.path("items").isArray()
-              || !o.path("epoch").isIntegralNumber()) {
+              || !o.path(StateProtocol.ITEMS).isArray()
+              || !o.path(StateProtocol.STORE_REVISION).isIntegralNumber()) {
             then.accept(null);
             return;
           }
           String last = null;
-          for (JsonNode node : o.get("items")) {
-            last = node.path("k").asText();
+          for (JsonNode node : o.get(StateProtocol.ITEMS)) {
+            last = node.path(StateProtocol.KEY).asText();
             into.add(
                 new Item(
                     keySpace.known(last, prefix),
-                    node.path("data"),
-                    node.path("stamp").asLong(),
-                    node.path("permit").asLong(0)));
+                    node.path(StateProtocol.VALUE),
+                    node.path(StateProtocol.REVISION).asLong(),
+                    node.path(StateProtocol.LEASE_ID).asLong(0)));
           }
           // Pages are read at different revisions; watching from the first one misses nothing in
           // between.
           long storeRevision =
-              firstStoreRevision >= 0 ? firstStoreRevision : o.get("epoch").longValue();
-          if (o.path("more").asBoolean(false) && last != null) {
+              firstStoreRevision >= 0
+                  ? firstStoreRevision
+                  : o.get(StateProtocol.STORE_REVISION).longValue();
+          if (o.path(StateProtocol.MORE).asBoolean(false) && last != null) {
             page(prefix, last, priority, into, storeRevision, then);
           } else {
             then.accept(new Listing(into, storeRevision));
@@ -235,13 +237,15 @@
         RequestPriority.ORDINARY,
         0,
         "GET",
-        "/keys?under=" + NOTHING + "&page=1",
+        StateProtocol.KEYS_BY_PREFIX + NOTHING + "&page=1",
         null,
         TIMEOUT_MICROS,
         (status, o) ->
             then.accept(
-                status == HttpStatus.OK && o != null && o.path("epoch").isIntegralNumber()
-                    ? o.get("epoch").longValue()
+                status == HttpStatus.OK
+                        && o != null
+                        && o.path(StateProtocol.STORE_REVISION).isIntegralNumber()
+                    ? o.get(StateProtocol.STORE_REVISION).longValue()
                     : -1L));
   }
 
@@ -252,7 +256,7 @@
         priority,
         transaction.changes(),
         "POST",
-        "/txn",
+        StateProtocol.TRANSACTION,
         keySpace.isRoot() && !transaction.namesAbsolute()
             ? transaction.body()
             : keySpace.stored(transaction.body()),
@@ -275,13 +279,16 @@
               };
           List<String> failed = new ArrayList<>();
           if (o != null) {
-            o.path("failed")
+            o.path(StateProtocol.FAILED_PRECONDITIONS)
                 .forEach(
                     k -> failed.add(keySpace.isRoot() ? k.asText() : keySpace.known(k.asText())));
           }
           then.accept(
               new Transaction.Result(
-                  outcome, status, o == null ? -1 : o.path("epoch").asLong(-1), failed));
+                  outcome,
+                  status,
+                  o == null ? -1 : o.path(StateProtocol.STORE_REVISION).asLong(-1),
+                  failed));
         });
   }
 
@@ -293,13 +300,15 @@
         RequestPriority.URGENT,
         0,
         "POST",
-        "/grants",
-        Json.object().put("ttl_ms", ttlMicros / 1_000),
+        StateProtocol.LEASES,
+        Json.object().put(StateProtocol.TTL_MS, ttlMicros / 1_000),
         TIMEOUT_MICROS,
         (status, o) ->
             then.accept(
-                status == HttpStatus.OK && o != null && o.path("permit").isIntegralNumber()
-                    ? o.get("permit").longValue()
+                status == HttpStatus.OK
+                        && o != null
+                        && o.path(StateProtocol.LEASE_ID).isIntegralNumber()
+                    ? o.get(StateProtocol.LEASE_ID).longValue()
                     : -1L));
   }
 
@@ -309,7 +318,7 @@
         RequestPriority.URGENT,
         0,
         "POST",
-        "/grants/" + leaseId + "/touch",
+        StateProtocol.LEASES + "/" + leaseId + StateProtocol.RENEW_SUFFIX,
         Json.object(),
         TIMEOUT_MICROS,
         (status, o) ->
@@ -327,7 +336,7 @@
         RequestPriority.URGENT,
         0,
         "DELETE",
-        "/grants/" + leaseId,
+        StateProtocol.LEASES + "/" + leaseId,
         null,
         TIMEOUT_MICROS,
         (status, o) -> {});
@@ -339,11 +348,11 @@
    */
   public void watch(String prefix, long since, long waitMicros, Consumer<WatchResponse> then) {
     String path =
-        "/follow?under="
+        StateProtocol.WATCH_BY_PREFIX
             + keySpace.stored(prefix)
-            + "&since="
+            + StateProtocol.AFTER_PARAMETER
             + since
-            + "&wait_ms="
+            + StateProtocol.WAIT_MS_PARAMETER
             + waitMicros / 1_000;
     send(
         RequestPriority.URGENT,
@@ -353,27 +362,31 @@
         null,
         waitMicros + TIMEOUT_MICROS,
         (status, o) -> {
-          if (status != HttpStatus.OK || o == null || !o.path("epoch").isIntegralNumber()) {
+          if (status != HttpStatus.OK
+              || o == null
+              || !o.path(StateProtocol.STORE_REVISION).isIntegralNumber()) {
             then.accept(new WatchResponse(status == HttpStatus.OK ? 0 : status, since, List.of()));
             return;
           }
           List<KeyEvent> events = new ArrayList<>();
-          for (JsonNode node : o.path("log")) {
-            if (node.hasNonNull("put")) {
+          for (JsonNode node : o.path(StateProtocol.EVENTS)) {
+            if (node.hasNonNull(StateProtocol.PUT)) {
               events.add(
                   new KeyEvent(
-                      keySpace.known(node.get("put").asText(), prefix),
-                      node.path("data"),
-                      node.path("stamp").asLong()));
-            } else if (node.hasNonNull("drop")) {
+                      keySpace.known(node.get(StateProtocol.PUT).asText(), prefix),
+                      node.path(StateProtocol.VALUE),
+                      node.path(StateProtocol.REVISION).asLong()));
+            } else if (node.hasNonNull(StateProtocol.DELETE)) {
               events.add(
                   new KeyEvent(
-                      keySpace.known(node.get("drop").asText(), prefix),
+                      keySpace.known(node.get(StateProtocol.DELETE).asText(), prefix),
                       null,
-                      node.path("stamp").asLong()));
+                      node.path(StateProtocol.REVISION).asLong()));
             }
           }
-          then.accept(new WatchResponse(HttpStatus.OK, o.get("epoch").longValue(), events));
+          then.accept(
+              new WatchResponse(
+                  HttpStatus.OK, o.get(StateProtocol.STORE_REVISION).longValue(), events));
         });
   }
 
--- a/src/main/java/plumlever/store/Transaction.java
+++ b/src/main/java/plumlever/store/Transaction.java
@@ -34,8 +34,8 @@
   }
 
   private final ObjectNode body = Json.object();
-  private final ArrayNode preconditions = body.putArray("guards");
-  private final ArrayNode operations = body.putArray("then");
+  private final ArrayNode preconditions = body.putArray(StateProtocol.PRECONDITIONS);
+  private final ArrayNode operations = body.putArray(StateProtocol.OPERATIONS);
   private boolean leased;
   private boolean absolute;
 
@@ -44,14 +44,14 @@
    */
   public Transaction require(String key, long revision) {
     absolute |= key.charAt(0) == '/';
-    preconditions.addObject().put("k", key).put("stamp", revision);
+    preconditions.addObject().put(StateProtocol.KEY, key).put(StateProtocol.REVISION, revision);
     return this;
   }
 
   /** Puts a value that stays. */
   public Transaction put(String key, JsonNode data) {
     absolute |= key.charAt(0) == '/';
-    operations.addObject().put("put", key).set("data", data);
+    operations.addObject().put(StateProtocol.PUT, key).set(StateProtocol.VALUE, data);
     return this;
   }
 
@@ -59,8 +59,9 @@
   public Transaction put(String key, JsonNode data, long leaseId) {
     leased = true;
     absolute |= key.charAt(0) == '/';
-    ObjectNode object = operations.addObject().put("put", key).put("permit", leaseId);
-    object.set("data", data);
+    ObjectNode object =
+        operations.addObject().put(StateProtocol.PUT, key).put(StateProtocol.LEASE_ID, leaseId);
+    object.set(StateProtocol.VALUE, data);
     return this;
   }
 
@@ -77,7 +78,7 @@
   /** Removes a key, if it is there. */
   public Transaction drop(String key) {
     absolute |= key.charAt(0) == '/';
-    operations.addObject().put("drop", key);
+    operations.addObject().put(StateProtocol.DELETE, key);
     return this;
   }
 
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -52,11 +52,14 @@
    */
   void refused(Transaction transaction) {
     int largest = 0;
-    for (JsonNode change : transaction.body().path("then")) {
-      if (change.has("data")) {
+    for (JsonNode change : transaction.body().path(StateProtocol.OPERATIONS)) {
+      if (change.has(StateProtocol.VALUE)) {
         largest =
             Math.max(
-                largest, Json.write(change.get("data")).getBytes(StandardCharsets.UTF_8).length);
+                largest,
+                Json.write(change.get(StateProtocol.VALUE))
+                    .getBytes(StandardCharsets.UTF_8)
+                    .length);
       }
     }
     int fewer = Math.max(LEAST_OPS, Math.min(transactionOps, transaction.changes() / 2));
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -60,18 +60,18 @@
         String name = jsonParser.currentName();
         JsonToken jsonToken = jsonParser.nextToken();
         switch (name) {
-          case "host" -> fields.machineId = text(jsonParser, name);
-          case "endpoint" -> fields.endpoint = text(jsonParser, name);
-          case "flavor" -> fields.machineType = text(jsonParser, name);
-          case "site" -> fields.zone = text(jsonParser, name);
-          case "loaners" -> fields.spot = flag(jsonParser, name);
-          case "tenure" -> fields.incarnation = whole(jsonParser, name);
-          case "tick" -> fields.sequenceNumber = whole(jsonParser, name);
-          case "baton" -> fields.fencingToken = whole(jsonParser, name);
-          case "reclaim_in_s" ->
+          case ProtocolField.MACHINE_ID -> fields.machineId = text(jsonParser, name);
+          case ProtocolField.ENDPOINT -> fields.endpoint = text(jsonParser, name);
+          case ProtocolField.MACHINE_TYPE -> fields.machineType = text(jsonParser, name);
+          case ProtocolField.ZONE -> fields.zone = text(jsonParser, name);
+          case ProtocolField.SPOT -> fields.spot = flag(jsonParser, name);
+          case ProtocolField.INCARNATION -> fields.incarnation = whole(jsonParser, name);
+          case ProtocolField.SEQUENCE_NUMBER -> fields.sequenceNumber = whole(jsonParser, name);
+          case ProtocolField.FENCING_TOKEN -> fields.fencingToken = whole(jsonParser, name);
+          case ProtocolField.PREEMPTION_NOTICE_S ->
               fields.preemptionNoticeS =
                   jsonToken == JsonToken.VALUE_NULL ? NO_NOTICE : amount(jsonParser, name);
-          case "pieces" ->
+          case ProtocolField.ATTEMPTS ->
               fields.attempts =
                   jsonToken == JsonToken.VALUE_NULL ? List.of() : attempts(jsonParser);
           default -> jsonParser.skipChildren();
@@ -101,14 +101,14 @@
 
     Heartbeat heartbeat() throws InvalidMessage {
       return new Heartbeat(
-          needed(machineId, "host"),
-          needed(endpoint, "endpoint"),
-          needed(machineType, "flavor"),
-          needed(zone, "site"),
-          needed(spot, "loaners"),
-          needed(incarnation, "tenure"),
-          needed(sequenceNumber, "tick"),
-          needed(fencingToken, "baton"),
+          needed(machineId, ProtocolField.MACHINE_ID),
+          needed(endpoint, ProtocolField.ENDPOINT),
+          needed(machineType, ProtocolField.MACHINE_TYPE),
+          needed(zone, ProtocolField.ZONE),
+          needed(spot, ProtocolField.SPOT),
+          needed(incarnation, ProtocolField.INCARNATION),
+          needed(sequenceNumber, ProtocolField.SEQUENCE_NUMBER),
+          needed(fencingToken, ProtocolField.FENCING_TOKEN),
           preemptionNoticeS,
           attempts);
     }
@@ -131,14 +131,14 @@
   private static List<AttemptStatus> attempts(JsonParser jsonParser)
       throws IOException, InvalidMessage {
     if (jsonParser.currentToken() != JsonToken.START_ARRAY) {
-      throw new InvalidMessage("pieces must be a list");
+      throw new InvalidMessage(ProtocolField.ATTEMPTS + " must be a list");
     }
     List<AttemptStatus> attempts = new ArrayList<>();
     while (jsonParser.nextToken() == JsonToken.START_OBJECT) {
       attempts.add(attemptStatus(jsonParser));
     }
     if (jsonParser.currentToken() != JsonToken.END_ARRAY) {
-      throw new InvalidMessage("pieces must be a list of objects");
+      throw new InvalidMessage(ProtocolField.ATTEMPTS + " must be a list of objects");
     }
     return attempts;
   }
@@ -154,9 +154,9 @@
       String name = jsonParser.currentName();
       JsonToken jsonToken = jsonParser.nextToken();
       switch (name) {
-        case "piece" -> task = TaskName.of(text(jsonParser, name));
-        case "try" -> attempt = whole(jsonParser, name);
-        case "status" -> status = AttemptState.of(text(jsonParser, name));
+        case ProtocolField.TASK -> task = TaskName.of(text(jsonParser, name));
+        case ProtocolField.ATTEMPT -> attempt = whole(jsonParser, name);
+        case ProtocolField.STATUS -> status = AttemptState.of(text(jsonParser, name));
         case "exit_cause" -> {
           cause = ExitCause.of(jsonToken == JsonToken.VALUE_STRING ? jsonParser.getText() : "");
           jsonParser.skipChildren();
@@ -166,9 +166,9 @@
       }
     }
     return new AttemptStatus(
-        needed(task, "piece"),
-        needed(attempt, "try"),
-        needed(status, "status"),
+        needed(task, ProtocolField.TASK),
+        needed(attempt, ProtocolField.ATTEMPT),
+        needed(status, ProtocolField.STATUS),
         status == AttemptState.ENDED ? cause : null,
         saved);
   }
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -80,7 +80,9 @@
   /** Stands in {@code deadlineS} for a job with no deadline. */
   public static final double NO_DEADLINE = -1;
 
-  private static final String DEPENDENCIES = "waits_on";
+  /** The only shape of jobs that this service runs: an array of independent tasks. */
+  private static final String JOB_ARRAY = "sweep";
+
   private static final Pattern UID = Pattern.compile("job-[0-9]{1,18}");
 
   public static boolean validUid(String uid) {
@@ -100,23 +102,24 @@
    * runs.
    */
   public static JobSpec parse(ObjectNode object) throws InvalidMessage {
-    String uid = Json.text(object, "uid");
+    String uid = Json.text(object, ProtocolField.JOB_ID);
     if (!validUid(uid)) {
       throw new InvalidMessage("uid must be job- and digits");
     }
-    if (!"sweep".equals(Json.text(object, "shape"))) {
+    if (!JOB_ARRAY.equals(Json.text(object, ProtocolField.JOB_SHAPE))) {
       throw new InvalidMessage("shape is unknown");
     }
     List<String> machineTypes = null;
-    JsonNode node = object.get("flavors");
+    JsonNode node = object.get(ProtocolField.MACHINE_TYPES);
     if (node != null && !node.isNull()) {
       if (!node.isArray() || node.isEmpty() || node.size() > 100) {
-        throw new InvalidMessage("flavors must be null or a list of 1 to 100 names");
+        throw new InvalidMessage(
+            ProtocolField.MACHINE_TYPES + " must be null or a list of 1 to 100 names");
       }
       machineTypes = new ArrayList<>();
       for (JsonNode element : node) {
         if (!element.isTextual() || element.textValue().isEmpty()) {
-          throw new InvalidMessage("flavors must hold names");
+          throw new InvalidMessage(ProtocolField.MACHINE_TYPES + " must hold names");
         }
         machineTypes.add(element.textValue());
       }
@@ -126,24 +129,26 @@
     double memory = Json.amount(object, "memory_gb", 0);
     return new JobSpec(
         uid,
-        Json.text(object, "jobclass"),
-        Json.text(object, "owner"),
-        Priority.of(Json.text(object, "urgency")),
-        (int) Json.whole(object, "pieces", 1, MAX_TASKS),
+        Json.text(object, ProtocolField.JOB_CLASS),
+        Json.text(object, ProtocolField.TEAM),
+        Priority.of(Json.text(object, ProtocolField.PRIORITY)),
+        (int) Json.whole(object, ProtocolField.TASK_COUNT, 1, MAX_TASKS),
         cores,
         accelerators,
         memory,
-        Json.text(object, "bundle"),
+        Json.text(object, ProtocolField.IMAGE),
         Json.amount(object, "image_gb", 0),
         machineTypes == null ? null : List.copyOf(machineTypes),
-        Json.textOrNull(object, "site"),
+        Json.textOrNull(object, ProtocolField.ZONE),
         Json.flag(object, "one_zone"),
         Json.flag(object, "spread"),
-        Json.flag(object, "loaners"),
-        Json.amount(object, "expect_s", 0),
-        Json.amount(object, "snapshot_every_s", 0),
-        Json.amount(object, "snapshot_s", 0),
-        Json.absent(object, "due_s") ? NO_DEADLINE : Json.amount(object, "due_s", 0),
+        Json.flag(object, ProtocolField.SPOT),
+        Json.amount(object, ProtocolField.EXPECTED_RUN_S, 0),
+        Json.amount(object, ProtocolField.CHECKPOINT_INTERVAL_S, 0),
+        Json.amount(object, ProtocolField.CHECKPOINT_S, 0),
+        Json.absent(object, ProtocolField.DEADLINE_S)
+            ? NO_DEADLINE
+            : Json.amount(object, ProtocolField.DEADLINE_S, 0),
         dependencies(object));
   }
 
@@ -152,17 +157,17 @@
    * most.
    */
   private static List<String> dependencies(ObjectNode object) throws InvalidMessage {
-    JsonNode list = object.get(DEPENDENCIES);
+    JsonNode list = object.get(ProtocolField.DEPENDENCIES);
     if (list == null || list.isNull()) {
       return List.of();
     }
     if (!list.isArray()) {
-      throw new InvalidMessage("waits_on must be a list of job ids");
+      throw new InvalidMessage(ProtocolField.DEPENDENCIES + " must be a list of job ids");
     }
     Set<String> names = new LinkedHashSet<>();
     for (JsonNode element : list) {
       if (!element.isTextual() || !validUid(element.textValue())) {
-        throw new InvalidMessage("waits_on must hold job ids");
+        throw new InvalidMessage(ProtocolField.DEPENDENCIES + " must hold job ids");
       }
       names.add(element.textValue());
     }
@@ -202,35 +207,35 @@
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     object
-        .put("uid", uid)
-        .put("jobclass", jobClass)
-        .put("owner", team)
-        .put("shape", "sweep")
-        .put("urgency", priority.wireName())
-        .put("pieces", taskCount)
+        .put(ProtocolField.JOB_ID, uid)
+        .put(ProtocolField.JOB_CLASS, jobClass)
+        .put(ProtocolField.TEAM, team)
+        .put(ProtocolField.JOB_SHAPE, JOB_ARRAY)
+        .put(ProtocolField.PRIORITY, priority.wireName())
+        .put(ProtocolField.TASK_COUNT, taskCount)
         .put("cores", cores)
         .put("accelerators", accelerators)
         .put("memory_gb", memoryGb)
-        .put("bundle", image)
+        .put(ProtocolField.IMAGE, image)
         .put("image_gb", imageGb)
         .put("one_zone", oneZone)
         .put("spread", spread)
-        .put("loaners", spotAllowed)
-        .put("expect_s", expectedRunS)
-        .put("snapshot_every_s", checkpointIntervalS)
-        .put("snapshot_s", checkpointS);
+        .put(ProtocolField.SPOT, spotAllowed)
+        .put(ProtocolField.EXPECTED_RUN_S, expectedRunS)
+        .put(ProtocolField.CHECKPOINT_INTERVAL_S, checkpointIntervalS)
+        .put(ProtocolField.CHECKPOINT_S, checkpointS);
     if (zone != null) {
-      object.put("site", zone);
+      object.put(ProtocolField.ZONE, zone);
     }
     if (hasDeadline()) {
-      object.put("due_s", deadlineS);
+      object.put(ProtocolField.DEADLINE_S, deadlineS);
     }
     if (machineTypes != null) {
-      var array = object.putArray("flavors");
+      var array = object.putArray(ProtocolField.MACHINE_TYPES);
       machineTypes.forEach(array::add);
     }
     if (hasDependencies()) {
-      var array = object.putArray(DEPENDENCIES);
+      var array = object.putArray(ProtocolField.DEPENDENCIES);
       dependencies.forEach(array::add);
     }
     return object;
--- a/src/main/java/plumlever/wire/ListedMachine.java
+++ b/src/main/java/plumlever/wire/ListedMachine.java
@@ -14,12 +14,12 @@
   /** Reads one entry of the cloud's list. */
   public static ListedMachine parse(JsonNode node) throws InvalidMessage {
     return new ListedMachine(
-        Json.text(node, "uid"),
-        Json.text(node, "endpoint"),
-        Json.text(node, "flavor"),
-        Json.text(node, "site"),
-        Json.flag(node, "loaners"),
-        Json.text(node, "status"),
+        Json.text(node, ProtocolField.LISTED_MACHINE_ID),
+        Json.text(node, ProtocolField.ENDPOINT),
+        Json.text(node, ProtocolField.MACHINE_TYPE),
+        Json.text(node, ProtocolField.ZONE),
+        Json.flag(node, ProtocolField.SPOT),
+        Json.text(node, ProtocolField.STATUS),
         Json.absent(node, "age_s") ? 0 : Json.amount(node, "age_s", 0));
   }
 }
--- a/src/main/java/plumlever/wire/MachineType.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -20,28 +20,30 @@
 
   /** Reads the cloud's machine types. */
   public static List<MachineType> parseCatalog(ObjectNode body) throws InvalidMessage {
-    JsonNode array = body.get("flavors");
+    JsonNode array = body.get(ProtocolField.MACHINE_TYPES);
     if (array == null || !array.isArray()) {
-      throw new InvalidMessage("flavors must be a list");
+      throw new InvalidMessage(ProtocolField.MACHINE_TYPES + " must be a list");
     }
     List<MachineType> out = new ArrayList<>();
     for (JsonNode node : array) {
       List<String> zones = new ArrayList<>();
-      JsonNode zone = node.get("sites");
+      JsonNode zone = node.get(ProtocolField.ZONES);
       if (zone != null && zone.isArray()) {
         zone.forEach(x -> zones.add(x.asText()));
       }
       double hourly = Json.amount(node, "hourly", 0);
       out.add(
           new MachineType(
-              Json.text(node, "sku"),
+              Json.text(node, ProtocolField.MACHINE_TYPE_NAME),
               Json.amount(node, "cores", 0),
               Json.amount(node, "accelerators", 0),
               Json.amount(node, "memory_gb", 0),
               Json.amount(node, "cache_gb", 0),
               Json.amount(node, "fetch_gb_per_s", 0),
               hourly,
-              Json.absent(node, "low_price") ? hourly : Json.amount(node, "low_price", 0),
+              Json.absent(node, ProtocolField.SPOT_PRICE)
+                  ? hourly
+                  : Json.amount(node, ProtocolField.SPOT_PRICE, 0),
               Json.amount(node, "startup_s", 0),
               List.copyOf(zones)));
     }
--- a/src/main/java/plumlever/wire/Priority.java
+++ b/src/main/java/plumlever/wire/Priority.java
@@ -24,6 +24,6 @@
         return priority;
       }
     }
-    throw new InvalidMessage("urgency is unknown");
+    throw new InvalidMessage(ProtocolField.PRIORITY + " is unknown");
   }
 }
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -37,25 +37,25 @@
   private static ObjectNode json(Heartbeat heartbeat) {
     ObjectNode object =
         Json.object()
-            .put("host", heartbeat.machineId())
-            .put("endpoint", heartbeat.endpoint())
-            .put("flavor", heartbeat.machineType())
-            .put("site", heartbeat.zone())
-            .put("loaners", heartbeat.spot())
-            .put("tenure", heartbeat.incarnation())
-            .put("tick", heartbeat.sequenceNumber())
-            .put("baton", heartbeat.fencingToken());
+            .put(ProtocolField.MACHINE_ID, heartbeat.machineId())
+            .put(ProtocolField.ENDPOINT, heartbeat.endpoint())
+            .put(ProtocolField.MACHINE_TYPE, heartbeat.machineType())
+            .put(ProtocolField.ZONE, heartbeat.zone())
+            .put(ProtocolField.SPOT, heartbeat.spot())
+            .put(ProtocolField.INCARNATION, heartbeat.incarnation())
+            .put(ProtocolField.SEQUENCE_NUMBER, heartbeat.sequenceNumber())
+            .put(ProtocolField.FENCING_TOKEN, heartbeat.fencingToken());
     if (heartbeat.noticed()) {
-      object.put("reclaim_in_s", heartbeat.preemptionNoticeS());
+      object.put(ProtocolField.PREEMPTION_NOTICE_S, heartbeat.preemptionNoticeS());
     }
-    ArrayNode attempts = object.putArray("pieces");
+    ArrayNode attempts = object.putArray(ProtocolField.ATTEMPTS);
     for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
       ObjectNode node =
           attempts
               .addObject()
-              .put("piece", attempt.task().wireName())
-              .put("try", attempt.attempt())
-              .put("status", attempt.state().wireName());
+              .put(ProtocolField.TASK, attempt.task().wireName())
+              .put(ProtocolField.ATTEMPT, attempt.attempt())
+              .put(ProtocolField.STATUS, attempt.state().wireName());
       if (attempt.cause() != null) {
         node.put("exit_cause", attempt.cause().wireName()).put("saved", attempt.saved());
       }
--- a/src/main/java/plumlever/wire/TaskName.java
+++ b/src/main/java/plumlever/wire/TaskName.java
@@ -6,16 +6,16 @@
   public static TaskName of(String text) throws InvalidMessage {
     int slash = text.lastIndexOf('/');
     if (slash <= 0 || slash == text.length() - 1) {
-      throw new InvalidMessage("piece must be JOB/NUMBER");
+      throw new InvalidMessage(ProtocolField.TASK + " must be JOB/NUMBER");
     }
     try {
       int number = Integer.parseInt(text, slash + 1, text.length(), 10);
       if (number < 0) {
-        throw new InvalidMessage("piece number is negative");
+        throw new InvalidMessage(ProtocolField.TASK + " number is negative");
       }
       return new TaskName(text.substring(0, slash), number);
     } catch (NumberFormatException e) {
-      throw new InvalidMessage("piece must end in a number");
+      throw new InvalidMessage(ProtocolField.TASK + " must end in a number");
     }
   }
 
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -54,18 +54,18 @@
   /** The commands that an answer holds. */
   public static List<WorkerCommand> parseAnswer(byte[] body) throws InvalidMessage {
     List<WorkerCommand> commands = new ArrayList<>();
-    for (JsonNode node : Json.parseObject(body).path("orders")) {
-      TaskName task = TaskName.of(Json.text(node, "piece"));
-      long attempt = Json.whole(node, "try", 0, Long.MAX_VALUE);
-      String type = Json.text(node, "verb");
+    for (JsonNode node : Json.parseObject(body).path(ProtocolField.COMMANDS)) {
+      TaskName task = TaskName.of(Json.text(node, ProtocolField.TASK));
+      long attempt = Json.whole(node, ProtocolField.ATTEMPT, 0, Long.MAX_VALUE);
+      String type = Json.text(node, ProtocolField.COMMAND_TYPE);
       if (type.equals(CommandType.STOP.wireName)) {
-        commands.add(stop(task, attempt, Json.amount(node, "wind_down_s", 0)));
+        commands.add(stop(task, attempt, Json.amount(node, ProtocolField.GRACE_PERIOD_S, 0)));
       } else if (type.equals(CommandType.REMOVE.wireName)) {
         commands.add(remove(task, attempt));
       } else if (type.equals(CommandType.RUN.wireName)) {
         commands.add(run(task, attempt));
       } else {
-        throw new InvalidMessage("verb is unknown: " + type);
+        throw new InvalidMessage(ProtocolField.COMMAND_TYPE + " is unknown: " + type);
       }
     }
     return commands;
@@ -75,18 +75,18 @@
     StringWriter out = new StringWriter(USUAL_LETTERS);
     try (JsonGenerator jsonGenerator = Json.generator(out)) {
       jsonGenerator.writeStartObject();
-      jsonGenerator.writeNumberField("baton", token);
+      jsonGenerator.writeNumberField(ProtocolField.FENCING_TOKEN, token);
       if (incarnation > 0) {
-        jsonGenerator.writeNumberField("tenure", incarnation);
+        jsonGenerator.writeNumberField(ProtocolField.INCARNATION, incarnation);
       }
-      jsonGenerator.writeArrayFieldStart("orders");
+      jsonGenerator.writeArrayFieldStart(ProtocolField.COMMANDS);
       for (WorkerCommand command : commands) {
         jsonGenerator.writeStartObject();
-        jsonGenerator.writeStringField("verb", command.type.wireName);
-        jsonGenerator.writeStringField("piece", command.task.wireName());
-        jsonGenerator.writeNumberField("try", command.attempt);
+        jsonGenerator.writeStringField(ProtocolField.COMMAND_TYPE, command.type.wireName);
+        jsonGenerator.writeStringField(ProtocolField.TASK, command.task.wireName());
+        jsonGenerator.writeNumberField(ProtocolField.ATTEMPT, command.attempt);
         if (command.type == CommandType.STOP) {
-          jsonGenerator.writeNumberField("wind_down_s", command.gracePeriodS);
+          jsonGenerator.writeNumberField(ProtocolField.GRACE_PERIOD_S, command.gracePeriodS);
         }
         jsonGenerator.writeEndObject();
       }
