--- a/src/main/java/plumlever/cli/DrillCommand.java
+++ b/src/main/java/plumlever/cli/DrillCommand.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 import plumlever.drill.SharingDrill;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 
 /** {@code plumlever drill NAME}: plays a drill and tells whether it passed. */
 final class DrillCommand {
@@ -70,7 +70,7 @@
       outcome.lines().forEach(System.out::println);
       System.out.println(outcome.passed() ? "PASS" : "FAIL");
       return outcome.passed() ? PASSED : FAILED;
-    } catch (IOException | InvalidMessage e) {
+    } catch (IOException | InvalidMessageException e) {
       return wrong(e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -18,7 +18,7 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.store.TokenBucket;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 import plumlever.wire.ListedMachine;
 import plumlever.wire.MachineType;
@@ -91,7 +91,7 @@
           if (status == HttpStatus.OK && o != null) {
             try {
               machineTypes = MachineType.parseCatalog(o);
-            } catch (InvalidMessage e) {
+            } catch (InvalidMessageException e) {
               surprise("catalog", e.getMessage());
             }
           }
@@ -129,7 +129,7 @@
               last = listedMachine.id();
               into.add(listedMachine);
             }
-          } catch (InvalidMessage e) {
+          } catch (InvalidMessageException e) {
             surprise(ProtocolField.MACHINE_IDS, e.getMessage());
             then.accept(null);
             return;
@@ -212,7 +212,7 @@
           if (data.length > 0 && (status == HttpStatus.OK || status == HttpStatus.UNAVAILABLE)) {
             try {
               parsed = Json.parseObject(data);
-            } catch (InvalidMessage e) {
+            } catch (InvalidMessageException e) {
               surprise(path, e.getMessage());
             }
           }
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -11,7 +11,7 @@
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 import plumlever.wire.MachineType;
 import plumlever.wire.ProtocolField;
@@ -78,7 +78,7 @@
     try {
       prices.update(MachineType.parseCatalog(catalog));
       log.info("machine types taken from the state service, the cloud does not answer");
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       log.warn("the stored machine types can't be read: {}", e.getMessage());
     }
   }
--- a/src/main/java/plumlever/drill/CloudEmulator.java
+++ b/src/main/java/plumlever/drill/CloudEmulator.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import plumlever.http.Responder;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /** A cloud by its protocol that has no more machines than those that are up. */
@@ -69,7 +69,7 @@
         }
       }
       out.send(HttpStatus.OK, "{}");
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       out.error(HttpStatus.BAD_REQUEST, e.getMessage());
     }
   }
--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -10,7 +10,7 @@
 import plumlever.http.Caller;
 import plumlever.settings.Endpoint;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /** Users who submit at one controller, repeat until accepted, and ask at any until it is done. */
@@ -102,7 +102,7 @@
   private static String statusOf(byte[] answer) {
     try {
       return Json.parseObject(answer).path("status").asText();
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       return "";
     }
   }
--- a/src/main/java/plumlever/drill/JobShape.java
+++ b/src/main/java/plumlever/drill/JobShape.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 
@@ -33,13 +33,13 @@
   static List<JobShape> builtIn() {
     try {
       return List.of(read(ARRAY), read(PLAN));
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       throw new IllegalStateException("the built-in shapes are well formed", e);
     }
   }
 
   /** Reads a file of shapes; each must be a submission that a controller would take. */
-  static List<JobShape> load(Path file) throws IOException, InvalidMessage {
+  static List<JobShape> load(Path file) throws IOException, InvalidMessageException {
     List<JobShape> shapes = new ArrayList<>();
     int line = 0;
     for (String text : Files.readAllLines(file)) {
@@ -47,18 +47,18 @@
       if (!text.isBlank()) {
         try {
           shapes.add(read(text));
-        } catch (InvalidMessage e) {
-          throw new InvalidMessage(file + ": line " + line + ": " + e.getMessage());
+        } catch (InvalidMessageException e) {
+          throw new InvalidMessageException(file + ": line " + line + ": " + e.getMessage());
         }
       }
     }
     if (shapes.isEmpty()) {
-      throw new InvalidMessage(file + ": holds no job");
+      throw new InvalidMessageException(file + ": holds no job");
     }
     return shapes;
   }
 
-  private static JobShape read(String text) throws InvalidMessage {
+  private static JobShape read(String text) throws InvalidMessageException {
     ObjectNode submission = Json.parseObject(text);
     JobSpec.parse(submission);
     return new JobShape(submission);
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -24,7 +24,7 @@
 import plumlever.settings.Endpoint;
 import plumlever.sharing.OwnerRecord;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /**
@@ -125,7 +125,8 @@
   }
 
   /** Plays the drill; it takes about as long as its plan says, and a minute or two more. */
-  public static Outcome run(Plan plan) throws IOException, InvalidMessage, InterruptedException {
+  public static Outcome run(Plan plan)
+      throws IOException, InvalidMessageException, InterruptedException {
     List<JobShape> shapes = new ArrayList<>();
     for (JobShapeFile file : plan.shapes()) {
       shapes.addAll(JobShape.load(file.path()));
@@ -301,7 +302,7 @@
         if (OwnerRecord.keyOf(machine).equals("/" + entry.getKey())) {
           return OwnerRecord.parse(entry.getValue()).holder(machine).map(CELLS::indexOf).orElse(-1);
         }
-      } catch (InvalidMessage e) {
+      } catch (InvalidMessageException e) {
         results.broke("a record of owners can't be read: " + e.getMessage());
       }
     }
--- a/src/main/java/plumlever/drill/StateServiceEmulator.java
+++ b/src/main/java/plumlever/drill/StateServiceEmulator.java
@@ -14,7 +14,7 @@
 import plumlever.concurrent.Loop;
 import plumlever.http.Responder;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /** A state service by its protocol, in memory. */
@@ -103,7 +103,7 @@
       } else {
         out.error(HttpStatus.NOT_FOUND, "no such path");
       }
-    } catch (InvalidMessage | NumberFormatException e) {
+    } catch (InvalidMessageException | NumberFormatException e) {
       out.error(HttpStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
     }
   }
@@ -197,7 +197,7 @@
   }
 
   private void lease(String method, String target, byte[] body, Responder out)
-      throws InvalidMessage {
+      throws InvalidMessageException {
     if (target.equals("/grants")) {
       long ttlMicros =
           Json.whole(Json.parseObject(body), "ttl_ms", LEAST_TTL_MS, MOST_TTL_MS) * 1_000;
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -13,7 +13,7 @@
 import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 import plumlever.wire.WorkerCommand;
 
@@ -154,7 +154,7 @@
     if (status == HttpStatus.MISDIRECTED_REQUEST) {
       try {
         named = environment.byLabel().get(Json.parseObject(body).path("foreman").asText());
-      } catch (InvalidMessage e) {
+      } catch (InvalidMessageException e) {
         named = null;
       }
     }
@@ -179,7 +179,7 @@
       token = given;
       leaseFromMicros = Math.max(leaseFromMicros, sentMicros);
       WorkerCommand.parseAnswer(body).forEach(this::execute);
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       environment.results().broke("an answer to " + machine + " can't be read: " + e.getMessage());
     }
   }
@@ -199,7 +199,7 @@
           noteChange();
         }
         WorkerCommand.parseAnswer(body).forEach(this::execute);
-      } catch (InvalidMessage e) {
+      } catch (InvalidMessageException e) {
         out.error(HttpStatus.BAD_REQUEST, e.getMessage());
         return;
       }
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequests.java
@@ -5,7 +5,7 @@
 import plumlever.leader.Leader;
 import plumlever.wire.ForwardedRequest;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 import plumlever.wire.RelayedHeartbeat;
 
@@ -33,7 +33,7 @@
     }
     try {
       leader.relayed(RelayedHeartbeat.parse(body), out);
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       out.error(HttpStatus.BAD_REQUEST, e.getMessage());
     }
   }
@@ -52,7 +52,7 @@
       } else {
         out.send(HttpStatus.OK, "{}");
       }
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       out.error(HttpStatus.BAD_REQUEST, e.getMessage());
     }
   }
@@ -62,7 +62,7 @@
     ForwardedRequest request;
     try {
       request = ForwardedRequest.parse(body);
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       out.error(HttpStatus.BAD_REQUEST, e.getMessage());
       return;
     }
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -5,7 +5,7 @@
 import plumlever.metrics.Metrics;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
 import plumlever.wire.ProtocolPath;
@@ -102,7 +102,7 @@
     Heartbeat heartbeat;
     try {
       heartbeat = Heartbeat.parse(body);
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       metrics.count("reports_unreadable");
       out.error(HttpStatus.BAD_REQUEST, e.getMessage());
       return;
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -17,7 +17,7 @@
 import plumlever.store.Transaction;
 import plumlever.wire.ForwardedRequest;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
 import plumlever.wire.Json;
@@ -160,9 +160,9 @@
       object = Json.parseObject(body);
       uid = Json.text(object, ProtocolField.JOB_ID);
       if (!JobSpec.validUid(uid)) {
-        throw new InvalidMessage("uid must be job- and digits");
+        throw new InvalidMessageException("uid must be job- and digits");
       }
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       raw.error(HttpStatus.BAD_REQUEST, e.getMessage());
       return;
     }
@@ -174,7 +174,7 @@
     JobSpec spec;
     try {
       spec = JobSpec.parse(object);
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       // A known job is told its state whatever is wrong with the repeat.
       ifUnknown(uid, out, () -> out.error(HttpStatus.BAD_REQUEST, e.getMessage()));
       return;
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -22,7 +22,7 @@
 import plumlever.store.PrefixWatch;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobState;
 
 /** The jobs that have not ended, kept up with the state service by watching it. */
@@ -182,7 +182,7 @@
     try {
       context.layout().readChunk(item.data(), rest.substring(slash + 1), job.stored());
       job.stored().stream().forEach(job::markDone);
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       log.warn("{} can't be read and is taken as no progress", item.key());
     }
   }
@@ -221,7 +221,7 @@
           && dependencyGraph.needed(uid)) {
         trackDependencies(job, List.of());
       }
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       log.error("{} can't be read: {}", key, e.getMessage());
     }
   }
--- a/src/main/java/plumlever/leader/pool/GuestBook.java
+++ b/src/main/java/plumlever/leader/pool/GuestBook.java
@@ -24,7 +24,7 @@
 import plumlever.wire.AttemptState;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.RelayedHeartbeat;
 import plumlever.wire.WorkerCommand;
 
@@ -249,7 +249,7 @@
           lodging.commands.put(command.attempt(), command);
         }
       }
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       log.warn(
           "a home's answer can't be read: {}: {}",
           new String(body, StandardCharsets.UTF_8),
--- a/src/main/java/plumlever/leader/pool/PoolLink.java
+++ b/src/main/java/plumlever/leader/pool/PoolLink.java
@@ -7,7 +7,7 @@
 import plumlever.sharing.PoolView;
 import plumlever.store.PrefixWatch;
 import plumlever.store.StateClient;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 
 /** Keeps the view of the pool's records up with the state service, by watching them. */
 final class PoolLink {
@@ -74,7 +74,7 @@
     }
     try {
       view.retain(keys, listing.storeRevision());
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       throw new IllegalStateException("a drop can't be malformed", e);
     }
   }
@@ -83,7 +83,7 @@
   void apply(StateClient.KeyEvent change) {
     try {
       view.apply(change.key(), change.data(), change.revision());
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       // Nothing is guessed of it: the machine stays with whoever the records named before.
       log.error("{} can't be read and is left alone: {}", change.key(), e.getMessage());
     }
@@ -97,7 +97,7 @@
   void absent(String key, long revisionBefore) {
     try {
       view.absent(key, revisionBefore);
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       throw new IllegalStateException("a drop can't be malformed", e);
     }
   }
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -15,7 +15,7 @@
 import plumlever.settings.Endpoint;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.ProtocolPath;
 import plumlever.wire.WorkerCommand;
 
@@ -258,7 +258,7 @@
     try {
       Heartbeat heartbeat = Heartbeat.parse(data);
       return heartbeat.machineId().equals(machine.id()) ? heartbeat : null;
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       log.warn("the direct answer of {} can't be read: {}", machine.id(), e.getMessage());
       return null;
     }
--- a/src/main/java/plumlever/sharing/GuestTask.java
+++ b/src/main/java/plumlever/sharing/GuestTask.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.TaskName;
 
 /**
@@ -23,9 +23,9 @@
     array.addArray().add(task.wireName()).add(attempt).add(cores).add(accelerators).add(memoryGb);
   }
 
-  static GuestTask parse(JsonNode node) throws InvalidMessage {
+  static GuestTask parse(JsonNode node) throws InvalidMessageException {
     if (!node.path(TASK).isTextual() || !node.path(ATTEMPT).isIntegralNumber()) {
-      throw new InvalidMessage("no guest task");
+      throw new InvalidMessageException("no guest task");
     }
     return new GuestTask(
         TaskName.of(node.path(TASK).asText()),
--- a/src/main/java/plumlever/sharing/OwnerRecord.java
+++ b/src/main/java/plumlever/sharing/OwnerRecord.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.roaringbitmap.RoaringBitmap;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /**
@@ -44,9 +44,9 @@
   }
 
   /** Reads a stored record; whatever it does not know is refused. */
-  public static OwnerRecord parse(JsonNode data) throws InvalidMessage {
+  public static OwnerRecord parse(JsonNode data) throws InvalidMessageException {
     if (!(data.get(SETS) instanceof ObjectNode stored)) {
-      throw new InvalidMessage("no record of owners");
+      throw new InvalidMessageException("no record of owners");
     }
     Map<String, RoaringBitmap> sets = new TreeMap<>();
     for (Map.Entry<String, JsonNode> entry : stored.properties()) {
@@ -55,7 +55,7 @@
         set.deserialize(ByteBuffer.wrap(Base64.getDecoder().decode(entry.getValue().asText())));
       } catch (IOException | RuntimeException e) {
         // The format's reader tells of broken bytes by whatever its arrays throw.
-        throw new InvalidMessage("the machines of " + entry.getKey() + " can't be read");
+        throw new InvalidMessageException("the machines of " + entry.getKey() + " can't be read");
       }
       sets.put(entry.getKey(), set);
     }
--- a/src/main/java/plumlever/sharing/PoolView.java
+++ b/src/main/java/plumlever/sharing/PoolView.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 
 /**
  * What the records of the pool say together, as of the last change applied. Changes may come more
@@ -48,7 +48,7 @@
   }
 
   /** A record is stored, or was dropped if {@code data} is null. */
-  public void apply(String key, JsonNode data, long revision) throws InvalidMessage {
+  public void apply(String key, JsonNode data, long revision) throws InvalidMessageException {
     if (revision <= revisions.getOrDefault(key, 0L)) {
       return;
     }
@@ -97,14 +97,14 @@
    *
    * @param revisionBefore what was known when the read was sent: a record stored since stays
    */
-  public void absent(String key, long revisionBefore) throws InvalidMessage {
+  public void absent(String key, long revisionBefore) throws InvalidMessageException {
     if (revisionBefore != 0 && revisionOf(key) == revisionBefore) {
       apply(key, null, revisionBefore + 1);
     }
   }
 
   /** Everything was read anew: what is not among these keys is gone. */
-  public void retain(Collection<String> keys, long storeRevision) throws InvalidMessage {
+  public void retain(Collection<String> keys, long storeRevision) throws InvalidMessageException {
     for (String key : List.copyOf(revisions.keySet())) {
       if (!keys.contains(key) && !dropped.containsKey(key)) {
         apply(key, null, storeRevision);
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /**
@@ -153,12 +153,13 @@
   }
 
   /** Reads a stored record. */
-  public static TransferRecord parse(String machine, JsonNode data) throws InvalidMessage {
+  public static TransferRecord parse(String machine, JsonNode data) throws InvalidMessageException {
     State state;
     try {
       state = State.valueOf(data.path("state").asText());
     } catch (IllegalArgumentException e) {
-      throw new InvalidMessage("the transfer of " + machine + " is in a state that is unknown");
+      throw new InvalidMessageException(
+          "the transfer of " + machine + " is in a state that is unknown");
     }
     Details details =
         new Details(
@@ -177,7 +178,7 @@
                   Json.text(made, "digest")));
     }
     if (!(data.path("homes") instanceof ObjectNode stored)) {
-      throw new InvalidMessage("the transfer of " + machine + " names no homes");
+      throw new InvalidMessageException("the transfer of " + machine + " names no homes");
     }
     Map<String, List<GuestTask>> homes = new TreeMap<>();
     for (Map.Entry<String, JsonNode> entry : stored.properties()) {
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
 import plumlever.wire.Json;
@@ -364,9 +364,9 @@
   }
 
   /** The submission that an active record holds. */
-  public static JobSpec spec(JsonNode activeRecord) throws InvalidMessage {
+  public static JobSpec spec(JsonNode activeRecord) throws InvalidMessageException {
     if (!(activeRecord.get(SPEC) instanceof ObjectNode object)) {
-      throw new InvalidMessage("the record holds no job");
+      throw new InvalidMessageException("the record holds no job");
     }
     return JobSpec.parse(object);
   }
@@ -442,7 +442,7 @@
    *
    * @param name the last part of its key
    */
-  public void readChunk(JsonNode record, String name, BitSet into) throws InvalidMessage {
+  public void readChunk(JsonNode record, String name, BitSet into) throws InvalidMessageException {
     try {
       BitSet bits = BitSet.valueOf(record.path(BITS).binaryValue());
       int from =
@@ -451,11 +451,11 @@
               : Math.multiplyExact(
                   Integer.parseInt(name), tasksPerChunk(limits.formerValueBytes()));
       if (from < 0 || (record.has(FIRST) && record.get(FIRST).asInt(-1) != from)) {
-        throw new InvalidMessage("a progress record is not what its key says");
+        throw new InvalidMessageException("a progress record is not what its key says");
       }
       bits.stream().forEach(i -> into.set(from + i));
     } catch (IOException | NullPointerException | NumberFormatException | ArithmeticException e) {
-      throw new InvalidMessage("a progress record can't be read");
+      throw new InvalidMessageException("a progress record can't be read");
     }
   }
 }
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -16,7 +16,7 @@
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /**
@@ -430,7 +430,7 @@
           if ((status == HttpStatus.OK || status == HttpStatus.CONFLICT) && data.length > 0) {
             try {
               parsed = Json.parseObject(data);
-            } catch (InvalidMessage e) {
+            } catch (InvalidMessageException e) {
               surprise(method + " " + kind(path), e.getMessage());
               then.take(status == HttpStatus.OK ? 0 : status, null);
               return;
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import plumlever.concurrent.Loop;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /**
@@ -132,7 +132,7 @@
       } else {
         reply.send(200, "{}");
       }
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       reply.send(400, "{}");
     }
   }
@@ -271,7 +271,7 @@
     ObjectNode object;
     try {
       object = Json.parseObject(answer);
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       throw new IllegalStateException("an answer that was just written can't be read", e);
     }
     otherMachine.fencingToken = Math.max(otherMachine.fencingToken, object.path("baton").asLong());
--- a/src/main/java/plumlever/wire/AttemptState.java
+++ b/src/main/java/plumlever/wire/AttemptState.java
@@ -18,12 +18,12 @@
   }
 
   /** By its name in reports. */
-  public static AttemptState of(String name) throws InvalidMessage {
+  public static AttemptState of(String name) throws InvalidMessageException {
     for (AttemptState taskStatus : values()) {
       if (taskStatus.wireName.equals(name)) {
         return taskStatus;
       }
     }
-    throw new InvalidMessage("task status is unknown");
+    throw new InvalidMessageException("task status is unknown");
   }
 }
--- a/src/main/java/plumlever/wire/ForwardedRequest.java
+++ b/src/main/java/plumlever/wire/ForwardedRequest.java
@@ -19,10 +19,10 @@
   }
 
   /** Reads the body in which it was sent. */
-  public static ForwardedRequest parse(byte[] sent) throws InvalidMessage {
+  public static ForwardedRequest parse(byte[] sent) throws InvalidMessageException {
     ObjectNode object = Json.parseObject(sent);
     if (!object.path(BODY).isTextual()) {
-      throw new InvalidMessage(BODY + " is missing");
+      throw new InvalidMessageException(BODY + " is missing");
     }
     return new ForwardedRequest(
         Json.text(object, METHOD), Json.text(object, TARGET), object.get(BODY).textValue());
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -50,10 +50,10 @@
   /**
    * Read field by field: a leader takes hundreds a second, and nearly all of its JSON is in them.
    */
-  public static Heartbeat parse(byte[] body) throws InvalidMessage {
+  public static Heartbeat parse(byte[] body) throws InvalidMessageException {
     try (JsonParser jsonParser = Json.parser(body)) {
       if (jsonParser.nextToken() != JsonToken.START_OBJECT) {
-        throw new InvalidMessage("not a JSON object");
+        throw new InvalidMessageException("not a JSON object");
       }
       Fields fields = new Fields();
       while (jsonParser.nextToken() == JsonToken.FIELD_NAME) {
@@ -78,11 +78,11 @@
         }
       }
       if (jsonParser.currentToken() != JsonToken.END_OBJECT || jsonParser.nextToken() != null) {
-        throw new InvalidMessage("not JSON");
+        throw new InvalidMessageException("not JSON");
       }
       return fields.heartbeat();
     } catch (IOException e) {
-      throw new InvalidMessage("not JSON");
+      throw new InvalidMessageException("not JSON");
     }
   }
 
@@ -99,7 +99,7 @@
     private double preemptionNoticeS = NO_NOTICE;
     private List<AttemptStatus> attempts = List.of();
 
-    Heartbeat heartbeat() throws InvalidMessage {
+    Heartbeat heartbeat() throws InvalidMessageException {
       return new Heartbeat(
           needed(machineId, ProtocolField.MACHINE_ID),
           needed(endpoint, ProtocolField.ENDPOINT),
@@ -114,37 +114,37 @@
     }
   }
 
-  private static <T> T needed(T value, String name) throws InvalidMessage {
+  private static <T> T needed(T value, String name) throws InvalidMessageException {
     if (value == null) {
-      throw new InvalidMessage(name + " is missing");
+      throw new InvalidMessageException(name + " is missing");
     }
     return value;
   }
 
-  private static long needed(long value, String name) throws InvalidMessage {
+  private static long needed(long value, String name) throws InvalidMessageException {
     if (value < 0) {
-      throw new InvalidMessage(name + " is missing");
+      throw new InvalidMessageException(name + " is missing");
     }
     return value;
   }
 
   private static List<AttemptStatus> attempts(JsonParser jsonParser)
-      throws IOException, InvalidMessage {
+      throws IOException, InvalidMessageException {
     if (jsonParser.currentToken() != JsonToken.START_ARRAY) {
-      throw new InvalidMessage(ProtocolField.ATTEMPTS + " must be a list");
+      throw new InvalidMessageException(ProtocolField.ATTEMPTS + " must be a list");
     }
     List<AttemptStatus> attempts = new ArrayList<>();
     while (jsonParser.nextToken() == JsonToken.START_OBJECT) {
       attempts.add(attemptStatus(jsonParser));
     }
     if (jsonParser.currentToken() != JsonToken.END_ARRAY) {
-      throw new InvalidMessage(ProtocolField.ATTEMPTS + " must be a list of objects");
+      throw new InvalidMessageException(ProtocolField.ATTEMPTS + " must be a list of objects");
     }
     return attempts;
   }
 
   private static AttemptStatus attemptStatus(JsonParser jsonParser)
-      throws IOException, InvalidMessage {
+      throws IOException, InvalidMessageException {
     TaskName task = null;
     long attempt = -1;
     AttemptState status = null;
@@ -174,36 +174,39 @@
   }
 
   private static String text(JsonParser jsonParser, String name)
-      throws IOException, InvalidMessage {
+      throws IOException, InvalidMessageException {
     String text = jsonParser.currentToken() == JsonToken.VALUE_STRING ? jsonParser.getText() : "";
     if (text.isEmpty() || text.length() > Json.MOST_TEXT) {
-      throw new InvalidMessage(name + " must be a text of 1 to " + Json.MOST_TEXT + " characters");
+      throw new InvalidMessageException(
+          name + " must be a text of 1 to " + Json.MOST_TEXT + " characters");
     }
     return text;
   }
 
   private static boolean flag(JsonParser jsonParser, String name)
-      throws IOException, InvalidMessage {
+      throws IOException, InvalidMessageException {
     if (!jsonParser.currentToken().isBoolean()) {
-      throw new InvalidMessage(name + " must be true or false");
+      throw new InvalidMessageException(name + " must be true or false");
     }
     return jsonParser.getBooleanValue();
   }
 
-  private static long whole(JsonParser jsonParser, String name) throws IOException, InvalidMessage {
+  private static long whole(JsonParser jsonParser, String name)
+      throws IOException, InvalidMessageException {
     if (jsonParser.currentToken() != JsonToken.VALUE_NUMBER_INT
         || jsonParser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
         || jsonParser.getLongValue() < 0) {
-      throw new InvalidMessage(name + " must be a whole number from 0 to " + Long.MAX_VALUE);
+      throw new InvalidMessageException(
+          name + " must be a whole number from 0 to " + Long.MAX_VALUE);
     }
     return jsonParser.getLongValue();
   }
 
   private static double amount(JsonParser jsonParser, String name)
-      throws IOException, InvalidMessage {
+      throws IOException, InvalidMessageException {
     double amount = jsonParser.currentToken().isNumeric() ? jsonParser.getDoubleValue() : -1;
     if (!Json.inRange(amount, 0)) {
-      throw new InvalidMessage(name + " must be an amount from 0");
+      throw new InvalidMessageException(name + " must be an amount from 0");
     }
     return amount;
   }
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -101,25 +101,25 @@
    * Reads and checks every field; {@code shape} other than a sweep is not something this service
    * runs.
    */
-  public static JobSpec parse(ObjectNode object) throws InvalidMessage {
+  public static JobSpec parse(ObjectNode object) throws InvalidMessageException {
     String uid = Json.text(object, ProtocolField.JOB_ID);
     if (!validUid(uid)) {
-      throw new InvalidMessage("uid must be job- and digits");
+      throw new InvalidMessageException("uid must be job- and digits");
     }
     if (!JOB_ARRAY.equals(Json.text(object, ProtocolField.JOB_SHAPE))) {
-      throw new InvalidMessage("shape is unknown");
+      throw new InvalidMessageException("shape is unknown");
     }
     List<String> machineTypes = null;
     JsonNode node = object.get(ProtocolField.MACHINE_TYPES);
     if (node != null && !node.isNull()) {
       if (!node.isArray() || node.isEmpty() || node.size() > 100) {
-        throw new InvalidMessage(
+        throw new InvalidMessageException(
             ProtocolField.MACHINE_TYPES + " must be null or a list of 1 to 100 names");
       }
       machineTypes = new ArrayList<>();
       for (JsonNode element : node) {
         if (!element.isTextual() || element.textValue().isEmpty()) {
-          throw new InvalidMessage(ProtocolField.MACHINE_TYPES + " must hold names");
+          throw new InvalidMessageException(ProtocolField.MACHINE_TYPES + " must hold names");
         }
         machineTypes.add(element.textValue());
       }
@@ -156,18 +156,18 @@
    * The jobs that have to be done before this one starts, each once; a body holds a few thousand at
    * most.
    */
-  private static List<String> dependencies(ObjectNode object) throws InvalidMessage {
+  private static List<String> dependencies(ObjectNode object) throws InvalidMessageException {
     JsonNode list = object.get(ProtocolField.DEPENDENCIES);
     if (list == null || list.isNull()) {
       return List.of();
     }
     if (!list.isArray()) {
-      throw new InvalidMessage(ProtocolField.DEPENDENCIES + " must be a list of job ids");
+      throw new InvalidMessageException(ProtocolField.DEPENDENCIES + " must be a list of job ids");
     }
     Set<String> names = new LinkedHashSet<>();
     for (JsonNode element : list) {
       if (!element.isTextual() || !validUid(element.textValue())) {
-        throw new InvalidMessage(ProtocolField.DEPENDENCIES + " must hold job ids");
+        throw new InvalidMessageException(ProtocolField.DEPENDENCIES + " must hold job ids");
       }
       names.add(element.textValue());
     }
--- a/src/main/java/plumlever/wire/Json.java
+++ b/src/main/java/plumlever/wire/Json.java
@@ -39,22 +39,22 @@
     return JsonNodeFactory.instance.objectNode();
   }
 
-  public static ObjectNode parseObject(String text) throws InvalidMessage {
+  public static ObjectNode parseObject(String text) throws InvalidMessageException {
     return parseObject(text.getBytes(StandardCharsets.UTF_8));
   }
 
   /**
    * @param text UTF-8
    */
-  public static ObjectNode parseObject(byte[] text) throws InvalidMessage {
+  public static ObjectNode parseObject(byte[] text) throws InvalidMessageException {
     JsonNode node;
     try {
       node = MAPPER.readTree(text);
     } catch (IOException e) {
-      throw new InvalidMessage("not JSON");
+      throw new InvalidMessageException("not JSON");
     }
     if (!(node instanceof ObjectNode object)) {
-      throw new InvalidMessage("not a JSON object");
+      throw new InvalidMessageException("not a JSON object");
     }
     return object;
   }
@@ -85,39 +85,41 @@
   }
 
   /** A field that must be a text that is not empty. */
-  public static String text(JsonNode object, String field) throws InvalidMessage {
+  public static String text(JsonNode object, String field) throws InvalidMessageException {
     JsonNode node = object.get(field);
     if (node == null
         || !node.isTextual()
         || node.textValue().isEmpty()
         || node.textValue().length() > MOST_TEXT) {
-      throw new InvalidMessage(field + " must be a text of 1 to " + MOST_TEXT + " characters");
+      throw new InvalidMessageException(
+          field + " must be a text of 1 to " + MOST_TEXT + " characters");
     }
     return node.textValue();
   }
 
-  public static String textOrNull(JsonNode object, String field) throws InvalidMessage {
+  public static String textOrNull(JsonNode object, String field) throws InvalidMessageException {
     return absent(object, field) ? null : text(object, field);
   }
 
   /** A field that must be true or false. */
-  public static boolean flag(JsonNode object, String field) throws InvalidMessage {
+  public static boolean flag(JsonNode object, String field) throws InvalidMessageException {
     JsonNode node = object.get(field);
     if (node == null || !node.isBoolean()) {
-      throw new InvalidMessage(field + " must be true or false");
+      throw new InvalidMessageException(field + " must be true or false");
     }
     return node.booleanValue();
   }
 
   /** A finite amount of at least {@code min}. */
-  public static double amount(JsonNode object, String field, double min) throws InvalidMessage {
+  public static double amount(JsonNode object, String field, double min)
+      throws InvalidMessageException {
     JsonNode node = object.get(field);
     if (node == null || !node.isNumber()) {
-      throw new InvalidMessage(field + " must be a number");
+      throw new InvalidMessageException(field + " must be a number");
     }
     double value = node.doubleValue();
     if (!inRange(value, min)) {
-      throw new InvalidMessage(field + " is out of range");
+      throw new InvalidMessageException(field + " is out of range");
     }
     return value;
   }
@@ -128,14 +130,15 @@
 
   /** A field that must be a whole number within these bounds. */
   public static long whole(JsonNode object, String field, long min, long max)
-      throws InvalidMessage {
+      throws InvalidMessageException {
     JsonNode node = object.get(field);
     if (node == null
         || !node.isIntegralNumber()
         || !node.canConvertToLong()
         || node.longValue() < min
         || node.longValue() > max) {
-      throw new InvalidMessage(field + " must be a whole number from " + min + " to " + max);
+      throw new InvalidMessageException(
+          field + " must be a whole number from " + min + " to " + max);
     }
     return node.longValue();
   }
--- a/src/main/java/plumlever/wire/ListedMachine.java
+++ b/src/main/java/plumlever/wire/ListedMachine.java
@@ -12,7 +12,7 @@
     String status,
     double ageS) {
   /** Reads one entry of the cloud's list. */
-  public static ListedMachine parse(JsonNode node) throws InvalidMessage {
+  public static ListedMachine parse(JsonNode node) throws InvalidMessageException {
     return new ListedMachine(
         Json.text(node, ProtocolField.LISTED_MACHINE_ID),
         Json.text(node, ProtocolField.ENDPOINT),
--- a/src/main/java/plumlever/wire/MachineType.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -19,10 +19,10 @@
     List<String> zones) {
 
   /** Reads the cloud's machine types. */
-  public static List<MachineType> parseCatalog(ObjectNode body) throws InvalidMessage {
+  public static List<MachineType> parseCatalog(ObjectNode body) throws InvalidMessageException {
     JsonNode array = body.get(ProtocolField.MACHINE_TYPES);
     if (array == null || !array.isArray()) {
-      throw new InvalidMessage(ProtocolField.MACHINE_TYPES + " must be a list");
+      throw new InvalidMessageException(ProtocolField.MACHINE_TYPES + " must be a list");
     }
     List<MachineType> out = new ArrayList<>();
     for (JsonNode node : array) {
--- a/src/main/java/plumlever/wire/Priority.java
+++ b/src/main/java/plumlever/wire/Priority.java
@@ -18,12 +18,12 @@
   }
 
   /** By its name in submissions. */
-  public static Priority of(String name) throws InvalidMessage {
+  public static Priority of(String name) throws InvalidMessageException {
     for (Priority priority : values()) {
       if (priority.wireName.equals(name)) {
         return priority;
       }
     }
-    throw new InvalidMessage(ProtocolField.PRIORITY + " is unknown");
+    throw new InvalidMessageException(ProtocolField.PRIORITY + " is unknown");
   }
 }
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -64,10 +64,10 @@
   }
 
   /** Reads the body of such a request. */
-  public static RelayedHeartbeat parse(byte[] body) throws InvalidMessage {
+  public static RelayedHeartbeat parse(byte[] body) throws InvalidMessageException {
     ObjectNode object = Json.parseObject(body);
     if (!(object.get(HEARTBEAT) instanceof ObjectNode heartbeat)) {
-      throw new InvalidMessage("report is missing");
+      throw new InvalidMessageException("report is missing");
     }
     return new RelayedHeartbeat(
         Json.text(object, FROM),
--- a/src/main/java/plumlever/wire/TaskName.java
+++ b/src/main/java/plumlever/wire/TaskName.java
@@ -3,19 +3,19 @@
 /** Task {@code number} of job {@code job}; on the wire {@code job-000412/3}. */
 public record TaskName(String job, int number) {
   /** Reads a task's name, such as {@code job-000412/3}. */
-  public static TaskName of(String text) throws InvalidMessage {
+  public static TaskName of(String text) throws InvalidMessageException {
     int slash = text.lastIndexOf('/');
     if (slash <= 0 || slash == text.length() - 1) {
-      throw new InvalidMessage(ProtocolField.TASK + " must be JOB/NUMBER");
+      throw new InvalidMessageException(ProtocolField.TASK + " must be JOB/NUMBER");
     }
     try {
       int number = Integer.parseInt(text, slash + 1, text.length(), 10);
       if (number < 0) {
-        throw new InvalidMessage(ProtocolField.TASK + " number is negative");
+        throw new InvalidMessageException(ProtocolField.TASK + " number is negative");
       }
       return new TaskName(text.substring(0, slash), number);
     } catch (NumberFormatException e) {
-      throw new InvalidMessage(ProtocolField.TASK + " must end in a number");
+      throw new InvalidMessageException(ProtocolField.TASK + " must end in a number");
     }
   }
 
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -52,7 +52,7 @@
   }
 
   /** The commands that an answer holds. */
-  public static List<WorkerCommand> parseAnswer(byte[] body) throws InvalidMessage {
+  public static List<WorkerCommand> parseAnswer(byte[] body) throws InvalidMessageException {
     List<WorkerCommand> commands = new ArrayList<>();
     for (JsonNode node : Json.parseObject(body).path(ProtocolField.COMMANDS)) {
       TaskName task = TaskName.of(Json.text(node, ProtocolField.TASK));
@@ -65,7 +65,7 @@
       } else if (type.equals(CommandType.RUN.wireName)) {
         commands.add(run(task, attempt));
       } else {
-        throw new InvalidMessage(ProtocolField.COMMAND_TYPE + " is unknown: " + type);
+        throw new InvalidMessageException(ProtocolField.COMMAND_TYPE + " is unknown: " + type);
       }
     }
     return commands;
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.fleet.Fleet;
 import plumlever.settings.PlatformConfiguration;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 import plumlever.wire.WorkerCommand;
 
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void theRecordIsReadAsItWasWritten() throws InvalidMessage {
+  void theRecordIsReadAsItWasWritten() throws InvalidMessageException {
     DelegationRecord record = new DelegationRecord(5, Map.of("east", TOKEN, "west", TOKEN + 7));
     assertEquals(
         "{\"term\":5,\"zones\":[{\"zone\":\"east\",\"token\":5242883},"
@@ -143,7 +143,7 @@
   }
 
   @Test
-  void whatHoldsNoTokenGivesNoRight() throws InvalidMessage {
+  void whatHoldsNoTokenGivesNoRight() throws InvalidMessageException {
     for (String stored :
         List.of(
             "{}",
--- a/src/test/java/plumlever/sharing/PoolRecordsTest.java
+++ b/src/test/java/plumlever/sharing/PoolRecordsTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 import plumlever.wire.TaskName;
 
@@ -72,16 +72,17 @@
 
   @Test
   void whatIsNotKnownIsRefused() {
-    assertThrows(InvalidMessage.class, () -> OwnerRecord.parse(Json.object().put("sets", 7)));
     assertThrows(
-        InvalidMessage.class,
+        InvalidMessageException.class, () -> OwnerRecord.parse(Json.object().put("sets", 7)));
+    assertThrows(
+        InvalidMessageException.class,
         () -> {
           var broken = Json.object();
           broken.putObject("sets").put("a", "AAAA");
           OwnerRecord.parse(broken);
         });
     assertThrows(
-        InvalidMessage.class,
+        InvalidMessageException.class,
         () -> TransferRecord.parse("i-000001", Json.object().put("state", "LENT")));
   }
 
--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -10,7 +10,7 @@
 import plumlever.election.DelegatedRenewal;
 import plumlever.fleet.Fleet;
 import plumlever.lease.DelegationRecord;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /**
@@ -105,7 +105,7 @@
       JsonNode command = Json.parseObject(body);
       return new Start(
           machine, command.path("baton").asLong(), command.path("tenure").asLong(), body);
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       throw new AssertionError("a command can't be read: " + body, e);
     }
   }
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /** The cloud, by its protocol: two types, two zones, a list that lags. */
@@ -127,7 +127,7 @@
       } else {
         reply.send(404, "{}");
       }
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       reply.send(400, "{}");
     }
   }
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /** The state service, by its protocol. */
@@ -276,7 +276,7 @@
       } else {
         reply.send(404, "{}");
       }
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       reply.send(400, "{}");
     }
   }
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import plumlever.settings.Endpoint;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
@@ -318,7 +318,7 @@
   private void toldAnywhere(String uid, String body, long asked) {
     try {
       cluster.invariants.toldAnywhere(uid, Json.parseObject(body).path("status").asText(), asked);
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       cluster.invariants.broken.add("unreadable: " + body);
     }
   }
@@ -456,7 +456,7 @@
       cluster.invariants.answered(uid);
       cluster.invariants.told(
           uid, Json.parseObject(body).path("status").asText(), cancelRequested(uid));
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       cluster.invariants.broken.add("unreadable: " + body);
     }
   }
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import plumlever.settings.Endpoint;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /** A worker, by its protocol. */
@@ -184,7 +184,7 @@
           if (code == 421) {
             try {
               foreman = Json.parseObject((String) a[1]).path("foreman").asText(null);
-            } catch (InvalidMessage e) {
+            } catch (InvalidMessageException e) {
               foreman = null;
             }
           }
@@ -216,7 +216,7 @@
         cluster.delegations.renewedForLeader(vm.id, incarnation, token);
       }
       execute(object.path("orders"));
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       throw new AssertionError("a node's answer can't be read: " + body);
     }
   }
@@ -369,7 +369,7 @@
       }
       execute(object.path("orders"));
       reply.send(200, Json.write(status()));
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       reply.send(400, "{}");
     }
   }
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -26,7 +26,7 @@
 import plumlever.peer.PeerStatus;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.store.JobStore;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
 import plumlever.wire.Json;
@@ -52,11 +52,12 @@
     }
   }
 
-  private static Map<String, JsonNode> records(String version) throws InvalidMessage {
+  private static Map<String, JsonNode> records(String version) throws InvalidMessageException {
     return records(version, "records.json");
   }
 
-  private static Map<String, JsonNode> records(String version, String name) throws InvalidMessage {
+  private static Map<String, JsonNode> records(String version, String name)
+      throws InvalidMessageException {
     Map<String, JsonNode> records = new LinkedHashMap<>();
     ObjectNode all = Json.parseObject(sample(version, name));
     all.fieldNames().forEachRemaining(key -> records.put(key, all.get(key).path("data")));
@@ -77,7 +78,7 @@
 
   /** The samples hold every kind of record that the version writes. */
   @Test
-  void samplesOfEveryKindAreThere() throws InvalidMessage {
+  void samplesOfEveryKindAreThere() throws InvalidMessageException {
     Set<String> common =
         Set.of(
             "active",
@@ -97,7 +98,7 @@
     assertEquals(withLists, kinds(FIRST_WITH_DEPENDENCIES));
   }
 
-  private static Set<String> kinds(String version) throws InvalidMessage {
+  private static Set<String> kinds(String version) throws InvalidMessageException {
     Set<String> kinds = new HashSet<>();
     for (String key : records(version).keySet()) {
       int slash = key.indexOf('/');
@@ -108,7 +109,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {PRODUCTION, FIRST_WITH_DEPENDENCIES})
-  void submissionsAreReadAsTheyWereWritten(String version) throws InvalidMessage {
+  void submissionsAreReadAsTheyWereWritten(String version) throws InvalidMessageException {
     int read = 0;
     for (Map.Entry<String, JsonNode> record : records(version).entrySet()) {
       if (record.getKey().startsWith(JobStore.ACTIVE)) {
@@ -122,7 +123,7 @@
   }
 
   @Test
-  void endsTellWhenSinceTheFirstVersionWithDependencies() throws InvalidMessage {
+  void endsTellWhenSinceTheFirstVersionWithDependencies() throws InvalidMessageException {
     Map<String, JsonNode> records = records(FIRST_WITH_DEPENDENCIES);
     JsonNode done = records.get("ended/job-000001");
     assertEquals(JobState.DONE, JobStore.finalState(done));
@@ -136,7 +137,7 @@
    * them.
    */
   @Test
-  void chainsOfTheFormerVersionGoOn() throws InvalidMessage {
+  void chainsOfTheFormerVersionGoOn() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(21);
     Map<String, JsonNode> steppedDown = records(FIRST_WITH_DEPENDENCIES);
     steppedDown.remove("office/leader");
@@ -178,7 +179,7 @@
    * another, what it wrote of the later tasks would be taken for other tasks.
    */
   @Test
-  void progressInSeveralPartsIsReadByTheLimitItWasCutUpBy() throws InvalidMessage {
+  void progressInSeveralPartsIsReadByTheLimitItWasCutUpBy() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(22);
     Map<String, JsonNode> steppedDown = records(PRODUCTION, "large-progress.json");
     cluster.store.rewrite("", steppedDown);
@@ -248,7 +249,8 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {PRODUCTION, FIRST_WITH_DEPENDENCIES})
-  void aFormerVersionsDelegationIsNoRightAndGivesItNone(String version) throws InvalidMessage {
+  void aFormerVersionsDelegationIsNoRightAndGivesItNone(String version)
+      throws InvalidMessageException {
     SimulatedCluster cluster = cluster(11);
     FakeUsers users = new FakeUsers(cluster);
     cluster.play(5);
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -12,7 +12,7 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.OwnerRecord;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
@@ -103,7 +103,7 @@
       if (("/" + entry.getKey()).equals(OwnerRecord.keyOf(machine))) {
         try {
           return OwnerRecord.parse(entry.getValue()).holder(machine).orElse("");
-        } catch (InvalidMessage e) {
+        } catch (InvalidMessageException e) {
           throw new AssertionError(e);
         }
       }
--- a/src/test/java/plumlever/sim/SharingMeasurement.java
+++ b/src/test/java/plumlever/sim/SharingMeasurement.java
@@ -11,7 +11,7 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.OwnerRecord;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
@@ -177,7 +177,7 @@
             (key, value) -> {
               try {
                 records.put("/" + key, OwnerRecord.parse(value));
-              } catch (InvalidMessage e) {
+              } catch (InvalidMessageException e) {
                 throw new AssertionError(e);
               }
             });
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -24,7 +24,7 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
 /**
@@ -330,7 +330,7 @@
                 + store.term()
                 + " began");
       }
-    } catch (InvalidMessage e) {
+    } catch (InvalidMessageException e) {
       throw new AssertionError("a node's answer can't be read: " + answer, e);
     }
   }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -26,7 +26,7 @@
 import plumlever.peer.PeerStatus;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.store.JobStore;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
 import plumlever.wire.Json;
@@ -45,7 +45,7 @@
     }
   }
 
-  private static Map<String, JsonNode> records() throws InvalidMessage {
+  private static Map<String, JsonNode> records() throws InvalidMessageException {
     Map<String, JsonNode> out = new LinkedHashMap<>();
     ObjectNode all = Json.parseObject(sample("records.json"));
     all.fieldNames().forEachRemaining(k -> out.put(k, all.get(k).path("data")));
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void readsItsRecordsOfEveryKind() throws InvalidMessage {
+  void readsItsRecordsOfEveryKind() throws InvalidMessageException {
     Set<String> kinds = new HashSet<>();
     for (Map.Entry<String, JsonNode> entry : records().entrySet()) {
       kinds.add(entry.getKey().substring(0, Math.max(0, entry.getKey().indexOf('/'))));
@@ -91,7 +91,7 @@
    * begun.
    */
   @Test
-  void takesOverWhatItLeft() throws InvalidMessage {
+  void takesOverWhatItLeft() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(1);
     Map<String, JsonNode> steppedDown = records();
     steppedDown.keySet().removeIf(k -> k.startsWith("office/leader"));
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import plumlever.settings.PlatformConfiguration;
-import plumlever.wire.InvalidMessage;
+import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
@@ -36,7 +36,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1024, 2048, 4096, 16384})
-  void chunksHoldTheLargestJob(int valueBytes) throws InvalidMessage {
+  void chunksHoldTheLargestJob(int valueBytes) throws InvalidMessageException {
     JobStore jobStore = layout(valueBytes, 16384);
     BitSet done = new BitSet();
     SplittableRandom random = new SplittableRandom(3);
@@ -63,7 +63,7 @@
    * value: now, not next.
    */
   @Test
-  void readsTheChunksOfEarlierVersions() throws InvalidMessage {
+  void readsTheChunksOfEarlierVersions() throws InvalidMessageException {
     BitSet bits = new BitSet();
     bits.set(5);
     JsonNode record =
@@ -73,7 +73,7 @@
     assertEquals(2 * ((4096 - 64) / 4 * 3 * 8) + 5, back.nextSetBit(0));
     assertEquals(1, back.cardinality());
     assertThrows(
-        InvalidMessage.class,
+        InvalidMessageException.class,
         () -> layout(2048, 4096).readChunk(Json.object().put("f", 7).put("b", ""), "from-8", back));
   }
 
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -19,7 +19,7 @@
           + "\"expect_s\":240.0,\"snapshot_every_s\":30.0,\"snapshot_s\":4.0,\"due_s\":900.0,\"new_field\":1}";
 
   @Test
-  void readsASubmissionAndWritesItBack() throws InvalidMessage {
+  void readsASubmissionAndWritesItBack() throws InvalidMessageException {
     JobSpec job = JobSpec.parse(Json.parseObject(GOOD));
     assertEquals(16, job.taskCount());
     assertNull(job.zone());
@@ -59,18 +59,18 @@
   void refusesBadFields(String good, String bad) {
     String text = GOOD.replace(good, bad == null ? "" : bad);
     assertTrue(!text.equals(GOOD));
-    assertThrows(InvalidMessage.class, () -> JobSpec.parse(Json.parseObject(text)));
+    assertThrows(InvalidMessageException.class, () -> JobSpec.parse(Json.parseObject(text)));
   }
 
   @Test
   void refusesWhatIsNoObject() {
     for (String text : List.of("", "[]", "7", "{", "{}{}", "null")) {
-      assertThrows(InvalidMessage.class, () -> Json.parseObject(text));
+      assertThrows(InvalidMessageException.class, () -> Json.parseObject(text));
     }
   }
 
   @Test
-  void readsAHeartbeatAndWritesCommands() throws InvalidMessage {
+  void readsAHeartbeatAndWritesCommands() throws InvalidMessageException {
     Heartbeat heartbeat =
         Heartbeat.parse(
             ("{\"host\":\"i-1\",\"endpoint\":\"h:1\",\"flavor\":\"g8\",\"site\":\"a\",\"loaners\":true,"
@@ -86,7 +86,7 @@
     assertEquals(
         "{\"baton\":41,\"orders\":[{\"verb\":\"halt\",\"piece\":\"job-1/3\",\"try\":2,\"wind_down_s\":10.0}]}",
         WorkerCommand.answer(41, List.of(WorkerCommand.stop(new TaskName("job-1", 3), 2, 10))));
-    assertThrows(InvalidMessage.class, () -> TaskName.of("job-1/-3"));
+    assertThrows(InvalidMessageException.class, () -> TaskName.of("job-1/-3"));
   }
 
   private static final String HEARTBEAT =
@@ -95,7 +95,7 @@
           + "\"try\":2,\"status\":\"running\",\"more\":[[]]},{\"piece\":\"job-1/4\",\"try\":3,\"status\":\"ended\","
           + "\"exit_cause\":\"halted\",\"saved\":true}]}";
 
-  private static Heartbeat heartbeat(String text) throws InvalidMessage {
+  private static Heartbeat heartbeat(String text) throws InvalidMessageException {
     return Heartbeat.parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
   }
 
@@ -104,7 +104,7 @@
    * know, nor on their order.
    */
   @Test
-  void readsAHeartbeatWhateverElseIsInIt() throws InvalidMessage {
+  void readsAHeartbeatWhateverElseIsInIt() throws InvalidMessageException {
     Heartbeat otherHeartbeat = heartbeat(HEARTBEAT);
     assertEquals(
         new Heartbeat(
@@ -157,7 +157,7 @@
   void refusesABadHeartbeat(String good, String bad) {
     String text = HEARTBEAT.replace(good, bad == null ? "" : bad);
     assertTrue(!text.equals(HEARTBEAT));
-    assertThrows(InvalidMessage.class, () -> heartbeat(text));
+    assertThrows(InvalidMessageException.class, () -> heartbeat(text));
   }
 
   @Test
@@ -173,7 +173,7 @@
             HEARTBEAT.substring(0, HEARTBEAT.length() - 2),
             "null",
             "{}")) {
-      assertThrows(InvalidMessage.class, () -> heartbeat(text), text);
+      assertThrows(InvalidMessageException.class, () -> heartbeat(text), text);
     }
   }
 }
