--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -41,7 +41,6 @@
 import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
 import plumlever.store.StateClient;
-import plumlever.wire.ProtocolPath;
 
 /** One controller, without its sockets: everything lives on the loop it is given. */
 public final class Controller implements AutoCloseable {
@@ -128,7 +127,7 @@
     this.loop = loop;
     this.platform = platform;
     this.metrics = new Metrics(logs);
-    Caller caller = metered(bare);
+    Caller caller = new MeteredCaller(bare, loop, metrics, platform);
     this.store =
         new StateClient(loop, caller, platform.state(), platform.stateLimits(), metrics, keySpace);
     CloudClient cloud =
@@ -288,29 +287,6 @@
             metrics);
   }
 
-  /** Notes what the answers to this controller's own calls take. */
-  private Caller metered(Caller bare) {
-    return (to, method, path, body, timeout, answer) -> {
-      String work =
-          to.equals(platform.state())
-              ? "state"
-              : to.equals(platform.cloud())
-                  ? "cloud"
-                  : path.equals(ProtocolPath.COMMANDS) ? "orders" : "peers";
-      bare.call(
-          to,
-          method,
-          path,
-          body,
-          timeout,
-          (status, data) -> {
-            long since = loop.nowMicros();
-            answer.take(status, data);
-            metrics.spent(work, loop.nowMicros() - since);
-          });
-    };
-  }
-
   /** Starts serving: the election, the watch on peers, and all recurring tasks. */
   public void start() {
     scope.own(election);
