--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -113,7 +113,7 @@
 
   private void confirm() {
     if (unconfirmed()) {
-      machine.attemptConfirmed();
+      machine.load().attemptConfirmed();
     }
   }
 
@@ -130,7 +130,7 @@
   void end(ExitCause why) {
     confirm();
     if (!over) {
-      machine.ended();
+      machine.load().attemptEnded();
     }
     over = true;
     cause = why;
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -62,7 +62,7 @@
 
   /** The machine is this cell's from now on. */
   public void add(Machine machine) {
-    machine.tokenTerm(Math.max(term, machine.tokenTerm()));
+    machine.tokens().startTerm(Math.max(term, machine.tokens().term()));
     machines.put(machine.id(), machine);
   }
 
@@ -92,7 +92,7 @@
    */
   public void sendAway(Machine machine, long number) {
     machines.remove(machine.id(), machine);
-    machine.tokenTerm(number);
+    machine.tokens().startTerm(number);
     away.put(machine.id(), machine);
   }
 
@@ -114,21 +114,29 @@
     return enter(
         direct
             ? new Attempt(
-                job, task, id, machine, machine.incarnation(), -1, machine.token(), nowMicros)
+                job,
+                task,
+                id,
+                machine,
+                machine.contact().incarnation(),
+                -1,
+                machine.tokens().current(),
+                nowMicros)
             : new Attempt(
                 job,
                 task,
                 id,
                 machine,
-                machine.incarnation(),
-                machine.ownSequenceNumber(),
+                machine.contact().incarnation(),
+                machine.contact().ownSequenceNumber(),
                 -1,
                 nowMicros));
   }
 
   /** An attempt of an earlier term that its machine reports. */
   public Attempt adopt(Job job, int task, long id, Machine machine, long nowMicros) {
-    return enter(new Attempt(job, task, id, machine, machine.incarnation(), -1, -1, nowMicros));
+    return enter(
+        new Attempt(job, task, id, machine, machine.contact().incarnation(), -1, -1, nowMicros));
   }
 
   /**
@@ -141,7 +149,7 @@
 
   /** The same of the tokens of one machine, which are raised with each direct command. */
   public boolean tokensRunOut(Machine machine) {
-    return machine.token() >= firstToken(machine.tokenTerm()) + LAST_TOKEN;
+    return machine.tokens().current() >= firstToken(machine.tokens().term()) + LAST_TOKEN;
   }
 
   public boolean ofEarlierTerm(long attemptId) {
@@ -149,7 +157,7 @@
   }
 
   private Attempt enter(Attempt attempt) {
-    attempt.machine().add(attempt);
+    attempt.machine().load().add(attempt);
     attempt.job().occupy(attempt);
     Held held = heldByTeam.computeIfAbsent(attempt.job().spec().team(), k -> new Held());
     held.cores += attempt.job().spec().cores();
@@ -176,7 +184,7 @@
   /** Its machine does not list it any more. */
   public void forget(Attempt attempt) {
     end(attempt, attempt.cause());
-    attempt.machine().remove(attempt);
+    attempt.machine().load().remove(attempt);
   }
 
   public Held held(String team) {
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -219,7 +219,7 @@
       // Those that did not answer come last: dozens behind a cut would else be called again and
       // again, and nobody else.
       List<Machine> open = new ArrayList<>(failover.open());
-      open.sort(Comparator.comparingInt(Machine::failedCalls));
+      open.sort(Comparator.comparingInt(machine -> machine.contact().failedCalls()));
       // Where time is short, calls make way for the heartbeats that come anyhow: both tell the
       // same, and all machines that still work report within seconds.
       int most =
@@ -229,14 +229,14 @@
           break;
         }
         // One whose report was just answered shows the token with its next.
-        if (machine.lastAnswerMicros() < 0
-            || now - machine.lastAnswerMicros() > ANSWER_SHOWS_MICROS) {
+        if (machine.contact().lastAnswerMicros() < 0
+            || now - machine.contact().lastAnswerMicros() > ANSWER_SHOWS_MICROS) {
           commands.raise(machine);
         }
       }
       if (failover.complete()) {
         for (Machine machine : fleet.machines()) {
-          if (machine.unreachable()) {
+          if (machine.contact().unreachable()) {
             commands.raise(machine);
           }
         }
@@ -303,7 +303,7 @@
     if (news == HeartbeatHandler.News.COPY) {
       context.metrics().count("report_copies");
       out.later(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
-    } else if (machine.unreachable()) {
+    } else if (machine.contact().unreachable()) {
       // Were it answered, its lease would count as renewed for ever, and nobody else could have its
       // tasks.
       out.later(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
@@ -394,10 +394,10 @@
     List<WorkerCommand> responseCommands = heartbeats.standingCommands(machine, heartbeat);
     responseCommands.addAll(sharing.guestCommands(machine, heartbeat));
     if (news == HeartbeatHandler.News.NEWS
-        && machine.hasSeen(heartbeat.fencingToken())
+        && machine.tokens().areOfTermOf(heartbeat.fencingToken())
         && pass.hasPlan(machine)
         && pass.recorded(machine)
-        && !machine.hasUnconfirmedStart()) {
+        && !machine.load().hasUnconfirmedStart()) {
       starter.start(machine, pass.planned(machine), false, responseCommands);
       pass.dropPlan(machine);
     }
@@ -415,7 +415,7 @@
     if (!heartbeat.noticed()) {
       return;
     }
-    for (Attempt attempt : machine.attempts()) {
+    for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over() && attempt.job().spec().checkpoints()) {
         double save = attempt.job().spec().checkpointS();
         // The next heartbeat comes within a few seconds; what could not be saved after it is saved
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -82,7 +82,7 @@
     for (Machine machine : fleet.machines()) {
       if (machine.registration() == RegistrationState.STORED
           && !machine.accounted()
-          && machine.tokenTerm() == context.term().number()) {
+          && machine.tokens().term() == context.term().number()) {
         open.add(machine);
       }
     }
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -42,7 +42,7 @@
           attempt.machine().id(),
           attempt.incarnation(),
           direct ? "straight, with" : "with its answer,",
-          attempt.machine().token(),
+          attempt.machine().tokens().current(),
           (context.loop().nowMicros() - endsKnownMicros) / 1_000);
     }
   }
@@ -76,7 +76,7 @@
           attempt.id(),
           attempt.machine().id(),
           attempt.incarnation(),
-          attempt.machine().token());
+          attempt.machine().tokens().current());
     }
   }
 
@@ -106,7 +106,7 @@
           machine.id(),
           incarnation,
           token,
-          machine.token());
+          machine.tokens().current());
     }
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -73,12 +73,12 @@
 
   private LeaderEvidence evidence(Machine machine, boolean holdsOpenTasks) {
     UnansweredCommands unanswered =
-        machine.hasUnconfirmedStart()
-            ? UnansweredCommands.sentAfter(machine.directEndsKnownMicros())
+        machine.load().hasUnconfirmedStart()
+            ? UnansweredCommands.sentAfter(machine.tokens().endsKnownAtLastCommandMicros())
             : UnansweredCommands.NONE;
     return new LeaderEvidence(
         context.term()::mayAct,
-        machine.token(),
+        machine.tokens().current(),
         holdsOpenTasks,
         jobs.endsKnownMicros(),
         unanswered,
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -26,9 +26,8 @@
   private final Context context;
   private final Fleet fleet;
   private final ActiveJobs jobs;
-  private final Estimates estimates;
+  private final AttemptUpdates updates;
   private final Failover failover;
-  private final ProgressWriter progress;
   private final Supplier<MachineSharing> sharing;
   private final AttemptLog attemptLog;
   private boolean changed;
@@ -46,11 +45,11 @@
     this.log = context.logs().of(HeartbeatHandler.class);
     this.fleet = fleet;
     this.jobs = jobs;
-    this.estimates = estimates;
     this.failover = failover;
-    this.progress = progress;
     this.sharing = sharing;
     this.attemptLog = new AttemptLog(context);
+    this.updates =
+        new AttemptUpdates(context, fleet, estimates, progress, attemptLog, () -> changed = true);
   }
 
   /** True if anything changed that placement cares for, since asked last. */
@@ -81,12 +80,11 @@
    */
   public News apply(Machine machine, Heartbeat heartbeat, boolean own) {
     long now = context.loop().nowMicros();
-    if ((machine.incarnation() > 0 || machine.sequenceNumber() > 0)
-        && !heartbeat.newerThan(machine.incarnation(), machine.sequenceNumber())) {
+    if (!machine.contact().isNews(heartbeat)) {
       if (own
-          && heartbeat.incarnation() == machine.incarnation()
-          && heartbeat.sequenceNumber() > machine.ownSequenceNumber()) {
-        machine.heartbeatOvertaken(heartbeat.sequenceNumber(), now);
+          && heartbeat.incarnation() == machine.contact().incarnation()
+          && heartbeat.sequenceNumber() > machine.contact().ownSequenceNumber()) {
+        machine.contact().heartbeatOvertaken(heartbeat.sequenceNumber(), now);
         return News.OVERTAKEN;
       }
       // Copies come seconds to minutes late. They must neither bring back what is gone nor count as
@@ -94,11 +92,12 @@
       return News.COPY;
     }
     boolean incarnationChanged =
-        machine.incarnation() > 0 && heartbeat.incarnation() > machine.incarnation();
-    if (heartbeat.incarnation() > machine.incarnation()) {
+        machine.contact().incarnation() > 0
+            && heartbeat.incarnation() > machine.contact().incarnation();
+    if (heartbeat.incarnation() > machine.contact().incarnation()) {
       endIncarnationsBefore(machine, heartbeat.incarnation());
     }
-    boolean first = !machine.hasReported();
+    boolean first = !machine.contact().hasReported();
     boolean noticed = heartbeat.noticed() && machine.preemptedAtMicros() < 0;
     machine.observed(heartbeat, now, own);
     changed |= first && own;
@@ -108,23 +107,24 @@
       log.info("{} will be taken in {} s", machine.id(), heartbeat.preemptionNoticeS());
     }
     LongHashSet listed = new LongHashSet();
-    boolean current = machine.hasSeen(heartbeat.fencingToken());
-    machine.token(current ? heartbeat.fencingToken() : 0);
+    boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
+    machine.tokens().raise(current ? heartbeat.fencingToken() : 0);
     int untracked = 0;
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       if (sharing.get().isGuest(machine, reported.attempt())) {
         continue;
       }
       listed.add(reported.attempt());
-      Attempt attempt = machine.attempt(reported.attempt());
+      Attempt attempt = machine.load().attempt(reported.attempt());
       if (attempt != null
           && attempt.task() == reported.task().number()
           && attempt.job().uid().equals(reported.task().job())) {
-        update(attempt, reported, now);
+        updates.update(attempt, reported, now);
       } else if (attempt == null && current) {
         unknown(machine, reported, now);
       }
-      if (reported.state() != AttemptState.ENDED && machine.attempt(reported.attempt()) == null) {
+      if (reported.state() != AttemptState.ENDED
+          && machine.load().attempt(reported.attempt()) == null) {
         untracked++;
       }
     }
@@ -146,11 +146,10 @@
    * @return false for a copy, which proves nothing
    */
   public boolean applyRelayed(Machine machine, Heartbeat heartbeat) {
-    boolean known = machine.incarnation() > 0 || machine.sequenceNumber() > 0;
-    if (known && !heartbeat.newerThan(machine.incarnation(), machine.sequenceNumber())) {
+    if (!machine.contact().isNews(heartbeat)) {
       return false;
     }
-    if (heartbeat.incarnation() > machine.incarnation()) {
+    if (heartbeat.incarnation() > machine.contact().incarnation()) {
       endIncarnationsBefore(machine, heartbeat.incarnation());
     }
     long now = context.loop().nowMicros();
@@ -158,9 +157,9 @@
     LongHashSet listed = new LongHashSet();
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       listed.add(reported.attempt());
-      Attempt attempt = machine.attempt(reported.attempt());
+      Attempt attempt = machine.load().attempt(reported.attempt());
       if (attempt != null) {
-        update(attempt, reported, now);
+        updates.update(attempt, reported, now);
       } else if (reported.state() == AttemptState.ENDED) {
         unknown(machine, reported, now);
       }
@@ -176,7 +175,7 @@
   private boolean forgetGone(
       Machine machine, Heartbeat heartbeat, boolean own, LongHashSet listed) {
     List<Attempt> gone = null;
-    for (Attempt attempt : machine.attempts()) {
+    for (Attempt attempt : machine.load().attempts()) {
       if (listed.contains(attempt.id())) {
         continue;
       }
@@ -209,17 +208,17 @@
    * nothing reaches it.
    */
   private void noteAnswerDelivery(Machine machine, Heartbeat heartbeat, boolean lost) {
-    boolean wasUnreachable = machine.unreachable();
-    if (machine.answeredToken() > heartbeat.fencingToken()) {
-      machine.answerLost();
+    boolean wasUnreachable = machine.contact().unreachable();
+    if (machine.tokens().lastAnswered() > heartbeat.fencingToken()) {
+      machine.contact().answerLost();
     } else if (lost) {
-      machine.answerLost();
+      machine.contact().answerLost();
       // The next heartbeat tells by its token whether the next answer arrives.
-      machine.token(machine.token() + 1);
+      machine.tokens().raise(machine.tokens().current() + 1);
     } else {
-      machine.answerDelivered();
+      machine.contact().answerDelivered();
     }
-    if (machine.unreachable() != wasUnreachable) {
+    if (machine.contact().unreachable() != wasUnreachable) {
       changed = true;
       context.metrics().count(wasUnreachable ? "machines_hear_again" : "machines_deaf");
       log.info(
@@ -251,7 +250,7 @@
       failover.untracked(machine, 0);
     }
     List<Attempt> ended = new ArrayList<>();
-    for (Attempt attempt : machine.attempts()) {
+    for (Attempt attempt : machine.load().attempts()) {
       if (attempt.incarnation() < incarnation) {
         ended.add(attempt);
       }
@@ -265,115 +264,6 @@
     }
   }
 
-  private void update(Attempt attempt, Heartbeat.AttemptStatus reported, long now) {
-    if (attempt.over()) {
-      return;
-    }
-    boolean started =
-        reported.state() == AttemptState.RUNNING && attempt.state() != AttemptState.RUNNING;
-    if (started && !attempt.job().hasStarted()) {
-      context.metrics().time("begin", now - attempt.job().acceptedMicros());
-    }
-    attempt.observed(reported.state(), now);
-    if (started) {
-      attempt
-          .machine()
-          .images()
-          .isReady(attempt.job().spec().image(), attempt.job().spec().imageGb());
-      context.metrics().time("start", now - attempt.job().acceptedMicros());
-      if (!attempt.adopted()) {
-        // What images cost: room that is held while a task waits for its own.
-        context
-            .metrics()
-            .count(
-                "core_ms_fetching",
-                (long) (attempt.job().spec().cores() * (now - attempt.sentMicros()) / 1_000));
-      }
-      attemptLog.runs(attempt);
-    }
-    if (reported.state() == AttemptState.ENDED) {
-      ended(attempt, reported.cause(), now);
-    }
-  }
-
-  private void ended(Attempt attempt, ExitCause cause, long now) {
-    Job job = attempt.job();
-    Machine machine = attempt.machine();
-    changed = true;
-    fleet.end(attempt, cause);
-    switch (cause) {
-      case DONE -> {
-        job.noteSuccess();
-        machine.noteSuccess();
-        if (attempt.runningSinceMicros() >= 0) {
-          context
-              .metrics()
-              .count(
-                  "core_ms_running",
-                  (long) (job.spec().cores() * (now - attempt.runningSinceMicros()) / 1_000));
-        }
-        observe(attempt, now);
-        attemptLog.done(attempt);
-        done(job, attempt.task());
-      }
-      case ERROR, NO_SUCH -> {
-        job.noteError(now);
-        context.metrics().count("task_errors");
-        log.info("{} ended with {} on {}", attempt.name().wireName(), cause, machine.id());
-        if (cause == ExitCause.ERROR && machine.noteError(job.uid())) {
-          log.warn("{} fails the tasks of several jobs and is drained", machine.id());
-          machine.drain();
-        }
-      }
-      case STOPPED -> {
-        context.metrics().count("tasks_halted");
-        if (attempt.runningSinceMicros() < 0 && !waitsFor(machine, job.spec().image())) {
-          machine.images().dropFetch(job.spec().image());
-        }
-      }
-      default -> {
-        context.metrics().count("tasks_refused");
-        log.info("{} was refused by {}: {}", attempt.name().wireName(), machine.id(), cause);
-      }
-    }
-  }
-
-  private static boolean waitsFor(Machine machine, String image) {
-    for (Attempt attempt : machine.attempts()) {
-      if (!attempt.over() && attempt.job().spec().image().equals(image)) {
-        return true;
-      }
-    }
-    return false;
-  }
-
-  private void observe(Attempt attempt, long now) {
-    if (attempt.runningSinceMicros() < 0
-        || attempt.adopted()
-        || attempt.job().restarted(attempt.task())) {
-      return;
-    }
-    double took = now - attempt.runningSinceMicros();
-    double estimate = attempt.job().spec().expectedRunS() * 1e6;
-    if (estimate <= 0 || took <= 0) {
-      return;
-    }
-    double planned = estimates.runMicros(attempt.job());
-    attempt.machine().observe(took / planned);
-    double ratio = took / attempt.machine().slowness() / estimate;
-    attempt.job().observe(ratio);
-    estimates.observe(attempt.job().spec().jobClass(), ratio);
-  }
-
-  private void done(Job job, int task) {
-    if (job.over() || job.done().get(task)) {
-      return;
-    }
-    job.markDone(task);
-    context.metrics().count("tasks_done");
-    progress.taskDone(job, task);
-  }
-
   /** A task this leader did not start there. */
   private void unknown(Machine machine, Heartbeat.AttemptStatus reported, long now) {
     Job job = jobs.get(reported.task().job());
@@ -387,7 +277,7 @@
         if (other != null) {
           other.stop(0, now);
         }
-        done(job, task);
+        updates.done(job, task);
         changed = true;
       }
       return;
@@ -445,11 +335,11 @@
     // A worker that has forgotten an attempt would start it again from a late copy of a direct
     // order. So nothing is removed until the answer that says so also makes such copies void, which
     // has to wait for one still under way.
-    if (machine.directCommandOpen() && !machine.commandInFlight()) {
-      machine.voidDirectCommands();
+    if (machine.tokens().directCommandOpen() && !machine.contact().commandInFlight()) {
+      machine.tokens().voidDirectCommands();
     }
-    boolean mayRemove = !machine.directCommandOpen();
-    for (Attempt attempt : machine.attempts()) {
+    boolean mayRemove = !machine.tokens().directCommandOpen();
+    for (Attempt attempt : machine.load().attempts()) {
       if (attempt.over()) {
         if (mayRemove
             && attempt.cause() != null
@@ -470,9 +360,9 @@
         }
       }
     }
-    boolean current = machine.hasSeen(heartbeat.fencingToken());
+    boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
-      if (machine.attempt(reported.attempt()) != null
+      if (machine.load().attempt(reported.attempt()) != null
           || sharing.get().isGuest(machine, reported.attempt())) {
         continue;
       }
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -155,7 +155,7 @@
     long highest = tokens.getOrDefault(zone, Fleet.firstToken(context.term().number()));
     for (Machine machine : fleet.machines()) {
       if (machine.zone().equals(zone)) {
-        highest = Math.max(highest, machine.token());
+        highest = Math.max(highest, machine.tokens().current());
       }
     }
     return highest + 1;
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -70,7 +70,7 @@
     sizedMicros = now;
     List<Machine> able = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
-      if (machine.hasReported()
+      if (machine.contact().hasReported()
           && !cordoned.contains(machine)
           && !machine.returning()
           && !machine.draining()
@@ -139,7 +139,7 @@
 
   private static double load(Machine machine) {
     double cores = 0;
-    for (Attempt attempt : machine.attempts()) {
+    for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over()) {
         cores += attempt.job().spec().cores();
       }
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -215,7 +215,7 @@
                   fleet.add(machine);
                 }
                 machine.learnEndpoint(listedMachine.endpoint());
-                machine.listed(now, listedMachine.status().equals("failed"));
+                machine.listed(listedMachine.status().equals("failed"));
               }
             });
   }
@@ -231,8 +231,8 @@
             + DelegatedRenewal.VALID_MICROS;
     long renewed =
         Math.max(
-            Math.max(renewedForLeader, machine.renewedElsewhereMicros()),
-            machine.lastAnswerMicros());
+            Math.max(renewedForLeader, machine.contact().renewedElsewhereMicros()),
+            machine.contact().lastAnswerMicros());
     return renewed
         + (long) (context.platform().workers().leaseMicros() * (1 + DRIFT))
         + LAPSE_MARGIN_MICROS;
@@ -265,7 +265,7 @@
     if (now < lapsesAt(machine)) {
       return;
     }
-    boolean lost = machine.running();
+    boolean lost = machine.load().running();
     heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
     sharing.lapsed(machine);
     if (lost) {
@@ -285,7 +285,7 @@
     if (machine.failed()) {
       return "it failed";
     }
-    if (!machine.hasReported() && !failover.open().contains(machine)) {
+    if (!machine.contact().hasReported() && !failover.open().contains(machine)) {
       return bootsTooLong(machine, now) ? "it does not come up" : null;
     }
     if (holdsUpFailover(machine, now)) {
@@ -294,7 +294,7 @@
     if (silence.of(machine, now) > silence.mostMicros()) {
       return isGone(machine, now) ? "it is silent" : null;
     }
-    if (machine.draining() && !machine.running()) {
+    if (machine.draining() && !machine.load().running()) {
       return "it is drained";
     }
     return idleTooLong(machine, crowded, now) && sharing.mayReturnIdle() ? "it is idle" : null;
@@ -328,10 +328,10 @@
     }
     Map<String, Integer> calls = new HashMap<>();
     for (Machine machine : fleet.machines()) {
-      if (!machine.hasReported() || !silence.isCut(machine.zone())) {
+      if (!machine.contact().hasReported() || !silence.isCut(machine.zone())) {
         continue;
       }
-      if (now - machine.lastSeenMicros() < REACHED_MICROS) {
+      if (now - machine.contact().lastSeenMicros() < REACHED_MICROS) {
         unreached.remove(machine.zone());
       } else if (calls.merge(machine.zone(), 1, Integer::sum) <= PROBES) {
         commands.probe(machine);
@@ -348,7 +348,7 @@
    */
   private boolean holdsUpFailover(Machine machine, long now) {
     if (!failover.open().contains(machine)
-        || machine.failedCalls() < 2
+        || machine.contact().failedCalls() < 2
         || now - failover.loadedMicros() < HOLD_UP_MICROS) {
       return false;
     }
@@ -356,7 +356,7 @@
   }
 
   private boolean idleTooLong(Machine machine, boolean crowded, long now) {
-    if (machine.running() || pass.hasPlan(machine) || !failover.complete()) {
+    if (machine.load().running() || pass.hasPlan(machine) || !failover.complete()) {
       machine.idleSince(-1);
       return false;
     }
--- a/src/main/java/plumlever/leader/machine/MachineSilence.java
+++ b/src/main/java/plumlever/leader/machine/MachineSilence.java
@@ -101,7 +101,8 @@
     // What a thread that runs late has not read yet is no silence.
     return now
         - Math.max(
-            machine.lastSeenMicros(), Math.max(failover.loadedMicros(), punctualSinceMicros));
+            machine.contact().lastSeenMicros(),
+            Math.max(failover.loadedMicros(), punctualSinceMicros));
   }
 
   /**
@@ -126,7 +127,7 @@
     zones.clear();
     for (Machine machine : fleet.machines()) {
       boolean open = failover.open().contains(machine);
-      if (machine.hasReported() || open) {
+      if (machine.contact().hasReported() || open) {
         ZoneCount zone = zones.computeIfAbsent(machine.zone(), name -> new ZoneCount());
         zone.machines++;
         zone.open += open ? 1 : 0;
--- a/src/main/java/plumlever/leader/pool/GuestBook.java
+++ b/src/main/java/plumlever/leader/pool/GuestBook.java
@@ -103,7 +103,7 @@
   /** The machine has no guests any more, or is not this cell's. */
   void remove(Machine machine) {
     if (lodgings.remove(machine.id()) != null) {
-      machine.guests(GuestLoad.NONE);
+      machine.load().guests(GuestLoad.NONE);
       tidyWatches();
     }
   }
@@ -143,13 +143,13 @@
         lodging.ended.add(reported.attempt());
       }
     }
-    if (machine.hasSeen(heartbeat.fencingToken())) {
+    if (machine.tokens().areOfTermOf(heartbeat.fencingToken())) {
       // What a former owner ordered can't come any more: what is not on the machine is over.
       lodging.byHome.values().forEach(guests -> guests.tasks.keySet().retainAll(listed));
     }
     lodging.commands.keySet().retainAll(listed);
     settleLoad(lodging);
-    if (machine.hasSeen(heartbeat.fencingToken())) {
+    if (machine.tokens().areOfTermOf(heartbeat.fencingToken())) {
       lodging.byHome.forEach((home, guests) -> relay(lodging, home, guests, heartbeat, false));
     }
   }
@@ -169,7 +169,7 @@
         }
       }
     }
-    lodging.machine.guests(new GuestLoad(count, cores, accelerators, memoryGb));
+    lodging.machine.load().guests(new GuestLoad(count, cores, accelerators, memoryGb));
   }
 
   /** The machine's lease has surely lapsed, so its tasks are dead: their homes are told. */
@@ -211,7 +211,7 @@
         new RelayedHeartbeat(
             sharing.own().name(),
             home,
-            lodging.machine.tokenTerm(),
+            lodging.machine.tokens().term(),
             lapsed,
             RelayedHeartbeat.only(heartbeat, lapsed ? List.of() : attempts));
     context
@@ -287,7 +287,7 @@
       return List.of();
     }
     List<WorkerCommand> commands = new ArrayList<>();
-    boolean current = machine.hasSeen(heartbeat.fencingToken());
+    boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       WorkerCommand command = lodging.commands.get(reported.attempt());
       boolean over = reported.state() == AttemptState.ENDED;
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -108,7 +108,7 @@
   }
 
   private boolean isIdle(Machine machine) {
-    return !machine.running() && !pass.hasPlan(machine) && transfers.canOffer(machine);
+    return !machine.load().running() && !pass.hasPlan(machine) && transfers.canOffer(machine);
   }
 
   /**
@@ -132,7 +132,7 @@
     for (Machine machine : fleet.machines()) {
       MachineType machineType = context.prices().machineType(machine.machineType());
       if (machineType != null && !machine.returning() && !machine.offered()) {
-        cores += machineType.cores() - machine.guests().cores();
+        cores += machineType.cores() - machine.load().guests().cores();
       }
     }
     return cores;
@@ -231,7 +231,7 @@
       }
     }
     able.sort(
-        Comparator.<Machine>comparingInt(machine -> machine.running() ? 1 : 0)
+        Comparator.<Machine>comparingInt(machine -> machine.load().running() ? 1 : 0)
             .thenComparingLong(pass::lastEndMicros)
             .thenComparing(Machine::id));
     int count = 0;
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -186,14 +186,14 @@
     if (machine == null) {
       return gain(record);
     }
-    if (machine.tokenTerm() < record.number()) {
+    if (machine.tokens().term() < record.number()) {
       // It went and came back before this was seen.
-      machine.tokenTerm(record.number());
+      machine.tokens().startTerm(record.number());
       machine.markUnaccounted();
-      machine.renewedElsewhere(now() + OFFER_VIEW_MICROS);
+      machine.contact().renewedElsewhere(now() + OFFER_VIEW_MICROS);
       raiseToken.accept(machine);
-    } else if (!machine.accounted() && machine.renewedElsewhereMicros() < 0) {
-      machine.renewedElsewhere(now() + OFFER_VIEW_MICROS);
+    } else if (!machine.accounted() && machine.contact().renewedElsewhereMicros() < 0) {
+      machine.contact().renewedElsewhere(now() + OFFER_VIEW_MICROS);
     }
     return machine;
   }
@@ -215,8 +215,8 @@
               details.spot(),
               now() - bootMicros(details.machineType()));
     }
-    machine.tokenTerm(record.number());
-    machine.renewedElsewhere(now() + OFFER_VIEW_MICROS);
+    machine.tokens().startTerm(record.number());
+    machine.contact().renewedElsewhere(now() + OFFER_VIEW_MICROS);
     fleet.add(machine);
     registry.enroll(machine);
     raiseToken.accept(machine);
@@ -243,7 +243,7 @@
       }
       fleet.sendAway(machine, record.number());
     }
-    machine.tokenTerm(record.number());
+    machine.tokens().startTerm(record.number());
     clearIfOver(machine);
   }
 
@@ -258,7 +258,7 @@
             details.zone(),
             details.spot(),
             now());
-    machine.incarnation(record.incarnation());
+    machine.contact().atLeastIncarnation(record.incarnation());
     machine.markAccounted();
     for (GuestTask guest : record.homes().get(own)) {
       Job job = jobs.get(guest.task().job());
@@ -279,7 +279,10 @@
     registry.remove(machine);
     guests.remove(machine);
     context.metrics().count("machines_given");
-    log.info("{} is another cell's now, {} tasks stay on it", machine.id(), machine.liveAttempts());
+    log.info(
+        "{} is another cell's now, {} tasks stay on it",
+        machine.id(),
+        machine.load().liveAttempts());
   }
 
   /** Another cell's machine without tasks of this one. */
@@ -320,7 +323,7 @@
                 .record(machine.id())
                 .filter(record -> record.homes().getOrDefault(own, List.of()).isEmpty())
                 .isPresent();
-    if (nothingThere && machine.hasNoAttempts()) {
+    if (nothingThere && machine.load().hasNoAttempts()) {
       clear(machine.id());
     }
   }
@@ -362,16 +365,16 @@
   /** True if the machine can be given away as it is. */
   boolean canOffer(Machine machine) {
     return owns(machine.id())
-        && machine.hasReported()
+        && machine.contact().hasReported()
         && machine.accounted()
         && machine.endpoint() != null
         && !machine.offered()
         && !machine.draining()
         && !machine.returning()
         && !machine.failed()
-        && !machine.unreachable()
-        && !machine.commandInFlight()
-        && !machine.hasUnconfirmedStart()
+        && !machine.contact().unreachable()
+        && !machine.contact().commandInFlight()
+        && !machine.load().hasUnconfirmedStart()
         && !failover.runsUntracked(machine)
         && !steps.isUnderWay(machine.id());
   }
@@ -382,7 +385,8 @@
     pass.dropPlan(machine);
     offeredMicros.put(machine.id(), now());
     context.metrics().count("machines_offered");
-    log.info("{} is offered to {}, {} tasks run on it", machine.id(), to, machine.liveAttempts());
+    log.info(
+        "{} is offered to {}, {} tasks run on it", machine.id(), to, machine.load().liveAttempts());
     steps.step(
         machine.id(),
         () -> buildOffer(machine, to),
@@ -403,7 +407,7 @@
     }
     Map<String, List<GuestTask>> homes =
         new TreeMap<>(before.map(TransferRecord::homes).orElse(Map.of()));
-    if (!machine.hasNoAttempts()) {
+    if (!machine.load().hasNoAttempts()) {
       homes.put(own, guestsOf(machine));
     }
     TransferRecord offer =
@@ -414,9 +418,9 @@
                 machine.machineType(),
                 machine.zone(),
                 machine.spot()),
-            machine.incarnation(),
+            machine.contact().incarnation(),
             own,
-            Math.max(machine.tokenTerm(), before.map(TransferRecord::number).orElse(0L)),
+            Math.max(machine.tokens().term(), before.map(TransferRecord::number).orElse(0L)),
             new TransferRecord.Offer(to, context.term().revision(), sharing.digest()),
             homes);
     int bytes = Json.write(offer.toJson()).getBytes(StandardCharsets.UTF_8).length;
@@ -433,7 +437,7 @@
 
   private static List<GuestTask> guestsOf(Machine machine) {
     List<GuestTask> tasks = new ArrayList<>();
-    for (Attempt attempt : machine.attempts()) {
+    for (Attempt attempt : machine.load().attempts()) {
       tasks.add(
           new GuestTask(
               attempt.name(),
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -192,7 +192,7 @@
 
   private boolean answeredOwn(Heartbeat heartbeat, Responder out) {
     Machine machine = fleet.machine(heartbeat.machineId());
-    if (machine != null && Fleet.termOf(heartbeat.fencingToken()) > machine.tokenTerm()) {
+    if (machine != null && Fleet.termOf(heartbeat.fencingToken()) > machine.tokens().term()) {
       // The machine has seen a newer owner or leader than this one knows of.
       out.later(HttpStatus.UNAVAILABLE, "a newer owner is known to the machine", 1);
       return true;
@@ -262,7 +262,7 @@
       out.later(HttpStatus.UNAVAILABLE, "tasks on this machine are not known here now", 1);
       return;
     }
-    machine.tokenTerm(relayed.number());
+    machine.tokens().startTerm(relayed.number());
     boolean news;
     if (relayed.lapsed()) {
       heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -87,9 +87,9 @@
       Endpoint at =
           machine == null || machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
       if (at == null
-          || machine.commandInFlight()
-          || machine.hasUnconfirmedStart()
-          || machine.incarnation() == 0
+          || machine.contact().commandInFlight()
+          || machine.load().hasUnconfirmedStart()
+          || machine.contact().incarnation() == 0
           || !pass.recorded(machine)) {
         continue;
       }
@@ -108,11 +108,11 @@
 
   private void start(
       Machine machine, Endpoint at, List<WorkerCommand> commands, List<Attempt> sent) {
-    machine.commandSent(jobs.endsKnownMicros());
-    machine.commandInFlight(true);
+    machine.tokens().commandSent(jobs.endsKnownMicros());
+    machine.contact().commandInFlight(true);
     starts++;
-    long token = machine.token();
-    long incarnation = machine.incarnation();
+    long token = machine.tokens().current();
+    long incarnation = machine.contact().incarnation();
     long since = context.loop().nowMicros();
     call(
         machine,
@@ -121,7 +121,7 @@
         START_TIMEOUT_MICROS,
         (status, r) -> {
           starts--;
-          machine.commandInFlight(false);
+          machine.contact().commandInFlight(false);
           if (closed) {
             return;
           }
@@ -133,7 +133,7 @@
             heartbeats.refused(sent);
           } else if (status != HttpStatus.OK || r == null) {
             context.metrics().count("direct_unheard");
-            machine.voidDirectCommands();
+            machine.tokens().voidDirectCommands();
             attemptLog.unanswered(machine, incarnation, token, sent);
           }
           if (heartbeats.takeChanged()) {
@@ -150,7 +150,7 @@
   public void raise(Machine machine) {
     Endpoint at = machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
     if (at == null
-        || machine.commandInFlight()
+        || machine.contact().commandInFlight()
         || raises >= MOST_RAISES
         || !context.term().mayAct()) {
       return;
@@ -160,7 +160,7 @@
       return;
     }
     raises++;
-    machine.commandInFlight(true);
+    machine.contact().commandInFlight(true);
     call(
         machine,
         at,
@@ -168,16 +168,16 @@
         RAISE_TIMEOUT_MICROS,
         (status, r) -> {
           raises--;
-          machine.commandInFlight(false);
+          machine.contact().commandInFlight(false);
           if (closed || !context.term().mayAct()) {
             return;
           }
-          machine.directCallEnded(r != null);
+          machine.contact().directCallEnded(r != null);
           if (r == null) {
             return;
           }
           boolean otherIncarnation =
-              status == HttpStatus.CONFLICT && r.incarnation() != machine.incarnation();
+              status == HttpStatus.CONFLICT && r.incarnation() != machine.contact().incarnation();
           heartbeats.apply(machine, r, false);
           if (otherIncarnation && !machine.accounted()) {
             raise(machine);
@@ -192,13 +192,13 @@
   public void probe(Machine machine) {
     Endpoint at = machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
     if (at == null
-        || machine.commandInFlight()
+        || machine.contact().commandInFlight()
         || raises >= MOST_RAISES
         || !context.term().mayAct()) {
       return;
     }
     raises++;
-    machine.commandInFlight(true);
+    machine.contact().commandInFlight(true);
     context
         .caller()
         .call(
@@ -209,9 +209,9 @@
             RAISE_TIMEOUT_MICROS,
             (status, data) -> {
               raises--;
-              machine.commandInFlight(false);
+              machine.contact().commandInFlight(false);
               Heartbeat heartbeat = status == HttpStatus.OK ? read(machine, data) : null;
-              machine.directCallEnded(heartbeat != null);
+              machine.contact().directCallEnded(heartbeat != null);
               if (closed || heartbeat == null || !context.term().mayAct()) {
                 return;
               }
@@ -237,7 +237,8 @@
   private void call(
       Machine machine, Endpoint at, List<WorkerCommand> commands, long timeoutMicros, Answer then) {
     byte[] body =
-        WorkerCommand.direct(machine.token(), Math.max(1, machine.incarnation()), commands)
+        WorkerCommand.direct(
+                machine.tokens().current(), Math.max(1, machine.contact().incarnation()), commands)
             .getBytes(StandardCharsets.UTF_8);
     context
         .caller()
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -169,7 +169,7 @@
     double memory = machineType.memoryGb();
     double accelerators = machineType.accelerators();
     List<Attempt> candidates = new ArrayList<>();
-    for (Attempt attempt : machine.attempts()) {
+    for (Attempt attempt : machine.load().attempts()) {
       if (attempt.over()) {
         continue;
       }
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -278,8 +278,8 @@
   public long lastEndMicros(Machine machine) {
     long now = context.loop().nowMicros();
     MachineType machineType = context.prices().machineType(machine.machineType());
-    long last = machine.guests().tasks() > 0 ? now + GUESTS_STAY_MICROS : now;
-    for (Attempt attempt : machine.attempts()) {
+    long last = machine.load().guests().tasks() > 0 ? now + GUESTS_STAY_MICROS : now;
+    for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over() && machineType != null) {
         last = Math.max(last, endsAt(attempt, machineType, now));
       }
@@ -440,7 +440,10 @@
   private boolean usable(Machine machine, long now) {
     // A new leader has the machines' answers to its direct calls before their own heartbeats:
     // without those machines everything would seem to lack room, and be rented for.
-    long sign = machine.hasReported() ? machine.lastHeartbeatMicros() : failover.startedMicros();
+    long sign =
+        machine.contact().hasReported()
+            ? machine.contact().lastHeartbeatMicros()
+            : failover.startedMicros();
     // A machine that missed a heartbeat may be gone, and one with an unheard direct command may
     // have taken it.
     return machine.registration() == RegistrationState.STORED
@@ -448,8 +451,8 @@
         && !machine.draining()
         && !machine.returning()
         && !machine.offered()
-        && !machine.unreachable()
-        && !machine.hasUnconfirmedStart()
+        && !machine.contact().unreachable()
+        && !machine.load().hasUnconfirmedStart()
         && now - sign < context.platform().workers().latestHeartbeatMicros();
   }
 
@@ -461,8 +464,8 @@
     return !machine.returning()
         && !machine.failed()
         && !machine.draining()
-        && (!machine.hasReported() || machine.registration() != RegistrationState.STORED)
-        && machine.accounted() == machine.hasReported();
+        && (!machine.contact().hasReported() || machine.registration() != RegistrationState.STORED)
+        && machine.accounted() == machine.contact().hasReported();
   }
 
   /** The machines as one round sees them, with what it gives away as it goes. */
@@ -488,13 +491,13 @@
           add(machine, candidate);
         } else if (usable(machine, now)) {
           PlacementCandidate candidate =
-              candidate(machine, machineType, machine.slowness(), COMMAND_MICROS);
-          for (Attempt attempt : machine.attempts()) {
+              candidate(machine, machineType, machine.health().slowness(), COMMAND_MICROS);
+          for (Attempt attempt : machine.load().attempts()) {
             if (!attempt.over()) {
               occupy(candidate, attempt.job(), endsAt(attempt, machineType, now));
             }
           }
-          occupyByGuests(candidate, machine.guests());
+          occupyByGuests(candidate, machine.load().guests());
           if (withPlans) {
             for (PlannedTasks plannedTasks : planned(machine)) {
               for (int i = 0; i < plannedTasks.tasks; i++) {
@@ -561,7 +564,7 @@
     long run =
         (long)
             (estimates.runMicros(attempt.job())
-                * attempt.machine().slowness()
+                * attempt.machine().health().slowness()
                 * (1 + context.parameters().paddingShare()));
     if (attempt.state() == AttemptState.RUNNING && attempt.runningSinceMicros() >= 0) {
       long end = attempt.runningSinceMicros() + run;
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -27,10 +27,10 @@
     private double memoryGb;
 
     FreeCapacity(Machine machine, MachineType machineType) {
-      cores = machineType.cores() - machine.guests().cores();
-      accelerators = machineType.accelerators() - machine.guests().accelerators();
-      memoryGb = machineType.memoryGb() - machine.guests().memoryGb();
-      for (Attempt attempt : machine.attempts()) {
+      cores = machineType.cores() - machine.load().guests().cores();
+      accelerators = machineType.accelerators() - machine.load().guests().accelerators();
+      memoryGb = machineType.memoryGb() - machine.load().guests().memoryGb();
+      for (Attempt attempt : machine.load().attempts()) {
         if (!attempt.over()) {
           take(attempt.job().spec());
         }
@@ -79,7 +79,7 @@
         || machine.offered()
         || machine.registration() != RegistrationState.STORED
         || !machine.accounted()
-        || machine.unreachable()) {
+        || machine.contact().unreachable()) {
       return List.of();
     }
     List<Attempt> started = new ArrayList<>();
--- a/src/test/java/plumlever/fleet/FleetNumbersTest.java
+++ b/src/test/java/plumlever/fleet/FleetNumbersTest.java
@@ -25,8 +25,8 @@
     Machine machine = new Machine("i-000001", "i-000001:9", "small", "a", false, 0);
     fleet.add(machine);
     assertFalse(fleet.tokensRunOut(machine));
-    machine.token(Fleet.firstToken(TERM) + 1_000_000);
+    machine.tokens().raise(Fleet.firstToken(TERM) + 1_000_000);
     assertTrue(fleet.tokensRunOut(machine));
-    assertEquals(TERM, Fleet.termOf(machine.token()));
+    assertEquals(TERM, Fleet.termOf(machine.tokens().current()));
   }
 }
