--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -294,8 +294,8 @@
     scope.own(machineTypes.duty()).start();
     scope.own(peers.duty()).start();
     scope.own(delegatedRenewal.duty()).start();
-    scope.own(new RecurringTask("listen", loop, this::listen)).start();
-    scope.own(new RecurringTask("pulse", loop, this::livenessTick)).start();
+    scope.own(new RecurringTask("state service probe", loop, this::listen)).start();
+    scope.own(new RecurringTask("liveness tick", loop, this::livenessTick)).start();
     scope
         .own(
             new RecurringTask(
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -45,6 +45,6 @@
     if (to.equals(platform.cloud())) {
       return "cloud";
     }
-    return path.equals(ProtocolPath.COMMANDS) ? "orders" : "peers";
+    return path.equals(ProtocolPath.COMMANDS) ? "commands" : "peers";
   }
 }
--- a/src/main/java/plumlever/concurrent/RecurringTask.java
+++ b/src/main/java/plumlever/concurrent/RecurringTask.java
@@ -58,7 +58,7 @@
     } catch (RuntimeException e) {
       // A duty that died in silence would leave the controller half alive; it is tried again
       // instead.
-      LOG.error("duty {} failed, tried again in a second", name, e);
+      LOG.error("recurring task {} failed, tried again in a second", name, e);
       pause = AFTER_FAILURE_MICROS;
     } finally {
       running = false;
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -103,8 +103,8 @@
     this.listener = listener;
     this.random = new SplittableRandom(seed);
     this.nonce = Long.toHexString(random.nextLong());
-    this.renewal = scope.own(new RecurringTask("touch", loop, this::renewLease));
-    this.candidacy = scope.own(new RecurringTask("stand", loop, this::campaign));
+    this.renewal = scope.own(new RecurringTask("lease renewal", loop, this::renewLease));
+    this.candidacy = scope.own(new RecurringTask("candidacy", loop, this::campaign));
   }
 
   public void start() {
@@ -280,7 +280,7 @@
   private void changed() {
     if (current != null) {
       if (!busy && leaderRevision != 0 && !leadsByRecord()) {
-        stepDown("another node holds the office");
+        stepDown("another controller leads");
       }
     } else if (!busy && (leaderRevision == 0 || label.equals(leaderLabel))) {
       // A key of this controller's own that it does not act on is left from an earlier life of this
@@ -431,7 +431,7 @@
     otherTerm.extendFrom(sentAt, parameters);
     current = otherTerm;
     if (!otherTerm.mayAct()) {
-      stepDown("the grant ran out while the office was taken");
+      stepDown("the lease ran out during the election");
       return;
     }
     log.info("leading, term {}", newTerm);
@@ -446,11 +446,11 @@
     }
     long now = loop.nowMicros();
     if (!term.mayAct()) {
-      stepDown("the grant could not be renewed");
+      stepDown("the lease could not be renewed");
       return -1;
     }
     if (now - lastTurnMicros > STALLED_MICROS) {
-      withdraw(term, "its decisions stand still", STALLED_MICROS);
+      withdraw(term, "its decisions have stalled", STALLED_MICROS);
       return -1;
     }
     listener.whenTurning(() -> lastTurnMicros = loop.nowMicros());
@@ -462,7 +462,7 @@
           }
           switch (result) {
             case RENEWED -> term.extendFrom(now, parameters);
-            case ENDED -> stepDown("the grant has ended");
+            case ENDED -> stepDown("the lease has ended");
             case UNKNOWN ->
                 renewal.wakeIn(
                     Math.min(
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -129,7 +129,7 @@
     metrics.count(refusal.counter());
     if (lines.debug(loop.nowMicros())) {
       log.debug(
-          "the lease of {} session {} is not renewed for the leader, token {}: {}",
+          "the lease of {} incarnation {} is not renewed for the leader, token {}: {}",
           heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
@@ -141,7 +141,7 @@
   private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.Right right, String when) {
     if (lines.debug(loop.nowMicros())) {
       log.debug(
-          "the lease of {} session {} is not renewed for the leader {}: it shows token {}, the"
+          "the lease of {} incarnation {} is not renewed for the leader {}: it shows token {}, the"
               + " delegation has {}",
           heartbeat.machineId(),
           heartbeat.incarnation(),
@@ -157,8 +157,8 @@
     boolean raises = evidence.token() > heartbeat.fencingToken();
     if ((raises || !stops.isEmpty()) && lines.debug(loop.nowMicros())) {
       log.debug(
-          "the lease of {} session {} is renewed for the leader, token {} for {}, ended jobs as of"
-              + " {} ms ago, stops {}",
+          "the lease of {} incarnation {} is renewed for the leader, token {} for {}, ended jobs as"
+              + " of {} ms ago, stops {}",
           heartbeat.machineId(),
           heartbeat.incarnation(),
           evidence.token(),
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -47,7 +47,7 @@
     long since = clock.nowMicros();
     route(method, pathAndQuery, body, out);
     metrics.spent(
-        pathAndQuery.equals(ProtocolPath.HEARTBEAT) ? "reports" : "users",
+        pathAndQuery.equals(ProtocolPath.HEARTBEAT) ? "heartbeats" : "users",
         clock.nowMicros() - since);
   }
 
@@ -103,14 +103,14 @@
     try {
       heartbeat = Heartbeat.parse(body);
     } catch (InvalidMessageException e) {
-      metrics.count("reports_unreadable");
+      metrics.count("heartbeats_unreadable");
       out.error(HttpStatus.BAD_REQUEST, e.getMessage());
       return;
     }
-    metrics.count("reports");
+    metrics.count("heartbeats");
     if (out.crowded()) {
       // Users come first: a worker can do with a connection for each heartbeat.
-      metrics.count("reports_closed_crowded");
+      metrics.count("heartbeats_closed_crowded");
       out.closing();
     }
     Leader leader = house.leader();
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -434,7 +434,7 @@
   public void cancel(String uid, Responder raw) {
     ForwardedRequest request =
         new ForwardedRequest("POST", JOBS + "/" + uid + ProtocolPath.CANCEL_SUFFIX, "");
-    Admitted out = admitKnown("abort", request, uid, raw);
+    Admitted out = admitKnown("cancel", request, uid, raw);
     if (out != null) {
       cancel(uid, out, TRIES);
     }
@@ -473,7 +473,7 @@
           switch (result.outcome()) {
             case APPLIED -> {
               jobRecords.ended(uid, JobState.CANCELLED);
-              metrics.count("jobs_aborted");
+              metrics.count("jobs_cancelled");
               leaderView.jobCancelled(uid);
               out.send(HttpStatus.OK, state(uid, JobState.CANCELLED, null));
             }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -142,7 +142,7 @@
     this.warmState = new WarmState(context, fleet, estimates);
     this.early = new EarlyHeartbeats(context.loop(), context.platform().socketLimit());
     this.lists = new DependencyListCleanup(context, jobs);
-    this.passes = new RecurringTask("rounds", context.loop(), this::runPass);
+    this.passes = new RecurringTask("scheduling passes", context.loop(), this::runPass);
   }
 
   private MachineSharing sharing() {
@@ -190,12 +190,12 @@
     scope.own(commands::close);
     scope.own(registry::close);
     scope.own(lists::close);
-    scope.own(new RecurringTask("roster", context.loop(), registry::tidy)).start();
-    scope.own(new RecurringTask("begun", context.loop(), startedJobs::tidy)).start();
+    scope.own(new RecurringTask("machine records", context.loop(), registry::tidy)).start();
+    scope.own(new RecurringTask("started jobs", context.loop(), startedJobs::tidy)).start();
     scope.own(new RecurringTask("progress", context.loop(), progress::write)).start();
     scope.own(new RecurringTask("machines", context.loop(), machines::turn)).start();
-    scope.own(new RecurringTask("hints", context.loop(), warmState::write)).start();
-    scope.own(new RecurringTask("raise", context.loop(), this::raise)).start();
+    scope.own(new RecurringTask("warm state", context.loop(), warmState::write)).start();
+    scope.own(new RecurringTask("token raise", context.loop(), this::raise)).start();
     scope
         .own(new RecurringTask("dependency lists", context.loop(), lists::run))
         .wakeIn(DependencyListCleanup.EVERY_MICROS);
@@ -209,7 +209,7 @@
   private long raise() {
     long since = context.loop().nowMicros();
     raiseOpen();
-    context.metrics().spent("raise", context.loop().nowMicros() - since);
+    context.metrics().spent("token_raise", context.loop().nowMicros() - since);
     return failover.complete() ? RAISE_UNREACHABLE_EVERY_MICROS : RAISE_EVERY_MICROS;
   }
 
@@ -270,7 +270,7 @@
     boolean finished = pass.run();
     long placed = context.loop().nowMicros();
     commands.dispatch(fleet);
-    context.metrics().spent("rounds", placed - since);
+    context.metrics().spent("passes", placed - since);
     context.metrics().spent("dispatch", context.loop().nowMicros() - placed);
     if (!finished) {
       return SLICE_PAUSE_MICROS;
@@ -301,7 +301,7 @@
       due = true;
     }
     if (news == HeartbeatHandler.News.COPY) {
-      context.metrics().count("report_copies");
+      context.metrics().count("heartbeat_copies");
       out.later(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
     } else if (machine.contact().unreachable()) {
       // Were it answered, its lease would count as renewed for ever, and nobody else could have its
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -87,7 +87,7 @@
       }
     }
     if (open.isEmpty()) {
-      log.info("takeover complete: no machine may hold a task");
+      log.info("failover complete: no machine may hold a task");
     }
   }
 
@@ -115,9 +115,9 @@
       log.debug("{} accounted for: {}", machine.id(), how);
       if (open.isEmpty()) {
         long took = context.loop().nowMicros() - startedMicros;
-        context.metrics().time("takeover", took);
+        context.metrics().time("failover", took);
         log.info(
-            "takeover complete after {} ms, the last machine was {}: {}",
+            "failover complete after {} ms, the last machine was {}: {}",
             took / 1_000,
             machine.id(),
             how);
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -36,7 +36,7 @@
   public void started(Attempt attempt, boolean direct, long endsKnownMicros) {
     if (enabled()) {
       log.debug(
-          "{} attempt {} goes to {} session {} {} token {}, ended jobs as of {} ms ago",
+          "{} attempt {} goes to {} incarnation {} {} token {}, ended jobs as of {} ms ago",
           attempt.name().wireName(),
           attempt.id(),
           attempt.machine().id(),
@@ -58,7 +58,7 @@
   private void say(Attempt attempt, String what) {
     if (enabled()) {
       log.debug(
-          "{} attempt {} {} on {} session {}",
+          "{} attempt {} {} on {} incarnation {}",
           attempt.name().wireName(),
           attempt.id(),
           what,
@@ -71,7 +71,7 @@
   void stopped(Attempt attempt) {
     if (!attempt.stopping() && enabled()) {
       log.debug(
-          "{} attempt {} on {} session {} is stopped with token {}: its job has ended",
+          "{} attempt {} on {} incarnation {} is stopped with token {}: its job has ended",
           attempt.name().wireName(),
           attempt.id(),
           attempt.machine().id(),
@@ -84,7 +84,8 @@
   void settled(Attempt attempt, Heartbeat heartbeat) {
     if (enabled()) {
       log.debug(
-          "{} attempt {} on {} session {} is over: a report shows token {}, the start had {}",
+          "{} attempt {} on {} incarnation {} is over: a heartbeat shows token {}, the start had"
+              + " {}",
           attempt.name().wireName(),
           attempt.id(),
           heartbeat.machineId(),
@@ -98,8 +99,8 @@
   public void unanswered(Machine machine, long incarnation, long token, List<Attempt> sent) {
     if (enabled()) {
       log.debug(
-          "starts of {} on {} session {} with token {} had no answer: they may be carried out until"
-              + " it shows a higher token, its next answer carries {}",
+          "starts of {} on {} incarnation {} with token {} had no answer: they may be carried out"
+              + " until it shows a higher token, its next answer carries {}",
           sent.stream()
               .map(attempt -> attempt.name().wireName() + " attempt " + attempt.id())
               .toList(),
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -46,7 +46,7 @@
     boolean started =
         reported.state() == AttemptState.RUNNING && attempt.state() != AttemptState.RUNNING;
     if (started && !attempt.job().hasStarted()) {
-      context.metrics().time("begin", now - attempt.job().acceptedMicros());
+      context.metrics().time("first_start", now - attempt.job().acceptedMicros());
     }
     attempt.observed(reported.state(), now);
     if (started) {
@@ -100,7 +100,7 @@
         }
       }
       case STOPPED -> {
-        context.metrics().count("tasks_halted");
+        context.metrics().count("tasks_stopped");
         if (attempt.runningSinceMicros() < 0 && !waitsFor(machine, job.spec().image())) {
           machine.images().dropFetch(job.spec().image());
         }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -103,7 +103,7 @@
     long now = context.loop().nowMicros();
     if (lines.debug(now)) {
       log.debug(
-          "the lease of {} session {} is not renewed, token {}: {}, ended jobs as of {} ms ago",
+          "the lease of {} incarnation {} is not renewed, token {}: {}, ended jobs as of {} ms ago",
           heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -103,8 +103,8 @@
     changed |= first && own;
     if (noticed) {
       changed = true;
-      context.metrics().count("spot_notices");
-      log.info("{} will be taken in {} s", machine.id(), heartbeat.preemptionNoticeS());
+      context.metrics().count("preemption_notices");
+      log.info("{} has a preemption notice of {} s", machine.id(), heartbeat.preemptionNoticeS());
     }
     LongHashSet listed = new LongHashSet();
     boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
@@ -195,7 +195,7 @@
       if (!attempt.over()) {
         changed = true;
         lost |= attempt.state() == null;
-        context.metrics().count(attempt.state() == null ? "runs_lost" : "attempts_vanished");
+        context.metrics().count(attempt.state() == null ? "starts_lost" : "attempts_vanished");
         attemptLog.settled(attempt, heartbeat);
       }
       fleet.forget(attempt);
@@ -220,11 +220,13 @@
     }
     if (machine.contact().unreachable() != wasUnreachable) {
       changed = true;
-      context.metrics().count(wasUnreachable ? "machines_hear_again" : "machines_deaf");
+      context.metrics().count(wasUnreachable ? "machines_reachable_again" : "machines_unreachable");
       log.info(
           "{} {}",
           machine.id(),
-          wasUnreachable ? "takes answers again" : "reports, but nothing seems to reach it");
+          wasUnreachable
+              ? "is reachable again"
+              : "sends heartbeats, but no answer seems to reach it");
     }
   }
 
@@ -236,7 +238,7 @@
     for (Attempt attempt : sent) {
       if (!attempt.over() && attempt.state() == null) {
         changed = true;
-        context.metrics().count("runs_refused");
+        context.metrics().count("starts_refused");
         fleet.forget(attempt);
       }
     }
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -174,7 +174,7 @@
     Job job = slash < 0 ? null : active.get(rest.substring(0, slash));
     if (job == null) {
       // Left by a job that ended with more chunks than one transaction drops, or written late.
-      context.metrics().count("progress_strays");
+      context.metrics().count("orphaned_progress_records");
       unknownMachines.add(item.key());
       return;
     }
@@ -277,7 +277,7 @@
       // One that waits itself is told by its own turn.
     }
     if (!dependencies.isEmpty() && job.waitsForDependencies() && log.isDebugEnabled()) {
-      log.debug("{} waits on {}", job.uid(), dependencyGraph.waitsFor(job.uid()));
+      log.debug("{} depends on {}", job.uid(), dependencyGraph.waitsFor(job.uid()));
     }
   }
 
@@ -331,15 +331,15 @@
         long age = ended > 0 ? Math.max(0, wall - ended) : 0;
         job.release(context.loop().nowMicros() - age);
         context.metrics().count("jobs_released");
-        log.debug(
-            "{} is released, the last job that it waits on ended {} ms ago", uid, age / 1_000);
+        log.debug("{} is released, its last dependency ended {} ms ago", uid, age / 1_000);
         changed.run();
       }
     }
     for (String uid : dependencyGraph.takeCancelled()) {
       Job job = active.get(uid);
       if (job != null && job.waitsForDependencies() && dependentsToCancel.put(uid, job) == null) {
-        log.info("{} is aborted through {}", uid, dependencyGraph.failedDependencyOf(uid));
+        log.info(
+            "{} is cancelled with its dependency {}", uid, dependencyGraph.failedDependencyOf(uid));
       }
     }
     cancelDependents();
@@ -372,7 +372,7 @@
             result -> {
               cancelling = false;
               if (result.applied()) {
-                context.metrics().count("jobs_aborted_through");
+                context.metrics().count("jobs_cancelled_with_dependency");
                 ended(job.uid(), JobState.CANCELLED);
                 cancelDependents();
               } else if (result.outcome() == Transaction.Outcome.CONFLICT) {
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -88,8 +88,8 @@
     fewer.addAll(able.subList(0, step));
     if (pass.canDoWithout(fewer)) {
       cordoned.addAll(fewer);
-      context.metrics().count("machines_closed", step);
-      log.debug("{} more machines get no new tasks, the others will do", step);
+      context.metrics().count("machines_cordoned", step);
+      log.debug("{} more machines are cordoned, the others suffice", step);
       // A large fleet is too large by many machines at a time; what goes well is tried twice as
       // far.
       cordonStep = Math.min(Math.max(1, able.size() / 10), cordonStep * 2);
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -196,7 +196,7 @@
               }
               long now = context.loop().nowMicros();
               listedMicros = now;
-              context.metrics().count("lists_read");
+              context.metrics().count("machine_lists_read");
               for (ListedMachine listedMachine : machineIds) {
                 if (deleted.contains(listedMachine.id()) || !sharing.isOwn(listedMachine)) {
                   continue;
@@ -289,7 +289,7 @@
       return bootsTooLong(machine, now) ? "it does not come up" : null;
     }
     if (holdsUpFailover(machine, now)) {
-      return "it holds up the takeover";
+      return "it holds up the failover";
     }
     if (silence.of(machine, now) > silence.mostMicros()) {
       return isGone(machine, now) ? "it is silent" : null;
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -111,7 +111,7 @@
 
   /** What became of it is settled by reading the records that it rests on. */
   private void reread(Step step, PoolTransaction transaction, Transaction.Outcome outcome) {
-    log.debug("a change of the pool's records: {}, guards are read anew", outcome);
+    log.debug("a change of the pool's records: {}, preconditions are read anew", outcome);
     List<String> keys = new ArrayList<>(transaction.required());
     read(keys, 0, () -> run(step));
   }
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -94,7 +94,7 @@
         continue;
       }
       if (!delegation.mayCommand(machine.zone())) {
-        context.metrics().count("starts_left_to_reports_delegated");
+        context.metrics().count("starts_left_to_heartbeats_delegated");
         continue;
       }
       List<WorkerCommand> commands = new ArrayList<>();
@@ -125,14 +125,14 @@
           if (closed) {
             return;
           }
-          context.metrics().time("direct", context.loop().nowMicros() - since);
+          context.metrics().time("direct_command", context.loop().nowMicros() - since);
           if (r != null) {
             heartbeats.apply(machine, r, false);
           }
           if (status == HttpStatus.CONFLICT) {
             heartbeats.refused(sent);
           } else if (status != HttpStatus.OK || r == null) {
-            context.metrics().count("direct_unheard");
+            context.metrics().count("direct_commands_unanswered");
             machine.tokens().voidDirectCommands();
             attemptLog.unanswered(machine, incarnation, token, sent);
           }
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -88,7 +88,7 @@
         context.metrics().count("preempted");
         if (log.isDebugEnabled()) {
           log.debug(
-              "{} on {} is stopped to make room for {}",
+              "{} on {} is preempted for {}",
               attempt.name().wireName(),
               offer.machine.id(),
               job.uid());
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -311,7 +311,7 @@
       if (context.loop().nowMicros() - start > context.parameters().passBudgetMicros()
           && cursor < order.size()) {
         spentMicros += context.loop().nowMicros() - start;
-        context.metrics().count("rounds_cut");
+        context.metrics().count("passes_cut");
         return false;
       }
     }
@@ -327,7 +327,7 @@
     lastDemands = demands;
     finishedMicros = context.loop().nowMicros();
     spentMicros += finishedMicros - start;
-    context.metrics().time("round", spentMicros);
+    context.metrics().time("pass", spentMicros);
     return true;
   }
 
@@ -630,7 +630,7 @@
   }
 
   private Placer.Search search(ResourceRequest request, Zones zones, FleetSnapshot snapshot) {
-    context.metrics().count("seats_evaluated", snapshot.candidates.size());
+    context.metrics().count("candidates_evaluated", snapshot.candidates.size());
     return placer.search(
         request,
         snapshot.candidates,
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -109,7 +109,7 @@
         room.take(job.spec());
         machine.images().use(job.spec().image(), job.spec().imageGb(), machineType, now);
         commands.add(WorkerCommand.run(attempt.name(), attempt.id()));
-        context.metrics().count("runs_ordered");
+        context.metrics().count("starts_sent");
         context.metrics().time("wait", now - job.releasedMicros());
         attemptLog.started(attempt, direct, jobs.endsKnownMicros());
       }
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -254,7 +254,7 @@
         transaction.require(JobStore.activeKey(question.uid), question.revision);
       }
     }
-    metrics.count("looks_shared", asked.size());
+    metrics.count("reads_coalesced", asked.size());
     store.transaction(
         transaction,
         StateClient.RequestPriority.ORDINARY,
@@ -346,8 +346,8 @@
         result -> {
           switch (result.outcome()) {
             case APPLIED -> {
-              LOG.info("{} is aborted through {}", uid, through);
-              metrics.count("jobs_aborted_through");
+              LOG.info("{} is cancelled with its dependency {}", uid, through);
+              metrics.count("jobs_cancelled_with_dependency");
               ended(uid, JobState.CANCELLED);
               then.accept(new JobStatus(Presence.ENDED, 0, JobState.CANCELLED));
             }
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -120,7 +120,7 @@
           d.cluster.at(5_000_000, () -> d.users.cancelNow(3, 0, 0));
           d.cluster.play(25);
           d.endOfTrouble();
-          return () -> d.metric("direct_unheard") > 0;
+          return () -> d.metric("direct_commands_unanswered") > 0;
         }),
     A_LEADER_WITH_ITS_WORKERS_ONLY_WHILE_JOBS_ARE_CANCELLED_ELSEWHERE(
         d -> {
@@ -349,7 +349,7 @@
           d.stream(8, 4, 4, 8);
           d.cluster.play(60);
           d.endOfTrouble();
-          return () -> d.metric("report_copies") > 20;
+          return () -> d.metric("heartbeat_copies") > 20;
         }),
     A_TEAM_AT_ITS_LIMIT_AND_A_CANCELLATION_AT_A_CHANGE_OF_LEADER(
         d -> {
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -425,8 +425,8 @@
     cluster.play(120);
     assertDone(all.toArray(new JobSpec[0]));
     assertEquals(
-        0, cluster.leader().node().metrics().counted("runs_lost"), "no order was taken for lost");
-    assertTrue(cluster.leader().node().metrics().counted("runs_ordered") >= 100);
+        0, cluster.leader().node().metrics().counted("starts_lost"), "no order was taken for lost");
+    assertTrue(cluster.leader().node().metrics().counted("starts_sent") >= 100);
   }
 
   /** Nor may it while another order to the same machine is still under way, with the same token. */
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -48,7 +48,8 @@
     cluster.play(30);
     assertEquals(MACHINES, recorded(cluster).size());
     assertTrue(
-        cluster.leader().node().metrics().counted("lists_read") >= 2, "whole lists were read");
+        cluster.leader().node().metrics().counted("machine_lists_read") >= 2,
+        "whole lists were read");
     assertEquals(0, cluster.cloud.refused, "requests over the cloud's rate");
     cluster.leader().crash(3);
     cluster.play(12);
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -131,9 +131,9 @@
     assertTrue(attemptsIn(zone) > 0, "machines in the zone run tasks");
 
     cluster.slowCommandsMicros = COMMANDS_TAKE_MICROS;
-    long commanded = counted("runs_ordered");
+    long commanded = counted("starts_sent");
     JobSpec cancelled = submit("blue", 24, 100);
-    while (counted("runs_ordered") == commanded) {
+    while (counted("starts_sent") == commanded) {
       cluster.play(0.01);
     }
     cutZone(behind, zone, true);
@@ -151,7 +151,7 @@
     JobSpec cancelled = cancelledWhileApart(seed, () -> {});
     String leader = cluster.leader().platform.label();
     assertTrue(counted("leases_renewed_for_leader") > 20, "leases are renewed behind the cut");
-    assertTrue(counted("direct_unheard") > 0, "starts have had no answer");
+    assertTrue(counted("direct_commands_unanswered") > 0, "starts have had no answer");
     assertTrue(cluster.delegations.voided > 0, "and are voided by renewals");
     cluster.play(60);
     assertEquals(List.of(), cluster.invariants.broken);
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -514,7 +514,7 @@
               SimulatedCluster.this,
               costs,
               1,
-              () -> node == null ? 0 : node.metrics().counted("seats_evaluated"));
+              () -> node == null ? 0 : node.metrics().counted("candidates_evaluated"));
       leadership =
           electionApart ? new Processor(SimulatedCluster.this, costs, 2, () -> 0L) : decisions;
       Loop loop = loop(mine, decisions);
