--- a/src/test/java/plumlever/knownred/KnownRedList.java
+++ b/src/test/java/plumlever/knownred/KnownRedList.java
@@ -14,8 +14,8 @@
 import org.junit.platform.commons.support.AnnotationSupport;
 
 /**
- * The list of known red tests: a line each, {@code CLASS#METHOD | CAUSE | ISSUE}; blank lines and
- * lines that begin with {@code #} say nothing.
+ * The list of known red tests, one a line: {@code CLASS#METHOD | COMMAND AND SEED | WHAT WAS SEEN |
+ * ISSUE}. Blank lines and lines that begin with {@code #} are ignored.
  */
 final class KnownRedList {
   /** Where it stands, relative to the repository's root, which is where tests run. */
@@ -24,7 +24,8 @@
   /** More known faults than these are mended before anything else lands. */
   static final int MOST = 3;
 
-  private static final int PARTS = 3;
+  private static final String FORM = "CLASS#METHOD | COMMAND AND SEED | WHAT WAS SEEN | ISSUE";
+  private static final int PARTS = 4;
 
   private final List<KnownRedEntry> entries;
 
@@ -72,10 +73,10 @@
             && Arrays.stream(parts).noneMatch(String::isBlank)
             && Arrays.stream(test).noneMatch(String::isBlank);
     if (!complete) {
-      throw new MalformedKnownRedException(
-          FILE + ": expected CLASS#METHOD | CAUSE | ISSUE: " + line);
+      throw new MalformedKnownRedException(FILE + ": expected " + FORM + ": " + line);
     }
-    return new KnownRedEntry(test[0], test[1], parts[1].strip(), parts[2].strip());
+    return new KnownRedEntry(
+        test[0], test[1], parts[1].strip(), parts[2].strip(), parts[3].strip());
   }
 
   List<KnownRedEntry> entries() {
--- a/src/test/java/plumlever/knownred/KnownRedListTest.java
+++ b/src/test/java/plumlever/knownred/KnownRedListTest.java
@@ -10,7 +10,7 @@
 /** The list of known red tests is short, well-formed, and names tests that exist. */
 final class KnownRedListTest {
   private static final String OWN = KnownRedListTest.class.getName() + "#theListAsItStands";
-  private static final String LINE = OWN + " | its cause | issue 1";
+  private static final String LINE = OWN + " | mvn test, seed 7 | what was seen | issue 1";
 
   @Test
   void theListAsItStands() {
@@ -18,19 +18,31 @@
   }
 
   @Test
-  void aLineNamesTestCauseAndIssue() {
+  void aLineNamesTestCommandObservationAndIssue() {
     KnownRedList list = KnownRedList.parse(List.of("# why", "", LINE));
     list.requireThatTestsExist();
     assertEquals(
         new KnownRedEntry(
-            KnownRedListTest.class.getName(), "theListAsItStands", "its cause", "issue 1"),
+            KnownRedListTest.class.getName(),
+            "theListAsItStands",
+            "mvn test, seed 7",
+            "what was seen",
+            "issue 1"),
         list.entries().get(0));
   }
 
   @Test
   void aMalformedLineIsRefused() {
     for (String line :
-        List.of(OWN, OWN + " | cause", OWN + " | | issue", "NoMethod | cause | issue")) {
+        List.of(
+            OWN,
+            OWN + " | command",
+            OWN + " | command | seen",
+            OWN + " | | seen | issue",
+            OWN + " | command | | issue",
+            OWN + " | command | seen | ",
+            "NoMethod | command | seen | issue",
+            LINE + " | one more")) {
       assertThrows(MalformedKnownRedException.class, () -> KnownRedList.parse(List.of(line)), line);
     }
   }
@@ -45,7 +57,7 @@
   @Test
   void aNameWithoutTestIsRefused() {
     for (String name : List.of(OWN + "s", "plumlever.NoSuchTest#method")) {
-      KnownRedList list = KnownRedList.parse(List.of(name + " | cause | issue"));
+      KnownRedList list = KnownRedList.parse(List.of(name + " | command | seen | issue"));
       assertThrows(MalformedKnownRedException.class, list::requireThatTestsExist, name);
     }
   }
