--- a/src/main/java/plumlever/drill/TaskResults.java
+++ b/src/main/java/plumlever/drill/TaskResults.java
@@ -46,7 +46,7 @@
   }
 
   /** The task is on the machine no more. */
-  void steppedDown(String task, String machine) {
+  void taskLeft(String task, String machine) {
     machineOf.remove(task, machine);
   }
 
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -89,7 +89,7 @@
   /** The machine does not exist any more. */
   void remove() {
     gone = true;
-    tasks.values().forEach(task -> environment.results().steppedDown(task.name, machine));
+    tasks.values().forEach(task -> environment.results().taskLeft(task.name, machine));
     tasks.clear();
   }
 
@@ -98,7 +98,7 @@
       return;
     }
     if (loop.nowMicros() - leaseFromMicros > environment.leaseMicros()) {
-      tasks.values().forEach(task -> environment.results().steppedDown(task.name, machine));
+      tasks.values().forEach(task -> environment.results().taskLeft(task.name, machine));
       tasks.clear();
       incarnation++;
       leaseFromMicros = loop.nowMicros();
@@ -267,7 +267,7 @@
   private void end(Task task, ExitCause cause) {
     task.status = AttemptState.ENDED;
     task.cause = cause;
-    environment.results().steppedDown(task.name, machine);
+    environment.results().taskLeft(task.name, machine);
     noteChange();
   }
 
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -144,11 +144,11 @@
           new PoolWriter.Step() {
             @Override
             public Optional<PoolTransaction> build() {
-              List<String> steppedDown =
+              List<String> remaining =
                   group.stream()
                       .filter(name -> view.holder(name).equals(Optional.of(retired(own))))
                       .toList();
-              return change(steppedDown, null);
+              return change(remaining, null);
             }
 
             @Override
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -92,18 +92,18 @@
 
   /** The taker owns it from here on; its own tasks there are guests no more. */
   public TransferRecord taken(String taker, long newNumber) {
-    Map<String, List<GuestTask>> steppedDown = new TreeMap<>(homes);
-    steppedDown.remove(taker);
+    Map<String, List<GuestTask>> remainingHomes = new TreeMap<>(homes);
+    remainingHomes.remove(taker);
     return new TransferRecord(
-        State.TAKEN, machine, incarnation, taker, newNumber, Optional.empty(), steppedDown);
+        State.TAKEN, machine, incarnation, taker, newNumber, Optional.empty(), remainingHomes);
   }
 
   /** The offer is taken back; the owner's own tasks need not be listed any more. */
   public TransferRecord withdrawn() {
-    Map<String, List<GuestTask>> steppedDown = new TreeMap<>(homes);
-    steppedDown.remove(owner);
+    Map<String, List<GuestTask>> remainingHomes = new TreeMap<>(homes);
+    remainingHomes.remove(owner);
     return new TransferRecord(
-        State.TAKEN, machine, incarnation, owner, number, Optional.empty(), steppedDown);
+        State.TAKEN, machine, incarnation, owner, number, Optional.empty(), remainingHomes);
   }
 
   /** The machine does not exist any more. */
@@ -114,9 +114,9 @@
 
   /** None of the cell's tasks can be on it any more. */
   public TransferRecord withoutHome(String cell) {
-    Map<String, List<GuestTask>> steppedDown = new TreeMap<>(homes);
-    steppedDown.remove(cell);
-    return new TransferRecord(state, machine, incarnation, owner, number, offer, steppedDown);
+    Map<String, List<GuestTask>> remainingHomes = new TreeMap<>(homes);
+    remainingHomes.remove(cell);
+    return new TransferRecord(state, machine, incarnation, owner, number, offer, remainingHomes);
   }
 
   /** True when nothing is left to be settled. */
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -158,17 +158,17 @@
   @Test
   void whatNeedsACancelledJobIsCancelledAndNothingElse() {
     JobSpec root = idle(1, 60);
-    JobSpec steppedDown = idle(1, 400, root);
+    JobSpec left = idle(1, 400, root);
     JobSpec right = idle(1, 5, root);
-    JobSpec joined = idle(1, 5, steppedDown, right);
+    JobSpec joined = idle(1, 5, left, right);
     JobSpec last = idle(1, 5, joined);
     JobSpec beside = idle(1, 5, right);
-    submit(root, steppedDown, right, joined, last, beside);
+    submit(root, left, right, joined, last, beside);
     cluster.play(10);
     NODES.forEach(n -> ask(n, "GET", "/submissions/" + last.uid(), null));
-    users.cancelled(steppedDown);
+    users.cancelled(left);
     assertTrue(
-        ask("n2", "POST", "/submissions/" + steppedDown.uid() + "/abort", "")
+        ask("n2", "POST", "/submissions/" + left.uid() + "/abort", "")
             .body()
             .contains("\"aborted\""));
     for (String node : NODES) {
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -63,7 +63,7 @@
 
   void die() {
     dead = true;
-    tasks.values().forEach(t -> cluster.invariants.steppedDown(t.name, this));
+    tasks.values().forEach(t -> cluster.invariants.taskLeft(t.name, this));
     tasks.clear();
     cluster.services.remove(cluster.workerAt.apply(vm.id));
   }
@@ -117,7 +117,7 @@
     }
     // A hanging machine continues only within its lease, so its tasks count as gone from then on.
     if (cluster.now() - leaseFrom > LEASE_MICROS) {
-      tasks.values().forEach(t -> cluster.invariants.steppedDown(t.name, this));
+      tasks.values().forEach(t -> cluster.invariants.taskLeft(t.name, this));
       tasks.clear();
       incarnation++;
       leaseFrom = cluster.now();
@@ -303,7 +303,7 @@
   private void exit(Task task, String cause) {
     task.status = "ended";
     task.cause = cause;
-    cluster.invariants.steppedDown(task.name, this);
+    cluster.invariants.taskLeft(task.name, this);
     change();
   }
 
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -139,18 +139,17 @@
   @Test
   void chainsOfTheFormerVersionGoOn() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(21);
-    Map<String, JsonNode> steppedDown = records(FIRST_WITH_DEPENDENCIES);
-    steppedDown.remove("office/leader");
+    Map<String, JsonNode> records = records(FIRST_WITH_DEPENDENCIES);
+    records.remove("office/leader");
     // The sample keeps a tenth of the ended jobs that the long list names; all had ended.
-    for (String key : List.copyOf(steppedDown.keySet())) {
+    for (String key : List.copyOf(records.keySet())) {
       if (key.startsWith("waits/")) {
-        JobStore.names(steppedDown.get(key))
-            .forEach(
-                name -> steppedDown.putIfAbsent("ended/" + name, Json.object().put("s", "done")));
+        JobStore.names(records.get(key))
+            .forEach(name -> records.putIfAbsent("ended/" + name, Json.object().put("s", "done")));
       }
     }
-    steppedDown.remove("ended/job-000002");
-    cluster.store.rewrite("", steppedDown);
+    records.remove("ended/job-000002");
+    cluster.store.rewrite("", records);
     cluster.cloud.outage = true;
     cluster.play(4);
     Job slow = job(cluster, "job-000002");
@@ -181,8 +180,8 @@
   @Test
   void progressInSeveralPartsIsReadByTheLimitItWasCutUpBy() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(22);
-    Map<String, JsonNode> steppedDown = records(PRODUCTION, "large-progress.json");
-    cluster.store.rewrite("", steppedDown);
+    Map<String, JsonNode> records = records(PRODUCTION, "large-progress.json");
+    cluster.store.rewrite("", records);
     cluster.cloud.outage = true;
     cluster.play(4);
     BitSet done = job(cluster, "job-000001").done();
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -153,7 +153,7 @@
     }
   }
 
-  void steppedDown(String task, FakeWorker worker) {
+  void taskLeft(String task, FakeWorker worker) {
     Set<FakeWorker> at = on.get(task);
     if (at != null) {
       if (at.remove(worker)) {
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -587,10 +587,10 @@
       plumlever.fleet.Job otherJob = cluster.leader().node().leader().job(first.uid());
       cluster.play(1);
       assertEquals(Priority.HIGH, otherJob.priority());
-      long steppedDown = otherJob.deadlineMicros() - otherJob.acceptedMicros();
+      long remainingMicros = otherJob.deadlineMicros() - otherJob.acceptedMicros();
       assertTrue(
-          steppedDown > 370_000_000L && steppedDown < 390_000_000L,
-          "400 s less what the last takes: " + steppedDown);
+          remainingMicros > 370_000_000L && remainingMicros < 390_000_000L,
+          "400 s less what the last takes: " + remainingMicros);
       cluster.leader().crash(1);
       cluster.play(15);
     }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -93,12 +93,12 @@
   @Test
   void takesOverWhatItLeft() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(1);
-    Map<String, JsonNode> steppedDown = records();
-    steppedDown.keySet().removeIf(k -> k.startsWith("office/leader"));
-    cluster.store.rewrite("", steppedDown);
+    Map<String, JsonNode> records = records();
+    records.keySet().removeIf(k -> k.startsWith("office/leader"));
+    cluster.store.rewrite("", records);
     cluster.cloud.outage = true;
     cluster.play(4);
-    for (Map.Entry<String, JsonNode> entry : steppedDown.entrySet()) {
+    for (Map.Entry<String, JsonNode> entry : records.entrySet()) {
       if (entry.getKey().startsWith(JobStore.ACTIVE)) {
         assertTrue(
             cluster.leader().node().leader().job(entry.getKey().substring(JobStore.ACTIVE.length()))
@@ -106,7 +106,7 @@
             entry.getKey());
       }
     }
-    BitSet packed = JobStore.readSharedChunk(steppedDown.get("progress/pack/0")).get("job-000030");
+    BitSet packed = JobStore.readSharedChunk(records.get("progress/pack/0")).get("job-000030");
     Job small = cluster.leader().node().leader().job("job-000030");
     if (small != null) {
       assertEquals(packed, small.done());
@@ -117,7 +117,7 @@
         large.done(),
         "by its own size of chunks");
     assertTrue(large.doneCount() > 1000 && large.inherited());
-    int machines = steppedDown.get("fleet/0").path("hosts").size();
+    int machines = records.get("fleet/0").path("hosts").size();
     assertTrue(machines > 5);
     assertEquals(200, status(cluster, "job-000003", "aborted"));
   }
