--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -60,6 +60,20 @@
 
   private static final String PREFIX = "/pool/transfers/";
 
+  private static final String STATE = "state";
+  private static final String ENDPOINT = "endpoint";
+  private static final String MACHINE_TYPE = "flavor";
+  private static final String ZONE = "site";
+  private static final String SPOT = "spot";
+  private static final String INCARNATION = "session";
+  private static final String OWNER = "owner";
+  private static final String NUMBER = "number";
+  private static final String OFFER = "offer";
+  private static final String TAKER = "to";
+  private static final String TERM_REVISION = "term_stamp";
+  private static final String DIGEST = "digest";
+  private static final String HOMES = "homes";
+
   /** The key of the machine's record. */
   public static String keyOf(String machine) {
     return PREFIX + machine;
@@ -128,22 +142,22 @@
   public ObjectNode toJson() {
     ObjectNode object =
         Json.object()
-            .put("state", state.name())
-            .put("endpoint", machine.endpoint())
-            .put("flavor", machine.machineType())
-            .put("site", machine.zone())
-            .put("spot", machine.spot())
-            .put("session", incarnation)
-            .put("owner", owner)
-            .put("number", number);
+            .put(STATE, state.name())
+            .put(ENDPOINT, machine.endpoint())
+            .put(MACHINE_TYPE, machine.machineType())
+            .put(ZONE, machine.zone())
+            .put(SPOT, machine.spot())
+            .put(INCARNATION, incarnation)
+            .put(OWNER, owner)
+            .put(NUMBER, number);
     offer.ifPresent(
         made ->
             object
-                .putObject("offer")
-                .put("to", made.to())
-                .put("term_stamp", made.termRevision())
-                .put("digest", made.digest()));
-    ObjectNode stored = object.putObject("homes");
+                .putObject(OFFER)
+                .put(TAKER, made.to())
+                .put(TERM_REVISION, made.termRevision())
+                .put(DIGEST, made.digest()));
+    ObjectNode stored = object.putObject(HOMES);
     homes.forEach(
         (cell, guests) -> {
           ArrayNode array = stored.putArray(cell);
@@ -156,7 +170,7 @@
   public static TransferRecord parse(String machine, JsonNode data) throws InvalidMessageException {
     State state;
     try {
-      state = State.valueOf(data.path("state").asText());
+      state = State.valueOf(data.path(STATE).asText());
     } catch (IllegalArgumentException e) {
       throw new InvalidMessageException(
           "the transfer of " + machine + " is in a state that is unknown");
@@ -164,20 +178,20 @@
     Details details =
         new Details(
             machine,
-            Json.text(data, "endpoint"),
-            Json.text(data, "flavor"),
-            Json.text(data, "site"),
-            Json.flag(data, "spot"));
+            Json.text(data, ENDPOINT),
+            Json.text(data, MACHINE_TYPE),
+            Json.text(data, ZONE),
+            Json.flag(data, SPOT));
     Optional<Offer> offer = Optional.empty();
-    if (data.path("offer") instanceof ObjectNode made) {
+    if (data.path(OFFER) instanceof ObjectNode made) {
       offer =
           Optional.of(
               new Offer(
-                  Json.text(made, "to"),
-                  Json.whole(made, "term_stamp", 0, Long.MAX_VALUE),
-                  Json.text(made, "digest")));
+                  Json.text(made, TAKER),
+                  Json.whole(made, TERM_REVISION, 0, Long.MAX_VALUE),
+                  Json.text(made, DIGEST)));
     }
-    if (!(data.path("homes") instanceof ObjectNode stored)) {
+    if (!(data.path(HOMES) instanceof ObjectNode stored)) {
       throw new InvalidMessageException("the transfer of " + machine + " names no homes");
     }
     Map<String, List<GuestTask>> homes = new TreeMap<>();
@@ -191,9 +205,9 @@
     return new TransferRecord(
         state,
         details,
-        Json.whole(data, "session", 0, Long.MAX_VALUE),
-        Json.text(data, "owner"),
-        Json.whole(data, "number", 0, Long.MAX_VALUE),
+        Json.whole(data, INCARNATION, 0, Long.MAX_VALUE),
+        Json.text(data, OWNER),
+        Json.whole(data, NUMBER, 0, Long.MAX_VALUE),
         offer,
         homes);
   }
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -9,7 +9,7 @@
 import plumlever.settings.SchedulerParameters;
 
 /**
- * Lets a controller that does not lead practise leading, in small pieces while it has nothing
+ * Lets a controller that does not lead practise leading, in small slices while it has nothing
  * better to do: a successor whose code has never run takes several times as long to take over. It
  * ends when all is played, or at once when the controller is elected.
  */
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -14,6 +14,7 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
+import plumlever.wire.ProtocolPath;
 
 /**
  * A controller played to itself: two terms of a small deployment in memory, with the service's own
@@ -140,7 +141,7 @@
     node.router()
         .handle(
             "POST",
-            "/hello",
+            ProtocolPath.HEARTBEAT,
             outside.heartbeat(machineId),
             (status, json, retry) -> {
               if (status == 200) {
--- /dev/null
+++ b/src/test/java/plumlever/architecture/ProtocolWordsTest.java
@@ -0,0 +1,131 @@
+package plumlever.architecture;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The words of the protocol for which the field has terms stand in the codecs only, as names on the
+ * wire or in the state service. Everywhere else identifiers, comments, log lines and tests use the
+ * terms.
+ */
+final class ProtocolWordsTest {
+  private static final Path SOURCES = Path.of("src");
+
+  private static final List<String> WORDS =
+      List.of(
+          "baton", "bundle", "flavor", "foreman", "grant", "halt", "hello", "loaner", "permit",
+          "piece", "reap", "site", "tenure", "touch", "urgency");
+
+  /** Files that map the words to terms, emulate what speaks them, or test what is sent. */
+  private static final Set<String> CODECS =
+      Set.of(
+          "main/java/plumlever/cli/ArchiveTrainingRun.java",
+          "main/java/plumlever/drill/CloudEmulator.java",
+          "main/java/plumlever/drill/JobShape.java",
+          "main/java/plumlever/drill/StateServiceEmulator.java",
+          "main/java/plumlever/drill/WorkerEmulator.java",
+          "main/java/plumlever/settings/OperatorFile.java",
+          "main/java/plumlever/sharing/TransferRecord.java",
+          "main/java/plumlever/store/StateProtocol.java",
+          "main/java/plumlever/warmup/WarmUpServices.java",
+          "main/java/plumlever/wire/ProtocolField.java",
+          "main/java/plumlever/wire/ProtocolPath.java",
+          "main/java/plumlever/wire/WorkerCommand.java",
+          "test/java/plumlever/architecture/ProtocolWordsTest.java",
+          "test/java/plumlever/lease/LeaseRenewalTest.java",
+          "test/java/plumlever/sim/FakeCloud.java",
+          "test/java/plumlever/sim/FakeStore.java",
+          "test/java/plumlever/sim/FakeWorker.java",
+          "test/java/plumlever/sim/FaultTest.java",
+          "test/java/plumlever/sim/FormatSamplesTest.java",
+          "test/java/plumlever/sim/UsersTest.java",
+          "test/java/plumlever/wire/WireTest.java");
+
+  /** Files that are still to be renamed; an entry goes when its file is, and none is added. */
+  private static final Set<String> TO_DO =
+      Set.of("main/java/plumlever/settings/SchedulerParameters.java");
+
+  private static final Pattern PROTOCOL_WORD = pattern();
+
+  /** A word by itself, in a constant's name, or as a part of a camel-case name. */
+  private static Pattern pattern() {
+    String lower = String.join("|", WORDS);
+    String capitalized =
+        WORDS.stream()
+            .map(word -> Character.toUpperCase(word.charAt(0)) + word.substring(1))
+            .collect(Collectors.joining("|"));
+    String upper = lower.toUpperCase(Locale.ROOT);
+    return Pattern.compile(
+        "(?<![A-Za-z])(?:%s|%s|%s)[sS]?(?![A-Za-z])".formatted(lower, capitalized, upper)
+            + "|(?<=[a-z])(?:%s)s?(?![a-z])".formatted(capitalized)
+            + "|(?<![A-Za-z])(?:%s)s?(?=[A-Z])".formatted(lower));
+  }
+
+  /** The keyword of sealed types is no protocol word. */
+  private static boolean holdsProtocolWord(String line) {
+    return PROTOCOL_WORD.matcher(line.replaceAll("\\bpermits (?=[A-Z])", "")).find();
+  }
+
+  private static Set<String> filesWithProtocolWords() throws IOException {
+    try (Stream<Path> files = Files.walk(SOURCES)) {
+      return files
+          .filter(file -> file.toString().endsWith(".java"))
+          .filter(ProtocolWordsTest::fileHoldsProtocolWord)
+          .map(file -> SOURCES.relativize(file).toString().replace('\\', '/'))
+          .collect(Collectors.toCollection(TreeSet::new));
+    }
+  }
+
+  private static boolean fileHoldsProtocolWord(Path file) {
+    try (Stream<String> lines = Files.lines(file)) {
+      return lines.anyMatch(ProtocolWordsTest::holdsProtocolWord);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  @Test
+  void protocolWordsStandInCodecsOnly() throws IOException {
+    Set<String> found = filesWithProtocolWords();
+    found.removeAll(CODECS);
+    assertEquals(new TreeSet<>(TO_DO), found);
+  }
+
+  @Test
+  void everyCodecStillHoldsOne() throws IOException {
+    Set<String> unneeded = new TreeSet<>(CODECS);
+    unneeded.removeAll(filesWithProtocolWords());
+    assertEquals(Set.of(), unneeded);
+  }
+
+  @Test
+  void theCheckSeesWordsInNamesAndText() {
+    for (String line :
+        List.of(
+            "long tenure;", "// a flavor", "lastPermit", "MAX_PIECES", "haltAll()", "\"site\"")) {
+      assertTrue(holdsProtocolWord(line), line);
+    }
+  }
+
+  @Test
+  void theCheckLeavesOtherWordsAlone() {
+    for (String line :
+        List.of("opposite", "sealed interface A permits B", "granted by nobody", "composite")) {
+      assertFalse(holdsProtocolWord(line), line);
+    }
+  }
+}
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -174,7 +174,7 @@
       if (now != DependencyGraph.State.CANCELLED) {
         assertEquals(model.by(uid), dependencies.goal(uid).byMicros(), uid + " has its deadline");
         assertEquals(
-            model.priority(uid), dependencies.goal(uid).priority(), uid + " has its urgency");
+            model.priority(uid), dependencies.goal(uid).priority(), uid + " has its priority");
       }
     }
   }
--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -12,6 +12,7 @@
 import plumlever.lease.DelegationRecord;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
+import plumlever.wire.ProtocolField;
 
 /**
  * Not rules of the protocol, but what the proof of delegated renewal rests on: no start is sent
@@ -104,7 +105,10 @@
     try {
       JsonNode command = Json.parseObject(body);
       return new Start(
-          machine, command.path("baton").asLong(), command.path("tenure").asLong(), body);
+          machine,
+          command.path(ProtocolField.FENCING_TOKEN).asLong(),
+          command.path(ProtocolField.INCARNATION).asLong(),
+          body);
     } catch (InvalidMessageException e) {
       throw new AssertionError("a command can't be read: " + body, e);
     }
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -11,6 +11,7 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
+import plumlever.wire.ProtocolField;
 
 /** Users who submit, poll, cancel some, and ask about jobs that nobody submitted. */
 final class FakeUsers {
@@ -236,7 +237,12 @@
       if ("done".equals(last)) {
         expect("POST", "/submissions/" + uid + "/abort", "", 200, "\"done\"");
       } else if (last != null) {
-        expect("POST", "/submissions", Json.write(job.toJson().put("pieces", 0)), 200, uid);
+        expect(
+            "POST",
+            "/submissions",
+            Json.write(job.toJson().put(ProtocolField.TASK_COUNT, 0)),
+            200,
+            uid);
         expect("POST", "/submissions", Json.write(job.toJson().put("owner", "nobody")), 200, uid);
       }
       sent++;
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -14,6 +14,7 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
+import plumlever.wire.ProtocolPath;
 
 /**
  * What a leader does not know: jobs are cancelled through another controller while it can't hear of
@@ -176,7 +177,7 @@
                         && jobs.subList(0, 4).stream()
                             .anyMatch(j -> t.name.startsWith(j.uid() + "/")))
             .count();
-    assertEquals(0, on, "halted long before any lease would have ended");
+    assertEquals(0, on, "stopped long before any lease would have ended");
     assertTrue(tasksOn() > 0, "the others run on");
     assertEquals(List.of(), cluster.invariants.broken);
   }
@@ -204,7 +205,7 @@
         .router()
         .handle(
             "POST",
-            "/hello",
+            ProtocolPath.HEARTBEAT,
             busy.worker.statusBytes(),
             (s, json, retry) -> {
               status[0] = s;
--- a/src/test/java/plumlever/sim/SharingHardCasesTest.java
+++ b/src/test/java/plumlever/sim/SharingHardCasesTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import plumlever.wire.JobSpec;
+import plumlever.wire.ProtocolPath;
 
 /** What may befall a machine that moves with its tasks, each case by itself. */
 final class SharingHardCasesTest {
@@ -320,14 +321,14 @@
     pool.give(GIVER, machine, TAKER);
     cluster.play(12);
     moved();
-    assertTrue(giver.leads(), "its grant is renewed all the time");
+    assertTrue(giver.leads(), "its lease is renewed all the time");
     long[] status = new long[1];
     giver
         .node()
         .router()
         .handle(
             "POST",
-            "/hello",
+            ProtocolPath.HEARTBEAT,
             pool.worker(machine).statusBytes(),
             (code, json, retry) -> status[0] = code);
     assertEquals(503, status[0], "the machine may have another owner by now");
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -26,6 +26,8 @@
 import plumlever.settings.SharingSettings;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
+import plumlever.wire.ProtocolField;
+import plumlever.wire.ProtocolPath;
 
 /**
  * A simulated deployment: the service's controllers as they are, with emulators for all that is
@@ -318,7 +320,7 @@
    */
   private void checkInLeadership(String answer, boolean asLeader) {
     try {
-      long term = Fleet.termOf(Json.parseObject(answer).path("baton").asLong());
+      long term = Fleet.termOf(Json.parseObject(answer).path(ProtocolField.FENCING_TOKEN).asLong());
       if (term < store.term()
           && (asLeader || now - store.termSince > DelegatedRenewal.VALID_MICROS)) {
         invariants.broken.add(
@@ -346,7 +348,7 @@
             "copy",
             new Endpoint(node, 1),
             "POST",
-            "/hello",
+            ProtocolPath.HEARTBEAT,
             body,
             (st, t) -> {},
             random.nextLong(1_500_000L));
@@ -429,13 +431,13 @@
           from, to, method, path, body, (st, t) -> {}, 4_000_000L + random.nextLong(16_000_000L));
       deliver(from, to, method, path, body, (st, t) -> {}, 500_000L + random.nextLong(COPY_MICROS));
     }
-    if (path.equals("/hello") && mute.contains(from)) {
+    if (path.equals(ProtocolPath.HEARTBEAT) && mute.contains(from)) {
       return;
     }
-    if (path.equals("/hello") && random.nextDouble() < copyHeartbeatsForNext) {
+    if (path.equals(ProtocolPath.HEARTBEAT) && random.nextDouble() < copyHeartbeatsForNext) {
       keptHeartbeats.add(body);
     }
-    if (path.equals("/hello") && random.nextDouble() < copyHeartbeats) {
+    if (path.equals(ProtocolPath.HEARTBEAT) && random.nextDouble() < copyHeartbeats) {
       Endpoint any = new Endpoint("n" + random.nextInt(members.size()), 1);
       deliver(
           from,
@@ -536,7 +538,9 @@
               awake(
                   mine,
                   decisions,
-                  path.equals("/hello") ? Processor.Work.HEARTBEAT : Processor.Work.REQUEST,
+                  path.equals(ProtocolPath.HEARTBEAT)
+                      ? Processor.Work.HEARTBEAT
+                      : Processor.Work.REQUEST,
                   () ->
                       current
                           .router()
@@ -554,7 +558,9 @@
 
                                 @Override
                                 public void send(int status, String json, int retry) {
-                                  if (status == 200 && path.equals("/hello") && cells.isEmpty()) {
+                                  if (status == 200
+                                      && path.equals(ProtocolPath.HEARTBEAT)
+                                      && cells.isEmpty()) {
                                     checkInLeadership(json, current.leader() != null);
                                   }
                                   if (life == mine && closing) {
