--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -19,7 +19,7 @@
 
 /** What the users' page asks of jobs that depend on others, sentence by sentence. */
 final class DependencyAcceptanceTest extends DependencyScenario {
-  private static final List<String> NODES = List.of("n0", "n1", "n2");
+  private static final List<String> CONTROLLERS = List.of("n0", "n1", "n2");
   private static final double REMOVED_WITHIN_S = 1_600;
 
   private JobSpec ofTeam(String team, Priority priority, int tasks, double runS, JobSpec... names) {
@@ -114,7 +114,7 @@
     int machines = cluster.cloud.machines.size();
     assertTrue(machines <= 2, "for one task: " + machines);
     cluster.play(200);
-    Job waiting = cluster.leader().node().leader().job(last.uid());
+    Job waiting = cluster.leader().controller().leader().job(last.uid());
     assertTrue(waiting.waitsForDependencies());
     assertEquals("pending", told(last));
     assertTrue(cluster.cloud.machines.size() <= machines, "none for a job that waits");
@@ -128,7 +128,7 @@
     long released = 0;
     for (int i = 0; i < 1_300 && released == 0; i++) {
       cluster.play(0.1);
-      Job job = cluster.leader().node().leader().job(last.uid());
+      Job job = cluster.leader().controller().leader().job(last.uid());
       released = job != null && !job.waitsForDependencies() ? job.releasedMicros() : 0;
     }
     assertTrue(cluster.now() - released < 10_000_000, "its times begin with its release");
@@ -144,10 +144,10 @@
     submit(first, last);
     cluster.play(130);
     assertTold("done", first);
-    long released = cluster.leader().node().leader().job(last.uid()).releasedMicros();
+    long released = cluster.leader().controller().leader().job(last.uid()).releasedMicros();
     cluster.leader().crash(1);
     cluster.play(20);
-    Job job = cluster.leader().node().leader().job(last.uid());
+    Job job = cluster.leader().controller().leader().job(last.uid());
     assertTrue(released - job.acceptedMicros() > 50_000_000);
     assertEquals(released / 1e6, job.releasedMicros() / 1e6, 2);
   }
@@ -165,18 +165,20 @@
     JobSpec beside = idle(1, 5, right);
     submit(root, left, right, joined, last, beside);
     cluster.play(10);
-    NODES.forEach(n -> ask(n, "GET", "/submissions/" + last.uid(), null));
+    CONTROLLERS.forEach(n -> ask(n, "GET", "/submissions/" + last.uid(), null));
     users.cancelled(left);
     assertTrue(
         ask("n2", "POST", "/submissions/" + left.uid() + "/abort", "")
             .body()
             .contains("\"aborted\""));
-    for (String node : NODES) {
+    for (String controller : CONTROLLERS) {
       assertTrue(
-          ask(node, "GET", "/submissions/" + joined.uid(), null).body().contains("\"aborted\""));
-      assertTrue(submitAt(node, last).body().contains("\"aborted\""), "a repeat");
+          ask(controller, "GET", "/submissions/" + joined.uid(), null)
+              .body()
+              .contains("\"aborted\""));
+      assertTrue(submitAt(controller, last).body().contains("\"aborted\""), "a repeat");
       assertTrue(
-          ask(node, "POST", "/submissions/" + last.uid() + "/abort", "")
+          ask(controller, "POST", "/submissions/" + last.uid() + "/abort", "")
               .body()
               .contains("\"aborted\""));
     }
@@ -197,9 +199,11 @@
     Answer answer = ask("n1", "POST", "/submissions/" + root.uid() + "/abort", "");
     assertEquals(1, cluster.store.appliedUnanswered);
     assertTrue(answer.body().contains("\"aborted\""), answer.body());
-    for (String node : NODES) {
+    for (String controller : CONTROLLERS) {
       assertTrue(
-          ask(node, "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
+          ask(controller, "GET", "/submissions/" + last.uid(), null)
+              .body()
+              .contains("\"aborted\""));
     }
     assertEquals(List.of(), cluster.invariants.broken);
   }
@@ -208,7 +212,7 @@
    * A controller that no longer hears what ends refuses to answer instead of telling what it knew.
    */
   @Test
-  void aNodeWithAnOldViewTellsNothingOlder() {
+  void aControllerWithAnOldViewTellsNothingOlder() {
     JobSpec root = idle(1, 400);
     JobSpec last = idle(1, 5, root);
     submit(root, last);
@@ -234,7 +238,7 @@
     JobSpec later = job(1, 5, 900, Priority.STANDARD, List.of(shared.uid()));
     submit(shared, later, soon);
     cluster.play(10);
-    Job stage = cluster.leader().node().leader().job(shared.uid());
+    Job stage = cluster.leader().controller().leader().job(shared.uid());
     long dueForSoon = stage.deadlineMicros();
     assertEquals(Priority.HIGH, stage.priority());
     users.cancelled(soon);
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -97,12 +97,12 @@
   /** What a controller answered to one request. */
   record Answer(int status, String body, int retryAfterS) {}
 
-  Answer ask(String node, String method, String path, String body) {
+  Answer ask(String controller, String method, String path, String body) {
     Answer[] got = new Answer[1];
     cluster
-        .members
-        .get(node)
-        .node()
+        .controllers
+        .get(controller)
+        .controller()
         .router()
         .handle(
             method,
@@ -115,9 +115,9 @@
     return got[0];
   }
 
-  Answer submitAt(String node, JobSpec job) {
+  Answer submitAt(String controller, JobSpec job) {
     cluster.invariants.submitted.put(job.uid(), job);
     cluster.invariants.submittedAt.put(job.uid(), cluster.now());
-    return ask(node, "POST", "/submissions", Json.write(job.toJson()));
+    return ask(controller, "POST", "/submissions", Json.write(job.toJson()));
   }
 }
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -218,10 +218,10 @@
   }
 
   /** Workers whose connection is with that controller. */
-  int reportingTo(String node) {
+  int reportingTo(String controller) {
     return (int)
         machines.values().stream()
-            .filter(v -> v.worker != null && v.worker.heartbeatsTo(node))
+            .filter(v -> v.worker != null && v.worker.heartbeatsTo(controller))
             .count();
   }
 
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -44,7 +44,7 @@
   String untold;
 
   /** The only controller that is told nothing; null for all. */
-  String untoldNode;
+  String untoldController;
 
   /** For tests of the checks: a field that records of jobs lose. */
   String lostField;
@@ -321,7 +321,7 @@
   }
 
   private void watch(
-      String node, Map<String, String> map, long since, SimulatedCluster.Reply reply) {
+      String controller, Map<String, String> map, long since, SimulatedCluster.Reply reply) {
     String under = map.get("under");
     long from = Long.parseLong(map.get("since"));
     ObjectNode out = Json.object().put("epoch", storeRevision);
@@ -331,7 +331,8 @@
       return;
     }
     for (Change change : log) {
-      if (under.equals(untold) && (untoldNode == null || untoldNode.equals(node))) {
+      if (under.equals(untold)
+          && (untoldController == null || untoldController.equals(controller))) {
         break;
       }
       if (change.revision > from && change.key.startsWith(under)) {
@@ -353,7 +354,7 @@
         () -> {
           if (!woken[0]) {
             woken[0] = true;
-            watch(node, map, since, reply);
+            watch(controller, map, since, reply);
           }
         };
     waiting.add(again);
@@ -393,10 +394,10 @@
   }
 
   private void transaction(ObjectNode object, SimulatedCluster.Reply reply) {
-    for (JsonNode node : object.path("guards")) {
-      Entry entry = keys.get(node.path("k").asText());
+    for (JsonNode controller : object.path("guards")) {
+      Entry entry = keys.get(controller.path("k").asText());
       if (!ignorePreconditions
-          && (entry == null ? 0 : entry.revision) != node.path("stamp").asLong()) {
+          && (entry == null ? 0 : entry.revision) != controller.path("stamp").asLong()) {
         reply.send(409, "{\"failed\":[],\"epoch\":" + storeRevision + "}");
         return;
       }
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -41,16 +41,16 @@
   }
 
   /** The next request about the job goes to that controller. */
-  void connect(String uid, String node) {
-    connected.put(uid, new Endpoint(node, 1));
+  void connect(String uid, String controller) {
+    connected.put(uid, new Endpoint(controller, 1));
   }
 
   Set<String> accepted() {
     return accepted;
   }
 
-  private Endpoint anyNode() {
-    List<String> all = new ArrayList<>(cluster.members.keySet());
+  private Endpoint anyController() {
+    List<String> all = new ArrayList<>(cluster.controllers.keySet());
     return new Endpoint(all.get(cluster.random.nextInt(all.size())), 1);
   }
 
@@ -59,38 +59,38 @@
    * controller's own word, by a failure, or when the load balancer has found the controller
    * unhealthy for five seconds.
    */
-  private Endpoint nodeOf(String uid) {
+  private Endpoint controllerOf(String uid) {
     Endpoint at = connected.get(uid);
     if (at == null || unhealthy(at.host())) {
-      List<String> healthy = new ArrayList<>(cluster.members.keySet());
+      List<String> healthy = new ArrayList<>(cluster.controllers.keySet());
       healthy.removeIf(this::unhealthy);
       at =
           healthy.isEmpty()
-              ? anyNode()
+              ? anyController()
               : new Endpoint(healthy.get(cluster.random.nextInt(healthy.size())), 1);
       connected.put(uid, at);
     }
     return at;
   }
 
-  private boolean unhealthy(String node) {
-    return cluster.now() - sickSince.getOrDefault(node, Long.MAX_VALUE / 2) > 5_000_000;
+  private boolean unhealthy(String controller) {
+    return cluster.now() - sickSince.getOrDefault(controller, Long.MAX_VALUE / 2) > 5_000_000;
   }
 
   private void probe() {
-    for (String node : cluster.members.keySet()) {
+    for (String controller : cluster.controllers.keySet()) {
       cluster.send(
           "balancer",
-          new Endpoint(node, 1),
+          new Endpoint(controller, 1),
           "GET",
           "/up",
           null,
           1_000_000,
           a -> {
             if ((Integer) a[0] == 200) {
-              sickSince.remove(node);
+              sickSince.remove(controller);
             } else {
-              sickSince.putIfAbsent(node, cluster.now());
+              sickSince.putIfAbsent(controller, cluster.now());
             }
           });
     }
@@ -106,7 +106,7 @@
   private void askForNothing() {
     cluster.send(
         "user",
-        anyNode(),
+        anyController(),
         "GET",
         "/submissions/job-99" + next,
         null,
@@ -163,7 +163,7 @@
     long asked = cluster.now();
     cluster.send(
         "user",
-        nodeOf(job.uid()),
+        controllerOf(job.uid()),
         "POST",
         "/submissions",
         Json.write(job.toJson()),
@@ -272,7 +272,7 @@
   private void expect(String method, String path, String body, int status, String part) {
     cluster.send(
         "odd",
-        anyNode(),
+        anyController(),
         method,
         path,
         body,
@@ -290,7 +290,7 @@
   }
 
   private void lookClosely(String uid) {
-    for (String node : cluster.members.keySet()) {
+    for (String controller : cluster.controllers.keySet()) {
       for (int i = 0; i < 2; i++) {
         cluster.at(
             1_000L + cluster.random.nextLong(20_000),
@@ -299,7 +299,7 @@
               boolean repeat = cluster.random.nextInt(3) == 0;
               cluster.send(
                   "close",
-                  new Endpoint(node, 1),
+                  new Endpoint(controller, 1),
                   repeat ? "POST" : "GET",
                   repeat ? "/submissions" : "/submissions/" + uid,
                   repeat ? Json.write(specs.get(uid).toJson()) : null,
@@ -334,7 +334,7 @@
     long asked = cluster.now();
     cluster.send(
         "user",
-        nodeOf(uid),
+        controllerOf(uid),
         "POST",
         "/submissions/" + uid + "/abort",
         "",
@@ -389,7 +389,7 @@
     long asked = cluster.now();
     cluster.send(
         "user",
-        nodeOf(uid),
+        controllerOf(uid),
         "GET",
         "/submissions/" + uid,
         null,
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -55,7 +55,7 @@
     this.cluster = cluster;
     this.vm = vm;
     this.leaseFrom = cluster.now();
-    this.at = "n" + cluster.random.nextInt(cluster.members.size());
+    this.at = "n" + cluster.random.nextInt(cluster.controllers.size());
     cluster.services.put(cluster.workerAt.apply(vm.id), this);
     cluster.at(0, this::heartbeat);
     cluster.at(200_000, this::lease);
@@ -68,8 +68,8 @@
     cluster.services.remove(cluster.workerAt.apply(vm.id));
   }
 
-  boolean heartbeatsTo(String node) {
-    return !dead && at.equals(node);
+  boolean heartbeatsTo(String controller) {
+    return !dead && at.equals(controller);
   }
 
   /** One of its running tasks saves for so long, and goes on. */
@@ -161,10 +161,10 @@
     lastSent = cluster.now();
     long sent = lastSent;
     long sentIncarnation = incarnation;
-    String node = at;
+    String controller = at;
     cluster.send(
         vm.id,
-        new Endpoint(node, 1),
+        new Endpoint(controller, 1),
         "POST",
         "/hello",
         Json.write(status()),
@@ -176,7 +176,7 @@
           }
           int code = (Integer) a[0];
           if (code == 200) {
-            answered((String) a[1], sent, sentIncarnation, node);
+            answered((String) a[1], sent, sentIncarnation, controller);
             schedule(due ? 500_000 : 2_250_000 + cluster.random.nextLong(1_500_000));
             return;
           }
@@ -188,12 +188,14 @@
               foreman = null;
             }
           }
-          if (foreman != null && !foreman.equals(node) && cluster.members.containsKey(foreman)) {
+          if (foreman != null
+              && !foreman.equals(controller)
+              && cluster.controllers.containsKey(foreman)) {
             at = foreman;
             schedule(cluster.random.nextInt(500_000));
           } else {
-            List<String> all = new ArrayList<>(cluster.members.keySet());
-            at = all.get((all.indexOf(node) + 1) % all.size());
+            List<String> all = new ArrayList<>(cluster.controllers.keySet());
+            at = all.get((all.indexOf(controller) + 1) % all.size());
             schedule(1_000_000);
           }
         });
@@ -211,8 +213,8 @@
         due = true;
       }
       leaseFrom = Math.max(leaseFrom, sent);
-      SimulatedCluster.Member member = cluster.members.get(by);
-      if (member != null && !member.leads()) {
+      SimulatedCluster.SimulatedController controller = cluster.controllers.get(by);
+      if (controller != null && !controller.leads()) {
         cluster.delegations.renewedForLeader(vm.id, incarnation, token);
       }
       execute(object.path("orders"));
@@ -222,11 +224,11 @@
   }
 
   private void execute(JsonNode commands) {
-    for (JsonNode node : commands) {
-      String name = node.path("piece").asText();
-      long attempt = node.path("try").asLong();
+    for (JsonNode controller : commands) {
+      String name = controller.path("piece").asText();
+      long attempt = controller.path("try").asLong();
       Task task = tasks.get(attempt);
-      switch (node.path("verb").asText()) {
+      switch (controller.path("verb").asText()) {
         case "run" -> {
           if (task == null) {
             run(name, attempt);
@@ -244,7 +246,7 @@
             due = true;
           }
         }
-        default -> throw new AssertionError("unknown order " + node);
+        default -> throw new AssertionError("unknown order " + controller);
       }
     }
   }
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -50,7 +50,7 @@
           }
           zone.forEach(
               h ->
-                  d.cluster.members.keySet().stream()
+                  d.cluster.controllers.keySet().stream()
                       .filter(n -> !n.equals(inside))
                       .forEach(n -> d.cluster.cut(n, h, true)));
           d.cluster.at(4_000_000, () -> d.users.cancelNow(2, 0, 0));
@@ -96,10 +96,10 @@
         }),
     ALL_CONTROLLERS_ARE_AWAY_FOR_OVER_A_LEASE(
         d -> {
-          d.cluster.members.values().forEach(m -> m.crash(LEASE_S + 4));
+          d.cluster.controllers.values().forEach(m -> m.crash(LEASE_S + 4));
           d.cluster.play(LEASE_S + 3);
           boolean nobody =
-              d.cluster.members.values().stream().noneMatch(m -> m.node() != null)
+              d.cluster.controllers.values().stream().noneMatch(m -> m.controller() != null)
                   && d.running(1).stream().noneMatch(d::isOn);
           d.cluster.play(10);
           d.endOfTrouble();
@@ -216,17 +216,17 @@
           d.cluster.play(6);
           d.cluster.leader().crash(0.4);
           d.cluster.play(6);
-          d.cluster.members.values().forEach(SimulatedCluster.Member::kill);
-          d.cluster.at(500_000, () -> d.cluster.members.get(first).start());
-          d.cluster.at(900_000, () -> d.cluster.members.get(first).crash(0.1));
+          d.cluster.controllers.values().forEach(SimulatedCluster.SimulatedController::kill);
+          d.cluster.at(500_000, () -> d.cluster.controllers.get(first).start());
+          d.cluster.at(900_000, () -> d.cluster.controllers.get(first).crash(0.1));
           d.cluster.play(12);
           boolean leads = d.leaderLabel().equals(first);
           d.cluster
-              .members
+              .controllers
               .values()
               .forEach(
                   m -> {
-                    if (m.node() == null) {
+                    if (m.controller() == null) {
                       m.start();
                     }
                   });
@@ -252,7 +252,7 @@
         d -> {
           List<String> held = d.machinesIn("b");
           d.cluster
-              .members
+              .controllers
               .keySet()
               .forEach(n -> held.forEach(h -> d.cluster.cuts.put(h + ">" + n, true)));
           d.cluster.play(1.5);
@@ -260,7 +260,8 @@
           d.stream(5, 1, 4, 10);
           d.cluster.play(12);
           boolean acts =
-              d.cluster.members.values().stream().anyMatch(SimulatedCluster.Member::leads);
+              d.cluster.controllers.values().stream()
+                  .anyMatch(SimulatedCluster.SimulatedController::leads);
           d.endOfTrouble();
           return () -> acts && !held.isEmpty();
         }),
@@ -291,8 +292,8 @@
             d.cluster.at(
                 i * 10_500_000L,
                 () ->
-                    d.cluster.members.values().stream()
-                        .filter(SimulatedCluster.Member::leads)
+                    d.cluster.controllers.values().stream()
+                        .filter(SimulatedCluster.SimulatedController::leads)
                         .findFirst()
                         .ifPresent(m -> m.crash(0.3)));
           }
@@ -542,9 +543,9 @@
     }
 
     long metric(String name) {
-      return cluster.members.values().stream()
-          .filter(m -> m.node() != null)
-          .mapToLong(m -> m.node().metrics().counted(name))
+      return cluster.controllers.values().stream()
+          .filter(m -> m.controller() != null)
+          .mapToLong(m -> m.controller().metrics().counted(name))
           .sum();
     }
 
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -105,11 +105,11 @@
   void aLeaderThatStoodStillAnswersNobody() {
     JobSpec otherJob = submit(job("blue", Priority.STANDARD, 40, 2, 40, false));
     cluster.play(40);
-    SimulatedCluster.Member stands = cluster.leader();
+    SimulatedCluster.SimulatedController stands = cluster.leader();
     stands.freeze(12);
     cluster.play(11.9);
     assertTrue(
-        cluster.members.values().stream().anyMatch(m -> m != stands && m.leads()),
+        cluster.controllers.values().stream().anyMatch(m -> m != stands && m.leads()),
         "another leads by then");
     cluster.play(120);
     assertDone(otherJob);
@@ -130,7 +130,8 @@
     cluster.leader().crash(3);
     cluster.play(75);
     assertTrue(
-        cluster.leader().node().leader().failoverComplete(), "all machines are accounted for");
+        cluster.leader().controller().leader().failoverComplete(),
+        "all machines are accounted for");
     cluster.play(150);
     assertDone(full, waiting);
   }
@@ -176,7 +177,7 @@
       int count = i;
       cluster
           .leader()
-          .node()
+          .controller()
           .router()
           .handle("POST", "/hello", heartbeat, (s, json, retry) -> status[count] = s);
     }
@@ -274,11 +275,12 @@
     cluster.at(45_000_000, () -> behind.forEach(h -> cluster.cut(leader, h, false)));
     cluster.play(60);
     long renewed =
-        cluster.members.values().stream()
-            .mapToLong(m -> m.node().metrics().counted("leases_renewed_for_leader"))
+        cluster.controllers.values().stream()
+            .mapToLong(m -> m.controller().metrics().counted("leases_renewed_for_leader"))
             .sum();
     assertTrue(renewed > 20, "leases were renewed: " + renewed);
-    assertEquals(0, cluster.leader().node().metrics().counted("attempts_lost"), "no task was lost");
+    assertEquals(
+        0, cluster.leader().controller().metrics().counted("attempts_lost"), "no task was lost");
     assertEquals(leader, cluster.leader().platform.label());
     cluster.play(150);
     assertDone(all.toArray(new JobSpec[0]));
@@ -301,7 +303,7 @@
         .forEach(v -> cluster.cuts.put(v.id + ">*", true));
     cluster.play(48);
     assertTrue(
-        cluster.leader().node().metrics().counted("attempts_lost") > 0,
+        cluster.leader().controller().metrics().counted("attempts_lost") > 0,
         "the tasks there are free again");
     cluster.play(200);
     assertDone(all.toArray(new JobSpec[0]));
@@ -328,11 +330,13 @@
     cluster.cloud.outage = true;
     cluster.play(20);
     // Now the others lose the zone as well.
-    behind.forEach(h -> cluster.members.keySet().forEach(n -> cluster.cut(n, h, true)));
+    behind.forEach(h -> cluster.controllers.keySet().forEach(n -> cluster.cut(n, h, true)));
     cluster.leader().crash(1);
     cluster.at(
         60_000_000,
-        () -> behind.forEach(h -> cluster.members.keySet().forEach(n -> cluster.cut(n, h, false))));
+        () ->
+            behind.forEach(
+                h -> cluster.controllers.keySet().forEach(n -> cluster.cut(n, h, false))));
     cluster.play(90);
     cluster.cloud.outage = false;
     cluster.play(200);
@@ -341,15 +345,18 @@
 
   /** A common outage, by refusals or by silence, leaves every controller healthy. */
   @Test
-  void aCommonOutageMakesNoNodeUnhealthy() {
+  void aCommonOutageMakesNoControllerUnhealthy() {
     cluster.play(10);
-    for (String node : List.of("n0", "n1", "n2")) {
-      cluster.cut(node, "state", true);
+    for (String controller : List.of("n0", "n1", "n2")) {
+      cluster.cut(controller, "state", true);
     }
     List<Integer> seen = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      for (SimulatedCluster.Member member : cluster.members.values()) {
-        member.node().router().handle("GET", "/up", new byte[0], (s, json, retry) -> seen.add(s));
+      for (SimulatedCluster.SimulatedController controller : cluster.controllers.values()) {
+        controller
+            .controller()
+            .router()
+            .handle("GET", "/up", new byte[0], (s, json, retry) -> seen.add(s));
       }
       cluster.play(1);
     }
@@ -370,8 +377,8 @@
     cluster.play(40);
     for (int round = 0; round < 6; round++) {
       cluster.leader().crash(0.15);
-      for (SimulatedCluster.Member member : cluster.members.values()) {
-        cluster.at(300_000L * (round + 1), () -> member.crash(0.1));
+      for (SimulatedCluster.SimulatedController controller : cluster.controllers.values()) {
+        cluster.at(300_000L * (round + 1), () -> controller.crash(0.1));
       }
       cluster.play(20);
     }
@@ -425,8 +432,10 @@
     cluster.play(120);
     assertDone(all.toArray(new JobSpec[0]));
     assertEquals(
-        0, cluster.leader().node().metrics().counted("starts_lost"), "no order was taken for lost");
-    assertTrue(cluster.leader().node().metrics().counted("starts_sent") >= 100);
+        0,
+        cluster.leader().controller().metrics().counted("starts_lost"),
+        "no order was taken for lost");
+    assertTrue(cluster.leader().controller().metrics().counted("starts_sent") >= 100);
   }
 
   /** Nor may it while another order to the same machine is still under way, with the same token. */
@@ -467,7 +476,7 @@
     JobSpec otherJob = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
     cluster.play(20);
     assertFalse(cluster.invariants.lastTold.isEmpty());
-    cluster.members.values().forEach(SimulatedCluster.Member::kill);
+    cluster.controllers.values().forEach(SimulatedCluster.SimulatedController::kill);
     cluster.calmSince = cluster.now();
     cluster.play(300);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -190,7 +190,7 @@
   }
 
   private static Job job(SimulatedCluster cluster, String uid) {
-    Job job = cluster.leader().node().leader().job(uid);
+    Job job = cluster.leader().controller().leader().job(uid);
     assertNotNull(job, uid);
     return job;
   }
@@ -207,9 +207,9 @@
   private static String answer(SimulatedCluster cluster, String uid) {
     StringBuilder answer = new StringBuilder();
     cluster
-        .members
+        .controllers
         .get("n1")
-        .node()
+        .controller()
         .router()
         .handle(
             "GET",
@@ -312,8 +312,9 @@
   }
 
   private static long renewed(SimulatedCluster cluster) {
-    return cluster.members.values().stream()
-        .mapToLong(member -> member.node().metrics().counted("leases_renewed_for_leader"))
+    return cluster.controllers.values().stream()
+        .mapToLong(
+            controller -> controller.controller().metrics().counted("leases_renewed_for_leader"))
         .sum();
   }
 }
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -48,12 +48,12 @@
     cluster.play(30);
     assertEquals(MACHINES, recorded(cluster).size());
     assertTrue(
-        cluster.leader().node().metrics().counted("machine_lists_read") >= 2,
+        cluster.leader().controller().metrics().counted("machine_lists_read") >= 2,
         "whole lists were read");
     assertEquals(0, cluster.cloud.refused, "requests over the cloud's rate");
     cluster.leader().crash(3);
     cluster.play(12);
-    assertTrue(cluster.leader().node().leader().failoverComplete(), "taken over in seconds");
+    assertTrue(cluster.leader().controller().leader().failoverComplete(), "taken over in seconds");
     cluster.calmSince = cluster.now();
     cluster.play(120);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -74,13 +74,14 @@
             .count();
   }
 
-  private SimulatedCluster.Member other(SimulatedCluster.Member than) {
-    return cluster.members.values().stream().filter(m -> m != than).findFirst().orElseThrow();
+  private SimulatedCluster.SimulatedController other(SimulatedCluster.SimulatedController than) {
+    return cluster.controllers.values().stream().filter(m -> m != than).findFirst().orElseThrow();
   }
 
   /** Cancels through the controller, and notes what the user was told when. */
-  private void cancelAt(SimulatedCluster.Member member, JobSpec job, Consumer<Integer> status) {
-    users.cancelAt(new Endpoint(member.platform.label(), 1), job.uid(), status);
+  private void cancelAt(
+      SimulatedCluster.SimulatedController controller, JobSpec job, Consumer<Integer> status) {
+    users.cancelAt(new Endpoint(controller.platform.label(), 1), job.uid(), status);
   }
 
   /**
@@ -92,7 +93,7 @@
   @ValueSource(longs = {71, 72, 73, 74})
   void cancelledThroughAnotherControllerBeforeALongOutage(long seed) {
     deployment(seed, InvariantChecker.CANCEL_MICROS);
-    SimulatedCluster.Member leader = cluster.leader();
+    SimulatedCluster.SimulatedController leader = cluster.leader();
     String label = leader.platform.label();
     cluster.store.refused.add(label);
     List<Integer> told = new ArrayList<>();
@@ -119,12 +120,12 @@
    */
   private void withoutWatches(long believedCancelMicros) {
     deployment(75, believedCancelMicros);
-    SimulatedCluster.Member leader = cluster.leader();
+    SimulatedCluster.SimulatedController leader = cluster.leader();
     cluster.store.unwatched.add(leader.platform.label());
     cluster.play(2);
     List<Integer> told = new ArrayList<>();
     // Its peers would tell it; here they can't.
-    cluster.members.keySet().stream()
+    cluster.controllers.keySet().stream()
         .filter(o -> !o.equals(leader.platform.label()))
         .forEach(o -> cluster.cut(leader.platform.label(), o, true));
     jobs.subList(0, 4).forEach(j -> cancelAt(other(leader), j, told::add));
@@ -138,7 +139,8 @@
   void aLeaderThatHearsOfNoEndsLetsLeasesLapseInTime() {
     withoutWatches(InvariantChecker.CANCEL_MICROS);
     assertEquals(List.of(), cluster.invariants.broken);
-    assertTrue(cluster.leader().node().metrics().counted("renewals_refused") > 0, "by the bound");
+    assertTrue(
+        cluster.leader().controller().metrics().counted("renewals_refused") > 0, "by the bound");
   }
 
   /**
@@ -159,7 +161,7 @@
   @Test
   void peersTellWhatTheStateServiceDoesNot() {
     deployment(77, InvariantChecker.CANCEL_MICROS);
-    SimulatedCluster.Member leader = cluster.leader();
+    SimulatedCluster.SimulatedController leader = cluster.leader();
     cluster.store.unwatched.add(leader.platform.label());
     cluster.play(2);
     List<Integer> told = new ArrayList<>();
@@ -191,7 +193,7 @@
     cluster.store.slowPrefix = "active/";
     cluster.leader().crash(20);
     cluster.play(8);
-    SimulatedCluster.Member next = cluster.leader();
+    SimulatedCluster.SimulatedController next = cluster.leader();
     long[] sent = new long[1];
     int[] status = new int[1];
     FakeCloud.Vm busy =
@@ -201,7 +203,7 @@
             .orElseThrow();
     sent[0] = cluster.now();
     long[] answered = new long[1];
-    next.node()
+    next.controller()
         .router()
         .handle(
             "POST",
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -88,8 +88,8 @@
   }
 
   private long counted(String counter) {
-    return cluster.members.values().stream()
-        .mapToLong(member -> member.node().metrics().counted(counter))
+    return cluster.controllers.values().stream()
+        .mapToLong(controller -> controller.controller().metrics().counted(counter))
         .sum();
   }
 
@@ -101,7 +101,7 @@
 
   /** A controller and the machines of zone a on one side, the others on the other. */
   private void cutZone(String controller, Set<String> behind, boolean on) {
-    for (String other : cluster.members.keySet()) {
+    for (String other : cluster.controllers.keySet()) {
       if (!other.equals(controller)) {
         cluster.cut(controller, other, on);
         behind.forEach(machine -> cluster.cut(other, machine, on));
@@ -126,7 +126,10 @@
     assertEquals("done", cluster.invariants.lastTold.get(brief.uid()));
     String leader = cluster.leader().platform.label();
     String behind =
-        cluster.members.keySet().stream().filter(n -> !n.equals(leader)).findFirst().orElseThrow();
+        cluster.controllers.keySet().stream()
+            .filter(n -> !n.equals(leader))
+            .findFirst()
+            .orElseThrow();
     Set<String> zone = machinesIn("a");
     assertTrue(attemptsIn(zone) > 0, "machines in the zone run tasks");
 
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -85,7 +85,7 @@
     cluster.leader().crash(5);
     cluster.play(12);
     assertTrue(
-        cluster.leader().node().leader().failoverComplete(),
+        cluster.leader().controller().leader().failoverComplete(),
         "a large fleet is taken over in seconds");
     cluster.cloud.machines.values().stream()
         .filter(v -> v.spot && v.worker != null)
@@ -117,8 +117,8 @@
         cluster.store.mostChanges <= 60,
         "changes in the busiest second: " + cluster.store.mostChanges);
     long candidates =
-        cluster.members.values().stream()
-            .mapToLong(m -> m.node().metrics().counted("candidates_evaluated"))
+        cluster.controllers.values().stream()
+            .mapToLong(m -> m.controller().metrics().counted("candidates_evaluated"))
             .sum();
     assertTrue(candidates > 0 && candidates < 3_000_000, "seats evaluated: " + candidates);
   }
@@ -143,9 +143,10 @@
       cluster.at(i * 50_000L, () -> users.submit(40, 2, 60, false));
     }
     cluster.play(60);
-    long before = cluster.leader().node().metrics().counted("candidates_evaluated");
+    long before = cluster.leader().controller().metrics().counted("candidates_evaluated");
     cluster.play(10);
-    long candidates = cluster.leader().node().metrics().counted("candidates_evaluated") - before;
+    long candidates =
+        cluster.leader().controller().metrics().counted("candidates_evaluated") - before;
     long rounds = 10_000_000 / 150_000;
     assertTrue(
         candidates > 0 && candidates < rounds * cluster.cloud.machines.size() * 30,
@@ -205,8 +206,9 @@
     assertTrue(
         cluster.cloud.machines.size() > 1_300,
         "a fleet of the size: " + cluster.cloud.machines.size());
-    for (SimulatedCluster.Member member : List.copyOf(cluster.members.values())) {
-      member.crash(2);
+    for (SimulatedCluster.SimulatedController controller :
+        List.copyOf(cluster.controllers.values())) {
+      controller.crash(2);
       cluster.play(7);
     }
     List<String> running =
@@ -218,7 +220,8 @@
         .filter(h -> cluster.random.nextInt(12) == 0)
         .forEach(h -> cluster.cloud.machines.get(h).worker.die());
     cluster.play(4);
-    List.copyOf(cluster.members.values()).forEach(m -> m.crash(1 + cluster.random.nextDouble()));
+    List.copyOf(cluster.controllers.values())
+        .forEach(m -> m.crash(1 + cluster.random.nextDouble()));
     cluster.play(10);
     long hangS = 2 * FakeWorker.LEASE_MICROS / 1_000_000;
     cluster.cloud.machines.values().stream()
@@ -246,7 +249,7 @@
     cluster.leader().crash(3);
     cluster.play(FakeWorker.LEASE_MICROS / 1e6 + 10);
     assertTrue(
-        cluster.leader().node().leader().failoverComplete(),
+        cluster.leader().controller().leader().failoverComplete(),
         "a cut zone holds a takeover up for no longer than a lease");
     cluster.cuts.clear();
     cluster.calmSince = cluster.now();
@@ -265,12 +268,12 @@
     // more.
     assertTrue(cluster.mostSockets <= 1_600 + 112, "sockets in use: " + cluster.mostSockets);
     long candidates =
-        cluster.members.values().stream()
-            .mapToLong(m -> m.node().metrics().counted("candidates_evaluated"))
+        cluster.controllers.values().stream()
+            .mapToLong(m -> m.controller().metrics().counted("candidates_evaluated"))
             .sum();
     long heartbeats =
-        cluster.members.values().stream()
-            .mapToLong(m -> m.node().metrics().counted("heartbeats"))
+        cluster.controllers.values().stream()
+            .mapToLong(m -> m.controller().metrics().counted("heartbeats"))
             .sum();
     assertTrue(
         heartbeats > 10_000 && candidates / heartbeats < 60,
--- a/src/test/java/plumlever/sim/LittleProcessorTest.java
+++ b/src/test/java/plumlever/sim/LittleProcessorTest.java
@@ -27,10 +27,10 @@
     SimulatedCluster cluster = new SimulatedCluster(seed, 3, TEAMS, false);
     cluster.costs = Processor.Costs.little();
     cluster.cloud.most = MACHINES;
-    for (SimulatedCluster.Member member : cluster.members.values()) {
-      member.electionApart = electionApart;
-      member.kill();
-      member.start();
+    for (SimulatedCluster.SimulatedController controller : cluster.controllers.values()) {
+      controller.electionApart = electionApart;
+      controller.kill();
+      controller.start();
     }
     return cluster;
   }
@@ -64,12 +64,12 @@
     cluster.play(100);
     assertTrue(
         cluster.cloud.machines.size() > MACHINES / 3, "machines: " + cluster.cloud.machines.size());
-    cluster.members.values().forEach(m -> m.crash(6));
+    cluster.controllers.values().forEach(m -> m.crash(6));
     cluster.play(10);
     int led = 0;
     for (int i = 0; i < 200; i++) {
       cluster.play(0.1);
-      led += cluster.members.values().stream().anyMatch(m -> m.node().mayAct()) ? 1 : 0;
+      led += cluster.controllers.values().stream().anyMatch(m -> m.controller().mayAct()) ? 1 : 0;
     }
     return led / 2;
   }
@@ -125,7 +125,7 @@
     SimulatedCluster cluster = cluster(seed, true);
     busy(cluster, 60, 2);
     cluster.play(60);
-    SimulatedCluster.Member first = cluster.leader();
+    SimulatedCluster.SimulatedController first = cluster.leader();
     long term = cluster.store.term();
     first.stall(7);
     // What has come in meanwhile is worked off slowly, the peers' words among the first.
@@ -142,10 +142,10 @@
   /** Asks each controller whether it can take requests, and waits for what it says. */
   private static List<Integer> up(SimulatedCluster cluster) {
     List<Integer> out = new ArrayList<>();
-    for (String node : cluster.members.keySet()) {
+    for (String controller : cluster.controllers.keySet()) {
       cluster.send(
           "balancer",
-          new Endpoint(node, 1),
+          new Endpoint(controller, 1),
           "GET",
           "/up",
           null,
@@ -165,14 +165,14 @@
     SimulatedCluster cluster = cluster(2, true);
     busy(cluster, 60, 2);
     cluster.play(60);
-    int leads = List.copyOf(cluster.members.values()).indexOf(cluster.leader());
+    int leads = List.copyOf(cluster.controllers.values()).indexOf(cluster.leader());
     assertEquals(List.of(200, 200, 200), up(cluster));
     cluster.leader().slowDown(SLOW);
     cluster.play(8);
     List<Integer> seen = up(cluster);
     assertEquals(503, seen.get(leads), "the late one: " + seen);
     assertEquals(2, seen.stream().filter(s -> s == 200).count(), "the others: " + seen);
-    cluster.members.values().forEach(m -> m.slowDown(1));
+    cluster.controllers.values().forEach(m -> m.slowDown(1));
     cluster.play(12);
     assertEquals(List.of(200, 200, 200), up(cluster), "and back");
   }
@@ -182,10 +182,10 @@
     SimulatedCluster cluster = cluster(2, true);
     busy(cluster, 60, 2);
     cluster.play(60);
-    SimulatedCluster.Member leader = cluster.leader();
-    cluster.members.values().stream()
+    SimulatedCluster.SimulatedController leader = cluster.leader();
+    cluster.controllers.values().stream()
         .filter(m -> m != leader)
-        .forEach(SimulatedCluster.Member::kill);
+        .forEach(SimulatedCluster.SimulatedController::kill);
     leader.slowDown(3);
     cluster.play(8);
     boolean[] took = new boolean[1];
@@ -210,13 +210,13 @@
     SimulatedCluster cluster = new SimulatedCluster(5, 3, TEAMS, false);
     quiet(cluster);
     cluster.play(40);
-    SimulatedCluster.Member first = cluster.leader();
+    SimulatedCluster.SimulatedController first = cluster.leader();
     long term = cluster.store.term();
     first.stall(40);
     cluster.play(20);
     assertTrue(cluster.store.term() > term, "another leads");
     // The others end, so that it may be elected once more before its decisions go on.
-    cluster.members.values().stream().filter(m -> m != first).forEach(m -> m.crash(60));
+    cluster.controllers.values().stream().filter(m -> m != first).forEach(m -> m.crash(60));
     cluster.play(240);
     cluster.invariants.checkServed();
     assertEquals(List.of(), cluster.invariants.broken);
--- a/src/test/java/plumlever/sim/LoadStand.java
+++ b/src/test/java/plumlever/sim/LoadStand.java
@@ -47,7 +47,7 @@
   private long openedMicros;
   private double submitted;
 
-  private LoadStand(int nodes, int machines, double jobsPerS, int port) throws IOException {
+  private LoadStand(int controllers, int machines, double jobsPerS, int port) throws IOException {
     this.port = port;
     this.jobsPerS = jobsPerS;
     worker =
@@ -60,7 +60,7 @@
                     .getMap());
     loop = new XnioLoop(worker.getIoThread());
     List<String> names = new ArrayList<>();
-    for (int i = 0; i < nodes; i++) {
+    for (int i = 0; i < controllers; i++) {
       names.add("n" + i);
     }
     cluster =
@@ -75,7 +75,7 @@
         id ->
             new Endpoint(
                 "127.1." + number(id) / 250 + "." + (number(id) % 250 + 1), port + WORKERS);
-    for (int i = 0; i < nodes; i++) {
+    for (int i = 0; i < controllers; i++) {
       Endpoint real = new Endpoint("127.0.0.1", port + FRONT + i);
       cluster.services.put(
           new Endpoint("n" + i, 1),
@@ -156,18 +156,18 @@
     turn();
   }
 
-  private static String settings(int node, int nodes, int port) {
+  private static String settings(int controller, int controllers, int port) {
     StringBuilder request =
         new StringBuilder(
             "label = \"n"
-                + node
+                + controller
                 + "\"\narea = \"z\"\nbind = \"127.0.0.1:"
-                + (port + FRONT + node)
+                + (port + FRONT + controller)
                 + "\"\nback = \"127.0.0.1:"
-                + (port + BACK + node)
+                + (port + BACK + controller)
                 + "\"\n");
-    for (int j = 0; j < nodes; j++) {
-      if (j != node) {
+    for (int j = 0; j < controllers; j++) {
+      if (j != controller) {
         request
             .append("[[seeds]]\nlabel = \"n")
             .append(j)
@@ -182,7 +182,7 @@
         .append("\"\nstate = \"127.0.0.1:")
         .append(port + STATE)
         .append("\"\n[deployment]\ncount = ")
-        .append(nodes)
+        .append(controllers)
         .append("\nzones = [\"a\", \"b\"]\nskew_ms = 25.0\n");
     for (String team : List.of("red", "blue")) {
       request
@@ -218,14 +218,14 @@
 
   public static void main(String[] args) throws IOException, InterruptedException {
     Path folder = Path.of(args[0]);
-    int nodes = Integer.parseInt(args[1]);
+    int controllers = Integer.parseInt(args[1]);
     int port = Integer.parseInt(args[5]);
     Files.createDirectories(folder);
-    for (int i = 0; i < nodes; i++) {
-      Files.writeString(folder.resolve("n" + i + ".toml"), settings(i, nodes, port));
+    for (int i = 0; i < controllers; i++) {
+      Files.writeString(folder.resolve("n" + i + ".toml"), settings(i, controllers, port));
     }
     LoadStand stand =
-        new LoadStand(nodes, Integer.parseInt(args[2]), Double.parseDouble(args[3]), port);
+        new LoadStand(controllers, Integer.parseInt(args[2]), Double.parseDouble(args[3]), port);
     stand.loop.execute(stand::open);
     Thread.sleep(Long.parseLong(args[4]) * 1_000);
     System.out.println(
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -157,7 +157,7 @@
    * told all say the same.
    */
   @Test
-  void everyNodeSaysTheSameAtOnce() {
+  void everyControllerSaysTheSameAtOnce() {
     JobSpec root = idle(1, 400);
     JobSpec middle = idle(1, 5, root);
     JobSpec other = idle(1, 5);
@@ -166,19 +166,20 @@
     assertEquals(201, submitAt("n1", middle).status());
     assertEquals(201, submitAt("n0", other).status());
     assertEquals(201, submitAt("n2", last).status());
-    for (String node : cluster.members.keySet()) {
-      assertTrue(ask(node, "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
+    for (String controller : cluster.controllers.keySet()) {
+      assertTrue(
+          ask(controller, "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     }
     assertTrue(
         ask("n1", "POST", "/submissions/" + root.uid() + "/abort", "").body().contains("aborted"));
-    for (String node : cluster.members.keySet()) {
+    for (String controller : cluster.controllers.keySet()) {
       for (JobSpec otherJob : List.of(middle, last, root)) {
-        Answer answer = ask(node, "GET", "/submissions/" + otherJob.uid(), null);
+        Answer answer = ask(controller, "GET", "/submissions/" + otherJob.uid(), null);
         assertTrue(
             answer.status() == 200 && answer.body().contains("\"aborted\""),
-            node + " says " + answer.body());
+            controller + " says " + answer.body());
         assertTrue(
-            ask(node, "POST", "/submissions", Json.write(otherJob.toJson()))
+            ask(controller, "POST", "/submissions", Json.write(otherJob.toJson()))
                 .body()
                 .contains("\"aborted\""));
       }
@@ -203,9 +204,9 @@
     JobSpec last = idle(1, 5, root);
     submit(root, last);
     cluster.play(10);
-    SimulatedCluster.Member leader = cluster.leader();
+    SimulatedCluster.SimulatedController leader = cluster.leader();
     String other =
-        cluster.members.keySet().stream()
+        cluster.controllers.keySet().stream()
             .filter(n -> !n.equals(leader.platform.label()))
             .findFirst()
             .orElseThrow();
@@ -216,7 +217,8 @@
     assertTrue(
         ask(other, "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
     assertTrue(
-        cluster.members.values().stream().noneMatch(SimulatedCluster.Member::leads),
+        cluster.controllers.values().stream()
+            .noneMatch(SimulatedCluster.SimulatedController::leads),
         "nobody leads yet");
     cluster.play(60);
     assertEquals(List.of(), cluster.invariants.broken);
@@ -552,7 +554,7 @@
     submit(root, last);
     cluster.play(10);
     cluster
-        .members
+        .controllers
         .keySet()
         .forEach(
             n ->
@@ -560,10 +562,12 @@
                     ask(n, "GET", "/submissions/" + last.uid(), null).body().contains("pending")));
     cluster.store.untold = "ended/";
     List<Integer> status = new ArrayList<>();
-    SimulatedCluster.Member leader = cluster.leader();
+    SimulatedCluster.SimulatedController leader = cluster.leader();
     leader.stall(60);
     List<String> others =
-        cluster.members.keySet().stream().filter(n -> !n.equals(leader.platform.label())).toList();
+        cluster.controllers.keySet().stream()
+            .filter(n -> !n.equals(leader.platform.label()))
+            .toList();
     users.cancelAt(new Endpoint(others.get(0), 1), root.uid(), status::add);
     cluster.play(0.1);
     assertEquals(List.of(200), status);
@@ -584,7 +588,7 @@
     submit(first, last);
     cluster.play(10);
     for (int i = 0; i < 2; i++) {
-      plumlever.fleet.Job otherJob = cluster.leader().node().leader().job(first.uid());
+      plumlever.fleet.Job otherJob = cluster.leader().controller().leader().job(first.uid());
       cluster.play(1);
       assertEquals(Priority.HIGH, otherJob.priority());
       long remainingMicros = otherJob.deadlineMicros() - otherJob.acceptedMicros();
@@ -598,7 +602,7 @@
     cluster.play(2);
     assertEquals(
         Priority.IDLE,
-        cluster.leader().node().leader().job(first.uid()).priority(),
+        cluster.leader().controller().leader().job(first.uid()).priority(),
         "undone with the job that had it");
     assertEquals(List.of(), cluster.invariants.broken);
   }
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -64,11 +64,11 @@
   }
 
   /** A job of the cell of that controller, one processor a task. */
-  JobSpec submit(String node, int tasks, double seconds) {
-    return submit(node, jobs.size() % 2 == 0 ? "red" : "blue", tasks, seconds);
+  JobSpec submit(String controller, int tasks, double seconds) {
+    return submit(controller, jobs.size() % 2 == 0 ? "red" : "blue", tasks, seconds);
   }
 
-  JobSpec submit(String node, String team, int tasks, double seconds) {
+  JobSpec submit(String controller, String team, int tasks, double seconds) {
     JobSpec job =
         new JobSpec(
             users.nextUid(),
@@ -91,7 +91,7 @@
             1,
             JobSpec.NO_DEADLINE);
     jobs.add(job);
-    users.connect(job.uid(), node);
+    users.connect(job.uid(), controller);
     users.submit(job, false);
     return job;
   }
@@ -133,7 +133,7 @@
 
   void give(String from, String machine, String to) {
     assertTrue(
-        cluster.leader(from).node().leader().transfer(machine, to),
+        cluster.leader(from).controller().leader().transfer(machine, to),
         machine + " can be given by " + from);
   }
 
@@ -144,8 +144,8 @@
         () -> {
           boolean given =
               cluster.cell(from).stream()
-                  .filter(SimulatedCluster.Member::leads)
-                  .anyMatch(leader -> leader.node().leader().transfer(machine, to));
+                  .filter(SimulatedCluster.SimulatedController::leads)
+                  .anyMatch(leader -> leader.controller().leader().transfer(machine, to));
           if (!given) {
             cluster.at(200_000, () -> giveSoon(from, machine, to));
           }
@@ -159,8 +159,8 @@
         number == 1 ? action : () -> cluster.at(0, () -> beforeStep(number - 1, action));
   }
 
-  void cancel(String node, JobSpec job, Consumer<Integer> status) {
-    users.cancelAt(new Endpoint(node, 1), job.uid(), status);
+  void cancel(String controller, JobSpec job, Consumer<Integer> status) {
+    users.cancelAt(new Endpoint(controller, 1), job.uid(), status);
   }
 
   /** All jobs but those cancelled are done, nothing broke, and no transfer is left open. */
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -114,16 +114,17 @@
         case 4 -> flapping(lastsMicros);
         case 5 -> hang(lastsMicros);
         case 6 -> refuseLeader(lastsMicros / 4);
-        default -> anyMember().crash(0.2 + cluster.random.nextInt(7));
+        default -> anyController().crash(0.2 + cluster.random.nextInt(7));
       }
       if (cluster.random.nextInt(4) == 0) {
-        cluster.at(cluster.random.nextLong(lastsMicros), () -> anyMember().crash(0.2));
+        cluster.at(cluster.random.nextLong(lastsMicros), () -> anyController().crash(0.2));
       }
       cluster.at(lastsMicros / 2 + cluster.random.nextLong(30_000_000L), this::troubleNext);
     }
 
-    private SimulatedCluster.Member anyMember() {
-      List<SimulatedCluster.Member> all = new ArrayList<>(cluster.members.values());
+    private SimulatedCluster.SimulatedController anyController() {
+      List<SimulatedCluster.SimulatedController> all =
+          new ArrayList<>(cluster.controllers.values());
       return all.get(cluster.random.nextInt(all.size()));
     }
 
@@ -142,9 +143,9 @@
 
     /** A controller and the machines of one zone on one side, all others on the other. */
     private void zonesApart(long lastsMicros) {
-      String inside = anyMember().platform.label();
+      String inside = anyController().platform.label();
       String zone = cluster.random.nextBoolean() ? "a" : "b";
-      for (String other : cluster.members.keySet()) {
+      for (String other : cluster.controllers.keySet()) {
         if (!other.equals(inside)) {
           hold(inside, other, lastsMicros);
           machinesIn(zone).forEach(machine -> hold(other, machine, lastsMicros));
@@ -155,8 +156,8 @@
     }
 
     private void leaderWithoutZone(long lastsMicros) {
-      cluster.members.values().stream()
-          .filter(SimulatedCluster.Member::leads)
+      cluster.controllers.values().stream()
+          .filter(SimulatedCluster.SimulatedController::leads)
           .forEach(
               leader ->
                   machinesIn("a")
@@ -184,8 +185,8 @@
     }
 
     private void refuseLeader(long lastsMicros) {
-      cluster.members.values().stream()
-          .filter(SimulatedCluster.Member::leads)
+      cluster.controllers.values().stream()
+          .filter(SimulatedCluster.SimulatedController::leads)
           .forEach(
               leader -> {
                 cluster.store.refused.add(leader.platform.label());
@@ -195,9 +196,9 @@
     }
 
     long counted(String counter) {
-      return cluster.members.values().stream()
-          .filter(member -> member.node() != null)
-          .mapToLong(member -> member.node().metrics().counted(counter))
+      return cluster.controllers.values().stream()
+          .filter(controller -> controller.controller() != null)
+          .mapToLong(controller -> controller.controller().metrics().counted(counter))
           .sum();
     }
   }
--- a/src/test/java/plumlever/sim/SharingDaysTest.java
+++ b/src/test/java/plumlever/sim/SharingDaysTest.java
@@ -56,12 +56,12 @@
           }
         });
     cluster.cell(from).stream()
-        .filter(SimulatedCluster.Member::leads)
+        .filter(SimulatedCluster.SimulatedController::leads)
         .findFirst()
         .ifPresent(
             leader -> {
               for (String machine : busy) {
-                if (!from.equals(to) && leader.node().leader().transfer(machine, to)) {
+                if (!from.equals(to) && leader.controller().leader().transfer(machine, to)) {
                   return;
                 }
               }
--- a/src/test/java/plumlever/sim/SharingHardCasesTest.java
+++ b/src/test/java/plumlever/sim/SharingHardCasesTest.java
@@ -167,13 +167,13 @@
   }
 
   private void cut(String cell, Link link, boolean on) {
-    for (SimulatedCluster.Member member : cluster.cell(cell)) {
-      String label = member.platform.label();
+    for (SimulatedCluster.SimulatedController controller : cluster.cell(cell)) {
+      String label = controller.platform.label();
       switch (link) {
         case STATE_SERVICE -> cluster.cut(label, "state", on);
         case MACHINE -> cluster.cut(label, machine, on);
         case PEERS ->
-            cluster.members.keySet().stream()
+            cluster.controllers.keySet().stream()
                 .filter(other -> !other.equals(label))
                 .forEach(other -> cluster.cut(label, other, on));
       }
@@ -280,7 +280,9 @@
     moved();
     String owner = cluster.leader(TAKER).platform.label();
     cluster.store.unwatched.add(owner);
-    cluster.cell(GIVER).forEach(member -> cluster.cut(member.platform.label(), owner, true));
+    cluster
+        .cell(GIVER)
+        .forEach(controller -> cluster.cut(controller.platform.label(), owner, true));
     // Watches that are open already come to their end first.
     cluster.play(11);
     List<Integer> told = new ArrayList<>();
@@ -295,9 +297,10 @@
     cancelledBeforeALongOutage(InvariantChecker.CANCEL_MICROS);
     assertEquals(List.of(), cluster.invariants.broken);
     cluster
-        .members
+        .controllers
         .keySet()
-        .forEach(one -> cluster.members.keySet().forEach(other -> cluster.cut(one, other, false)));
+        .forEach(
+            one -> cluster.controllers.keySet().forEach(other -> cluster.cut(one, other, false)));
     pool.endsWell(150);
   }
 
@@ -314,17 +317,19 @@
   @Test
   void aGiverThatHearsNothingOfThePoolStopsAnsweringTheMachine() {
     tasksRun(80, 60);
-    SimulatedCluster.Member giver = cluster.leader(GIVER);
+    SimulatedCluster.SimulatedController giver = cluster.leader(GIVER);
     // The watch that is open is answered with the offer; the next one never is.
     cluster.store.unwatched.add(giver.platform.label());
-    cluster.cell(TAKER).forEach(member -> cluster.cut(member.platform.label(), machine, true));
+    cluster
+        .cell(TAKER)
+        .forEach(controller -> cluster.cut(controller.platform.label(), machine, true));
     pool.give(GIVER, machine, TAKER);
     cluster.play(12);
     moved();
     assertTrue(giver.leads(), "its lease is renewed all the time");
     long[] status = new long[1];
     giver
-        .node()
+        .controller()
         .router()
         .handle(
             "POST",
@@ -332,7 +337,9 @@
             pool.worker(machine).statusBytes(),
             (code, json, retry) -> status[0] = code);
     assertEquals(503, status[0], "the machine may have another owner by now");
-    cluster.cell(TAKER).forEach(member -> cluster.cut(member.platform.label(), machine, false));
+    cluster
+        .cell(TAKER)
+        .forEach(controller -> cluster.cut(controller.platform.label(), machine, false));
     pool.endsWell(250);
   }
 
@@ -341,15 +348,15 @@
     tasksRun(81, 20);
     cluster.adoptAfterMicros = 60_000_000;
     // The others have to be started with the shorter time.
-    cluster.cell(TAKER).forEach(member -> member.crash(0.5));
-    cluster.cell(THIRD).forEach(member -> member.crash(0.5));
-    List<SimulatedCluster.Member> gone = cluster.cell(GIVER);
-    gone.forEach(SimulatedCluster.Member::kill);
+    cluster.cell(TAKER).forEach(controller -> controller.crash(0.5));
+    cluster.cell(THIRD).forEach(controller -> controller.crash(0.5));
+    List<SimulatedCluster.SimulatedController> gone = cluster.cell(GIVER);
+    gone.forEach(SimulatedCluster.SimulatedController::kill);
     cluster.play(130);
     assertFalse(pool.ownerOf(machine).equals(GIVER), "it was adopted");
     pool.submit("n2", 30, 10);
     cluster.play(40);
-    gone.forEach(SimulatedCluster.Member::start);
+    gone.forEach(SimulatedCluster.SimulatedController::start);
     pool.endsWell(300);
   }
 
@@ -357,7 +364,7 @@
   void cellsWithDifferentSharingFilesGiveEachOtherNothing() {
     tasksRun(82, 20);
     cluster.digests.put(TAKER, "another");
-    cluster.cell(TAKER).forEach(member -> member.crash(0.5));
+    cluster.cell(TAKER).forEach(controller -> controller.crash(0.5));
     cluster.play(10);
     pool.give(GIVER, machine, TAKER);
     cluster.play(20);
@@ -373,15 +380,17 @@
     pool.give(GIVER, machine, TAKER);
     cluster.play(3);
     moved();
-    List<SimulatedCluster.Member> without = cluster.cell(TAKER);
+    List<SimulatedCluster.SimulatedController> without = cluster.cell(TAKER);
     cluster.digests.put(TAKER, "none");
-    without.forEach(member -> member.crash(0.5));
+    without.forEach(controller -> controller.crash(0.5));
     cluster.play(20);
-    assertTrue(without.stream().noneMatch(SimulatedCluster.Member::leads), "nobody leads there");
+    assertTrue(
+        without.stream().noneMatch(SimulatedCluster.SimulatedController::leads),
+        "nobody leads there");
     int[] status = new int[1];
     without
         .get(0)
-        .node()
+        .controller()
         .router()
         .handle(
             "GET",
@@ -390,7 +399,7 @@
             (code, json, retry) -> status[0] = code);
     assertEquals(503, status[0], "a job that it can't know is not called unknown");
     cluster.digests.clear();
-    without.forEach(member -> member.crash(0.5));
+    without.forEach(controller -> controller.crash(0.5));
     pool.endsWell(250);
   }
 
@@ -398,14 +407,15 @@
   void teamLimitsHoldOverThePoolWhileTheirPartsMove() {
     pool = new PoolScenario(84, 24, 12);
     cluster = pool.cluster;
-    for (String node : List.of("n0", "n2", "n4")) {
-      pool.submit(node, "red", 40, 6);
+    for (String controller : List.of("n0", "n2", "n4")) {
+      pool.submit(controller, "red", 40, 6);
       cluster.play(25);
     }
     assertTrue(
-        cluster.members.values().stream()
-                .filter(member -> member.node() != null)
-                .mapToLong(member -> member.node().metrics().counted("limit_parts_given"))
+        cluster.controllers.values().stream()
+                .filter(controller -> controller.controller() != null)
+                .mapToLong(
+                    controller -> controller.controller().metrics().counted("limit_parts_given"))
                 .sum()
             > 0,
         "parts were moved");
@@ -426,7 +436,7 @@
           // Only the giver does not hear that its part is the other's now.
           cluster.store.answerLostOnce = "pool/limits/";
           cluster.store.untold = "pool/";
-          cluster.store.untoldNode = cluster.leader(GIVER).platform.label();
+          cluster.store.untoldController = cluster.leader(GIVER).platform.label();
           pool.submit("n0", "red", 8, 20);
           cluster.at(4_000_000, () -> cluster.store.untold = null);
         };
--- a/src/test/java/plumlever/sim/SharingMeasurement.java
+++ b/src/test/java/plumlever/sim/SharingMeasurement.java
@@ -61,13 +61,13 @@
   private void fixShares() {
     for (SharingSettings.Cell cell : PoolScenario.CELLS) {
       cluster.digests.put(cell.name(), cell.name());
-      cluster.cell(cell.name()).forEach(member -> member.crash(0.5));
+      cluster.cell(cell.name()).forEach(controller -> controller.crash(0.5));
     }
     cluster.play(30);
   }
 
   private void submit(int phase) {
-    String node = mode.equals("one") ? "n0" : "n" + 2 * phase;
+    String controller = mode.equals("one") ? "n0" : "n" + 2 * phase;
     JobSpec job =
         new JobSpec(
             users.nextUid(),
@@ -90,13 +90,13 @@
             0,
             60);
     jobs.add(job);
-    users.connect(job.uid(), node);
+    users.connect(job.uid(), controller);
     users.submit(job, false);
   }
 
   private long counted(String counter) {
-    return cluster.members.values().stream()
-        .mapToLong(member -> member.node().metrics().counted(counter))
+    return cluster.controllers.values().stream()
+        .mapToLong(controller -> controller.controller().metrics().counted(counter))
         .sum();
   }
 
--- a/src/test/java/plumlever/sim/SharingTest.java
+++ b/src/test/java/plumlever/sim/SharingTest.java
@@ -17,8 +17,8 @@
     }
     pool.endsWell(200);
     long taken =
-        pool.cluster.members.values().stream()
-            .mapToLong(member -> member.node().metrics().counted("machines_taken"))
+        pool.cluster.controllers.values().stream()
+            .mapToLong(controller -> controller.controller().metrics().counted("machines_taken"))
             .sum();
     assertTrue(taken >= 12, "moves: " + taken);
     pool.nothingWasStartedAnew();
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -60,7 +60,7 @@
   final DelegationChecker delegations = new DelegationChecker(this);
   final FakeStore store;
   final FakeCloud cloud;
-  final Map<String, Member> members = new LinkedHashMap<>();
+  final Map<String, SimulatedController> controllers = new LinkedHashMap<>();
   final Map<Endpoint, Service> services = new HashMap<>();
 
   /** Pairs {@code from>to} whose messages are held. */
@@ -210,7 +210,7 @@
               limits,
               new PlatformConfiguration.CloudLimits(6, FakeCloud.LAG_MICROS),
               1000);
-      members.put(platform.label(), new Member(platform));
+      controllers.put(platform.label(), new SimulatedController(platform));
     }
   }
 
@@ -249,7 +249,7 @@
     invariants = new InvariantChecker(this, teams);
     store = new FakeStore(this);
     cloud = new FakeCloud(this);
-    nodes.forEach(n -> members.put(n, null));
+    nodes.forEach(n -> controllers.put(n, null));
   }
 
   /** Plays all that is due by then, without the checks of every step. */
@@ -265,15 +265,17 @@
   /** Not a rule of the protocol, but what the proof of the others starts from. */
   private void checkOneLeader() {
     Set<String> acting = new HashSet<>();
-    for (Member member : members.values()) {
-      if (member.node != null && member.node.mayAct() && !acting.add(cellOf(member))) {
+    for (SimulatedController controller : controllers.values()) {
+      if (controller.controller != null
+          && controller.controller.mayAct()
+          && !acting.add(cellOf(controller))) {
         invariants.broken.add("two leaders act at " + now / 1e6);
       }
     }
   }
 
-  private String cellOf(Member member) {
-    return sharing(member.platform.label()).map(pool -> pool.own().name()).orElse("");
+  private String cellOf(SimulatedController controller) {
+    return sharing(controller.platform.label()).map(pool -> pool.own().name()).orElse("");
   }
 
   /** The cells of a pool by the indexes of their controllers; empty where there is one cell. */
@@ -305,13 +307,15 @@
   }
 
   /** The controllers of a cell. */
-  List<Member> cell(String name) {
-    return members.values().stream().filter(member -> cellOf(member).equals(name)).toList();
+  List<SimulatedController> cell(String name) {
+    return controllers.values().stream()
+        .filter(controller -> cellOf(controller).equals(name))
+        .toList();
   }
 
   /** The leader of a cell. */
-  Member leader(String cell) {
-    return cell(cell).stream().filter(Member::leads).findFirst().orElseThrow();
+  SimulatedController leader(String cell) {
+    return cell(cell).stream().filter(SimulatedController::leads).findFirst().orElseThrow();
   }
 
   /**
@@ -342,11 +346,11 @@
     List<String> copies = new ArrayList<>(keptHeartbeats);
     keptHeartbeats.clear();
     for (String body : copies) {
-      for (String node : members.keySet()) {
+      for (String controller : controllers.keySet()) {
         copiesAtNext++;
         deliver(
             "copy",
-            new Endpoint(node, 1),
+            new Endpoint(controller, 1),
             "POST",
             ProtocolPath.HEARTBEAT,
             body,
@@ -356,8 +360,11 @@
     }
   }
 
-  Member leader() {
-    return members.values().stream().filter(Member::leads).findFirst().orElseThrow();
+  SimulatedController leader() {
+    return controllers.values().stream()
+        .filter(SimulatedController::leads)
+        .findFirst()
+        .orElseThrow();
   }
 
   void cut(String text, String other, boolean on) {
@@ -438,7 +445,7 @@
       keptHeartbeats.add(body);
     }
     if (path.equals(ProtocolPath.HEARTBEAT) && random.nextDouble() < copyHeartbeats) {
-      Endpoint any = new Endpoint("n" + random.nextInt(members.size()), 1);
+      Endpoint any = new Endpoint("n" + random.nextInt(controllers.size()), 1);
       deliver(
           from,
           random.nextBoolean() ? to : any,
@@ -478,9 +485,9 @@
   }
 
   /** One controller, which can be killed and started again. */
-  final class Member {
+  final class SimulatedController {
     final PlatformConfiguration platform;
-    private Controller node;
+    private Controller controller;
     private int life;
     private long frozenUntil;
     private long stalledUntil;
@@ -494,17 +501,17 @@
     /** False: leadership has no thread of its own, as if nothing had been learnt. */
     boolean electionApart = true;
 
-    Member(PlatformConfiguration platform) {
+    SimulatedController(PlatformConfiguration platform) {
       this.platform = platform;
       start();
     }
 
-    Controller node() {
-      return node;
+    Controller controller() {
+      return controller;
     }
 
     boolean leads() {
-      return node != null && node.leader() != null;
+      return controller != null && controller.leader() != null;
     }
 
     void start() {
@@ -516,12 +523,12 @@
               SimulatedCluster.this,
               costs,
               1,
-              () -> node == null ? 0 : node.metrics().counted("candidates_evaluated"));
+              () -> controller == null ? 0 : controller.metrics().counted("candidates_evaluated"));
       leadership =
           electionApart ? new Processor(SimulatedCluster.this, costs, 2, () -> 0L) : decisions;
       Loop loop = loop(mine, decisions);
       Loop electionLoop = loop(mine, leadership);
-      node =
+      controller =
           new Controller(
               loop,
               caller(mine, decisions),
@@ -531,7 +538,7 @@
               new OperatorSettings(SchedulerParameters.defaults(), sharing(platform.label())),
               random.nextLong(),
               Logs.SERVICE);
-      Controller current = node;
+      Controller current = controller;
       services.put(
           platform.bind(),
           (from, method, path, body, reply) ->
@@ -699,7 +706,7 @@
       frozenUntil = 0;
       stalledUntil = 0;
       calls = 0;
-      node = null;
+      controller = null;
       services.remove(platform.bind());
       services.remove(platform.back());
     }
@@ -709,7 +716,7 @@
       at(
           (long) (backAfterS * 1e6),
           () -> {
-            if (node == null) {
+            if (controller == null) {
               start();
             }
           });
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -100,11 +100,11 @@
   }
 
   static void trouble(SimulatedCluster cluster) {
-    List<SimulatedCluster.Member> all = new ArrayList<>(cluster.members.values());
-    SimulatedCluster.Member one = all.get(cluster.random.nextInt(all.size()));
-    List<SimulatedCluster.Member> leaders =
-        all.stream().filter(SimulatedCluster.Member::leads).toList();
-    SimulatedCluster.Member leader =
+    List<SimulatedCluster.SimulatedController> all = new ArrayList<>(cluster.controllers.values());
+    SimulatedCluster.SimulatedController one = all.get(cluster.random.nextInt(all.size()));
+    List<SimulatedCluster.SimulatedController> leaders =
+        all.stream().filter(SimulatedCluster.SimulatedController::leads).toList();
+    SimulatedCluster.SimulatedController leader =
         leaders.isEmpty()
             ? one
             : leaders.get(leaders.size() == 1 ? 0 : cluster.random.nextInt(leaders.size()));
@@ -197,10 +197,10 @@
   }
 
   private static void loseAllButWorkers(
-      SimulatedCluster cluster, SimulatedCluster.Member member, long time) {
-    String label = member.platform.label();
+      SimulatedCluster cluster, SimulatedCluster.SimulatedController controller, long time) {
+    String label = controller.platform.label();
     hold(cluster, label + ">state", "state>" + label, time);
-    cluster.members.keySet().stream()
+    cluster.controllers.keySet().stream()
         .filter(o -> !o.equals(label))
         .forEach(o -> hold(cluster, label + ">" + o, o + ">" + label, time));
   }
@@ -257,8 +257,8 @@
         .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
         .limit(1)
         .forEach(v -> hold(cluster, v.id + ">*", "*>" + v.id, 15_000_000));
-    cluster.members.values().stream()
-        .filter(SimulatedCluster.Member::leads)
+    cluster.controllers.values().stream()
+        .filter(SimulatedCluster.SimulatedController::leads)
         .findFirst()
         .orElseThrow()
         .crash(5);
@@ -310,9 +310,9 @@
       users.submit(8, 1, 100, false);
     }
     cluster.play(60);
-    SimulatedCluster.Member leader =
-        cluster.members.values().stream()
-            .filter(SimulatedCluster.Member::leads)
+    SimulatedCluster.SimulatedController leader =
+        cluster.controllers.values().stream()
+            .filter(SimulatedCluster.SimulatedController::leads)
             .findFirst()
             .orElseThrow();
     List<String> behind =
@@ -352,18 +352,18 @@
             .findFirst()
             .orElseThrow();
     cluster.cloud.delete(gone);
-    cluster.members.values().stream()
-        .filter(SimulatedCluster.Member::leads)
+    cluster.controllers.values().stream()
+        .filter(SimulatedCluster.SimulatedController::leads)
         .findFirst()
         .orElseThrow()
         .crash(30);
     cluster.play(8);
-    SimulatedCluster.Member next =
-        cluster.members.values().stream()
-            .filter(SimulatedCluster.Member::leads)
+    SimulatedCluster.SimulatedController next =
+        cluster.controllers.values().stream()
+            .filter(SimulatedCluster.SimulatedController::leads)
             .findFirst()
             .orElseThrow();
-    assertTrue(next.node().leader().failoverComplete(), "the takeover is complete");
+    assertTrue(next.controller().leader().failoverComplete(), "the takeover is complete");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
@@ -413,7 +413,7 @@
     users.submit(late, false);
     cluster.play(16);
     assertFalse(
-        cluster.leader().node().leader().failoverComplete(),
+        cluster.leader().controller().leader().failoverComplete(),
         "the cut zone is not accounted for yet");
     assertTrue(
         cluster.cloud.machines.values().stream()
@@ -428,12 +428,14 @@
 
   /** One survivor of three goes on serving. */
   @Test
-  void oneNodeSuffices() {
+  void oneControllerSuffices() {
     SimulatedCluster cluster = cluster(31);
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 15, 4);
     cluster.play(20);
-    cluster.members.values().stream().skip(1).forEach(SimulatedCluster.Member::kill);
+    cluster.controllers.values().stream()
+        .skip(1)
+        .forEach(SimulatedCluster.SimulatedController::kill);
     cluster.play(400);
     assertAllServed(cluster, users, 15);
   }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -101,17 +101,21 @@
     for (Map.Entry<String, JsonNode> entry : records.entrySet()) {
       if (entry.getKey().startsWith(JobStore.ACTIVE)) {
         assertTrue(
-            cluster.leader().node().leader().job(entry.getKey().substring(JobStore.ACTIVE.length()))
+            cluster
+                    .leader()
+                    .controller()
+                    .leader()
+                    .job(entry.getKey().substring(JobStore.ACTIVE.length()))
                 != null,
             entry.getKey());
       }
     }
     BitSet packed = JobStore.readSharedChunk(records.get("progress/pack/0")).get("job-000030");
-    Job small = cluster.leader().node().leader().job("job-000030");
+    Job small = cluster.leader().controller().leader().job("job-000030");
     if (small != null) {
       assertEquals(packed, small.done());
     }
-    Job large = cluster.leader().node().leader().job("job-900001");
+    Job large = cluster.leader().controller().leader().job("job-900001");
     assertEquals(
         FormerVersion.progressItReads(cluster.store, NOW_BYTES).get("job-900001"),
         large.done(),
@@ -125,9 +129,9 @@
   private static int status(SimulatedCluster cluster, String uid, String part) {
     int[] status = new int[1];
     cluster
-        .members
+        .controllers
         .get("n1")
-        .node()
+        .controller()
         .router()
         .handle(
             "GET",
@@ -251,14 +255,14 @@
       cluster.play(18);
       largest = Math.max(largest, cluster.store.largestValue);
       if (cluster.store.valueBytes > NEXT_BYTES && turn % 2 == (seed & 1)) {
-        cluster.members.values().stream()
-            .filter(SimulatedCluster.Member::leads)
+        cluster.controllers.values().stream()
+            .filter(SimulatedCluster.SimulatedController::leads)
             .forEach(m -> m.crash(2));
         cluster.play(0.1);
         former.leads();
       } else {
-        cluster.members.values().stream()
-            .filter(SimulatedCluster.Member::leads)
+        cluster.controllers.values().stream()
+            .filter(SimulatedCluster.SimulatedController::leads)
             .forEach(m -> m.crash(1));
       }
       noProgressIsMistaken(cluster);
@@ -271,10 +275,10 @@
     for (JobSpec job : all) {
       assertEquals("done", cluster.invariants.lastTold.get(job.uid()), job.uid());
     }
-    for (JsonNode node : cluster.store.values("fleet/")) {
+    for (JsonNode controller : cluster.store.values("fleet/")) {
       assertTrue(
-          Json.write(node).length() <= NEXT_BYTES,
-          "rewritten in parts: " + Json.write(node).length());
+          Json.write(controller).length() <= NEXT_BYTES,
+          "rewritten in parts: " + Json.write(controller).length());
     }
   }
 
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -35,9 +35,9 @@
     status = 0;
     long from = cluster.now();
     cluster
-        .members
+        .controllers
         .get("n0")
-        .node()
+        .controller()
         .router()
         .handle(
             method,
@@ -127,11 +127,11 @@
    * same.
    */
   @Test
-  void aQuietNodeStaysHealthy() {
+  void aQuietControllerStaysHealthy() {
     for (int i = 0; i < 100; i++) {
-      for (SimulatedCluster.Member member : cluster.members.values()) {
-        member
-            .node()
+      for (SimulatedCluster.SimulatedController controller : cluster.controllers.values()) {
+        controller
+            .controller()
             .router()
             .handle("GET", "/up", new byte[0], (s, json, retry) -> assertEquals(200, s));
       }
@@ -141,7 +141,7 @@
 
   /** Refused by the state service alone: users should go to another controller. */
   @Test
-  void aNodeThatAloneIsRefusedCallsItselfUnhealthy() {
+  void aControllerThatAloneIsRefusedCallsItselfUnhealthy() {
     cluster.store.refused.add("n0");
     cluster.play(5);
     assertEquals(503, ask("GET", "/up", null));
