--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -14,7 +14,7 @@
 import plumlever.wire.Json;
 
 /** The cloud, by its protocol: two types, two zones, a list that lags. */
-final class FakeCloud implements SimulatedCluster.Service {
+final class FakeCloud implements SimulatedNetwork.Service {
   static final long LAG_MICROS = 3_000_000;
   private static final double RPS = 6;
   private static final int PAGE = 500;
@@ -92,7 +92,7 @@
 
   @Override
   public void handle(
-      String from, String method, String path, String body, SimulatedCluster.Reply reply) {
+      String from, String method, String path, String body, SimulatedNetwork.Reply reply) {
     if (outage) {
       reply.send(503, "{\"error\":\"trouble\"}");
       return;
@@ -166,7 +166,7 @@
     }
   }
 
-  private void rent(ObjectNode object, SimulatedCluster.Reply reply) {
+  private void rent(ObjectNode object, SimulatedNetwork.Reply reply) {
     String name = object.path("rental").asText();
     if (!rentals.containsKey(name)) {
       List<String> got = new ArrayList<>();
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -14,7 +14,7 @@
 import plumlever.wire.Json;
 
 /** The state service, by its protocol. */
-final class FakeStore implements SimulatedCluster.Service {
+final class FakeStore implements SimulatedNetwork.Service {
   private record Entry(JsonNode data, long revision, long leaseId) {}
 
   private record Change(long revision, String key, JsonNode data) {}
@@ -222,7 +222,7 @@
 
   @Override
   public void handle(
-      String from, String method, String path, String body, SimulatedCluster.Reply reply) {
+      String from, String method, String path, String body, SimulatedNetwork.Reply reply) {
     tally(0);
     requestsSeen++;
     if (unwatched.contains(from) && path.startsWith("/follow?")) {
@@ -236,7 +236,7 @@
       reply.send(503, "{\"error\":\"trouble\"}");
       return;
     }
-    SimulatedCluster.Reply prompt = reply;
+    SimulatedNetwork.Reply prompt = reply;
     reply =
         slowMicros == 0
             ? prompt
@@ -297,7 +297,7 @@
     return map;
   }
 
-  private void list(Map<String, String> map, SimulatedCluster.Reply reply) {
+  private void list(Map<String, String> map, SimulatedNetwork.Reply reply) {
     String under = map.get("under");
     ObjectNode out = Json.object().put("epoch", storeRevision);
     ArrayNode items = out.putArray("items");
@@ -321,7 +321,7 @@
   }
 
   private void watch(
-      String controller, Map<String, String> map, long since, SimulatedCluster.Reply reply) {
+      String controller, Map<String, String> map, long since, SimulatedNetwork.Reply reply) {
     String under = map.get("under");
     long from = Long.parseLong(map.get("since"));
     ObjectNode out = Json.object().put("epoch", storeRevision);
@@ -362,7 +362,7 @@
   }
 
   /** A transaction may go unanswered, and be carried out at once or after newer ones. */
-  private void write(String from, ObjectNode object, SimulatedCluster.Reply reply) {
+  private void write(String from, ObjectNode object, SimulatedNetwork.Reply reply) {
     long number = ++sent;
     boolean changes = !object.path("then").isEmpty();
     if (interveneBefore != null && Json.write(object).contains("\"put\":\"" + interveneBefore)) {
@@ -393,7 +393,7 @@
     }
   }
 
-  private void transaction(ObjectNode object, SimulatedCluster.Reply reply) {
+  private void transaction(ObjectNode object, SimulatedNetwork.Reply reply) {
     for (JsonNode controller : object.path("guards")) {
       Entry entry = keys.get(controller.path("k").asText());
       if (!ignorePreconditions
@@ -429,10 +429,10 @@
         largestValue = Math.max(largestValue, Json.write(change.path("data")).length());
         if (change.get("put").asText().endsWith("office/term")) {
           termSince = cluster.now();
-          cluster.newTerm();
+          cluster.network.newTerm();
         }
         if (change.get("put").asText().equals("office/mandate")) {
-          cluster.delegations.stored(change.path("data"));
+          cluster.network.delegations.stored(change.path("data"));
         }
         if (lostField != null && change.path("data").path("job") instanceof ObjectNode job) {
           job.remove(lostField);
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -79,7 +79,7 @@
 
   private void probe() {
     for (String controller : cluster.controllers.keySet()) {
-      cluster.send(
+      cluster.network.send(
           "balancer",
           new Endpoint(controller, 1),
           "GET",
@@ -87,7 +87,7 @@
           null,
           1_000_000,
           a -> {
-            if ((Integer) a[0] == 200) {
+            if (a.status() == 200) {
               sickSince.remove(controller);
             } else {
               sickSince.putIfAbsent(controller, cluster.now());
@@ -97,14 +97,14 @@
     cluster.at(1_000_000, this::probe);
   }
 
-  private void heard(String uid, Object[] answer) {
-    if ((Integer) answer[0] == 0 || (answer.length > 2 && (Boolean) answer[2])) {
+  private void heard(String uid, SimulatedNetwork.Answer answer) {
+    if (answer.status() == 0 || answer.connectionCloses()) {
       connected.remove(uid);
     }
   }
 
   private void askForNothing() {
-    cluster.send(
+    cluster.network.send(
         "user",
         anyController(),
         "GET",
@@ -112,7 +112,7 @@
         null,
         2_000_000,
         a -> {
-          if ((Integer) a[0] == 200) {
+          if (a.status() == 200) {
             cluster.invariants.broken.add("invented: job-99" + next);
           }
           cluster.at(7_000_000, this::askForNothing);
@@ -161,7 +161,7 @@
   private void trySubmit(JobSpec job, boolean cancel) {
     specs.put(job.uid(), job);
     long asked = cluster.now();
-    cluster.send(
+    cluster.network.send(
         "user",
         controllerOf(job.uid()),
         "POST",
@@ -170,16 +170,16 @@
         5_000_000,
         a -> {
           heard(job.uid(), a);
-          int code = (Integer) a[0];
+          int code = a.status();
           if (code == 201 || code == 200) {
             accepted.add(job.uid());
-            tell(job.uid(), (String) a[1], asked);
+            tell(job.uid(), a.body(), asked);
             poll(job.uid());
             if (cancel) {
               cluster.at(5_000_000 + cluster.random.nextLong(30_000_000), () -> cancel(job.uid()));
             }
           } else if (code == 400 || code == 422) {
-            cluster.invariants.broken.add("refused: " + job.uid() + " " + a[1]);
+            cluster.invariants.broken.add("refused: " + job.uid() + " " + a.body());
           } else {
             cluster.at(1_000_000, () -> trySubmit(job, cancel));
           }
@@ -270,7 +270,7 @@
    * answer.
    */
   private void expect(String method, String path, String body, int status, String part) {
-    cluster.send(
+    cluster.network.send(
         "odd",
         anyController(),
         method,
@@ -278,13 +278,13 @@
         body,
         5_000_000,
         a -> {
-          int seconds = (Integer) a[0];
+          int seconds = a.status();
           if (seconds != 0
               && seconds != 503
               && seconds != 429
-              && (seconds != status || !((String) a[1]).contains(part))) {
+              && (seconds != status || !(a.body()).contains(part))) {
             cluster.invariants.broken.add(
-                "odd request: " + method + " " + path + " got " + seconds + " " + a[1]);
+                "odd request: " + method + " " + path + " got " + seconds + " " + a.body());
           }
         });
   }
@@ -297,7 +297,7 @@
             () -> {
               long asked = cluster.now();
               boolean repeat = cluster.random.nextInt(3) == 0;
-              cluster.send(
+              cluster.network.send(
                   "close",
                   new Endpoint(controller, 1),
                   repeat ? "POST" : "GET",
@@ -305,15 +305,13 @@
                   repeat ? Json.write(specs.get(uid).toJson()) : null,
                   2_000_000,
                   a -> {
-                    if ((Integer) a[0] == 200) {
+                    if (a.status() == 200) {
                       looks++;
-                      toldAnywhere(uid, (String) a[1], asked);
-                    } else if ((Integer) a[0] == 404) {
+                      toldAnywhere(uid, a.body(), asked);
+                    } else if (a.status() == 404) {
                       cluster.invariants.toldAnywhere(uid, null, asked);
-                    } else if ((Integer) a[0] == 400
-                        || (Integer) a[0] == 422
-                        || (Integer) a[0] == 201) {
-                      cluster.invariants.broken.add("a repeat of " + uid + " got " + a[0]);
+                    } else if (a.status() == 400 || a.status() == 422 || a.status() == 201) {
+                      cluster.invariants.broken.add("a repeat of " + uid + " got " + a.status());
                     }
                   });
             });
@@ -332,7 +330,7 @@
   void cancel(String uid) {
     cancelled.add(uid);
     long asked = cluster.now();
-    cluster.send(
+    cluster.network.send(
         "user",
         controllerOf(uid),
         "POST",
@@ -341,10 +339,10 @@
         5_000_000,
         a -> {
           heard(uid, a);
-          if ((Integer) a[0] == 200) {
-            tell(uid, (String) a[1], asked);
+          if (a.status() == 200) {
+            tell(uid, a.body(), asked);
           } else {
-            if ((Integer) a[0] == 404) {
+            if (a.status() == 404) {
               cluster.invariants.broken.add("forgotten: " + uid);
             }
             cluster.at(1_000_000, () -> cancel(uid));
@@ -370,7 +368,7 @@
   void cancelAt(Endpoint at, String uid, java.util.function.Consumer<Integer> status) {
     cancelled.add(uid);
     long asked = cluster.now();
-    cluster.send(
+    cluster.network.send(
         "user",
         at,
         "POST",
@@ -378,16 +376,16 @@
         "",
         5_000_000,
         a -> {
-          if ((Integer) a[0] == 200) {
-            tell(uid, (String) a[1], asked);
+          if (a.status() == 200) {
+            tell(uid, a.body(), asked);
           }
-          status.accept((Integer) a[0]);
+          status.accept(a.status());
         });
   }
 
   private void poll(String uid) {
     long asked = cluster.now();
-    cluster.send(
+    cluster.network.send(
         "user",
         controllerOf(uid),
         "GET",
@@ -396,9 +394,9 @@
         2_000_000,
         a -> {
           heard(uid, a);
-          if ((Integer) a[0] == 200) {
-            tell(uid, (String) a[1], asked);
-          } else if ((Integer) a[0] == 404) {
+          if (a.status() == 200) {
+            tell(uid, a.body(), asked);
+          } else if (a.status() == 404) {
             cluster.invariants.broken.add("forgotten: " + uid);
           }
           cluster.at(5_000_000, () -> poll(uid));
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -14,7 +14,7 @@
 import plumlever.wire.Json;
 
 /** A worker, by its protocol. */
-final class FakeWorker implements SimulatedCluster.Service {
+final class FakeWorker implements SimulatedNetwork.Service {
   static final long LEASE_MICROS = 20_000_000;
 
   /** A task on this machine, in any state. */
@@ -56,7 +56,7 @@
     this.vm = vm;
     this.leaseFrom = cluster.now();
     this.at = "n" + cluster.random.nextInt(cluster.controllers.size());
-    cluster.services.put(cluster.workerAt.apply(vm.id), this);
+    cluster.network.services.put(cluster.workerAt.apply(vm.id), this);
     cluster.at(0, this::heartbeat);
     cluster.at(200_000, this::lease);
   }
@@ -65,7 +65,7 @@
     dead = true;
     tasks.values().forEach(t -> cluster.invariants.taskLeft(t.name, this));
     tasks.clear();
-    cluster.services.remove(cluster.workerAt.apply(vm.id));
+    cluster.network.services.remove(cluster.workerAt.apply(vm.id));
   }
 
   boolean heartbeatsTo(String controller) {
@@ -162,7 +162,7 @@
     long sent = lastSent;
     long sentIncarnation = incarnation;
     String controller = at;
-    cluster.send(
+    cluster.network.send(
         vm.id,
         new Endpoint(controller, 1),
         "POST",
@@ -174,16 +174,16 @@
           if (dead) {
             return;
           }
-          int code = (Integer) a[0];
+          int code = a.status();
           if (code == 200) {
-            answered((String) a[1], sent, sentIncarnation, controller);
+            answered(a.body(), sent, sentIncarnation, controller);
             schedule(due ? 500_000 : 2_250_000 + cluster.random.nextLong(1_500_000));
             return;
           }
           String foreman = null;
           if (code == 421) {
             try {
-              foreman = Json.parseObject((String) a[1]).path("foreman").asText(null);
+              foreman = Json.parseObject(a.body()).path("foreman").asText(null);
             } catch (InvalidMessageException e) {
               foreman = null;
             }
@@ -213,9 +213,9 @@
         due = true;
       }
       leaseFrom = Math.max(leaseFrom, sent);
-      SimulatedCluster.SimulatedController controller = cluster.controllers.get(by);
+      SimulatedController controller = cluster.controllers.get(by);
       if (controller != null && !controller.leads()) {
-        cluster.delegations.renewedForLeader(vm.id, incarnation, token);
+        cluster.network.delegations.renewedForLeader(vm.id, incarnation, token);
       }
       execute(object.path("orders"));
     } catch (InvalidMessageException e) {
@@ -345,7 +345,7 @@
 
   @Override
   public void handle(
-      String from, String method, String path, String body, SimulatedCluster.Reply reply) {
+      String from, String method, String path, String body, SimulatedNetwork.Reply reply) {
     if (dead) {
       return;
     }
@@ -357,7 +357,7 @@
       reply.send(200, Json.write(status()));
       return;
     }
-    cluster.delegations.arrived(vm.id, body);
+    cluster.network.delegations.arrived(vm.id, body);
     try {
       ObjectNode object = Json.parseObject(body);
       if (object.path("baton").asLong() < fencingToken
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -45,14 +45,14 @@
           List<String> zone = d.machinesIn("a");
           for (String other : List.of("n0", "n1", "n2", "state", "cloud")) {
             if (!other.equals(inside)) {
-              d.cluster.cut(inside, other, true);
+              d.cluster.network.cut(inside, other, true);
             }
           }
           zone.forEach(
               h ->
                   d.cluster.controllers.keySet().stream()
                       .filter(n -> !n.equals(inside))
-                      .forEach(n -> d.cluster.cut(n, h, true)));
+                      .forEach(n -> d.cluster.network.cut(n, h, true)));
           d.cluster.at(4_000_000, () -> d.users.cancelNow(2, 0, 0));
           d.cluster.play(LEASE_S + 12);
           boolean anotherLeads = !d.leaderLabel().equals(inside);
@@ -107,7 +107,7 @@
         }),
     COMMANDS_ARE_HELD_UP_FOR_SECONDS_BY_MACHINES_THAT_GO_ON(
         d -> {
-          d.cluster.slowCommandsMicros = 3_000_000;
+          d.cluster.network.extraCommandDelayMicros = 3_000_000;
           d.cluster.cloud.machines.values().stream()
               .filter(v -> v.worker != null)
               .limit(4)
@@ -127,7 +127,7 @@
           String isRefusedAlone = d.leaderLabel();
           List.of("n0", "n1", "n2", "state").stream()
               .filter(n -> !n.equals(isRefusedAlone))
-              .forEach(n -> d.cluster.cut(isRefusedAlone, n, true));
+              .forEach(n -> d.cluster.network.cut(isRefusedAlone, n, true));
           int reporting = d.cluster.cloud.reportingTo(isRefusedAlone);
           d.cluster.play(5);
           String next = d.leaderLabel();
@@ -139,12 +139,12 @@
         }),
     WORKERS_REACH_NO_CONTROLLER_WHILE_COMMANDS_REACH_THEM(
         d -> {
-          d.machinesIn("a").forEach(d.cluster.mute::add);
+          d.machinesIn("a").forEach(d.cluster.network.machinesWithoutControllers::add);
           d.cluster.at(3_000_000, () -> d.users.cancelNow(2, 0, 0));
           d.stream(6, 2, 4, 10);
           d.cluster.at(8_000_000, () -> d.cluster.leader().crash(2));
           d.cluster.play(LEASE_S + 15);
-          boolean muted = !d.cluster.mute.isEmpty();
+          boolean muted = !d.cluster.network.machinesWithoutControllers.isEmpty();
           d.endOfTrouble();
           return () -> muted;
         }),
@@ -187,7 +187,7 @@
         }),
     AN_OLD_HEARTBEAT_REACHES_EVERY_CONTROLLER_AS_A_LEADER_BEGINS(
         d -> {
-          d.cluster.copyHeartbeatsForNext = 0.3;
+          d.cluster.network.heartbeatShareKeptForNextLeader = 0.3;
           d.stream(8, 2, 5, 10);
           d.cluster.play(20);
           d.cluster.leader().crash(1);
@@ -195,7 +195,7 @@
           d.cluster.leader().crash(0.2);
           d.cluster.play(20);
           d.endOfTrouble();
-          return () -> d.cluster.copiesAtNext > 20;
+          return () -> d.cluster.network.copiesSentToNewLeaders > 20;
         }),
     JOBS_ARE_CANCELLED_WHILE_WORK_CHANGES_HANDS(
         d -> {
@@ -216,7 +216,7 @@
           d.cluster.play(6);
           d.cluster.leader().crash(0.4);
           d.cluster.play(6);
-          d.cluster.controllers.values().forEach(SimulatedCluster.SimulatedController::kill);
+          d.cluster.controllers.values().forEach(SimulatedController::kill);
           d.cluster.at(500_000, () -> d.cluster.controllers.get(first).start());
           d.cluster.at(900_000, () -> d.cluster.controllers.get(first).crash(0.1));
           d.cluster.play(12);
@@ -236,7 +236,7 @@
     MORE_WORK_THAN_ROOM_URGENT_AND_NOT_OVER_SLOW_LINKS(
         d -> {
           d.cluster.cloud.most = 5;
-          d.cluster.slowCommandsMicros = 900_000;
+          d.cluster.network.extraCommandDelayMicros = 900_000;
           d.cluster.store.slowMicros = 300_000;
           for (int i = 0; i < 30; i++) {
             Priority priority = Priority.values()[i % 4];
@@ -254,21 +254,20 @@
           d.cluster
               .controllers
               .keySet()
-              .forEach(n -> held.forEach(h -> d.cluster.cuts.put(h + ">" + n, true)));
+              .forEach(n -> held.forEach(h -> d.cluster.network.cuts.put(h + ">" + n, true)));
           d.cluster.play(1.5);
           d.cluster.leader().crash(3);
           d.stream(5, 1, 4, 10);
           d.cluster.play(12);
           boolean acts =
-              d.cluster.controllers.values().stream()
-                  .anyMatch(SimulatedCluster.SimulatedController::leads);
+              d.cluster.controllers.values().stream().anyMatch(SimulatedController::leads);
           d.endOfTrouble();
           return () -> acts && !held.isEmpty();
         }),
     USERS_LOOK_CLOSELY_AND_SOME_CANCEL_AT_ONCE(
         d -> {
           d.users.closeLooks = true;
-          d.cluster.loseAnswer = 0.05;
+          d.cluster.network.lostAnswerShare = 0.05;
           for (int i = 0; i < 20; i++) {
             boolean cancel = i % 3 == 0;
             d.cluster.at(
@@ -293,7 +292,7 @@
                 i * 10_500_000L,
                 () ->
                     d.cluster.controllers.values().stream()
-                        .filter(SimulatedCluster.SimulatedController::leads)
+                        .filter(SimulatedController::leads)
                         .findFirst()
                         .ifPresent(m -> m.crash(0.3)));
           }
@@ -308,12 +307,12 @@
     A_LEADER_ENDS_WHILE_MACHINES_WITH_LONG_TASKS_DO_NOT_HEAR(
         d -> {
           List<String> far = d.machinesIn("a");
-          far.subList(0, far.size() / 2).forEach(h -> d.cluster.cuts.put("*>" + h, true));
+          far.subList(0, far.size() / 2).forEach(h -> d.cluster.network.cuts.put("*>" + h, true));
           far.subList(far.size() / 2, far.size())
               .forEach(
                   h -> {
-                    d.cluster.cuts.put("*>" + h, true);
-                    d.cluster.cuts.put(h + ">*", true);
+                    d.cluster.network.cuts.put("*>" + h, true);
+                    d.cluster.network.cuts.put(h + ">*", true);
                   });
           d.cluster.leader().crash(5);
           d.cluster.at(6_000_000, () -> d.users.cancelNow(2, 0, 0));
@@ -333,18 +332,18 @@
         }),
     AN_OLD_HEARTBEAT_ARRIVES_AFTER_NEWER_ONES_ALSO_OF_EARLIER_INCARNATIONS(
         d -> {
-          d.cluster.copyHeartbeats = 0.6;
+          d.cluster.network.copiedHeartbeatShare = 0.6;
           d.machinesIn("a").stream()
               .limit(2)
               .forEach(
                   h -> {
-                    d.cluster.cuts.put(h + ">*", true);
-                    d.cluster.cuts.put("*>" + h, true);
+                    d.cluster.network.cuts.put(h + ">*", true);
+                    d.cluster.network.cuts.put("*>" + h, true);
                     d.cluster.at(
                         (long) ((LEASE_S + 5) * 1e6),
                         () -> {
-                          d.cluster.cuts.remove(h + ">*");
-                          d.cluster.cuts.remove("*>" + h);
+                          d.cluster.network.cuts.remove(h + ">*");
+                          d.cluster.network.cuts.remove("*>" + h);
                         });
                   });
           d.stream(8, 4, 4, 8);
@@ -357,8 +356,8 @@
           d.fill("red");
           boolean full = d.cluster.invariants.coresOf("red") > Deployment.LIMIT * 0.8;
           String hidden = d.busy("red");
-          d.cluster.cuts.put(hidden + ">*", true);
-          d.cluster.cuts.put("*>" + hidden, true);
+          d.cluster.network.cuts.put(hidden + ">*", true);
+          d.cluster.network.cuts.put("*>" + hidden, true);
           d.cluster.leader().crash(3);
           d.cluster.at(1_000_000, () -> d.users.cancelNow(2, 0, 0));
           d.cluster.play(LEASE_S);
@@ -551,13 +550,13 @@
 
     /** From here on everything works, and everybody must be served. */
     void endOfTrouble() {
-      cluster.loseAnswer = 0;
-      cluster.executeLate = 0;
-      cluster.copyHeartbeats = 0;
-      cluster.copyHeartbeatsForNext = 0;
-      cluster.slowCommandsMicros = 0;
-      cluster.mute.clear();
-      cluster.cuts.clear();
+      cluster.network.lostAnswerShare = 0;
+      cluster.network.executedLateShare = 0;
+      cluster.network.copiedHeartbeatShare = 0;
+      cluster.network.heartbeatShareKeptForNextLeader = 0;
+      cluster.network.extraCommandDelayMicros = 0;
+      cluster.network.machinesWithoutControllers.clear();
+      cluster.network.cuts.clear();
       cluster.store.slowMicros = 0;
       cluster.store.lateWrites = 0;
       cluster.store.unansweredWrites = 0;
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -79,8 +79,8 @@
             .map(v -> v.id)
             .findFirst()
             .orElseThrow();
-    cluster.cuts.put("*>" + machineId, true);
-    cluster.at((long) (seconds * 1e6), () -> cluster.cuts.remove("*>" + machineId));
+    cluster.network.cuts.put("*>" + machineId, true);
+    cluster.at((long) (seconds * 1e6), () -> cluster.network.cuts.remove("*>" + machineId));
     return machineId;
   }
 
@@ -105,7 +105,7 @@
   void aLeaderThatStoodStillAnswersNobody() {
     JobSpec otherJob = submit(job("blue", Priority.STANDARD, 40, 2, 40, false));
     cluster.play(40);
-    SimulatedCluster.SimulatedController stands = cluster.leader();
+    SimulatedController stands = cluster.leader();
     stands.freeze(12);
     cluster.play(11.9);
     assertTrue(
@@ -142,7 +142,7 @@
    */
   @Test
   void lateCopiesOfHeartbeatsChangeNothing() {
-    cluster.copyHeartbeats = 0.5;
+    cluster.network.copiedHeartbeatShare = 0.5;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       cluster.at(
@@ -199,7 +199,7 @@
     String isRefusedAlone = cluster.leader().platform.label();
     for (String other : List.of("state", "n0", "n1", "n2")) {
       if (!other.equals(isRefusedAlone)) {
-        cluster.cut(isRefusedAlone, other, true);
+        cluster.network.cut(isRefusedAlone, other, true);
       }
     }
     cluster.calmSince = cluster.now();
@@ -207,22 +207,22 @@
     assertNotEquals(isRefusedAlone, cluster.leader().platform.label(), "another leads");
     int[] up = new int[1];
     boolean[] closed = new boolean[1];
-    cluster.send(
+    cluster.network.send(
         "probe",
         new plumlever.settings.Endpoint(isRefusedAlone, 1),
         "GET",
         "/up",
         null,
         2_000_000,
-        a -> up[0] = (Integer) a[0]);
-    cluster.send(
+        a -> up[0] = a.status());
+    cluster.network.send(
         "probe",
         new plumlever.settings.Endpoint(isRefusedAlone, 1),
         "GET",
         "/submissions/job-000001",
         null,
         5_000_000,
-        a -> closed[0] = (Integer) a[0] == 503 && (Boolean) a[2]);
+        a -> closed[0] = a.status() == 503 && a.connectionCloses());
     cluster.play(5);
     assertEquals(503, up[0], "silence alone makes it unhealthy too");
     assertTrue(closed[0], "its users' connections end");
@@ -242,7 +242,7 @@
     }
     cluster.play(50);
     String isRefusedAlone = cluster.leader().platform.label();
-    cluster.cloud.machines.keySet().forEach(h -> cluster.cut(isRefusedAlone, h, true));
+    cluster.cloud.machines.keySet().forEach(h -> cluster.network.cut(isRefusedAlone, h, true));
     cluster.play(22);
     assertNotEquals(isRefusedAlone, cluster.leader().platform.label(), "another leads");
     cluster.play(250);
@@ -270,9 +270,9 @@
             .map(v -> v.id)
             .toList();
     assertTrue(behind.size() >= 4, "the zone has machines");
-    behind.forEach(h -> cluster.cut(leader, h, true));
+    behind.forEach(h -> cluster.network.cut(leader, h, true));
     cluster.at(5_000_000, () -> users.cancel(cancelled.uid()));
-    cluster.at(45_000_000, () -> behind.forEach(h -> cluster.cut(leader, h, false)));
+    cluster.at(45_000_000, () -> behind.forEach(h -> cluster.network.cut(leader, h, false)));
     cluster.play(60);
     long renewed =
         cluster.controllers.values().stream()
@@ -300,7 +300,7 @@
     cluster.play(45);
     cluster.cloud.machines.values().stream()
         .filter(v -> v.zone.equals("a") && v.worker != null)
-        .forEach(v -> cluster.cuts.put(v.id + ">*", true));
+        .forEach(v -> cluster.network.cuts.put(v.id + ">*", true));
     cluster.play(48);
     assertTrue(
         cluster.leader().controller().metrics().counted("attempts_lost") > 0,
@@ -326,17 +326,17 @@
             .filter(v -> v.zone.equals("a") && v.worker != null)
             .map(v -> v.id)
             .toList();
-    behind.forEach(h -> cluster.cut(leader, h, true));
+    behind.forEach(h -> cluster.network.cut(leader, h, true));
     cluster.cloud.outage = true;
     cluster.play(20);
     // Now the others lose the zone as well.
-    behind.forEach(h -> cluster.controllers.keySet().forEach(n -> cluster.cut(n, h, true)));
+    behind.forEach(h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, true)));
     cluster.leader().crash(1);
     cluster.at(
         60_000_000,
         () ->
             behind.forEach(
-                h -> cluster.controllers.keySet().forEach(n -> cluster.cut(n, h, false))));
+                h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, false))));
     cluster.play(90);
     cluster.cloud.outage = false;
     cluster.play(200);
@@ -348,11 +348,11 @@
   void aCommonOutageMakesNoControllerUnhealthy() {
     cluster.play(10);
     for (String controller : List.of("n0", "n1", "n2")) {
-      cluster.cut(controller, "state", true);
+      cluster.network.cut(controller, "state", true);
     }
     List<Integer> seen = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      for (SimulatedCluster.SimulatedController controller : cluster.controllers.values()) {
+      for (SimulatedController controller : cluster.controllers.values()) {
         controller
             .controller()
             .router()
@@ -369,7 +369,7 @@
    */
   @Test
   void processesBackAtOnceStartNothingTwice() {
-    cluster.repeat = 0.05;
+    cluster.network.repeatedShare = 0.05;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       all.add(submit(job("blue", Priority.STANDARD, 6, 2, 40, i % 2 == 0)));
@@ -377,7 +377,7 @@
     cluster.play(40);
     for (int round = 0; round < 6; round++) {
       cluster.leader().crash(0.15);
-      for (SimulatedCluster.SimulatedController controller : cluster.controllers.values()) {
+      for (SimulatedController controller : cluster.controllers.values()) {
         cluster.at(300_000L * (round + 1), () -> controller.crash(0.1));
       }
       cluster.play(20);
@@ -392,7 +392,7 @@
    */
   @Test
   void aLateCopyOfADirectCommandStartsNothing() {
-    cluster.copyCommands = 1;
+    cluster.network.copiedCommandShare = 1;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       JobSpec otherJob = job("blue", Priority.STANDARD, 6, 2, 90, false);
@@ -410,7 +410,7 @@
     JobSpec first = submit(job("blue", Priority.STANDARD, 8, 2, 5, false));
     cluster.play(40);
     assertDone(first);
-    cluster.loseCommandAnswers = 0.7;
+    cluster.network.lostCommandAnswerShare = 0.7;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       all.add(submit(job("blue", Priority.STANDARD, 10, 2, 8, false)));
@@ -423,7 +423,7 @@
   /** While a command is under way, reports that were sent before it arrived don't list its task. */
   @Test
   void aHeartbeatThatCrossesADirectCommandProvesNothing() {
-    cluster.slowCommandsMicros = 1_200_000;
+    cluster.network.extraCommandDelayMicros = 1_200_000;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       all.add(submit(job("blue", Priority.STANDARD, 10, 2, 8, false)));
@@ -441,8 +441,8 @@
   /** Nor may it while another order to the same machine is still under way, with the same token. */
   @Test
   void nothingIsRemovedWhileALateCopyCouldStartItAnew() {
-    cluster.slowCommandsMicros = 1_200_000;
-    cluster.copyCommands = 1;
+    cluster.network.extraCommandDelayMicros = 1_200_000;
+    cluster.network.copiedCommandShare = 1;
     cluster.cloud.most = 2;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
@@ -476,7 +476,7 @@
     JobSpec otherJob = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
     cluster.play(20);
     assertFalse(cluster.invariants.lastTold.isEmpty());
-    cluster.controllers.values().forEach(SimulatedCluster.SimulatedController::kill);
+    cluster.controllers.values().forEach(SimulatedController::kill);
     cluster.calmSince = cluster.now();
     cluster.play(300);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -285,7 +285,7 @@
         behind.add(machine.id);
       }
     }
-    behind.forEach(machine -> cluster.cut(leader, machine, true));
+    behind.forEach(machine -> cluster.network.cut(leader, machine, true));
     cluster.play(25);
     Map<String, JsonNode> samples = records(version);
     assertEquals(
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -74,13 +74,12 @@
             .count();
   }
 
-  private SimulatedCluster.SimulatedController other(SimulatedCluster.SimulatedController than) {
+  private SimulatedController other(SimulatedController than) {
     return cluster.controllers.values().stream().filter(m -> m != than).findFirst().orElseThrow();
   }
 
   /** Cancels through the controller, and notes what the user was told when. */
-  private void cancelAt(
-      SimulatedCluster.SimulatedController controller, JobSpec job, Consumer<Integer> status) {
+  private void cancelAt(SimulatedController controller, JobSpec job, Consumer<Integer> status) {
     users.cancelAt(new Endpoint(controller.platform.label(), 1), job.uid(), status);
   }
 
@@ -93,7 +92,7 @@
   @ValueSource(longs = {71, 72, 73, 74})
   void cancelledThroughAnotherControllerBeforeALongOutage(long seed) {
     deployment(seed, InvariantChecker.CANCEL_MICROS);
-    SimulatedCluster.SimulatedController leader = cluster.leader();
+    SimulatedController leader = cluster.leader();
     String label = leader.platform.label();
     cluster.store.refused.add(label);
     List<Integer> told = new ArrayList<>();
@@ -120,14 +119,14 @@
    */
   private void withoutWatches(long believedCancelMicros) {
     deployment(75, believedCancelMicros);
-    SimulatedCluster.SimulatedController leader = cluster.leader();
+    SimulatedController leader = cluster.leader();
     cluster.store.unwatched.add(leader.platform.label());
     cluster.play(2);
     List<Integer> told = new ArrayList<>();
     // Its peers would tell it; here they can't.
     cluster.controllers.keySet().stream()
         .filter(o -> !o.equals(leader.platform.label()))
-        .forEach(o -> cluster.cut(leader.platform.label(), o, true));
+        .forEach(o -> cluster.network.cut(leader.platform.label(), o, true));
     jobs.subList(0, 4).forEach(j -> cancelAt(other(leader), j, told::add));
     cluster.play(1);
     assertEquals(List.of(200, 200, 200, 200), told);
@@ -161,7 +160,7 @@
   @Test
   void peersTellWhatTheStateServiceDoesNot() {
     deployment(77, InvariantChecker.CANCEL_MICROS);
-    SimulatedCluster.SimulatedController leader = cluster.leader();
+    SimulatedController leader = cluster.leader();
     cluster.store.unwatched.add(leader.platform.label());
     cluster.play(2);
     List<Integer> told = new ArrayList<>();
@@ -193,7 +192,7 @@
     cluster.store.slowPrefix = "active/";
     cluster.leader().crash(20);
     cluster.play(8);
-    SimulatedCluster.SimulatedController next = cluster.leader();
+    SimulatedController next = cluster.leader();
     long[] sent = new long[1];
     int[] status = new int[1];
     FakeCloud.Vm busy =
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -103,13 +103,13 @@
   private void cutZone(String controller, Set<String> behind, boolean on) {
     for (String other : cluster.controllers.keySet()) {
       if (!other.equals(controller)) {
-        cluster.cut(controller, other, on);
-        behind.forEach(machine -> cluster.cut(other, machine, on));
+        cluster.network.cut(controller, other, on);
+        behind.forEach(machine -> cluster.network.cut(other, machine, on));
       }
     }
     cluster.cloud.machines.keySet().stream()
         .filter(machine -> !behind.contains(machine))
-        .forEach(machine -> cluster.cut(controller, machine, on));
+        .forEach(machine -> cluster.network.cut(controller, machine, on));
   }
 
   /** Brings the story about, up to a second before the zones find each other again. */
@@ -133,14 +133,14 @@
     Set<String> zone = machinesIn("a");
     assertTrue(attemptsIn(zone) > 0, "machines in the zone run tasks");
 
-    cluster.slowCommandsMicros = COMMANDS_TAKE_MICROS;
+    cluster.network.extraCommandDelayMicros = COMMANDS_TAKE_MICROS;
     long commanded = counted("starts_sent");
     JobSpec cancelled = submit("blue", 24, 100);
     while (counted("starts_sent") == commanded) {
       cluster.play(0.01);
     }
     cutZone(behind, zone, true);
-    cluster.slowCommandsMicros = 0;
+    cluster.network.extraCommandDelayMicros = 0;
     cluster.at(CANCEL_AFTER_MICROS, () -> users.cancel(cancelled.uid()));
     cluster.at((long) (APART_S * 1e6), () -> cutZone(behind, zone, false));
     cluster.at(CHANGE_AFTER_MICROS, whileApart);
@@ -155,7 +155,7 @@
     String leader = cluster.leader().platform.label();
     assertTrue(counted("leases_renewed_for_leader") > 20, "leases are renewed behind the cut");
     assertTrue(counted("direct_commands_unanswered") > 0, "starts have had no answer");
-    assertTrue(cluster.delegations.voided > 0, "and are voided by renewals");
+    assertTrue(cluster.network.delegations.voided > 0, "and are voided by renewals");
     cluster.play(60);
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -206,8 +206,7 @@
     assertTrue(
         cluster.cloud.machines.size() > 1_300,
         "a fleet of the size: " + cluster.cloud.machines.size());
-    for (SimulatedCluster.SimulatedController controller :
-        List.copyOf(cluster.controllers.values())) {
+    for (SimulatedController controller : List.copyOf(cluster.controllers.values())) {
       controller.crash(2);
       cluster.play(7);
     }
@@ -242,8 +241,8 @@
             .toList();
     behind.forEach(
         h -> {
-          cluster.cuts.put("*>" + h, true);
-          cluster.cuts.put(h + ">*", true);
+          cluster.network.cuts.put("*>" + h, true);
+          cluster.network.cuts.put(h + ">*", true);
         });
     cluster.play(1);
     cluster.leader().crash(3);
@@ -251,7 +250,7 @@
     assertTrue(
         cluster.leader().controller().leader().failoverComplete(),
         "a cut zone holds a takeover up for no longer than a lease");
-    cluster.cuts.clear();
+    cluster.network.cuts.clear();
     cluster.calmSince = cluster.now();
     cluster.play(400);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/LittleProcessorTest.java
+++ b/src/test/java/plumlever/sim/LittleProcessorTest.java
@@ -27,7 +27,7 @@
     SimulatedCluster cluster = new SimulatedCluster(seed, 3, TEAMS, false);
     cluster.costs = Processor.Costs.little();
     cluster.cloud.most = MACHINES;
-    for (SimulatedCluster.SimulatedController controller : cluster.controllers.values()) {
+    for (SimulatedController controller : cluster.controllers.values()) {
       controller.electionApart = electionApart;
       controller.kill();
       controller.start();
@@ -125,7 +125,7 @@
     SimulatedCluster cluster = cluster(seed, true);
     busy(cluster, 60, 2);
     cluster.play(60);
-    SimulatedCluster.SimulatedController first = cluster.leader();
+    SimulatedController first = cluster.leader();
     long term = cluster.store.term();
     first.stall(7);
     // What has come in meanwhile is worked off slowly, the peers' words among the first.
@@ -143,14 +143,14 @@
   private static List<Integer> up(SimulatedCluster cluster) {
     List<Integer> out = new ArrayList<>();
     for (String controller : cluster.controllers.keySet()) {
-      cluster.send(
+      cluster.network.send(
           "balancer",
           new Endpoint(controller, 1),
           "GET",
           "/up",
           null,
           6_000_000,
-          a -> out.add((Integer) a[0]));
+          a -> out.add(a.status()));
       cluster.play(6.1);
     }
     return out;
@@ -182,21 +182,21 @@
     SimulatedCluster cluster = cluster(2, true);
     busy(cluster, 60, 2);
     cluster.play(60);
-    SimulatedCluster.SimulatedController leader = cluster.leader();
+    SimulatedController leader = cluster.leader();
     cluster.controllers.values().stream()
         .filter(m -> m != leader)
-        .forEach(SimulatedCluster.SimulatedController::kill);
+        .forEach(SimulatedController::kill);
     leader.slowDown(3);
     cluster.play(8);
     boolean[] took = new boolean[1];
-    cluster.send(
+    cluster.network.send(
         "balancer",
         leader.platform.bind(),
         "GET",
         "/up",
         null,
         30_000_000,
-        a -> took[0] = (Integer) a[0] == 200);
+        a -> took[0] = a.status() == 200);
     cluster.play(31);
     assertTrue(took[0]);
   }
@@ -210,7 +210,7 @@
     SimulatedCluster cluster = new SimulatedCluster(5, 3, TEAMS, false);
     quiet(cluster);
     cluster.play(40);
-    SimulatedCluster.SimulatedController first = cluster.leader();
+    SimulatedController first = cluster.leader();
     long term = cluster.store.term();
     first.stall(40);
     cluster.play(20);
--- a/src/test/java/plumlever/sim/LoadStand.java
+++ b/src/test/java/plumlever/sim/LoadStand.java
@@ -5,10 +5,11 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.Xnio;
@@ -59,7 +60,7 @@
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
     loop = new XnioLoop(worker.getIoThread());
-    List<String> names = new ArrayList<>();
+    Set<String> names = new LinkedHashSet<>();
     for (int i = 0; i < controllers; i++) {
       names.add("n" + i);
     }
@@ -77,7 +78,7 @@
                 "127.1." + number(id) / 250 + "." + (number(id) % 250 + 1), port + WORKERS);
     for (int i = 0; i < controllers; i++) {
       Endpoint real = new Endpoint("127.0.0.1", port + FRONT + i);
-      cluster.services.put(
+      cluster.network.services.put(
           new Endpoint("n" + i, 1),
           (from, method, path, body, reply) ->
               callers
@@ -107,7 +108,7 @@
     return Integer.parseInt(id.substring(2));
   }
 
-  private Server listen(Endpoint at, SimulatedCluster.Service service) {
+  private Server listen(Endpoint at, SimulatedNetwork.Service service) {
     Server server =
         new Server(
             worker,
@@ -132,14 +133,14 @@
     for (submitted += jobsPerS * TURN_MICROS / 1e6; submitted >= 1; submitted--) {
       users.submit(20, 2, 20, false);
     }
-    for (Endpoint endpoint : List.copyOf(cluster.services.keySet())) {
+    for (Endpoint endpoint : List.copyOf(cluster.network.services.keySet())) {
       if (endpoint.port() == port + WORKERS && !listeners.containsKey(endpoint)) {
         listeners.put(
             endpoint,
             listen(
                 endpoint,
                 (from, method, path, body, reply) -> {
-                  SimulatedCluster.Service service = cluster.services.get(endpoint);
+                  SimulatedNetwork.Service service = cluster.network.services.get(endpoint);
                   if (service != null) {
                     service.handle(from, method, path, body, reply);
                   }
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -204,7 +204,7 @@
     JobSpec last = idle(1, 5, root);
     submit(root, last);
     cluster.play(10);
-    SimulatedCluster.SimulatedController leader = cluster.leader();
+    SimulatedController leader = cluster.leader();
     String other =
         cluster.controllers.keySet().stream()
             .filter(n -> !n.equals(leader.platform.label()))
@@ -217,8 +217,7 @@
     assertTrue(
         ask(other, "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
     assertTrue(
-        cluster.controllers.values().stream()
-            .noneMatch(SimulatedCluster.SimulatedController::leads),
+        cluster.controllers.values().stream().noneMatch(SimulatedController::leads),
         "nobody leads yet");
     cluster.play(60);
     assertEquals(List.of(), cluster.invariants.broken);
@@ -502,9 +501,9 @@
                   3 + cluster.random.nextInt(20),
                   cluster.random.nextInt(5) == 0));
     }
-    cluster.loseAnswer = 0.01;
-    cluster.repeat = 0.02;
-    cluster.copyHeartbeats = 0.02;
+    cluster.network.lostAnswerShare = 0.01;
+    cluster.network.repeatedShare = 0.02;
+    cluster.network.copiedHeartbeatShare = 0.02;
     cluster.store.lateWrites = 0.02;
     cluster.store.unansweredWrites = 0.02;
     for (int i = 0; i < 12; i++) {
@@ -562,7 +561,7 @@
                     ask(n, "GET", "/submissions/" + last.uid(), null).body().contains("pending")));
     cluster.store.untold = "ended/";
     List<Integer> status = new ArrayList<>();
-    SimulatedCluster.SimulatedController leader = cluster.leader();
+    SimulatedController leader = cluster.leader();
     leader.stall(60);
     List<String> others =
         cluster.controllers.keySet().stream()
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -144,7 +144,7 @@
         () -> {
           boolean given =
               cluster.cell(from).stream()
-                  .filter(SimulatedCluster.SimulatedController::leads)
+                  .filter(SimulatedController::leads)
                   .anyMatch(leader -> leader.controller().leader().transfer(machine, to));
           if (!given) {
             cluster.at(200_000, () -> giveSoon(from, machine, to));
@@ -165,7 +165,7 @@
 
   /** All jobs but those cancelled are done, nothing broke, and no transfer is left open. */
   void endsWell(double seconds) {
-    cluster.cuts.clear();
+    cluster.network.cuts.clear();
     cluster.store.refused.clear();
     cluster.store.unwatched.clear();
     cluster.calmSince = cluster.now();
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -49,14 +49,14 @@
     void play() {
       cluster.at(0, this::submitNext);
       cluster.play(40);
-      cluster.holdCommands = 0.02;
-      cluster.holdCommandsMicros = InvariantChecker.CANCEL_MICROS * 3 / 2;
-      cluster.copyHeartbeats = 0.01;
+      cluster.network.heldCommandShare = 0.02;
+      cluster.network.heldCommandMicros = InvariantChecker.CANCEL_MICROS * 3 / 2;
+      cluster.network.copiedHeartbeatShare = 0.01;
       cluster.at(0, this::troubleNext);
       cluster.play(TROUBLED_S);
       troubled = false;
-      cluster.cuts.clear();
-      cluster.holdCommands = 0;
+      cluster.network.cuts.clear();
+      cluster.network.heldCommandShare = 0;
       cluster.store.refused.clear();
       cluster.store.endOutage();
       cluster.cloud.machines.values().stream()
@@ -122,9 +122,8 @@
       cluster.at(lastsMicros / 2 + cluster.random.nextLong(30_000_000L), this::troubleNext);
     }
 
-    private SimulatedCluster.SimulatedController anyController() {
-      List<SimulatedCluster.SimulatedController> all =
-          new ArrayList<>(cluster.controllers.values());
+    private SimulatedController anyController() {
+      List<SimulatedController> all = new ArrayList<>(cluster.controllers.values());
       return all.get(cluster.random.nextInt(all.size()));
     }
 
@@ -137,8 +136,8 @@
 
     /** Cuts the pair, and joins it again after that time. */
     private void hold(String one, String other, long lastsMicros) {
-      cluster.cut(one, other, true);
-      cluster.at(lastsMicros, () -> cluster.cut(one, other, false));
+      cluster.network.cut(one, other, true);
+      cluster.at(lastsMicros, () -> cluster.network.cut(one, other, false));
     }
 
     /** A controller and the machines of one zone on one side, all others on the other. */
@@ -157,7 +156,7 @@
 
     private void leaderWithoutZone(long lastsMicros) {
       cluster.controllers.values().stream()
-          .filter(SimulatedCluster.SimulatedController::leads)
+          .filter(SimulatedController::leads)
           .forEach(
               leader ->
                   machinesIn("a")
@@ -186,7 +185,7 @@
 
     private void refuseLeader(long lastsMicros) {
       cluster.controllers.values().stream()
-          .filter(SimulatedCluster.SimulatedController::leads)
+          .filter(SimulatedController::leads)
           .forEach(
               leader -> {
                 cluster.store.refused.add(leader.platform.label());
@@ -222,7 +221,7 @@
         brokenBySeed.put(seed, day.cluster.invariants.broken.subList(0, 1));
       }
       renewed += day.counted("leases_renewed_for_leader");
-      voided += day.cluster.delegations.voided;
+      voided += day.cluster.network.delegations.voided;
       cancelled += day.cluster.invariants.cancelledAt.size();
       startsAfterCancel += day.cluster.invariants.startsAfterCancel;
     }
--- a/src/test/java/plumlever/sim/SharingDaysTest.java
+++ b/src/test/java/plumlever/sim/SharingDaysTest.java
@@ -56,7 +56,7 @@
           }
         });
     cluster.cell(from).stream()
-        .filter(SimulatedCluster.SimulatedController::leads)
+        .filter(SimulatedController::leads)
         .findFirst()
         .ifPresent(
             leader -> {
@@ -74,10 +74,10 @@
     SimulatedCluster cluster = pool(seed);
     FakeUsers users = new FakeUsers(cluster);
     SimulationTest.submitOverTime(cluster, users, JOBS, 5);
-    cluster.loseAnswer = 0.01;
-    cluster.executeLate = 0.005;
-    cluster.repeat = 0.02;
-    cluster.copyHeartbeats = 0.02;
+    cluster.network.lostAnswerShare = 0.01;
+    cluster.network.executedLateShare = 0.005;
+    cluster.network.repeatedShare = 0.02;
+    cluster.network.copiedHeartbeatShare = 0.02;
     for (int i = 0; i < 16; i++) {
       cluster.at(
           20_000_000L + cluster.random.nextLong(240_000_000L),
--- a/src/test/java/plumlever/sim/SharingHardCasesTest.java
+++ b/src/test/java/plumlever/sim/SharingHardCasesTest.java
@@ -167,15 +167,15 @@
   }
 
   private void cut(String cell, Link link, boolean on) {
-    for (SimulatedCluster.SimulatedController controller : cluster.cell(cell)) {
+    for (SimulatedController controller : cluster.cell(cell)) {
       String label = controller.platform.label();
       switch (link) {
-        case STATE_SERVICE -> cluster.cut(label, "state", on);
-        case MACHINE -> cluster.cut(label, machine, on);
+        case STATE_SERVICE -> cluster.network.cut(label, "state", on);
+        case MACHINE -> cluster.network.cut(label, machine, on);
         case PEERS ->
             cluster.controllers.keySet().stream()
                 .filter(other -> !other.equals(label))
-                .forEach(other -> cluster.cut(label, other, on));
+                .forEach(other -> cluster.network.cut(label, other, on));
       }
     }
   }
@@ -201,7 +201,7 @@
     for (int seed = 70; seed < 74; seed++) {
       pool = new PoolScenario(seed, 0, 9);
       cluster = pool.cluster;
-      cluster.copyCommands = 1;
+      cluster.network.copiedCommandShare = 1;
       pool.submit("n0", 10, 12);
       pool.submit("n0", 10, 12);
       cluster.play(9);
@@ -218,13 +218,13 @@
   @Test
   void oldHeartbeatsReachTheFormerOwner() {
     tasksRun(75, 25);
-    cluster.copyHeartbeats = 1;
+    cluster.network.copiedHeartbeatShare = 1;
     pool.give(GIVER, machine, TAKER);
     cluster.play(60);
     pool.submit("n0", 20, 10);
     pool.submit("n2", 20, 10);
     cluster.play(30);
-    cluster.copyHeartbeats = 0;
+    cluster.network.copiedHeartbeatShare = 0;
     pool.endsWell(200);
     pool.nothingWasStartedAnew();
   }
@@ -282,7 +282,7 @@
     cluster.store.unwatched.add(owner);
     cluster
         .cell(GIVER)
-        .forEach(controller -> cluster.cut(controller.platform.label(), owner, true));
+        .forEach(controller -> cluster.network.cut(controller.platform.label(), owner, true));
     // Watches that are open already come to their end first.
     cluster.play(11);
     List<Integer> told = new ArrayList<>();
@@ -300,7 +300,11 @@
         .controllers
         .keySet()
         .forEach(
-            one -> cluster.controllers.keySet().forEach(other -> cluster.cut(one, other, false)));
+            one ->
+                cluster
+                    .controllers
+                    .keySet()
+                    .forEach(other -> cluster.network.cut(one, other, false)));
     pool.endsWell(150);
   }
 
@@ -317,12 +321,12 @@
   @Test
   void aGiverThatHearsNothingOfThePoolStopsAnsweringTheMachine() {
     tasksRun(80, 60);
-    SimulatedCluster.SimulatedController giver = cluster.leader(GIVER);
+    SimulatedController giver = cluster.leader(GIVER);
     // The watch that is open is answered with the offer; the next one never is.
     cluster.store.unwatched.add(giver.platform.label());
     cluster
         .cell(TAKER)
-        .forEach(controller -> cluster.cut(controller.platform.label(), machine, true));
+        .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, true));
     pool.give(GIVER, machine, TAKER);
     cluster.play(12);
     moved();
@@ -339,7 +343,7 @@
     assertEquals(503, status[0], "the machine may have another owner by now");
     cluster
         .cell(TAKER)
-        .forEach(controller -> cluster.cut(controller.platform.label(), machine, false));
+        .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, false));
     pool.endsWell(250);
   }
 
@@ -350,13 +354,13 @@
     // The others have to be started with the shorter time.
     cluster.cell(TAKER).forEach(controller -> controller.crash(0.5));
     cluster.cell(THIRD).forEach(controller -> controller.crash(0.5));
-    List<SimulatedCluster.SimulatedController> gone = cluster.cell(GIVER);
-    gone.forEach(SimulatedCluster.SimulatedController::kill);
+    List<SimulatedController> gone = cluster.cell(GIVER);
+    gone.forEach(SimulatedController::kill);
     cluster.play(130);
     assertFalse(pool.ownerOf(machine).equals(GIVER), "it was adopted");
     pool.submit("n2", 30, 10);
     cluster.play(40);
-    gone.forEach(SimulatedCluster.SimulatedController::start);
+    gone.forEach(SimulatedController::start);
     pool.endsWell(300);
   }
 
@@ -380,13 +384,11 @@
     pool.give(GIVER, machine, TAKER);
     cluster.play(3);
     moved();
-    List<SimulatedCluster.SimulatedController> without = cluster.cell(TAKER);
+    List<SimulatedController> without = cluster.cell(TAKER);
     cluster.digests.put(TAKER, "none");
     without.forEach(controller -> controller.crash(0.5));
     cluster.play(20);
-    assertTrue(
-        without.stream().noneMatch(SimulatedCluster.SimulatedController::leads),
-        "nobody leads there");
+    assertTrue(without.stream().noneMatch(SimulatedController::leads), "nobody leads there");
     int[] status = new int[1];
     without
         .get(0)
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -1,6 +1,5 @@
 package plumlever.sim;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -8,130 +7,71 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
-import plumlever.Controller;
-import plumlever.concurrent.Loop;
+import java.util.function.Function;
 import plumlever.election.DelegatedRenewal;
 import plumlever.fleet.Fleet;
-import plumlever.http.Caller;
-import plumlever.http.Responder;
-import plumlever.metrics.Logs;
 import plumlever.settings.Endpoint;
-import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
-import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
-import plumlever.wire.ProtocolPath;
 
 /**
  * A simulated deployment: the service's controllers as they are, with emulators for all that is
  * round them, on one clock.
  */
 public final class SimulatedCluster {
-  /** Answers a request, now or later. */
-  public interface Reply {
-    void send(int status, String body);
+  private static final PlatformConfiguration.StateLimits STATE_LIMITS =
+      new PlatformConfiguration.StateLimits(200, 25, 4096, 8);
 
-    /** The connection ends with the answer. */
-    default void sendClosing(int status, String body) {
-      send(status, body);
-    }
-  }
-
-  /** A emulator that takes requests. */
-  public interface Service {
-    void handle(String from, String method, String path, String body, Reply reply);
-  }
-
-  private record Event(long at, long seq, Runnable action) {}
+  private static final long HEARTBEAT_MICROS = 3_000_000;
+  private static final int CLOUD_REQUESTS_PER_S = 6;
+  private static final int SOCKET_LIMIT = 1000;
 
-  static final long LATENCY_MICROS = 3_000;
-  static final Endpoint STATE = new Endpoint("state", 1);
-  static final Endpoint CLOUD = new Endpoint("cloud", 1);
+  /** Checks that look at every job are made after every so many events. */
+  private static final int EVENTS_BETWEEN_JOB_CHECKS = 64;
 
   final SplittableRandom random;
   final InvariantChecker invariants;
-  final DelegationChecker delegations = new DelegationChecker(this);
   final FakeStore store;
   final FakeCloud cloud;
+  final SimulatedNetwork network;
   final Map<String, SimulatedController> controllers = new LinkedHashMap<>();
-  final Map<Endpoint, Service> services = new HashMap<>();
-
-  /** Pairs {@code from>to} whose messages are held. */
-  final Map<String, Boolean> cuts = new HashMap<>();
-
-  /** Shares of calls that lose their answer, are executed late, or are executed once more later. */
-  double loseAnswer;
-
-  double executeLate;
-  double repeat;
-
-  /** Share of direct commands that come once more, late. */
-  double copyCommands;
-
-  /** Extra time that direct commands are under way. */
-  long slowCommandsMicros;
-
-  /** Share of direct commands that are held back, for up to the time below. */
-  double holdCommands;
 
-  long holdCommandsMicros;
-
-  /** Share of direct commands whose answer is lost. */
-  double loseCommandAnswers;
-
-  /** Share of heartbeats of which a copy comes late, at any controller. */
-  double copyHeartbeats;
-
-  /**
-   * Share of heartbeats of which a copy is kept, and comes to every controller when a new leader
-   * begins.
-   */
-  double copyHeartbeatsForNext;
-
-  private final List<String> keptHeartbeats = new ArrayList<>();
-
-  /** How many copies a new leader was sent. */
-  int copiesAtNext;
-
-  /** Machines whose heartbeats reach no controller, while direct commands reach them. */
-  final java.util.Set<String> mute = new java.util.HashSet<>();
-
-  /** Longest time a copy of a heartbeat comes late: well over a lease. */
-  static final long COPY_MICROS = 3 * FakeWorker.LEASE_MICROS;
-
-  /**
-   * The most sockets that any controller had in use: workers that heartbeat to it, and its direct
-   * calls under way.
-   */
+  /** The most sockets that any controller had in use: its workers' and its direct calls. */
   int mostSockets;
 
   /** What work costs the controllers' processors; null where it costs nothing. */
   Processor.Costs costs;
 
   /** Where a machine's worker takes direct calls. */
-  java.util.function.Function<String, Endpoint> workerAt = id -> new Endpoint(id, 9);
+  Function<String, Endpoint> workerAt = id -> new Endpoint(id, 9);
 
   /**
    * Troubles are over since then; no question about a job may go unanswered for too long after it.
    */
   long calmSince = Long.MAX_VALUE;
 
-  private final PriorityQueue<Event> events =
-      new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.seq, b.seq));
-  private long seq;
-  private long now = 1_000_000_000L;
+  /** Cells whose controllers have another sharing file, or none, when they are started next. */
+  final Map<String, String> digests = new HashMap<>();
+
+  /** Transfers that one cell may have under way. */
+  int mostMoving = 8;
+
+  /** After how long a cell without a leader loses its machines. */
+  long adoptAfterMicros = 600_000_000;
+
+  /** The cells of a pool; empty where there is one cell. */
+  private final List<SharingSettings.Cell> cells;
+
+  private final EventQueue events = new EventQueue();
 
   public SimulatedCluster(
-      long seed, int nodes, List<PlatformConfiguration.Team> teams, boolean money) {
-    this(seed, nodes, teams, money, InvariantChecker.CANCEL_MICROS);
+      long seed, int controllerCount, List<PlatformConfiguration.Team> teams, boolean money) {
+    this(seed, controllerCount, teams, money, InvariantChecker.CANCEL_MICROS);
   }
 
   /**
@@ -140,17 +80,11 @@
    */
   SimulatedCluster(
       long seed,
-      int nodes,
+      int controllerCount,
       List<PlatformConfiguration.Team> teams,
       boolean money,
       long cancelMicros) {
-    this(
-        seed,
-        nodes,
-        teams,
-        money,
-        cancelMicros,
-        new PlatformConfiguration.StateLimits(200, 25, 4096, 8));
+    this(seed, controllerCount, teams, money, cancelMicros, STATE_LIMITS);
   }
 
   /**
@@ -158,12 +92,12 @@
    */
   SimulatedCluster(
       long seed,
-      int nodes,
+      int controllerCount,
       List<PlatformConfiguration.Team> teams,
       boolean money,
       long cancelMicros,
       PlatformConfiguration.StateLimits limits) {
-    this(seed, nodes, teams, money, cancelMicros, limits, List.of());
+    this(seed, controllerCount, teams, money, cancelMicros, limits, List.of());
   }
 
   /**
@@ -171,126 +105,150 @@
    */
   SimulatedCluster(
       long seed,
-      int nodes,
+      int controllerCount,
       List<PlatformConfiguration.Team> teams,
       boolean money,
       long cancelMicros,
       PlatformConfiguration.StateLimits limits,
       List<SharingSettings.Cell> cells) {
+    this(seed, teams, cells);
+    for (int index = 0; index < controllerCount; index++) {
+      PlatformConfiguration platform =
+          platform(index, controllerCount, teams, money, cancelMicros, limits);
+      controllers.put(platform.label(), new SimulatedController(this, platform));
+    }
+  }
+
+  /**
+   * What is round controllers that run elsewhere, as processes of their own: whoever builds it
+   * turns its clock.
+   */
+  SimulatedCluster(
+      long seed, List<PlatformConfiguration.Team> teams, Set<String> controllersElsewhere) {
+    this(seed, teams, List.of());
+    controllersElsewhere.forEach(name -> controllers.put(name, null));
+  }
+
+  private SimulatedCluster(
+      long seed, List<PlatformConfiguration.Team> teams, List<SharingSettings.Cell> cells) {
     this.cells = cells;
     random = new SplittableRandom(seed);
     invariants = new InvariantChecker(this, teams);
     store = new FakeStore(this);
     cloud = new FakeCloud(this);
-    services.put(STATE, store);
-    services.put(CLOUD, cloud);
-    for (int i = 0; i < nodes; i++) {
-      List<PlatformConfiguration.Seed> seeds = new ArrayList<>();
-      for (int j = 0; j < nodes; j++) {
-        if (j != i) {
-          seeds.add(new PlatformConfiguration.Seed("n" + j, "z" + j, new Endpoint("n" + j, 2)));
-        }
+    network =
+        new SimulatedNetwork(
+            events, random, controllers.keySet(), new DelegationChecker(this), cells.isEmpty());
+    network.services.put(SimulatedNetwork.STATE, store);
+    network.services.put(SimulatedNetwork.CLOUD, cloud);
+  }
+
+  private static PlatformConfiguration platform(
+      int index,
+      int controllerCount,
+      List<PlatformConfiguration.Team> teams,
+      boolean money,
+      long cancelMicros,
+      PlatformConfiguration.StateLimits limits) {
+    List<PlatformConfiguration.Seed> peers = new ArrayList<>();
+    for (int peer = 0; peer < controllerCount; peer++) {
+      if (peer != index) {
+        peers.add(
+            new PlatformConfiguration.Seed("n" + peer, "z" + peer, new Endpoint("n" + peer, 2)));
       }
-      List<PlatformConfiguration.Objective> aims =
-          money
-              ? List.of(new PlatformConfiguration.Objective("price", null, 0, 1, 1))
-              : List.of(new PlatformConfiguration.Objective("wait", "c0", 5, 1, 0.9));
-      PlatformConfiguration platform =
-          new PlatformConfiguration(
-              "n" + i,
-              "z" + i,
-              new Endpoint("n" + i, 1),
-              new Endpoint("n" + i, 2),
-              seeds,
-              CLOUD,
-              STATE,
-              teams,
-              aims,
-              new PlatformConfiguration.Workers(3_000_000, FakeWorker.LEASE_MICROS, cancelMicros),
-              limits,
-              new PlatformConfiguration.CloudLimits(6, FakeCloud.LAG_MICROS),
-              1000);
-      controllers.put(platform.label(), new SimulatedController(platform));
     }
+    List<PlatformConfiguration.Objective> objectives =
+        money
+            ? List.of(new PlatformConfiguration.Objective("price", null, 0, 1, 1))
+            : List.of(new PlatformConfiguration.Objective("wait", "c0", 5, 1, 0.9));
+    return new PlatformConfiguration(
+        "n" + index,
+        "z" + index,
+        new Endpoint("n" + index, 1),
+        new Endpoint("n" + index, 2),
+        peers,
+        SimulatedNetwork.CLOUD,
+        SimulatedNetwork.STATE,
+        teams,
+        objectives,
+        new PlatformConfiguration.Workers(HEARTBEAT_MICROS, FakeWorker.LEASE_MICROS, cancelMicros),
+        limits,
+        new PlatformConfiguration.CloudLimits(CLOUD_REQUESTS_PER_S, FakeCloud.LAG_MICROS),
+        SOCKET_LIMIT);
   }
 
   long now() {
-    return now;
+    return events.nowMicros();
   }
 
-  void at(long delay, Runnable action) {
-    events.add(new Event(now + Math.max(0, delay), seq++, action));
+  void at(long delayMicros, Runnable action) {
+    events.at(delayMicros, action);
   }
 
   /** Plays on for this long, checking the rules after every step. */
   public void play(double seconds) {
-    long end = now + (long) (seconds * 1e6);
-    while (!events.isEmpty() && events.peek().at <= end) {
-      Event event = events.poll();
-      now = event.at;
-      event.action.run();
-      invariants.check();
-      if (event.seq % 64 == 0) {
-        invariants.checkForgotten();
-        invariants.checkWaiting();
-      }
-      checkOneLeader();
-    }
-    now = end;
-  }
-
-  /**
-   * A world round controllers that run elsewhere, as processes of their own: whoever builds it
-   * turns its clock.
-   */
-  SimulatedCluster(long seed, List<PlatformConfiguration.Team> teams, List<String> nodes) {
-    cells = List.of();
-    random = new SplittableRandom(seed);
-    invariants = new InvariantChecker(this, teams);
-    store = new FakeStore(this);
-    cloud = new FakeCloud(this);
-    nodes.forEach(n -> controllers.put(n, null));
+    events.runUntil(now() + (long) (seconds * 1e6), this::checkAfter);
   }
 
   /** Plays all that is due by then, without the checks of every step. */
   void turnTo(long micros) {
-    while (!events.isEmpty() && events.peek().at <= micros) {
-      Event event = events.poll();
-      now = Math.max(now, event.at);
-      event.action.run();
+    events.runUntil(micros, number -> {});
+  }
+
+  private void checkAfter(long eventNumber) {
+    invariants.check();
+    if (eventNumber % EVENTS_BETWEEN_JOB_CHECKS == 0) {
+      invariants.checkForgotten();
+      invariants.checkWaiting();
     }
-    now = Math.max(now, micros);
+    checkOneLeader();
   }
 
   /** Not a rule of the protocol, but what the proof of the others starts from. */
   private void checkOneLeader() {
     Set<String> acting = new HashSet<>();
     for (SimulatedController controller : controllers.values()) {
-      if (controller.controller != null
-          && controller.controller.mayAct()
+      if (controller.controller() != null
+          && controller.controller().mayAct()
           && !acting.add(cellOf(controller))) {
-        invariants.broken.add("two leaders act at " + now / 1e6);
+        invariants.broken.add("two leaders act at " + now() / 1e6);
       }
     }
   }
 
-  private String cellOf(SimulatedController controller) {
-    return sharing(controller.platform.label()).map(pool -> pool.own().name()).orElse("");
+  /**
+   * Nor is this a rule of the protocol: a lease is renewed only in the name of the latest leader,
+   * but for what a delegate has read a moment ago.
+   */
+  void checkRenewal(String answer, boolean asLeader) {
+    try {
+      long term = Fleet.termOf(Json.parseObject(answer).path(ProtocolField.FENCING_TOKEN).asLong());
+      if (term < store.term()
+          && (asLeader || now() - store.termSince > DelegatedRenewal.VALID_MICROS)) {
+        invariants.broken.add(
+            "a lease was renewed in term "
+                + term
+                + " at "
+                + now() / 1e6
+                + ", after term "
+                + store.term()
+                + " began");
+      }
+    } catch (InvalidMessageException e) {
+      throw new AssertionError("a controller's answer can't be read: " + answer, e);
+    }
   }
 
-  /** The cells of a pool by the indexes of their controllers; empty where there is one cell. */
-  private final List<SharingSettings.Cell> cells;
-
-  /** Cells whose controllers have another sharing file, or none, when they are started next. */
-  final Map<String, String> digests = new HashMap<>();
-
-  /** Transfers that one cell may have under way. */
-  int mostMoving = 8;
+  void noteSockets(int inUse) {
+    mostSockets = Math.max(mostSockets, inUse);
+  }
 
-  /** After how long a cell without a leader loses its machines. */
-  long adoptAfterMicros = 600_000_000;
+  boolean hasOneCell() {
+    return cells.isEmpty();
+  }
 
-  private Optional<SharingSettings> sharing(String label) {
+  /** What the sharing file of the controller says, if it has one. */
+  Optional<SharingSettings> sharing(String label) {
     return cells.stream()
         .filter(cell -> cell.controllers().contains(label))
         .findFirst()
@@ -306,6 +264,10 @@
                     digests.getOrDefault(own.name(), "same")));
   }
 
+  private String cellOf(SimulatedController controller) {
+    return sharing(controller.platform.label()).map(pool -> pool.own().name()).orElse("");
+  }
+
   /** The controllers of a cell. */
   List<SimulatedController> cell(String name) {
     return controllers.values().stream()
@@ -318,412 +280,10 @@
     return cell(cell).stream().filter(SimulatedController::leads).findFirst().orElseThrow();
   }
 
-  /**
-   * Nor is this a rule of the protocol: a lease is renewed only in the name of the latest leader,
-   * but for what a delegate has read a moment ago.
-   */
-  private void checkInLeadership(String answer, boolean asLeader) {
-    try {
-      long term = Fleet.termOf(Json.parseObject(answer).path(ProtocolField.FENCING_TOKEN).asLong());
-      if (term < store.term()
-          && (asLeader || now - store.termSince > DelegatedRenewal.VALID_MICROS)) {
-        invariants.broken.add(
-            "a lease was renewed in term "
-                + term
-                + " at "
-                + now / 1e6
-                + ", after term "
-                + store.term()
-                + " began");
-      }
-    } catch (InvalidMessageException e) {
-      throw new AssertionError("a node's answer can't be read: " + answer, e);
-    }
-  }
-
-  /** A term has begun. */
-  void newTerm() {
-    List<String> copies = new ArrayList<>(keptHeartbeats);
-    keptHeartbeats.clear();
-    for (String body : copies) {
-      for (String controller : controllers.keySet()) {
-        copiesAtNext++;
-        deliver(
-            "copy",
-            new Endpoint(controller, 1),
-            "POST",
-            ProtocolPath.HEARTBEAT,
-            body,
-            (st, t) -> {},
-            random.nextLong(1_500_000L));
-      }
-    }
-  }
-
   SimulatedController leader() {
     return controllers.values().stream()
         .filter(SimulatedController::leads)
         .findFirst()
         .orElseThrow();
   }
-
-  void cut(String text, String other, boolean on) {
-    cuts.put(text + ">" + other, on);
-    cuts.put(other + ">" + text, on);
-  }
-
-  private boolean isCut(String from, String to) {
-    return cuts.getOrDefault(from + ">" + to, false)
-        || cuts.getOrDefault(from + ">*", false)
-        || cuts.getOrDefault("*>" + to, false);
-  }
-
-  /** A request over the network; a cut holds it and delivers it, late, when the cut ends. */
-  void send(
-      String from,
-      Endpoint to,
-      String method,
-      String path,
-      String body,
-      long timeout,
-      Consumer<Object[]> answer) {
-    boolean[] answered = new boolean[1];
-    at(
-        timeout,
-        () -> {
-          if (!answered[0]) {
-            answered[0] = true;
-            answer.accept(new Object[] {0, ""});
-          }
-        });
-    if (path.equals("/orders") && cells.isEmpty()) {
-      delegations.sent(to.host(), body);
-    }
-    boolean lose =
-        random.nextDouble() < loseAnswer
-            || (path.equals("/orders") && random.nextDouble() < loseCommandAnswers);
-    long delay =
-        LATENCY_MICROS + random.nextInt(2_000) + (path.equals("/orders") ? slowCommandsMicros : 0);
-    if (path.equals("/orders") && holdCommands > 0 && random.nextDouble() < holdCommands) {
-      delay += random.nextLong(holdCommandsMicros);
-    }
-    if (random.nextDouble() < executeLate) {
-      delay += 1_000_000L + random.nextLong(60_000_000L);
-    }
-    Reply reply =
-        new Reply() {
-          @Override
-          public void send(int status, String text) {
-            back(status, text, false);
-          }
-
-          @Override
-          public void sendClosing(int status, String text) {
-            back(status, text, true);
-          }
-
-          private void back(int status, String text, boolean closing) {
-            at(
-                LATENCY_MICROS,
-                () -> {
-                  if (!answered[0] && !lose && !isCut(to.host(), from)) {
-                    answered[0] = true;
-                    answer.accept(new Object[] {status, text, closing});
-                  }
-                });
-          }
-        };
-    if (path.equals("/orders") && random.nextDouble() < copyCommands) {
-      deliver(
-          from, to, method, path, body, (st, t) -> {}, 4_000_000L + random.nextLong(16_000_000L));
-      deliver(from, to, method, path, body, (st, t) -> {}, 500_000L + random.nextLong(COPY_MICROS));
-    }
-    if (path.equals(ProtocolPath.HEARTBEAT) && mute.contains(from)) {
-      return;
-    }
-    if (path.equals(ProtocolPath.HEARTBEAT) && random.nextDouble() < copyHeartbeatsForNext) {
-      keptHeartbeats.add(body);
-    }
-    if (path.equals(ProtocolPath.HEARTBEAT) && random.nextDouble() < copyHeartbeats) {
-      Endpoint any = new Endpoint("n" + random.nextInt(controllers.size()), 1);
-      deliver(
-          from,
-          random.nextBoolean() ? to : any,
-          method,
-          path,
-          body,
-          (st, t) -> {},
-          1_000_000L + random.nextLong(COPY_MICROS));
-    }
-    deliver(from, to, method, path, body, reply, delay);
-    if (random.nextDouble() < repeat) {
-      deliver(
-          from,
-          to,
-          method,
-          path,
-          body,
-          (s, t) -> {},
-          delay + 500_000L + random.nextLong(20_000_000L));
-    }
-  }
-
-  private void deliver(
-      String from, Endpoint to, String method, String path, String body, Reply reply, long delay) {
-    at(
-        delay,
-        () -> {
-          if (isCut(from, to.host())) {
-            deliver(from, to, method, path, body, reply, 500_000);
-            return;
-          }
-          Service service = services.get(to);
-          if (service != null) {
-            service.handle(from, method, path, body, reply);
-          }
-        });
-  }
-
-  /** One controller, which can be killed and started again. */
-  final class SimulatedController {
-    final PlatformConfiguration platform;
-    private Controller controller;
-    private int life;
-    private long frozenUntil;
-    private long stalledUntil;
-    private int calls;
-
-    /** The thread that decides, and leadership's. */
-    private Processor decisions;
-
-    private Processor leadership;
-
-    /** False: leadership has no thread of its own, as if nothing had been learnt. */
-    boolean electionApart = true;
-
-    SimulatedController(PlatformConfiguration platform) {
-      this.platform = platform;
-      start();
-    }
-
-    Controller controller() {
-      return controller;
-    }
-
-    boolean leads() {
-      return controller != null && controller.leader() != null;
-    }
-
-    void start() {
-      int mine = ++life;
-      // The leadership's thread gets on whatever the other has to do, but on the same processor, so
-      // at half the speed.
-      decisions =
-          new Processor(
-              SimulatedCluster.this,
-              costs,
-              1,
-              () -> controller == null ? 0 : controller.metrics().counted("candidates_evaluated"));
-      leadership =
-          electionApart ? new Processor(SimulatedCluster.this, costs, 2, () -> 0L) : decisions;
-      Loop loop = loop(mine, decisions);
-      Loop electionLoop = loop(mine, leadership);
-      controller =
-          new Controller(
-              loop,
-              caller(mine, decisions),
-              electionLoop,
-              caller(mine, leadership),
-              platform,
-              new OperatorSettings(SchedulerParameters.defaults(), sharing(platform.label())),
-              random.nextLong(),
-              Logs.SERVICE);
-      Controller current = controller;
-      services.put(
-          platform.bind(),
-          (from, method, path, body, reply) ->
-              awake(
-                  mine,
-                  decisions,
-                  path.equals(ProtocolPath.HEARTBEAT)
-                      ? Processor.Work.HEARTBEAT
-                      : Processor.Work.REQUEST,
-                  () ->
-                      current
-                          .router()
-                          .handle(
-                              method,
-                              path,
-                              bytes(body),
-                              new Responder() {
-                                private boolean closing;
-
-                                @Override
-                                public void closing() {
-                                  closing = true;
-                                }
-
-                                @Override
-                                public void send(int status, String json, int retry) {
-                                  if (status == 200
-                                      && path.equals(ProtocolPath.HEARTBEAT)
-                                      && cells.isEmpty()) {
-                                    checkInLeadership(json, current.leader() != null);
-                                  }
-                                  if (life == mine && closing) {
-                                    reply.sendClosing(status, json);
-                                  } else if (life == mine) {
-                                    reply.send(status, json);
-                                  }
-                                }
-                              })));
-      services.put(
-          platform.back(),
-          (from, method, path, body, reply) -> {
-            awake(
-                mine,
-                decisions,
-                Processor.Work.ANSWER,
-                () ->
-                    current.peer(
-                        method,
-                        path,
-                        bytes(body),
-                        (status, json, retry) -> reply.send(status, json)));
-          });
-      at(
-          0,
-          () -> {
-            if (life == mine) {
-              current.start();
-            }
-          });
-    }
-
-    private Loop loop(int mine, Processor thread) {
-      return new Loop() {
-        @Override
-        public long nowMicros() {
-          return now;
-        }
-
-        @Override
-        public long wallMicros() {
-          return 1_700_000_000_000_000L + now;
-        }
-
-        @Override
-        public Timer after(long delay, Runnable action) {
-          boolean[] off = new boolean[1];
-          at(
-              delay,
-              () ->
-                  awake(
-                      mine,
-                      thread,
-                      Processor.Work.TIMER,
-                      () -> {
-                        if (!off[0]) {
-                          action.run();
-                        }
-                      }));
-          return () -> off[0] = true;
-        }
-
-        @Override
-        public void execute(Runnable action) {
-          after(0, action);
-        }
-      };
-    }
-
-    private Caller caller(int mine, Processor thread) {
-      return (to, method, path, body, timeout, answer) -> {
-        boolean direct = path.equals("/orders");
-        if (direct) {
-          calls++;
-          mostSockets = Math.max(mostSockets, calls + cloud.reportingTo(platform.label()));
-        }
-        send(
-            platform.label(),
-            to,
-            method,
-            path,
-            body == null ? null : new String(body, StandardCharsets.ISO_8859_1),
-            timeout,
-            a ->
-                awake(
-                    mine,
-                    thread,
-                    Processor.Work.ANSWER,
-                    () -> {
-                      calls -= direct ? 1 : 0;
-                      answer.take(
-                          (Integer) a[0], ((String) a[1]).getBytes(StandardCharsets.ISO_8859_1));
-                    }));
-      };
-    }
-
-    /**
-     * Runs it in this life, in its turn; a process that stands still gets to what has arrived when
-     * it wakes.
-     */
-    private void awake(int ofLife, Processor thread, Processor.Work work, Runnable action) {
-      if (life != ofLife) {
-        return;
-      }
-      long held = thread == decisions ? Math.max(frozenUntil, stalledUntil) : frozenUntil;
-      if (now < held) {
-        at(held - now, () -> awake(ofLife, thread, work, action));
-      } else {
-        thread.take(
-            work,
-            () -> {
-              if (life == ofLife) {
-                action.run();
-              }
-            });
-      }
-    }
-
-    /** What the thread that decides does takes this many times as long. */
-    void slowDown(double times) {
-      decisions.slower(times);
-    }
-
-    /** The thread that decides stands still; leadership's goes on. */
-    void stall(double seconds) {
-      stalledUntil = now + (long) (seconds * 1e6);
-    }
-
-    /** It stands still while its clocks run on. */
-    void freeze(double seconds) {
-      frozenUntil = now + (long) (seconds * 1e6);
-    }
-
-    void kill() {
-      life++;
-      frozenUntil = 0;
-      stalledUntil = 0;
-      calls = 0;
-      controller = null;
-      services.remove(platform.bind());
-      services.remove(platform.back());
-    }
-
-    void crash(double backAfterS) {
-      kill();
-      at(
-          (long) (backAfterS * 1e6),
-          () -> {
-            if (controller == null) {
-              start();
-            }
-          });
-    }
-  }
-
-  private static byte[] bytes(String text) {
-    return text == null ? new byte[0] : text.getBytes(StandardCharsets.ISO_8859_1);
-  }
 }
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -86,10 +86,10 @@
     SimulatedCluster cluster = cluster(seed);
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 40, 5);
-    cluster.loseAnswer = 0.01;
-    cluster.executeLate = 0.005;
-    cluster.repeat = 0.02;
-    cluster.copyHeartbeats = 0.02;
+    cluster.network.lostAnswerShare = 0.01;
+    cluster.network.executedLateShare = 0.005;
+    cluster.network.repeatedShare = 0.02;
+    cluster.network.copiedHeartbeatShare = 0.02;
     for (int i = 0; i < 16; i++) {
       cluster.at(20_000_000L + cluster.random.nextLong(240_000_000L), () -> trouble(cluster));
     }
@@ -100,11 +100,10 @@
   }
 
   static void trouble(SimulatedCluster cluster) {
-    List<SimulatedCluster.SimulatedController> all = new ArrayList<>(cluster.controllers.values());
-    SimulatedCluster.SimulatedController one = all.get(cluster.random.nextInt(all.size()));
-    List<SimulatedCluster.SimulatedController> leaders =
-        all.stream().filter(SimulatedCluster.SimulatedController::leads).toList();
-    SimulatedCluster.SimulatedController leader =
+    List<SimulatedController> all = new ArrayList<>(cluster.controllers.values());
+    SimulatedController one = all.get(cluster.random.nextInt(all.size()));
+    List<SimulatedController> leaders = all.stream().filter(SimulatedController::leads).toList();
+    SimulatedController leader =
         leaders.isEmpty()
             ? one
             : leaders.get(leaders.size() == 1 ? 0 : cluster.random.nextInt(leaders.size()));
@@ -192,12 +191,12 @@
 
   /** Its reports arrive; answers and commands to it don't, and come late if at all. */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
-    cluster.cuts.put("*>" + machineId, true);
-    cluster.at(time, () -> cluster.cuts.remove("*>" + machineId));
+    cluster.network.cuts.put("*>" + machineId, true);
+    cluster.at(time, () -> cluster.network.cuts.remove("*>" + machineId));
   }
 
   private static void loseAllButWorkers(
-      SimulatedCluster cluster, SimulatedCluster.SimulatedController controller, long time) {
+      SimulatedCluster cluster, SimulatedController controller, long time) {
     String label = controller.platform.label();
     hold(cluster, label + ">state", "state>" + label, time);
     cluster.controllers.keySet().stream()
@@ -206,23 +205,23 @@
   }
 
   private static void hold(SimulatedCluster cluster, String there, String back, long time) {
-    cluster.cuts.put(there, true);
-    cluster.cuts.put(back, true);
+    cluster.network.cuts.put(there, true);
+    cluster.network.cuts.put(back, true);
     cluster.at(
         time,
         () -> {
-          cluster.cuts.remove(there);
-          cluster.cuts.remove(back);
+          cluster.network.cuts.remove(there);
+          cluster.network.cuts.remove(back);
         });
   }
 
   static void calm(SimulatedCluster cluster) {
-    cluster.loseAnswer = 0;
-    cluster.executeLate = 0;
-    cluster.repeat = 0;
-    cluster.copyHeartbeats = 0;
+    cluster.network.lostAnswerShare = 0;
+    cluster.network.executedLateShare = 0;
+    cluster.network.repeatedShare = 0;
+    cluster.network.copiedHeartbeatShare = 0;
     cluster.calmSince = cluster.now();
-    cluster.cuts.clear();
+    cluster.network.cuts.clear();
     cluster.store.refused.clear();
     cluster.cloud.outage = false;
     cluster.store.endOutage();
@@ -258,7 +257,7 @@
         .limit(1)
         .forEach(v -> hold(cluster, v.id + ">*", "*>" + v.id, 15_000_000));
     cluster.controllers.values().stream()
-        .filter(SimulatedCluster.SimulatedController::leads)
+        .filter(SimulatedController::leads)
         .findFirst()
         .orElseThrow()
         .crash(5);
@@ -310,9 +309,9 @@
       users.submit(8, 1, 100, false);
     }
     cluster.play(60);
-    SimulatedCluster.SimulatedController leader =
+    SimulatedController leader =
         cluster.controllers.values().stream()
-            .filter(SimulatedCluster.SimulatedController::leads)
+            .filter(SimulatedController::leads)
             .findFirst()
             .orElseThrow();
     List<String> behind =
@@ -353,14 +352,14 @@
             .orElseThrow();
     cluster.cloud.delete(gone);
     cluster.controllers.values().stream()
-        .filter(SimulatedCluster.SimulatedController::leads)
+        .filter(SimulatedController::leads)
         .findFirst()
         .orElseThrow()
         .crash(30);
     cluster.play(8);
-    SimulatedCluster.SimulatedController next =
+    SimulatedController next =
         cluster.controllers.values().stream()
-            .filter(SimulatedCluster.SimulatedController::leads)
+            .filter(SimulatedController::leads)
             .findFirst()
             .orElseThrow();
     assertTrue(next.controller().leader().failoverComplete(), "the takeover is complete");
@@ -433,9 +432,7 @@
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 15, 4);
     cluster.play(20);
-    cluster.controllers.values().stream()
-        .skip(1)
-        .forEach(SimulatedCluster.SimulatedController::kill);
+    cluster.controllers.values().stream().skip(1).forEach(SimulatedController::kill);
     cluster.play(400);
     assertAllServed(cluster, users, 15);
   }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -256,13 +256,13 @@
       largest = Math.max(largest, cluster.store.largestValue);
       if (cluster.store.valueBytes > NEXT_BYTES && turn % 2 == (seed & 1)) {
         cluster.controllers.values().stream()
-            .filter(SimulatedCluster.SimulatedController::leads)
+            .filter(SimulatedController::leads)
             .forEach(m -> m.crash(2));
         cluster.play(0.1);
         former.leads();
       } else {
         cluster.controllers.values().stream()
-            .filter(SimulatedCluster.SimulatedController::leads)
+            .filter(SimulatedController::leads)
             .forEach(m -> m.crash(1));
       }
       noProgressIsMistaken(cluster);
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -114,9 +114,9 @@
   /** The transaction is carried out, its answer is lost: the record decides, never a guess. */
   @Test
   void anUnansweredAcceptanceIsSettledByReading() {
-    cluster.cuts.put("state>n0", true);
+    cluster.network.cuts.put("state>n0", true);
     assertEquals(503, ask("POST", "/submissions", JOB));
-    cluster.cuts.clear();
+    cluster.network.cuts.clear();
     cluster.play(3);
     assertEquals(200, ask("GET", "/submissions/job-1", null));
     assertEquals(200, ask("POST", "/submissions", JOB));
@@ -129,7 +129,7 @@
   @Test
   void aQuietControllerStaysHealthy() {
     for (int i = 0; i < 100; i++) {
-      for (SimulatedCluster.SimulatedController controller : cluster.controllers.values()) {
+      for (SimulatedController controller : cluster.controllers.values()) {
         controller
             .controller()
             .router()
