--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -124,18 +124,18 @@
         }),
     A_LEADER_WITH_ITS_WORKERS_ONLY_WHILE_JOBS_ARE_CANCELLED_ELSEWHERE(
         d -> {
-          String isRefusedAlone = d.leaderLabel();
+          String cutOff = d.leaderLabel();
           List.of("n0", "n1", "n2", "state").stream()
-              .filter(n -> !n.equals(isRefusedAlone))
-              .forEach(n -> d.cluster.network.cut(isRefusedAlone, n, true));
-          int reporting = d.cluster.cloud.reportingTo(isRefusedAlone);
+              .filter(n -> !n.equals(cutOff))
+              .forEach(n -> d.cluster.network.cut(cutOff, n, true));
+          int reporting = d.cluster.cloud.reportingTo(cutOff);
           d.cluster.play(5);
           String next = d.leaderLabel();
           List<Integer> told = new ArrayList<>();
           d.running(3).forEach(uid -> d.users.cancelAt(new Endpoint(next, 1), uid, told::add));
           d.cluster.play(LEASE_S + 10);
           d.endOfTrouble();
-          return () -> reporting > 0 && !next.equals(isRefusedAlone) && told.contains(200);
+          return () -> reporting > 0 && !next.equals(cutOff) && told.contains(200);
         }),
     WORKERS_REACH_NO_CONTROLLER_WHILE_COMMANDS_REACH_THEM(
         d -> {
@@ -354,7 +354,7 @@
     A_TEAM_AT_ITS_LIMIT_AND_A_CANCELLATION_AT_A_CHANGE_OF_LEADER(
         d -> {
           d.fill("red");
-          boolean full = d.cluster.invariants.coresOf("red") > Deployment.LIMIT * 0.8;
+          boolean full = d.cluster.invariants.coresOf("red") > FaultDeployment.LIMIT * 0.8;
           String hidden = d.busy("red");
           d.cluster.network.cuts.put(hidden + ">*", true);
           d.cluster.network.cuts.put("*>" + hidden, true);
@@ -367,7 +367,7 @@
     EVERY_TEAM_AT_ITS_LIMIT_AND_CANCELLED_JOBS_ON_HUNG_MACHINES(
         d -> {
           d.fill("red");
-          boolean full = d.cluster.invariants.coresOf("red") > Deployment.LIMIT * 0.8;
+          boolean full = d.cluster.invariants.coresOf("red") > FaultDeployment.LIMIT * 0.8;
           int[] called = new int[1];
           d.cluster.at(100_000, () -> called[0] = d.users.cancelNow(4, 14, 6).size());
           d.cluster.at(400_000, () -> d.cluster.leader().crash(2));
@@ -400,7 +400,7 @@
     /** What happens in one combination. */
     interface Play {
       /** Brings the meeting about; tells whether it took place. */
-      BooleanSupplier in(Deployment deployment);
+      BooleanSupplier in(FaultDeployment deployment);
     }
 
     final Play play;
@@ -411,13 +411,13 @@
   }
 
   /** A small deployment with work, some of it long, when the meeting begins. */
-  static final class Deployment {
+  static final class FaultDeployment {
     static final double LIMIT = 48;
     final SimulatedCluster cluster;
     final FakeUsers users;
     final List<JobSpec> all = new ArrayList<>();
 
-    Deployment(long seed) {
+    FaultDeployment(long seed) {
       cluster =
           new SimulatedCluster(
               seed,
@@ -573,9 +573,9 @@
 
   @ParameterizedTest
   @EnumSource(FaultCombination.class)
-  void noRuleBreaks(FaultCombination meeting) {
-    Deployment deployment = new Deployment(900 + meeting.ordinal());
-    BooleanSupplier tookPlace = meeting.play.in(deployment);
+  void noRuleBreaks(FaultCombination combination) {
+    FaultDeployment deployment = new FaultDeployment(900 + combination.ordinal());
+    BooleanSupplier tookPlace = combination.play.in(deployment);
     deployment.cluster.invariants.checkServed();
     assertEquals(List.of(), deployment.cluster.invariants.broken);
     assertTrue(tookPlace.getAsBoolean(), "the meeting took place");
@@ -601,13 +601,13 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void severalInARow(long seed) {
-    Deployment deployment = new Deployment(2_000 + seed);
+    FaultDeployment deployment = new FaultDeployment(2_000 + seed);
     deployment.users.closeLooks = seed % 2 == 0;
     for (int i = 0; i < 3; i++) {
-      FaultCombination meeting =
+      FaultCombination combination =
           FaultCombination.values()[
               deployment.cluster.random.nextInt(FaultCombination.values().length)];
-      meeting.play.in(deployment);
+      combination.play.in(deployment);
       // Calm is over with the next.
       deployment.cluster.calmSince = Long.MAX_VALUE;
     }
@@ -621,7 +621,7 @@
    */
   @Test
   void withoutPreconditionsLateTransactionsBreakRules() {
-    Deployment deployment = new Deployment(3_003);
+    FaultDeployment deployment = new FaultDeployment(3_003);
     deployment.cluster.store.ignorePreconditions = true;
     deployment.cluster.store.lateWrites = 0.5;
     FaultCombination.CANCELLATIONS_QUESTIONS_AND_REPEATS_MEET_THE_LAST_TASKS_END.play.in(
@@ -633,7 +633,7 @@
   /** The checks can fail: an answer older than one given before, at another controller, is seen. */
   @Test
   void theChecksSeeAnOlderAnswer() {
-    Deployment deployment = new Deployment(3_001);
+    FaultDeployment deployment = new FaultDeployment(3_001);
     String uid = deployment.all.get(0).uid();
     deployment.cluster.invariants.toldAnywhere(uid, "aborted", deployment.cluster.now());
     deployment.cluster.invariants.toldAnywhere(uid, "running", deployment.cluster.now() - 1);
@@ -649,7 +649,7 @@
   /** The checks can fail: a job that waits although there is room is seen. */
   @Test
   void theChecksSeeAJobThatWaitsBesideFreeCapacity() {
-    Deployment deployment = new Deployment(3_002);
+    FaultDeployment deployment = new FaultDeployment(3_002);
     deployment.cluster.play(120);
     deployment.cluster.calmSince = deployment.cluster.now();
     JobSpec job =
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -199,7 +199,7 @@
 
   /** No leader is alive: the controllers left derive and store it all the same. */
   @Test
-  void anCancelRunsThroughWithoutALeader() {
+  void aCancellationReachesDependentsWithoutALeader() {
     JobSpec root = idle(1, 400);
     JobSpec last = idle(1, 5, root);
     submit(root, last);
@@ -225,7 +225,7 @@
 
   /** If the cancellation came too late, what comes after goes on. */
   @Test
-  void anCancelThatIsAnsweredDoneStopsNothing() {
+  void aCancellationThatIsAnsweredDoneStopsNothing() {
     JobSpec root = idle(1, 3);
     JobSpec last = idle(1, 3, root);
     submit(root);
@@ -328,7 +328,7 @@
    * A submission and the cancel of the job that it names, at two controllers within milliseconds.
    */
   @Test
-  void aSubmissionRacesWithTheCancelOfWhatItNames() {
+  void aSubmissionRacesWithTheCancellationOfItsDependency() {
     List<JobSpec> after = new ArrayList<>();
     users.closeLooks = true;
     for (int i = 0; i < 25; i++) {
@@ -424,7 +424,7 @@
 
   /** Watches that have fallen too far behind read the dependency chains anew. */
   @Test
-  void aBookThatIsTooOldIsReadAnew() {
+  void recordsThatAreTooOldAreReadAnew() {
     cluster.store.remembered = 3;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void anCancelIsFinal() {
+  void aCancellationIsFinal() {
     cluster.invariants.submitted.put("job-1", null);
     ask("POST", "/submissions", JOB);
     assertEquals(200, ask("POST", "/submissions/job-1/abort", ""));
