--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -23,26 +23,14 @@
   private static final double REMOVED_WITHIN_S = 1_600;
 
   private JobSpec ofTeam(String team, Priority priority, int tasks, double runS, JobSpec... names) {
-    return new JobSpec(
-            users.nextUid(),
-            "c1",
-            team,
-            priority,
-            tasks,
-            1,
-            0,
-            2,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            runS,
-            0,
-            0,
-            JobSpec.NO_DEADLINE)
+    return TestJob.job(users.nextUid())
+        .jobClass("c1")
+        .team(team)
+        .priority(priority)
+        .tasks(tasks)
+        .memoryGb(2)
+        .runS(runS)
+        .build()
         .withDependencies(List.of(names).stream().map(JobSpec::uid).toList());
   }
 
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -37,26 +37,15 @@
 
   JobSpec job(
       int taskCount, double runS, double deadlineS, Priority priority, List<String> dependencies) {
-    return new JobSpec(
-            users.nextUid(),
-            "c" + priority.ordinal(),
-            "blue",
-            priority,
-            taskCount,
-            1,
-            0,
-            2,
-            "img-" + taskCount % 3,
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            runS,
-            0,
-            0,
-            deadlineS)
+    return TestJob.job(users.nextUid())
+        .jobClass("c" + priority.ordinal())
+        .priority(priority)
+        .tasks(taskCount)
+        .memoryGb(2)
+        .image("img-" + taskCount % 3)
+        .runS(runS)
+        .deadlineS(deadlineS)
+        .build()
         .withDependencies(dependencies);
   }
 
--- /dev/null
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -0,0 +1,159 @@
+package plumlever.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.wire.JobSpec;
+import plumlever.wire.Json;
+import plumlever.wire.Priority;
+
+/** What a submission that names dependencies is told. */
+final class DependencySubmissionTest extends DependencyScenario {
+  @Test
+  void badInputIsToldAsWhatItIs() {
+    JobSpec known = idle(1, 300);
+    assertEquals(201, submitAt("n0", known).status());
+    cluster.play(1);
+    String like = Json.write(idle(1, 5).toJson());
+    String uid = like.substring(like.indexOf("job-"), like.indexOf("job-") + 10);
+    String head = like.substring(0, like.length() - 1);
+    for (String bad :
+        List.of(
+            "\"job-1\"", "7", "{}", "[7]", "[null]", "[\"job-\"]", "[\"x\"]", "[[\"job-1\"]]")) {
+      assertEquals(
+          400,
+          ask("n1", "POST", "/submissions", head + ",\"waits_on\":" + bad + "}").status(),
+          bad);
+    }
+    assertEquals(
+        422,
+        ask("n1", "POST", "/submissions", head + ",\"waits_on\":[\"job-777\"]}").status(),
+        "never accepted");
+    assertEquals(
+        422,
+        ask("n1", "POST", "/submissions", head + ",\"waits_on\":[\"" + uid + "\"]}").status(),
+        "itself");
+    assertEquals(
+        422,
+        ask(
+                "n1",
+                "POST",
+                "/submissions",
+                head + ",\"waits_on\":[\"" + known.uid() + "\",\"job-777\"]}")
+            .status(),
+        "one of two");
+    cluster.store.outage = true;
+    Answer out = ask("n1", "POST", "/submissions", head + ",\"waits_on\":[\"job-777\"]}");
+    assertEquals(503, out.status(), "what can't be read is not called unknown");
+    assertTrue(out.retryAfterS() > 0);
+    cluster.store.endOutage();
+    cluster.play(3);
+    assertEquals(404, ask("n2", "GET", "/submissions/" + uid, null).status());
+    for (String none : List.of("null", "[]")) {
+      assertEquals(
+          none.equals("null") ? 201 : 200,
+          ask("n1", "POST", "/submissions", head + ",\"waits_on\":" + none + "}").status());
+    }
+    assertEquals(
+        200,
+        ask("n2", "POST", "/submissions", head + ",\"waits_on\":[\"job-777\"]}").status(),
+        "known, whatever it names");
+    assertEquals(
+        200,
+        ask("n2", "POST", "/submissions", head + ",\"waits_on\":7}").status(),
+        "known, whatever it names");
+    JobSpec twice = idle(1, 1, known, known);
+    assertEquals(201, submitAt("n2", twice).status(), "a name that is repeated counts once");
+  }
+
+  /**
+   * A submission and the cancel of the job that it names, at two controllers within milliseconds.
+   */
+  @Test
+  void aSubmissionRacesWithTheCancellationOfItsDependency() {
+    List<JobSpec> after = new ArrayList<>();
+    users.closeLooks = true;
+    for (int i = 0; i < 25; i++) {
+      JobSpec root = idle(1, 300);
+      users.submit(root, false);
+      cluster.play(1);
+      JobSpec next = idle(1, 5, root);
+      after.add(next);
+      cluster.at(cluster.random.nextInt(20_000), () -> users.cancel(root.uid()));
+      cluster.at(cluster.random.nextInt(20_000), () -> users.submit(next, false));
+      cluster.play(1);
+    }
+    cluster.play(20);
+    assertTold("aborted", after.toArray(new JobSpec[0]));
+  }
+
+  /**
+   * A list as long as a body holds, against small values, small transactions and few preconditions;
+   * a small one beside it.
+   */
+  @Test
+  void anyLegalListIsTaken() {
+    deployment(6, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
+    cluster.store.valueBytes = 2048;
+    cluster.store.transactionOps = 4;
+    List<JobSpec> roots = new ArrayList<>();
+    for (int i = 0; i < 60; i++) {
+      JobSpec otherJob = job(1, 2, JobSpec.NO_DEADLINE, Priority.STANDARD, List.of());
+      roots.add(otherJob);
+      users.submit(otherJob, false);
+      cluster.play(0.3);
+    }
+    cluster.play(60);
+    // Most have ended, some not; the list names each, and as many more as the body takes.
+    JobSpec running = idle(1, 60);
+    users.submit(running, false);
+    cluster.play(10);
+    Map<String, com.fasterxml.jackson.databind.JsonNode> more =
+        new TreeMap<>(cluster.store.entries("ended/"));
+    List<String> names = new ArrayList<>(roots.stream().map(JobSpec::uid).toList());
+    for (int i = 0; i < 4_800; i++) {
+      names.add("job-5" + (10_000 + i));
+      more.put("ended/job-5" + (10_000 + i), Json.object().put("s", "done"));
+    }
+    cluster.store.rewrite("ended/", more);
+    names.add(running.uid());
+    JobSpec last = job(1, 3, JobSpec.NO_DEADLINE, Priority.HIGH, names);
+    String body = Json.write(last.toJson());
+    assertTrue(body.length() > 60_000 && body.length() <= 65_536, "" + body.length());
+    names.forEach(
+        n ->
+            cluster.invariants.submitted.computeIfAbsent(
+                n,
+                k ->
+                    TestJob.job(k)
+                        .jobClass("c")
+                        .priority(Priority.IDLE)
+                        .image("i")
+                        .runS(1)
+                        .build()));
+    names.stream()
+        .filter(n -> n.startsWith("job-5"))
+        .forEach(n -> cluster.invariants.complete(n + "/0"));
+    Answer answer = null;
+    for (int tries = 0; tries < 12 && (answer == null || answer.status() == 503); tries++) {
+      answer = submitAt("n" + tries % 3, last);
+      cluster.play(1);
+    }
+    assertEquals(201, answer.status(), answer.body());
+    assertEquals(0, cluster.store.malformed, "nothing too large was written");
+    assertTrue(ask("n2", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
+    cluster.leader().crash(1);
+    cluster.play(15);
+    assertFalse(cluster.invariants.began(last.uid()), "one that it names still runs");
+    cluster.play(120);
+    assertTrue(ask("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"done\""));
+    assertEquals(List.of(), cluster.invariants.broken);
+  }
+}
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -124,26 +124,21 @@
     boolean oneZone = cluster.random.nextInt(4) == 0;
     boolean spread = !oneZone && cluster.random.nextInt(4) == 0;
     JobSpec job =
-        new JobSpec(
-            nextUid(),
-            "c" + next % 3,
-            next % 2 == 0 ? "red" : "blue",
-            Priority.values()[cluster.random.nextInt(4)],
-            taskCount,
-            cores,
-            0,
-            2,
-            "img-" + next % 4,
-            1,
-            null,
-            cluster.random.nextInt(6) == 0 ? "a" : null,
-            oneZone,
-            spread,
-            cluster.random.nextInt(3) > 0,
-            expectedRunS,
-            0,
-            0,
-            cluster.random.nextBoolean() ? 60 : JobSpec.NO_DEADLINE);
+        TestJob.job(nextUid())
+            .jobClass("c" + next % 3)
+            .team(next % 2 == 0 ? "red" : "blue")
+            .priority(Priority.values()[cluster.random.nextInt(4)])
+            .tasks(taskCount)
+            .cores(cores)
+            .memoryGb(2)
+            .image("img-" + next % 4)
+            .zone(cluster.random.nextInt(6) == 0 ? "a" : null)
+            .oneZone(oneZone)
+            .spread(spread)
+            .spotAllowed(cluster.random.nextInt(3) > 0)
+            .runS(expectedRunS)
+            .deadlineS(cluster.random.nextBoolean() ? 60 : JobSpec.NO_DEADLINE)
+            .build();
     submit(job, cancel);
     return job;
   }
--- /dev/null
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -0,0 +1,166 @@
+package plumlever.sim;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.wire.JobSpec;
+import plumlever.wire.Priority;
+
+/** A small deployment with work, some of it long, when the meeting begins. */
+final class FaultDeployment {
+  static final double CANCEL_S = InvariantChecker.CANCEL_MICROS / 1e6;
+  static final double LEASE_S = FakeWorker.LEASE_MICROS / 1e6;
+
+  /** Cores that the limited team may use. */
+  static final double LIMIT = 48;
+
+  final SimulatedCluster cluster;
+  final FakeUsers users;
+  final List<JobSpec> all = new ArrayList<>();
+
+  FaultDeployment(long seed) {
+    cluster =
+        new SimulatedCluster(
+            seed,
+            3,
+            List.of(
+                new PlatformConfiguration.Team("red", 16, LIMIT, 0, 0),
+                new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
+            seed % 2 == 0);
+    users = new FakeUsers(cluster);
+    for (int i = 0; i < 8; i++) {
+      submit("blue", 5, 2, 30 + 20 * (i % 4), false);
+    }
+    cluster.play(45);
+    assertTrue(cluster.invariants.starts >= 20, "tasks run: " + cluster.invariants.starts);
+  }
+
+  JobSpec submit(String team, int taskCount, double cores, double runS, boolean cancel) {
+    return submit(team, Priority.STANDARD, taskCount, cores, runS, false, cancel);
+  }
+
+  JobSpec submit(
+      String team,
+      Priority priority,
+      int taskCount,
+      double cores,
+      double runS,
+      boolean oneZone,
+      boolean cancel) {
+    JobSpec job =
+        TestJob.job(users.nextUid())
+            .jobClass("c" + priority.ordinal() % 2)
+            .team(team)
+            .priority(priority)
+            .tasks(taskCount)
+            .cores(cores)
+            .memoryGb(2)
+            .image("img-" + all.size() % 3)
+            .oneZone(oneZone)
+            .runS(runS)
+            .build();
+    all.add(job);
+    users.submit(job, cancel);
+    return job;
+  }
+
+  void oneZone(int taskCount, double runS) {
+    submit("blue", Priority.STANDARD, taskCount, 2, runS, true, false);
+  }
+
+  /** Jobs that go on coming. */
+  void stream(int jobs, double everyS, int taskCount, double runS) {
+    for (int i = 0; i < jobs; i++) {
+      cluster.at((long) (i * everyS * 1e6), () -> submit("blue", taskCount, 1, runS, false));
+    }
+  }
+
+  /** Brings a team to its limit, with more of its work waiting. */
+  void fill(String team) {
+    for (int i = 0; i < 6; i++) {
+      submit(team, 12, 2, 40, false);
+    }
+    cluster.play(40);
+  }
+
+  String leaderLabel() {
+    return cluster.leader().platform.label();
+  }
+
+  List<String> machinesIn(String zone) {
+    return cluster.cloud.machines.values().stream()
+        .filter(v -> v.zone.equals(zone) && v.worker != null)
+        .map(v -> v.id)
+        .toList();
+  }
+
+  String busy(String team) {
+    return cluster.cloud.machines.values().stream()
+        .filter(
+            v ->
+                v.worker != null
+                    && v.worker.tasks.values().stream()
+                        .anyMatch(
+                            t ->
+                                t.on()
+                                    && cluster
+                                        .invariants
+                                        .submitted
+                                        .get(t.name.substring(0, t.name.indexOf('/')))
+                                        .team()
+                                        .equals(team)))
+        .map(v -> v.id)
+        .findFirst()
+        .orElseThrow();
+  }
+
+  List<String> running(int most) {
+    return all.stream()
+        .map(JobSpec::uid)
+        .filter(u -> cluster.invariants.began(u) && !cluster.invariants.allDone(u))
+        .limit(most)
+        .toList();
+  }
+
+  boolean isOn(String uid) {
+    return cluster.cloud.machines.values().stream()
+        .filter(v -> v.worker != null)
+        .flatMap(v -> v.worker.tasks.values().stream())
+        .anyMatch(t -> t.on() && t.name.startsWith(uid + "/"));
+  }
+
+  int told(String status) {
+    return (int) cluster.invariants.lastTold.values().stream().filter(status::equals).count();
+  }
+
+  long metric(String name) {
+    return cluster.controllers.values().stream()
+        .filter(m -> m.controller() != null)
+        .mapToLong(m -> m.controller().metrics().counted(name))
+        .sum();
+  }
+
+  /** From here on everything works, and everybody must be served. */
+  void endOfTrouble() {
+    cluster.network.lostAnswerShare = 0;
+    cluster.network.executedLateShare = 0;
+    cluster.network.copiedHeartbeatShare = 0;
+    cluster.network.heartbeatShareKeptForNextLeader = 0;
+    cluster.network.extraCommandDelayMicros = 0;
+    cluster.network.machinesWithoutControllers.clear();
+    cluster.network.cuts.clear();
+    cluster.store.slowMicros = 0;
+    cluster.store.lateWrites = 0;
+    cluster.store.unansweredWrites = 0;
+    cluster.store.refused.clear();
+    cluster.store.endOutage();
+    cluster.cloud.machines.values().stream()
+        .filter(v -> v.worker != null)
+        .forEach(v -> v.worker.hung = false);
+    cluster.cloud.most = Math.max(cluster.cloud.most, 14);
+    cluster.calmSince = cluster.now();
+    cluster.play(260);
+  }
+}
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -37,26 +37,16 @@
       double cores,
       double expectedRunS,
       boolean oneZone) {
-    return new JobSpec(
-        users.nextUid(),
-        priority == Priority.IDLE ? "slow" : "quick",
-        team,
-        priority,
-        taskCount,
-        cores,
-        0,
-        2,
-        "img",
-        1,
-        null,
-        null,
-        oneZone,
-        false,
-        true,
-        expectedRunS,
-        0,
-        0,
-        JobSpec.NO_DEADLINE);
+    return TestJob.job(users.nextUid())
+        .jobClass(priority == Priority.IDLE ? "slow" : "quick")
+        .team(team)
+        .priority(priority)
+        .tasks(taskCount)
+        .cores(cores)
+        .memoryGb(2)
+        .oneZone(oneZone)
+        .runS(expectedRunS)
+        .build();
   }
 
   private JobSpec submit(JobSpec job) {
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -255,27 +255,7 @@
     cluster.play(5);
     for (int i = 0; i < 10; i++) {
       users.submit(
-          new JobSpec(
-              users.nextUid(),
-              "c0",
-              "blue",
-              Priority.STANDARD,
-              8,
-              2,
-              0,
-              2,
-              "img",
-              1,
-              null,
-              null,
-              false,
-              false,
-              true,
-              90,
-              0,
-              0,
-              JobSpec.NO_DEADLINE),
-          false);
+          TestJob.job(users.nextUid()).tasks(8).cores(2).memoryGb(2).runS(90).build(), false);
     }
     cluster.play(45);
     String leader = cluster.leader().platform.label();
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -13,7 +13,6 @@
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Priority;
 import plumlever.wire.ProtocolPath;
 
 /**
@@ -37,27 +36,7 @@
             believedCancelMicros);
     users = new FakeUsers(cluster);
     for (int i = 0; i < 6; i++) {
-      JobSpec job =
-          new JobSpec(
-              users.nextUid(),
-              "c0",
-              "blue",
-              Priority.STANDARD,
-              6,
-              2,
-              0,
-              2,
-              "img",
-              1,
-              null,
-              null,
-              false,
-              false,
-              true,
-              300,
-              0,
-              0,
-              JobSpec.NO_DEADLINE);
+      JobSpec job = TestJob.job(users.nextUid()).tasks(6).cores(2).memoryGb(2).runS(300).build();
       jobs.add(job);
       users.submit(job, false);
     }
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -11,7 +11,6 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Priority;
 
 /**
  * The story: two zones lost each other a few milliseconds after the leader had sent the first tasks
@@ -55,26 +54,13 @@
 
   private JobSpec submit(String team, int taskCount, double expectedRunS) {
     JobSpec job =
-        new JobSpec(
-            users.nextUid(),
-            "c0",
-            team,
-            Priority.STANDARD,
-            taskCount,
-            2,
-            0,
-            2,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            expectedRunS,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        TestJob.job(users.nextUid())
+            .team(team)
+            .tasks(taskCount)
+            .cores(2)
+            .memoryGb(2)
+            .runS(expectedRunS)
+            .build();
     users.submit(job, false);
     return job;
   }
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -34,54 +34,11 @@
     FakeUsers users = new FakeUsers(cluster);
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      int count = i;
-      cluster.at(
-          count * 900_000L,
-          () -> {
-            JobSpec job =
-                new JobSpec(
-                    users.nextUid(),
-                    count % 3 == 0 ? "slow" : "quick",
-                    count % 2 == 0 ? "red" : "blue",
-                    count % 3 == 0 ? Priority.IDLE : Priority.STANDARD,
-                    TASKS,
-                    2,
-                    0,
-                    4,
-                    "img-" + count % 12,
-                    1,
-                    null,
-                    null,
-                    false,
-                    false,
-                    true,
-                    40 + count % 5 * 10,
-                    count % 3 == 0 ? 15 : 0,
-                    count % 3 == 0 ? 2 : 0,
-                    count % 3 == 0 ? JobSpec.NO_DEADLINE : 150);
-            all.add(job);
-            users.submit(job, false);
-          });
+      int number = i;
+      cluster.at(number * 900_000L, () -> all.add(submit(users, number, TASKS)));
     }
     cluster.play(75);
-    int machines = cluster.cloud.machines.size();
-    assertTrue(machines > 450, "a large fleet is rented: " + machines);
-    assertTrue(
-        cluster.store.count("fleet/") <= 14,
-        "machines share records: " + cluster.store.count("fleet/"));
-    // A successor is told of the images on nearly all of them, however many values that takes.
-    Set<String> hinted = new HashSet<>();
-    cluster
-        .store
-        .values("hints/")
-        .forEach(v -> v.path("machines").fieldNames().forEachRemaining(hinted::add));
-    long working =
-        cluster.cloud.machines.values().stream()
-            .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
-            .count();
-    assertTrue(
-        working > 300 && hinted.size() > 0.7 * working,
-        hinted.size() + " machines with hints, " + working + " at work");
+    assertALargeFleetIsOnRecord(cluster);
     cluster.leader().crash(5);
     cluster.play(12);
     assertTrue(
@@ -107,19 +64,8 @@
     assertTrue(
         cluster.invariants.starts >= JOBS * TASKS,
         "thousands of tasks: " + cluster.invariants.starts);
-    assertTrue(cluster.store.largestValue <= 4_096, "largest value: " + cluster.store.largestValue);
-    // Limits of the simulated state service: 200 requests and 25 changes a second, with a second's
-    // burst.
-    assertTrue(
-        cluster.store.mostRequests <= 250,
-        "requests in the busiest second: " + cluster.store.mostRequests);
-    assertTrue(
-        cluster.store.mostChanges <= 60,
-        "changes in the busiest second: " + cluster.store.mostChanges);
-    long candidates =
-        cluster.controllers.values().stream()
-            .mapToLong(m -> m.controller().metrics().counted("candidates_evaluated"))
-            .sum();
+    assertStateServiceLimitsKept(cluster);
+    long candidates = counted(cluster, "candidates_evaluated");
     assertTrue(candidates > 0 && candidates < 3_000_000, "seats evaluated: " + candidates);
   }
 
@@ -173,43 +119,115 @@
     FakeUsers users = new FakeUsers(cluster);
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 110; i++) {
-      int count = i;
+      int number = i;
       cluster.at(
-          count < 70 ? count * 300_000L : 21_000_000L + count * 700_000L,
-          () -> {
-            JobSpec job =
-                new JobSpec(
-                    users.nextUid(),
-                    count % 3 == 0 ? "slow" : "quick",
-                    count % 2 == 0 ? "red" : "blue",
-                    count % 3 == 0 ? Priority.IDLE : Priority.STANDARD,
-                    count < 70 ? 140 : 40,
-                    2,
-                    0,
-                    4,
-                    "img-" + count % 12,
-                    1,
-                    null,
-                    null,
-                    false,
-                    false,
-                    true,
-                    40 + count % 5 * 10,
-                    count % 3 == 0 ? 15 : 0,
-                    count % 3 == 0 ? 2 : 0,
-                    count % 3 == 0 ? JobSpec.NO_DEADLINE : 150);
-            all.add(job);
-            users.submit(job, false);
-          });
+          number < 70 ? number * 300_000L : 21_000_000L + number * 700_000L,
+          () -> all.add(submit(users, number, number < 70 ? 140 : 40)));
     }
     cluster.play(60);
     assertTrue(
         cluster.cloud.machines.size() > 1_300,
         "a fleet of the size: " + cluster.cloud.machines.size());
+    restartControllersInTurn(cluster);
+    killAFewMachines(cluster);
+    List.copyOf(cluster.controllers.values())
+        .forEach(m -> m.crash(1 + cluster.random.nextDouble()));
+    cluster.play(10);
+    long hangS = 2 * FakeWorker.LEASE_MICROS / 1_000_000;
+    hangATenthOfTheMachines(cluster, hangS);
+    cluster.play(5);
+    cluster.leader().freeze(15);
+    cluster.play(hangS);
+    cutZoneB(cluster);
+    cluster.play(1);
+    cluster.leader().crash(3);
+    cluster.play(FakeWorker.LEASE_MICROS / 1e6 + 10);
+    assertTrue(
+        cluster.leader().controller().leader().failoverComplete(),
+        "a cut zone holds a takeover up for no longer than a lease");
+    cluster.network.cuts.clear();
+    cluster.calmSince = cluster.now();
+    cluster.play(400);
+    cluster.invariants.checkServed();
+    assertEquals(List.of(), cluster.invariants.broken);
+    all.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
+    assertStateServiceLimitsKept(cluster);
+    // One for each worker, and calls that are under way; the users' own zones have room for 300
+    // more.
+    assertTrue(cluster.mostSockets <= 1_600 + 112, "sockets in use: " + cluster.mostSockets);
+    long candidates = counted(cluster, "candidates_evaluated");
+    long heartbeats = counted(cluster, "heartbeats");
+    assertTrue(
+        heartbeats > 10_000 && candidates / heartbeats < 60,
+        "work for each report: " + candidates / heartbeats);
+  }
+
+  private static JobSpec submit(FakeUsers users, int number, int tasks) {
+    boolean slow = number % 3 == 0;
+    JobSpec job =
+        TestJob.job(users.nextUid())
+            .jobClass(slow ? "slow" : "quick")
+            .team(number % 2 == 0 ? "red" : "blue")
+            .priority(slow ? Priority.IDLE : Priority.STANDARD)
+            .tasks(tasks)
+            .cores(2)
+            .memoryGb(4)
+            .image("img-" + number % 12)
+            .runS(40 + number % 5 * 10)
+            .deadlineS(slow ? JobSpec.NO_DEADLINE : 150)
+            .checkpoints(slow ? 15 : 0, slow ? 2 : 0)
+            .build();
+    users.submit(job, false);
+    return job;
+  }
+
+  private static void assertALargeFleetIsOnRecord(SimulatedCluster cluster) {
+    int machines = cluster.cloud.machines.size();
+    assertTrue(machines > 450, "a large fleet is rented: " + machines);
+    assertTrue(
+        cluster.store.count("fleet/") <= 14,
+        "machines share records: " + cluster.store.count("fleet/"));
+    // A successor is told of the images on nearly all of them, however many values that takes.
+    Set<String> hinted = new HashSet<>();
+    cluster
+        .store
+        .values("hints/")
+        .forEach(v -> v.path("machines").fieldNames().forEachRemaining(hinted::add));
+    long working =
+        cluster.cloud.machines.values().stream()
+            .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
+            .count();
+    assertTrue(
+        working > 300 && hinted.size() > 0.7 * working,
+        hinted.size() + " machines with hints, " + working + " at work");
+  }
+
+  private static void assertStateServiceLimitsKept(SimulatedCluster cluster) {
+    assertTrue(cluster.store.largestValue <= 4_096, "largest value: " + cluster.store.largestValue);
+    // Limits of the simulated state service: 200 requests and 25 changes a second, with a second's
+    // burst.
+    assertTrue(
+        cluster.store.mostRequests <= 250,
+        "requests in the busiest second: " + cluster.store.mostRequests);
+    assertTrue(
+        cluster.store.mostChanges <= 60,
+        "changes in the busiest second: " + cluster.store.mostChanges);
+  }
+
+  private static long counted(SimulatedCluster cluster, String counter) {
+    return cluster.controllers.values().stream()
+        .mapToLong(controller -> controller.controller().metrics().counted(counter))
+        .sum();
+  }
+
+  private static void restartControllersInTurn(SimulatedCluster cluster) {
     for (SimulatedController controller : List.copyOf(cluster.controllers.values())) {
       controller.crash(2);
       cluster.play(7);
     }
+  }
+
+  private static void killAFewMachines(SimulatedCluster cluster) {
     List<String> running =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null)
@@ -219,10 +237,9 @@
         .filter(h -> cluster.random.nextInt(12) == 0)
         .forEach(h -> cluster.cloud.machines.get(h).worker.die());
     cluster.play(4);
-    List.copyOf(cluster.controllers.values())
-        .forEach(m -> m.crash(1 + cluster.random.nextDouble()));
-    cluster.play(10);
-    long hangS = 2 * FakeWorker.LEASE_MICROS / 1_000_000;
+  }
+
+  private static void hangATenthOfTheMachines(SimulatedCluster cluster, long hangS) {
     cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null && cluster.random.nextInt(10) == 0)
         .toList()
@@ -231,9 +248,9 @@
               v.worker.hung = true;
               cluster.at(hangS * 1_000_000, () -> v.worker.hung = false);
             });
-    cluster.play(5);
-    cluster.leader().freeze(15);
-    cluster.play(hangS);
+  }
+
+  private static void cutZoneB(SimulatedCluster cluster) {
     List<String> behind =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.zone.equals("b"))
@@ -244,38 +261,5 @@
           cluster.network.cuts.put("*>" + h, true);
           cluster.network.cuts.put(h + ">*", true);
         });
-    cluster.play(1);
-    cluster.leader().crash(3);
-    cluster.play(FakeWorker.LEASE_MICROS / 1e6 + 10);
-    assertTrue(
-        cluster.leader().controller().leader().failoverComplete(),
-        "a cut zone holds a takeover up for no longer than a lease");
-    cluster.network.cuts.clear();
-    cluster.calmSince = cluster.now();
-    cluster.play(400);
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
-    all.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
-    assertTrue(cluster.store.largestValue <= 4_096, "largest value: " + cluster.store.largestValue);
-    assertTrue(
-        cluster.store.mostRequests <= 250,
-        "requests in the busiest second: " + cluster.store.mostRequests);
-    assertTrue(
-        cluster.store.mostChanges <= 60,
-        "changes in the busiest second: " + cluster.store.mostChanges);
-    // One for each worker, and calls that are under way; the users' own zones have room for 300
-    // more.
-    assertTrue(cluster.mostSockets <= 1_600 + 112, "sockets in use: " + cluster.mostSockets);
-    long candidates =
-        cluster.controllers.values().stream()
-            .mapToLong(m -> m.controller().metrics().counted("candidates_evaluated"))
-            .sum();
-    long heartbeats =
-        cluster.controllers.values().stream()
-            .mapToLong(m -> m.controller().metrics().counted("heartbeats"))
-            .sum();
-    assertTrue(
-        heartbeats > 10_000 && candidates / heartbeats < 60,
-        "work for each report: " + candidates / heartbeats);
   }
 }
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -14,7 +14,6 @@
 import plumlever.sharing.OwnerRecord;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Priority;
 
 /** Three cells of two controllers each, with tasks of one cell running on its machines. */
 final class PoolScenario {
@@ -70,26 +69,15 @@
 
   JobSpec submit(String controller, String team, int tasks, double seconds) {
     JobSpec job =
-        new JobSpec(
-            users.nextUid(),
-            "c1",
-            team,
-            Priority.STANDARD,
-            tasks,
-            1,
-            0,
-            2,
-            "img-1",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            seconds,
-            5,
-            1,
-            JobSpec.NO_DEADLINE);
+        TestJob.job(users.nextUid())
+            .jobClass("c1")
+            .team(team)
+            .tasks(tasks)
+            .memoryGb(2)
+            .image("img-1")
+            .runS(seconds)
+            .checkpoints(5, 1)
+            .build();
     jobs.add(job);
     users.connect(job.uid(), controller);
     users.submit(job, false);
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -11,7 +11,6 @@
 import org.junit.jupiter.api.Test;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Priority;
 
 /**
  * Days on which links hold messages back for seconds up to beyond the time of a cancellation, zones
@@ -81,26 +80,15 @@
     }
 
     private JobSpec job() {
-      return new JobSpec(
-          users.nextUid(),
-          "c0",
-          cluster.random.nextInt(3) == 0 ? "red" : "blue",
-          Priority.STANDARD,
-          1 + cluster.random.nextInt(4),
-          2,
-          0,
-          2,
-          "img-" + cluster.random.nextInt(2),
-          1,
-          null,
-          null,
-          cluster.random.nextInt(6) == 0,
-          false,
-          true,
-          15 + cluster.random.nextInt(45),
-          0,
-          0,
-          JobSpec.NO_DEADLINE);
+      return TestJob.job(users.nextUid())
+          .team(cluster.random.nextInt(3) == 0 ? "red" : "blue")
+          .tasks(1 + cluster.random.nextInt(4))
+          .cores(2)
+          .memoryGb(2)
+          .image("img-" + cluster.random.nextInt(2))
+          .oneZone(cluster.random.nextInt(6) == 0)
+          .runS(15 + cluster.random.nextInt(45))
+          .build();
     }
 
     private void troubleNext() {
--- a/src/test/java/plumlever/sim/SharingMeasurement.java
+++ b/src/test/java/plumlever/sim/SharingMeasurement.java
@@ -14,7 +14,6 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Priority;
 
 /**
  * Measures sharing on simulated machines: load that goes from cell to cell, on shared machines, on
@@ -69,26 +68,14 @@
   private void submit(int phase) {
     String controller = mode.equals("one") ? "n0" : "n" + 2 * phase;
     JobSpec job =
-        new JobSpec(
-            users.nextUid(),
-            "c1",
-            "red",
-            Priority.STANDARD,
-            TASKS_PER_JOB,
-            1,
-            0,
-            1,
-            "img",
-            0.1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            TASK_S,
-            0,
-            0,
-            60);
+        TestJob.job(users.nextUid())
+            .jobClass("c1")
+            .team("red")
+            .tasks(TASKS_PER_JOB)
+            .imageGb(0.1)
+            .runS(TASK_S)
+            .deadlineS(60)
+            .build();
     jobs.add(job);
     users.connect(job.uid(), controller);
     users.submit(job, false);
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -14,7 +14,6 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Priority;
 
 /**
  * The whole service in a simulated deployment, with seeded troubles; the rules are checked after
@@ -130,26 +129,11 @@
         cluster.cloud.outage = true;
         cluster.at(time, () -> cluster.cloud.outage = false);
       }
-      case 7 ->
-          cluster.cloud.machines.values().stream()
-              .filter(v -> v.worker != null)
-              .limit(3)
-              .forEach(
-                  v -> {
-                    v.worker.hung = true;
-                    cluster.at(time, () -> v.worker.hung = false);
-                  });
+      case 7 -> hangThreeMachines(cluster, time);
       case 8 ->
           new ArrayList<>(cluster.cloud.machines.keySet())
               .stream().filter(h -> cluster.random.nextInt(3) == 0).forEach(cluster.cloud::delete);
-      case 9 ->
-          cluster.cloud.machines.values().stream()
-              .filter(v -> v.worker != null && v.spot)
-              .forEach(
-                  v -> {
-                    v.worker.notice(8);
-                    cluster.at(8_000_000, () -> cluster.cloud.delete(v.id));
-                  });
+      case 9 -> preemptAllSpotMachines(cluster);
       case 10 ->
           cluster.cloud.machines.values().stream()
               .filter(v -> v.worker != null)
@@ -157,18 +141,7 @@
               .forEach(v -> makeUnreachable(cluster, v.id, 2 * time));
       case 11 -> loseAllButWorkers(cluster, leader, time);
       case 12 -> loseAllButWorkers(cluster, one, time);
-      case 14 ->
-          cluster
-              .cloud
-              .machines
-              .keySet()
-              .forEach(
-                  h ->
-                      hold(
-                          cluster,
-                          h + ">" + leader.platform.label(),
-                          leader.platform.label() + ">" + h,
-                          time));
+      case 14 -> cutFromAllMachines(cluster, leader.platform.label(), time);
       case 13 -> {
         // Back at once, and once more in the middle of the election that follows.
         leader.crash(0.1 + cluster.random.nextDouble() / 10);
@@ -176,19 +149,45 @@
             500_000 + cluster.random.nextLong(3_000_000),
             () -> all.get(cluster.random.nextInt(all.size())).crash(0.15));
       }
-      default ->
-          cluster.cloud.machines.values().stream()
-              .filter(v -> v.zone.equals("a"))
-              .forEach(
-                  v ->
-                      hold(
-                          cluster,
-                          v.id + ">" + leader.platform.label(),
-                          leader.platform.label() + ">" + v.id,
-                          time));
+      default -> cutFromZoneA(cluster, leader.platform.label(), time);
     }
   }
 
+  private static void hangThreeMachines(SimulatedCluster cluster, long time) {
+    cluster.cloud.machines.values().stream()
+        .filter(v -> v.worker != null)
+        .limit(3)
+        .forEach(
+            v -> {
+              v.worker.hung = true;
+              cluster.at(time, () -> v.worker.hung = false);
+            });
+  }
+
+  private static void preemptAllSpotMachines(SimulatedCluster cluster) {
+    cluster.cloud.machines.values().stream()
+        .filter(v -> v.worker != null && v.spot)
+        .forEach(
+            v -> {
+              v.worker.notice(8);
+              cluster.at(8_000_000, () -> cluster.cloud.delete(v.id));
+            });
+  }
+
+  private static void cutFromAllMachines(SimulatedCluster cluster, String leader, long time) {
+    cluster
+        .cloud
+        .machines
+        .keySet()
+        .forEach(h -> hold(cluster, h + ">" + leader, leader + ">" + h, time));
+  }
+
+  private static void cutFromZoneA(SimulatedCluster cluster, String leader, long time) {
+    cluster.cloud.machines.values().stream()
+        .filter(v -> v.zone.equals("a"))
+        .forEach(v -> hold(cluster, v.id + ">" + leader, leader + ">" + v.id, time));
+  }
+
   /** Its reports arrive; answers and commands to it don't, and come late if at all. */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
     cluster.network.cuts.put("*>" + machineId, true);
@@ -389,26 +388,7 @@
     cluster.leader().crash(60);
     cluster.play(2);
     JobSpec late =
-        new JobSpec(
-            users.nextUid(),
-            "c1",
-            "blue",
-            Priority.STANDARD,
-            6,
-            1,
-            0,
-            2,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            60,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        TestJob.job(users.nextUid()).jobClass("c1").tasks(6).memoryGb(2).runS(60).build();
     users.submit(late, false);
     cluster.play(16);
     assertFalse(
--- /dev/null
+++ b/src/test/java/plumlever/sim/TestJob.java
@@ -0,0 +1,157 @@
+package plumlever.sim;
+
+import java.util.List;
+import plumlever.wire.JobSpec;
+import plumlever.wire.Priority;
+
+/**
+ * Builds a job for a test, which states what matters to it. Without more said it is one task of one
+ * core and 1 GB that may run on any machine for 10 s, without checkpoints and without a deadline.
+ */
+public final class TestJob {
+  private final String uid;
+  private String jobClass = "c0";
+  private String team = "blue";
+  private Priority priority = Priority.STANDARD;
+  private int taskCount = 1;
+  private double cores = 1;
+  private double accelerators;
+  private double memoryGb = 1;
+  private String image = "img";
+  private double imageGb = 1;
+  private List<String> machineTypes;
+  private String zone;
+  private boolean oneZone;
+  private boolean spread;
+  private boolean spotAllowed = true;
+  private double expectedRunS = 10;
+  private double checkpointIntervalS;
+  private double checkpointS;
+  private double deadlineS = JobSpec.NO_DEADLINE;
+  private List<String> dependencies = List.of();
+
+  private TestJob(String uid) {
+    this.uid = uid;
+  }
+
+  public static TestJob job(String uid) {
+    return new TestJob(uid);
+  }
+
+  public TestJob jobClass(String name) {
+    jobClass = name;
+    return this;
+  }
+
+  public TestJob team(String name) {
+    team = name;
+    return this;
+  }
+
+  public TestJob priority(Priority now) {
+    priority = now;
+    return this;
+  }
+
+  public TestJob tasks(int count) {
+    taskCount = count;
+    return this;
+  }
+
+  public TestJob cores(double each) {
+    cores = each;
+    return this;
+  }
+
+  public TestJob accelerators(double each) {
+    accelerators = each;
+    return this;
+  }
+
+  public TestJob memoryGb(double each) {
+    memoryGb = each;
+    return this;
+  }
+
+  public TestJob image(String name) {
+    image = name;
+    return this;
+  }
+
+  public TestJob imageGb(double size) {
+    imageGb = size;
+    return this;
+  }
+
+  public TestJob machineTypes(List<String> names) {
+    machineTypes = names;
+    return this;
+  }
+
+  public TestJob zone(String name) {
+    zone = name;
+    return this;
+  }
+
+  public TestJob oneZone(boolean now) {
+    oneZone = now;
+    return this;
+  }
+
+  public TestJob spread(boolean now) {
+    spread = now;
+    return this;
+  }
+
+  public TestJob spotAllowed(boolean now) {
+    spotAllowed = now;
+    return this;
+  }
+
+  public TestJob runS(double expected) {
+    expectedRunS = expected;
+    return this;
+  }
+
+  /** The job saves its progress so often, and each time takes so long, in seconds. */
+  public TestJob checkpoints(double intervalS, double durationS) {
+    checkpointIntervalS = intervalS;
+    checkpointS = durationS;
+    return this;
+  }
+
+  public TestJob deadlineS(double afterSubmission) {
+    deadlineS = afterSubmission;
+    return this;
+  }
+
+  public TestJob dependencies(List<String> uids) {
+    dependencies = uids;
+    return this;
+  }
+
+  /** The job as it would be submitted. */
+  public JobSpec build() {
+    return new JobSpec(
+        uid,
+        jobClass,
+        team,
+        priority,
+        taskCount,
+        cores,
+        accelerators,
+        memoryGb,
+        image,
+        imageGb,
+        machineTypes,
+        zone,
+        oneZone,
+        spread,
+        spotAllowed,
+        expectedRunS,
+        checkpointIntervalS,
+        checkpointS,
+        deadlineS,
+        dependencies);
+  }
+}
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -193,56 +193,7 @@
     SimulatedCluster cluster = cluster(300 + seed);
     FakeUsers users = new FakeUsers(cluster);
     FormerVersion former = new FormerVersion(cluster.store, NOW_BYTES);
-    List<JobSpec> all = new ArrayList<>();
-    cluster.cloud.most = 60;
-    for (int i = 0; i < 110; i++) {
-      JobSpec job =
-          new JobSpec(
-              users.nextUid(),
-              "c0",
-              i % 3 == 0 ? "red" : "blue",
-              Priority.STANDARD,
-              2 + i % 9,
-              0.5,
-              0,
-              0.5,
-              "img-" + i % 3,
-              1,
-              null,
-              null,
-              false,
-              false,
-              true,
-              20 + i % 90,
-              0,
-              0,
-              JobSpec.NO_DEADLINE);
-      all.add(job);
-      cluster.at(i * 300_000L, () -> users.submit(job, false));
-    }
-    JobSpec large =
-        new JobSpec(
-            users.nextUid(),
-            "c1",
-            "blue",
-            Priority.HIGH,
-            6_000,
-            0.02,
-            0,
-            0.01,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            25,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
-    all.add(large);
-    users.submit(large, false);
+    List<JobSpec> all = submitManySmallAndOneLarge(cluster, users);
     int largest = 0;
     long limitsFall = 60_000_000 + seed * 15_000_000;
     cluster.at(
@@ -282,6 +233,37 @@
     }
   }
 
+  private static List<JobSpec> submitManySmallAndOneLarge(
+      SimulatedCluster cluster, FakeUsers users) {
+    List<JobSpec> all = new ArrayList<>();
+    cluster.cloud.most = 60;
+    for (int i = 0; i < 110; i++) {
+      JobSpec job =
+          TestJob.job(users.nextUid())
+              .team(i % 3 == 0 ? "red" : "blue")
+              .tasks(2 + i % 9)
+              .cores(0.5)
+              .memoryGb(0.5)
+              .image("img-" + i % 3)
+              .runS(20 + i % 90)
+              .build();
+      all.add(job);
+      cluster.at(i * 300_000L, () -> users.submit(job, false));
+    }
+    JobSpec large =
+        TestJob.job(users.nextUid())
+            .jobClass("c1")
+            .priority(Priority.HIGH)
+            .tasks(6_000)
+            .cores(0.02)
+            .memoryGb(0.01)
+            .runS(25)
+            .build();
+    all.add(large);
+    users.submit(large, false);
+    return all;
+  }
+
   /** What the old version would take for done is done. */
   private static void noProgressIsMistaken(SimulatedCluster cluster) {
     FormerVersion.progressItReads(cluster.store, NOW_BYTES)
@@ -305,28 +287,7 @@
     FakeUsers users = new FakeUsers(cluster);
     cluster.cloud.most = 200;
     for (int i = 0; i < 60; i++) {
-      users.submit(
-          new JobSpec(
-              users.nextUid(),
-              "c0",
-              "blue",
-              Priority.STANDARD,
-              14,
-              1,
-              0,
-              1,
-              "img",
-              1,
-              null,
-              null,
-              false,
-              false,
-              true,
-              150,
-              0,
-              0,
-              JobSpec.NO_DEADLINE),
-          false);
+      users.submit(TestJob.job(users.nextUid()).tasks(14).runS(150).build(), false);
     }
     cluster.play(60);
     Set<String> machineIds = machineIds(cluster);
@@ -391,27 +352,7 @@
     cluster.cloud.most = 200;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
-      JobSpec job =
-          new JobSpec(
-              users.nextUid(),
-              "c0",
-              "blue",
-              Priority.STANDARD,
-              12,
-              1,
-              0,
-              1,
-              "img",
-              1,
-              null,
-              null,
-              false,
-              false,
-              true,
-              40 + i,
-              0,
-              0,
-              JobSpec.NO_DEADLINE);
+      JobSpec job = TestJob.job(users.nextUid()).tasks(12).runS(40 + i).build();
       all.add(job);
       cluster.at(i * 900_000L, () -> users.submit(job, false));
     }
@@ -441,53 +382,17 @@
   void anEndStoredByTheOldVersionReleases() {
     SimulatedCluster cluster = cluster(79);
     FakeUsers users = new FakeUsers(cluster);
-    JobSpec first =
-        new JobSpec(
-            users.nextUid(),
-            "c0",
-            "blue",
-            Priority.STANDARD,
-            2,
-            1,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            5,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+    JobSpec first = TestJob.job(users.nextUid()).tasks(2).runS(5).build();
     cluster.play(5);
     users.submit(first, false);
     cluster.play(40);
     new FormerVersion(cluster.store, NOW_BYTES).leads();
     cluster.leader().crash(1);
     JobSpec next =
-        new JobSpec(
-                users.nextUid(),
-                "c0",
-                "blue",
-                Priority.STANDARD,
-                2,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                5,
-                0,
-                0,
-                JobSpec.NO_DEADLINE)
+        TestJob.job(users.nextUid())
+            .tasks(2)
+            .runS(5)
+            .build()
             .withDependencies(List.of(first.uid()));
     users.submit(next, false);
     cluster.play(60);
