--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -9,9 +9,9 @@
 import plumlever.settings.SchedulerParameters;
 
 /**
- * Lets a controller that does not lead practise leading, in small slices while it has nothing
- * better to do: a successor whose code has never run takes several times as long to take over. It
- * ends when all is played, or at once when the controller is elected.
+ * Lets a controller that does not lead run the code of a leader, in small slices while it has
+ * nothing better to do: a successor whose code has never run takes several times as long to take
+ * over. It ends when all is played, or at once when the controller is elected.
  */
 public final class WarmUp {
   private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
@@ -32,7 +32,7 @@
   private final long beganMicros;
   private final PlatformConfiguration platform;
   private final SchedulerParameters parameters;
-  private WarmUpTerms practice;
+  private WarmUpTerms terms;
   private boolean over;
 
   /**
@@ -54,14 +54,14 @@
 
   /** All of it at once. */
   public static void playAll(PlatformConfiguration platform, SchedulerParameters parameters) {
-    WarmUpTerms practice = new WarmUpTerms(platform, parameters, 0);
+    WarmUpTerms terms = new WarmUpTerms(platform, parameters, 0);
     boolean more = true;
     while (more) {
-      more = practice.step();
+      more = terms.step();
     }
   }
 
-  /** One turn of the duty. */
+  /** One turn of the recurring task. */
   public long turn() {
     long start = loop.nowMicros();
     if (over || leads.getAsBoolean()) {
@@ -70,12 +70,12 @@
     if (start - beganMicros < AFTER_MICROS || latenessMicros.getAsLong() > LATE_MICROS) {
       return BUSY_PAUSE_MICROS;
     }
-    if (practice == null) {
-      practice = new WarmUpTerms(platform, parameters, loop.wallMicros());
+    if (terms == null) {
+      terms = new WarmUpTerms(platform, parameters, loop.wallMicros());
     }
     boolean more = true;
     while (more && loop.nowMicros() - start < SLICE_MICROS) {
-      more = practice.step();
+      more = terms.step();
     }
     if (!more) {
       LOG.info("warm after {} ms", (loop.nowMicros() - beganMicros) / 1_000);
@@ -86,7 +86,7 @@
 
   private long end() {
     over = true;
-    practice = null;
+    terms = null;
     return -1;
   }
 }
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -11,38 +11,50 @@
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
+import plumlever.wire.HttpStatus;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 import plumlever.wire.ProtocolPath;
 
 /**
- * A controller played to itself: two terms of a small deployment in memory, with the service's own
- * code and a clock turned by hand. What it is for is that this code has run when it is needed: code
- * that never ran is interpreted, some twenty times slower, and on little processor the first minute
- * of a term would be lost to that.
+ * Two terms of a small deployment in memory, with the service's own code and a clock of their own.
+ * Code that has never run is interpreted, some twenty times slower, and on a small processor share
+ * the first minute of a term would be lost to that.
  */
 final class WarmUpTerms {
+  private static final int TERMS = 2;
   private static final int MACHINES = 40;
   private static final int JOBS = 16;
-  private static final long LIFE_MICROS = 40_000_000;
+  private static final long TERM_MICROS = 40_000_000;
   private static final long HEARTBEAT_MICROS = 1_000_000;
-  private static final long WAY_MICROS = 5_000;
+  private static final long LATENCY_MICROS = 5_000;
+  private static final long FIRST_JOB_MICROS = 500_000;
+  private static final long JOB_PAUSE_MICROS = 1_500_000;
+  private static final long POLL_PAUSE_MICROS = 2_000_000;
   private static final Endpoint STATE = new Endpoint("state", 1);
   private static final Endpoint CLOUD = new Endpoint("cloud", 1);
 
+  /** Loggers of these terms begin with this, so that only warnings of them are shown. */
+  private static final String LOGGER_PREFIX = "practice.";
+
+  private static final String TEAM = "practice";
+
+  /** Users are told nothing. */
+  private static final Responder NO_USER = (status, json, retry) -> {};
+
   private final WarmUpLoop loop;
-  private final WarmUpServices outside;
+  private final WarmUpServices services;
   private final PlatformConfiguration platform;
   private final SchedulerParameters parameters;
-  private Controller node;
-  private long lifeEndsMicros;
-  private int lives;
+  private Controller controller;
+  private long termEndsMicros;
+  private int terms;
   private int submitted;
 
   WarmUpTerms(PlatformConfiguration real, SchedulerParameters parameters, long wallMicros) {
     this.loop = new WarmUpLoop(wallMicros);
-    this.outside = new WarmUpServices(loop, MACHINES, "practice-%d:9");
+    this.services = new WarmUpServices(loop, MACHINES, "practice-%d:9");
     this.parameters = parameters;
     this.platform =
         new PlatformConfiguration(
@@ -53,7 +65,7 @@
             List.of(),
             CLOUD,
             STATE,
-            List.of(new PlatformConfiguration.Team("practice", 0, 0, 0, 0)),
+            List.of(new PlatformConfiguration.Team(TEAM, 0, 0, 0, 0)),
             real.objectives(),
             real.workers(),
             real.stateLimits(),
@@ -61,136 +73,125 @@
             real.socketLimit());
   }
 
-  /** A little of it; false when all has been played. */
+  /** Plays the next event; false when both terms have been played. */
   boolean step() {
-    if (node == null) {
-      if (lives == 2) {
+    if (controller == null) {
+      if (terms == TERMS) {
         return false;
       }
-      live();
+      startTerm();
     }
-    if (!loop.step(lifeEndsMicros)) {
-      // Its machines and jobs are there for the next life to take over.
-      node.close();
-      node = null;
+    if (!loop.step(termEndsMicros)) {
+      // Its machines and jobs stay for the next term to take over.
+      controller.close();
+      controller = null;
     }
     return true;
   }
 
-  private void live() {
-    int life = ++lives;
-    lifeEndsMicros = loop.nowMicros() + LIFE_MICROS;
-    node =
+  private void startTerm() {
+    int term = ++terms;
+    termEndsMicros = loop.nowMicros() + TERM_MICROS;
+    controller =
         new Controller(
             loop,
-            caller(life),
+            caller(term),
             loop,
-            caller(life),
+            caller(term),
             platform,
             new OperatorSettings(parameters, Optional.empty()),
-            life,
-            c -> LoggerFactory.getLogger("practice." + c.getSimpleName()));
-    node.start();
-    long apart = HEARTBEAT_MICROS / MACHINES;
-    int count = 0;
-    for (String text : outside.machines()) {
-      loop.after(count++ * apart, () -> heartbeat(life, text));
+            term,
+            type -> LoggerFactory.getLogger(LOGGER_PREFIX + type.getSimpleName()));
+    controller.start();
+    long stagger = HEARTBEAT_MICROS / MACHINES;
+    long delay = 0;
+    for (String machineId : services.machines()) {
+      loop.after(delay, () -> heartbeat(term, machineId));
+      delay += stagger;
     }
-    for (int i = 0; i < JOBS; i++) {
-      loop.after(500_000 + i * 1_500_000L, () -> submit(life));
+    for (int job = 0; job < JOBS; job++) {
+      loop.after(FIRST_JOB_MICROS + job * JOB_PAUSE_MICROS, () -> submit(term));
     }
-    loop.after(
-        LIFE_MICROS / 2,
-        () -> ask(life, "POST", "/submissions/job-" + (submitted - 1) + "/abort", null));
+    loop.after(TERM_MICROS / 2, () -> cancelJobBeforeLast(term));
+  }
+
+  private boolean isOver(int term) {
+    return term != terms || controller == null;
   }
 
-  /** Calls of a life that is over come to nothing, as those of a process that has ended. */
-  private Caller caller(int life) {
+  /** Calls of a term that is over are lost, as those of a process that has ended. */
+  private Caller caller(int term) {
     return (to, method, path, body, timeout, answer) ->
         loop.after(
-            WAY_MICROS,
+            LATENCY_MICROS,
             () -> {
-              if (life != lives || node == null) {
+              if (isOver(term)) {
                 return;
               }
-              if (path.equals("/orders")) {
-                String machineId = outside.machineAt(to.toString());
-                outside.command(machineId, new String(body, StandardCharsets.UTF_8));
-                answer.take(200, outside.heartbeat(machineId));
+              if (path.equals(ProtocolPath.COMMANDS)) {
+                String machineId = services.machineAt(to.toString());
+                services.command(machineId, new String(body, StandardCharsets.UTF_8));
+                answer.take(HttpStatus.OK, services.heartbeat(machineId));
               } else {
-                outside.handle(
-                    method,
-                    path,
-                    body,
-                    (status, text) ->
-                        loop.after(
-                            WAY_MICROS,
-                            () -> {
-                              if (life == lives) {
-                                answer.take(status, text.getBytes(StandardCharsets.UTF_8));
-                              }
-                            }));
+                services.handle(method, path, body, replyTo(term, answer));
               }
             });
   }
 
-  private void heartbeat(int life, String machineId) {
-    if (life != lives || node == null) {
+  private WarmUpServices.Reply replyTo(int term, Caller.Answer answer) {
+    return (status, text) ->
+        loop.after(
+            LATENCY_MICROS,
+            () -> {
+              if (term == terms) {
+                answer.take(status, text.getBytes(StandardCharsets.UTF_8));
+              }
+            });
+  }
+
+  private void heartbeat(int term, String machineId) {
+    if (isOver(term)) {
       return;
     }
-    node.router()
+    controller
+        .router()
         .handle(
             "POST",
             ProtocolPath.HEARTBEAT,
-            outside.heartbeat(machineId),
+            services.heartbeat(machineId),
             (status, json, retry) -> {
-              if (status == 200) {
-                outside.command(machineId, json);
+              if (status == HttpStatus.OK) {
+                services.command(machineId, json);
               }
             });
-    loop.after(HEARTBEAT_MICROS, () -> heartbeat(life, machineId));
+    loop.after(HEARTBEAT_MICROS, () -> heartbeat(term, machineId));
   }
 
-  private void submit(int life) {
+  private void submit(int term) {
     Priority priority = Priority.values()[submitted % Priority.values().length];
-    JobSpec job =
-        new JobSpec(
-            "job-" + ++submitted,
-            "c" + submitted % 3,
-            "practice",
-            priority,
-            24,
-            1 + submitted % 2,
-            0,
-            2,
-            "img-" + submitted % 5,
-            1.5,
-            null,
-            null,
-            submitted % 7 == 0,
-            submitted % 8 == 0,
-            true,
-            4,
-            submitted % 2 * 2,
-            1,
-            submitted % 2 == 0 ? 60 : JobSpec.NO_DEADLINE);
-    ask(life, "POST", "/submissions", Json.write(job.toJson()).getBytes(StandardCharsets.UTF_8));
-    poll(life, job.uid());
+    submitted++;
+    JobSpec job = WarmUpJobs.job(submitted, TEAM, priority);
+    byte[] body = Json.write(job.toJson()).getBytes(StandardCharsets.UTF_8);
+    ask(term, "POST", ProtocolPath.SUBMISSIONS, body);
+    poll(term, job.uid());
   }
 
-  private void poll(int life, String uid) {
-    if (life == lives && node != null) {
-      ask(life, "GET", "/submissions/" + uid, null);
-      loop.after(2_000_000, () -> poll(life, uid));
+  private void poll(int term, String uid) {
+    if (!isOver(term)) {
+      ask(term, "GET", ProtocolPath.SUBMISSIONS + "/" + uid, null);
+      loop.after(POLL_PAUSE_MICROS, () -> poll(term, uid));
     }
   }
 
-  private void ask(int life, String method, String path, byte[] body) {
-    if (life == lives && node != null) {
-      node.router().handle(method, path, body, NOBODY);
-    }
+  private void cancelJobBeforeLast(int term) {
+    String uid = WarmUpJobs.uid(submitted - 1);
+    String path = ProtocolPath.SUBMISSIONS + "/" + uid + ProtocolPath.CANCEL_SUFFIX;
+    ask(term, "POST", path, null);
   }
 
-  /** What users would be told. */
-  private static final Responder NOBODY = (status, json, retry) -> {};
+  private void ask(int term, String method, String path, byte[] body) {
+    if (!isOver(term)) {
+      controller.router().handle(method, path, body, NO_USER);
+    }
+  }
 }
--- a/src/test/java/plumlever/architecture/ProtocolWordsTest.java
+++ b/src/test/java/plumlever/architecture/ProtocolWordsTest.java
@@ -41,6 +41,8 @@
           "main/java/plumlever/settings/OperatorFile.java",
           "main/java/plumlever/sharing/TransferRecord.java",
           "main/java/plumlever/store/StateProtocol.java",
+          "main/java/plumlever/warmup/InMemoryMachines.java",
+          "main/java/plumlever/warmup/InMemoryStateService.java",
           "main/java/plumlever/warmup/WarmUpServices.java",
           "main/java/plumlever/wire/ProtocolField.java",
           "main/java/plumlever/wire/ProtocolPath.java",
