--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -8,6 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.IntFunction;
 import org.junit.jupiter.api.Test;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
@@ -74,6 +75,23 @@
     return machineId;
   }
 
+  private List<JobSpec> submitMany(int count, IntFunction<JobSpec> jobOfIndex) {
+    List<JobSpec> jobs = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      jobs.add(submit(jobOfIndex.apply(i)));
+    }
+    return jobs;
+  }
+
+  private List<JobSpec> submitMany(int count, double pauseS, IntFunction<JobSpec> jobOfIndex) {
+    List<JobSpec> jobs = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      jobs.add(submit(jobOfIndex.apply(i)));
+      cluster.play(pauseS);
+    }
+    return jobs;
+  }
+
   @Test
   void aMachineThatNothingReachesLosesItsTasksToOthers() {
     JobSpec otherJob = submit(job("blue", Priority.STANDARD, 12, 2, 30, false));
@@ -181,10 +199,7 @@
    */
   @Test
   void aLeaderLeftWithItsWorkersOnlyMakesWayAndSendsItsUsersAway() {
-    List<JobSpec> all = new ArrayList<>();
-    for (int i = 0; i < 9; i++) {
-      all.add(submit(job("blue", Priority.STANDARD, 6, 2, 60, false)));
-    }
+    List<JobSpec> all = submitMany(9, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
     cluster.play(50);
     String isRefusedAlone = cluster.leader().platform.label();
     for (String other : List.of("state", "n0", "n1", "n2")) {
@@ -226,10 +241,7 @@
    */
   @Test
   void aLeaderThatLostItsWorkersMakesWay() {
-    List<JobSpec> all = new ArrayList<>();
-    for (int i = 0; i < 6; i++) {
-      all.add(submit(job("blue", Priority.STANDARD, 6, 2, 60, false)));
-    }
+    List<JobSpec> all = submitMany(6, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
     cluster.play(50);
     String isRefusedAlone = cluster.leader().platform.label();
     cluster.cloud.machines.keySet().forEach(h -> cluster.network.cut(isRefusedAlone, h, true));
@@ -246,10 +258,7 @@
    */
   @Test
   void leasesBehindAPartitionAreRenewedByOthers() {
-    List<JobSpec> all = new ArrayList<>();
-    for (int i = 0; i < 10; i++) {
-      all.add(submit(job("blue", Priority.STANDARD, 8, 2, 90, false)));
-    }
+    List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 90, false));
     JobSpec cancelled = job("blue", Priority.STANDARD, 12, 2, 200, false);
     users.submit(cancelled, false);
     cluster.play(45);
@@ -283,10 +292,7 @@
    */
   @Test
   void aZoneThatNobodyReachesIsNotWaitedFor() {
-    List<JobSpec> all = new ArrayList<>();
-    for (int i = 0; i < 10; i++) {
-      all.add(submit(job("blue", Priority.STANDARD, 8, 2, 60, false)));
-    }
+    List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 60, false));
     cluster.play(45);
     cluster.cloud.machines.values().stream()
         .filter(v -> v.zone.equals("a") && v.worker != null)
@@ -305,10 +311,7 @@
    */
   @Test
   void aSuccessorWaitsForDelegates() {
-    List<JobSpec> all = new ArrayList<>();
-    for (int i = 0; i < 10; i++) {
-      all.add(submit(job("blue", Priority.STANDARD, 8, 2, 60, i % 2 == 0)));
-    }
+    List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 60, i % 2 == 0));
     cluster.play(45);
     String leader = cluster.leader().platform.label();
     List<String> behind =
@@ -360,10 +363,7 @@
   @Test
   void processesBackAtOnceStartNothingTwice() {
     cluster.network.repeatedShare = 0.05;
-    List<JobSpec> all = new ArrayList<>();
-    for (int i = 0; i < 8; i++) {
-      all.add(submit(job("blue", Priority.STANDARD, 6, 2, 40, i % 2 == 0)));
-    }
+    List<JobSpec> all = submitMany(8, i -> job("blue", Priority.STANDARD, 6, 2, 40, i % 2 == 0));
     cluster.play(40);
     for (int round = 0; round < 6; round++) {
       cluster.leader().crash(0.15);
@@ -401,11 +401,7 @@
     cluster.play(40);
     assertDone(first);
     cluster.network.lostCommandAnswerShare = 0.7;
-    List<JobSpec> all = new ArrayList<>();
-    for (int i = 0; i < 6; i++) {
-      all.add(submit(job("blue", Priority.STANDARD, 10, 2, 8, false)));
-      cluster.play(10);
-    }
+    List<JobSpec> all = submitMany(6, 10, i -> job("blue", Priority.STANDARD, 10, 2, 8, false));
     cluster.play(120);
     assertDone(all.toArray(new JobSpec[0]));
   }
@@ -414,11 +410,7 @@
   @Test
   void aHeartbeatThatCrossesADirectCommandProvesNothing() {
     cluster.network.extraCommandDelayMicros = 1_200_000;
-    List<JobSpec> all = new ArrayList<>();
-    for (int i = 0; i < 10; i++) {
-      all.add(submit(job("blue", Priority.STANDARD, 10, 2, 8, false)));
-      cluster.play(8);
-    }
+    List<JobSpec> all = submitMany(10, 8, i -> job("blue", Priority.STANDARD, 10, 2, 8, false));
     cluster.play(120);
     assertDone(all.toArray(new JobSpec[0]));
     assertEquals(
@@ -434,11 +426,8 @@
     cluster.network.extraCommandDelayMicros = 1_200_000;
     cluster.network.copiedCommandShare = 1;
     cluster.cloud.most = 2;
-    List<JobSpec> all = new ArrayList<>();
-    for (int i = 0; i < 30; i++) {
-      all.add(submit(job("blue", Priority.STANDARD, 3 + i % 4, 1, 3 + i % 5, false)));
-      cluster.play(3);
-    }
+    List<JobSpec> all =
+        submitMany(30, 3, i -> job("blue", Priority.STANDARD, 3 + i % 4, 1, 3 + i % 5, false));
     cluster.play(120);
     assertDone(all.toArray(new JobSpec[0]));
   }
