--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -67,9 +67,9 @@
     users.cancelled(cancelled);
     assertEquals(200, ask("n1", "POST", "/submissions/" + cancelled.uid() + "/abort", "").status());
     JobSpec after = ofTeam("blue", Priority.HIGH, 1, 2, done, running);
-    JobSpec doomed = ofTeam("blue", Priority.HIGH, 1, 2, done, cancelled, running);
+    JobSpec dependent = ofTeam("blue", Priority.HIGH, 1, 2, done, cancelled, running);
     assertEquals(201, submitAt("n2", after).status());
-    Answer answer = submitAt("n0", doomed);
+    Answer answer = submitAt("n0", dependent);
     assertEquals(201, answer.status(), "accepted all the same");
     assertTrue(answer.body().contains("\"aborted\""), answer.body());
     cluster.play(100);
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -394,10 +394,10 @@
   }
 
   private void transaction(ObjectNode object, SimulatedNetwork.Reply reply) {
-    for (JsonNode controller : object.path("guards")) {
-      Entry entry = keys.get(controller.path("k").asText());
+    for (JsonNode precondition : object.path("guards")) {
+      Entry entry = keys.get(precondition.path("k").asText());
       if (!ignorePreconditions
-          && (entry == null ? 0 : entry.revision) != controller.path("stamp").asLong()) {
+          && (entry == null ? 0 : entry.revision) != precondition.path("stamp").asLong()) {
         reply.send(409, "{\"failed\":[],\"epoch\":" + storeRevision + "}");
         return;
       }
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -219,16 +219,16 @@
       }
       execute(object.path("orders"));
     } catch (InvalidMessageException e) {
-      throw new AssertionError("a node's answer can't be read: " + body);
+      throw new AssertionError("a controller's answer can't be read: " + body);
     }
   }
 
   private void execute(JsonNode commands) {
-    for (JsonNode controller : commands) {
-      String name = controller.path("piece").asText();
-      long attempt = controller.path("try").asLong();
+    for (JsonNode command : commands) {
+      String name = command.path("piece").asText();
+      long attempt = command.path("try").asLong();
       Task task = tasks.get(attempt);
-      switch (controller.path("verb").asText()) {
+      switch (command.path("verb").asText()) {
         case "run" -> {
           if (task == null) {
             run(name, attempt);
@@ -246,15 +246,15 @@
             due = true;
           }
         }
-        default -> throw new AssertionError("unknown order " + controller);
+        default -> throw new AssertionError("unknown command " + command);
       }
     }
   }
 
   private void run(String name, long attempt) {
     if (removed.contains(attempt)) {
-      // Not a rule of the protocol, but each order that comes too late like this may break one.
-      cluster.invariants.broken.add("started anew after it was reaped: " + name);
+      // Not a rule of the protocol, but each command that comes too late like this may break one.
+      cluster.invariants.broken.add("started anew after it was removed: " + name);
     }
     cluster.invariants.commandedToStart(name, this);
     Task task = new Task(name, attempt);
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -75,7 +75,8 @@
     FaultCombination.CANCELLATIONS_QUESTIONS_AND_REPEATS_MEET_THE_LAST_TASKS_END.play.in(
         deployment);
     assertTrue(
-        !deployment.cluster.invariants.broken.isEmpty(), "the checks must see the missing guards");
+        !deployment.cluster.invariants.broken.isEmpty(),
+        "the checks must see the missing preconditions");
   }
 
   /** The checks can fail: an answer older than one given before, at another controller, is seen. */
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -105,7 +105,7 @@
   }
 
   /**
-   * A leader stands still for longer than its lease lasts, and wakes to reports that came
+   * A leader stands still for longer than its lease lasts, and wakes to heartbeats that came
    * meanwhile: it must see by the clock that it is none any more before it answers the first of
    * them.
    */
@@ -124,8 +124,8 @@
   }
 
   /**
-   * Its reports go on; answered, they would keep it from ever being accounted for, and all that is
-   * inherited waits.
+   * Its heartbeats go on; answered, they would keep it from ever being accounted for, and all that
+   * is inherited waits.
    */
   @Test
   void aMachineThatNothingReachesHoldsUpNoFailoverForLong() {
@@ -377,7 +377,7 @@
   }
 
   /**
-   * Direct orders come again, up to a minute after they were carried out: a removed task must not
+   * Direct commands come again, up to a minute after they were carried out: a removed task must not
    * start anew.
    */
   @Test
@@ -406,7 +406,9 @@
     assertDone(all.toArray(new JobSpec[0]));
   }
 
-  /** While a command is under way, reports that were sent before it arrived don't list its task. */
+  /**
+   * While a command is under way, heartbeats that were sent before it arrived don't list its task.
+   */
   @Test
   void aHeartbeatThatCrossesADirectCommandProvesNothing() {
     cluster.network.extraCommandDelayMicros = 1_200_000;
@@ -416,11 +418,13 @@
     assertEquals(
         0,
         cluster.leader().controller().metrics().counted("starts_lost"),
-        "no order was taken for lost");
+        "no command was taken for lost");
     assertTrue(cluster.leader().controller().metrics().counted("starts_sent") >= 100);
   }
 
-  /** Nor may it while another order to the same machine is still under way, with the same token. */
+  /**
+   * Nor may it while another command to the same machine is still under way, with the same token.
+   */
   @Test
   void nothingIsRemovedWhileALateCopyCouldStartItAnew() {
     cluster.network.extraCommandDelayMicros = 1_200_000;
--- a/src/test/java/plumlever/sim/FormerVersion.java
+++ b/src/test/java/plumlever/sim/FormerVersion.java
@@ -38,8 +38,8 @@
     Map<String, JsonNode> out = new LinkedHashMap<>();
     ArrayNode jobs = null;
     int bytes = 0;
-    for (JsonNode controller : store.values("begun/")) {
-      for (JsonNode uid : controller.path("jobs")) {
+    for (JsonNode stored : store.values("begun/")) {
+      for (JsonNode uid : stored.path("jobs")) {
         if (jobs == null || bytes + uid.asText().length() + 3 > valueBytes) {
           ObjectNode object = Json.object();
           jobs = object.putArray("jobs");
@@ -59,8 +59,8 @@
     ArrayNode machineIds = null;
     Map<String, Integer> numbers = new LinkedHashMap<>();
     int bytes = 0;
-    for (JsonNode controller : store.values("fleet/")) {
-      for (JsonNode machineId : controller.path("hosts")) {
+    for (JsonNode stored : store.values("fleet/")) {
+      for (JsonNode machineId : stored.path("hosts")) {
         int more = machineId.path(0).asText().length() + machineId.path(1).asText().length() + 11;
         if (machineIds == null || bytes + more > valueBytes) {
           ObjectNode object = Json.object();
@@ -70,7 +70,7 @@
           out.put("fleet/" + out.size(), object);
           bytes = 500;
         }
-        JsonNode kind = controller.path("kinds").path(machineId.path(2).asInt());
+        JsonNode kind = stored.path("kinds").path(machineId.path(2).asInt());
         ArrayNode into = kinds;
         int number =
             numbers.computeIfAbsent(
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -110,7 +110,7 @@
     cluster.play(1);
     assertEquals(List.of(200, 200, 200, 200), told);
     cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 5);
-    assertTrue(leader.leads(), "it has kept its office all the time");
+    assertTrue(leader.leads(), "it has kept leadership all the time");
   }
 
   @Test
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -66,12 +66,12 @@
         "thousands of tasks: " + cluster.invariants.starts);
     assertStateServiceLimitsKept(cluster);
     long candidates = counted(cluster, "candidates_evaluated");
-    assertTrue(candidates > 0 && candidates < 3_000_000, "seats evaluated: " + candidates);
+    assertTrue(candidates > 0 && candidates < 3_000_000, "candidates evaluated: " + candidates);
   }
 
   /**
-   * A full fleet with hundreds of jobs behind it: a round must not look for each of them at every
-   * machine.
+   * A full fleet with hundreds of jobs behind it: a scheduling pass must not look for each of them
+   * at every machine.
    */
   @Test
   void passesStayShortWhereHundredsOfJobsWait() {
@@ -96,7 +96,11 @@
     long rounds = 10_000_000 / 150_000;
     assertTrue(
         candidates > 0 && candidates < rounds * cluster.cloud.machines.size() * 30,
-        "seats evaluated: " + candidates + " for " + cluster.cloud.machines.size() + " machines");
+        "candidates evaluated: "
+            + candidates
+            + " for "
+            + cluster.cloud.machines.size()
+            + " machines");
   }
 
   /**
@@ -144,7 +148,7 @@
     cluster.play(FakeWorker.LEASE_MICROS / 1e6 + 10);
     assertTrue(
         cluster.leader().controller().leader().failoverComplete(),
-        "a cut zone holds a takeover up for no longer than a lease");
+        "a cut zone holds a failover up for no longer than a lease");
     cluster.network.cuts.clear();
     cluster.calmSince = cluster.now();
     cluster.play(400);
@@ -159,7 +163,7 @@
     long heartbeats = counted(cluster, "heartbeats");
     assertTrue(
         heartbeats > 10_000 && candidates / heartbeats < 60,
-        "work for each report: " + candidates / heartbeats);
+        "work for each heartbeat: " + candidates / heartbeats);
   }
 
   private static JobSpec submit(FakeUsers users, int number, int tasks) {
--- a/src/test/java/plumlever/sim/LittleProcessorTest.java
+++ b/src/test/java/plumlever/sim/LittleProcessorTest.java
@@ -96,7 +96,7 @@
     SimulatedCluster cluster = cluster(1, false);
     busy(cluster, 60, 2);
     int led = ledAfterACrashOfAll(cluster);
-    assertTrue(led < 90, "the costs are such that the guard is needed: led " + led + "%");
+    assertTrue(led < 90, "with these costs the thread of its own is needed: led " + led + "%");
   }
 
   private static FakeUsers quiet(SimulatedCluster cluster) {
--- a/src/test/java/plumlever/sim/Processor.java
+++ b/src/test/java/plumlever/sim/Processor.java
@@ -51,7 +51,7 @@
   private boolean running;
 
   /**
-   * @param candidates seats evaluated so far, each of which takes its time
+   * @param candidates candidates evaluated so far, each of which takes its time
    */
   Processor(SimulatedCluster cluster, Costs costs, double slower, LongSupplier candidates) {
     this.cluster = cluster;
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -188,7 +188,7 @@
         .forEach(v -> hold(cluster, v.id + ">" + leader, leader + ">" + v.id, time));
   }
 
-  /** Its reports arrive; answers and commands to it don't, and come late if at all. */
+  /** Its heartbeats arrive; answers and commands to it don't, and come late if at all. */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
     cluster.network.cuts.put("*>" + machineId, true);
     cluster.at(time, () -> cluster.network.cuts.remove("*>" + machineId));
@@ -275,7 +275,7 @@
             v -> v.store.forge("begun/", Json.object().set("jobs", Json.object().arrayNode())));
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
-        "the checks must see the missing guard");
+        "the checks must see the missing record");
   }
 
   /**
@@ -287,7 +287,7 @@
     SimulatedCluster cluster = failoverWithAHiddenMachine(v -> v.store.hidden = "fleet/");
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
-        "the checks must see the missing guard");
+        "the checks must see the missing record");
   }
 
   @Test
@@ -361,7 +361,7 @@
             .filter(SimulatedController::leads)
             .findFirst()
             .orElseThrow();
-    assertTrue(next.controller().leader().failoverComplete(), "the takeover is complete");
+    assertTrue(next.controller().leader().failoverComplete(), "the failover is complete");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -226,10 +226,10 @@
     for (JobSpec job : all) {
       assertEquals("done", cluster.invariants.lastTold.get(job.uid()), job.uid());
     }
-    for (JsonNode controller : cluster.store.values("fleet/")) {
+    for (JsonNode stored : cluster.store.values("fleet/")) {
       assertTrue(
-          Json.write(controller).length() <= NEXT_BYTES,
-          "rewritten in parts: " + Json.write(controller).length());
+          Json.write(stored).length() <= NEXT_BYTES,
+          "rewritten in parts: " + Json.write(stored).length());
     }
   }
 
