--- a/src/main/java/plumlever/leader/pool/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadCellAdoption.java
@@ -62,15 +62,17 @@
    * The cloud lists a machine of another cell. If that has had no leader for long, all leases there
    * have lapsed, and the machine is adopted.
    */
-  void listed(ListedMachine machineId) {
-    Optional<String> holder = view.holder(machineId.id());
-    if (holder.isEmpty() || machineId.endpoint() == null || steps.isUnderWay(machineId.id())) {
+  void listed(ListedMachine listedMachine) {
+    Optional<String> holder = view.holder(listedMachine.id());
+    if (holder.isEmpty()
+        || listedMachine.endpoint() == null
+        || steps.isUnderWay(listedMachine.id())) {
       return;
     }
     Optional<SharingSettings.Cell> cell =
         sharing.others().stream().filter(other -> other.name().equals(holder.get())).findFirst();
     if (cell.isPresent() && isDead(cell.get())) {
-      adopt(machineId, cell.get());
+      adopt(listedMachine, cell.get());
     }
   }
 
@@ -95,15 +97,16 @@
     return since != Long.MAX_VALUE && now() - since > patience;
   }
 
-  private void adopt(ListedMachine machineId, SharingSettings.Cell dead) {
-    String machine = machineId.id();
+  private void adopt(ListedMachine listedMachine, SharingSettings.Cell dead) {
+    String machine = listedMachine.id();
     steps.step(
         machine,
         () -> {
           if (!view.holder(machine).equals(Optional.of(dead.name())) || !isDead(dead)) {
             return Optional.empty();
           }
-          TransferRecord before = steps.record(machine).orElseGet(() -> unmoved(machineId, dead));
+          TransferRecord before =
+              steps.record(machine).orElseGet(() -> unmoved(listedMachine, dead));
           String leadership = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
           return Optional.of(taken(before.withoutHome(dead.name())).require(leadership, 0));
         },
@@ -121,15 +124,15 @@
     return built.transaction();
   }
 
-  private static TransferRecord unmoved(ListedMachine machineId, SharingSettings.Cell owner) {
+  private static TransferRecord unmoved(ListedMachine listedMachine, SharingSettings.Cell owner) {
     return new TransferRecord(
         TransferRecord.State.TAKEN,
         new TransferRecord.Details(
-            machineId.id(),
-            machineId.endpoint(),
-            machineId.machineType(),
-            machineId.zone(),
-            machineId.spot()),
+            listedMachine.id(),
+            listedMachine.endpoint(),
+            listedMachine.machineType(),
+            listedMachine.zone(),
+            listedMachine.spot()),
         0,
         owner.name(),
         0,
--- a/src/main/java/plumlever/leader/pool/GuestBook.java
+++ b/src/main/java/plumlever/leader/pool/GuestBook.java
@@ -41,25 +41,25 @@
   private static final long LEAST_PAUSE_MICROS = 900_000;
 
   /** The guests of one home on one machine. */
-  private static final class Guests {
+  private static final class HomeGuests {
     /** All attempts that the home may have on the machine, also those that are over. */
     private final Map<Long, GuestTask> tasks = new LinkedHashMap<>();
 
-    private boolean calling;
+    private boolean callInFlight;
     private long calledMicros = Long.MIN_VALUE / 4;
     private Heartbeat lastHeartbeat;
     private boolean lapsed;
-    private boolean lapseTold;
+    private boolean expiryRelayed;
   }
 
   /** All guests of one machine. */
-  private static final class Lodging {
+  private static final class MachineGuests {
     private final Machine machine;
-    private final Map<String, Guests> byHome = new LinkedHashMap<>();
+    private final Map<String, HomeGuests> byHome = new LinkedHashMap<>();
     private final Map<Long, WorkerCommand> commands = new HashMap<>();
     private final Set<Long> ended = new HashSet<>();
 
-    Lodging(Machine machine) {
+    MachineGuests(Machine machine) {
       this.machine = machine;
     }
   }
@@ -68,7 +68,7 @@
   private final Context context;
   private final SharingSettings sharing;
   private final PoolView view;
-  private final Map<String, Lodging> lodgings = new LinkedHashMap<>();
+  private final Map<String, MachineGuests> guestsByMachine = new LinkedHashMap<>();
   private final Map<String, HomeWatch> homes = new HashMap<>();
   private boolean closed;
 
@@ -81,30 +81,31 @@
 
   /** The record of a machine of this cell: homes come with a transfer and leave when settled. */
   void update(Machine machine, TransferRecord record) {
-    Lodging lodging = lodgings.computeIfAbsent(machine.id(), id -> new Lodging(machine));
+    MachineGuests machineGuests =
+        guestsByMachine.computeIfAbsent(machine.id(), id -> new MachineGuests(machine));
     record
         .homes()
         .forEach(
             (home, tasks) -> {
-              if (!home.equals(sharing.own().name()) && !lodging.byHome.containsKey(home)) {
-                Guests guests = new Guests();
+              if (!home.equals(sharing.own().name()) && !machineGuests.byHome.containsKey(home)) {
+                HomeGuests guests = new HomeGuests();
                 tasks.forEach(task -> guests.tasks.put(task.attempt(), task));
-                lodging.byHome.put(home, guests);
+                machineGuests.byHome.put(home, guests);
                 tasks.forEach(task -> watch(home).watch(task.task().job()));
               }
             });
-    lodging.byHome.keySet().retainAll(record.homes().keySet());
-    settleLoad(lodging);
-    if (lodging.byHome.isEmpty()) {
+    machineGuests.byHome.keySet().retainAll(record.homes().keySet());
+    updateLoad(machineGuests);
+    if (machineGuests.byHome.isEmpty()) {
       remove(machine);
     }
   }
 
   /** The machine has no guests any more, or is not this cell's. */
   void remove(Machine machine) {
-    if (lodgings.remove(machine.id()) != null) {
+    if (guestsByMachine.remove(machine.id()) != null) {
       machine.load().guests(GuestLoad.NONE);
-      tidyWatches();
+      dropUnneededWatches();
     }
   }
 
@@ -112,56 +113,59 @@
     return homes.computeIfAbsent(home, name -> new HomeWatch(context, sharing.cell(name).prefix()));
   }
 
-  private void tidyWatches() {
+  private void dropUnneededWatches() {
     homes.forEach(
         (home, watch) ->
             watch.keepOnly(
-                lodgings.values().stream()
-                    .filter(lodging -> lodging.byHome.containsKey(home))
-                    .flatMap(lodging -> lodging.byHome.get(home).tasks.values().stream())
+                guestsByMachine.values().stream()
+                    .filter(machineGuests -> machineGuests.byHome.containsKey(home))
+                    .flatMap(
+                        machineGuests -> machineGuests.byHome.get(home).tasks.values().stream())
                     .map(task -> task.task().job())
                     .collect(Collectors.toSet())));
   }
 
   boolean isGuest(Machine machine, long attempt) {
-    Lodging lodging = lodgings.get(machine.id());
-    return lodging != null
-        && lodging.byHome.values().stream().anyMatch(guests -> guests.tasks.containsKey(attempt));
+    MachineGuests machineGuests = guestsByMachine.get(machine.id());
+    return machineGuests != null
+        && machineGuests.byHome.values().stream()
+            .anyMatch(guests -> guests.tasks.containsKey(attempt));
   }
 
   /** A heartbeat of the machine was taken in. */
   void reported(Machine machine, Heartbeat heartbeat) {
-    Lodging lodging = lodgings.get(machine.id());
-    if (lodging == null) {
+    MachineGuests machineGuests = guestsByMachine.get(machine.id());
+    if (machineGuests == null) {
       return;
     }
     Set<Long> listed = new HashSet<>();
-    lodging.ended.clear();
+    machineGuests.ended.clear();
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       listed.add(reported.attempt());
       if (reported.state() == AttemptState.ENDED) {
-        lodging.ended.add(reported.attempt());
+        machineGuests.ended.add(reported.attempt());
       }
     }
     if (machine.tokens().areOfTermOf(heartbeat.fencingToken())) {
       // What a former owner ordered can't come any more: what is not on the machine is over.
-      lodging.byHome.values().forEach(guests -> guests.tasks.keySet().retainAll(listed));
+      machineGuests.byHome.values().forEach(guests -> guests.tasks.keySet().retainAll(listed));
     }
-    lodging.commands.keySet().retainAll(listed);
-    settleLoad(lodging);
+    machineGuests.commands.keySet().retainAll(listed);
+    updateLoad(machineGuests);
     if (machine.tokens().areOfTermOf(heartbeat.fencingToken())) {
-      lodging.byHome.forEach((home, guests) -> relay(lodging, home, guests, heartbeat, false));
+      machineGuests.byHome.forEach(
+          (home, guests) -> relay(machineGuests, home, guests, heartbeat, false));
     }
   }
 
-  private static void settleLoad(Lodging lodging) {
+  private static void updateLoad(MachineGuests machineGuests) {
     int count = 0;
     double cores = 0;
     double accelerators = 0;
     double memoryGb = 0;
-    for (Guests guests : lodging.byHome.values()) {
+    for (HomeGuests guests : machineGuests.byHome.values()) {
       for (GuestTask task : guests.tasks.values()) {
-        if (!guests.lapsed && !lodging.ended.contains(task.attempt())) {
+        if (!guests.lapsed && !machineGuests.ended.contains(task.attempt())) {
           count++;
           cores += task.cores();
           accelerators += task.accelerators();
@@ -169,39 +173,43 @@
         }
       }
     }
-    lodging.machine.load().guests(new GuestLoad(count, cores, accelerators, memoryGb));
+    machineGuests.machine.load().guests(new GuestLoad(count, cores, accelerators, memoryGb));
   }
 
   /** The machine's lease has surely lapsed, so its tasks are dead: their homes are told. */
   void lapsed(Machine machine) {
-    Lodging lodging = lodgings.get(machine.id());
-    if (lodging == null) {
+    MachineGuests machineGuests = guestsByMachine.get(machine.id());
+    if (machineGuests == null) {
       return;
     }
-    lodging.byHome.forEach(
+    machineGuests.byHome.forEach(
         (home, guests) -> {
           guests.lapsed = true;
-          if (guests.lastHeartbeat != null && !guests.lapseTold) {
-            relay(lodging, home, guests, guests.lastHeartbeat, true);
+          if (guests.lastHeartbeat != null && !guests.expiryRelayed) {
+            relay(machineGuests, home, guests, guests.lastHeartbeat, true);
           }
         });
-    settleLoad(lodging);
+    updateLoad(machineGuests);
   }
 
   private void relay(
-      Lodging lodging, String home, Guests guests, Heartbeat heartbeat, boolean lapsed) {
+      MachineGuests machineGuests,
+      String home,
+      HomeGuests guests,
+      Heartbeat heartbeat,
+      boolean lapsed) {
     long now = context.loop().nowMicros();
     guests.lastHeartbeat = heartbeat;
     guests.lapsed = lapsed;
     Optional<Endpoint> leader = leaderOf(home);
     if (closed
-        || guests.calling
+        || guests.callInFlight
         || leader.isEmpty()
         || now - guests.calledMicros < LEAST_PAUSE_MICROS
         || !context.term().mayAct()) {
       return;
     }
-    guests.calling = true;
+    guests.callInFlight = true;
     guests.calledMicros = now;
     List<Heartbeat.AttemptStatus> attempts =
         heartbeat.attempts().stream()
@@ -211,7 +219,7 @@
         new RelayedHeartbeat(
             sharing.own().name(),
             home,
-            lodging.machine.tokens().term(),
+            machineGuests.machine.tokens().term(),
             lapsed,
             RelayedHeartbeat.only(heartbeat, lapsed ? List.of() : attempts));
     context
@@ -223,10 +231,10 @@
             message.write(),
             TIMEOUT_MICROS,
             (status, body) -> {
-              guests.calling = false;
+              guests.callInFlight = false;
               if (!closed && status == HttpStatus.OK) {
-                guests.lapseTold = lapsed;
-                take(lodging, guests, body);
+                guests.expiryRelayed = lapsed;
+                takeCommands(machineGuests, guests, body);
               }
             });
   }
@@ -241,12 +249,12 @@
         .map(PlatformConfiguration.Seed::endpoint);
   }
 
-  private void take(Lodging lodging, Guests guests, byte[] body) {
+  private void takeCommands(MachineGuests machineGuests, HomeGuests guests, byte[] body) {
     try {
       for (WorkerCommand command : WorkerCommand.parseAnswer(body)) {
         if (command.type() != WorkerCommand.CommandType.RUN
             && guests.tasks.containsKey(command.attempt())) {
-          lodging.commands.put(command.attempt(), command);
+          machineGuests.commands.put(command.attempt(), command);
         }
       }
     } catch (InvalidMessageException e) {
@@ -262,16 +270,16 @@
    * that is all that the homes handed over, whatever its heartbeat list.
    */
   GuestEvidence evidence(Machine machine) {
-    Lodging lodging = lodgings.get(machine.id());
-    if (lodging == null) {
+    MachineGuests machineGuests = guestsByMachine.get(machine.id());
+    if (machineGuests == null) {
       return GuestEvidence.NONE;
     }
     boolean anyRunning = false;
     long knownMicros = Long.MAX_VALUE;
-    for (Map.Entry<String, Guests> entry : lodging.byHome.entrySet()) {
+    for (Map.Entry<String, HomeGuests> entry : machineGuests.byHome.entrySet()) {
       boolean running =
           entry.getValue().tasks.keySet().stream()
-              .anyMatch(attempt -> !lodging.ended.contains(attempt));
+              .anyMatch(attempt -> !machineGuests.ended.contains(attempt));
       if (running) {
         anyRunning = true;
         knownMicros = Math.min(knownMicros, watch(entry.getKey()).endsKnownMicros());
@@ -282,16 +290,16 @@
 
   /** What the homes want, and stops of jobs whose end is on record. */
   List<WorkerCommand> commands(Machine machine, Heartbeat heartbeat) {
-    Lodging lodging = lodgings.get(machine.id());
-    if (lodging == null) {
+    MachineGuests machineGuests = guestsByMachine.get(machine.id());
+    if (machineGuests == null) {
       return List.of();
     }
     List<WorkerCommand> commands = new ArrayList<>();
     boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
-      WorkerCommand command = lodging.commands.get(reported.attempt());
+      WorkerCommand command = machineGuests.commands.get(reported.attempt());
       boolean over = reported.state() == AttemptState.ENDED;
-      if (!over && jobHasEnded(lodging, reported)) {
+      if (!over && jobHasEnded(machineGuests, reported)) {
         commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
       } else if (command != null
           && (command.type() == WorkerCommand.CommandType.REMOVE ? over && current : !over)) {
@@ -301,8 +309,8 @@
     return commands;
   }
 
-  private boolean jobHasEnded(Lodging lodging, Heartbeat.AttemptStatus reported) {
-    return lodging.byHome.entrySet().stream()
+  private boolean jobHasEnded(MachineGuests machineGuests, Heartbeat.AttemptStatus reported) {
+    return machineGuests.byHome.entrySet().stream()
         .anyMatch(
             entry ->
                 entry.getValue().tasks.containsKey(reported.attempt())
--- a/src/main/java/plumlever/leader/pool/HomeWatch.java
+++ b/src/main/java/plumlever/leader/pool/HomeWatch.java
@@ -23,7 +23,7 @@
   private final String prefix;
   private final RenewalLimit limit;
   private final Set<String> watched = new HashSet<>();
-  private final Set<String> unread = new HashSet<>();
+  private final Set<String> jobsToRead = new HashSet<>();
   private final Set<String> ended = new HashSet<>();
   private long storeRevision = -1;
   private long knownMicros = Long.MIN_VALUE / 4;
@@ -45,10 +45,10 @@
     if (!watched.add(uid)) {
       return;
     }
-    unread.add(uid);
+    jobsToRead.add(uid);
     if (!watching) {
       watching = true;
-      begin();
+      readStoreRevision();
     } else if (storeRevision >= 0) {
       readJob(uid);
     }
@@ -57,7 +57,7 @@
   /** No task of these jobs is a guest any more. */
   void keepOnly(Set<String> uids) {
     watched.retainAll(uids);
-    unread.retainAll(uids);
+    jobsToRead.retainAll(uids);
     ended.retainAll(uids);
   }
 
@@ -71,11 +71,11 @@
    * them has not been read.
    */
   long endsKnownMicros() {
-    return unread.isEmpty() ? knownMicros : Long.MIN_VALUE / 4;
+    return jobsToRead.isEmpty() ? knownMicros : Long.MIN_VALUE / 4;
   }
 
   /** The revision is asked for first: what ends after it is followed, what ended before is read. */
-  private void begin() {
+  private void readStoreRevision() {
     if (closed) {
       return;
     }
@@ -88,13 +88,13 @@
                 return;
               }
               if (now < 0) {
-                context.loop().after(RETRY_MICROS, this::begin);
+                context.loop().after(RETRY_MICROS, this::readStoreRevision);
                 return;
               }
               storeRevision = now;
               knownMicros = sent;
-              unread.addAll(watched);
-              Set.copyOf(unread).forEach(this::readJob);
+              jobsToRead.addAll(watched);
+              Set.copyOf(jobsToRead).forEach(this::readJob);
               watch();
             });
   }
@@ -105,14 +105,14 @@
         .get(
             prefix + uid,
             StateClient.RequestPriority.ORDINARY,
-            got -> {
-              if (closed || !unread.contains(uid)) {
+            result -> {
+              if (closed || !jobsToRead.contains(uid)) {
                 return;
               }
-              if (got.found()) {
-                unread.remove(uid);
-              } else if (got.missing()) {
-                unread.remove(uid);
+              if (result.found()) {
+                jobsToRead.remove(uid);
+              } else if (result.missing()) {
+                jobsToRead.remove(uid);
                 ended.add(uid);
               } else {
                 context.loop().after(RETRY_MICROS, () -> readJob(uid));
@@ -136,21 +136,21 @@
             prefix,
             storeRevision,
             limit.watchMicros(),
-            changes -> {
+            response -> {
               if (closed) {
                 return;
               }
-              if (changes.status() == HttpStatus.GONE) {
+              if (response.status() == HttpStatus.GONE) {
                 log.debug("changes of {} were missed, all guests' jobs are read anew", prefix);
-                begin();
-              } else if (changes.status() != HttpStatus.OK) {
+                readStoreRevision();
+              } else if (response.status() != HttpStatus.OK) {
                 context.loop().after(RETRY_MICROS, this::watch);
               } else {
-                storeRevision = Math.max(storeRevision, changes.storeRevision());
+                storeRevision = Math.max(storeRevision, response.storeRevision());
                 knownMicros = sent;
-                for (StateClient.KeyEvent change : changes.events()) {
-                  String uid = change.key().substring(prefix.length());
-                  if (change.data() == null && watched.contains(uid)) {
+                for (StateClient.KeyEvent event : response.events()) {
+                  String uid = event.key().substring(prefix.length());
+                  if (event.data() == null && watched.contains(uid)) {
                     ended.add(uid);
                   }
                 }
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -91,20 +91,20 @@
   }
 
   /** Cuts limits up that nobody has cut up yet, and gives what is spare. */
-  void turn() {
+  void run() {
     for (PlatformConfiguration.Team team : context.platform().teams()) {
       if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
         continue;
       }
       if (view.limit(team.name()).isEmpty()) {
-        cutUp(team);
+        split(team);
       } else if (team.cpusMax() > 0 && !giving.containsKey(team.name())) {
-        give(team);
+        giveSpare(team);
       }
     }
   }
 
-  private void cutUp(PlatformConfiguration.Team team) {
+  private void split(PlatformConfiguration.Team team) {
     if (giving.putIfAbsent(team.name(), 0.0) != null) {
       return;
     }
@@ -132,7 +132,7 @@
     return new PoolTransaction(view, context.term().requireTerm());
   }
 
-  private void give(PlatformConfiguration.Team team) {
+  private void giveSpare(PlatformConfiguration.Team team) {
     double spare = limit(team).cores() - coresNeeded(team);
     Map<String, Double> wanted = new TreeMap<>();
     for (SharingSettings.Cell cell : sharing.others()) {
@@ -142,10 +142,10 @@
           .map(byTeam -> byTeam.get(team.name()))
           .ifPresent(cores -> wanted.put(cell.name(), cores));
     }
-    LimitPolicy.gift(spare, wanted).ifPresent(gift -> give(team, gift));
+    LimitPolicy.gift(spare, wanted).ifPresent(gift -> giveSpare(team, gift));
   }
 
-  private void give(PlatformConfiguration.Team team, LimitPolicy.Gift gift) {
+  private void giveSpare(PlatformConfiguration.Team team, LimitPolicy.Gift gift) {
     giving.put(team.name(), gift.cores());
     String key = LimitParts.keyOf(team.name());
     long seen = view.revisionOf(key);
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -30,14 +30,14 @@
  * says: idle ones first, then those whose tasks end soonest, none that a deadline here needs.
  */
 final class MachineShareBalancer {
-  private static final long TELL_MICROS = 2_000_000;
-  private static final long TELL_ANYHOW_MICROS = 30_000_000;
+  private static final long PUBLISH_INTERVAL_MICROS = 2_000_000;
+  private static final long REPUBLISH_INTERVAL_MICROS = 30_000_000;
 
   /** How long a rental waits for what others can do without. */
   private static final long HOLD_RENTAL_MICROS = 5_000_000;
 
   /** What was given to a cell since it last told what it lacks. */
-  private record Given(long revision, int machines) {}
+  private record GivenMachines(long revision, int machines) {}
 
   private final Logger log;
   private final Context context;
@@ -49,11 +49,11 @@
   private final PoolView view;
   private final MachineTransfers transfers;
   private final LimitSharing limits;
-  private final Map<String, Given> given = new HashMap<>();
-  private CellDemand told;
-  private long toldMicros = Long.MIN_VALUE / 4;
+  private final Map<String, GivenMachines> givenSinceDemand = new HashMap<>();
+  private CellDemand publishedDemand;
+  private long publishedMicros = Long.MIN_VALUE / 4;
   private long lackingSinceMicros = -1;
-  private boolean telling;
+  private boolean publishing;
   private boolean digestsDiffer;
 
   MachineShareBalancer(
@@ -78,7 +78,7 @@
   }
 
   /** One look at what this cell has, lacks and can give. */
-  void turn() {
+  void run() {
     if (!failover.complete() || !context.prices().known()) {
       return;
     }
@@ -89,7 +89,7 @@
     } else if (lackingSinceMicros < 0) {
       lackingSinceMicros = now;
     }
-    tell(demand, now);
+    publishDemand(demand, now);
     offer(demand);
   }
 
@@ -157,13 +157,16 @@
         .orElse(1);
   }
 
-  private void tell(CellDemand demand, long now) {
-    boolean due = demand.equals(told) ? TELL_ANYHOW_MICROS < now - toldMicros : !telling;
-    if (telling || !due || now - toldMicros < TELL_MICROS) {
+  private void publishDemand(CellDemand demand, long now) {
+    boolean due =
+        demand.equals(publishedDemand)
+            ? REPUBLISH_INTERVAL_MICROS < now - publishedMicros
+            : !publishing;
+    if (publishing || !due || now - publishedMicros < PUBLISH_INTERVAL_MICROS) {
       return;
     }
-    telling = true;
-    toldMicros = now;
+    publishing = true;
+    publishedMicros = now;
     String key = CellDemand.keyOf(own);
     context
         .store()
@@ -171,13 +174,13 @@
             context.term().requireTerm().put(key, demand.toJson()),
             StateClient.RequestPriority.ORDINARY,
             result -> {
-              telling = false;
-              told = result.applied() ? demand : null;
+              publishing = false;
+              publishedDemand = result.applied() ? demand : null;
             });
   }
 
   private void offer(CellDemand demand) {
-    int free = sharing.mostMoving() - transfers.underWay();
+    int free = sharing.mostMoving() - transfers.openOffers();
     if (free <= 0) {
       return;
     }
@@ -191,17 +194,17 @@
             demand.idle(),
             demand.wanted()));
     for (SharingSettings.Cell cell : sharing.others()) {
-      other(cell).ifPresent(cells::add);
+      stateOf(cell).ifPresent(cells::add);
     }
     for (SharePolicy.Move move : SharePolicy.plan(cells, sharing.mostMoving())) {
       if (move.from().equals(own) && free > 0) {
-        free -= give(move.to(), Math.min(free, move.machines()));
+        free -= offerMachines(move.to(), Math.min(free, move.machines()));
       }
     }
   }
 
   /** A cell as it last told of itself; nothing of one that has no leader or another file. */
-  private Optional<SharePolicy.CellState> other(SharingSettings.Cell cell) {
+  private Optional<SharePolicy.CellState> stateOf(SharingSettings.Cell cell) {
     Optional<CellDemand> said = view.demand(cell.name());
     if (said.isEmpty() || view.leader(cell.name()).isEmpty()) {
       return Optional.empty();
@@ -215,7 +218,7 @@
       return Optional.empty();
     }
     long revision = view.revisionOf(CellDemand.keyOf(cell.name()));
-    Given before = given.get(cell.name());
+    GivenMachines before = givenSinceDemand.get(cell.name());
     int already = before != null && before.revision() == revision ? before.machines() : 0;
     int wanted = Math.max(0, demand.wanted() - already - transfers.offeredTo(cell.name()));
     return Optional.of(
@@ -223,20 +226,20 @@
             cell.name(), cell.floor(), cell.weight(), demand.machines(), demand.idle(), wanted));
   }
 
-  private int give(String to, int most) {
-    List<Machine> able = new ArrayList<>();
+  private int offerMachines(String to, int most) {
+    List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       if (transfers.canOffer(machine) && !pass.hasPlan(machine)) {
-        able.add(machine);
+        candidates.add(machine);
       }
     }
-    able.sort(
+    candidates.sort(
         Comparator.<Machine>comparingInt(machine -> machine.load().running() ? 1 : 0)
             .thenComparingLong(pass::lastEndMicros)
             .thenComparing(Machine::id));
     int count = 0;
     Set<Machine> without = new HashSet<>(pass.cordoned());
-    for (Machine machine : able) {
+    for (Machine machine : candidates) {
       if (count == most) {
         break;
       }
@@ -249,9 +252,9 @@
     }
     if (count > 0) {
       long revision = view.revisionOf(CellDemand.keyOf(to));
-      Given before = given.get(to);
+      GivenMachines before = givenSinceDemand.get(to);
       int already = before != null && before.revision() == revision ? before.machines() : 0;
-      given.put(to, new Given(revision, already + count));
+      givenSinceDemand.put(to, new GivenMachines(revision, already + count));
     }
     return count;
   }
@@ -265,7 +268,7 @@
     return sharing.others().stream()
         .noneMatch(
             cell ->
-                other(cell)
+                stateOf(cell)
                     .filter(state -> state.idle() > 0 && state.machines() > state.floor())
                     .isPresent());
   }
@@ -274,7 +277,7 @@
   boolean mayReturnIdle() {
     return lackingSinceMicros < 0
         && sharing.others().stream()
-            .noneMatch(cell -> other(cell).filter(state -> state.wanted() > 0).isPresent());
+            .noneMatch(cell -> stateOf(cell).filter(state -> state.wanted() > 0).isPresent());
   }
 
   /** Machines that are offered to this cell. */
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -57,14 +57,14 @@
   private final SchedulingPass pass;
   private final PoolView view;
   private final TransferSteps steps;
-  private final OfferTaker takes;
+  private final OfferTaker offerTaker;
   private final GuestBook guests;
   private final Failover failover;
   private final Consumer<Machine> raiseToken;
   private final Map<String, Long> offeredMicros = new HashMap<>();
 
   /** Machines of other cells that were seen without any task of this one. */
-  private final Set<String> empty = new HashSet<>();
+  private final Set<String> seenWithoutOwnTasks = new HashSet<>();
 
   private boolean digestMismatchLogged;
 
@@ -93,7 +93,7 @@
     this.pass = pass;
     this.view = view;
     this.steps = steps;
-    this.takes = new OfferTaker(sharing, view, steps, this::acquire);
+    this.offerTaker = new OfferTaker(sharing, view, steps, this::acquire);
     this.guests = guests;
     this.failover = failover;
   }
@@ -108,7 +108,7 @@
   }
 
   /** Transfers that this cell has offered and nobody has taken yet. */
-  int underWay() {
+  int openOffers() {
     return offeredMicros.size();
   }
 
@@ -133,15 +133,15 @@
         List.copyOf(view.transfers().entrySet())) {
       TransferRecord record = entry.getValue().value();
       if (record.state() == TransferRecord.State.GONE) {
-        gone(record);
+        reconcileGone(record);
       } else if (record.owner().equals(own)) {
         if (owns(entry.getKey())) {
-          mine(record);
+          reconcileOwned(record);
         }
       } else if (record.isHome(own)) {
-        away(record);
+        reconcileElsewhere(record);
       } else {
-        lost(record);
+        reconcileLost(record);
       }
       if (record.state() == TransferRecord.State.OFFERED) {
         offered(record);
@@ -149,14 +149,14 @@
     }
     for (String machine : List.copyOf(offeredMicros.keySet())) {
       if (view.transfer(machine).isEmpty() && !owns(machine) && !steps.isUnderWay(machine)) {
-        loseEmpty(machine);
+        releaseWithoutRecord(machine);
       }
     }
-    takes.run();
+    offerTaker.takeOffers();
   }
 
   /** It was taken without a task of this cell on it, so no record is left. */
-  private void loseEmpty(String id) {
+  private void releaseWithoutRecord(String id) {
     Machine machine = fleet.machine(id);
     offeredMicros.remove(id);
     if (machine != null) {
@@ -166,7 +166,7 @@
   }
 
   /** A machine of this cell: taken from another, or on offer. */
-  private void mine(TransferRecord record) {
+  private void reconcileOwned(TransferRecord record) {
     Machine machine = acquire(record);
     if (record.state() == TransferRecord.State.TAKEN && !steps.isUnderWay(machine.id())) {
       machine.offered(false);
@@ -176,7 +176,7 @@
     }
     guests.update(machine, record);
     if (record.isSettled()) {
-      settle(record.machine().id());
+      dropSettledRecord(record.machine().id());
     }
   }
 
@@ -184,7 +184,7 @@
   Machine acquire(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine == null) {
-      return gain(record);
+      return addAcquired(record);
     }
     if (machine.tokens().term() < record.number()) {
       // It went and came back before this was seen.
@@ -198,10 +198,10 @@
     return machine;
   }
 
-  private Machine gain(TransferRecord record) {
+  private Machine addAcquired(TransferRecord record) {
     TransferRecord.Details details = record.machine();
     Machine machine = fleet.away(details.id());
-    empty.remove(details.id());
+    seenWithoutOwnTasks.remove(details.id());
     if (machine != null) {
       fleet.forgetAway(machine);
       machine.markUnaccounted();
@@ -233,22 +233,22 @@
   }
 
   /** Another cell's machine on which tasks of this one may be. */
-  private void away(TransferRecord record) {
+  private void reconcileElsewhere(TransferRecord record) {
     Machine machine = fleet.away(record.machine().id());
     if (machine == null) {
       Machine former = fleet.machine(record.machine().id());
-      machine = former == null ? lodge(record) : former;
+      machine = former == null ? machineFromRecord(record) : former;
       if (former != null) {
         release(former);
       }
       fleet.sendAway(machine, record.number());
     }
     machine.tokens().startTerm(record.number());
-    clearIfOver(machine);
+    leaveRecordIfOver(machine);
   }
 
   /** What an earlier leader of this cell left running there. */
-  private Machine lodge(TransferRecord record) {
+  private Machine machineFromRecord(TransferRecord record) {
     TransferRecord.Details details = record.machine();
     Machine machine =
         new Machine(
@@ -286,7 +286,7 @@
   }
 
   /** Another cell's machine without tasks of this one. */
-  private void lost(TransferRecord record) {
+  private void reconcileLost(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine != null && !owns(machine.id())) {
       release(machine);
@@ -294,41 +294,41 @@
     }
   }
 
-  private void gone(TransferRecord record) {
+  private void reconcileGone(TransferRecord record) {
     Machine machine = fleet.away(record.machine().id());
     if (machine != null) {
       heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
-      empty.add(machine.id());
+      seenWithoutOwnTasks.add(machine.id());
     }
     if (record.isHome(own)) {
       if (machine == null) {
-        clear(record.machine().id());
+        leaveRecord(record.machine().id());
       } else {
-        clearIfOver(machine);
+        leaveRecordIfOver(machine);
       }
     }
   }
 
   /** The owner has passed on a heartbeat of the machine that lists no task of this cell. */
-  void seenEmpty(Machine machine) {
-    empty.add(machine.id());
-    clearIfOver(machine);
+  void ownTasksGone(Machine machine) {
+    seenWithoutOwnTasks.add(machine.id());
+    leaveRecordIfOver(machine);
   }
 
   /** Once none of this cell's tasks can be on the other's machine, the record says so. */
-  private void clearIfOver(Machine machine) {
+  private void leaveRecordIfOver(Machine machine) {
     boolean nothingThere =
-        empty.contains(machine.id())
+        seenWithoutOwnTasks.contains(machine.id())
             || steps
                 .record(machine.id())
                 .filter(record -> record.homes().getOrDefault(own, List.of()).isEmpty())
                 .isPresent();
     if (nothingThere && machine.load().hasNoAttempts()) {
-      clear(machine.id());
+      leaveRecord(machine.id());
     }
   }
 
-  private void clear(String machine) {
+  private void leaveRecord(String machine) {
     steps.step(
         machine,
         () ->
@@ -337,16 +337,16 @@
                 .filter(record -> record.isHome(own))
                 .map(record -> steps.replaced(machine, record.withoutHome(own))),
         () -> {
-          Machine away = fleet.away(machine);
-          if (away != null
+          Machine reconcileElsewhere = fleet.away(machine);
+          if (reconcileElsewhere != null
               && steps.record(machine).filter(record -> record.isHome(own)).isEmpty()) {
-            fleet.forgetAway(away);
-            empty.remove(machine);
+            fleet.forgetAway(reconcileElsewhere);
+            seenWithoutOwnTasks.remove(machine);
           }
         });
   }
 
-  private void settle(String machine) {
+  private void dropSettledRecord(String machine) {
     steps.step(
         machine,
         () ->
@@ -392,7 +392,7 @@
         () -> buildOffer(machine, to),
         () -> {
           if (!owns(machine.id()) && steps.record(machine.id()).isEmpty()) {
-            loseEmpty(machine.id());
+            releaseWithoutRecord(machine.id());
           } else if (steps.record(machine.id()).flatMap(TransferRecord::offer).isEmpty()) {
             machine.offered(false);
             offeredMicros.remove(machine.id());
--- a/src/main/java/plumlever/leader/pool/OfferTaker.java
+++ b/src/main/java/plumlever/leader/pool/OfferTaker.java
@@ -24,10 +24,10 @@
   private final Function<TransferRecord, Machine> acquire;
 
   /** What the transaction under way makes of its machines; they come one after the other. */
-  private List<TransferRecord> taking = List.of();
+  private List<TransferRecord> recordsBeingTaken = List.of();
 
   /** Transactions that are under way or wait for their turn. */
-  private int takes;
+  private int openTransactions;
 
   /**
    * @param acquire makes a machine this cell's in memory
@@ -49,9 +49,9 @@
   }
 
   /** Takes what is offered, as many machines in one transaction as it holds. */
-  void run() {
+  void takeOffers() {
     // What is offered while a transaction waits for its turn goes with the next one together.
-    if (takes > 0) {
+    if (openTransactions > 0) {
       return;
     }
     Map<String, List<String>> groups = new TreeMap<>();
@@ -67,9 +67,9 @@
     }
     for (List<String> group : groups.values()) {
       for (List<String> part : Lists.partition(group, steps.mostOwnedAtOnce())) {
-        takes++;
-        if (!steps.step(part, () -> buildTake(part), this::acquireTaken)) {
-          takes--;
+        openTransactions++;
+        if (!steps.step(part, () -> buildTransaction(part), this::acquireSettled)) {
+          openTransactions--;
         }
       }
     }
@@ -84,7 +84,7 @@
   }
 
   /** The machines must have one owner, and their offers must be of one term of its. */
-  private Optional<PoolTransaction> buildTake(List<String> machines) {
+  private Optional<PoolTransaction> buildTransaction(List<String> machines) {
     List<TransferRecord> offered =
         machines.stream()
             .map(steps::record)
@@ -101,20 +101,20 @@
             .toList();
     String giver = sharing.cell(offered.get(0).owner()).prefix();
     TransferSteps.Taking built = steps.take(ofOneTerm);
-    taking = built.taken();
+    recordsBeingTaken = built.taken();
     return Optional.of(
         built.transaction().require(KeySpace.absolute(giver, LeaderElection.TERM), termRevision));
   }
 
   /** What has guests is found by its record; what has none is acquired here. */
-  private void acquireTaken() {
-    takes--;
-    for (TransferRecord record : taking) {
+  private void acquireSettled() {
+    openTransactions--;
+    for (TransferRecord record : recordsBeingTaken) {
       String machine = record.machine().id();
       if (owns(machine) && view.transfer(machine).isEmpty()) {
         acquire.apply(record).offered(false);
       }
     }
-    taking = List.of();
+    recordsBeingTaken = List.of();
   }
 }
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -58,7 +58,7 @@
   }
 
   /** Machines that appeared here and are in nobody's record; claimed after a while. */
-  void found(String machine) {
+  void unownedMachineSeen(String machine) {
     long now = context.loop().nowMicros();
     if (view.holder(machine).isPresent() || claiming.contains(machine)) {
       unclaimedSince.remove(machine);
@@ -78,7 +78,7 @@
 
   /** Machines that are to be this cell's; each is handed on if it came to be. */
   void claim(List<String> machines, Consumer<String> claimed) {
-    byRecord(machines)
+    groupByRecord(machines)
         .values()
         .forEach(
             group -> {
@@ -89,7 +89,7 @@
                     public Optional<PoolTransaction> build() {
                       List<String> free =
                           group.stream().filter(name -> view.holder(name).isEmpty()).toList();
-                      return change(free, own);
+                      return buildChange(free, own);
                     }
 
                     @Override
@@ -107,7 +107,7 @@
   void retire(List<Machine> machines, Runnable recorded) {
     List<String> names =
         machines.stream().map(Machine::id).filter(name -> !retiring.contains(name)).toList();
-    Map<String, List<String>> groups = byRecord(names);
+    Map<String, List<String>> groups = groupByRecord(names);
     if (groups.isEmpty()) {
       recorded.run();
       return;
@@ -123,7 +123,7 @@
                   group.stream()
                       .filter(name -> view.holder(name).equals(Optional.of(own)))
                       .toList();
-              return change(mine, retired(own));
+              return buildChange(mine, retired(own));
             }
 
             @Override
@@ -139,7 +139,7 @@
 
   /** The machines do not exist any more: nobody owns them, and homes of tasks on them are told. */
   void returned(List<Machine> machines) {
-    for (List<String> group : byRecord(machines.stream().map(Machine::id).toList()).values()) {
+    for (List<String> group : groupByRecord(machines.stream().map(Machine::id).toList()).values()) {
       writer.submit(
           new PoolWriter.Step() {
             @Override
@@ -148,7 +148,7 @@
                   group.stream()
                       .filter(name -> view.holder(name).equals(Optional.of(retired(own))))
                       .toList();
-              return change(remaining, null);
+              return buildChange(remaining, null);
             }
 
             @Override
@@ -157,23 +157,27 @@
             }
           });
     }
-    machines.forEach(machine -> writer.submit(gone(machine.id())));
+    machines.forEach(machine -> writer.submit(recordGone(machine.id())));
   }
 
-  private PoolWriter.Step gone(String machine) {
+  private PoolWriter.Step recordGone(String machine) {
     return new PoolWriter.Step() {
       @Override
       public Optional<PoolTransaction> build() {
         Optional<TransferRecord> record =
-            view.transfer(machine).map(PoolView.Versioned::value).filter(OwnerClaims.this::lives);
+            view.transfer(machine)
+                .map(PoolView.Versioned::value)
+                .filter(OwnerClaims.this::isOwnAndExists);
         if (record.isEmpty()) {
           return Optional.empty();
         }
         String key = TransferRecord.keyOf(machine);
-        TransferRecord gone = record.get().withoutHome(own).gone();
+        TransferRecord recordGone = record.get().withoutHome(own).gone();
         PoolTransaction transaction = new PoolTransaction(view, context.term().requireTerm());
         return Optional.of(
-            gone.isSettled() ? transaction.drop(key) : transaction.put(key, gone.toJson()));
+            recordGone.isSettled()
+                ? transaction.drop(key)
+                : transaction.put(key, recordGone.toJson()));
       }
 
       @Override
@@ -183,14 +187,14 @@
     };
   }
 
-  private boolean lives(TransferRecord record) {
+  private boolean isOwnAndExists(TransferRecord record) {
     return record.owner().equals(own) && record.state() != TransferRecord.State.GONE;
   }
 
   /**
    * @param holder null for none
    */
-  private Optional<PoolTransaction> change(List<String> machines, String holder) {
+  private Optional<PoolTransaction> buildChange(List<String> machines, String holder) {
     if (machines.isEmpty()) {
       return Optional.empty();
     }
@@ -205,7 +209,7 @@
         record.isEmpty() ? transaction.drop(key) : transaction.put(key, record.toJson()));
   }
 
-  private static Map<String, List<String>> byRecord(List<String> machines) {
+  private static Map<String, List<String>> groupByRecord(List<String> machines) {
     Map<String, List<String>> groups = new LinkedHashMap<>();
     machines.forEach(
         name ->
--- a/src/main/java/plumlever/leader/pool/PoolLink.java
+++ b/src/main/java/plumlever/leader/pool/PoolLink.java
@@ -34,7 +34,7 @@
             new PrefixWatch.Listener() {
               @Override
               public void listed(StateClient.Listing listing, long sentMicros) {
-                take(listing);
+                applyListing(listing);
                 knownMicros = sentMicros;
                 changed.run();
               }
@@ -61,12 +61,12 @@
 
   /** Takes in what was read after the term had been taken, and goes on watching. */
   void load(StateClient.Listing listing, long askedMicros) {
-    take(listing);
+    applyListing(listing);
     knownMicros = askedMicros;
     watch.watchFrom(listing.storeRevision());
   }
 
-  private void take(StateClient.Listing listing) {
+  private void applyListing(StateClient.Listing listing) {
     List<String> keys = new ArrayList<>();
     for (StateClient.Item item : listing.items()) {
       keys.add(item.key());
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -130,7 +130,7 @@
     scope.own(writer::close);
     scope.own(link::close);
     scope.own(guests::close);
-    scope.own(new RecurringTask("sharing", context.loop(), this::turn)).start();
+    scope.own(new RecurringTask("sharing", context.loop(), this::run)).start();
   }
 
   private void recordsChanged() {
@@ -140,12 +140,12 @@
     }
   }
 
-  private long turn() {
+  private long run() {
     if (context.term().mayAct()) {
       adoption.watchLeaders();
       transfers.reconcile();
-      limits.turn();
-      share.turn();
+      limits.run();
+      share.run();
     }
     return TURN_MICROS;
   }
@@ -155,7 +155,7 @@
     if (transfers.owns(listed.id()) || claims.isRetired(listed.id())) {
       return true;
     }
-    claims.found(listed.id());
+    claims.unownedMachineSeen(listed.id());
     adoption.listed(listed);
     return false;
   }
@@ -177,7 +177,7 @@
     }
     Optional<String> holder = view.holder(machine);
     if (holder.isEmpty()) {
-      claims.found(machine);
+      claims.unownedMachineSeen(machine);
     }
     Optional<String> leader = holder.flatMap(view::leader);
     if (leader.isPresent() && !leader.get().equals(context.platform().label())) {
@@ -271,7 +271,7 @@
       news = heartbeats.applyRelayed(machine, relayed.heartbeat());
     }
     if (news && relayed.heartbeat().attempts().isEmpty()) {
-      transfers.seenEmpty(machine);
+      transfers.ownTasksGone(machine);
     }
     List<WorkerCommand> commands =
         relayed.lapsed() ? List.of() : heartbeats.standingCommands(machine, relayed.heartbeat());
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -50,11 +50,11 @@
       return false;
     }
     waiting.add(step);
-    next();
+    runNext();
     return true;
   }
 
-  private void next() {
+  private void runNext() {
     if (busy || closed || waiting.isEmpty()) {
       return;
     }
@@ -62,10 +62,10 @@
     run(waiting.poll());
   }
 
-  private void end(Step step) {
+  private void finish(Step step) {
     busy = false;
     step.finished();
-    next();
+    runNext();
   }
 
   private void run(Step step) {
@@ -80,7 +80,7 @@
     }
     Optional<PoolTransaction> built = step.build();
     if (built.isEmpty()) {
-      end(step);
+      finish(step);
       return;
     }
     PoolTransaction transaction = built.get();
@@ -100,7 +100,7 @@
                       .forEach(
                           (key, data) ->
                               link.apply(new StateClient.KeyEvent(key, data, result.revision())));
-                  end(step);
+                  finish(step);
                   changed.run();
                 }
                 case REFUSED -> context.loop().after(RETRY_MICROS, () -> run(step));
@@ -132,14 +132,15 @@
         .get(
             key,
             StateClient.RequestPriority.ORDINARY,
-            got -> {
+            result -> {
               if (closed) {
                 return;
               }
-              if (got.found()) {
-                link.apply(new StateClient.KeyEvent(key, got.item().data(), got.item().revision()));
+              if (result.found()) {
+                link.apply(
+                    new StateClient.KeyEvent(key, result.item().data(), result.item().revision()));
                 read(keys, index + 1, then);
-              } else if (got.missing()) {
+              } else if (result.missing()) {
                 link.absent(key, revisionBefore);
                 read(keys, index + 1, then);
               } else {
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -13,7 +13,7 @@
 
 /**
  * The state of one machine that changes its owner, or that holds tasks of others than its owner. It
- * goes through these states, each step one guarded transaction:
+ * goes through these states, each step one transaction with preconditions:
  *
  * <ul>
  *   <li>{@link State#OFFERED}: the owner gives it up; it starts nothing on it from before the
