--- a/src/test/java/plumlever/sim/LittleProcessorTest.java
+++ b/src/test/java/plumlever/sim/LittleProcessorTest.java
@@ -81,7 +81,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aCrowdAtAColdProcessCostsNobodyTheLeadership(long seed) {
+  void aCrowdAtAColdProcessCostsNoControllerItsLeadership(long seed) {
     SimulatedCluster cluster = cluster(seed, true);
     FakeUsers users = busy(cluster, 60, 2);
     int led = ledAfterACrashOfAll(cluster);
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void withoutAThreadOfItsOwnTheLeadershipWaitsBehindTheCrowd() {
+  void withoutAThreadOfItsOwnTheElectionWaitsBehindTheCrowd() {
     SimulatedCluster cluster = cluster(1, false);
     busy(cluster, 60, 2);
     int led = ledAfterACrashOfAll(cluster);
@@ -206,7 +206,7 @@
    * the same controller.
    */
   @Test
-  void anLeadershipWhoseDecisionsStandStillIsGivenUp() {
+  void aLeaderWhoseDecisionsStallStepsDown() {
     SimulatedCluster cluster = new SimulatedCluster(5, 3, TEAMS, false);
     quiet(cluster);
     cluster.play(40);
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void peersWatchEachOther() {
+  void peersReadEachOthersMessages() {
     byte[] theirs =
         HexFormat.of()
             .parseHex(new String(sample("peer-status.hex"), StandardCharsets.US_ASCII).trim());
