--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -25,7 +25,7 @@
 import plumlever.http.Responder;
 import plumlever.http.UserApi;
 import plumlever.leader.Leader;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.lease.LeaseRenewal;
 import plumlever.lease.RenewalLimit;
 import plumlever.metrics.Logs;
@@ -77,7 +77,7 @@
   private final LeaderElection election;
   private final Peers peers;
   private final RequestRouter router;
-  private final Function<Term, Context> contexts;
+  private final Function<Term, TermContext> contexts;
   private final JobRecordCache jobRecords;
   private final DelegatedRenewal delegatedRenewal;
   private final Map<String, Long> unknownMachines = new HashMap<>();
@@ -181,7 +181,7 @@
     boolean moneyMatters = platform.moneyMatters(parameters.rentMicros());
     this.contexts =
         term ->
-            new Context(
+            new TermContext(
                 loop,
                 platform,
                 parameters,
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -15,8 +15,8 @@
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
 import plumlever.http.Responder;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.failover.WarmState;
 import plumlever.leader.heartbeat.EarlyHeartbeats;
@@ -64,7 +64,7 @@
   private static final int MOST_RAISES_LATE = 6;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final long term;
   private final Scope scope = new Scope();
   private final Fleet fleet;
@@ -90,7 +90,7 @@
   private boolean due = true;
 
   /** A leader for one term, which does nothing until it is started. */
-  public Leader(Context context) {
+  public Leader(TermContext context) {
     this.context = context;
     this.log = context.logs().of(Leader.class);
     this.term = context.term().number();
--- a/src/main/java/plumlever/leader/context/Context.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -29,7 +29,7 @@
  * @param sharing how the machines of a pool are shared, if this is one of its cells
  * @param workersElsewhere how many workers report to another controller, by what the others tell
  */
-public record Context(
+public record TermContext(
     Loop loop,
     PlatformConfiguration platform,
     SchedulerParameters parameters,
@@ -42,14 +42,14 @@
     Caller caller,
     Metrics metrics,
     IntSupplier workersElsewhere,
-    Reader reader,
+    RecoveryReader reader,
     LongSupplier latenessMicros,
     Logs logs,
     boolean moneyMatters,
     Optional<SharingSettings> sharing) {
 
   /** Lists keys on another thread than the one that decides. */
-  public interface Reader {
+  public interface RecoveryReader {
     /**
      * @param then takes null when the keys could not all be read; runs on the thread that decides
      */
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -11,8 +11,8 @@
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.sharing.LimitParts;
 import plumlever.wire.MachineType;
@@ -32,7 +32,7 @@
   private static final double ROUNDING = 1e-9;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final Supplier<MachineSharing> sharing;
   private final long startedMicros;
@@ -53,7 +53,7 @@
    *
    * @param sharing asked for the limits of teams; it is set up later than this
    */
-  public Failover(Context context, Fleet fleet, Supplier<MachineSharing> sharing) {
+  public Failover(TermContext context, Fleet fleet, Supplier<MachineSharing> sharing) {
     this.sharing = sharing;
     this.context = context;
     this.log = context.logs().of(Failover.class);
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -12,7 +12,7 @@
 import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
@@ -44,7 +44,7 @@
   private static final int IMAGE_BYTES = 24;
   private static final int INDEX_BYTES = 4;
 
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final Estimates estimates;
 
@@ -55,7 +55,7 @@
   private boolean writing;
 
   /** Warm state of this term, to be loaded once and then written now and then. */
-  public WarmState(Context context, Fleet fleet, Estimates estimates) {
+  public WarmState(TermContext context, Fleet fleet, Estimates estimates) {
     this.context = context;
     this.fleet = fleet;
     this.estimates = estimates;
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.metrics.LogBudget;
 import plumlever.wire.Heartbeat;
 
@@ -15,12 +15,12 @@
 public final class AttemptLog {
   private static final int LINES_PER_SECOND = 200;
 
-  private final Context context;
+  private final TermContext context;
   private final Logger log;
   private final LogBudget lines;
 
   /** A log of the attempts of one term. */
-  public AttemptLog(Context context) {
+  public AttemptLog(TermContext context) {
     this.context = context;
     this.log = context.logs().of(AttemptLog.class);
     this.lines = new LogBudget(log, LINES_PER_SECOND);
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -6,7 +6,7 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.progress.ProgressWriter;
 import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
@@ -15,7 +15,7 @@
 /** What follows from the reported state of an attempt that this leader keeps. */
 final class AttemptUpdates {
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final Estimates estimates;
   private final ProgressWriter progress;
@@ -23,7 +23,7 @@
   private final Runnable changed;
 
   AttemptUpdates(
-      Context context,
+      TermContext context,
       Fleet fleet,
       Estimates estimates,
       ProgressWriter progress,
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -6,8 +6,8 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
 import plumlever.http.Responder;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.lease.LeaderEvidence;
 import plumlever.lease.LeaseRenewal;
@@ -24,7 +24,7 @@
 public final class HeartbeatAnswers {
   private static final int LINES_PER_SECOND = 20;
 
-  private final Context context;
+  private final TermContext context;
   private final ActiveJobs jobs;
   private final MachineSharing sharing;
   private final LeaseRenewal renewal;
@@ -32,7 +32,7 @@
   private final LogBudget lines;
 
   /** Answers under the evidence that these jobs and this view of a pool give. */
-  public HeartbeatAnswers(Context context, ActiveJobs jobs, MachineSharing sharing) {
+  public HeartbeatAnswers(TermContext context, ActiveJobs jobs, MachineSharing sharing) {
     this.context = context;
     this.jobs = jobs;
     this.sharing = sharing;
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -10,8 +10,8 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.leader.progress.ProgressWriter;
@@ -23,7 +23,7 @@
 /** Learns from heartbeats, and writes the commands that answer them. */
 public final class HeartbeatHandler {
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final ActiveJobs jobs;
   private final AttemptUpdates updates;
@@ -34,7 +34,7 @@
 
   /** Handles the heartbeats of one term; {@code sharing} is set up later than this. */
   public HeartbeatHandler(
-      Context context,
+      TermContext context,
       Fleet fleet,
       ActiveJobs jobs,
       Estimates estimates,
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -13,7 +13,7 @@
 import plumlever.election.LeaderElection;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.lease.DelegationRecord;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
@@ -44,7 +44,7 @@
   private static final int MOST_ZONES = 8;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
 
   /** The last token that went with each zone. */
@@ -63,7 +63,7 @@
   private boolean writing;
 
   /** The delegations of one term: none at first. */
-  public RenewalDelegation(Context context, Fleet fleet) {
+  public RenewalDelegation(TermContext context, Fleet fleet) {
     this.context = context;
     this.fleet = fleet;
     this.log = context.logs().of(RenewalDelegation.class);
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.DependencyGraph;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.record.RecoveryRead;
 import plumlever.lease.RenewalLimit;
 import plumlever.store.JobFinder;
@@ -30,7 +30,7 @@
   private static final long RETRY_MICROS = 500_000;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final StartedJobIndex startedJobs;
   private final Runnable changed;
   private final Map<String, Job> active = new LinkedHashMap<>();
@@ -72,7 +72,7 @@
    *
    * @param changed runs when a job has come, has ended or may start
    */
-  public ActiveJobs(Context context, StartedJobIndex startedJobs, Runnable changed) {
+  public ActiveJobs(TermContext context, StartedJobIndex startedJobs, Runnable changed) {
     this.context = context;
     this.log = context.logs().of(ActiveJobs.class);
     this.startedJobs = startedJobs;
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
@@ -22,7 +22,7 @@
   public static final long EVERY_MICROS = 300_000_000;
   static final long UNUSED_MICROS = 900_000_000;
 
-  private final Context context;
+  private final TermContext context;
   private final ActiveJobs jobs;
 
   /** When each list without an active job was first seen, by its anchor as it was then. */
@@ -33,7 +33,7 @@
 
   private record Unused(JobStore.ListName list, long anchorRevision) {}
 
-  public DependencyListCleanup(Context context, ActiveJobs jobs) {
+  public DependencyListCleanup(TermContext context, ActiveJobs jobs) {
     this.context = context;
     this.jobs = jobs;
   }
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.record.SharedRecords;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
@@ -42,7 +42,7 @@
   /**
    * @param recorded runs when jobs have come to be on record
    */
-  public StartedJobIndex(Context context, Runnable recorded) {
+  public StartedJobIndex(TermContext context, Runnable recorded) {
     this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, recorded);
   }
 
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -9,7 +9,7 @@
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.scaling.RentalPlan;
@@ -26,7 +26,7 @@
   private static final double COARSE = 400;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final SchedulingPass pass;
   private final Failover failover;
@@ -36,7 +36,7 @@
   private long sizedMicros;
 
   FleetSizing(
-      Context context,
+      TermContext context,
       Fleet fleet,
       SchedulingPass pass,
       Failover failover,
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -13,8 +13,8 @@
 import plumlever.election.DelegatedRenewal;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.heartbeat.HeartbeatHandler;
 import plumlever.leader.heartbeat.RenewalDelegation;
@@ -67,7 +67,7 @@
   private static final double LEAST_BOOT_S = 15;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final MachineRegistry registry;
   private final SchedulingPass pass;
@@ -104,7 +104,7 @@
    * @param changed runs when something changed that placement depends on
    */
   public MachineManager(
-      Context context,
+      TermContext context,
       Fleet fleet,
       MachineRegistry registry,
       SchedulingPass pass,
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.record.SharedRecords;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
@@ -30,7 +30,7 @@
   private static final int ENTRY_BYTES = 11;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final SharedRecords<Machine> records;
 
   /**
@@ -38,7 +38,7 @@
    *
    * @param changed runs when machines have come to be on record
    */
-  public MachineRegistry(Context context, Runnable changed) {
+  public MachineRegistry(TermContext context, Runnable changed) {
     this.context = context;
     this.log = context.logs().of(MachineRegistry.class);
     this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, changed);
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -9,8 +9,8 @@
 import plumlever.cloud.CloudClient;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.scaling.RentalPlan;
@@ -39,7 +39,7 @@
   }
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final SchedulingPass pass;
   private final Failover failover;
@@ -58,7 +58,7 @@
    * @param isCut tells of a zone whether it seems to be behind a cut: nothing is rented there
    */
   MachineRentals(
-      Context context,
+      TermContext context,
       Fleet fleet,
       SchedulingPass pass,
       Failover failover,
--- a/src/main/java/plumlever/leader/machine/MachineSilence.java
+++ b/src/main/java/plumlever/leader/machine/MachineSilence.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 
 /**
@@ -48,7 +48,7 @@
   }
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final Failover failover;
   private final Map<String, ZoneCount> zones = new HashMap<>();
@@ -58,7 +58,7 @@
 
   private long punctualSinceMicros;
 
-  MachineSilence(Context context, Fleet fleet, Failover failover) {
+  MachineSilence(TermContext context, Fleet fleet, Failover failover) {
     this.context = context;
     this.log = context.logs().of(MachineSilence.class);
     this.fleet = fleet;
--- a/src/main/java/plumlever/leader/pool/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadCellAdoption.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import plumlever.election.LeaderElection;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.PoolView;
 import plumlever.sharing.TransferRecord;
@@ -27,7 +27,7 @@
   private static final long FRESH_MICROS = 5_000_000;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final SharingSettings sharing;
   private final PoolLink link;
   private final PoolView view;
@@ -40,7 +40,7 @@
   private final Map<String, Long> leaderlessSince = new HashMap<>();
 
   DeadCellAdoption(
-      Context context,
+      TermContext context,
       SharingSettings sharing,
       PoolLink link,
       TransferSteps steps,
--- a/src/main/java/plumlever/leader/pool/GuestBook.java
+++ b/src/main/java/plumlever/leader/pool/GuestBook.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.GuestLoad;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.lease.GuestEvidence;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -65,14 +65,14 @@
   }
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final SharingSettings sharing;
   private final PoolView view;
   private final Map<String, Lodging> lodgings = new LinkedHashMap<>();
   private final Map<String, HomeWatch> homes = new HashMap<>();
   private boolean closed;
 
-  GuestBook(Context context, SharingSettings sharing, PoolView view) {
+  GuestBook(TermContext context, SharingSettings sharing, PoolView view) {
     this.context = context;
     this.log = context.logs().of(GuestBook.class);
     this.sharing = sharing;
--- a/src/main/java/plumlever/leader/pool/HomeWatch.java
+++ b/src/main/java/plumlever/leader/pool/HomeWatch.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.slf4j.Logger;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.lease.RenewalLimit;
 import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
@@ -19,7 +19,7 @@
   private static final long RETRY_MICROS = 300_000;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final String prefix;
   private final RenewalLimit limit;
   private final Set<String> watched = new HashSet<>();
@@ -33,7 +33,7 @@
   /**
    * @param cellPrefix of the other cell's keys
    */
-  HomeWatch(Context context, String cellPrefix) {
+  HomeWatch(TermContext context, String cellPrefix) {
     this.context = context;
     this.log = context.logs().of(HomeWatch.class);
     this.prefix = KeySpace.absolute(cellPrefix, JobStore.ACTIVE);
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.settings.PlatformConfiguration;
@@ -22,7 +22,7 @@
  */
 final class LimitSharing {
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final SharingSettings sharing;
   private final String own;
   private final ActiveJobs jobs;
@@ -34,7 +34,7 @@
   private final Map<String, Double> giving = new HashMap<>();
 
   LimitSharing(
-      Context context,
+      TermContext context,
       SharingSettings sharing,
       ActiveJobs jobs,
       Failover failover,
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.scaling.RentalPlan;
@@ -40,7 +40,7 @@
   private record Given(long revision, int machines) {}
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final SharingSettings sharing;
   private final String own;
   private final Fleet fleet;
@@ -57,7 +57,7 @@
   private boolean digestsDiffer;
 
   MachineShareBalancer(
-      Context context,
+      TermContext context,
       SharingSettings sharing,
       Fleet fleet,
       SchedulingPass pass,
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -15,7 +15,7 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.heartbeat.HeartbeatHandler;
 import plumlever.leader.job.ActiveJobs;
@@ -47,7 +47,7 @@
   private static final double BOOT_MARGIN = 1.3;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final SharingSettings sharing;
   private final String own;
   private final Fleet fleet;
@@ -69,7 +69,7 @@
   private boolean digestMismatchLogged;
 
   MachineTransfers(
-      Context context,
+      TermContext context,
       SharingSettings sharing,
       Fleet fleet,
       ActiveJobs jobs,
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.OwnerRecord;
 import plumlever.sharing.PoolView;
@@ -32,7 +32,7 @@
   private static final String RETIRED = "!";
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final String own;
   private final PoolView view;
   private final PoolWriter writer;
@@ -40,7 +40,7 @@
   private final Set<String> claiming = new HashSet<>();
   private final Set<String> retiring = new HashSet<>();
 
-  OwnerClaims(Context context, SharingSettings sharing, PoolView view, PoolWriter writer) {
+  OwnerClaims(TermContext context, SharingSettings sharing, PoolView view, PoolWriter writer) {
     this.context = context;
     this.log = context.logs().of(OwnerClaims.class);
     this.own = sharing.own().name();
--- a/src/main/java/plumlever/leader/pool/PoolLink.java
+++ b/src/main/java/plumlever/leader/pool/PoolLink.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.sharing.PoolView;
 import plumlever.store.PrefixWatch;
 import plumlever.store.StateClient;
@@ -22,7 +22,7 @@
   /**
    * @param changed runs when records have changed
    */
-  PoolLink(Context context, Runnable changed) {
+  PoolLink(TermContext context, Runnable changed) {
     this.log = context.logs().of(PoolLink.class);
     this.watch =
         new PrefixWatch(
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -10,8 +10,8 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
 import plumlever.http.Responder;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.heartbeat.HeartbeatHandler;
 import plumlever.leader.job.ActiveJobs;
@@ -39,7 +39,7 @@
   private static final long TURN_MICROS = 500_000;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final SharingSettings sharing;
   private final Fleet fleet;
   private final MachineRegistry registry;
@@ -59,7 +59,7 @@
 
   /** The sharing of one term; nothing is answered before the records of the pool are loaded. */
   public PoolSharing(
-      Context context,
+      TermContext context,
       SharingSettings sharing,
       Fleet fleet,
       ActiveJobs jobs,
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.slf4j.Logger;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 
@@ -30,14 +30,14 @@
   private static final int MOST_WAITING = 4_096;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final PoolLink link;
   private final Runnable changed;
   private final ArrayDeque<Step> waiting = new ArrayDeque<>();
   private boolean busy;
   private boolean closed;
 
-  PoolWriter(Context context, PoolLink link, Runnable changed) {
+  PoolWriter(TermContext context, PoolLink link, Runnable changed) {
     this.context = context;
     this.log = context.logs().of(PoolWriter.class);
     this.link = link;
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.sharing.OwnerRecord;
 import plumlever.sharing.PoolView;
 import plumlever.sharing.TransferRecord;
@@ -32,7 +32,7 @@
    */
   record Taking(PoolTransaction transaction, List<TransferRecord> taken) {}
 
-  private final Context context;
+  private final TermContext context;
   private final String own;
   private final PoolView view;
   private final PoolWriter writer;
@@ -41,7 +41,7 @@
   /**
    * @param own name of this cell
    */
-  TransferSteps(Context context, String own, PoolView view, PoolWriter writer) {
+  TransferSteps(TermContext context, String own, PoolView view, PoolWriter writer) {
     this.context = context;
     this.own = own;
     this.view = view;
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
@@ -46,7 +46,7 @@
   }
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final ActiveJobs jobs;
   private final Map<Integer, SharedChunk> sharedChunks = new LinkedHashMap<>();
   private final Map<Job, SharedChunk> sharedChunkOf = new HashMap<>();
@@ -72,7 +72,7 @@
   private boolean closed;
 
   /** Writes the progress of these jobs. */
-  public ProgressWriter(Context context, ActiveJobs jobs) {
+  public ProgressWriter(TermContext context, ActiveJobs jobs) {
     this.context = context;
     this.log = context.logs().of(ProgressWriter.class);
     this.jobs = jobs;
--- a/src/main/java/plumlever/leader/record/RecoveryRead.java
+++ b/src/main/java/plumlever/leader/record/RecoveryRead.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.sharing.PoolView;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
@@ -28,12 +28,12 @@
               JobStore.ACTIVE,
               JobStore.PROGRESS));
 
-  private final Context context;
+  private final TermContext context;
   private final Map<String, StateClient.Listing> read = new HashMap<>();
   private Consumer<RecoveryRead> then;
   private long askedMicros;
 
-  public RecoveryRead(Context context) {
+  public RecoveryRead(TermContext context) {
     this.context = context;
   }
 
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import plumlever.fleet.Registered;
 import plumlever.fleet.RegistrationState;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 
@@ -66,7 +66,7 @@
     }
   }
 
-  private final Context context;
+  private final TermContext context;
   private final Layout<E> layout;
 
   /** What comes together within this time is written together. */
@@ -84,7 +84,7 @@
   /**
    * @param stored runs when entries have come to be on record
    */
-  public SharedRecords(Context context, Layout<E> layout, long pauseMicros, Runnable stored) {
+  public SharedRecords(TermContext context, Layout<E> layout, long pauseMicros, Runnable stored) {
     this.context = context;
     this.layout = layout;
     this.pauseMicros = pauseMicros;
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -7,7 +7,7 @@
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.heartbeat.AttemptLog;
 import plumlever.leader.heartbeat.HeartbeatHandler;
 import plumlever.leader.heartbeat.RenewalDelegation;
@@ -38,7 +38,7 @@
   private static final int MOST_RAISES = 64;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final SchedulingPass pass;
   private final HeartbeatHandler heartbeats;
   private final TaskStarter starter;
@@ -56,7 +56,7 @@
    * @param changed runs when an answer changed something that placement depends on
    */
   public CommandSender(
-      Context context,
+      TermContext context,
       ActiveJobs jobs,
       SchedulingPass pass,
       HeartbeatHandler heartbeats,
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -8,7 +8,7 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.placement.ResourceRequest;
 import plumlever.placement.Zones;
 import plumlever.wire.AttemptState;
@@ -39,12 +39,12 @@
   private static final double EPSILON = 1e-9;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final Usable usable;
   private final Harm harm;
 
-  Preemption(Context context, Fleet fleet, Usable usable, Harm harm) {
+  Preemption(TermContext context, Fleet fleet, Usable usable, Harm harm) {
     this.context = context;
     this.log = context.logs().of(Preemption.class);
     this.fleet = fleet;
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -17,7 +17,7 @@
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.leader.job.StartedJobIndex;
@@ -87,7 +87,7 @@
   }
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final ActiveJobs jobs;
   private final StartedJobIndex startedJobs;
@@ -118,7 +118,7 @@
 
   /** The passes of one term; nothing is planned before the first run. */
   public SchedulingPass(
-      Context context,
+      TermContext context,
       Fleet fleet,
       ActiveJobs jobs,
       StartedJobIndex startedJobs,
@@ -153,7 +153,7 @@
     return finishedMicros;
   }
 
-  private static long hedge(Context context) {
+  private static long hedge(TermContext context) {
     return context.moneyMatters() ? context.parameters().rentMicros() : 0;
   }
 
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -7,7 +7,7 @@
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.heartbeat.AttemptLog;
 import plumlever.leader.job.ActiveJobs;
@@ -50,14 +50,14 @@
     }
   }
 
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final ActiveJobs jobs;
   private final Failover failover;
   private final AttemptLog attemptLog;
 
   /** Starts tasks of these jobs on machines of the fleet. */
-  public TaskStarter(Context context, Fleet fleet, ActiveJobs jobs, Failover failover) {
+  public TaskStarter(TermContext context, Fleet fleet, ActiveJobs jobs, Failover failover) {
     this.context = context;
     this.attemptLog = new AttemptLog(context);
     this.fleet = fleet;
