--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -340,7 +340,7 @@
     } else if (sharing.isPresent() && path.equals(PoolRequests.TRANSFER)) {
       PoolRequests.transfer(body, leader, out);
     } else if (sharing.isPresent() && path.equals(PoolRequests.FORWARD)) {
-      PoolRequests.forwarded(body, router, out);
+      PoolRequests.answerForwarded(body, router, out);
     } else {
       peers.handle(method, path, body, out);
     }
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -23,7 +23,12 @@
 
   @Override
   public void call(
-      Endpoint to, String method, String path, byte[] body, long timeoutMicros, Answer answer) {
+      Endpoint to,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMicros,
+      ResponseHandler handler) {
     String work = kindOf(to, path);
     caller.call(
         to,
@@ -33,7 +38,7 @@
         timeoutMicros,
         (status, data) -> {
           long since = loop.nowMicros();
-          answer.take(status, data);
+          handler.handle(status, data);
           metrics.spent(work, loop.nowMicros() - since);
         });
   }
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -76,7 +76,7 @@
     return "connections: "
         + shared
         + " for users and workers; beyond "
-        + (int) (shared * Server.CROWDED)
+        + (int) (shared * Server.SCARCE_CONNECTIONS_SHARE)
         + " each worker gets one for each report";
   }
 
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -109,7 +109,7 @@
             platform.bind(),
             users,
             idleMicros,
-            Server.MAX_BODY,
+            Server.MAX_BODY_BYTES,
             (method, path, body, out) -> node.router().handle(method, path, body, out));
     back =
         new Server(
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -151,14 +151,14 @@
     worker.shutdownNow();
   }
 
-  private Server serve(Server.Handler handler) {
+  private Server serve(Server.RequestHandler handler) {
     Server server =
         new Server(
             worker,
             new Endpoint("127.0.0.1", 0),
             CONNECTIONS,
             IDLE_MICROS,
-            Server.MAX_BODY,
+            Server.MAX_BODY_BYTES,
             handler);
     server.start();
     servers.add(server);
--- a/src/main/java/plumlever/http/Caller.java
+++ b/src/main/java/plumlever/http/Caller.java
@@ -8,14 +8,19 @@
    * @param body null for none
    */
   void call(
-      Endpoint to, String method, String path, byte[] body, long timeoutMicros, Answer answer);
+      Endpoint to,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMicros,
+      ResponseHandler handler);
 
   /** Takes what came of a request. */
-  interface Answer {
+  interface ResponseHandler {
     /**
      * @param status 0 when there was no response: the request may have been executed or may still
      *     be
      */
-    void take(int status, byte[] body);
+    void handle(int status, byte[] body);
   }
 }
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -135,7 +135,7 @@
           heartbeat.fencingToken(),
           refusal.reason());
     }
-    out.later(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
+    out.retryLater(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
   }
 
   private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.Right right, String when) {
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -141,7 +141,7 @@
 
   private void forward(Iterator<PlatformConfiguration.Seed> members, byte[] body, Responder out) {
     if (!members.hasNext()) {
-      out.later(
+      out.retryLater(
           HttpStatus.UNAVAILABLE, "no controller of the job's cell can be reached", RETRY_AFTER_S);
       return;
     }
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequests.java
@@ -28,7 +28,7 @@
    */
   public static void relay(byte[] body, Leader leader, Responder out) {
     if (leader == null) {
-      out.later(HttpStatus.UNAVAILABLE, "does not lead", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "does not lead", 1);
       return;
     }
     try {
@@ -48,7 +48,7 @@
       ObjectNode request = Json.parseObject(body);
       String machine = Json.text(request, "machine");
       if (leader == null || !leader.transfer(machine, Json.text(request, "to"))) {
-        out.later(HttpStatus.UNAVAILABLE, machine + " can't be given from here now", 1);
+        out.retryLater(HttpStatus.UNAVAILABLE, machine + " can't be given from here now", 1);
       } else {
         out.send(HttpStatus.OK, "{}");
       }
@@ -58,7 +58,7 @@
   }
 
   /** Answers a user of another cell's controller; such a request goes no further. */
-  public static void forwarded(byte[] body, RequestRouter router, Responder out) {
+  public static void answerForwarded(byte[] body, RequestRouter router, Responder out) {
     ForwardedRequest request;
     try {
       request = ForwardedRequest.parse(body);
@@ -77,7 +77,7 @@
           }
 
           @Override
-          public boolean forwarded() {
+          public boolean isForwarded() {
             return true;
           }
         });
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -11,7 +11,7 @@
 import plumlever.wire.ProtocolPath;
 
 /** Routes requests of users, workers and health checks. */
-public final class RequestRouter implements Server.Handler {
+public final class RequestRouter implements Server.RequestHandler {
   /** What the front has to know of this controller. */
   public interface House {
     /** The leader here, or null when this controller does not lead. */
@@ -94,7 +94,7 @@
     if (house.canTakeRequests()) {
       out.send(HttpStatus.OK, "{}");
     } else {
-      out.later(HttpStatus.UNAVAILABLE, "can't take requests", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "can't take requests", 1);
     }
   }
 
@@ -108,10 +108,10 @@
       return;
     }
     metrics.count("heartbeats");
-    if (out.crowded()) {
+    if (out.connectionsScarce()) {
       // Users come first: a worker can do with a connection for each heartbeat.
       metrics.count("heartbeats_closed_crowded");
-      out.closing();
+      out.closeConnection();
     }
     Leader leader = house.leader();
     if (leader != null) {
--- a/src/main/java/plumlever/http/Responder.java
+++ b/src/main/java/plumlever/http/Responder.java
@@ -8,15 +8,15 @@
   void send(int status, String json, int retryAfterS);
 
   /** True for a request that another cell's controller passed on: it is answered here or not. */
-  default boolean forwarded() {
+  default boolean isForwarded() {
     return false;
   }
 
   /** The connection ends with the answer, so that its user finds another controller. */
-  default void closing() {}
+  default void closeConnection() {}
 
   /** True when connections are short: one that can be done without is better closed. */
-  default boolean crowded() {
+  default boolean connectionsScarce() {
     return false;
   }
 
@@ -29,7 +29,7 @@
   }
 
   /** For what can't be taken now: tells when to come back. */
-  default void later(int status, String reason, int retryAfterS) {
+  default void retryLater(int status, String reason, int retryAfterS) {
     send(
         status,
         plumlever.wire.Json.write(plumlever.wire.Json.object().put("error", reason)),
--- a/src/main/java/plumlever/http/Server.java
+++ b/src/main/java/plumlever/http/Server.java
@@ -19,11 +19,11 @@
 /** Undertow listeners that hand whole requests to a handler on the loop. */
 public final class Server implements AutoCloseable {
   /** Takes requests, on the loop. */
-  public interface Handler {
+  public interface RequestHandler {
     void handle(String method, String path, byte[] body, Responder responder);
   }
 
-  public static final int MAX_BODY = 64 * 1024;
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
@@ -31,12 +31,12 @@
   private static final int BACKLOG = 8 * 1024;
 
   /** From this part of the connections on they are short. */
-  public static final double CROWDED = 0.9;
+  public static final double SCARCE_CONNECTIONS_SHARE = 0.9;
 
   private static final int PARSE_MS = 10_000;
 
   private final Undertow undertow;
-  private final int crowded;
+  private final int scarceFrom;
   private ConnectorStatistics statistics;
 
   /**
@@ -49,9 +49,9 @@
       int maxConnections,
       long idleMicros,
       long maxBody,
-      Handler handler) {
+      RequestHandler handler) {
     int idleMs = (int) (idleMicros / 1_000);
-    crowded = (int) (maxConnections * CROWDED);
+    scarceFrom = (int) (maxConnections * SCARCE_CONNECTIONS_SHARE);
     undertow =
         Undertow.builder()
             .setWorker(worker)
@@ -93,7 +93,7 @@
     undertow.stop();
   }
 
-  private void receive(HttpServerExchange exchange, Handler handler) {
+  private void receive(HttpServerExchange exchange, RequestHandler handler) {
     if (exchange.getRequestContentLength() > exchange.getMaxEntitySize()) {
       exchange.setPersistent(false);
       new ExchangeResponder(exchange).error(HttpStatus.PAYLOAD_TOO_LARGE, "the body is too long");
@@ -118,7 +118,7 @@
                             responder);
                       } catch (RuntimeException e) {
                         LOG.error("{} {} failed", ex.getRequestMethod(), ex.getRequestPath(), e);
-                        responder.later(HttpStatus.UNAVAILABLE, "internal error", 1);
+                        responder.retryLater(HttpStatus.UNAVAILABLE, "internal error", 1);
                       }
                     }),
             (ex, e) -> {
@@ -141,12 +141,12 @@
     }
 
     @Override
-    public boolean crowded() {
-      return statistics != null && connections() > crowded;
+    public boolean connectionsScarce() {
+      return statistics != null && connections() > scarceFrom;
     }
 
     @Override
-    public void closing() {
+    public void closeConnection() {
       exchange.setPersistent(false);
     }
 
--- a/src/main/java/plumlever/http/UndertowCaller.java
+++ b/src/main/java/plumlever/http/UndertowCaller.java
@@ -65,9 +65,14 @@
 
   @Override
   public void call(
-      Endpoint to, String method, String path, byte[] body, long timeoutMicros, Answer answer) {
+      Endpoint to,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMicros,
+      ResponseHandler handler) {
     Pool pool = pools.computeIfAbsent(to, Pool::new);
-    Call call = new Call(pool, method, path, body, answer);
+    Call call = new Call(pool, method, path, body, handler);
     call.timer = loop.after(timeoutMicros, () -> call.finish(0, NO_BODY, false));
     pool.submit(call);
   }
@@ -147,18 +152,18 @@
     private final String method;
     private final String path;
     private final byte[] body;
-    private final Answer answer;
+    private final ResponseHandler handler;
     private Loop.Timer timer;
     private ClientConnection connection;
     private boolean begun;
     private boolean finished;
 
-    Call(Pool pool, String method, String path, byte[] body, Answer answer) {
+    Call(Pool pool, String method, String path, byte[] body, ResponseHandler handler) {
       this.pool = pool;
       this.method = method;
       this.path = path;
       this.body = body;
-      this.answer = answer;
+      this.handler = handler;
     }
 
     void begin() {
@@ -315,7 +320,7 @@
         }
         pool.release(reusable ? connection : null);
       }
-      answer.take(status, data);
+      handler.handle(status, data);
     }
   }
 }
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -115,25 +115,26 @@
     }
 
     @Override
-    public void closing() {
-      out.closing();
+    public void closeConnection() {
+      out.closeConnection();
     }
 
     @Override
-    public boolean forwarded() {
-      return out.forwarded();
+    public boolean isForwarded() {
+      return out.isForwarded();
     }
   }
 
   /** Counts a request while it is open; too many at once are turned away. */
   private Admitted admit(String kind, ForwardedRequest request, Responder out) {
     if (leaderView.ineligible()) {
-      out.later(HttpStatus.UNAVAILABLE, "this controller lacks the sharing file", RETRY_AFTER_S);
+      out.retryLater(
+          HttpStatus.UNAVAILABLE, "this controller lacks the sharing file", RETRY_AFTER_S);
       return null;
     }
     if (open >= MOST_AT_ONCE) {
       metrics.count("users_turned_away");
-      out.later(HttpStatus.UNAVAILABLE, "too many requests", RETRY_AFTER_S);
+      out.retryLater(HttpStatus.UNAVAILABLE, "too many requests", RETRY_AFTER_S);
       return null;
     }
     open++;
@@ -147,9 +148,9 @@
   private void unavailable(Responder out) {
     if (leaderView.isRefusedAlone()) {
       metrics.count("users_sent_away");
-      out.closing();
+      out.closeConnection();
     }
-    out.later(HttpStatus.UNAVAILABLE, "the state service can't be reached", RETRY_AFTER_S);
+    out.retryLater(HttpStatus.UNAVAILABLE, "the state service can't be reached", RETRY_AFTER_S);
   }
 
   /** Answers a submission: accepted once it is stored, refused, or to be repeated later. */
@@ -196,7 +197,7 @@
           uid,
           out,
           () ->
-              out.later(
+              out.retryLater(
                   HttpStatus.UNAVAILABLE, "the machine types are not known yet", RETRY_AFTER_S));
       return;
     }
@@ -357,7 +358,7 @@
 
   /** Where another cell has the job, that cell answers the request. */
   private void ifNowhere(String uid, Admitted out, Runnable refuse) {
-    if (otherCells.isEmpty() || out.forwarded()) {
+    if (otherCells.isEmpty() || out.isForwarded()) {
       refuse.run();
       return;
     }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -302,11 +302,11 @@
     }
     if (news == HeartbeatHandler.News.COPY) {
       context.metrics().count("heartbeat_copies");
-      out.later(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
     } else if (machine.contact().unreachable()) {
       // Were it answered, its lease would count as renewed for ever, and nobody else could have its
       // tasks.
-      out.later(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
     } else {
       takeIn(machine, heartbeat, news);
       renew(machine, heartbeat, news, out);
@@ -316,7 +316,7 @@
   /** Answers a heartbeat that tells this leader nothing: it must not act on it, or not yet. */
   private boolean answeredWithoutTakingIn(Heartbeat heartbeat, Responder out) {
     if (!context.term().mayAct()) {
-      out.later(HttpStatus.UNAVAILABLE, "not in office", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
     }
     if (sharing.answered(heartbeat, out)) {
@@ -330,11 +330,11 @@
               context.term(),
               "a worker has seen term " + Fleet.termOf(heartbeat.fencingToken()),
               1_000_000);
-      out.later(HttpStatus.UNAVAILABLE, "not in office", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
     }
     if (machines.isDeleted(heartbeat.machineId())) {
-      out.later(HttpStatus.UNAVAILABLE, "this machine was returned", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "this machine was returned", 1);
       return true;
     }
     if (!loaded && heartbeat.holdsTasks()) {
--- a/src/main/java/plumlever/leader/heartbeat/EarlyHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/EarlyHeartbeats.java
@@ -75,10 +75,10 @@
   }
 
   public void close() {
-    release((r, out) -> out.later(HttpStatus.UNAVAILABLE, "not in office", 1));
+    release((r, out) -> out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1));
   }
 
   private static void refuse(Early early) {
-    early.out.later(HttpStatus.UNAVAILABLE, "which jobs have ended is not known yet", 1);
+    early.out.retryLater(HttpStatus.UNAVAILABLE, "which jobs have ended is not known yet", 1);
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -110,6 +110,6 @@
           refusal.reason(),
           (now - jobs.endsKnownMicros()) / 1_000);
     }
-    out.later(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
+    out.retryLater(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
   }
 }
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -169,7 +169,7 @@
   public boolean answered(Heartbeat heartbeat, Responder out) {
     String machine = heartbeat.machineId();
     if (!loaded) {
-      out.later(HttpStatus.UNAVAILABLE, "whose machine this is is not known yet", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "whose machine this is is not known yet", 1);
       return true;
     }
     if (transfers.owns(machine)) {
@@ -185,7 +185,7 @@
           HttpStatus.MISDIRECTED_REQUEST,
           Json.write(Json.object().put(ProtocolField.LEADER, leader.get())));
     } else {
-      out.later(HttpStatus.UNAVAILABLE, "nobody answers for this machine now", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "nobody answers for this machine now", 1);
     }
     return true;
   }
@@ -194,13 +194,13 @@
     Machine machine = fleet.machine(heartbeat.machineId());
     if (machine != null && Fleet.termOf(heartbeat.fencingToken()) > machine.tokens().term()) {
       // The machine has seen a newer owner or leader than this one knows of.
-      out.later(HttpStatus.UNAVAILABLE, "a newer owner is known to the machine", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "a newer owner is known to the machine", 1);
       return true;
     }
     boolean viewIsOld =
         context.loop().nowMicros() - link.knownMicros() > MachineTransfers.OFFER_VIEW_MICROS;
     if (machine != null && machine.offered() && viewIsOld) {
-      out.later(HttpStatus.UNAVAILABLE, "the machine may have another owner by now", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "the machine may have another owner by now", 1);
       return true;
     }
     return false;
@@ -259,7 +259,7 @@
             && record.get().owner().equals(relayed.from())
             && relayed.number() >= record.get().number();
     if (machine == null || !fits || !context.term().mayAct()) {
-      out.later(HttpStatus.UNAVAILABLE, "tasks on this machine are not known here now", 1);
+      out.retryLater(HttpStatus.UNAVAILABLE, "tasks on this machine are not known here now", 1);
       return;
     }
     machine.tokens().startTerm(relayed.number());
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -115,7 +115,7 @@
               if (path.equals("/orders")) {
                 String machineId = outside.machineAt(to.toString());
                 outside.command(machineId, new String(body, StandardCharsets.UTF_8));
-                answer.take(200, outside.heartbeat(machineId));
+                answer.handle(200, outside.heartbeat(machineId));
               } else {
                 outside.handle(
                     method,
@@ -126,7 +126,7 @@
                             WAY_MICROS,
                             () -> {
                               if (life == lives) {
-                                answer.take(status, text.getBytes(StandardCharsets.UTF_8));
+                                answer.handle(status, text.getBytes(StandardCharsets.UTF_8));
                               }
                             }));
               }
--- a/src/test/java/plumlever/http/ServerTest.java
+++ b/src/test/java/plumlever/http/ServerTest.java
@@ -41,13 +41,13 @@
             new Endpoint("127.0.0.1", 0),
             50,
             20_000_000,
-            Server.MAX_BODY,
+            Server.MAX_BODY_BYTES,
             (method, path, body, out) -> {
               if (path.equals("/never")) {
                 return;
               }
               if (path.equals("/crowded")) {
-                out.send(200, String.valueOf(out.crowded()));
+                out.send(200, String.valueOf(out.connectionsScarce()));
                 return;
               }
               // Answered later, as most requests are.
@@ -119,7 +119,7 @@
 
   @Test
   void refusesLongBodiesAndGivesUpInTime() throws Exception {
-    byte[] big = new byte[Server.MAX_BODY + 1];
+    byte[] big = new byte[Server.MAX_BODY_BYTES + 1];
     Arrays.fill(big, (byte) 'x');
     String answer = call("POST", "/p", big, 5_000_000);
     assertEquals("413", answer.substring(0, 3));
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -413,13 +413,13 @@
             back(status, text, true);
           }
 
-          private void back(int status, String text, boolean closing) {
+          private void back(int status, String text, boolean closeConnection) {
             at(
                 LATENCY_MICROS,
                 () -> {
                   if (!answered[0] && !lose && !isCut(to.host(), from)) {
                     answered[0] = true;
-                    answer.accept(new Object[] {status, text, closing});
+                    answer.accept(new Object[] {status, text, closeConnection});
                   }
                 });
           }
@@ -545,11 +545,11 @@
                               path,
                               bytes(body),
                               new Responder() {
-                                private boolean closing;
+                                private boolean closeConnection;
 
                                 @Override
-                                public void closing() {
-                                  closing = true;
+                                public void closeConnection() {
+                                  closeConnection = true;
                                 }
 
                                 @Override
@@ -557,7 +557,7 @@
                                   if (status == 200 && path.equals("/hello") && cells.isEmpty()) {
                                     checkInLeadership(json, current.leader() != null);
                                   }
-                                  if (life == mine && closing) {
+                                  if (life == mine && closeConnection) {
                                     reply.sendClosing(status, json);
                                   } else if (life == mine) {
                                     reply.send(status, json);
@@ -645,7 +645,7 @@
                     Processor.Work.ANSWER,
                     () -> {
                       calls -= direct ? 1 : 0;
-                      answer.take(
+                      answer.handle(
                           (Integer) a[0], ((String) a[1]).getBytes(StandardCharsets.ISO_8859_1));
                     }));
       };
