--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -163,7 +163,7 @@
     warmState.load(found.under(JobStore.WARM_STATE).items());
     jobs.load(found);
     if (sharing.inPool()) {
-      sharing.loaded(found.under(PoolView.PREFIX), found.askedMicros());
+      sharing.poolRecordsRead(found.under(PoolView.PREFIX), found.askedMicros());
     }
     loaded = true;
     failover.loaded();
@@ -319,7 +319,7 @@
       out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
     }
-    if (sharing.answered(heartbeat, out)) {
+    if (sharing.answerUnlessOwn(heartbeat, out)) {
       return true;
     }
     if (!sharing.inPool() && Fleet.termOf(heartbeat.fencingToken()) > term) {
@@ -375,7 +375,7 @@
     if (news == HeartbeatHandler.News.NEWS) {
       notice(machine, heartbeat, context.loop().nowMicros());
     }
-    sharing.reported(machine, heartbeat);
+    sharing.heartbeatApplied(machine, heartbeat);
   }
 
   /** Renews the lease, with all commands that are due, if there is evidence enough for it. */
@@ -434,7 +434,7 @@
    * @return false if it is not one that can be given now
    */
   public boolean transfer(String machine, String cell) {
-    return sharing.offer(machine, cell);
+    return sharing.offerTransfer(machine, cell);
   }
 
   /** Another cell's leader passes on what a machine of its tells of this cell's tasks. */
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -28,7 +28,7 @@
   }
 
   /** The records of the pool were read after the term had been taken. */
-  default void loaded(StateClient.Listing pool, long askedMicros) {}
+  default void poolRecordsRead(StateClient.Listing pool, long askedMicros) {}
 
   /** True if a machine that the cloud lists is this cell's. */
   default boolean isOwn(ListedMachine listed) {
@@ -45,22 +45,22 @@
    *
    * @return true if it has been answered
    */
-  default boolean answered(Heartbeat heartbeat, Responder out) {
+  default boolean answerUnlessOwn(Heartbeat heartbeat, Responder out) {
     return false;
   }
 
   /** Makes rented machines this cell's own; each is handed on once that is on record. */
-  default void claim(List<String> machines, Consumer<String> own) {
+  default void claimRented(List<String> machines, Consumer<String> own) {
     machines.forEach(own);
   }
 
   /** Has it recorded that these machines are to be returned; then nobody else can own them. */
-  default void retire(List<Machine> machines, Runnable recorded) {
+  default void recordReturns(List<Machine> machines, Runnable recorded) {
     recorded.run();
   }
 
   /** The machines do not exist any more. */
-  default void returned(List<Machine> machines) {}
+  default void machinesReturned(List<Machine> machines) {}
 
   /** True for an attempt of another cell that may be on the machine. */
   default boolean isGuest(Machine machine, long attempt) {
@@ -68,7 +68,7 @@
   }
 
   /** A heartbeat of the machine was taken in. */
-  default void reported(Machine machine, Heartbeat heartbeat) {}
+  default void heartbeatApplied(Machine machine, Heartbeat heartbeat) {}
 
   /** What is known of the jobs of other cells whose tasks may be on the machine. */
   default GuestEvidence guestEvidence(Machine machine) {
@@ -81,7 +81,7 @@
   }
 
   /** The lease of the machine has surely lapsed. */
-  default void lapsed(Machine machine) {}
+  default void leaseExpired(Machine machine) {}
 
   /** Another cell's leader passes on what a machine of its tells of this cell's tasks. */
   default void relayed(RelayedHeartbeat relayed, Responder out) {}
@@ -91,7 +91,7 @@
    *
    * @return false if it is not one that can be given now
    */
-  default boolean offer(String machine, String cell) {
+  default boolean offerTransfer(String machine, String cell) {
     return false;
   }
 
@@ -106,12 +106,12 @@
   }
 
   /** Machines that are being given to this cell. */
-  default List<RentalPlan.Kind> coming() {
+  default List<RentalPlan.Kind> incomingMachines() {
     return List.of();
   }
 
   /** What this cell may use of the team's limit; a resource without a limit has 0. */
-  default LimitParts.Part limit(PlatformConfiguration.Team team) {
+  default LimitParts.Part teamLimit(PlatformConfiguration.Team team) {
     return new LimitParts.Part(team.cpusMax(), team.gpusMax());
   }
 
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -159,7 +159,7 @@
     }
     cores += unaccountedCores;
     accelerators += unaccountedAccelerators;
-    LimitParts.Part limit = sharing.get().limit(team);
+    LimitParts.Part limit = sharing.get().teamLimit(team);
     return Math.min(
         headroom(limit.cores(), cores, job.spec().cores()),
         headroom(limit.accelerators(), accelerators, job.spec().accelerators()));
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -267,7 +267,7 @@
     }
     boolean lost = machine.load().running();
     heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
-    sharing.lapsed(machine);
+    sharing.leaseExpired(machine);
     if (lost) {
       log.info("the lease of {} has lapsed", machine.id());
       changed.run();
@@ -402,7 +402,7 @@
       return;
     }
     returningNow = true;
-    sharing.retire(out, () -> giveBack(out));
+    sharing.recordReturns(out, () -> giveBack(out));
   }
 
   private void giveBack(List<Machine> out) {
@@ -426,7 +426,7 @@
                 failover.accounted(machine, "it was returned");
                 registry.remove(machine);
               }
-              sharing.returned(out);
+              sharing.machinesReturned(out);
               changed.run();
             });
   }
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -111,7 +111,7 @@
         coming.add(new RentalPlan.Coming(rental.kind, machineType));
       }
     }
-    for (RentalPlan.Kind kind : sharing.coming()) {
+    for (RentalPlan.Kind kind : sharing.incomingMachines()) {
       MachineType machineType = context.prices().machineType(kind.machineType());
       if (machineType != null) {
         coming.add(new RentalPlan.Coming(kind, machineType));
@@ -168,7 +168,7 @@
                   context.metrics().count("machines_rented", machineIds.size());
                   sizeChangedMicros = now;
                   changed.run();
-                  sharing.claim(machineIds, machineId -> rented(machineId, rental.kind, now));
+                  sharing.claimRented(machineIds, machineId -> rented(machineId, rental.kind, now));
                 }
                 case NO_CAPACITY -> {
                   open.remove(rental);
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -55,7 +55,7 @@
   private final DeadCellAdoption adoption;
   private final LimitSharing limits;
   private final MachineShareBalancer share;
-  private boolean loaded;
+  private boolean poolRecordsRead;
 
   /** The sharing of one term; nothing is answered before the records of the pool are loaded. */
   public PoolSharing(
@@ -108,9 +108,9 @@
   }
 
   @Override
-  public void loaded(StateClient.Listing pool, long askedMicros) {
+  public void poolRecordsRead(StateClient.Listing pool, long askedMicros) {
     link.load(pool, askedMicros);
-    loaded = true;
+    poolRecordsRead = true;
     List<String> unclaimed = new ArrayList<>();
     for (Machine machine : List.copyOf(fleet.machines())) {
       Optional<String> holder = view.holder(machine.id());
@@ -134,7 +134,7 @@
   }
 
   private void recordsChanged() {
-    if (loaded) {
+    if (poolRecordsRead) {
       transfers.reconcile();
       changed.run();
     }
@@ -166,9 +166,9 @@
   }
 
   @Override
-  public boolean answered(Heartbeat heartbeat, Responder out) {
+  public boolean answerUnlessOwn(Heartbeat heartbeat, Responder out) {
     String machine = heartbeat.machineId();
-    if (!loaded) {
+    if (!poolRecordsRead) {
       out.retryLater(HttpStatus.UNAVAILABLE, "whose machine this is is not known yet", 1);
       return true;
     }
@@ -207,17 +207,17 @@
   }
 
   @Override
-  public void claim(List<String> machines, Consumer<String> own) {
+  public void claimRented(List<String> machines, Consumer<String> own) {
     claims.claim(machines, own);
   }
 
   @Override
-  public void retire(List<Machine> machines, Runnable recorded) {
+  public void recordReturns(List<Machine> machines, Runnable recorded) {
     claims.retire(machines, recorded);
   }
 
   @Override
-  public void returned(List<Machine> machines) {
+  public void machinesReturned(List<Machine> machines) {
     machines.forEach(guests::remove);
     claims.returned(machines);
   }
@@ -228,7 +228,7 @@
   }
 
   @Override
-  public void reported(Machine machine, Heartbeat heartbeat) {
+  public void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
     guests.reported(machine, heartbeat);
   }
 
@@ -243,7 +243,7 @@
   }
 
   @Override
-  public void lapsed(Machine machine) {
+  public void leaseExpired(Machine machine) {
     guests.lapsed(machine);
   }
 
@@ -251,8 +251,8 @@
   public void relayed(RelayedHeartbeat relayed, Responder out) {
     String id = relayed.heartbeat().machineId();
     Optional<TransferRecord> record =
-        loaded ? view.transfer(id).map(PoolView.Versioned::value) : Optional.empty();
-    Machine machine = loaded ? fleet.away(id) : null;
+        poolRecordsRead ? view.transfer(id).map(PoolView.Versioned::value) : Optional.empty();
+    Machine machine = poolRecordsRead ? fleet.away(id) : null;
     boolean fits =
         record.isPresent()
             && record.get().isHome(sharing.own().name())
@@ -282,8 +282,8 @@
   }
 
   @Override
-  public boolean offer(String machine, String cell) {
-    Machine found = loaded ? fleet.machine(machine) : null;
+  public boolean offerTransfer(String machine, String cell) {
+    Machine found = poolRecordsRead ? fleet.machine(machine) : null;
     boolean known = sharing.others().stream().anyMatch(other -> other.name().equals(cell));
     if (found == null || !known || !context.term().mayAct() || !transfers.canOffer(found)) {
       return false;
@@ -303,12 +303,12 @@
   }
 
   @Override
-  public List<RentalPlan.Kind> coming() {
+  public List<RentalPlan.Kind> incomingMachines() {
     return share.coming();
   }
 
   @Override
-  public LimitParts.Part limit(PlatformConfiguration.Team team) {
+  public LimitParts.Part teamLimit(PlatformConfiguration.Team team) {
     return limits.limit(team);
   }
 
