--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -1,36 +1,27 @@
 package plumlever;
 
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
 import java.util.Optional;
-import java.util.function.Function;
-import plumlever.cloud.CloudClient;
-import plumlever.cloud.MachineTypeRefresh;
-import plumlever.cloud.PriceBook;
 import plumlever.concurrent.Loop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.concurrent.Scope;
 import plumlever.election.DelegatedRenewal;
-import plumlever.election.ElectionListener;
 import plumlever.election.LeaderElection;
 import plumlever.election.PoolTerms;
-import plumlever.election.Term;
 import plumlever.http.Caller;
 import plumlever.http.DelegatedHeartbeats;
+import plumlever.http.HeartbeatEndpoint;
 import plumlever.http.JobForwarder;
 import plumlever.http.PoolRequests;
 import plumlever.http.RequestRouter;
 import plumlever.http.Responder;
+import plumlever.http.ServingHealth;
+import plumlever.http.TaskCounts;
 import plumlever.http.UserApi;
 import plumlever.leader.Leader;
-import plumlever.leader.context.TermContext;
 import plumlever.lease.LeaseRenewal;
 import plumlever.lease.RenewalLimit;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
-import plumlever.peer.PeerStatus;
 import plumlever.peer.Peers;
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
@@ -38,56 +29,28 @@
 import plumlever.settings.SharingSettings;
 import plumlever.sharing.PoolView;
 import plumlever.store.JobRecordCache;
-import plumlever.store.JobStore;
-import plumlever.store.KeySpace;
-import plumlever.store.StateClient;
 
-/** One controller, without its sockets: everything lives on the loop it is given. */
+/**
+ * One controller, without its sockets: puts its parts together, starts and ends them. Everything
+ * but leadership lives on the loop it is given, and all methods are called there.
+ */
 public final class Controller implements AutoCloseable {
-  private static final long SUMMARY_MICROS = 60_000_000;
+  private static final long SUMMARY_INTERVAL_MICROS = 60_000_000;
 
-  /** Longer than it takes any controller to notice a common outage and tell its peers. */
-  private static final long ALONE_MICROS = 3_000_000;
-
-  private static final long PEER_FRESH_MICROS = 3_500_000;
-
-  /** Counts are for display only and may be this old. */
-  private static final long COUNTS_MICROS = 5_000_000;
-
-  private static final long LATE_MICROS = 500_000;
-  private static final long ON_TIME_MICROS = 200_000;
-  private static final long LISTEN_MICROS = 1_000_000;
-
-  /**
-   * For as long as peers are told: the state service may have refused one of them all that time.
-   */
-  private static final long CONFIRMED_CANCELLATION_MICROS = 20_000_000;
-
-  private static final long UNKNOWN_MACHINE_MICROS = 5_000_000;
-  private static final long LIVENESS_TICK_MICROS = 500_000;
-
-  private final Loop loop;
-  private final Optional<SharingSettings> sharing;
-  private final PlatformConfiguration platform;
-  private final Metrics metrics;
+  private final ControllerEnvironment environment;
+  private final ServiceClients clients;
   private final Scope scope = new Scope();
-  private final StateClient store;
-  private final MachineTypeRefresh machineTypes;
-  private final PriceBook prices;
+  private final LoopLateness lateness;
+  private final Leadership leadership;
   private final LeaderElection election;
+  private final ConfirmedCancellations cancellations;
+  private final OwnStatus ownStatus;
   private final Peers peers;
-  private final RequestRouter router;
-  private final Function<Term, TermContext> contexts;
+  private final PeerReports peerReports;
   private final JobRecordCache jobRecords;
   private final DelegatedRenewal delegatedRenewal;
-  private final Map<String, Long> unknownMachines = new HashMap<>();
-
-  /** Jobs whose users were told through this controller that they are cancelled, by when. */
-  private final Map<String, Long> confirmedCancellations = new LinkedHashMap<>();
-
-  private Leader leader;
-  private long livenessTickDueMicros;
-  private long lateMicros;
+  private final RequestRouter router;
+  private final Optional<PoolRequests> poolRequests;
 
   /** A controller that does everything on one loop. */
   public Controller(
@@ -113,245 +76,172 @@
    */
   public Controller(
       Loop loop,
-      Caller bare,
+      Caller caller,
       Loop electionLoop,
       Caller electionCaller,
       PlatformConfiguration platform,
       OperatorSettings settings,
       long seed,
       Logs logs) {
-    SchedulerParameters parameters = settings.parameters();
-    this.sharing = settings.sharing();
-    KeySpace keySpace =
-        sharing.map(pool -> KeySpace.under(pool.own().prefix())).orElse(KeySpace.ROOT);
-    this.loop = loop;
-    this.platform = platform;
-    this.metrics = new Metrics(logs);
-    Caller caller = new MeteredCaller(bare, loop, metrics, platform);
-    this.store =
-        new StateClient(loop, caller, platform.state(), platform.stateLimits(), metrics, keySpace);
-    CloudClient cloud =
-        new CloudClient(loop, caller, platform.cloud(), platform.cloudLimits(), metrics);
-    this.prices = new PriceBook(parameters);
-    this.machineTypes = new MachineTypeRefresh(loop, cloud, store, prices, logs);
-    JobStore layout =
-        new JobStore(
-            store.limits(),
-            sharing
-                .map(pool -> pool.others().stream().map(SharingSettings.Cell::prefix).toList())
-                .orElse(List.of()));
-    StateClient electionStore =
-        new StateClient(
-            electionLoop,
-            electionCaller,
-            platform.state(),
-            platform.stateLimits(),
-            metrics,
-            keySpace);
-    Optional<PoolTerms> poolTerms =
-        sharing.map(
-            pool ->
-                new PoolTerms(
-                    electionStore, PoolView.COUNTER, PoolView.leaderKey(pool.own().name())));
-    this.election =
-        new LeaderElection(
-            platform.label(),
-            electionLoop,
-            electionStore,
-            parameters,
-            new ElectionListener() {
-              @Override
-              public void elected(Term term) {
-                loop.execute(() -> lead(term));
-              }
-
-              @Override
-              public void steppedDown(Term term) {
-                loop.execute(Controller.this::stopLeading);
-              }
+    this(
+        new ControllerEnvironment(
+            loop, caller, electionLoop, electionCaller, platform, settings, seed, logs));
+  }
 
-              @Override
-              public void whenTurning(Runnable action) {
-                loop.execute(action);
-              }
-            },
-            poolTerms,
-            seed,
-            logs);
-    boolean moneyMatters = platform.moneyMatters(parameters.rentMicros());
-    this.contexts =
-        term ->
-            new TermContext(
-                loop,
-                platform,
-                parameters,
-                election,
-                term,
-                store,
-                layout,
-                cloud,
-                prices,
-                caller,
-                metrics,
-                this::workersElsewhere,
-                (prefix, then) ->
-                    electionLoop.execute(
-                        () ->
-                            electionStore.list(
-                                prefix,
-                                StateClient.RequestPriority.URGENT,
-                                listing -> loop.execute(() -> then.accept(listing)))),
-                this::latenessMicros,
-                logs,
-                moneyMatters,
-                sharing);
-    this.peers =
-        new Peers(
+  private Controller(ControllerEnvironment environment) {
+    this.environment = environment;
+    Loop loop = environment.loop();
+    Optional<SharingSettings> sharing = environment.settings().sharing();
+    clients = new ServiceClients(environment);
+    lateness = new LoopLateness(loop, clients.metrics());
+    leadership = new Leadership(loop, clients.store(), term -> termContexts().of(term));
+    election = createElection();
+    cancellations = new ConfirmedCancellations(loop, leadership);
+    ownStatus =
+        new OwnStatus(
+            environment.platform().label(),
             loop,
-            caller,
-            platform,
-            this::status,
-            s -> {
-              if (leader != null) {
-                leader.cancellationsConfirmed(s.confirmedCancellations());
-              }
-            });
-    this.jobRecords = new JobRecordCache(loop, store, layout, metrics);
-    this.delegatedRenewal = new DelegatedRenewal(loop, store, election, logs);
-    UserApi users =
-        new UserApi(
+            election,
+            clients.store(),
+            lateness,
+            leadership,
+            cancellations);
+    peers =
+        new Peers(
             loop,
-            store,
-            jobRecords,
-            layout,
-            prices,
-            platform,
-            metrics,
-            new UserApi.LeaderView() {
-              @Override
-              public void jobCancelled(String uid) {
-                confirmedCancellations.put(uid, loop.nowMicros());
-                if (leader != null) {
-                  leader.jobCancelled(uid);
-                }
-              }
+            clients.caller(),
+            environment.platform(),
+            ownStatus::current,
+            cancellations::confirmedByPeer);
+    peerReports = new PeerReports(peers, sharing);
+    jobRecords = new JobRecordCache(loop, clients.store(), clients.layout(), clients.metrics());
+    delegatedRenewal = new DelegatedRenewal(loop, clients.store(), election, environment.logs());
+    router = createRouter();
+    poolRequests = sharing.map(pool -> new PoolRequests(leadership::leader, router));
+  }
 
-              @Override
-              public int[] counts(String uid) {
-                return Controller.this.counts(uid);
-              }
+  private TermContexts termContexts() {
+    return new TermContexts(environment, clients, election, lateness, peerReports);
+  }
 
-              @Override
-              public boolean isRefusedAlone() {
-                return Controller.this.isRefusedAlone();
-              }
+  private LeaderElection createElection() {
+    Optional<PoolTerms> poolTerms =
+        environment
+            .settings()
+            .sharing()
+            .map(
+                pool ->
+                    new PoolTerms(
+                        clients.electionStore(),
+                        PoolView.COUNTER,
+                        PoolView.leaderKey(pool.own().name())));
+    return new LeaderElection(
+        environment.platform().label(),
+        environment.electionLoop(),
+        clients.electionStore(),
+        environment.settings().parameters(),
+        leadership,
+        poolTerms,
+        environment.electionSeed(),
+        environment.logs());
+  }
 
-              @Override
-              public boolean ineligible() {
-                return election.ineligible();
-              }
-            },
-            sharing.map(pool -> new JobForwarder(loop, store, caller, platform, pool)));
-    this.router =
-        new RequestRouter(
-            loop,
-            users,
-            new RequestRouter.House() {
-              @Override
-              public Leader leader() {
-                return leader != null && leader.mayAct() ? leader : null;
-              }
+  private RequestRouter createRouter() {
+    ServingHealth health =
+        new ControllerHealth(
+            environment.platform(), election, clients.store(), lateness, peerReports);
+    return new RequestRouter(
+        environment.loop(),
+        createUserApi(health),
+        createHeartbeatEndpoint(),
+        health,
+        clients.metrics());
+  }
 
-              @Override
-              public String leaderLabel() {
-                return election.leaderLabel();
-              }
+  private UserApi createUserApi(ServingHealth health) {
+    Loop loop = environment.loop();
+    PlatformConfiguration platform = environment.platform();
+    return new UserApi(
+        loop,
+        clients.store(),
+        jobRecords,
+        clients.layout(),
+        clients.prices(),
+        platform,
+        clients.metrics(),
+        health,
+        cancellations::confirmed,
+        this::taskCounts,
+        environment
+            .settings()
+            .sharing()
+            .map(
+                pool -> new JobForwarder(loop, clients.store(), clients.caller(), platform, pool)));
+  }
 
-              @Override
-              public boolean canTakeRequests() {
-                return !election.ineligible() && !isRefusedAlone() && !othersAreSooner();
-              }
+  private HeartbeatEndpoint createHeartbeatEndpoint() {
+    DelegatedHeartbeats delegated =
+        new DelegatedHeartbeats(
+            environment.loop(),
+            delegatedRenewal,
+            jobRecords,
+            new LeaseRenewal(new RenewalLimit(environment.platform().workers())),
+            clients.metrics(),
+            environment.logs());
+    return new HeartbeatEndpoint(
+        new KnownLeader(leadership, election),
+        delegated,
+        ownStatus::heartbeatWithoutLeading,
+        clients.metrics());
+  }
 
-              @Override
-              public void unknownMachine(String machineId) {
-                unknownMachines.put(machineId, loop.nowMicros());
-              }
-            },
-            new DelegatedHeartbeats(
-                loop,
-                delegatedRenewal,
-                jobRecords,
-                new LeaseRenewal(new RenewalLimit(platform.workers())),
-                metrics,
-                logs),
-            metrics);
+  private Optional<TaskCounts> taskCounts(String uid) {
+    return leadership
+        .leader()
+        .map(leader -> leader.taskCounts(uid))
+        .orElseGet(() -> peerReports.taskCounts(uid));
   }
 
   /** Starts serving: the election, the watch on peers, and all recurring tasks. */
   public void start() {
+    Loop loop = environment.loop();
+    StateServiceProbe probe = new StateServiceProbe(loop, clients.store());
     scope.own(election);
     election.start();
-    scope.own(machineTypes.duty()).start();
-    scope.own(peers.duty()).start();
+    scope.own(clients.machineTypes().duty()).start();
+    scope.own(peers.recurringTask()).start();
     scope.own(delegatedRenewal.duty()).start();
-    scope.own(new RecurringTask("state service probe", loop, this::listen)).start();
-    scope.own(new RecurringTask("liveness tick", loop, this::livenessTick)).start();
-    scope
-        .own(
-            new RecurringTask(
-                "summary",
-                loop,
-                () -> {
-                  metrics.logSummary();
-                  return SUMMARY_MICROS;
-                }))
-        .start();
-  }
-
-  /**
-   * A term that has ended by the time this thread gets to it is not begun: another may be under way
-   * elsewhere.
-   */
-  private void lead(Term term) {
-    stopLeading();
-    if (term.mayAct()) {
-      store.leads(true);
-      leader = new Leader(contexts.apply(term));
-      leader.start();
-    }
+    scope.own(new RecurringTask("state service probe", loop, probe::run)).start();
+    scope.own(new RecurringTask("liveness tick", loop, lateness::tick)).start();
+    scope.own(new RecurringTask("summary", loop, this::logSummary)).start();
   }
 
-  private void stopLeading() {
-    if (leader != null) {
-      store.leads(false);
-      leader.close();
-      leader = null;
-    }
+  private long logSummary() {
+    clients.metrics().logSummary();
+    return SUMMARY_INTERVAL_MICROS;
   }
 
+  /** Takes the requests of users, workers and health checks. */
   public RequestRouter router() {
     return router;
   }
 
   /** Takes a request of another controller. */
   public void peer(String method, String path, byte[] body, Responder out) {
-    if (sharing.isPresent() && path.equals(PoolRequests.RELAY)) {
-      PoolRequests.relay(body, leader, out);
-    } else if (sharing.isPresent() && path.equals(PoolRequests.TRANSFER)) {
-      PoolRequests.transfer(body, leader, out);
-    } else if (sharing.isPresent() && path.equals(PoolRequests.FORWARD)) {
-      PoolRequests.answerForwarded(body, router, out);
-    } else {
+    boolean answered = poolRequests.isPresent() && poolRequests.get().handle(path, body, out);
+    if (!answered) {
       peers.handle(method, path, body, out);
     }
   }
 
+  /** The leader in this process, or null while this controller does not lead. */
   public Leader leader() {
-    return leader;
+    return leadership.leader().orElse(null);
   }
 
+  /** This controller's counters and times. */
   public Metrics metrics() {
-    return metrics;
+    return clients.metrics();
   }
 
   /** True while this controller may act for the controllers. */
@@ -359,119 +249,15 @@
     return election.mayAct();
   }
 
-  private int[] counts(String uid) {
-    if (leader != null) {
-      return leader.counts(uid);
-    }
-    for (PeerStatus peerStatus : peers.lately(COUNTS_MICROS)) {
-      int[] counts = peerStatus.leading() ? peerStatus.counts().get(uid) : null;
-      if (counts != null) {
-        return counts;
-      }
-    }
-    return null;
-  }
-
-  /**
-   * True when the state service serves others but not this controller, by refusals or by silence:
-   * users are better off with another. In a common outage no controller is alone, or there would be
-   * nobody left to ask. A controller that hears of no peer either is cut off from all of them, and
-   * can't tell what they get.
-   */
-  private boolean isRefusedAlone() {
-    if (store.refusedForMicros() < ALONE_MICROS || platform.seeds().isEmpty()) {
-      return false;
-    }
-    boolean heard = false;
-    for (PeerStatus peerStatus : peers.lately(PEER_FRESH_MICROS)) {
-      heard = true;
-      if (peerStatus.storeRefusedMicros() == 0) {
-        return true;
-      }
-    }
-    return !heard;
-  }
-
-  /**
-   * True when this controller runs so late that users wait for seconds, as a leader does whom
-   * hundreds of workers come to, while another is on time. Where nobody is, all go on taking what
-   * they can.
-   */
-  private boolean othersAreSooner() {
-    if (latenessMicros() < LATE_MICROS) {
-      return false;
-    }
-    for (PeerStatus peerStatus : peers.lately(PEER_FRESH_MICROS)) {
-      if (peerStatus.storeRefusedMicros() == 0 && peerStatus.lateMicros() < ON_TIME_MICROS) {
-        return true;
-      }
-    }
-    return false;
-  }
-
-  /**
-   * Asks the state service something small when nothing else was answered lately, so that its
-   * silence is noticed.
-   */
-  private long listen() {
-    if (loop.nowMicros() - store.lastServedMicros() >= LISTEN_MICROS / 2) {
-      store.get(JobStore.CATALOG, StateClient.RequestPriority.URGENT, got -> {});
-    }
-    return LISTEN_MICROS;
-  }
-
-  /** How late this comes tells whether the processor's share is enough. */
-  private long livenessTick() {
-    long now = loop.nowMicros();
-    if (livenessTickDueMicros > 0) {
-      lateMicros = now - livenessTickDueMicros;
-      metrics.time("late", lateMicros);
-    }
-    livenessTickDueMicros = now + LIVENESS_TICK_MICROS;
-    return LIVENESS_TICK_MICROS;
-  }
-
-  /** How late the thread that decides was lately. */
+  /** How late the thread that decides was lately, in microseconds. */
   public long latenessMicros() {
-    return livenessTickDueMicros == 0
-        ? 0
-        : Math.max(lateMicros, loop.nowMicros() - livenessTickDueMicros);
-  }
-
-  /** The most that another controller lately told of. */
-  private int workersElsewhere() {
-    int most = 0;
-    for (PeerStatus peerStatus : peers.lately(PEER_FRESH_MICROS)) {
-      if (!ofOwnCell(peerStatus.label())) {
-        continue;
-      }
-      most = Math.max(most, peerStatus.workers());
-    }
-    return most;
-  }
-
-  private boolean ofOwnCell(String label) {
-    return sharing.isEmpty() || sharing.get().own().controllers().contains(label);
-  }
-
-  private PeerStatus status() {
-    long now = loop.nowMicros();
-    unknownMachines.values().removeIf(at -> now - at > UNKNOWN_MACHINE_MICROS);
-    confirmedCancellations.values().removeIf(at -> now - at > CONFIRMED_CANCELLATION_MICROS);
-    return new PeerStatus(
-        platform.label(),
-        election.term(),
-        election.leading(),
-        store.refusedForMicros(),
-        Math.max(0, latenessMicros()),
-        unknownMachines.size(),
-        leader == null ? Map.of() : leader.allCounts(new LinkedHashMap<>()),
-        List.copyOf(confirmedCancellations.keySet()));
+    return lateness.micros();
   }
 
+  /** Gives leadership up and ends all recurring tasks. */
   @Override
   public void close() {
     scope.close();
-    metrics.logSummary();
+    clients.metrics().logSummary();
   }
 }
--- /dev/null
+++ b/src/main/java/plumlever/KnownLeader.java
@@ -0,0 +1,19 @@
+package plumlever;
+
+import java.util.Optional;
+import plumlever.election.LeaderElection;
+import plumlever.http.LeaderLookup;
+import plumlever.leader.Leader;
+
+/** The leader in this process and, by what the election saw, the one elsewhere. */
+record KnownLeader(Leadership leadership, LeaderElection election) implements LeaderLookup {
+  @Override
+  public Optional<Leader> actingLeader() {
+    return leadership.leader().filter(Leader::mayAct);
+  }
+
+  @Override
+  public Optional<String> leaderLabel() {
+    return Optional.ofNullable(election.leaderLabel());
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/OwnStatus.java
@@ -0,0 +1,71 @@
+package plumlever;
+
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import plumlever.concurrent.Loop;
+import plumlever.election.LeaderElection;
+import plumlever.http.TaskCounts;
+import plumlever.leader.Leader;
+import plumlever.peer.PeerStatus;
+import plumlever.store.StateClient;
+
+/** What this controller tells its peers of itself. */
+final class OwnStatus {
+  private static final long MACHINE_COUNTED_FOR_MICROS = 5_000_000;
+
+  private final String label;
+  private final Loop loop;
+  private final LeaderElection election;
+  private final StateClient store;
+  private final LoopLateness lateness;
+  private final Leadership leadership;
+  private final ConfirmedCancellations cancellations;
+
+  /** When a machine last sent a heartbeat here while this controller did not lead, by its id. */
+  private final Map<String, Long> heartbeatAtMicros = new HashMap<>();
+
+  OwnStatus(
+      String label,
+      Loop loop,
+      LeaderElection election,
+      StateClient store,
+      LoopLateness lateness,
+      Leadership leadership,
+      ConfirmedCancellations cancellations) {
+    this.label = label;
+    this.loop = loop;
+    this.election = election;
+    this.store = store;
+    this.lateness = lateness;
+    this.leadership = leadership;
+    this.cancellations = cancellations;
+  }
+
+  /** The machine sent a heartbeat to this controller, which does not lead. */
+  void heartbeatWithoutLeading(String machineId) {
+    heartbeatAtMicros.put(machineId, loop.nowMicros());
+  }
+
+  /** The status as of now. */
+  PeerStatus current() {
+    long now = loop.nowMicros();
+    heartbeatAtMicros.values().removeIf(at -> now - at > MACHINE_COUNTED_FOR_MICROS);
+    return new PeerStatus(
+        label,
+        election.term(),
+        election.leading(),
+        store.refusedForMicros(),
+        Math.max(0, lateness.micros()),
+        heartbeatAtMicros.size(),
+        counts(),
+        cancellations.recent());
+  }
+
+  private Map<String, int[]> counts() {
+    Map<String, int[]> counts = new LinkedHashMap<>();
+    Map<String, TaskCounts> known = leadership.leader().map(Leader::taskCounts).orElse(Map.of());
+    known.forEach((uid, of) -> counts.put(uid, new int[] {of.done(), of.running()}));
+    return counts;
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/PeerReports.java
@@ -0,0 +1,51 @@
+package plumlever;
+
+import java.util.List;
+import java.util.Optional;
+import plumlever.http.TaskCounts;
+import plumlever.peer.PeerStatus;
+import plumlever.peer.Peers;
+import plumlever.settings.SharingSettings;
+
+/** What other controllers lately told of themselves; advice only. */
+final class PeerReports {
+  private static final long VALID_MICROS = 3_500_000;
+
+  /** Counts are for display only and may be older. */
+  private static final long COUNTS_VALID_MICROS = 5_000_000;
+
+  private final Peers peers;
+  private final Optional<SharingSettings> sharing;
+
+  PeerReports(Peers peers, Optional<SharingSettings> sharing) {
+    this.peers = peers;
+    this.sharing = sharing;
+  }
+
+  /** The status of each peer that was heard of lately. */
+  List<PeerStatus> recent() {
+    return peers.heardWithin(VALID_MICROS);
+  }
+
+  /** Finished and running tasks of the job, by what the leader elsewhere told. */
+  Optional<TaskCounts> taskCounts(String uid) {
+    return peers.heardWithin(COUNTS_VALID_MICROS).stream()
+        .filter(PeerStatus::leading)
+        .flatMap(status -> Optional.ofNullable(status.counts().get(uid)).stream())
+        .findFirst()
+        .map(counts -> new TaskCounts(counts[0], counts[1]));
+  }
+
+  /** The most workers that another controller of this cell told of. */
+  int workersElsewhere() {
+    return recent().stream()
+        .filter(status -> isOfOwnCell(status.label()))
+        .mapToInt(PeerStatus::workers)
+        .max()
+        .orElse(0);
+  }
+
+  private boolean isOfOwnCell(String label) {
+    return sharing.isEmpty() || sharing.get().own().controllers().contains(label);
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -0,0 +1,99 @@
+package plumlever;
+
+import java.util.List;
+import java.util.Optional;
+import plumlever.cloud.CloudClient;
+import plumlever.cloud.MachineTypeRefresh;
+import plumlever.cloud.PriceBook;
+import plumlever.http.Caller;
+import plumlever.metrics.Metrics;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SharingSettings;
+import plumlever.store.JobStore;
+import plumlever.store.KeySpace;
+import plumlever.store.StateClient;
+
+/** A controller's clients of the state service and the cloud, and what they share. */
+final class ServiceClients {
+  private final Metrics metrics;
+  private final Caller caller;
+  private final StateClient store;
+  private final StateClient electionStore;
+  private final JobStore layout;
+  private final CloudClient cloud;
+  private final PriceBook prices;
+  private final MachineTypeRefresh machineTypes;
+
+  ServiceClients(ControllerEnvironment environment) {
+    PlatformConfiguration platform = environment.platform();
+    Optional<SharingSettings> sharing = environment.settings().sharing();
+    KeySpace keySpace =
+        sharing.map(pool -> KeySpace.under(pool.own().prefix())).orElse(KeySpace.ROOT);
+    this.metrics = new Metrics(environment.logs());
+    this.caller = new MeteredCaller(environment.caller(), environment.loop(), metrics, platform);
+    this.store =
+        new StateClient(
+            environment.loop(),
+            caller,
+            platform.state(),
+            platform.stateLimits(),
+            metrics,
+            keySpace);
+    this.electionStore =
+        new StateClient(
+            environment.electionLoop(),
+            environment.electionCaller(),
+            platform.state(),
+            platform.stateLimits(),
+            metrics,
+            keySpace);
+    this.layout = new JobStore(store.limits(), prefixesOfOtherCells(sharing));
+    this.cloud =
+        new CloudClient(
+            environment.loop(), caller, platform.cloud(), platform.cloudLimits(), metrics);
+    this.prices = new PriceBook(environment.settings().parameters());
+    this.machineTypes =
+        new MachineTypeRefresh(environment.loop(), cloud, store, prices, environment.logs());
+  }
+
+  private static List<String> prefixesOfOtherCells(Optional<SharingSettings> sharing) {
+    return sharing
+        .map(pool -> pool.others().stream().map(SharingSettings.Cell::prefix).toList())
+        .orElse(List.of());
+  }
+
+  Metrics metrics() {
+    return metrics;
+  }
+
+  /** Sends requests on the loop that decides, and measures the work on their answers. */
+  Caller caller() {
+    return caller;
+  }
+
+  StateClient store() {
+    return store;
+  }
+
+  /** The state service as the election's thread uses it. */
+  StateClient electionStore() {
+    return electionStore;
+  }
+
+  JobStore layout() {
+    return layout;
+  }
+
+  CloudClient cloud() {
+    return cloud;
+  }
+
+  /** The machine types and prices, once {@link #machineTypes()} has learned them. */
+  PriceBook prices() {
+    return prices;
+  }
+
+  MachineTypeRefresh machineTypes() {
+    return machineTypes;
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/TermContexts.java
@@ -0,0 +1,39 @@
+package plumlever;
+
+import plumlever.election.LeaderElection;
+import plumlever.election.Term;
+import plumlever.leader.context.TermContext;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
+
+/** Puts together what a leader works with in one term. */
+record TermContexts(
+    ControllerEnvironment environment,
+    ServiceClients clients,
+    LeaderElection election,
+    LoopLateness lateness,
+    PeerReports peers) {
+  TermContext of(Term term) {
+    PlatformConfiguration platform = environment.platform();
+    SchedulerParameters parameters = environment.settings().parameters();
+    return new TermContext(
+        environment.loop(),
+        platform,
+        parameters,
+        election,
+        term,
+        clients.store(),
+        clients.layout(),
+        clients.cloud(),
+        clients.prices(),
+        clients.caller(),
+        clients.metrics(),
+        peers::workersElsewhere,
+        new ElectionThreadReader(
+            environment.electionLoop(), clients.electionStore(), environment.loop()),
+        lateness::micros,
+        environment.logs(),
+        platform.moneyMatters(parameters.rentMicros()),
+        environment.settings().sharing());
+  }
+}
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequests.java
@@ -2,6 +2,8 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
+import java.util.function.Supplier;
 import plumlever.leader.Leader;
 import plumlever.wire.ForwardedRequest;
 import plumlever.wire.HttpStatus;
@@ -9,7 +11,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.RelayedHeartbeat;
 
-/** Requests that controllers of different cells of a pool make of each other. */
+/** Takes the requests that controllers of different cells of a pool make of each other. */
 public final class PoolRequests {
   /** Where heartbeats of machines are passed on to the cells whose tasks are on them. */
   public static final String RELAY = "/relay";
@@ -17,69 +19,81 @@
   /** Where an operator has a machine given to another cell. */
   public static final String TRANSFER = "/transfer";
 
-  public static final String FORWARD = ForwardedRequest.PATH;
-
-  private PoolRequests() {}
+  private final Supplier<Optional<Leader>> leader;
+  private final RequestRouter router;
 
   /**
-   * Takes what another cell's leader passes on.
-   *
-   * @param leader null where this controller does not lead
+   * @param leader the leader in this process, if there is one
+   * @param router answers the requests of users that another cell's controller passes on
    */
-  public static void relay(byte[] body, Leader leader, Responder out) {
-    if (leader == null) {
-      out.retryLater(HttpStatus.UNAVAILABLE, "does not lead", 1);
-      return;
-    }
-    try {
-      leader.relayed(RelayedHeartbeat.parse(body), out);
-    } catch (InvalidMessageException e) {
-      out.error(HttpStatus.BAD_REQUEST, e.getMessage());
-    }
+  public PoolRequests(Supplier<Optional<Leader>> leader, RequestRouter router) {
+    this.leader = leader;
+    this.router = router;
   }
 
   /**
-   * An operator gives a machine to another cell.
+   * Answers the request if its path is one of a pool's.
    *
-   * @param leader null where this controller does not lead
+   * @return false if it is not, and nothing was answered
    */
-  public static void transfer(byte[] body, Leader leader, Responder out) {
+  public boolean handle(String path, byte[] body, Responder out) {
     try {
-      ObjectNode request = Json.parseObject(body);
-      String machine = Json.text(request, "machine");
-      if (leader == null || !leader.transfer(machine, Json.text(request, "to"))) {
-        out.retryLater(HttpStatus.UNAVAILABLE, machine + " can't be given from here now", 1);
-      } else {
-        out.send(HttpStatus.OK, "{}");
+      switch (path) {
+        case RELAY -> relay(body, out);
+        case TRANSFER -> transfer(body, out);
+        case ForwardedRequest.PATH -> answerForwarded(body, out);
+        default -> {
+          return false;
+        }
       }
     } catch (InvalidMessageException e) {
       out.error(HttpStatus.BAD_REQUEST, e.getMessage());
     }
+    return true;
   }
 
-  /** Answers a user of another cell's controller; such a request goes no further. */
-  public static void answerForwarded(byte[] body, RequestRouter router, Responder out) {
-    ForwardedRequest request;
-    try {
-      request = ForwardedRequest.parse(body);
-    } catch (InvalidMessageException e) {
-      out.error(HttpStatus.BAD_REQUEST, e.getMessage());
-      return;
+  /** Another cell's leader passes on a heartbeat. */
+  private void relay(byte[] body, Responder out) throws InvalidMessageException {
+    Optional<Leader> leading = leader.get();
+    if (leading.isPresent()) {
+      leading.get().relayed(RelayedHeartbeat.parse(body), out);
+    } else {
+      out.retryLater(HttpStatus.UNAVAILABLE, "does not lead", 1);
+    }
+  }
+
+  /** An operator gives a machine to another cell. */
+  private void transfer(byte[] body, Responder out) throws InvalidMessageException {
+    ObjectNode request = Json.parseObject(body);
+    String machine = Json.text(request, "machine");
+    Optional<Leader> leading = leader.get();
+    if (leading.isPresent() && leading.get().transfer(machine, Json.text(request, "to"))) {
+      out.send(HttpStatus.OK, "{}");
+    } else {
+      out.retryLater(HttpStatus.UNAVAILABLE, machine + " can't be given from here now", 1);
     }
+  }
+
+  /** Answers a user of another cell's controller; such a request goes no further. */
+  private void answerForwarded(byte[] body, Responder out) throws InvalidMessageException {
+    ForwardedRequest request = ForwardedRequest.parse(body);
     router.handle(
         request.method(),
         request.path(),
         request.body().getBytes(StandardCharsets.UTF_8),
-        new Responder() {
-          @Override
-          public void send(int status, String json, int retryAfterS) {
-            out.send(status, json, retryAfterS);
-          }
+        new ForwardedResponder(out));
+  }
 
-          @Override
-          public boolean isForwarded() {
-            return true;
-          }
-        });
+  /** Passes the answer back to the controller that forwarded the request. */
+  private record ForwardedResponder(Responder out) implements Responder {
+    @Override
+    public void send(int status, String json, int retryAfterS) {
+      out.send(status, json, retryAfterS);
+    }
+
+    @Override
+    public boolean isForwarded() {
+      return true;
+    }
   }
 }
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -1,87 +1,83 @@
 package plumlever.http;
 
 import plumlever.concurrent.Loop;
-import plumlever.leader.Leader;
 import plumlever.metrics.Metrics;
-import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
-import plumlever.wire.InvalidMessageException;
-import plumlever.wire.Json;
-import plumlever.wire.ProtocolField;
 import plumlever.wire.ProtocolPath;
 
-/** Routes requests of users, workers and health checks. */
+/** Routes the requests of users, workers and health checks by path, and checks their method. */
 public final class RequestRouter implements Server.RequestHandler {
-  /** What the front has to know of this controller. */
-  public interface House {
-    /** The leader here, or null when this controller does not lead. */
-    Leader leader();
-
-    /** Label of the live leader, or null. */
-    String leaderLabel();
-
-    boolean canTakeRequests();
-
-    /** A worker reported to a controller that does not lead. */
-    void unknownMachine(String machineId);
-  }
+  private static final String JOB_PREFIX = ProtocolPath.SUBMISSIONS + "/";
 
   private final Loop clock;
   private final UserApi users;
-  private final House house;
+  private final HeartbeatEndpoint heartbeats;
+  private final ServingHealth health;
   private final Metrics metrics;
-  private final DelegatedHeartbeats delegated;
 
   /** Routes requests to the parts of this controller. */
   public RequestRouter(
-      Loop clock, UserApi users, House house, DelegatedHeartbeats delegated, Metrics metrics) {
-    this.delegated = delegated;
+      Loop clock,
+      UserApi users,
+      HeartbeatEndpoint heartbeats,
+      ServingHealth health,
+      Metrics metrics) {
     this.clock = clock;
     this.users = users;
-    this.house = house;
+    this.heartbeats = heartbeats;
+    this.health = health;
     this.metrics = metrics;
   }
 
   @Override
   public void handle(String method, String pathAndQuery, byte[] body, Responder out) {
     long since = clock.nowMicros();
-    route(method, pathAndQuery, body, out);
+    route(method, withoutQuery(pathAndQuery), body, out);
     metrics.spent(
         pathAndQuery.equals(ProtocolPath.HEARTBEAT) ? "heartbeats" : "users",
         clock.nowMicros() - since);
   }
 
-  private void route(String method, String pathAndQuery, byte[] body, Responder out) {
+  private static String withoutQuery(String pathAndQuery) {
     int queryStart = pathAndQuery.indexOf('?');
-    String path = queryStart < 0 ? pathAndQuery : pathAndQuery.substring(0, queryStart);
+    return queryStart < 0 ? pathAndQuery : pathAndQuery.substring(0, queryStart);
+  }
+
+  private void route(String method, String path, byte[] body, Responder out) {
     if (path.equals(ProtocolPath.HEARTBEAT)) {
       if (allowed(method, "POST", out)) {
-        heartbeat(body, out);
+        heartbeats.handle(body, out);
       }
     } else if (path.equals(ProtocolPath.HEALTH)) {
       if (allowed(method, "GET", out)) {
-        up(out);
+        answerHealth(out);
       }
     } else if (path.equals(ProtocolPath.SUBMISSIONS)) {
       if (allowed(method, "POST", out)) {
         users.submit(body, out);
       }
-    } else if (path.startsWith(ProtocolPath.SUBMISSIONS + "/")) {
-      String rest = path.substring(ProtocolPath.SUBMISSIONS.length() + 1);
-      if (rest.endsWith(ProtocolPath.CANCEL_SUFFIX)) {
-        if (allowed(method, "POST", out)) {
-          users.cancel(rest.substring(0, rest.length() - ProtocolPath.CANCEL_SUFFIX.length()), out);
-        }
-      } else if (rest.indexOf('/') >= 0) {
-        out.error(HttpStatus.NOT_FOUND, "no such path");
-      } else if (allowed(method, "GET", out)) {
-        users.poll(rest, out);
-      }
+    } else if (path.startsWith(JOB_PREFIX)) {
+      routeJob(method, path.substring(JOB_PREFIX.length()), out);
     } else {
       out.error(HttpStatus.NOT_FOUND, "no such path");
     }
   }
 
+  /**
+   * @param path what follows the prefix of jobs: an id, with the suffix of a cancellation or not
+   */
+  private void routeJob(String method, String path, Responder out) {
+    if (path.endsWith(ProtocolPath.CANCEL_SUFFIX)) {
+      if (allowed(method, "POST", out)) {
+        users.cancel(path.substring(0, path.length() - ProtocolPath.CANCEL_SUFFIX.length()), out);
+      }
+    } else if (path.indexOf('/') >= 0) {
+      out.error(HttpStatus.NOT_FOUND, "no such path");
+    } else if (allowed(method, "GET", out)) {
+      users.poll(path, out);
+    }
+  }
+
   private static boolean allowed(String method, String want, Responder out) {
     if (method.equals(want)) {
       return true;
@@ -90,41 +86,11 @@
     return false;
   }
 
-  private void up(Responder out) {
-    if (house.canTakeRequests()) {
+  private void answerHealth(Responder out) {
+    if (health.canTakeRequests()) {
       out.send(HttpStatus.OK, "{}");
     } else {
       out.retryLater(HttpStatus.UNAVAILABLE, "can't take requests", 1);
     }
   }
-
-  private void heartbeat(byte[] body, Responder out) {
-    Heartbeat heartbeat;
-    try {
-      heartbeat = Heartbeat.parse(body);
-    } catch (InvalidMessageException e) {
-      metrics.count("heartbeats_unreadable");
-      out.error(HttpStatus.BAD_REQUEST, e.getMessage());
-      return;
-    }
-    metrics.count("heartbeats");
-    if (out.connectionsScarce()) {
-      // Users come first: a worker can do with a connection for each heartbeat.
-      metrics.count("heartbeats_closed_crowded");
-      out.closeConnection();
-    }
-    Leader leader = house.leader();
-    if (leader != null) {
-      leader.heartbeat(heartbeat, out);
-      return;
-    }
-    house.unknownMachine(heartbeat.machineId());
-    if (delegated.answer(heartbeat, out)) {
-      return;
-    }
-    String label = house.leaderLabel();
-    out.send(
-        HttpStatus.MISDIRECTED_REQUEST,
-        Json.write(label == null ? Json.object() : Json.object().put(ProtocolField.LEADER, label)));
-  }
 }
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -6,6 +6,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Function;
 import plumlever.cloud.PriceBook;
 import plumlever.concurrent.Loop;
 import plumlever.metrics.Metrics;
@@ -30,20 +32,6 @@
  * once, with the time to come back.
  */
 public final class UserApi {
-  /** Told of what users changed through this controller, and asked for counts to display. */
-  public interface LeaderView {
-    void jobCancelled(String uid);
-
-    /** Finished and running tasks, or null if not known here. */
-    int[] counts(String uid);
-
-    /** True when the state service serves others but not this controller. */
-    boolean isRefusedAlone();
-
-    /** True when this controller may not answer for the jobs in the state service. */
-    boolean ineligible();
-  }
-
   private static final String JOBS = ProtocolPath.SUBMISSIONS;
   private static final int MOST_AT_ONCE = 256;
   private static final int RETRY_AFTER_S = 1;
@@ -59,7 +47,9 @@
   private final JobStore layout;
   private final PriceBook prices;
   private final Metrics metrics;
-  private final LeaderView leaderView;
+  private final ServingHealth health;
+  private final Consumer<String> cancelled;
+  private final Function<String, Optional<TaskCounts>> counts;
   private final Set<String> teams = new HashSet<>();
   private final List<PlatformConfiguration.Team> limits;
   private final JobRecordCache jobRecords;
@@ -67,7 +57,10 @@
   private final DependencyLists lists;
   private int open;
 
-  /** Answers users from these records, and within these limits of teams. */
+  /**
+   * @param cancelled told the id of each job whose user is told that it is cancelled
+   * @param counts finished and running tasks of a job, where they are known here
+   */
   public UserApi(
       Loop loop,
       StateClient store,
@@ -76,7 +69,9 @@
       PriceBook prices,
       PlatformConfiguration platform,
       Metrics metrics,
-      LeaderView leaderView,
+      ServingHealth health,
+      Consumer<String> cancelled,
+      Function<String, Optional<TaskCounts>> counts,
       Optional<JobForwarder> otherCells) {
     this.otherCells = otherCells;
     this.loop = loop;
@@ -86,7 +81,9 @@
     this.lists = new DependencyLists(loop, store, layout);
     this.prices = prices;
     this.metrics = metrics;
-    this.leaderView = leaderView;
+    this.health = health;
+    this.cancelled = cancelled;
+    this.counts = counts;
     this.limits = platform.teams();
     limits.forEach(t -> teams.add(t.name()));
   }
@@ -127,7 +124,7 @@
 
   /** Counts a request while it is open; too many at once are turned away. */
   private Admitted admit(String kind, ForwardedRequest request, Responder out) {
-    if (leaderView.ineligible()) {
+    if (health.ineligible()) {
       out.retryLater(
           HttpStatus.UNAVAILABLE, "this controller lacks the sharing file", RETRY_AFTER_S);
       return null;
@@ -146,7 +143,7 @@
    * users from those that can.
    */
   private void unavailable(Responder out) {
-    if (leaderView.isRefusedAlone()) {
+    if (health.isRefusedAlone()) {
       metrics.count("users_sent_away");
       out.closeConnection();
     }
@@ -321,7 +318,7 @@
                 return;
               }
               jobRecords.accepted(uid, result.revision());
-              out.send(HttpStatus.CREATED, state(uid, JobState.PENDING, null));
+              out.send(HttpStatus.CREATED, state(uid, JobState.PENDING, Optional.empty()));
             }
             // Without an answer it is not known either whether this request or an earlier one made
             // the record.
@@ -391,19 +388,17 @@
 
   private String describe(String uid, JobRecordCache.JobStatus look) {
     if (look.endState() != null) {
-      return state(uid, look.endState(), null);
+      return state(uid, look.endState(), Optional.empty());
     }
-    int[] counts = leaderView.counts(uid);
-    return state(
-        uid, counts != null && counts[1] > 0 ? JobState.RUNNING : JobState.PENDING, counts);
+    Optional<TaskCounts> known = counts.apply(uid);
+    boolean running = known.isPresent() && known.get().running() > 0;
+    return state(uid, running ? JobState.RUNNING : JobState.PENDING, known);
   }
 
-  private static String state(String uid, JobState jobState, int[] counts) {
+  private static String state(String uid, JobState jobState, Optional<TaskCounts> counts) {
     ObjectNode object =
         Json.object().put(ProtocolField.JOB_ID, uid).put(ProtocolField.STATUS, jobState.wireName());
-    if (counts != null) {
-      object.put("done", counts[0]).put("running", counts[1]);
-    }
+    counts.ifPresent(known -> object.put("done", known.done()).put("running", known.running()));
     return Json.write(object);
   }
 
@@ -425,7 +420,7 @@
     }
     JobState how = jobRecords.known(uid);
     if (how != null) {
-      raw.send(HttpStatus.OK, state(uid, how, null));
+      raw.send(HttpStatus.OK, state(uid, how, Optional.empty()));
       return null;
     }
     return admit(kind, request, raw);
@@ -451,7 +446,7 @@
             case UNAVAILABLE -> unavailable(out);
             case ENDED -> {
               if (look.endState() == JobState.CANCELLED) {
-                leaderView.jobCancelled(uid);
+                cancelled.accept(uid);
               }
               out.send(HttpStatus.OK, describe(uid, look));
             }
@@ -475,8 +470,8 @@
             case APPLIED -> {
               jobRecords.ended(uid, JobState.CANCELLED);
               metrics.count("jobs_cancelled");
-              leaderView.jobCancelled(uid);
-              out.send(HttpStatus.OK, state(uid, JobState.CANCELLED, null));
+              cancelled.accept(uid);
+              out.send(HttpStatus.OK, state(uid, JobState.CANCELLED, Optional.empty()));
             }
             case REFUSED -> unavailable(out);
             // The stored state decides, whatever became of this transaction.
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.Optional;
 import org.slf4j.Logger;
 import plumlever.concurrent.RecurringTask;
@@ -15,6 +17,7 @@
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
 import plumlever.http.Responder;
+import plumlever.http.TaskCounts;
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
@@ -452,18 +455,22 @@
     return loaded ? jobs.get(uid) : null;
   }
 
-  /** Finished and running tasks of a job for display, or null if it is not known here. */
-  public int[] counts(String uid) {
-    Job job = loaded ? jobs.get(uid) : null;
-    return job == null ? null : new int[] {job.doneCount(), job.liveCount()};
+  /** Finished and running tasks of a job for display, if it is known here. */
+  public Optional<TaskCounts> taskCounts(String uid) {
+    return Optional.ofNullable(job(uid)).map(Leader::taskCounts);
   }
 
-  /** Adds the finished and running tasks of each job, for display at other controllers. */
-  public java.util.Map<String, int[]> allCounts(java.util.Map<String, int[]> into) {
+  /** Finished and running tasks of each job by its id, for display at other controllers. */
+  public Map<String, TaskCounts> taskCounts() {
+    Map<String, TaskCounts> counts = new LinkedHashMap<>();
     if (loaded) {
-      jobs.all().forEach(j -> into.put(j.uid(), new int[] {j.doneCount(), j.liveCount()}));
+      jobs.all().forEach(job -> counts.put(job.uid(), taskCounts(job)));
     }
-    return into;
+    return counts;
+  }
+
+  private static TaskCounts taskCounts(Job job) {
+    return new TaskCounts(job.doneCount(), job.liveCount());
   }
 
   /** The job's end is stored; its tasks are stopped without waiting for the watch events. */
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -1,6 +1,7 @@
 package plumlever.peer;
 
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
@@ -42,7 +43,7 @@
     this.own = own;
   }
 
-  public RecurringTask duty() {
+  public RecurringTask recurringTask() {
     return new RecurringTask("peers", loop, this::tell);
   }
 
@@ -72,7 +73,7 @@
   }
 
   /** Statuses not older than this. */
-  public Iterable<PeerStatus> lately(long micros) {
+  public List<PeerStatus> heardWithin(long micros) {
     long from = loop.nowMicros() - micros;
     return heard.values().stream().filter(h -> h.atMicros >= from).map(Heard::status).toList();
   }
