--- /dev/null
+++ b/src/main/java/plumlever/leader/LeaseRenewalResponder.java
@@ -0,0 +1,70 @@
+package plumlever.leader;
+
+import java.util.List;
+import java.util.Optional;
+import plumlever.fleet.Machine;
+import plumlever.http.Responder;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.heartbeat.HeartbeatAnswers;
+import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.scheduling.CommandSender;
+import plumlever.lease.RenewalRefusal;
+import plumlever.wire.Heartbeat;
+import plumlever.wire.WorkerCommand;
+
+/** Renews a machine's lease with all commands that are due, if there is evidence enough for it. */
+final class LeaseRenewalResponder {
+  private final TermContext context;
+  private final HeartbeatHandler heartbeats;
+  private final HeartbeatAnswers answers;
+  private final MachineSharing sharing;
+  private final PlannedStarts plannedStarts;
+  private final CommandSender commands;
+
+  LeaseRenewalResponder(
+      TermContext context,
+      HeartbeatHandler heartbeats,
+      HeartbeatAnswers answers,
+      MachineSharing sharing,
+      PlannedStarts plannedStarts,
+      CommandSender commands) {
+    this.context = context;
+    this.heartbeats = heartbeats;
+    this.answers = answers;
+    this.sharing = sharing;
+    this.plannedStarts = plannedStarts;
+    this.commands = commands;
+  }
+
+  /**
+   * Answers a heartbeat that was taken in.
+   *
+   * @param newest whether it is the newest of its machine
+   */
+  void respond(Machine machine, Heartbeat heartbeat, boolean newest, Responder out) {
+    boolean holdsOpenTasks = heartbeats.holdsOpenTasks(heartbeat);
+    Optional<RenewalRefusal> refusal = answers.refusal(machine, holdsOpenTasks);
+    if (refusal.isPresent()) {
+      refuse(machine, heartbeat, refusal.get(), out);
+      return;
+    }
+    List<WorkerCommand> due = heartbeats.standingCommands(machine, heartbeat);
+    due.addAll(sharing.guestCommands(machine, heartbeat));
+    if (newest && machine.tokens().areOfTermOf(heartbeat.fencingToken())) {
+      plannedStarts.addTo(due, machine);
+    }
+    // The right to act is checked once more there: this may have run so late that it has ended.
+    if (answers.send(machine, heartbeat, holdsOpenTasks, due, out)) {
+      machine.answered(context.loop().nowMicros());
+    }
+  }
+
+  private void refuse(Machine machine, Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
+    answers.refuse(heartbeat, refusal, out);
+    if (refusal == RenewalRefusal.UNANSWERED_COMMAND) {
+      // With a higher token the command is void, and the next heartbeat may be answered.
+      commands.raise(machine);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/leader/PlannedStarts.java
@@ -0,0 +1,21 @@
+package plumlever.leader;
+
+import java.util.List;
+import plumlever.fleet.Machine;
+import plumlever.leader.scheduling.SchedulingPass;
+import plumlever.leader.scheduling.TaskStarter;
+import plumlever.wire.WorkerCommand;
+
+/** Starts, with the answer to a heartbeat, the tasks that are planned for its machine. */
+record PlannedStarts(SchedulingPass pass, TaskStarter starter) {
+  /**
+   * Adds the commands that start the planned tasks, unless the machine or their jobs are not on
+   * record yet, or an earlier start is not confirmed.
+   */
+  void addTo(List<WorkerCommand> commands, Machine machine) {
+    if (pass.hasPlan(machine) && pass.recorded(machine) && !machine.load().hasUnconfirmedStart()) {
+      starter.start(machine, pass.planned(machine), false, commands);
+      pass.dropPlan(machine);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/leader/SchedulingPasses.java
@@ -0,0 +1,73 @@
+package plumlever.leader;
+
+import plumlever.fleet.Fleet;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.scheduling.CommandSender;
+import plumlever.leader.scheduling.SchedulingPass;
+
+/**
+ * Decides when scheduling passes run. Requests for one are gathered: the pause after a pass is a
+ * few times what it took, so that heartbeats and users' requests come first.
+ */
+final class SchedulingPasses {
+  private static final long MIN_PAUSE_MICROS = 150_000;
+  private static final long MAX_PAUSE_MICROS = 1_500_000;
+  private static final int PAUSE_PER_TIME_SPENT = 3;
+
+  /** Before a pass that used up its time budget goes on. */
+  private static final long RESUME_PAUSE_MICROS = 5_000;
+
+  private final TermContext context;
+  private final Fleet fleet;
+  private final SchedulingPass pass;
+  private final CommandSender commands;
+  private boolean requested = true;
+
+  SchedulingPasses(TermContext context, Fleet fleet, SchedulingPass pass, CommandSender commands) {
+    this.context = context;
+    this.fleet = fleet;
+    this.pass = pass;
+    this.commands = commands;
+  }
+
+  /** Something changed that placement depends on. */
+  void request() {
+    requested = true;
+  }
+
+  /** What was planned for jobs that had to be recorded first can go out now. */
+  void startedJobsRecorded() {
+    requested = true;
+    commands.dispatch(fleet);
+  }
+
+  /** Runs as a recurring task; returns the pause until the next run. */
+  long run() {
+    if (!requested || !context.term().mayAct()) {
+      return MIN_PAUSE_MICROS;
+    }
+    if (fleet.numbersRunOut()) {
+      context.resignForNumbers();
+      return MIN_PAUSE_MICROS;
+    }
+    boolean finished = runPass();
+    if (!finished) {
+      return RESUME_PAUSE_MICROS;
+    }
+    requested = false;
+    // A thread that runs late has heartbeats and requests before it that come first.
+    long pause =
+        PAUSE_PER_TIME_SPENT * Math.max(pass.spentMicros(), context.latenessMicros().getAsLong());
+    return Math.max(MIN_PAUSE_MICROS, Math.min(MAX_PAUSE_MICROS, pause));
+  }
+
+  private boolean runPass() {
+    long startedMicros = context.loop().nowMicros();
+    boolean finished = pass.run();
+    long placedMicros = context.loop().nowMicros();
+    commands.dispatch(fleet);
+    context.metrics().spent("passes", placedMicros - startedMicros);
+    context.metrics().spent("dispatch", context.loop().nowMicros() - placedMicros);
+    return finished;
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/leader/TermParts.java
@@ -0,0 +1,199 @@
+package plumlever.leader;
+
+import plumlever.concurrent.RecurringTask;
+import plumlever.concurrent.Scope;
+import plumlever.fleet.Estimates;
+import plumlever.fleet.Fleet;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.failover.WarmState;
+import plumlever.leader.heartbeat.EarlyHeartbeats;
+import plumlever.leader.heartbeat.HeartbeatAnswers;
+import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.heartbeat.RenewalDelegation;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.leader.job.DependencyListCleanup;
+import plumlever.leader.job.StartedJobIndex;
+import plumlever.leader.machine.MachineManager;
+import plumlever.leader.machine.MachineRegistry;
+import plumlever.leader.pool.PoolSharing;
+import plumlever.leader.progress.ProgressWriter;
+import plumlever.leader.record.RecoveryRead;
+import plumlever.leader.scheduling.CommandSender;
+import plumlever.leader.scheduling.SchedulingPass;
+import plumlever.leader.scheduling.TaskStarter;
+import plumlever.sharing.PoolView;
+import plumlever.store.JobStore;
+
+/**
+ * The parts that work for the leader in one term: puts them together, fills them with what earlier
+ * leaders left, and starts them. None outlives the term.
+ */
+final class TermParts {
+  private final TermContext context;
+  private final Fleet fleet;
+  private final Estimates estimates = new Estimates();
+  private final StartedJobIndex startedJobs;
+  private final ActiveJobs jobs;
+  private final Failover failover;
+  private final ProgressWriter progress;
+  private final HeartbeatHandler heartbeats;
+  private final SchedulingPass pass;
+  private final CommandSender commands;
+  private final SchedulingPasses passes;
+  private final MachineRegistry registry;
+  private final MachineSharing sharing;
+  private final MachineManager machines;
+  private final WarmState warmState;
+  private final DependencyListCleanup lists;
+  private final TokenRaiser tokenRaiser;
+  private final HeartbeatResponder responder;
+
+  /** The parts of the term, which do nothing until they are started. */
+  TermParts(TermContext context, EarlyHeartbeats early) {
+    this.context = context;
+    this.fleet = new Fleet(context.term().number());
+    this.startedJobs = new StartedJobIndex(context, this::startedJobsRecorded);
+    this.jobs = new ActiveJobs(context, startedJobs, this::requestPass);
+    this.failover = new Failover(context, fleet, this::sharing);
+    this.progress = new ProgressWriter(context, jobs);
+    this.heartbeats =
+        new HeartbeatHandler(context, fleet, jobs, estimates, failover, progress, this::sharing);
+    TaskStarter starter = new TaskStarter(context, fleet, jobs, failover);
+    this.pass = new SchedulingPass(context, fleet, jobs, startedJobs, estimates, failover);
+    jobs.costs(pass::costMicros);
+    RenewalDelegation delegation = new RenewalDelegation(context, fleet);
+    this.commands =
+        new CommandSender(context, jobs, pass, heartbeats, starter, delegation, this::requestPass);
+    this.passes = new SchedulingPasses(context, fleet, pass, commands);
+    this.registry = new MachineRegistry(context, this::requestPass);
+    this.sharing = createSharing();
+    this.machines = createMachineManager(delegation);
+    this.warmState = new WarmState(context, fleet, estimates);
+    this.lists = new DependencyListCleanup(context, jobs);
+    this.tokenRaiser = new TokenRaiser(context, fleet, failover, commands);
+    this.responder = createResponder(early, starter);
+  }
+
+  private MachineSharing createSharing() {
+    return context
+        .sharing()
+        .<MachineSharing>map(
+            settings ->
+                new PoolSharing(
+                    context,
+                    settings,
+                    fleet,
+                    jobs,
+                    registry,
+                    heartbeats,
+                    pass,
+                    failover,
+                    commands,
+                    this::requestPass))
+        .orElse(MachineSharing.NONE);
+  }
+
+  private MachineManager createMachineManager(RenewalDelegation delegation) {
+    return new MachineManager(
+        context,
+        fleet,
+        registry,
+        pass,
+        heartbeats,
+        commands,
+        delegation,
+        failover,
+        sharing,
+        this::requestPass);
+  }
+
+  private HeartbeatResponder createResponder(EarlyHeartbeats early, TaskStarter starter) {
+    HeartbeatAnswers answers = new HeartbeatAnswers(context, jobs, sharing);
+    return new HeartbeatResponder(
+        context,
+        fleet,
+        heartbeats,
+        registry,
+        sharing,
+        passes,
+        new HeartbeatScreening(context, machines, sharing, early, answers),
+        new LeaseRenewalResponder(
+            context, heartbeats, answers, sharing, new PlannedStarts(pass, starter), commands));
+  }
+
+  private void requestPass() {
+    passes.request();
+  }
+
+  private void startedJobsRecorded() {
+    passes.startedJobsRecorded();
+  }
+
+  MachineSharing sharing() {
+    return sharing;
+  }
+
+  ActiveJobs jobs() {
+    return jobs;
+  }
+
+  Failover failover() {
+    return failover;
+  }
+
+  HeartbeatResponder responder() {
+    return responder;
+  }
+
+  /** Takes what earlier leaders left. */
+  void load(RecoveryRead found) {
+    registry.load(found.under(JobStore.FLEET).items(), fleet);
+    warmState.load(found.under(JobStore.WARM_STATE).items());
+    jobs.load(found);
+    if (sharing.inPool()) {
+      sharing.poolRecordsRead(found.under(PoolView.PREFIX), found.askedMicros());
+    }
+    responder.recordsLoaded();
+    failover.loaded();
+    progress.loaded();
+  }
+
+  /** An earlier leader may have stored the last task of a job, but not its end. */
+  void endCompleteJobs() {
+    jobs.all()
+        .forEach(
+            job -> {
+              if (job.complete()) {
+                progress.taskDone(job, 0);
+              }
+            });
+  }
+
+  /** Starts all recurring work; it ends with the scope, in reverse order. */
+  void start(Scope scope) {
+    scope.own(sharing::close);
+    scope.own(jobs::close);
+    scope.own(startedJobs::close);
+    scope.own(progress::close);
+    scope.own(machines::close);
+    scope.own(commands::close);
+    scope.own(registry::close);
+    scope.own(lists::close);
+    startTask(scope, "machine records", registry::tidy);
+    startTask(scope, "started jobs", startedJobs::tidy);
+    startTask(scope, "progress", progress::write);
+    startTask(scope, "machines", machines::turn);
+    startTask(scope, "warm state", warmState::write);
+    startTask(scope, "token raise", tokenRaiser::run);
+    scope
+        .own(new RecurringTask("dependency lists", context.loop(), lists::run))
+        .wakeIn(DependencyListCleanup.EVERY_MICROS);
+    startTask(scope, "scheduling passes", passes::run);
+  }
+
+  private void startTask(Scope scope, String name, RecurringTask.Turn turn) {
+    scope.own(new RecurringTask(name, context.loop(), turn)).start();
+  }
+}
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -27,6 +27,14 @@
     return false;
   }
 
+  /**
+   * True where a token of a later term proves that this term is over. The cells of a pool number
+   * their terms from one counter, so there it may be another cell's.
+   */
+  default boolean laterTermEndsThisOne() {
+    return !inPool();
+  }
+
   /** The records of the pool were read after the term had been taken. */
   default void poolRecordsRead(StateClient.Listing pool, long askedMicros) {}
 
