--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -11,10 +11,12 @@
 import plumlever.http.DelegatedHeartbeats;
 import plumlever.http.HeartbeatEndpoint;
 import plumlever.http.JobForwarder;
+import plumlever.http.JobServices;
 import plumlever.http.PoolRequests;
 import plumlever.http.RequestRouter;
 import plumlever.http.Responder;
 import plumlever.http.ServingHealth;
+import plumlever.http.SubmissionRules;
 import plumlever.http.TaskCounts;
 import plumlever.http.UserApi;
 import plumlever.leader.Leader;
@@ -159,24 +161,25 @@
   }
 
   private UserApi createUserApi(ServingHealth health) {
-    Loop loop = environment.loop();
     PlatformConfiguration platform = environment.platform();
-    return new UserApi(
-        loop,
-        clients.store(),
-        jobRecords,
-        clients.layout(),
-        clients.prices(),
-        platform,
-        clients.metrics(),
-        health,
-        cancellations::confirmed,
-        this::taskCounts,
+    JobServices jobs =
+        new JobServices(
+            environment.loop(), clients.store(), jobRecords, clients.layout(), clients.metrics());
+    Optional<JobForwarder> otherCells =
         environment
             .settings()
             .sharing()
             .map(
-                pool -> new JobForwarder(loop, clients.store(), clients.caller(), platform, pool)));
+                pool ->
+                    new JobForwarder(
+                        environment.loop(), clients.store(), clients.caller(), platform, pool));
+    return new UserApi(
+        jobs,
+        new SubmissionRules(platform.teams(), clients.prices()),
+        health,
+        cancellations::confirmed,
+        this::taskCounts,
+        otherCells);
   }
 
   private HeartbeatEndpoint createHeartbeatEndpoint() {
--- /dev/null
+++ b/src/main/java/plumlever/http/CancellationHandler.java
@@ -0,0 +1,97 @@
+package plumlever.http;
+
+import java.util.List;
+import java.util.function.Consumer;
+import plumlever.store.JobRecordCache;
+import plumlever.store.StateClient;
+import plumlever.wire.ForwardedRequest;
+import plumlever.wire.HttpStatus;
+import plumlever.wire.JobState;
+import plumlever.wire.ProtocolPath;
+
+/** Cancels jobs. The stored state decides between a cancellation and the end of the last task. */
+final class CancellationHandler {
+  private static final int MAX_ATTEMPTS = 4;
+
+  private final JobServices jobs;
+  private final JobRequestAdmission admission;
+  private final JobAnswers answers;
+  private final Consumer<String> cancelled;
+
+  /**
+   * @param cancelled told the id of each job whose user is told that it is cancelled
+   */
+  CancellationHandler(
+      JobServices jobs,
+      JobRequestAdmission admission,
+      JobAnswers answers,
+      Consumer<String> cancelled) {
+    this.jobs = jobs;
+    this.admission = admission;
+    this.answers = answers;
+    this.cancelled = cancelled;
+  }
+
+  void cancel(String uid, Responder out) {
+    ForwardedRequest request =
+        new ForwardedRequest(
+            "POST", ProtocolPath.SUBMISSIONS + "/" + uid + ProtocolPath.CANCEL_SUFFIX, "");
+    admission
+        .admit("cancel", uid, request, out)
+        .ifPresent(admitted -> cancel(uid, admitted, MAX_ATTEMPTS));
+  }
+
+  private void cancel(String uid, UserRequest request, int attemptsLeft) {
+    jobs.records()
+        .look(
+            uid,
+            status -> {
+              switch (status.presence()) {
+                case MISSING ->
+                    answers.answerElsewhere(
+                        uid,
+                        request,
+                        () -> request.error(HttpStatus.NOT_FOUND, JobAnswers.NO_SUCH_JOB));
+                case UNAVAILABLE -> answers.unavailable(request);
+                case ENDED -> answerEnded(uid, status, request);
+                case ACTIVE -> {
+                  if (attemptsLeft == 0) {
+                    answers.unavailable(request);
+                  } else {
+                    storeEnd(uid, status.revision(), request, attemptsLeft);
+                  }
+                }
+              }
+            });
+  }
+
+  private void answerEnded(String uid, JobRecordCache.JobStatus ended, UserRequest request) {
+    if (ended.endState() == JobState.CANCELLED) {
+      cancelled.accept(uid);
+    }
+    request.send(HttpStatus.OK, answers.describe(uid, ended));
+  }
+
+  private void storeEnd(String uid, long revision, UserRequest request, int attemptsLeft) {
+    jobs.store()
+        .transaction(
+            jobs.layout()
+                .end(uid, revision, JobState.CANCELLED, jobs.loop().wallMicros(), List.of()),
+            StateClient.RequestPriority.URGENT,
+            result -> {
+              switch (result.outcome()) {
+                case APPLIED -> answerCancelled(uid, request);
+                case REFUSED -> answers.unavailable(request);
+                // The stored state decides, whatever became of this transaction.
+                default -> cancel(uid, request, attemptsLeft - 1);
+              }
+            });
+  }
+
+  private void answerCancelled(String uid, UserRequest request) {
+    jobs.records().ended(uid, JobState.CANCELLED);
+    jobs.metrics().count("jobs_cancelled");
+    cancelled.accept(uid);
+    request.send(HttpStatus.OK, JobAnswers.body(uid, JobState.CANCELLED));
+  }
+}
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -28,7 +28,7 @@
  * could still be carried out, minutes later and after a cancellation.
  */
 public final class DelegatedHeartbeats {
-  private static final int LINES_PER_SECOND = 20;
+  private static final int MAX_LINES_PER_SECOND = 20;
 
   private final Loop loop;
   private final DelegatedRenewal delegation;
@@ -38,7 +38,11 @@
   private final Logger log;
   private final LogBudget lines;
 
-  /** Answers under this delegation. */
+  /**
+   * Answers under this delegation.
+   *
+   * @param jobs tells which jobs have ended, so that their tasks are stopped
+   */
   public DelegatedHeartbeats(
       Loop loop,
       DelegatedRenewal delegation,
@@ -52,7 +56,7 @@
     this.renewal = renewal;
     this.metrics = metrics;
     this.log = logs.of(DelegatedHeartbeats.class);
-    this.lines = new LogBudget(log, LINES_PER_SECOND);
+    this.lines = new LogBudget(log, MAX_LINES_PER_SECOND);
   }
 
   /**
@@ -62,7 +66,7 @@
    */
   boolean answer(Heartbeat heartbeat, Responder out) {
     Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.zone());
-    // Nothing was read yet: what can be told without, is told before the jobs are asked for.
+    // What refuses whatever the jobs are is found out before they are looked up.
     if (right.isEmpty()
         || renewal
             .refusal(evidence(right.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
@@ -70,13 +74,16 @@
       right.ifPresent(known -> logRefusal(heartbeat, known, "before the jobs are looked up"));
       return false;
     }
-    jobs.endedOf(jobsOf(heartbeat), ends -> answer(heartbeat, Optional.ofNullable(ends), out));
+    jobs.endedOf(
+        jobsOf(heartbeat), ends -> answerKnowingEnds(heartbeat, Optional.ofNullable(ends), out));
     return true;
   }
 
-  private void answer(Heartbeat heartbeat, Optional<JobRecordCache.Ends> ends, Responder out) {
-    // Asked again: finding out took its time. A lease is not renewed for tasks whose stop can't be
-    // given.
+  private void answerKnowingEnds(
+      Heartbeat heartbeat, Optional<JobRecordCache.Ends> ends, Responder out) {
+    // The right may have ended while the jobs were looked up. A lease is not renewed for tasks
+    // whose
+    // stop can't be given.
     Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.zone());
     if (right.isEmpty()) {
       refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
@@ -108,17 +115,21 @@
   private static Set<String> jobsOf(Heartbeat heartbeat) {
     Set<String> uids = new HashSet<>();
     for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
-      if (attempt.state() != AttemptState.ENDED) {
+      if (isLive(attempt)) {
         uids.add(attempt.task().job());
       }
     }
     return uids;
   }
 
+  private static boolean isLive(Heartbeat.AttemptStatus attempt) {
+    return attempt.state() != AttemptState.ENDED;
+  }
+
   private static List<WorkerCommand> stops(Heartbeat heartbeat, Set<String> ended) {
     List<WorkerCommand> stops = new ArrayList<>();
     for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
-      if (attempt.state() != AttemptState.ENDED && ended.contains(attempt.task().job())) {
+      if (isLive(attempt) && ended.contains(attempt.task().job())) {
         stops.add(WorkerCommand.stop(attempt.task(), attempt.attempt(), 0));
       }
     }
@@ -151,7 +162,7 @@
     }
   }
 
-  /** Only what is more than the repetition of the last answer is worth a line. */
+  /** An answer without a stop that raises no token is what the worker had before: no line. */
   private void logRenewal(
       Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stops) {
     boolean raises = evidence.token() > heartbeat.fencingToken();
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -1,9 +1,9 @@
 package plumlever.http;
 
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Optional;
 import java.util.function.Consumer;
 import plumlever.concurrent.Loop;
 import plumlever.settings.PlatformConfiguration;
@@ -20,34 +20,21 @@
  * That a job is in no cell rests on one read of all of them, begun after the question came in.
  */
 public final class JobForwarder {
-  /** Where a job was found. */
-  public enum Presence {
-    NOWHERE,
-    IN_CELL,
-    UNAVAILABLE
-  }
-
-  /**
-   * @param cell only for {@link Presence#IN_CELL}
-   */
-  public record Location(Presence presence, Optional<SharingSettings.Cell> cell) {
-    private static final Location NOWHERE = new Location(Presence.NOWHERE, Optional.empty());
-    private static final Location UNAVAILABLE =
-        new Location(Presence.UNAVAILABLE, Optional.empty());
-  }
-
   private static final long TIMEOUT_MICROS = 1_500_000;
-  private static final long AGAIN_MICROS = 150_000;
-  private static final int TRIES = 4;
+  private static final long RETRY_PAUSE_MICROS = 150_000;
+  private static final int MAX_ATTEMPTS = 4;
   private static final int RETRY_AFTER_S = 1;
 
+  /** A key under which the cell has the job, if it has it. */
+  private record Candidate(SharingSettings.Cell cell, String key) {}
+
   private final Loop loop;
   private final StateClient store;
   private final Caller caller;
   private final PlatformConfiguration platform;
   private final SharingSettings sharing;
 
-  /** Looks in the other cells of this pool. */
+  /** Finds jobs in the other cells of this pool. */
   public JobForwarder(
       Loop loop,
       StateClient store,
@@ -62,76 +49,65 @@
   }
 
   /** Finds out in which other cell the job is. */
-  public void find(String uid, Consumer<Location> then) {
-    find(uid, TRIES, then);
+  void find(String uid, Consumer<JobLocation> whenFound) {
+    find(candidates(uid), MAX_ATTEMPTS, whenFound);
   }
 
-  private void find(String uid, int tries, Consumer<Location> then) {
-    Transaction transaction = new Transaction();
+  /** An active job first, then an ended one: the end moves it from one key to the other. */
+  private List<Candidate> candidates(String uid) {
+    List<Candidate> candidates = new ArrayList<>();
     for (SharingSettings.Cell cell : sharing.others()) {
-      transaction.require(activeKey(cell, uid), 0).require(endedKey(cell, uid), 0);
+      for (String key : List.of(JobStore.activeKey(uid), JobStore.endedKey(uid))) {
+        candidates.add(new Candidate(cell, KeySpace.absolute(cell.prefix(), key)));
+      }
     }
+    return candidates;
+  }
+
+  private void find(List<Candidate> candidates, int attemptsLeft, Consumer<JobLocation> whenFound) {
+    Transaction absent = new Transaction();
+    candidates.forEach(candidate -> absent.require(candidate.key(), 0));
     store.transaction(
-        transaction,
+        absent,
         StateClient.RequestPriority.ORDINARY,
         result -> {
           switch (result.outcome()) {
-            case APPLIED -> then.accept(Location.NOWHERE);
-            case CONFLICT -> look(uid, sharing.others().iterator(), then);
+            case APPLIED -> whenFound.accept(new JobLocation.Nowhere());
+            case CONFLICT -> readFirst(candidates.iterator(), whenFound);
             default -> {
-              if (result.status() == HttpStatus.TOO_MANY_REQUESTS && tries > 1) {
-                loop.after(AGAIN_MICROS, () -> find(uid, tries - 1, then));
+              if (result.status() == HttpStatus.TOO_MANY_REQUESTS && attemptsLeft > 1) {
+                loop.after(RETRY_PAUSE_MICROS, () -> find(candidates, attemptsLeft - 1, whenFound));
               } else {
-                then.accept(Location.UNAVAILABLE);
+                whenFound.accept(new JobLocation.Unavailable());
               }
             }
           }
         });
   }
 
-  private static String activeKey(SharingSettings.Cell cell, String uid) {
-    return KeySpace.absolute(cell.prefix(), JobStore.activeKey(uid));
-  }
-
-  private static String endedKey(SharingSettings.Cell cell, String uid) {
-    return KeySpace.absolute(cell.prefix(), JobStore.endedKey(uid));
-  }
-
-  /** Some cell has it; it never leaves that cell, so they are looked at one after the other. */
-  private void look(String uid, Iterator<SharingSettings.Cell> cells, Consumer<Location> then) {
-    if (!cells.hasNext()) {
-      then.accept(Location.UNAVAILABLE);
+  /** Some cell has it; it never leaves that cell, so their keys are read one after the other. */
+  private void readFirst(Iterator<Candidate> candidates, Consumer<JobLocation> whenFound) {
+    if (!candidates.hasNext()) {
+      whenFound.accept(new JobLocation.Unavailable());
       return;
     }
-    SharingSettings.Cell cell = cells.next();
-    Location here = new Location(Presence.IN_CELL, Optional.of(cell));
+    Candidate candidate = candidates.next();
     store.get(
-        activeKey(cell, uid),
+        candidate.key(),
         StateClient.RequestPriority.ORDINARY,
-        active -> {
-          if (active.found()) {
-            then.accept(here);
-          } else if (active.missing()) {
-            store.get(
-                endedKey(cell, uid),
-                StateClient.RequestPriority.ORDINARY,
-                ended -> {
-                  if (ended.found()) {
-                    then.accept(here);
-                  } else if (ended.missing()) {
-                    look(uid, cells, then);
-                  } else {
-                    then.accept(Location.UNAVAILABLE);
-                  }
-                });
+        read -> {
+          if (read.found()) {
+            whenFound.accept(new JobLocation.InCell(candidate.cell()));
+          } else if (read.missing()) {
+            readFirst(candidates, whenFound);
           } else {
-            then.accept(Location.UNAVAILABLE);
+            whenFound.accept(new JobLocation.Unavailable());
           }
         });
   }
 
   /** Has a controller of the cell answer the request, the first that can be reached. */
-  public void forward(SharingSettings.Cell cell, ForwardedRequest request, Responder out) {
+  void forward(SharingSettings.Cell cell, ForwardedRequest request, Responder out) {
     List<PlatformConfiguration.Seed> members =
         platform.seeds().stream()
             .filter(seed -> cell.controllers().contains(seed.label()))
@@ -155,8 +131,8 @@
           if (status == 0 || status >= HttpStatus.SERVER_ERRORS) {
             forward(members, body, out);
           } else {
-            int retryS = status == HttpStatus.TOO_MANY_REQUESTS ? RETRY_AFTER_S : 0;
-            out.send(status, new String(answer, StandardCharsets.UTF_8), retryS);
+            int retryAfterS = status == HttpStatus.TOO_MANY_REQUESTS ? RETRY_AFTER_S : 0;
+            out.send(status, new String(answer, StandardCharsets.UTF_8), retryAfterS);
           }
         });
   }
--- /dev/null
+++ b/src/main/java/plumlever/http/SubmissionHandler.java
@@ -0,0 +1,123 @@
+package plumlever.http;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.Optional;
+import plumlever.store.JobStore;
+import plumlever.wire.ForwardedRequest;
+import plumlever.wire.InvalidMessageException;
+import plumlever.wire.JobSpec;
+import plumlever.wire.Json;
+import plumlever.wire.ProtocolField;
+import plumlever.wire.ProtocolPath;
+
+/**
+ * Takes submissions: decides whether a job may be accepted, and has it accepted. A known job is
+ * told its state whatever is wrong with the repeat, so a submission is refused only once its job is
+ * found unknown.
+ */
+final class SubmissionHandler {
+  private final JobServices jobs;
+  private final SubmissionRules rules;
+  private final RequestAdmission admission;
+  private final JobAnswers answers;
+  private final JobAcceptance acceptance;
+
+  SubmissionHandler(
+      JobServices jobs, SubmissionRules rules, RequestAdmission admission, JobAnswers answers) {
+    this.jobs = jobs;
+    this.rules = rules;
+    this.admission = admission;
+    this.answers = answers;
+    this.acceptance = new JobAcceptance(jobs, answers);
+  }
+
+  void submit(byte[] body, Responder out) {
+    ObjectNode object;
+    String uid;
+    try {
+      object = Json.parseObject(body);
+      uid = readUid(object);
+    } catch (InvalidMessageException e) {
+      SubmissionRefusal.invalid(e.getMessage()).answer(out);
+      return;
+    }
+    ForwardedRequest request =
+        new ForwardedRequest(
+            "POST", ProtocolPath.SUBMISSIONS, new String(body, StandardCharsets.UTF_8));
+    admission.admit("submit", request, out).ifPresent(admitted -> decide(uid, object, admitted));
+  }
+
+  private static String readUid(ObjectNode object) throws InvalidMessageException {
+    String uid = Json.text(object, ProtocolField.JOB_ID);
+    if (!JobSpec.validUid(uid)) {
+      throw new InvalidMessageException("uid must be job- and digits");
+    }
+    return uid;
+  }
+
+  private void decide(String uid, ObjectNode object, UserRequest request) {
+    JobSpec spec;
+    try {
+      spec = JobSpec.parse(object);
+    } catch (InvalidMessageException e) {
+      refuseUnknown(uid, request, SubmissionRefusal.invalid(e.getMessage()));
+      return;
+    }
+    Optional<SubmissionRefusal> refusal = rules.refusal(spec);
+    if (refusal.isPresent()) {
+      refuseUnknown(uid, request, refusal.get());
+      return;
+    }
+    Optional<JobStore.Acceptance> records =
+        Optional.ofNullable(jobs.layout().accept(spec, jobs.loop().wallMicros()));
+    if (records.isEmpty()) {
+      refuseUnknown(uid, request, SubmissionRefusal.invalid("the submission is too long"));
+    } else if (spec.hasDependencies()) {
+      checkDependencies(spec, records.get(), request);
+    } else {
+      acceptance.accept(spec, records.get().transaction(), request);
+    }
+  }
+
+  private void refuseUnknown(String uid, UserRequest request, SubmissionRefusal refusal) {
+    answers.answerKnown(uid, request, () -> refusal.answer(request));
+  }
+
+  /**
+   * Waits only for what was accepted. That a job was accepted stays true, so nothing need be
+   * guarded for it; and whether one of them is cancelled meanwhile is found out after this one is
+   * stored, from the records of all that it waits on.
+   */
+  private void checkDependencies(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
+    if (spec.dependencies().contains(spec.uid())) {
+      refuseUnknown(
+          spec.uid(),
+          request,
+          SubmissionRefusal.unprocessable(ProtocolField.DEPENDENCIES + " names the job itself"));
+      return;
+    }
+    jobs.records()
+        .unknownOf(
+            spec.dependencies(),
+            unknown -> {
+              if (unknown == null) {
+                answers.unavailable(request);
+              } else if (unknown.isEmpty()) {
+                acceptance.acceptWithList(spec, records, request);
+              } else {
+                refuseUnknownDependency(spec.uid(), unknown.iterator().next(), request);
+              }
+            });
+  }
+
+  private void refuseUnknownDependency(String uid, String dependency, UserRequest request) {
+    SubmissionRefusal refusal =
+        SubmissionRefusal.unprocessable(
+            ProtocolField.DEPENDENCIES + " names a job that was never accepted: " + dependency);
+    answers.answerKnown(
+        uid,
+        request,
+        () -> answers.answerElsewhere(dependency, request, () -> refusal.answer(request)));
+  }
+}
