--- a/src/main/java/plumlever/peer/PeerStatus.java
+++ b/src/main/java/plumlever/peer/PeerStatus.java
@@ -17,8 +17,8 @@
  * @param lateMicros how late its deciding thread was lately
  * @param workers how many workers reported to it in the last seconds
  * @param counts finished and running tasks by job, from the leader, for display
- * @param calledOff jobs whose users were lately told through this controller that they are
- *     cancelled: who leads stops their tasks even if the state service refuses to tell it
+ * @param confirmedCancellations jobs whose users were lately told through this controller that they
+ *     are cancelled: who leads stops their tasks even if the state service refuses to tell it
  */
 public record PeerStatus(
     String label,
@@ -32,15 +32,16 @@
 
   /** Kryo's form of it; written out, so that nothing is looked up by reflection at start. */
   public static final class Codec {
-    private static final int MOST_BYTES = 256 * 1024;
-    private static final int MOST_COUNTS = 5_000;
-    private static final int MOST_CONFIRMED_CANCELLATIONS = 500;
+    private static final int MAX_BYTES = 256 * 1024;
+    private static final int INITIAL_BUFFER_BYTES = 4 * 1024;
+    private static final int REGISTRATION = 100;
     private final Kryo kryo = new Kryo();
-    private final Output output = new Output(4 * 1024, MOST_BYTES);
+    private final Output output = new Output(INITIAL_BUFFER_BYTES, MAX_BYTES);
 
+    /** A codec for one thread. */
     public Codec() {
       kryo.setRegistrationRequired(true);
-      kryo.register(PeerStatus.class, new Form(), 100);
+      kryo.register(PeerStatus.class, new StatusSerializer(), REGISTRATION);
     }
 
     /** The status as it is sent. */
@@ -50,7 +51,11 @@
       return output.toBytes();
     }
 
-    /** Null when it can't be read. */
+    /**
+     * The status that was sent so.
+     *
+     * @throws UnreadablePeerStatusException if these are not the bytes of one
+     */
     public PeerStatus read(byte[] bytes) {
       try {
         return kryo.readObject(new Input(bytes), PeerStatus.class);
@@ -58,12 +63,15 @@
           | IllegalArgumentException
           | IndexOutOfBoundsException
           | NegativeArraySizeException e) {
-        return null;
+        throw new UnreadablePeerStatusException(e);
       }
     }
   }
 
-  private static final class Form extends Serializer<PeerStatus> {
+  private static final class StatusSerializer extends Serializer<PeerStatus> {
+    private static final int MAX_COUNTS = 5_000;
+    private static final int MAX_CONFIRMED_CANCELLATIONS = 500;
+
     @Override
     public void write(Kryo kryo, Output out, PeerStatus peerStatus) {
       out.writeString(peerStatus.label);
@@ -72,21 +80,28 @@
       out.writeVarLong(peerStatus.storeRefusedMicros, true);
       out.writeVarLong(peerStatus.lateMicros, true);
       out.writeVarInt(peerStatus.workers, true);
-      out.writeVarInt(Math.min(peerStatus.counts.size(), Codec.MOST_COUNTS), true);
-      int count = 0;
-      for (Map.Entry<String, int[]> entry : peerStatus.counts.entrySet()) {
-        if (count++ >= Codec.MOST_COUNTS) {
-          break;
-        }
-        out.writeString(entry.getKey());
-        out.writeVarInt(entry.getValue()[0], true);
-        out.writeVarInt(entry.getValue()[1], true);
-      }
+      writeCounts(out, peerStatus.counts);
       // Earlier versions read as far as here and leave the rest.
-      int size =
-          Math.min(peerStatus.confirmedCancellations.size(), Codec.MOST_CONFIRMED_CANCELLATIONS);
+      writeCancellations(out, peerStatus.confirmedCancellations);
+    }
+
+    private static void writeCounts(Output out, Map<String, int[]> counts) {
+      int size = Math.min(counts.size(), MAX_COUNTS);
       out.writeVarInt(size, true);
-      peerStatus.confirmedCancellations.stream().limit(size).forEach(out::writeString);
+      counts.entrySet().stream()
+          .limit(size)
+          .forEach(
+              entry -> {
+                out.writeString(entry.getKey());
+                out.writeVarInt(entry.getValue()[0], true);
+                out.writeVarInt(entry.getValue()[1], true);
+              });
+    }
+
+    private static void writeCancellations(Output out, List<String> uids) {
+      int size = Math.min(uids.size(), MAX_CONFIRMED_CANCELLATIONS);
+      out.writeVarInt(size, true);
+      uids.stream().limit(size).forEach(out::writeString);
     }
 
     @Override
@@ -94,29 +109,50 @@
       String label = in.readString();
       long term = in.readVarLong(true);
       boolean leading = in.readBoolean();
-      long silent = in.readVarLong(true);
-      long late = in.readVarLong(true);
+      long storeRefusedMicros = in.readVarLong(true);
+      long lateMicros = in.readVarLong(true);
       int workers = in.readVarInt(true);
-      int count = in.readVarInt(true);
-      if (count < 0 || count > Codec.MOST_COUNTS || label == null) {
-        throw new KryoException("out of range");
+      if (label == null) {
+        throw new KryoException("no label");
       }
+      return new PeerStatus(
+          label,
+          term,
+          leading,
+          storeRefusedMicros,
+          lateMicros,
+          workers,
+          readCounts(in),
+          readCancellations(in));
+    }
+
+    private static Map<String, int[]> readCounts(Input in) {
+      int size = readSize(in, MAX_COUNTS);
       Map<String, int[]> counts = new LinkedHashMap<>();
-      for (int i = 0; i < count; i++) {
+      for (int i = 0; i < size; i++) {
         counts.put(in.readString(), new int[] {in.readVarInt(true), in.readVarInt(true)});
       }
-      List<String> confirmedCancellations = new ArrayList<>();
+      return counts;
+    }
+
+    /** Earlier versions end before this. */
+    private static List<String> readCancellations(Input in) {
+      List<String> uids = new ArrayList<>();
       if (in.position() < in.limit()) {
-        int size = in.readVarInt(true);
-        if (size < 0 || size > Codec.MOST_CONFIRMED_CANCELLATIONS) {
-          throw new KryoException("out of range");
-        }
+        int size = readSize(in, MAX_CONFIRMED_CANCELLATIONS);
         for (int i = 0; i < size; i++) {
-          confirmedCancellations.add(in.readString());
+          uids.add(in.readString());
         }
       }
-      return new PeerStatus(
-          label, term, leading, silent, late, workers, counts, confirmedCancellations);
+      return uids;
+    }
+
+    private static int readSize(Input in, int max) {
+      int size = in.readVarInt(true);
+      if (size < 0 || size > max) {
+        throw new KryoException("size out of range: " + size);
+      }
+      return size;
     }
   }
 }
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -3,6 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import plumlever.concurrent.Loop;
@@ -14,45 +15,50 @@
 
 /** The links between controllers: each tells the others its status, over HTTP with Kryo bodies. */
 public final class Peers {
-  /** A status with the time it came in. */
-  public record Heard(PeerStatus status, long atMicros) {}
-
   private static final String PATH = "/peer";
-  private static final long EVERY_MICROS = 1_000_000;
+  private static final long INTERVAL_MICROS = 1_000_000;
   private static final long TIMEOUT_MICROS = 2_000_000;
 
+  private record HeardStatus(PeerStatus status, long receivedMicros) {}
+
   private final Loop loop;
   private final Caller caller;
   private final PlatformConfiguration platform;
-  private final Supplier<PeerStatus> own;
-  private final Consumer<PeerStatus> news;
+  private final Supplier<PeerStatus> ownStatus;
+  private final Consumer<PeerStatus> listener;
   private final PeerStatus.Codec codec = new PeerStatus.Codec();
-  private final Map<String, Heard> heard = new HashMap<>();
+  private final Map<String, HeardStatus> heardByLabel = new HashMap<>();
 
-  /** Exchanges status with these controllers. */
+  /**
+   * Exchanges status with the platform's other controllers.
+   *
+   * @param ownStatus what the others are told
+   * @param listener takes each status that another controller sends
+   */
   public Peers(
       Loop loop,
       Caller caller,
       PlatformConfiguration platform,
-      Supplier<PeerStatus> own,
-      Consumer<PeerStatus> news) {
-    this.news = news;
+      Supplier<PeerStatus> ownStatus,
+      Consumer<PeerStatus> listener) {
     this.loop = loop;
     this.caller = caller;
     this.platform = platform;
-    this.own = own;
+    this.ownStatus = ownStatus;
+    this.listener = listener;
   }
 
+  /** Tells the others at a fixed interval. */
   public RecurringTask recurringTask() {
-    return new RecurringTask("peers", loop, this::tell);
+    return new RecurringTask("peers", loop, this::sendStatus);
   }
 
-  private long tell() {
-    byte[] body = codec.write(own.get());
+  private long sendStatus() {
+    byte[] body = codec.write(ownStatus.get());
     for (PlatformConfiguration.Seed seed : platform.seeds()) {
       caller.call(seed.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
     }
-    return EVERY_MICROS;
+    return INTERVAL_MICROS;
   }
 
   /** Takes a request on the peers' listener. */
@@ -61,20 +67,34 @@
       out.error(HttpStatus.NOT_FOUND, "no such path");
       return;
     }
-    PeerStatus peerStatus = codec.read(body);
-    if (peerStatus == null
-        || platform.seeds().stream().noneMatch(p -> p.label().equals(peerStatus.label()))) {
+    Optional<PeerStatus> status = read(body).filter(this::isOfPeer);
+    if (status.isEmpty()) {
       out.error(HttpStatus.BAD_REQUEST, "not a peer's status");
       return;
     }
-    heard.put(peerStatus.label(), new Heard(peerStatus, loop.nowMicros()));
-    news.accept(peerStatus);
+    heardByLabel.put(status.get().label(), new HeardStatus(status.get(), loop.nowMicros()));
+    listener.accept(status.get());
     out.send(HttpStatus.OK, "{}");
   }
 
-  /** Statuses not older than this. */
+  private Optional<PeerStatus> read(byte[] body) {
+    try {
+      return Optional.of(codec.read(body));
+    } catch (UnreadablePeerStatusException e) {
+      return Optional.empty();
+    }
+  }
+
+  private boolean isOfPeer(PeerStatus status) {
+    return platform.seeds().stream().anyMatch(seed -> seed.label().equals(status.label()));
+  }
+
+  /** The last status of each controller that was heard of in so many microseconds. */
   public List<PeerStatus> heardWithin(long micros) {
     long from = loop.nowMicros() - micros;
-    return heard.values().stream().filter(h -> h.atMicros >= from).map(Heard::status).toList();
+    return heardByLabel.values().stream()
+        .filter(heard -> heard.receivedMicros() >= from)
+        .map(HeardStatus::status)
+        .toList();
   }
 }
