--- a/src/main/java/plumlever/http/Caller.java
+++ b/src/main/java/plumlever/http/Caller.java
@@ -2,10 +2,13 @@
 
 import plumlever.settings.Endpoint;
 
-/** Outgoing requests. The answer is given on the loop, exactly once. */
+/** Sends requests. The answer is handed over on the loop, exactly once. */
 public interface Caller {
   /**
+   * Sends one request, without repeating it.
+   *
    * @param body null for none
+   * @param timeoutMicros after which it counts as unanswered
    */
   void call(
       Endpoint to,
@@ -18,8 +21,11 @@
   /** Takes what came of a request. */
   interface ResponseHandler {
     /**
+     * Takes the response.
+     *
      * @param status 0 when there was no response: the request may have been executed or may still
      *     be
+     * @param body empty for none
      */
     void handle(int status, byte[] body);
   }
--- /dev/null
+++ b/src/main/java/plumlever/http/ConnectionPool.java
@@ -0,0 +1,101 @@
+package plumlever.http;
+
+import io.undertow.client.ClientConnection;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.xnio.IoUtils;
+import plumlever.settings.Endpoint;
+
+/** The connections to one address, and the calls that wait for one. */
+final class ConnectionPool {
+  private static final int MAX_CONNECTIONS = 12;
+  private static final int MAX_WAITING_CALLS = 64;
+
+  private final Endpoint endpoint;
+  private final IdleConnections idle;
+  private final Consumer<ConnectionPool> unused;
+  private final Deque<ClientConnection> kept = new ArrayDeque<>();
+  private final Deque<OutgoingCall> waiting = new ArrayDeque<>();
+  private int inUse;
+
+  /**
+   * @param unused told when nothing is open, kept or waiting any more
+   */
+  ConnectionPool(Endpoint endpoint, IdleConnections idle, Consumer<ConnectionPool> unused) {
+    this.endpoint = endpoint;
+    this.idle = idle;
+    this.unused = unused;
+  }
+
+  Endpoint endpoint() {
+    return endpoint;
+  }
+
+  /** Begins the call, now or when a connection is free; gives it up where too many wait. */
+  void submit(OutgoingCall call) {
+    if (inUse < MAX_CONNECTIONS) {
+      inUse++;
+      call.begin();
+    } else if (waiting.size() < MAX_WAITING_CALLS) {
+      waiting.add(call);
+    } else {
+      call.giveUp();
+    }
+  }
+
+  /** A kept connection that is still open, for a call that has begun. */
+  Optional<ClientConnection> takeKept() {
+    ClientConnection connection;
+    while ((connection = kept.poll()) != null) {
+      idle.remove(connection);
+      if (connection.isOpen()) {
+        return Optional.of(connection);
+      }
+      IoUtils.safeClose(connection);
+    }
+    return Optional.empty();
+  }
+
+  /**
+   * A call that had begun has ended.
+   *
+   * @param reusable its connection, if it can be used again
+   */
+  void release(Optional<ClientConnection> reusable) {
+    inUse--;
+    reusable.filter(ClientConnection::isOpen).ifPresent(this::keep);
+    beginWaiting();
+    reportIfUnused();
+  }
+
+  private void keep(ClientConnection connection) {
+    kept.push(connection);
+    idle.add(connection, this);
+  }
+
+  private void beginWaiting() {
+    while (!waiting.isEmpty() && inUse < MAX_CONNECTIONS) {
+      OutgoingCall next = waiting.poll();
+      if (!next.finished()) {
+        inUse++;
+        next.begin();
+      }
+    }
+  }
+
+  /** Closes a kept connection. */
+  void evict(ClientConnection connection) {
+    kept.remove(connection);
+    IoUtils.safeClose(connection);
+    reportIfUnused();
+  }
+
+  /** Machines come and go; what was kept for their addresses goes as well. */
+  private void reportIfUnused() {
+    if (inUse == 0 && kept.isEmpty() && waiting.isEmpty()) {
+      unused.accept(this);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -0,0 +1,222 @@
+package plumlever.http;
+
+import io.undertow.client.ClientCallback;
+import io.undertow.client.ClientConnection;
+import io.undertow.client.ClientExchange;
+import io.undertow.client.ClientRequest;
+import io.undertow.connector.PooledByteBuffer;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.xnio.IoUtils;
+import org.xnio.channels.StreamSinkChannel;
+import org.xnio.channels.StreamSourceChannel;
+import plumlever.concurrent.Loop;
+
+/** One request with its answer; its handler is called exactly once. */
+final class OutgoingCall {
+  private static final Logger LOG = LoggerFactory.getLogger(OutgoingCall.class);
+  private static final int MAX_BODY_BYTES = 8 << 20;
+  private static final int USUAL_BODY_BYTES = 512;
+  private static final byte[] NO_BODY = new byte[0];
+
+  private final ConnectionFactory connections;
+  private final ConnectionPool pool;
+  private final String method;
+  private final String path;
+  private final byte[] body;
+  private final Caller.ResponseHandler handler;
+  private Optional<Loop.Timer> timeout = Optional.empty();
+  private Optional<ClientConnection> connection = Optional.empty();
+  private boolean begun;
+  private boolean finished;
+
+  /**
+   * @param body null for none
+   */
+  OutgoingCall(
+      ConnectionFactory connections,
+      ConnectionPool pool,
+      String method,
+      String path,
+      byte[] body,
+      Caller.ResponseHandler handler) {
+    this.connections = connections;
+    this.pool = pool;
+    this.method = method;
+    this.path = path;
+    this.body = body;
+    this.handler = handler;
+  }
+
+  /** The timer is cancelled when the call finishes. */
+  void timeOutWith(Loop.Timer timer) {
+    timeout = Optional.of(timer);
+  }
+
+  boolean finished() {
+    return finished;
+  }
+
+  /** The pool has a connection free for this call. */
+  void begin() {
+    begun = true;
+    Optional<ClientConnection> kept = pool.takeKept();
+    if (kept.isPresent()) {
+      send(kept.get());
+    } else {
+      connections.connect(
+          pool.endpoint(),
+          callback(
+              this::connected,
+              failure -> {
+                LOG.debug("no connection to {}: {}", pool.endpoint(), failure.toString());
+                giveUp();
+              }));
+    }
+  }
+
+  private void connected(ClientConnection opened) {
+    if (finished) {
+      // Given up while connecting; the pool has its place back already, so the connection is
+      // closed.
+      IoUtils.safeClose(opened);
+    } else {
+      send(opened);
+    }
+  }
+
+  private void send(ClientConnection over) {
+    connection = Optional.of(over);
+    over.sendRequest(request(), callback(this::sent, this::fail));
+  }
+
+  private ClientRequest request() {
+    ClientRequest request = new ClientRequest().setMethod(new HttpString(method)).setPath(path);
+    request.getRequestHeaders().put(Headers.HOST, pool.endpoint().toString());
+    if (body != null) {
+      request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
+      request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
+    } else if (!method.equals("GET")) {
+      request.getRequestHeaders().put(Headers.CONTENT_LENGTH, 0);
+    }
+    return request;
+  }
+
+  private void sent(ClientExchange exchange) {
+    exchange.setResponseListener(callback(this::receive, this::fail));
+    if (body != null && body.length > 0) {
+      write(exchange.getRequestChannel(), ByteBuffer.wrap(body));
+    }
+  }
+
+  private static <T> ClientCallback<T> callback(
+      Consumer<T> completed, Consumer<IOException> failed) {
+    return new ClientCallback<>() {
+      @Override
+      public void completed(T result) {
+        completed.accept(result);
+      }
+
+      @Override
+      public void failed(IOException failure) {
+        failed.accept(failure);
+      }
+    };
+  }
+
+  private void write(StreamSinkChannel channel, ByteBuffer data) {
+    try {
+      while (data.hasRemaining()) {
+        if (channel.write(data) == 0) {
+          channel.getWriteSetter().set(writable -> write(writable, data));
+          channel.resumeWrites();
+          return;
+        }
+      }
+      channel.shutdownWrites();
+      if (!channel.flush()) {
+        channel.getWriteSetter().set(this::flush);
+        channel.resumeWrites();
+      }
+    } catch (IOException e) {
+      fail(e);
+    }
+  }
+
+  private void flush(StreamSinkChannel channel) {
+    try {
+      if (channel.flush()) {
+        channel.suspendWrites();
+      }
+    } catch (IOException e) {
+      fail(e);
+    }
+  }
+
+  private void receive(ClientExchange exchange) {
+    int status = exchange.getResponse().getResponseCode();
+    read(exchange.getResponseChannel(), new ByteArrayOutputStream(USUAL_BODY_BYTES), status);
+  }
+
+  private void read(StreamSourceChannel channel, ByteArrayOutputStream received, int status) {
+    try (PooledByteBuffer pooled = connections.allocateBuffer()) {
+      ByteBuffer buffer = pooled.getBuffer();
+      while (true) {
+        buffer.clear();
+        int count = channel.read(buffer);
+        if (count < 0) {
+          finish(status, received.toByteArray(), connection);
+          return;
+        }
+        if (count == 0) {
+          channel.getReadSetter().set(readable -> read(readable, received, status));
+          channel.resumeReads();
+          return;
+        }
+        buffer.flip();
+        received.write(
+            buffer.array(), buffer.arrayOffset() + buffer.position(), buffer.remaining());
+        if (received.size() > MAX_BODY_BYTES) {
+          throw new IOException("response is too long");
+        }
+      }
+    } catch (IOException e) {
+      fail(e);
+    }
+  }
+
+  private void fail(IOException failure) {
+    LOG.debug("{} {} at {} got no answer: {}", method, path, pool.endpoint(), failure.toString());
+    giveUp();
+  }
+
+  /** There is no answer; whether the request is executed is unknown. */
+  void giveUp() {
+    finish(0, NO_BODY, Optional.empty());
+  }
+
+  /**
+   * @param reusable the connection, if it can be used again
+   */
+  private void finish(int status, byte[] data, Optional<ClientConnection> reusable) {
+    if (finished) {
+      return;
+    }
+    finished = true;
+    timeout.ifPresent(Loop.Timer::cancel);
+    if (begun) {
+      if (reusable.isEmpty()) {
+        connection.ifPresent(IoUtils::safeClose);
+      }
+      pool.release(reusable);
+    }
+    handler.handle(status, data);
+  }
+}
