--- a/src/main/java/plumlever/http/Responder.java
+++ b/src/main/java/plumlever/http/Responder.java
@@ -1,9 +1,13 @@
 package plumlever.http;
 
-/** Answers one incoming request, once. */
+import plumlever.wire.Json;
+
+/** Answers one incoming request, once; what is sent after that is dropped. */
 public interface Responder {
   /**
-   * @param retryAfterS 0 for none
+   * Sends the answer.
+   *
+   * @param retryAfterS when to ask again, as a header; 0 for none
    */
   void send(int status, String json, int retryAfterS);
 
@@ -15,7 +19,7 @@
   /** The connection ends with the answer, so that its user finds another controller. */
   default void closeConnection() {}
 
-  /** True when connections are short: one that can be done without is better closed. */
+  /** True when connections are scarce: one that can be done without is better closed. */
   default boolean connectionsScarce() {
     return false;
   }
@@ -24,15 +28,13 @@
     send(status, json, 0);
   }
 
+  /** Refuses the request for good. */
   default void error(int status, String reason) {
-    send(status, plumlever.wire.Json.write(plumlever.wire.Json.object().put("error", reason)), 0);
+    retryLater(status, reason, 0);
   }
 
   /** For what can't be taken now: tells when to come back. */
   default void retryLater(int status, String reason, int retryAfterS) {
-    send(
-        status,
-        plumlever.wire.Json.write(plumlever.wire.Json.object().put("error", reason)),
-        retryAfterS);
+    send(status, Json.write(Json.object().put("error", reason)), retryAfterS);
   }
 }
--- a/src/main/java/plumlever/http/Server.java
+++ b/src/main/java/plumlever/http/Server.java
@@ -7,6 +7,8 @@
 import io.undertow.server.RequestTooBigException;
 import io.undertow.util.Headers;
 import io.undertow.util.SameThreadExecutor;
+import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.slf4j.Logger;
@@ -16,30 +18,41 @@
 import plumlever.settings.Endpoint;
 import plumlever.wire.HttpStatus;
 
-/** Undertow listeners that hand whole requests to a handler on the loop. */
+/** An Undertow listener that hands whole requests to a handler on the loop. */
 public final class Server implements AutoCloseable {
   /** Takes requests, on the loop. */
   public interface RequestHandler {
+    /**
+     * Takes one request, to be answered now or later.
+     *
+     * @param path with the query, if there is one
+     * @param body empty for none
+     */
     void handle(String method, String path, byte[] body, Responder responder);
   }
 
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
+  /** From this share of the connections on they are scarce. */
+  public static final double SCARCE_CONNECTIONS_SHARE = 0.9;
+
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
   /** All workers of a controller that ends come over within a second or two. */
   private static final int BACKLOG = 8 * 1024;
 
-  /** From this part of the connections on they are short. */
-  public static final double SCARCE_CONNECTIONS_SHARE = 0.9;
-
-  private static final int PARSE_MS = 10_000;
+  private static final int PARSE_TIMEOUT_MS = 10_000;
+  private static final int BUFFER_BYTES = 8 * 1024;
+  private static final int MAX_HEADER_BYTES = 16 * 1024;
 
   private final Undertow undertow;
+  private final RequestHandler handler;
   private final int scarceFrom;
   private ConnectorStatistics statistics;
 
   /**
+   * A listener that does nothing until it is started.
+   *
    * @param idleMicros a connection silent for longer is taken for dead: machines that are taken
    *     away close none
    */
@@ -48,31 +61,33 @@
       Endpoint at,
       int maxConnections,
       long idleMicros,
-      long maxBody,
+      long maxBodyBytes,
       RequestHandler handler) {
+    this.handler = handler;
+    this.scarceFrom = (int) (maxConnections * SCARCE_CONNECTIONS_SHARE);
     int idleMs = (int) (idleMicros / 1_000);
-    scarceFrom = (int) (maxConnections * SCARCE_CONNECTIONS_SHARE);
-    undertow =
+    this.undertow =
         Undertow.builder()
             .setWorker(worker)
-            .setBufferSize(8 * 1024)
+            .setBufferSize(BUFFER_BYTES)
             .setDirectBuffers(false)
             .addHttpListener(at.port(), at.host())
-            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, maxBody)
+            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, maxBodyBytes)
             .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMs)
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
-            .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_MS)
-            .setServerOption(UndertowOptions.MAX_HEADER_SIZE, 16 * 1024)
+            .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_TIMEOUT_MS)
+            .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
             .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
             .setServerOption(UndertowOptions.RECORD_REQUEST_START_TIME, false)
             .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
             .setSocketOption(Options.BACKLOG, BACKLOG)
             .setSocketOption(Options.CONNECTION_HIGH_WATER, maxConnections)
             .setSocketOption(Options.CONNECTION_LOW_WATER, maxConnections)
-            .setHandler(exchange -> receive(exchange, handler))
+            .setHandler(this::receive)
             .build();
   }
 
+  /** Begins to accept connections. */
   public void start() {
     undertow.start();
     statistics = undertow.getListenerInfo().get(0).getConnectorStatistics();
@@ -85,7 +100,7 @@
 
   /** The port in use, for a listener that was started on port 0. */
   public int port() {
-    return ((java.net.InetSocketAddress) undertow.getListenerInfo().get(0).getAddress()).getPort();
+    return ((InetSocketAddress) undertow.getListenerInfo().get(0).getAddress()).getPort();
   }
 
   @Override
@@ -93,43 +108,46 @@
     undertow.stop();
   }
 
-  private void receive(HttpServerExchange exchange, RequestHandler handler) {
+  private void receive(HttpServerExchange exchange) {
     if (exchange.getRequestContentLength() > exchange.getMaxEntitySize()) {
-      exchange.setPersistent(false);
-      new ExchangeResponder(exchange).error(HttpStatus.PAYLOAD_TOO_LARGE, "the body is too long");
+      refuse(exchange, HttpStatus.PAYLOAD_TOO_LARGE, "the body is too long");
       return;
     }
-    exchange
-        .getRequestReceiver()
-        .receiveFullBytes(
-            (ex, body) ->
-                ex.dispatch(
-                    SameThreadExecutor.INSTANCE,
-                    () -> {
-                      Responder responder = new ExchangeResponder(ex);
-                      try {
-                        String query = ex.getQueryString();
-                        handler.handle(
-                            ex.getRequestMethod().toString(),
-                            query.isEmpty()
-                                ? ex.getRequestPath()
-                                : ex.getRequestPath() + "?" + query,
-                            body,
-                            responder);
-                      } catch (RuntimeException e) {
-                        LOG.error("{} {} failed", ex.getRequestMethod(), ex.getRequestPath(), e);
-                        responder.retryLater(HttpStatus.UNAVAILABLE, "internal error", 1);
-                      }
-                    }),
-            (ex, e) -> {
-              ex.setPersistent(false);
-              new ExchangeResponder(ex)
-                  .error(
-                      e instanceof RequestTooBigException
-                          ? HttpStatus.PAYLOAD_TOO_LARGE
-                          : HttpStatus.BAD_REQUEST,
-                      "the body can't be read");
-            });
+    exchange.getRequestReceiver().receiveFullBytes(this::received, this::unreadable);
+  }
+
+  private void received(HttpServerExchange exchange, byte[] body) {
+    exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handle(exchange, body));
+  }
+
+  private void handle(HttpServerExchange exchange, byte[] body) {
+    Responder responder = new ExchangeResponder(exchange);
+    try {
+      handler.handle(
+          exchange.getRequestMethod().toString(), pathAndQuery(exchange), body, responder);
+    } catch (RuntimeException e) {
+      LOG.error("{} {} failed", exchange.getRequestMethod(), exchange.getRequestPath(), e);
+      responder.retryLater(HttpStatus.UNAVAILABLE, "internal error", 1);
+    }
+  }
+
+  private static String pathAndQuery(HttpServerExchange exchange) {
+    String query = exchange.getQueryString();
+    return query.isEmpty() ? exchange.getRequestPath() : exchange.getRequestPath() + "?" + query;
+  }
+
+  private void unreadable(HttpServerExchange exchange, IOException failure) {
+    int status =
+        failure instanceof RequestTooBigException
+            ? HttpStatus.PAYLOAD_TOO_LARGE
+            : HttpStatus.BAD_REQUEST;
+    refuse(exchange, status, "the body can't be read");
+  }
+
+  /** What is left of the request is not read, so the connection can't be used again. */
+  private void refuse(HttpServerExchange exchange, int status, String reason) {
+    exchange.setPersistent(false);
+    new ExchangeResponder(exchange).error(status, reason);
   }
 
   private final class ExchangeResponder implements Responder {
--- a/src/main/java/plumlever/http/XnioLoop.java
+++ b/src/main/java/plumlever/http/XnioLoop.java
@@ -17,6 +17,7 @@
 
   private final XnioIoThread thread;
 
+  /** Runs everything on this thread. */
   public XnioLoop(XnioIoThread thread) {
     this.thread = thread;
   }
@@ -34,20 +35,16 @@
   @Override
   public Timer after(long delayMicros, Runnable action) {
     if (delayMicros <= 0) {
-      boolean[] off = new boolean[1];
-      execute(
-          () -> {
-            if (!off[0]) {
-              action.run();
-            }
-          });
-      return () -> off[0] = true;
+      CancellableAction cancellable = new CancellableAction(action);
+      execute(cancellable);
+      return cancellable;
     }
     try {
       XnioExecutor.Key key = thread.executeAfter(action, delayMicros, TimeUnit.MICROSECONDS);
       return key::remove;
     } catch (RejectedExecutionException e) {
-      return ending(e);
+      logDropped(e);
+      return () -> {};
     }
   }
 
@@ -56,13 +53,34 @@
     try {
       thread.execute(action);
     } catch (RejectedExecutionException e) {
-      ending(e);
+      logDropped(e);
     }
   }
 
-  /** Calls that break as the process stops have nobody left to tell. */
-  private static Timer ending(RejectedExecutionException rejectedExecutionException) {
-    LOG.debug("dropped, the thread is ending: {}", rejectedExecutionException.toString());
-    return () -> {};
+  /** Actions that are due after the process has begun to stop have nobody left to tell. */
+  private static void logDropped(RejectedExecutionException rejection) {
+    LOG.debug("dropped, the thread is ending: {}", rejection.toString());
+  }
+
+  /** An action that is due at once, and has no timer that could be removed. */
+  private static final class CancellableAction implements Runnable, Timer {
+    private final Runnable action;
+    private boolean cancelled;
+
+    CancellableAction(Runnable action) {
+      this.action = action;
+    }
+
+    @Override
+    public void run() {
+      if (!cancelled) {
+        action.run();
+      }
+    }
+
+    @Override
+    public void cancel() {
+      cancelled = true;
+    }
   }
 }
