--- /dev/null
+++ b/src/test/java/plumlever/http/RequestAdmissionTest.java
@@ -0,0 +1,126 @@
+package plumlever.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import plumlever.concurrent.Loop;
+import plumlever.metrics.Logs;
+import plumlever.metrics.Metrics;
+import plumlever.wire.ForwardedRequest;
+
+/** Users' requests are bounded, and refused at once where they can't be taken. */
+final class RequestAdmissionTest {
+  private static final int MAX_OPEN_REQUESTS = 256;
+
+  private final Metrics metrics = new Metrics(Logs.SERVICE);
+  private boolean ineligible;
+  private final RequestAdmission admission =
+      new RequestAdmission(new StoppedClock(), metrics, new Health());
+  private final List<Integer> sentStatuses = new ArrayList<>();
+  private int retryAfterS;
+
+  private Optional<UserRequest> admit() {
+    return admission.admit(
+        "poll",
+        new ForwardedRequest("GET", "/a", ""),
+        (status, json, retry) -> {
+          sentStatuses.add(status);
+          retryAfterS = retry;
+        });
+  }
+
+  private List<UserRequest> admitUpToTheBound() {
+    List<UserRequest> open = new ArrayList<>();
+    for (int i = 0; i < MAX_OPEN_REQUESTS; i++) {
+      admit().ifPresent(open::add);
+    }
+    return open;
+  }
+
+  @Test
+  void admitsRequestsUpToTheBound() {
+    List<UserRequest> open = admitUpToTheBound();
+
+    assertEquals(MAX_OPEN_REQUESTS, open.size());
+    assertEquals(List.of(), sentStatuses);
+  }
+
+  @Test
+  void refusesRequestsBeyondTheBoundWithTheTimeToComeBack() {
+    admitUpToTheBound();
+
+    assertTrue(admit().isEmpty());
+
+    assertEquals(List.of(503), sentStatuses);
+    assertTrue(retryAfterS > 0, "Retry-After");
+    assertEquals(1, metrics.counted("users_turned_away"));
+  }
+
+  @Test
+  void admitsARequestOnceAnotherIsAnswered() {
+    List<UserRequest> open = admitUpToTheBound();
+
+    open.get(0).send(200, "{}");
+
+    assertTrue(admit().isPresent());
+  }
+
+  @Test
+  void refusesRequestsWhileTheControllerMayNotAnswer() {
+    ineligible = true;
+
+    assertTrue(admit().isEmpty());
+
+    assertEquals(List.of(503), sentStatuses);
+  }
+
+  @Test
+  void countsARequestThatIsRefusedLater() {
+    admit().orElseThrow().retryLater(503, "not now", 1);
+
+    assertEquals(1, metrics.counted("poll_refused"));
+  }
+
+  private final class Health implements ServingHealth {
+    @Override
+    public boolean canTakeRequests() {
+      return true;
+    }
+
+    @Override
+    public boolean isRefusedAlone() {
+      return false;
+    }
+
+    @Override
+    public boolean ineligible() {
+      return ineligible;
+    }
+  }
+
+  private static final class StoppedClock implements Loop {
+    @Override
+    public long nowMicros() {
+      return 0;
+    }
+
+    @Override
+    public long wallMicros() {
+      return 0;
+    }
+
+    @Override
+    public Timer after(long delayMicros, Runnable action) {
+      throw new UnsupportedOperationException("admission starts no timer");
+    }
+
+    @Override
+    public void execute(Runnable action) {
+      action.run();
+    }
+  }
+}
--- a/src/test/java/plumlever/http/ServerTest.java
+++ b/src/test/java/plumlever/http/ServerTest.java
@@ -1,15 +1,18 @@
 package plumlever.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.undertow.server.DefaultByteBufferPool;
+import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -21,13 +24,22 @@
 
 /** A real round trip on loopback, through the server and the client the service uses. */
 final class ServerTest {
+  private static final int MAX_CONNECTIONS = 50;
+  private static final long IDLE_MICROS = 20_000_000;
+  private static final long TIMEOUT_MICROS = 5_000_000;
+  private static final long SHORT_TIMEOUT_MICROS = 200_000;
+  private static final byte[] NO_BODY = new byte[0];
+
+  /** More than a pool has connections, so that some are used again. */
+  private static final int MANY_REQUESTS = 20;
+
   private XnioWorker worker;
   private XnioLoop loop;
   private UndertowCaller caller;
   private Server server;
 
   @BeforeEach
-  void start() throws Exception {
+  void start() throws IOException {
     worker =
         Xnio.getInstance()
             .createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1).getMap());
@@ -39,26 +51,10 @@
         new Server(
             worker,
             new Endpoint("127.0.0.1", 0),
-            50,
-            20_000_000,
+            MAX_CONNECTIONS,
+            IDLE_MICROS,
             Server.MAX_BODY_BYTES,
-            (method, path, body, out) -> {
-              if (path.equals("/never")) {
-                return;
-              }
-              if (path.equals("/crowded")) {
-                out.send(200, String.valueOf(out.connectionsScarce()));
-                return;
-              }
-              // Answered later, as most requests are.
-              loop.after(
-                  1_000,
-                  () ->
-                      out.send(
-                          path.equals("/later") ? 503 : 200,
-                          method + " " + path + " " + body.length,
-                          1));
-            });
+            this::answer);
     server.start();
   }
 
@@ -68,7 +64,23 @@
     worker.shutdownNow();
   }
 
-  private String call(String method, String path, byte[] body, long timeout) throws Exception {
+  /** Echoes what came; two paths have a meaning of their own. */
+  private void answer(String method, String path, byte[] body, Responder out) {
+    switch (path) {
+      case "/unanswered" -> {}
+      case "/scarce" -> out.send(200, String.valueOf(out.connectionsScarce()));
+      default -> {
+        int status = path.equals("/unavailable") ? 503 : 200;
+        String echo = method + " " + path + " " + body.length;
+        // Answered later, as most requests are.
+        loop.after(1_000, () -> out.send(status, echo, 1));
+      }
+    }
+  }
+
+  /** The status with the body of the answer. */
+  private String call(String method, String path, byte[] body, long timeoutMicros)
+      throws InterruptedException, ExecutionException, TimeoutException {
     CompletableFuture<String> done = new CompletableFuture<>();
     loop.execute(
         () ->
@@ -77,19 +89,39 @@
                 method,
                 path,
                 body,
-                timeout,
+                timeoutMicros,
                 (status, data) ->
                     done.complete(status + " " + new String(data, StandardCharsets.UTF_8))));
     return done.get(10, TimeUnit.SECONDS);
   }
 
+  private String get(String path)
+      throws InterruptedException, ExecutionException, TimeoutException {
+    return call("GET", path, null, TIMEOUT_MICROS);
+  }
+
+  private String post(String path, byte[] body)
+      throws InterruptedException, ExecutionException, TimeoutException {
+    return call("POST", path, body, TIMEOUT_MICROS);
+  }
+
+  @Test
+  void carriesPathAndQueryOfEachRequest() throws Exception {
+    for (int i = 0; i < MANY_REQUESTS; i++) {
+      assertEquals("200 GET /a?b=c 0", get("/a?b=c"));
+    }
+  }
+
   @Test
-  void carriesRequestsAndAnswers() throws Exception {
-    for (int i = 0; i < 20; i++) {
-      assertEquals("200 GET /a?b=c 0", call("GET", "/a?b=c", null, 5_000_000));
-      assertEquals("200 POST /p 50000", call("POST", "/p", new byte[50_000], 5_000_000));
+  void carriesTheWholeBodyOfEachRequest() throws Exception {
+    for (int i = 0; i < MANY_REQUESTS; i++) {
+      assertEquals("200 POST /p 50000", post("/p", new byte[50_000]));
     }
-    assertEquals("503 POST /later 0", call("POST", "/later", new byte[0], 5_000_000));
+  }
+
+  @Test
+  void carriesTheStatusOfAnAnswer() throws Exception {
+    assertEquals("503 POST /unavailable 0", post("/unavailable", NO_BODY));
   }
 
   /**
@@ -98,18 +130,13 @@
    */
   @Test
   void knowsWhenConnectionsAreShort() throws Exception {
-    assertEquals("200 false", call("GET", "/crowded", null, 5_000_000));
+    assertEquals("200 false", get("/scarce"));
     List<Socket> open = new ArrayList<>();
     try {
       for (int i = 0; i < 46; i++) {
-        Socket socket = new Socket("127.0.0.1", server.port());
-        open.add(socket);
-        socket
-            .getOutputStream()
-            .write("GET /a HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        assertEquals('H', socket.getInputStream().read());
+        open.add(connectionInUse());
       }
-      assertEquals("200 true", call("GET", "/crowded", null, 5_000_000));
+      assertEquals("200 true", get("/scarce"));
     } finally {
       for (Socket socket : open) {
         socket.close();
@@ -117,13 +144,35 @@
     }
   }
 
+  private Socket connectionInUse() throws IOException {
+    Socket socket = new Socket("127.0.0.1", server.port());
+    socket
+        .getOutputStream()
+        .write("GET /a HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+    assertEquals('H', socket.getInputStream().read());
+    return socket;
+  }
+
+  @Test
+  void refusesABodyThatIsTooLong() throws Exception {
+    String answer = post("/p", new byte[Server.MAX_BODY_BYTES + 1]);
+    assertTrue(answer.startsWith("413"), answer);
+  }
+
+  @Test
+  void servesRequestsAfterABodyThatWasTooLong() throws Exception {
+    post("/p", new byte[Server.MAX_BODY_BYTES + 1]);
+    assertEquals("200 GET /a 0", get("/a"));
+  }
+
+  @Test
+  void givesUpAnUnansweredRequestInTime() throws Exception {
+    assertEquals("0 ", call("GET", "/unanswered", null, SHORT_TIMEOUT_MICROS));
+  }
+
   @Test
-  void refusesLongBodiesAndGivesUpInTime() throws Exception {
-    byte[] big = new byte[Server.MAX_BODY_BYTES + 1];
-    Arrays.fill(big, (byte) 'x');
-    String answer = call("POST", "/p", big, 5_000_000);
-    assertEquals("413", answer.substring(0, 3));
-    assertEquals("0 ", call("GET", "/never", null, 200_000));
-    assertEquals("200 GET /again 0", call("GET", "/again", null, 5_000_000));
+  void servesRequestsAfterAnUnansweredOne() throws Exception {
+    call("GET", "/unanswered", null, SHORT_TIMEOUT_MICROS);
+    assertEquals("200 GET /a 0", get("/a"));
   }
 }
