--- a/src/main/java/plumlever/http/package-info.java
+++ b/src/main/java/plumlever/http/package-info.java
@@ -1,7 +1,9 @@
 /**
- * The HTTP server, the outgoing client, and the answers to users and workers.
+ * HTTP in both directions: the server, the outgoing client, and the answers to users, workers and
+ * other cells' controllers.
  *
- * <p>Answers from the state service and from the leader of the day, which it is handed; keeps no
- * decision state.
+ * <p>Answers come from the state service and from the leader, which it is handed for each request;
+ * it must keep no decision state, and must not know how the leader decides. No answer but a job's
+ * final state may rest on a read that began before its request came in.
  */
 package plumlever.http;
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -15,8 +15,8 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * What a leader has to know of the pool that its machines belong to. Without a pool all machines
- * are its own, and nothing is asked or stored.
+ * What a leader has to know of the pool that its machines belong to. The defaults hold without a
+ * pool: all machines are its own, and nothing is read or stored.
  */
 public interface MachineSharing {
   /** A leader that has all machines for itself. */
@@ -35,7 +35,11 @@
     return !inPool();
   }
 
-  /** The records of the pool were read after the term had been taken. */
+  /**
+   * Takes the records of the pool, read after the term had been taken.
+   *
+   * @param askedMicros when the read had been sent
+   */
   default void poolRecordsRead(StateClient.Listing pool, long askedMicros) {}
 
   /** True if a machine that the cloud lists is this cell's. */
@@ -57,12 +61,20 @@
     return false;
   }
 
-  /** Makes rented machines this cell's own; each is handed on once that is on record. */
-  default void claimRented(List<String> machines, Consumer<String> own) {
-    machines.forEach(own);
+  /**
+   * Makes rented machines this cell's own.
+   *
+   * @param claimed takes each machine once it is on record as this cell's
+   */
+  default void claimRented(List<String> machines, Consumer<String> claimed) {
+    machines.forEach(claimed);
   }
 
-  /** Has it recorded that these machines are to be returned; then nobody else can own them. */
+  /**
+   * Has it recorded that these machines are to be returned.
+   *
+   * @param recorded runs once that is stored; from then on nobody else can own them
+   */
   default void recordReturns(List<Machine> machines, Runnable recorded) {
     recorded.run();
   }
@@ -75,7 +87,7 @@
     return false;
   }
 
-  /** A heartbeat of the machine was taken in. */
+  /** A heartbeat of one of this cell's machines was applied to what the leader knows. */
   default void heartbeatApplied(Machine machine, Heartbeat heartbeat) {}
 
   /** What is known of the jobs of other cells whose tasks may be on the machine. */
@@ -88,10 +100,10 @@
     return List.of();
   }
 
-  /** The lease of the machine has surely lapsed. */
+  /** The lease of the machine has surely expired: none of its tasks can still run. */
   default void leaseExpired(Machine machine) {}
 
-  /** Another cell's leader passes on what a machine of its tells of this cell's tasks. */
+  /** Answers a heartbeat that the leader of the machine's cell passes on for this cell's tasks. */
   default void relayed(RelayedHeartbeat relayed, Responder out) {}
 
   /**
@@ -103,12 +115,12 @@
     return false;
   }
 
-  /** False while what is lacking may still come from other cells. */
+  /** False while capacity that is lacking may still come from other cells. */
   default boolean mayRent() {
     return true;
   }
 
-  /** False while an idle machine may be of use to any cell. */
+  /** False while an idle machine may be of use to some cell. */
   default boolean mayReturnIdle() {
     return true;
   }
@@ -123,5 +135,6 @@
     return new LimitParts.Part(team.cpusMax(), team.gpusMax());
   }
 
+  /** The term has ended: nothing is read or stored any more. */
   default void close() {}
 }
--- a/src/main/java/plumlever/leader/package-info.java
+++ b/src/main/java/plumlever/leader/package-info.java
@@ -1,5 +1,8 @@
 /**
- * One term of the leader: assembles the parts of a term from the packages below and ends them with
- * it. What the parts decide is known there, not here.
+ * One term of the leader: puts its parts together, starts and ends them, decides when scheduling
+ * passes run and when tokens are raised, and takes heartbeats through the checks to their answer.
+ *
+ * <p>What a part decides is known in its own package below, not here; whether machines are shared
+ * with other cells is known here only as {@code MachineSharing}.
  */
 package plumlever.leader;
--- a/src/main/java/plumlever/peer/package-info.java
+++ b/src/main/java/plumlever/peer/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What controllers tell each other, by Kryo over HTTP.
+ * What controllers tell each other of themselves, by Kryo over HTTP. It owns the messages' form,
+ * which former versions read and write too.
  *
- * <p>Advice only: nothing that the rules need may rest on it alone.
+ * <p>Advice only: nothing that the rules need may rest on it alone, and it must not know who leads.
  */
 package plumlever.peer;
