--- a/src/main/java/plumlever/ConfirmedCancellations.java
+++ b/src/main/java/plumlever/ConfirmedCancellations.java
@@ -33,14 +33,14 @@
     leadership.leader().ifPresent(leader -> leader.jobCancelled(uid));
   }
 
-  /** A peer told of cancellations that its users were told of. */
+  /** Another controller has confirmed these cancellations to its users. */
   void confirmedByPeer(PeerStatus status) {
     leadership
         .leader()
         .ifPresent(leader -> leader.cancellationsConfirmed(status.confirmedCancellations()));
   }
 
-  /** What peers are to be told now. */
+  /** The ids of jobs whose cancellation was confirmed here lately, for the peers. */
   List<String> recent() {
     long now = loop.nowMicros();
     confirmedAtMicros.values().removeIf(at -> now - at > TOLD_FOR_MICROS);
--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -73,8 +73,12 @@
   }
 
   /**
-   * @param electionLoop what leadership runs on, with its own way out, so that nothing here delays
+   * A controller that has a loop of its own for leadership.
+   *
+   * @param loop owns all decision state
+   * @param electionLoop what leadership runs on, with its own caller, so that nothing here delays
    *     it
+   * @param seed for the random pauses between candidacies
    */
   public Controller(
       Loop loop,
@@ -99,22 +103,8 @@
     leadership = new Leadership(loop, clients.store(), term -> termContexts().of(term));
     election = createElection();
     cancellations = new ConfirmedCancellations(loop, leadership);
-    ownStatus =
-        new OwnStatus(
-            environment.platform().label(),
-            loop,
-            election,
-            clients.store(),
-            lateness,
-            leadership,
-            cancellations);
-    peers =
-        new Peers(
-            loop,
-            clients.caller(),
-            environment.platform(),
-            ownStatus::current,
-            cancellations::confirmedByPeer);
+    ownStatus = createOwnStatus();
+    peers = createPeers();
     peerReports = new PeerReports(peers, sharing);
     jobRecords = new JobRecordCache(loop, clients.store(), clients.layout(), clients.metrics());
     delegatedRenewal = new DelegatedRenewal(loop, clients.store(), election, environment.logs());
@@ -148,6 +138,26 @@
         environment.logs());
   }
 
+  private OwnStatus createOwnStatus() {
+    return new OwnStatus(
+        environment.platform().label(),
+        environment.loop(),
+        election,
+        clients.store(),
+        lateness,
+        leadership,
+        cancellations);
+  }
+
+  private Peers createPeers() {
+    return new Peers(
+        environment.loop(),
+        clients.caller(),
+        environment.platform(),
+        ownStatus::current,
+        cancellations::confirmedByPeer);
+  }
+
   private RequestRouter createRouter() {
     ServingHealth health =
         new ControllerHealth(
--- a/src/main/java/plumlever/KnownLeader.java
+++ b/src/main/java/plumlever/KnownLeader.java
@@ -5,7 +5,7 @@
 import plumlever.http.LeaderLookup;
 import plumlever.leader.Leader;
 
-/** The leader in this process and, by what the election saw, the one elsewhere. */
+/** The leader in this process, or the one elsewhere that the election has seen. */
 record KnownLeader(Leadership leadership, LeaderElection election) implements LeaderLookup {
   @Override
   public Optional<Leader> actingLeader() {
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -8,19 +8,8 @@
 import plumlever.wire.ProtocolPath;
 
 /** Measures how long this controller works on the answers to its own calls, by kind of call. */
-final class MeteredCaller implements Caller {
-  private final Caller caller;
-  private final Loop loop;
-  private final Metrics metrics;
-  private final PlatformConfiguration platform;
-
-  MeteredCaller(Caller caller, Loop loop, Metrics metrics, PlatformConfiguration platform) {
-    this.caller = caller;
-    this.loop = loop;
-    this.metrics = metrics;
-    this.platform = platform;
-  }
-
+record MeteredCaller(Caller caller, Loop loop, Metrics metrics, PlatformConfiguration platform)
+    implements Caller {
   @Override
   public void call(
       Endpoint to,
--- a/src/main/java/plumlever/PeerReports.java
+++ b/src/main/java/plumlever/PeerReports.java
@@ -7,7 +7,7 @@
 import plumlever.peer.Peers;
 import plumlever.settings.SharingSettings;
 
-/** What other controllers lately told of themselves; advice only. */
+/** The latest status that the other controllers sent of themselves; advice only. */
 final class PeerReports {
   private static final long VALID_MICROS = 3_500_000;
 
@@ -27,7 +27,7 @@
     return peers.heardWithin(VALID_MICROS);
   }
 
-  /** Finished and running tasks of the job, by what the leader elsewhere told. */
+  /** Finished and running tasks of the job, if a leader elsewhere reported them. */
   Optional<TaskCounts> taskCounts(String uid) {
     return peers.heardWithin(COUNTS_VALID_MICROS).stream()
         .filter(PeerStatus::leading)
@@ -36,7 +36,7 @@
         .map(counts -> new TaskCounts(counts[0], counts[1]));
   }
 
-  /** The most workers that another controller of this cell told of. */
+  /** The largest number of workers that another controller of this cell reported. */
   int workersElsewhere() {
     return recent().stream()
         .filter(status -> isOfOwnCell(status.label()))
--- a/src/main/java/plumlever/http/Responder.java
+++ b/src/main/java/plumlever/http/Responder.java
@@ -33,7 +33,7 @@
     retryLater(status, reason, 0);
   }
 
-  /** For what can't be taken now: tells when to come back. */
+  /** Refuses what can't be done now, with the time after which to ask again. */
   default void retryLater(int status, String reason, int retryAfterS) {
     send(status, Json.write(Json.object().put("error", reason)), retryAfterS);
   }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -77,7 +77,7 @@
     return parts.sharing().offerTransfer(machine, cell);
   }
 
-  /** Another cell's leader passes on what a machine of its tells of this cell's tasks. */
+  /** Answers a heartbeat that another cell's leader passes on, for this cell's tasks. */
   public void relayed(RelayedHeartbeat relayed, Responder out) {
     parts.sharing().relayed(relayed, out);
   }
--- a/src/main/java/plumlever/leader/TokenRaiser.java
+++ b/src/main/java/plumlever/leader/TokenRaiser.java
@@ -13,7 +13,7 @@
  * Shows the term's token to machines not accounted for, without waiting for their heartbeats; and
  * now and then to those that nothing seems to reach, whose heartbeats are not answered meanwhile.
  */
-final class TokenRaiser {
+record TokenRaiser(TermContext context, Fleet fleet, Failover failover, CommandSender commands) {
   private static final long FAILOVER_INTERVAL_MICROS = 100_000;
   private static final long UNREACHABLE_INTERVAL_MICROS = 4_000_000;
 
@@ -25,18 +25,6 @@
   /** Enough to find out the machines that are gone. */
   private static final int MAX_CALLS_WHILE_LATE = 6;
 
-  private final TermContext context;
-  private final Fleet fleet;
-  private final Failover failover;
-  private final CommandSender commands;
-
-  TokenRaiser(TermContext context, Fleet fleet, Failover failover, CommandSender commands) {
-    this.context = context;
-    this.fleet = fleet;
-    this.failover = failover;
-    this.commands = commands;
-  }
-
   /** Runs as a recurring task; returns the pause until the next run. */
   long run() {
     long startedMicros = context.loop().nowMicros();
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -34,8 +34,8 @@
  *     failover and heartbeats
  * @param caller sends commands to workers and requests to other cells; used by scheduling and the
  *     pool
- * @param workersElsewhere how many workers report to another controller, by what the others tell;
- *     advice, used by machines
+ * @param workersElsewhere how many workers send heartbeats to another controller, as the others
+ *     say; advice, used by machines
  * @param reader reads what earlier leaders left, not on this thread; used by the recovery read
  * @param latenessMicros how late this thread was lately: what can wait makes way; used by the pace
  *     of scheduling passes and of token raises, and by machines
