--- a/src/main/java/plumlever/http/HeartbeatEndpoint.java
+++ b/src/main/java/plumlever/http/HeartbeatEndpoint.java
@@ -21,6 +21,8 @@
   private final Metrics metrics;
 
   /**
+   * Answers workers by what these know.
+   *
    * @param machineWithoutLeader told the id of each machine that sends a heartbeat while this
    *     controller does not lead
    */
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequests.java
@@ -23,6 +23,8 @@
   private final RequestRouter router;
 
   /**
+   * Takes the requests of a pool's other cells.
+   *
    * @param leader the leader in this process, if there is one
    * @param router answers the requests of users that another cell's controller passes on
    */
--- a/src/main/java/plumlever/http/SubmissionRules.java
+++ b/src/main/java/plumlever/http/SubmissionRules.java
@@ -12,6 +12,7 @@
   private final List<PlatformConfiguration.Team> teams;
   private final PriceBook prices;
 
+  /** Rules by these teams' limits and these machine types, which need not be known yet. */
   public SubmissionRules(List<PlatformConfiguration.Team> teams, PriceBook prices) {
     this.teams = teams;
     this.prices = prices;
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -15,6 +15,8 @@
   private final CancellationHandler cancellations;
 
   /**
+   * Answers users from these services.
+   *
    * @param rules which submissions can be accepted
    * @param cancelled told the id of each job whose user is told that it is cancelled
    * @param counts finished and running tasks of a job, where they are known here
