--- a/src/main/java/plumlever/OwnStatus.java
+++ b/src/main/java/plumlever/OwnStatus.java
@@ -1,11 +1,9 @@
 package plumlever;
 
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.Map;
 import plumlever.concurrent.Loop;
 import plumlever.election.LeaderElection;
-import plumlever.http.TaskCounts;
 import plumlever.leader.Leader;
 import plumlever.peer.PeerStatus;
 import plumlever.store.StateClient;
@@ -58,14 +56,7 @@
         store.refusedForMicros(),
         Math.max(0, lateness.micros()),
         heartbeatAtMicros.size(),
-        counts(),
+        leadership.leader().map(Leader::taskCounts).orElse(Map.of()),
         cancellations.recent());
   }
-
-  private Map<String, int[]> counts() {
-    Map<String, int[]> counts = new LinkedHashMap<>();
-    Map<String, TaskCounts> known = leadership.leader().map(Leader::taskCounts).orElse(Map.of());
-    known.forEach((uid, of) -> counts.put(uid, new int[] {of.done(), of.running()}));
-    return counts;
-  }
 }
--- a/src/main/java/plumlever/PeerReports.java
+++ b/src/main/java/plumlever/PeerReports.java
@@ -32,8 +32,7 @@
     return peers.heardWithin(COUNTS_VALID_MICROS).stream()
         .filter(PeerStatus::leading)
         .flatMap(status -> Optional.ofNullable(status.counts().get(uid)).stream())
-        .findFirst()
-        .map(counts -> new TaskCounts(counts[0], counts[1]));
+        .findFirst();
   }
 
   /** The largest number of workers that another controller of this cell reported. */
--- a/src/main/java/plumlever/peer/PeerStatus.java
+++ b/src/main/java/plumlever/peer/PeerStatus.java
@@ -9,6 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import plumlever.http.TaskCounts;
 
 /**
  * What a controller tells the others of itself. It is advice only: no rule rests on it.
@@ -27,7 +28,7 @@
     long storeRefusedMicros,
     long lateMicros,
     int workers,
-    Map<String, int[]> counts,
+    Map<String, TaskCounts> counts,
     List<String> confirmedCancellations) {
 
   /** Kryo's form of it; written out, so that nothing is looked up by reflection at start. */
@@ -85,7 +86,7 @@
       writeCancellations(out, peerStatus.confirmedCancellations);
     }
 
-    private static void writeCounts(Output out, Map<String, int[]> counts) {
+    private static void writeCounts(Output out, Map<String, TaskCounts> counts) {
       int size = Math.min(counts.size(), MAX_COUNTS);
       out.writeVarInt(size, true);
       counts.entrySet().stream()
@@ -93,8 +94,8 @@
           .forEach(
               entry -> {
                 out.writeString(entry.getKey());
-                out.writeVarInt(entry.getValue()[0], true);
-                out.writeVarInt(entry.getValue()[1], true);
+                out.writeVarInt(entry.getValue().done(), true);
+                out.writeVarInt(entry.getValue().running(), true);
               });
     }
 
@@ -126,11 +127,11 @@
           readCancellations(in));
     }
 
-    private static Map<String, int[]> readCounts(Input in) {
+    private static Map<String, TaskCounts> readCounts(Input in) {
       int size = readSize(in, MAX_COUNTS);
-      Map<String, int[]> counts = new LinkedHashMap<>();
+      Map<String, TaskCounts> counts = new LinkedHashMap<>();
       for (int i = 0; i < size; i++) {
-        counts.put(in.readString(), new int[] {in.readVarInt(true), in.readVarInt(true)});
+        counts.put(in.readString(), new TaskCounts(in.readVarInt(true), in.readVarInt(true)));
       }
       return counts;
     }
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -23,6 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import plumlever.fleet.Job;
+import plumlever.http.TaskCounts;
 import plumlever.peer.PeerStatus;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.store.JobStore;
@@ -236,8 +237,8 @@
     assertEquals(41, read.term());
     assertTrue(read.leading());
     assertEquals(610, read.workers());
-    assertArrayEquals(new int[] {3, 1}, read.counts().get("job-12"));
-    assertArrayEquals(new int[] {0, 70_000}, read.counts().get("job-7"));
+    assertEquals(new TaskCounts(3, 1), read.counts().get("job-12"));
+    assertEquals(new TaskCounts(0, 70_000), read.counts().get("job-7"));
     assertEquals(List.of("job-000412", "job-5"), read.confirmedCancellations());
     assertArrayEquals(theirs, codec.write(read));
   }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -23,6 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import plumlever.fleet.Job;
+import plumlever.http.TaskCounts;
 import plumlever.peer.PeerStatus;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.store.JobStore;
@@ -154,7 +155,7 @@
     assertEquals(2_500_000, read.storeRefusedMicros());
     assertEquals(1_200, read.lateMicros());
     assertEquals(610, read.workers());
-    assertArrayEquals(new int[] {0, 70_000}, read.counts().get("job-7"));
+    assertEquals(new TaskCounts(0, 70_000), read.counts().get("job-7"));
     assertEquals(List.of(), read.confirmedCancellations());
     PeerStatus news =
         new PeerStatus(
