--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -8,22 +8,16 @@
 import plumlever.wire.ProtocolPath;
 
 /** Measures how long this controller works on the answers to its own calls, by kind of call. */
-final class MeteredCaller implements Caller {
-  private final Caller caller;
-  private final Loop loop;
-  private final Metrics metrics;
-  private final PlatformConfiguration platform;
-
-  MeteredCaller(Caller caller, Loop loop, Metrics metrics, PlatformConfiguration platform) {
-    this.caller = caller;
-    this.loop = loop;
-    this.metrics = metrics;
-    this.platform = platform;
-  }
-
+record MeteredCaller(Caller caller, Loop loop, Metrics metrics, PlatformConfiguration platform)
+    implements Caller {
   @Override
   public void call(
-      Endpoint to, String method, String path, byte[] body, long timeoutMicros, Answer answer) {
+      Endpoint to,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMicros,
+      ResponseHandler handler) {
     String work = kindOf(to, path);
     caller.call(
         to,
@@ -33,7 +27,7 @@
         timeoutMicros,
         (status, data) -> {
           long since = loop.nowMicros();
-          answer.take(status, data);
+          handler.handle(status, data);
           metrics.spent(work, loop.nowMicros() - since);
         });
   }
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -15,8 +15,8 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * What a leader has to know of the pool that its machines belong to. Without a pool all machines
- * are its own, and nothing is asked or stored.
+ * What a leader has to know of the pool that its machines belong to. The defaults hold without a
+ * pool: all machines are its own, and nothing is read or stored.
  */
 public interface MachineSharing {
   /** A leader that has all machines for itself. */
@@ -27,8 +27,20 @@
     return false;
   }
 
-  /** The records of the pool were read after the term had been taken. */
-  default void loaded(StateClient.Listing pool, long askedMicros) {}
+  /**
+   * True where a token of a later term proves that this term is over. The cells of a pool number
+   * their terms from one counter, so there it may be another cell's.
+   */
+  default boolean laterTermEndsThisOne() {
+    return !inPool();
+  }
+
+  /**
+   * Takes the records of the pool, read after the term had been taken.
+   *
+   * @param askedMicros when the read had been sent
+   */
+  default void poolRecordsRead(StateClient.Listing pool, long askedMicros) {}
 
   /** True if a machine that the cloud lists is this cell's. */
   default boolean isOwn(ListedMachine listed) {
@@ -45,30 +57,38 @@
    *
    * @return true if it has been answered
    */
-  default boolean answered(Heartbeat heartbeat, Responder out) {
+  default boolean answerUnlessOwn(Heartbeat heartbeat, Responder out) {
     return false;
   }
 
-  /** Makes rented machines this cell's own; each is handed on once that is on record. */
-  default void claim(List<String> machines, Consumer<String> own) {
-    machines.forEach(own);
+  /**
+   * Makes rented machines this cell's own.
+   *
+   * @param claimed takes each machine once it is on record as this cell's
+   */
+  default void claimRented(List<String> machines, Consumer<String> claimed) {
+    machines.forEach(claimed);
   }
 
-  /** Has it recorded that these machines are to be returned; then nobody else can own them. */
-  default void retire(List<Machine> machines, Runnable recorded) {
+  /**
+   * Has it recorded that these machines are to be returned.
+   *
+   * @param recorded runs once that is stored; from then on nobody else can own them
+   */
+  default void recordReturns(List<Machine> machines, Runnable recorded) {
     recorded.run();
   }
 
   /** The machines do not exist any more. */
-  default void returned(List<Machine> machines) {}
+  default void machinesReturned(List<Machine> machines) {}
 
   /** True for an attempt of another cell that may be on the machine. */
   default boolean isGuest(Machine machine, long attempt) {
     return false;
   }
 
-  /** A heartbeat of the machine was taken in. */
-  default void reported(Machine machine, Heartbeat heartbeat) {}
+  /** A heartbeat of one of this cell's machines was applied to what the leader knows. */
+  default void heartbeatApplied(Machine machine, Heartbeat heartbeat) {}
 
   /** What is known of the jobs of other cells whose tasks may be on the machine. */
   default GuestEvidence guestEvidence(Machine machine) {
@@ -80,10 +100,10 @@
     return List.of();
   }
 
-  /** The lease of the machine has surely lapsed. */
-  default void lapsed(Machine machine) {}
+  /** The lease of the machine has surely expired: none of its tasks can still run. */
+  default void leaseExpired(Machine machine) {}
 
-  /** Another cell's leader passes on what a machine of its tells of this cell's tasks. */
+  /** Answers a heartbeat that the leader of the machine's cell passes on for this cell's tasks. */
   default void relayed(RelayedHeartbeat relayed, Responder out) {}
 
   /**
@@ -91,29 +111,30 @@
    *
    * @return false if it is not one that can be given now
    */
-  default boolean offer(String machine, String cell) {
+  default boolean offerTransfer(String machine, String cell) {
     return false;
   }
 
-  /** False while what is lacking may still come from other cells. */
+  /** False while capacity that is lacking may still come from other cells. */
   default boolean mayRent() {
     return true;
   }
 
-  /** False while an idle machine may be of use to any cell. */
+  /** False while an idle machine may be of use to some cell. */
   default boolean mayReturnIdle() {
     return true;
   }
 
   /** Machines that are being given to this cell. */
-  default List<RentalPlan.Kind> coming() {
+  default List<RentalPlan.Kind> incomingMachines() {
     return List.of();
   }
 
   /** What this cell may use of the team's limit; a resource without a limit has 0. */
-  default LimitParts.Part limit(PlatformConfiguration.Team team) {
+  default LimitParts.Part teamLimit(PlatformConfiguration.Team team) {
     return new LimitParts.Part(team.cpusMax(), team.gpusMax());
   }
 
+  /** The term has ended: nothing is read or stored any more. */
   default void close() {}
 }
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -13,8 +13,8 @@
 import plumlever.election.DelegatedRenewal;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.heartbeat.HeartbeatHandler;
 import plumlever.leader.heartbeat.RenewalDelegation;
@@ -67,7 +67,7 @@
   private static final double LEAST_BOOT_S = 15;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final MachineRegistry registry;
   private final SchedulingPass pass;
@@ -104,7 +104,7 @@
    * @param changed runs when something changed that placement depends on
    */
   public MachineManager(
-      Context context,
+      TermContext context,
       Fleet fleet,
       MachineRegistry registry,
       SchedulingPass pass,
@@ -267,7 +267,7 @@
     }
     boolean lost = machine.load().running();
     heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
-    sharing.lapsed(machine);
+    sharing.leaseExpired(machine);
     if (lost) {
       log.info("the lease of {} has lapsed", machine.id());
       changed.run();
@@ -402,7 +402,7 @@
       return;
     }
     returningNow = true;
-    sharing.retire(out, () -> giveBack(out));
+    sharing.recordReturns(out, () -> giveBack(out));
   }
 
   private void giveBack(List<Machine> out) {
@@ -426,7 +426,7 @@
                 failover.accounted(machine, "it was returned");
                 registry.remove(machine);
               }
-              sharing.returned(out);
+              sharing.machinesReturned(out);
               changed.run();
             });
   }
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -9,8 +9,8 @@
 import plumlever.cloud.CloudClient;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.scaling.RentalPlan;
@@ -39,7 +39,7 @@
   }
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final SchedulingPass pass;
   private final Failover failover;
@@ -58,7 +58,7 @@
    * @param isCut tells of a zone whether it seems to be behind a cut: nothing is rented there
    */
   MachineRentals(
-      Context context,
+      TermContext context,
       Fleet fleet,
       SchedulingPass pass,
       Failover failover,
@@ -111,7 +111,7 @@
         coming.add(new RentalPlan.Coming(rental.kind, machineType));
       }
     }
-    for (RentalPlan.Kind kind : sharing.coming()) {
+    for (RentalPlan.Kind kind : sharing.incomingMachines()) {
       MachineType machineType = context.prices().machineType(kind.machineType());
       if (machineType != null) {
         coming.add(new RentalPlan.Coming(kind, machineType));
@@ -168,7 +168,7 @@
                   context.metrics().count("machines_rented", machineIds.size());
                   sizeChangedMicros = now;
                   changed.run();
-                  sharing.claim(machineIds, machineId -> rented(machineId, rental.kind, now));
+                  sharing.claimRented(machineIds, machineId -> rented(machineId, rental.kind, now));
                 }
                 case NO_CAPACITY -> {
                   open.remove(rental);
