--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -19,7 +19,7 @@
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.failover.WarmState;
-import plumlever.leader.heartbeat.EarlyHeartbeats;
+import plumlever.leader.heartbeat.DeferredHeartbeats;
 import plumlever.leader.heartbeat.HeartbeatAnswers;
 import plumlever.leader.heartbeat.HeartbeatHandler;
 import plumlever.leader.heartbeat.RenewalDelegation;
@@ -82,7 +82,7 @@
   private final WarmState warmState;
   private final CommandSender commands;
   private final RecurringTask passes;
-  private final EarlyHeartbeats early;
+  private final DeferredHeartbeats early;
   private final DependencyListCleanup lists;
   private final MachineSharing sharing;
   private final HeartbeatAnswers answers;
@@ -104,7 +104,7 @@
         new HeartbeatHandler(context, fleet, jobs, estimates, failover, progress, this::sharing);
     this.starter = new TaskStarter(context, fleet, jobs, failover);
     this.pass = new SchedulingPass(context, fleet, jobs, startedJobs, estimates, failover);
-    jobs.costs(pass::costMicros);
+    jobs.useTaskCosts(pass::costMicros);
     RenewalDelegation delegation = new RenewalDelegation(context, fleet);
     this.commands =
         new CommandSender(context, jobs, pass, heartbeats, starter, delegation, this::changed);
@@ -140,7 +140,7 @@
             sharing,
             this::changed);
     this.warmState = new WarmState(context, fleet, estimates);
-    this.early = new EarlyHeartbeats(context.loop(), context.platform().socketLimit());
+    this.early = new DeferredHeartbeats(context.loop(), context.platform().socketLimit());
     this.lists = new DependencyListCleanup(context, jobs);
     this.passes = new RecurringTask("scheduling passes", context.loop(), this::runPass);
   }
@@ -159,15 +159,15 @@
   }
 
   private void loaded(RecoveryRead found) {
-    registry.load(found.under(JobStore.FLEET).items(), fleet);
-    warmState.load(found.under(JobStore.WARM_STATE).items());
+    registry.load(found.listing(JobStore.FLEET).items(), fleet);
+    warmState.load(found.listing(JobStore.WARM_STATE).items());
     jobs.load(found);
     if (sharing.inPool()) {
-      sharing.loaded(found.under(PoolView.PREFIX), found.askedMicros());
+      sharing.loaded(found.listing(PoolView.PREFIX), found.jobsReadSentMicros());
     }
     loaded = true;
-    failover.loaded();
-    progress.loaded();
+    failover.machinesLoaded();
+    progress.takeOverStoredProgress();
     int count = 0;
     for (Job job : jobs.all()) {
       if (job.complete()) {
@@ -179,7 +179,7 @@
         "term {} begins with {} jobs and {} machines to account for, {} ms after election",
         term,
         count,
-        failover.open().size(),
+        failover.unaccounted().size(),
         (context.loop().nowMicros() - failover.startedMicros()) / 1_000);
     early.release(this::heartbeat);
     scope.own(sharing::close);
@@ -191,14 +191,14 @@
     scope.own(registry::close);
     scope.own(lists::close);
     scope.own(new RecurringTask("machine records", context.loop(), registry::tidy)).start();
-    scope.own(new RecurringTask("started jobs", context.loop(), startedJobs::tidy)).start();
+    scope.own(new RecurringTask("started jobs", context.loop(), startedJobs::cleanUp)).start();
     scope.own(new RecurringTask("progress", context.loop(), progress::write)).start();
     scope.own(new RecurringTask("machines", context.loop(), machines::turn)).start();
     scope.own(new RecurringTask("warm state", context.loop(), warmState::write)).start();
     scope.own(new RecurringTask("token raise", context.loop(), this::raise)).start();
     scope
         .own(new RecurringTask("dependency lists", context.loop(), lists::run))
-        .wakeIn(DependencyListCleanup.EVERY_MICROS);
+        .wakeIn(DependencyListCleanup.INTERVAL_MICROS);
     scope.own(passes).start();
   }
 
@@ -210,7 +210,7 @@
     long since = context.loop().nowMicros();
     raiseOpen();
     context.metrics().spent("token_raise", context.loop().nowMicros() - since);
-    return failover.complete() ? RAISE_UNREACHABLE_EVERY_MICROS : RAISE_EVERY_MICROS;
+    return failover.isComplete() ? RAISE_UNREACHABLE_EVERY_MICROS : RAISE_EVERY_MICROS;
   }
 
   private void raiseOpen() {
@@ -218,7 +218,7 @@
       long now = context.loop().nowMicros();
       // Those that did not answer come last: dozens behind a cut would else be called again and
       // again, and nobody else.
-      List<Machine> open = new ArrayList<>(failover.open());
+      List<Machine> open = new ArrayList<>(failover.unaccounted());
       open.sort(Comparator.comparingInt(machine -> machine.contact().failedCalls()));
       // Where time is short, calls make way for the heartbeats that come anyhow: both tell the
       // same, and all machines that still work report within seconds.
@@ -234,7 +234,7 @@
           commands.raise(machine);
         }
       }
-      if (failover.complete()) {
+      if (failover.isComplete()) {
         for (Machine machine : fleet.machines()) {
           if (machine.contact().unreachable()) {
             commands.raise(machine);
@@ -296,11 +296,11 @@
     if (fleet.tokensRunOut(machine)) {
       endTermForNumbers();
     }
-    HeartbeatHandler.News news = heartbeats.apply(machine, heartbeat, true);
-    if (heartbeats.takeChanged()) {
+    HeartbeatHandler.Freshness news = heartbeats.apply(machine, heartbeat, true);
+    if (heartbeats.getAndClearChanged()) {
       due = true;
     }
-    if (news == HeartbeatHandler.News.COPY) {
+    if (news == HeartbeatHandler.Freshness.DUPLICATE) {
       context.metrics().count("heartbeat_copies");
       out.later(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
     } else if (machine.contact().unreachable()) {
@@ -338,9 +338,9 @@
       return true;
     }
     if (!loaded && heartbeat.holdsTasks()) {
-      early.keep(heartbeat, out);
+      early.defer(heartbeat, out);
     } else if (!loaded) {
-      answers.sendToIdle(heartbeat, out);
+      answers.renewIdle(heartbeat, out);
     }
     return !loaded;
   }
@@ -364,7 +364,7 @@
   }
 
   /** What follows from a heartbeat that may be answered, whether or not the lease is renewed. */
-  private void takeIn(Machine machine, Heartbeat heartbeat, HeartbeatHandler.News news) {
+  private void takeIn(Machine machine, Heartbeat heartbeat, HeartbeatHandler.Freshness news) {
     if (machine.registration() == RegistrationState.NONE
         && !machine.returning()
         && (machine.accounted() || heartbeat.fencingToken() == 0)) {
@@ -372,7 +372,7 @@
       // nothing is recorded for it.
       registry.enroll(machine);
     }
-    if (news == HeartbeatHandler.News.NEWS) {
+    if (news == HeartbeatHandler.Freshness.LATEST) {
       notice(machine, heartbeat, context.loop().nowMicros());
     }
     sharing.reported(machine, heartbeat);
@@ -380,8 +380,8 @@
 
   /** Renews the lease, with all commands that are due, if there is evidence enough for it. */
   private void renew(
-      Machine machine, Heartbeat heartbeat, HeartbeatHandler.News news, Responder out) {
-    boolean holdsOpenTasks = heartbeats.holdsOpenTasks(heartbeat);
+      Machine machine, Heartbeat heartbeat, HeartbeatHandler.Freshness news, Responder out) {
+    boolean holdsOpenTasks = heartbeats.holdsTasksOfActiveJobs(heartbeat);
     Optional<RenewalRefusal> refusal = answers.refusal(machine, holdsOpenTasks);
     if (refusal.isPresent()) {
       answers.refuse(heartbeat, refusal.get(), out);
@@ -391,9 +391,9 @@
       }
       return;
     }
-    List<WorkerCommand> responseCommands = heartbeats.standingCommands(machine, heartbeat);
+    List<WorkerCommand> responseCommands = heartbeats.stopAndRemoveCommands(machine, heartbeat);
     responseCommands.addAll(sharing.guestCommands(machine, heartbeat));
-    if (news == HeartbeatHandler.News.NEWS
+    if (news == HeartbeatHandler.Freshness.LATEST
         && machine.tokens().areOfTermOf(heartbeat.fencingToken())
         && pass.hasPlan(machine)
         && pass.recorded(machine)
@@ -402,7 +402,7 @@
       pass.dropPlan(machine);
     }
     // Checked once more: a turn that ran late may have outlived the right to act.
-    if (answers.send(machine, heartbeat, holdsOpenTasks, responseCommands, out)) {
+    if (answers.renew(machine, heartbeat, holdsOpenTasks, responseCommands, out)) {
       machine.answered(context.loop().nowMicros());
     }
   }
@@ -444,7 +444,7 @@
 
   /** True once nothing that earlier leaders started is unknown. */
   public boolean failoverComplete() {
-    return failover.complete();
+    return failover.isComplete();
   }
 
   /** The job as this leader knows it, or null. */
@@ -469,7 +469,7 @@
   /** The job's end is stored; its tasks are stopped without waiting for the watch events. */
   public void jobCancelled(String uid) {
     if (loaded) {
-      jobs.ended(uid, JobState.CANCELLED);
+      jobs.jobEnded(uid, JobState.CANCELLED);
     }
   }
 
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -26,7 +26,7 @@
   /**
    * Nearly all machines that can be reached have come over by then, also those of a large fleet.
    */
-  private static final long OVERDUE_MICROS = 7_000_000;
+  private static final long OVERDUE_AFTER_MICROS = 7_000_000;
 
   /** What sums of fractions may be off by. */
   private static final double ROUNDING = 1e-9;
@@ -37,12 +37,12 @@
   private final Supplier<MachineSharing> sharing;
   private final long startedMicros;
   private final Map<String, PlatformConfiguration.Team> teams = new HashMap<>();
-  private final Set<Machine> open = new LinkedHashSet<>();
+  private final Set<Machine> unaccounted = new LinkedHashSet<>();
 
   /** Machines that run tasks of jobs this leader does not know. */
-  private final Set<Machine> untracked = new LinkedHashSet<>();
+  private final Set<Machine> setUntrackedTasks = new LinkedHashSet<>();
 
-  private boolean loaded;
+  private boolean machinesLoaded;
   private boolean unaccountedKnown;
   private double unaccountedCores;
   private double unaccountedAccelerators;
@@ -75,71 +75,71 @@
   }
 
   /** All machines that may hold tasks are in the fleet now. */
-  public void loaded() {
-    loaded = true;
+  public void machinesLoaded() {
+    machinesLoaded = true;
     unaccountedKnown = false;
     loadedMicros = context.loop().nowMicros();
     for (Machine machine : fleet.machines()) {
       if (machine.registration() == RegistrationState.STORED
           && !machine.accounted()
           && machine.tokens().term() == context.term().number()) {
-        open.add(machine);
+        unaccounted.add(machine);
       }
     }
-    if (open.isEmpty()) {
+    if (unaccounted.isEmpty()) {
       log.info("failover complete: no machine may hold a task");
     }
   }
 
-  public boolean complete() {
-    return loaded && open.isEmpty();
+  public boolean isComplete() {
+    return machinesLoaded && unaccounted.isEmpty();
   }
 
   /**
    * True when what is still open will not come over soon: it is gone or behind a cut, and nothing
    * can be planned with it.
    */
-  public boolean overdue(long now) {
-    return loaded && !open.isEmpty() && now - loadedMicros > OVERDUE_MICROS;
+  public boolean isOverdue(long now) {
+    return machinesLoaded && !unaccounted.isEmpty() && now - loadedMicros > OVERDUE_AFTER_MICROS;
   }
 
-  public Set<Machine> open() {
-    return open;
+  public Set<Machine> unaccounted() {
+    return unaccounted;
   }
 
   /** Nothing that an earlier leader started on the machine is unknown any more, or it is gone. */
-  public void accounted(Machine machine, String how) {
+  public void markAccounted(Machine machine, String reason) {
     machine.markAccounted();
-    if (open.remove(machine)) {
+    if (unaccounted.remove(machine)) {
       unaccountedKnown = false;
-      log.debug("{} accounted for: {}", machine.id(), how);
-      if (open.isEmpty()) {
-        long took = context.loop().nowMicros() - startedMicros;
-        context.metrics().time("failover", took);
+      log.debug("{} accounted for: {}", machine.id(), reason);
+      if (unaccounted.isEmpty()) {
+        long durationMicros = context.loop().nowMicros() - startedMicros;
+        context.metrics().time("failover", durationMicros);
         log.info(
             "failover complete after {} ms, the last machine was {}: {}",
-            took / 1_000,
+            durationMicros / 1_000,
             machine.id(),
-            how);
+            reason);
       }
     }
   }
 
   /** The machine lists so many running tasks that this leader does not keep. */
-  public void untracked(Machine machine, int tasks) {
-    if (tasks > 0 ? untracked.add(machine) : untracked.remove(machine)) {
+  public void setUntrackedTasks(Machine machine, int tasks) {
+    if (tasks > 0 ? setUntrackedTasks.add(machine) : setUntrackedTasks.remove(machine)) {
       unaccountedKnown = false;
     }
   }
 
   /** True while the machine runs tasks that this leader does not keep. */
   public boolean runsUntracked(Machine machine) {
-    return untracked.contains(machine);
+    return setUntrackedTasks.contains(machine);
   }
 
   /** True while a task of the job could be running on a machine not accounted for. */
   public boolean blocks(Job job) {
-    return !loaded || (job.inherited() && !open.isEmpty());
+    return !machinesLoaded || (job.inherited() && !unaccounted.isEmpty());
   }
 
   /** How many more tasks of the job its team's limit allows. */
@@ -181,11 +181,11 @@
     if (unaccountedKnown) {
       return true;
     }
-    Set<Machine> unsure = new HashSet<>(open);
-    unsure.addAll(untracked);
+    Set<Machine> possiblyOccupied = new HashSet<>(unaccounted);
+    possiblyOccupied.addAll(setUntrackedTasks);
     unaccountedCores = 0;
     unaccountedAccelerators = 0;
-    for (Machine machine : unsure) {
+    for (Machine machine : possiblyOccupied) {
       MachineType machineType = context.prices().machineType(machine.machineType());
       if (machineType == null) {
         return false;
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -25,13 +25,13 @@
  * missing hints cost time, no rule.
  */
 public final class WarmState {
-  private static final long EVERY_MICROS = 10_000_000;
+  private static final long INTERVAL_MICROS = 10_000_000;
 
   /** Changes in one transaction: submissions must not wait for these. */
-  private static final int MOST_AT_ONCE = 2;
+  private static final int MAX_CHANGES = 2;
 
   /** Stands for a part that is not needed any more. */
-  private static final ObjectNode GONE = Json.object();
+  private static final ObjectNode OBSOLETE = Json.object();
 
   private static final String IMAGES = "images";
   private static final String MACHINES = "machines";
@@ -65,7 +65,7 @@
   public void load(List<StateClient.Item> items) {
     for (StateClient.Item item : items) {
       apply(item.data());
-      known(JobStore.numberOf(item.key()));
+      ensureSize(JobStore.numberOf(item.key()));
     }
   }
 
@@ -154,20 +154,20 @@
   /** One turn of the duty: some of what has changed, going on where the last turn stopped. */
   public long write() {
     if (writing) {
-      return EVERY_MICROS;
+      return INTERVAL_MICROS;
     }
     List<ObjectNode> now = parts();
     int all = Math.max(now.size(), written.size());
     Transaction transaction = context.term().requireTerm();
     Map<Integer, ObjectNode> sent = new HashMap<>();
-    for (int n = 0; n < all && sent.size() < MOST_AT_ONCE; n++) {
+    for (int n = 0; n < all && sent.size() < MAX_CHANGES; n++) {
       int index = cursor++ % all;
-      ObjectNode part = index < now.size() ? now.get(index) : GONE;
+      ObjectNode part = index < now.size() ? now.get(index) : OBSOLETE;
       if (index < written.size() && part.equals(written.get(index))) {
         continue;
       }
       sent.put(index, part);
-      if (part == GONE) {
+      if (part == OBSOLETE) {
         transaction.drop(JobStore.warmStateKey(index));
       } else {
         transaction.put(JobStore.warmStateKey(index), part);
@@ -185,16 +185,16 @@
                 writing = false;
                 sent.forEach(
                     (i, part) -> {
-                      known(i);
+                      ensureSize(i);
                       written.set(i, result.applied() ? part : null);
                     });
               });
     }
-    return sent.size() == MOST_AT_ONCE ? EVERY_MICROS / 4 : EVERY_MICROS;
+    return sent.size() == MAX_CHANGES ? INTERVAL_MICROS / 4 : INTERVAL_MICROS;
   }
 
   /** Makes room in the list of what is stored. */
-  private void known(int part) {
+  private void ensureSize(int part) {
     while (written.size() <= part) {
       written.add(null);
     }
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -13,21 +13,21 @@
  * machine, incarnation and token. Debug lines only, so many a second at most.
  */
 public final class AttemptLog {
-  private static final int LINES_PER_SECOND = 200;
+  private static final int MAX_LINES_PER_SECOND = 200;
 
   private final Context context;
   private final Logger log;
-  private final LogBudget lines;
+  private final LogBudget logBudget;
 
   /** A log of the attempts of one term. */
   public AttemptLog(Context context) {
     this.context = context;
     this.log = context.logs().of(AttemptLog.class);
-    this.lines = new LogBudget(log, LINES_PER_SECOND);
+    this.logBudget = new LogBudget(log, MAX_LINES_PER_SECOND);
   }
 
   private boolean enabled() {
-    return lines.debug(context.loop().nowMicros());
+    return logBudget.debug(context.loop().nowMicros());
   }
 
   /**
@@ -47,15 +47,15 @@
     }
   }
 
-  void runs(Attempt attempt) {
-    say(attempt, "runs");
+  void running(Attempt attempt) {
+    debug(attempt, "runs");
   }
 
   void done(Attempt attempt) {
-    say(attempt, "is done");
+    debug(attempt, "is done");
   }
 
-  private void say(Attempt attempt, String what) {
+  private void debug(Attempt attempt, String what) {
     if (enabled()) {
       log.debug(
           "{} attempt {} {} on {} incarnation {}",
@@ -81,7 +81,7 @@
   }
 
   /** Why a start that was never heard of, or a task that is not listed any more, is over. */
-  void settled(Attempt attempt, Heartbeat heartbeat) {
+  void absent(Attempt attempt, Heartbeat heartbeat) {
     if (enabled()) {
       log.debug(
           "{} attempt {} on {} incarnation {} is over: a heartbeat shows token {}, the start had"
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -63,7 +63,7 @@
                 "core_ms_fetching",
                 (long) (attempt.job().spec().cores() * (now - attempt.sentMicros()) / 1_000));
       }
-      attemptLog.runs(attempt);
+      attemptLog.running(attempt);
     }
     if (reported.state() == AttemptState.ENDED) {
       ended(attempt, reported.cause(), now);
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -22,14 +22,14 @@
 
 /** The leader's answers to heartbeats, as far as they renew a lease or refuse to. */
 public final class HeartbeatAnswers {
-  private static final int LINES_PER_SECOND = 20;
+  private static final int MAX_LINES_PER_SECOND = 20;
 
   private final Context context;
   private final ActiveJobs jobs;
   private final MachineSharing sharing;
   private final LeaseRenewal renewal;
   private final Logger log;
-  private final LogBudget lines;
+  private final LogBudget logBudget;
 
   /** Answers under the evidence that these jobs and this view of a pool give. */
   public HeartbeatAnswers(Context context, ActiveJobs jobs, MachineSharing sharing) {
@@ -38,7 +38,7 @@
     this.sharing = sharing;
     this.renewal = new LeaseRenewal(new RenewalLimit(context.platform().workers()));
     this.log = context.logs().of(HeartbeatAnswers.class);
-    this.lines = new LogBudget(log, LINES_PER_SECOND);
+    this.logBudget = new LogBudget(log, MAX_LINES_PER_SECOND);
   }
 
   /** Why the machine's lease may not be renewed now, if it may not. */
@@ -51,24 +51,24 @@
    *
    * @return true if it was renewed
    */
-  public boolean send(
+  public boolean renew(
       Machine machine,
       Heartbeat heartbeat,
       boolean holdsOpenTasks,
       List<WorkerCommand> commands,
       Responder out) {
-    return send(heartbeat, evidence(machine, holdsOpenTasks), commands, out);
+    return renew(heartbeat, evidence(machine, holdsOpenTasks), commands, out);
   }
 
   /**
    * Renews the lease of a machine without tasks before the jobs are known: nothing runs there that
    * could have been cancelled, and the term's token voids what a former leader has sent.
    */
-  public void sendToIdle(Heartbeat heartbeat, Responder out) {
+  public void renewIdle(Heartbeat heartbeat, Responder out) {
     LeaderEvidence evidence =
         LeaderEvidence.ofIdleMachine(
             context.term()::mayAct, Fleet.firstToken(context.term().number()));
-    send(heartbeat, evidence, List.of(), out);
+    renew(heartbeat, evidence, List.of(), out);
   }
 
   private LeaderEvidence evidence(Machine machine, boolean holdsOpenTasks) {
@@ -85,7 +85,7 @@
         sharing.guestEvidence(machine));
   }
 
-  private boolean send(
+  private boolean renew(
       Heartbeat heartbeat, LeaderEvidence evidence, List<WorkerCommand> commands, Responder out) {
     RenewalDecision decision = renewal.answer(evidence, commands, context.loop().nowMicros());
     if (decision instanceof RenewalDecision.Refused refused) {
@@ -101,7 +101,7 @@
     context.metrics().count("renewals_refused");
     context.metrics().count(refusal.counter());
     long now = context.loop().nowMicros();
-    if (lines.debug(now)) {
+    if (logBudget.debug(now)) {
       log.debug(
           "the lease of {} incarnation {} is not renewed, token {}: {}, ended jobs as of {} ms ago",
           heartbeat.machineId(),
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -53,23 +53,23 @@
   }
 
   /** True if anything changed that placement cares for, since asked last. */
-  public boolean takeChanged() {
+  public boolean getAndClearChanged() {
     boolean wasChanged = changed;
     changed = false;
     return wasChanged;
   }
 
   /** What a heartbeat is worth. */
-  public enum News {
+  public enum Freshness {
     /** The newest of its machine. */
-    NEWS,
+    LATEST,
     /** The worker waits for its answer, but the body of a direct call that came first was newer. */
-    OVERTAKEN,
+    SUPERSEDED,
     /**
      * Late or sent twice: the worker does not wait for its answer, and its tasks are as old as it
      * is.
      */
-    COPY
+    DUPLICATE
   }
 
   /**
@@ -78,18 +78,18 @@
    * @param own sent by the worker itself; the body of a direct call proves nothing about an answer
    *     on its way
    */
-  public News apply(Machine machine, Heartbeat heartbeat, boolean own) {
+  public Freshness apply(Machine machine, Heartbeat heartbeat, boolean own) {
     long now = context.loop().nowMicros();
     if (!machine.contact().isNews(heartbeat)) {
       if (own
           && heartbeat.incarnation() == machine.contact().incarnation()
           && heartbeat.sequenceNumber() > machine.contact().ownSequenceNumber()) {
         machine.contact().heartbeatOvertaken(heartbeat.sequenceNumber(), now);
-        return News.OVERTAKEN;
+        return Freshness.SUPERSEDED;
       }
       // Copies come seconds to minutes late. They must neither bring back what is gone nor count as
       // a sign of life.
-      return News.COPY;
+      return Freshness.DUPLICATE;
     }
     boolean incarnationChanged =
         machine.contact().incarnation() > 0
@@ -128,16 +128,16 @@
         untracked++;
       }
     }
-    failover.untracked(machine, untracked);
+    failover.setUntrackedTasks(machine, untracked);
     boolean lost = forgetGone(machine, heartbeat, own, listed);
     if (own) {
       noteAnswerDelivery(machine, heartbeat, lost || incarnationChanged);
     }
     if (current && !machine.accounted()) {
-      failover.accounted(machine, own ? "it reported" : "it answered");
+      failover.markAccounted(machine, own ? "it reported" : "it answered");
       changed = true;
     }
-    return News.NEWS;
+    return Freshness.LATEST;
   }
 
   /**
@@ -196,7 +196,7 @@
         changed = true;
         lost |= attempt.state() == null;
         context.metrics().count(attempt.state() == null ? "starts_lost" : "attempts_vanished");
-        attemptLog.settled(attempt, heartbeat);
+        attemptLog.absent(attempt, heartbeat);
       }
       fleet.forget(attempt);
     }
@@ -234,7 +234,7 @@
    * The worker answered that it carried nothing of this out, and it never will: its token or
    * incarnation has moved on.
    */
-  public void refused(Iterable<Attempt> sent) {
+  public void startsRefused(Iterable<Attempt> sent) {
     for (Attempt attempt : sent) {
       if (!attempt.over() && attempt.state() == null) {
         changed = true;
@@ -249,7 +249,7 @@
    */
   public void endIncarnationsBefore(Machine machine, long incarnation) {
     if (fleet.away(machine.id()) != machine) {
-      failover.untracked(machine, 0);
+      failover.setUntrackedTasks(machine, 0);
     }
     List<Attempt> ended = new ArrayList<>();
     for (Attempt attempt : machine.load().attempts()) {
@@ -321,7 +321,7 @@
    * True if the machine has tasks of jobs that are not known here to have ended; stops of the
    * others go with any answer.
    */
-  public boolean holdsOpenTasks(Heartbeat heartbeat) {
+  public boolean holdsTasksOfActiveJobs(Heartbeat heartbeat) {
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       if (reported.state() != AttemptState.ENDED && jobs.get(reported.task().job()) != null) {
         return true;
@@ -331,7 +331,7 @@
   }
 
   /** The commands that go without a plan: stops, and what the worker may forget. */
-  public List<WorkerCommand> standingCommands(Machine machine, Heartbeat heartbeat) {
+  public List<WorkerCommand> stopAndRemoveCommands(Machine machine, Heartbeat heartbeat) {
     long now = context.loop().nowMicros();
     List<WorkerCommand> commands = new ArrayList<>();
     // A worker that has forgotten an attempt would start it again from a late copy of a direct
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -32,34 +32,34 @@
   /**
    * Workers try one controller after the other; by then some have come to one that reaches them.
    */
-  private static final long PATIENCE_MICROS = 9_000_000;
+  private static final long ANNOUNCEMENT_TIMEOUT_MICROS = 9_000_000;
 
-  private static final long INELIGIBLE_MICROS = 90_000_000;
+  private static final long INELIGIBILITY_MICROS = 90_000_000;
 
   /** The other controller's clock may be slower by twice the bound on drift. */
-  private static final long READ_LASTS_MICROS =
+  private static final long READ_VALID_MICROS =
       DelegatedRenewal.VALID_MICROS + DelegatedRenewal.VALID_MICROS / 500;
 
   /** So that the record fits the smallest value, whatever the zones are called. */
-  private static final int MOST_ZONES = 8;
+  private static final int MAX_ZONES = 8;
 
   private final Logger log;
   private final Context context;
   private final Fleet fleet;
 
   /** The last token that went with each zone. */
-  private final Map<String, Long> tokens = new HashMap<>();
+  private final Map<String, Long> lastTokenByZone = new HashMap<>();
 
   /** Zones others may be renewing leases in. */
-  private final Set<String> given = new HashSet<>();
+  private final Set<String> delegatedZones = new HashSet<>();
 
-  private final Map<String, Long> endedMicros = new HashMap<>();
+  private final Map<String, Long> revokedMicros = new HashMap<>();
 
   /** Revision of the record, 0 if there is none as after an election, -1 when that is not known. */
   private long revision;
 
-  private final Map<String, Long> ineligibleUntil = new HashMap<>();
-  private long givenMicros;
+  private final Map<String, Long> ineligibleUntilMicros = new HashMap<>();
+  private long delegatedMicros;
   private boolean writing;
 
   /** The delegations of one term: none at first. */
@@ -69,8 +69,8 @@
     this.log = context.logs().of(RenewalDelegation.class);
   }
 
-  public boolean covers(String zone) {
-    return given.contains(zone);
+  public boolean isDelegated(String zone) {
+    return delegatedZones.contains(zone);
   }
 
   /**
@@ -78,36 +78,37 @@
    * the very token that its renewals carry, and would not be voided by them.
    */
   public boolean mayCommand(String zone) {
-    return !given.contains(zone)
-        && context.loop().nowMicros() >= endedMicros(zone) + READ_LASTS_MICROS;
+    return !delegatedZones.contains(zone)
+        && context.loop().nowMicros() >= revokedMicros(zone) + READ_VALID_MICROS;
   }
 
   /** When the delegation of the zone was surely gone from the state service, or long ago. */
-  public long endedMicros(String zone) {
-    return endedMicros.getOrDefault(zone, Long.MIN_VALUE / 4);
+  public long revokedMicros(String zone) {
+    return revokedMicros.getOrDefault(zone, Long.MIN_VALUE / 4);
   }
 
   /** One look: these zones can't be reached now. */
-  public void want(Set<String> unreached) {
+  public void updateUnreachableZones(Set<String> unreachableZones) {
     long now = context.loop().nowMicros();
-    Set<String> zones = new HashSet<>(unreached);
-    ineligibleUntil.values().removeIf(until -> until < now);
-    zones.removeAll(ineligibleUntil.keySet());
+    Set<String> zones = new HashSet<>(unreachableZones);
+    ineligibleUntilMicros.values().removeIf(until -> until < now);
+    zones.removeAll(ineligibleUntilMicros.keySet());
     List<String> inOrder = new ArrayList<>(zones);
     inOrder.sort(
-        Comparator.comparing((String zone) -> !given.contains(zone)).thenComparing(s -> s));
-    inOrder.stream().skip(MOST_ZONES).forEach(zones::remove);
-    if (!given.isEmpty()
+        Comparator.comparing((String zone) -> !delegatedZones.contains(zone))
+            .thenComparing(s -> s));
+    inOrder.stream().skip(MAX_ZONES).forEach(zones::remove);
+    if (!delegatedZones.isEmpty()
         && !writing
-        && now - givenMicros > PATIENCE_MICROS
+        && now - delegatedMicros > ANNOUNCEMENT_TIMEOUT_MICROS
         && context.election().announcedDelegation() != revision) {
       // Nobody else reaches these workers either: their leases lapse, and it must be seen when they
       // have.
-      given.forEach(s -> ineligibleUntil.put(s, now + INELIGIBLE_MICROS));
+      delegatedZones.forEach(s -> ineligibleUntilMicros.put(s, now + INELIGIBILITY_MICROS));
       zones.clear();
     }
     if (writing
-        || zones.equals(given)
+        || zones.equals(delegatedZones)
         || context.platform().seeds().isEmpty()
         || context.sharing().isPresent()) {
       return;
@@ -115,36 +116,36 @@
     // A zone that is wanted no more stays covered until the whole delegation has ended: others may
     // not have read it yet.
     if (zones.isEmpty() || revision < 0) {
-      end();
-    } else if (!given.containsAll(zones)) {
-      give(zones);
+      revoke();
+    } else if (!delegatedZones.containsAll(zones)) {
+      delegate(zones);
     }
   }
 
-  private void give(Set<String> zones) {
-    Set<String> before = new HashSet<>(given);
-    givenMicros = context.loop().nowMicros();
-    given.addAll(zones);
-    given.stream()
+  private void delegate(Set<String> zones) {
+    Set<String> before = new HashSet<>(delegatedZones);
+    delegatedMicros = context.loop().nowMicros();
+    delegatedZones.addAll(zones);
+    delegatedZones.stream()
         .filter(zone -> !before.contains(zone))
-        .forEach(zone -> tokens.put(zone, sufficientToken(zone)));
+        .forEach(zone -> lastTokenByZone.put(zone, sufficientToken(zone)));
     log.info(
         "leases in {} may be renewed by the other controllers, term {}, tokens {}",
-        given,
+        delegatedZones,
         context.term().number(),
-        tokens);
+        lastTokenByZone);
     write(
         context.term().requireTerm().require(LeaderElection.DELEGATION, revision),
-        given,
+        delegatedZones,
         result -> {
           switch (result.outcome()) {
             case APPLIED -> revision = result.revision();
             // Surely not given, nor later, since what it was guarded by has moved on.
             case CONFLICT -> {
-              given.retainAll(before);
+              delegatedZones.retainAll(before);
               revision = -1;
             }
-            case REFUSED -> given.retainAll(before);
+            case REFUSED -> delegatedZones.retainAll(before);
             case UNKNOWN -> revision = -1;
           }
         });
@@ -152,7 +153,7 @@
 
   /** Above the tokens of all commands sent to the zone, and of all earlier delegations of it. */
   private long sufficientToken(String zone) {
-    long highest = tokens.getOrDefault(zone, Fleet.firstToken(context.term().number()));
+    long highest = lastTokenByZone.getOrDefault(zone, Fleet.firstToken(context.term().number()));
     for (Machine machine : fleet.machines()) {
       if (machine.zone().equals(zone)) {
         highest = Math.max(highest, machine.tokens().current());
@@ -165,7 +166,7 @@
    * Written empty, not dropped, and whatever was there: with that its revision moves on, and a
    * delegation whose answer was not heard can't be carried out any more.
    */
-  private void end() {
+  private void revoke() {
     write(
         context.term().requireTerm(),
         Set.of(),
@@ -173,11 +174,11 @@
           if (result.applied()) {
             revision = result.revision();
             long now = context.loop().nowMicros();
-            given.forEach(s -> endedMicros.put(s, now));
-            if (!given.isEmpty()) {
-              log.info("leases in {} are renewed here again", given);
+            delegatedZones.forEach(s -> revokedMicros.put(s, now));
+            if (!delegatedZones.isEmpty()) {
+              log.info("leases in {} are renewed here again", delegatedZones);
             }
-            given.clear();
+            delegatedZones.clear();
           }
         });
   }
@@ -185,7 +186,7 @@
   private void write(
       Transaction transaction, Set<String> zones, Consumer<Transaction.Result> then) {
     writing = true;
-    Map<String, Long> tokenByZone = new HashMap<>(tokens);
+    Map<String, Long> tokenByZone = new HashMap<>(lastTokenByZone);
     tokenByZone.keySet().retainAll(zones);
     DelegationRecord record = new DelegationRecord(context.term().number(), tokenByZone);
     context
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -40,7 +40,7 @@
   private final Map<String, Job> dependentsToCancel = new LinkedHashMap<>();
 
   /** What a task of the job takes, its image included, to plan with. */
-  private ToLongFunction<Job> cost = j -> 0;
+  private ToLongFunction<Job> taskCost = j -> 0;
 
   private final Set<String> unread = new LinkedHashSet<>();
   private final JobFinder finder;
@@ -58,12 +58,12 @@
 
   private final Map<String, Long> sharedChunkRevisions = new HashMap<>();
   private final Map<Job, Map<String, Long>> chunks = new HashMap<>();
-  private final List<String> unknownMachines = new ArrayList<>();
+  private final List<String> orphanedProgressKeys = new ArrayList<>();
   private final RenewalLimit limit;
   private final PrefixWatch watch;
 
   /** When the last read that tells which jobs have ended had been sent. */
-  private long knownMicros = Long.MIN_VALUE / 2;
+  private long endsKnownMicros = Long.MIN_VALUE / 2;
 
   private boolean closed;
 
@@ -112,8 +112,8 @@
     return chunks;
   }
 
-  public List<String> unknownMachines() {
-    return unknownMachines;
+  public List<String> orphanedProgressKeys() {
+    return orphanedProgressKeys;
   }
 
   public Map<Job, Integer> sharedChunks() {
@@ -130,25 +130,25 @@
    * does.
    */
   public boolean mayRenew() {
-    return limit.mayRenew(context.loop().nowMicros(), knownMicros);
+    return limit.mayRenew(context.loop().nowMicros(), endsKnownMicros);
   }
 
   /** When the last read of ended jobs that was heard had been sent. */
   public long endsKnownMicros() {
-    return knownMicros;
+    return endsKnownMicros;
   }
 
   /** Takes in all jobs and which of them earlier leaders may have begun, and goes on watching. */
   public void load(RecoveryRead found) {
-    knownMicros = found.askedMicros();
-    StateClient.Listing jobs = found.under(JobStore.ACTIVE);
-    startedJobs.read(found.under(JobStore.STARTED).items());
-    jobs.items().forEach(i -> put(i.key(), i.data(), i.revision(), true));
-    found.under(JobStore.PROGRESS).items().forEach(this::readProgress);
+    endsKnownMicros = found.jobsReadSentMicros();
+    StateClient.Listing jobs = found.listing(JobStore.ACTIVE);
+    startedJobs.read(found.listing(JobStore.STARTED).items());
+    jobs.items().forEach(i -> addJob(i.key(), i.data(), i.revision(), true));
+    found.listing(JobStore.PROGRESS).items().forEach(this::readProgress);
     startedJobs.loaded(this);
-    List<Runnable> put = atLoad;
+    List<Runnable> addJob = atLoad;
     atLoad = null;
-    put.forEach(Runnable::run);
+    addJob.forEach(Runnable::run);
     resolveDependencies();
     watch.watchFrom(jobs.storeRevision());
   }
@@ -175,7 +175,7 @@
     if (job == null) {
       // Left by a job that ended with more chunks than one transaction drops, or written late.
       context.metrics().count("orphaned_progress_records");
-      unknownMachines.add(item.key());
+      orphanedProgressKeys.add(item.key());
       return;
     }
     chunks.computeIfAbsent(job, j -> new LinkedHashMap<>()).put(item.key(), item.revision());
@@ -190,7 +190,7 @@
   /**
    * @param known the job was there when the term began
    */
-  private void put(String key, JsonNode data, long revision, boolean known) {
+  private void addJob(String key, JsonNode data, long revision, boolean known) {
     String uid = key.substring(JobStore.ACTIVE.length());
     if (active.containsKey(uid)) {
       return;
@@ -266,7 +266,7 @@
   /** The job and what it waits on are known: those of which nothing was told yet are looked up. */
   private void trackDependencies(Job job, List<String> dependencies) {
     List<String> unknown = dependencyGraph.accepted(job.uid(), job.revision(), dependencies);
-    dependencyGraph.goal(job.uid(), job.goal(), cost.applyAsLong(job));
+    dependencyGraph.goal(job.uid(), job.goal(), taskCost.applyAsLong(job));
     for (String name : unknown) {
       Job before = active.get(name);
       if (before == null) {
@@ -327,8 +327,8 @@
     for (String uid : dependencyGraph.takeReleased()) {
       Job job = active.get(uid);
       if (job != null && job.waitsForDependencies()) {
-        long ended = dependencyGraph.releasedMicros(uid);
-        long age = ended > 0 ? Math.max(0, wall - ended) : 0;
+        long jobEnded = dependencyGraph.releasedMicros(uid);
+        long age = jobEnded > 0 ? Math.max(0, wall - jobEnded) : 0;
         job.release(context.loop().nowMicros() - age);
         context.metrics().count("jobs_released");
         log.debug("{} is released, its last dependency ended {} ms ago", uid, age / 1_000);
@@ -373,7 +373,7 @@
               cancelling = false;
               if (result.applied()) {
                 context.metrics().count("jobs_cancelled_with_dependency");
-                ended(job.uid(), JobState.CANCELLED);
+                jobEnded(job.uid(), JobState.CANCELLED);
                 cancelDependents();
               } else if (result.outcome() == Transaction.Outcome.CONFLICT) {
                 // Stored by whoever was asked about it: the watch events will say so.
@@ -386,8 +386,8 @@
   }
 
   /** What a task takes, with which the deadlines along a chain are worked out. */
-  public void costs(ToLongFunction<Job> ofTask) {
-    cost = ofTask;
+  public void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
+    taskCost = taskCostMicros;
   }
 
   /**
@@ -402,7 +402,7 @@
       dependencyGraph.costs(
           uid -> {
             Job job = active.get(uid);
-            return job == null ? 0 : cost.applyAsLong(job);
+            return job == null ? 0 : taskCost.applyAsLong(job);
           });
     }
     dependencyGraph.propagateGoals(
@@ -417,7 +417,7 @@
   /**
    * @param how null when that is not known
    */
-  private void drop(String uid, JobState how) {
+  private void removeJob(String uid, JobState endState) {
     Job job = active.remove(uid);
     if (job != null) {
       job.end();
@@ -428,12 +428,12 @@
     if (dependencyGraph.stateOf(uid) == DependencyGraph.State.UNKNOWN) {
       return;
     }
-    if (how == null && !dependencyGraph.needed(uid)) {
+    if (endState == null && !dependencyGraph.needed(uid)) {
       // Nobody waits to be told how.
-      how = JobState.CANCELLED;
+      endState = JobState.CANCELLED;
     }
-    if (how != null) {
-      dependencyGraph.ended(uid, how, context.loop().wallMicros());
+    if (endState != null) {
+      dependencyGraph.ended(uid, endState, context.loop().wallMicros());
       resolveDependencies();
     } else {
       readEnd(uid);
@@ -441,8 +441,8 @@
   }
 
   /** The job's end is stored, known before the watch events say so. */
-  public void ended(String uid, JobState how) {
-    drop(uid, how);
+  public void jobEnded(String uid, JobState endState) {
+    removeJob(uid, endState);
     changed.run();
   }
 
@@ -468,23 +468,23 @@
         .forEach(
             i -> {
               listed.add(i.key().substring(JobStore.ACTIVE.length()));
-              put(i.key(), i.data(), i.revision(), false);
+              addJob(i.key(), i.data(), i.revision(), false);
             });
     List<String> gone = new ArrayList<>(active.keySet());
     gone.removeAll(listed);
-    gone.forEach(uid -> drop(uid, null));
+    gone.forEach(uid -> removeJob(uid, null));
     resolveDependencies();
-    knownMicros = sentMicros;
+    endsKnownMicros = sentMicros;
     changed.run();
   }
 
   private void onEvents(List<StateClient.KeyEvent> changes, long sentMicros) {
-    knownMicros = sentMicros;
+    endsKnownMicros = sentMicros;
     for (StateClient.KeyEvent change : changes) {
       if (change.data() == null) {
-        drop(change.key().substring(JobStore.ACTIVE.length()), null);
+        removeJob(change.key().substring(JobStore.ACTIVE.length()), null);
       } else {
-        put(change.key(), change.data(), change.revision(), false);
+        addJob(change.key(), change.data(), change.revision(), false);
       }
     }
     if (!changes.isEmpty()) {
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -19,8 +19,8 @@
  * earlier versions, which accept a job without looking at the anchor of its list.
  */
 public final class DependencyListCleanup {
-  public static final long EVERY_MICROS = 300_000_000;
-  static final long UNUSED_MICROS = 900_000_000;
+  public static final long INTERVAL_MICROS = 300_000_000;
+  static final long MIN_UNUSED_MICROS = 900_000_000;
 
   private final Context context;
   private final ActiveJobs jobs;
@@ -50,14 +50,14 @@
               found -> {
                 listing = false;
                 if (found != null && !closed) {
-                  look(found);
+                  removeUnused(found);
                 }
               });
     }
-    return EVERY_MICROS;
+    return INTERVAL_MICROS;
   }
 
-  private void look(StateClient.Listing found) {
+  private void removeUnused(StateClient.Listing found) {
     Map<JobStore.ListName, List<StateClient.Item>> lists = new LinkedHashMap<>();
     for (StateClient.Item item : found.items()) {
       JobStore.listOf(item.key())
@@ -74,7 +74,7 @@
     firstSeenMicros.keySet().retainAll(unused.keySet());
     unused.forEach(
         (list, keys) -> {
-          if (now - firstSeenMicros.computeIfAbsent(list, first -> now) >= UNUSED_MICROS) {
+          if (now - firstSeenMicros.computeIfAbsent(list, first -> now) >= MIN_UNUSED_MICROS) {
             remove(list.list(), list.anchorRevision(), keys);
           }
         });
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -96,8 +96,8 @@
    * is ordered. Not sooner: in a full fleet jobs wait for long, and through a failover only those
    * that were begun must.
    */
-  public void enroll(Job job) {
-    records.enroll(job);
+  public void register(Job job) {
+    records.register(job);
   }
 
   /** The job has ended. */
@@ -105,8 +105,8 @@
     records.remove(job);
   }
 
-  public long tidy() {
-    return records.tidy();
+  public long cleanUp() {
+    return records.cleanUp();
   }
 
   public void close() {
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -64,7 +64,7 @@
       sizedMicros = now;
       return;
     }
-    if (now - sizedMicros < SIZE_EVERY_MICROS || !failover.complete()) {
+    if (now - sizedMicros < SIZE_EVERY_MICROS || !failover.isComplete()) {
       return;
     }
     sizedMicros = now;
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -221,13 +221,13 @@
   }
 
   private long lapsesAt(Machine machine) {
-    if (delegation.covers(machine.zone())) {
+    if (delegation.isDelegated(machine.zone())) {
       return Long.MAX_VALUE;
     }
     // An answer of this term renewed the lease at the latest; before the first, an earlier leader
     // may have, or a delegate of its, whose last read of the delegation is good for a while longer.
     long renewedForLeader =
-        Math.max(failover.loadedMicros(), delegation.endedMicros(machine.zone()))
+        Math.max(failover.loadedMicros(), delegation.revokedMicros(machine.zone()))
             + DelegatedRenewal.VALID_MICROS;
     long renewed =
         Math.max(
@@ -273,7 +273,7 @@
       changed.run();
     }
     if (!machine.accounted()) {
-      failover.accounted(machine, "its lease lapsed");
+      failover.markAccounted(machine, "its lease lapsed");
       changed.run();
     }
   }
@@ -285,7 +285,7 @@
     if (machine.failed()) {
       return "it failed";
     }
-    if (!machine.contact().hasReported() && !failover.open().contains(machine)) {
+    if (!machine.contact().hasReported() && !failover.unaccounted().contains(machine)) {
       return bootsTooLong(machine, now) ? "it does not come up" : null;
     }
     if (holdsUpFailover(machine, now)) {
@@ -311,7 +311,7 @@
 
   /** Many silent at once in a zone look like a cut, behind which they go on working. */
   private boolean isGone(Machine machine, long now) {
-    int leases = delegation.covers(machine.zone()) ? LEASES_DELEGATED : LEASES_BEHIND_CUT;
+    int leases = delegation.isDelegated(machine.zone()) ? LEASES_DELEGATED : LEASES_BEHIND_CUT;
     return !silence.isCut(machine.zone())
         || silence.of(machine, now) > leases * context.platform().workers().leaseMicros();
   }
@@ -323,7 +323,7 @@
    */
   private void reachOut(long now) {
     Set<String> unreached = new HashSet<>();
-    if (failover.complete()) {
+    if (failover.isComplete()) {
       unreached.addAll(silence.cutZones());
     }
     Map<String, Integer> calls = new HashMap<>();
@@ -337,7 +337,7 @@
         commands.probe(machine);
       }
     }
-    delegation.want(unreached);
+    delegation.updateUnreachableZones(unreached);
   }
 
   /**
@@ -347,7 +347,7 @@
    * had its turn: a large fleet takes seconds to come over.
    */
   private boolean holdsUpFailover(Machine machine, long now) {
-    if (!failover.open().contains(machine)
+    if (!failover.unaccounted().contains(machine)
         || machine.contact().failedCalls() < 2
         || now - failover.loadedMicros() < HOLD_UP_MICROS) {
       return false;
@@ -356,7 +356,7 @@
   }
 
   private boolean idleTooLong(Machine machine, boolean crowded, long now) {
-    if (machine.load().running() || pass.hasPlan(machine) || !failover.complete()) {
+    if (machine.load().running() || pass.hasPlan(machine) || !failover.isComplete()) {
       machine.idleSince(-1);
       return false;
     }
@@ -423,7 +423,7 @@
                 heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
                 deleted.add(machine.id());
                 fleet.remove(machine);
-                failover.accounted(machine, "it was returned");
+                failover.markAccounted(machine, "it was returned");
                 registry.remove(machine);
               }
               sharing.returned(out);
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -80,7 +80,7 @@
   /** The machine is to be recorded; until its enrolment is stored it takes no orders. */
   public void enroll(Machine machine) {
     if (machine.endpoint() != null) {
-      records.enroll(machine);
+      records.register(machine);
     }
   }
 
@@ -90,7 +90,7 @@
   }
 
   public long tidy() {
-    return records.tidy();
+    return records.cleanUp();
   }
 
   public void close() {
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -98,7 +98,7 @@
     // Demands found before the last machine came or was opened again may be served by it: they are
     // not rented for twice.
     if (!context.prices().known()
-        || !(failover.complete() || failover.overdue(now))
+        || !(failover.isComplete() || failover.isOverdue(now))
         || pass.finishedMicros() <= sizeChangedMicros
         || !sharing.mayRent()) {
       return;
--- a/src/main/java/plumlever/leader/machine/MachineSilence.java
+++ b/src/main/java/plumlever/leader/machine/MachineSilence.java
@@ -126,7 +126,7 @@
   void look(long now) {
     zones.clear();
     for (Machine machine : fleet.machines()) {
-      boolean open = failover.open().contains(machine);
+      boolean open = failover.unaccounted().contains(machine);
       if (machine.contact().hasReported() || open) {
         ZoneCount zone = zones.computeIfAbsent(machine.zone(), name -> new ZoneCount());
         zone.machines++;
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -79,7 +79,7 @@
 
   /** One look at what this cell has, lacks and can give. */
   void turn() {
-    if (!failover.complete() || !context.prices().known()) {
+    if (!failover.isComplete() || !context.prices().known()) {
       return;
     }
     long now = context.loop().nowMicros();
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -274,8 +274,10 @@
       transfers.seenEmpty(machine);
     }
     List<WorkerCommand> commands =
-        relayed.lapsed() ? List.of() : heartbeats.standingCommands(machine, relayed.heartbeat());
-    if (heartbeats.takeChanged()) {
+        relayed.lapsed()
+            ? List.of()
+            : heartbeats.stopAndRemoveCommands(machine, relayed.heartbeat());
+    if (heartbeats.getAndClearChanged()) {
       changed.run();
     }
     out.send(HttpStatus.OK, WorkerCommand.relayed(commands));
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -64,7 +64,7 @@
   private final Map<Job, Set<String>> keysOf = new HashMap<>();
 
   /** Records of jobs that have ended. */
-  private final ArrayDeque<String> unknownMachines = new ArrayDeque<>();
+  private final ArrayDeque<String> orphanedKeys = new ArrayDeque<>();
 
   private final Set<Job> ending = new LinkedHashSet<>();
   private int tasksPerChunk;
@@ -84,7 +84,7 @@
    * jobs. What an earlier limit let share one record may not fit any more: the rest goes to others,
    * and until they are written this one stays as it is.
    */
-  public void loaded() {
+  public void takeOverStoredProgress() {
     revisions.putAll(jobs.sharedChunkRevisions());
     jobs.chunks()
         .forEach(
@@ -92,7 +92,7 @@
               revisions.putAll(keys);
               keysOf.computeIfAbsent(job, j -> new LinkedHashSet<>()).addAll(keys.keySet());
             });
-    unknownMachines.addAll(jobs.unknownMachines());
+    orphanedKeys.addAll(jobs.orphanedProgressKeys());
     List<Job> moved = new ArrayList<>();
     jobs.sharedChunks()
         .forEach(
@@ -192,11 +192,11 @@
                 case APPLIED -> {
                   context.metrics().count("jobs_done");
                   log.debug("{} done", job.uid());
-                  unknownMachines.addAll(records.subList(dropped, records.size()));
+                  orphanedKeys.addAll(records.subList(dropped, records.size()));
                   keysOf.remove(job);
                   ended(job, JobState.DONE);
                 }
-                case CONFLICT -> settle(job);
+                case CONFLICT -> readEndState(job);
                 default -> context.loop().after(RETRY_MICROS, () -> end(job));
               }
             });
@@ -205,25 +205,25 @@
   /**
    * Somebody else ended it, or an earlier write of this controller's own was carried out unheard.
    */
-  private void settle(Job job) {
+  private void readEndState(Job job) {
     context
         .store()
         .get(
             JobStore.endedKey(job.uid()),
             StateClient.RequestPriority.URGENT,
             got -> {
-              JobState how = got.found() ? JobStore.finalState(got.item().data()) : null;
-              if (how != null) {
-                ended(job, how);
+              JobState endState = got.found() ? JobStore.finalState(got.item().data()) : null;
+              if (endState != null) {
+                ended(job, endState);
               } else {
                 context.loop().after(RETRY_MICROS, () -> end(job));
               }
             });
   }
 
-  private void ended(Job job, JobState how) {
+  private void ended(Job job, JobState endState) {
     ending.remove(job);
-    jobs.ended(job.uid(), how);
+    jobs.jobEnded(job.uid(), endState);
   }
 
   /** One turn of the duty: as much as one transaction takes, the oldest first. */
@@ -287,10 +287,10 @@
       }
     }
     List<String> dropped = new ArrayList<>();
-    while (room > 0 && !unknownMachines.isEmpty()) {
+    while (room > 0 && !orphanedKeys.isEmpty()) {
       // Of a job that has ended for good: whatever is written there is of no use.
       room--;
-      dropped.add(unknownMachines.poll());
+      dropped.add(orphanedKeys.poll());
       transaction.drop(dropped.get(dropped.size() - 1));
     }
     if (transaction.changes() == 0) {
@@ -314,7 +314,7 @@
               sentSharedChunks.forEach(p -> p.dirty = true);
               sentChunks.forEach(
                   (job, chunks) -> dirty.computeIfAbsent(job, j -> new BitSet()).or(chunks));
-              unknownMachines.addAll(dropped);
+              orphanedKeys.addAll(dropped);
               if (result.outcome() == Transaction.Outcome.REFUSED) {
                 writing = false;
               } else {
@@ -325,7 +325,7 @@
             });
     boolean more =
         !dirty.isEmpty()
-            || !unknownMachines.isEmpty()
+            || !orphanedKeys.isEmpty()
             || sharedChunks.values().stream().anyMatch(p -> p.dirty);
     return more ? pause / 8 : pause;
   }
@@ -391,7 +391,7 @@
         .removeIf(
             e -> {
               if (e.getKey().over()) {
-                unknownMachines.addAll(e.getValue());
+                orphanedKeys.addAll(e.getValue());
               }
               return e.getKey().over();
             });
--- a/src/main/java/plumlever/leader/record/RecoveryRead.java
+++ b/src/main/java/plumlever/leader/record/RecoveryRead.java
@@ -30,8 +30,8 @@
 
   private final Context context;
   private final Map<String, StateClient.Listing> read = new HashMap<>();
-  private Consumer<RecoveryRead> then;
-  private long askedMicros;
+  private Consumer<RecoveryRead> onComplete;
+  private long jobsReadSentMicros;
 
   public RecoveryRead(Context context) {
     this.context = context;
@@ -40,8 +40,8 @@
   /**
    * @param whenRead runs once, when everything has been read
    */
-  public void read(Consumer<RecoveryRead> whenRead) {
-    then = whenRead;
+  public void read(Consumer<RecoveryRead> callback) {
+    onComplete = callback;
     if (context.sharing().isPresent()) {
       prefixes.add(PoolView.PREFIX);
     }
@@ -50,14 +50,14 @@
 
   private void read(String prefix) {
     if (prefix.equals(JobStore.ACTIVE)) {
-      askedMicros = context.loop().nowMicros();
+      jobsReadSentMicros = context.loop().nowMicros();
     }
     context
         .reader()
         .list(
             prefix,
             listing -> {
-              if (then == null) {
+              if (onComplete == null) {
                 return;
               }
               if (listing == null) {
@@ -66,24 +66,24 @@
               }
               read.put(prefix, listing);
               if (read.size() == prefixes.size()) {
-                Consumer<RecoveryRead> whole = then;
-                then = null;
-                whole.accept(this);
+                Consumer<RecoveryRead> callback = onComplete;
+                onComplete = null;
+                callback.accept(this);
               }
             });
   }
 
   /** The keys under the prefix, as they were after the term had been taken. */
-  public StateClient.Listing under(String prefix) {
+  public StateClient.Listing listing(String prefix) {
     return read.get(prefix);
   }
 
   /** When the read of the active jobs had been sent: whatever ended before it is known. */
-  public long askedMicros() {
-    return askedMicros;
+  public long jobsReadSentMicros() {
+    return jobsReadSentMicros;
   }
 
   public void close() {
-    then = null;
+    onComplete = null;
   }
 }
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -26,7 +26,7 @@
  * never in none.
  */
 public final class SharedRecords<E extends Registered> {
-  private static final long TIDY_MICROS = 5_000_000;
+  private static final long CLEAN_UP_MICROS = 5_000_000;
   private static final long RETRY_MICROS = 300_000;
 
   /** How entries are written. */
@@ -50,14 +50,14 @@
     int bytes;
 
     /** Of these, bytes of entries on their way to other values. */
-    int leaving;
+    int departingBytes;
 
     boolean writing;
 
     /** Something must be written before it can be used, or can be dropped when there is time. */
-    boolean due;
+    boolean writeDue;
 
-    boolean untidy;
+    boolean cleanUpDue;
     long writtenMicros;
 
     Chunk(int number, int bytes) {
@@ -102,29 +102,29 @@
     chunks.put(number, chunk);
     for (E entry : entries) {
       entry.registration(RegistrationState.STORED);
-      enter(chunk, entry);
+      addEntry(chunk, entry);
     }
   }
 
-  private void enter(Chunk<E> chunk, E entry) {
+  private void addEntry(Chunk<E> chunk, E entry) {
     chunk.entries.add(entry);
     chunk.bytes += layout.bytes(entry);
     chunkOf.put(entry, chunk);
   }
 
   /** The entry is to be recorded, if it is not yet. */
-  public void enroll(E entry) {
+  public void register(E entry) {
     if (entry.registration() != RegistrationState.NONE) {
       return;
     }
     entry.registration(RegistrationState.WRITING);
-    Chunk<E> into = withRoom(layout.bytes(entry));
-    enter(into, entry);
-    into.due = true;
-    write(into);
+    Chunk<E> chunk = chunkWithCapacity(layout.bytes(entry));
+    addEntry(chunk, entry);
+    chunk.writeDue = true;
+    write(chunk);
   }
 
-  private Chunk<E> withRoom(int bytes) {
+  private Chunk<E> chunkWithCapacity(int bytes) {
     for (Chunk<E> chunk : chunks.values()) {
       if (chunk.bytes + bytes <= context.layout().valueBytes()) {
         return chunk;
@@ -142,37 +142,37 @@
   /**
    * Has what does not fit the value written to others; it stays in this one until that is stored.
    */
-  private void shed(Chunk<E> chunk) {
-    Set<Chunk<E>> touched = new LinkedHashSet<>();
+  private void moveExcess(Chunk<E> chunk) {
+    Set<Chunk<E>> destinations = new LinkedHashSet<>();
     for (E entry : List.copyOf(chunk.entries)) {
-      if (chunk.bytes - chunk.leaving <= context.layout().valueBytes()) {
+      if (chunk.bytes - chunk.departingBytes <= context.layout().valueBytes()) {
         break;
       }
       if (movingTo.containsKey(entry)) {
         continue;
       }
-      Chunk<E> to = withRoom(layout.bytes(entry));
-      to.entries.add(entry);
-      to.bytes += layout.bytes(entry);
-      to.due = true;
-      touched.add(to);
-      movingTo.put(entry, to);
-      chunk.leaving += layout.bytes(entry);
+      Chunk<E> destination = chunkWithCapacity(layout.bytes(entry));
+      destination.entries.add(entry);
+      destination.bytes += layout.bytes(entry);
+      destination.writeDue = true;
+      destinations.add(destination);
+      movingTo.put(entry, destination);
+      chunk.departingBytes += layout.bytes(entry);
     }
-    touched.forEach(this::write);
+    destinations.forEach(this::write);
   }
 
   /** An entry that was on its way is stored in its new value, and leaves the old one. */
-  private void moved(E entry, Chunk<E> to) {
-    if (movingTo.get(entry) != to) {
+  private void completeMove(E entry, Chunk<E> destination) {
+    if (movingTo.get(entry) != destination) {
       return;
     }
     movingTo.remove(entry);
-    Chunk<E> from = chunkOf.put(entry, to);
+    Chunk<E> from = chunkOf.put(entry, destination);
     if (from != null && from.entries.remove(entry)) {
       from.bytes -= layout.bytes(entry);
-      from.leaving -= layout.bytes(entry);
-      from.untidy = true;
+      from.departingBytes -= layout.bytes(entry);
+      from.cleanUpDue = true;
     }
   }
 
@@ -182,39 +182,39 @@
   public void remove(E entry) {
     // It may come back, and is not on record then.
     entry.registration(RegistrationState.NONE);
-    Chunk<E> to = movingTo.remove(entry);
-    if (to != null && to.entries.remove(entry)) {
-      to.bytes -= layout.bytes(entry);
-      to.untidy = true;
+    Chunk<E> destination = movingTo.remove(entry);
+    if (destination != null && destination.entries.remove(entry)) {
+      destination.bytes -= layout.bytes(entry);
+      destination.cleanUpDue = true;
     }
     Chunk<E> chunk = chunkOf.remove(entry);
     if (chunk != null) {
-      chunk.leaving -= to == null ? 0 : layout.bytes(entry);
+      chunk.departingBytes -= destination == null ? 0 : layout.bytes(entry);
       chunk.entries.remove(entry);
       chunk.bytes -= layout.bytes(entry);
-      chunk.untidy = true;
+      chunk.cleanUpDue = true;
     }
   }
 
   /** One turn of the duty. */
-  public long tidy() {
+  public long cleanUp() {
     long now = context.loop().nowMicros();
     for (Chunk<E> chunk : List.copyOf(chunks.values())) {
       if (chunk.bytes > context.layout().valueBytes()) {
-        shed(chunk);
-      } else if (chunk.untidy && now - chunk.writtenMicros > TIDY_MICROS) {
+        moveExcess(chunk);
+      } else if (chunk.cleanUpDue && now - chunk.writtenMicros > CLEAN_UP_MICROS) {
         write(chunk);
       }
     }
-    return TIDY_MICROS / 4;
+    return CLEAN_UP_MICROS / 4;
   }
 
   private void write(Chunk<E> chunk) {
-    if (closed || chunk.writing || !(chunk.due || chunk.untidy)) {
+    if (closed || chunk.writing || !(chunk.writeDue || chunk.cleanUpDue)) {
       return;
     }
     if (chunk.bytes > context.layout().valueBytes()) {
-      shed(chunk);
+      moveExcess(chunk);
       return;
     }
     chunk.writing = true;
@@ -233,11 +233,11 @@
     if (chunk.bytes > context.layout().valueBytes()) {
       // The limit has fallen since this was put off.
       chunk.writing = false;
-      shed(chunk);
+      moveExcess(chunk);
       return;
     }
-    chunk.due = false;
-    chunk.untidy = false;
+    chunk.writeDue = false;
+    chunk.cleanUpDue = false;
     chunk.writtenMicros = context.loop().nowMicros();
     List<E> written = new ArrayList<>(chunk.entries);
     String key = layout.key(chunk.number);
@@ -261,39 +261,39 @@
                   chunk.revision = written.isEmpty() ? 0 : result.revision();
                   chunk.writing = false;
                   stored(chunk, written);
-                  Set<Chunk<E>> steppedDown = new LinkedHashSet<>();
+                  Set<Chunk<E>> sources = new LinkedHashSet<>();
                   for (E entry : written) {
                     Chunk<E> from = chunkOf.get(entry);
                     if (movingTo.get(entry) == chunk) {
-                      moved(entry, chunk);
-                      steppedDown.add(from);
+                      completeMove(entry, chunk);
+                      sources.add(from);
                     }
                   }
-                  steppedDown.forEach(this::write);
+                  sources.forEach(this::write);
                   write(chunk);
                 }
-                case REFUSED -> again(chunk);
-                default -> settle(chunk);
+                case REFUSED -> writeLater(chunk);
+                default -> readRevision(chunk);
               }
             });
   }
 
   private void stored(Chunk<E> chunk, List<E> written) {
-    boolean news = false;
+    boolean newlyStored = false;
     for (E entry : written) {
-      boolean stillHere = chunkOf.get(entry) == chunk || movingTo.get(entry) == chunk;
-      if (stillHere && entry.registration() == RegistrationState.WRITING) {
+      boolean stillAssigned = chunkOf.get(entry) == chunk || movingTo.get(entry) == chunk;
+      if (stillAssigned && entry.registration() == RegistrationState.WRITING) {
         entry.registration(RegistrationState.STORED);
-        news = true;
+        newlyStored = true;
       }
     }
-    if (news) {
+    if (newlyStored) {
       stored.run();
     }
   }
 
-  private void again(Chunk<E> chunk) {
-    chunk.due = true;
+  private void writeLater(Chunk<E> chunk) {
+    chunk.writeDue = true;
     context
         .loop()
         .after(
@@ -305,7 +305,7 @@
   }
 
   /** It may have been written, or may be yet: the next write is guarded by what is there now. */
-  private void settle(Chunk<E> chunk) {
+  private void readRevision(Chunk<E> chunk) {
     context
         .store()
         .get(
@@ -317,7 +317,7 @@
               } else if (got.missing()) {
                 chunk.revision = 0;
               }
-              again(chunk);
+              writeLater(chunk);
             });
   }
 
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -130,13 +130,13 @@
             heartbeats.apply(machine, r, false);
           }
           if (status == HttpStatus.CONFLICT) {
-            heartbeats.refused(sent);
+            heartbeats.startsRefused(sent);
           } else if (status != HttpStatus.OK || r == null) {
             context.metrics().count("direct_commands_unanswered");
             machine.tokens().voidDirectCommands();
             attemptLog.unanswered(machine, incarnation, token, sent);
           }
-          if (heartbeats.takeChanged()) {
+          if (heartbeats.getAndClearChanged()) {
             changed.run();
           }
         });
@@ -182,7 +182,7 @@
           if (otherIncarnation && !machine.accounted()) {
             raise(machine);
           }
-          if (heartbeats.takeChanged()) {
+          if (heartbeats.getAndClearChanged()) {
             changed.run();
           }
         });
@@ -216,7 +216,7 @@
                 return;
               }
               heartbeats.apply(machine, heartbeat, false);
-              if (heartbeats.takeChanged()) {
+              if (heartbeats.getAndClearChanged()) {
                 changed.run();
               }
             });
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -458,7 +458,7 @@
 
   /** Rented and not up yet, or up and not yet on record. */
   private boolean coming(Machine machine, long now) {
-    if (failover.overdue(now) && failover.open().contains(machine)) {
+    if (failover.isOverdue(now) && failover.unaccounted().contains(machine)) {
       return false;
     }
     return !machine.returning()
@@ -720,7 +720,7 @@
       }
       search.commit(choice);
       if (choice.startMicros() <= now) {
-        startedJobs.enroll(job);
+        startedJobs.register(job);
         plans
             .computeIfAbsent(
                 snapshot.candidates.get(choice.candidate()).machine(), k -> new LinkedHashMap<>())
