--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -12,15 +12,17 @@
 import plumlever.wire.ExitCause;
 import plumlever.wire.Heartbeat;
 
-/** What follows from the reported state of an attempt that this leader keeps. */
+/** Applies the reported state of attempts that this leader tracks. */
 final class AttemptUpdates {
+  private static final double MICROS_PER_SECOND = 1e6;
+
   private final Logger log;
   private final Context context;
   private final Fleet fleet;
   private final Estimates estimates;
   private final ProgressWriter progress;
   private final AttemptLog attemptLog;
-  private final Runnable changed;
+  private final PlacementChange placementChange;
 
   AttemptUpdates(
       Context context,
@@ -28,17 +30,17 @@
       Estimates estimates,
       ProgressWriter progress,
       AttemptLog attemptLog,
-      Runnable changed) {
+      PlacementChange placementChange) {
     this.context = context;
     this.log = context.logs().of(AttemptUpdates.class);
     this.fleet = fleet;
     this.estimates = estimates;
     this.progress = progress;
     this.attemptLog = attemptLog;
-    this.changed = changed;
+    this.placementChange = placementChange;
   }
 
-  /** Takes the state of an attempt as its machine reports it. */
+  /** Applies the state of an attempt as its machine reports it; one that is over stays over. */
   void update(Attempt attempt, Heartbeat.AttemptStatus reported, long now) {
     if (attempt.over()) {
       return;
@@ -50,69 +52,75 @@
     }
     attempt.observed(reported.state(), now);
     if (started) {
-      attempt
-          .machine()
-          .images()
-          .isReady(attempt.job().spec().image(), attempt.job().spec().imageGb());
-      context.metrics().time("start", now - attempt.job().acceptedMicros());
-      if (!attempt.adopted()) {
-        // What images cost: room that is held while a task waits for its own.
-        context
-            .metrics()
-            .count(
-                "core_ms_fetching",
-                (long) (attempt.job().spec().cores() * (now - attempt.sentMicros()) / 1_000));
-      }
-      attemptLog.running(attempt);
+      started(attempt, now);
     }
     if (reported.state() == AttemptState.ENDED) {
       ended(attempt, reported.cause(), now);
     }
   }
 
-  private void ended(Attempt attempt, ExitCause cause, long now) {
+  private void started(Attempt attempt, long now) {
     Job job = attempt.job();
-    Machine machine = attempt.machine();
-    changed.run();
+    attempt.machine().images().isReady(job.spec().image(), job.spec().imageGb());
+    context.metrics().time("start", now - job.acceptedMicros());
+    if (!attempt.adopted()) {
+      // Capacity that is occupied while the task waits for its image.
+      countCoreMillis("core_ms_fetching", job, now - attempt.sentMicros());
+    }
+    attemptLog.running(attempt);
+  }
+
+  private void countCoreMillis(String counter, Job job, long micros) {
+    context.metrics().count(counter, (long) (job.spec().cores() * micros / 1_000));
+  }
+
+  private void ended(Attempt attempt, ExitCause cause, long now) {
+    placementChange.mark();
     fleet.end(attempt, cause);
     switch (cause) {
-      case DONE -> {
-        job.noteSuccess();
-        machine.health().noteSuccess();
-        if (attempt.runningSinceMicros() >= 0) {
-          context
-              .metrics()
-              .count(
-                  "core_ms_running",
-                  (long) (job.spec().cores() * (now - attempt.runningSinceMicros()) / 1_000));
-        }
-        observe(attempt, now);
-        attemptLog.done(attempt);
-        done(job, attempt.task());
-      }
-      case ERROR, NO_SUCH -> {
-        job.noteError(now);
-        context.metrics().count("task_errors");
-        log.info("{} ended with {} on {}", attempt.name().wireName(), cause, machine.id());
-        if (cause == ExitCause.ERROR && machine.health().noteError(job.uid())) {
-          log.warn("{} fails the tasks of several jobs and is drained", machine.id());
-          machine.drain();
-        }
-      }
-      case STOPPED -> {
-        context.metrics().count("tasks_stopped");
-        if (attempt.runningSinceMicros() < 0 && !waitsFor(machine, job.spec().image())) {
-          machine.images().dropFetch(job.spec().image());
-        }
-      }
+      case DONE -> completed(attempt, now);
+      case ERROR, NO_SUCH -> failed(attempt, cause, now);
+      case STOPPED -> stopped(attempt);
       default -> {
         context.metrics().count("tasks_refused");
-        log.info("{} was refused by {}: {}", attempt.name().wireName(), machine.id(), cause);
+        log.info(
+            "{} was refused by {}: {}", attempt.name().wireName(), attempt.machine().id(), cause);
       }
     }
   }
 
-  private static boolean waitsFor(Machine machine, String image) {
+  private void completed(Attempt attempt, long now) {
+    attempt.job().noteSuccess();
+    attempt.machine().health().noteSuccess();
+    if (attempt.runningSinceMicros() >= 0) {
+      countCoreMillis("core_ms_running", attempt.job(), now - attempt.runningSinceMicros());
+    }
+    observeRunTime(attempt, now);
+    attemptLog.done(attempt);
+    taskDone(attempt.job(), attempt.task());
+  }
+
+  private void failed(Attempt attempt, ExitCause cause, long now) {
+    Job job = attempt.job();
+    Machine machine = attempt.machine();
+    job.noteError(now);
+    context.metrics().count("task_errors");
+    log.info("{} ended with {} on {}", attempt.name().wireName(), cause, machine.id());
+    if (cause == ExitCause.ERROR && machine.health().noteError(job.uid())) {
+      log.warn("{} fails the tasks of several jobs and is drained", machine.id());
+      machine.drain();
+    }
+  }
+
+  private void stopped(Attempt attempt) {
+    context.metrics().count("tasks_stopped");
+    String image = attempt.job().spec().image();
+    if (attempt.runningSinceMicros() < 0 && !needsImage(attempt.machine(), image)) {
+      attempt.machine().images().dropFetch(image);
+    }
+  }
+
+  private static boolean needsImage(Machine machine, String image) {
     for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over() && attempt.job().spec().image().equals(image)) {
         return true;
@@ -121,26 +129,27 @@
     return false;
   }
 
-  private void observe(Attempt attempt, long now) {
+  /** Learns the machine's speed and the estimates' error from a run that was observed whole. */
+  private void observeRunTime(Attempt attempt, long now) {
     if (attempt.runningSinceMicros() < 0
         || attempt.adopted()
         || attempt.job().restarted(attempt.task())) {
       return;
     }
-    double took = now - attempt.runningSinceMicros();
-    double estimate = attempt.job().spec().expectedRunS() * 1e6;
-    if (estimate <= 0 || took <= 0) {
+    double runMicros = now - attempt.runningSinceMicros();
+    double expectedMicros = attempt.job().spec().expectedRunS() * MICROS_PER_SECOND;
+    if (expectedMicros <= 0 || runMicros <= 0) {
       return;
     }
-    double planned = estimates.runMicros(attempt.job());
-    attempt.machine().health().observeRunTime(took / planned);
-    double ratio = took / attempt.machine().health().slowness() / estimate;
+    double plannedMicros = estimates.runMicros(attempt.job());
+    attempt.machine().health().observeRunTime(runMicros / plannedMicros);
+    double ratio = runMicros / attempt.machine().health().slowness() / expectedMicros;
     attempt.job().observe(ratio);
     estimates.observe(attempt.job().spec().jobClass(), ratio);
   }
 
-  /** The task has completed, wherever it ran. */
-  void done(Job job, int task) {
+  /** The task has completed, wherever it ran; has that stored if it is not known yet. */
+  void taskDone(Job job, int task) {
     if (job.over() || job.done().get(task)) {
       return;
     }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -1,6 +1,5 @@
 package plumlever.leader.heartbeat;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
 import org.agrona.collections.LongHashSet;
@@ -8,7 +7,6 @@
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
-import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
@@ -16,23 +14,31 @@
 import plumlever.leader.job.ActiveJobs;
 import plumlever.leader.progress.ProgressWriter;
 import plumlever.wire.AttemptState;
-import plumlever.wire.ExitCause;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.WorkerCommand;
 
-/** Learns from heartbeats, and writes the commands that answer them. */
+/**
+ * Evaluates the heartbeats of one term: decides how fresh each is, and passes what it proves to the
+ * parts that keep it. Everything that heartbeats change goes through here.
+ */
 public final class HeartbeatHandler {
   private final Logger log;
   private final Context context;
-  private final Fleet fleet;
   private final ActiveJobs jobs;
-  private final AttemptUpdates updates;
   private final Failover failover;
   private final Supplier<MachineSharing> sharing;
-  private final AttemptLog attemptLog;
-  private boolean changed;
+  private final PlacementChange placementChange = new PlacementChange();
+  private final AttemptUpdates updates;
+  private final UnknownAttempts unknownAttempts;
+  private final AbsentAttempts absentAttempts;
+  private final AnswerDelivery answerDelivery;
+  private final StopAndRemoveCommands stopAndRemoveCommands;
 
-  /** Handles the heartbeats of one term; {@code sharing} is set up later than this. */
+  /**
+   * Handles the heartbeats of one term.
+   *
+   * @param sharing asked with each heartbeat; it is set up later than this
+   */
   public HeartbeatHandler(
       Context context,
       Fleet fleet,
@@ -43,23 +49,24 @@
       Supplier<MachineSharing> sharing) {
     this.context = context;
     this.log = context.logs().of(HeartbeatHandler.class);
-    this.fleet = fleet;
     this.jobs = jobs;
     this.failover = failover;
     this.sharing = sharing;
-    this.attemptLog = new AttemptLog(context);
+    AttemptLog attemptLog = new AttemptLog(context);
     this.updates =
-        new AttemptUpdates(context, fleet, estimates, progress, attemptLog, () -> changed = true);
+        new AttemptUpdates(context, fleet, estimates, progress, attemptLog, placementChange);
+    this.unknownAttempts = new UnknownAttempts(context, fleet, jobs, updates, placementChange);
+    this.absentAttempts = new AbsentAttempts(context, fleet, failover, attemptLog, placementChange);
+    this.answerDelivery = new AnswerDelivery(context, placementChange);
+    this.stopAndRemoveCommands = new StopAndRemoveCommands(context, jobs, sharing, attemptLog);
   }
 
-  /** True if anything changed that placement cares for, since asked last. */
+  /** True if anything on which placement depends has changed since the last call. */
   public boolean getAndClearChanged() {
-    boolean wasChanged = changed;
-    changed = false;
-    return wasChanged;
+    return placementChange.getAndClear();
   }
 
-  /** What a heartbeat is worth. */
+  /** How a heartbeat compares with what was received before. */
   public enum Freshness {
     /** The newest of its machine. */
     LATEST,
@@ -73,7 +80,7 @@
   }
 
   /**
-   * Takes what a machine tells of itself, if it is news.
+   * Takes in what a machine reports, if it is the latest.
    *
    * @param own sent by the worker itself; the body of a direct call proves nothing about an answer
    *     on its way
@@ -81,34 +88,66 @@
   public Freshness apply(Machine machine, Heartbeat heartbeat, boolean own) {
     long now = context.loop().nowMicros();
     if (!machine.contact().isNews(heartbeat)) {
-      if (own
-          && heartbeat.incarnation() == machine.contact().incarnation()
-          && heartbeat.sequenceNumber() > machine.contact().ownSequenceNumber()) {
-        machine.contact().heartbeatOvertaken(heartbeat.sequenceNumber(), now);
-        return Freshness.SUPERSEDED;
-      }
-      // Copies come seconds to minutes late. They must neither bring back what is gone nor count as
-      // a sign of life.
-      return Freshness.DUPLICATE;
+      return applyOutdated(machine, heartbeat, own, now);
     }
     boolean incarnationChanged =
         machine.contact().incarnation() > 0
             && heartbeat.incarnation() > machine.contact().incarnation();
+    endEarlierIncarnations(machine, heartbeat);
+    observe(machine, heartbeat, own, now);
+    boolean currentTerm = machine.tokens().areOfTermOf(heartbeat.fencingToken());
+    machine.tokens().raise(currentTerm ? heartbeat.fencingToken() : 0);
+    LongHashSet listed = applyAttempts(machine, heartbeat, currentTerm, now);
+    boolean startLost = absentAttempts.endUnlisted(machine, heartbeat, own, listed);
+    if (own) {
+      answerDelivery.evaluate(machine, heartbeat, startLost || incarnationChanged);
+    }
+    if (currentTerm && !machine.accounted()) {
+      failover.markAccounted(machine, own ? "it reported" : "it answered");
+      placementChange.mark();
+    }
+    return Freshness.LATEST;
+  }
+
+  /**
+   * Copies come seconds to minutes late. They must neither bring back what is gone nor count as a
+   * sign of life.
+   */
+  private static Freshness applyOutdated(
+      Machine machine, Heartbeat heartbeat, boolean own, long now) {
+    if (own
+        && heartbeat.incarnation() == machine.contact().incarnation()
+        && heartbeat.sequenceNumber() > machine.contact().ownSequenceNumber()) {
+      machine.contact().heartbeatOvertaken(heartbeat.sequenceNumber(), now);
+      return Freshness.SUPERSEDED;
+    }
+    return Freshness.DUPLICATE;
+  }
+
+  private void endEarlierIncarnations(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.incarnation() > machine.contact().incarnation()) {
       endIncarnationsBefore(machine, heartbeat.incarnation());
     }
-    boolean first = !machine.contact().hasReported();
-    boolean noticed = heartbeat.noticed() && machine.preemptedAtMicros() < 0;
+  }
+
+  private void observe(Machine machine, Heartbeat heartbeat, boolean own, long now) {
+    boolean firstHeartbeat = !machine.contact().hasReported();
+    boolean newNotice = heartbeat.noticed() && machine.preemptedAtMicros() < 0;
     machine.observed(heartbeat, now, own);
-    changed |= first && own;
-    if (noticed) {
-      changed = true;
+    if (firstHeartbeat && own) {
+      placementChange.mark();
+    }
+    if (newNotice) {
+      placementChange.mark();
       context.metrics().count("preemption_notices");
       log.info("{} has a preemption notice of {} s", machine.id(), heartbeat.preemptionNoticeS());
     }
+  }
+
+  /** Applies the status of each attempt; returns the attempts of this cell that are listed. */
+  private LongHashSet applyAttempts(
+      Machine machine, Heartbeat heartbeat, boolean currentTerm, long now) {
     LongHashSet listed = new LongHashSet();
-    boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
-    machine.tokens().raise(current ? heartbeat.fencingToken() : 0);
     int untracked = 0;
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       if (sharing.get().isGuest(machine, reported.attempt())) {
@@ -116,12 +155,10 @@
       }
       listed.add(reported.attempt());
       Attempt attempt = machine.load().attempt(reported.attempt());
-      if (attempt != null
-          && attempt.task() == reported.task().number()
-          && attempt.job().uid().equals(reported.task().job())) {
+      if (attempt != null && isOfTask(attempt, reported)) {
         updates.update(attempt, reported, now);
-      } else if (attempt == null && current) {
-        unknown(machine, reported, now);
+      } else if (attempt == null && currentTerm) {
+        unknownAttempts.handle(machine, reported, now);
       }
       if (reported.state() != AttemptState.ENDED
           && machine.load().attempt(reported.attempt()) == null) {
@@ -129,19 +166,16 @@
       }
     }
     failover.setUntrackedTasks(machine, untracked);
-    boolean lost = forgetGone(machine, heartbeat, own, listed);
-    if (own) {
-      noteAnswerDelivery(machine, heartbeat, lost || incarnationChanged);
-    }
-    if (current && !machine.accounted()) {
-      failover.markAccounted(machine, own ? "it reported" : "it answered");
-      changed = true;
-    }
-    return Freshness.LATEST;
+    return listed;
+  }
+
+  private static boolean isOfTask(Attempt attempt, Heartbeat.AttemptStatus reported) {
+    return attempt.task() == reported.task().number()
+        && attempt.job().uid().equals(reported.task().job());
   }
 
   /**
-   * Takes what the owner of another cell's machine passes on of it.
+   * Takes in what the owner of another cell's machine relays of this cell's tasks on it.
    *
    * @return false for a copy, which proves nothing
    */
@@ -149,9 +183,7 @@
     if (!machine.contact().isNews(heartbeat)) {
       return false;
     }
-    if (heartbeat.incarnation() > machine.contact().incarnation()) {
-      endIncarnationsBefore(machine, heartbeat.incarnation());
-    }
+    endEarlierIncarnations(machine, heartbeat);
     long now = context.loop().nowMicros();
     machine.observed(heartbeat, now, true);
     LongHashSet listed = new LongHashSet();
@@ -161,164 +193,28 @@
       if (attempt != null) {
         updates.update(attempt, reported, now);
       } else if (reported.state() == AttemptState.ENDED) {
-        unknown(machine, reported, now);
+        unknownAttempts.handle(machine, reported, now);
       }
     }
-    forgetGone(machine, heartbeat, true, listed);
+    absentAttempts.endUnlisted(machine, heartbeat, true, listed);
     return true;
   }
 
-  /**
-   * Ends the attempts that the heartbeat proves the machine does not have; true if a command was
-   * lost.
-   */
-  private boolean forgetGone(
-      Machine machine, Heartbeat heartbeat, boolean own, LongHashSet listed) {
-    List<Attempt> gone = null;
-    for (Attempt attempt : machine.load().attempts()) {
-      if (listed.contains(attempt.id())) {
-        continue;
-      }
-      // A command in an answer: the worker has taken it in or dropped it before it sent this. A
-      // direct command: it may be carried out late, until the worker has seen a higher token.
-      if (attempt.directToken() >= 0
-          ? heartbeat.fencingToken() > attempt.directToken() || attempt.state() != null
-          : own && attempt.sentSequenceNumber() < heartbeat.sequenceNumber()) {
-        if (gone == null) {
-          gone = new ArrayList<>();
-        }
-        gone.add(attempt);
-      }
-    }
-    boolean lost = false;
-    for (Attempt attempt : gone == null ? List.<Attempt>of() : gone) {
-      if (!attempt.over()) {
-        changed = true;
-        lost |= attempt.state() == null;
-        context.metrics().count(attempt.state() == null ? "starts_lost" : "attempts_vanished");
-        attemptLog.absent(attempt, heartbeat);
-      }
-      fleet.forget(attempt);
-    }
-    return lost;
-  }
-
-  /**
-   * Looks whether what was sent before arrives: a machine's reports may come through although
-   * nothing reaches it.
-   */
-  private void noteAnswerDelivery(Machine machine, Heartbeat heartbeat, boolean lost) {
-    boolean wasUnreachable = machine.contact().unreachable();
-    if (machine.tokens().lastAnswered() > heartbeat.fencingToken()) {
-      machine.contact().answerLost();
-    } else if (lost) {
-      machine.contact().answerLost();
-      // The next heartbeat tells by its token whether the next answer arrives.
-      machine.tokens().raise(machine.tokens().current() + 1);
-    } else {
-      machine.contact().answerDelivered();
-    }
-    if (machine.contact().unreachable() != wasUnreachable) {
-      changed = true;
-      context.metrics().count(wasUnreachable ? "machines_reachable_again" : "machines_unreachable");
-      log.info(
-          "{} {}",
-          machine.id(),
-          wasUnreachable
-              ? "is reachable again"
-              : "sends heartbeats, but no answer seems to reach it");
-    }
-  }
-
-  /**
-   * The worker answered that it carried nothing of this out, and it never will: its token or
-   * incarnation has moved on.
-   */
+  /** The worker refused a direct command: none of these starts was executed, or ever will be. */
   public void startsRefused(Iterable<Attempt> sent) {
-    for (Attempt attempt : sent) {
-      if (!attempt.over() && attempt.state() == null) {
-        changed = true;
-        context.metrics().count("starts_refused");
-        fleet.forget(attempt);
-      }
-    }
+    absentAttempts.endRefused(sent);
   }
 
   /**
-   * A worker that starts a new incarnation has killed and forgotten everything of the ones before.
+   * Ends all attempts on the machine of incarnations before this one; {@code Long.MAX_VALUE} ends
+   * all, for a machine that was deleted or whose lease has surely lapsed.
    */
   public void endIncarnationsBefore(Machine machine, long incarnation) {
-    if (fleet.away(machine.id()) != machine) {
-      failover.setUntrackedTasks(machine, 0);
-    }
-    List<Attempt> ended = new ArrayList<>();
-    for (Attempt attempt : machine.load().attempts()) {
-      if (attempt.incarnation() < incarnation) {
-        ended.add(attempt);
-      }
-    }
-    for (Attempt attempt : ended) {
-      if (!attempt.over()) {
-        changed = true;
-        context.metrics().count("attempts_lost");
-      }
-      fleet.forget(attempt);
-    }
-  }
-
-  /** A task this leader did not start there. */
-  private void unknown(Machine machine, Heartbeat.AttemptStatus reported, long now) {
-    Job job = jobs.get(reported.task().job());
-    if (job == null || job.over() || reported.task().number() >= job.spec().taskCount()) {
-      return;
-    }
-    int task = reported.task().number();
-    if (reported.state() == AttemptState.ENDED) {
-      if (reported.cause() == ExitCause.DONE) {
-        Attempt other = job.liveAttempt(task);
-        if (other != null) {
-          other.stop(0, now);
-        }
-        updates.done(job, task);
-        changed = true;
-      }
-      return;
-    }
-    // Only the heartbeat that accounts for a machine may bring attempts of earlier terms: one that
-    // was held back until after the lease had lapsed lists tasks that are dead.
-    if (!machine.accounted()
-        && fleet.ofEarlierTerm(reported.attempt())
-        && job.inherited()
-        && !job.done().get(task)
-        && job.liveAttempt(task) == null) {
-      Attempt attempt = fleet.adopt(job, task, reported.attempt(), machine, now);
-      attempt.observed(reported.state(), now);
-      if (reported.state() == AttemptState.RUNNING) {
-        machine.images().isReady(job.spec().image(), job.spec().imageGb());
-      } else if (context.prices().machineType(machine.machineType()) != null) {
-        machine
-            .images()
-            .use(
-                job.spec().image(),
-                job.spec().imageGb(),
-                context.prices().machineType(machine.machineType()),
-                now);
-      }
-      changed = true;
-      context.metrics().count("attempts_adopted");
-    } else if (job.liveAttempt(task) != null) {
-      // Mostly a heartbeat that was held back in the network; if not, the stop that answers it
-      // comes in time.
-      log.info(
-          "{} is reported by {} and runs on {}",
-          reported.task().wireName(),
-          machine.id(),
-          job.liveAttempt(task).machine().id());
-    }
+    absentAttempts.endIncarnationsBefore(machine, incarnation);
   }
 
   /**
-   * True if the machine has tasks of jobs that are not known here to have ended; stops of the
+   * True if the machine has tasks of jobs that are not known here to have ended; stops of all
    * others go with any answer.
    */
   public boolean holdsTasksOfActiveJobs(Heartbeat heartbeat) {
@@ -330,60 +226,8 @@
     return false;
   }
 
-  /** The commands that go without a plan: stops, and what the worker may forget. */
+  /** The stops and removals that an answer to this heartbeat must carry, whatever is planned. */
   public List<WorkerCommand> stopAndRemoveCommands(Machine machine, Heartbeat heartbeat) {
-    long now = context.loop().nowMicros();
-    List<WorkerCommand> commands = new ArrayList<>();
-    // A worker that has forgotten an attempt would start it again from a late copy of a direct
-    // order. So nothing is removed until the answer that says so also makes such copies void, which
-    // has to wait for one still under way.
-    if (machine.tokens().directCommandOpen() && !machine.contact().commandInFlight()) {
-      machine.tokens().voidDirectCommands();
-    }
-    boolean mayRemove = !machine.tokens().directCommandOpen();
-    for (Attempt attempt : machine.load().attempts()) {
-      if (attempt.over()) {
-        if (mayRemove
-            && attempt.cause() != null
-            && (attempt.cause() != ExitCause.DONE
-                || attempt.job().over()
-                || attempt.job().stored().get(attempt.task()))) {
-          commands.add(WorkerCommand.remove(attempt.name(), attempt.id()));
-        }
-      } else {
-        if (attempt.job().over()
-            || attempt.job().cancellationConfirmed()
-            || attempt.job().done().get(attempt.task())) {
-          attemptLog.stopped(attempt);
-          attempt.stop(0, now);
-        }
-        if (attempt.stopping()) {
-          commands.add(WorkerCommand.stop(attempt.name(), attempt.id(), attempt.gracePeriodS()));
-        }
-      }
-    }
-    boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
-    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
-      if (machine.load().attempt(reported.attempt()) != null
-          || sharing.get().isGuest(machine, reported.attempt())) {
-        continue;
-      }
-      Job job = jobs.get(reported.task().job());
-      if (reported.state() != AttemptState.ENDED) {
-        // A heartbeat that shows an earlier term does not account for its machine, but tasks of
-        // jobs that have ended are stopped by the first answer: it renews their lease, and the
-        // machine may not hear another one.
-        if (current || job == null) {
-          commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
-        }
-      } else if (current
-          && mayRemove
-          && (job == null
-              || reported.cause() != ExitCause.DONE
-              || job.stored().get(reported.task().number()))) {
-        commands.add(WorkerCommand.remove(reported.task(), reported.attempt()));
-      }
-    }
-    return commands;
+    return stopAndRemoveCommands.forAnswer(machine, heartbeat);
   }
 }
--- /dev/null
+++ b/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
@@ -0,0 +1,105 @@
+package plumlever.leader.heartbeat;
+
+import org.slf4j.Logger;
+import plumlever.fleet.Attempt;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Job;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.wire.AttemptState;
+import plumlever.wire.ExitCause;
+import plumlever.wire.Heartbeat;
+import plumlever.wire.MachineType;
+
+/** Handles reported attempts that this leader did not start on the machine that reports them. */
+final class UnknownAttempts {
+  private final Logger log;
+  private final Context context;
+  private final Fleet fleet;
+  private final ActiveJobs jobs;
+  private final AttemptUpdates updates;
+  private final PlacementChange placementChange;
+
+  UnknownAttempts(
+      Context context,
+      Fleet fleet,
+      ActiveJobs jobs,
+      AttemptUpdates updates,
+      PlacementChange placementChange) {
+    this.context = context;
+    this.log = context.logs().of(UnknownAttempts.class);
+    this.fleet = fleet;
+    this.jobs = jobs;
+    this.updates = updates;
+    this.placementChange = placementChange;
+  }
+
+  /**
+   * Takes in what the attempt proves: a completed task counts wherever it ran, and a task that an
+   * earlier leader started is adopted if nothing else runs it.
+   */
+  void handle(Machine machine, Heartbeat.AttemptStatus reported, long now) {
+    Job job = jobs.get(reported.task().job());
+    int task = reported.task().number();
+    if (job == null || job.over() || task >= job.spec().taskCount()) {
+      return;
+    }
+    if (reported.state() == AttemptState.ENDED) {
+      if (reported.cause() == ExitCause.DONE) {
+        completed(job, task, now);
+      }
+    } else if (mayAdopt(machine, job, reported)) {
+      adopt(machine, job, reported, now);
+    } else if (job.liveAttempt(task) != null) {
+      // Mostly a heartbeat that was delayed in the network; if not, the stop that answers it comes
+      // in time.
+      log.info(
+          "{} is reported by {} and runs on {}",
+          reported.task().wireName(),
+          machine.id(),
+          job.liveAttempt(task).machine().id());
+    }
+  }
+
+  private void completed(Job job, int task, long now) {
+    Attempt live = job.liveAttempt(task);
+    if (live != null) {
+      live.stop(0, now);
+    }
+    updates.taskDone(job, task);
+    placementChange.mark();
+  }
+
+  /**
+   * Only the heartbeat that accounts for a machine may bring attempts of earlier terms: one that
+   * was delayed until after the lease had lapsed lists tasks that are dead.
+   */
+  private boolean mayAdopt(Machine machine, Job job, Heartbeat.AttemptStatus reported) {
+    int task = reported.task().number();
+    return !machine.accounted()
+        && fleet.ofEarlierTerm(reported.attempt())
+        && job.inherited()
+        && !job.done().get(task)
+        && job.liveAttempt(task) == null;
+  }
+
+  private void adopt(Machine machine, Job job, Heartbeat.AttemptStatus reported, long now) {
+    Attempt attempt = fleet.adopt(job, reported.task().number(), reported.attempt(), machine, now);
+    attempt.observed(reported.state(), now);
+    updateImages(machine, job, reported.state(), now);
+    placementChange.mark();
+    context.metrics().count("attempts_adopted");
+  }
+
+  private void updateImages(Machine machine, Job job, AttemptState state, long now) {
+    if (state == AttemptState.RUNNING) {
+      machine.images().isReady(job.spec().image(), job.spec().imageGb());
+      return;
+    }
+    MachineType machineType = context.prices().machineType(machine.machineType());
+    if (machineType != null) {
+      machine.images().use(job.spec().image(), job.spec().imageGb(), machineType, now);
+    }
+  }
+}
