--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -9,8 +9,8 @@
 import plumlever.wire.Heartbeat;
 
 /**
- * The life of each attempt, for one search by job or machine: each line names task, attempt,
- * machine, incarnation and token. Debug lines only, so many a second at most.
+ * Logs the life of each attempt, to be searched by job or machine: each line names task, attempt,
+ * machine, incarnation and token. Debug level only, with a limit on lines per second.
  */
 public final class AttemptLog {
   private static final int MAX_LINES_PER_SECOND = 200;
@@ -31,43 +31,48 @@
   }
 
   /**
-   * @param endsKnownMicros when the last heard read of ended jobs had been sent
+   * The attempt is sent to its machine.
+   *
+   * @param direct by a direct command, not with the answer to a heartbeat
+   * @param endsKnownMicros when the latest answered read of ended jobs was sent
    */
   public void started(Attempt attempt, boolean direct, long endsKnownMicros) {
     if (enabled()) {
       log.debug(
-          "{} attempt {} goes to {} incarnation {} {} token {}, ended jobs as of {} ms ago",
+          "{} attempt {} is sent to {} incarnation {} {} token {}, ended jobs as of {} ms ago",
           attempt.name().wireName(),
           attempt.id(),
           attempt.machine().id(),
           attempt.incarnation(),
-          direct ? "straight, with" : "with its answer,",
+          direct ? "by direct command," : "with an answer,",
           attempt.machine().tokens().current(),
           (context.loop().nowMicros() - endsKnownMicros) / 1_000);
     }
   }
 
+  /** The attempt is reported as running. */
   void running(Attempt attempt) {
-    debug(attempt, "runs");
+    debug(attempt, "is running");
   }
 
+  /** The attempt is reported as completed. */
   void done(Attempt attempt) {
     debug(attempt, "is done");
   }
 
-  private void debug(Attempt attempt, String what) {
+  private void debug(Attempt attempt, String event) {
     if (enabled()) {
       log.debug(
           "{} attempt {} {} on {} incarnation {}",
           attempt.name().wireName(),
           attempt.id(),
-          what,
+          event,
           attempt.machine().id(),
           attempt.incarnation());
     }
   }
 
-  /** Its job has ended, so from now on every answer stops it. */
+  /** The attempt's job has ended, so from now on every answer stops it. */
   void stopped(Attempt attempt) {
     if (!attempt.stopping() && enabled()) {
       log.debug(
@@ -80,26 +85,26 @@
     }
   }
 
-  /** Why a start that was never heard of, or a task that is not listed any more, is over. */
+  /** A heartbeat proves that the attempt is not on its machine, or not any more. */
   void absent(Attempt attempt, Heartbeat heartbeat) {
     if (enabled()) {
       log.debug(
-          "{} attempt {} on {} incarnation {} is over: a heartbeat shows token {}, the start had"
-              + " {}",
+          "{} attempt {} on {} incarnation {} is over: a heartbeat shows token {}, the start was"
+              + " sent {}",
           attempt.name().wireName(),
           attempt.id(),
           heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
-          attempt.directToken() < 0 ? "gone with an answer" : attempt.directToken());
+          attempt.directToken() < 0 ? "with an answer" : "with token " + attempt.directToken());
     }
   }
 
-  /** These starts had no answer in their time. */
+  /** A direct command with these starts was not answered in time. */
   public void unanswered(Machine machine, long incarnation, long token, List<Attempt> sent) {
     if (enabled()) {
       log.debug(
-          "starts of {} on {} incarnation {} with token {} had no answer: they may be carried out"
+          "starts of {} on {} incarnation {} with token {} were not answered: they may be executed"
               + " until it shows a higher token, its next answer carries {}",
           sent.stream()
               .map(attempt -> attempt.name().wireName() + " attempt " + attempt.id())
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -11,29 +11,37 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Heartbeats of machines with tasks that come before a new leader has read which jobs there are. An
- * answer would renew leases of tasks whose jobs may have been cancelled long ago, so it waits until
- * the leader knows, within the time that a worker waits.
+ * Heartbeats of machines with tasks that arrive before a new leader has read which jobs there are.
+ * An answer would renew leases of tasks whose jobs may have been cancelled long ago, so it is
+ * deferred until the leader knows, within the time that a worker waits.
  */
 public final class DeferredHeartbeats {
-  /** A worker gives up after 4 s, and what it hears must still get to it. */
+  /** A worker gives up after 4 s, and the answer needs time to reach it. */
   private static final long MAX_WAIT_MICROS = 2_500_000;
 
   private record Deferred(Heartbeat heartbeat, Responder out, long receivedMicros) {}
 
   private final Loop loop;
 
-  /** Each heartbeat holds a connection, so there are never more than sockets. */
+  /** Each deferred heartbeat holds a connection. */
   private final int capacity;
 
   private final Map<String, Deferred> byMachine = new LinkedHashMap<>();
 
+  /**
+   * Defers no heartbeat yet.
+   *
+   * @param socketLimit the most heartbeats that can be deferred at a time
+   */
   public DeferredHeartbeats(Loop loop, int socketLimit) {
     this.loop = loop;
     this.capacity = socketLimit;
   }
 
-  /** Keeps the heartbeat until the jobs are known, or refuses it if too many wait. */
+  /**
+   * Keeps the heartbeat until the jobs are known, or refuses it if too many wait. A later heartbeat
+   * of a machine replaces its earlier one, which is refused.
+   */
   public void defer(Heartbeat heartbeat, Responder out) {
     long now = loop.nowMicros();
     Deferred previous = byMachine.remove(heartbeat.machineId());
@@ -56,8 +64,8 @@
   }
 
   /**
-   * The leader knows its jobs: each is taken in a turn of its own, so that what comes meanwhile
-   * need not wait for all.
+   * Answers all deferred heartbeats now that the jobs are known. Each is answered in an event of
+   * its own, so that requests which arrive meanwhile need not wait for all of them.
    */
   public void release(BiConsumer<Heartbeat, Responder> answer) {
     List<Deferred> all = new ArrayList<>(byMachine.values());
@@ -74,6 +82,7 @@
     }
   }
 
+  /** Refuses all deferred heartbeats: this controller no longer leads. */
   public void close() {
     release((heartbeat, out) -> out.later(HttpStatus.UNAVAILABLE, "not in office", 1));
   }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -20,7 +20,10 @@
 import plumlever.wire.HttpStatus;
 import plumlever.wire.WorkerCommand;
 
-/** The leader's answers to heartbeats, as far as they renew a lease or refuse to. */
+/**
+ * Sends the leader's answers to heartbeats: renews the worker's lease, or refuses to, by the
+ * evidence that there is at the time of the answer.
+ */
 public final class HeartbeatAnswers {
   private static final int MAX_LINES_PER_SECOND = 20;
 
@@ -31,7 +34,7 @@
   private final Logger log;
   private final LogBudget logBudget;
 
-  /** Answers under the evidence that these jobs and this view of a pool give. */
+  /** Takes the evidence from these jobs and this view of a pool. */
   public HeartbeatAnswers(Context context, ActiveJobs jobs, MachineSharing sharing) {
     this.context = context;
     this.jobs = jobs;
@@ -41,7 +44,7 @@
     this.logBudget = new LogBudget(log, MAX_LINES_PER_SECOND);
   }
 
-  /** Why the machine's lease may not be renewed now, if it may not. */
+  /** Why the machine's lease may not be renewed now; empty if it may. */
   public Optional<RenewalRefusal> refusal(Machine machine, boolean holdsOpenTasks) {
     return renewal.refusal(evidence(machine, holdsOpenTasks), context.loop().nowMicros());
   }
@@ -88,12 +91,12 @@
   private boolean renew(
       Heartbeat heartbeat, LeaderEvidence evidence, List<WorkerCommand> commands, Responder out) {
     RenewalDecision decision = renewal.answer(evidence, commands, context.loop().nowMicros());
-    if (decision instanceof RenewalDecision.Refused refused) {
-      refuse(heartbeat, refused.refusal(), out);
-      return false;
+    if (decision instanceof RenewalDecision.Renewed renewed) {
+      out.send(HttpStatus.OK, renewed.body());
+      return true;
     }
-    out.send(HttpStatus.OK, ((RenewalDecision.Renewed) decision).body());
-    return true;
+    refuse(heartbeat, ((RenewalDecision.Refused) decision).refusal(), out);
+    return false;
   }
 
   /** Answers without renewing the lease. */
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -29,9 +29,7 @@
  */
 public final class RenewalDelegation {
 
-  /**
-   * Workers try one controller after the other; by then some have come to one that reaches them.
-   */
+  /** Workers try one controller after the other; by then some have found one that reaches them. */
   private static final long ANNOUNCEMENT_TIMEOUT_MICROS = 9_000_000;
 
   private static final long INELIGIBILITY_MICROS = 90_000_000;
@@ -43,20 +41,24 @@
   /** So that the record fits the smallest value, whatever the zones are called. */
   private static final int MAX_ZONES = 8;
 
+  private static final long NO_RECORD = 0;
+  private static final long UNKNOWN_REVISION = -1;
+  private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 4;
+
   private final Logger log;
   private final Context context;
   private final Fleet fleet;
 
-  /** The last token that went with each zone. */
+  /** The last token that was delegated with each zone. */
   private final Map<String, Long> lastTokenByZone = new HashMap<>();
 
-  /** Zones others may be renewing leases in. */
+  /** Zones in which others may be renewing leases. */
   private final Set<String> delegatedZones = new HashSet<>();
 
   private final Map<String, Long> revokedMicros = new HashMap<>();
 
-  /** Revision of the record, 0 if there is none as after an election, -1 when that is not known. */
-  private long revision;
+  /** Revision of the record; there is none after an election. */
+  private long revision = NO_RECORD;
 
   private final Map<String, Long> ineligibleUntilMicros = new HashMap<>();
   private long delegatedMicros;
@@ -69,6 +71,7 @@
     this.log = context.logs().of(RenewalDelegation.class);
   }
 
+  /** True while others may be renewing leases in the zone. */
   public boolean isDelegated(String zone) {
     return delegatedZones.contains(zone);
   }
@@ -84,50 +87,64 @@
 
   /** When the delegation of the zone was surely gone from the state service, or long ago. */
   public long revokedMicros(String zone) {
-    return revokedMicros.getOrDefault(zone, Long.MIN_VALUE / 4);
+    return revokedMicros.getOrDefault(zone, LONG_AGO_MICROS);
   }
 
-  /** One look: these zones can't be reached now. */
+  /**
+   * Delegates renewal in zones that can't be reached now, and revokes the delegation once none is
+   * left. A zone that can be reached again stays delegated until the whole delegation has ended:
+   * others may not have read its end yet.
+   */
   public void updateUnreachableZones(Set<String> unreachableZones) {
-    long now = context.loop().nowMicros();
-    Set<String> zones = new HashSet<>(unreachableZones);
-    ineligibleUntilMicros.values().removeIf(until -> until < now);
-    zones.removeAll(ineligibleUntilMicros.keySet());
-    List<String> inOrder = new ArrayList<>(zones);
-    inOrder.sort(
-        Comparator.comparing((String zone) -> !delegatedZones.contains(zone))
-            .thenComparing(s -> s));
-    inOrder.stream().skip(MAX_ZONES).forEach(zones::remove);
-    if (!delegatedZones.isEmpty()
-        && !writing
-        && now - delegatedMicros > ANNOUNCEMENT_TIMEOUT_MICROS
-        && context.election().announcedDelegation() != revision) {
-      // Nobody else reaches these workers either: their leases lapse, and it must be seen when they
-      // have.
-      delegatedZones.forEach(s -> ineligibleUntilMicros.put(s, now + INELIGIBILITY_MICROS));
-      zones.clear();
-    }
+    Set<String> zones = zonesToDelegate(unreachableZones);
     if (writing
         || zones.equals(delegatedZones)
         || context.platform().seeds().isEmpty()
         || context.sharing().isPresent()) {
       return;
     }
-    // A zone that is wanted no more stays covered until the whole delegation has ended: others may
-    // not have read it yet.
-    if (zones.isEmpty() || revision < 0) {
+    if (zones.isEmpty() || revision == UNKNOWN_REVISION) {
       revoke();
     } else if (!delegatedZones.containsAll(zones)) {
       delegate(zones);
     }
   }
 
+  /** As many of the unreachable zones as one record holds, those delegated already first. */
+  private Set<String> zonesToDelegate(Set<String> unreachableZones) {
+    long now = context.loop().nowMicros();
+    Set<String> zones = new HashSet<>(unreachableZones);
+    ineligibleUntilMicros.values().removeIf(until -> until < now);
+    zones.removeAll(ineligibleUntilMicros.keySet());
+    List<String> byPreference = new ArrayList<>(zones);
+    byPreference.sort(
+        Comparator.comparing((String zone) -> !delegatedZones.contains(zone))
+            .thenComparing(Comparator.naturalOrder()));
+    byPreference.stream().skip(MAX_ZONES).forEach(zones::remove);
+    if (isUseless(now)) {
+      delegatedZones.forEach(zone -> ineligibleUntilMicros.put(zone, now + INELIGIBILITY_MICROS));
+      zones.clear();
+    }
+    return zones;
+  }
+
+  /**
+   * True if no other controller has announced that it reaches these workers. Then their leases
+   * lapse, and it must be seen when they have.
+   */
+  private boolean isUseless(long now) {
+    return !delegatedZones.isEmpty()
+        && !writing
+        && now - delegatedMicros > ANNOUNCEMENT_TIMEOUT_MICROS
+        && context.election().announcedDelegation() != revision;
+  }
+
   private void delegate(Set<String> zones) {
-    Set<String> before = new HashSet<>(delegatedZones);
+    Set<String> previousZones = new HashSet<>(delegatedZones);
     delegatedMicros = context.loop().nowMicros();
     delegatedZones.addAll(zones);
     delegatedZones.stream()
-        .filter(zone -> !before.contains(zone))
+        .filter(zone -> !previousZones.contains(zone))
         .forEach(zone -> lastTokenByZone.put(zone, sufficientToken(zone)));
     log.info(
         "leases in {} may be renewed by the other controllers, term {}, tokens {}",
@@ -140,13 +157,13 @@
         result -> {
           switch (result.outcome()) {
             case APPLIED -> revision = result.revision();
-            // Surely not given, nor later, since what it was guarded by has moved on.
+            // Not delegated, nor later, since what it was guarded by has moved on.
             case CONFLICT -> {
-              delegatedZones.retainAll(before);
-              revision = -1;
+              delegatedZones.retainAll(previousZones);
+              revision = UNKNOWN_REVISION;
             }
-            case REFUSED -> delegatedZones.retainAll(before);
-            case UNKNOWN -> revision = -1;
+            case REFUSED -> delegatedZones.retainAll(previousZones);
+            case UNKNOWN -> revision = UNKNOWN_REVISION;
           }
         });
   }
@@ -163,8 +180,8 @@
   }
 
   /**
-   * Written empty, not dropped, and whatever was there: with that its revision moves on, and a
-   * delegation whose answer was not heard can't be carried out any more.
+   * Writes the record empty, whatever was there, instead of dropping it: its revision moves on, so
+   * a delegation whose answer was lost can't be executed any more.
    */
   private void revoke() {
     write(
@@ -173,18 +190,22 @@
         result -> {
           if (result.applied()) {
             revision = result.revision();
-            long now = context.loop().nowMicros();
-            delegatedZones.forEach(s -> revokedMicros.put(s, now));
-            if (!delegatedZones.isEmpty()) {
-              log.info("leases in {} are renewed here again", delegatedZones);
-            }
-            delegatedZones.clear();
+            revoked();
           }
         });
   }
 
+  private void revoked() {
+    long now = context.loop().nowMicros();
+    delegatedZones.forEach(zone -> revokedMicros.put(zone, now));
+    if (!delegatedZones.isEmpty()) {
+      log.info("leases in {} are renewed only by this leader again", delegatedZones);
+    }
+    delegatedZones.clear();
+  }
+
   private void write(
-      Transaction transaction, Set<String> zones, Consumer<Transaction.Result> then) {
+      Transaction transaction, Set<String> zones, Consumer<Transaction.Result> onResult) {
     writing = true;
     Map<String, Long> tokenByZone = new HashMap<>(lastTokenByZone);
     tokenByZone.keySet().retainAll(zones);
@@ -196,7 +217,7 @@
             StateClient.RequestPriority.URGENT,
             result -> {
               writing = false;
-              then.accept(result);
+              onResult.accept(result);
             });
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/package-info.java
+++ b/src/main/java/plumlever/leader/heartbeat/package-info.java
@@ -1,5 +1,9 @@
 /**
- * What workers' heartbeats prove, how they are answered, and when their leases may be renewed, here
- * or by delegation. It decides nothing about placement.
+ * Evaluates workers' heartbeats and answers them.
+ *
+ * <p>Owns what a heartbeat proves about attempts and machines, the commands that every answer
+ * carries, the decision whether an answer renews the worker's lease, and the delegation of renewal
+ * to other controllers. It must not know placement: it only notes that something changed on which
+ * placement depends.
  */
 package plumlever.leader.heartbeat;
