--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -3,72 +3,48 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.ToLongFunction;
 import org.slf4j.Logger;
-import plumlever.fleet.DependencyGraph;
 import plumlever.fleet.Job;
 import plumlever.leader.context.Context;
 import plumlever.leader.record.RecoveryRead;
 import plumlever.lease.RenewalLimit;
-import plumlever.store.JobFinder;
 import plumlever.store.JobStore;
 import plumlever.store.PrefixWatch;
 import plumlever.store.StateClient;
-import plumlever.store.Transaction;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobState;
 
-/** The jobs that have not ended, kept up with the state service by watching it. */
+/**
+ * The jobs that have not ended. They are loaded once from the records that a new leader reads, and
+ * then follow the state service by a watch.
+ */
 public final class ActiveJobs {
-  private static final long RETRY_MICROS = 500_000;
+  private static final long WATCH_RETRY_MICROS = 500_000;
+  private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
   private final Logger log;
   private final Context context;
   private final StartedJobIndex startedJobs;
   private final Runnable changed;
   private final Map<String, Job> active = new LinkedHashMap<>();
-  private final DependencyGraph dependencyGraph = new DependencyGraph();
-
-  /** Jobs cancelled through another, whose end is to be stored. */
-  private final Map<String, Job> dependentsToCancel = new LinkedHashMap<>();
-
-  /** What a task of the job takes, its image included, to plan with. */
-  private ToLongFunction<Job> taskCost = j -> 0;
-
-  private final Set<String> unread = new LinkedHashSet<>();
-  private final JobFinder finder;
-  private boolean readingEnds;
-  private boolean cancelling;
-
-  /**
-   * What is put off until all jobs are there: the listing is in no command that the dependency
-   * chains would know.
-   */
-  private List<Runnable> atLoad = new ArrayList<>();
-
-  /** Which stored shared chunk each job's progress was found in. */
-  private final Map<Job, Integer> sharedChunks = new HashMap<>();
-
-  private final Map<String, Long> sharedChunkRevisions = new HashMap<>();
-  private final Map<Job, Map<String, Long>> chunks = new HashMap<>();
-  private final List<String> orphanedProgressKeys = new ArrayList<>();
+  private final StoredProgress storedProgress;
+  private final DependencyResolver dependencies;
   private final RenewalLimit limit;
   private final PrefixWatch watch;
 
-  /** When the last read that tells which jobs have ended had been sent. */
-  private long endsKnownMicros = Long.MIN_VALUE / 2;
-
-  private boolean closed;
+  /** When the latest answered read that shows which jobs have ended was sent. */
+  private long endsKnownMicros = NEVER_MICROS;
 
   /**
-   * The jobs of one term, empty until they are loaded.
+   * The jobs of one term, none until they are loaded.
    *
    * @param changed runs when a job has come, has ended or may start
    */
@@ -77,7 +53,14 @@
     this.log = context.logs().of(ActiveJobs.class);
     this.startedJobs = startedJobs;
     this.changed = changed;
-    this.finder = new JobFinder(context.loop(), context.store());
+    Map<String, Job> activeView = Collections.unmodifiableMap(active);
+    this.storedProgress = new StoredProgress(context, activeView);
+    this.dependencies =
+        new DependencyResolver(
+            context,
+            activeView,
+            new DependentCancellation(context, uid -> jobEnded(uid, JobState.CANCELLED)),
+            changed);
     this.limit = new RenewalLimit(context.platform().workers());
     this.watch =
         new PrefixWatch(
@@ -85,370 +68,105 @@
             context.store(),
             JobStore.ACTIVE,
             limit::watchMicros,
-            RETRY_MICROS,
-            new PrefixWatch.Listener() {
-              @Override
-              public void listed(StateClient.Listing listing, long sentMicros) {
-                ActiveJobs.this.listed(listing, sentMicros);
-              }
-
-              @Override
-              public void changed(List<StateClient.KeyEvent> changes, long sentMicros) {
-                onEvents(changes, sentMicros);
-              }
-            });
+            WATCH_RETRY_MICROS,
+            new WatchListener());
   }
 
+  /** All active jobs, in the order in which they were found. */
   public Collection<Job> all() {
     return active.values();
   }
 
-  public Map<String, Long> sharedChunkRevisions() {
-    return sharedChunkRevisions;
-  }
-
-  /** Keys of stored progress by job, and those of jobs that have ended. */
-  public Map<Job, Map<String, Long>> chunks() {
-    return chunks;
-  }
-
-  public List<String> orphanedProgressKeys() {
-    return orphanedProgressKeys;
-  }
-
-  public Map<Job, Integer> sharedChunks() {
-    return sharedChunks;
-  }
-
+  /** The job, or null if it is not active. */
   public Job get(String uid) {
     return active.get(uid);
   }
 
+  /** The progress records as earlier leaders left them. */
+  public StoredProgress storedProgress() {
+    return storedProgress;
+  }
+
   /**
-   * True while a lease may be renewed on a machine with tasks, and a task ordered on one: later, a
-   * cancellation that this leader has not heard of might come to its end of time before the lease
-   * does.
+   * True while a task may be started, or the lease of a machine with tasks renewed. Later, the time
+   * within which a cancellation that this leader does not know of must have stopped all tasks might
+   * expire before the lease does.
    */
   public boolean mayRenew() {
     return limit.mayRenew(context.loop().nowMicros(), endsKnownMicros);
   }
 
-  /** When the last read of ended jobs that was heard had been sent. */
+  /** When the latest answered read that shows which jobs have ended was sent. */
   public long endsKnownMicros() {
     return endsKnownMicros;
   }
 
-  /** Takes in all jobs and which of them earlier leaders may have begun, and goes on watching. */
+  /** Adds all jobs that the new leader has read, and starts to watch for changes since then. */
   public void load(RecoveryRead found) {
     endsKnownMicros = found.jobsReadSentMicros();
     StateClient.Listing jobs = found.listing(JobStore.ACTIVE);
     startedJobs.read(found.listing(JobStore.STARTED).items());
-    jobs.items().forEach(i -> addJob(i.key(), i.data(), i.revision(), true));
-    found.listing(JobStore.PROGRESS).items().forEach(this::readProgress);
+    jobs.items().forEach(item -> addJob(item.key(), item.data(), item.revision(), true));
+    found.listing(JobStore.PROGRESS).items().forEach(storedProgress::read);
     startedJobs.loaded(this);
-    List<Runnable> addJob = atLoad;
-    atLoad = null;
-    addJob.forEach(Runnable::run);
-    resolveDependencies();
+    dependencies.loaded();
     watch.watchFrom(jobs.storeRevision());
   }
 
-  private void readProgress(StateClient.Item item) {
-    int sharedChunk = JobStore.sharedChunkOf(item.key());
-    if (sharedChunk >= 0) {
-      sharedChunkRevisions.put(item.key(), item.revision());
-      JobStore.readSharedChunk(item.data())
-          .forEach(
-              (uid, done) -> {
-                Job job = active.get(uid);
-                if (job != null) {
-                  job.stored().or(done);
-                  job.stored().stream().forEach(job::markDone);
-                  sharedChunks.put(job, sharedChunk);
-                }
-              });
-      return;
-    }
-    String rest = item.key().substring(JobStore.PROGRESS.length());
-    int slash = rest.lastIndexOf('/');
-    Job job = slash < 0 ? null : active.get(rest.substring(0, slash));
-    if (job == null) {
-      // Left by a job that ended with more chunks than one transaction drops, or written late.
-      context.metrics().count("orphaned_progress_records");
-      orphanedProgressKeys.add(item.key());
-      return;
-    }
-    chunks.computeIfAbsent(job, j -> new LinkedHashMap<>()).put(item.key(), item.revision());
-    try {
-      context.layout().readChunk(item.data(), rest.substring(slash + 1), job.stored());
-      job.stored().stream().forEach(job::markDone);
-    } catch (InvalidMessageException e) {
-      log.warn("{} can't be read and is taken as no progress", item.key());
-    }
-  }
-
   /**
-   * @param known the job was there when the term began
+   * Adds a job unless it is known.
+   *
+   * @param inheritable it was there when the term began, so earlier leaders may have started it
    */
-  private void addJob(String key, JsonNode data, long revision, boolean known) {
-    String uid = key.substring(JobStore.ACTIVE.length());
+  private void addJob(String key, JsonNode data, long revision, boolean inheritable) {
+    String uid = uidOf(key);
     if (active.containsKey(uid)) {
       return;
     }
     try {
-      long age = context.loop().wallMicros() - JobStore.acceptedWallMicros(data);
+      long ageMicros = context.loop().wallMicros() - JobStore.acceptedWallMicros(data);
       Job job =
           new Job(
               JobStore.spec(data),
               revision,
-              context.loop().nowMicros() - Math.max(0, age),
-              known && startedJobs.mayHaveStarted(uid));
+              context.loop().nowMicros() - Math.max(0, ageMicros),
+              inheritable && startedJobs.mayHaveStarted(uid));
       active.put(uid, job);
       log.debug(
-          "{} taken in: {} tasks of class {}, accepted {} ms ago",
+          "{} is active: {} tasks of class {}, accepted {} ms ago",
           uid,
           job.spec().taskCount(),
           job.spec().jobClass(),
-          age / 1_000);
-      List<String> parts = JobStore.dependenciesKeys(uid, data);
-      if (!parts.isEmpty()) {
-        job.hold();
-        whenLoaded(() -> readDependencies(job, parts, 0, new ArrayList<>()));
-      } else if (job.spec().hasDependencies()) {
-        job.hold();
-        whenLoaded(() -> trackDependencies(job, job.spec().dependencies()));
-      } else if (dependencyGraph.stateOf(uid) == DependencyGraph.State.UNKNOWN
-          && dependencyGraph.needed(uid)) {
-        trackDependencies(job, List.of());
-      }
+          ageMicros / 1_000);
+      dependencies.add(job, JobStore.dependenciesKeys(uid, data));
     } catch (InvalidMessageException e) {
       log.error("{} can't be read: {}", key, e.getMessage());
     }
   }
 
-  private void whenLoaded(Runnable action) {
-    if (atLoad == null) {
-      action.run();
-    } else {
-      atLoad.add(action);
-    }
-  }
-
-  /**
-   * The names that did not fit the job's own record, part by part; it waits until they are known.
-   */
-  private void readDependencies(Job job, List<String> parts, int next, List<String> names) {
-    if (closed || job.over()) {
-      return;
-    }
-    if (next == parts.size()) {
-      trackDependencies(job, names);
-      resolveDependencies();
-      return;
-    }
-    context
-        .store()
-        .get(
-            parts.get(next),
-            StateClient.RequestPriority.ORDINARY,
-            got -> {
-              if (got.found()) {
-                names.addAll(JobStore.names(got.item().data()));
-                readDependencies(job, parts, next + 1, names);
-              } else {
-                // The parts are stored before the job and dropped after its end, so this one is
-                // only not to be had now.
-                context.loop().after(RETRY_MICROS, () -> readDependencies(job, parts, next, names));
-              }
-            });
-  }
-
-  /** The job and what it waits on are known: those of which nothing was told yet are looked up. */
-  private void trackDependencies(Job job, List<String> dependencies) {
-    List<String> unknown = dependencyGraph.accepted(job.uid(), job.revision(), dependencies);
-    dependencyGraph.goal(job.uid(), job.goal(), taskCost.applyAsLong(job));
-    for (String name : unknown) {
-      Job before = active.get(name);
-      if (before == null) {
-        readEnd(name);
-      } else if (!before.waitsForDependencies()) {
-        trackDependencies(before, List.of());
-      }
-      // One that waits itself is told by its own turn.
-    }
-    if (!dependencies.isEmpty() && job.waitsForDependencies() && log.isDebugEnabled()) {
-      log.debug("{} depends on {}", job.uid(), dependencyGraph.waitsFor(job.uid()));
-    }
-  }
-
-  /** How jobs ended that others wait on: only their records tell. */
-  private void readEnd(String uid) {
-    unread.add(uid);
-    if (!readingEnds) {
-      readingEnds = true;
-      // What comes in the same turn is read together.
-      context.loop().after(0, this::readEnds);
-    }
-  }
-
-  private void readEnds() {
-    unread.removeIf(uid -> active.containsKey(uid) || !dependencyGraph.needed(uid));
-    if (closed || unread.isEmpty()) {
-      readingEnds = false;
-      return;
-    }
-    finder.find(
-        new ArrayList<>(unread),
-        found -> {
-          if (closed) {
-            return;
-          }
-          if (found != null) {
-            found.forEach(
-                (uid, f) -> {
-                  if (f.endState() != null) {
-                    unread.remove(uid);
-                    dependencyGraph.ended(uid, f.endState(), f.endedWallMicros());
-                  }
-                });
-            resolveDependencies();
-          }
-          // What is neither active here nor ended was accepted a moment ago: it comes with the
-          // watch events.
-          context
-              .loop()
-              .after(found == null || !unread.isEmpty() ? RETRY_MICROS : 0, this::readEnds);
-        });
-  }
-
-  /** Carries out what follows from what is known of the dependency chains now. */
-  private void resolveDependencies() {
-    long wall = context.loop().wallMicros();
-    for (String uid : dependencyGraph.takeReleased()) {
-      Job job = active.get(uid);
-      if (job != null && job.waitsForDependencies()) {
-        long jobEnded = dependencyGraph.releasedMicros(uid);
-        long age = jobEnded > 0 ? Math.max(0, wall - jobEnded) : 0;
-        job.release(context.loop().nowMicros() - age);
-        context.metrics().count("jobs_released");
-        log.debug("{} is released, its last dependency ended {} ms ago", uid, age / 1_000);
-        changed.run();
-      }
-    }
-    for (String uid : dependencyGraph.takeCancelled()) {
-      Job job = active.get(uid);
-      if (job != null && job.waitsForDependencies() && dependentsToCancel.put(uid, job) == null) {
-        log.info(
-            "{} is cancelled with its dependency {}", uid, dependencyGraph.failedDependencyOf(uid));
-      }
-    }
-    cancelDependents();
-  }
-
-  /** One after the other: each is final for whoever asks already, so this is in no hurry. */
-  private void cancelDependents() {
-    if (cancelling || closed || dependentsToCancel.isEmpty()) {
-      return;
-    }
-    Job job = dependentsToCancel.values().iterator().next();
-    if (job.over()) {
-      dependentsToCancel.remove(job.uid());
-      cancelDependents();
-      return;
-    }
-    cancelling = true;
-    context
-        .store()
-        .transaction(
-            context
-                .layout()
-                .end(
-                    job.uid(),
-                    job.revision(),
-                    JobState.CANCELLED,
-                    context.loop().wallMicros(),
-                    List.of()),
-            StateClient.RequestPriority.ORDINARY,
-            result -> {
-              cancelling = false;
-              if (result.applied()) {
-                context.metrics().count("jobs_cancelled_with_dependency");
-                jobEnded(job.uid(), JobState.CANCELLED);
-                cancelDependents();
-              } else if (result.outcome() == Transaction.Outcome.CONFLICT) {
-                // Stored by whoever was asked about it: the watch events will say so.
-                dependentsToCancel.remove(job.uid());
-                context.loop().after(RETRY_MICROS, this::cancelDependents);
-              } else {
-                context.loop().after(RETRY_MICROS, this::cancelDependents);
-              }
-            });
-  }
-
-  /** What a task takes, with which the deadlines along a chain are worked out. */
-  public void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
-    taskCost = taskCostMicros;
-  }
-
-  /**
-   * Brings deadlines and priority along the dependency chains up to date; cheap where nothing
-   * changed.
-   */
-  public void propagateGoals(boolean costsToo) {
-    if (dependencyGraph.size() == 0) {
-      return;
-    }
-    if (costsToo) {
-      dependencyGraph.costs(
-          uid -> {
-            Job job = active.get(uid);
-            return job == null ? 0 : taskCost.applyAsLong(job);
-          });
-    }
-    dependencyGraph.propagateGoals(
-        uid -> {
-          Job job = active.get(uid);
-          if (job != null) {
-            job.goal(dependencyGraph.goal(uid));
-          }
-        });
+  private static String uidOf(String key) {
+    return key.substring(JobStore.ACTIVE.length());
   }
 
-  /**
-   * @param how null when that is not known
-   */
-  private void removeJob(String uid, JobState endState) {
+  private void removeJob(String uid, Optional<JobState> endState) {
     Job job = active.remove(uid);
     if (job != null) {
       job.end();
       startedJobs.remove(job);
       log.debug("{} has ended", uid);
     }
-    dependentsToCancel.remove(uid);
-    if (dependencyGraph.stateOf(uid) == DependencyGraph.State.UNKNOWN) {
-      return;
-    }
-    if (endState == null && !dependencyGraph.needed(uid)) {
-      // Nobody waits to be told how.
-      endState = JobState.CANCELLED;
-    }
-    if (endState != null) {
-      dependencyGraph.ended(uid, endState, context.loop().wallMicros());
-      resolveDependencies();
-    } else {
-      readEnd(uid);
-    }
+    dependencies.jobEnded(uid, endState);
   }
 
-  /** The job's end is stored, known before the watch events say so. */
+  /** The job's end is stored; known here before the watch reports it. */
   public void jobEnded(String uid, JobState endState) {
-    removeJob(uid, endState);
+    removeJob(uid, Optional.of(endState));
     changed.run();
   }
 
   /**
-   * Another controller's word that these are cancelled: nothing more of them is started, and their
-   * tasks are stopped.
+   * Another controller has confirmed the cancellation of these jobs: none of their tasks is started
+   * any more, and those that run are stopped.
    */
   public void cancellationsConfirmed(Collection<String> uids) {
     for (String uid : uids) {
@@ -460,41 +178,61 @@
     }
   }
 
-  /** Changes were missed: what is not listed any more has ended. */
-  private void listed(StateClient.Listing listing, long sentMicros) {
-    Set<String> listed = new HashSet<>();
-    listing
-        .items()
-        .forEach(
-            i -> {
-              listed.add(i.key().substring(JobStore.ACTIVE.length()));
-              addJob(i.key(), i.data(), i.revision(), false);
-            });
-    List<String> gone = new ArrayList<>(active.keySet());
-    gone.removeAll(listed);
-    gone.forEach(uid -> removeJob(uid, null));
-    resolveDependencies();
-    endsKnownMicros = sentMicros;
-    changed.run();
+  /**
+   * Sets how the cost of a task is estimated, image included, with which deadlines are propagated
+   * along dependencies.
+   */
+  public void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
+    dependencies.useTaskCosts(taskCostMicros);
   }
 
-  private void onEvents(List<StateClient.KeyEvent> changes, long sentMicros) {
-    endsKnownMicros = sentMicros;
-    for (StateClient.KeyEvent change : changes) {
-      if (change.data() == null) {
-        removeJob(change.key().substring(JobStore.ACTIVE.length()), null);
-      } else {
-        addJob(change.key(), change.data(), change.revision(), false);
-      }
-    }
-    if (!changes.isEmpty()) {
-      resolveDependencies();
-      changed.run();
-    }
+  /**
+   * Propagates deadlines and priorities along dependencies; cheap where nothing has changed.
+   *
+   * @param costsToo estimate the costs of tasks anew
+   */
+  public void propagateGoals(boolean costsToo) {
+    dependencies.propagateGoals(costsToo);
   }
 
+  /** Stops following the records; called once more has no effect. */
   public void close() {
     watch.close();
-    closed = true;
+    dependencies.close();
+  }
+
+  /** Applies changes of the job records. */
+  private final class WatchListener implements PrefixWatch.Listener {
+    /** Changes were missed: what is not listed any more has ended. */
+    @Override
+    public void listed(StateClient.Listing listing, long sentMicros) {
+      Set<String> listed = new HashSet<>();
+      for (StateClient.Item item : listing.items()) {
+        listed.add(uidOf(item.key()));
+        addJob(item.key(), item.data(), item.revision(), false);
+      }
+      List<String> ended = new ArrayList<>(active.keySet());
+      ended.removeAll(listed);
+      ended.forEach(uid -> removeJob(uid, Optional.empty()));
+      dependencies.resolve();
+      endsKnownMicros = sentMicros;
+      changed.run();
+    }
+
+    @Override
+    public void changed(List<StateClient.KeyEvent> changes, long sentMicros) {
+      endsKnownMicros = sentMicros;
+      for (StateClient.KeyEvent change : changes) {
+        if (change.data() == null) {
+          removeJob(uidOf(change.key()), Optional.empty());
+        } else {
+          addJob(change.key(), change.data(), change.revision(), false);
+        }
+      }
+      if (!changes.isEmpty()) {
+        dependencies.resolve();
+        changed.run();
+      }
+    }
   }
 }
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -19,26 +19,34 @@
  * earlier versions, which accept a job without looking at the anchor of its list.
  */
 public final class DependencyListCleanup {
+  /** Pause between two clean-ups, and before the first. */
   public static final long INTERVAL_MICROS = 300_000_000;
-  static final long MIN_UNUSED_MICROS = 900_000_000;
+
+  private static final long MIN_UNUSED_MICROS = 900_000_000;
 
   private final Context context;
   private final ActiveJobs jobs;
 
   /** When each list without an active job was first seen, by its anchor as it was then. */
-  private final Map<Unused, Long> firstSeenMicros = new HashMap<>();
+  private final Map<UnusedList, Long> firstSeenMicros = new HashMap<>();
 
   private boolean listing;
   private boolean closed;
 
-  private record Unused(JobStore.ListName list, long anchorRevision) {}
+  /** A list without an active job, as it was listed; 0 where the anchor is gone. */
+  private record UnusedList(JobStore.ListName name, long anchorRevision) {}
 
+  /** Cleans up what none of these jobs uses. */
   public DependencyListCleanup(Context context, ActiveJobs jobs) {
     this.context = context;
     this.jobs = jobs;
   }
 
-  /** One turn of the duty; the answer is the pause until the next. */
+  /**
+   * Lists all stored dependency lists and removes those that have been unused for long enough.
+   *
+   * @return microseconds until this should be called next
+   */
   public long run() {
     if (!listing && context.term().mayAct()) {
       listing = true;
@@ -58,30 +66,35 @@
   }
 
   private void removeUnused(StateClient.Listing found) {
-    Map<JobStore.ListName, List<StateClient.Item>> lists = new LinkedHashMap<>();
-    for (StateClient.Item item : found.items()) {
-      JobStore.listOf(item.key())
-          .filter(list -> jobs.get(list.uid()) == null)
-          .ifPresent(list -> lists.computeIfAbsent(list, unused -> new ArrayList<>()).add(item));
-    }
+    Map<UnusedList, List<String>> keysByList = unusedLists(found);
+    firstSeenMicros.keySet().retainAll(keysByList.keySet());
     long now = context.loop().nowMicros();
-    Map<Unused, List<String>> unused = new LinkedHashMap<>();
-    lists.forEach(
-        (list, items) ->
-            unused.put(
-                new Unused(list, anchorRevision(list, items)),
-                new ArrayList<>(items.stream().map(StateClient.Item::key).toList())));
-    firstSeenMicros.keySet().retainAll(unused.keySet());
-    unused.forEach(
+    keysByList.forEach(
         (list, keys) -> {
           if (now - firstSeenMicros.computeIfAbsent(list, first -> now) >= MIN_UNUSED_MICROS) {
-            remove(list.list(), list.anchorRevision(), keys);
+            remove(list.name(), list.anchorRevision(), keys);
           }
         });
   }
 
-  private static long anchorRevision(JobStore.ListName list, List<StateClient.Item> items) {
-    String anchor = JobStore.anchorOf(list);
+  private Map<UnusedList, List<String>> unusedLists(StateClient.Listing found) {
+    Map<JobStore.ListName, List<StateClient.Item>> itemsByName = new LinkedHashMap<>();
+    for (StateClient.Item item : found.items()) {
+      JobStore.listOf(item.key())
+          .filter(name -> jobs.get(name.uid()) == null)
+          .ifPresent(name -> itemsByName.computeIfAbsent(name, n -> new ArrayList<>()).add(item));
+    }
+    Map<UnusedList, List<String>> keysByList = new LinkedHashMap<>();
+    itemsByName.forEach(
+        (name, items) ->
+            keysByList.put(
+                new UnusedList(name, anchorRevision(name, items)),
+                new ArrayList<>(items.stream().map(StateClient.Item::key).toList())));
+    return keysByList;
+  }
+
+  private static long anchorRevision(JobStore.ListName name, List<StateClient.Item> items) {
+    String anchor = JobStore.anchorOf(name);
     return items.stream()
         .filter(item -> item.key().equals(anchor))
         .mapToLong(StateClient.Item::revision)
@@ -89,18 +102,21 @@
         .orElse(0);
   }
 
-  /** Part by part, the anchor with the first; what fails is found again by the next listing. */
-  private void remove(JobStore.ListName list, long anchorRevision, List<String> keys) {
+  /**
+   * Removes as many parts as one transaction takes, then the next ones; the anchor goes with the
+   * first. What fails is found again by the next listing.
+   */
+  private void remove(JobStore.ListName name, long anchorRevision, List<String> keys) {
     if (closed || keys.isEmpty()) {
       return;
     }
-    String anchor = JobStore.anchorOf(list);
+    String anchor = JobStore.anchorOf(name);
     if (keys.remove(anchor)) {
       keys.add(0, anchor);
     }
     int sent = Math.min(keys.size(), context.layout().limits().transactionOps());
     Transaction transaction =
-        context.layout().removeList(context.term().requireTerm(), list, anchorRevision, keys);
+        context.layout().removeList(context.term().requireTerm(), name, anchorRevision, keys);
     context
         .store()
         .transaction(
@@ -109,11 +125,12 @@
             result -> {
               if (result.applied()) {
                 context.metrics().count("dependency_list_parts_removed", sent);
-                remove(list, 0, keys.subList(sent, keys.size()));
+                remove(name, 0, keys.subList(sent, keys.size()));
               }
             });
   }
 
+  /** Removes nothing more. */
   public void close() {
     closed = true;
   }
--- /dev/null
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -0,0 +1,271 @@
+package plumlever.leader.job;
+
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.ToLongFunction;
+import org.slf4j.Logger;
+import plumlever.fleet.DependencyGraph;
+import plumlever.fleet.Job;
+import plumlever.leader.context.Context;
+import plumlever.store.JobFinder;
+import plumlever.store.JobStore;
+import plumlever.store.StateClient;
+import plumlever.wire.JobState;
+
+/**
+ * Resolves the dependencies of active jobs. A job is released when all its dependencies are stored
+ * as done, and cancelled when one is stored as cancelled; only stored ends count. Deadlines and
+ * priorities are propagated from jobs to their dependencies.
+ */
+final class DependencyResolver {
+  private static final long RETRY_MICROS = 500_000;
+
+  private final Logger log;
+  private final Context context;
+  private final Map<String, Job> activeJobs;
+  private final Runnable released;
+  private final DependentCancellation cancellation;
+  private final JobFinder finder;
+  private final DependencyGraph graph = new DependencyGraph();
+
+  /** Ended jobs on which others depend, and of which it is not known yet how they ended. */
+  private final Set<String> unknownEnds = new LinkedHashSet<>();
+
+  /** Jobs whose dependencies are tracked once all active jobs are known, in any order. */
+  private final List<Runnable> deferredUntilLoaded = new ArrayList<>();
+
+  private ToLongFunction<Job> taskCost = job -> 0;
+  private boolean readingEnds;
+  private boolean loaded;
+  private boolean closed;
+
+  /**
+   * Resolves nothing until all jobs are loaded.
+   *
+   * @param activeJobs the active jobs by id, as they are at any time
+   * @param released runs after each release of a job
+   */
+  DependencyResolver(
+      Context context,
+      Map<String, Job> activeJobs,
+      DependentCancellation cancellation,
+      Runnable released) {
+    this.context = context;
+    this.log = context.logs().of(DependencyResolver.class);
+    this.activeJobs = activeJobs;
+    this.cancellation = cancellation;
+    this.released = released;
+    this.finder = new JobFinder(context.loop(), context.store());
+  }
+
+  /**
+   * The job is active from now on; it is held if it has dependencies.
+   *
+   * @param listKeys where its dependencies are stored, if they did not fit its own record
+   */
+  void add(Job job, List<String> listKeys) {
+    if (!listKeys.isEmpty()) {
+      job.hold();
+      whenLoaded(() -> readDependencies(job, listKeys, 0, new ArrayList<>()));
+    } else if (job.spec().hasDependencies()) {
+      job.hold();
+      whenLoaded(() -> track(job, job.spec().dependencies()));
+    } else if (graph.stateOf(job.uid()) == DependencyGraph.State.UNKNOWN
+        && graph.needed(job.uid())) {
+      track(job, List.of());
+    }
+  }
+
+  private void whenLoaded(Runnable action) {
+    if (loaded) {
+      action.run();
+    } else {
+      deferredUntilLoaded.add(action);
+    }
+  }
+
+  /** All active jobs have been added. */
+  void loaded() {
+    loaded = true;
+    deferredUntilLoaded.forEach(Runnable::run);
+    deferredUntilLoaded.clear();
+    resolve();
+  }
+
+  /** Reads the dependencies of a job part by part; it is held until they are known. */
+  private void readDependencies(Job job, List<String> listKeys, int next, List<String> names) {
+    if (closed || job.over()) {
+      return;
+    }
+    if (next == listKeys.size()) {
+      track(job, names);
+      resolve();
+      return;
+    }
+    context
+        .store()
+        .get(
+            listKeys.get(next),
+            StateClient.RequestPriority.ORDINARY,
+            got -> {
+              if (got.found()) {
+                names.addAll(JobStore.names(got.item().data()));
+                readDependencies(job, listKeys, next + 1, names);
+              } else {
+                // The parts are stored before the job and dropped after its end, so this one is
+                // only unavailable at the moment.
+                context
+                    .loop()
+                    .after(RETRY_MICROS, () -> readDependencies(job, listKeys, next, names));
+              }
+            });
+  }
+
+  /** Adds the job to the graph, and looks up those of its dependencies that are not in it yet. */
+  private void track(Job job, List<String> dependencies) {
+    List<String> unknown = graph.accepted(job.uid(), job.revision(), dependencies);
+    graph.goal(job.uid(), job.goal(), taskCost.applyAsLong(job));
+    for (String name : unknown) {
+      Job dependency = activeJobs.get(name);
+      if (dependency == null) {
+        readEnd(name);
+      } else if (!dependency.waitsForDependencies()) {
+        track(dependency, List.of());
+      }
+      // One that is held is tracked with its own dependencies.
+    }
+    if (!dependencies.isEmpty() && job.waitsForDependencies() && log.isDebugEnabled()) {
+      log.debug("{} depends on {}", job.uid(), graph.waitsFor(job.uid()));
+    }
+  }
+
+  private void readEnd(String uid) {
+    unknownEnds.add(uid);
+    if (!readingEnds) {
+      readingEnds = true;
+      // All that are found missing in this event are read together.
+      context.loop().after(0, this::readEnds);
+    }
+  }
+
+  private void readEnds() {
+    unknownEnds.removeIf(uid -> activeJobs.containsKey(uid) || !graph.needed(uid));
+    if (closed || unknownEnds.isEmpty()) {
+      readingEnds = false;
+      return;
+    }
+    finder.find(
+        new ArrayList<>(unknownEnds),
+        found -> {
+          if (closed) {
+            return;
+          }
+          if (found != null) {
+            found.forEach(this::endRead);
+            resolve();
+          }
+          // What is neither active here nor ended was accepted a moment ago: it comes with the
+          // watch events.
+          boolean retry = found == null || !unknownEnds.isEmpty();
+          context.loop().after(retry ? RETRY_MICROS : 0, this::readEnds);
+        });
+  }
+
+  private void endRead(String uid, JobFinder.Found found) {
+    if (found.endState() != null) {
+      unknownEnds.remove(uid);
+      graph.ended(uid, found.endState(), found.endedWallMicros());
+    }
+  }
+
+  /**
+   * The job is not active any more.
+   *
+   * @param endState how its end was stored; empty if that is not known
+   */
+  void jobEnded(String uid, Optional<JobState> endState) {
+    cancellation.remove(uid);
+    if (graph.stateOf(uid) == DependencyGraph.State.UNKNOWN) {
+      return;
+    }
+    if (endState.isEmpty() && graph.needed(uid)) {
+      readEnd(uid);
+      return;
+    }
+    // If no job depends on it, it does not matter how it ended.
+    graph.ended(uid, endState.orElse(JobState.CANCELLED), context.loop().wallMicros());
+    resolve();
+  }
+
+  /** Releases and cancels the jobs for which that follows from what is known now. */
+  void resolve() {
+    releaseJobs();
+    cancelJobs();
+  }
+
+  private void releaseJobs() {
+    long wallMicros = context.loop().wallMicros();
+    for (String uid : graph.takeReleased()) {
+      Job job = activeJobs.get(uid);
+      if (job != null && job.waitsForDependencies()) {
+        long endedWallMicros = graph.releasedMicros(uid);
+        long ageMicros = endedWallMicros > 0 ? Math.max(0, wallMicros - endedWallMicros) : 0;
+        job.release(context.loop().nowMicros() - ageMicros);
+        context.metrics().count("jobs_released");
+        log.debug("{} is released, its last dependency ended {} ms ago", uid, ageMicros / 1_000);
+        released.run();
+      }
+    }
+  }
+
+  private void cancelJobs() {
+    for (String uid : graph.takeCancelled()) {
+      Job job = activeJobs.get(uid);
+      if (job != null && job.waitsForDependencies() && cancellation.add(job)) {
+        log.info("{} is cancelled with its dependency {}", uid, graph.failedDependencyOf(uid));
+      }
+    }
+    cancellation.run();
+  }
+
+  /** Sets how the cost of a task is estimated, image included, to plan deadlines along chains. */
+  void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
+    taskCost = taskCostMicros;
+  }
+
+  /**
+   * Propagates deadlines and priorities to dependencies; cheap where nothing has changed.
+   *
+   * @param costsToo estimate the costs of tasks anew
+   */
+  void propagateGoals(boolean costsToo) {
+    if (graph.size() == 0) {
+      return;
+    }
+    if (costsToo) {
+      graph.costs(this::taskCostOf);
+    }
+    graph.propagateGoals(this::applyGoal);
+  }
+
+  private long taskCostOf(String uid) {
+    Job job = activeJobs.get(uid);
+    return job == null ? 0 : taskCost.applyAsLong(job);
+  }
+
+  private void applyGoal(String uid) {
+    Job job = activeJobs.get(uid);
+    if (job != null) {
+      job.goal(graph.goal(uid));
+    }
+  }
+
+  void close() {
+    closed = true;
+    cancellation.close();
+  }
+}
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -1,6 +1,5 @@
 package plumlever.leader.job;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -19,36 +18,39 @@
 import plumlever.wire.Json;
 
 /**
- * The stored record of the jobs that a leader may have ordered something of: a job is in it before
- * its first order goes out. So what a new leader does not find here was never on any machine, and
- * need not wait until all machines are accounted for: a failover takes seconds, and where a zone is
+ * The stored index of jobs of which a leader may have started a task: a job is in it before its
+ * first start is sent. So a job that a new leader does not find here was never on any machine, and
+ * need not wait until all machines are accounted for. A failover takes seconds, and where a zone is
  * cut off as long as a lease.
  */
 public final class StartedJobIndex {
   private static final Logger LOG = LoggerFactory.getLogger(StartedJobIndex.class);
 
-  /** Jobs come one at a time and their first start waits for this, so little is gathered. */
+  /** The first start of each job waits for this, so little is gathered into one write. */
   private static final long PAUSE_MICROS = 60_000;
 
   private static final String JOBS = "jobs";
   private static final int BASE_BYTES = 32;
 
-  private record Found(int number, long revision, List<String> uids) {}
+  /** A record as it was read. */
+  private record FoundRecord(int number, long revision, List<String> uids) {}
 
   private final SharedRecords<Job> records;
-  private final List<Found> found = new ArrayList<>();
+  private final List<FoundRecord> found = new ArrayList<>();
   private final Set<String> foundUids = new HashSet<>();
 
   /**
-   * @param recorded runs when jobs have come to be on record
+   * An index that is empty until it is read.
+   *
+   * @param recorded runs after jobs have become stored
    */
   public StartedJobIndex(Context context, Runnable recorded) {
     this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, recorded);
   }
 
   /**
-   * Takes in what earlier leaders stored; read after this controller took its term, so nobody else
-   * can add to it.
+   * Reads what earlier leaders stored. It was listed after this controller took its term, so nobody
+   * else can add to it.
    */
   void read(List<StateClient.Item> items) {
     found.clear();
@@ -60,26 +62,21 @@
         continue;
       }
       List<String> uids = new ArrayList<>();
-      for (JsonNode node : item.data().path(JOBS)) {
-        uids.add(node.asText());
-      }
-      found.add(new Found(number, item.revision(), uids));
+      item.data().path(JOBS).forEach(uid -> uids.add(uid.asText()));
+      found.add(new FoundRecord(number, item.revision(), uids));
       foundUids.addAll(uids);
     }
   }
 
-  /**
-   * True if an earlier leader may have ordered something of it. Without any record that is not
-   * known, and so may be.
-   */
+  /** True if an earlier leader may have started a task of it; so for all if there is no record. */
   boolean mayHaveStarted(String uid) {
     return found.isEmpty() || foundUids.contains(uid);
   }
 
-  /** The jobs are known by now: those that have ended go from the records. */
+  /** The active jobs are known: those that have ended leave the index. */
   void loaded(ActiveJobs jobs) {
     Map<String, Job> kept = new HashMap<>();
-    for (Found record : found) {
+    for (FoundRecord record : found) {
       List<Job> entries = new ArrayList<>();
       for (String uid : record.uids) {
         Job job = jobs.get(uid);
@@ -92,23 +89,29 @@
   }
 
   /**
-   * The job is to be recorded, since there is room for one of its tasks; until that is stored none
-   * is ordered. Not sooner: in a full fleet jobs wait for long, and through a failover only those
-   * that were begun must.
+   * Has the job stored in the index, since there is capacity for one of its tasks; none is started
+   * until that is done. Not sooner: in a full fleet jobs wait for long, and only those in the index
+   * have to wait through a failover.
    */
   public void register(Job job) {
     records.register(job);
   }
 
-  /** The job has ended. */
+  /** The job has ended and leaves the index. */
   void remove(Job job) {
     records.remove(job);
   }
 
+  /**
+   * Writes records that jobs have left.
+   *
+   * @return microseconds until this should be called next
+   */
   public long cleanUp() {
     return records.cleanUp();
   }
 
+  /** Stores nothing more. */
   public void close() {
     records.close();
   }
--- /dev/null
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -0,0 +1,119 @@
+package plumlever.leader.progress;
+
+import java.util.Collection;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import org.slf4j.Logger;
+import plumlever.fleet.Job;
+import plumlever.leader.context.Context;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.store.JobStore;
+import plumlever.store.StateClient;
+import plumlever.store.Transaction;
+import plumlever.wire.JobState;
+
+/**
+ * Stores the ends of complete jobs at once: a job's user expects to read it within seconds of the
+ * last task. An end is retried until it is stored, or until a stored end of somebody else is read.
+ */
+final class JobCompletion {
+  private static final long RETRY_MICROS = 300_000;
+
+  private final Logger log;
+  private final Context context;
+  private final ActiveJobs jobs;
+  private final LargeJobChunks largeJobs;
+  private final Collection<String> orphanedKeys;
+  private final Set<Job> ending = new LinkedHashSet<>();
+  private boolean closed;
+
+  /**
+   * Ends no job yet.
+   *
+   * @param orphanedKeys to which records are added that the transaction of an end can't drop
+   */
+  JobCompletion(
+      Context context, ActiveJobs jobs, LargeJobChunks largeJobs, Collection<String> orphanedKeys) {
+    this.context = context;
+    this.log = context.logs().of(JobCompletion.class);
+    this.jobs = jobs;
+    this.largeJobs = largeJobs;
+    this.orphanedKeys = orphanedKeys;
+  }
+
+  /** All tasks of the job are done: has its end stored, unless that is under way. */
+  void complete(Job job) {
+    if (ending.add(job)) {
+      storeEnd(job);
+    }
+  }
+
+  private void storeEnd(Job job) {
+    if (closed || job.over()) {
+      ending.remove(job);
+      return;
+    }
+    List<String> records = largeJobs.keysOf(job);
+    int dropped = Math.min(records.size(), context.layout().dropsAtEnd());
+    Transaction transaction =
+        context
+            .layout()
+            .end(
+                job.uid(),
+                job.revision(),
+                JobState.DONE,
+                context.loop().wallMicros(),
+                records.subList(0, dropped));
+    context
+        .store()
+        .transaction(
+            transaction,
+            StateClient.RequestPriority.URGENT,
+            result -> {
+              switch (result.outcome()) {
+                case APPLIED -> endStored(job, records.subList(dropped, records.size()));
+                case CONFLICT -> readEndState(job);
+                default -> retryLater(job);
+              }
+            });
+  }
+
+  private void endStored(Job job, List<String> recordsLeft) {
+    context.metrics().count("jobs_done");
+    log.debug("{} done", job.uid());
+    orphanedKeys.addAll(recordsLeft);
+    largeJobs.forget(job);
+    ended(job, JobState.DONE);
+  }
+
+  private void retryLater(Job job) {
+    context.loop().after(RETRY_MICROS, () -> storeEnd(job));
+  }
+
+  /** Its end was stored by another controller, or by an earlier write that was not answered. */
+  private void readEndState(Job job) {
+    context
+        .store()
+        .get(
+            JobStore.endedKey(job.uid()),
+            StateClient.RequestPriority.URGENT,
+            got -> {
+              Optional<JobState> endState =
+                  got.found()
+                      ? Optional.ofNullable(JobStore.finalState(got.item().data()))
+                      : Optional.empty();
+              endState.ifPresentOrElse(state -> ended(job, state), () -> retryLater(job));
+            });
+  }
+
+  private void ended(Job job, JobState endState) {
+    ending.remove(job);
+    jobs.jobEnded(job.uid(), endState);
+  }
+
+  void close() {
+    closed = true;
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/leader/progress/SharedChunks.java
@@ -0,0 +1,186 @@
+package plumlever.leader.progress;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import plumlever.fleet.Job;
+import plumlever.leader.context.Context;
+import plumlever.store.JobStore;
+
+/**
+ * The records that small jobs share: which job is in which, and which have to be written. A shared
+ * chunk is only written whole, with all its jobs.
+ */
+final class SharedChunks {
+  private static final class Chunk {
+    final int number;
+    final Set<Job> jobs = new LinkedHashSet<>();
+    int bytes;
+    boolean dirty;
+
+    Chunk(int number) {
+      this.number = number;
+    }
+  }
+
+  private final Context context;
+  private final Map<Integer, Chunk> chunks = new LinkedHashMap<>();
+  private final Map<Job, Chunk> chunkByJob = new HashMap<>();
+
+  SharedChunks(Context context) {
+    this.context = context;
+  }
+
+  /** True if the job may share a record with others under the present limits. */
+  boolean mayHold(Job job) {
+    return sizeOf(job) >= 0;
+  }
+
+  private int sizeOf(Job job) {
+    return context.layout().bytesInSharedChunk(job.spec());
+  }
+
+  /**
+   * Takes over the place in which an earlier leader stored the job.
+   *
+   * @return false if the job does not fit there any more
+   */
+  boolean takeOver(Job job, int number) {
+    Chunk chunk = chunks.computeIfAbsent(number, Chunk::new);
+    if (!fits(chunk, job)) {
+      return false;
+    }
+    insert(chunk, job);
+    return true;
+  }
+
+  private boolean fits(Chunk chunk, Job job) {
+    int bytes = sizeOf(job);
+    return bytes >= 0 && chunk.bytes + bytes <= context.layout().sharedChunkBytes();
+  }
+
+  private void insert(Chunk chunk, Job job) {
+    chunk.jobs.add(job);
+    chunk.bytes += JobStore.sizeInSharedChunk(job.spec());
+    chunkByJob.put(job, chunk);
+  }
+
+  /** Has the job, which {@link #mayHold}, written with the next chunk that has capacity. */
+  void add(Job job) {
+    Chunk chunk = chunkWithCapacity(sizeOf(job));
+    insert(chunk, job);
+    chunk.dirty = true;
+  }
+
+  private Chunk chunkWithCapacity(int bytes) {
+    for (Chunk chunk : chunks.values()) {
+      if (chunk.bytes + bytes <= context.layout().sharedChunkBytes()) {
+        return chunk;
+      }
+    }
+    int number = 0;
+    while (chunks.containsKey(number)) {
+      number++;
+    }
+    Chunk chunk = new Chunk(number);
+    chunks.put(number, chunk);
+    return chunk;
+  }
+
+  /**
+   * Has the chunk that holds the job written.
+   *
+   * @return false if none holds it
+   */
+  boolean markDirty(Job job) {
+    Chunk chunk = chunkByJob.get(job);
+    if (chunk == null) {
+      return false;
+    }
+    chunk.dirty = true;
+    return true;
+  }
+
+  /** True if any chunk has to be written. */
+  boolean isDirty() {
+    return chunks.values().stream().anyMatch(chunk -> chunk.dirty);
+  }
+
+  /**
+   * The limit may have fallen: takes jobs out of chunks that are too large now.
+   *
+   * @param assign finds another place for a job that was taken out
+   */
+  void splitOversized(Consumer<Job> assign) {
+    for (Chunk chunk : List.copyOf(chunks.values())) {
+      if (chunk.bytes > context.layout().sharedChunkBytes()) {
+        split(chunk).forEach(assign);
+      }
+    }
+  }
+
+  /** Keeps as many jobs as fit, and returns the others. */
+  private List<Job> split(Chunk chunk) {
+    List<Job> jobs = new ArrayList<>(chunk.jobs);
+    chunk.jobs.clear();
+    chunk.bytes = 0;
+    List<Job> removed = new ArrayList<>();
+    for (Job job : jobs) {
+      chunkByJob.remove(job);
+      if (fits(chunk, job)) {
+        insert(chunk, job);
+      } else {
+        removed.add(job);
+      }
+    }
+    chunk.dirty = true;
+    return removed;
+  }
+
+  /** Forgets jobs that have ended; they leave the records with the next write. */
+  void removeEnded() {
+    chunks.values().forEach(this::removeEnded);
+  }
+
+  private void removeEnded(Chunk chunk) {
+    Iterator<Job> jobs = chunk.jobs.iterator();
+    while (jobs.hasNext()) {
+      Job job = jobs.next();
+      if (job.over()) {
+        jobs.remove();
+        chunk.bytes -= JobStore.sizeInSharedChunk(job.spec());
+        chunkByJob.remove(job);
+      }
+    }
+  }
+
+  /** Adds chunks that have to be written, as many as fit. */
+  void addTo(ProgressWrite write) {
+    for (Chunk chunk : chunks.values()) {
+      if (chunk.dirty && write.fits(chunk.bytes)) {
+        chunk.dirty = false;
+        write.onFailure(() -> chunk.dirty = true);
+        put(chunk, write);
+      }
+    }
+  }
+
+  private void put(Chunk chunk, ProgressWrite write) {
+    Map<String, BitSet> doneByJob = new LinkedHashMap<>();
+    for (Job job : chunk.jobs) {
+      doneByJob.put(job.uid(), job.done());
+      write.storesAllDone(job);
+    }
+    write.put(
+        JobStore.sharedChunkKey(chunk.number),
+        chunk.bytes,
+        context.layout().sharedChunk(doneByJob));
+  }
+}
--- a/src/main/java/plumlever/leader/progress/package-info.java
+++ b/src/main/java/plumlever/leader/progress/package-info.java
@@ -1,2 +1,7 @@
-/** Storing finished tasks and the ends of jobs. It does not know where tasks run. */
+/**
+ * Stores finished tasks and the ends of jobs.
+ *
+ * <p>Owns the progress records and the transaction that stores a job as done. It must not know
+ * where tasks run, nor who reported them.
+ */
 package plumlever.leader.progress;
