--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -23,12 +23,10 @@
  * accounted for counts against every team's limit with all it could hold.
  */
 public final class Failover {
-  /**
-   * Nearly all machines that can be reached have come over by then, also those of a large fleet.
-   */
+  /** Nearly all machines that can be reached are accounted for by then, also in a large fleet. */
   private static final long OVERDUE_AFTER_MICROS = 7_000_000;
 
-  /** What sums of fractions may be off by. */
+  /** By how much sums of fractions may be off. */
   private static final double ROUNDING = 1e-9;
 
   private final Logger log;
@@ -39,7 +37,7 @@
   private final Map<String, PlatformConfiguration.Team> teams = new HashMap<>();
   private final Set<Machine> unaccounted = new LinkedHashSet<>();
 
-  /** Machines that run tasks of jobs this leader does not know. */
+  /** Machines that run tasks which this leader does not track. */
   private final Set<Machine> setUntrackedTasks = new LinkedHashSet<>();
 
   private boolean machinesLoaded;
@@ -62,19 +60,20 @@
     context.platform().teams().forEach(t -> teams.put(t.name(), t));
   }
 
+  /** When this controller became leader. */
   public long startedMicros() {
     return startedMicros;
   }
 
   /**
-   * From here on each answer to a machine is on record; before, an answer may have renewed any
-   * lease.
+   * When the machines were loaded: every later answer to a machine is noted there. An earlier
+   * answer may have renewed any lease.
    */
   public long loadedMicros() {
     return loadedMicros;
   }
 
-  /** All machines that may hold tasks are in the fleet now. */
+  /** All machines that may hold tasks are in the fleet from now on. */
   public void machinesLoaded() {
     machinesLoaded = true;
     unaccountedKnown = false;
@@ -91,23 +90,29 @@
     }
   }
 
+  /** True once nothing that earlier leaders started is unknown. */
   public boolean isComplete() {
     return machinesLoaded && unaccounted.isEmpty();
   }
 
   /**
-   * True when what is still open will not come over soon: it is gone or behind a cut, and nothing
-   * can be planned with it.
+   * True when the machines still unaccounted for will not be soon: they are gone or behind a
+   * network partition, and nothing can be planned with them.
    */
   public boolean isOverdue(long now) {
     return machinesLoaded && !unaccounted.isEmpty() && now - loadedMicros > OVERDUE_AFTER_MICROS;
   }
 
+  /** Machines that may still run tasks of earlier leaders that are not known. */
   public Set<Machine> unaccounted() {
     return unaccounted;
   }
 
-  /** Nothing that an earlier leader started on the machine is unknown any more, or it is gone. */
+  /**
+   * Nothing that an earlier leader started on the machine is unknown any more, or it is gone.
+   *
+   * @param reason for the log
+   */
   public void markAccounted(Machine machine, String reason) {
     machine.markAccounted();
     if (unaccounted.remove(machine)) {
@@ -125,14 +130,14 @@
     }
   }
 
-  /** The machine lists so many running tasks that this leader does not keep. */
+  /** The machine lists this number of running tasks that this leader does not track. */
   public void setUntrackedTasks(Machine machine, int tasks) {
     if (tasks > 0 ? setUntrackedTasks.add(machine) : setUntrackedTasks.remove(machine)) {
       unaccountedKnown = false;
     }
   }
 
-  /** True while the machine runs tasks that this leader does not keep. */
+  /** True while the machine runs tasks that this leader does not track. */
   public boolean runsUntracked(Machine machine) {
     return setUntrackedTasks.contains(machine);
   }
@@ -142,30 +147,29 @@
     return !machinesLoaded || (job.inherited() && !unaccounted.isEmpty());
   }
 
-  /** How many more tasks of the job its team's limit allows. */
+  /** How many more tasks of the job its team's limit allows; 0 if the team is unknown. */
   public int quotaHeadroom(Job job) {
     PlatformConfiguration.Team team = teams.get(job.spec().team());
     if (team == null) {
       return 0;
     }
-    Fleet.Held held = fleet.held(job.spec().team());
-    double cores = held.cores();
-    double accelerators = held.accelerators();
     if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
       return Integer.MAX_VALUE;
     }
     if (!countUnaccounted()) {
       return 0;
     }
-    cores += unaccountedCores;
-    accelerators += unaccountedAccelerators;
+    Fleet.Held held = fleet.held(job.spec().team());
     LimitParts.Part limit = sharing.get().limit(team);
     return Math.min(
-        headroom(limit.cores(), cores, job.spec().cores()),
-        headroom(limit.accelerators(), accelerators, job.spec().accelerators()));
+        headroom(limit.cores(), held.cores() + unaccountedCores, job.spec().cores()),
+        headroom(
+            limit.accelerators(),
+            held.accelerators() + unaccountedAccelerators,
+            job.spec().accelerators()));
   }
 
-  /** Processors that the team's tasks may be using, wherever they are. */
+  /** Processor cores that the team's tasks may be using, wherever they are. */
   public double coresHeld(String team) {
     return fleet.held(team).cores() + (countUnaccounted() ? unaccountedCores : 0);
   }
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -1,202 +1,119 @@
 package plumlever.leader.failover;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.fasterxml.jackson.databind.node.TextNode;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
-import plumlever.fleet.Machine;
 import plumlever.leader.context.Context;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
-import plumlever.wire.Json;
 
 /**
- * What a successor would otherwise have to learn anew: which machines have which images, and how
- * far estimates are off. Written now and then, in as many values as a large fleet takes: without it
- * each change of leader costs a fetch for most tasks that watch. It is advice only: wrong or
- * missing hints cost time, no rule.
+ * What the next leader would otherwise have to learn anew: which machines have which images, and
+ * how far estimates are off. It is stored in as many values as a large fleet takes. It is advice
+ * only: wrong or missing warm state costs time, and breaks no rule.
  */
 public final class WarmState {
   private static final long INTERVAL_MICROS = 10_000_000;
+  private static final int BACKLOG_SPEED_UP = 4;
 
   /** Changes in one transaction: submissions must not wait for these. */
   private static final int MAX_CHANGES = 2;
 
-  /** Stands for a part that is not needed any more. */
-  private static final ObjectNode OBSOLETE = Json.object();
-
-  private static final String IMAGES = "images";
-  private static final String MACHINES = "machines";
-  private static final String RATIOS = "ratios";
-
-  /** What a part takes besides its machines and images, and each of those besides its name. */
-  private static final int BASE_BYTES = 400;
-
-  private static final int MACHINE_BYTES = 6;
-  private static final int IMAGE_BYTES = 24;
-  private static final int INDEX_BYTES = 4;
-
   private final Context context;
-  private final Fleet fleet;
-  private final Estimates estimates;
+  private final WarmStateCodec codec;
+
+  /** What is stored as far as that is known, by number; empty for values that were dropped. */
+  private final Map<Integer, Optional<ObjectNode>> storedValues = new HashMap<>();
 
-  /** What the state service holds, part by part; null where that is not known. */
-  private final List<ObjectNode> written = new ArrayList<>();
+  /** Higher than the number of any value that may be stored. */
+  private int storedCount;
 
-  private int cursor;
+  private int nextNumber;
   private boolean writing;
 
-  /** Warm state of this term, to be loaded once and then written now and then. */
+  /** Warm state of this term, to be loaded once and then written from time to time. */
   public WarmState(Context context, Fleet fleet, Estimates estimates) {
     this.context = context;
-    this.fleet = fleet;
-    this.estimates = estimates;
+    this.codec = new WarmStateCodec(fleet, estimates);
   }
 
-  /** Takes what the last leader left. */
+  /** Takes over what the last leader stored; the machines must be in the fleet. */
   public void load(List<StateClient.Item> items) {
     for (StateClient.Item item : items) {
-      apply(item.data());
-      ensureSize(JobStore.numberOf(item.key()));
+      codec.read(item.data());
+      mayBeStored(JobStore.numberOf(item.key()));
     }
   }
 
-  private void apply(JsonNode data) {
-    List<JsonNode> images = new ArrayList<>();
-    data.path(IMAGES).forEach(images::add);
-    data.path(MACHINES)
-        .properties()
-        .forEach(
-            e -> {
-              Machine machine = fleet.machine(e.getKey());
-              if (machine != null) {
-                for (JsonNode index : e.getValue()) {
-                  int otherIndex = index.asInt(-1);
-                  if (otherIndex >= 0 && otherIndex < images.size()) {
-                    machine
-                        .images()
-                        .isReady(
-                            images.get(otherIndex).path(0).asText(),
-                            images.get(otherIndex).path(1).asDouble());
-                  }
-                }
-              }
-            });
-    data.path(RATIOS)
-        .properties()
-        .forEach(e -> estimates.suggest(e.getKey(), e.getValue().asDouble(1)));
+  private void mayBeStored(int number) {
+    storedCount = Math.max(storedCount, number + 1);
   }
 
-  /** One value, as it is put together. */
-  private static final class Part {
-    final ObjectNode out = Json.object();
-    final ArrayNode images = out.putArray(IMAGES);
-    final ObjectNode machines = out.putObject(MACHINES);
-    final Map<String, Integer> indexes = new HashMap<>();
-    int bytes = BASE_BYTES;
-
-    /** False when it does not fit. */
-    boolean add(Machine machine, Map<String, Double> held, int limit) {
-      int more = machine.id().length() + MACHINE_BYTES + INDEX_BYTES * held.size();
-      for (String name : held.keySet()) {
-        more += indexes.containsKey(name) ? 0 : bytes(name) + IMAGE_BYTES;
-      }
-      if (bytes + more > limit) {
-        return false;
-      }
-      bytes += more;
-      ArrayNode array = machines.putArray(machine.id());
-      held.forEach(
-          (name, gb) ->
-              array.add(
-                  indexes.computeIfAbsent(
-                      name,
-                      k -> {
-                        images.addArray().add(name).add(Math.round(gb * 1_000) / 1_000.0);
-                        return images.size() - 1;
-                      })));
-      return true;
+  /**
+   * Writes some of what has changed, continuing where the last call stopped.
+   *
+   * @return microseconds until this should be called next
+   */
+  public long write() {
+    if (writing) {
+      return INTERVAL_MICROS;
     }
+    Map<Integer, Optional<ObjectNode>> changes = nextChanges();
+    if (!changes.isEmpty()) {
+      send(changes);
+    }
+    return changes.size() == MAX_CHANGES ? INTERVAL_MICROS / BACKLOG_SPEED_UP : INTERVAL_MICROS;
   }
 
-  /** Users name images; what they put into a name may take several times its length. */
-  private static int bytes(String name) {
-    return Json.write(TextNode.valueOf(name)).getBytes(StandardCharsets.UTF_8).length;
-  }
-
-  private List<ObjectNode> parts() {
-    List<Part> parts = new ArrayList<>();
-    Part part = new Part();
-    parts.add(part);
-    ObjectNode ratios = part.out.putObject(RATIOS);
-    estimates.ratios().forEach((k, v) -> ratios.put(k, Math.round(v * 100) / 100.0));
-    part.bytes += Json.write(ratios).length();
-    int limit = context.layout().valueBytes();
-    for (Machine machine : fleet.machines()) {
-      Map<String, Double> held = machine.images().ready();
-      if (!held.isEmpty() && !part.add(machine, held, limit)) {
-        part = new Part();
-        parts.add(part);
-        part.add(machine, held, limit);
+  /** Values that differ from what is stored, by number; empty for those to be dropped. */
+  private Map<Integer, Optional<ObjectNode>> nextChanges() {
+    List<ObjectNode> values = codec.write(context.layout().valueBytes());
+    int count = Math.max(values.size(), storedCount);
+    Map<Integer, Optional<ObjectNode>> changes = new LinkedHashMap<>();
+    for (int n = 0; n < count && changes.size() < MAX_CHANGES; n++) {
+      int number = nextNumber++ % count;
+      Optional<ObjectNode> value =
+          number < values.size() ? Optional.of(values.get(number)) : Optional.empty();
+      if (!value.equals(storedValues.get(number))) {
+        changes.put(number, value);
       }
     }
-    return parts.stream().map(p -> p.out).toList();
+    nextNumber %= count;
+    return changes;
   }
 
-  /** One turn of the duty: some of what has changed, going on where the last turn stopped. */
-  public long write() {
-    if (writing) {
-      return INTERVAL_MICROS;
-    }
-    List<ObjectNode> now = parts();
-    int all = Math.max(now.size(), written.size());
+  private void send(Map<Integer, Optional<ObjectNode>> changes) {
     Transaction transaction = context.term().requireTerm();
-    Map<Integer, ObjectNode> sent = new HashMap<>();
-    for (int n = 0; n < all && sent.size() < MAX_CHANGES; n++) {
-      int index = cursor++ % all;
-      ObjectNode part = index < now.size() ? now.get(index) : OBSOLETE;
-      if (index < written.size() && part.equals(written.get(index))) {
-        continue;
-      }
-      sent.put(index, part);
-      if (part == OBSOLETE) {
-        transaction.drop(JobStore.warmStateKey(index));
-      } else {
-        transaction.put(JobStore.warmStateKey(index), part);
-      }
-    }
-    cursor %= all;
-    if (!sent.isEmpty()) {
-      writing = true;
-      context
-          .store()
-          .transaction(
-              transaction,
-              StateClient.RequestPriority.ORDINARY,
-              result -> {
-                writing = false;
-                sent.forEach(
-                    (i, part) -> {
-                      ensureSize(i);
-                      written.set(i, result.applied() ? part : null);
-                    });
-              });
-    }
-    return sent.size() == MAX_CHANGES ? INTERVAL_MICROS / 4 : INTERVAL_MICROS;
+    changes.forEach(
+        (number, value) -> {
+          String key = JobStore.warmStateKey(number);
+          value.ifPresentOrElse(
+              present -> transaction.put(key, present), () -> transaction.drop(key));
+        });
+    writing = true;
+    context
+        .store()
+        .transaction(
+            transaction,
+            StateClient.RequestPriority.ORDINARY,
+            result -> {
+              writing = false;
+              changes.forEach((number, value) -> written(number, value, result.applied()));
+            });
   }
 
-  /** Makes room in the list of what is stored. */
-  private void ensureSize(int part) {
-    while (written.size() <= part) {
-      written.add(null);
+  private void written(int number, Optional<ObjectNode> value, boolean applied) {
+    mayBeStored(number);
+    if (applied) {
+      storedValues.put(number, value);
+    } else {
+      storedValues.remove(number);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/plumlever/leader/failover/WarmStateCodec.java
@@ -0,0 +1,134 @@
+package plumlever.leader.failover;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import com.fasterxml.jackson.databind.node.TextNode;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import plumlever.fleet.Estimates;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.wire.Json;
+
+/**
+ * Writes image caches and estimates into as many values as they take, and reads them back. The
+ * estimates are in the first value; each value names its images once, and machines by index.
+ */
+final class WarmStateCodec {
+  private static final String IMAGES = "images";
+  private static final String MACHINES = "machines";
+  private static final String RATIOS = "ratios";
+
+  /** What a value takes besides its machines and images, and each of those besides its name. */
+  private static final int BASE_BYTES = 400;
+
+  private static final int MACHINE_BYTES = 6;
+  private static final int IMAGE_BYTES = 24;
+  private static final int INDEX_BYTES = 4;
+
+  private static final double RATIO_STEPS = 100;
+  private static final double GB_STEPS = 1_000;
+
+  private final Fleet fleet;
+  private final Estimates estimates;
+
+  WarmStateCodec(Fleet fleet, Estimates estimates) {
+    this.fleet = fleet;
+    this.estimates = estimates;
+  }
+
+  /** Applies one value; machines that are not in the fleet are ignored. */
+  void read(JsonNode value) {
+    List<JsonNode> images = new ArrayList<>();
+    value.path(IMAGES).forEach(images::add);
+    value
+        .path(MACHINES)
+        .properties()
+        .forEach(
+            entry -> {
+              Machine machine = fleet.machine(entry.getKey());
+              if (machine != null) {
+                entry.getValue().forEach(index -> readImage(machine, images, index.asInt(-1)));
+              }
+            });
+    value
+        .path(RATIOS)
+        .properties()
+        .forEach(entry -> estimates.suggest(entry.getKey(), entry.getValue().asDouble(1)));
+  }
+
+  private static void readImage(Machine machine, List<JsonNode> images, int index) {
+    if (index >= 0 && index < images.size()) {
+      JsonNode image = images.get(index);
+      machine.images().isReady(image.path(0).asText(), image.path(1).asDouble());
+    }
+  }
+
+  /** The present state, in values of at most this size; at least one. */
+  List<ObjectNode> write(int maxBytes) {
+    List<Part> parts = new ArrayList<>();
+    Part part = new Part();
+    parts.add(part);
+    part.putRatios(estimates.ratios());
+    for (Machine machine : fleet.machines()) {
+      Map<String, Double> ready = machine.images().ready();
+      if (!ready.isEmpty() && !part.add(machine, ready, maxBytes)) {
+        part = new Part();
+        parts.add(part);
+        part.add(machine, ready, maxBytes);
+      }
+    }
+    return parts.stream().map(each -> each.value).toList();
+  }
+
+  /** One value under construction. */
+  private static final class Part {
+    final ObjectNode value = Json.object();
+    private final ArrayNode images = value.putArray(IMAGES);
+    private final ObjectNode machines = value.putObject(MACHINES);
+    private final Map<String, Integer> indexByImage = new HashMap<>();
+    private int bytes = BASE_BYTES;
+
+    void putRatios(Map<String, Double> ratioByClass) {
+      ObjectNode ratios = value.putObject(RATIOS);
+      ratioByClass.forEach(
+          (jobClass, ratio) -> ratios.put(jobClass, Math.round(ratio * RATIO_STEPS) / RATIO_STEPS));
+      bytes += Json.write(ratios).length();
+    }
+
+    /** Adds the machine with its images in GB; false when it does not fit. */
+    boolean add(Machine machine, Map<String, Double> ready, int maxBytes) {
+      int size = sizeOf(machine, ready);
+      if (bytes + size > maxBytes) {
+        return false;
+      }
+      bytes += size;
+      ArrayNode indexes = machines.putArray(machine.id());
+      ready.forEach(
+          (image, gb) -> indexes.add(indexByImage.computeIfAbsent(image, k -> addImage(k, gb))));
+      return true;
+    }
+
+    private int sizeOf(Machine machine, Map<String, Double> ready) {
+      int size = machine.id().length() + MACHINE_BYTES + INDEX_BYTES * ready.size();
+      for (String image : ready.keySet()) {
+        size += indexByImage.containsKey(image) ? 0 : jsonBytes(image) + IMAGE_BYTES;
+      }
+      return size;
+    }
+
+    private int addImage(String image, double gb) {
+      images.addArray().add(image).add(Math.round(gb * GB_STEPS) / GB_STEPS);
+      return images.size() - 1;
+    }
+
+    /** Users name images, and escaped characters may take several times the name's length. */
+    private static int jsonBytes(String image) {
+      return Json.write(TextNode.valueOf(image)).getBytes(StandardCharsets.UTF_8).length;
+    }
+  }
+}
--- a/src/main/java/plumlever/leader/record/RecoveryRead.java
+++ b/src/main/java/plumlever/leader/record/RecoveryRead.java
@@ -11,44 +11,46 @@
 import plumlever.store.StateClient;
 
 /**
- * What earlier leaders left in the state service, read by a new one. All of it is asked for at
- * once: their writes are guarded by their terms, so nothing of it changes any more but the jobs
- * that come and end. It is read on leadership's thread: on the one that decides each answer would
- * wait behind the crowd of workers that come to a new leader.
+ * Reads what earlier leaders left in the state service. All of it is requested at once: their
+ * writes are guarded by their terms, so nothing of it changes any more but the jobs that come and
+ * end. It is read on the election's thread: on the one that decides each answer would wait behind
+ * the heartbeats of all workers that come to a new leader.
  */
 public final class RecoveryRead {
   private static final long RETRY_MICROS = 500_000;
 
-  private final List<String> prefixes =
-      new ArrayList<>(
-          List.of(
-              JobStore.FLEET,
-              JobStore.WARM_STATE,
-              JobStore.STARTED,
-              JobStore.ACTIVE,
-              JobStore.PROGRESS));
-
   private final Context context;
-  private final Map<String, StateClient.Listing> read = new HashMap<>();
-  private Consumer<RecoveryRead> onComplete;
+  private final List<String> prefixes;
+  private final Map<String, StateClient.Listing> listings = new HashMap<>();
   private long jobsReadSentMicros;
+  private boolean closed;
 
+  /** Reads nothing yet. */
   public RecoveryRead(Context context) {
     this.context = context;
+    this.prefixes =
+        new ArrayList<>(
+            List.of(
+                JobStore.FLEET,
+                JobStore.WARM_STATE,
+                JobStore.STARTED,
+                JobStore.ACTIVE,
+                JobStore.PROGRESS));
+    if (context.sharing().isPresent()) {
+      prefixes.add(PoolView.PREFIX);
+    }
   }
 
   /**
-   * @param whenRead runs once, when everything has been read
+   * Reads everything; what can't be read is retried.
+   *
+   * @param onComplete runs once, when everything has been read, unless this is closed before
    */
-  public void read(Consumer<RecoveryRead> callback) {
-    onComplete = callback;
-    if (context.sharing().isPresent()) {
-      prefixes.add(PoolView.PREFIX);
-    }
-    prefixes.forEach(this::read);
+  public void read(Consumer<RecoveryRead> onComplete) {
+    prefixes.forEach(prefix -> read(prefix, onComplete));
   }
 
-  private void read(String prefix) {
+  private void read(String prefix, Consumer<RecoveryRead> onComplete) {
     if (prefix.equals(JobStore.ACTIVE)) {
       jobsReadSentMicros = context.loop().nowMicros();
     }
@@ -57,33 +59,32 @@
         .list(
             prefix,
             listing -> {
-              if (onComplete == null) {
+              if (closed) {
                 return;
               }
               if (listing == null) {
-                context.loop().after(RETRY_MICROS, () -> read(prefix));
+                context.loop().after(RETRY_MICROS, () -> read(prefix, onComplete));
                 return;
               }
-              read.put(prefix, listing);
-              if (read.size() == prefixes.size()) {
-                Consumer<RecoveryRead> callback = onComplete;
-                onComplete = null;
-                callback.accept(this);
+              listings.put(prefix, listing);
+              if (listings.size() == prefixes.size()) {
+                onComplete.accept(this);
               }
             });
   }
 
   /** The keys under the prefix, as they were after the term had been taken. */
   public StateClient.Listing listing(String prefix) {
-    return read.get(prefix);
+    return listings.get(prefix);
   }
 
-  /** When the read of the active jobs had been sent: whatever ended before it is known. */
+  /** When the read of the active jobs was sent: jobs that ended before it are known to have. */
   public long jobsReadSentMicros() {
     return jobsReadSentMicros;
   }
 
+  /** Nothing is reported any more; reads under way are ignored. */
   public void close() {
-    onComplete = null;
+    closed = true;
   }
 }
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -15,74 +15,57 @@
 import plumlever.store.Transaction;
 
 /**
- * Entries of which many share one stored value, since changes are what the state service has least
- * of. Each write is guarded by the term and by the record's own revision: one that is carried out
+ * Entries of which many share one stored value, a chunk, since the state service limits changes
+ * most. Each write is guarded by the term and by the chunk's own revision: one that is executed
  * late can't undo another, nor a successor's. An entry counts as stored only after the answer that
  * says so.
  *
- * <p>A value that an earlier limit allowed may be larger than one may be now. It is not written as
- * it is: what does not fit is first written to other values, and only when that is known to be
- * stored does it leave the large one. Broken off at any point an entry is in one value or in two,
+ * <p>A chunk that an earlier limit allowed may be larger than one may be now. It is not written as
+ * it is: what does not fit is first written to other chunks, and only when that is known to be
+ * stored does it leave the large one. Interrupted at any point, an entry is in one chunk or in two,
  * never in none.
  */
 public final class SharedRecords<E extends Registered> {
   private static final long CLEAN_UP_MICROS = 5_000_000;
+  private static final int CHECKS_PER_CLEAN_UP = 4;
   private static final long RETRY_MICROS = 300_000;
+  private static final long NO_RECORD = 0;
 
-  /** How entries are written. */
+  /** How entries are stored. */
   public interface Layout<E> {
+    /** The key of the chunk with this number. */
     String key(int number);
 
-    /** Room that the entry takes of a value. */
+    /** Bytes that the entry takes of a chunk; the same from its registration on. */
     int bytes(E entry);
 
-    /** Room that every value takes besides. */
+    /** Bytes that every chunk takes besides. */
     int baseBytes();
 
+    /** The value of a chunk with these entries. */
     ObjectNode value(List<E> entries);
   }
 
-  /** One stored value. */
-  private static final class Chunk<E> {
-    final int number;
-    final Set<E> entries = new LinkedHashSet<>();
-    long revision;
-    int bytes;
-
-    /** Of these, bytes of entries on their way to other values. */
-    int departingBytes;
-
-    boolean writing;
-
-    /** Something must be written before it can be used, or can be dropped when there is time. */
-    boolean writeDue;
-
-    boolean cleanUpDue;
-    long writtenMicros;
-
-    Chunk(int number, int bytes) {
-      this.number = number;
-      this.bytes = bytes;
-    }
-  }
-
   private final Context context;
   private final Layout<E> layout;
 
-  /** What comes together within this time is written together. */
+  /** Entries that are registered within this time after a write are written together. */
   private final long pauseMicros;
 
   private final Runnable stored;
-  private final Map<Integer, Chunk<E>> chunks = new LinkedHashMap<>();
-  private final Map<E, Chunk<E>> chunkOf = new HashMap<>();
+  private final Map<Integer, RecordChunk<E>> chunks = new LinkedHashMap<>();
+  private final Map<E, RecordChunk<E>> chunkByEntry = new HashMap<>();
 
-  /** Where entries go that leave a value that is too large. */
-  private final Map<E, Chunk<E>> movingTo = new HashMap<>();
+  /** The destinations of entries that are being moved out of chunks that are too large. */
+  private final Map<E, RecordChunk<E>> destinationByEntry = new HashMap<>();
 
   private boolean closed;
 
   /**
-   * @param stored runs when entries have come to be on record
+   * No entries, until they are loaded or registered.
+   *
+   * @param pauseMicros least pause between two writes of a chunk
+   * @param stored runs after entries have become stored
    */
   public SharedRecords(Context context, Layout<E> layout, long pauseMicros, Runnable stored) {
     this.context = context;
@@ -92,41 +75,41 @@
   }
 
   /**
-   * Takes over a value as an earlier leader stored it; entries that are no use any more may be
-   * missing.
+   * Takes over a chunk as an earlier leader stored it.
+   *
+   * @param entries those that are still of use; the others leave with the next write
    */
   public void load(int number, long revision, List<E> entries) {
-    Chunk<E> chunk = new Chunk<>(number, layout.baseBytes());
+    RecordChunk<E> chunk = new RecordChunk<>(number, layout.baseBytes());
     chunk.revision = revision;
     chunk.writtenMicros = context.loop().nowMicros();
     chunks.put(number, chunk);
     for (E entry : entries) {
       entry.registration(RegistrationState.STORED);
-      addEntry(chunk, entry);
+      add(chunk, entry);
     }
   }
 
-  private void addEntry(Chunk<E> chunk, E entry) {
-    chunk.entries.add(entry);
-    chunk.bytes += layout.bytes(entry);
-    chunkOf.put(entry, chunk);
+  private void add(RecordChunk<E> chunk, E entry) {
+    chunk.add(entry, layout.bytes(entry));
+    chunkByEntry.put(entry, chunk);
   }
 
-  /** The entry is to be recorded, if it is not yet. */
+  /** Has the entry stored, unless it is stored or being stored already. */
   public void register(E entry) {
     if (entry.registration() != RegistrationState.NONE) {
       return;
     }
     entry.registration(RegistrationState.WRITING);
-    Chunk<E> chunk = chunkWithCapacity(layout.bytes(entry));
-    addEntry(chunk, entry);
+    RecordChunk<E> chunk = chunkWithCapacity(layout.bytes(entry));
+    add(chunk, entry);
     chunk.writeDue = true;
     write(chunk);
   }
 
-  private Chunk<E> chunkWithCapacity(int bytes) {
-    for (Chunk<E> chunk : chunks.values()) {
-      if (chunk.bytes + bytes <= context.layout().valueBytes()) {
+  private RecordChunk<E> chunkWithCapacity(int bytes) {
+    for (RecordChunk<E> chunk : chunks.values()) {
+      if (chunk.bytes() + bytes <= context.layout().valueBytes()) {
         return chunk;
       }
     }
@@ -134,154 +117,164 @@
     while (chunks.containsKey(number)) {
       number++;
     }
-    Chunk<E> chunk = new Chunk<>(number, layout.baseBytes());
+    RecordChunk<E> chunk = new RecordChunk<>(number, layout.baseBytes());
     chunks.put(number, chunk);
     return chunk;
   }
 
   /**
-   * Has what does not fit the value written to others; it stays in this one until that is stored.
+   * The entry is of no use any more. It leaves its chunk with the next write, or with a clean-up.
    */
-  private void moveExcess(Chunk<E> chunk) {
-    Set<Chunk<E>> destinations = new LinkedHashSet<>();
-    for (E entry : List.copyOf(chunk.entries)) {
-      if (chunk.bytes - chunk.departingBytes <= context.layout().valueBytes()) {
-        break;
-      }
-      if (movingTo.containsKey(entry)) {
-        continue;
-      }
-      Chunk<E> destination = chunkWithCapacity(layout.bytes(entry));
-      destination.entries.add(entry);
-      destination.bytes += layout.bytes(entry);
-      destination.writeDue = true;
-      destinations.add(destination);
-      movingTo.put(entry, destination);
-      chunk.departingBytes += layout.bytes(entry);
-    }
-    destinations.forEach(this::write);
-  }
-
-  /** An entry that was on its way is stored in its new value, and leaves the old one. */
-  private void completeMove(E entry, Chunk<E> destination) {
-    if (movingTo.get(entry) != destination) {
+  public void remove(E entry) {
+    // It may be registered anew, and is not stored then.
+    entry.registration(RegistrationState.NONE);
+    RecordChunk<E> destination = destinationByEntry.remove(entry);
+    RecordChunk<E> chunk = chunkByEntry.remove(entry);
+    if (chunk == null) {
       return;
     }
-    movingTo.remove(entry);
-    Chunk<E> from = chunkOf.put(entry, destination);
-    if (from != null && from.entries.remove(entry)) {
-      from.bytes -= layout.bytes(entry);
-      from.departingBytes -= layout.bytes(entry);
-      from.cleanUpDue = true;
+    int size = layout.bytes(entry);
+    if (destination != null) {
+      destination.remove(entry, size);
+      chunk.moveEnded(size);
     }
+    chunk.remove(entry, size);
   }
 
   /**
-   * The entry is of no use any more; it goes with the next write, or when there is time for one.
+   * Divides chunks that are too large, and writes those from which entries have been removed.
+   *
+   * @return microseconds until this should be called next
    */
-  public void remove(E entry) {
-    // It may come back, and is not on record then.
-    entry.registration(RegistrationState.NONE);
-    Chunk<E> destination = movingTo.remove(entry);
-    if (destination != null && destination.entries.remove(entry)) {
-      destination.bytes -= layout.bytes(entry);
-      destination.cleanUpDue = true;
-    }
-    Chunk<E> chunk = chunkOf.remove(entry);
-    if (chunk != null) {
-      chunk.departingBytes -= destination == null ? 0 : layout.bytes(entry);
-      chunk.entries.remove(entry);
-      chunk.bytes -= layout.bytes(entry);
-      chunk.cleanUpDue = true;
-    }
-  }
-
-  /** One turn of the duty. */
   public long cleanUp() {
     long now = context.loop().nowMicros();
-    for (Chunk<E> chunk : List.copyOf(chunks.values())) {
-      if (chunk.bytes > context.layout().valueBytes()) {
+    for (RecordChunk<E> chunk : List.copyOf(chunks.values())) {
+      if (isOversized(chunk)) {
         moveExcess(chunk);
       } else if (chunk.cleanUpDue && now - chunk.writtenMicros > CLEAN_UP_MICROS) {
         write(chunk);
       }
     }
-    return CLEAN_UP_MICROS / 4;
+    return CLEAN_UP_MICROS / CHECKS_PER_CLEAN_UP;
   }
 
-  private void write(Chunk<E> chunk) {
+  private boolean isOversized(RecordChunk<E> chunk) {
+    return chunk.bytes() > context.layout().valueBytes();
+  }
+
+  /** Has what does not fit the chunk stored in others; it stays in this one until that is done. */
+  private void moveExcess(RecordChunk<E> chunk) {
+    Set<RecordChunk<E>> destinations = new LinkedHashSet<>();
+    for (E entry : List.copyOf(chunk.entries())) {
+      if (chunk.bytesAfterMoves() <= context.layout().valueBytes()) {
+        break;
+      }
+      if (!destinationByEntry.containsKey(entry)) {
+        destinations.add(startMove(chunk, entry));
+      }
+    }
+    destinations.forEach(this::write);
+  }
+
+  private RecordChunk<E> startMove(RecordChunk<E> chunk, E entry) {
+    int size = layout.bytes(entry);
+    RecordChunk<E> destination = chunkWithCapacity(size);
+    destination.add(entry, size);
+    destination.writeDue = true;
+    destinationByEntry.put(entry, destination);
+    chunk.moveStarted(size);
+    return destination;
+  }
+
+  /** The entry is stored in its destination, and leaves the chunk in which it was before. */
+  private RecordChunk<E> completeMove(E entry, RecordChunk<E> destination) {
+    destinationByEntry.remove(entry);
+    RecordChunk<E> source = chunkByEntry.put(entry, destination);
+    int size = layout.bytes(entry);
+    if (source.remove(entry, size)) {
+      source.moveEnded(size);
+    }
+    return source;
+  }
+
+  private void write(RecordChunk<E> chunk) {
     if (closed || chunk.writing || !(chunk.writeDue || chunk.cleanUpDue)) {
       return;
     }
-    if (chunk.bytes > context.layout().valueBytes()) {
+    if (isOversized(chunk)) {
       moveExcess(chunk);
       return;
     }
     chunk.writing = true;
-    long wait = Math.max(0, chunk.writtenMicros + pauseMicros - context.loop().nowMicros());
-    context.loop().after(chunk.writtenMicros == 0 ? 0 : wait, () -> send(chunk));
+    long waitMicros =
+        chunk.writtenMicros == 0
+            ? 0
+            : Math.max(0, chunk.writtenMicros + pauseMicros - context.loop().nowMicros());
+    context.loop().after(waitMicros, () -> sendIfPossible(chunk));
   }
 
-  private void send(Chunk<E> chunk) {
-    if (closed || !context.term().mayAct()) {
+  private void sendIfPossible(RecordChunk<E> chunk) {
+    if (closed) {
       chunk.writing = false;
-      if (!closed) {
-        context.loop().after(RETRY_MICROS, () -> write(chunk));
-      }
-      return;
-    }
-    if (chunk.bytes > context.layout().valueBytes()) {
-      // The limit has fallen since this was put off.
+    } else if (!context.term().mayAct()) {
+      chunk.writing = false;
+      context.loop().after(RETRY_MICROS, () -> write(chunk));
+    } else if (isOversized(chunk)) {
+      // The limit has fallen during the pause.
       chunk.writing = false;
       moveExcess(chunk);
-      return;
+    } else {
+      send(chunk);
     }
+  }
+
+  private void send(RecordChunk<E> chunk) {
     chunk.writeDue = false;
     chunk.cleanUpDue = false;
     chunk.writtenMicros = context.loop().nowMicros();
-    List<E> written = new ArrayList<>(chunk.entries);
-    String key = layout.key(chunk.number);
-    Transaction transaction = context.term().requireTerm().require(key, chunk.revision);
-    if (written.isEmpty()) {
-      transaction.drop(key);
-    } else {
-      transaction.put(key, layout.value(written));
-    }
+    List<E> written = new ArrayList<>(chunk.entries());
     context
         .store()
         .transaction(
-            transaction,
+            transaction(chunk, written),
             StateClient.RequestPriority.ORDINARY,
             result -> {
               if (closed) {
                 return;
               }
               switch (result.outcome()) {
-                case APPLIED -> {
-                  chunk.revision = written.isEmpty() ? 0 : result.revision();
-                  chunk.writing = false;
-                  stored(chunk, written);
-                  Set<Chunk<E>> sources = new LinkedHashSet<>();
-                  for (E entry : written) {
-                    Chunk<E> from = chunkOf.get(entry);
-                    if (movingTo.get(entry) == chunk) {
-                      completeMove(entry, chunk);
-                      sources.add(from);
-                    }
-                  }
-                  sources.forEach(this::write);
-                  write(chunk);
-                }
+                case APPLIED -> applied(chunk, written, result.revision());
                 case REFUSED -> writeLater(chunk);
-                default -> readRevision(chunk);
+                default -> refreshRevision(chunk);
               }
             });
   }
 
-  private void stored(Chunk<E> chunk, List<E> written) {
+  private Transaction transaction(RecordChunk<E> chunk, List<E> entries) {
+    String key = layout.key(chunk.number);
+    Transaction transaction = context.term().requireTerm().require(key, chunk.revision);
+    return entries.isEmpty() ? transaction.drop(key) : transaction.put(key, layout.value(entries));
+  }
+
+  private void applied(RecordChunk<E> chunk, List<E> written, long revision) {
+    chunk.revision = written.isEmpty() ? NO_RECORD : revision;
+    chunk.writing = false;
+    markStored(chunk, written);
+    Set<RecordChunk<E>> sources = new LinkedHashSet<>();
+    for (E entry : written) {
+      if (destinationByEntry.get(entry) == chunk) {
+        sources.add(completeMove(entry, chunk));
+      }
+    }
+    sources.forEach(this::write);
+    write(chunk);
+  }
+
+  private void markStored(RecordChunk<E> chunk, List<E> written) {
     boolean newlyStored = false;
     for (E entry : written) {
-      boolean stillAssigned = chunkOf.get(entry) == chunk || movingTo.get(entry) == chunk;
+      boolean stillAssigned =
+          chunkByEntry.get(entry) == chunk || destinationByEntry.get(entry) == chunk;
       if (stillAssigned && entry.registration() == RegistrationState.WRITING) {
         entry.registration(RegistrationState.STORED);
         newlyStored = true;
@@ -292,7 +285,7 @@
     }
   }
 
-  private void writeLater(Chunk<E> chunk) {
+  private void writeLater(RecordChunk<E> chunk) {
     chunk.writeDue = true;
     context
         .loop()
@@ -304,8 +297,11 @@
             });
   }
 
-  /** It may have been written, or may be yet: the next write is guarded by what is there now. */
-  private void readRevision(Chunk<E> chunk) {
+  /**
+   * The transaction may have been executed, or may be yet: the next write is guarded by what is
+   * stored now.
+   */
+  private void refreshRevision(RecordChunk<E> chunk) {
     context
         .store()
         .get(
@@ -315,12 +311,13 @@
               if (got.found()) {
                 chunk.revision = got.item().revision();
               } else if (got.missing()) {
-                chunk.revision = 0;
+                chunk.revision = NO_RECORD;
               }
               writeLater(chunk);
             });
   }
 
+  /** Stops writing; outcomes of writes that are under way are ignored. */
   public void close() {
     closed = true;
   }
