--- /dev/null
+++ b/src/test/java/plumlever/leader/failover/WarmStateCodecTest.java
@@ -0,0 +1,101 @@
+package plumlever.leader.failover;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import plumlever.fleet.Estimates;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.wire.Json;
+
+/** What the next leader learns from the stored warm state. */
+final class WarmStateCodecTest {
+  private static final int LARGE_VALUE_BYTES = 16 * 1024;
+  private static final int SMALL_VALUE_BYTES = 1024;
+  private static final int MACHINES = 40;
+
+  private static Fleet fleet(int machines) {
+    Fleet fleet = new Fleet(1);
+    for (int i = 0; i < machines; i++) {
+      fleet.add(new Machine("i-" + i, "i-" + i + ":9", "small", "a", false, 0));
+    }
+    return fleet;
+  }
+
+  /** A fleet in which each machine has an image of its own and one that all share. */
+  private static Fleet fleetWithImages(int machines) {
+    Fleet fleet = fleet(machines);
+    int number = 0;
+    for (Machine machine : fleet.machines()) {
+      machine.images().isReady("shared", 2.5);
+      machine.images().isReady("own-" + number++, 1);
+    }
+    return fleet;
+  }
+
+  private static List<ObjectNode> write(Fleet fleet, int maxBytes) {
+    return new WarmStateCodec(fleet, new Estimates()).write(maxBytes);
+  }
+
+  private static void read(List<ObjectNode> values, Fleet fleet) {
+    WarmStateCodec codec = new WarmStateCodec(fleet, new Estimates());
+    values.forEach(codec::read);
+  }
+
+  @Test
+  void theNextLeaderKnowsWhichMachineHasWhichImage() {
+    Fleet next = fleet(MACHINES);
+
+    read(write(fleetWithImages(MACHINES), LARGE_VALUE_BYTES), next);
+
+    assertEquals(Map.of("shared", 2.5, "own-3", 1.0), next.machine("i-3").images().ready());
+  }
+
+  @Test
+  void theNextLeaderKnowsTheEstimates() {
+    Estimates estimates = new Estimates();
+    estimates.suggest("train", 1.5);
+    Estimates next = new Estimates();
+
+    List<ObjectNode> values = new WarmStateCodec(fleet(0), estimates).write(LARGE_VALUE_BYTES);
+    values.forEach(new WarmStateCodec(fleet(0), next)::read);
+
+    assertEquals(Map.of("train", 1.5), next.ratios());
+  }
+
+  @Test
+  void noValueIsLargerThanTheLimit() {
+    List<ObjectNode> values = write(fleetWithImages(MACHINES), SMALL_VALUE_BYTES);
+
+    assertTrue(values.size() > 1);
+    for (ObjectNode value : values) {
+      int bytes = Json.write(value).getBytes(StandardCharsets.UTF_8).length;
+      assertTrue(bytes <= SMALL_VALUE_BYTES, "a value of " + bytes + " bytes");
+    }
+  }
+
+  @Test
+  void nothingIsLostWhenTheStateTakesSeveralValues() {
+    Fleet next = fleet(MACHINES);
+
+    read(write(fleetWithImages(MACHINES), SMALL_VALUE_BYTES), next);
+
+    for (Machine machine : next.machines()) {
+      assertEquals(2, machine.images().ready().size(), machine.id());
+    }
+  }
+
+  @Test
+  void machinesThatAreGoneAreIgnored() {
+    Fleet next = fleet(1);
+
+    read(write(fleetWithImages(2), LARGE_VALUE_BYTES), next);
+
+    assertEquals(Map.of("shared", 2.5, "own-0", 1.0), next.machine("i-0").images().ready());
+  }
+}
--- /dev/null
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -0,0 +1,207 @@
+package plumlever.leader.heartbeat;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static plumlever.leader.heartbeat.HeartbeatFixture.JOB;
+import static plumlever.leader.heartbeat.HeartbeatFixture.completed;
+import static plumlever.leader.heartbeat.HeartbeatFixture.running;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import plumlever.fleet.Attempt;
+import plumlever.wire.Heartbeat;
+import plumlever.wire.TaskName;
+import plumlever.wire.WorkerCommand;
+
+/** What heartbeats prove, and which commands answer them. */
+final class HeartbeatHandlerTest {
+  private static final TaskName TASK = new TaskName(JOB, 0);
+
+  private final HeartbeatFixture leader = new HeartbeatFixture();
+
+  private List<WorkerCommand> commandsFor(Heartbeat heartbeat) {
+    return leader.handler.stopAndRemoveCommands(leader.machine, heartbeat);
+  }
+
+  private HeartbeatHandler.Freshness apply(Heartbeat heartbeat) {
+    return leader.handler.apply(leader.machine, heartbeat, true);
+  }
+
+  @Test
+  void aHeartbeatReceivedTwiceIsADuplicate() {
+    Heartbeat heartbeat = leader.heartbeat();
+    apply(heartbeat);
+
+    assertEquals(HeartbeatHandler.Freshness.DUPLICATE, apply(heartbeat));
+  }
+
+  @Test
+  void aHeartbeatOlderThanADirectAnswerIsSuperseded() {
+    leader.accounted();
+    Heartbeat sentFirst = leader.heartbeat();
+    leader.handler.apply(leader.machine, leader.heartbeat(), false);
+
+    assertEquals(HeartbeatHandler.Freshness.SUPERSEDED, apply(sentFirst));
+  }
+
+  @Test
+  void theHeartbeatThatAccountsForAMachineBringsAttemptsOfEarlierTerms() {
+    long earlier = HeartbeatFixture.attemptOfEarlierTerm();
+
+    apply(leader.heartbeat(running(0, earlier)));
+
+    assertNotNull(leader.job.liveAttempt(0));
+    assertEquals(earlier, leader.job.liveAttempt(0).id());
+  }
+
+  /** It was held back until after the lease had lapsed: the task is dead. */
+  @Test
+  void anAttemptOfAnEarlierTermIsNotAdoptedFromAnAccountedMachine() {
+    leader.accounted();
+
+    apply(leader.heartbeat(running(0, HeartbeatFixture.attemptOfEarlierTerm())));
+
+    assertNull(leader.job.liveAttempt(0));
+  }
+
+  @Test
+  void aHeartbeatWithATokenOfAnEarlierTermBringsNoAttempts() {
+    apply(leader.heartbeatWithToken(1, running(0, HeartbeatFixture.attemptOfEarlierTerm())));
+
+    assertNull(leader.job.liveAttempt(0));
+    assertFalse(leader.machine.accounted());
+  }
+
+  @Test
+  void aStartInAnAnswerIsOverWhenTheNextHeartbeatLacksIt() {
+    Attempt attempt = leader.accounted().start(0, false);
+
+    apply(leader.heartbeat());
+
+    assertTrue(attempt.over());
+  }
+
+  /** The body of a direct call proves nothing about an answer that is still in flight. */
+  @Test
+  void aStartInAnAnswerIsNotOverWhenADirectAnswerLacksIt() {
+    Attempt attempt = leader.accounted().start(0, false);
+
+    leader.handler.apply(leader.machine, leader.heartbeat(), false);
+
+    assertFalse(attempt.over());
+  }
+
+  @Test
+  void anUnansweredDirectStartIsNotOverWhileItsTokenCounts() {
+    Attempt attempt = leader.accounted().start(0, true);
+
+    apply(leader.heartbeat());
+
+    assertFalse(attempt.over());
+  }
+
+  @Test
+  void anUnansweredDirectStartIsOverOnceAHigherTokenIsShown() {
+    Attempt attempt = leader.accounted().start(0, true);
+    leader.machine.tokens().voidDirectCommands();
+
+    apply(leader.heartbeat());
+
+    assertTrue(attempt.over());
+  }
+
+  /** Also direct starts: the worker executes none that names an earlier incarnation. */
+  @Test
+  void aNewIncarnationEndsAllAttemptsOfEarlierOnes() {
+    Attempt running = leader.accounted().start(0, false);
+    apply(leader.heartbeat(running(0, running.id())));
+    Attempt unanswered = leader.start(1, true);
+
+    apply(leader.heartbeatOfNextIncarnation());
+
+    assertTrue(running.over());
+    assertTrue(unanswered.over());
+  }
+
+  @Test
+  void aTaskOfACancelledJobIsStoppedByEveryAnswer() {
+    Attempt attempt = leader.accounted().start(0, false);
+    leader.job.confirmCancellation();
+
+    for (int i = 0; i < 2; i++) {
+      Heartbeat heartbeat = leader.heartbeat(running(0, attempt.id()));
+      apply(heartbeat);
+      assertEquals(List.of(WorkerCommand.stop(TASK, attempt.id(), 0)), commandsFor(heartbeat));
+    }
+  }
+
+  @Test
+  void aCompletedAttemptStaysAtTheWorkerUntilItsResultIsStored() {
+    Attempt attempt = leader.accounted().start(0, false);
+    Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
+    apply(heartbeat);
+
+    assertEquals(List.of(), commandsFor(heartbeat));
+  }
+
+  @Test
+  void aCompletedAttemptIsRemovedOnceItsResultIsStored() {
+    Attempt attempt = leader.accounted().start(0, false);
+    Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
+    apply(heartbeat);
+    leader.job.stored().set(0);
+
+    assertEquals(List.of(WorkerCommand.remove(TASK, attempt.id())), commandsFor(heartbeat));
+  }
+
+  @Test
+  void nothingIsRemovedWhileADirectCommandIsInFlight() {
+    Attempt attempt = leader.accounted().start(0, true);
+    leader.machine.contact().commandInFlight(true);
+    Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
+    apply(heartbeat);
+    leader.job.stored().set(0);
+
+    assertEquals(List.of(), commandsFor(heartbeat));
+  }
+
+  @Test
+  void theAnswerThatRemovesAnAttemptVoidsTheCommandThatStartedIt() {
+    Attempt attempt = leader.accounted().start(0, true);
+    Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
+    apply(heartbeat);
+    leader.job.stored().set(0);
+
+    List<WorkerCommand> commands = commandsFor(heartbeat);
+
+    assertEquals(List.of(WorkerCommand.remove(TASK, attempt.id())), commands);
+    assertTrue(leader.machine.tokens().current() > attempt.directToken());
+  }
+
+  @Test
+  void aMachineIsUnreachableAfterTwoLostAnswers() {
+    leader.accounted();
+    for (int i = 0; i < 2; i++) {
+      leader.start(i, false);
+      apply(leader.heartbeat());
+    }
+
+    assertTrue(leader.machine.contact().unreachable());
+  }
+
+  @Test
+  void aMachineThatShowsTheLatestTokenIsReachableAgain() {
+    leader.accounted();
+    for (int i = 0; i < 2; i++) {
+      leader.start(i, false);
+      apply(leader.heartbeat());
+    }
+
+    apply(leader.heartbeat());
+
+    assertFalse(leader.machine.contact().unreachable());
+  }
+}
--- /dev/null
+++ b/src/test/java/plumlever/leader/heartbeat/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the package of the same name, without I/O and on a clock set by hand. */
+package plumlever.leader.heartbeat;
