--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -38,7 +38,7 @@
   private final Set<Machine> unaccounted = new LinkedHashSet<>();
 
   /** Machines that run tasks which this leader does not track. */
-  private final Set<Machine> setUntrackedTasks = new LinkedHashSet<>();
+  private final Set<Machine> withUntrackedTasks = new LinkedHashSet<>();
 
   private boolean machinesLoaded;
   private boolean unaccountedKnown;
@@ -132,14 +132,14 @@
 
   /** The machine lists this number of running tasks that this leader does not track. */
   public void setUntrackedTasks(Machine machine, int tasks) {
-    if (tasks > 0 ? setUntrackedTasks.add(machine) : setUntrackedTasks.remove(machine)) {
+    if (tasks > 0 ? withUntrackedTasks.add(machine) : withUntrackedTasks.remove(machine)) {
       unaccountedKnown = false;
     }
   }
 
   /** True while the machine runs tasks that this leader does not track. */
   public boolean runsUntracked(Machine machine) {
-    return setUntrackedTasks.contains(machine);
+    return withUntrackedTasks.contains(machine);
   }
 
   /** True while a task of the job could be running on a machine not accounted for. */
@@ -186,7 +186,7 @@
       return true;
     }
     Set<Machine> possiblyOccupied = new HashSet<>(unaccounted);
-    possiblyOccupied.addAll(setUntrackedTasks);
+    possiblyOccupied.addAll(withUntrackedTasks);
     unaccountedCores = 0;
     unaccountedAccelerators = 0;
     for (Machine machine : possiblyOccupied) {
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -19,13 +19,14 @@
 import plumlever.store.Transaction;
 
 /**
- * Lets the other controllers renew leases in zones that this leader can't reach, for as long as it
- * can't. From when the delegation is sent until it has surely been taken back and the last read of
- * it has run out, no lease there lapses by time, and nothing is sent straight to a machine there.
+ * Delegates the renewal of leases to the other controllers, in zones that this leader can't reach
+ * and as long as it can't. From when a delegation is sent until it is known to be revoked and the
+ * last read of it has expired, no lease there counts as lapsed by time, and no direct command is
+ * sent to a machine there.
  *
- * <p>With each zone goes a token above all that this leader has sent there. Renewals carry it, so
- * they void the starts that have had no answer; and it stays above all commands, since none is sent
- * while a renewal can still carry it.
+ * <p>Each zone is delegated with a token above all that this leader has sent there. Renewals carry
+ * it, so they void starts that were not answered; and it stays above all commands, since none is
+ * sent while a renewal can still carry it.
  */
 public final class RenewalDelegation {
 
@@ -77,15 +78,15 @@
   }
 
   /**
-   * False while another controller may renew leases in the zone: what is sent there now could have
-   * the very token that its renewals carry, and would not be voided by them.
+   * False while another controller may renew leases in the zone: a direct command could have the
+   * same token as its renewals, and would not be voided by them.
    */
   public boolean mayCommand(String zone) {
     return !delegatedZones.contains(zone)
         && context.loop().nowMicros() >= revokedMicros(zone) + READ_VALID_MICROS;
   }
 
-  /** When the delegation of the zone was surely gone from the state service, or long ago. */
+  /** When the delegation of the zone was known to be revoked; long ago if there was none. */
   public long revokedMicros(String zone) {
     return revokedMicros.getOrDefault(zone, LONG_AGO_MICROS);
   }
@@ -121,7 +122,7 @@
         Comparator.comparing((String zone) -> !delegatedZones.contains(zone))
             .thenComparing(Comparator.naturalOrder()));
     byPreference.stream().skip(MAX_ZONES).forEach(zones::remove);
-    if (isUseless(now)) {
+    if (hasNoDelegate(now)) {
       delegatedZones.forEach(zone -> ineligibleUntilMicros.put(zone, now + INELIGIBILITY_MICROS));
       zones.clear();
     }
@@ -129,10 +130,10 @@
   }
 
   /**
-   * True if no other controller has announced that it reaches these workers. Then their leases
-   * lapse, and it must be seen when they have.
+   * True if no other controller has announced in time that it reaches these workers. Then their
+   * leases lapse, which is only noticed in zones that are not delegated.
    */
-  private boolean isUseless(long now) {
+  private boolean hasNoDelegate(long now) {
     return !delegatedZones.isEmpty()
         && !writing
         && now - delegatedMicros > ANNOUNCEMENT_TIMEOUT_MICROS
