--- /dev/null
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -0,0 +1,124 @@
+package plumlever.leader.context;
+
+import java.util.List;
+import java.util.Optional;
+import plumlever.cloud.PriceBook;
+import plumlever.concurrent.Loop;
+import plumlever.http.Caller;
+import plumlever.metrics.Logs;
+import plumlever.metrics.Metrics;
+import plumlever.settings.Endpoint;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
+import plumlever.store.JobStore;
+import plumlever.store.StateClient;
+import plumlever.store.Transaction;
+import plumlever.wire.HttpStatus;
+import plumlever.wire.Json;
+
+/**
+ * The context of a leader without election, term and cloud. Its clock stands still, timers never
+ * expire, and requests get no answer, but for refused writes.
+ */
+public final class ContextFixture {
+  /** The largest stored value at first. */
+  public static final int VALUE_BYTES = 8192;
+
+  private static final Endpoint NOWHERE = new Endpoint("nowhere", 1);
+  private static final PlatformConfiguration.StateLimits LIMITS =
+      new PlatformConfiguration.StateLimits(100, 40, VALUE_BYTES, 8);
+  private static final PlatformConfiguration PLATFORM =
+      new PlatformConfiguration(
+          "n0",
+          "z0",
+          NOWHERE,
+          NOWHERE,
+          List.of(),
+          NOWHERE,
+          NOWHERE,
+          List.of(new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
+          List.of(),
+          new PlatformConfiguration.Workers(3_000_000, 26_000_000, 30_000_000),
+          LIMITS,
+          new PlatformConfiguration.CloudLimits(6, 5_000_000),
+          1000);
+
+  private static final class StoppedLoop implements Loop {
+    @Override
+    public long nowMicros() {
+      return 1_000_000_000L;
+    }
+
+    @Override
+    public long wallMicros() {
+      return nowMicros();
+    }
+
+    @Override
+    public Timer after(long delayMicros, Runnable action) {
+      return () -> {};
+    }
+
+    @Override
+    public void execute(Runnable action) {}
+  }
+
+  private final Loop loop = new StoppedLoop();
+  private final Metrics metrics = new Metrics(Logs.SERVICE);
+  private final Context context;
+  private boolean refusesWrites;
+
+  /**
+   * A context in which a new leader finds what this reader lists.
+   *
+   * @param reader must answer at once
+   */
+  public ContextFixture(Context.Reader reader) {
+    Caller caller =
+        (to, method, path, body, timeoutMicros, answer) -> {
+          if (refusesWrites) {
+            answer.take(HttpStatus.BAD_REQUEST, new byte[0]);
+          }
+        };
+    StateClient store = new StateClient(loop, caller, NOWHERE, LIMITS, metrics);
+    this.context =
+        new Context(
+            loop,
+            PLATFORM,
+            SchedulerParameters.defaults(),
+            null,
+            null,
+            store,
+            new JobStore(store.limits()),
+            null,
+            new PriceBook(SchedulerParameters.defaults()),
+            caller,
+            metrics,
+            () -> 0,
+            reader,
+            () -> 0,
+            Logs.SERVICE,
+            false,
+            Optional.empty());
+  }
+
+  public Context context() {
+    return context;
+  }
+
+  public long nowMicros() {
+    return loop.nowMicros();
+  }
+
+  /** The state service refuses a value of this size, and so the limit falls to half of it. */
+  public void refuseValueOf(int bytes) {
+    refusesWrites = true;
+    context
+        .store()
+        .transaction(
+            new Transaction().put("key", Json.object().put("v", "x".repeat(bytes))),
+            StateClient.RequestPriority.URGENT,
+            result -> {});
+    refusesWrites = false;
+  }
+}
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -2,27 +2,20 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
-import java.util.Optional;
-import plumlever.cloud.PriceBook;
-import plumlever.concurrent.Loop;
+import java.util.function.Consumer;
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
-import plumlever.http.Caller;
 import plumlever.leader.context.Context;
+import plumlever.leader.context.ContextFixture;
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.leader.job.StartedJobIndex;
 import plumlever.leader.progress.ProgressWriter;
 import plumlever.leader.record.RecoveryRead;
-import plumlever.metrics.Logs;
-import plumlever.metrics.Metrics;
-import plumlever.settings.Endpoint;
-import plumlever.settings.PlatformConfiguration;
-import plumlever.settings.SchedulerParameters;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.wire.AttemptState;
@@ -41,62 +34,21 @@
   static final long TERM = 7;
   static final String JOB = "job-000001";
 
-  private static final Endpoint NOWHERE = new Endpoint("nowhere", 1);
-  private static final PlatformConfiguration.StateLimits LIMITS =
-      new PlatformConfiguration.StateLimits(100, 40, 4096, 8);
-  private static final PlatformConfiguration PLATFORM =
-      new PlatformConfiguration(
-          "n0",
-          "z0",
-          NOWHERE,
-          NOWHERE,
-          List.of(),
-          NOWHERE,
-          NOWHERE,
-          List.of(new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
-          List.of(),
-          new PlatformConfiguration.Workers(3_000_000, 26_000_000, 30_000_000),
-          LIMITS,
-          new PlatformConfiguration.CloudLimits(6, 5_000_000),
-          1000);
-
-  private static final class ManualLoop implements Loop {
-    private long nowMicros = 1_000_000_000L;
-
-    @Override
-    public long nowMicros() {
-      return nowMicros;
-    }
-
-    @Override
-    public long wallMicros() {
-      return nowMicros;
-    }
-
-    @Override
-    public Timer after(long delayMicros, Runnable action) {
-      return () -> {};
-    }
-
-    @Override
-    public void execute(Runnable action) {}
-  }
-
   final Fleet fleet = new Fleet(TERM);
   final Machine machine;
   final Job job;
   final HeartbeatHandler handler;
-  private final ManualLoop loop = new ManualLoop();
+  private final ContextFixture services = new ContextFixture(HeartbeatFixture::list);
   private long sequenceNumber;
 
   HeartbeatFixture() {
-    Context context = context();
+    Context context = services.context();
     StartedJobIndex startedJobs = new StartedJobIndex(context, () -> {});
     ActiveJobs jobs = new ActiveJobs(context, startedJobs, () -> {});
     RecoveryRead records = new RecoveryRead(context);
     records.read(jobs::load);
     job = jobs.get(JOB);
-    machine = new Machine("i-1", "i-1:9", "small", "a", false, loop.nowMicros());
+    machine = new Machine("i-1", "i-1:9", "small", "a", false, services.nowMicros());
     fleet.add(machine);
     handler =
         new HeartbeatHandler(
@@ -109,28 +61,8 @@
             () -> MachineSharing.NONE);
   }
 
-  private Context context() {
-    Metrics metrics = new Metrics(Logs.SERVICE);
-    Caller silent = (to, method, path, body, timeoutMicros, answer) -> {};
-    StateClient store = new StateClient(loop, silent, NOWHERE, LIMITS, metrics);
-    return new Context(
-        loop,
-        PLATFORM,
-        SchedulerParameters.defaults(),
-        null,
-        null,
-        store,
-        new JobStore(store.limits()),
-        null,
-        new PriceBook(SchedulerParameters.defaults()),
-        silent,
-        metrics,
-        () -> 0,
-        (prefix, then) -> then.accept(listing(prefix)),
-        () -> 0,
-        Logs.SERVICE,
-        false,
-        Optional.empty());
+  private static void list(String prefix, Consumer<StateClient.Listing> then) {
+    then.accept(listing(prefix));
   }
 
   private static StateClient.Listing listing(String prefix) {
@@ -175,9 +107,9 @@
   /** A task that this leader starts, with the answer to the last heartbeat or directly. */
   Attempt start(int task, boolean direct) {
     if (direct) {
-      machine.tokens().commandSent(loop.nowMicros());
+      machine.tokens().commandSent(services.nowMicros());
     }
-    return fleet.start(job, task, machine, direct, loop.nowMicros());
+    return fleet.start(job, task, machine, direct, services.nowMicros());
   }
 
   /** The machine has reported in this term, without tasks, and is accounted for. */
--- /dev/null
+++ b/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
@@ -0,0 +1,139 @@
+package plumlever.leader.progress;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import plumlever.fleet.Job;
+import plumlever.leader.context.Context;
+import plumlever.leader.context.ContextFixture;
+import plumlever.store.JobStore;
+import plumlever.wire.JobSpec;
+import plumlever.wire.Priority;
+
+/** Progress records when the state service takes smaller values than before. */
+final class ProgressLimitsTest {
+  private static final int SMALL_JOBS = 40;
+  private static final int SMALL_JOB_TASKS = 600;
+  private static final int LARGE_JOB_TASKS = 90_000;
+
+  private final ContextFixture services = new ContextFixture((prefix, then) -> {});
+  private final Context context = services.context();
+
+  private static Job job(int number, int tasks) {
+    JobSpec spec =
+        new JobSpec(
+            "job-" + number,
+            "train",
+            "blue",
+            Priority.STANDARD,
+            tasks,
+            1,
+            0,
+            1,
+            "img-1",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            60,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
+    return new Job(spec, 1, 0, true);
+  }
+
+  private static List<Job> smallJobs() {
+    List<Job> jobs = new ArrayList<>();
+    for (int i = 0; i < SMALL_JOBS; i++) {
+      jobs.add(job(i, SMALL_JOB_TASKS));
+    }
+    return jobs;
+  }
+
+  private void limitFalls() {
+    int before = context.layout().valueBytes();
+    services.refuseValueOf(ContextFixture.VALUE_BYTES / 2);
+    assertNotEquals(before, context.layout().valueBytes(), "the limit has fallen");
+  }
+
+  private static int sizeOf(List<Job> jobs) {
+    return jobs.stream().mapToInt(job -> JobStore.sizeInSharedChunk(job.spec())).sum();
+  }
+
+  @Test
+  void aSharedChunkThatFitsKeepsItsJobs() {
+    SharedChunks chunks = new SharedChunks(context);
+    smallJobs().forEach(job -> assertTrue(chunks.takeOver(job, 0)));
+    List<Job> removed = new ArrayList<>();
+
+    chunks.splitOversized(removed::add);
+
+    assertEquals(List.of(), removed);
+    assertFalse(chunks.isDirty());
+  }
+
+  @Test
+  void jobsLeaveASharedChunkThatIsTooLarge() {
+    SharedChunks chunks = new SharedChunks(context);
+    List<Job> kept = smallJobs();
+    kept.forEach(job -> assertTrue(chunks.takeOver(job, 0)));
+    limitFalls();
+    List<Job> removed = new ArrayList<>();
+
+    chunks.splitOversized(removed::add);
+
+    kept.removeAll(removed);
+    assertFalse(removed.isEmpty());
+    assertTrue(sizeOf(kept) <= context.layout().sharedChunkBytes());
+    assertTrue(kept.stream().allMatch(chunks::markDirty), "those that fit stay");
+    assertTrue(removed.stream().noneMatch(chunks::markDirty), "the others have no place");
+  }
+
+  @Test
+  void jobsThatDoNotFitTheirFormerChunkAreNotTakenOver() {
+    SharedChunks chunks = new SharedChunks(context);
+    limitFalls();
+    List<Job> taken = new ArrayList<>();
+
+    for (Job job : smallJobs()) {
+      if (chunks.takeOver(job, 0)) {
+        taken.add(job);
+      }
+    }
+
+    assertTrue(taken.size() < SMALL_JOBS);
+    assertTrue(sizeOf(taken) <= context.layout().sharedChunkBytes());
+  }
+
+  @Test
+  void storedChunksOfALargeJobAreNotWrittenAgain() {
+    LargeJobChunks chunks = new LargeJobChunks(context);
+    Job job = job(1, LARGE_JOB_TASKS);
+    job.markDone(LARGE_JOB_TASKS - 1);
+    chunks.takeOver(job, List.of(JobStore.progressKey(job.uid(), 0)));
+
+    chunks.fitLimit();
+
+    assertFalse(chunks.isDirty());
+  }
+
+  @Test
+  void chunksOfALargeJobAreCutAnewWhenTheLimitFalls() {
+    LargeJobChunks chunks = new LargeJobChunks(context);
+    Job job = job(1, LARGE_JOB_TASKS);
+    job.markDone(LARGE_JOB_TASKS - 1);
+    chunks.takeOver(job, List.of(JobStore.progressKey(job.uid(), 0)));
+    limitFalls();
+
+    chunks.fitLimit();
+
+    assertTrue(chunks.isDirty());
+  }
+}
