--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -1,113 +1,41 @@
-package plumlever.leader.heartbeat;
+package plumlever . leader . heartbeat ; 
 
-import java.util.List;
-import org.slf4j.Logger;
-import plumlever.fleet.Attempt;
-import plumlever.fleet.Machine;
-import plumlever.leader.context.TermContext;
-import plumlever.metrics.LogBudget;
-import plumlever.wire.Heartbeat;
+import java . util . List ; import org . slf4j . Logger ; import plumlever . fleet . Attempt ; import plumlever . fleet . Machine ; import plumlever . leader . context . TermContext ; import plumlever . metrics . LogBudget ; import plumlever . wire . Heartbeat ; 
 
-/**
- * The life of each attempt, for one search by job or machine: each line names task, attempt,
- * machine, incarnation and token. Debug lines only, so many a second at most.
- */
-public final class AttemptLog {
-  private static final int LINES_PER_SECOND = 200;
+/** 
+* Logs the life of each attempt, to be searched by job or machine: each line names task, attempt, 
+* machine, incarnation and token. Debug level only, with a limit on lines per second. 
+*/ 
+public final class AttemptLog { private static final int MAX_LINES_PER_SECOND = 200 ; 
 
-  private final TermContext context;
-  private final Logger log;
-  private final LogBudget lines;
+private final TermContext context ; private final Logger log ; private final LogBudget logBudget ; 
 
-  /** A log of the attempts of one term. */
-  public AttemptLog(TermContext context) {
-    this.context = context;
-    this.log = context.logs().of(AttemptLog.class);
-    this.lines = new LogBudget(log, LINES_PER_SECOND);
-  }
+/** A log of the attempts of one term. */ 
+public AttemptLog ( TermContext context ) { this . context = context ; this . log = context . logs ( ) . of ( AttemptLog . class ) ; this . logBudget = new LogBudget ( log , MAX_LINES_PER_SECOND ) ; } 
 
-  private boolean enabled() {
-    return lines.debug(context.loop().nowMicros());
-  }
+private boolean enabled ( ) { return logBudget . debug ( context . loop ( ) . nowMicros ( ) ) ; } 
 
-  /**
-   * @param endsKnownMicros when the last heard read of ended jobs had been sent
-   */
-  public void started(Attempt attempt, boolean direct, long endsKnownMicros) {
-    if (enabled()) {
-      log.debug(
-          "{} attempt {} goes to {} incarnation {} {} token {}, ended jobs as of {} ms ago",
-          attempt.name().wireName(),
-          attempt.id(),
-          attempt.machine().id(),
-          attempt.incarnation(),
-          direct ? "straight, with" : "with its answer,",
-          attempt.machine().tokens().current(),
-          (context.loop().nowMicros() - endsKnownMicros) / 1_000);
-    }
-  }
+/** 
+* The attempt is sent to its machine. 
+* 
+* @param direct by a direct command, not with the answer to a heartbeat 
+* @param endsKnownMicros when the latest answered read of ended jobs was sent 
+*/ 
+public void started ( Attempt attempt , boolean direct , long endsKnownMicros ) { if ( enabled ( ) ) { log . debug ( "{} attempt {} is sent to {} incarnation {} {} token {}, ended jobs as of {} ms ago" , attempt . name ( ) . wireName ( ) , attempt . id ( ) , attempt . machine ( ) . id ( ) , attempt . incarnation ( ) , direct ? "by direct command," : "with an answer," , attempt . machine ( ) . tokens ( ) . current ( ) , ( context . loop ( ) . nowMicros ( ) - endsKnownMicros ) / 1_000 ) ; } } 
 
-  void runs(Attempt attempt) {
-    say(attempt, "runs");
-  }
+/** The attempt is reported as running. */ 
+void running ( Attempt attempt ) { debug ( attempt , "is running" ) ; } 
 
-  void done(Attempt attempt) {
-    say(attempt, "is done");
-  }
+/** The attempt is reported as completed. */ 
+void done ( Attempt attempt ) { debug ( attempt , "is done" ) ; } 
 
-  private void say(Attempt attempt, String what) {
-    if (enabled()) {
-      log.debug(
-          "{} attempt {} {} on {} incarnation {}",
-          attempt.name().wireName(),
-          attempt.id(),
-          what,
-          attempt.machine().id(),
-          attempt.incarnation());
-    }
-  }
+private void debug ( Attempt attempt , String event ) { if ( enabled ( ) ) { log . debug ( "{} attempt {} {} on {} incarnation {}" , attempt . name ( ) . wireName ( ) , attempt . id ( ) , event , attempt . machine ( ) . id ( ) , attempt . incarnation ( ) ) ; } } 
 
-  /** Its job has ended, so from now on every answer stops it. */
-  void stopped(Attempt attempt) {
-    if (!attempt.stopping() && enabled()) {
-      log.debug(
-          "{} attempt {} on {} incarnation {} is stopped with token {}: its job has ended",
-          attempt.name().wireName(),
-          attempt.id(),
-          attempt.machine().id(),
-          attempt.incarnation(),
-          attempt.machine().tokens().current());
-    }
-  }
+/** The attempt's job has ended, so from now on every answer stops it. */ 
+void stopped ( Attempt attempt ) { if ( ! attempt . stopping ( ) && enabled ( ) ) { log . debug ( "{} attempt {} on {} incarnation {} is stopped with token {}: its job has ended" , attempt . name ( ) . wireName ( ) , attempt . id ( ) , attempt . machine ( ) . id ( ) , attempt . incarnation ( ) , attempt . machine ( ) . tokens ( ) . current ( ) ) ; } } 
 
-  /** Why a start that was never heard of, or a task that is not listed any more, is over. */
-  void settled(Attempt attempt, Heartbeat heartbeat) {
-    if (enabled()) {
-      log.debug(
-          "{} attempt {} on {} incarnation {} is over: a heartbeat shows token {}, the start had"
-              + " {}",
-          attempt.name().wireName(),
-          attempt.id(),
-          heartbeat.machineId(),
-          heartbeat.incarnation(),
-          heartbeat.fencingToken(),
-          attempt.directToken() < 0 ? "gone with an answer" : attempt.directToken());
-    }
-  }
+/** A heartbeat proves that the attempt is not on its machine, or not any more. */ 
+void absent ( Attempt attempt , Heartbeat heartbeat ) { if ( enabled ( ) ) { log . debug ( "{} attempt {} on {} incarnation {} is over: a heartbeat shows token {}, the start was" + " sent {}" , attempt . name ( ) . wireName ( ) , attempt . id ( ) , heartbeat . machineId ( ) , heartbeat . incarnation ( ) , heartbeat . fencingToken ( ) , attempt . directToken ( ) < 0 ? "with an answer" : "with token " + attempt . directToken ( ) ) ; } } 
 
-  /** These starts had no answer in their time. */
-  public void unanswered(Machine machine, long incarnation, long token, List<Attempt> sent) {
-    if (enabled()) {
-      log.debug(
-          "starts of {} on {} incarnation {} with token {} had no answer: they may be carried out"
-              + " until it shows a higher token, its next answer carries {}",
-          sent.stream()
-              .map(attempt -> attempt.name().wireName() + " attempt " + attempt.id())
-              .toList(),
-          machine.id(),
-          incarnation,
-          token,
-          machine.tokens().current());
-    }
-  }
-}
+/** A direct command with these starts was not answered in time. */ 
+public void unanswered ( Machine machine , long incarnation , long token , List < Attempt > sent ) { if ( enabled ( ) ) { log . debug ( "starts of {} on {} incarnation {} with token {} were not answered: they may be executed" + " until it shows a higher token, its next answer carries {}" , sent . stream ( ) . map ( attempt -> attempt . name ( ) . wireName ( ) + " attempt " + attempt . id ( ) ) . toList ( ) , machine . id ( ) , incarnation , token , machine . tokens ( ) . current ( ) ) ; } } } 
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -1,389 +1,76 @@
-package plumlever.leader.heartbeat;
+package plumlever . leader . heartbeat ; 
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.function.Supplier;
-import org.agrona.collections.LongHashSet;
-import org.slf4j.Logger;
-import plumlever.fleet.Attempt;
-import plumlever.fleet.Estimates;
-import plumlever.fleet.Fleet;
-import plumlever.fleet.Job;
-import plumlever.fleet.Machine;
-import plumlever.leader.context.MachineSharing;
-import plumlever.leader.context.TermContext;
-import plumlever.leader.failover.Failover;
-import plumlever.leader.job.ActiveJobs;
-import plumlever.leader.progress.ProgressWriter;
-import plumlever.wire.AttemptState;
-import plumlever.wire.ExitCause;
-import plumlever.wire.Heartbeat;
-import plumlever.wire.WorkerCommand;
+import java . util . List ; import java . util . function . Supplier ; import org . agrona . collections . LongHashSet ; import org . slf4j . Logger ; import plumlever . fleet . Attempt ; import plumlever . fleet . Estimates ; import plumlever . fleet . Fleet ; import plumlever . fleet . Machine ; import plumlever . leader . context . MachineSharing ; import plumlever . leader . context . TermContext ; import plumlever . leader . failover . Failover ; import plumlever . leader . job . ActiveJobs ; import plumlever . leader . progress . ProgressWriter ; import plumlever . wire . AttemptState ; import plumlever . wire . Heartbeat ; import plumlever . wire . WorkerCommand ; 
 
-/** Learns from heartbeats, and writes the commands that answer them. */
-public final class HeartbeatHandler {
-  private final Logger log;
-  private final TermContext context;
-  private final Fleet fleet;
-  private final ActiveJobs jobs;
-  private final AttemptUpdates updates;
-  private final Failover failover;
-  private final Supplier<MachineSharing> sharing;
-  private final AttemptLog attemptLog;
-  private boolean changed;
+/** 
+* Evaluates the heartbeats of one term: decides how fresh each is, and passes what it proves to the 
+* parts that keep it. Everything that heartbeats change goes through here. 
+*/ 
+public final class HeartbeatHandler { private final Logger log ; private final TermContext context ; private final ActiveJobs jobs ; private final Failover failover ; private final Supplier < MachineSharing > sharing ; private final PlacementChange placementChange = new PlacementChange ( ) ; private final AttemptUpdates updates ; private final UnknownAttempts unknownAttempts ; private final AbsentAttempts absentAttempts ; private final AnswerDelivery answerDelivery ; private final StopAndRemoveCommands stopAndRemoveCommands ; 
 
-  /** Handles the heartbeats of one term; {@code sharing} is set up later than this. */
-  public HeartbeatHandler(
-      TermContext context,
-      Fleet fleet,
-      ActiveJobs jobs,
-      Estimates estimates,
-      Failover failover,
-      ProgressWriter progress,
-      Supplier<MachineSharing> sharing) {
-    this.context = context;
-    this.log = context.logs().of(HeartbeatHandler.class);
-    this.fleet = fleet;
-    this.jobs = jobs;
-    this.failover = failover;
-    this.sharing = sharing;
-    this.attemptLog = new AttemptLog(context);
-    this.updates =
-        new AttemptUpdates(context, fleet, estimates, progress, attemptLog, () -> changed = true);
-  }
+/** 
+* Handles the heartbeats of one term. 
+* 
+* @param sharing asked with each heartbeat; it is set up later than this 
+*/ 
+public HeartbeatHandler ( TermContext context , Fleet fleet , ActiveJobs jobs , Estimates estimates , Failover failover , ProgressWriter progress , Supplier < MachineSharing > sharing ) { this . context = context ; this . log = context . logs ( ) . of ( HeartbeatHandler . class ) ; this . jobs = jobs ; this . failover = failover ; this . sharing = sharing ; AttemptLog attemptLog = new AttemptLog ( context ) ; this . updates = new AttemptUpdates ( context , fleet , estimates , progress , attemptLog , placementChange ) ; this . unknownAttempts = new UnknownAttempts ( context , fleet , jobs , updates , placementChange ) ; this . absentAttempts = new AbsentAttempts ( context , fleet , failover , attemptLog , placementChange ) ; this . answerDelivery = new AnswerDelivery ( context , placementChange ) ; this . stopAndRemoveCommands = new StopAndRemoveCommands ( context , jobs , sharing , attemptLog ) ; } 
 
-  /** True if anything changed that placement cares for, since asked last. */
-  public boolean takeChanged() {
-    boolean wasChanged = changed;
-    changed = false;
-    return wasChanged;
-  }
+/** True if anything on which placement depends has changed since the last call. */ 
+public boolean getAndClearChanged ( ) { return placementChange . getAndClear ( ) ; } 
 
-  /** What a heartbeat is worth. */
-  public enum News {
-    /** The newest of its machine. */
-    NEWS,
-    /** The worker waits for its answer, but the body of a direct call that came first was newer. */
-    OVERTAKEN,
-    /**
-     * Late or sent twice: the worker does not wait for its answer, and its tasks are as old as it
-     * is.
-     */
-    COPY
-  }
+/** How a heartbeat compares with what was received before. */ 
+public enum Freshness { /** The newest of its machine. */ 
+LATEST , /** The worker waits for its answer, but the body of a direct call that came first was newer. */ 
+SUPERSEDED , /** 
+* Late or sent twice: the worker does not wait for its answer, and its tasks are as old as it 
+* is. 
+*/ 
+DUPLICATE } 
 
-  /**
-   * Takes what a machine tells of itself, if it is news.
-   *
-   * @param own sent by the worker itself; the body of a direct call proves nothing about an answer
-   *     on its way
-   */
-  public News apply(Machine machine, Heartbeat heartbeat, boolean own) {
-    long now = context.loop().nowMicros();
-    if (!machine.contact().isNews(heartbeat)) {
-      if (own
-          && heartbeat.incarnation() == machine.contact().incarnation()
-          && heartbeat.sequenceNumber() > machine.contact().ownSequenceNumber()) {
-        machine.contact().heartbeatOvertaken(heartbeat.sequenceNumber(), now);
-        return News.OVERTAKEN;
-      }
-      // Copies come seconds to minutes late. They must neither bring back what is gone nor count as
-      // a sign of life.
-      return News.COPY;
-    }
-    boolean incarnationChanged =
-        machine.contact().incarnation() > 0
-            && heartbeat.incarnation() > machine.contact().incarnation();
-    if (heartbeat.incarnation() > machine.contact().incarnation()) {
-      endIncarnationsBefore(machine, heartbeat.incarnation());
-    }
-    boolean first = !machine.contact().hasReported();
-    boolean noticed = heartbeat.noticed() && machine.preemptedAtMicros() < 0;
-    machine.observed(heartbeat, now, own);
-    changed |= first && own;
-    if (noticed) {
-      changed = true;
-      context.metrics().count("preemption_notices");
-      log.info("{} has a preemption notice of {} s", machine.id(), heartbeat.preemptionNoticeS());
-    }
-    LongHashSet listed = new LongHashSet();
-    boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
-    machine.tokens().raise(current ? heartbeat.fencingToken() : 0);
-    int untracked = 0;
-    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
-      if (sharing.get().isGuest(machine, reported.attempt())) {
-        continue;
-      }
-      listed.add(reported.attempt());
-      Attempt attempt = machine.load().attempt(reported.attempt());
-      if (attempt != null
-          && attempt.task() == reported.task().number()
-          && attempt.job().uid().equals(reported.task().job())) {
-        updates.update(attempt, reported, now);
-      } else if (attempt == null && current) {
-        unknown(machine, reported, now);
-      }
-      if (reported.state() != AttemptState.ENDED
-          && machine.load().attempt(reported.attempt()) == null) {
-        untracked++;
-      }
-    }
-    failover.untracked(machine, untracked);
-    boolean lost = forgetGone(machine, heartbeat, own, listed);
-    if (own) {
-      noteAnswerDelivery(machine, heartbeat, lost || incarnationChanged);
-    }
-    if (current && !machine.accounted()) {
-      failover.accounted(machine, own ? "it reported" : "it answered");
-      changed = true;
-    }
-    return News.NEWS;
-  }
+/** 
+* Takes in what a machine reports, if it is the latest. 
+* 
+* @param own sent by the worker itself; the body of a direct call proves nothing about an answer 
+* on its way 
+*/ 
+public Freshness apply ( Machine machine , Heartbeat heartbeat , boolean own ) { long now = context . loop ( ) . nowMicros ( ) ; if ( ! machine . contact ( ) . isNews ( heartbeat ) ) { return applyOutdated ( machine , heartbeat , own , now ) ; } boolean incarnationChanged = machine . contact ( ) . incarnation ( ) > 0 && heartbeat . incarnation ( ) > machine . contact ( ) . incarnation ( ) ; endEarlierIncarnations ( machine , heartbeat ) ; observe ( machine , heartbeat , own , now ) ; boolean currentTerm = machine . tokens ( ) . areOfTermOf ( heartbeat . fencingToken ( ) ) ; machine . tokens ( ) . raise ( currentTerm ? heartbeat . fencingToken ( ) : 0 ) ; LongHashSet listed = applyAttempts ( machine , heartbeat , currentTerm , now ) ; boolean startLost = absentAttempts . endUnlisted ( machine , heartbeat , own , listed ) ; if ( own ) { answerDelivery . evaluate ( machine , heartbeat , startLost || incarnationChanged ) ; } if ( currentTerm && ! machine . accounted ( ) ) { failover . markAccounted ( machine , own ? "it reported" : "it answered" ) ; placementChange . mark ( ) ; } return Freshness . LATEST ; } 
 
-  /**
-   * Takes what the owner of another cell's machine passes on of it.
-   *
-   * @return false for a copy, which proves nothing
-   */
-  public boolean applyRelayed(Machine machine, Heartbeat heartbeat) {
-    if (!machine.contact().isNews(heartbeat)) {
-      return false;
-    }
-    if (heartbeat.incarnation() > machine.contact().incarnation()) {
-      endIncarnationsBefore(machine, heartbeat.incarnation());
-    }
-    long now = context.loop().nowMicros();
-    machine.observed(heartbeat, now, true);
-    LongHashSet listed = new LongHashSet();
-    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
-      listed.add(reported.attempt());
-      Attempt attempt = machine.load().attempt(reported.attempt());
-      if (attempt != null) {
-        updates.update(attempt, reported, now);
-      } else if (reported.state() == AttemptState.ENDED) {
-        unknown(machine, reported, now);
-      }
-    }
-    forgetGone(machine, heartbeat, true, listed);
-    return true;
-  }
+/** 
+* Copies come seconds to minutes late. They must neither bring back what is gone nor count as a 
+* sign of life. 
+*/ 
+private static Freshness applyOutdated ( Machine machine , Heartbeat heartbeat , boolean own , long now ) { if ( own && heartbeat . incarnation ( ) == machine . contact ( ) . incarnation ( ) && heartbeat . sequenceNumber ( ) > machine . contact ( ) . ownSequenceNumber ( ) ) { machine . contact ( ) . heartbeatOvertaken ( heartbeat . sequenceNumber ( ) , now ) ; return Freshness . SUPERSEDED ; } return Freshness . DUPLICATE ; } 
 
-  /**
-   * Ends the attempts that the heartbeat proves the machine does not have; true if a command was
-   * lost.
-   */
-  private boolean forgetGone(
-      Machine machine, Heartbeat heartbeat, boolean own, LongHashSet listed) {
-    List<Attempt> gone = null;
-    for (Attempt attempt : machine.load().attempts()) {
-      if (listed.contains(attempt.id())) {
-        continue;
-      }
-      // A command in an answer: the worker has taken it in or dropped it before it sent this. A
-      // direct command: it may be carried out late, until the worker has seen a higher token.
-      if (attempt.directToken() >= 0
-          ? heartbeat.fencingToken() > attempt.directToken() || attempt.state() != null
-          : own && attempt.sentSequenceNumber() < heartbeat.sequenceNumber()) {
-        if (gone == null) {
-          gone = new ArrayList<>();
-        }
-        gone.add(attempt);
-      }
-    }
-    boolean lost = false;
-    for (Attempt attempt : gone == null ? List.<Attempt>of() : gone) {
-      if (!attempt.over()) {
-        changed = true;
-        lost |= attempt.state() == null;
-        context.metrics().count(attempt.state() == null ? "starts_lost" : "attempts_vanished");
-        attemptLog.settled(attempt, heartbeat);
-      }
-      fleet.forget(attempt);
-    }
-    return lost;
-  }
+private void endEarlierIncarnations ( Machine machine , Heartbeat heartbeat ) { if ( heartbeat . incarnation ( ) > machine . contact ( ) . incarnation ( ) ) { endIncarnationsBefore ( machine , heartbeat . incarnation ( ) ) ; } } 
 
-  /**
-   * Looks whether what was sent before arrives: a machine's reports may come through although
-   * nothing reaches it.
-   */
-  private void noteAnswerDelivery(Machine machine, Heartbeat heartbeat, boolean lost) {
-    boolean wasUnreachable = machine.contact().unreachable();
-    if (machine.tokens().lastAnswered() > heartbeat.fencingToken()) {
-      machine.contact().answerLost();
-    } else if (lost) {
-      machine.contact().answerLost();
-      // The next heartbeat tells by its token whether the next answer arrives.
-      machine.tokens().raise(machine.tokens().current() + 1);
-    } else {
-      machine.contact().answerDelivered();
-    }
-    if (machine.contact().unreachable() != wasUnreachable) {
-      changed = true;
-      context.metrics().count(wasUnreachable ? "machines_reachable_again" : "machines_unreachable");
-      log.info(
-          "{} {}",
-          machine.id(),
-          wasUnreachable
-              ? "is reachable again"
-              : "sends heartbeats, but no answer seems to reach it");
-    }
-  }
+private void observe ( Machine machine , Heartbeat heartbeat , boolean own , long now ) { boolean firstHeartbeat = ! machine . contact ( ) . hasReported ( ) ; boolean newNotice = heartbeat . noticed ( ) && machine . preemptedAtMicros ( ) < 0 ; machine . observed ( heartbeat , now , own ) ; if ( firstHeartbeat && own ) { placementChange . mark ( ) ; } if ( newNotice ) { placementChange . mark ( ) ; context . metrics ( ) . count ( "preemption_notices" ) ; log . info ( "{} has a preemption notice of {} s" , machine . id ( ) , heartbeat . preemptionNoticeS ( ) ) ; } } 
 
-  /**
-   * The worker answered that it carried nothing of this out, and it never will: its token or
-   * incarnation has moved on.
-   */
-  public void refused(Iterable<Attempt> sent) {
-    for (Attempt attempt : sent) {
-      if (!attempt.over() && attempt.state() == null) {
-        changed = true;
-        context.metrics().count("starts_refused");
-        fleet.forget(attempt);
-      }
-    }
-  }
+/** Applies the status of each attempt; returns the attempts of this cell that are listed. */ 
+private LongHashSet applyAttempts ( Machine machine , Heartbeat heartbeat , boolean currentTerm , long now ) { LongHashSet listed = new LongHashSet ( ) ; int untracked = 0 ; for ( Heartbeat . AttemptStatus reported : heartbeat . attempts ( ) ) { if ( sharing . get ( ) . isGuest ( machine , reported . attempt ( ) ) ) { continue ; } listed . add ( reported . attempt ( ) ) ; Attempt attempt = machine . load ( ) . attempt ( reported . attempt ( ) ) ; if ( attempt != null && isOfTask ( attempt , reported ) ) { updates . update ( attempt , reported , now ) ; } else if ( attempt == null && currentTerm ) { unknownAttempts . handle ( machine , reported , now ) ; } if ( reported . state ( ) != AttemptState . ENDED && machine . load ( ) . attempt ( reported . attempt ( ) ) == null ) { untracked ++ ; } } failover . setUntrackedTasks ( machine , untracked ) ; return listed ; } 
 
-  /**
-   * A worker that starts a new incarnation has killed and forgotten everything of the ones before.
-   */
-  public void endIncarnationsBefore(Machine machine, long incarnation) {
-    if (fleet.away(machine.id()) != machine) {
-      failover.untracked(machine, 0);
-    }
-    List<Attempt> ended = new ArrayList<>();
-    for (Attempt attempt : machine.load().attempts()) {
-      if (attempt.incarnation() < incarnation) {
-        ended.add(attempt);
-      }
-    }
-    for (Attempt attempt : ended) {
-      if (!attempt.over()) {
-        changed = true;
-        context.metrics().count("attempts_lost");
-      }
-      fleet.forget(attempt);
-    }
-  }
+private static boolean isOfTask ( Attempt attempt , Heartbeat . AttemptStatus reported ) { return attempt . task ( ) == reported . task ( ) . number ( ) && attempt . job ( ) . uid ( ) . equals ( reported . task ( ) . job ( ) ) ; } 
 
-  /** A task this leader did not start there. */
-  private void unknown(Machine machine, Heartbeat.AttemptStatus reported, long now) {
-    Job job = jobs.get(reported.task().job());
-    if (job == null || job.over() || reported.task().number() >= job.spec().taskCount()) {
-      return;
-    }
-    int task = reported.task().number();
-    if (reported.state() == AttemptState.ENDED) {
-      if (reported.cause() == ExitCause.DONE) {
-        Attempt other = job.liveAttempt(task);
-        if (other != null) {
-          other.stop(0, now);
-        }
-        updates.done(job, task);
-        changed = true;
-      }
-      return;
-    }
-    // Only the heartbeat that accounts for a machine may bring attempts of earlier terms: one that
-    // was held back until after the lease had lapsed lists tasks that are dead.
-    if (!machine.accounted()
-        && fleet.ofEarlierTerm(reported.attempt())
-        && job.inherited()
-        && !job.done().get(task)
-        && job.liveAttempt(task) == null) {
-      Attempt attempt = fleet.adopt(job, task, reported.attempt(), machine, now);
-      attempt.observed(reported.state(), now);
-      if (reported.state() == AttemptState.RUNNING) {
-        machine.images().isReady(job.spec().image(), job.spec().imageGb());
-      } else if (context.prices().machineType(machine.machineType()) != null) {
-        machine
-            .images()
-            .use(
-                job.spec().image(),
-                job.spec().imageGb(),
-                context.prices().machineType(machine.machineType()),
-                now);
-      }
-      changed = true;
-      context.metrics().count("attempts_adopted");
-    } else if (job.liveAttempt(task) != null) {
-      // Mostly a heartbeat that was held back in the network; if not, the stop that answers it
-      // comes in time.
-      log.info(
-          "{} is reported by {} and runs on {}",
-          reported.task().wireName(),
-          machine.id(),
-          job.liveAttempt(task).machine().id());
-    }
-  }
+/** 
+* Takes in what the owner of another cell's machine relays of this cell's tasks on it. 
+* 
+* @return false for a copy, which proves nothing 
+*/ 
+public boolean applyRelayed ( Machine machine , Heartbeat heartbeat ) { if ( ! machine . contact ( ) . isNews ( heartbeat ) ) { return false ; } endEarlierIncarnations ( machine , heartbeat ) ; long now = context . loop ( ) . nowMicros ( ) ; machine . observed ( heartbeat , now , true ) ; LongHashSet listed = new LongHashSet ( ) ; for ( Heartbeat . AttemptStatus reported : heartbeat . attempts ( ) ) { listed . add ( reported . attempt ( ) ) ; Attempt attempt = machine . load ( ) . attempt ( reported . attempt ( ) ) ; if ( attempt != null ) { updates . update ( attempt , reported , now ) ; } else if ( reported . state ( ) == AttemptState . ENDED ) { unknownAttempts . handle ( machine , reported , now ) ; } } absentAttempts . endUnlisted ( machine , heartbeat , true , listed ) ; return true ; } 
 
-  /**
-   * True if the machine has tasks of jobs that are not known here to have ended; stops of the
-   * others go with any answer.
-   */
-  public boolean holdsOpenTasks(Heartbeat heartbeat) {
-    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
-      if (reported.state() != AttemptState.ENDED && jobs.get(reported.task().job()) != null) {
-        return true;
-      }
-    }
-    return false;
-  }
+/** The worker refused a direct command: none of these starts was executed, or ever will be. */ 
+public void startsRefused ( Iterable < Attempt > sent ) { absentAttempts . endRefused ( sent ) ; } 
 
-  /** The commands that go without a plan: stops, and what the worker may forget. */
-  public List<WorkerCommand> standingCommands(Machine machine, Heartbeat heartbeat) {
-    long now = context.loop().nowMicros();
-    List<WorkerCommand> commands = new ArrayList<>();
-    // A worker that has forgotten an attempt would start it again from a late copy of a direct
-    // order. So nothing is removed until the answer that says so also makes such copies void, which
-    // has to wait for one still under way.
-    if (machine.tokens().directCommandOpen() && !machine.contact().commandInFlight()) {
-      machine.tokens().voidDirectCommands();
-    }
-    boolean mayRemove = !machine.tokens().directCommandOpen();
-    for (Attempt attempt : machine.load().attempts()) {
-      if (attempt.over()) {
-        if (mayRemove
-            && attempt.cause() != null
-            && (attempt.cause() != ExitCause.DONE
-                || attempt.job().over()
-                || attempt.job().stored().get(attempt.task()))) {
-          commands.add(WorkerCommand.remove(attempt.name(), attempt.id()));
-        }
-      } else {
-        if (attempt.job().over()
-            || attempt.job().cancellationConfirmed()
-            || attempt.job().done().get(attempt.task())) {
-          attemptLog.stopped(attempt);
-          attempt.stop(0, now);
-        }
-        if (attempt.stopping()) {
-          commands.add(WorkerCommand.stop(attempt.name(), attempt.id(), attempt.gracePeriodS()));
-        }
-      }
-    }
-    boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
-    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
-      if (machine.load().attempt(reported.attempt()) != null
-          || sharing.get().isGuest(machine, reported.attempt())) {
-        continue;
-      }
-      Job job = jobs.get(reported.task().job());
-      if (reported.state() != AttemptState.ENDED) {
-        // A heartbeat that shows an earlier term does not account for its machine, but tasks of
-        // jobs that have ended are stopped by the first answer: it renews their lease, and the
-        // machine may not hear another one.
-        if (current || job == null) {
-          commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
-        }
-      } else if (current
-          && mayRemove
-          && (job == null
-              || reported.cause() != ExitCause.DONE
-              || job.stored().get(reported.task().number()))) {
-        commands.add(WorkerCommand.remove(reported.task(), reported.attempt()));
-      }
-    }
-    return commands;
-  }
-}
+/** 
+* Ends all attempts on the machine of incarnations before this one; {@code Long.MAX_VALUE} ends 
+* all, for a machine that was deleted or whose lease has surely lapsed. 
+*/ 
+public void endIncarnationsBefore ( Machine machine , long incarnation ) { absentAttempts . endIncarnationsBefore ( machine , incarnation ) ; } 
+
+/** 
+* True if the machine has tasks of jobs that are not known here to have ended; stops of all 
+* others go with any answer. 
+*/ 
+public boolean holdsTasksOfActiveJobs ( Heartbeat heartbeat ) { for ( Heartbeat . AttemptStatus reported : heartbeat . attempts ( ) ) { if ( reported . state ( ) != AttemptState . ENDED && jobs . get ( reported . task ( ) . job ( ) ) != null ) { return true ; } } return false ; } 
+
+/** The stops and removals that an answer to this heartbeat must carry, whatever is planned. */ 
+public List < WorkerCommand > stopAndRemoveCommands ( Machine machine , Heartbeat heartbeat ) { return stopAndRemoveCommands . forAnswer ( machine , heartbeat ) ; } } 
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -1,327 +1,112 @@
-package plumlever.leader.record;
+package plumlever . leader . record ; 
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import plumlever.fleet.Registered;
-import plumlever.fleet.RegistrationState;
-import plumlever.leader.context.TermContext;
-import plumlever.store.StateClient;
-import plumlever.store.Transaction;
+import com . fasterxml . jackson . databind . node . ObjectNode ; import java . util . ArrayList ; import java . util . HashMap ; import java . util . LinkedHashMap ; import java . util . LinkedHashSet ; import java . util . List ; import java . util . Map ; import java . util . Set ; import plumlever . fleet . Registered ; import plumlever . fleet . RegistrationState ; import plumlever . leader . context . TermContext ; import plumlever . store . StateClient ; import plumlever . store . Transaction ; 
 
-/**
- * Entries of which many share one stored value, since changes are what the state service has least
- * of. Each write is guarded by the term and by the record's own revision: one that is carried out
- * late can't undo another, nor a successor's. An entry counts as stored only after the answer that
- * says so.
- *
- * <p>A value that an earlier limit allowed may be larger than one may be now. It is not written as
- * it is: what does not fit is first written to other values, and only when that is known to be
- * stored does it leave the large one. Broken off at any point an entry is in one value or in two,
- * never in none.
- */
-public final class SharedRecords<E extends Registered> {
-  private static final long TIDY_MICROS = 5_000_000;
-  private static final long RETRY_MICROS = 300_000;
+/** 
+* Entries of which many share one stored value, a chunk, since the state service limits changes 
+* most. Each write is guarded by the term and by the chunk's own revision: one that is executed 
+* late can't undo another, nor a successor's. An entry counts as stored only after the answer that 
+* says so. 
+* 
+* <p>A chunk that an earlier limit allowed may be larger than one may be now. It is not written as 
+* it is: what does not fit is first written to other chunks, and only when that is known to be 
+* stored does it leave the large one. Interrupted at any point, an entry is in one chunk or in two, 
+* never in none. 
+*/ 
+public final class SharedRecords < E extends Registered > { private static final long CLEAN_UP_MICROS = 5_000_000 ; private static final int CHECKS_PER_CLEAN_UP = 4 ; private static final long RETRY_MICROS = 300_000 ; private static final long NO_RECORD = 0 ; 
 
-  /** How entries are written. */
-  public interface Layout<E> {
-    String key(int number);
+/** How entries are stored. */ 
+public interface Layout < E > { /** The key of the chunk with this number. */ 
+String key ( int number ) ; 
 
-    /** Room that the entry takes of a value. */
-    int bytes(E entry);
+/** Bytes that the entry takes of a chunk; the same from its registration on. */ 
+int bytes ( E entry ) ; 
 
-    /** Room that every value takes besides. */
-    int baseBytes();
+/** Bytes that every chunk takes besides. */ 
+int baseBytes ( ) ; 
 
-    ObjectNode value(List<E> entries);
-  }
+/** The value of a chunk with these entries. */ 
+ObjectNode value ( List < E > entries ) ; } 
 
-  /** One stored value. */
-  private static final class Chunk<E> {
-    final int number;
-    final Set<E> entries = new LinkedHashSet<>();
-    long revision;
-    int bytes;
+private final TermContext context ; private final Layout < E > layout ; 
 
-    /** Of these, bytes of entries on their way to other values. */
-    int leaving;
+/** Entries that are registered within this time after a write are written together. */ 
+private final long pauseMicros ; 
 
-    boolean writing;
+private final Runnable stored ; private final Map < Integer , RecordChunk < E >> chunks = new LinkedHashMap < > ( ) ; private final Map < E , RecordChunk < E >> chunkByEntry = new HashMap < > ( ) ; 
 
-    /** Something must be written before it can be used, or can be dropped when there is time. */
-    boolean due;
+/** The destinations of entries that are being moved out of chunks that are too large. */ 
+private final Map < E , RecordChunk < E >> destinationByEntry = new HashMap < > ( ) ; 
 
-    boolean untidy;
-    long writtenMicros;
+private boolean closed ; 
 
-    Chunk(int number, int bytes) {
-      this.number = number;
-      this.bytes = bytes;
-    }
-  }
+/** 
+* No entries, until they are loaded or registered. 
+* 
+* @param pauseMicros least pause between two writes of a chunk 
+* @param stored runs after entries have become stored 
+*/ 
+public SharedRecords ( TermContext context , Layout < E > layout , long pauseMicros , Runnable stored ) { this . context = context ; this . layout = layout ; this . pauseMicros = pauseMicros ; this . stored = stored ; } 
 
-  private final TermContext context;
-  private final Layout<E> layout;
+/** 
+* Takes over a chunk as an earlier leader stored it. 
+* 
+* @param entries those that are still of use; the others leave with the next write 
+*/ 
+public void load ( int number , long revision , List < E > entries ) { RecordChunk < E > chunk = new RecordChunk < > ( number , layout . baseBytes ( ) ) ; chunk . revision = revision ; chunk . writtenMicros = context . loop ( ) . nowMicros ( ) ; chunks . put ( number , chunk ) ; for ( E entry : entries ) { entry . registration ( RegistrationState . STORED ) ; add ( chunk , entry ) ; } } 
 
-  /** What comes together within this time is written together. */
-  private final long pauseMicros;
+private void add ( RecordChunk < E > chunk , E entry ) { chunk . add ( entry , layout . bytes ( entry ) ) ; chunkByEntry . put ( entry , chunk ) ; } 
 
-  private final Runnable stored;
-  private final Map<Integer, Chunk<E>> chunks = new LinkedHashMap<>();
-  private final Map<E, Chunk<E>> chunkOf = new HashMap<>();
+/** Has the entry stored, unless it is stored or being stored already. */ 
+public void register ( E entry ) { if ( entry . registration ( ) != RegistrationState . NONE ) { return ; } entry . registration ( RegistrationState . WRITING ) ; RecordChunk < E > chunk = chunkWithCapacity ( layout . bytes ( entry ) ) ; add ( chunk , entry ) ; chunk . writeDue = true ; write ( chunk ) ; } 
 
-  /** Where entries go that leave a value that is too large. */
-  private final Map<E, Chunk<E>> movingTo = new HashMap<>();
+private RecordChunk < E > chunkWithCapacity ( int bytes ) { for ( RecordChunk < E > chunk : chunks . values ( ) ) { if ( chunk . bytes ( ) + bytes <= context . layout ( ) . valueBytes ( ) ) { return chunk ; } } int number = 0 ; while ( chunks . containsKey ( number ) ) { number ++ ; } RecordChunk < E > chunk = new RecordChunk < > ( number , layout . baseBytes ( ) ) ; chunks . put ( number , chunk ) ; return chunk ; } 
 
-  private boolean closed;
+/** 
+* The entry is of no use any more. It leaves its chunk with the next write, or with a clean-up. 
+*/ 
+public void remove ( E entry ) { 
+// It may be registered anew, and is not stored then. 
+entry . registration ( RegistrationState . NONE ) ; RecordChunk < E > destination = destinationByEntry . remove ( entry ) ; RecordChunk < E > chunk = chunkByEntry . remove ( entry ) ; if ( chunk == null ) { return ; } int size = layout . bytes ( entry ) ; if ( destination != null ) { destination . remove ( entry , size ) ; chunk . moveEnded ( size ) ; } chunk . remove ( entry , size ) ; } 
 
-  /**
-   * @param stored runs when entries have come to be on record
-   */
-  public SharedRecords(TermContext context, Layout<E> layout, long pauseMicros, Runnable stored) {
-    this.context = context;
-    this.layout = layout;
-    this.pauseMicros = pauseMicros;
-    this.stored = stored;
-  }
+/** 
+* Divides chunks that are too large, and writes those from which entries have been removed. 
+* 
+* @return microseconds until this should be called next 
+*/ 
+public long cleanUp ( ) { long now = context . loop ( ) . nowMicros ( ) ; for ( RecordChunk < E > chunk : List . copyOf ( chunks . values ( ) ) ) { if ( isOversized ( chunk ) ) { moveExcess ( chunk ) ; } else if ( chunk . cleanUpDue && now - chunk . writtenMicros > CLEAN_UP_MICROS ) { write ( chunk ) ; } } return CLEAN_UP_MICROS / CHECKS_PER_CLEAN_UP ; } 
 
-  /**
-   * Takes over a value as an earlier leader stored it; entries that are no use any more may be
-   * missing.
-   */
-  public void load(int number, long revision, List<E> entries) {
-    Chunk<E> chunk = new Chunk<>(number, layout.baseBytes());
-    chunk.revision = revision;
-    chunk.writtenMicros = context.loop().nowMicros();
-    chunks.put(number, chunk);
-    for (E entry : entries) {
-      entry.registration(RegistrationState.STORED);
-      enter(chunk, entry);
-    }
-  }
+private boolean isOversized ( RecordChunk < E > chunk ) { return chunk . bytes ( ) > context . layout ( ) . valueBytes ( ) ; } 
 
-  private void enter(Chunk<E> chunk, E entry) {
-    chunk.entries.add(entry);
-    chunk.bytes += layout.bytes(entry);
-    chunkOf.put(entry, chunk);
-  }
+/** Has what does not fit the chunk stored in others; it stays in this one until that is done. */ 
+private void moveExcess ( RecordChunk < E > chunk ) { Set < RecordChunk < E >> destinations = new LinkedHashSet < > ( ) ; for ( E entry : List . copyOf ( chunk . entries ( ) ) ) { if ( chunk . bytesAfterMoves ( ) <= context . layout ( ) . valueBytes ( ) ) { break ; } if ( ! destinationByEntry . containsKey ( entry ) ) { destinations . add ( startMove ( chunk , entry ) ) ; } } destinations . forEach ( this :: write ) ; } 
 
-  /** The entry is to be recorded, if it is not yet. */
-  public void enroll(E entry) {
-    if (entry.registration() != RegistrationState.NONE) {
-      return;
-    }
-    entry.registration(RegistrationState.WRITING);
-    Chunk<E> into = withRoom(layout.bytes(entry));
-    enter(into, entry);
-    into.due = true;
-    write(into);
-  }
+private RecordChunk < E > startMove ( RecordChunk < E > chunk , E entry ) { int size = layout . bytes ( entry ) ; RecordChunk < E > destination = chunkWithCapacity ( size ) ; destination . add ( entry , size ) ; destination . writeDue = true ; destinationByEntry . put ( entry , destination ) ; chunk . moveStarted ( size ) ; return destination ; } 
 
-  private Chunk<E> withRoom(int bytes) {
-    for (Chunk<E> chunk : chunks.values()) {
-      if (chunk.bytes + bytes <= context.layout().valueBytes()) {
-        return chunk;
-      }
-    }
-    int number = 0;
-    while (chunks.containsKey(number)) {
-      number++;
-    }
-    Chunk<E> chunk = new Chunk<>(number, layout.baseBytes());
-    chunks.put(number, chunk);
-    return chunk;
-  }
+/** The entry is stored in its destination, and leaves the chunk in which it was before. */ 
+private RecordChunk < E > completeMove ( E entry , RecordChunk < E > destination ) { destinationByEntry . remove ( entry ) ; RecordChunk < E > source = chunkByEntry . put ( entry , destination ) ; int size = layout . bytes ( entry ) ; if ( source . remove ( entry , size ) ) { source . moveEnded ( size ) ; } return source ; } 
 
-  /**
-   * Has what does not fit the value written to others; it stays in this one until that is stored.
-   */
-  private void shed(Chunk<E> chunk) {
-    Set<Chunk<E>> touched = new LinkedHashSet<>();
-    for (E entry : List.copyOf(chunk.entries)) {
-      if (chunk.bytes - chunk.leaving <= context.layout().valueBytes()) {
-        break;
-      }
-      if (movingTo.containsKey(entry)) {
-        continue;
-      }
-      Chunk<E> to = withRoom(layout.bytes(entry));
-      to.entries.add(entry);
-      to.bytes += layout.bytes(entry);
-      to.due = true;
-      touched.add(to);
-      movingTo.put(entry, to);
-      chunk.leaving += layout.bytes(entry);
-    }
-    touched.forEach(this::write);
-  }
+private void write ( RecordChunk < E > chunk ) { if ( closed || chunk . writing || ! ( chunk . writeDue || chunk . cleanUpDue ) ) { return ; } if ( isOversized ( chunk ) ) { moveExcess ( chunk ) ; return ; } chunk . writing = true ; long waitMicros = chunk . writtenMicros == 0 ? 0 : Math . max ( 0 , chunk . writtenMicros + pauseMicros - context . loop ( ) . nowMicros ( ) ) ; context . loop ( ) . after ( waitMicros , ( ) -> sendIfPossible ( chunk ) ) ; } 
 
-  /** An entry that was on its way is stored in its new value, and leaves the old one. */
-  private void moved(E entry, Chunk<E> to) {
-    if (movingTo.get(entry) != to) {
-      return;
-    }
-    movingTo.remove(entry);
-    Chunk<E> from = chunkOf.put(entry, to);
-    if (from != null && from.entries.remove(entry)) {
-      from.bytes -= layout.bytes(entry);
-      from.leaving -= layout.bytes(entry);
-      from.untidy = true;
-    }
-  }
+private void sendIfPossible ( RecordChunk < E > chunk ) { if ( closed ) { chunk . writing = false ; } else if ( ! context . term ( ) . mayAct ( ) ) { chunk . writing = false ; context . loop ( ) . after ( RETRY_MICROS , ( ) -> write ( chunk ) ) ; } else if ( isOversized ( chunk ) ) { 
+// The limit has fallen during the pause. 
+chunk . writing = false ; moveExcess ( chunk ) ; } else { send ( chunk ) ; } } 
 
-  /**
-   * The entry is of no use any more; it goes with the next write, or when there is time for one.
-   */
-  public void remove(E entry) {
-    // It may come back, and is not on record then.
-    entry.registration(RegistrationState.NONE);
-    Chunk<E> to = movingTo.remove(entry);
-    if (to != null && to.entries.remove(entry)) {
-      to.bytes -= layout.bytes(entry);
-      to.untidy = true;
-    }
-    Chunk<E> chunk = chunkOf.remove(entry);
-    if (chunk != null) {
-      chunk.leaving -= to == null ? 0 : layout.bytes(entry);
-      chunk.entries.remove(entry);
-      chunk.bytes -= layout.bytes(entry);
-      chunk.untidy = true;
-    }
-  }
+private void send ( RecordChunk < E > chunk ) { chunk . writeDue = false ; chunk . cleanUpDue = false ; chunk . writtenMicros = context . loop ( ) . nowMicros ( ) ; List < E > written = new ArrayList < > ( chunk . entries ( ) ) ; context . store ( ) . transaction ( transaction ( chunk , written ) , StateClient . RequestPriority . ORDINARY , result -> { if ( closed ) { return ; } switch ( result . outcome ( ) ) { case APPLIED -> applied ( chunk , written , result . revision ( ) ) ; case REFUSED -> writeLater ( chunk ) ; default -> refreshRevision ( chunk ) ; } } ) ; } 
 
-  /** One turn of the duty. */
-  public long tidy() {
-    long now = context.loop().nowMicros();
-    for (Chunk<E> chunk : List.copyOf(chunks.values())) {
-      if (chunk.bytes > context.layout().valueBytes()) {
-        shed(chunk);
-      } else if (chunk.untidy && now - chunk.writtenMicros > TIDY_MICROS) {
-        write(chunk);
-      }
-    }
-    return TIDY_MICROS / 4;
-  }
+private Transaction transaction ( RecordChunk < E > chunk , List < E > entries ) { String key = layout . key ( chunk . number ) ; Transaction transaction = context . term ( ) . requireTerm ( ) . require ( key , chunk . revision ) ; return entries . isEmpty ( ) ? transaction . drop ( key ) : transaction . put ( key , layout . value ( entries ) ) ; } 
 
-  private void write(Chunk<E> chunk) {
-    if (closed || chunk.writing || !(chunk.due || chunk.untidy)) {
-      return;
-    }
-    if (chunk.bytes > context.layout().valueBytes()) {
-      shed(chunk);
-      return;
-    }
-    chunk.writing = true;
-    long wait = Math.max(0, chunk.writtenMicros + pauseMicros - context.loop().nowMicros());
-    context.loop().after(chunk.writtenMicros == 0 ? 0 : wait, () -> send(chunk));
-  }
+private void applied ( RecordChunk < E > chunk , List < E > written , long revision ) { chunk . revision = written . isEmpty ( ) ? NO_RECORD : revision ; chunk . writing = false ; markStored ( chunk , written ) ; Set < RecordChunk < E >> sources = new LinkedHashSet < > ( ) ; for ( E entry : written ) { if ( destinationByEntry . get ( entry ) == chunk ) { sources . add ( completeMove ( entry , chunk ) ) ; } } sources . forEach ( this :: write ) ; write ( chunk ) ; } 
 
-  private void send(Chunk<E> chunk) {
-    if (closed || !context.term().mayAct()) {
-      chunk.writing = false;
-      if (!closed) {
-        context.loop().after(RETRY_MICROS, () -> write(chunk));
-      }
-      return;
-    }
-    if (chunk.bytes > context.layout().valueBytes()) {
-      // The limit has fallen since this was put off.
-      chunk.writing = false;
-      shed(chunk);
-      return;
-    }
-    chunk.due = false;
-    chunk.untidy = false;
-    chunk.writtenMicros = context.loop().nowMicros();
-    List<E> written = new ArrayList<>(chunk.entries);
-    String key = layout.key(chunk.number);
-    Transaction transaction = context.term().requireTerm().require(key, chunk.revision);
-    if (written.isEmpty()) {
-      transaction.drop(key);
-    } else {
-      transaction.put(key, layout.value(written));
-    }
-    context
-        .store()
-        .transaction(
-            transaction,
-            StateClient.RequestPriority.ORDINARY,
-            result -> {
-              if (closed) {
-                return;
-              }
-              switch (result.outcome()) {
-                case APPLIED -> {
-                  chunk.revision = written.isEmpty() ? 0 : result.revision();
-                  chunk.writing = false;
-                  stored(chunk, written);
-                  Set<Chunk<E>> steppedDown = new LinkedHashSet<>();
-                  for (E entry : written) {
-                    Chunk<E> from = chunkOf.get(entry);
-                    if (movingTo.get(entry) == chunk) {
-                      moved(entry, chunk);
-                      steppedDown.add(from);
-                    }
-                  }
-                  steppedDown.forEach(this::write);
-                  write(chunk);
-                }
-                case REFUSED -> again(chunk);
-                default -> settle(chunk);
-              }
-            });
-  }
+private void markStored ( RecordChunk < E > chunk , List < E > written ) { boolean newlyStored = false ; for ( E entry : written ) { boolean stillAssigned = chunkByEntry . get ( entry ) == chunk || destinationByEntry . get ( entry ) == chunk ; if ( stillAssigned && entry . registration ( ) == RegistrationState . WRITING ) { entry . registration ( RegistrationState . STORED ) ; newlyStored = true ; } } if ( newlyStored ) { stored . run ( ) ; } } 
 
-  private void stored(Chunk<E> chunk, List<E> written) {
-    boolean news = false;
-    for (E entry : written) {
-      boolean stillHere = chunkOf.get(entry) == chunk || movingTo.get(entry) == chunk;
-      if (stillHere && entry.registration() == RegistrationState.WRITING) {
-        entry.registration(RegistrationState.STORED);
-        news = true;
-      }
-    }
-    if (news) {
-      stored.run();
-    }
-  }
+private void writeLater ( RecordChunk < E > chunk ) { chunk . writeDue = true ; context . loop ( ) . after ( RETRY_MICROS , ( ) -> { chunk . writing = false ; write ( chunk ) ; } ) ; } 
 
-  private void again(Chunk<E> chunk) {
-    chunk.due = true;
-    context
-        .loop()
-        .after(
-            RETRY_MICROS,
-            () -> {
-              chunk.writing = false;
-              write(chunk);
-            });
-  }
+/** 
+* The transaction may have been executed, or may be yet: the next write is guarded by what is 
+* stored now. 
+*/ 
+private void refreshRevision ( RecordChunk < E > chunk ) { context . store ( ) . get ( layout . key ( chunk . number ) , StateClient . RequestPriority . ORDINARY , got -> { if ( got . found ( ) ) { chunk . revision = got . item ( ) . revision ( ) ; } else if ( got . missing ( ) ) { chunk . revision = NO_RECORD ; } writeLater ( chunk ) ; } ) ; } 
 
-  /** It may have been written, or may be yet: the next write is guarded by what is there now. */
-  private void settle(Chunk<E> chunk) {
-    context
-        .store()
-        .get(
-            layout.key(chunk.number),
-            StateClient.RequestPriority.ORDINARY,
-            got -> {
-              if (got.found()) {
-                chunk.revision = got.item().revision();
-              } else if (got.missing()) {
-                chunk.revision = 0;
-              }
-              again(chunk);
-            });
-  }
-
-  public void close() {
-    closed = true;
-  }
-}
+/** Stops writing; outcomes of writes that are under way are ignored. */ 
+public void close ( ) { closed = true ; } } 
--- /dev/null
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -0,0 +1,162 @@
+package plumlever.leader.heartbeat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import java.util.function.Consumer;
+import plumlever.fleet.Attempt;
+import plumlever.fleet.Estimates;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Job;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.context.ContextFixture;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.leader.job.StartedJobIndex;
+import plumlever.leader.progress.ProgressWriter;
+import plumlever.leader.record.RecoveryRead;
+import plumlever.store.JobStore;
+import plumlever.store.StateClient;
+import plumlever.wire.AttemptState;
+import plumlever.wire.ExitCause;
+import plumlever.wire.Heartbeat;
+import plumlever.wire.JobSpec;
+import plumlever.wire.Json;
+import plumlever.wire.Priority;
+import plumlever.wire.TaskName;
+
+/**
+ * A leader's heartbeat handler with one machine and one job of two tasks, which an earlier leader
+ * may have started. Requests to other services get no answer.
+ */
+final class HeartbeatFixture {
+  static final long TERM = 7;
+  static final String JOB = "job-000001";
+
+  final Fleet fleet = new Fleet(TERM);
+  final Machine machine;
+  final Job job;
+  final HeartbeatHandler handler;
+  private final ContextFixture services = new ContextFixture(HeartbeatFixture::list);
+  private long sequenceNumber;
+
+  HeartbeatFixture() {
+    Context context = services.context();
+    StartedJobIndex startedJobs = new StartedJobIndex(context, () -> {});
+    ActiveJobs jobs = new ActiveJobs(context, startedJobs, () -> {});
+    RecoveryRead records = new RecoveryRead(context);
+    records.read(jobs::load);
+    job = jobs.get(JOB);
+    machine = new Machine("i-1", "i-1:9", "small", "a", false, services.nowMicros());
+    fleet.add(machine);
+    handler =
+        new HeartbeatHandler(
+            context,
+            fleet,
+            jobs,
+            new Estimates(),
+            new Failover(context, fleet, () -> MachineSharing.NONE),
+            new ProgressWriter(context, jobs),
+            () -> MachineSharing.NONE);
+  }
+
+  private static void list(String prefix, Consumer<StateClient.Listing> then) {
+    then.accept(listing(prefix));
+  }
+
+  private static StateClient.Listing listing(String prefix) {
+    return new StateClient.Listing(
+        prefix.equals(JobStore.ACTIVE)
+            ? List.of(new StateClient.Item(JobStore.ACTIVE + JOB, jobRecord(), 3, 0))
+            : List.of(),
+        5);
+  }
+
+  private static JsonNode jobRecord() {
+    JobSpec spec =
+        new JobSpec(
+            JOB,
+            "train",
+            "blue",
+            Priority.STANDARD,
+            2,
+            1,
+            0,
+            1,
+            "img-1",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            60,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
+    return Json.object().put("at_ms", 0).set("job", spec.toJson());
+  }
+
+  /** The number of an attempt that a leader of an earlier term started. */
+  static long attemptOfEarlierTerm() {
+    HeartbeatFixture earlier = new HeartbeatFixture();
+    return new Fleet(TERM - 1).start(earlier.job, 0, earlier.machine, false, 0).id();
+  }
+
+  /** A task that this leader starts, with the answer to the last heartbeat or directly. */
+  Attempt start(int task, boolean direct) {
+    if (direct) {
+      machine.tokens().commandSent(services.nowMicros());
+    }
+    return fleet.start(job, task, machine, direct, services.nowMicros());
+  }
+
+  /** The machine has reported in this term, without tasks, and is accounted for. */
+  HeartbeatFixture accounted() {
+    handler.apply(machine, heartbeat(), true);
+    handler.getAndClearChanged();
+    return this;
+  }
+
+  /** The machine's next heartbeat, with the highest token that was given out. */
+  Heartbeat heartbeat(Heartbeat.AttemptStatus... attempts) {
+    return heartbeatWithToken(machine.tokens().current(), attempts);
+  }
+
+  /** The machine's next heartbeat. */
+  Heartbeat heartbeatWithToken(long token, Heartbeat.AttemptStatus... attempts) {
+    return heartbeat(1, token, List.of(attempts));
+  }
+
+  /** The first heartbeat after the machine's lease has expired. */
+  Heartbeat heartbeatOfNextIncarnation() {
+    return heartbeat(2, machine.tokens().current(), List.of());
+  }
+
+  private Heartbeat heartbeat(
+      long incarnation, long token, List<Heartbeat.AttemptStatus> attempts) {
+    sequenceNumber++;
+    return new Heartbeat(
+        machine.id(),
+        machine.endpoint(),
+        machine.machineType(),
+        machine.zone(),
+        machine.spot(),
+        incarnation,
+        sequenceNumber,
+        token,
+        Heartbeat.NO_NOTICE,
+        attempts);
+  }
+
+  static Heartbeat.AttemptStatus running(int task, long attempt) {
+    return new Heartbeat.AttemptStatus(
+        new TaskName(JOB, task), attempt, AttemptState.RUNNING, null, false);
+  }
+
+  static Heartbeat.AttemptStatus completed(int task, long attempt) {
+    return new Heartbeat.AttemptStatus(
+        new TaskName(JOB, task), attempt, AttemptState.ENDED, ExitCause.DONE, false);
+  }
+}
