--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -171,7 +171,7 @@
               }
 
               @Override
-              public void whenTurning(Runnable action) {
+              public void executeOnControllerLoop(Runnable action) {
                 loop.execute(action);
               }
             },
@@ -293,7 +293,7 @@
     election.start();
     scope.own(machineTypes.duty()).start();
     scope.own(peers.duty()).start();
-    scope.own(delegatedRenewal.duty()).start();
+    scope.own(delegatedRenewal.refreshTask()).start();
     scope.own(new RecurringTask("state service probe", loop, this::listen)).start();
     scope.own(new RecurringTask("liveness tick", loop, this::livenessTick)).start();
     scope
@@ -315,7 +315,7 @@
   private void lead(Term term) {
     stopLeading();
     if (term.mayAct()) {
-      store.leads(true);
+      store.setLeading(true);
       leader = new Leader(contexts.apply(term));
       leader.start();
     }
@@ -323,7 +323,7 @@
 
   private void stopLeading() {
     if (leader != null) {
-      store.leads(false);
+      store.setLeading(false);
       leader.close();
       leader = null;
     }
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -107,7 +107,7 @@
   }
 
   private void page(String since, List<ListedMachine> into, Consumer<List<ListedMachine>> then) {
-    if (since != null && !requests.has(1 + LEFT_TO_OTHERS, loop.nowMicros())) {
+    if (since != null && !requests.canAcquire(1 + LEFT_TO_OTHERS, loop.nowMicros())) {
       loop.after(PAGE_PAUSE_MICROS, () -> page(since, into, then));
       return;
     }
@@ -194,7 +194,7 @@
   }
 
   private void send(String method, String path, JsonNode body, Parsed then) {
-    if (!requests.take(1, loop.nowMicros())) {
+    if (!requests.tryAcquire(1, loop.nowMicros())) {
       metrics.outside("cloud", HttpStatus.TOO_MANY_REQUESTS);
       loop.after(0, () -> then.take(HttpStatus.TOO_MANY_REQUESTS, null));
       return;
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -51,7 +51,7 @@
   }
 
   /** Reads the delegation again and again while there is one. */
-  public RecurringTask duty() {
+  public RecurringTask refreshTask() {
     return new RecurringTask("delegated renewal", loop, this::read);
   }
 
@@ -98,7 +98,7 @@
    * A lease was renewed: the leader is told once that somebody can reach its workers, or it would
    * take the delegation back.
    */
-  public void renewed() {
+  public void announceRenewal() {
     if (announced == revision) {
       return;
     }
@@ -116,7 +116,7 @@
   }
 
   /** The right to renew leases in the zone, if there is one; asked again right before each use. */
-  public Optional<Right> in(String zone) {
+  public Optional<Right> rightIn(String zone) {
     long validUntil = readSentMicros + VALID_MICROS;
     OptionalLong token = delegation.tokenOf(zone);
     if (token.isEmpty() || election.leading() || loop.nowMicros() >= validUntil) {
--- a/src/main/java/plumlever/election/ElectionListener.java
+++ b/src/main/java/plumlever/election/ElectionListener.java
@@ -9,5 +9,5 @@
   void steppedDown(Term term);
 
   /** Runs on the thread that decides, to see whether it still turns. */
-  void whenTurning(Runnable action);
+  void executeOnControllerLoop(Runnable action);
 }
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -348,7 +348,7 @@
           if (poolTerms.isPresent()) {
             poolTerms.get().addTo(transaction, next, label, p);
           } else {
-            transaction.drop(DELEGATION);
+            transaction.delete(DELEGATION);
           }
           store.transaction(
               transaction,
@@ -453,7 +453,7 @@
       withdraw(term, "its decisions have stalled", STALLED_MICROS);
       return -1;
     }
-    listener.whenTurning(() -> lastTurnMicros = loop.nowMicros());
+    listener.executeOnControllerLoop(() -> lastTurnMicros = loop.nowMicros());
     store.renewLease(
         term.leaseId(),
         result -> {
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -61,7 +61,7 @@
    * @return false if they may not, and nothing was answered
    */
   boolean answer(Heartbeat heartbeat, Responder out) {
-    Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.zone());
+    Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
     // Nothing was read yet: what can be told without, is told before the jobs are asked for.
     if (right.isEmpty()
         || renewal
@@ -70,14 +70,14 @@
       right.ifPresent(known -> logRefusal(heartbeat, known, "before the jobs are looked up"));
       return false;
     }
-    jobs.endedOf(jobsOf(heartbeat), ends -> answer(heartbeat, Optional.ofNullable(ends), out));
+    jobs.findEnded(jobsOf(heartbeat), ends -> answer(heartbeat, Optional.ofNullable(ends), out));
     return true;
   }
 
-  private void answer(Heartbeat heartbeat, Optional<JobRecordCache.Ends> ends, Responder out) {
+  private void answer(Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> ends, Responder out) {
     // Asked again: finding out took its time. A lease is not renewed for tasks whose stop can't be
     // given.
-    Optional<DelegatedRenewal.Right> right = delegation.in(heartbeat.zone());
+    Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
     if (right.isEmpty()) {
       refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
       return;
@@ -92,7 +92,7 @@
     if (decision instanceof RenewalDecision.Renewed renewed) {
       logRenewal(heartbeat, evidence, stops);
       metrics.count("leases_renewed_for_leader");
-      delegation.renewed();
+      delegation.announceRenewal();
       out.send(HttpStatus.OK, renewed.body());
     } else if (decision instanceof RenewalDecision.Refused refused) {
       refuse(heartbeat, refused.refusal(), out);
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -207,7 +207,7 @@
           () -> out.error(HttpStatus.UNPROCESSABLE, "a task fits no allowed machine type"));
       return;
     }
-    JobStore.Acceptance acceptance = layout.accept(spec, loop.wallMicros());
+    JobStore.Acceptance acceptance = layout.acceptJob(spec, loop.wallMicros());
     if (acceptance == null) {
       ifUnknown(uid, out, () -> out.error(HttpStatus.BAD_REQUEST, "the submission is too long"));
       return;
@@ -234,7 +234,7 @@
                   HttpStatus.UNPROCESSABLE, ProtocolField.DEPENDENCIES + " names the job itself"));
       return;
     }
-    jobRecords.unknownOf(
+    jobRecords.findNeverAccepted(
         spec.dependencies(),
         unknown -> {
           if (unknown == null) {
@@ -306,7 +306,7 @@
             case APPLIED -> {
               metrics.count("jobs_accepted");
               if (spec.hasDependencies()) {
-                jobRecords.acceptedWaiting(
+                jobRecords.dependentJobAccepted(
                     uid,
                     result.revision(),
                     spec.dependencies(),
@@ -319,7 +319,7 @@
                     });
                 return;
               }
-              jobRecords.accepted(uid, result.revision());
+              jobRecords.jobAccepted(uid, result.revision());
               out.send(HttpStatus.CREATED, state(uid, JobState.PENDING, null));
             }
             // Without an answer it is not known either whether this request or an earlier one made
@@ -342,7 +342,7 @@
 
   /** The record decides; if it can't be read or is not there yet, the user asks again. */
   private void known(String uid, Admitted out) {
-    jobRecords.look(
+    jobRecords.lookUp(
         uid,
         look -> {
           if (look.found()) {
@@ -377,7 +377,7 @@
   }
 
   private void ifUnknown(String uid, Admitted out, Runnable refuse) {
-    jobRecords.look(
+    jobRecords.lookUp(
         uid,
         look -> {
           switch (look.presence()) {
@@ -422,7 +422,7 @@
       raw.error(HttpStatus.NOT_FOUND, "no such job");
       return null;
     }
-    JobState how = jobRecords.known(uid);
+    JobState how = jobRecords.knownEndState(uid);
     if (how != null) {
       raw.send(HttpStatus.OK, state(uid, how, null));
       return null;
@@ -441,7 +441,7 @@
   }
 
   private void cancel(String uid, Admitted out, int tries) {
-    jobRecords.look(
+    jobRecords.lookUp(
         uid,
         look -> {
           switch (look.presence()) {
@@ -467,12 +467,12 @@
 
   private void end(String uid, long revision, Admitted out, int tries) {
     store.transaction(
-        layout.end(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of()),
+        layout.endJob(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of()),
         StateClient.RequestPriority.URGENT,
         result -> {
           switch (result.outcome()) {
             case APPLIED -> {
-              jobRecords.ended(uid, JobState.CANCELLED);
+              jobRecords.jobEnded(uid, JobState.CANCELLED);
               metrics.count("jobs_cancelled");
               leaderView.jobCancelled(uid);
               out.send(HttpStatus.OK, state(uid, JobState.CANCELLED, null));
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -65,7 +65,7 @@
   public void load(List<StateClient.Item> items) {
     for (StateClient.Item item : items) {
       apply(item.data());
-      known(JobStore.numberOf(item.key()));
+      known(JobStore.sharedRecordNumber(item.key()));
     }
   }
 
@@ -168,7 +168,7 @@
       }
       sent.put(index, part);
       if (part == GONE) {
-        transaction.drop(JobStore.warmStateKey(index));
+        transaction.delete(JobStore.warmStateKey(index));
       } else {
         transaction.put(JobStore.warmStateKey(index), part);
       }
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -180,7 +180,7 @@
     }
     chunks.computeIfAbsent(job, j -> new LinkedHashMap<>()).put(item.key(), item.revision());
     try {
-      context.layout().readChunk(item.data(), rest.substring(slash + 1), job.stored());
+      context.layout().readProgressChunk(item.data(), rest.substring(slash + 1), job.stored());
       job.stored().stream().forEach(job::markDone);
     } catch (InvalidMessageException e) {
       log.warn("{} can't be read and is taken as no progress", item.key());
@@ -362,7 +362,7 @@
         .transaction(
             context
                 .layout()
-                .end(
+                .endJob(
                     job.uid(),
                     job.revision(),
                     JobState.CANCELLED,
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -31,7 +31,7 @@
   private boolean listing;
   private boolean closed;
 
-  private record Unused(JobStore.ListName list, long anchorRevision) {}
+  private record Unused(JobStore.DependencyListId list, long anchorRevision) {}
 
   public DependencyListCleanup(Context context, ActiveJobs jobs) {
     this.context = context;
@@ -58,9 +58,9 @@
   }
 
   private void look(StateClient.Listing found) {
-    Map<JobStore.ListName, List<StateClient.Item>> lists = new LinkedHashMap<>();
+    Map<JobStore.DependencyListId, List<StateClient.Item>> lists = new LinkedHashMap<>();
     for (StateClient.Item item : found.items()) {
-      JobStore.listOf(item.key())
+      JobStore.dependencyListOf(item.key())
           .filter(list -> jobs.get(list.uid()) == null)
           .ifPresent(list -> lists.computeIfAbsent(list, unused -> new ArrayList<>()).add(item));
     }
@@ -80,7 +80,7 @@
         });
   }
 
-  private static long anchorRevision(JobStore.ListName list, List<StateClient.Item> items) {
+  private static long anchorRevision(JobStore.DependencyListId list, List<StateClient.Item> items) {
     String anchor = JobStore.anchorOf(list);
     return items.stream()
         .filter(item -> item.key().equals(anchor))
@@ -90,7 +90,7 @@
   }
 
   /** Part by part, the anchor with the first; what fails is found again by the next listing. */
-  private void remove(JobStore.ListName list, long anchorRevision, List<String> keys) {
+  private void remove(JobStore.DependencyListId list, long anchorRevision, List<String> keys) {
     if (closed || keys.isEmpty()) {
       return;
     }
@@ -98,9 +98,11 @@
     if (keys.remove(anchor)) {
       keys.add(0, anchor);
     }
-    int sent = Math.min(keys.size(), context.layout().limits().transactionOps());
+    int sent = Math.min(keys.size(), context.layout().limits().maxOperations());
     Transaction transaction =
-        context.layout().removeList(context.term().requireTerm(), list, anchorRevision, keys);
+        context
+            .layout()
+            .removeDependencyList(context.term().requireTerm(), list, anchorRevision, keys);
     context
         .store()
         .transaction(
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -54,7 +54,7 @@
     found.clear();
     foundUids.clear();
     for (StateClient.Item item : items) {
-      int number = JobStore.numberOf(item.key());
+      int number = JobStore.sharedRecordNumber(item.key());
       if (number < 0) {
         LOG.error("{} is no record of jobs", item.key());
         continue;
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -47,7 +47,7 @@
   /** Takes over what earlier leaders stored. */
   public void load(List<StateClient.Item> items, Fleet fleet) {
     for (StateClient.Item item : items) {
-      int number = JobStore.numberOf(item.key());
+      int number = JobStore.sharedRecordNumber(item.key());
       if (number < 0) {
         log.error("{} is no record of machines", item.key());
         continue;
--- a/src/main/java/plumlever/leader/pool/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/pool/PoolTransaction.java
@@ -49,7 +49,7 @@
   PoolTransaction drop(String key) {
     require(key);
     changes.put(key, null);
-    transaction.drop(key);
+    transaction.delete(key);
     return this;
   }
 
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -71,7 +71,7 @@
 
   /** How many machines one transaction can make this cell's. */
   int mostOwnedAtOnce() {
-    return context.layout().limits().transactionOps() - SHARED_PUTS;
+    return context.layout().limits().maxOperations() - SHARED_PUTS;
   }
 
   /**
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -172,11 +172,11 @@
       return;
     }
     List<String> records = List.copyOf(keysOf.getOrDefault(job, Set.of()));
-    int dropped = Math.min(records.size(), context.layout().dropsAtEnd());
+    int dropped = Math.min(records.size(), context.layout().maxDeletesAtEnd());
     Transaction transaction =
         context
             .layout()
-            .end(
+            .endJob(
                 job.uid(),
                 job.revision(),
                 JobState.DONE,
@@ -239,7 +239,7 @@
     List<SharedChunk> sentSharedChunks = new ArrayList<>();
     Map<Job, BitSet> sentChunks = new LinkedHashMap<>();
     Set<String> keys = new LinkedHashSet<>();
-    int room = context.layout().limits().transactionOps();
+    int room = context.layout().limits().maxOperations();
     long bytes = 0;
     for (SharedChunk sharedChunk : sharedChunks.values()) {
       if (!sharedChunk.dirty || room == 0 || bytes + sharedChunk.bytes > MOST_BYTES) {
@@ -276,7 +276,7 @@
         keysOf.computeIfAbsent(job, j -> new LinkedHashSet<>()).add(key);
         transaction
             .require(key, revisions.getOrDefault(key, 0L))
-            .put(key, context.layout().chunk(job.done(), first, tasksPerChunk));
+            .put(key, context.layout().progressChunk(job.done(), first, tasksPerChunk));
         BitSet part = job.done().get(first, first + tasksPerChunk);
         int from = first;
         BitSet snapshot = snapshots.computeIfAbsent(job, j -> new BitSet());
@@ -291,9 +291,9 @@
       // Of a job that has ended for good: whatever is written there is of no use.
       room--;
       dropped.add(unknownMachines.poll());
-      transaction.drop(dropped.get(dropped.size() - 1));
+      transaction.delete(dropped.get(dropped.size() - 1));
     }
-    if (transaction.changes() == 0) {
+    if (transaction.operationCount() == 0) {
       return pause;
     }
     sentChunks.forEach((job, written) -> dirty.get(job).andNot(written));
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -243,7 +243,7 @@
     String key = layout.key(chunk.number);
     Transaction transaction = context.term().requireTerm().require(key, chunk.revision);
     if (written.isEmpty()) {
-      transaction.drop(key);
+      transaction.delete(key);
     } else {
       transaction.put(key, layout.value(written));
     }
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -100,7 +100,7 @@
       Transaction transaction = new Transaction().require(anchor, stored.get(anchor));
       int most =
           Math.min(
-              layout.limits().transactionOps(),
+              layout.limits().maxOperations(),
               Math.max(1, MOST_TRANSACTION_BYTES / layout.valueBytes()));
       List<String> sent = missing.subList(0, Math.min(most, missing.size()));
       sent.forEach(key -> transaction.require(key, 0).put(key, parts.get(key)));
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -64,10 +64,10 @@
 
   /** What is known of ended jobs beside this cache. */
   interface Ends {
-    void ended(String uid, JobState how);
+    void jobEnded(String uid, JobState how);
 
     /** How it ended, or null if that is not known without asking. */
-    JobState known(String uid);
+    JobState knownEndState(String uid);
   }
 
   DependencyRecordCache(Loop loop, StateClient store, JobFinder finder, Ends ends) {
@@ -90,7 +90,7 @@
   }
 
   /** An end that this controller knows of. */
-  void ended(String uid, JobState how) {
+  void jobEnded(String uid, JobState how) {
     dependencyGraph.ended(uid, how, 0);
     whole.remove(uid);
     forgetNews();
@@ -137,7 +137,7 @@
   }
 
   /** The job was accepted here a moment ago: its own record need not be read. */
-  void accepted(String uid, long revision, List<String> dependencies) {
+  void jobAccepted(String uid, long revision, List<String> dependencies) {
     if (storeRevision >= 0) {
       dependencyGraph.accepted(uid, revision, dependencies);
       forgetNews();
@@ -191,7 +191,7 @@
       List<StateClient.Item> spilled = new ArrayList<>();
       while (!open.isEmpty()) {
         String uid = open.poll();
-        JobState how = ends.known(uid);
+        JobState how = ends.knownEndState(uid);
         if (how != null) {
           into.ended(uid, how, 0);
         } else if (into.stateOf(uid) != DependencyGraph.State.UNKNOWN) {
@@ -232,9 +232,9 @@
                   (uid, f) -> {
                     // What ended while this was read is known from the changes, which may have come
                     // first.
-                    JobState how = f.endState() != null ? f.endState() : ends.known(uid);
+                    JobState how = f.endState() != null ? f.endState() : ends.knownEndState(uid);
                     if (how != null) {
-                      ends.ended(uid, how);
+                      ends.jobEnded(uid, how);
                       into.ended(uid, how, f.endedWallMicros());
                     } else if (f.active() != null) {
                       active(f.active(), spilled);
@@ -336,7 +336,7 @@
               String uid = change.key().substring(JobStore.ENDED.length());
               // Also of jobs that are not in the book: one that was read before it ended may be on
               // its way into it.
-              ends.ended(uid, how);
+              ends.jobEnded(uid, how);
               dependencyGraph.ended(uid, how, JobStore.endedWallMicros(change.data()));
               whole.remove(uid);
             }
@@ -345,7 +345,7 @@
           forgetNews();
           for (Question question : asked) {
             question.then.accept(
-                ends.known(question.uid) != null
+                ends.knownEndState(question.uid) != null
                     ? Answer.ENDED
                     : switch (dependencyGraph.stateOf(question.uid)) {
                       case WAITING -> Answer.WAITING;
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -61,7 +61,7 @@
   private final DependencyRecordCache dependencyRecords;
 
   /** Final states never change, so they may be told from memory; evicted ones are read again. */
-  private final Cache<String, JobState> ended =
+  private final Cache<String, JobState> jobEnded =
       CacheBuilder.newBuilder().concurrencyLevel(1).maximumSize(20_000).build();
 
   private final Cache<String, Long> revisions =
@@ -86,20 +86,20 @@
             finder,
             new DependencyRecordCache.Ends() {
               @Override
-              public void ended(String uid, JobState how) {
+              public void jobEnded(String uid, JobState how) {
                 revisions.invalidate(uid);
-                ended.put(uid, how);
+                jobEnded.put(uid, how);
               }
 
               @Override
-              public JobState known(String uid) {
-                return ended.getIfPresent(uid);
+              public JobState knownEndState(String uid) {
+                return jobEnded.getIfPresent(uid);
               }
             });
   }
 
   /** The job has been accepted with this revision. */
-  public void accepted(String uid, long revision) {
+  public void jobAccepted(String uid, long revision) {
     if (revision > 0) {
       revisions.put(uid, revision);
     }
@@ -109,17 +109,17 @@
    * A job that waits for others has been accepted with this revision: what follows from how those
    * end.
    */
-  public void acceptedWaiting(
+  public void dependentJobAccepted(
       String uid, long revision, List<String> dependencies, Consumer<JobStatus> then) {
-    dependencyRecords.accepted(uid, revision, dependencies);
+    dependencyRecords.jobAccepted(uid, revision, dependencies);
     chain(uid, revision, then);
   }
 
   /** The job's end is stored. */
-  public void ended(String uid, JobState how) {
+  public void jobEnded(String uid, JobState how) {
     revisions.invalidate(uid);
-    ended.put(uid, how);
-    dependencyRecords.ended(uid, how);
+    jobEnded.put(uid, how);
+    dependencyRecords.jobEnded(uid, how);
   }
 
   /**
@@ -127,10 +127,10 @@
    *
    * @param then takes null when that can't be found out
    */
-  public void unknownOf(Collection<String> uids, Consumer<Set<String>> then) {
+  public void findNeverAccepted(Collection<String> uids, Consumer<Set<String>> then) {
     Set<String> open = new HashSet<>();
     for (String uid : uids) {
-      if (revisions.getIfPresent(uid) == null && ended.getIfPresent(uid) == null) {
+      if (revisions.getIfPresent(uid) == null && jobEnded.getIfPresent(uid) == null) {
         open.add(uid);
       }
     }
@@ -151,7 +151,7 @@
                 if (!f.accepted()) {
                   unknown.add(uid);
                 } else if (f.endState() != null) {
-                  ended(uid, f.endState());
+                  jobEnded(uid, f.endState());
                 }
               });
           then.accept(unknown);
@@ -159,8 +159,8 @@
   }
 
   /** How it ended, or null if that is not known without asking. */
-  public JobState known(String uid) {
-    return ended.getIfPresent(uid);
+  public JobState knownEndState(String uid) {
+    return jobEnded.getIfPresent(uid);
   }
 
   /**
@@ -168,13 +168,13 @@
    *
    * @param askedMicros when the oldest of the reads that showed the others as active had been sent
    */
-  public record Ends(Set<String> uids, long askedMicros) {}
+  public record EndedJobs(Set<String> uids, long askedMicros) {}
 
   /**
    * Which of these jobs have ended, as of a few seconds ago at most; null when that can't be found
    * out.
    */
-  public void endedOf(Collection<String> uids, Consumer<Ends> then) {
+  public void findEnded(Collection<String> uids, Consumer<EndedJobs> then) {
     long now = loop.nowMicros();
     activeAsked.values().removeIf(asked -> now - asked > LATELY_MICROS);
     Set<String> over = new HashSet<>();
@@ -184,7 +184,7 @@
     Runnable settled =
         () -> {
           if (--open[0] == 0) {
-            then.accept(failed[0] ? null : new Ends(over, asked[0]));
+            then.accept(failed[0] ? null : new EndedJobs(over, asked[0]));
           }
         };
     for (String uid : uids) {
@@ -194,12 +194,12 @@
         continue;
       }
       open[0]++;
-      look(
+      lookUp(
           uid,
-          look -> {
-            if (look.presence() == Presence.ACTIVE) {
+          lookUp -> {
+            if (lookUp.presence() == Presence.ACTIVE) {
               activeAsked.put(uid, now);
-            } else if (look.presence() == Presence.UNAVAILABLE) {
+            } else if (lookUp.presence() == Presence.UNAVAILABLE) {
               failed[0] = true;
             } else {
               over.add(uid);
@@ -211,12 +211,12 @@
   }
 
   /** Finds out; the answer comes later, on the loop. */
-  public void look(String uid, Consumer<JobStatus> then) {
-    look(uid, TRIES, then);
+  public void lookUp(String uid, Consumer<JobStatus> then) {
+    lookUp(uid, TRIES, then);
   }
 
-  private void look(String uid, int tries, Consumer<JobStatus> then) {
-    JobState how = ended.getIfPresent(uid);
+  private void lookUp(String uid, int tries, Consumer<JobStatus> then) {
+    JobState how = jobEnded.getIfPresent(uid);
     if (how != null) {
       then.accept(new JobStatus(Presence.ENDED, 0, how));
       return;
@@ -236,7 +236,7 @@
     gathered.add(new Question(uid, revision, tries, then));
     if (gathered.size() == 1) {
       loop.after(GATHER_MICROS, this::compare);
-    } else if (gathered.size() >= 4 * layout.limits().transactionOps()) {
+    } else if (gathered.size() >= 4 * layout.limits().maxOperations()) {
       compare();
     }
   }
@@ -273,7 +273,7 @@
                   revisions.invalidate(question.uid);
                   read(question.uid, TRIES, question.then);
                 } else {
-                  look(question.uid, question.tries - 1, question.then);
+                  lookUp(question.uid, question.tries - 1, question.then);
                 }
               }
             }
@@ -281,7 +281,7 @@
               for (Question question : asked) {
                 if (result.status() == HttpStatus.TOO_MANY_REQUESTS && question.tries > 1) {
                   loop.after(
-                      AGAIN_MICROS, () -> look(question.uid, question.tries - 1, question.then));
+                      AGAIN_MICROS, () -> lookUp(question.uid, question.tries - 1, question.then));
                 } else {
                   question.then.accept(JobStatus.UNAVAILABLE);
                 }
@@ -300,7 +300,7 @@
         JobStore.activeKey(uid),
         StateClient.RequestPriority.ORDINARY,
         got -> {
-          if (got.found() && JobStore.dependencies(got.item().data())) {
+          if (got.found() && JobStore.hasDependencies(got.item().data())) {
             chain(uid, got.item().revision(), then);
           } else if (got.found()) {
             revisions.put(uid, got.item().revision());
@@ -339,7 +339,7 @@
   private void cancelWithDependency(String uid, long revision, Consumer<JobStatus> then) {
     String through = dependencyRecords.through(uid);
     Transaction transaction =
-        layout.end(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of());
+        layout.endJob(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of());
     store.transaction(
         transaction,
         StateClient.RequestPriority.URGENT,
@@ -348,7 +348,7 @@
             case APPLIED -> {
               LOG.info("{} is cancelled with its dependency {}", uid, through);
               metrics.count("jobs_cancelled_with_dependency");
-              ended(uid, JobState.CANCELLED);
+              jobEnded(uid, JobState.CANCELLED);
               then.accept(new JobStatus(Presence.ENDED, 0, JobState.CANCELLED));
             }
             case REFUSED -> then.accept(JobStatus.UNAVAILABLE);
@@ -357,17 +357,17 @@
                 readEnded(
                     uid,
                     TRIES,
-                    look ->
+                    lookUp ->
                         then.accept(
-                            look.presence() == Presence.ENDED ? look : JobStatus.UNAVAILABLE));
+                            lookUp.presence() == Presence.ENDED ? lookUp : JobStatus.UNAVAILABLE));
           }
         });
   }
 
   private void readEnded(String uid, int tries, Consumer<JobStatus> then) {
-    JobState known = ended.getIfPresent(uid);
-    if (known != null) {
-      then.accept(new JobStatus(Presence.ENDED, 0, known));
+    JobState knownEndState = jobEnded.getIfPresent(uid);
+    if (knownEndState != null) {
+      then.accept(new JobStatus(Presence.ENDED, 0, knownEndState));
       return;
     }
     store.get(
@@ -376,7 +376,7 @@
         got -> {
           JobState how = got.found() ? JobStore.finalState(got.item().data()) : null;
           if (how != null) {
-            ended(uid, how);
+            jobEnded(uid, how);
             then.accept(new JobStatus(Presence.ENDED, 0, how));
           } else if (got.missing()) {
             then.accept(JobStatus.MISSING);
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -102,7 +102,7 @@
   public JobStore(WriteLimits limits, List<String> otherCells) {
     this.otherCells = otherCells;
     this.limits = limits;
-    this.statedValueBytes = limits.valueBytes();
+    this.statedValueBytes = limits.maxValueBytes();
   }
 
   public WriteLimits limits() {
@@ -110,7 +110,7 @@
   }
 
   public int valueBytes() {
-    return limits.valueBytes();
+    return limits.maxValueBytes();
   }
 
   public static String endedKey(String uid) {
@@ -121,12 +121,12 @@
     return ACTIVE + uid;
   }
 
-  public static String machinesKey(int chunk) {
-    return FLEET + chunk;
+  public static String machinesKey(int progressChunk) {
+    return FLEET + progressChunk;
   }
 
-  public static String startedKey(int chunk) {
-    return STARTED + chunk;
+  public static String startedKey(int progressChunk) {
+    return STARTED + progressChunk;
   }
 
   public static String warmStateKey(int part) {
@@ -134,7 +134,7 @@
   }
 
   /** Number of a record that entries share, or -1. */
-  public static int numberOf(String key) {
+  public static int sharedRecordNumber(String key) {
     try {
       return Integer.parseInt(key.substring(key.indexOf('/') + 1));
     } catch (NumberFormatException e) {
@@ -188,7 +188,7 @@
   }
 
   /** Null when the record is too long to store, whatever it waits on. */
-  public Acceptance accept(JobSpec spec, long wallMicros) {
+  public Acceptance acceptJob(JobSpec spec, long wallMicros) {
     ObjectNode active = Json.object().put(ACCEPTED_MS, wallMicros / 1_000);
     active.set(SPEC, spec.toJson());
     Map<String, ObjectNode> parts = Map.of();
@@ -251,7 +251,7 @@
   }
 
   /** True if the job waits on others. */
-  static boolean dependencies(JsonNode activeRecord) {
+  static boolean hasDependencies(JsonNode activeRecord) {
     return activeRecord.has(DEPENDENCIES_AT) || !activeRecord.path(SPEC).path("waits_on").isEmpty();
   }
 
@@ -278,21 +278,22 @@
    * @param uid the job that it was stored for, whether or not that was accepted
    * @param prefix of the keys of its parts
    */
-  public record ListName(String uid, String prefix) {}
+  public record DependencyListId(String uid, String prefix) {}
 
   /** Which list a key belongs to; nothing for a key that is no part of one. */
-  public static Optional<ListName> listOf(String key) {
-    int end = key.lastIndexOf('/');
+  public static Optional<DependencyListId> dependencyListOf(String key) {
+    int endJob = key.lastIndexOf('/');
     int uidEnd = key.indexOf('/', DEPENDENCIES.length());
-    if (!key.startsWith(DEPENDENCIES) || uidEnd < 0 || end <= uidEnd) {
+    if (!key.startsWith(DEPENDENCIES) || uidEnd < 0 || endJob <= uidEnd) {
       return Optional.empty();
     }
     return Optional.of(
-        new ListName(key.substring(DEPENDENCIES.length(), uidEnd), key.substring(0, end + 1)));
+        new DependencyListId(
+            key.substring(DEPENDENCIES.length(), uidEnd), key.substring(0, endJob + 1)));
   }
 
   /** The key of a list's first part. */
-  public static String anchorOf(ListName list) {
+  public static String anchorOf(DependencyListId list) {
     return list.prefix() + 0;
   }
 
@@ -304,10 +305,10 @@
    * @param keys parts that were listed, as many as one transaction drops, the anchor among the
    *     first
    */
-  public Transaction removeList(
-      Transaction conditional, ListName list, long anchorRevision, List<String> keys) {
+  public Transaction removeDependencyList(
+      Transaction conditional, DependencyListId list, long anchorRevision, List<String> keys) {
     conditional.require(activeKey(list.uid()), 0).require(anchorOf(list), anchorRevision);
-    keys.stream().limit(limits.transactionOps()).forEach(conditional::drop);
+    keys.stream().limit(limits.maxOperations()).forEach(conditional::delete);
     return conditional;
   }
 
@@ -323,22 +324,22 @@
    *
    * @param drops records of it that are of no use any more, as many as the transaction takes
    */
-  public Transaction end(
+  public Transaction endJob(
       String uid, long revision, JobState how, long wallMicros, List<String> drops) {
     Transaction transaction =
         new Transaction()
             .require(activeKey(uid), revision)
             .put(endedKey(uid), state(how.wireName()).put(ENDED_MS, wallMicros / 1_000))
-            .drop(activeKey(uid));
+            .delete(activeKey(uid));
     drops.stream()
-        .limit(Math.max(0, limits.transactionOps() - transaction.changes()))
-        .forEach(transaction::drop);
+        .limit(Math.max(0, limits.maxOperations() - transaction.operationCount()))
+        .forEach(transaction::delete);
     return transaction;
   }
 
   /** How many records the end of a job can drop. */
-  public int dropsAtEnd() {
-    return Math.max(0, limits.transactionOps() - 2);
+  public int maxDeletesAtEnd() {
+    return Math.max(0, limits.maxOperations() - 2);
   }
 
   /**
@@ -387,7 +388,7 @@
     return (valueBytes - CHUNK_BASE_BYTES) / BASE64_LETTERS * BASE64_BYTES * Byte.SIZE;
   }
 
-  public JsonNode chunk(BitSet done, int firstTask, int tasks) {
+  public JsonNode progressChunk(BitSet done, int firstTask, int tasks) {
     byte[] raw = done.get(firstTask, firstTask + tasks).toByteArray();
     return Json.object().put(FIRST, firstTask).put(BITS, Base64.getEncoder().encodeToString(raw));
   }
@@ -442,7 +443,8 @@
    *
    * @param name the last part of its key
    */
-  public void readChunk(JsonNode record, String name, BitSet into) throws InvalidMessageException {
+  public void readProgressChunk(JsonNode record, String name, BitSet into)
+      throws InvalidMessageException {
     try {
       BitSet bits = BitSet.valueOf(record.path(BITS).binaryValue());
       int from =
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -127,8 +127,8 @@
   }
 
   /** This controller leads now, or does no more. */
-  public void leads(boolean now) {
-    writes.rate(writesPerS * (now ? LEADER_PART : PART), loop.nowMicros());
+  public void setLeading(boolean leading) {
+    writes.setRate(writesPerS * (leading ? LEADER_PART : PART), loop.nowMicros());
   }
 
   /** When the service last did anything but refuse this controller. */
@@ -254,7 +254,7 @@
       Transaction transaction, RequestPriority priority, Consumer<Transaction.Result> then) {
     send(
         priority,
-        transaction.changes(),
+        transaction.operationCount(),
         "POST",
         StateProtocol.TRANSACTION,
         keySpace.isRoot() && !transaction.namesAbsolute()
@@ -402,11 +402,12 @@
       JsonNode body,
       long timeoutMicros,
       Parsed then) {
-    long now = loop.nowMicros();
+    long leading = loop.nowMicros();
     if (priority == RequestPriority.URGENT) {
-      requests.force(1, now);
-      writes.force(changes, now);
-    } else if (!requests.take(1, now) || (changes > 0 && !writes.take(changes, now))) {
+      requests.acquireOnCredit(1, leading);
+      writes.acquireOnCredit(changes, leading);
+    } else if (!requests.tryAcquire(1, leading)
+        || (changes > 0 && !writes.tryAcquire(changes, leading))) {
       metrics.outside("state", HttpStatus.TOO_MANY_REQUESTS);
       loop.after(0, () -> then.take(HttpStatus.TOO_MANY_REQUESTS, null));
       return;
--- a/src/main/java/plumlever/store/TokenBucket.java
+++ b/src/main/java/plumlever/store/TokenBucket.java
@@ -16,7 +16,7 @@
   }
 
   /** From now on this many a second. */
-  public void rate(double perSecond, long nowMicros) {
+  public void setRate(double perSecond, long nowMicros) {
     refill(nowMicros);
     perMicro = perSecond / 1e6;
     burst = Math.max(1, perSecond);
@@ -24,25 +24,25 @@
   }
 
   /** True if so many could be taken now. */
-  public boolean has(double wanted, long nowMicros) {
+  public boolean canAcquire(double amount, long nowMicros) {
     refill(nowMicros);
-    return tokens >= Math.min(wanted, burst);
+    return tokens >= Math.min(amount, burst);
   }
 
   /** Takes tokens if there are enough. */
-  public boolean take(double otherTokens, long nowMicros) {
+  public boolean tryAcquire(double amount, long nowMicros) {
     refill(nowMicros);
-    if (tokens < otherTokens) {
+    if (tokens < amount) {
       return false;
     }
-    tokens -= otherTokens;
+    tokens -= amount;
     return true;
   }
 
   /** For requests that must go whatever the rate; they are paid for by the ones that can wait. */
-  public void force(double otherTokens, long nowMicros) {
+  public void acquireOnCredit(double amount, long nowMicros) {
     refill(nowMicros);
-    tokens = Math.max(tokens - otherTokens, -burst);
+    tokens = Math.max(tokens - amount, -burst);
   }
 
   private void refill(long nowMicros) {
--- a/src/main/java/plumlever/store/Transaction.java
+++ b/src/main/java/plumlever/store/Transaction.java
@@ -76,13 +76,13 @@
   }
 
   /** Removes a key, if it is there. */
-  public Transaction drop(String key) {
+  public Transaction delete(String key) {
     absolute |= key.charAt(0) == '/';
     operations.addObject().put(StateProtocol.DELETE, key);
     return this;
   }
 
-  public int changes() {
+  public int operationCount() {
     return operations.size();
   }
 
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -14,31 +14,31 @@
  */
 public final class WriteLimits {
   /** Below these nothing could be kept; the settings are checked for them. */
-  public static final int LEAST_VALUE_BYTES = 1024;
+  public static final int MIN_VALUE_BYTES = 1024;
 
-  public static final int LEAST_OPS = 3;
+  public static final int MIN_OPERATIONS = 3;
 
   private static final Logger LOG = LoggerFactory.getLogger(WriteLimits.class);
 
   private final int formerValueBytes;
-  private int valueBytes;
-  private int transactionOps;
+  private int maxValueBytes;
+  private int maxOperations;
 
   /** The limits that the settings state. */
   public WriteLimits(PlatformConfiguration.StateLimits settings) {
-    this.valueBytes = settings.valueBytes();
-    this.transactionOps = settings.transactionOps();
+    this.maxValueBytes = settings.valueBytes();
+    this.maxOperations = settings.transactionOps();
     this.formerValueBytes = settings.formerValueBytes();
   }
 
   /** The most that a value may take, in bytes. */
-  public int valueBytes() {
-    return valueBytes;
+  public int maxValueBytes() {
+    return maxValueBytes;
   }
 
   /** The most puts and drops in one transaction; it takes four times as many preconditions. */
-  public int transactionOps() {
-    return transactionOps;
+  public int maxOperations() {
+    return maxOperations;
   }
 
   /** What versions that knew of no later limit took for the most that a value may take. */
@@ -62,24 +62,24 @@
                     .length);
       }
     }
-    int fewer = Math.max(LEAST_OPS, Math.min(transactionOps, transaction.changes() / 2));
-    int smaller = Math.max(LEAST_VALUE_BYTES, Math.min(valueBytes, largest / 2));
-    if (transaction.changes() <= LEAST_OPS) {
-      fewer = transactionOps;
+    int fewer = Math.max(MIN_OPERATIONS, Math.min(maxOperations, transaction.operationCount() / 2));
+    int smaller = Math.max(MIN_VALUE_BYTES, Math.min(maxValueBytes, largest / 2));
+    if (transaction.operationCount() <= MIN_OPERATIONS) {
+      fewer = maxOperations;
     }
-    if (largest <= LEAST_VALUE_BYTES) {
-      smaller = valueBytes;
+    if (largest <= MIN_VALUE_BYTES) {
+      smaller = maxValueBytes;
     }
-    if (fewer < transactionOps || smaller < valueBytes) {
+    if (fewer < maxOperations || smaller < maxValueBytes) {
       LOG.warn(
           "a write of {} changes and values of up to {} bytes was refused: from now on {} changes"
               + " of {} bytes at most",
-          transaction.changes(),
+          transaction.operationCount(),
           largest,
           fewer,
           smaller);
-      transactionOps = fewer;
-      valueBytes = smaller;
+      maxOperations = fewer;
+      maxValueBytes = smaller;
     }
   }
 }
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -47,11 +47,11 @@
     BitSet back = new BitSet();
     int chunks = 0;
     for (int first = 0; first < 100_000; first += jobStore.tasksPerChunk()) {
-      JsonNode chunk = jobStore.chunk(done, first, jobStore.tasksPerChunk());
+      JsonNode chunk = jobStore.progressChunk(done, first, jobStore.tasksPerChunk());
       assertTrue(Json.write(chunk).length() <= valueBytes);
       String key = JobStore.progressKey("job-1", first);
       // By whatever size it was cut up, it is read the same.
-      layout(1024, 4096).readChunk(chunk, key.substring(key.lastIndexOf('/') + 1), back);
+      layout(1024, 4096).readProgressChunk(chunk, key.substring(key.lastIndexOf('/') + 1), back);
       chunks++;
     }
     assertEquals(done, back);
@@ -69,12 +69,14 @@
     JsonNode record =
         Json.object().put("b", Base64.getEncoder().encodeToString(bits.toByteArray()));
     BitSet back = new BitSet();
-    layout(2048, 4096).readChunk(record, "2", back);
+    layout(2048, 4096).readProgressChunk(record, "2", back);
     assertEquals(2 * ((4096 - 64) / 4 * 3 * 8) + 5, back.nextSetBit(0));
     assertEquals(1, back.cardinality());
     assertThrows(
         InvalidMessageException.class,
-        () -> layout(2048, 4096).readChunk(Json.object().put("f", 7).put("b", ""), "from-8", back));
+        () ->
+            layout(2048, 4096)
+                .readProgressChunk(Json.object().put("f", 7).put("b", ""), "from-8", back));
   }
 
   /**
@@ -120,7 +122,7 @@
                 0,
                 JobSpec.NO_DEADLINE)
             .withDependencies(names);
-    JobStore.Acceptance acceptance = jobStore.accept(spec, 5_000);
+    JobStore.Acceptance acceptance = jobStore.acceptJob(spec, 5_000);
     JsonNode active = acceptance.transaction().body().path("then").get(0).path("data");
     assertTrue(Json.write(active).length() <= valueBytes);
     List<String> back = new ArrayList<>();
@@ -130,9 +132,9 @@
     }
     assertEquals(names, back);
     assertEquals(List.of(), JobStore.dependenciesInline(active));
-    assertTrue(JobStore.dependencies(active));
+    assertTrue(JobStore.hasDependencies(active));
     JobStore.Acceptance small =
-        jobStore.accept(spec.withDependencies(List.of("job-1", "job-2")), 5_000);
+        jobStore.acceptJob(spec.withDependencies(List.of("job-1", "job-2")), 5_000);
     assertEquals(Map.of(), small.parts());
     assertEquals(
         List.of("job-1", "job-2"),
@@ -149,22 +151,22 @@
     Transaction transaction = new Transaction().put("a", Json.object().put("x", "y".repeat(9_000)));
     writeLimits.refused(transaction);
     assertTrue(
-        writeLimits.valueBytes() < 9_000 && writeLimits.valueBytes() >= 4_000,
-        "" + writeLimits.valueBytes());
-    assertEquals(12, writeLimits.transactionOps(), "one change is not too many");
+        writeLimits.maxValueBytes() < 9_000 && writeLimits.maxValueBytes() >= 4_000,
+        "" + writeLimits.maxValueBytes());
+    assertEquals(12, writeLimits.maxOperations(), "one change is not too many");
     Transaction many = new Transaction();
     for (int i = 0; i < 10; i++) {
-      many.drop("k" + i);
+      many.delete("k" + i);
     }
     writeLimits.refused(many);
-    assertEquals(5, writeLimits.transactionOps());
+    assertEquals(5, writeLimits.maxOperations());
     for (int i = 0; i < 20; i++) {
       writeLimits.refused(transaction);
       writeLimits.refused(many);
     }
     assertTrue(
-        writeLimits.valueBytes() >= WriteLimits.LEAST_VALUE_BYTES
-            && writeLimits.transactionOps() >= WriteLimits.LEAST_OPS);
+        writeLimits.maxValueBytes() >= WriteLimits.MIN_VALUE_BYTES
+            && writeLimits.maxOperations() >= WriteLimits.MIN_OPERATIONS);
     assertTrue(new Transaction().put("a", Json.object(), 7).isAttachedToLease());
     assertFalse(transaction.isAttachedToLease());
   }
@@ -174,16 +176,16 @@
     TokenBucket tokenBucket = new TokenBucket(10, 0);
     int taken = 0;
     for (int i = 0; i < 100; i++) {
-      taken += tokenBucket.take(1, i * 10_000L) ? 1 : 0;
+      taken += tokenBucket.tryAcquire(1, i * 10_000L) ? 1 : 0;
     }
     assertTrue(taken >= 18 && taken <= 20, "a burst of ten and ten in the second: " + taken);
-    tokenBucket.rate(20, 1_000_000);
+    tokenBucket.setRate(20, 1_000_000);
     int more = 0;
     for (int i = 100; i < 200; i++) {
-      more += tokenBucket.take(1, i * 10_000L) ? 1 : 0;
+      more += tokenBucket.tryAcquire(1, i * 10_000L) ? 1 : 0;
     }
     assertTrue(more >= 19 && more <= 21, "twice as many in the next: " + more);
-    tokenBucket.force(5, 1_000_000);
-    assertFalse(tokenBucket.take(1, 1_100_000), "what was borrowed is paid back first");
+    tokenBucket.acquireOnCredit(5, 1_000_000);
+    assertFalse(tokenBucket.tryAcquire(1, 1_100_000), "what was borrowed is paid back first");
   }
 }
