--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -10,7 +10,6 @@
 import plumlever.metrics.Logs;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
-import plumlever.wire.Json;
 
 /**
  * A follower's right to renew leases for a leader that can't reach the workers of some zones,
@@ -18,11 +17,14 @@
  * whoever is elected next. It counts here for a short time from when a read that showed it was
  * <em>sent</em>; the leader waits that long, and a lease, before it takes a machine of these zones
  * for lapsed (see {@code MachineManager.lapsesAt}), and that long before it sends a command there.
+ *
+ * <p>Used on the controller's own loop only.
  */
 public final class DelegatedRenewal {
   /** How long a read of the delegation is good for. */
   public static final long VALID_MICROS = 2_000_000;
 
+  /** How often the delegation is read while there is one. */
   private static final long READ_MICROS = 600_000;
 
   /**
@@ -33,14 +35,25 @@
    */
   public record Right(long token, long validUntilMicros) {}
 
+  /** The delegation that gives no right. */
+  private static final DelegationRecord NO_DELEGATION = new DelegationRecord(-1, Map.of());
+
+  private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
+
   private final Logger log;
   private final Loop loop;
   private final StateClient store;
   private final LeaderElection election;
-  private long readSentMicros = Long.MIN_VALUE / 2;
-  private long revision = -1;
-  private long announced = -1;
-  private DelegationRecord delegation = new DelegationRecord(-1, Map.of());
+  private DelegationRecord delegation = NO_DELEGATION;
+
+  /** Of the newest delegation that was read. */
+  private long revision = RenewalAnnouncement.NONE;
+
+  /** When the last read that showed a delegation was sent. */
+  private long readSentMicros = NEVER_MICROS;
+
+  /** Of the delegation under which a renewal was last announced. */
+  private long announcedRevision = RenewalAnnouncement.NONE;
 
   /** Reads the leader's delegation by this client. */
   public DelegatedRenewal(Loop loop, StateClient store, LeaderElection election, Logs logs) {
@@ -50,12 +63,12 @@
     this.election = election;
   }
 
-  /** Reads the delegation again and again while there is one. */
+  /** Reads the delegation over and over while there is one. */
   public RecurringTask refreshTask() {
-    return new RecurringTask("delegated renewal", loop, this::read);
+    return new RecurringTask("delegated renewal", loop, this::refresh);
   }
 
-  private long read() {
+  private long refresh() {
     if (!election.delegationSeen() || election.leading()) {
       return READ_MICROS;
     }
@@ -65,16 +78,16 @@
         StateClient.RequestPriority.URGENT,
         got -> {
           if (got.found()) {
-            take(DelegationRecord.read(got.item().data()), got.item().revision(), sent);
+            accept(DelegationRecord.read(got.item().data()), got.item().revision(), sent);
           } else if (got.missing()) {
             // Only an answer that says so ends it before its time.
-            delegation = new DelegationRecord(-1, Map.of());
+            delegation = NO_DELEGATION;
           }
         });
     return READ_MICROS;
   }
 
-  private void take(DelegationRecord read, long readRevision, long sentMicros) {
+  private void accept(DelegationRecord read, long readRevision, long sentMicros) {
     if (readRevision < revision) {
       // Answers may overtake each other; an older record may name tokens that are not sufficient
       // any more.
@@ -95,22 +108,22 @@
   }
 
   /**
-   * A lease was renewed: the leader is told once that somebody can reach its workers, or it would
-   * take the delegation back.
+   * A lease was renewed: the leader is told once for each delegation that somebody can reach its
+   * workers, or it would take the delegation back.
    */
   public void announceRenewal() {
-    if (announced == revision) {
+    if (announcedRevision == revision) {
       return;
     }
-    long now = revision;
-    announced = now;
+    long used = revision;
+    announcedRevision = used;
     store.transaction(
         new Transaction()
-            .put(LeaderElection.RENEWAL_ANNOUNCEMENT, Json.object().put("mandate", now)),
+            .put(LeaderElection.RENEWAL_ANNOUNCEMENT, new RenewalAnnouncement(used).write()),
         StateClient.RequestPriority.URGENT,
         result -> {
-          if (!result.applied() && announced == now) {
-            announced = -1;
+          if (!result.applied() && announcedRevision == used) {
+            announcedRevision = RenewalAnnouncement.NONE;
           }
         });
   }
--- a/src/main/java/plumlever/election/ElectionListener.java
+++ b/src/main/java/plumlever/election/ElectionListener.java
@@ -1,6 +1,9 @@
 package plumlever.election;
 
-/** Told on the election's own loop how this controller's terms begin and end. */
+/**
+ * What the election needs of its controller: called on the election's own loop, which none of these
+ * may hold up.
+ */
 public interface ElectionListener {
   /** A term of this controller has begun. */
   void elected(Term term);
@@ -8,6 +11,6 @@
   /** A term of this controller has ended. */
   void steppedDown(Term term);
 
-  /** Runs on the thread that decides, to see whether it still turns. */
+  /** Runs the action on the controller's own loop, to find out whether that one still runs. */
   void executeOnControllerLoop(Runnable action);
 }
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Optional;
 import java.util.function.Consumer;
+import plumlever.store.KeySpace;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.Json;
@@ -19,10 +20,15 @@
    */
   static final String MARKER = LeaderElection.PREFIX + "pool";
 
-  private static final String ABSOLUTE_MARKER = "/" + MARKER;
+  private static final String ABSOLUTE_MARKER = KeySpace.absolute("", MARKER);
+  private static final String LABEL = "label";
   private static final String TERM = "term";
 
-  /** The next term, and what its transaction holds besides. */
+  /**
+   * The next term of a cell.
+   *
+   * @param counterRevision of the pool's counter that it follows from; 0 if there is no counter yet
+   */
   record Next(long term, long counterRevision) {}
 
   private final StateClient store;
@@ -30,6 +36,8 @@
   private final String leaderKey;
 
   /**
+   * Terms of one cell of a pool.
+   *
    * @param counterKey of the pool
    * @param leaderKey where the pool is told who leads this cell
    */
@@ -39,14 +47,19 @@
     this.leaderKey = leaderKey;
   }
 
-  /** Finds the next term above the last one of this cell; nothing when that can't be read. */
+  /**
+   * Finds the next term above all that the pool has counted.
+   *
+   * @param last the last known term of this cell
+   * @param then takes the next one, or nothing when the counter can't be read
+   */
   void next(long last, Consumer<Optional<Next>> then) {
     store.get(
         counterKey,
         StateClient.RequestPriority.URGENT,
         got -> {
           if (got.found()) {
-            long counted = got.item().data().path(TERM).asLong();
+            long counted = TermRecord.read(got.item().data()).number();
             then.accept(Optional.of(new Next(Math.max(last, counted) + 1, got.item().revision())));
           } else if (got.missing()) {
             then.accept(Optional.of(new Next(last + 1, 0)));
@@ -56,13 +69,12 @@
         });
   }
 
-  /** What the transaction holds that takes the term. */
+  /** Adds to the transaction that takes the term what the pool is told of it. */
   Transaction addTo(Transaction transaction, Next next, String label, long leaseId) {
-    ObjectNode counter = Json.object().put(TERM, next.term());
-    ObjectNode leader = Json.object().put("label", label).put(TERM, next.term());
+    ObjectNode leader = Json.object().put(LABEL, label).put(TERM, next.term());
     transaction
         .require(counterKey, next.counterRevision())
-        .put(counterKey, counter)
+        .put(counterKey, new TermRecord(next.term()).write())
         .put(leaderKey, leader, leaseId);
     return next.counterRevision() == 0
         ? transaction.put(ABSOLUTE_MARKER, Json.object().put("pool", true))
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -7,26 +7,30 @@
 /**
  * One term of leadership, and the right to act in it. Once it has ended it never comes back, also
  * if the same controller is elected again: whoever still works for the old term must not go on
- * under the right of the new one. Extended on leadership's thread, asked on any.
+ * under the right of the new one.
+ *
+ * <p>Threads: the right is extended on the election's loop only; everything public may be called on
+ * any thread, {@link #end} as well.
  */
 public final class Term {
   /** Both clocks may be off by 0.05%; this allows for twice the sum. */
-  private static final double DRIFT = 0.002;
+  private static final double CLOCK_DRIFT = 0.002;
 
-  private final Loop clock;
+  private final Loop loop;
   private final long number;
   private final long revision;
   private final long leaseId;
   private volatile long rightUntilMicros;
   private volatile boolean ended;
 
-  Term(Loop clock, long number, long revision, long leaseId) {
-    this.clock = clock;
+  Term(Loop loop, long number, long revision, long leaseId) {
+    this.loop = loop;
     this.number = number;
     this.revision = revision;
     this.leaseId = leaseId;
   }
 
+  /** Unique among all terms, and above all earlier ones. */
   public long number() {
     return number;
   }
@@ -36,42 +40,44 @@
     return revision;
   }
 
-  /** The lease that leadership hangs on. */
+  /** The lease that the leader's key is attached to. */
   public long leaseId() {
     return leaseId;
   }
 
   /**
    * True while its holder may act for the controllers; asked again right before every answer and
-   * order.
+   * command.
    */
   public boolean mayAct() {
-    return !ended && clock.nowMicros() < rightUntilMicros;
+    return !ended && loop.nowMicros() < rightUntilMicros;
   }
 
   /**
-   * A precondition that holds as long as no later term has begun: what a leader writes of its own
-   * work carries it, so that a write carried out late can't spoil a successor's.
+   * A transaction that requires that no later term has begun: what a leader writes of its own work
+   * is added to it, so that a write carried out late can't spoil a successor's.
    */
   public Transaction requireTerm() {
     return new Transaction().require(LeaderElection.TERM, revision);
   }
 
+  /** Until when its holder may act, unless it is ended sooner. */
   long rightUntilMicros() {
     return rightUntilMicros;
   }
 
   /**
-   * The lease that the term hangs on was renewed.
+   * The term's lease was created or renewed.
    *
    * @param sentMicros when that request had been sent
    */
   void extendFrom(long sentMicros, SchedulerParameters parameters) {
-    long lastsMicros = (long) (parameters.leaseTtlMicros() * (1 - DRIFT));
+    long validMicros = (long) (parameters.leaseTtlMicros() * (1 - CLOCK_DRIFT));
     rightUntilMicros =
-        Math.max(rightUntilMicros, sentMicros + lastsMicros - parameters.actMarginMicros());
+        Math.max(rightUntilMicros, sentMicros + validMicros - parameters.actMarginMicros());
   }
 
+  /** Ends the right to act for good. */
   void end() {
     ended = true;
   }
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalLong;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -44,12 +45,26 @@
   public record Listing(List<Item> items, long storeRevision) {}
 
   /** One change; {@code data} is null when the key was dropped. */
-  public record KeyEvent(String key, JsonNode data, long revision) {}
+  public record KeyEvent(String key, JsonNode data, long revision) {
+    public boolean deleted() {
+      return data == null;
+    }
+  }
 
   /**
    * @param status 200, 410 when {@code since} was too old, else not known
    */
-  public record WatchResponse(int status, long storeRevision, List<KeyEvent> events) {}
+  public record WatchResponse(int status, long storeRevision, List<KeyEvent> events) {
+    /** True if the events are all there were; they may be none. */
+    public boolean answered() {
+      return status == HttpStatus.OK;
+    }
+
+    /** True if it can no longer be told what has changed since then: everything is read anew. */
+    public boolean expired() {
+      return status == HttpStatus.GONE;
+    }
+  }
 
   /** What a renewal brought. */
   public enum RenewalResult {
@@ -293,9 +308,11 @@
   }
 
   /**
-   * @param then takes the lease id, or -1
+   * Creates a lease.
+   *
+   * @param then takes the lease id, or nothing when that failed or had no answer
    */
-  public void createLease(long ttlMicros, Consumer<Long> then) {
+  public void createLease(long ttlMicros, Consumer<OptionalLong> then) {
     send(
         RequestPriority.URGENT,
         0,
@@ -308,8 +325,8 @@
                 status == HttpStatus.OK
                         && o != null
                         && o.path(StateProtocol.LEASE_ID).isIntegralNumber()
-                    ? o.get(StateProtocol.LEASE_ID).longValue()
-                    : -1L));
+                    ? OptionalLong.of(o.get(StateProtocol.LEASE_ID).longValue())
+                    : OptionalLong.empty()));
   }
 
   /** Renews a lease. */
