--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -1,6 +1,7 @@
 package plumlever.election;
 
 import plumlever.concurrent.Loop;
+import plumlever.lease.ClockDrift;
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.Transaction;
 
@@ -13,9 +14,6 @@
  * any thread, {@link #end} as well.
  */
 public final class Term {
-  /** Both clocks may be off by 0.05%; this allows for twice the sum. */
-  private static final double CLOCK_DRIFT = 0.002;
-
   private final Loop loop;
   private final long number;
   private final long revision;
@@ -72,7 +70,7 @@
    * @param sentMicros when that request had been sent
    */
   void extendFrom(long sentMicros, SchedulerParameters parameters) {
-    long validMicros = (long) (parameters.leaseTtlMicros() * (1 - CLOCK_DRIFT));
+    long validMicros = ClockDrift.shortestMicros(parameters.leaseTtlMicros());
     rightUntilMicros =
         Math.max(rightUntilMicros, sentMicros + validMicros - parameters.actMarginMicros());
   }
--- a/src/main/java/plumlever/lease/DelegationRecord.java
+++ b/src/main/java/plumlever/lease/DelegationRecord.java
@@ -22,7 +22,7 @@
   private static final String ZONE = "zone";
   private static final String TOKEN = "token";
 
-  /** Copies the map. */
+  /** Keeps a copy of the map. */
   public DelegationRecord {
     tokenByZone = Map.copyOf(tokenByZone);
   }
@@ -38,7 +38,7 @@
     return new DelegationRecord(stored.path(TERM).asLong(-1), tokens);
   }
 
-  /** What is stored. */
+  /** The form that is stored. */
   public ObjectNode write() {
     ObjectNode stored = Json.object().put(TERM, term);
     ArrayNode zones = stored.putArray(ZONES);
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -10,7 +10,7 @@
  * @param token the machine's present token, above that of every command that has had no answer for
  *     its time
  * @param holdsOpenTasks true if the heartbeat lists a task of a job that is not known to have ended
- * @param endsKnownMicros when the last read of ended jobs that was heard had been sent
+ * @param endsKnownMicros when the last read of ended jobs that was answered had been sent
  * @param unanswered commands that may add to what the heartbeat lists
  * @param guests tasks of other cells
  */
@@ -33,18 +33,29 @@
     if (!mayAct.getAsBoolean()) {
       return Optional.of(RenewalRefusal.NOT_LEADING);
     }
-    boolean mayRun = holdsOpenTasks || unanswered.pending();
-    boolean endsKnown =
-        (!mayRun || limit.mayRenew(nowMicros, endsKnownMicros))
-            && (!guests.running() || limit.mayRenew(nowMicros, guests.endsKnownMicros()));
-    if (!endsKnown) {
+    if (!tasksEndInTime(limit, nowMicros) || !guestsEndInTime(limit, nowMicros)) {
       return Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN);
     }
-    // The heartbeat does not list what such a command may add, so the lease must end in time for
-    // every cancellation that came after it was sent.
-    if (unanswered.pending() && !limit.mayRenew(nowMicros, unanswered.endsKnownMicros())) {
+    if (!unansweredEndInTime(limit, nowMicros)) {
       return Optional.of(RenewalRefusal.UNANSWERED_COMMAND);
     }
     return Optional.empty();
   }
+
+  private boolean tasksEndInTime(RenewalLimit limit, long nowMicros) {
+    boolean mayRun = holdsOpenTasks || unanswered.pending();
+    return !mayRun || limit.mayRenew(nowMicros, endsKnownMicros);
+  }
+
+  private boolean guestsEndInTime(RenewalLimit limit, long nowMicros) {
+    return !guests.running() || limit.mayRenew(nowMicros, guests.endsKnownMicros());
+  }
+
+  /**
+   * The heartbeat does not list what an unanswered command may add, so the lease must end in time
+   * for every cancellation that came after the command was sent.
+   */
+  private boolean unansweredEndInTime(RenewalLimit limit, long nowMicros) {
+    return !unanswered.pending() || limit.mayRenew(nowMicros, unanswered.endsKnownMicros());
+  }
 }
--- a/src/main/java/plumlever/lease/LeaseRenewal.java
+++ b/src/main/java/plumlever/lease/LeaseRenewal.java
@@ -12,7 +12,7 @@
 public final class LeaseRenewal {
   private final RenewalLimit limit;
 
-  /** Renewals under this limit. */
+  /** Builds answers under this limit. */
   public LeaseRenewal(RenewalLimit limit) {
     this.limit = limit;
   }
@@ -22,7 +22,7 @@
     return evidence.refusal(limit, nowMicros);
   }
 
-  /** The answer to a heartbeat, with these commands; to be sent at once. */
+  /** The answer to a heartbeat, with these commands; to be sent at once or not at all. */
   public RenewalDecision answer(
       RenewalEvidence evidence, List<WorkerCommand> commands, long nowMicros) {
     Optional<RenewalRefusal> refusal = refusal(evidence, nowMicros);
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -13,7 +13,11 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.SplittableRandom;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 import plumlever.fleet.Fleet;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.InvalidMessageException;
@@ -47,18 +51,23 @@
         assertInstanceOf(RenewalDecision.Renewed.class, decision).body());
   }
 
+  private static Stream<Arguments> insufficientEvidenceOfADelegate() {
+    return Stream.of(
+        Arguments.of(RenewalRefusal.DELEGATION_OVER, delegate(TOKEN, NOW, NOW)),
+        Arguments.of(RenewalRefusal.OTHER_TERM, delegate(Fleet.firstToken(4), NOW + 1, NOW)),
+        Arguments.of(RenewalRefusal.TOKEN_NOT_SUFFICIENT, delegate(TOKEN + 1, NOW + 1, NOW)),
+        Arguments.of(RenewalRefusal.ENDED_JOBS_UNKNOWN, delegate(TOKEN, NOW + 1, NOW - CANCEL)));
+  }
+
+  @ParameterizedTest
+  @MethodSource("insufficientEvidenceOfADelegate")
+  void aDelegateRefusesWithoutSufficientEvidence(
+      RenewalRefusal refusal, DelegateEvidence evidence) {
+    assertEquals(Optional.of(refusal), refusal(evidence));
+  }
+
   @Test
-  void aDelegateRefusesWithoutSufficientEvidence() {
-    assertEquals(Optional.of(RenewalRefusal.DELEGATION_OVER), refusal(delegate(TOKEN, NOW, NOW)));
-    assertEquals(
-        Optional.of(RenewalRefusal.OTHER_TERM),
-        refusal(delegate(Fleet.firstToken(4), NOW + 1, NOW)));
-    assertEquals(
-        Optional.of(RenewalRefusal.TOKEN_NOT_SUFFICIENT),
-        refusal(delegate(TOKEN + 1, NOW + 1, NOW)));
-    assertEquals(
-        Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN),
-        refusal(delegate(TOKEN, NOW + 1, NOW - CANCEL)));
+  void aDelegateRenewsWithSufficientEvidence() {
     assertEquals(Optional.empty(), refusal(delegate(TOKEN, NOW + 1, NOW)));
   }
 
@@ -67,20 +76,31 @@
     assertEquals(
         Optional.of(RenewalRefusal.NOT_LEADING),
         refusal(LeaderEvidence.ofIdleMachine(() -> false, TOKEN)));
+  }
+
+  @Test
+  void aLeaderWithTheRightRenewsForAnIdleMachine() {
     assertEquals(Optional.empty(), refusal(LeaderEvidence.ofIdleMachine(() -> true, TOKEN)));
   }
 
   /** What the heartbeat does not list may still be started. */
   @Test
   void anUnansweredCommandCountsAlthoughNothingIsListed() {
-    UnansweredCommands unanswered = UnansweredCommands.sentAfter(NOW);
     assertEquals(
         Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN),
-        refusal(leader(false, NOW - CANCEL, unanswered)));
+        refusal(leader(false, NOW - CANCEL, UnansweredCommands.sentAfter(NOW))));
     assertEquals(
         Optional.of(RenewalRefusal.UNANSWERED_COMMAND),
         refusal(leader(false, NOW, UnansweredCommands.sentAfter(NOW - CANCEL + LEASE))));
-    assertEquals(Optional.empty(), refusal(leader(false, NOW, unanswered)));
+  }
+
+  @Test
+  void anUnansweredCommandSentAfterARecentReadIsNoReasonToRefuse() {
+    assertEquals(Optional.empty(), refusal(leader(false, NOW, UnansweredCommands.sentAfter(NOW))));
+  }
+
+  @Test
+  void anOldReadIsNoReasonToRefuseWhereNothingMayRun() {
     assertEquals(Optional.empty(), refusal(leader(false, NOW - CANCEL, UnansweredCommands.NONE)));
   }
 
@@ -90,7 +110,7 @@
   }
 
   @Test
-  void guestsCountByTheirHomesReads() {
+  void guestsCountByTheReadsOfTheirOwnCells() {
     GuestEvidence unknown = new GuestEvidence(true, NOW - CANCEL);
     assertEquals(
         Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN),
