--- a/src/main/java/plumlever/store/KeySpace.java
+++ b/src/main/java/plumlever/store/KeySpace.java
@@ -32,24 +32,31 @@
     return ABSOLUTE + prefix + key;
   }
 
-  String stored(String key) {
-    return key.startsWith(ABSOLUTE) ? key.substring(1) : prefix + key;
+  /** True if the key is named from the root, whatever the prefix. */
+  static boolean isAbsolute(String key) {
+    return key.startsWith(ABSOLUTE);
+  }
+
+  /** The key as it is stored. */
+  String toStored(String key) {
+    return isAbsolute(key) ? key.substring(1) : prefix + key;
   }
 
   /**
-   * The name of a stored key as whoever asked knows it.
+   * The name of a stored key as whoever asked for it knows it.
    *
    * @param asked the key or prefix that was asked for
    */
-  String known(String stored, String asked) {
-    return asked.startsWith(ABSOLUTE) ? ABSOLUTE + stored : stored.substring(prefix.length());
+  String fromStored(String stored, String asked) {
+    return isAbsolute(asked) ? ABSOLUTE + stored : stored.substring(prefix.length());
   }
 
-  /** The name of a stored key that a transaction named. */
-  String known(String stored) {
-    return !prefix.isEmpty() && stored.startsWith(prefix)
-        ? stored.substring(prefix.length())
-        : ABSOLUTE + stored;
+  /** The name of a stored key as a transaction named it. */
+  String fromStored(String stored) {
+    if (isRoot()) {
+      return stored;
+    }
+    return stored.startsWith(prefix) ? stored.substring(prefix.length()) : ABSOLUTE + stored;
   }
 
   boolean isRoot() {
@@ -57,24 +64,25 @@
   }
 
   /** The body of a transaction with all keys as they are stored. */
-  ObjectNode stored(ObjectNode body) {
-    ObjectNode out = Json.object();
-    ArrayNode preconditions = out.putArray(StateProtocol.PRECONDITIONS);
+  ObjectNode toStored(ObjectNode body) {
+    ObjectNode stored = Json.object();
+    ArrayNode preconditions = stored.putArray(StateProtocol.PRECONDITIONS);
     for (JsonNode precondition : body.path(StateProtocol.PRECONDITIONS)) {
-      preconditions.add(renamed(precondition, StateProtocol.KEY));
+      preconditions.add(withStoredKey(precondition, StateProtocol.KEY));
     }
-    ArrayNode then = out.putArray(StateProtocol.OPERATIONS);
-    for (JsonNode change : body.path(StateProtocol.OPERATIONS)) {
-      then.add(
-          renamed(
-              change, change.has(StateProtocol.PUT) ? StateProtocol.PUT : StateProtocol.DELETE));
+    ArrayNode operations = stored.putArray(StateProtocol.OPERATIONS);
+    for (JsonNode operation : body.path(StateProtocol.OPERATIONS)) {
+      operations.add(
+          withStoredKey(
+              operation,
+              operation.has(StateProtocol.PUT) ? StateProtocol.PUT : StateProtocol.DELETE));
     }
-    return out;
+    return stored;
   }
 
-  private ObjectNode renamed(JsonNode node, String field) {
+  private ObjectNode withStoredKey(JsonNode node, String keyField) {
     ObjectNode copy = Json.object();
     node.properties().forEach(entry -> copy.set(entry.getKey(), entry.getValue()));
-    return copy.put(field, stored(node.get(field).asText()));
+    return copy.put(keyField, toStored(node.get(keyField).asText()));
   }
 }
--- /dev/null
+++ b/src/main/java/plumlever/store/StateAnswerReader.java
@@ -0,0 +1,150 @@
+package plumlever.store;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
+import plumlever.wire.HttpStatus;
+
+/**
+ * Reads the state service's answers into what the client's callers get. An answer that lacks what
+ * it must hold counts as none.
+ */
+final class StateAnswerReader {
+  /**
+   * A part of a listing.
+   *
+   * @param storeRevision as of which it was read
+   * @param lastStoredKey after which the next part begins; empty for the last part
+   */
+  record Page(List<StateClient.Item> items, long storeRevision, Optional<String> lastStoredKey) {}
+
+  private final KeySpace keySpace;
+
+  /** Answers about keys of this space. */
+  StateAnswerReader(KeySpace keySpace) {
+    this.keySpace = keySpace;
+  }
+
+  StateClient.ReadResult readResult(StateAnswer answer, String key) {
+    return answer
+        .successBody()
+        .filter(
+            body ->
+                body.hasNonNull(StateProtocol.VALUE) && holdsInteger(body, StateProtocol.REVISION))
+        .map(body -> new StateClient.ReadResult(HttpStatus.OK, item(body, key)))
+        .orElseGet(() -> new StateClient.ReadResult(answer.failureStatus(), null));
+  }
+
+  Optional<Page> page(StateAnswer answer, String prefix) {
+    return answer
+        .successBody()
+        .filter(
+            body ->
+                body.path(StateProtocol.ITEMS).isArray()
+                    && holdsInteger(body, StateProtocol.STORE_REVISION))
+        .map(body -> page(body, prefix));
+  }
+
+  private Page page(ObjectNode body, String prefix) {
+    List<StateClient.Item> items = new ArrayList<>();
+    String lastStoredKey = null;
+    for (JsonNode node : body.get(StateProtocol.ITEMS)) {
+      lastStoredKey = node.path(StateProtocol.KEY).asText();
+      items.add(item(node, keySpace.fromStored(lastStoredKey, prefix)));
+    }
+    boolean more = body.path(StateProtocol.MORE).asBoolean(false);
+    return new Page(
+        items,
+        body.get(StateProtocol.STORE_REVISION).longValue(),
+        more ? Optional.ofNullable(lastStoredKey) : Optional.empty());
+  }
+
+  private static StateClient.Item item(JsonNode node, String key) {
+    return new StateClient.Item(
+        key,
+        node.path(StateProtocol.VALUE),
+        node.path(StateProtocol.REVISION).asLong(),
+        node.path(StateProtocol.LEASE_ID).asLong(0));
+  }
+
+  /** The revision of the whole store. */
+  OptionalLong storeRevision(StateAnswer answer) {
+    return integer(answer, StateProtocol.STORE_REVISION);
+  }
+
+  /** The id of a lease that was created. */
+  OptionalLong leaseId(StateAnswer answer) {
+    return integer(answer, StateProtocol.LEASE_ID);
+  }
+
+  private static OptionalLong integer(StateAnswer answer, String field) {
+    Optional<ObjectNode> body = answer.successBody().filter(found -> holdsInteger(found, field));
+    return body.isPresent()
+        ? OptionalLong.of(body.get().get(field).longValue())
+        : OptionalLong.empty();
+  }
+
+  private static boolean holdsInteger(JsonNode node, String field) {
+    return node.path(field).isIntegralNumber();
+  }
+
+  Transaction.Result transactionResult(StateAnswer answer) {
+    List<String> failedKeys = new ArrayList<>();
+    long revision = -1;
+    if (answer.body().isPresent()) {
+      ObjectNode body = answer.body().get();
+      body.path(StateProtocol.FAILED_PRECONDITIONS)
+          .forEach(key -> failedKeys.add(keySpace.fromStored(key.asText())));
+      revision = body.path(StateProtocol.STORE_REVISION).asLong(-1);
+    }
+    return new Transaction.Result(
+        Transaction.Outcome.ofStatus(answer.status()), answer.status(), revision, failedKeys);
+  }
+
+  StateClient.RenewalResult renewalResult(StateAnswer answer) {
+    return switch (answer.status()) {
+      case HttpStatus.OK -> StateClient.RenewalResult.RENEWED;
+      case HttpStatus.NOT_FOUND -> StateClient.RenewalResult.ENDED;
+      default -> StateClient.RenewalResult.UNKNOWN;
+    };
+  }
+
+  /**
+   * @param since the revision from which the watch began
+   */
+  StateClient.WatchResponse watchResponse(StateAnswer answer, String prefix, long since) {
+    return answer
+        .successBody()
+        .filter(body -> holdsInteger(body, StateProtocol.STORE_REVISION))
+        .map(
+            body ->
+                new StateClient.WatchResponse(
+                    HttpStatus.OK,
+                    body.get(StateProtocol.STORE_REVISION).longValue(),
+                    events(body, prefix)))
+        .orElseGet(() -> new StateClient.WatchResponse(answer.failureStatus(), since, List.of()));
+  }
+
+  private List<StateClient.KeyEvent> events(ObjectNode body, String prefix) {
+    List<StateClient.KeyEvent> events = new ArrayList<>();
+    for (JsonNode node : body.path(StateProtocol.EVENTS)) {
+      if (node.hasNonNull(StateProtocol.PUT)) {
+        events.add(event(node, StateProtocol.PUT, prefix, node.path(StateProtocol.VALUE)));
+      } else if (node.hasNonNull(StateProtocol.DELETE)) {
+        events.add(event(node, StateProtocol.DELETE, prefix, null));
+      }
+    }
+    return events;
+  }
+
+  private StateClient.KeyEvent event(
+      JsonNode node, String keyField, String prefix, JsonNode value) {
+    return new StateClient.KeyEvent(
+        keySpace.fromStored(node.get(keyField).asText(), prefix),
+        value,
+        node.path(StateProtocol.REVISION).asLong());
+  }
+}
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -1,12 +1,10 @@
 package plumlever.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -23,13 +21,24 @@
 /**
  * The state service's client. Keeps this controller's part of the request limits; a request over it
  * is refused here, at once. Answers that can't be understood count as no answer.
+ *
+ * <p>Owned by the loop that it was made with: all methods are called there, and all answers come
+ * there.
  */
 public final class StateClient {
-  /** A key with its value, revision and the lease it hangs on (0: none). */
+  /**
+   * A key.
+   *
+   * @param data its value
+   * @param leaseId the lease that it is attached to; 0 for none
+   */
   public record Item(String key, JsonNode data, long revision, long leaseId) {}
 
   /**
+   * What a read of one key brought.
+   *
    * @param status 200, 404, or anything else for "not known"; 0 without an answer
+   * @param item null unless it was found
    */
   public record ReadResult(int status, Item item) {
     public boolean found() {
@@ -44,7 +53,11 @@
   /** All keys under a prefix, as of a revision from which changes can be watched. */
   public record Listing(List<Item> items, long storeRevision) {}
 
-  /** One change; {@code data} is null when the key was dropped. */
+  /**
+   * One change of a key.
+   *
+   * @param data the new value, null when the key was deleted
+   */
   public record KeyEvent(String key, JsonNode data, long revision) {
     public boolean deleted() {
       return data == null;
@@ -52,7 +65,10 @@
   }
 
   /**
-   * @param status 200, 410 when {@code since} was too old, else not known
+   * What a watch brought.
+   *
+   * @param status 200, 410 when the revision to watch from was too old, else not known
+   * @param storeRevision up to which {@code events} are complete
    */
   public record WatchResponse(int status, long storeRevision, List<KeyEvent> events) {
     /** True if the events are all there were; they may be none. */
@@ -66,74 +82,99 @@
     }
   }
 
-  /** What a renewal brought. */
+  /** What became of a lease that was to be renewed. */
   public enum RenewalResult {
+    /** It has its full time again. */
     RENEWED,
+    /** It had ended, with the keys that were attached to it. */
     ENDED,
+    /** No answer, or a refusal: it may have been renewed. */
     UNKNOWN
   }
 
-  /** Ordinary requests wait their turn; urgent ones (leadership, leases) go whatever the rate. */
+  /** What happens to a request that is over this controller's part of the limits. */
   public enum RequestPriority {
+    /** It is sent all the same, and paid for by later ordinary ones: for leadership and leases. */
     URGENT,
+    /** It is refused at once with 429. */
     ORDINARY
   }
 
-  private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
-  private static final long TIMEOUT_MICROS = 1_800_000;
+  /**
+   * A request.
+   *
+   * @param operations how many puts and deletes it holds
+   */
+  private record Request(
+      RequestPriority priority,
+      int operations,
+      String method,
+      String path,
+      Optional<JsonNode> body,
+      long timeoutMicros) {
+    static Request get(RequestPriority priority, String path, long timeoutMicros) {
+      return new Request(priority, 0, "GET", path, Optional.empty(), timeoutMicros);
+    }
 
-  /** The limits are shared by all controllers, so each takes up to this part. */
-  private static final double PART = 0.5;
+    static Request urgentPost(String path, JsonNode body) {
+      return post(RequestPriority.URGENT, 0, path, body);
+    }
 
-  /** Of the changes the leader needs most: ends of jobs, records of jobs and machines, progress. */
-  private static final double LEADER_PART = 0.7;
+    static Request post(RequestPriority priority, int operations, String path, JsonNode body) {
+      return new Request(priority, operations, "POST", path, Optional.of(body), TIMEOUT_MICROS);
+    }
 
-  private static final int PAGE = 500;
+    static Request urgentDelete(String path) {
+      return new Request(
+          RequestPriority.URGENT, 0, "DELETE", path, Optional.empty(), TIMEOUT_MICROS);
+    }
+  }
+
+  private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
+  private static final long TIMEOUT_MICROS = 1_800_000;
+  private static final int PAGE_SIZE = 500;
 
   /** A prefix of no key. */
-  private static final String NOTHING = "nothing/";
+  private static final String EMPTY_PREFIX = "nothing/";
 
   private final Loop loop;
   private final Caller caller;
-  private final Endpoint at;
+  private final Endpoint endpoint;
   private final Metrics metrics;
   private final KeySpace keySpace;
-  private final TokenBucket requests;
-  private final TokenBucket writes;
-  private final double writesPerS;
+  private final StateAnswerReader answers;
+  private final RequestBudget budget;
+  private final ServiceAvailability availability;
   private final WriteLimits limits;
-  private final Map<String, Long> surprises = new HashMap<>();
-  private long lastServedMicros;
-  private long refusedSinceMicros = -1;
+  private final UnexpectedAnswers unexpectedAnswers = new UnexpectedAnswers(LOG);
 
   /** A client that keeps within its part of the limits. */
   public StateClient(
       Loop loop,
       Caller caller,
-      Endpoint at,
+      Endpoint endpoint,
       PlatformConfiguration.StateLimits limits,
       Metrics metrics) {
-    this(loop, caller, at, limits, metrics, KeySpace.ROOT);
+    this(loop, caller, endpoint, limits, metrics, KeySpace.ROOT);
   }
 
   /** A client whose keys are in that space. */
   public StateClient(
       Loop loop,
       Caller caller,
-      Endpoint at,
+      Endpoint endpoint,
       PlatformConfiguration.StateLimits limits,
       Metrics metrics,
       KeySpace keySpace) {
-    this.keySpace = keySpace;
-    this.limits = new WriteLimits(limits);
-    this.metrics = metrics;
     this.loop = loop;
     this.caller = caller;
-    this.at = at;
-    this.requests = new TokenBucket(limits.rps() * PART, loop.nowMicros());
-    this.writesPerS = limits.writeRps();
-    this.writes = new TokenBucket(writesPerS * PART, loop.nowMicros());
-    this.lastServedMicros = loop.nowMicros();
+    this.endpoint = endpoint;
+    this.metrics = metrics;
+    this.keySpace = keySpace;
+    this.answers = new StateAnswerReader(keySpace);
+    this.budget = new RequestBudget(limits, loop.nowMicros());
+    this.availability = new ServiceAvailability(loop.nowMicros());
+    this.limits = new WriteLimits(limits);
   }
 
   /** How much one write may hold. */
@@ -141,14 +182,14 @@
     return limits;
   }
 
-  /** This controller leads now, or does no more. */
+  /** This controller leads from now on, or does no more: a leader gets more of the writes. */
   public void setLeading(boolean leading) {
-    writes.setRate(writesPerS * (leading ? LEADER_PART : PART), loop.nowMicros());
+    budget.setLeading(leading, loop.nowMicros());
   }
 
   /** When the service last did anything but refuse this controller. */
   public long lastServedMicros() {
-    return lastServedMicros;
+    return availability.lastServedMicros();
   }
 
   /**
@@ -156,322 +197,195 @@
    * controller. A quiet controller asks little, so silence alone is no sign.
    */
   public long refusedForMicros() {
-    return refusedSinceMicros < 0 ? 0 : loop.nowMicros() - refusedSinceMicros;
+    return availability.refusedForMicros(loop.nowMicros());
   }
 
   /** Reads one key. */
-  public void get(String key, RequestPriority priority, Consumer<ReadResult> then) {
+  public void get(String key, RequestPriority priority, Consumer<ReadResult> handler) {
     send(
+        Request.get(priority, StateProtocol.KEYS + keySpace.toStored(key), TIMEOUT_MICROS),
+        answer -> handler.accept(answers.readResult(answer, key)));
+  }
+
+  /**
+   * Reads all keys under a prefix.
+   *
+   * @param handler takes null when they could not all be read
+   */
+  public void list(String prefix, RequestPriority priority, Consumer<Listing> handler) {
+    readPage(
+        prefix,
+        Optional.empty(),
         priority,
-        0,
-        "GET",
-        StateProtocol.KEYS + keySpace.stored(key),
-        null,
-        TIMEOUT_MICROS,
-        (status, o) -> {
-          if (status == HttpStatus.OK
-              && o != null
-              && o.hasNonNull(StateProtocol.VALUE)
-              && o.path(StateProtocol.REVISION).isIntegralNumber()) {
-            then.accept(
-                new ReadResult(
-                    HttpStatus.OK,
-                    new Item(
-                        key,
-                        o.get(StateProtocol.VALUE),
-                        o.get(StateProtocol.REVISION).longValue(),
-                        o.path(StateProtocol.LEASE_ID).asLong(0))));
+        page -> {
+          if (page.isPresent()) {
+            // Pages are read at different revisions; watching from the first one misses nothing in
+            // between.
+            Listing listing =
+                new Listing(new ArrayList<>(page.get().items()), page.get().storeRevision());
+            listNextPage(prefix, priority, page.get().lastStoredKey(), listing, handler);
           } else {
-            then.accept(new ReadResult(status == HttpStatus.OK ? 0 : status, null));
+            handler.accept(null);
           }
         });
   }
 
-  /**
-   * @param then takes null when the keys could not all be read
-   */
-  public void list(String prefix, RequestPriority priority, Consumer<Listing> then) {
-    page(prefix, null, priority, new ArrayList<>(), -1, then);
+  private void listNextPage(
+      String prefix,
+      RequestPriority priority,
+      Optional<String> lastStoredKey,
+      Listing listing,
+      Consumer<Listing> handler) {
+    if (lastStoredKey.isEmpty()) {
+      handler.accept(listing);
+      return;
+    }
+    readPage(
+        prefix,
+        lastStoredKey,
+        priority,
+        page -> {
+          if (page.isPresent()) {
+            listing.items().addAll(page.get().items());
+            listNextPage(prefix, priority, page.get().lastStoredKey(), listing, handler);
+          } else {
+            handler.accept(null);
+          }
+        });
   }
 
-  private void page(
+  private void readPage(
       String prefix,
-      String since,
+      Optional<String> afterStoredKey,
       RequestPriority priority,
-      List<Item> into,
-      long firstStoreRevision,
-      Consumer<Listing> then) {
+      Consumer<Optional<StateAnswerReader.Page>> handler) {
     String path =
         StateProtocol.KEYS_BY_PREFIX
-            + keySpace.stored(prefix)
+            + keySpace.toStored(prefix)
             + StateProtocol.PAGE_SIZE_PARAMETER
-            + PAGE
-            + (since == null ? "" : StateProtocol.AFTER_PARAMETER + since);
+            + PAGE_SIZE
+            + afterStoredKey.map(key -> StateProtocol.AFTER_PARAMETER + key).orElse("");
     send(
-        priority,
-        0,
-        "GET",
-        path,
-        null,
-        TIMEOUT_MICROS,
-        (status, o) -> {
-          if (status != HttpStatus.OK
-              || o == null
-              || !o.path(StateProtocol.ITEMS).isArray()
-              || !o.path(StateProtocol.STORE_REVISION).isIntegralNumber()) {
-            then.accept(null);
-            return;
-          }
-          String last = null;
-          for (JsonNode node : o.get(StateProtocol.ITEMS)) {
-            last = node.path(StateProtocol.KEY).asText();
-            into.add(
-                new Item(
-                    keySpace.known(last, prefix),
-                    node.path(StateProtocol.VALUE),
-                    node.path(StateProtocol.REVISION).asLong(),
-                    node.path(StateProtocol.LEASE_ID).asLong(0)));
-          }
-          // Pages are read at different revisions; watching from the first one misses nothing in
-          // between.
-          long storeRevision =
-              firstStoreRevision >= 0
-                  ? firstStoreRevision
-                  : o.get(StateProtocol.STORE_REVISION).longValue();
-          if (o.path(StateProtocol.MORE).asBoolean(false) && last != null) {
-            page(prefix, last, priority, into, storeRevision, then);
-          } else {
-            then.accept(new Listing(into, storeRevision));
-          }
-        });
+        Request.get(priority, path, TIMEOUT_MICROS),
+        answer -> handler.accept(answers.page(answer, prefix)));
   }
 
-  /** The revision now; -1 when that can't be found out. */
-  public void storeRevision(Consumer<Long> then) {
+  /**
+   * Reads the revision of the whole store.
+   *
+   * @param handler takes -1 when that can't be found out
+   */
+  public void storeRevision(Consumer<Long> handler) {
+    String path =
+        StateProtocol.KEYS_BY_PREFIX + EMPTY_PREFIX + StateProtocol.PAGE_SIZE_PARAMETER + 1;
     send(
-        RequestPriority.ORDINARY,
-        0,
-        "GET",
-        StateProtocol.KEYS_BY_PREFIX + NOTHING + "&page=1",
-        null,
-        TIMEOUT_MICROS,
-        (status, o) ->
-            then.accept(
-                status == HttpStatus.OK
-                        && o != null
-                        && o.path(StateProtocol.STORE_REVISION).isIntegralNumber()
-                    ? o.get(StateProtocol.STORE_REVISION).longValue()
-                    : -1L));
+        Request.get(RequestPriority.ORDINARY, path, TIMEOUT_MICROS),
+        answer -> handler.accept(answers.storeRevision(answer).orElse(-1)));
   }
 
   /** Sends a transaction; without an answer it may have been carried out, or may be later. */
   public void transaction(
-      Transaction transaction, RequestPriority priority, Consumer<Transaction.Result> then) {
-    send(
-        priority,
-        transaction.operationCount(),
-        "POST",
-        StateProtocol.TRANSACTION,
+      Transaction transaction, RequestPriority priority, Consumer<Transaction.Result> handler) {
+    JsonNode body =
         keySpace.isRoot() && !transaction.namesAbsolute()
             ? transaction.body()
-            : keySpace.stored(transaction.body()),
-        TIMEOUT_MICROS,
-        (status, o) -> {
-          if (status == HttpStatus.PAYLOAD_TOO_LARGE
-              || (status == HttpStatus.BAD_REQUEST && !transaction.isAttachedToLease())) {
+            : keySpace.toStored(transaction.body());
+    send(
+        Request.post(priority, transaction.operationCount(), StateProtocol.TRANSACTION, body),
+        answer -> {
+          if (tellsOfSize(answer.status(), transaction)) {
             limits.refused(transaction);
           }
-          Transaction.Outcome outcome =
-              switch (status) {
-                case HttpStatus.OK -> Transaction.Outcome.APPLIED;
-                case HttpStatus.CONFLICT -> Transaction.Outcome.CONFLICT;
-                case HttpStatus.BAD_REQUEST,
-                    HttpStatus.PAYLOAD_TOO_LARGE,
-                    HttpStatus.TOO_MANY_REQUESTS,
-                    HttpStatus.UNAVAILABLE ->
-                    Transaction.Outcome.REFUSED;
-                default -> Transaction.Outcome.UNKNOWN;
-              };
-          List<String> failed = new ArrayList<>();
-          if (o != null) {
-            o.path(StateProtocol.FAILED_PRECONDITIONS)
-                .forEach(
-                    k -> failed.add(keySpace.isRoot() ? k.asText() : keySpace.known(k.asText())));
-          }
-          then.accept(
-              new Transaction.Result(
-                  outcome,
-                  status,
-                  o == null ? -1 : o.path(StateProtocol.STORE_REVISION).asLong(-1),
-                  failed));
+          handler.accept(answers.transactionResult(answer));
         });
   }
 
+  /** A transaction with a lease is malformed as well once that lease has ended. */
+  private static boolean tellsOfSize(int status, Transaction transaction) {
+    return status == HttpStatus.PAYLOAD_TOO_LARGE
+        || (status == HttpStatus.BAD_REQUEST && !transaction.isAttachedToLease());
+  }
+
   /**
    * Creates a lease.
    *
-   * @param then takes the lease id, or nothing when that failed or had no answer
+   * @param handler takes the lease id, or nothing when that failed or had no answer
    */
-  public void createLease(long ttlMicros, Consumer<OptionalLong> then) {
+  public void createLease(long ttlMicros, Consumer<OptionalLong> handler) {
     send(
-        RequestPriority.URGENT,
-        0,
-        "POST",
-        StateProtocol.LEASES,
-        Json.object().put(StateProtocol.TTL_MS, ttlMicros / 1_000),
-        TIMEOUT_MICROS,
-        (status, o) ->
-            then.accept(
-                status == HttpStatus.OK
-                        && o != null
-                        && o.path(StateProtocol.LEASE_ID).isIntegralNumber()
-                    ? OptionalLong.of(o.get(StateProtocol.LEASE_ID).longValue())
-                    : OptionalLong.empty()));
+        Request.urgentPost(
+            StateProtocol.LEASES, Json.object().put(StateProtocol.TTL_MS, ttlMicros / 1_000)),
+        answer -> handler.accept(answers.leaseId(answer)));
   }
 
   /** Renews a lease. */
-  public void renewLease(long leaseId, Consumer<RenewalResult> then) {
+  public void renewLease(long leaseId, Consumer<RenewalResult> handler) {
     send(
-        RequestPriority.URGENT,
-        0,
-        "POST",
-        StateProtocol.LEASES + "/" + leaseId + StateProtocol.RENEW_SUFFIX,
-        Json.object(),
-        TIMEOUT_MICROS,
-        (status, o) ->
-            then.accept(
-                status == HttpStatus.OK
-                    ? RenewalResult.RENEWED
-                    : status == HttpStatus.NOT_FOUND
-                        ? RenewalResult.ENDED
-                        : RenewalResult.UNKNOWN));
+        Request.urgentPost(leasePath(leaseId) + StateProtocol.RENEW_SUFFIX, Json.object()),
+        answer -> handler.accept(answers.renewalResult(answer)));
   }
 
   /** Ends a lease at once; the keys that are attached to it are deleted. */
   public void revokeLease(long leaseId) {
-    send(
-        RequestPriority.URGENT,
-        0,
-        "DELETE",
-        StateProtocol.LEASES + "/" + leaseId,
-        null,
-        TIMEOUT_MICROS,
-        (status, o) -> {});
+    send(Request.urgentDelete(leasePath(leaseId)), answer -> {});
+  }
+
+  private static String leasePath(long leaseId) {
+    return StateProtocol.LEASES + "/" + leaseId;
   }
 
   /**
-   * Asks for the changes under a prefix since a revision, waiting for the first if there is none
-   * yet.
+   * Asks for the changes under a prefix since a revision.
+   *
+   * @param waitMicros how long the service may wait for the first change if there is none yet
    */
-  public void watch(String prefix, long since, long waitMicros, Consumer<WatchResponse> then) {
+  public void watch(String prefix, long since, long waitMicros, Consumer<WatchResponse> handler) {
     String path =
         StateProtocol.WATCH_BY_PREFIX
-            + keySpace.stored(prefix)
+            + keySpace.toStored(prefix)
             + StateProtocol.AFTER_PARAMETER
             + since
             + StateProtocol.WAIT_MS_PARAMETER
             + waitMicros / 1_000;
     send(
-        RequestPriority.URGENT,
-        0,
-        "GET",
-        path,
-        null,
-        waitMicros + TIMEOUT_MICROS,
-        (status, o) -> {
-          if (status != HttpStatus.OK
-              || o == null
-              || !o.path(StateProtocol.STORE_REVISION).isIntegralNumber()) {
-            then.accept(new WatchResponse(status == HttpStatus.OK ? 0 : status, since, List.of()));
-            return;
-          }
-          List<KeyEvent> events = new ArrayList<>();
-          for (JsonNode node : o.path(StateProtocol.EVENTS)) {
-            if (node.hasNonNull(StateProtocol.PUT)) {
-              events.add(
-                  new KeyEvent(
-                      keySpace.known(node.get(StateProtocol.PUT).asText(), prefix),
-                      node.path(StateProtocol.VALUE),
-                      node.path(StateProtocol.REVISION).asLong()));
-            } else if (node.hasNonNull(StateProtocol.DELETE)) {
-              events.add(
-                  new KeyEvent(
-                      keySpace.known(node.get(StateProtocol.DELETE).asText(), prefix),
-                      null,
-                      node.path(StateProtocol.REVISION).asLong()));
-            }
-          }
-          then.accept(
-              new WatchResponse(
-                  HttpStatus.OK, o.get(StateProtocol.STORE_REVISION).longValue(), events));
-        });
+        Request.get(RequestPriority.URGENT, path, waitMicros + TIMEOUT_MICROS),
+        answer -> handler.accept(answers.watchResponse(answer, prefix, since)));
   }
 
-  private interface Parsed {
-    void take(int status, ObjectNode body);
-  }
-
-  private void send(
-      RequestPriority priority,
-      int changes,
-      String method,
-      String path,
-      JsonNode body,
-      long timeoutMicros,
-      Parsed then) {
-    long leading = loop.nowMicros();
-    if (priority == RequestPriority.URGENT) {
-      requests.acquireOnCredit(1, leading);
-      writes.acquireOnCredit(changes, leading);
-    } else if (!requests.tryAcquire(1, leading)
-        || (changes > 0 && !writes.tryAcquire(changes, leading))) {
+  private void send(Request request, Consumer<StateAnswer> handler) {
+    if (!budget.admits(request.priority(), request.operations(), loop.nowMicros())) {
       metrics.outside("state", HttpStatus.TOO_MANY_REQUESTS);
-      loop.after(0, () -> then.take(HttpStatus.TOO_MANY_REQUESTS, null));
+      loop.after(0, () -> handler.accept(StateAnswer.withoutBody(HttpStatus.TOO_MANY_REQUESTS)));
       return;
     }
-    byte[] bytes = body == null ? null : Json.write(body).getBytes(StandardCharsets.UTF_8);
+    byte[] bytes =
+        request.body().map(body -> Json.write(body).getBytes(StandardCharsets.UTF_8)).orElse(null);
     caller.call(
-        at,
-        method,
-        path,
+        endpoint,
+        request.method(),
+        request.path(),
         bytes,
-        timeoutMicros,
+        request.timeoutMicros(),
         (status, data) -> {
           metrics.outside("state", status);
-          if (status != 0 && status != HttpStatus.UNAVAILABLE) {
-            lastServedMicros = loop.nowMicros();
-            refusedSinceMicros = -1;
-          } else if (refusedSinceMicros < 0) {
-            refusedSinceMicros = loop.nowMicros();
-          }
-          ObjectNode parsed = null;
-          if ((status == HttpStatus.OK || status == HttpStatus.CONFLICT) && data.length > 0) {
-            try {
-              parsed = Json.parseObject(data);
-            } catch (InvalidMessageException e) {
-              surprise(method + " " + kind(path), e.getMessage());
-              then.take(status == HttpStatus.OK ? 0 : status, null);
-              return;
-            }
-          } else if (status == HttpStatus.BAD_REQUEST) {
-            surprise(method + " " + kind(path), new String(data, StandardCharsets.UTF_8));
-          }
-          then.take(status, parsed);
+          availability.requestEnded(status, loop.nowMicros());
+          handler.accept(answer(request, status, data));
         });
   }
 
-  private static String kind(String path) {
-    int end = 1;
-    while (end < path.length() && path.charAt(end) != '/' && path.charAt(end) != '?') {
-      end++;
+  private StateAnswer answer(Request request, int status, byte[] data) {
+    if ((status == HttpStatus.OK || status == HttpStatus.CONFLICT) && data.length > 0) {
+      try {
+        return new StateAnswer(status, Optional.of(Json.parseObject(data)));
+      } catch (InvalidMessageException e) {
+        unexpectedAnswers.report(request.method(), request.path(), e.getMessage());
+        return StateAnswer.withoutBody(status == HttpStatus.OK ? 0 : status);
+      }
     }
-    return path.substring(0, end);
-  }
-
-  /** Logged once for each kind, counted always. */
-  private void surprise(String kind, String what) {
-    if (surprises.merge(kind, 1L, Long::sum) == 1) {
-      LOG.warn("state service gave a surprising answer to {}: {}", kind, what);
+    if (status == HttpStatus.BAD_REQUEST) {
+      unexpectedAnswers.report(
+          request.method(), request.path(), new String(data, StandardCharsets.UTF_8));
     }
+    return StateAnswer.withoutBody(status);
   }
 }
