--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -208,7 +208,7 @@
       } else if (all == null && (steps >= MOST_STEPS || unread.size() > JobFinder.MOST_SINGLE)) {
         open.addAll(unread);
         store.list(
-            JobStore.ACTIVE,
+            RecordKeys.ACTIVE,
             StateClient.RequestPriority.ORDINARY,
             listing -> {
               if (listing == null) {
@@ -216,7 +216,7 @@
                 return;
               }
               all = new HashMap<>();
-              listing.items().forEach(i -> all.put(i.key().substring(JobStore.ACTIVE.length()), i));
+              listing.items().forEach(i -> all.put(RecordKeys.uidOfActive(i.key()), i));
               readParts(spilled);
             });
       } else {
@@ -246,16 +246,16 @@
     }
 
     private void active(StateClient.Item item, List<StateClient.Item> spilled) {
-      String uid = item.key().substring(JobStore.ACTIVE.length());
-      if (JobStore.dependenciesKeys(uid, item.data()).isEmpty()) {
-        enter(item, JobStore.dependenciesInline(item.data()));
+      String uid = RecordKeys.uidOfActive(item.key());
+      if (ActiveRecord.dependenciesKeys(uid, item.data()).isEmpty()) {
+        enter(item, ActiveRecord.dependenciesInline(item.data()));
       } else {
         spilled.add(item);
       }
     }
 
     private void enter(StateClient.Item item, List<String> dependencies) {
-      into.accepted(item.key().substring(JobStore.ACTIVE.length()), item.revision(), dependencies);
+      into.accepted(RecordKeys.uidOfActive(item.key()), item.revision(), dependencies);
       name(dependencies);
     }
 
@@ -279,7 +279,7 @@
       }
       StateClient.Item job = jobs.remove(jobs.size() - 1);
       List<String> keys =
-          JobStore.dependenciesKeys(job.key().substring(JobStore.ACTIVE.length()), job.data());
+          ActiveRecord.dependenciesKeys(RecordKeys.uidOfActive(job.key()), job.data());
       String first = keys.get(0);
       store.list(
           first.substring(0, first.lastIndexOf('/') + 1),
@@ -287,7 +287,9 @@
           listing -> {
             Map<String, List<String>> parts = new HashMap<>();
             if (listing != null) {
-              listing.items().forEach(i -> parts.put(i.key(), JobStore.names(i.data())));
+              listing
+                  .items()
+                  .forEach(i -> parts.put(i.key(), DependencyListRecords.uids(i.data())));
             }
             List<String> names = new ArrayList<>();
             for (String key : keys) {
@@ -309,7 +311,7 @@
   private void look(List<Question> asked) {
     DependencyGraph into = dependencyGraph;
     store.watch(
-        JobStore.ENDED,
+        RecordKeys.ENDED,
         storeRevision,
         0,
         changes -> {
@@ -333,11 +335,11 @@
           for (StateClient.KeyEvent change : changes.events()) {
             JobState how = change.data() == null ? null : JobStore.finalState(change.data());
             if (how != null) {
-              String uid = change.key().substring(JobStore.ENDED.length());
+              String uid = RecordKeys.uidOfEnded(change.key());
               // Also of jobs that are not in the book: one that was read before it ended may be on
               // its way into it.
               ends.jobEnded(uid, how);
-              dependencyGraph.ended(uid, how, JobStore.endedWallMicros(change.data()));
+              dependencyGraph.ended(uid, how, EndedRecord.endedWallMicros(change.data()));
               whole.remove(uid);
             }
           }
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -55,7 +55,7 @@
       return;
     }
     store.list(
-        JobStore.ACTIVE,
+        RecordKeys.ACTIVE,
         StateClient.RequestPriority.ORDINARY,
         active -> {
           if (active == null) {
@@ -63,7 +63,7 @@
             return;
           }
           Map<String, StateClient.Item> byUid = new HashMap<>();
-          active.items().forEach(i -> byUid.put(i.key().substring(JobStore.ACTIVE.length()), i));
+          active.items().forEach(i -> byUid.put(RecordKeys.uidOfActive(i.key()), i));
           Map<String, Found> found = new HashMap<>();
           List<String> rest = new ArrayList<>();
           for (String uid : uids) {
@@ -85,7 +85,7 @@
   private void ended(
       List<String> uids, Map<String, Found> found, Consumer<Map<String, Found>> then) {
     store.list(
-        JobStore.ENDED,
+        RecordKeys.ENDED,
         StateClient.RequestPriority.ORDINARY,
         ended -> {
           if (ended == null) {
@@ -93,7 +93,7 @@
             return;
           }
           Map<String, StateClient.Item> byUid = new HashMap<>();
-          ended.items().forEach(i -> byUid.put(i.key().substring(JobStore.ENDED.length()), i));
+          ended.items().forEach(i -> byUid.put(RecordKeys.uidOfEnded(i.key()), i));
           for (String uid : uids) {
             StateClient.Item item = byUid.get(uid);
             found.put(uid, item == null ? Found.NONE : ended(item));
@@ -103,7 +103,8 @@
   }
 
   private static Found ended(StateClient.Item item) {
-    return new Found(null, JobStore.finalState(item.data()), JobStore.endedWallMicros(item.data()));
+    return new Found(
+        null, JobStore.finalState(item.data()), EndedRecord.endedWallMicros(item.data()));
   }
 
   /** Reads of one key each, a few at a time. */
@@ -133,7 +134,7 @@
 
     private void active(String uid, int tries) {
       store.get(
-          JobStore.activeKey(uid),
+          RecordKeys.active(uid),
           StateClient.RequestPriority.ORDINARY,
           got -> {
             if (got.found()) {
@@ -148,7 +149,7 @@
 
     private void end(String uid, int tries) {
       store.get(
-          JobStore.endedKey(uid),
+          RecordKeys.ended(uid),
           StateClient.RequestPriority.ORDINARY,
           got -> {
             if (got.found() && JobStore.finalState(got.item().data()) != null) {
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -251,7 +251,7 @@
     Set<String> keys = new HashSet<>();
     for (Question question : asked) {
       if (keys.add(question.uid)) {
-        transaction.require(JobStore.activeKey(question.uid), question.revision);
+        transaction.require(RecordKeys.active(question.uid), question.revision);
       }
     }
     metrics.count("reads_coalesced", asked.size());
@@ -268,7 +268,7 @@
                 // Whether all that failed are named is not promised: the others are compared once
                 // more.
                 if (failed.isEmpty()
-                    || failed.contains(JobStore.activeKey(question.uid))
+                    || failed.contains(RecordKeys.active(question.uid))
                     || question.tries <= 1) {
                   revisions.invalidate(question.uid);
                   read(question.uid, TRIES, question.then);
@@ -297,10 +297,10 @@
    */
   private void read(String uid, int tries, Consumer<JobStatus> then) {
     store.get(
-        JobStore.activeKey(uid),
+        RecordKeys.active(uid),
         StateClient.RequestPriority.ORDINARY,
         got -> {
-          if (got.found() && JobStore.hasDependencies(got.item().data())) {
+          if (got.found() && ActiveRecord.hasDependencies(got.item().data())) {
             chain(uid, got.item().revision(), then);
           } else if (got.found()) {
             revisions.put(uid, got.item().revision());
@@ -371,7 +371,7 @@
       return;
     }
     store.get(
-        JobStore.endedKey(uid),
+        RecordKeys.ended(uid),
         StateClient.RequestPriority.ORDINARY,
         got -> {
           JobState how = got.found() ? JobStore.finalState(got.item().data()) : null;
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -1,15 +1,9 @@
 package plumlever.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.google.common.hash.Hashing;
-import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.Base64;
 import java.util.BitSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -19,7 +13,9 @@
 import plumlever.wire.Json;
 
 /**
- * The layout of the records in the state service.
+ * The layout of the records in the state service: what other packages need of it. The stored forms
+ * are each in a class of its own ({@link ActiveRecord}, {@link EndedRecord}, {@link
+ * ProgressRecords}, {@link DependencyListRecords}), the keys in {@link RecordKeys}.
  *
  * <ul>
  *   <li>{@code active/ID}: the submission, while the job has not ended. Accepting a job is this one
@@ -28,75 +24,52 @@
  *       one above. So a new leader reads only what is left to do, and a poll of a job reads one
  *       key, or two after its end.
  *   <li>{@code progress/ID/from-TASK}: bitmap of finished tasks of a large job, from that task on;
- *       {@code progress/shared chunk/N}: those of many small ones, since changes are what the state
- *       service has least of. Earlier versions wrote {@code progress/ID/CHUNK}, cut up by the
- *       largest value of their settings, which is read and not written any more; they pass over the
- *       present form, for they would take its bits for those of other tasks.
- *   <li>{@code waits/ID/DIGEST/N}: the names that a job waits on, where they do not fit its record;
- *       written before it.
+ *       {@code progress/pack/N}: those of many small ones, since changes are what the state service
+ *       has least of. Earlier versions wrote {@code progress/ID/CHUNK}, cut up by the largest value
+ *       of their settings, which is read and not written any more; they pass over the present form,
+ *       for they would take its bits for those of other tasks.
+ *   <li>{@code waits/ID/DIGEST/N}: the jobs that a job depends on, where they do not fit its
+ *       record; written before it.
  *   <li>{@code fleet/N}: machines that may hold tasks, as many as fit one value. A machine is in
- *       one of them before anything is ordered from it, so a new leader knows every machine that
+ *       one of them before any command is sent to it, so a new leader knows every machine that
  *       could run something, however far the cloud's list lags.
- *   <li>{@code begun/N}: jobs that a leader may have ordered something of, as many as fit one
- *       value. A job is in one of them before its first order, so what a new leader does not find
- *       there is on no machine.
+ *   <li>{@code begun/N}: jobs that a leader may have started tasks of, as many as fit one value. A
+ *       job is in one of them before its first command, so what a new leader does not find there is
+ *       on no machine.
  *   <li>{@code hints/N}: what a leader learnt of images and estimates, for its successor.
  *   <li>{@code catalog}: the last machine types read, for a controller that starts while the cloud
  *       is down.
  * </ul>
  */
 public final class JobStore {
-  public static final String ACTIVE = "active/";
-  public static final String PROGRESS = "progress/";
-  public static final String FLEET = "fleet/";
-  public static final String STARTED = "begun/";
-  public static final String CATALOG = "catalog";
-  public static final String WARM_STATE = "hints/";
-  public static final String ENDED = "ended/";
-  private static final String SHARED_CHUNK = PROGRESS + "pack/";
-  private static final String SHARED = "p";
-  private static final String STATE = "s";
-  private static final String SPEC = "job";
-  private static final String ACCEPTED_MS = "at_ms";
-  private static final String BITS = "b";
-  private static final String FIRST = "f";
-  private static final String FROM = "from-";
-
-  /** Lists of names that do not fit their jobs' records. */
-  public static final String DEPENDENCIES = "waits/";
-
-  private static final String DEPENDENCIES_AT = "waits";
-  private static final String DIGEST = "digest";
-  private static final String PARTS = "parts";
-  private static final String NAMES = "names";
-  private static final String ENDED_MS = "at_ms";
-
-  /** What the JSON round a list of names takes. */
-  private static final int NAMES_BASE_BYTES = 32;
-
-  private static final int DIGEST_LETTERS = 24;
-
-  /** Base64 makes so many letters of so many bytes. */
-  private static final int BASE64_LETTERS = 4;
-
-  private static final int BASE64_BYTES = 3;
-  private static final int TASKS_IN_LETTERS = BASE64_BYTES * Byte.SIZE;
-
-  /** What the JSON round a chunk, a shared chunk and an entry of one takes. */
-  private static final int CHUNK_BASE_BYTES = 64;
-
-  private static final int SHARED_CHUNK_BASE_BYTES = 32;
-  private static final int SHARED_ENTRY_BYTES = 8;
+  public static final String ACTIVE = RecordKeys.ACTIVE;
+  public static final String PROGRESS = RecordKeys.PROGRESS;
+  public static final String FLEET = RecordKeys.FLEET;
+  public static final String STARTED = RecordKeys.STARTED;
+  public static final String CATALOG = RecordKeys.CATALOG;
+  public static final String WARM_STATE = RecordKeys.WARM_STATE;
+  public static final String ENDED = RecordKeys.ENDED;
+
+  /** Lists of jobs that jobs depend on, where they do not fit the jobs' records. */
+  public static final String DEPENDENCIES = RecordKeys.DEPENDENCIES;
+
+  /** The end of a job puts the ended record and deletes the active one. */
+  private static final int OPERATIONS_OF_END = 2;
 
   private final WriteLimits limits;
   private final List<String> otherCells;
+
+  /** What the settings state, so that it depends on no refusal whether a job is accepted. */
   private final int statedValueBytes;
 
+  /** The layout within these limits, for a cell that is alone. */
   public JobStore(WriteLimits limits) {
     this(limits, List.of());
   }
 
   /**
+   * The layout within these limits.
+   *
    * @param otherCells prefixes of other cells' keys, in none of which a job may be that is accepted
    */
   public JobStore(WriteLimits limits, List<String> otherCells) {
@@ -114,64 +87,53 @@
   }
 
   public static String endedKey(String uid) {
-    return ENDED + uid;
+    return RecordKeys.ended(uid);
   }
 
   public static String activeKey(String uid) {
-    return ACTIVE + uid;
+    return RecordKeys.active(uid);
   }
 
-  public static String machinesKey(int progressChunk) {
-    return FLEET + progressChunk;
+  public static String machinesKey(int number) {
+    return FLEET + number;
   }
 
-  public static String startedKey(int progressChunk) {
-    return STARTED + progressChunk;
+  public static String startedKey(int number) {
+    return STARTED + number;
   }
 
-  public static String warmStateKey(int part) {
-    return WARM_STATE + part;
+  public static String warmStateKey(int number) {
+    return WARM_STATE + number;
   }
 
   /** Number of a record that entries share, or -1. */
   public static int sharedRecordNumber(String key) {
-    try {
-      return Integer.parseInt(key.substring(key.indexOf('/') + 1));
-    } catch (NumberFormatException e) {
-      return -1;
-    }
+    return RecordKeys.sharedRecordNumber(key);
   }
 
   /** The record of the tasks from this one on. */
   public static String progressKey(String uid, int firstTask) {
-    return PROGRESS + uid + "/" + FROM + firstTask;
+    return ProgressRecords.chunkKey(uid, firstTask);
   }
 
   public static String sharedChunkKey(int sharedChunk) {
-    return SHARED_CHUNK + sharedChunk;
+    return RecordKeys.sharedProgress(sharedChunk);
   }
 
   /** Number of the shared chunk, or -1 for any other key. */
   public static int sharedChunkOf(String key) {
-    if (!key.startsWith(SHARED_CHUNK)) {
-      return -1;
-    }
-    try {
-      return Integer.parseInt(key, SHARED_CHUNK.length(), key.length(), 10);
-    } catch (NumberFormatException e) {
-      return -1;
-    }
+    return RecordKeys.sharedProgressNumber(key);
   }
 
   /**
    * How a job is accepted.
    *
-   * @param parts what has to be stored before the transaction, by key: the names that it depends
-   *     on, if they do not fit; the anchor of the list first
+   * @param parts what has to be stored before the transaction, by key: the jobs that it depends on,
+   *     if they do not fit; the anchor of the list first
    * @param transaction creates the job's record
    */
   public record Acceptance(Map<String, ObjectNode> parts, Transaction transaction) {
-    /** True if the names that the job depends on have to be stored first. */
+    /** True if the jobs that the job depends on have to be stored first. */
     public boolean hasList() {
       return !parts.isEmpty();
     }
@@ -187,93 +149,48 @@
     }
   }
 
-  /** Null when the record is too long to store, whatever it waits on. */
+  /** Null when the record is too long to store, whatever it depends on. */
   public Acceptance acceptJob(JobSpec spec, long wallMicros) {
-    ObjectNode active = Json.object().put(ACCEPTED_MS, wallMicros / 1_000);
-    active.set(SPEC, spec.toJson());
+    ObjectNode active = ActiveRecord.write(spec, wallMicros);
     Map<String, ObjectNode> parts = Map.of();
     if (spec.hasDependencies() && bytes(active) > valueBytes()) {
-      active.set(SPEC, spec.withDependencies(List.of()).toJson());
-      String digest = digest(spec.dependencies());
-      parts = parts(dependenciesKey(spec.uid(), digest), spec.dependencies());
-      active.putObject(DEPENDENCIES_AT).put(DIGEST, digest).put(PARTS, parts.size());
+      String digest = DependencyListRecords.digest(spec.dependencies(), valueBytes());
+      parts =
+          DependencyListRecords.parts(
+              DependencyListRecords.prefix(spec.uid(), digest), spec.dependencies(), valueBytes());
+      active = ActiveRecord.writeWithList(spec, wallMicros, digest, parts.size());
     }
     if (bytes(active) > statedValueBytes) {
       return null;
     }
+    return new Acceptance(parts, createActive(spec.uid(), active));
+  }
+
+  private Transaction createActive(String uid, ObjectNode active) {
     Transaction transaction =
         new Transaction()
-            .require(activeKey(spec.uid()), 0)
-            .require(endedKey(spec.uid()), 0)
-            .put(activeKey(spec.uid()), active);
+            .require(activeKey(uid), 0)
+            .require(endedKey(uid), 0)
+            .put(activeKey(uid), active);
     for (String prefix : otherCells) {
       transaction
-          .require(KeySpace.absolute(prefix, activeKey(spec.uid())), 0)
-          .require(KeySpace.absolute(prefix, endedKey(spec.uid())), 0);
+          .require(KeySpace.absolute(prefix, activeKey(uid)), 0)
+          .require(KeySpace.absolute(prefix, endedKey(uid)), 0);
     }
-    return new Acceptance(parts, transaction);
+    return transaction;
   }
 
   private static int bytes(JsonNode value) {
     return Json.write(value).getBytes(StandardCharsets.UTF_8).length;
   }
 
-  private static String dependenciesKey(String uid, String digest) {
-    return DEPENDENCIES + uid + "/" + digest + "/";
-  }
-
-  /**
-   * Names the list, and how it is cut up: whoever stores the same list the same way stores the same
-   * values.
-   */
-  private String digest(List<String> names) {
-    return Hashing.sha256()
-        .hashString(valueBytes() + " " + String.join(" ", names), StandardCharsets.UTF_8)
-        .toString()
-        .substring(0, DIGEST_LETTERS);
-  }
-
-  private Map<String, ObjectNode> parts(String prefix, List<String> names) {
-    Map<String, ObjectNode> parts = new LinkedHashMap<>();
-    ArrayNode part = null;
-    int bytes = 0;
-    for (String name : names) {
-      if (part == null || bytes + name.length() + 3 > valueBytes()) {
-        ObjectNode value = Json.object();
-        part = value.putArray(NAMES);
-        parts.put(prefix + parts.size(), value);
-        bytes = NAMES_BASE_BYTES;
-      }
-      part.add(name);
-      bytes += name.length() + 3;
-    }
-    return parts;
-  }
-
-  /** True if the job waits on others. */
-  static boolean hasDependencies(JsonNode activeRecord) {
-    return activeRecord.has(DEPENDENCIES_AT) || !activeRecord.path(SPEC).path("waits_on").isEmpty();
-  }
-
-  /** What the job waits on, where its own record holds that. */
-  static List<String> dependenciesInline(JsonNode activeRecord) {
-    List<String> names = new ArrayList<>();
-    activeRecord.path(SPEC).path("waits_on").forEach(n -> names.add(n.asText()));
-    return names;
-  }
-
-  /** The keys that hold what the job waits on, besides its own record. */
+  /** The keys that hold what the job depends on, besides its own record. */
   public static List<String> dependenciesKeys(String uid, JsonNode activeRecord) {
-    JsonNode at = activeRecord.path(DEPENDENCIES_AT);
-    List<String> keys = new ArrayList<>();
-    for (int i = 0; i < at.path(PARTS).asInt(); i++) {
-      keys.add(dependenciesKey(uid, at.path(DIGEST).asText()) + i);
-    }
-    return keys;
+    return ActiveRecord.dependenciesKeys(uid, activeRecord);
   }
 
   /**
-   * A stored list of names.
+   * A stored list of jobs that a job depends on.
    *
    * @param uid the job that it was stored for, whether or not that was accepted
    * @param prefix of the keys of its parts
@@ -282,14 +199,7 @@
 
   /** Which list a key belongs to; nothing for a key that is no part of one. */
   public static Optional<DependencyListId> dependencyListOf(String key) {
-    int endJob = key.lastIndexOf('/');
-    int uidEnd = key.indexOf('/', DEPENDENCIES.length());
-    if (!key.startsWith(DEPENDENCIES) || uidEnd < 0 || endJob <= uidEnd) {
-      return Optional.empty();
-    }
-    return Optional.of(
-        new DependencyListId(
-            key.substring(DEPENDENCIES.length(), uidEnd), key.substring(0, endJob + 1)));
+    return DependencyListRecords.listOf(key);
   }
 
   /** The key of a list's first part. */
@@ -301,8 +211,9 @@
    * Removes parts of a list that no job uses: its job has no active record, and the anchor is as it
    * was seen. What is left without an anchor is not counted by whoever stores the list anew.
    *
+   * @param conditional what the removal is added to
    * @param anchorRevision of the anchor as listed, 0 where it is gone
-   * @param keys parts that were listed, as many as one transaction drops, the anchor among the
+   * @param keys parts that were listed, as many as one transaction deletes, the anchor among the
    *     first
    */
   public Transaction removeDependencyList(
@@ -312,130 +223,88 @@
     return conditional;
   }
 
-  /** The names that a part holds. */
+  /** The jobs that a part of a list names. */
   public static List<String> names(JsonNode part) {
-    List<String> names = new ArrayList<>();
-    part.path(NAMES).forEach(n -> names.add(n.asText()));
-    return names;
+    return DependencyListRecords.uids(part);
   }
 
   /**
    * Ends a job: its state is final from here on.
    *
-   * @param drops records of it that are of no use any more, as many as the transaction takes
+   * @param revision of its active record
+   * @param useless records of it that are of no use any more; as many are deleted as the
+   *     transaction takes
    */
   public Transaction endJob(
-      String uid, long revision, JobState how, long wallMicros, List<String> drops) {
+      String uid, long revision, JobState finalState, long wallMicros, List<String> useless) {
     Transaction transaction =
         new Transaction()
             .require(activeKey(uid), revision)
-            .put(endedKey(uid), state(how.wireName()).put(ENDED_MS, wallMicros / 1_000))
+            .put(endedKey(uid), EndedRecord.write(finalState, wallMicros))
             .delete(activeKey(uid));
-    drops.stream()
-        .limit(Math.max(0, limits.maxOperations() - transaction.operationCount()))
-        .forEach(transaction::delete);
+    useless.stream().limit(maxDeletesAtEnd()).forEach(transaction::delete);
     return transaction;
   }
 
-  /** How many records the end of a job can drop. */
+  /** How many other records of a job its end can delete. */
   public int maxDeletesAtEnd() {
-    return Math.max(0, limits.maxOperations() - 2);
+    return Math.max(0, limits.maxOperations() - OPERATIONS_OF_END);
   }
 
   /**
    * When it ended, by the clock of the controller that stored it; 0 where an earlier version did.
    */
   public static long endedWallMicros(JsonNode endedRecord) {
-    return endedRecord.path(ENDED_MS).asLong(0) * 1_000;
-  }
-
-  private static ObjectNode state(String text) {
-    return Json.object().put(STATE, text);
+    return EndedRecord.endedWallMicros(endedRecord);
   }
 
   /** Null when it can't be read. */
   public static JobState finalState(JsonNode endedRecord) {
-    String text = endedRecord.path(STATE).asText();
-    for (JobState jobState : JobState.values()) {
-      if (jobState.isFinal() && jobState.wireName().equals(text)) {
-        return jobState;
-      }
-    }
-    return null;
+    return EndedRecord.finalState(endedRecord).orElse(null);
   }
 
   /** The submission that an active record holds. */
   public static JobSpec spec(JsonNode activeRecord) throws InvalidMessageException {
-    if (!(activeRecord.get(SPEC) instanceof ObjectNode object)) {
-      throw new InvalidMessageException("the record holds no job");
-    }
-    return JobSpec.parse(object);
+    return ActiveRecord.spec(activeRecord);
   }
 
   public static long acceptedWallMicros(JsonNode activeRecord) {
-    return activeRecord.path(ACCEPTED_MS).asLong() * 1_000;
+    return ActiveRecord.acceptedWallMicros(activeRecord);
   }
 
-  /**
-   * How many tasks one record of a large job holds: Base64 makes 4 bytes of 3, the rest is room for
-   * the JSON round it.
-   */
+  /** How many tasks one record of a large job holds. */
   public int tasksPerChunk() {
-    return tasksPerChunk(valueBytes());
-  }
-
-  private static int tasksPerChunk(int valueBytes) {
-    return (valueBytes - CHUNK_BASE_BYTES) / BASE64_LETTERS * BASE64_BYTES * Byte.SIZE;
+    return ProgressRecords.tasksPerChunk(valueBytes());
   }
 
+  /** The record that holds which of these tasks of a large job have finished. */
   public JsonNode progressChunk(BitSet done, int firstTask, int tasks) {
-    byte[] raw = done.get(firstTask, firstTask + tasks).toByteArray();
-    return Json.object().put(FIRST, firstTask).put(BITS, Base64.getEncoder().encodeToString(raw));
+    return ProgressRecords.chunk(done, firstTask, tasks);
   }
 
   /** Bytes the job takes in a shared chunk, or -1 when it is too large to share a record. */
   public int bytesInSharedChunk(JobSpec spec) {
-    int bytes = sizeInSharedChunk(spec);
-    return bytes <= valueBytes() / 8 ? bytes : -1;
+    return ProgressRecords.bytesInSharedChunk(spec, valueBytes()).orElse(-1);
   }
 
   /** Bytes the job takes in a shared chunk, whether or not it may share one. */
   public static int sizeInSharedChunk(JobSpec spec) {
-    return spec.uid().length()
-        + SHARED_ENTRY_BYTES
-        + (spec.taskCount() + TASKS_IN_LETTERS - 1) / TASKS_IN_LETTERS * BASE64_LETTERS;
+    return ProgressRecords.sizeInSharedChunk(spec);
   }
 
-  /** Room in a shared chunk. */
+  /** Bytes that the jobs of a shared chunk may take together. */
   public int sharedChunkBytes() {
-    return valueBytes() - SHARED_CHUNK_BASE_BYTES;
+    return ProgressRecords.sharedChunkBytes(valueBytes());
   }
 
   /** The record that holds the finished tasks of these jobs. */
   public JsonNode sharedChunk(Map<String, BitSet> doneByJob) {
-    ObjectNode packed = Json.object();
-    doneByJob.forEach(
-        (uid, done) -> packed.put(uid, Base64.getEncoder().encodeToString(done.toByteArray())));
-    ObjectNode object = Json.object();
-    object.set(SHARED, packed);
-    return object;
+    return ProgressRecords.sharedChunk(doneByJob);
   }
 
   /** The finished tasks by job; a job whose bitmap can't be read has none. */
   public static Map<String, BitSet> readSharedChunk(JsonNode record) {
-    Map<String, BitSet> out = new LinkedHashMap<>();
-    record
-        .path(SHARED)
-        .properties()
-        .forEach(
-            e -> {
-              try {
-                out.put(e.getKey(), BitSet.valueOf(e.getValue().binaryValue()));
-              } catch (IOException | NullPointerException x) {
-                out.put(e.getKey(), new BitSet());
-              }
-            });
-    return out;
+    return ProgressRecords.readSharedChunk(record);
   }
 
   /**
@@ -445,19 +314,6 @@
    */
   public void readProgressChunk(JsonNode record, String name, BitSet into)
       throws InvalidMessageException {
-    try {
-      BitSet bits = BitSet.valueOf(record.path(BITS).binaryValue());
-      int from =
-          name.startsWith(FROM)
-              ? Integer.parseInt(name.substring(FROM.length()))
-              : Math.multiplyExact(
-                  Integer.parseInt(name), tasksPerChunk(limits.formerValueBytes()));
-      if (from < 0 || (record.has(FIRST) && record.get(FIRST).asInt(-1) != from)) {
-        throw new InvalidMessageException("a progress record is not what its key says");
-      }
-      bits.stream().forEach(i -> into.set(from + i));
-    } catch (IOException | NullPointerException | NumberFormatException | ArithmeticException e) {
-      throw new InvalidMessageException("a progress record can't be read");
-    }
+    ProgressRecords.readChunk(record, name, limits.formerValueBytes(), into);
   }
 }
--- /dev/null
+++ b/src/main/java/plumlever/store/RecordKeys.java
@@ -0,0 +1,60 @@
+package plumlever.store;
+
+/** The keys of records in the state service, and the numbers in them. */
+final class RecordKeys {
+  static final String ACTIVE = "active/";
+  static final String ENDED = "ended/";
+  static final String PROGRESS = "progress/";
+  static final String DEPENDENCIES = "waits/";
+  static final String FLEET = "fleet/";
+  static final String STARTED = "begun/";
+  static final String WARM_STATE = "hints/";
+  static final String CATALOG = "catalog";
+
+  /** Progress of small jobs that share records. */
+  static final String SHARED_PROGRESS = PROGRESS + "pack/";
+
+  private static final int NO_NUMBER = -1;
+
+  private RecordKeys() {}
+
+  static String active(String uid) {
+    return ACTIVE + uid;
+  }
+
+  /** The job that an active record's key names. */
+  static String uidOfActive(String key) {
+    return key.substring(ACTIVE.length());
+  }
+
+  static String ended(String uid) {
+    return ENDED + uid;
+  }
+
+  /** The job that an ended record's key names. */
+  static String uidOfEnded(String key) {
+    return key.substring(ENDED.length());
+  }
+
+  static String sharedProgress(int number) {
+    return SHARED_PROGRESS + number;
+  }
+
+  /** Number of a record that entries share, or -1. */
+  static int sharedRecordNumber(String key) {
+    return number(key, key.indexOf('/') + 1);
+  }
+
+  /** Number of a record of shared progress, or -1 for any other key. */
+  static int sharedProgressNumber(String key) {
+    return key.startsWith(SHARED_PROGRESS) ? number(key, SHARED_PROGRESS.length()) : NO_NUMBER;
+  }
+
+  private static int number(String key, int begin) {
+    try {
+      return Integer.parseInt(key, begin, key.length(), 10);
+    } catch (NumberFormatException e) {
+      return NO_NUMBER;
+    }
+  }
+}
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -131,14 +131,15 @@
       back.addAll(JobStore.names(acceptance.parts().get(key)));
     }
     assertEquals(names, back);
-    assertEquals(List.of(), JobStore.dependenciesInline(active));
-    assertTrue(JobStore.hasDependencies(active));
+    assertEquals(List.of(), ActiveRecord.dependenciesInline(active));
+    assertTrue(ActiveRecord.hasDependencies(active));
     JobStore.Acceptance small =
         jobStore.acceptJob(spec.withDependencies(List.of("job-1", "job-2")), 5_000);
     assertEquals(Map.of(), small.parts());
     assertEquals(
         List.of("job-1", "job-2"),
-        JobStore.dependenciesInline(small.transaction().body().path("then").get(0).path("data")));
+        ActiveRecord.dependenciesInline(
+            small.transaction().body().path("then").get(0).path("data")));
   }
 
   /**
