--- /dev/null
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -0,0 +1,210 @@
+package plumlever.store;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+import plumlever.fleet.DependencyGraph;
+import plumlever.wire.JobState;
+
+/**
+ * Adds jobs to a dependency graph with all that they depend on, directly and through others. One
+ * reader reads once.
+ */
+final class DependencyReader {
+  /** After so many steps back along dependency chains all active jobs are read at once. */
+  private static final int MAX_STEPS = 3;
+
+  private final StateClient store;
+  private final JobFinder finder;
+  private final KnownJobs knownJobs;
+  private final DependencyGraph graph;
+  private final Predicate<String> complete;
+  private final Set<String> seen = new HashSet<>();
+  private final Deque<String> open = new ArrayDeque<>();
+  private final Consumer<Boolean> handler;
+
+  /** All active jobs, once that takes fewer requests than going on one by one. */
+  private Optional<Map<String, StateClient.Item>> allActive = Optional.empty();
+
+  private int steps;
+
+  /**
+   * @param complete true for jobs that are in the graph with all that they depend on
+   * @param handler takes whether everything could be read
+   */
+  DependencyReader(
+      StateClient store,
+      JobFinder finder,
+      KnownJobs knownJobs,
+      DependencyGraph graph,
+      Predicate<String> complete,
+      Consumer<Boolean> handler) {
+    this.store = store;
+    this.finder = finder;
+    this.knownJobs = knownJobs;
+    this.graph = graph;
+    this.complete = complete;
+    this.handler = handler;
+  }
+
+  void read(Collection<String> uids) {
+    seen.addAll(uids);
+    open.addAll(uids);
+    readOpen();
+  }
+
+  /** Adds the open jobs, as far as they are known, and reads the others. */
+  private void readOpen() {
+    Set<String> unread = new LinkedHashSet<>();
+    List<StateClient.Item> withList = new ArrayList<>();
+    while (!open.isEmpty()) {
+      String uid = open.poll();
+      if (!addKnown(uid, withList)) {
+        unread.add(uid);
+      }
+    }
+    if (unread.isEmpty()) {
+      readLists(withList);
+    } else if (allActive.isEmpty()
+        && (steps >= MAX_STEPS || unread.size() > JobFinder.MAX_SINGLE_READS)) {
+      open.addAll(unread);
+      readAllActive(withList);
+    } else {
+      steps++;
+      find(unread, withList);
+    }
+  }
+
+  /** False if the job has to be read. */
+  private boolean addKnown(String uid, List<StateClient.Item> withList) {
+    Optional<JobState> finalState = knownJobs.finalState(uid);
+    if (finalState.isPresent()) {
+      graph.ended(uid, finalState.get(), 0);
+    } else if (graph.stateOf(uid) != DependencyGraph.State.UNKNOWN) {
+      // In the graph already, but not all that it depends on need be.
+      openDependencies(graph.waitsFor(uid));
+    } else if (allActive.isPresent() && allActive.get().containsKey(uid)) {
+      addActive(allActive.get().get(uid), withList);
+    } else {
+      return false;
+    }
+    return true;
+  }
+
+  private void readAllActive(List<StateClient.Item> withList) {
+    store.list(
+        RecordKeys.ACTIVE,
+        StateClient.RequestPriority.ORDINARY,
+        listing -> {
+          if (listing == null) {
+            handler.accept(false);
+            return;
+          }
+          Map<String, StateClient.Item> byUid = new HashMap<>();
+          listing.items().forEach(item -> byUid.put(RecordKeys.uidOfActive(item.key()), item));
+          allActive = Optional.of(byUid);
+          readLists(withList);
+        });
+  }
+
+  private void find(Set<String> uids, List<StateClient.Item> withList) {
+    finder.find(
+        uids,
+        found -> {
+          if (found == null) {
+            handler.accept(false);
+            return;
+          }
+          found.forEach((uid, job) -> addFound(uid, job, withList));
+          readLists(withList);
+        });
+  }
+
+  private void addFound(String uid, JobFinder.Found job, List<StateClient.Item> withList) {
+    // What ended while this was read is known from the watch, which may have come first.
+    Optional<JobState> finalState =
+        Optional.ofNullable(job.endState()).or(() -> knownJobs.finalState(uid));
+    if (finalState.isPresent()) {
+      knownJobs.jobEnded(uid, finalState.get());
+      graph.ended(uid, finalState.get(), job.endedWallMicros());
+    } else if (job.active() != null) {
+      addActive(job.active(), withList);
+    }
+  }
+
+  private void addActive(StateClient.Item item, List<StateClient.Item> withList) {
+    if (ActiveRecord.dependenciesKeys(RecordKeys.uidOfActive(item.key()), item.data()).isEmpty()) {
+      addToGraph(item, ActiveRecord.dependenciesInline(item.data()));
+    } else {
+      withList.add(item);
+    }
+  }
+
+  private void addToGraph(StateClient.Item item, List<String> dependencies) {
+    graph.accepted(RecordKeys.uidOfActive(item.key()), item.revision(), dependencies);
+    openDependencies(dependencies);
+  }
+
+  private void openDependencies(List<String> uids) {
+    for (String uid : uids) {
+      if (!complete.test(uid) && seen.add(uid)) {
+        open.add(uid);
+      }
+    }
+  }
+
+  /** The lists that do not fit their jobs' records, one job after the other. */
+  private void readLists(List<StateClient.Item> jobs) {
+    if (jobs.isEmpty()) {
+      if (open.isEmpty()) {
+        handler.accept(true);
+      } else {
+        readOpen();
+      }
+      return;
+    }
+    StateClient.Item job = jobs.remove(jobs.size() - 1);
+    List<String> keys =
+        ActiveRecord.dependenciesKeys(RecordKeys.uidOfActive(job.key()), job.data());
+    store.list(
+        DependencyListRecords.prefixOfPart(keys.get(0)),
+        StateClient.RequestPriority.ORDINARY,
+        listing -> {
+          Optional<List<String>> dependencies =
+              Optional.ofNullable(listing).flatMap(found -> joinParts(keys, found));
+          if (dependencies.isPresent()) {
+            addToGraph(job, dependencies.get());
+            readLists(jobs);
+          } else {
+            handler.accept(false);
+          }
+        });
+  }
+
+  /**
+   * Nothing where a part is missing: it is gone because the job has ended meanwhile, and then its
+   * record says so.
+   */
+  private static Optional<List<String>> joinParts(List<String> keys, StateClient.Listing listing) {
+    Map<String, List<String>> parts = new HashMap<>();
+    listing.items().forEach(item -> parts.put(item.key(), DependencyListRecords.uids(item.data())));
+    List<String> uids = new ArrayList<>();
+    for (String key : keys) {
+      if (!parts.containsKey(key)) {
+        return Optional.empty();
+      }
+      uids.addAll(parts.get(key));
+    }
+    return Optional.of(uids);
+  }
+}
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -1,24 +1,20 @@
 package plumlever.store;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import plumlever.concurrent.Loop;
 import plumlever.fleet.DependencyGraph;
-import plumlever.wire.HttpStatus;
 import plumlever.wire.JobState;
 
 /**
- * What the state service says of jobs that wait for others. Their records never change until they
+ * What the state service says of jobs that depend on others. Their records never change until they
  * end, so they are read once, with those that they name, directly and through others; from then on
  * one question for what has ended since the last one, begun after the users asked, answers all of
- * them. Nothing hangs on who leads, nor on a version's knowing of dependency chains.
+ * them. Nothing depends on who leads, nor on a version's knowing of dependencies.
  */
 final class DependencyRecordCache {
   /** What follows for a job from the records, as of a moment after it was asked about. */
@@ -30,354 +26,204 @@
     UNAVAILABLE
   }
 
-  private record Question(String uid, int tries, Consumer<Answer> then) {}
+  private record Question(String uid, int attemptsLeft, Consumer<Answer> handler) {}
 
-  private static final long GATHER_MICROS = 25_000;
-  private static final long AGAIN_MICROS = 150_000;
-  private static final int TRIES = 4;
+  /** Beyond this many the graph is begun anew; jobs are read again as they are asked about. */
+  private static final int MAX_JOBS = 50_000;
 
-  /** After so many steps back along dependency chains all active jobs are read at once. */
-  private static final int MOST_STEPS = 3;
+  /** In place of the revision up to which ends are in the graph, before there is one. */
+  private static final long UNKNOWN = -1;
 
-  /**
-   * Beyond this much the book is begun anew; dependency chains are read again as they are asked
-   * about.
-   */
-  private static final int MOST_JOBS = 50_000;
-
-  private final Loop loop;
   private final StateClient store;
   private final JobFinder finder;
+  private final KnownJobs knownJobs;
+  private final RateLimitRetry retry;
+  private final QuestionBatch<Question> questions;
 
-  /** Told of each end that is read. */
-  private final Ends ends;
-
-  private DependencyGraph dependencyGraph = new DependencyGraph();
+  private DependencyGraph graph = new DependencyGraph();
 
-  /** Jobs of which all that they wait on, directly or through others, is in the book. */
-  private Set<String> whole = new HashSet<>();
+  /** Jobs that are in the graph with all that they depend on, directly or through others. */
+  private Set<String> complete = new HashSet<>();
 
-  /** Ends up to this revision are in the book; -1 before the first. */
-  private long storeRevision = -1;
-
-  private List<Question> gathered = new ArrayList<>();
-
-  /** What is known of ended jobs beside this cache. */
-  interface Ends {
-    void jobEnded(String uid, JobState how);
-
-    /** How it ended, or null if that is not known without asking. */
-    JobState knownEndState(String uid);
-  }
+  /** Ends up to this revision are in the graph. */
+  private long storeRevision = UNKNOWN;
 
-  DependencyRecordCache(Loop loop, StateClient store, JobFinder finder, Ends ends) {
-    this.loop = loop;
+  /**
+   * @param knownJobs told of each end that is read
+   */
+  DependencyRecordCache(Loop loop, StateClient store, JobFinder finder, KnownJobs knownJobs) {
     this.store = store;
     this.finder = finder;
-    this.ends = ends;
+    this.knownJobs = knownJobs;
+    this.retry = new RateLimitRetry(loop);
+    this.questions = new QuestionBatch<>(loop, () -> Integer.MAX_VALUE, this::answerAll);
   }
 
-  /** The job whose cancel cancelled this one, or null. */
-  String through(String uid) {
-    return dependencyGraph.failedDependencyOf(uid);
+  /** The dependency whose cancellation cancelled this job, or null. */
+  String failedDependencyOf(String uid) {
+    return graph.failedDependencyOf(uid);
   }
 
   /**
-   * The revision of a job's record that is in the book with all that it waits on; 0 for any other.
+   * The revision of a job's record that is in the graph with all that it depends on; 0 for any
+   * other.
    */
   long revision(String uid) {
-    return whole.contains(uid) ? dependencyGraph.revision(uid) : 0;
+    return complete.contains(uid) ? graph.revision(uid) : 0;
+  }
+
+  /** The job was accepted here a moment ago: its own record need not be read. */
+  void jobAccepted(String uid, long revision, List<String> dependencies) {
+    if (storeRevision >= 0) {
+      graph.accepted(uid, revision, dependencies);
+      discardNews();
+    }
   }
 
   /** An end that this controller knows of. */
-  void jobEnded(String uid, JobState how) {
-    dependencyGraph.ended(uid, how, 0);
-    whole.remove(uid);
-    forgetNews();
+  void jobEnded(String uid, JobState finalState) {
+    addEnd(uid, finalState, 0);
+    discardNews();
   }
 
-  private void forgetNews() {
-    dependencyGraph.takeReleased();
-    dependencyGraph.takeCancelled();
+  private void addEnd(String uid, JobState finalState, long endedWallMicros) {
+    graph.ended(uid, finalState, endedWallMicros);
+    complete.remove(uid);
   }
 
-  /** Finds out what follows for a job that waits, or waited, for others. */
-  void ask(String uid, Consumer<Answer> then) {
-    ask(new Question(uid, TRIES, then));
+  /** The graph's news are for a leader, who acts on them; here jobs are asked about one by one. */
+  private void discardNews() {
+    graph.takeReleased();
+    graph.takeCancelled();
   }
 
-  private void ask(Question question) {
-    gathered.add(question);
-    if (gathered.size() == 1) {
-      loop.after(GATHER_MICROS, this::turn);
-    }
+  /** Finds out what follows for a job that depends, or depended, on others. */
+  void ask(String uid, Consumer<Answer> handler) {
+    questions.add(new Question(uid, RateLimitRetry.MAX_ATTEMPTS, handler));
   }
 
-  private void turn() {
-    List<Question> asked = gathered;
-    gathered = new ArrayList<>();
-    if (dependencyGraph.size() > MOST_JOBS) {
+  private void answerAll(List<Question> asked) {
+    if (graph.size() > MAX_JOBS) {
       reset();
     }
     if (storeRevision >= 0) {
-      complete(asked);
+      readMissing(asked);
       return;
     }
-    // Where to begin: whatever ends after this revision is told by the changes, whatever did before
+    // Where to begin: whatever ends after this revision is told by the watch, whatever did before
     // by the records.
     store.storeRevision(
         now -> {
           if (now < 0) {
-            answer(asked, Answer.UNAVAILABLE);
+            failAll(asked);
           } else {
             storeRevision = storeRevision < 0 ? now : storeRevision;
-            complete(asked);
+            readMissing(asked);
           }
         });
   }
 
-  /** The job was accepted here a moment ago: its own record need not be read. */
-  void jobAccepted(String uid, long revision, List<String> dependencies) {
-    if (storeRevision >= 0) {
-      dependencyGraph.accepted(uid, revision, dependencies);
-      forgetNews();
-    }
-  }
-
   /** Reads what is missing of the dependency chains asked about, step by step away from them. */
-  private void complete(List<Question> asked) {
-    Set<String> unread = new LinkedHashSet<>();
+  private void readMissing(List<Question> asked) {
+    Set<String> incomplete = new LinkedHashSet<>();
     for (Question question : asked) {
-      if (!whole.contains(question.uid)) {
-        unread.add(question.uid);
+      if (!complete.contains(question.uid())) {
+        incomplete.add(question.uid());
       }
     }
-    DependencyGraph into = dependencyGraph;
-    new Reading(
-            into,
-            unread,
-            fine -> {
-              if (!fine || into != dependencyGraph) {
-                answer(asked, Answer.UNAVAILABLE);
+    DependencyGraph readInto = graph;
+    new DependencyReader(
+            store,
+            finder,
+            knownJobs,
+            readInto,
+            uid -> complete.contains(uid),
+            allRead -> {
+              if (!allRead || readInto != graph) {
+                failAll(asked);
                 return;
               }
-              whole.addAll(unread);
-              look(asked);
+              complete.addAll(incomplete);
+              readNewEnds(asked);
             })
-        .goOn();
+        .read(incomplete);
   }
 
-  /** Enters jobs in the book, with all that they wait on, directly and through others. */
-  private final class Reading {
-    private final DependencyGraph into;
-    private final Set<String> seen;
-    private final ArrayDeque<String> open;
-    private final Consumer<Boolean> then;
-
-    /** All active jobs, once that takes fewer requests than going on one by one. */
-    private Map<String, StateClient.Item> all;
-
-    private int steps;
-
-    Reading(DependencyGraph into, Set<String> uids, Consumer<Boolean> then) {
-      this.into = into;
-      this.seen = new HashSet<>(uids);
-      this.open = new ArrayDeque<>(uids);
-      this.then = then;
-    }
-
-    void goOn() {
-      Set<String> unread = new LinkedHashSet<>();
-      List<StateClient.Item> spilled = new ArrayList<>();
-      while (!open.isEmpty()) {
-        String uid = open.poll();
-        JobState how = ends.knownEndState(uid);
-        if (how != null) {
-          into.ended(uid, how, 0);
-        } else if (into.stateOf(uid) != DependencyGraph.State.UNKNOWN) {
-          // In the book already, but not all that it waits on need be.
-          name(into.waitsFor(uid));
-        } else if (all != null && all.containsKey(uid)) {
-          active(all.get(uid), spilled);
-        } else {
-          unread.add(uid);
-        }
-      }
-      if (unread.isEmpty()) {
-        readParts(spilled);
-      } else if (all == null && (steps >= MOST_STEPS || unread.size() > JobFinder.MOST_SINGLE)) {
-        open.addAll(unread);
-        store.list(
-            RecordKeys.ACTIVE,
-            StateClient.RequestPriority.ORDINARY,
-            listing -> {
-              if (listing == null) {
-                then.accept(false);
-                return;
-              }
-              all = new HashMap<>();
-              listing.items().forEach(i -> all.put(RecordKeys.uidOfActive(i.key()), i));
-              readParts(spilled);
-            });
-      } else {
-        steps++;
-        finder.find(
-            unread,
-            found -> {
-              if (found == null) {
-                then.accept(false);
-                return;
-              }
-              found.forEach(
-                  (uid, f) -> {
-                    // What ended while this was read is known from the changes, which may have come
-                    // first.
-                    JobState how = f.endState() != null ? f.endState() : ends.knownEndState(uid);
-                    if (how != null) {
-                      ends.jobEnded(uid, how);
-                      into.ended(uid, how, f.endedWallMicros());
-                    } else if (f.active() != null) {
-                      active(f.active(), spilled);
-                    }
-                  });
-              readParts(spilled);
-            });
-      }
-    }
-
-    private void active(StateClient.Item item, List<StateClient.Item> spilled) {
-      String uid = RecordKeys.uidOfActive(item.key());
-      if (ActiveRecord.dependenciesKeys(uid, item.data()).isEmpty()) {
-        enter(item, ActiveRecord.dependenciesInline(item.data()));
-      } else {
-        spilled.add(item);
-      }
-    }
-
-    private void enter(StateClient.Item item, List<String> dependencies) {
-      into.accepted(RecordKeys.uidOfActive(item.key()), item.revision(), dependencies);
-      name(dependencies);
-    }
-
-    private void name(List<String> uids) {
-      for (String uid : uids) {
-        if (!whole.contains(uid) && seen.add(uid)) {
-          open.add(uid);
-        }
-      }
-    }
-
-    /** The lists that did not fit their jobs' records, one job after the other. */
-    private void readParts(List<StateClient.Item> jobs) {
-      if (jobs.isEmpty()) {
-        if (open.isEmpty()) {
-          then.accept(true);
-        } else {
-          goOn();
-        }
-        return;
-      }
-      StateClient.Item job = jobs.remove(jobs.size() - 1);
-      List<String> keys =
-          ActiveRecord.dependenciesKeys(RecordKeys.uidOfActive(job.key()), job.data());
-      String first = keys.get(0);
-      store.list(
-          first.substring(0, first.lastIndexOf('/') + 1),
-          StateClient.RequestPriority.ORDINARY,
-          listing -> {
-            Map<String, List<String>> parts = new HashMap<>();
-            if (listing != null) {
-              listing
-                  .items()
-                  .forEach(i -> parts.put(i.key(), DependencyListRecords.uids(i.data())));
-            }
-            List<String> names = new ArrayList<>();
-            for (String key : keys) {
-              if (!parts.containsKey(key)) {
-                // Not to be had now, or gone because the job has ended meanwhile: then its record
-                // says so.
-                then.accept(false);
-                return;
-              }
-              names.addAll(parts.get(key));
-            }
-            enter(job, names);
-            readParts(jobs);
-          });
-    }
-  }
-
-  /** All that ended since the last look, as of now. */
-  private void look(List<Question> asked) {
-    DependencyGraph into = dependencyGraph;
+  /** All that ended since the last question, as of now. */
+  private void readNewEnds(List<Question> asked) {
+    DependencyGraph readInto = graph;
     store.watch(
         RecordKeys.ENDED,
         storeRevision,
         0,
         changes -> {
-          if (into != dependencyGraph) {
-            answer(asked, Answer.UNAVAILABLE);
-            return;
-          }
-          if (changes.status() == HttpStatus.GONE) {
+          if (readInto != graph) {
+            failAll(asked);
+          } else if (changes.expired()) {
             reset();
-            again(asked);
-            return;
-          }
-          if (changes.status() != HttpStatus.OK) {
-            if (changes.status() == HttpStatus.TOO_MANY_REQUESTS) {
-              again(asked);
-            } else {
-              answer(asked, Answer.UNAVAILABLE);
-            }
-            return;
-          }
-          for (StateClient.KeyEvent change : changes.events()) {
-            JobState how = change.data() == null ? null : JobStore.finalState(change.data());
-            if (how != null) {
-              String uid = RecordKeys.uidOfEnded(change.key());
-              // Also of jobs that are not in the book: one that was read before it ended may be on
-              // its way into it.
-              ends.jobEnded(uid, how);
-              dependencyGraph.ended(uid, how, EndedRecord.endedWallMicros(change.data()));
-              whole.remove(uid);
-            }
-          }
-          storeRevision = Math.max(storeRevision, changes.storeRevision());
-          forgetNews();
-          for (Question question : asked) {
-            question.then.accept(
-                ends.knownEndState(question.uid) != null
-                    ? Answer.ENDED
-                    : switch (dependencyGraph.stateOf(question.uid)) {
-                      case WAITING -> Answer.WAITING;
-                      case RELEASED -> Answer.RELEASED;
-                      case CANCELLED -> Answer.CANCELLED;
-                      case DONE -> Answer.ENDED;
-                      case UNKNOWN -> Answer.UNAVAILABLE;
-                    });
+            asked.forEach(
+                question ->
+                    retry.retryOr(
+                        question.attemptsLeft(), () -> askAgain(question), () -> fail(question)));
+          } else if (!changes.answered()) {
+            asked.forEach(
+                question ->
+                    retry.retryOr(
+                        changes.status(),
+                        question.attemptsLeft(),
+                        () -> askAgain(question),
+                        () -> fail(question)));
+          } else {
+            addEnds(changes);
+            asked.forEach(question -> question.handler().accept(answerTo(question)));
           }
         });
   }
 
-  private void again(List<Question> asked) {
-    for (Question question : asked) {
-      if (question.tries > 1) {
-        loop.after(
-            AGAIN_MICROS, () -> ask(new Question(question.uid, question.tries - 1, question.then)));
-      } else {
-        question.then.accept(Answer.UNAVAILABLE);
+  private void addEnds(StateClient.WatchResponse changes) {
+    for (StateClient.KeyEvent change : changes.events()) {
+      Optional<JobState> finalState =
+          change.deleted() ? Optional.empty() : EndedRecord.finalState(change.data());
+      if (finalState.isPresent()) {
+        String uid = RecordKeys.uidOfEnded(change.key());
+        // Also of jobs that are not in the graph: one that was read before it ended may be on its
+        // way into it.
+        knownJobs.jobEnded(uid, finalState.get());
+        addEnd(uid, finalState.get(), EndedRecord.endedWallMicros(change.data()));
       }
     }
+    storeRevision = Math.max(storeRevision, changes.storeRevision());
+    discardNews();
+  }
+
+  private Answer answerTo(Question question) {
+    if (knownJobs.finalState(question.uid()).isPresent()) {
+      return Answer.ENDED;
+    }
+    return switch (graph.stateOf(question.uid())) {
+      case WAITING -> Answer.WAITING;
+      case RELEASED -> Answer.RELEASED;
+      case CANCELLED -> Answer.CANCELLED;
+      case DONE -> Answer.ENDED;
+      case UNKNOWN -> Answer.UNAVAILABLE;
+    };
+  }
+
+  private void askAgain(Question question) {
+    questions.add(new Question(question.uid(), question.attemptsLeft() - 1, question.handler()));
+  }
+
+  private static void fail(Question question) {
+    question.handler().accept(Answer.UNAVAILABLE);
   }
 
-  private static void answer(List<Question> asked, Answer answer) {
-    asked.forEach(q -> q.then.accept(answer));
+  private static void failAll(List<Question> asked) {
+    asked.forEach(DependencyRecordCache::fail);
   }
 
   private void reset() {
-    dependencyGraph = new DependencyGraph();
-    whole = new HashSet<>();
-    storeRevision = -1;
+    graph = new DependencyGraph();
+    complete = new HashSet<>();
+    storeRevision = UNKNOWN;
   }
 }
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -3,12 +3,13 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import plumlever.concurrent.Loop;
-import plumlever.wire.HttpStatus;
 import plumlever.wire.JobState;
 
 /**
@@ -19,167 +20,182 @@
   /**
    * A job's record.
    *
-   * @param active null unless it has not ended
-   * @param how null unless it has
-   * @param endedWallMicros when, if that was stored
+   * @param active null unless it has been accepted and has not ended
+   * @param endState null unless it has ended
+   * @param endedWallMicros when, if that was stored, else 0
    */
   public record Found(StateClient.Item active, JobState endState, long endedWallMicros) {
     static final Found NONE = new Found(null, null, 0);
 
+    static Found active(StateClient.Item item) {
+      return new Found(item, null, 0);
+    }
+
+    static Found ended(StateClient.Item item) {
+      return new Found(
+          null,
+          EndedRecord.finalState(item.data()).orElse(null),
+          EndedRecord.endedWallMicros(item.data()));
+    }
+
     public boolean accepted() {
       return active != null || endState != null;
     }
   }
 
   /** Beyond this many a listing costs less. */
-  static final int MOST_SINGLE = 24;
+  static final int MAX_SINGLE_READS = 24;
 
-  private static final int MOST_AT_ONCE = 6;
-  private static final long AGAIN_MICROS = 150_000;
-  private static final int TRIES = 4;
+  private static final int MAX_READS_AT_ONCE = 6;
 
-  private final Loop loop;
   private final StateClient store;
+  private final RateLimitRetry retry;
 
+  /** Reads by this client. */
   public JobFinder(Loop loop, StateClient store) {
-    this.loop = loop;
     this.store = store;
+    this.retry = new RateLimitRetry(loop);
   }
 
   /**
-   * @param then takes what was found of each, or null when that can't be found out now
+   * Reads the records of these jobs.
+   *
+   * @param handler takes what was found of each, or null when that can't be found out now
    */
-  public void find(Collection<String> uids, Consumer<Map<String, Found>> then) {
-    if (uids.size() <= MOST_SINGLE) {
-      new Singles(uids, new HashMap<>(), then).start();
+  public void find(Collection<String> uids, Consumer<Map<String, Found>> handler) {
+    if (uids.size() <= MAX_SINGLE_READS) {
+      new SingleReads(uids, new HashMap<>(), handler).sendNext();
       return;
     }
-    store.list(
+    list(
         RecordKeys.ACTIVE,
-        StateClient.RequestPriority.ORDINARY,
-        active -> {
-          if (active == null) {
-            then.accept(null);
+        activeByUid -> {
+          if (activeByUid.isEmpty()) {
+            handler.accept(null);
             return;
           }
-          Map<String, StateClient.Item> byUid = new HashMap<>();
-          active.items().forEach(i -> byUid.put(RecordKeys.uidOfActive(i.key()), i));
           Map<String, Found> found = new HashMap<>();
           List<String> rest = new ArrayList<>();
           for (String uid : uids) {
-            StateClient.Item item = byUid.get(uid);
+            StateClient.Item item = activeByUid.get().get(uid);
             if (item != null) {
-              found.put(uid, new Found(item, null, 0));
+              found.put(uid, Found.active(item));
             } else {
               rest.add(uid);
             }
           }
-          if (rest.size() <= MOST_SINGLE) {
-            new Singles(rest, found, then).start();
-          } else {
-            ended(rest, found, then);
-          }
+          findEnded(rest, found, handler);
         });
   }
 
-  private void ended(
-      List<String> uids, Map<String, Found> found, Consumer<Map<String, Found>> then) {
-    store.list(
+  private void findEnded(
+      List<String> uids, Map<String, Found> found, Consumer<Map<String, Found>> handler) {
+    if (uids.size() <= MAX_SINGLE_READS) {
+      new SingleReads(uids, found, handler).sendNext();
+      return;
+    }
+    list(
         RecordKeys.ENDED,
-        StateClient.RequestPriority.ORDINARY,
-        ended -> {
-          if (ended == null) {
-            then.accept(null);
+        endedByUid -> {
+          if (endedByUid.isEmpty()) {
+            handler.accept(null);
             return;
           }
-          Map<String, StateClient.Item> byUid = new HashMap<>();
-          ended.items().forEach(i -> byUid.put(RecordKeys.uidOfEnded(i.key()), i));
           for (String uid : uids) {
-            StateClient.Item item = byUid.get(uid);
-            found.put(uid, item == null ? Found.NONE : ended(item));
+            StateClient.Item item = endedByUid.get().get(uid);
+            found.put(uid, item == null ? Found.NONE : Found.ended(item));
           }
-          then.accept(found);
+          handler.accept(found);
         });
   }
 
-  private static Found ended(StateClient.Item item) {
-    return new Found(
-        null, JobStore.finalState(item.data()), EndedRecord.endedWallMicros(item.data()));
+  private void list(String prefix, Consumer<Optional<Map<String, StateClient.Item>>> handler) {
+    store.list(
+        prefix,
+        StateClient.RequestPriority.ORDINARY,
+        listing -> {
+          if (listing == null) {
+            handler.accept(Optional.empty());
+            return;
+          }
+          Map<String, StateClient.Item> byUid = new HashMap<>();
+          listing.items().forEach(item -> byUid.put(item.key().substring(prefix.length()), item));
+          handler.accept(Optional.of(byUid));
+        });
   }
 
   /** Reads of one key each, a few at a time. */
-  private final class Singles {
-    private final ArrayDeque<String> open;
+  private final class SingleReads {
+    private final Deque<String> open;
     private final Map<String, Found> found;
-    private final Consumer<Map<String, Found>> then;
-    private int underWay;
-    private boolean over;
+    private final Consumer<Map<String, Found>> handler;
+    private int pending;
+    private boolean finished;
 
-    Singles(Collection<String> uids, Map<String, Found> found, Consumer<Map<String, Found>> then) {
+    SingleReads(
+        Collection<String> uids, Map<String, Found> found, Consumer<Map<String, Found>> handler) {
       this.open = new ArrayDeque<>(uids);
       this.found = found;
-      this.then = then;
+      this.handler = handler;
     }
 
-    void start() {
-      if (open.isEmpty() && underWay == 0) {
+    void sendNext() {
+      if (open.isEmpty() && pending == 0) {
         finish(found);
         return;
       }
-      while (!over && underWay < MOST_AT_ONCE && !open.isEmpty()) {
-        underWay++;
-        active(open.poll(), TRIES);
+      while (!finished && pending < MAX_READS_AT_ONCE && !open.isEmpty()) {
+        pending++;
+        readActive(open.poll(), RateLimitRetry.MAX_ATTEMPTS);
       }
     }
 
-    private void active(String uid, int tries) {
+    private void readActive(String uid, int attemptsLeft) {
       store.get(
           RecordKeys.active(uid),
           StateClient.RequestPriority.ORDINARY,
           got -> {
             if (got.found()) {
-              take(uid, new Found(got.item(), null, 0));
+              add(uid, Found.active(got.item()));
             } else if (got.missing()) {
-              end(uid, TRIES);
+              readEnded(uid, RateLimitRetry.MAX_ATTEMPTS);
             } else {
-              again(got.status(), tries, () -> active(uid, tries - 1));
+              failed(got.status(), attemptsLeft, () -> readActive(uid, attemptsLeft - 1));
             }
           });
     }
 
-    private void end(String uid, int tries) {
+    private void readEnded(String uid, int attemptsLeft) {
       store.get(
           RecordKeys.ended(uid),
           StateClient.RequestPriority.ORDINARY,
           got -> {
-            if (got.found() && JobStore.finalState(got.item().data()) != null) {
-              take(uid, ended(got.item()));
+            if (got.found() && EndedRecord.finalState(got.item().data()).isPresent()) {
+              add(uid, Found.ended(got.item()));
             } else if (got.missing()) {
-              take(uid, Found.NONE);
+              add(uid, Found.NONE);
             } else {
-              again(got.status(), tries, () -> end(uid, tries - 1));
+              failed(got.status(), attemptsLeft, () -> readEnded(uid, attemptsLeft - 1));
             }
           });
     }
 
-    private void take(String uid, Found record) {
-      underWay--;
-      found.put(uid, record);
-      start();
+    private void add(String uid, Found job) {
+      pending--;
+      found.put(uid, job);
+      sendNext();
     }
 
-    private void again(int status, int tries, Runnable retry) {
-      if (status == HttpStatus.TOO_MANY_REQUESTS && tries > 1 && !over) {
-        loop.after(AGAIN_MICROS, retry);
-      } else {
-        finish(null);
+    private void failed(int status, int attemptsLeft, Runnable again) {
+      if (!finished) {
+        retry.retryOr(status, attemptsLeft, again, () -> finish(null));
       }
     }
 
     private void finish(Map<String, Found> result) {
-      if (!over) {
-        over = true;
-        then.accept(result);
+      if (!finished) {
+        finished = true;
+        handler.accept(result);
       }
     }
   }
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -1,20 +1,18 @@
 package plumlever.store;
 
-import com.google.common.cache.Cache;
-import com.google.common.cache.CacheBuilder;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import plumlever.concurrent.Loop;
 import plumlever.metrics.Metrics;
-import plumlever.wire.HttpStatus;
 import plumlever.wire.JobState;
 
 /**
@@ -26,30 +24,60 @@
 public final class JobRecordCache {
   /** What is known of a job. */
   public enum Presence {
+    /** Accepted, and not ended. */
     ACTIVE,
+    /** In a final state. */
     ENDED,
+    /** Never accepted. */
     MISSING,
+    /** That can't be found out now. */
     UNAVAILABLE
   }
 
   /**
-   * @param revision of the record of an active job, else 0; {@code how} is null unless it has ended
+   * What the state service says of a job.
+   *
+   * @param revision of the record of an active job, else 0
+   * @param endState null unless it has ended
    */
   public record JobStatus(Presence presence, long revision, JobState endState) {
     static final JobStatus MISSING = new JobStatus(Presence.MISSING, 0, null);
     static final JobStatus UNAVAILABLE = new JobStatus(Presence.UNAVAILABLE, 0, null);
 
+    static JobStatus active(long revision) {
+      return new JobStatus(Presence.ACTIVE, revision, null);
+    }
+
+    static JobStatus ended(JobState endState) {
+      return new JobStatus(Presence.ENDED, 0, endState);
+    }
+
+    /** True if the job has been accepted. */
     public boolean found() {
       return presence == Presence.ACTIVE || presence == Presence.ENDED;
     }
   }
 
-  private record Question(String uid, long revision, int tries, Consumer<JobStatus> then) {}
+  /**
+   * Jobs that have ended.
+   *
+   * @param askedMicros when the oldest of the reads that showed the others as active had been sent
+   */
+  public record EndedJobs(Set<String> uids, long askedMicros) {}
+
+  /** A question about a job whose record is known. */
+  private record Question(
+      String uid, long revision, int attemptsLeft, Consumer<JobStatus> handler) {
+    String key() {
+      return RecordKeys.active(uid);
+    }
+  }
+
+  /** A transaction takes so many preconditions for each operation that it may hold. */
+  private static final int PRECONDITIONS_PER_OPERATION = 4;
 
-  private static final long GATHER_MICROS = 25_000;
-  private static final long AGAIN_MICROS = 150_000;
-  private static final int TRIES = 4;
-  private static final long LATELY_MICROS = 3_000_000;
+  /** For how long a job that was active is taken to be so by {@link #findEnded}. */
+  private static final long ACTIVE_VALID_MICROS = 3_000_000;
 
   private static final Logger LOG = LoggerFactory.getLogger(JobRecordCache.class);
 
@@ -58,19 +86,13 @@
   private final Metrics metrics;
   private final JobStore layout;
   private final JobFinder finder;
+  private final RateLimitRetry retry;
+  private final KnownJobs knownJobs = new KnownJobs();
   private final DependencyRecordCache dependencyRecords;
-
-  /** Final states never change, so they may be told from memory; evicted ones are read again. */
-  private final Cache<String, JobState> jobEnded =
-      CacheBuilder.newBuilder().concurrencyLevel(1).maximumSize(20_000).build();
-
-  private final Cache<String, Long> revisions =
-      CacheBuilder.newBuilder().concurrencyLevel(1).maximumSize(5_000).build();
+  private final QuestionBatch<Question> questions;
 
   /** Jobs that were active, by when that was asked. */
-  private final Map<String, Long> activeAsked = new HashMap<>();
-
-  private List<Question> gathered = new ArrayList<>();
+  private final Map<String, Long> activeAskedMicros = new HashMap<>();
 
   /** An empty cache over this client. */
   public JobRecordCache(Loop loop, StateClient store, JobStore layout, Metrics metrics) {
@@ -79,179 +101,177 @@
     this.metrics = metrics;
     this.layout = layout;
     this.finder = new JobFinder(loop, store);
-    this.dependencyRecords =
-        new DependencyRecordCache(
+    this.retry = new RateLimitRetry(loop);
+    this.dependencyRecords = new DependencyRecordCache(loop, store, finder, knownJobs);
+    this.questions =
+        new QuestionBatch<>(
             loop,
-            store,
-            finder,
-            new DependencyRecordCache.Ends() {
-              @Override
-              public void jobEnded(String uid, JobState how) {
-                revisions.invalidate(uid);
-                jobEnded.put(uid, how);
-              }
-
-              @Override
-              public JobState knownEndState(String uid) {
-                return jobEnded.getIfPresent(uid);
-              }
-            });
+            () -> PRECONDITIONS_PER_OPERATION * layout.limits().maxOperations(),
+            this::compare);
   }
 
   /** The job has been accepted with this revision. */
   public void jobAccepted(String uid, long revision) {
     if (revision > 0) {
-      revisions.put(uid, revision);
+      knownJobs.activeSeen(uid, revision);
     }
   }
 
   /**
-   * A job that waits for others has been accepted with this revision: what follows from how those
-   * end.
+   * A job that depends on others has been accepted with this revision.
+   *
+   * @param handler takes what follows from how those end
    */
   public void dependentJobAccepted(
-      String uid, long revision, List<String> dependencies, Consumer<JobStatus> then) {
+      String uid, long revision, List<String> dependencies, Consumer<JobStatus> handler) {
     dependencyRecords.jobAccepted(uid, revision, dependencies);
-    chain(uid, revision, then);
+    resolveDependencies(uid, revision, handler);
   }
 
   /** The job's end is stored. */
-  public void jobEnded(String uid, JobState how) {
-    revisions.invalidate(uid);
-    jobEnded.put(uid, how);
-    dependencyRecords.jobEnded(uid, how);
+  public void jobEnded(String uid, JobState endState) {
+    knownJobs.jobEnded(uid, endState);
+    dependencyRecords.jobEnded(uid, endState);
   }
 
   /**
    * Which of these were never accepted, by reads begun now where that is not known of them.
    *
-   * @param then takes null when that can't be found out
+   * @param handler takes null when that can't be found out
    */
-  public void findNeverAccepted(Collection<String> uids, Consumer<Set<String>> then) {
-    Set<String> open = new HashSet<>();
+  public void findNeverAccepted(Collection<String> uids, Consumer<Set<String>> handler) {
+    Set<String> unknown = new HashSet<>();
     for (String uid : uids) {
-      if (revisions.getIfPresent(uid) == null && jobEnded.getIfPresent(uid) == null) {
-        open.add(uid);
+      if (knownJobs.activeRevision(uid).isEmpty() && knownJobs.finalState(uid).isEmpty()) {
+        unknown.add(uid);
       }
     }
-    if (open.isEmpty()) {
-      then.accept(Set.of());
+    if (unknown.isEmpty()) {
+      handler.accept(Set.of());
       return;
     }
-    finder.find(
-        open,
-        found -> {
-          if (found == null) {
-            then.accept(null);
-            return;
+    finder.find(unknown, found -> handler.accept(found == null ? null : neverAccepted(found)));
+  }
+
+  private Set<String> neverAccepted(Map<String, JobFinder.Found> found) {
+    Set<String> neverAccepted = new HashSet<>();
+    found.forEach(
+        (uid, job) -> {
+          if (!job.accepted()) {
+            neverAccepted.add(uid);
+          } else if (job.endState() != null) {
+            jobEnded(uid, job.endState());
           }
-          Set<String> unknown = new HashSet<>();
-          found.forEach(
-              (uid, f) -> {
-                if (!f.accepted()) {
-                  unknown.add(uid);
-                } else if (f.endState() != null) {
-                  jobEnded(uid, f.endState());
-                }
-              });
-          then.accept(unknown);
         });
+    return neverAccepted;
   }
 
   /** How it ended, or null if that is not known without asking. */
   public JobState knownEndState(String uid) {
-    return jobEnded.getIfPresent(uid);
+    return knownJobs.finalState(uid).orElse(null);
   }
 
   /**
-   * Jobs that have ended.
+   * Which of these jobs have ended, as of a few seconds ago at most.
    *
-   * @param askedMicros when the oldest of the reads that showed the others as active had been sent
-   */
-  public record EndedJobs(Set<String> uids, long askedMicros) {}
-
-  /**
-   * Which of these jobs have ended, as of a few seconds ago at most; null when that can't be found
-   * out.
+   * @param handler takes null when that can't be found out
    */
-  public void findEnded(Collection<String> uids, Consumer<EndedJobs> then) {
+  public void findEnded(Collection<String> uids, Consumer<EndedJobs> handler) {
     long now = loop.nowMicros();
-    activeAsked.values().removeIf(asked -> now - asked > LATELY_MICROS);
-    Set<String> over = new HashSet<>();
-    int[] open = {1};
-    boolean[] failed = new boolean[1];
-    long[] asked = {now};
-    Runnable settled =
-        () -> {
-          if (--open[0] == 0) {
-            then.accept(failed[0] ? null : new EndedJobs(over, asked[0]));
-          }
-        };
+    activeAskedMicros.values().removeIf(asked -> now - asked > ACTIVE_VALID_MICROS);
+    EndedSearch search = new EndedSearch(now, handler);
     for (String uid : uids) {
-      Long before = activeAsked.get(uid);
-      if (before != null) {
-        asked[0] = Math.min(asked[0], before);
-        continue;
+      Long asked = activeAskedMicros.get(uid);
+      if (asked != null) {
+        search.activeSince(asked);
+      } else {
+        search.lookUp(uid);
       }
-      open[0]++;
-      lookUp(
+    }
+    search.allAsked();
+  }
+
+  /** One search for jobs that have ended among those named. */
+  private final class EndedSearch {
+    private final long startedMicros;
+    private final Consumer<EndedJobs> handler;
+    private final Set<String> ended = new HashSet<>();
+
+    /** Answers to wait for, and one for the asking itself. */
+    private int pending = 1;
+
+    private boolean failed;
+    private long oldestAskedMicros;
+
+    EndedSearch(long startedMicros, Consumer<EndedJobs> handler) {
+      this.startedMicros = startedMicros;
+      this.handler = handler;
+      this.oldestAskedMicros = startedMicros;
+    }
+
+    void activeSince(long askedMicros) {
+      oldestAskedMicros = Math.min(oldestAskedMicros, askedMicros);
+    }
+
+    void lookUp(String uid) {
+      pending++;
+      JobRecordCache.this.lookUp(
           uid,
-          lookUp -> {
-            if (lookUp.presence() == Presence.ACTIVE) {
-              activeAsked.put(uid, now);
-            } else if (lookUp.presence() == Presence.UNAVAILABLE) {
-              failed[0] = true;
-            } else {
-              over.add(uid);
+          status -> {
+            switch (status.presence()) {
+              case ACTIVE -> activeAskedMicros.put(uid, startedMicros);
+              case UNAVAILABLE -> failed = true;
+              case ENDED, MISSING -> ended.add(uid);
             }
-            settled.run();
+            answered();
           });
     }
-    settled.run();
+
+    void allAsked() {
+      answered();
+    }
+
+    private void answered() {
+      pending--;
+      if (pending == 0) {
+        handler.accept(failed ? null : new EndedJobs(ended, oldestAskedMicros));
+      }
+    }
   }
 
   /** Finds out; the answer comes later, on the loop. */
-  public void lookUp(String uid, Consumer<JobStatus> then) {
-    lookUp(uid, TRIES, then);
+  public void lookUp(String uid, Consumer<JobStatus> handler) {
+    lookUp(uid, RateLimitRetry.MAX_ATTEMPTS, handler);
   }
 
-  private void lookUp(String uid, int tries, Consumer<JobStatus> then) {
-    JobState how = jobEnded.getIfPresent(uid);
-    if (how != null) {
-      then.accept(new JobStatus(Presence.ENDED, 0, how));
+  private void lookUp(String uid, int attemptsLeft, Consumer<JobStatus> handler) {
+    Optional<JobState> endState = knownJobs.finalState(uid);
+    if (endState.isPresent()) {
+      handler.accept(JobStatus.ended(endState.get()));
       return;
     }
-    Long revision = revisions.getIfPresent(uid);
-    if (revision == null) {
-      // One that waits and is in the book need not be read again: what has ended is asked for all
-      // of them.
-      long waiting = dependencyRecords.revision(uid);
-      if (waiting > 0) {
-        chain(uid, waiting, then);
-      } else {
-        read(uid, tries, then);
-      }
+    OptionalLong revision = knownJobs.activeRevision(uid);
+    if (revision.isPresent()) {
+      questions.add(new Question(uid, revision.getAsLong(), attemptsLeft, handler));
       return;
     }
-    gathered.add(new Question(uid, revision, tries, then));
-    if (gathered.size() == 1) {
-      loop.after(GATHER_MICROS, this::compare);
-    } else if (gathered.size() >= 4 * layout.limits().maxOperations()) {
-      compare();
+    // A job that depends on others and is in the graph need not be read again: what has ended is
+    // asked for all of them.
+    long dependentRevision = dependencyRecords.revision(uid);
+    if (dependentRevision > 0) {
+      resolveDependencies(uid, dependentRevision, handler);
+    } else {
+      readActive(uid, attemptsLeft, handler);
     }
   }
 
-  private void compare() {
-    if (gathered.isEmpty()) {
-      return;
-    }
-    List<Question> asked = gathered;
-    gathered = new ArrayList<>();
+  /** Finds out with one transaction whether any of these records has changed. */
+  private void compare(List<Question> asked) {
     Transaction transaction = new Transaction();
     Set<String> keys = new HashSet<>();
     for (Question question : asked) {
-      if (keys.add(question.uid)) {
-        transaction.require(RecordKeys.active(question.uid), question.revision);
+      if (keys.add(question.key())) {
+        transaction.require(question.key(), question.revision());
       }
     }
     metrics.count("reads_coalesced", asked.size());
@@ -261,137 +281,141 @@
         result -> {
           switch (result.outcome()) {
             case APPLIED ->
-                asked.forEach(q -> q.then.accept(new JobStatus(Presence.ACTIVE, q.revision, null)));
+                asked.forEach(
+                    question -> question.handler().accept(JobStatus.active(question.revision())));
             case CONFLICT -> {
-              Set<String> failed = new HashSet<>(result.failed());
-              for (Question question : asked) {
-                // Whether all that failed are named is not promised: the others are compared once
-                // more.
-                if (failed.isEmpty()
-                    || failed.contains(RecordKeys.active(question.uid))
-                    || question.tries <= 1) {
-                  revisions.invalidate(question.uid);
-                  read(question.uid, TRIES, question.then);
-                } else {
-                  lookUp(question.uid, question.tries - 1, question.then);
-                }
-              }
-            }
-            default -> {
-              for (Question question : asked) {
-                if (result.status() == HttpStatus.TOO_MANY_REQUESTS && question.tries > 1) {
-                  loop.after(
-                      AGAIN_MICROS, () -> lookUp(question.uid, question.tries - 1, question.then));
-                } else {
-                  question.then.accept(JobStatus.UNAVAILABLE);
-                }
-              }
+              Set<String> changed = new HashSet<>(result.failed());
+              asked.forEach(question -> someChanged(question, changed));
             }
+            case REFUSED, UNKNOWN ->
+                asked.forEach(question -> compareFailed(question, result.status()));
           }
         });
   }
 
+  /**
+   * Some of the records compared have changed.
+   *
+   * @param changed keys of them; whether all are named is not promised, so the others are compared
+   *     once more
+   */
+  private void someChanged(Question question, Set<String> changed) {
+    if (changed.isEmpty() || changed.contains(question.key()) || question.attemptsLeft() <= 1) {
+      knownJobs.forgetActive(question.uid());
+      readActive(question.uid(), RateLimitRetry.MAX_ATTEMPTS, question.handler());
+    } else {
+      lookUp(question.uid(), question.attemptsLeft() - 1, question.handler());
+    }
+  }
+
+  private void compareFailed(Question question, int status) {
+    retry.retryOr(
+        status,
+        question.attemptsLeft(),
+        () -> lookUp(question.uid(), question.attemptsLeft() - 1, question.handler()),
+        () -> question.handler().accept(JobStatus.UNAVAILABLE));
+  }
+
   /**
    * An active job first, then an ended one: the end moves it in one change, so a job that is found
    * under neither key had not been accepted when the first read began.
    */
-  private void read(String uid, int tries, Consumer<JobStatus> then) {
+  private void readActive(String uid, int attemptsLeft, Consumer<JobStatus> handler) {
     store.get(
         RecordKeys.active(uid),
         StateClient.RequestPriority.ORDINARY,
         got -> {
           if (got.found() && ActiveRecord.hasDependencies(got.item().data())) {
-            chain(uid, got.item().revision(), then);
+            resolveDependencies(uid, got.item().revision(), handler);
           } else if (got.found()) {
-            revisions.put(uid, got.item().revision());
-            then.accept(new JobStatus(Presence.ACTIVE, got.item().revision(), null));
+            knownJobs.activeSeen(uid, got.item().revision());
+            handler.accept(JobStatus.active(got.item().revision()));
+          } else if (got.missing()) {
+            readEnded(uid, attemptsLeft, handler);
+          } else {
+            retry.retryOr(
+                got.status(),
+                attemptsLeft,
+                () -> readActive(uid, attemptsLeft - 1, handler),
+                () -> handler.accept(JobStatus.UNAVAILABLE));
+          }
+        });
+  }
+
+  private void readEnded(String uid, int attemptsLeft, Consumer<JobStatus> handler) {
+    Optional<JobState> known = knownJobs.finalState(uid);
+    if (known.isPresent()) {
+      handler.accept(JobStatus.ended(known.get()));
+      return;
+    }
+    store.get(
+        RecordKeys.ended(uid),
+        StateClient.RequestPriority.ORDINARY,
+        got -> {
+          Optional<JobState> endState =
+              got.found() ? EndedRecord.finalState(got.item().data()) : Optional.empty();
+          if (endState.isPresent()) {
+            jobEnded(uid, endState.get());
+            handler.accept(JobStatus.ended(endState.get()));
           } else if (got.missing()) {
-            readEnded(uid, tries, then);
+            handler.accept(JobStatus.MISSING);
           } else {
-            again(got.status(), tries, then, () -> read(uid, tries - 1, then));
+            retry.retryOr(
+                got.status(),
+                attemptsLeft,
+                () -> readEnded(uid, attemptsLeft - 1, handler),
+                () -> handler.accept(JobStatus.UNAVAILABLE));
           }
         });
   }
 
   /**
-   * A job that waits for others, or did: whether it is cancelled through one of them follows from
-   * how those ended.
+   * For a job that depends on others, or did: whether it is cancelled through one of them follows
+   * from how those ended.
    */
-  private void chain(String uid, long revision, Consumer<JobStatus> then) {
+  private void resolveDependencies(String uid, long revision, Consumer<JobStatus> handler) {
     dependencyRecords.ask(
         uid,
         answer -> {
           switch (answer) {
-            case WAITING -> then.accept(new JobStatus(Presence.ACTIVE, revision, null));
+            case WAITING -> handler.accept(JobStatus.active(revision));
             case RELEASED -> {
               // Nothing before it can be cancelled any more: from now on it is a job like others.
-              revisions.put(uid, revision);
-              then.accept(new JobStatus(Presence.ACTIVE, revision, null));
+              knownJobs.activeSeen(uid, revision);
+              handler.accept(JobStatus.active(revision));
             }
-            case CANCELLED -> cancelWithDependency(uid, revision, then);
-            case ENDED -> readEnded(uid, TRIES, then);
-            case UNAVAILABLE -> then.accept(JobStatus.UNAVAILABLE);
+            case CANCELLED -> cancelWithDependency(uid, revision, handler);
+            case ENDED -> readEnded(uid, RateLimitRetry.MAX_ATTEMPTS, handler);
+            case UNAVAILABLE -> handler.accept(JobStatus.UNAVAILABLE);
           }
         });
   }
 
   /** Stored before it is told, like every end. */
-  private void cancelWithDependency(String uid, long revision, Consumer<JobStatus> then) {
-    String through = dependencyRecords.through(uid);
-    Transaction transaction =
-        layout.endJob(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of());
+  private void cancelWithDependency(String uid, long revision, Consumer<JobStatus> handler) {
+    String dependency = dependencyRecords.failedDependencyOf(uid);
     store.transaction(
-        transaction,
+        layout.endJob(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of()),
         StateClient.RequestPriority.URGENT,
         result -> {
           switch (result.outcome()) {
             case APPLIED -> {
-              LOG.info("{} is cancelled with its dependency {}", uid, through);
+              LOG.info("{} is cancelled with its dependency {}", uid, dependency);
               metrics.count("jobs_cancelled_with_dependency");
               jobEnded(uid, JobState.CANCELLED);
-              then.accept(new JobStatus(Presence.ENDED, 0, JobState.CANCELLED));
+              handler.accept(JobStatus.ended(JobState.CANCELLED));
             }
-            case REFUSED -> then.accept(JobStatus.UNAVAILABLE);
-            // Somebody else stored it, or this was carried out unheard: the record tells.
-            default ->
+            case REFUSED -> handler.accept(JobStatus.UNAVAILABLE);
+            // Another controller stored it, or this was carried out without an answer: the record
+            // tells.
+            case CONFLICT, UNKNOWN ->
                 readEnded(
                     uid,
-                    TRIES,
-                    lookUp ->
-                        then.accept(
-                            lookUp.presence() == Presence.ENDED ? lookUp : JobStatus.UNAVAILABLE));
-          }
-        });
-  }
-
-  private void readEnded(String uid, int tries, Consumer<JobStatus> then) {
-    JobState knownEndState = jobEnded.getIfPresent(uid);
-    if (knownEndState != null) {
-      then.accept(new JobStatus(Presence.ENDED, 0, knownEndState));
-      return;
-    }
-    store.get(
-        RecordKeys.ended(uid),
-        StateClient.RequestPriority.ORDINARY,
-        got -> {
-          JobState how = got.found() ? JobStore.finalState(got.item().data()) : null;
-          if (how != null) {
-            jobEnded(uid, how);
-            then.accept(new JobStatus(Presence.ENDED, 0, how));
-          } else if (got.missing()) {
-            then.accept(JobStatus.MISSING);
-          } else {
-            again(got.status(), tries, then, () -> readEnded(uid, tries - 1, then));
+                    RateLimitRetry.MAX_ATTEMPTS,
+                    status ->
+                        handler.accept(
+                            status.presence() == Presence.ENDED ? status : JobStatus.UNAVAILABLE));
           }
         });
   }
-
-  /** A read that was refused by a rate limit is tried again shortly; an outage is told at once. */
-  private void again(int status, int tries, Consumer<JobStatus> then, Runnable retry) {
-    if (status == HttpStatus.TOO_MANY_REQUESTS && tries > 1) {
-      loop.after(AGAIN_MICROS, retry);
-    } else {
-      then.accept(JobStatus.UNAVAILABLE);
-    }
-  }
 }
