--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -26,7 +26,7 @@
 public WarmState ( TermContext context , Fleet fleet , Estimates estimates ) { this . context = context ; this . codec = new WarmStateCodec ( fleet , estimates ) ; } 
 
 /** Takes over what the last leader stored; the machines must be in the fleet. */ 
-public void load ( List < StateClient . Item > items ) { for ( StateClient . Item item : items ) { codec . read ( item . data ( ) ) ; mayBeStored ( JobStore . numberOf ( item . key ( ) ) ) ; } } 
+public void load ( List < StateClient . Item > items ) { for ( StateClient . Item item : items ) { codec . read ( item . data ( ) ) ; mayBeStored ( JobStore . sharedRecordNumber ( item . key ( ) ) ) ; } } 
 
 private void mayBeStored ( int number ) { storedCount = Math . max ( storedCount , number + 1 ) ; } 
 
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -31,7 +31,7 @@
 * Reads what earlier leaders stored. It was listed after this controller took its term, so nobody 
 * else can add to it. 
 */ 
-void read ( List < StateClient . Item > items ) { found . clear ( ) ; foundUids . clear ( ) ; for ( StateClient . Item item : items ) { int number = JobStore . numberOf ( item . key ( ) ) ; if ( number < 0 ) { LOG . error ( "{} is no record of jobs" , item . key ( ) ) ; continue ; } List < String > uids = new ArrayList < > ( ) ; item . data ( ) . path ( JOBS ) . forEach ( uid -> uids . add ( uid . asText ( ) ) ) ; found . add ( new FoundRecord ( number , item . revision ( ) , uids ) ) ; foundUids . addAll ( uids ) ; } } 
+void read ( List < StateClient . Item > items ) { found . clear ( ) ; foundUids . clear ( ) ; for ( StateClient . Item item : items ) { int number = JobStore . sharedRecordNumber ( item . key ( ) ) ; if ( number < 0 ) { LOG . error ( "{} is no record of jobs" , item . key ( ) ) ; continue ; } List < String > uids = new ArrayList < > ( ) ; item . data ( ) . path ( JOBS ) . forEach ( uid -> uids . add ( uid . asText ( ) ) ) ; found . add ( new FoundRecord ( number , item . revision ( ) , uids ) ) ; foundUids . addAll ( uids ) ; } } 
 
 /** True if an earlier leader may have started a task of it; so for all if there is no record. */ 
 boolean mayHaveStarted ( String uid ) { return found . isEmpty ( ) || foundUids . contains ( uid ) ; } 
