--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -11,16 +11,16 @@
   private final long id;
   private final Machine machine;
   private final long incarnation;
-  private final long sentSequenceNumber;
-  private final long directToken;
+  private final long answeredSequenceNumber;
+  private final long directCommandToken;
   private final long sentMicros;
   private AttemptState state;
   private long runningSinceMicros = -1;
   private boolean over;
-  private ExitCause cause;
+  private ExitCause exitCause;
   private boolean stopping;
   private double gracePeriodS;
-  private long stoppedMicros;
+  private long stopRequestedMicros;
 
   /**
    * @param sentSequenceNumber number of the heartbeat whose answer carried the command, -1 for any
@@ -33,16 +33,16 @@
       long id,
       Machine machine,
       long incarnation,
-      long sentSequenceNumber,
-      long directToken,
+      long answeredSequenceNumber,
+      long directCommandToken,
       long sentMicros) {
     this.job = job;
     this.task = task;
     this.id = id;
     this.machine = machine;
     this.incarnation = incarnation;
-    this.sentSequenceNumber = sentSequenceNumber;
-    this.directToken = directToken;
+    this.answeredSequenceNumber = answeredSequenceNumber;
+    this.directCommandToken = directCommandToken;
     this.sentMicros = sentMicros;
   }
 
@@ -70,17 +70,17 @@
     return incarnation;
   }
 
-  public long sentSequenceNumber() {
-    return sentSequenceNumber;
+  public long answeredSequenceNumber() {
+    return answeredSequenceNumber;
   }
 
-  public long directToken() {
-    return directToken;
+  public long directCommandToken() {
+    return directCommandToken;
   }
 
   /** True for an attempt of an earlier term that its machine reported. */
   public boolean adopted() {
-    return sentSequenceNumber < 0 && directToken < 0;
+    return answeredSequenceNumber < 0 && directCommandToken < 0;
   }
 
   public long sentMicros() {
@@ -97,21 +97,21 @@
   }
 
   /** A heartbeat shows the attempt in this state. */
-  public void observed(AttemptState now, long nowMicros) {
+  public void recordState(AttemptState now, long nowMicros) {
     if (now == AttemptState.RUNNING && runningSinceMicros < 0) {
       runningSinceMicros = nowMicros;
       job.markStarted();
     }
-    confirm();
+    confirmStart();
     state = now;
   }
 
   /** True while it was sent straight to the machine and nothing has been heard of it. */
   boolean unconfirmed() {
-    return directToken >= 0 && state == null && !over;
+    return directCommandToken >= 0 && state == null && !over;
   }
 
-  private void confirm() {
+  private void confirmStart() {
     if (unconfirmed()) {
       machine.load().attemptConfirmed();
     }
@@ -123,17 +123,17 @@
   }
 
   /** Why it ended, as reported; null if it vanished with its machine or incarnation. */
-  public ExitCause cause() {
-    return cause;
+  public ExitCause exitCause() {
+    return exitCause;
   }
 
   void end(ExitCause why) {
-    confirm();
+    confirmStart();
     if (!over) {
       machine.load().attemptEnded();
     }
     over = true;
-    cause = why;
+    exitCause = why;
   }
 
   public boolean stopping() {
@@ -145,17 +145,17 @@
   }
 
   /** From now on every answer to its machine says stop, until it is reported as ended. */
-  public void stop(double gracePeriod, long nowMicros) {
+  public void requestStop(double gracePeriod, long nowMicros) {
     if (!stopping) {
       stopping = true;
-      stoppedMicros = nowMicros;
+      stopRequestedMicros = nowMicros;
       gracePeriodS = gracePeriod;
     } else {
       gracePeriodS = Math.min(gracePeriodS, gracePeriod);
     }
   }
 
-  public long stoppedMicros() {
-    return stoppedMicros;
+  public long stopRequestedMicros() {
+    return stopRequestedMicros;
   }
 }
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -49,26 +49,26 @@
       long submittedMicros,
       long deadlineMicros,
       String jobClass,
-      long tailMicros,
+      long downstreamPathMicros,
       Priority priority) {
     /** By when this job has to be done; Long.MAX_VALUE for any time. */
-    public long byMicros() {
+    public long latestEndMicros() {
       return deadlineMicros == Long.MAX_VALUE
           ? Long.MAX_VALUE
-          : submittedMicros + deadlineMicros - tailMicros;
+          : submittedMicros + deadlineMicros - downstreamPathMicros;
     }
 
-    private EffectiveGoal before(long costMicros) {
+    private EffectiveGoal forDependency(long durationMicros) {
       return new EffectiveGoal(
           submittedMicros,
           deadlineMicros,
           jobClass,
-          deadlineMicros == Long.MAX_VALUE ? 0 : tailMicros + costMicros,
+          deadlineMicros == Long.MAX_VALUE ? 0 : downstreamPathMicros + durationMicros,
           priority);
     }
 
-    private EffectiveGoal with(EffectiveGoal other) {
-      EffectiveGoal sooner = other.byMicros() < byMicros() ? other : this;
+    private EffectiveGoal strictest(EffectiveGoal other) {
+      EffectiveGoal sooner = other.latestEndMicros() < latestEndMicros() ? other : this;
       Priority otherPriority = other.priority.compareTo(priority) < 0 ? other.priority : priority;
       return sooner.priority == otherPriority
           ? sooner
@@ -76,20 +76,20 @@
               sooner.submittedMicros,
               sooner.deadlineMicros,
               sooner.jobClass,
-              sooner.tailMicros,
+              sooner.downstreamPathMicros,
               otherPriority);
     }
   }
 
   private static final class Vertex {
     final String uid;
-    final List<Vertex> needs = new ArrayList<>();
-    final List<Vertex> neededBy = new ArrayList<>();
+    final List<Vertex> dependencies = new ArrayList<>();
+    final List<Vertex> dependents = new ArrayList<>();
 
     /** How many of the jobs that it waits on are not done, as far as is known. */
-    int open;
+    int openDependencies;
 
-    State stateOf = State.UNKNOWN;
+    State state = State.UNKNOWN;
     String failedDependencyOf;
     long releasedMicros;
 
@@ -98,14 +98,14 @@
 
     EffectiveGoal own;
     EffectiveGoal goal;
-    long costMicros;
+    long durationMicros;
 
     Vertex(String uid) {
       this.uid = uid;
     }
 
     boolean over() {
-      return stateOf == State.DONE || stateOf == State.CANCELLED;
+      return state == State.DONE || state == State.CANCELLED;
     }
   }
 
@@ -124,87 +124,87 @@
    *
    * @return the jobs named of which nothing was known: what their records say is to be told too
    */
-  public List<String> accepted(String uid, long revision, Collection<String> dependencies) {
+  public List<String> addJob(String uid, long revision, Collection<String> dependencies) {
     Vertex otherNode = vertex(uid);
-    if (otherNode.stateOf != State.UNKNOWN) {
+    if (otherNode.state != State.UNKNOWN) {
       return List.of();
     }
-    otherNode.stateOf = State.WAITING;
+    otherNode.state = State.WAITING;
     otherNode.revision = revision;
     List<String> unknown = new ArrayList<>();
     Vertex cause = null;
     for (String name : dependencies) {
       Vertex before = vertex(name);
-      otherNode.needs.add(before);
-      if (before.stateOf == State.DONE) {
+      otherNode.dependencies.add(before);
+      if (before.state == State.DONE) {
         otherNode.releasedMicros = Math.max(otherNode.releasedMicros, before.releasedMicros);
         continue;
       }
-      otherNode.open++;
-      before.neededBy.add(otherNode);
-      if (before.stateOf == State.UNKNOWN) {
+      otherNode.openDependencies++;
+      before.dependents.add(otherNode);
+      if (before.state == State.UNKNOWN) {
         unknown.add(name);
-      } else if (before.stateOf == State.CANCELLED) {
+      } else if (before.state == State.CANCELLED) {
         cause = before;
       }
     }
     if (cause != null) {
       cancel(otherNode, cause.uid);
-    } else if (otherNode.open == 0) {
+    } else if (otherNode.openDependencies == 0) {
       release(otherNode);
     }
     return unknown;
   }
 
   private void release(Vertex vertex) {
-    vertex.stateOf = State.RELEASED;
+    vertex.state = State.RELEASED;
     released.add(vertex.uid);
   }
 
   /** The stored end of a job, of which anything may be known or not. */
-  public void ended(String uid, JobState how, long atMicros) {
+  public void recordEnd(String uid, JobState how, long atMicros) {
     Vertex vertex = vertices.get(uid);
-    if (vertex == null || vertex.stateOf == State.DONE) {
+    if (vertex == null || vertex.state == State.DONE) {
       return;
     }
     if (how == JobState.CANCELLED) {
-      if (vertex.stateOf != State.CANCELLED) {
+      if (vertex.state != State.CANCELLED) {
         cancel(vertex, uid);
       }
-      forget(vertex);
+      remove(vertex);
       return;
     }
-    vertex.stateOf = State.DONE;
-    for (Vertex after : vertex.neededBy) {
+    vertex.state = State.DONE;
+    for (Vertex after : vertex.dependents) {
       after.releasedMicros = Math.max(after.releasedMicros, atMicros);
-      if (--after.open == 0 && after.stateOf == State.WAITING) {
+      if (--after.openDependencies == 0 && after.state == State.WAITING) {
         release(after);
       }
     }
-    forget(vertex);
+    remove(vertex);
   }
 
   /**
    * What has ended has told all that it ever will; should a later job name it, its record is read
    * again.
    */
-  private void forget(Vertex vertex) {
+  private void remove(Vertex vertex) {
     vertices.remove(vertex.uid, vertex);
   }
 
   /** Aborts it and all that need it; each is visited once. */
   private void cancel(Vertex first, String failedDependencyOf) {
     List<Vertex> next = new ArrayList<>();
-    first.stateOf = State.CANCELLED;
+    first.state = State.CANCELLED;
     first.failedDependencyOf = failedDependencyOf;
     next.add(first);
     for (int i = 0; i < next.size(); i++) {
       Vertex vertex = next.get(i);
       jobCancelled.add(vertex.uid);
-      vertex.needs.forEach(this::outdated);
-      for (Vertex after : vertex.neededBy) {
+      vertex.dependencies.forEach(this::markStale);
+      for (Vertex after : vertex.dependents) {
         if (!after.over()) {
-          after.stateOf = State.CANCELLED;
+          after.state = State.CANCELLED;
           after.failedDependencyOf = failedDependencyOf;
           next.add(after);
         }
@@ -214,7 +214,7 @@
 
   public State stateOf(String uid) {
     Vertex vertex = vertices.get(uid);
-    return vertex == null ? State.UNKNOWN : vertex.stateOf;
+    return vertex == null ? State.UNKNOWN : vertex.state;
   }
 
   /** The revision of its record; 0 where nothing is known of it. */
@@ -236,30 +236,30 @@
   }
 
   /** The jobs that it still waits on, for the log. */
-  public List<String> waitsFor(String uid) {
+  public List<String> openDependencies(String uid) {
     Vertex vertex = vertices.get(uid);
     return vertex == null
         ? List.of()
-        : vertex.needs.stream().filter(b -> b.stateOf != State.DONE).map(b -> b.uid).toList();
+        : vertex.dependencies.stream().filter(b -> b.state != State.DONE).map(b -> b.uid).toList();
   }
 
   /** True if some job not over waits on it. */
-  public boolean needed(String uid) {
+  public boolean hasLiveDependents(String uid) {
     Vertex vertex = vertices.get(uid);
-    return vertex != null && vertex.neededBy.stream().anyMatch(a -> !a.over());
+    return vertex != null && vertex.dependents.stream().anyMatch(a -> !a.over());
   }
 
   /** The jobs released since asked last. */
-  public List<String> takeReleased() {
-    return take(released);
+  public List<String> drainReleased() {
+    return drain(released);
   }
 
   /** The jobs cancelled since asked last, the ones that were told among them. */
-  public List<String> takeCancelled() {
-    return take(jobCancelled);
+  public List<String> drainCancelled() {
+    return drain(jobCancelled);
   }
 
-  private static List<String> take(List<String> from) {
+  private static List<String> drain(List<String> from) {
     List<String> out = List.copyOf(from);
     from.clear();
     return out;
@@ -271,31 +271,31 @@
   }
 
   /** What the job itself asks for, and what it takes once it is released. */
-  public void goal(String uid, EffectiveGoal own, long costMicros) {
+  public void goal(String uid, EffectiveGoal own, long durationMicros) {
     Vertex vertex = vertices.get(uid);
     if (vertex == null) {
       return;
     }
     vertex.own = own;
-    vertex.costMicros = costMicros;
-    outdated(vertex);
-    vertex.needs.forEach(this::outdated);
+    vertex.durationMicros = durationMicros;
+    markStale(vertex);
+    vertex.dependencies.forEach(this::markStale);
   }
 
   /** What jobs take is better known now than when they came. */
-  public void costs(ToLongFunction<String> costMicros) {
+  public void updateDurations(ToLongFunction<String> durationMicros) {
     for (Vertex vertex : vertices.values()) {
       if (vertex.own != null && !vertex.over()) {
-        long now = costMicros.applyAsLong(vertex.uid);
-        if (now != vertex.costMicros) {
-          vertex.costMicros = now;
-          vertex.needs.forEach(this::outdated);
+        long now = durationMicros.applyAsLong(vertex.uid);
+        if (now != vertex.durationMicros) {
+          vertex.durationMicros = now;
+          vertex.dependencies.forEach(this::markStale);
         }
       }
     }
   }
 
-  private void outdated(Vertex vertex) {
+  private void markStale(Vertex vertex) {
     if (vertex.own != null && !vertex.over()) {
       stale.add(vertex);
     }
@@ -316,15 +316,15 @@
       }
       last = vertex;
       EffectiveGoal now = vertex.own;
-      for (Vertex after : vertex.neededBy) {
+      for (Vertex after : vertex.dependents) {
         if (!after.over() && after.goal != null) {
-          now = now.with(after.goal.before(after.costMicros));
+          now = now.strictest(after.goal.forDependency(after.durationMicros));
         }
       }
       if (!now.equals(vertex.goal)) {
         vertex.goal = now;
         changed.accept(vertex.uid);
-        vertex.needs.forEach(this::outdated);
+        vertex.dependencies.forEach(this::markStale);
       }
     }
   }
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -9,7 +9,7 @@
 /** All machines and attempts of a term, with what each team holds. */
 public final class Fleet {
   /** Resources in use. */
-  public static final class Held {
+  public static final class TeamUsage {
     private double cores;
     private double accelerators;
 
@@ -36,7 +36,7 @@
   /** Machines of other cells that may hold tasks of this one. */
   private final Map<String, Machine> away = new LinkedHashMap<>();
 
-  private final Map<String, Held> heldByTeam = new HashMap<>();
+  private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
   private final long term;
   private long counter;
 
@@ -90,14 +90,14 @@
    *
    * @param number of its transfer, whose tokens are newer than any used here
    */
-  public void sendAway(Machine machine, long number) {
+  public void transferOut(Machine machine, long number) {
     machines.remove(machine.id(), machine);
     machine.tokens().startTerm(number);
     away.put(machine.id(), machine);
   }
 
   /** No task of this cell is on the other's machine any more, or it comes back. */
-  public void forgetAway(Machine machine) {
+  public void removeTransferred(Machine machine) {
     away.remove(machine.id(), machine);
   }
 
@@ -109,9 +109,9 @@
   /**
    * Attempt numbers are unique over all terms without being stored: the term is in the high bits.
    */
-  public Attempt start(Job job, int task, Machine machine, boolean direct, long nowMicros) {
+  public Attempt startAttempt(Job job, int task, Machine machine, boolean direct, long nowMicros) {
     long id = (term << TERM_SHIFT) | ++counter;
-    return enter(
+    return register(
         direct
             ? new Attempt(
                 job,
@@ -134,8 +134,8 @@
   }
 
   /** An attempt of an earlier term that its machine reports. */
-  public Attempt adopt(Job job, int task, long id, Machine machine, long nowMicros) {
-    return enter(
+  public Attempt adoptAttempt(Job job, int task, long id, Machine machine, long nowMicros) {
+    return register(
         new Attempt(job, task, id, machine, machine.contact().incarnation(), -1, -1, nowMicros));
   }
 
@@ -143,7 +143,7 @@
    * True when attempt numbers come near those of the next term: with thousands of machines a term
    * that lasts for days gets there.
    */
-  public boolean numbersRunOut() {
+  public boolean attemptNumbersRunOut() {
     return counter >= LAST_ATTEMPT;
   }
 
@@ -152,16 +152,17 @@
     return machine.tokens().current() >= firstToken(machine.tokens().term()) + LAST_TOKEN;
   }
 
-  public boolean ofEarlierTerm(long attemptId) {
+  public boolean isOfEarlierTerm(long attemptId) {
     return attemptId >>> TERM_SHIFT < term;
   }
 
-  private Attempt enter(Attempt attempt) {
+  private Attempt register(Attempt attempt) {
     attempt.machine().load().add(attempt);
-    attempt.job().occupy(attempt);
-    Held held = heldByTeam.computeIfAbsent(attempt.job().spec().team(), k -> new Held());
-    held.cores += attempt.job().spec().cores();
-    held.accelerators += attempt.job().spec().accelerators();
+    attempt.job().addAttempt(attempt);
+    TeamUsage usage =
+        usageByTeam.computeIfAbsent(attempt.job().spec().team(), k -> new TeamUsage());
+    usage.cores += attempt.job().spec().cores();
+    usage.accelerators += attempt.job().spec().accelerators();
     return attempt;
   }
 
@@ -170,24 +171,24 @@
    * an incarnation that has ended, or on a machine that was deleted. Its room and quota are free
    * from here on.
    */
-  public void end(Attempt attempt, ExitCause cause) {
+  public void endAttempt(Attempt attempt, ExitCause cause) {
     if (attempt.over()) {
       return;
     }
     attempt.end(cause);
     attempt.job().release(attempt);
-    Held held = heldByTeam.get(attempt.job().spec().team());
-    held.cores -= attempt.job().spec().cores();
-    held.accelerators -= attempt.job().spec().accelerators();
+    TeamUsage usage = usageByTeam.get(attempt.job().spec().team());
+    usage.cores -= attempt.job().spec().cores();
+    usage.accelerators -= attempt.job().spec().accelerators();
   }
 
   /** Its machine does not list it any more. */
-  public void forget(Attempt attempt) {
-    end(attempt, attempt.cause());
+  public void removeAttempt(Attempt attempt) {
+    endAttempt(attempt, attempt.exitCause());
     attempt.machine().load().remove(attempt);
   }
 
-  public Held held(String team) {
-    return heldByTeam.computeIfAbsent(team, k -> new Held());
+  public TeamUsage usage(String team) {
+    return usageByTeam.computeIfAbsent(team, k -> new TeamUsage());
   }
 }
--- a/src/main/java/plumlever/fleet/ImageCache.java
+++ b/src/main/java/plumlever/fleet/ImageCache.java
@@ -16,12 +16,12 @@
   /** Tells how long a task that needs the image would wait for it, as far as known. */
   public long fetchMicros(String image, double gb, MachineType type, long nowMicros) {
     Image held = images.get(image);
-    if (held != null && held.ready || type.fetchGbPerS() <= 0) {
+    if (held != null && held.readyImages || type.fetchGbPerS() <= 0) {
       return 0;
     }
     int others = 0;
     for (Map.Entry<String, Image> entry : images.entrySet()) {
-      if (!entry.getValue().ready
+      if (!entry.getValue().readyImages
           && !entry.getKey().equals(image)
           && nowMicros - entry.getValue().sinceMicros < STALE_FETCH_MICROS) {
         others++;
@@ -33,7 +33,7 @@
   }
 
   /** A task that needs the image goes to the machine. */
-  public void use(String image, double gb, MachineType type, long nowMicros) {
+  public void recordUse(String image, double gb, MachineType type, long nowMicros) {
     Image held = images.get(image);
     if (held == null) {
       images.put(image, new Image(gb, nowMicros));
@@ -54,31 +54,31 @@
   }
 
   /** A task that needs the image runs, so the machine has it. */
-  public void isReady(String image, double gb) {
+  public void markReady(String image, double gb) {
     Image held = images.get(image);
     if (held == null) {
       held = new Image(gb, 0);
       images.put(image, held);
     }
-    held.ready = true;
+    held.readyImages = true;
   }
 
   /** Images it has, with their sizes. */
-  public Map<String, Double> ready() {
-    Map<String, Double> ready = new LinkedHashMap<>();
+  public Map<String, Double> readyImages() {
+    Map<String, Double> readyImages = new LinkedHashMap<>();
     images.forEach(
         (name, i) -> {
-          if (i.ready) {
-            ready.put(name, i.gb);
+          if (i.readyImages) {
+            readyImages.put(name, i.gb);
           }
         });
-    return ready;
+    return readyImages;
   }
 
   /** The fetch was given up, since no task waits for it any more. */
-  public void dropFetch(String image) {
+  public void cancelFetch(String image) {
     Image held = images.get(image);
-    if (held != null && !held.ready) {
+    if (held != null && !held.readyImages) {
       images.remove(image);
     }
   }
@@ -86,7 +86,7 @@
   private static final class Image {
     private final double gb;
     private final long sinceMicros;
-    private boolean ready;
+    private boolean readyImages;
 
     Image(double gb, long sinceMicros) {
       this.gb = gb;
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -6,7 +6,7 @@
 import plumlever.wire.Priority;
 
 /** An accepted job that has not ended, and what is known of its tasks. */
-public final class Job implements Registered {
+public final class Job implements Registrable {
   /** Errors before the pauses grow. */
   private static final int FREE_ERRORS = 2;
 
@@ -29,25 +29,25 @@
   private final boolean inherited;
 
   /** Tasks that completed. */
-  private final BitSet done = new BitSet();
+  private final BitSet completedTasks = new BitSet();
 
   /** The part of {@link #done} that the state service holds. */
-  private final BitSet stored = new BitSet();
+  private final BitSet storedTasks = new BitSet();
 
   /** Tasks that are neither done nor possibly on a machine. */
-  private final BitSet free = new BitSet();
+  private final BitSet pending = new BitSet();
 
-  private final Int2ObjectHashMap<Attempt> live = new Int2ObjectHashMap<>();
+  private final Int2ObjectHashMap<Attempt> liveAttempts = new Int2ObjectHashMap<>();
 
   /** Tasks that ran before: what they take the next time tells nothing of their whole run time. */
   private final BitSet restarted = new BitSet();
 
   private RegistrationState registration = RegistrationState.NONE;
-  private int doneCount;
+  private int completedCount;
   private boolean over;
   private boolean hasStarted;
   private int errors;
-  private long notBeforeMicros;
+  private long retryNotBeforeMicros;
   private double ratioSum;
   private int ratioCount;
 
@@ -67,7 +67,7 @@
             0,
             spec.priority());
     this.inherited = inherited;
-    free.set(0, spec.taskCount());
+    pending.set(0, spec.taskCount());
   }
 
   public JobSpec spec() {
@@ -92,7 +92,7 @@
     return waitsForDependencies;
   }
 
-  public void hold() {
+  public void blockOnDependencies() {
     waitsForDependencies = true;
   }
 
@@ -142,7 +142,7 @@
    * Long.MAX_VALUE for any time.
    */
   public long deadlineMicros() {
-    return goal.byMicros();
+    return goal.latestEndMicros();
   }
 
   public boolean inherited() {
@@ -163,55 +163,55 @@
     registration = otherRegistration;
   }
 
-  public BitSet done() {
-    return done;
+  public BitSet completedTasks() {
+    return completedTasks;
   }
 
-  public BitSet stored() {
-    return stored;
+  public BitSet storedTasks() {
+    return storedTasks;
   }
 
-  public int doneCount() {
-    return doneCount;
+  public int completedCount() {
+    return completedCount;
   }
 
   public boolean complete() {
-    return doneCount == spec.taskCount();
+    return completedCount == spec.taskCount();
   }
 
-  public int freeCount() {
-    return free.cardinality();
+  public int pendingCount() {
+    return pending.cardinality();
   }
 
-  public boolean hasFree() {
-    return !free.isEmpty();
+  public boolean hasPending() {
+    return !pending.isEmpty();
   }
 
   /** A task that never ran, if there is one free: aims for starts count the first. */
-  public int firstFree() {
-    for (int i = free.nextSetBit(0); i >= 0; i = free.nextSetBit(i + 1)) {
+  public int nextPendingTask() {
+    for (int i = pending.nextSetBit(0); i >= 0; i = pending.nextSetBit(i + 1)) {
       if (!restarted.get(i)) {
         return i;
       }
     }
-    return free.nextSetBit(0);
+    return pending.nextSetBit(0);
   }
 
-  public boolean hasFreshFree() {
-    int index = firstFree();
+  public boolean hasNeverStartedTask() {
+    int index = nextPendingTask();
     return index >= 0 && !restarted.get(index);
   }
 
-  public Iterable<Attempt> live() {
-    return live.values();
+  public Iterable<Attempt> liveAttempts() {
+    return liveAttempts.values();
   }
 
-  public int liveCount() {
-    return live.size();
+  public int liveAttemptCount() {
+    return liveAttempts.size();
   }
 
   public Attempt liveAttempt(int task) {
-    return live.get(task);
+    return liveAttempts.get(task);
   }
 
   /** True once the job is done, cancelled or dropped: none of its tasks may start any more. */
@@ -219,22 +219,22 @@
     return over;
   }
 
-  public void end() {
+  public void markOver() {
     over = true;
   }
 
   /** The task has completed; repeated calls change nothing. */
-  public void markDone(int task) {
-    if (task < spec.taskCount() && !done.get(task)) {
-      done.set(task);
-      doneCount++;
-      free.clear(task);
+  public void markCompleted(int task) {
+    if (task < spec.taskCount() && !completedTasks.get(task)) {
+      completedTasks.set(task);
+      completedCount++;
+      pending.clear(task);
     }
   }
 
   /** True once any of its tasks was seen to run. */
   public boolean hasStarted() {
-    return hasStarted || doneCount > 0;
+    return hasStarted || completedCount > 0;
   }
 
   public void markStarted() {
@@ -242,17 +242,17 @@
   }
 
   /** A task may be on a machine from now on. */
-  void occupy(Attempt attempt) {
-    free.clear(attempt.task());
-    live.put(attempt.task(), attempt);
+  void addAttempt(Attempt attempt) {
+    pending.clear(attempt.task());
+    liveAttempts.put(attempt.task(), attempt);
   }
 
   /** The attempt is surely over. */
   void release(Attempt attempt) {
-    if (live.get(attempt.task()) == attempt) {
-      live.remove(attempt.task());
-      if (!done.get(attempt.task())) {
-        free.set(attempt.task());
+    if (liveAttempts.get(attempt.task()) == attempt) {
+      liveAttempts.remove(attempt.task());
+      if (!completedTasks.get(attempt.task())) {
+        pending.set(attempt.task());
         if (attempt.runningSinceMicros() >= 0) {
           restarted.set(attempt.task());
         }
@@ -266,34 +266,34 @@
 
   /** The zone that a one-zone job is bound to by its live tasks, or null. */
   public String boundZone() {
-    if (!spec.oneZone() || live.isEmpty()) {
+    if (!spec.oneZone() || liveAttempts.isEmpty()) {
       return null;
     }
-    return live.values().iterator().next().machine().zone();
+    return liveAttempts.values().iterator().next().machine().zone();
   }
 
   /**
    * A job submitted with a mistake fails on every machine; growing pauses keep it from wearing the
    * fleet out until its user cancels it.
    */
-  public void noteError(long nowMicros) {
+  public void recordError(long nowMicros) {
     errors = Math.min(errors + 1, 16);
     long pause =
         errors <= FREE_ERRORS
             ? FIRST_PAUSE_MICROS
             : Math.min(
                 MOST_PAUSE_MICROS, FIRST_PAUSE_MICROS << Math.min(errors - FREE_ERRORS, DOUBLINGS));
-    notBeforeMicros = Math.max(notBeforeMicros, nowMicros + pause);
+    retryNotBeforeMicros = Math.max(retryNotBeforeMicros, nowMicros + pause);
   }
 
-  public void noteSuccess() {
+  public void recordSuccess() {
     errors = 0;
-    notBeforeMicros = 0;
+    retryNotBeforeMicros = 0;
   }
 
   /** A task ran this many times as long as its owner's estimate. */
-  public void observe(double ratio) {
-    ratioSum += ratio;
+  public void observeRunTimeRatio(double runTimeRatio) {
+    ratioSum += runTimeRatio;
     ratioCount++;
   }
 
@@ -301,7 +301,7 @@
    * Mean of what was observed of its own tasks, mixed with what its class suggests while they are
    * few.
    */
-  public double ratio(double classRatio) {
+  public double runTimeRatio(double classRatio) {
     return (ratioSum + classRatio) / (ratioCount + 1);
   }
 
@@ -309,7 +309,7 @@
     return errors;
   }
 
-  public long notBeforeMicros() {
-    return notBeforeMicros;
+  public long retryNotBeforeMicros() {
+    return retryNotBeforeMicros;
   }
 }
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -6,7 +6,7 @@
  * One machine as the leader knows it: what it is, how far it has got between rental and return, and
  * the parts that keep its tokens, contact, health and load.
  */
-public final class Machine implements Registered {
+public final class Machine implements Registrable {
   private static final double MICROS_PER_SECOND = 1e6;
 
   private final String id;
@@ -114,8 +114,8 @@
    *
    * @param own by a heartbeat of its own, not by the answer to a direct call
    */
-  public void observed(Heartbeat heartbeat, long nowMicros, boolean own) {
-    contact.heardFrom(heartbeat, nowMicros, own);
+  public void recordReport(Heartbeat heartbeat, long nowMicros, boolean own) {
+    contact.recordReport(heartbeat, nowMicros, own);
     preemptedAtMicros =
         heartbeat.noticed()
             ? nowMicros + (long) (heartbeat.preemptionNoticeS() * MICROS_PER_SECOND)
@@ -123,9 +123,9 @@
   }
 
   /** A heartbeat was answered so that its lease is renewed. */
-  public void answered(long nowMicros) {
-    contact.answered(nowMicros);
-    tokens.answered();
+  public void recordRenewal(long nowMicros) {
+    contact.recordRenewal(nowMicros);
+    tokens.recordRenewal();
   }
 
   /** True when everything an earlier leader may have started on it is known. */
@@ -175,7 +175,7 @@
   }
 
   /** The cloud lists it. */
-  public void listed(boolean asFailed) {
+  public void recordListing(boolean asFailed) {
     failed |= asFailed;
   }
 
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -15,11 +15,11 @@
   private long ownSequenceNumber;
   private long lastHeartbeatMicros = -1;
   private long lastSeenMicros = -1;
-  private long lastAnswerMicros = -1;
+  private long lastRenewalMicros = -1;
   private long renewedElsewhereMicros = Long.MIN_VALUE / 4;
   private boolean commandInFlight;
-  private int failedCalls;
-  private int lostAnswers;
+  private int consecutiveFailedCalls;
+  private int consecutiveLostAnswers;
   private boolean unreachable;
 
   /** The worker's incarnation by the newest message; 0 before the first. */
@@ -28,7 +28,7 @@
   }
 
   /** The machine was last known to another leader in this incarnation. */
-  public void atLeastIncarnation(long known) {
+  public void raiseIncarnation(long known) {
     incarnation = Math.max(incarnation, known);
   }
 
@@ -50,7 +50,7 @@
    *
    * @param own by a heartbeat of its own, not by the answer to a direct call
    */
-  void heardFrom(Heartbeat heartbeat, long nowMicros, boolean own) {
+  void recordReport(Heartbeat heartbeat, long nowMicros, boolean own) {
     if (heartbeat.incarnation() > incarnation) {
       ownSequenceNumber = 0;
     }
@@ -64,13 +64,13 @@
   }
 
   /** True unless something as new or newer has been heard of the machine. */
-  public boolean isNews(Heartbeat heartbeat) {
+  public boolean isNewerThanLast(Heartbeat heartbeat) {
     boolean heardBefore = incarnation > 0 || sequenceNumber > 0;
     return !heardBefore || heartbeat.newerThan(incarnation, sequenceNumber);
   }
 
   /** A heartbeat of its own came after the body of a direct call that was sent later. */
-  public void heartbeatOvertaken(long heartbeatSequenceNumber, long nowMicros) {
+  public void recordOvertakenHeartbeat(long heartbeatSequenceNumber, long nowMicros) {
     ownSequenceNumber = heartbeatSequenceNumber;
     lastHeartbeatMicros = nowMicros;
     lastSeenMicros = nowMicros;
@@ -90,13 +90,13 @@
     return lastSeenMicros;
   }
 
-  void answered(long nowMicros) {
-    lastAnswerMicros = nowMicros;
+  void recordRenewal(long nowMicros) {
+    lastRenewalMicros = nowMicros;
   }
 
   /** When this controller last let it renew its lease. */
-  public long lastAnswerMicros() {
-    return lastAnswerMicros;
+  public long lastRenewalMicros() {
+    return lastRenewalMicros;
   }
 
   /**
@@ -106,7 +106,7 @@
     return renewedElsewhereMicros;
   }
 
-  public void renewedElsewhere(long untilMicros) {
+  public void recordRenewalElsewhere(long untilMicros) {
     renewedElsewhereMicros = Math.max(renewedElsewhereMicros, untilMicros);
   }
 
@@ -120,13 +120,13 @@
   }
 
   /** A direct call came to its end. */
-  public void directCallEnded(boolean answered) {
-    failedCalls = answered ? 0 : failedCalls + 1;
+  public void recordDirectCall(boolean recordRenewal) {
+    consecutiveFailedCalls = recordRenewal ? 0 : consecutiveFailedCalls + 1;
   }
 
   /** Direct calls in a row that got no answer. */
-  public int failedCalls() {
-    return failedCalls;
+  public int consecutiveFailedCalls() {
+    return consecutiveFailedCalls;
   }
 
   /**
@@ -135,15 +135,15 @@
    * shows the token. Else each answer would push back the time at which its lease has surely
    * lapsed.
    */
-  public void answerLost() {
-    lostAnswers++;
-    if (lostAnswers >= LOST_ANSWERS_OF_UNREACHABLE) {
+  public void recordLostAnswer() {
+    consecutiveLostAnswers++;
+    if (consecutiveLostAnswers >= LOST_ANSWERS_OF_UNREACHABLE) {
       unreachable = true;
     }
   }
 
-  public void answerDelivered() {
-    lostAnswers = 0;
+  public void recordDeliveredAnswer() {
+    consecutiveLostAnswers = 0;
     unreachable = false;
   }
 
--- a/src/main/java/plumlever/fleet/MachineHealth.java
+++ b/src/main/java/plumlever/fleet/MachineHealth.java
@@ -38,7 +38,7 @@
    *
    * @return true if tasks of several jobs have failed on it, so that the machine is faulty
    */
-  public boolean noteError(String job) {
+  public boolean recordError(String job) {
     errorStreak++;
     if (!job.equals(lastErrorJob)) {
       lastErrorJob = job;
@@ -48,7 +48,7 @@
   }
 
   /** A task completed on it, so earlier errors count for less. */
-  public void noteSuccess() {
+  public void recordSuccess() {
     errorStreak = 0;
     failedJobs = 0;
     lastErrorJob = null;
--- a/src/main/java/plumlever/fleet/MachineLoad.java
+++ b/src/main/java/plumlever/fleet/MachineLoad.java
@@ -45,7 +45,7 @@
   }
 
   /** True while a task may be on the machine, also one of another cell. */
-  public boolean running() {
+  public boolean mayRunTasks() {
     return liveAttempts > 0 || guests.tasks() > 0;
   }
 
--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -8,7 +8,7 @@
 public final class MachineTokens {
   private long current;
   private long term;
-  private long lastAnswered;
+  private long lastRenewal;
   private long lastCommand = -1;
   private long endsKnownAtLastCommandMicros;
 
@@ -34,7 +34,7 @@
   }
 
   /** True if whoever reported this token has seen one that this leader gave out. */
-  public boolean areOfTermOf(long reportedToken) {
+  public boolean isOfSameTerm(long reportedToken) {
     return Fleet.termOf(reportedToken) == term;
   }
 
@@ -63,17 +63,17 @@
    * True while a late copy of a direct command could still be carried out, as far as this side has
    * seen to it.
    */
-  public boolean directCommandOpen() {
+  public boolean hasUnvoidedCommand() {
     return lastCommand >= current;
   }
 
   /** An answer with the present token let the machine renew its lease. */
-  void answered() {
-    lastAnswered = current;
+  void recordRenewal() {
+    lastRenewal = current;
   }
 
   /** The token of the last answer that let it renew its lease; 0 before the first. */
-  public long lastAnswered() {
-    return lastAnswered;
+  public long lastRenewal() {
+    return lastRenewal;
   }
 }
--- a/src/main/java/plumlever/fleet/Registered.java
+++ b/src/main/java/plumlever/fleet/Registrable.java
@@ -1,7 +1,7 @@
 package plumlever.fleet;
 
 /** What has to be on record in the state service before anything is ordered of it. */
-public interface Registered {
+public interface Registrable {
   RegistrationState registration();
 
   void registration(RegistrationState registration);
--- a/src/main/java/plumlever/fleet/Estimates.java
+++ b/src/main/java/plumlever/fleet/RunTimeEstimates.java
@@ -7,7 +7,7 @@
  * How far owners' estimates are off, by class of jobs; on some days they are mostly too high or too
  * low.
  */
-public final class Estimates {
+public final class RunTimeEstimates {
   private static final double LEAST_RATIO = 0.2;
   private static final double MOST_RATIO = 5;
   private static final long LEAST_RUN_MICROS = 100_000;
@@ -16,13 +16,13 @@
 
   private final Map<String, Double> ratios = new HashMap<>();
 
-  public void observe(String jobClass, double ratio) {
+  public void observeRatio(String jobClass, double ratio) {
     double bounded = Math.max(LEAST_RATIO, Math.min(MOST_RATIO, ratio));
     ratios.merge(jobClass, bounded, (old, seen) -> old * (1 - WEIGHT) + seen * WEIGHT);
   }
 
   /** What an earlier leader found. */
-  public void suggest(String jobClass, double ratio) {
+  public void adoptRatio(String jobClass, double ratio) {
     ratios.putIfAbsent(jobClass, Math.max(LEAST_RATIO, Math.min(MOST_RATIO, ratio)));
   }
 
@@ -36,7 +36,7 @@
 
   /** Run time to plan with for a task of the job, on a machine of nominal speed. */
   public long runMicros(Job job) {
-    double ratio = job.ratio(ratio(job.spec().jobClass()));
+    double ratio = job.runTimeRatio(ratio(job.spec().jobClass()));
     return Math.max(LEAST_RUN_MICROS, (long) (job.spec().expectedRunS() * 1e6 * ratio));
   }
 }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -9,11 +9,11 @@
 import plumlever.concurrent.RecurringTask;
 import plumlever.concurrent.Scope;
 import plumlever.fleet.Attempt;
-import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
+import plumlever.fleet.RunTimeEstimates;
 import plumlever.http.Responder;
 import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
@@ -70,7 +70,7 @@
   private final Fleet fleet;
   private final StartedJobIndex startedJobs;
   private final ActiveJobs jobs;
-  private final Estimates estimates = new Estimates();
+  private final RunTimeEstimates estimates = new RunTimeEstimates();
   private final RecoveryRead records;
   private final Failover failover;
   private final ProgressWriter progress;
@@ -219,7 +219,7 @@
       // Those that did not answer come last: dozens behind a cut would else be called again and
       // again, and nobody else.
       List<Machine> open = new ArrayList<>(failover.open());
-      open.sort(Comparator.comparingInt(machine -> machine.contact().failedCalls()));
+      open.sort(Comparator.comparingInt(machine -> machine.contact().consecutiveFailedCalls()));
       // Where time is short, calls make way for the heartbeats that come anyhow: both tell the
       // same, and all machines that still work report within seconds.
       int most =
@@ -229,8 +229,8 @@
           break;
         }
         // One whose report was just answered shows the token with its next.
-        if (machine.contact().lastAnswerMicros() < 0
-            || now - machine.contact().lastAnswerMicros() > ANSWER_SHOWS_MICROS) {
+        if (machine.contact().lastRenewalMicros() < 0
+            || now - machine.contact().lastRenewalMicros() > ANSWER_SHOWS_MICROS) {
           commands.raise(machine);
         }
       }
@@ -262,7 +262,7 @@
     if (!due || !context.term().mayAct()) {
       return PASS_EVERY_MICROS;
     }
-    if (fleet.numbersRunOut()) {
+    if (fleet.attemptNumbersRunOut()) {
       endTermForNumbers();
       return PASS_EVERY_MICROS;
     }
@@ -394,7 +394,7 @@
     List<WorkerCommand> responseCommands = heartbeats.standingCommands(machine, heartbeat);
     responseCommands.addAll(sharing.guestCommands(machine, heartbeat));
     if (news == HeartbeatHandler.News.NEWS
-        && machine.tokens().areOfTermOf(heartbeat.fencingToken())
+        && machine.tokens().isOfSameTerm(heartbeat.fencingToken())
         && pass.hasPlan(machine)
         && pass.recorded(machine)
         && !machine.load().hasUnconfirmedStart()) {
@@ -403,7 +403,7 @@
     }
     // Checked once more: a turn that ran late may have outlived the right to act.
     if (answers.send(machine, heartbeat, holdsOpenTasks, responseCommands, out)) {
-      machine.answered(context.loop().nowMicros());
+      machine.recordRenewal(context.loop().nowMicros());
     }
   }
 
@@ -422,7 +422,7 @@
         // now.
         double slack = HEARTBEAT_PAUSES * context.platform().workers().heartbeatMicros() / 1e6 + 1;
         if (heartbeat.preemptionNoticeS() <= save + slack + 2) {
-          attempt.stop(save + 1, now);
+          attempt.requestStop(save + 1, now);
         }
       }
     }
@@ -455,13 +455,14 @@
   /** Finished and running tasks of a job for display, or null if it is not known here. */
   public int[] counts(String uid) {
     Job job = loaded ? jobs.get(uid) : null;
-    return job == null ? null : new int[] {job.doneCount(), job.liveCount()};
+    return job == null ? null : new int[] {job.completedCount(), job.liveAttemptCount()};
   }
 
   /** Adds the finished and running tasks of each job, for display at other controllers. */
   public java.util.Map<String, int[]> allCounts(java.util.Map<String, int[]> into) {
     if (loaded) {
-      jobs.all().forEach(j -> into.put(j.uid(), new int[] {j.doneCount(), j.liveCount()}));
+      jobs.all()
+          .forEach(j -> into.put(j.uid(), new int[] {j.completedCount(), j.liveAttemptCount()}));
     }
     return into;
   }
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -148,7 +148,7 @@
     if (team == null) {
       return 0;
     }
-    Fleet.Held held = fleet.held(job.spec().team());
+    Fleet.TeamUsage held = fleet.usage(job.spec().team());
     double cores = held.cores();
     double accelerators = held.accelerators();
     if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
@@ -167,7 +167,7 @@
 
   /** Processors that the team's tasks may be using, wherever they are. */
   public double coresHeld(String team) {
-    return fleet.held(team).cores() + (countUnaccounted() ? unaccountedCores : 0);
+    return fleet.usage(team).cores() + (countUnaccounted() ? unaccountedCores : 0);
   }
 
   /**
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -9,9 +9,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
+import plumlever.fleet.RunTimeEstimates;
 import plumlever.leader.context.Context;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
@@ -46,7 +46,7 @@
 
   private final Context context;
   private final Fleet fleet;
-  private final Estimates estimates;
+  private final RunTimeEstimates estimates;
 
   /** What the state service holds, part by part; null where that is not known. */
   private final List<ObjectNode> written = new ArrayList<>();
@@ -55,7 +55,7 @@
   private boolean writing;
 
   /** Warm state of this term, to be loaded once and then written now and then. */
-  public WarmState(Context context, Fleet fleet, Estimates estimates) {
+  public WarmState(Context context, Fleet fleet, RunTimeEstimates estimates) {
     this.context = context;
     this.fleet = fleet;
     this.estimates = estimates;
@@ -83,7 +83,7 @@
                   if (otherIndex >= 0 && otherIndex < images.size()) {
                     machine
                         .images()
-                        .isReady(
+                        .markReady(
                             images.get(otherIndex).path(0).asText(),
                             images.get(otherIndex).path(1).asDouble());
                   }
@@ -92,7 +92,7 @@
             });
     data.path(RATIOS)
         .properties()
-        .forEach(e -> estimates.suggest(e.getKey(), e.getValue().asDouble(1)));
+        .forEach(e -> estimates.adoptRatio(e.getKey(), e.getValue().asDouble(1)));
   }
 
   /** One value, as it is put together. */
@@ -141,7 +141,7 @@
     part.bytes += Json.write(ratios).length();
     int limit = context.layout().valueBytes();
     for (Machine machine : fleet.machines()) {
-      Map<String, Double> held = machine.images().ready();
+      Map<String, Double> held = machine.images().readyImages();
       if (!held.isEmpty() && !part.add(machine, held, limit)) {
         part = new Part();
         parts.add(part);
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -91,7 +91,7 @@
           heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
-          attempt.directToken() < 0 ? "gone with an answer" : attempt.directToken());
+          attempt.directCommandToken() < 0 ? "gone with an answer" : attempt.directCommandToken());
     }
   }
 
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -2,10 +2,10 @@
 
 import org.slf4j.Logger;
 import plumlever.fleet.Attempt;
-import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
+import plumlever.fleet.RunTimeEstimates;
 import plumlever.leader.context.Context;
 import plumlever.leader.progress.ProgressWriter;
 import plumlever.wire.AttemptState;
@@ -17,7 +17,7 @@
   private final Logger log;
   private final Context context;
   private final Fleet fleet;
-  private final Estimates estimates;
+  private final RunTimeEstimates estimates;
   private final ProgressWriter progress;
   private final AttemptLog attemptLog;
   private final Runnable changed;
@@ -25,7 +25,7 @@
   AttemptUpdates(
       Context context,
       Fleet fleet,
-      Estimates estimates,
+      RunTimeEstimates estimates,
       ProgressWriter progress,
       AttemptLog attemptLog,
       Runnable changed) {
@@ -48,12 +48,12 @@
     if (started && !attempt.job().hasStarted()) {
       context.metrics().time("first_start", now - attempt.job().acceptedMicros());
     }
-    attempt.observed(reported.state(), now);
+    attempt.recordState(reported.state(), now);
     if (started) {
       attempt
           .machine()
           .images()
-          .isReady(attempt.job().spec().image(), attempt.job().spec().imageGb());
+          .markReady(attempt.job().spec().image(), attempt.job().spec().imageGb());
       context.metrics().time("start", now - attempt.job().acceptedMicros());
       if (!attempt.adopted()) {
         // What images cost: room that is held while a task waits for its own.
@@ -74,11 +74,11 @@
     Job job = attempt.job();
     Machine machine = attempt.machine();
     changed.run();
-    fleet.end(attempt, cause);
+    fleet.endAttempt(attempt, cause);
     switch (cause) {
       case DONE -> {
-        job.noteSuccess();
-        machine.health().noteSuccess();
+        job.recordSuccess();
+        machine.health().recordSuccess();
         if (attempt.runningSinceMicros() >= 0) {
           context
               .metrics()
@@ -91,10 +91,10 @@
         done(job, attempt.task());
       }
       case ERROR, NO_SUCH -> {
-        job.noteError(now);
+        job.recordError(now);
         context.metrics().count("task_errors");
         log.info("{} ended with {} on {}", attempt.name().wireName(), cause, machine.id());
-        if (cause == ExitCause.ERROR && machine.health().noteError(job.uid())) {
+        if (cause == ExitCause.ERROR && machine.health().recordError(job.uid())) {
           log.warn("{} fails the tasks of several jobs and is drained", machine.id());
           machine.drain();
         }
@@ -102,7 +102,7 @@
       case STOPPED -> {
         context.metrics().count("tasks_stopped");
         if (attempt.runningSinceMicros() < 0 && !waitsFor(machine, job.spec().image())) {
-          machine.images().dropFetch(job.spec().image());
+          machine.images().cancelFetch(job.spec().image());
         }
       }
       default -> {
@@ -135,16 +135,16 @@
     double planned = estimates.runMicros(attempt.job());
     attempt.machine().health().observeRunTime(took / planned);
     double ratio = took / attempt.machine().health().slowness() / estimate;
-    attempt.job().observe(ratio);
-    estimates.observe(attempt.job().spec().jobClass(), ratio);
+    attempt.job().observeRunTimeRatio(ratio);
+    estimates.observeRatio(attempt.job().spec().jobClass(), ratio);
   }
 
   /** The task has completed, wherever it ran. */
   void done(Job job, int task) {
-    if (job.over() || job.done().get(task)) {
+    if (job.over() || job.completedTasks().get(task)) {
       return;
     }
-    job.markDone(task);
+    job.markCompleted(task);
     context.metrics().count("tasks_done");
     progress.taskDone(job, task);
   }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -6,10 +6,10 @@
 import org.agrona.collections.LongHashSet;
 import org.slf4j.Logger;
 import plumlever.fleet.Attempt;
-import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
+import plumlever.fleet.RunTimeEstimates;
 import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.failover.Failover;
@@ -37,7 +37,7 @@
       Context context,
       Fleet fleet,
       ActiveJobs jobs,
-      Estimates estimates,
+      RunTimeEstimates estimates,
       Failover failover,
       ProgressWriter progress,
       Supplier<MachineSharing> sharing) {
@@ -80,11 +80,11 @@
    */
   public News apply(Machine machine, Heartbeat heartbeat, boolean own) {
     long now = context.loop().nowMicros();
-    if (!machine.contact().isNews(heartbeat)) {
+    if (!machine.contact().isNewerThanLast(heartbeat)) {
       if (own
           && heartbeat.incarnation() == machine.contact().incarnation()
           && heartbeat.sequenceNumber() > machine.contact().ownSequenceNumber()) {
-        machine.contact().heartbeatOvertaken(heartbeat.sequenceNumber(), now);
+        machine.contact().recordOvertakenHeartbeat(heartbeat.sequenceNumber(), now);
         return News.OVERTAKEN;
       }
       // Copies come seconds to minutes late. They must neither bring back what is gone nor count as
@@ -99,7 +99,7 @@
     }
     boolean first = !machine.contact().hasReported();
     boolean noticed = heartbeat.noticed() && machine.preemptedAtMicros() < 0;
-    machine.observed(heartbeat, now, own);
+    machine.recordReport(heartbeat, now, own);
     changed |= first && own;
     if (noticed) {
       changed = true;
@@ -107,7 +107,7 @@
       log.info("{} has a preemption notice of {} s", machine.id(), heartbeat.preemptionNoticeS());
     }
     LongHashSet listed = new LongHashSet();
-    boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
+    boolean current = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     machine.tokens().raise(current ? heartbeat.fencingToken() : 0);
     int untracked = 0;
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
@@ -146,14 +146,14 @@
    * @return false for a copy, which proves nothing
    */
   public boolean applyRelayed(Machine machine, Heartbeat heartbeat) {
-    if (!machine.contact().isNews(heartbeat)) {
+    if (!machine.contact().isNewerThanLast(heartbeat)) {
       return false;
     }
     if (heartbeat.incarnation() > machine.contact().incarnation()) {
       endIncarnationsBefore(machine, heartbeat.incarnation());
     }
     long now = context.loop().nowMicros();
-    machine.observed(heartbeat, now, true);
+    machine.recordReport(heartbeat, now, true);
     LongHashSet listed = new LongHashSet();
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       listed.add(reported.attempt());
@@ -181,9 +181,9 @@
       }
       // A command in an answer: the worker has taken it in or dropped it before it sent this. A
       // direct command: it may be carried out late, until the worker has seen a higher token.
-      if (attempt.directToken() >= 0
-          ? heartbeat.fencingToken() > attempt.directToken() || attempt.state() != null
-          : own && attempt.sentSequenceNumber() < heartbeat.sequenceNumber()) {
+      if (attempt.directCommandToken() >= 0
+          ? heartbeat.fencingToken() > attempt.directCommandToken() || attempt.state() != null
+          : own && attempt.answeredSequenceNumber() < heartbeat.sequenceNumber()) {
         if (gone == null) {
           gone = new ArrayList<>();
         }
@@ -198,7 +198,7 @@
         context.metrics().count(attempt.state() == null ? "starts_lost" : "attempts_vanished");
         attemptLog.settled(attempt, heartbeat);
       }
-      fleet.forget(attempt);
+      fleet.removeAttempt(attempt);
     }
     return lost;
   }
@@ -209,14 +209,14 @@
    */
   private void noteAnswerDelivery(Machine machine, Heartbeat heartbeat, boolean lost) {
     boolean wasUnreachable = machine.contact().unreachable();
-    if (machine.tokens().lastAnswered() > heartbeat.fencingToken()) {
-      machine.contact().answerLost();
+    if (machine.tokens().lastRenewal() > heartbeat.fencingToken()) {
+      machine.contact().recordLostAnswer();
     } else if (lost) {
-      machine.contact().answerLost();
+      machine.contact().recordLostAnswer();
       // The next heartbeat tells by its token whether the next answer arrives.
       machine.tokens().raise(machine.tokens().current() + 1);
     } else {
-      machine.contact().answerDelivered();
+      machine.contact().recordDeliveredAnswer();
     }
     if (machine.contact().unreachable() != wasUnreachable) {
       changed = true;
@@ -239,7 +239,7 @@
       if (!attempt.over() && attempt.state() == null) {
         changed = true;
         context.metrics().count("starts_refused");
-        fleet.forget(attempt);
+        fleet.removeAttempt(attempt);
       }
     }
   }
@@ -262,7 +262,7 @@
         changed = true;
         context.metrics().count("attempts_lost");
       }
-      fleet.forget(attempt);
+      fleet.removeAttempt(attempt);
     }
   }
 
@@ -277,7 +277,7 @@
       if (reported.cause() == ExitCause.DONE) {
         Attempt other = job.liveAttempt(task);
         if (other != null) {
-          other.stop(0, now);
+          other.requestStop(0, now);
         }
         updates.done(job, task);
         changed = true;
@@ -287,18 +287,18 @@
     // Only the heartbeat that accounts for a machine may bring attempts of earlier terms: one that
     // was held back until after the lease had lapsed lists tasks that are dead.
     if (!machine.accounted()
-        && fleet.ofEarlierTerm(reported.attempt())
+        && fleet.isOfEarlierTerm(reported.attempt())
         && job.inherited()
-        && !job.done().get(task)
+        && !job.completedTasks().get(task)
         && job.liveAttempt(task) == null) {
-      Attempt attempt = fleet.adopt(job, task, reported.attempt(), machine, now);
-      attempt.observed(reported.state(), now);
+      Attempt attempt = fleet.adoptAttempt(job, task, reported.attempt(), machine, now);
+      attempt.recordState(reported.state(), now);
       if (reported.state() == AttemptState.RUNNING) {
-        machine.images().isReady(job.spec().image(), job.spec().imageGb());
+        machine.images().markReady(job.spec().image(), job.spec().imageGb());
       } else if (context.prices().machineType(machine.machineType()) != null) {
         machine
             .images()
-            .use(
+            .recordUse(
                 job.spec().image(),
                 job.spec().imageGb(),
                 context.prices().machineType(machine.machineType()),
@@ -337,32 +337,32 @@
     // A worker that has forgotten an attempt would start it again from a late copy of a direct
     // order. So nothing is removed until the answer that says so also makes such copies void, which
     // has to wait for one still under way.
-    if (machine.tokens().directCommandOpen() && !machine.contact().commandInFlight()) {
+    if (machine.tokens().hasUnvoidedCommand() && !machine.contact().commandInFlight()) {
       machine.tokens().voidDirectCommands();
     }
-    boolean mayRemove = !machine.tokens().directCommandOpen();
+    boolean mayRemove = !machine.tokens().hasUnvoidedCommand();
     for (Attempt attempt : machine.load().attempts()) {
       if (attempt.over()) {
         if (mayRemove
-            && attempt.cause() != null
-            && (attempt.cause() != ExitCause.DONE
+            && attempt.exitCause() != null
+            && (attempt.exitCause() != ExitCause.DONE
                 || attempt.job().over()
-                || attempt.job().stored().get(attempt.task()))) {
+                || attempt.job().storedTasks().get(attempt.task()))) {
           commands.add(WorkerCommand.remove(attempt.name(), attempt.id()));
         }
       } else {
         if (attempt.job().over()
             || attempt.job().cancellationConfirmed()
-            || attempt.job().done().get(attempt.task())) {
+            || attempt.job().completedTasks().get(attempt.task())) {
           attemptLog.stopped(attempt);
-          attempt.stop(0, now);
+          attempt.requestStop(0, now);
         }
         if (attempt.stopping()) {
           commands.add(WorkerCommand.stop(attempt.name(), attempt.id(), attempt.gracePeriodS()));
         }
       }
     }
-    boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
+    boolean current = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       if (machine.load().attempt(reported.attempt()) != null
           || sharing.get().isGuest(machine, reported.attempt())) {
@@ -380,7 +380,7 @@
           && mayRemove
           && (job == null
               || reported.cause() != ExitCause.DONE
-              || job.stored().get(reported.task().number()))) {
+              || job.storedTasks().get(reported.task().number()))) {
         commands.add(WorkerCommand.remove(reported.task(), reported.attempt()));
       }
     }
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -162,8 +162,8 @@
               (uid, done) -> {
                 Job job = active.get(uid);
                 if (job != null) {
-                  job.stored().or(done);
-                  job.stored().stream().forEach(job::markDone);
+                  job.storedTasks().or(done);
+                  job.storedTasks().stream().forEach(job::markCompleted);
                   sharedChunks.put(job, sharedChunk);
                 }
               });
@@ -180,8 +180,8 @@
     }
     chunks.computeIfAbsent(job, j -> new LinkedHashMap<>()).put(item.key(), item.revision());
     try {
-      context.layout().readChunk(item.data(), rest.substring(slash + 1), job.stored());
-      job.stored().stream().forEach(job::markDone);
+      context.layout().readChunk(item.data(), rest.substring(slash + 1), job.storedTasks());
+      job.storedTasks().stream().forEach(job::markCompleted);
     } catch (InvalidMessageException e) {
       log.warn("{} can't be read and is taken as no progress", item.key());
     }
@@ -212,13 +212,13 @@
           age / 1_000);
       List<String> parts = JobStore.dependenciesKeys(uid, data);
       if (!parts.isEmpty()) {
-        job.hold();
+        job.blockOnDependencies();
         whenLoaded(() -> readDependencies(job, parts, 0, new ArrayList<>()));
       } else if (job.spec().hasDependencies()) {
-        job.hold();
+        job.blockOnDependencies();
         whenLoaded(() -> trackDependencies(job, job.spec().dependencies()));
       } else if (dependencyGraph.stateOf(uid) == DependencyGraph.State.UNKNOWN
-          && dependencyGraph.needed(uid)) {
+          && dependencyGraph.hasLiveDependents(uid)) {
         trackDependencies(job, List.of());
       }
     } catch (InvalidMessageException e) {
@@ -265,7 +265,7 @@
 
   /** The job and what it waits on are known: those of which nothing was told yet are looked up. */
   private void trackDependencies(Job job, List<String> dependencies) {
-    List<String> unknown = dependencyGraph.accepted(job.uid(), job.revision(), dependencies);
+    List<String> unknown = dependencyGraph.addJob(job.uid(), job.revision(), dependencies);
     dependencyGraph.goal(job.uid(), job.goal(), cost.applyAsLong(job));
     for (String name : unknown) {
       Job before = active.get(name);
@@ -277,7 +277,7 @@
       // One that waits itself is told by its own turn.
     }
     if (!dependencies.isEmpty() && job.waitsForDependencies() && log.isDebugEnabled()) {
-      log.debug("{} depends on {}", job.uid(), dependencyGraph.waitsFor(job.uid()));
+      log.debug("{} depends on {}", job.uid(), dependencyGraph.openDependencies(job.uid()));
     }
   }
 
@@ -292,7 +292,7 @@
   }
 
   private void readEnds() {
-    unread.removeIf(uid -> active.containsKey(uid) || !dependencyGraph.needed(uid));
+    unread.removeIf(uid -> active.containsKey(uid) || !dependencyGraph.hasLiveDependents(uid));
     if (closed || unread.isEmpty()) {
       readingEnds = false;
       return;
@@ -308,7 +308,7 @@
                 (uid, f) -> {
                   if (f.endState() != null) {
                     unread.remove(uid);
-                    dependencyGraph.ended(uid, f.endState(), f.endedWallMicros());
+                    dependencyGraph.recordEnd(uid, f.endState(), f.endedWallMicros());
                   }
                 });
             resolveDependencies();
@@ -324,7 +324,7 @@
   /** Carries out what follows from what is known of the dependency chains now. */
   private void resolveDependencies() {
     long wall = context.loop().wallMicros();
-    for (String uid : dependencyGraph.takeReleased()) {
+    for (String uid : dependencyGraph.drainReleased()) {
       Job job = active.get(uid);
       if (job != null && job.waitsForDependencies()) {
         long ended = dependencyGraph.releasedMicros(uid);
@@ -335,7 +335,7 @@
         changed.run();
       }
     }
-    for (String uid : dependencyGraph.takeCancelled()) {
+    for (String uid : dependencyGraph.drainCancelled()) {
       Job job = active.get(uid);
       if (job != null && job.waitsForDependencies() && dependentsToCancel.put(uid, job) == null) {
         log.info(
@@ -399,7 +399,7 @@
       return;
     }
     if (costsToo) {
-      dependencyGraph.costs(
+      dependencyGraph.updateDurations(
           uid -> {
             Job job = active.get(uid);
             return job == null ? 0 : cost.applyAsLong(job);
@@ -420,7 +420,7 @@
   private void drop(String uid, JobState how) {
     Job job = active.remove(uid);
     if (job != null) {
-      job.end();
+      job.markOver();
       startedJobs.remove(job);
       log.debug("{} has ended", uid);
     }
@@ -428,12 +428,12 @@
     if (dependencyGraph.stateOf(uid) == DependencyGraph.State.UNKNOWN) {
       return;
     }
-    if (how == null && !dependencyGraph.needed(uid)) {
+    if (how == null && !dependencyGraph.hasLiveDependents(uid)) {
       // Nobody waits to be told how.
       how = JobState.CANCELLED;
     }
     if (how != null) {
-      dependencyGraph.ended(uid, how, context.loop().wallMicros());
+      dependencyGraph.recordEnd(uid, how, context.loop().wallMicros());
       resolveDependencies();
     } else {
       readEnd(uid);
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -215,7 +215,7 @@
                   fleet.add(machine);
                 }
                 machine.learnEndpoint(listedMachine.endpoint());
-                machine.listed(listedMachine.status().equals("failed"));
+                machine.recordListing(listedMachine.status().equals("failed"));
               }
             });
   }
@@ -232,7 +232,7 @@
     long renewed =
         Math.max(
             Math.max(renewedForLeader, machine.contact().renewedElsewhereMicros()),
-            machine.contact().lastAnswerMicros());
+            machine.contact().lastRenewalMicros());
     return renewed
         + (long) (context.platform().workers().leaseMicros() * (1 + DRIFT))
         + LAPSE_MARGIN_MICROS;
@@ -265,7 +265,7 @@
     if (now < lapsesAt(machine)) {
       return;
     }
-    boolean lost = machine.load().running();
+    boolean lost = machine.load().mayRunTasks();
     heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
     sharing.lapsed(machine);
     if (lost) {
@@ -294,7 +294,7 @@
     if (silence.of(machine, now) > silence.mostMicros()) {
       return isGone(machine, now) ? "it is silent" : null;
     }
-    if (machine.draining() && !machine.load().running()) {
+    if (machine.draining() && !machine.load().mayRunTasks()) {
       return "it is drained";
     }
     return idleTooLong(machine, crowded, now) && sharing.mayReturnIdle() ? "it is idle" : null;
@@ -348,7 +348,7 @@
    */
   private boolean holdsUpFailover(Machine machine, long now) {
     if (!failover.open().contains(machine)
-        || machine.contact().failedCalls() < 2
+        || machine.contact().consecutiveFailedCalls() < 2
         || now - failover.loadedMicros() < HOLD_UP_MICROS) {
       return false;
     }
@@ -356,7 +356,7 @@
   }
 
   private boolean idleTooLong(Machine machine, boolean crowded, long now) {
-    if (machine.load().running() || pass.hasPlan(machine) || !failover.complete()) {
+    if (machine.load().mayRunTasks() || pass.hasPlan(machine) || !failover.complete()) {
       machine.idleSince(-1);
       return false;
     }
--- a/src/main/java/plumlever/leader/pool/GuestBook.java
+++ b/src/main/java/plumlever/leader/pool/GuestBook.java
@@ -143,13 +143,13 @@
         lodging.ended.add(reported.attempt());
       }
     }
-    if (machine.tokens().areOfTermOf(heartbeat.fencingToken())) {
+    if (machine.tokens().isOfSameTerm(heartbeat.fencingToken())) {
       // What a former owner ordered can't come any more: what is not on the machine is over.
       lodging.byHome.values().forEach(guests -> guests.tasks.keySet().retainAll(listed));
     }
     lodging.commands.keySet().retainAll(listed);
     settleLoad(lodging);
-    if (machine.tokens().areOfTermOf(heartbeat.fencingToken())) {
+    if (machine.tokens().isOfSameTerm(heartbeat.fencingToken())) {
       lodging.byHome.forEach((home, guests) -> relay(lodging, home, guests, heartbeat, false));
     }
   }
@@ -287,7 +287,7 @@
       return List.of();
     }
     List<WorkerCommand> commands = new ArrayList<>();
-    boolean current = machine.tokens().areOfTermOf(heartbeat.fencingToken());
+    boolean current = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       WorkerCommand command = lodging.commands.get(reported.attempt());
       boolean over = reported.state() == AttemptState.ENDED;
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -84,7 +84,7 @@
     double waiting = 0;
     for (Job job : jobs.all()) {
       if (job.spec().team().equals(team.name()) && !job.over() && !job.waitsForDependencies()) {
-        waiting += job.freeCount() * job.spec().cores();
+        waiting += job.pendingCount() * job.spec().cores();
       }
     }
     return Math.min(team.cpusMax(), failover.coresHeld(team.name()) + waiting);
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -108,7 +108,7 @@
   }
 
   private boolean isIdle(Machine machine) {
-    return !machine.load().running() && !pass.hasPlan(machine) && transfers.canOffer(machine);
+    return !machine.load().mayRunTasks() && !pass.hasPlan(machine) && transfers.canOffer(machine);
   }
 
   /**
@@ -231,7 +231,7 @@
       }
     }
     able.sort(
-        Comparator.<Machine>comparingInt(machine -> machine.load().running() ? 1 : 0)
+        Comparator.<Machine>comparingInt(machine -> machine.load().mayRunTasks() ? 1 : 0)
             .thenComparingLong(pass::lastEndMicros)
             .thenComparing(Machine::id));
     int count = 0;
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -190,10 +190,10 @@
       // It went and came back before this was seen.
       machine.tokens().startTerm(record.number());
       machine.markUnaccounted();
-      machine.contact().renewedElsewhere(now() + OFFER_VIEW_MICROS);
+      machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
       raiseToken.accept(machine);
     } else if (!machine.accounted() && machine.contact().renewedElsewhereMicros() < 0) {
-      machine.contact().renewedElsewhere(now() + OFFER_VIEW_MICROS);
+      machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
     }
     return machine;
   }
@@ -203,7 +203,7 @@
     Machine machine = fleet.away(details.id());
     empty.remove(details.id());
     if (machine != null) {
-      fleet.forgetAway(machine);
+      fleet.removeTransferred(machine);
       machine.markUnaccounted();
     } else {
       machine =
@@ -216,7 +216,7 @@
               now() - bootMicros(details.machineType()));
     }
     machine.tokens().startTerm(record.number());
-    machine.contact().renewedElsewhere(now() + OFFER_VIEW_MICROS);
+    machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
     fleet.add(machine);
     registry.enroll(machine);
     raiseToken.accept(machine);
@@ -241,7 +241,7 @@
       if (former != null) {
         release(former);
       }
-      fleet.sendAway(machine, record.number());
+      fleet.transferOut(machine, record.number());
     }
     machine.tokens().startTerm(record.number());
     clearIfOver(machine);
@@ -258,15 +258,18 @@
             details.zone(),
             details.spot(),
             now());
-    machine.contact().atLeastIncarnation(record.incarnation());
+    machine.contact().raiseIncarnation(record.incarnation());
     machine.markAccounted();
     for (GuestTask guest : record.homes().get(own)) {
       Job job = jobs.get(guest.task().job());
       int task = guest.task().number();
       boolean open =
-          job != null && !job.over() && task < job.spec().taskCount() && !job.done().get(task);
+          job != null
+              && !job.over()
+              && task < job.spec().taskCount()
+              && !job.completedTasks().get(task);
       if (open && job.liveAttempt(task) == null) {
-        fleet.adopt(job, task, guest.attempt(), machine, now());
+        fleet.adoptAttempt(job, task, guest.attempt(), machine, now());
       }
     }
     return machine;
@@ -340,7 +343,7 @@
           Machine away = fleet.away(machine);
           if (away != null
               && steps.record(machine).filter(record -> record.isHome(own)).isEmpty()) {
-            fleet.forgetAway(away);
+            fleet.removeTransferred(away);
             empty.remove(machine);
           }
         });
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -118,7 +118,7 @@
   private void keep(Job job) {
     int bytes = context.layout().bytesInSharedChunk(job.spec());
     if (bytes < 0) {
-      job.done().stream().forEach(t -> dirtyChunk(job, t));
+      job.completedTasks().stream().forEach(t -> dirtyChunk(job, t));
       return;
     }
     SharedChunk sharedChunk = sharedChunkWithSpace(bytes);
@@ -251,8 +251,8 @@
       sentSharedChunks.add(sharedChunk);
       Map<String, BitSet> done = new LinkedHashMap<>();
       for (Job otherJob : sharedChunk.jobs) {
-        done.put(otherJob.uid(), otherJob.done());
-        snapshots.put(otherJob, (BitSet) otherJob.done().clone());
+        done.put(otherJob.uid(), otherJob.completedTasks());
+        snapshots.put(otherJob, (BitSet) otherJob.completedTasks().clone());
       }
       String key = JobStore.sharedChunkKey(sharedChunk.number);
       keys.add(key);
@@ -276,8 +276,8 @@
         keysOf.computeIfAbsent(job, j -> new LinkedHashSet<>()).add(key);
         transaction
             .require(key, revisions.getOrDefault(key, 0L))
-            .put(key, context.layout().chunk(job.done(), first, tasksPerChunk));
-        BitSet part = job.done().get(first, first + tasksPerChunk);
+            .put(key, context.layout().chunk(job.completedTasks(), first, tasksPerChunk));
+        BitSet part = job.completedTasks().get(first, first + tasksPerChunk);
         int from = first;
         BitSet snapshot = snapshots.computeIfAbsent(job, j -> new BitSet());
         part.stream().forEach(t -> snapshot.set(from + t));
@@ -308,7 +308,7 @@
               if (result.applied()) {
                 writing = false;
                 keys.forEach(k -> revisions.put(k, result.revision()));
-                snapshots.forEach((job, bits) -> job.stored().or(bits));
+                snapshots.forEach((job, bits) -> job.storedTasks().or(bits));
                 return;
               }
               sentSharedChunks.forEach(p -> p.dirty = true);
@@ -360,7 +360,7 @@
       dirty.clear();
       large.stream()
           .filter(j -> !j.over())
-          .forEach(j -> j.done().stream().forEach(t -> dirtyChunk(j, t)));
+          .forEach(j -> j.completedTasks().stream().forEach(t -> dirtyChunk(j, t)));
     }
     for (SharedChunk sharedChunk : List.copyOf(sharedChunks.values())) {
       if (sharedChunk.bytes <= context.layout().sharedChunkBytes()) {
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import plumlever.fleet.Registered;
+import plumlever.fleet.Registrable;
 import plumlever.fleet.RegistrationState;
 import plumlever.leader.context.Context;
 import plumlever.store.StateClient;
@@ -25,7 +25,7 @@
  * stored does it leave the large one. Broken off at any point an entry is in one value or in two,
  * never in none.
  */
-public final class SharedRecords<E extends Registered> {
+public final class SharedRecords<E extends Registrable> {
   private static final long TIDY_MICROS = 5_000_000;
   private static final long RETRY_MICROS = 300_000;
 
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -172,7 +172,7 @@
           if (closed || !context.term().mayAct()) {
             return;
           }
-          machine.contact().directCallEnded(r != null);
+          machine.contact().recordDirectCall(r != null);
           if (r == null) {
             return;
           }
@@ -211,7 +211,7 @@
               raises--;
               machine.contact().commandInFlight(false);
               Heartbeat heartbeat = status == HttpStatus.OK ? read(machine, data) : null;
-              machine.contact().directCallEnded(heartbeat != null);
+              machine.contact().recordDirectCall(heartbeat != null);
               if (closed || heartbeat == null || !context.term().mayAct()) {
                 return;
               }
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -84,7 +84,7 @@
       }
       Offer offer = offers.get(next++);
       for (Attempt attempt : offer.victims) {
-        attempt.stop(attempt.job().spec().checkpointS() + 2, now);
+        attempt.requestStop(attempt.job().spec().checkpointS() + 2, now);
         context.metrics().count("preempted");
         if (log.isDebugEnabled()) {
           log.debug(
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import plumlever.fleet.Attempt;
-import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.GuestLoad;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
+import plumlever.fleet.RunTimeEstimates;
 import plumlever.leader.context.Context;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.job.ActiveJobs;
@@ -91,7 +91,7 @@
   private final Fleet fleet;
   private final ActiveJobs jobs;
   private final StartedJobIndex startedJobs;
-  private final Estimates estimates;
+  private final RunTimeEstimates estimates;
   private final Failover failover;
   private final Placer placer;
   private final Preemption preemption;
@@ -122,7 +122,7 @@
       Fleet fleet,
       ActiveJobs jobs,
       StartedJobIndex startedJobs,
-      Estimates estimates,
+      RunTimeEstimates estimates,
       Failover failover) {
     this.context = context;
     this.log = context.logs().of(SchedulingPass.class);
@@ -204,7 +204,7 @@
     for (Job job : order(now)) {
       ResourceRequest request = request(job, now);
       Placer.Search search = search(request, zones(job), snapshot);
-      int want = Math.min(job.freeCount(), failover.quotaHeadroom(job));
+      int want = Math.min(job.pendingCount(), failover.quotaHeadroom(job));
       for (int i = 0; i < want; i++) {
         Placer.Choice choice = search.next();
         if (choice.candidate() < 0
@@ -266,7 +266,7 @@
       long start = objectives.startBy(job, guaranteed(job), now);
       long steppedDown =
           Math.min(finish, start == Long.MAX_VALUE ? start : start + runMicros) - now;
-      int tasks = job.freeCount() + job.liveCount();
+      int tasks = job.pendingCount() + job.liveAttemptCount();
       works.add(
           new CoreDemand.Work(
               job.spec().team(), tasks, job.spec().cores(), runMicros, steppedDown));
@@ -364,7 +364,7 @@
     long finish = objectives.finishBy(job, now);
     long run = (long) (estimates.runMicros(job) * (1 + context.parameters().paddingShare()));
     long byFinish = finish == Long.MAX_VALUE ? Long.MAX_VALUE : finish - run;
-    return job.hasFreshFree()
+    return job.hasNeverStartedTask()
         ? Math.min(byFinish, objectives.startBy(job, guaranteed(job), now))
         : byFinish;
   }
@@ -421,7 +421,7 @@
               < context.parameters().rentMicros()) {
         headroom.arrived(now, job.spec());
       }
-      if (job.hasFree() && job.notBeforeMicros() <= now && !failover.blocks(job)) {
+      if (job.hasPending() && job.retryNotBeforeMicros() <= now && !failover.blocks(job)) {
         waiting.add(job);
       }
     }
@@ -609,7 +609,7 @@
       return new Zones(false, Integer.MAX_VALUE);
     }
     Zones zones = new Zones(job.spec().oneZone(), job.spec().zoneLimit());
-    for (Attempt attempt : job.live()) {
+    for (Attempt attempt : job.liveAttempts()) {
       zones.add(attempt.machine().zone());
     }
     return zones;
@@ -649,7 +649,10 @@
   }
 
   private void place(Job job) {
-    if (job.over() || job.cancellationConfirmed() || job.waitsForDependencies() || !job.hasFree()) {
+    if (job.over()
+        || job.cancellationConfirmed()
+        || job.waitsForDependencies()
+        || !job.hasPending()) {
       return;
     }
     long now = snapshot.now;
@@ -661,7 +664,7 @@
       // again.
       planned(job);
     }
-    int want = Math.min(job.freeCount(), quota);
+    int want = Math.min(job.pendingCount(), quota);
     if (want < 1) {
       return;
     }
@@ -746,7 +749,7 @@
           "{}: {} of {} free tasks wait for machines, {} booked",
           job.uid(),
           waiting,
-          job.freeCount(),
+          job.pendingCount(),
           booked);
     }
   }
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -102,7 +102,7 @@
         by =
             goal.submittedMicros()
                 + (long) (goal.deadlineMicros() * Math.max(1, times))
-                - goal.tailMicros();
+                - goal.downstreamPathMicros();
       }
     }
     long[] aims = finishWithin.get(job.spec().jobClass());
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -96,18 +96,18 @@
         continue;
       }
       Zones zones = SchedulingPass.zones(job);
-      for (int i = 0; i < otherPlanned.tasks && job.hasFree(); i++) {
+      for (int i = 0; i < otherPlanned.tasks && job.hasPending(); i++) {
         if (!room.holds(job.spec())
             || !zones.allows(machine.zone())
             || failover.quotaHeadroom(job) < 1) {
           break;
         }
-        int task = job.firstFree();
-        Attempt attempt = fleet.start(job, task, machine, direct, now);
+        int task = job.nextPendingTask();
+        Attempt attempt = fleet.startAttempt(job, task, machine, direct, now);
         started.add(attempt);
         zones.add(machine.zone());
         room.take(job.spec());
-        machine.images().use(job.spec().image(), job.spec().imageGb(), machineType, now);
+        machine.images().recordUse(job.spec().image(), job.spec().imageGb(), machineType, now);
         commands.add(WorkerCommand.run(attempt.name(), attempt.id()));
         context.metrics().count("starts_sent");
         context.metrics().time("wait", now - job.releasedMicros());
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -91,14 +91,14 @@
 
   /** An end that this controller knows of. */
   void ended(String uid, JobState how) {
-    dependencyGraph.ended(uid, how, 0);
+    dependencyGraph.recordEnd(uid, how, 0);
     whole.remove(uid);
     forgetNews();
   }
 
   private void forgetNews() {
-    dependencyGraph.takeReleased();
-    dependencyGraph.takeCancelled();
+    dependencyGraph.drainReleased();
+    dependencyGraph.drainCancelled();
   }
 
   /** Finds out what follows for a job that waits, or waited, for others. */
@@ -139,7 +139,7 @@
   /** The job was accepted here a moment ago: its own record need not be read. */
   void accepted(String uid, long revision, List<String> dependencies) {
     if (storeRevision >= 0) {
-      dependencyGraph.accepted(uid, revision, dependencies);
+      dependencyGraph.addJob(uid, revision, dependencies);
       forgetNews();
     }
   }
@@ -193,10 +193,10 @@
         String uid = open.poll();
         JobState how = ends.known(uid);
         if (how != null) {
-          into.ended(uid, how, 0);
+          into.recordEnd(uid, how, 0);
         } else if (into.stateOf(uid) != DependencyGraph.State.UNKNOWN) {
           // In the book already, but not all that it waits on need be.
-          name(into.waitsFor(uid));
+          name(into.openDependencies(uid));
         } else if (all != null && all.containsKey(uid)) {
           active(all.get(uid), spilled);
         } else {
@@ -235,7 +235,7 @@
                     JobState how = f.endState() != null ? f.endState() : ends.known(uid);
                     if (how != null) {
                       ends.ended(uid, how);
-                      into.ended(uid, how, f.endedWallMicros());
+                      into.recordEnd(uid, how, f.endedWallMicros());
                     } else if (f.active() != null) {
                       active(f.active(), spilled);
                     }
@@ -255,7 +255,7 @@
     }
 
     private void enter(StateClient.Item item, List<String> dependencies) {
-      into.accepted(item.key().substring(JobStore.ACTIVE.length()), item.revision(), dependencies);
+      into.addJob(item.key().substring(JobStore.ACTIVE.length()), item.revision(), dependencies);
       name(dependencies);
     }
 
@@ -337,7 +337,7 @@
               // Also of jobs that are not in the book: one that was read before it ended may be on
               // its way into it.
               ends.ended(uid, how);
-              dependencyGraph.ended(uid, how, JobStore.endedWallMicros(change.data()));
+              dependencyGraph.recordEnd(uid, how, JobStore.endedWallMicros(change.data()));
               whole.remove(uid);
             }
           }
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -49,7 +49,7 @@
 
     /** By when it has to be done, for the sake of itself and all that need it. */
     long by(String uid) {
-      long by = own.get(uid).byMicros();
+      long by = own.get(uid).latestEndMicros();
       for (String after : needs.keySet()) {
         if (needs.get(after).contains(uid) && ended.get(after) == null && !cancelled(after)) {
           long theirs = by(after);
@@ -96,21 +96,21 @@
           boolean done = model.released(uid) && !model.cancelled(uid) && random.nextInt(3) > 0;
           if (done || random.nextInt(4) == 0) {
             model.ended.put(uid, done ? JobState.DONE : JobState.CANCELLED);
-            dependencies.ended(uid, model.ended.get(uid), step);
+            dependencies.recordEnd(uid, model.ended.get(uid), step);
           }
         } else {
-          dependencies.ended(uid, model.ended.get(uid), step);
+          dependencies.recordEnd(uid, model.ended.get(uid), step);
         }
       }
       if (random.nextInt(5) == 0) {
         for (String uid : all) {
           model.cost.put(uid, 1 + random.nextLong(30));
         }
-        dependencies.costs(model.cost::get);
+        dependencies.updateDurations(model.cost::get);
       }
       dependencies.propagateGoals(uid -> {});
-      released.addAll(dependencies.takeReleased());
-      cancelled.addAll(dependencies.takeCancelled());
+      released.addAll(dependencies.drainReleased());
+      cancelled.addAll(dependencies.drainCancelled());
       check(model, dependencies, all, released, cancelled);
     }
     assertTrue(!released.isEmpty() && all.size() > 5);
@@ -136,15 +136,15 @@
             "c",
             0,
             Priority.values()[random.nextInt(4)]));
-    List<String> unknown = dependencies.accepted(uid, 1 + all.size(), needs);
+    List<String> unknown = dependencies.addJob(uid, 1 + all.size(), needs);
     for (String name : unknown) {
       JobState how = model.ended.get(name);
       assertTrue(how != null, name + " has ended, or it would be known");
-      dependencies.ended(name, how, 0);
+      dependencies.recordEnd(name, how, 0);
     }
     dependencies.goal(uid, model.own.get(uid), model.cost.get(uid));
     // Told again, it changes nothing.
-    dependencies.accepted(uid, 1 + all.size(), List.of());
+    dependencies.addJob(uid, 1 + all.size(), List.of());
   }
 
   private static void check(
@@ -172,7 +172,8 @@
           cancelled.contains(uid),
           uid + " was told to be aborted");
       if (now != DependencyGraph.State.CANCELLED) {
-        assertEquals(model.by(uid), dependencies.goal(uid).byMicros(), uid + " has its deadline");
+        assertEquals(
+            model.by(uid), dependencies.goal(uid).latestEndMicros(), uid + " has its deadline");
         assertEquals(
             model.priority(uid), dependencies.goal(uid).priority(), uid + " has its urgency");
       }
@@ -191,7 +192,7 @@
     DependencyGraph dependencies = new DependencyGraph();
     int count = 10_000;
     for (int i = 0; i < count; i++) {
-      dependencies.accepted("job-" + i, i + 1, i == 0 ? List.of() : List.of("job-" + (i - 1)));
+      dependencies.addJob("job-" + i, i + 1, i == 0 ? List.of() : List.of("job-" + (i - 1)));
       dependencies.goal(
           "job-" + i,
           aim(
@@ -202,30 +203,30 @@
     int[] changed = new int[1];
     dependencies.propagateGoals(uid -> changed[0]++);
     assertEquals(count, changed[0], "each once");
-    assertEquals(1_000_000 - 10L * (count - 1), dependencies.goal("job-0").byMicros());
+    assertEquals(1_000_000 - 10L * (count - 1), dependencies.goal("job-0").latestEndMicros());
     assertEquals(Priority.PROD, dependencies.goal("job-0").priority());
     dependencies.propagateGoals(uid -> changed[0]++);
     assertEquals(count, changed[0], "nothing changed, nothing is done");
-    dependencies.takeReleased();
-    dependencies.ended("job-0", JobState.CANCELLED, 0);
-    assertEquals(count, dependencies.takeCancelled().size());
+    dependencies.drainReleased();
+    dependencies.recordEnd("job-0", JobState.CANCELLED, 0);
+    assertEquals(count, dependencies.drainCancelled().size());
     assertEquals("job-0", dependencies.failedDependencyOf("job-" + (count - 1)));
 
     DependencyGraph wide = new DependencyGraph();
-    wide.accepted("job-0", 1, List.of());
+    wide.addJob("job-0", 1, List.of());
     List<String> middle = IntStream.rangeClosed(1, count).mapToObj(i -> "job-" + i).toList();
     for (int i = 1; i <= count; i++) {
-      wide.accepted("job-" + i, i + 1, List.of("job-0"));
+      wide.addJob("job-" + i, i + 1, List.of("job-0"));
     }
-    wide.accepted("job-last", count + 2, middle);
-    wide.takeReleased();
-    wide.ended("job-0", JobState.DONE, 5);
-    assertEquals(count, wide.takeReleased().size());
+    wide.addJob("job-last", count + 2, middle);
+    wide.drainReleased();
+    wide.recordEnd("job-0", JobState.DONE, 5);
+    assertEquals(count, wide.drainReleased().size());
     for (int i = 1; i <= count; i++) {
       assertEquals(DependencyGraph.State.WAITING, wide.stateOf("job-last"));
-      wide.ended("job-" + i, JobState.DONE, i);
+      wide.recordEnd("job-" + i, JobState.DONE, i);
     }
-    assertEquals(List.of("job-last"), wide.takeReleased());
+    assertEquals(List.of("job-last"), wide.drainReleased());
     assertEquals(count, wide.releasedMicros("job-last"));
   }
 
@@ -233,17 +234,17 @@
   @Test
   void aDeadlineIsUndoneWithTheJobThatHadIt() {
     DependencyGraph dependencies = new DependencyGraph();
-    dependencies.accepted("job-1", 1, List.of());
+    dependencies.addJob("job-1", 1, List.of());
     dependencies.goal("job-1", aim(Long.MAX_VALUE, Priority.IDLE), 7);
     dependencies.propagateGoals(uid -> {});
-    dependencies.accepted("job-2", 2, List.of("job-1"));
+    dependencies.addJob("job-2", 2, List.of("job-1"));
     dependencies.goal("job-2", aim(90, Priority.HIGH), 20);
     dependencies.propagateGoals(uid -> {});
-    assertEquals(70, dependencies.goal("job-1").byMicros());
+    assertEquals(70, dependencies.goal("job-1").latestEndMicros());
     assertEquals(Priority.HIGH, dependencies.goal("job-1").priority());
-    dependencies.ended("job-2", JobState.CANCELLED, 0);
+    dependencies.recordEnd("job-2", JobState.CANCELLED, 0);
     dependencies.propagateGoals(uid -> {});
-    assertEquals(Long.MAX_VALUE, dependencies.goal("job-1").byMicros());
+    assertEquals(Long.MAX_VALUE, dependencies.goal("job-1").latestEndMicros());
     assertEquals(Priority.IDLE, dependencies.goal("job-1").priority());
   }
 }
--- a/src/test/java/plumlever/fleet/FleetNumbersTest.java
+++ b/src/test/java/plumlever/fleet/FleetNumbersTest.java
@@ -15,8 +15,8 @@
 
   @Test
   void attemptNumbersRunOutBeforeThoseOfTheNextTerm() {
-    assertFalse(new Fleet(TERM, 16_000_000).numbersRunOut());
-    assertTrue(new Fleet(TERM, 16_720_000).numbersRunOut());
+    assertFalse(new Fleet(TERM, 16_000_000).attemptNumbersRunOut());
+    assertTrue(new Fleet(TERM, 16_720_000).attemptNumbersRunOut());
   }
 
   @Test
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -163,7 +163,7 @@
     assertTrue(
         next.waitsForDependencies() && last.waitsForDependencies() && many.waitsForDependencies());
     assertEquals(Priority.HIGH, slow.priority(), "its last job's priority reaches back to it");
-    assertTrue(large.doneCount() > 10, "progress " + large.doneCount());
+    assertTrue(large.completedCount() > 10, "progress " + large.completedCount());
     assertTrue(answer(cluster, "job-000005").contains("\"aborted\""));
     assertTrue(answer(cluster, "job-000004").contains("\"pending\""));
     end(cluster, "job-000002");
@@ -185,7 +185,7 @@
     cluster.store.rewrite("", steppedDown);
     cluster.cloud.outage = true;
     cluster.play(4);
-    BitSet done = job(cluster, "job-000001").done();
+    BitSet done = job(cluster, "job-000001").completedTasks();
     assertEquals(FormerVersion.progressItReads(cluster.store, NOW_BYTES).get("job-000001"), done);
     assertTrue(done.length() > 24_192, "in the second part, too: " + done.length());
   }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -109,14 +109,14 @@
     BitSet packed = JobStore.readSharedChunk(steppedDown.get("progress/pack/0")).get("job-000030");
     Job small = cluster.leader().node().leader().job("job-000030");
     if (small != null) {
-      assertEquals(packed, small.done());
+      assertEquals(packed, small.completedTasks());
     }
     Job large = cluster.leader().node().leader().job("job-900001");
     assertEquals(
         FormerVersion.progressItReads(cluster.store, NOW_BYTES).get("job-900001"),
-        large.done(),
+        large.completedTasks(),
         "by its own size of chunks");
-    assertTrue(large.doneCount() > 1000 && large.inherited());
+    assertTrue(large.completedCount() > 1000 && large.inherited());
     int machines = steppedDown.get("fleet/0").path("hosts").size();
     assertTrue(machines > 5);
     assertEquals(200, status(cluster, "job-000003", "aborted"));
