--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -271,7 +271,7 @@
   }
 
   /** What the job itself asks for, and what it takes once it is released. */
-  public void goal(String uid, EffectiveGoal own, long durationMicros) {
+  public void setGoal(String uid, EffectiveGoal own, long durationMicros) {
     Vertex vertex = vertices.get(uid);
     if (vertex == null) {
       return;
@@ -330,7 +330,7 @@
   }
 
   /** What it is worth, what needs it considered; null before {@link #settleAims}. */
-  public EffectiveGoal goal(String uid) {
+  public EffectiveGoal effectiveGoal(String uid) {
     Vertex vertex = vertices.get(uid);
     return vertex == null ? null : vertex.goal;
   }
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -34,7 +34,7 @@
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
   /** Machines of other cells that may hold tasks of this one. */
-  private final Map<String, Machine> away = new LinkedHashMap<>();
+  private final Map<String, Machine> transferred = new LinkedHashMap<>();
 
   private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
   private final long term;
@@ -76,13 +76,13 @@
   }
 
   /** A machine of another cell that may hold tasks of this one, or null. */
-  public Machine away(String id) {
-    return away.get(id);
+  public Machine transferredMachine(String id) {
+    return transferred.get(id);
   }
 
   /** All machines of other cells that may hold tasks of this one. */
-  public Collection<Machine> away() {
-    return away.values();
+  public Collection<Machine> transferredMachines() {
+    return transferred.values();
   }
 
   /**
@@ -93,12 +93,12 @@
   public void transferOut(Machine machine, long number) {
     machines.remove(machine.id(), machine);
     machine.tokens().startTerm(number);
-    away.put(machine.id(), machine);
+    transferred.put(machine.id(), machine);
   }
 
   /** No task of this cell is on the other's machine any more, or it comes back. */
   public void removeTransferred(Machine machine) {
-    away.remove(machine.id(), machine);
+    transferred.remove(machine.id(), machine);
   }
 
   /** Replaces what a rental told by what the machine itself or the list tells. */
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -124,7 +124,7 @@
     return goal;
   }
 
-  public void goal(DependencyGraph.EffectiveGoal now) {
+  public void setGoal(DependencyGraph.EffectiveGoal now) {
     goal = now;
   }
 
@@ -159,8 +159,8 @@
   }
 
   @Override
-  public void registration(RegistrationState otherRegistration) {
-    registration = otherRegistration;
+  public void setRegistration(RegistrationState now) {
+    registration = now;
   }
 
   public BitSet completedTasks() {
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -27,7 +27,7 @@
   private long preemptedAtMicros = -1;
   private boolean draining;
   private boolean returning;
-  private boolean offered;
+  private boolean transferring;
   private boolean failed;
   private long idleSinceMicros = -1;
 
@@ -105,7 +105,7 @@
   }
 
   @Override
-  public void registration(RegistrationState now) {
+  public void setRegistration(RegistrationState now) {
     registration = now;
   }
 
@@ -161,17 +161,17 @@
     return returning;
   }
 
-  public void returning(boolean now) {
+  public void setReturning(boolean now) {
     returning = now;
   }
 
   /** True while it is being given to another cell: nothing is started on it. */
-  public boolean offered() {
-    return offered;
+  public boolean transferring() {
+    return transferring;
   }
 
-  public void offered(boolean now) {
-    offered = now;
+  public void setTransferring(boolean now) {
+    transferring = now;
   }
 
   /** The cloud lists it. */
@@ -189,7 +189,7 @@
     return idleSinceMicros;
   }
 
-  public void idleSince(long micros) {
+  public void setIdleSince(long micros) {
     idleSinceMicros = micros;
   }
 }
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -115,7 +115,7 @@
     return commandInFlight;
   }
 
-  public void commandInFlight(boolean now) {
+  public void setCommandInFlight(boolean now) {
     commandInFlight = now;
   }
 
--- a/src/main/java/plumlever/fleet/MachineLoad.java
+++ b/src/main/java/plumlever/fleet/MachineLoad.java
@@ -72,7 +72,7 @@
     return guests;
   }
 
-  public void guests(GuestLoad now) {
+  public void setGuests(GuestLoad now) {
     guests = now;
   }
 }
--- a/src/main/java/plumlever/fleet/Registrable.java
+++ b/src/main/java/plumlever/fleet/Registrable.java
@@ -4,5 +4,5 @@
 public interface Registrable {
   RegistrationState registration();
 
-  void registration(RegistrationState registration);
+  void setRegistration(RegistrationState registration);
 }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -248,7 +248,7 @@
    * A worker that starts a new incarnation has killed and forgotten everything of the ones before.
    */
   public void endIncarnationsBefore(Machine machine, long incarnation) {
-    if (fleet.away(machine.id()) != machine) {
+    if (fleet.transferredMachine(machine.id()) != machine) {
       failover.untracked(machine, 0);
     }
     List<Attempt> ended = new ArrayList<>();
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -266,7 +266,7 @@
   /** The job and what it waits on are known: those of which nothing was told yet are looked up. */
   private void trackDependencies(Job job, List<String> dependencies) {
     List<String> unknown = dependencyGraph.addJob(job.uid(), job.revision(), dependencies);
-    dependencyGraph.goal(job.uid(), job.goal(), cost.applyAsLong(job));
+    dependencyGraph.setGoal(job.uid(), job.goal(), cost.applyAsLong(job));
     for (String name : unknown) {
       Job before = active.get(name);
       if (before == null) {
@@ -409,7 +409,7 @@
         uid -> {
           Job job = active.get(uid);
           if (job != null) {
-            job.goal(dependencyGraph.goal(uid));
+            job.setGoal(dependencyGraph.effectiveGoal(uid));
           }
         });
   }
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -211,7 +211,7 @@
                           listedMachine.zone(),
                           listedMachine.spot(),
                           now - (long) (listedMachine.ageS() * 1e6));
-                  machine.returning(sharing.mustReturn(listedMachine.id()));
+                  machine.setReturning(sharing.mustReturn(listedMachine.id()));
                   fleet.add(machine);
                 }
                 machine.learnEndpoint(listedMachine.endpoint());
@@ -357,11 +357,11 @@
 
   private boolean idleTooLong(Machine machine, boolean crowded, long now) {
     if (machine.load().mayRunTasks() || pass.hasPlan(machine) || !failover.complete()) {
-      machine.idleSince(-1);
+      machine.setIdleSince(-1);
       return false;
     }
     if (machine.idleSinceMicros() < 0) {
-      machine.idleSince(now);
+      machine.setIdleSince(now);
     }
     if (pass.cordoned().contains(machine)) {
       return now - machine.knownSinceMicros() > FleetSizing.LEAST_CHARGE_MICROS;
@@ -384,7 +384,7 @@
         machine.zone(),
         machine.spot() ? ", spot" : "",
         why);
-    machine.returning(true);
+    machine.setReturning(true);
     context.metrics().count("machines_returned");
   }
 
--- a/src/main/java/plumlever/leader/pool/GuestBook.java
+++ b/src/main/java/plumlever/leader/pool/GuestBook.java
@@ -103,7 +103,7 @@
   /** The machine has no guests any more, or is not this cell's. */
   void remove(Machine machine) {
     if (lodgings.remove(machine.id()) != null) {
-      machine.load().guests(GuestLoad.NONE);
+      machine.load().setGuests(GuestLoad.NONE);
       tidyWatches();
     }
   }
@@ -169,7 +169,7 @@
         }
       }
     }
-    lodging.machine.load().guests(new GuestLoad(count, cores, accelerators, memoryGb));
+    lodging.machine.load().setGuests(new GuestLoad(count, cores, accelerators, memoryGb));
   }
 
   /** The machine's lease has surely lapsed, so its tasks are dead: their homes are told. */
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -97,7 +97,7 @@
     int machines = 0;
     int idle = 0;
     for (Machine machine : fleet.machines()) {
-      if (!machine.returning() && !machine.offered()) {
+      if (!machine.returning() && !machine.transferring()) {
         machines++;
         idle += isIdle(machine) ? 1 : 0;
       }
@@ -131,7 +131,7 @@
     double cores = 0;
     for (Machine machine : fleet.machines()) {
       MachineType machineType = context.prices().machineType(machine.machineType());
-      if (machineType != null && !machine.returning() && !machine.offered()) {
+      if (machineType != null && !machine.returning() && !machine.transferring()) {
         cores += machineType.cores() - machine.load().guests().cores();
       }
     }
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -169,10 +169,10 @@
   private void mine(TransferRecord record) {
     Machine machine = acquire(record);
     if (record.state() == TransferRecord.State.TAKEN && !steps.isUnderWay(machine.id())) {
-      machine.offered(false);
+      machine.setTransferring(false);
       offeredMicros.remove(machine.id());
     } else {
-      machine.offered(true);
+      machine.setTransferring(true);
     }
     guests.update(machine, record);
     if (record.isSettled()) {
@@ -200,7 +200,7 @@
 
   private Machine gain(TransferRecord record) {
     TransferRecord.Details details = record.machine();
-    Machine machine = fleet.away(details.id());
+    Machine machine = fleet.transferredMachine(details.id());
     empty.remove(details.id());
     if (machine != null) {
       fleet.removeTransferred(machine);
@@ -234,7 +234,7 @@
 
   /** Another cell's machine on which tasks of this one may be. */
   private void away(TransferRecord record) {
-    Machine machine = fleet.away(record.machine().id());
+    Machine machine = fleet.transferredMachine(record.machine().id());
     if (machine == null) {
       Machine former = fleet.machine(record.machine().id());
       machine = former == null ? lodge(record) : former;
@@ -277,7 +277,7 @@
 
   private void release(Machine machine) {
     offeredMicros.remove(machine.id());
-    machine.offered(false);
+    machine.setTransferring(false);
     pass.dropPlan(machine);
     registry.remove(machine);
     guests.remove(machine);
@@ -298,7 +298,7 @@
   }
 
   private void gone(TransferRecord record) {
-    Machine machine = fleet.away(record.machine().id());
+    Machine machine = fleet.transferredMachine(record.machine().id());
     if (machine != null) {
       heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
       empty.add(machine.id());
@@ -340,7 +340,7 @@
                 .filter(record -> record.isHome(own))
                 .map(record -> steps.replaced(machine, record.withoutHome(own))),
         () -> {
-          Machine away = fleet.away(machine);
+          Machine away = fleet.transferredMachine(machine);
           if (away != null
               && steps.record(machine).filter(record -> record.isHome(own)).isEmpty()) {
             fleet.removeTransferred(away);
@@ -371,7 +371,7 @@
         && machine.contact().hasReported()
         && machine.accounted()
         && machine.endpoint() != null
-        && !machine.offered()
+        && !machine.transferring()
         && !machine.draining()
         && !machine.returning()
         && !machine.failed()
@@ -384,7 +384,7 @@
 
   /** Gives the machine up to that cell; nothing is started on it from here on. */
   void offer(Machine machine, String to) {
-    machine.offered(true);
+    machine.setTransferring(true);
     pass.dropPlan(machine);
     offeredMicros.put(machine.id(), now());
     context.metrics().count("machines_offered");
@@ -397,7 +397,7 @@
           if (!owns(machine.id()) && steps.record(machine.id()).isEmpty()) {
             loseEmpty(machine.id());
           } else if (steps.record(machine.id()).flatMap(TransferRecord::offer).isEmpty()) {
-            machine.offered(false);
+            machine.setTransferring(false);
             offeredMicros.remove(machine.id());
           }
         });
@@ -483,7 +483,7 @@
         () -> {
           Machine kept = fleet.machine(machine);
           if (kept != null && steps.record(machine).flatMap(TransferRecord::offer).isEmpty()) {
-            kept.offered(false);
+            kept.setTransferring(false);
             offeredMicros.remove(machine);
           }
         });
--- a/src/main/java/plumlever/leader/pool/OfferTaker.java
+++ b/src/main/java/plumlever/leader/pool/OfferTaker.java
@@ -112,7 +112,7 @@
     for (TransferRecord record : taking) {
       String machine = record.machine().id();
       if (owns(machine) && view.transfer(machine).isEmpty()) {
-        acquire.apply(record).offered(false);
+        acquire.apply(record).setTransferring(false);
       }
     }
     taking = List.of();
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -117,7 +117,7 @@
       if (holder.isEmpty()) {
         unclaimed.add(machine.id());
       } else if (claims.isRetired(machine.id())) {
-        machine.returning(true);
+        machine.setReturning(true);
       } else if (!transfers.owns(machine.id())) {
         registry.remove(machine);
         fleet.remove(machine);
@@ -199,7 +199,7 @@
     }
     boolean viewIsOld =
         context.loop().nowMicros() - link.knownMicros() > MachineTransfers.OFFER_VIEW_MICROS;
-    if (machine != null && machine.offered() && viewIsOld) {
+    if (machine != null && machine.transferring() && viewIsOld) {
       out.later(HttpStatus.UNAVAILABLE, "the machine may have another owner by now", 1);
       return true;
     }
@@ -252,7 +252,7 @@
     String id = relayed.heartbeat().machineId();
     Optional<TransferRecord> record =
         loaded ? view.transfer(id).map(PoolView.Versioned::value) : Optional.empty();
-    Machine machine = loaded ? fleet.away(id) : null;
+    Machine machine = loaded ? fleet.transferredMachine(id) : null;
     boolean fits =
         record.isPresent()
             && record.get().isHome(sharing.own().name())
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -101,7 +101,7 @@
     chunk.writtenMicros = context.loop().nowMicros();
     chunks.put(number, chunk);
     for (E entry : entries) {
-      entry.registration(RegistrationState.STORED);
+      entry.setRegistration(RegistrationState.STORED);
       enter(chunk, entry);
     }
   }
@@ -117,7 +117,7 @@
     if (entry.registration() != RegistrationState.NONE) {
       return;
     }
-    entry.registration(RegistrationState.WRITING);
+    entry.setRegistration(RegistrationState.WRITING);
     Chunk<E> into = withRoom(layout.bytes(entry));
     enter(into, entry);
     into.due = true;
@@ -181,7 +181,7 @@
    */
   public void remove(E entry) {
     // It may come back, and is not on record then.
-    entry.registration(RegistrationState.NONE);
+    entry.setRegistration(RegistrationState.NONE);
     Chunk<E> to = movingTo.remove(entry);
     if (to != null && to.entries.remove(entry)) {
       to.bytes -= layout.bytes(entry);
@@ -283,7 +283,7 @@
     for (E entry : written) {
       boolean stillHere = chunkOf.get(entry) == chunk || movingTo.get(entry) == chunk;
       if (stillHere && entry.registration() == RegistrationState.WRITING) {
-        entry.registration(RegistrationState.STORED);
+        entry.setRegistration(RegistrationState.STORED);
         news = true;
       }
     }
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -109,7 +109,7 @@
   private void start(
       Machine machine, Endpoint at, List<WorkerCommand> commands, List<Attempt> sent) {
     machine.tokens().commandSent(jobs.endsKnownMicros());
-    machine.contact().commandInFlight(true);
+    machine.contact().setCommandInFlight(true);
     starts++;
     long token = machine.tokens().current();
     long incarnation = machine.contact().incarnation();
@@ -121,7 +121,7 @@
         START_TIMEOUT_MICROS,
         (status, r) -> {
           starts--;
-          machine.contact().commandInFlight(false);
+          machine.contact().setCommandInFlight(false);
           if (closed) {
             return;
           }
@@ -160,7 +160,7 @@
       return;
     }
     raises++;
-    machine.contact().commandInFlight(true);
+    machine.contact().setCommandInFlight(true);
     call(
         machine,
         at,
@@ -168,7 +168,7 @@
         RAISE_TIMEOUT_MICROS,
         (status, r) -> {
           raises--;
-          machine.contact().commandInFlight(false);
+          machine.contact().setCommandInFlight(false);
           if (closed || !context.term().mayAct()) {
             return;
           }
@@ -198,7 +198,7 @@
       return;
     }
     raises++;
-    machine.contact().commandInFlight(true);
+    machine.contact().setCommandInFlight(true);
     context
         .caller()
         .call(
@@ -209,7 +209,7 @@
             RAISE_TIMEOUT_MICROS,
             (status, data) -> {
               raises--;
-              machine.contact().commandInFlight(false);
+              machine.contact().setCommandInFlight(false);
               Heartbeat heartbeat = status == HttpStatus.OK ? read(machine, data) : null;
               machine.contact().recordDirectCall(heartbeat != null);
               if (closed || heartbeat == null || !context.term().mayAct()) {
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -450,7 +450,7 @@
         && machine.accounted()
         && !machine.draining()
         && !machine.returning()
-        && !machine.offered()
+        && !machine.transferring()
         && !machine.contact().unreachable()
         && !machine.load().hasUnconfirmedStart()
         && now - sign < context.platform().workers().latestHeartbeatMicros();
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -76,7 +76,7 @@
         || !jobs.mayRenew()
         || machine.draining()
         || machine.returning()
-        || machine.offered()
+        || machine.transferring()
         || machine.registration() != RegistrationState.STORED
         || !machine.accounted()
         || machine.contact().unreachable()) {
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -142,7 +142,7 @@
       assertTrue(how != null, name + " has ended, or it would be known");
       dependencies.recordEnd(name, how, 0);
     }
-    dependencies.goal(uid, model.own.get(uid), model.cost.get(uid));
+    dependencies.setGoal(uid, model.own.get(uid), model.cost.get(uid));
     // Told again, it changes nothing.
     dependencies.addJob(uid, 1 + all.size(), List.of());
   }
@@ -173,9 +173,13 @@
           uid + " was told to be aborted");
       if (now != DependencyGraph.State.CANCELLED) {
         assertEquals(
-            model.by(uid), dependencies.goal(uid).latestEndMicros(), uid + " has its deadline");
+            model.by(uid),
+            dependencies.effectiveGoal(uid).latestEndMicros(),
+            uid + " has its deadline");
         assertEquals(
-            model.priority(uid), dependencies.goal(uid).priority(), uid + " has its urgency");
+            model.priority(uid),
+            dependencies.effectiveGoal(uid).priority(),
+            uid + " has its urgency");
       }
     }
   }
@@ -193,7 +197,7 @@
     int count = 10_000;
     for (int i = 0; i < count; i++) {
       dependencies.addJob("job-" + i, i + 1, i == 0 ? List.of() : List.of("job-" + (i - 1)));
-      dependencies.goal(
+      dependencies.setGoal(
           "job-" + i,
           aim(
               i == count - 1 ? 1_000_000 : Long.MAX_VALUE,
@@ -203,8 +207,9 @@
     int[] changed = new int[1];
     dependencies.propagateGoals(uid -> changed[0]++);
     assertEquals(count, changed[0], "each once");
-    assertEquals(1_000_000 - 10L * (count - 1), dependencies.goal("job-0").latestEndMicros());
-    assertEquals(Priority.PROD, dependencies.goal("job-0").priority());
+    assertEquals(
+        1_000_000 - 10L * (count - 1), dependencies.effectiveGoal("job-0").latestEndMicros());
+    assertEquals(Priority.PROD, dependencies.effectiveGoal("job-0").priority());
     dependencies.propagateGoals(uid -> changed[0]++);
     assertEquals(count, changed[0], "nothing changed, nothing is done");
     dependencies.drainReleased();
@@ -235,16 +240,16 @@
   void aDeadlineIsUndoneWithTheJobThatHadIt() {
     DependencyGraph dependencies = new DependencyGraph();
     dependencies.addJob("job-1", 1, List.of());
-    dependencies.goal("job-1", aim(Long.MAX_VALUE, Priority.IDLE), 7);
+    dependencies.setGoal("job-1", aim(Long.MAX_VALUE, Priority.IDLE), 7);
     dependencies.propagateGoals(uid -> {});
     dependencies.addJob("job-2", 2, List.of("job-1"));
-    dependencies.goal("job-2", aim(90, Priority.HIGH), 20);
+    dependencies.setGoal("job-2", aim(90, Priority.HIGH), 20);
     dependencies.propagateGoals(uid -> {});
-    assertEquals(70, dependencies.goal("job-1").latestEndMicros());
-    assertEquals(Priority.HIGH, dependencies.goal("job-1").priority());
+    assertEquals(70, dependencies.effectiveGoal("job-1").latestEndMicros());
+    assertEquals(Priority.HIGH, dependencies.effectiveGoal("job-1").priority());
     dependencies.recordEnd("job-2", JobState.CANCELLED, 0);
     dependencies.propagateGoals(uid -> {});
-    assertEquals(Long.MAX_VALUE, dependencies.goal("job-1").latestEndMicros());
-    assertEquals(Priority.IDLE, dependencies.goal("job-1").priority());
+    assertEquals(Long.MAX_VALUE, dependencies.effectiveGoal("job-1").latestEndMicros());
+    assertEquals(Priority.IDLE, dependencies.effectiveGoal("job-1").priority());
   }
 }
