--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -123,7 +123,7 @@
     SchedulerParameters parameters = settings.parameters();
     this.sharing = settings.sharing();
     KeySpace keySpace =
-        sharing.map(pool -> KeySpace.under(pool.own().prefix())).orElse(KeySpace.ROOT);
+        sharing.map(pool -> KeySpace.under(pool.ownCell().prefix())).orElse(KeySpace.ROOT);
     this.loop = loop;
     this.platform = platform;
     this.metrics = new Metrics(logs);
@@ -138,7 +138,7 @@
         new JobStore(
             store.limits(),
             sharing
-                .map(pool -> pool.others().stream().map(SharingSettings.Cell::prefix).toList())
+                .map(pool -> pool.otherCells().stream().map(SharingSettings.Cell::prefix).toList())
                 .orElse(List.of()));
     StateClient electionStore =
         new StateClient(
@@ -152,7 +152,7 @@
         sharing.map(
             pool ->
                 new PoolTerms(
-                    electionStore, PoolView.COUNTER, PoolView.leaderKey(pool.own().name())));
+                    electionStore, PoolView.COUNTER, PoolView.leaderKey(pool.ownCell().name())));
     this.election =
         new LeaderElection(
             platform.label(),
@@ -178,7 +178,7 @@
             poolTerms,
             seed,
             logs);
-    boolean moneyMatters = platform.moneyMatters(parameters.rentMicros());
+    boolean moneyMatters = platform.moneyMatters(parameters.rentalMicros());
     this.contexts =
         term ->
             new Context(
@@ -291,7 +291,7 @@
   public void start() {
     scope.own(election);
     election.start();
-    scope.own(machineTypes.duty()).start();
+    scope.own(machineTypes.task()).start();
     scope.own(peers.duty()).start();
     scope.own(delegatedRenewal.duty()).start();
     scope.own(new RecurringTask("state service probe", loop, this::listen)).start();
@@ -379,7 +379,7 @@
    * can't tell what they get.
    */
   private boolean isRefusedAlone() {
-    if (store.refusedForMicros() < ALONE_MICROS || platform.seeds().isEmpty()) {
+    if (store.refusedForMicros() < ALONE_MICROS || platform.peers().isEmpty()) {
       return false;
     }
     boolean heard = false;
@@ -425,7 +425,7 @@
     long now = loop.nowMicros();
     if (livenessTickDueMicros > 0) {
       lateMicros = now - livenessTickDueMicros;
-      metrics.time("late", lateMicros);
+      metrics.recordDuration("late", lateMicros);
     }
     livenessTickDueMicros = now + LIVENESS_TICK_MICROS;
     return LIVENESS_TICK_MICROS;
@@ -451,7 +451,7 @@
   }
 
   private boolean ofOwnCell(String label) {
-    return sharing.isEmpty() || sharing.get().own().controllers().contains(label);
+    return sharing.isEmpty() || sharing.get().ownCell().controllers().contains(label);
   }
 
   private PeerStatus status() {
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -34,7 +34,7 @@
         (status, data) -> {
           long since = loop.nowMicros();
           answer.take(status, data);
-          metrics.spent(work, loop.nowMicros() - since);
+          metrics.recordWork(work, loop.nowMicros() - since);
         });
   }
 
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -31,7 +31,7 @@
 
   private static String addresses(PlatformConfiguration platform) {
     String others =
-        platform.seeds().stream()
+        platform.peers().stream()
             .map(seed -> seed.label() + " at " + seed.endpoint())
             .collect(Collectors.joining(", "));
     return """
@@ -43,7 +43,7 @@
             platform.label(),
             platform.zone(),
             platform.bind(),
-            platform.back(),
+            platform.peerBind(),
             others,
             platform.state(),
             platform.cloud());
@@ -51,9 +51,9 @@
 
   private static String cells(SharingSettings sharing) {
     return "cell "
-        + sharing.own().name()
+        + sharing.ownCell().name()
         + " of a pool of "
-        + sharing.machines()
+        + sharing.maxMachines()
         + " machines, with sharing file "
         + sharing.digest()
         + ": "
@@ -62,7 +62,7 @@
                 cell ->
                     cell.name()
                         + " (floor "
-                        + cell.floor()
+                        + cell.minMachines()
                         + ", weight "
                         + cell.weight()
                         + ", keys under "
@@ -95,7 +95,7 @@
   }
 
   private static String money(PlatformConfiguration platform, SchedulerParameters parameters) {
-    return platform.moneyMatters(parameters.rentMicros())
+    return platform.moneyMatters(parameters.rentalMicros())
         ? "money is saved where the aims leave time: idle machines are returned after "
             + seconds(parameters.idleMoneyMicros())
         : "machines stand by, since an aim leaves no time to rent one: idle machines are returned"
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -114,7 +114,7 @@
     back =
         new Server(
             worker,
-            platform.back(),
+            platform.peerBind(),
             PEER_CONNECTIONS,
             idleMicros,
             PEER_BODY,
@@ -154,7 +154,7 @@
         "{} serves {} and {}; aims: {}",
         platform.label(),
         platform.bind(),
-        platform.back(),
+        platform.peerBind(),
         platform.objectives().stream()
             .map(PlatformConfiguration.Objective::kind)
             .distinct()
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -28,20 +28,20 @@
 /** The cloud's client. Answers that can't be understood count as no answer. */
 public final class CloudClient {
   /** What became of a rental request. */
-  public enum Rent {
+  public enum RentalOutcome {
     RENTED,
     NO_CAPACITY,
-    NOT_NOW,
+    REFUSED,
     UNKNOWN
   }
 
   /** Takes the answer to a rental request; {@code machineIds} is empty unless it was filled. */
-  public interface RentAnswer {
-    void take(Rent outcome, List<String> machineIds);
+  public interface RentalListener {
+    void onAnswer(RentalOutcome outcome, List<String> machineIds);
   }
 
-  public static final int MOST_PER_RENTAL = 50;
-  public static final int MOST_PER_RETURN = 100;
+  public static final int MAX_MACHINES_PER_RENTAL = 50;
+  public static final int MAX_MACHINES_PER_RETURN = 100;
 
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
   private static final long TIMEOUT_MICROS = 4_000_000;
@@ -59,7 +59,7 @@
 
   private final Loop loop;
   private final Caller caller;
-  private final Endpoint at;
+  private final Endpoint endpoint;
   private final Metrics metrics;
   private final TokenBucket requests;
   private final Map<String, Long> surprises = new HashMap<>();
@@ -68,20 +68,20 @@
   public CloudClient(
       Loop loop,
       Caller caller,
-      Endpoint at,
+      Endpoint endpoint,
       PlatformConfiguration.CloudLimits limits,
       Metrics metrics) {
     this.metrics = metrics;
     this.loop = loop;
     this.caller = caller;
-    this.at = at;
+    this.endpoint = endpoint;
     this.requests = new TokenBucket(limits.rps() * PART, loop.nowMicros());
   }
 
   /**
    * @param then takes null when the catalogue can't be had now
    */
-  public void catalog(Consumer<List<MachineType>> then) {
+  public void listMachineTypes(Consumer<List<MachineType>> then) {
     send(
         "GET",
         ProtocolPath.MACHINE_TYPES,
@@ -92,7 +92,7 @@
             try {
               machineTypes = MachineType.parseCatalog(o);
             } catch (InvalidMessageException e) {
-              surprise("catalog", e.getMessage());
+              warnOnce("catalog", e.getMessage());
             }
           }
           then.accept(machineTypes);
@@ -102,7 +102,7 @@
   /**
    * @param then takes null when the list can't be had whole
    */
-  public void list(Consumer<List<ListedMachine>> then) {
+  public void listMachines(Consumer<List<ListedMachine>> then) {
     page(null, new ArrayList<>(), then);
   }
 
@@ -130,7 +130,7 @@
               into.add(listedMachine);
             }
           } catch (InvalidMessageException e) {
-            surprise(ProtocolField.MACHINE_IDS, e.getMessage());
+            warnOnce(ProtocolField.MACHINE_IDS, e.getMessage());
             then.accept(null);
             return;
           }
@@ -143,8 +143,8 @@
   }
 
   /** Rents machines of one kind under a request name that is never used for anything else. */
-  public void rent(
-      String name, String machineType, String zone, boolean spot, int count, RentAnswer then) {
+  public void rentMachines(
+      String name, String machineType, String zone, boolean spot, int count, RentalListener then) {
     ObjectNode body =
         Json.object()
             .put(ProtocolField.RENTAL_REQUEST, name)
@@ -160,17 +160,17 @@
           List<String> machineIds = new ArrayList<>();
           if (status == HttpStatus.OK && o != null && o.path(ProtocolField.MACHINE_IDS).isArray()) {
             o.get(ProtocolField.MACHINE_IDS).forEach(h -> machineIds.add(h.asText()));
-            then.take(Rent.RENTED, machineIds);
+            then.onAnswer(RentalOutcome.RENTED, machineIds);
           } else if (status == HttpStatus.UNAVAILABLE
               && o != null
               && o.path("error").asText().contains("capacity")) {
-            then.take(Rent.NO_CAPACITY, machineIds);
+            then.onAnswer(RentalOutcome.NO_CAPACITY, machineIds);
           } else if (status == HttpStatus.UNAVAILABLE
               || status == HttpStatus.TOO_MANY_REQUESTS
               || status == HttpStatus.BAD_REQUEST) {
-            then.take(Rent.NOT_NOW, machineIds);
+            then.onAnswer(RentalOutcome.REFUSED, machineIds);
           } else {
-            then.take(Rent.UNKNOWN, machineIds);
+            then.onAnswer(RentalOutcome.UNKNOWN, machineIds);
           }
         });
   }
@@ -178,7 +178,7 @@
   /**
    * @param then takes true when the machines are surely gone
    */
-  public void giveBack(List<String> machineIds, Consumer<Boolean> then) {
+  public void returnMachines(List<String> machineIds, Consumer<Boolean> then) {
     ObjectNode body = Json.object();
     ArrayNode names = body.putArray(ProtocolField.MACHINE_IDS);
     machineIds.forEach(names::add);
@@ -195,35 +195,35 @@
 
   private void send(String method, String path, JsonNode body, Parsed then) {
     if (!requests.take(1, loop.nowMicros())) {
-      metrics.outside("cloud", HttpStatus.TOO_MANY_REQUESTS);
+      metrics.countRefusal("cloud", HttpStatus.TOO_MANY_REQUESTS);
       loop.after(0, () -> then.take(HttpStatus.TOO_MANY_REQUESTS, null));
       return;
     }
     byte[] bytes = body == null ? null : Json.write(body).getBytes(StandardCharsets.UTF_8);
     caller.call(
-        at,
+        endpoint,
         method,
         path,
         bytes,
         TIMEOUT_MICROS,
         (status, data) -> {
-          metrics.outside("cloud", status);
+          metrics.countRefusal("cloud", status);
           ObjectNode parsed = null;
           if (data.length > 0 && (status == HttpStatus.OK || status == HttpStatus.UNAVAILABLE)) {
             try {
               parsed = Json.parseObject(data);
             } catch (InvalidMessageException e) {
-              surprise(path, e.getMessage());
+              warnOnce(path, e.getMessage());
             }
           }
           if (status == HttpStatus.BAD_REQUEST) {
-            surprise(path, new String(data, StandardCharsets.UTF_8));
+            warnOnce(path, new String(data, StandardCharsets.UTF_8));
           }
           then.take(status, parsed);
         });
   }
 
-  private void surprise(String kind, String what) {
+  private void warnOnce(String kind, String what) {
     if (surprises.merge(kind, 1L, Long::sum) == 1) {
       LOG.warn("cloud gave a surprising answer to {}: {}", kind, what);
     }
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -40,15 +40,15 @@
   }
 
   /** Asks until the types are known. */
-  public RecurringTask duty() {
-    return new RecurringTask("machine types", loop, this::learn);
+  public RecurringTask task() {
+    return new RecurringTask("machine types", loop, this::refresh);
   }
 
-  private long learn() {
-    if (prices.known()) {
+  private long refresh() {
+    if (prices.isLoaded()) {
       return -1;
     }
-    cloud.catalog(
+    cloud.listMachineTypes(
         machineTypes -> {
           if (machineTypes != null) {
             prices.update(machineTypes);
@@ -65,7 +65,7 @@
         JobStore.CATALOG,
         StateClient.RequestPriority.ORDINARY,
         got -> {
-          if (got.found() && !prices.known()) {
+          if (got.found() && !prices.isLoaded()) {
             take(got.item().data());
           }
         });
@@ -110,7 +110,7 @@
           .put("memory_gb", machineType.memoryGb())
           .put("cache_gb", machineType.cacheGb())
           .put("fetch_gb_per_s", machineType.fetchGbPerS())
-          .put("hourly", machineType.hourly())
+          .put("hourly", machineType.hourlyPrice())
           .put(ProtocolField.SPOT_PRICE, machineType.spotPrice())
           .put("startup_s", machineType.startupS());
       ArrayNode zones = type.putArray(ProtocolField.ZONES);
--- a/src/main/java/plumlever/cloud/PriceBook.java
+++ b/src/main/java/plumlever/cloud/PriceBook.java
@@ -26,7 +26,7 @@
     }
   }
 
-  public boolean known() {
+  public boolean isLoaded() {
     return !machineTypes.isEmpty();
   }
 
@@ -39,18 +39,18 @@
   }
 
   /** What an hour costs; owned types carry what the operator set. */
-  public double hourly(MachineType machineType, boolean spot) {
+  public double hourlyPrice(MachineType machineType, boolean spot) {
     Double owned = ownedHourly.get(machineType.name());
-    return owned != null ? owned : machineType.hourly(spot);
+    return owned != null ? owned : machineType.hourlyPrice(spot);
   }
 
   /** True if some machine type that the job allows can hold one of its tasks. */
-  public boolean fits(JobSpec job) {
+  public boolean canRun(JobSpec job) {
     return machineTypes.values().stream()
         .anyMatch(
             f ->
                 (job.machineTypes() == null || job.machineTypes().contains(f.name()))
                     && (job.zone() == null || f.zones().isEmpty() || f.zones().contains(job.zone()))
-                    && f.share(job) <= 1);
+                    && f.dominantShare(job) <= 1);
   }
 }
--- a/src/main/java/plumlever/concurrent/RecurringTask.java
+++ b/src/main/java/plumlever/concurrent/RecurringTask.java
@@ -9,7 +9,7 @@
    * One turn; the answer is the pause until the next in microseconds, negative when the duty waits
    * to be woken.
    */
-  public interface Turn {
+  public interface Action {
     long run();
   }
 
@@ -18,25 +18,25 @@
 
   private final String name;
   private final Loop loop;
-  private final Turn turn;
+  private final Action turn;
   private Loop.Timer timer;
   private boolean cancelled;
   private boolean running;
 
   /** A task that does nothing until it is started. */
-  public RecurringTask(String name, Loop loop, Turn turn) {
+  public RecurringTask(String name, Loop loop, Action turn) {
     this.name = name;
     this.loop = loop;
     this.turn = turn;
   }
 
   public RecurringTask start() {
-    wakeIn(0);
+    runAfter(0);
     return this;
   }
 
   /** The next turn comes after this pause, whatever was planned. */
-  public void wakeIn(long micros) {
+  public void runAfter(long micros) {
     if (cancelled) {
       return;
     }
@@ -64,7 +64,7 @@
       running = false;
     }
     if (pause >= 0 && timer == null) {
-      wakeIn(pause);
+      runAfter(pause);
     }
   }
 
--- a/src/main/java/plumlever/concurrent/Scope.java
+++ b/src/main/java/plumlever/concurrent/Scope.java
@@ -15,7 +15,7 @@
   /** Closes the child with this scope, in reverse order of owning. */
   public <T extends AutoCloseable> T own(T child) {
     if (closed) {
-      closeOne(child);
+      closeChild(child);
     } else {
       children.push(child);
     }
@@ -30,11 +30,11 @@
   public void close() {
     closed = true;
     while (!children.isEmpty()) {
-      closeOne(children.pop());
+      closeChild(children.pop());
     }
   }
 
-  private static void closeOne(AutoCloseable child) {
+  private static void closeChild(AutoCloseable child) {
     try {
       child.close();
     } catch (Exception e) {
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -285,7 +285,7 @@
     } else if (!busy && (leaderRevision == 0 || label.equals(leaderLabel))) {
       // A key of this controller's own that it does not act on is left from an earlier life of this
       // process: that one is dead, so leadership is free.
-      candidacy.wakeIn(lostElections * 150_000L + random.nextInt(250_000));
+      candidacy.runAfter(lostElections * 150_000L + random.nextInt(250_000));
     }
   }
 
@@ -318,7 +318,7 @@
             next -> {
               if (next.isEmpty()) {
                 busy = false;
-                candidacy.wakeIn(RETRY_MICROS + random.nextInt(400_000));
+                candidacy.runAfter(RETRY_MICROS + random.nextInt(400_000));
               } else {
                 campaign(loop.nowMicros(), seenLeader, seenTerm, next.get());
               }
@@ -333,7 +333,7 @@
         p -> {
           if (p < 0) {
             busy = false;
-            candidacy.wakeIn(RETRY_MICROS + random.nextInt(400_000));
+            candidacy.runAfter(RETRY_MICROS + random.nextInt(400_000));
             return;
           }
           long sentAt = now;
@@ -414,7 +414,7 @@
             }
             changed();
           } else if (listing == null) {
-            candidacy.wakeIn(RETRY_MICROS + random.nextInt(400_000));
+            candidacy.runAfter(RETRY_MICROS + random.nextInt(400_000));
           }
         });
   }
@@ -435,7 +435,7 @@
       return;
     }
     log.info("leading, term {}", newTerm);
-    renewal.wakeIn(parameters.leaseRenewalMicros());
+    renewal.runAfter(parameters.leaseRenewalMicros());
     listener.elected(otherTerm);
   }
 
@@ -464,7 +464,7 @@
             case RENEWED -> term.extendFrom(now, parameters);
             case ENDED -> stepDown("the lease has ended");
             case UNKNOWN ->
-                renewal.wakeIn(
+                renewal.runAfter(
                     Math.min(
                         RETRY_MICROS, Math.max(1, term.rightUntilMicros() - loop.nowMicros())));
           }
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -117,7 +117,7 @@
   public void recordReport(Heartbeat heartbeat, long nowMicros, boolean own) {
     contact.recordReport(heartbeat, nowMicros, own);
     preemptedAtMicros =
-        heartbeat.noticed()
+        heartbeat.hasPreemptionNotice()
             ? nowMicros + (long) (heartbeat.preemptionNoticeS() * MICROS_PER_SECOND)
             : -1;
   }
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -66,7 +66,7 @@
   /** True unless something as new or newer has been heard of the machine. */
   public boolean isNewerThanLast(Heartbeat heartbeat) {
     boolean heardBefore = incarnation > 0 || sequenceNumber > 0;
-    return !heardBefore || heartbeat.newerThan(incarnation, sequenceNumber);
+    return !heardBefore || heartbeat.isNewerThan(incarnation, sequenceNumber);
   }
 
   /** A heartbeat of its own came after the body of a direct call that was sent later. */
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -127,7 +127,7 @@
 
   private void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     metrics.count(refusal.counter());
-    if (lines.debug(loop.nowMicros())) {
+    if (lines.allowsDebug(loop.nowMicros())) {
       log.debug(
           "the lease of {} incarnation {} is not renewed for the leader, token {}: {}",
           heartbeat.machineId(),
@@ -139,7 +139,7 @@
   }
 
   private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.Right right, String when) {
-    if (lines.debug(loop.nowMicros())) {
+    if (lines.allowsDebug(loop.nowMicros())) {
       log.debug(
           "the lease of {} incarnation {} is not renewed for the leader {}: it shows token {}, the"
               + " delegation has {}",
@@ -155,7 +155,7 @@
   private void logRenewal(
       Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stops) {
     boolean raises = evidence.token() > heartbeat.fencingToken();
-    if ((raises || !stops.isEmpty()) && lines.debug(loop.nowMicros())) {
+    if ((raises || !stops.isEmpty()) && lines.allowsDebug(loop.nowMicros())) {
       log.debug(
           "the lease of {} incarnation {} is renewed for the leader, token {} for {}, ended jobs as"
               + " of {} ms ago, stops {}",
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -68,7 +68,7 @@
 
   private void find(String uid, int tries, Consumer<Location> then) {
     Transaction transaction = new Transaction();
-    for (SharingSettings.Cell cell : sharing.others()) {
+    for (SharingSettings.Cell cell : sharing.otherCells()) {
       transaction.require(activeKey(cell, uid), 0).require(endedKey(cell, uid), 0);
     }
     store.transaction(
@@ -77,7 +77,7 @@
         result -> {
           switch (result.outcome()) {
             case APPLIED -> then.accept(Location.NOWHERE);
-            case CONFLICT -> look(uid, sharing.others().iterator(), then);
+            case CONFLICT -> look(uid, sharing.otherCells().iterator(), then);
             default -> {
               if (result.status() == HttpStatus.TOO_MANY_REQUESTS && tries > 1) {
                 loop.after(AGAIN_MICROS, () -> find(uid, tries - 1, then));
@@ -132,14 +132,15 @@
 
   /** Has a controller of the cell answer the request, the first that can be reached. */
   public void forward(SharingSettings.Cell cell, ForwardedRequest request, Responder out) {
-    List<PlatformConfiguration.Seed> members =
-        platform.seeds().stream()
+    List<PlatformConfiguration.PeerController> members =
+        platform.peers().stream()
             .filter(seed -> cell.controllers().contains(seed.label()))
             .toList();
     forward(members.iterator(), request.write(), out);
   }
 
-  private void forward(Iterator<PlatformConfiguration.Seed> members, byte[] body, Responder out) {
+  private void forward(
+      Iterator<PlatformConfiguration.PeerController> members, byte[] body, Responder out) {
     if (!members.hasNext()) {
       out.later(
           HttpStatus.UNAVAILABLE, "no controller of the job's cell can be reached", RETRY_AFTER_S);
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -46,7 +46,7 @@
   public void handle(String method, String pathAndQuery, byte[] body, Responder out) {
     long since = clock.nowMicros();
     route(method, pathAndQuery, body, out);
-    metrics.spent(
+    metrics.recordWork(
         pathAndQuery.equals(ProtocolPath.HEARTBEAT) ? "heartbeats" : "users",
         clock.nowMicros() - since);
   }
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -107,7 +107,7 @@
     @Override
     public void send(int status, String json, int retryAfterS) {
       open--;
-      metrics.time(kind, loop.nowMicros() - sinceMicros);
+      metrics.recordDuration(kind, loop.nowMicros() - sinceMicros);
       if (status >= HttpStatus.SERVER_ERRORS || status == HttpStatus.TOO_MANY_REQUESTS) {
         metrics.count(kind + "_refused");
       }
@@ -191,7 +191,7 @@
           () -> out.error(HttpStatus.UNPROCESSABLE, "a task needs more than its team's limit"));
       return;
     }
-    if (!prices.known()) {
+    if (!prices.isLoaded()) {
       ifUnknown(
           uid,
           out,
@@ -200,7 +200,7 @@
                   HttpStatus.UNAVAILABLE, "the machine types are not known yet", RETRY_AFTER_S));
       return;
     }
-    if (!prices.fits(spec)) {
+    if (!prices.canRun(spec)) {
       ifUnknown(
           uid,
           out,
@@ -285,8 +285,8 @@
   private boolean overLimit(JobSpec spec) {
     for (PlatformConfiguration.Team team : limits) {
       if (team.name().equals(spec.team())) {
-        return (team.cpusMax() > 0 && spec.cores() > team.cpusMax())
-            || (team.gpusMax() > 0 && spec.accelerators() > team.gpusMax());
+        return (team.maxCores() > 0 && spec.cores() > team.maxCores())
+            || (team.maxAccelerators() > 0 && spec.accelerators() > team.maxAccelerators());
       }
     }
     return false;
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -190,15 +190,15 @@
     scope.own(commands::close);
     scope.own(registry::close);
     scope.own(lists::close);
-    scope.own(new RecurringTask("machine records", context.loop(), registry::tidy)).start();
+    scope.own(new RecurringTask("machine records", context.loop(), registry::flush)).start();
     scope.own(new RecurringTask("started jobs", context.loop(), startedJobs::tidy)).start();
     scope.own(new RecurringTask("progress", context.loop(), progress::write)).start();
-    scope.own(new RecurringTask("machines", context.loop(), machines::turn)).start();
+    scope.own(new RecurringTask("machines", context.loop(), machines::runOnce)).start();
     scope.own(new RecurringTask("warm state", context.loop(), warmState::write)).start();
     scope.own(new RecurringTask("token raise", context.loop(), this::raise)).start();
     scope
         .own(new RecurringTask("dependency lists", context.loop(), lists::run))
-        .wakeIn(DependencyListCleanup.EVERY_MICROS);
+        .runAfter(DependencyListCleanup.EVERY_MICROS);
     scope.own(passes).start();
   }
 
@@ -209,7 +209,7 @@
   private long raise() {
     long since = context.loop().nowMicros();
     raiseOpen();
-    context.metrics().spent("token_raise", context.loop().nowMicros() - since);
+    context.metrics().recordWork("token_raise", context.loop().nowMicros() - since);
     return failover.complete() ? RAISE_UNREACHABLE_EVERY_MICROS : RAISE_EVERY_MICROS;
   }
 
@@ -270,8 +270,8 @@
     boolean finished = pass.run();
     long placed = context.loop().nowMicros();
     commands.dispatch(fleet);
-    context.metrics().spent("passes", placed - since);
-    context.metrics().spent("dispatch", context.loop().nowMicros() - placed);
+    context.metrics().recordWork("passes", placed - since);
+    context.metrics().recordWork("dispatch", context.loop().nowMicros() - placed);
     if (!finished) {
       return SLICE_PAUSE_MICROS;
     }
@@ -370,7 +370,7 @@
         && (machine.accounted() || heartbeat.fencingToken() == 0)) {
       // A heartbeat that shows an earlier term may be a late copy of a machine that is gone:
       // nothing is recorded for it.
-      registry.enroll(machine);
+      registry.register(machine);
     }
     if (news == HeartbeatHandler.News.NEWS) {
       notice(machine, heartbeat, context.loop().nowMicros());
@@ -412,11 +412,11 @@
    * if they can.
    */
   private void notice(Machine machine, Heartbeat heartbeat, long now) {
-    if (!heartbeat.noticed()) {
+    if (!heartbeat.hasPreemptionNotice()) {
       return;
     }
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over() && attempt.job().spec().checkpoints()) {
+      if (!attempt.over() && attempt.job().spec().savesCheckpoints()) {
         double save = attempt.job().spec().checkpointS();
         // The next heartbeat comes within a few seconds; what could not be saved after it is saved
         // now.
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -112,7 +112,7 @@
 
   /** What this cell may use of the team's limit; a resource without a limit has 0. */
   default LimitParts.Part limit(PlatformConfiguration.Team team) {
-    return new LimitParts.Part(team.cpusMax(), team.gpusMax());
+    return new LimitParts.Part(team.maxCores(), team.maxAccelerators());
   }
 
   default void close() {}
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -115,7 +115,7 @@
       log.debug("{} accounted for: {}", machine.id(), how);
       if (open.isEmpty()) {
         long took = context.loop().nowMicros() - startedMicros;
-        context.metrics().time("failover", took);
+        context.metrics().recordDuration("failover", took);
         log.info(
             "failover complete after {} ms, the last machine was {}: {}",
             took / 1_000,
@@ -151,7 +151,7 @@
     Fleet.TeamUsage held = fleet.usage(job.spec().team());
     double cores = held.cores();
     double accelerators = held.accelerators();
-    if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
+    if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
       return Integer.MAX_VALUE;
     }
     if (!countUnaccounted()) {
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -27,7 +27,7 @@
   }
 
   private boolean enabled() {
-    return lines.debug(context.loop().nowMicros());
+    return lines.allowsDebug(context.loop().nowMicros());
   }
 
   /**
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -46,7 +46,7 @@
     boolean started =
         reported.state() == AttemptState.RUNNING && attempt.state() != AttemptState.RUNNING;
     if (started && !attempt.job().hasStarted()) {
-      context.metrics().time("first_start", now - attempt.job().acceptedMicros());
+      context.metrics().recordDuration("first_start", now - attempt.job().acceptedMicros());
     }
     attempt.recordState(reported.state(), now);
     if (started) {
@@ -54,7 +54,7 @@
           .machine()
           .images()
           .markReady(attempt.job().spec().image(), attempt.job().spec().imageGb());
-      context.metrics().time("start", now - attempt.job().acceptedMicros());
+      context.metrics().recordDuration("start", now - attempt.job().acceptedMicros());
       if (!attempt.adopted()) {
         // What images cost: room that is held while a task waits for its own.
         context
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -101,7 +101,7 @@
     context.metrics().count("renewals_refused");
     context.metrics().count(refusal.counter());
     long now = context.loop().nowMicros();
-    if (lines.debug(now)) {
+    if (lines.allowsDebug(now)) {
       log.debug(
           "the lease of {} incarnation {} is not renewed, token {}: {}, ended jobs as of {} ms ago",
           heartbeat.machineId(),
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -98,7 +98,7 @@
       endIncarnationsBefore(machine, heartbeat.incarnation());
     }
     boolean first = !machine.contact().hasReported();
-    boolean noticed = heartbeat.noticed() && machine.preemptedAtMicros() < 0;
+    boolean noticed = heartbeat.hasPreemptionNotice() && machine.preemptedAtMicros() < 0;
     machine.recordReport(heartbeat, now, own);
     changed |= first && own;
     if (noticed) {
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -108,7 +108,7 @@
     }
     if (writing
         || zones.equals(given)
-        || context.platform().seeds().isEmpty()
+        || context.platform().peers().isEmpty()
         || context.sharing().isPresent()) {
       return;
     }
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -134,7 +134,9 @@
     return machineType == null
         ? Double.MAX_VALUE
         : Math.round(
-            context.prices().hourly(machineType, machine.spot()) / machineType.cores() * COARSE);
+            context.prices().hourlyPrice(machineType, machine.spot())
+                / machineType.cores()
+                * COARSE);
   }
 
   private static double load(Machine machine) {
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -137,13 +137,13 @@
   }
 
   /** One turn of the duty. */
-  public long turn() {
+  public long runOnce() {
     if (closed || !context.term().mayAct()) {
       return NOT_YET_MICROS;
     }
     long since = context.loop().nowMicros();
     look(since);
-    context.metrics().spent("machines", context.loop().nowMicros() - since);
+    context.metrics().recordWork("machines", context.loop().nowMicros() - since);
     return TURN_MICROS;
   }
 
@@ -170,11 +170,11 @@
     cataloguing = true;
     context
         .cloud()
-        .catalog(
+        .listMachineTypes(
             machineTypes -> {
               cataloguing = false;
               if (machineTypes != null) {
-                boolean news = !context.prices().known();
+                boolean news = !context.prices().isLoaded();
                 catalogMicros = context.loop().nowMicros();
                 context.prices().update(machineTypes);
                 if (news) {
@@ -188,7 +188,7 @@
     listing = true;
     context
         .cloud()
-        .list(
+        .listMachines(
             machineIds -> {
               listing = false;
               if (machineIds == null || closed) {
@@ -394,7 +394,7 @@
     }
     List<Machine> out = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
-      if (machine.returning() && out.size() < CloudClient.MOST_PER_RETURN) {
+      if (machine.returning() && out.size() < CloudClient.MAX_MACHINES_PER_RETURN) {
         out.add(machine);
       }
     }
@@ -412,7 +412,7 @@
     }
     context
         .cloud()
-        .giveBack(
+        .returnMachines(
             out.stream().map(Machine::id).toList(),
             gone -> {
               returningNow = false;
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -78,7 +78,7 @@
   }
 
   /** The machine is to be recorded; until its enrolment is stored it takes no orders. */
-  public void enroll(Machine machine) {
+  public void register(Machine machine) {
     if (machine.endpoint() != null) {
       records.enroll(machine);
     }
@@ -89,7 +89,7 @@
     records.remove(machine);
   }
 
-  public long tidy() {
+  public long flush() {
     return records.tidy();
   }
 
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -97,7 +97,7 @@
     }
     // Demands found before the last machine came or was opened again may be served by it: they are
     // not rented for twice.
-    if (!context.prices().known()
+    if (!context.prices().isLoaded()
         || !(failover.complete() || failover.overdue(now))
         || pass.finishedMicros() <= sizeChangedMicros
         || !sharing.mayRent()) {
@@ -130,7 +130,7 @@
           new OpenRental(
               "r-" + context.term().number() + "-" + ++rentalCounter,
               planned.kind(),
-              Math.min(planned.count(), CloudClient.MOST_PER_RENTAL));
+              Math.min(planned.count(), CloudClient.MAX_MACHINES_PER_RENTAL));
       open.add(rental);
       send(rental);
     }
@@ -143,7 +143,7 @@
     rental.inFlight = true;
     context
         .cloud()
-        .rent(
+        .rentMachines(
             rental.name,
             rental.kind.machineType(),
             rental.kind.zone(),
@@ -174,7 +174,7 @@
                   open.remove(rental);
                   shortUntil.put(rental.kind, now + NO_CAPACITY_PAUSE_MICROS);
                 }
-                case NOT_NOW -> {
+                case REFUSED -> {
                   // Surely not rented; the need is looked at anew after a pause.
                   open.remove(rental);
                   shortUntil.put(rental.kind, now + REPEAT_MICROS);
--- a/src/main/java/plumlever/leader/machine/MachineSilence.java
+++ b/src/main/java/plumlever/leader/machine/MachineSilence.java
@@ -133,7 +133,7 @@
         zone.open += open ? 1 : 0;
         // One missed heartbeat already: machines behind a cut fall silent one after the other, and
         // by the time the first is called silent all the others must have missed one as well.
-        if (of(machine, now) > context.platform().workers().latestHeartbeatMicros()) {
+        if (of(machine, now) > context.platform().workers().missedHeartbeatMicros()) {
           zone.silent++;
         }
       }
--- a/src/main/java/plumlever/leader/pool/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadCellAdoption.java
@@ -68,7 +68,9 @@
       return;
     }
     Optional<SharingSettings.Cell> cell =
-        sharing.others().stream().filter(other -> other.name().equals(holder.get())).findFirst();
+        sharing.otherCells().stream()
+            .filter(other -> other.name().equals(holder.get()))
+            .findFirst();
     if (cell.isPresent() && isDead(cell.get())) {
       adopt(machineId, cell.get());
     }
@@ -77,7 +79,7 @@
   /** Watches which cells have a leader; only what is fresh counts. */
   void watchLeaders() {
     boolean fresh = now() - link.knownMicros() < FRESH_MICROS;
-    for (SharingSettings.Cell cell : sharing.others()) {
+    for (SharingSettings.Cell cell : sharing.otherCells()) {
       if (!fresh || view.leader(cell.name()).isPresent()) {
         leaderlessSince.remove(cell.name());
       } else {
@@ -108,7 +110,7 @@
           return Optional.of(taken(before.withoutHome(dead.name())).require(leadership, 0));
         },
         () -> {
-          if (view.holder(machine).equals(Optional.of(sharing.own().name()))) {
+          if (view.holder(machine).equals(Optional.of(sharing.ownCell().name()))) {
             adopted.accept(taking);
             log.warn("{} is adopted, {} has had no leader for long", machine, dead.name());
           }
--- a/src/main/java/plumlever/leader/pool/GuestBook.java
+++ b/src/main/java/plumlever/leader/pool/GuestBook.java
@@ -86,7 +86,7 @@
         .homes()
         .forEach(
             (home, tasks) -> {
-              if (!home.equals(sharing.own().name()) && !lodging.byHome.containsKey(home)) {
+              if (!home.equals(sharing.ownCell().name()) && !lodging.byHome.containsKey(home)) {
                 Guests guests = new Guests();
                 tasks.forEach(task -> guests.tasks.put(task.attempt(), task));
                 lodging.byHome.put(home, guests);
@@ -209,11 +209,11 @@
             .toList();
     RelayedHeartbeat message =
         new RelayedHeartbeat(
-            sharing.own().name(),
+            sharing.ownCell().name(),
             home,
             lodging.machine.tokens().term(),
             lapsed,
-            RelayedHeartbeat.only(heartbeat, lapsed ? List.of() : attempts));
+            RelayedHeartbeat.withAttempts(heartbeat, lapsed ? List.of() : attempts));
     context
         .caller()
         .call(
@@ -235,10 +235,10 @@
     return view.leader(home)
         .flatMap(
             label ->
-                context.platform().seeds().stream()
+                context.platform().peers().stream()
                     .filter(seed -> seed.label().equals(label))
                     .findFirst())
-        .map(PlatformConfiguration.Seed::endpoint);
+        .map(PlatformConfiguration.PeerController::endpoint);
   }
 
   private void take(Lodging lodging, Guests guests, byte[] body) {
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -43,7 +43,7 @@
     this.context = context;
     this.log = context.logs().of(LimitSharing.class);
     this.sharing = sharing;
-    this.own = sharing.own().name();
+    this.own = sharing.ownCell().name();
     this.jobs = jobs;
     this.failover = failover;
     this.view = view;
@@ -52,15 +52,15 @@
 
   /** What this cell may use of the team's limit now; a resource without a limit has 0. */
   LimitParts.Part limit(PlatformConfiguration.Team team) {
-    if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
+    if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
       return LimitParts.Part.NONE;
     }
     LimitParts.Part part =
         view.limit(team.name()).map(parts -> parts.of(own)).orElse(LimitParts.Part.NONE);
     double cores = part.cores() - giving.getOrDefault(team.name(), 0.0);
     return new LimitParts.Part(
-        team.cpusMax() <= 0 ? 0 : positive(cores),
-        team.gpusMax() <= 0 ? 0 : positive(part.accelerators()));
+        team.maxCores() <= 0 ? 0 : positive(cores),
+        team.maxAccelerators() <= 0 ? 0 : positive(part.accelerators()));
   }
 
   /** A part of nothing is a limit all the same, not the absence of one. */
@@ -73,7 +73,7 @@
     Map<String, Double> wanted = new TreeMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
       double lacking = coresNeeded(team) - limit(team).cores();
-      if (team.cpusMax() > 0 && lacking > 0) {
+      if (team.maxCores() > 0 && lacking > 0) {
         wanted.put(team.name(), Math.ceil(lacking));
       }
     }
@@ -87,18 +87,18 @@
         waiting += job.pendingCount() * job.spec().cores();
       }
     }
-    return Math.min(team.cpusMax(), failover.coresHeld(team.name()) + waiting);
+    return Math.min(team.maxCores(), failover.coresHeld(team.name()) + waiting);
   }
 
   /** Cuts limits up that nobody has cut up yet, and gives what is spare. */
   void turn() {
     for (PlatformConfiguration.Team team : context.platform().teams()) {
-      if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
+      if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
         continue;
       }
       if (view.limit(team.name()).isEmpty()) {
         cutUp(team);
-      } else if (team.cpusMax() > 0 && !giving.containsKey(team.name())) {
+      } else if (team.maxCores() > 0 && !giving.containsKey(team.name())) {
         give(team);
       }
     }
@@ -110,7 +110,7 @@
     }
     Map<String, Double> weights = new TreeMap<>();
     sharing.cells().forEach(cell -> weights.put(cell.name(), cell.weight()));
-    LimitParts parts = LimitParts.split(team.cpusMax(), team.gpusMax(), weights);
+    LimitParts parts = LimitParts.split(team.maxCores(), team.maxAccelerators(), weights);
     String key = LimitParts.keyOf(team.name());
     writer.submit(
         new PoolWriter.Step() {
@@ -135,7 +135,7 @@
   private void give(PlatformConfiguration.Team team) {
     double spare = limit(team).cores() - coresNeeded(team);
     Map<String, Double> wanted = new TreeMap<>();
-    for (SharingSettings.Cell cell : sharing.others()) {
+    for (SharingSettings.Cell cell : sharing.otherCells()) {
       view.demand(cell.name())
           .filter(demand -> demand.digest().equals(sharing.digest()))
           .map(CellDemand::coresWanted)
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -68,7 +68,7 @@
     this.context = context;
     this.log = context.logs().of(MachineShareBalancer.class);
     this.sharing = sharing;
-    this.own = sharing.own().name();
+    this.own = sharing.ownCell().name();
     this.fleet = fleet;
     this.pass = pass;
     this.failover = failover;
@@ -79,7 +79,7 @@
 
   /** One look at what this cell has, lacks and can give. */
   void turn() {
-    if (!failover.complete() || !context.prices().known()) {
+    if (!failover.complete() || !context.prices().isLoaded()) {
       return;
     }
     long now = context.loop().nowMicros();
@@ -118,13 +118,13 @@
   private int machinesLacking() {
     Map<String, Double> limitOf = new HashMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
-      if (team.cpusMax() > 0) {
-        limitOf.put(team.name(), team.cpusMax());
+      if (team.maxCores() > 0) {
+        limitOf.put(team.name(), team.maxCores());
       }
     }
     double late = CoreDemand.coresNeeded(pass.remainingWork(), limitOf) - coresOwned();
     double cores = Math.max(pass.coresWaitedFor(), late);
-    return (int) Math.min(sharing.machines(), Math.ceil(Math.max(0, cores) / usualCores()));
+    return (int) Math.min(sharing.maxMachines(), Math.ceil(Math.max(0, cores) / usualCores()));
   }
 
   private double coresOwned() {
@@ -177,7 +177,7 @@
   }
 
   private void offer(CellDemand demand) {
-    int free = sharing.mostMoving() - transfers.underWay();
+    int free = sharing.maxTransfers() - transfers.underWay();
     if (free <= 0) {
       return;
     }
@@ -185,15 +185,15 @@
     cells.add(
         new SharePolicy.CellState(
             own,
-            sharing.own().floor(),
-            sharing.own().weight(),
+            sharing.ownCell().minMachines(),
+            sharing.ownCell().weight(),
             demand.machines(),
             demand.idle(),
             demand.wanted()));
-    for (SharingSettings.Cell cell : sharing.others()) {
+    for (SharingSettings.Cell cell : sharing.otherCells()) {
       other(cell).ifPresent(cells::add);
     }
-    for (SharePolicy.Move move : SharePolicy.plan(cells, sharing.mostMoving())) {
+    for (SharePolicy.Move move : SharePolicy.plan(cells, sharing.maxTransfers())) {
       if (move.from().equals(own) && free > 0) {
         free -= give(move.to(), Math.min(free, move.machines()));
       }
@@ -220,7 +220,12 @@
     int wanted = Math.max(0, demand.wanted() - already - transfers.offeredTo(cell.name()));
     return Optional.of(
         new SharePolicy.CellState(
-            cell.name(), cell.floor(), cell.weight(), demand.machines(), demand.idle(), wanted));
+            cell.name(),
+            cell.minMachines(),
+            cell.weight(),
+            demand.machines(),
+            demand.idle(),
+            wanted));
   }
 
   private int give(String to, int most) {
@@ -262,7 +267,7 @@
         || context.loop().nowMicros() - lackingSinceMicros > HOLD_RENTAL_MICROS) {
       return true;
     }
-    return sharing.others().stream()
+    return sharing.otherCells().stream()
         .noneMatch(
             cell ->
                 other(cell)
@@ -273,7 +278,7 @@
   /** False while any cell of the pool lacks machines: idle ones are for it, not for the cloud. */
   boolean mayReturnIdle() {
     return lackingSinceMicros < 0
-        && sharing.others().stream()
+        && sharing.otherCells().stream()
             .noneMatch(cell -> other(cell).filter(state -> state.wanted() > 0).isPresent());
   }
 
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -85,7 +85,7 @@
     this.context = context;
     this.log = context.logs().of(MachineTransfers.class);
     this.sharing = sharing;
-    this.own = sharing.own().name();
+    this.own = sharing.ownCell().name();
     this.fleet = fleet;
     this.jobs = jobs;
     this.heartbeats = heartbeats;
@@ -218,7 +218,7 @@
     machine.tokens().startTerm(record.number());
     machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
     fleet.add(machine);
-    registry.enroll(machine);
+    registry.register(machine);
     raiseToken.accept(machine);
     context.metrics().count("machines_taken");
     log.info(
--- a/src/main/java/plumlever/leader/pool/OfferTaker.java
+++ b/src/main/java/plumlever/leader/pool/OfferTaker.java
@@ -38,7 +38,7 @@
       TransferSteps steps,
       Function<TransferRecord, Machine> acquire) {
     this.sharing = sharing;
-    this.own = sharing.own().name();
+    this.own = sharing.ownCell().name();
     this.view = view;
     this.steps = steps;
     this.acquire = acquire;
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -43,7 +43,7 @@
   OwnerClaims(Context context, SharingSettings sharing, PoolView view, PoolWriter writer) {
     this.context = context;
     this.log = context.logs().of(OwnerClaims.class);
-    this.own = sharing.own().name();
+    this.own = sharing.ownCell().name();
     this.view = view;
     this.writer = writer;
   }
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -81,7 +81,7 @@
     this.writer = new PoolWriter(context, link, this::recordsChanged);
     this.claims = new OwnerClaims(context, sharing, view, writer);
     this.guests = new GuestBook(context, sharing, view);
-    TransferSteps steps = new TransferSteps(context, sharing.own().name(), view, writer);
+    TransferSteps steps = new TransferSteps(context, sharing.ownCell().name(), view, writer);
     this.transfers =
         new MachineTransfers(
             context,
@@ -255,7 +255,7 @@
     Machine machine = loaded ? fleet.transferredMachine(id) : null;
     boolean fits =
         record.isPresent()
-            && record.get().isHome(sharing.own().name())
+            && record.get().isHome(sharing.ownCell().name())
             && record.get().owner().equals(relayed.from())
             && relayed.number() >= record.get().number();
     if (machine == null || !fits || !context.term().mayAct()) {
@@ -284,7 +284,7 @@
   @Override
   public boolean offer(String machine, String cell) {
     Machine found = loaded ? fleet.machine(machine) : null;
-    boolean known = sharing.others().stream().anyMatch(other -> other.name().equals(cell));
+    boolean known = sharing.otherCells().stream().anyMatch(other -> other.name().equals(cell));
     if (found == null || !known || !context.term().mayAct() || !transfers.canOffer(found)) {
       return false;
     }
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -228,7 +228,7 @@
 
   /** One turn of the duty: as much as one transaction takes, the oldest first. */
   public long write() {
-    long pause = context.parameters().progressMicros();
+    long pause = context.parameters().progressPauseMicros();
     forgetEnded();
     fitLimits();
     if (writing || closed) {
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -125,7 +125,7 @@
           if (closed) {
             return;
           }
-          context.metrics().time("direct_command", context.loop().nowMicros() - since);
+          context.metrics().recordDuration("direct_command", context.loop().nowMicros() - since);
           if (r != null) {
             heartbeats.apply(machine, r, false);
           }
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -181,7 +181,7 @@
       memory -= attempt.job().spec().memoryGb();
       accelerators -= attempt.job().spec().accelerators();
       if (attempt.state() == AttemptState.RUNNING
-          && attempt.job().spec().checkpoints()
+          && attempt.job().spec().savesCheckpoints()
           && attempt.job().priority().compareTo(job.priority()) > 0
           && now - attempt.runningSinceMicros() > SETTLED_MICROS) {
         candidates.add(attempt);
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -141,7 +141,7 @@
     this.headroom =
         new CapacityHeadroom(
             HEADROOM_WINDOW_MICROS,
-            context.parameters().rentMicros(),
+            context.parameters().rentalMicros(),
             context.parameters().headroomDeviations());
     this.objectives =
         new ServiceObjectives(
@@ -154,7 +154,7 @@
   }
 
   private static long hedge(Context context) {
-    return context.moneyMatters() ? context.parameters().rentMicros() : 0;
+    return context.moneyMatters() ? context.parameters().rentalMicros() : 0;
   }
 
   /**
@@ -327,7 +327,7 @@
     lastDemands = demands;
     finishedMicros = context.loop().nowMicros();
     spentMicros += finishedMicros - start;
-    context.metrics().time("pass", spentMicros);
+    context.metrics().recordDuration("pass", spentMicros);
     return true;
   }
 
@@ -381,7 +381,7 @@
    * to begin goes first.
    */
   private boolean mustBegin(Job job, long now) {
-    return !job.hasStarted() && now - job.releasedMicros() > context.parameters().beginMicros();
+    return !job.hasStarted() && now - job.releasedMicros() > context.parameters().mustStartMicros();
   }
 
   /**
@@ -391,7 +391,7 @@
   private List<Job> order(long now) {
     Map<String, Double> guaranteed = new HashMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
-      guaranteed.put(team.name(), team.cpus());
+      guaranteed.put(team.name(), team.guaranteedCores());
     }
     List<Job> byAge = new ArrayList<>(jobs.all());
     byAge.sort(Comparator.comparingLong(Job::releasedMicros));
@@ -418,7 +418,7 @@
       if (seen.add(job)
           && now - job.releasedMicros() < HEADROOM_WINDOW_MICROS
           && objectives.startBy(job, guaranteed(job), job.releasedMicros()) - job.releasedMicros()
-              < context.parameters().rentMicros()) {
+              < context.parameters().rentalMicros()) {
         headroom.arrived(now, job.spec());
       }
       if (job.hasPending() && job.retryNotBeforeMicros() <= now && !failover.blocks(job)) {
@@ -453,7 +453,7 @@
         && !machine.transferring()
         && !machine.contact().unreachable()
         && !machine.load().hasUnconfirmedStart()
-        && now - sign < context.platform().workers().latestHeartbeatMicros();
+        && now - sign < context.platform().workers().missedHeartbeatMicros();
   }
 
   /** Rented and not up yet, or up and not yet on record. */
@@ -516,7 +516,7 @@
       // the score is the time that a task holds its share, with the image if it has to be fetched.
       double price =
           context.moneyMatters()
-              ? context.prices().hourly(machineType, machine.spot()) / 3600
+              ? context.prices().hourlyPrice(machineType, machine.spot()) / 3600
               : Math.max(machineType.cores(), machineType.memoryGb() / SPEED_GB_FOR_CORE);
       return new PlacementCandidate(
           machine.id(),
@@ -596,7 +596,7 @@
         job.spec().machineTypes(),
         job.spec().zone(),
         job.spec().spotAllowed(),
-        job.spec().checkpoints());
+        job.spec().savesCheckpoints());
   }
 
   private boolean guaranteed(Job job) {
@@ -608,7 +608,7 @@
     if (!job.spec().oneZone() && !job.spec().spread()) {
       return new Zones(false, Integer.MAX_VALUE);
     }
-    Zones zones = new Zones(job.spec().oneZone(), job.spec().zoneLimit());
+    Zones zones = new Zones(job.spec().oneZone(), job.spec().maxTasksPerZone());
     for (Attempt attempt : job.liveAttempts()) {
       zones.add(attempt.machine().zone());
     }
@@ -703,7 +703,7 @@
         // the next one.
         relaxed = true;
         long later =
-            objectives.startBy(job, guaranteed(job), now + context.parameters().rentMicros());
+            objectives.startBy(job, guaranteed(job), now + context.parameters().rentalMicros());
         if (later > request.startByMicros()) {
           request = request(job, now, later);
           search = search(request, zones, snapshot);
@@ -717,7 +717,7 @@
         boolean spare =
             context.moneyMatters()
                 && request.startByMicros() != Long.MAX_VALUE
-                && request.startByMicros() - now > 2 * context.parameters().rentMicros();
+                && request.startByMicros() - now > 2 * context.parameters().rentalMicros();
         waiting += spare ? 1 : want - i;
         break;
       }
@@ -763,7 +763,7 @@
 
   private boolean needsRental(Job job, Placer.Choice choice, ResourceRequest request, long now) {
     if (!context.moneyMatters()) {
-      return choice.startMicros() - now > context.parameters().rentMicros();
+      return choice.startMicros() - now > context.parameters().rentalMicros();
     }
     return !choice.feasible()
         && (rentalHelps(job, request, now) || choice.startMicros() - now > LONG_WAIT_MICROS);
@@ -771,7 +771,7 @@
 
   /** True if a machine rented now could still serve the task in time. */
   private boolean rentalHelps(Job job, ResourceRequest request, long now) {
-    long up = now + context.parameters().rentMicros();
+    long up = now + context.parameters().rentalMicros();
     return up <= objectives.startBy(job, guaranteed(job), up)
         && (request.deadlineMicros() == Long.MAX_VALUE
             || up + request.runMicros() <= request.deadlineMicros());
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -37,7 +37,7 @@
         case "deadline" ->
             deadlineTimes.merge(
                 objective.jobClass(),
-                new double[] {objective.times()},
+                new double[] {objective.deadlineFactor()},
                 (a, b) -> {
                   double[] all = Arrays.copyOf(a, a.length + 1);
                   all[a.length] = b[0];
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -110,7 +110,7 @@
         machine.images().recordUse(job.spec().image(), job.spec().imageGb(), machineType, now);
         commands.add(WorkerCommand.run(attempt.name(), attempt.id()));
         context.metrics().count("starts_sent");
-        context.metrics().time("wait", now - job.releasedMicros());
+        context.metrics().recordDuration("wait", now - job.releasedMicros());
         attemptLog.started(attempt, direct, jobs.endsKnownMicros());
       }
     }
--- a/src/main/java/plumlever/metrics/LogBudget.java
+++ b/src/main/java/plumlever/metrics/LogBudget.java
@@ -11,9 +11,9 @@
 
   private final Logger log;
   private final int linesPerSecond;
-  private long secondBeganMicros = Long.MIN_VALUE / 2;
+  private long secondStartMicros = Long.MIN_VALUE / 2;
   private int lines;
-  private long leftOut;
+  private long suppressed;
 
   /** Lines of this logger. */
   public LogBudget(Logger log, int linesPerSecond) {
@@ -22,20 +22,20 @@
   }
 
   /** True if one more debug line may be logged now. */
-  public boolean debug(long nowMicros) {
+  public boolean allowsDebug(long nowMicros) {
     if (!log.isDebugEnabled()) {
       return false;
     }
-    if (nowMicros - secondBeganMicros >= SECOND_MICROS) {
-      if (leftOut > 0) {
-        log.debug("{} further lines of this kind were left out", leftOut);
+    if (nowMicros - secondStartMicros >= SECOND_MICROS) {
+      if (suppressed > 0) {
+        log.debug("{} further lines of this kind were left out", suppressed);
       }
-      secondBeganMicros = nowMicros;
+      secondStartMicros = nowMicros;
       lines = 0;
-      leftOut = 0;
+      suppressed = 0;
     }
     if (lines >= linesPerSecond) {
-      leftOut++;
+      suppressed++;
       return false;
     }
     lines++;
--- a/src/main/java/plumlever/metrics/Metrics.java
+++ b/src/main/java/plumlever/metrics/Metrics.java
@@ -21,7 +21,7 @@
   private final Logger log;
   private final Map<String, Long> counters = new TreeMap<>();
   private final Map<String, Histogram> times = new TreeMap<>();
-  private final Map<String, long[]> spent = new TreeMap<>();
+  private final Map<String, long[]> recordWork = new TreeMap<>();
   private final Map<String, LongSupplier> gauges = new TreeMap<>();
 
   public Metrics(Logs logs) {
@@ -36,12 +36,12 @@
     counters.merge(name, count, Long::sum);
   }
 
-  public synchronized long counted(String name) {
+  public synchronized long counter(String name) {
     return counters.getOrDefault(name, 0L);
   }
 
   /** Records how long one thing took. */
-  public synchronized void time(String name, long micros) {
+  public synchronized void recordDuration(String name, long micros) {
     times
         .computeIfAbsent(name, k -> new Histogram(1, MOST_MICROS, 2))
         .recordValue(Math.max(1, Math.min(MOST_MICROS, micros)));
@@ -51,9 +51,9 @@
    * Adds to what a kind of work has taken, by the clock: on little processor that is what others
    * wait.
    */
-  public synchronized void spent(String work, long micros) {
-    spent.computeIfAbsent(work, k -> new long[2])[0] += micros;
-    spent.get(work)[1]++;
+  public synchronized void recordWork(String work, long micros) {
+    recordWork.computeIfAbsent(work, k -> new long[2])[0] += micros;
+    recordWork.get(work)[1]++;
   }
 
   /** A level that is looked up for each summary. */
@@ -62,7 +62,7 @@
   }
 
   /** Counts the answers of an outside service that show it to be short, down or out of reach. */
-  public synchronized void outside(String service, int status) {
+  public synchronized void countRefusal(String service, int status) {
     if (status == 0) {
       count(service + "_silent");
     } else if (status == HTTP_TOO_MANY_REQUESTS) {
@@ -90,11 +90,11 @@
                     h.getValueAtPercentile(MEDIAN) / 1e3,
                     h.getValueAtPercentile(TAIL) / 1e3,
                     h.getMaxValue() / 1e3)));
-    if (!spent.isEmpty()) {
+    if (!recordWork.isEmpty()) {
       line.append(" spent_ms[");
-      spent.forEach((k, v) -> line.append(String.format("%s=%.0f/%d ", k, v[0] / 1e3, v[1])));
+      recordWork.forEach((k, v) -> line.append(String.format("%s=%.0f/%d ", k, v[0] / 1e3, v[1])));
       line.setCharAt(line.length() - 1, ']');
-      spent.clear();
+      recordWork.clear();
     }
     log.info("{}", line);
     times.values().forEach(Histogram::reset);
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -48,7 +48,7 @@
 
   private long tell() {
     byte[] body = codec.write(own.get());
-    for (PlatformConfiguration.Seed seed : platform.seeds()) {
+    for (PlatformConfiguration.PeerController seed : platform.peers()) {
       caller.call(seed.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
     }
     return EVERY_MICROS;
@@ -62,7 +62,7 @@
     }
     PeerStatus peerStatus = codec.read(body);
     if (peerStatus == null
-        || platform.seeds().stream().noneMatch(p -> p.label().equals(peerStatus.label()))) {
+        || platform.peers().stream().noneMatch(p -> p.label().equals(peerStatus.label()))) {
       out.error(HttpStatus.BAD_REQUEST, "not a peer's status");
       return;
     }
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -136,7 +136,7 @@
     Kind best = null;
     double least = Double.MAX_VALUE;
     for (MachineType machineType : prices.machineTypes()) {
-      double share = machineType.share(demand.job());
+      double share = machineType.dominantShare(demand.job());
       if (share > 1 + 1e-9) {
         continue;
       }
@@ -147,7 +147,7 @@
             continue;
           }
           int tasks = Math.max(1, Math.min(steppedDown, (int) (1 / Math.max(share, 1e-6) + 1e-9)));
-          double cost = prices.hourly(machineType, spot) / tasks;
+          double cost = prices.hourlyPrice(machineType, spot) / tasks;
           if (!moneyMatters) {
             cost *= 1 + machineType.startupS() / 300;
           }
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -18,11 +18,11 @@
  */
 public final class OperatorFile {
   private final String file;
-  private final Map<String, Object> steppedDown;
+  private final Map<String, Object> unreadKeys;
 
   private OperatorFile(String file, Map<String, Object> values) {
     this.file = file;
-    this.steppedDown = values;
+    this.unreadKeys = values;
   }
 
   /** Reads the operators' file; an unknown key or a value out of range is an error. */
@@ -50,7 +50,7 @@
 
   private Optional<SharingSettings> sharing(PlatformConfiguration platform)
       throws SettingsException {
-    Object table = steppedDown.remove("sharing");
+    Object table = unreadKeys.remove("sharing");
     if (table == null) {
       return Optional.empty();
     }
@@ -70,20 +70,20 @@
             micros("grant_ttl_s", parameters.leaseTtlMicros(), 1, 600),
             micros("touch_s", parameters.leaseRenewalMicros(), 0.1, 100),
             micros("act_margin_s", parameters.actMarginMicros(), 0.05, 10),
-            micros("progress_s", parameters.progressMicros(), 0.1, 60),
+            micros("progress_s", parameters.progressPauseMicros(), 0.1, 60),
             micros("round_budget_s", parameters.passBudgetMicros(), 0.001, 1),
             micros("silent_s", parameters.silentMicros(), 1, 600),
             micros("idle_money_s", parameters.idleMoneyMicros(), 0, 1e6),
             micros("idle_speed_s", parameters.idleSpeedMicros(), 0, 1e6),
             number("boot_factor", parameters.bootFactor(), 1, 100),
-            micros("rent_s", parameters.rentMicros(), 0, 3600),
-            micros("begin_s", parameters.beginMicros(), 1, 1e6),
+            micros("rent_s", parameters.rentalMicros(), 0, 3600),
+            micros("begin_s", parameters.mustStartMicros(), 1, 1e6),
             number("standby_spreads", parameters.headroomDeviations(), 0, 100),
             number("spot_risk", parameters.spotRisk(), 0, 100),
             owned());
-    if (!steppedDown.isEmpty()) {
+    if (!unreadKeys.isEmpty()) {
       throw new SettingsException(
-          file + ": " + steppedDown.keySet().iterator().next() + " is unknown");
+          file + ": " + unreadKeys.keySet().iterator().next() + " is unknown");
     }
     if (read.leaseRenewalMicros() * 2 + read.actMarginMicros() > read.leaseTtlMicros()) {
       throw new SettingsException(
@@ -93,7 +93,7 @@
   }
 
   private Map<String, Double> owned() throws SettingsException {
-    Object object = steppedDown.remove("owned_hourly");
+    Object object = unreadKeys.remove("owned_hourly");
     if (object == null) {
       return Map.of();
     }
@@ -114,7 +114,7 @@
 
   private double number(String key, double otherwise, double min, double max)
       throws SettingsException {
-    Object object = steppedDown.remove(key);
+    Object object = unreadKeys.remove(key);
     if (object == null) {
       return otherwise;
     }
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -19,8 +19,8 @@
     String label,
     String zone,
     Endpoint bind,
-    Endpoint back,
-    List<Seed> seeds,
+    Endpoint peerBind,
+    List<PeerController> peers,
     Endpoint cloud,
     Endpoint state,
     List<Team> teams,
@@ -31,14 +31,19 @@
     int socketLimit) {
 
   /** Another controller. */
-  public record Seed(String label, String zone, Endpoint endpoint) {}
+  public record PeerController(String label, String zone, Endpoint endpoint) {}
 
   /** A team's guarantee and limit; 0 means none. */
-  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+  public record Team(
+      String name,
+      double guaranteedCores,
+      double maxCores,
+      double guaranteedAccelerators,
+      double maxAccelerators) {}
 
   /** An aim of the users: {@code jobClass} is null where it stands for all work. */
   public record Objective(
-      String kind, String jobClass, double withinS, double times, double share) {}
+      String kind, String jobClass, double withinS, double deadlineFactor, double share) {}
 
   /** Times of the workers: between reports, of a lease, and for a cancellation. */
   public record Workers(long heartbeatMicros, long leaseMicros, long cancelMicros) {
@@ -46,7 +51,7 @@
      * Heartbeats come every so often, plus or minus a quarter; one that takes longer than this has
      * been missed.
      */
-    public long latestHeartbeatMicros() {
+    public long missedHeartbeatMicros() {
       return heartbeatMicros + heartbeatMicros / 4 + 2_000_000;
     }
   }
@@ -64,7 +69,7 @@
       this(rps, writeRps, valueBytes, transactionOps, valueBytes);
     }
 
-    StateLimits within(StateLimits next) {
+    StateLimits smallerOf(StateLimits next) {
       return new StateLimits(
           Math.min(rps, next.rps),
           Math.min(writeRps, next.writeRps),
@@ -119,19 +124,19 @@
     }
 
     PlatformConfiguration platform() throws SettingsException {
-      List<Seed> seeds = new ArrayList<>();
+      List<PeerController> peers = new ArrayList<>();
       Set<String> labels = new HashSet<>();
       labels.add(text(root, "", "label"));
       int index = 0;
       for (JsonNode node : list(root, "", "seeds")) {
         String at = "seeds[" + index++ + "].";
-        Seed seed =
-            new Seed(
+        PeerController seed =
+            new PeerController(
                 text(node, at, "label"), text(node, at, "area"), endpoint(node, at, "endpoint"));
         if (!labels.add(seed.label())) {
           throw bad(at + "label", "is used twice");
         }
-        seeds.add(seed);
+        peers.add(seed);
       }
       JsonNode outside = table(root, "", "outside");
       JsonNode dep = table(root, "", "deployment");
@@ -168,7 +173,7 @@
           text(root, "", "area"),
           endpoint(root, "", "bind"),
           endpoint(root, "", "back"),
-          List.copyOf(seeds),
+          List.copyOf(peers),
           endpoint(outside, "outside.", "cloud"),
           endpoint(outside, "outside.", "state"),
           List.copyOf(teams),
@@ -188,7 +193,7 @@
     private StateLimits stateLimits(JsonNode node) throws SettingsException {
       StateLimits now = limits(node, "deployment.state.", null);
       return node.has("next")
-          ? now.within(
+          ? now.smallerOf(
               limits(table(node, "deployment.state.", "next"), "deployment.state.next.", now))
           : now;
     }
--- a/src/main/java/plumlever/settings/SharingSettings.java
+++ b/src/main/java/plumlever/settings/SharingSettings.java
@@ -26,11 +26,11 @@
  * @param digest the same for controllers with the same table
  */
 public record SharingSettings(
-    int machines,
-    int mostMoving,
+    int maxMachines,
+    int maxTransfers,
     long adoptAfterMicros,
     List<Cell> cells,
-    Cell own,
+    Cell ownCell,
     String digest) {
 
   /**
@@ -41,7 +41,7 @@
    * @param weight its part of the machines above all floors, against the others' weights
    */
   public record Cell(
-      String name, String prefix, Set<String> controllers, int floor, double weight) {}
+      String name, String prefix, Set<String> controllers, int minMachines, double weight) {}
 
   private static final Pattern NAME = Pattern.compile("[a-z][a-z0-9-]{0,30}");
   private static final Pattern PREFIX = Pattern.compile("[a-z][a-z0-9-]{0,30}/");
@@ -72,12 +72,12 @@
   }
 
   /** All cells but this controller's. */
-  public List<Cell> others() {
-    return cells.stream().filter(cell -> !cell.name().equals(own.name())).toList();
+  public List<Cell> otherCells() {
+    return cells.stream().filter(cell -> !cell.name().equals(ownCell.name())).toList();
   }
 
   /** True if the state service's limits leave room for the transactions of a transfer. */
-  public static final int LEAST_OPS = 5;
+  public static final int MIN_TRANSACTION_OPS = 5;
 
   /**
    * Reads the table and checks it against the controllers of the deployment.
@@ -99,7 +99,7 @@
       this.file = file;
       this.platform = platform;
       controllers.add(platform.label());
-      platform.seeds().forEach(seed -> controllers.add(seed.label()));
+      platform.peers().forEach(seed -> controllers.add(seed.label()));
     }
 
     private SettingsException wrong(String key, String reason) {
@@ -108,16 +108,17 @@
 
     SharingSettings read(Map<?, ?> table) throws SettingsException {
       refuseUnknown(table, "", Set.of("machines", "most_moving", "adopt_after_s", "cells"));
-      int machines = (int) number(table, "", "machines", 1, MOST_MACHINES, -1);
+      int maxMachines = (int) number(table, "", "machines", 1, MOST_MACHINES, -1);
       List<Cell> cells = cells(table);
-      int floors = cells.stream().mapToInt(Cell::floor).sum();
-      if (floors > machines) {
-        throw wrong("cells", "have floors of " + floors + " machines, the pool has " + machines);
+      int floors = cells.stream().mapToInt(Cell::minMachines).sum();
+      if (floors > maxMachines) {
+        throw wrong("cells", "have floors of " + floors + " machines, the pool has " + maxMachines);
       }
-      if (platform.stateLimits().transactionOps() < LEAST_OPS) {
-        throw wrong("cells", "need " + LEAST_OPS + " changes a transaction of the state service");
+      if (platform.stateLimits().transactionOps() < MIN_TRANSACTION_OPS) {
+        throw wrong(
+            "cells", "need " + MIN_TRANSACTION_OPS + " changes a transaction of the state service");
       }
-      Cell own =
+      Cell ownCell =
           cells.stream()
               .filter(cell -> cell.controllers().contains(platform.label()))
               .findFirst()
@@ -126,7 +127,12 @@
       double adoptS =
           number(table, "", "adopt_after_s", LEAST_ADOPT_S, MOST_ADOPT_S, DEFAULT_ADOPT_S);
       return new SharingSettings(
-          machines, moving, (long) (adoptS * 1e6), cells, own, digest(machines, moving, cells));
+          maxMachines,
+          moving,
+          (long) (adoptS * 1e6),
+          cells,
+          ownCell,
+          digest(maxMachines, moving, cells));
     }
 
     private List<Cell> cells(Map<?, ?> table) throws SettingsException {
@@ -239,11 +245,11 @@
       return number.doubleValue();
     }
 
-    private static String digest(int machines, int moving, List<Cell> cells) {
-      StringBuilder text = new StringBuilder().append(machines).append(' ').append(moving);
+    private static String digest(int maxMachines, int moving, List<Cell> cells) {
+      StringBuilder text = new StringBuilder().append(maxMachines).append(' ').append(moving);
       for (Cell cell : cells) {
         text.append('\n').append(cell.name()).append(' ').append(cell.prefix());
-        text.append(' ').append(cell.floor()).append(' ').append(cell.weight());
+        text.append(' ').append(cell.minMachines()).append(' ').append(cell.weight());
         cell.controllers().stream().sorted().forEach(label -> text.append(' ').append(label));
       }
       try {
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -407,7 +407,7 @@
       requests.force(1, now);
       writes.force(changes, now);
     } else if (!requests.take(1, now) || (changes > 0 && !writes.take(changes, now))) {
-      metrics.outside("state", HttpStatus.TOO_MANY_REQUESTS);
+      metrics.countRefusal("state", HttpStatus.TOO_MANY_REQUESTS);
       loop.after(0, () -> then.take(HttpStatus.TOO_MANY_REQUESTS, null));
       return;
     }
@@ -419,7 +419,7 @@
         bytes,
         timeoutMicros,
         (status, data) -> {
-          metrics.outside("state", status);
+          metrics.countRefusal("state", status);
           if (status != 0 && status != HttpStatus.UNAVAILABLE) {
             lastServedMicros = loop.nowMicros();
             refusedSinceMicros = -1;
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -48,7 +48,7 @@
             "practice",
             real.zone(),
             real.bind(),
-            real.back(),
+            real.peerBind(),
             List.of(),
             CLOUD,
             STATE,
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -38,11 +38,11 @@
     return false;
   }
 
-  public boolean noticed() {
+  public boolean hasPreemptionNotice() {
     return preemptionNoticeS >= 0;
   }
 
-  public boolean newerThan(long otherIncarnation, long otherSequenceNumber) {
+  public boolean isNewerThan(long otherIncarnation, long otherSequenceNumber) {
     return incarnation > otherIncarnation
         || (incarnation == otherIncarnation && sequenceNumber > otherSequenceNumber);
   }
@@ -51,33 +51,32 @@
    * Read field by field: a leader takes hundreds a second, and nearly all of its JSON is in them.
    */
   public static Heartbeat parse(byte[] body) throws InvalidMessageException {
-    try (JsonParser jsonParser = Json.parser(body)) {
-      if (jsonParser.nextToken() != JsonToken.START_OBJECT) {
+    try (JsonParser parser = Json.parser(body)) {
+      if (parser.nextToken() != JsonToken.START_OBJECT) {
         throw new InvalidMessageException("not a JSON object");
       }
       Fields fields = new Fields();
-      while (jsonParser.nextToken() == JsonToken.FIELD_NAME) {
-        String name = jsonParser.currentName();
-        JsonToken jsonToken = jsonParser.nextToken();
+      while (parser.nextToken() == JsonToken.FIELD_NAME) {
+        String name = parser.currentName();
+        JsonToken token = parser.nextToken();
         switch (name) {
-          case ProtocolField.MACHINE_ID -> fields.machineId = text(jsonParser, name);
-          case ProtocolField.ENDPOINT -> fields.endpoint = text(jsonParser, name);
-          case ProtocolField.MACHINE_TYPE -> fields.machineType = text(jsonParser, name);
-          case ProtocolField.ZONE -> fields.zone = text(jsonParser, name);
-          case ProtocolField.SPOT -> fields.spot = flag(jsonParser, name);
-          case ProtocolField.INCARNATION -> fields.incarnation = whole(jsonParser, name);
-          case ProtocolField.SEQUENCE_NUMBER -> fields.sequenceNumber = whole(jsonParser, name);
-          case ProtocolField.FENCING_TOKEN -> fields.fencingToken = whole(jsonParser, name);
+          case ProtocolField.MACHINE_ID -> fields.machineId = text(parser, name);
+          case ProtocolField.ENDPOINT -> fields.endpoint = text(parser, name);
+          case ProtocolField.MACHINE_TYPE -> fields.machineType = text(parser, name);
+          case ProtocolField.ZONE -> fields.zone = text(parser, name);
+          case ProtocolField.SPOT -> fields.spot = flag(parser, name);
+          case ProtocolField.INCARNATION -> fields.incarnation = whole(parser, name);
+          case ProtocolField.SEQUENCE_NUMBER -> fields.sequenceNumber = whole(parser, name);
+          case ProtocolField.FENCING_TOKEN -> fields.fencingToken = whole(parser, name);
           case ProtocolField.PREEMPTION_NOTICE_S ->
               fields.preemptionNoticeS =
-                  jsonToken == JsonToken.VALUE_NULL ? NO_NOTICE : amount(jsonParser, name);
+                  token == JsonToken.VALUE_NULL ? NO_NOTICE : amount(parser, name);
           case ProtocolField.ATTEMPTS ->
-              fields.attempts =
-                  jsonToken == JsonToken.VALUE_NULL ? List.of() : attempts(jsonParser);
-          default -> jsonParser.skipChildren();
+              fields.attempts = token == JsonToken.VALUE_NULL ? List.of() : attempts(parser);
+          default -> parser.skipChildren();
         }
       }
-      if (jsonParser.currentToken() != JsonToken.END_OBJECT || jsonParser.nextToken() != null) {
+      if (parser.currentToken() != JsonToken.END_OBJECT || parser.nextToken() != null) {
         throw new InvalidMessageException("not JSON");
       }
       return fields.heartbeat();
@@ -101,110 +100,110 @@
 
     Heartbeat heartbeat() throws InvalidMessageException {
       return new Heartbeat(
-          needed(machineId, ProtocolField.MACHINE_ID),
-          needed(endpoint, ProtocolField.ENDPOINT),
-          needed(machineType, ProtocolField.MACHINE_TYPE),
-          needed(zone, ProtocolField.ZONE),
-          needed(spot, ProtocolField.SPOT),
-          needed(incarnation, ProtocolField.INCARNATION),
-          needed(sequenceNumber, ProtocolField.SEQUENCE_NUMBER),
-          needed(fencingToken, ProtocolField.FENCING_TOKEN),
+          required(machineId, ProtocolField.MACHINE_ID),
+          required(endpoint, ProtocolField.ENDPOINT),
+          required(machineType, ProtocolField.MACHINE_TYPE),
+          required(zone, ProtocolField.ZONE),
+          required(spot, ProtocolField.SPOT),
+          required(incarnation, ProtocolField.INCARNATION),
+          required(sequenceNumber, ProtocolField.SEQUENCE_NUMBER),
+          required(fencingToken, ProtocolField.FENCING_TOKEN),
           preemptionNoticeS,
           attempts);
     }
   }
 
-  private static <T> T needed(T value, String name) throws InvalidMessageException {
+  private static <T> T required(T value, String name) throws InvalidMessageException {
     if (value == null) {
       throw new InvalidMessageException(name + " is missing");
     }
     return value;
   }
 
-  private static long needed(long value, String name) throws InvalidMessageException {
+  private static long required(long value, String name) throws InvalidMessageException {
     if (value < 0) {
       throw new InvalidMessageException(name + " is missing");
     }
     return value;
   }
 
-  private static List<AttemptStatus> attempts(JsonParser jsonParser)
+  private static List<AttemptStatus> attempts(JsonParser parser)
       throws IOException, InvalidMessageException {
-    if (jsonParser.currentToken() != JsonToken.START_ARRAY) {
+    if (parser.currentToken() != JsonToken.START_ARRAY) {
       throw new InvalidMessageException(ProtocolField.ATTEMPTS + " must be a list");
     }
     List<AttemptStatus> attempts = new ArrayList<>();
-    while (jsonParser.nextToken() == JsonToken.START_OBJECT) {
-      attempts.add(attemptStatus(jsonParser));
+    while (parser.nextToken() == JsonToken.START_OBJECT) {
+      attempts.add(attemptStatus(parser));
     }
-    if (jsonParser.currentToken() != JsonToken.END_ARRAY) {
+    if (parser.currentToken() != JsonToken.END_ARRAY) {
       throw new InvalidMessageException(ProtocolField.ATTEMPTS + " must be a list of objects");
     }
     return attempts;
   }
 
-  private static AttemptStatus attemptStatus(JsonParser jsonParser)
+  private static AttemptStatus attemptStatus(JsonParser parser)
       throws IOException, InvalidMessageException {
     TaskName task = null;
     long attempt = -1;
     AttemptState status = null;
     ExitCause cause = ExitCause.OTHER;
     boolean saved = false;
-    while (jsonParser.nextToken() == JsonToken.FIELD_NAME) {
-      String name = jsonParser.currentName();
-      JsonToken jsonToken = jsonParser.nextToken();
+    while (parser.nextToken() == JsonToken.FIELD_NAME) {
+      String name = parser.currentName();
+      JsonToken token = parser.nextToken();
       switch (name) {
-        case ProtocolField.TASK -> task = TaskName.of(text(jsonParser, name));
-        case ProtocolField.ATTEMPT -> attempt = whole(jsonParser, name);
-        case ProtocolField.STATUS -> status = AttemptState.of(text(jsonParser, name));
+        case ProtocolField.TASK -> task = TaskName.of(text(parser, name));
+        case ProtocolField.ATTEMPT -> attempt = whole(parser, name);
+        case ProtocolField.STATUS -> status = AttemptState.of(text(parser, name));
         case "exit_cause" -> {
-          cause = ExitCause.of(jsonToken == JsonToken.VALUE_STRING ? jsonParser.getText() : "");
-          jsonParser.skipChildren();
+          cause = ExitCause.of(token == JsonToken.VALUE_STRING ? parser.getText() : "");
+          parser.skipChildren();
         }
-        case "saved" -> saved = jsonToken != JsonToken.VALUE_NULL && flag(jsonParser, name);
-        default -> jsonParser.skipChildren();
+        case "saved" -> saved = token != JsonToken.VALUE_NULL && flag(parser, name);
+        default -> parser.skipChildren();
       }
     }
     return new AttemptStatus(
-        needed(task, ProtocolField.TASK),
-        needed(attempt, ProtocolField.ATTEMPT),
-        needed(status, ProtocolField.STATUS),
+        required(task, ProtocolField.TASK),
+        required(attempt, ProtocolField.ATTEMPT),
+        required(status, ProtocolField.STATUS),
         status == AttemptState.ENDED ? cause : null,
         saved);
   }
 
-  private static String text(JsonParser jsonParser, String name)
+  private static String text(JsonParser parser, String name)
       throws IOException, InvalidMessageException {
-    String text = jsonParser.currentToken() == JsonToken.VALUE_STRING ? jsonParser.getText() : "";
-    if (text.isEmpty() || text.length() > Json.MOST_TEXT) {
+    String text = parser.currentToken() == JsonToken.VALUE_STRING ? parser.getText() : "";
+    if (text.isEmpty() || text.length() > Json.MAX_TEXT_LENGTH) {
       throw new InvalidMessageException(
-          name + " must be a text of 1 to " + Json.MOST_TEXT + " characters");
+          name + " must be a text of 1 to " + Json.MAX_TEXT_LENGTH + " characters");
     }
     return text;
   }
 
-  private static boolean flag(JsonParser jsonParser, String name)
+  private static boolean flag(JsonParser parser, String name)
       throws IOException, InvalidMessageException {
-    if (!jsonParser.currentToken().isBoolean()) {
+    if (!parser.currentToken().isBoolean()) {
       throw new InvalidMessageException(name + " must be true or false");
     }
-    return jsonParser.getBooleanValue();
+    return parser.getBooleanValue();
   }
 
-  private static long whole(JsonParser jsonParser, String name)
+  private static long whole(JsonParser parser, String name)
       throws IOException, InvalidMessageException {
-    if (jsonParser.currentToken() != JsonToken.VALUE_NUMBER_INT
-        || jsonParser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-        || jsonParser.getLongValue() < 0) {
+    if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT
+        || parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+        || parser.getLongValue() < 0) {
       throw new InvalidMessageException(
           name + " must be a whole number from 0 to " + Long.MAX_VALUE);
     }
-    return jsonParser.getLongValue();
+    return parser.getLongValue();
   }
 
-  private static double amount(JsonParser jsonParser, String name)
+  private static double amount(JsonParser parser, String name)
       throws IOException, InvalidMessageException {
-    double amount = jsonParser.currentToken().isNumeric() ? jsonParser.getDoubleValue() : -1;
+    double amount = parser.currentToken().isNumeric() ? parser.getDoubleValue() : -1;
     if (!Json.inRange(amount, 0)) {
       throw new InvalidMessageException(name + " must be an amount from 0");
     }
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -93,7 +93,7 @@
     return deadlineS >= 0;
   }
 
-  public boolean checkpoints() {
+  public boolean savesCheckpoints() {
     return checkpointIntervalS > 0;
   }
 
@@ -249,7 +249,7 @@
   }
 
   /** The most tasks that may be in one zone at a time. */
-  public int zoneLimit() {
+  public int maxTasksPerZone() {
     return spread ? (taskCount + 1) / 2 : taskCount;
   }
 }
--- a/src/main/java/plumlever/wire/Json.java
+++ b/src/main/java/plumlever/wire/Json.java
@@ -30,8 +30,8 @@
                   .build())
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-  static final int MOST_TEXT = 200;
-  private static final double MOST_AMOUNT = 1e9;
+  static final int MAX_TEXT_LENGTH = 200;
+  private static final double MAX_AMOUNT = 1e9;
 
   private Json() {}
 
@@ -90,9 +90,9 @@
     if (node == null
         || !node.isTextual()
         || node.textValue().isEmpty()
-        || node.textValue().length() > MOST_TEXT) {
+        || node.textValue().length() > MAX_TEXT_LENGTH) {
       throw new InvalidMessageException(
-          field + " must be a text of 1 to " + MOST_TEXT + " characters");
+          field + " must be a text of 1 to " + MAX_TEXT_LENGTH + " characters");
     }
     return node.textValue();
   }
@@ -125,7 +125,7 @@
   }
 
   static boolean inRange(double value, double min) {
-    return Double.isFinite(value) && value >= min && value <= MOST_AMOUNT;
+    return Double.isFinite(value) && value >= min && value <= MAX_AMOUNT;
   }
 
   /** A field that must be a whole number within these bounds. */
--- a/src/main/java/plumlever/wire/MachineType.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -13,7 +13,7 @@
     double memoryGb,
     double cacheGb,
     double fetchGbPerS,
-    double hourly,
+    double hourlyPrice,
     double spotPrice,
     double startupS,
     List<String> zones) {
@@ -31,7 +31,7 @@
       if (zone != null && zone.isArray()) {
         zone.forEach(x -> zones.add(x.asText()));
       }
-      double hourly = Json.amount(node, "hourly", 0);
+      double hourlyPrice = Json.amount(node, "hourly", 0);
       out.add(
           new MachineType(
               Json.text(node, ProtocolField.MACHINE_TYPE_NAME),
@@ -40,9 +40,9 @@
               Json.amount(node, "memory_gb", 0),
               Json.amount(node, "cache_gb", 0),
               Json.amount(node, "fetch_gb_per_s", 0),
-              hourly,
+              hourlyPrice,
               Json.absent(node, ProtocolField.SPOT_PRICE)
-                  ? hourly
+                  ? hourlyPrice
                   : Json.amount(node, ProtocolField.SPOT_PRICE, 0),
               Json.amount(node, "startup_s", 0),
               List.copyOf(zones)));
@@ -50,16 +50,17 @@
     return List.copyOf(out);
   }
 
-  public double hourly(boolean spot) {
-    return spot ? spotPrice : hourly;
+  public double hourlyPrice(boolean spot) {
+    return spot ? spotPrice : hourlyPrice;
   }
 
   /** The largest share of a machine of this type that one task takes; above 1 it does not fit. */
-  public double share(JobSpec job) {
-    double share = Math.max(job.cores() / cores, job.memoryGb() / memoryGb);
+  public double dominantShare(JobSpec job) {
+    double dominantShare = Math.max(job.cores() / cores, job.memoryGb() / memoryGb);
     if (job.accelerators() > 0) {
-      share = Math.max(share, accelerators > 0 ? job.accelerators() / accelerators : 2);
+      dominantShare =
+          Math.max(dominantShare, accelerators > 0 ? job.accelerators() / accelerators : 2);
     }
-    return share;
+    return dominantShare;
   }
 }
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -45,7 +45,7 @@
             .put(ProtocolField.INCARNATION, heartbeat.incarnation())
             .put(ProtocolField.SEQUENCE_NUMBER, heartbeat.sequenceNumber())
             .put(ProtocolField.FENCING_TOKEN, heartbeat.fencingToken());
-    if (heartbeat.noticed()) {
+    if (heartbeat.hasPreemptionNotice()) {
       object.put(ProtocolField.PREEMPTION_NOTICE_S, heartbeat.preemptionNoticeS());
     }
     ArrayNode attempts = object.putArray(ProtocolField.ATTEMPTS);
@@ -78,7 +78,8 @@
   }
 
   /** The same with the tasks that are given. */
-  public static Heartbeat only(Heartbeat heartbeat, List<Heartbeat.AttemptStatus> attempts) {
+  public static Heartbeat withAttempts(
+      Heartbeat heartbeat, List<Heartbeat.AttemptStatus> attempts) {
     return new Heartbeat(
         heartbeat.machineId(),
         heartbeat.endpoint(),
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -73,25 +73,25 @@
 
   private static String body(long token, long incarnation, List<WorkerCommand> commands) {
     StringWriter out = new StringWriter(USUAL_LETTERS);
-    try (JsonGenerator jsonGenerator = Json.generator(out)) {
-      jsonGenerator.writeStartObject();
-      jsonGenerator.writeNumberField(ProtocolField.FENCING_TOKEN, token);
+    try (JsonGenerator generator = Json.generator(out)) {
+      generator.writeStartObject();
+      generator.writeNumberField(ProtocolField.FENCING_TOKEN, token);
       if (incarnation > 0) {
-        jsonGenerator.writeNumberField(ProtocolField.INCARNATION, incarnation);
+        generator.writeNumberField(ProtocolField.INCARNATION, incarnation);
       }
-      jsonGenerator.writeArrayFieldStart(ProtocolField.COMMANDS);
+      generator.writeArrayFieldStart(ProtocolField.COMMANDS);
       for (WorkerCommand command : commands) {
-        jsonGenerator.writeStartObject();
-        jsonGenerator.writeStringField(ProtocolField.COMMAND_TYPE, command.type.wireName);
-        jsonGenerator.writeStringField(ProtocolField.TASK, command.task.wireName());
-        jsonGenerator.writeNumberField(ProtocolField.ATTEMPT, command.attempt);
+        generator.writeStartObject();
+        generator.writeStringField(ProtocolField.COMMAND_TYPE, command.type.wireName);
+        generator.writeStringField(ProtocolField.TASK, command.task.wireName());
+        generator.writeNumberField(ProtocolField.ATTEMPT, command.attempt);
         if (command.type == CommandType.STOP) {
-          jsonGenerator.writeNumberField(ProtocolField.GRACE_PERIOD_S, command.gracePeriodS);
+          generator.writeNumberField(ProtocolField.GRACE_PERIOD_S, command.gracePeriodS);
         }
-        jsonGenerator.writeEndObject();
+        generator.writeEndObject();
       }
-      jsonGenerator.writeEndArray();
-      jsonGenerator.writeEndObject();
+      generator.writeEndArray();
+      generator.writeEndObject();
     } catch (IOException e) {
       throw new IllegalStateException("plain values could not be written to memory", e);
     }
--- a/src/test/java/plumlever/cli/CheckTest.java
+++ b/src/test/java/plumlever/cli/CheckTest.java
@@ -19,7 +19,8 @@
             new Endpoint("127.0.0.1", 8080),
             new Endpoint("127.0.0.1", 8081),
             List.of(
-                new PlatformConfiguration.Seed("lever-1", "b", new Endpoint("127.0.0.2", 8081))),
+                new PlatformConfiguration.PeerController(
+                    "lever-1", "b", new Endpoint("127.0.0.2", 8081))),
             new Endpoint("127.0.0.1", 1),
             new Endpoint("127.0.0.1", 2),
             List.of(
--- a/src/test/java/plumlever/settings/DeployFilesTest.java
+++ b/src/test/java/plumlever/settings/DeployFilesTest.java
@@ -17,8 +17,10 @@
             new Endpoint("127.0.0.1", 1),
             new Endpoint("127.0.0.1", 2),
             List.of(
-                new PlatformConfiguration.Seed("lever-0", "a", new Endpoint("127.0.0.1", 3)),
-                new PlatformConfiguration.Seed("lever-2", "a", new Endpoint("127.0.0.1", 4))),
+                new PlatformConfiguration.PeerController(
+                    "lever-0", "a", new Endpoint("127.0.0.1", 3)),
+                new PlatformConfiguration.PeerController(
+                    "lever-2", "a", new Endpoint("127.0.0.1", 4))),
             new Endpoint("127.0.0.1", 5),
             new Endpoint("127.0.0.1", 6),
             List.of(),
@@ -29,7 +31,7 @@
             2_000);
     SharingSettings sharing =
         OperatorFile.load(Path.of("deploy/sharing.yaml"), platform).sharing().orElseThrow();
-    assertEquals("north", sharing.own().name());
+    assertEquals("north", sharing.ownCell().name());
     assertEquals(3, sharing.cells().size());
   }
 }
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -68,7 +68,7 @@
   void readsThePlatformsFileAndIgnoresUnknownFields() throws Exception {
     PlatformConfiguration platform = PlatformConfiguration.load(file(GOOD));
     assertEquals(20_000_000, platform.workers().leaseMicros());
-    assertEquals(new Endpoint("127.0.0.2", 8081), platform.seeds().get(0).endpoint());
+    assertEquals(new Endpoint("127.0.0.2", 8081), platform.peers().get(0).endpoint());
     assertEquals(4096, platform.stateLimits().valueBytes());
   }
 
@@ -181,8 +181,8 @@
   @Test
   void sharingNamesTheCellOfThisController() throws Exception {
     SharingSettings sharing = operators(CELLS).sharing().orElseThrow();
-    assertEquals("one", sharing.own().name());
-    assertEquals("one/", sharing.own().prefix());
+    assertEquals("one", sharing.ownCell().name());
+    assertEquals("one/", sharing.ownCell().prefix());
     assertEquals(1, sharing.cell("two").weight());
     assertEquals(sharing.digest(), operators(CELLS).sharing().orElseThrow().digest());
     SharingSettings other =
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -544,7 +544,7 @@
     long metric(String name) {
       return cluster.members.values().stream()
           .filter(m -> m.node() != null)
-          .mapToLong(m -> m.node().metrics().counted(name))
+          .mapToLong(m -> m.node().metrics().counter(name))
           .sum();
     }
 
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -275,10 +275,10 @@
     cluster.play(60);
     long renewed =
         cluster.members.values().stream()
-            .mapToLong(m -> m.node().metrics().counted("leases_renewed_for_leader"))
+            .mapToLong(m -> m.node().metrics().counter("leases_renewed_for_leader"))
             .sum();
     assertTrue(renewed > 20, "leases were renewed: " + renewed);
-    assertEquals(0, cluster.leader().node().metrics().counted("attempts_lost"), "no task was lost");
+    assertEquals(0, cluster.leader().node().metrics().counter("attempts_lost"), "no task was lost");
     assertEquals(leader, cluster.leader().platform.label());
     cluster.play(150);
     assertDone(all.toArray(new JobSpec[0]));
@@ -301,7 +301,7 @@
         .forEach(v -> cluster.cuts.put(v.id + ">*", true));
     cluster.play(48);
     assertTrue(
-        cluster.leader().node().metrics().counted("attempts_lost") > 0,
+        cluster.leader().node().metrics().counter("attempts_lost") > 0,
         "the tasks there are free again");
     cluster.play(200);
     assertDone(all.toArray(new JobSpec[0]));
@@ -425,8 +425,8 @@
     cluster.play(120);
     assertDone(all.toArray(new JobSpec[0]));
     assertEquals(
-        0, cluster.leader().node().metrics().counted("starts_lost"), "no order was taken for lost");
-    assertTrue(cluster.leader().node().metrics().counted("starts_sent") >= 100);
+        0, cluster.leader().node().metrics().counter("starts_lost"), "no order was taken for lost");
+    assertTrue(cluster.leader().node().metrics().counter("starts_sent") >= 100);
   }
 
   /** Nor may it while another order to the same machine is still under way, with the same token. */
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -314,7 +314,7 @@
 
   private static long renewed(SimulatedCluster cluster) {
     return cluster.members.values().stream()
-        .mapToLong(member -> member.node().metrics().counted("leases_renewed_for_leader"))
+        .mapToLong(member -> member.node().metrics().counter("leases_renewed_for_leader"))
         .sum();
   }
 }
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -48,7 +48,7 @@
     cluster.play(30);
     assertEquals(MACHINES, recorded(cluster).size());
     assertTrue(
-        cluster.leader().node().metrics().counted("machine_lists_read") >= 2,
+        cluster.leader().node().metrics().counter("machine_lists_read") >= 2,
         "whole lists were read");
     assertEquals(0, cluster.cloud.refused, "requests over the cloud's rate");
     cluster.leader().crash(3);
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -137,7 +137,7 @@
   void aLeaderThatHearsOfNoEndsLetsLeasesLapseInTime() {
     withoutWatches(InvariantChecker.CANCEL_MICROS);
     assertEquals(List.of(), cluster.invariants.broken);
-    assertTrue(cluster.leader().node().metrics().counted("renewals_refused") > 0, "by the bound");
+    assertTrue(cluster.leader().node().metrics().counter("renewals_refused") > 0, "by the bound");
   }
 
   /**
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -89,7 +89,7 @@
 
   private long counted(String counter) {
     return cluster.members.values().stream()
-        .mapToLong(member -> member.node().metrics().counted(counter))
+        .mapToLong(member -> member.node().metrics().counter(counter))
         .sum();
   }
 
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -143,11 +143,11 @@
         }
       }
     }
-    if (here > otherJob.zoneLimit()) {
+    if (here > otherJob.maxTasksPerZone()) {
       broke("wrong_place", task + " is one too many in " + worker.vm.zone);
     }
     double used = held.merge(otherJob.team(), joins ? otherJob.cores() : 0, Double::sum);
-    double limit = teams.get(otherJob.team()).cpusMax();
+    double limit = teams.get(otherJob.team()).maxCores();
     if (limit > 0 && used > limit + 1e-6) {
       broke("quota", otherJob.team() + " uses " + used);
     }
@@ -364,7 +364,7 @@
   }
 
   private boolean teamHasRoom(JobSpec job) {
-    double limit = teams.get(job.team()).cpusMax();
+    double limit = teams.get(job.team()).maxCores();
     return limit <= 0 || held.getOrDefault(job.team(), 0.0) + job.cores() <= limit + 1e-6;
   }
 
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -118,7 +118,7 @@
         "changes in the busiest second: " + cluster.store.mostChanges);
     long candidates =
         cluster.members.values().stream()
-            .mapToLong(m -> m.node().metrics().counted("candidates_evaluated"))
+            .mapToLong(m -> m.node().metrics().counter("candidates_evaluated"))
             .sum();
     assertTrue(candidates > 0 && candidates < 3_000_000, "seats evaluated: " + candidates);
   }
@@ -143,9 +143,9 @@
       cluster.at(i * 50_000L, () -> users.submit(40, 2, 60, false));
     }
     cluster.play(60);
-    long before = cluster.leader().node().metrics().counted("candidates_evaluated");
+    long before = cluster.leader().node().metrics().counter("candidates_evaluated");
     cluster.play(10);
-    long candidates = cluster.leader().node().metrics().counted("candidates_evaluated") - before;
+    long candidates = cluster.leader().node().metrics().counter("candidates_evaluated") - before;
     long rounds = 10_000_000 / 150_000;
     assertTrue(
         candidates > 0 && candidates < rounds * cluster.cloud.machines.size() * 30,
@@ -266,11 +266,11 @@
     assertTrue(cluster.mostSockets <= 1_600 + 112, "sockets in use: " + cluster.mostSockets);
     long candidates =
         cluster.members.values().stream()
-            .mapToLong(m -> m.node().metrics().counted("candidates_evaluated"))
+            .mapToLong(m -> m.node().metrics().counter("candidates_evaluated"))
             .sum();
     long heartbeats =
         cluster.members.values().stream()
-            .mapToLong(m -> m.node().metrics().counted("heartbeats"))
+            .mapToLong(m -> m.node().metrics().counter("heartbeats"))
             .sum();
     assertTrue(
         heartbeats > 10_000 && candidates / heartbeats < 60,
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -197,7 +197,7 @@
     long counted(String counter) {
       return cluster.members.values().stream()
           .filter(member -> member.node() != null)
-          .mapToLong(member -> member.node().metrics().counted(counter))
+          .mapToLong(member -> member.node().metrics().counter(counter))
           .sum();
     }
   }
--- a/src/test/java/plumlever/sim/SharingHardCasesTest.java
+++ b/src/test/java/plumlever/sim/SharingHardCasesTest.java
@@ -404,7 +404,7 @@
     assertTrue(
         cluster.members.values().stream()
                 .filter(member -> member.node() != null)
-                .mapToLong(member -> member.node().metrics().counted("limit_parts_given"))
+                .mapToLong(member -> member.node().metrics().counter("limit_parts_given"))
                 .sum()
             > 0,
         "parts were moved");
--- a/src/test/java/plumlever/sim/SharingMeasurement.java
+++ b/src/test/java/plumlever/sim/SharingMeasurement.java
@@ -96,7 +96,7 @@
 
   private long counted(String counter) {
     return cluster.members.values().stream()
-        .mapToLong(member -> member.node().metrics().counted(counter))
+        .mapToLong(member -> member.node().metrics().counter(counter))
         .sum();
   }
 
--- a/src/test/java/plumlever/sim/SharingTest.java
+++ b/src/test/java/plumlever/sim/SharingTest.java
@@ -18,7 +18,7 @@
     pool.endsWell(200);
     long taken =
         pool.cluster.members.values().stream()
-            .mapToLong(member -> member.node().metrics().counted("machines_taken"))
+            .mapToLong(member -> member.node().metrics().counter("machines_taken"))
             .sum();
     assertTrue(taken >= 12, "moves: " + taken);
     pool.nothingWasStartedAnew();
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -183,10 +183,11 @@
     services.put(STATE, store);
     services.put(CLOUD, cloud);
     for (int i = 0; i < nodes; i++) {
-      List<PlatformConfiguration.Seed> seeds = new ArrayList<>();
+      List<PlatformConfiguration.PeerController> seeds = new ArrayList<>();
       for (int j = 0; j < nodes; j++) {
         if (j != i) {
-          seeds.add(new PlatformConfiguration.Seed("n" + j, "z" + j, new Endpoint("n" + j, 2)));
+          seeds.add(
+              new PlatformConfiguration.PeerController("n" + j, "z" + j, new Endpoint("n" + j, 2)));
         }
       }
       List<PlatformConfiguration.Objective> aims =
@@ -271,7 +272,7 @@
   }
 
   private String cellOf(Member member) {
-    return sharing(member.platform.label()).map(pool -> pool.own().name()).orElse("");
+    return sharing(member.platform.label()).map(pool -> pool.ownCell().name()).orElse("");
   }
 
   /** The cells of a pool by the indexes of their controllers; empty where there is one cell. */
@@ -514,7 +515,7 @@
               SimulatedCluster.this,
               costs,
               1,
-              () -> node == null ? 0 : node.metrics().counted("candidates_evaluated"));
+              () -> node == null ? 0 : node.metrics().counter("candidates_evaluated"));
       leadership =
           electionApart ? new Processor(SimulatedCluster.this, costs, 2, () -> 0L) : decisions;
       Loop loop = loop(mine, decisions);
@@ -565,7 +566,7 @@
                                 }
                               })));
       services.put(
-          platform.back(),
+          platform.peerBind(),
           (from, method, path, body, reply) -> {
             awake(
                 mine,
@@ -695,7 +696,7 @@
       calls = 0;
       node = null;
       services.remove(platform.bind());
-      services.remove(platform.back());
+      services.remove(platform.peerBind());
     }
 
     void crash(double backAfterS) {
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -30,7 +30,7 @@
                 Json.parseObject(
                     GOOD.replace("\"pieces\":16", "\"pieces\":9")
                         .replace("\"spread\":false", "\"spread\":true")))
-            .zoneLimit());
+            .maxTasksPerZone());
   }
 
   @ParameterizedTest
@@ -79,10 +79,10 @@
                 .getBytes(java.nio.charset.StandardCharsets.UTF_8));
     assertEquals(ExitCause.OTHER, heartbeat.attempts().get(0).cause());
     assertTrue(
-        !heartbeat.noticed()
-            && heartbeat.newerThan(1, 87)
-            && !heartbeat.newerThan(2, 1)
-            && !heartbeat.newerThan(1, 88));
+        !heartbeat.hasPreemptionNotice()
+            && heartbeat.isNewerThan(1, 87)
+            && !heartbeat.isNewerThan(2, 1)
+            && !heartbeat.isNewerThan(1, 88));
     assertEquals(
         "{\"baton\":41,\"orders\":[{\"verb\":\"halt\",\"piece\":\"job-1/3\",\"try\":2,\"wind_down_s\":10.0}]}",
         WorkerCommand.answer(41, List.of(WorkerCommand.stop(new TaskName("job-1", 3), 2, 10))));
