--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -2,48 +2,50 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
 import plumlever.wire.JobState;
 import plumlever.wire.Priority;
 
 /**
- * Jobs that wait for others, and what follows from how those end. Pure: it is told what the stored
- * records say and asked what that means, by the controllers that answer users and by the leader
- * alike.
+ * The directed acyclic graph of jobs that depend on others, and what follows from how those end.
+ * Pure: it is told what the stored records say and derives what that means, for the controllers
+ * that answer users and for the leader alike.
  *
- * <p>A job is released when all jobs that it waits on are stored as done, and cancelled as soon as
- * one before it, directly or through others, is stored as cancelled, unless it has ended itself.
- * Where only a later job has a deadline or is urgent, those before it get their part of that
- * ({@link EffectiveGoal}). Records never change and a job names only such as were accepted before
- * it, so there are no cycles; each word costs what it changes and no recursion.
+ * <p>A job is released when all of its dependencies are stored as done, and cancelled as soon as a
+ * direct or transitive dependency is stored as cancelled, unless it has ended itself. Where only a
+ * dependent has a deadline or a high priority, its dependencies inherit their part of that ({@link
+ * EffectiveGoal}). Records never change and a job names only such as were accepted before it, so
+ * there are no cycles. Each operation costs what it changes and does not recurse.
  */
 public final class DependencyGraph {
-  /** What follows for a job from the records told so far. */
+  /** What follows for a job from the records read so far. */
   public enum State {
-    /** Nothing is known of it. */
+    /** No record of it has been read. */
     UNKNOWN,
-    /** Some job that it waits on has not ended, as far as is known. */
+    /** Some dependency has not ended, as far as is known. */
     WAITING,
-    /** All that it waits on are done. */
+    /** All dependencies are done. */
     RELEASED,
-    /** It or a job before it is cancelled. */
+    /** It or a dependency is cancelled. */
     CANCELLED,
+    /** It has completed. */
     DONE
   }
 
   /**
-   * What a job is worth: its own, or what a job that needs it leaves it.
+   * The deadline and priority by which a job is scheduled: its own, or what a dependent leaves it.
    *
    * @param submittedMicros when the job with the deadline was submitted
-   * @param deadlineMicros its deadline, from then on; Long.MAX_VALUE for none
-   * @param jobClass its class, whose aims say by how much the deadline may be missed
-   * @param tailMicros what the jobs after this one take, on the longest way to that job and with it
+   * @param deadlineMicros its deadline, counted from then on; Long.MAX_VALUE for none
+   * @param jobClass its class, whose service-level objectives say by how much the deadline may be
+   *     missed
+   * @param downstreamPathMicros duration of the longest path of dependents up to and including the
+   *     job with the deadline; 0 where it is the job's own
+   * @param priority the most urgent of the job and its dependents
    */
   public record EffectiveGoal(
       long submittedMicros,
@@ -51,287 +53,236 @@
       String jobClass,
       long downstreamPathMicros,
       Priority priority) {
-    /** By when this job has to be done; Long.MAX_VALUE for any time. */
+    /** By when this job has to end; Long.MAX_VALUE where no deadline applies. */
     public long latestEndMicros() {
-      return deadlineMicros == Long.MAX_VALUE
-          ? Long.MAX_VALUE
-          : submittedMicros + deadlineMicros - downstreamPathMicros;
+      return hasDeadline()
+          ? submittedMicros + deadlineMicros - downstreamPathMicros
+          : Long.MAX_VALUE;
     }
 
-    private EffectiveGoal forDependency(long durationMicros) {
+    private boolean hasDeadline() {
+      return deadlineMicros != Long.MAX_VALUE;
+    }
+
+    /** What this goal of a job that takes so long leaves its dependencies. */
+    EffectiveGoal forDependency(long durationMicros) {
       return new EffectiveGoal(
           submittedMicros,
           deadlineMicros,
           jobClass,
-          deadlineMicros == Long.MAX_VALUE ? 0 : downstreamPathMicros + durationMicros,
+          hasDeadline() ? downstreamPathMicros + durationMicros : 0,
           priority);
     }
 
-    private EffectiveGoal strictest(EffectiveGoal other) {
+    /** The earlier deadline and the more urgent priority of the two. */
+    EffectiveGoal strictest(EffectiveGoal other) {
       EffectiveGoal sooner = other.latestEndMicros() < latestEndMicros() ? other : this;
-      Priority otherPriority = other.priority.compareTo(priority) < 0 ? other.priority : priority;
-      return sooner.priority == otherPriority
-          ? sooner
-          : new EffectiveGoal(
-              sooner.submittedMicros,
-              sooner.deadlineMicros,
-              sooner.jobClass,
-              sooner.downstreamPathMicros,
-              otherPriority);
-    }
-  }
-
-  private static final class Vertex {
-    final String uid;
-    final List<Vertex> dependencies = new ArrayList<>();
-    final List<Vertex> dependents = new ArrayList<>();
-
-    /** How many of the jobs that it waits on are not done, as far as is known. */
-    int openDependencies;
-
-    State state = State.UNKNOWN;
-    String failedDependencyOf;
-    long releasedMicros;
-
-    /** Revision of its record: a job has a later one than those it waits on. */
-    long revision;
-
-    EffectiveGoal own;
-    EffectiveGoal goal;
-    long durationMicros;
-
-    Vertex(String uid) {
-      this.uid = uid;
+      Priority moreUrgent = other.priority.compareTo(priority) < 0 ? other.priority : priority;
+      return sooner.priority == moreUrgent ? sooner : sooner.withPriority(moreUrgent);
     }
 
-    boolean over() {
-      return state == State.DONE || state == State.CANCELLED;
+    private EffectiveGoal withPriority(Priority otherPriority) {
+      return new EffectiveGoal(
+          submittedMicros, deadlineMicros, jobClass, downstreamPathMicros, otherPriority);
     }
   }
 
-  private final Map<String, Vertex> vertices = new HashMap<>();
+  private final Map<String, JobVertex> vertices = new HashMap<>();
   private final List<String> released = new ArrayList<>();
-  private final List<String> jobCancelled = new ArrayList<>();
-  private final PriorityQueue<Vertex> stale =
-      new PriorityQueue<>(Comparator.comparingLong((Vertex n) -> n.revision).reversed());
-
-  private Vertex vertex(String uid) {
-    return vertices.computeIfAbsent(uid, Vertex::new);
-  }
+  private final List<String> cancelled = new ArrayList<>();
+  private final GoalPropagation goals = new GoalPropagation();
 
   /**
-   * The record of a job that has not ended.
+   * The record of a job that has not ended; repeated calls change nothing.
    *
-   * @return the jobs named of which nothing was known: what their records say is to be told too
+   * @param revision of the record
+   * @return the dependencies of which nothing was known: their records are to be read and told too
    */
   public List<String> addJob(String uid, long revision, Collection<String> dependencies) {
-    Vertex otherNode = vertex(uid);
-    if (otherNode.state != State.UNKNOWN) {
+    JobVertex vertex = vertices.computeIfAbsent(uid, JobVertex::new);
+    if (vertex.isKnown()) {
       return List.of();
     }
-    otherNode.state = State.WAITING;
-    otherNode.revision = revision;
+    vertex.markAccepted(revision);
     List<String> unknown = new ArrayList<>();
-    Vertex cause = null;
+    JobVertex cancelledDependency = null;
     for (String name : dependencies) {
-      Vertex before = vertex(name);
-      otherNode.dependencies.add(before);
-      if (before.state == State.DONE) {
-        otherNode.releasedMicros = Math.max(otherNode.releasedMicros, before.releasedMicros);
-        continue;
-      }
-      otherNode.openDependencies++;
-      before.dependents.add(otherNode);
-      if (before.state == State.UNKNOWN) {
+      JobVertex dependency = vertices.computeIfAbsent(name, JobVertex::new);
+      vertex.addDependency(dependency);
+      if (!dependency.isKnown()) {
         unknown.add(name);
-      } else if (before.state == State.CANCELLED) {
-        cause = before;
+      } else if (dependency.isCancelled()) {
+        cancelledDependency = dependency;
       }
     }
-    if (cause != null) {
-      cancel(otherNode, cause.uid);
-    } else if (otherNode.openDependencies == 0) {
-      release(otherNode);
+    if (cancelledDependency != null) {
+      cancel(vertex, cancelledDependency.uid());
+    } else if (!vertex.hasOpenDependencies()) {
+      release(vertex);
     }
     return unknown;
   }
 
-  private void release(Vertex vertex) {
-    vertex.state = State.RELEASED;
-    released.add(vertex.uid);
+  private void release(JobVertex vertex) {
+    vertex.markReleased();
+    released.add(vertex.uid());
   }
 
-  /** The stored end of a job, of which anything may be known or not. */
-  public void recordEnd(String uid, JobState how, long atMicros) {
-    Vertex vertex = vertices.get(uid);
-    if (vertex == null || vertex.state == State.DONE) {
+  /**
+   * The stored end of a job, whether or not anything is known of it.
+   *
+   * @param how a final state
+   * @param endedMicros when it ended
+   */
+  public void recordEnd(String uid, JobState how, long endedMicros) {
+    JobVertex vertex = vertices.get(uid);
+    if (vertex == null || vertex.isDone()) {
       return;
     }
-    if (how == JobState.CANCELLED) {
-      if (vertex.state != State.CANCELLED) {
-        cancel(vertex, uid);
-      }
-      remove(vertex);
-      return;
+    if (how != JobState.CANCELLED) {
+      vertex.markDone();
+      releaseDependents(vertex, endedMicros);
+    } else if (!vertex.isCancelled()) {
+      cancel(vertex, uid);
     }
-    vertex.state = State.DONE;
-    for (Vertex after : vertex.dependents) {
-      after.releasedMicros = Math.max(after.releasedMicros, atMicros);
-      if (--after.openDependencies == 0 && after.state == State.WAITING) {
-        release(after);
-      }
-    }
-    remove(vertex);
+    // An ended job has no further effect; if a later job names it, its record is read again.
+    vertices.remove(uid, vertex);
   }
 
-  /**
-   * What has ended has told all that it ever will; should a later job name it, its record is read
-   * again.
-   */
-  private void remove(Vertex vertex) {
-    vertices.remove(vertex.uid, vertex);
+  private void releaseDependents(JobVertex done, long endedMicros) {
+    for (JobVertex dependent : done.dependents()) {
+      if (dependent.closeDependency(endedMicros) && dependent.state() == State.WAITING) {
+        release(dependent);
+      }
+    }
   }
 
-  /** Aborts it and all that need it; each is visited once. */
-  private void cancel(Vertex first, String failedDependencyOf) {
-    List<Vertex> next = new ArrayList<>();
-    first.state = State.CANCELLED;
-    first.failedDependencyOf = failedDependencyOf;
-    next.add(first);
-    for (int i = 0; i < next.size(); i++) {
-      Vertex vertex = next.get(i);
-      jobCancelled.add(vertex.uid);
-      vertex.dependencies.forEach(this::markStale);
-      for (Vertex after : vertex.dependents) {
-        if (!after.over()) {
-          after.state = State.CANCELLED;
-          after.failedDependencyOf = failedDependencyOf;
-          next.add(after);
+  /** Cancels the job and all that depend on it; each is visited once. */
+  private void cancel(JobVertex first, String failedDependency) {
+    first.markCancelled(failedDependency);
+    List<JobVertex> affected = new ArrayList<>();
+    affected.add(first);
+    for (int i = 0; i < affected.size(); i++) {
+      JobVertex vertex = affected.get(i);
+      cancelled.add(vertex.uid());
+      goals.markDependenciesStale(vertex);
+      for (JobVertex dependent : vertex.dependents()) {
+        if (!dependent.isOver()) {
+          dependent.markCancelled(failedDependency);
+          affected.add(dependent);
         }
       }
     }
   }
 
+  /** What follows for the job from the records read so far. */
   public State stateOf(String uid) {
-    Vertex vertex = vertices.get(uid);
-    return vertex == null ? State.UNKNOWN : vertex.state;
+    JobVertex vertex = vertices.get(uid);
+    return vertex == null ? State.UNKNOWN : vertex.state();
   }
 
   /** The revision of its record; 0 where nothing is known of it. */
   public long revision(String uid) {
-    Vertex vertex = vertices.get(uid);
-    return vertex == null ? 0 : vertex.revision;
+    JobVertex vertex = vertices.get(uid);
+    return vertex == null ? 0 : vertex.revision();
   }
 
-  /** The job whose cancel cancelled this one. */
+  /** The job whose cancellation cancelled this one; null if it is not cancelled. */
   public String failedDependencyOf(String uid) {
-    Vertex vertex = vertices.get(uid);
-    return vertex == null ? null : vertex.failedDependencyOf;
+    JobVertex vertex = vertices.get(uid);
+    return vertex == null ? null : vertex.failedDependency();
   }
 
-  /** When the last job that it waits on ended; 0 if that is not known or there is none. */
+  /** When the last of its dependencies ended; 0 if that is not known or there is none. */
   public long releasedMicros(String uid) {
-    Vertex vertex = vertices.get(uid);
-    return vertex == null ? 0 : vertex.releasedMicros;
+    JobVertex vertex = vertices.get(uid);
+    return vertex == null ? 0 : vertex.releasedMicros();
   }
 
-  /** The jobs that it still waits on, for the log. */
+  /** Its dependencies that are not done, for the log. */
   public List<String> openDependencies(String uid) {
-    Vertex vertex = vertices.get(uid);
+    JobVertex vertex = vertices.get(uid);
     return vertex == null
         ? List.of()
-        : vertex.dependencies.stream().filter(b -> b.state != State.DONE).map(b -> b.uid).toList();
+        : vertex.dependencies().stream()
+            .filter(dependency -> !dependency.isDone())
+            .map(JobVertex::uid)
+            .toList();
   }
 
-  /** True if some job not over waits on it. */
+  /** True if some job that is not over depends on it. */
   public boolean hasLiveDependents(String uid) {
-    Vertex vertex = vertices.get(uid);
-    return vertex != null && vertex.dependents.stream().anyMatch(a -> !a.over());
+    JobVertex vertex = vertices.get(uid);
+    return vertex != null
+        && vertex.dependents().stream().anyMatch(dependent -> !dependent.isOver());
   }
 
-  /** The jobs released since asked last. */
+  /** The jobs released since the last call. */
   public List<String> drainReleased() {
     return drain(released);
   }
 
-  /** The jobs cancelled since asked last, the ones that were told among them. */
+  /** The jobs cancelled since the last call, those with a record of their own among them. */
   public List<String> drainCancelled() {
-    return drain(jobCancelled);
+    return drain(cancelled);
   }
 
-  private static List<String> drain(List<String> from) {
-    List<String> out = List.copyOf(from);
-    from.clear();
-    return out;
+  private static List<String> drain(List<String> source) {
+    List<String> drained = List.copyOf(source);
+    source.clear();
+    return drained;
   }
 
-  /** How many jobs are kept in mind. */
+  /** How many jobs the graph holds. */
   public int size() {
     return vertices.size();
   }
 
-  /** What the job itself asks for, and what it takes once it is released. */
-  public void setGoal(String uid, EffectiveGoal own, long durationMicros) {
-    Vertex vertex = vertices.get(uid);
+  /**
+   * Sets what the job itself asks for; without effect on a job that the graph does not hold.
+   *
+   * @param durationMicros what it takes once it is released
+   */
+  public void setGoal(String uid, EffectiveGoal ownGoal, long durationMicros) {
+    JobVertex vertex = vertices.get(uid);
     if (vertex == null) {
       return;
     }
-    vertex.own = own;
-    vertex.durationMicros = durationMicros;
-    markStale(vertex);
-    vertex.dependencies.forEach(this::markStale);
+    vertex.setOwnGoal(ownGoal);
+    vertex.setDurationMicros(durationMicros);
+    goals.markStale(vertex);
+    goals.markDependenciesStale(vertex);
   }
 
-  /** What jobs take is better known now than when they came. */
+  /**
+   * Replaces the durations of all jobs that have a goal and are not over.
+   *
+   * @param durationMicros by job id
+   */
   public void updateDurations(ToLongFunction<String> durationMicros) {
-    for (Vertex vertex : vertices.values()) {
-      if (vertex.own != null && !vertex.over()) {
-        long now = durationMicros.applyAsLong(vertex.uid);
-        if (now != vertex.durationMicros) {
-          vertex.durationMicros = now;
-          vertex.dependencies.forEach(this::markStale);
+    for (JobVertex vertex : vertices.values()) {
+      if (vertex.ownGoal() != null && !vertex.isOver()) {
+        long duration = durationMicros.applyAsLong(vertex.uid());
+        if (duration != vertex.durationMicros()) {
+          vertex.setDurationMicros(duration);
+          goals.markDependenciesStale(vertex);
         }
       }
     }
   }
 
-  private void markStale(Vertex vertex) {
-    if (vertex.own != null && !vertex.over()) {
-      stale.add(vertex);
-    }
-  }
-
   /**
-   * Works out again what has changed: the jobs accepted last come first, so each is looked at once,
-   * after all that need it.
+   * Derives the effective goals that changes since the last call affect.
    *
-   * @param changed takes each job whose aim is another now
+   * @param changed takes each job whose effective goal has changed
    */
   public void propagateGoals(Consumer<String> changed) {
-    Vertex last = null;
-    while (!stale.isEmpty()) {
-      Vertex vertex = stale.poll();
-      if (vertex == last || vertex.over()) {
-        continue;
-      }
-      last = vertex;
-      EffectiveGoal now = vertex.own;
-      for (Vertex after : vertex.dependents) {
-        if (!after.over() && after.goal != null) {
-          now = now.strictest(after.goal.forDependency(after.durationMicros));
-        }
-      }
-      if (!now.equals(vertex.goal)) {
-        vertex.goal = now;
-        changed.accept(vertex.uid);
-        vertex.dependencies.forEach(this::markStale);
-      }
-    }
+    goals.propagate(changed);
   }
 
-  /** What it is worth, what needs it considered; null before {@link #settleAims}. */
+  /** Its goal with its dependents considered; null before {@link #propagateGoals}. */
   public EffectiveGoal effectiveGoal(String uid) {
-    Vertex vertex = vertices.get(uid);
-    return vertex == null ? null : vertex.goal;
+    JobVertex vertex = vertices.get(uid);
+    return vertex == null ? null : vertex.effectiveGoal();
   }
 }
