--- a/src/main/java/plumlever/fleet/ImageCache.java
+++ b/src/main/java/plumlever/fleet/ImageCache.java
@@ -5,92 +5,126 @@
 import plumlever.wire.MachineType;
 
 /**
- * The images that a machine should have or is fetching, as far as that follows from the tasks that
- * went there; the most recently used last.
+ * The images that a machine has or is fetching, as far as that follows from the tasks that were
+ * started on it. Like the machine's own cache it evicts the least recently used image first.
  */
 public final class ImageCache {
-  private static final long STALE_FETCH_MICROS = 300_000_000;
+  private static final double MICROS_PER_SECOND = 1e6;
 
-  private final LinkedHashMap<String, Image> images = new LinkedHashMap<>(8, 0.75f, true);
+  /** A fetch that takes longer counts as given up. */
+  private static final long MAX_FETCH_MICROS = 300_000_000;
 
-  /** Tells how long a task that needs the image would wait for it, as far as known. */
-  public long fetchMicros(String image, double gb, MachineType type, long nowMicros) {
-    Image held = images.get(image);
-    if (held != null && held.readyImages || type.fetchGbPerS() <= 0) {
+  /** At least this part of a fetch under way is still to come, since its rate is not known. */
+  private static final int MIN_REMAINING_DIVISOR = 10;
+
+  private static final int INITIAL_CAPACITY = 8;
+  private static final float LOAD_FACTOR = 0.75f;
+
+  /** By name, the least recently used first. */
+  private final LinkedHashMap<String, Image> images =
+      new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
+
+  /**
+   * How long a task that needs the image would wait for it, as far as is known.
+   *
+   * @param gb size of the image
+   * @param type of the machine
+   */
+  public long fetchMicros(String name, double gb, MachineType type, long nowMicros) {
+    Image image = images.get(name);
+    if (image != null && image.ready || type.fetchGbPerS() <= 0) {
       return 0;
     }
-    int others = 0;
+    // Fetches at the same time may share the rate.
+    long wholeMicros =
+        (long) (gb / type.fetchGbPerS() * MICROS_PER_SECOND) * (1 + otherFetches(name, nowMicros));
+    return image == null
+        ? wholeMicros
+        : Math.max(
+            wholeMicros / MIN_REMAINING_DIVISOR,
+            wholeMicros - (nowMicros - image.fetchStartMicros));
+  }
+
+  private int otherFetches(String name, long nowMicros) {
+    int count = 0;
     for (Map.Entry<String, Image> entry : images.entrySet()) {
-      if (!entry.getValue().readyImages
-          && !entry.getKey().equals(image)
-          && nowMicros - entry.getValue().sinceMicros < STALE_FETCH_MICROS) {
-        others++;
+      if (!entry.getValue().ready
+          && !entry.getKey().equals(name)
+          && nowMicros - entry.getValue().fetchStartMicros < MAX_FETCH_MICROS) {
+        count++;
       }
     }
-    // Several fetches at a time may share the rate.
-    long whole = (long) (gb / type.fetchGbPerS() * 1e6) * (1 + others);
-    return held == null ? whole : Math.max(whole / 10, whole - (nowMicros - held.sinceMicros));
+    return count;
   }
 
-  /** A task that needs the image goes to the machine. */
-  public void recordUse(String image, double gb, MachineType type, long nowMicros) {
-    Image held = images.get(image);
-    if (held == null) {
-      images.put(image, new Image(gb, nowMicros));
+  /**
+   * A task that needs the image is started on the machine, which fetches the image if it has not
+   * got it.
+   *
+   * @param gb size of the image
+   * @param type of the machine
+   */
+  public void recordUse(String name, double gb, MachineType type, long nowMicros) {
+    if (images.get(name) == null) {
+      images.put(name, new Image(gb, nowMicros));
     }
-    double sum = 0;
-    for (Image otherImage : images.values()) {
-      sum += otherImage.gb;
+    evictDownTo(type.cacheGb(), name);
+  }
+
+  private void evictDownTo(double cacheGb, String keep) {
+    double totalGb = 0;
+    for (Image image : images.values()) {
+      totalGb += image.gb;
     }
-    var it = images.entrySet().iterator();
-    while (sum > type.cacheGb() && it.hasNext()) {
-      Map.Entry<String, Image> eldest = it.next();
-      if (eldest.getKey().equals(image)) {
-        break;
+    var entries = images.entrySet().iterator();
+    while (totalGb > cacheGb && entries.hasNext()) {
+      Map.Entry<String, Image> leastRecent = entries.next();
+      if (leastRecent.getKey().equals(keep)) {
+        return;
       }
-      sum -= eldest.getValue().gb;
-      it.remove();
+      totalGb -= leastRecent.getValue().gb;
+      entries.remove();
     }
   }
 
   /** A task that needs the image runs, so the machine has it. */
-  public void markReady(String image, double gb) {
-    Image held = images.get(image);
-    if (held == null) {
-      held = new Image(gb, 0);
-      images.put(image, held);
+  public void markReady(String name, double gb) {
+    Image image = images.get(name);
+    if (image == null) {
+      image = new Image(gb, 0);
+      images.put(name, image);
     }
-    held.readyImages = true;
+    image.ready = true;
   }
 
-  /** Images it has, with their sizes. */
+  /** The images that the machine has, with their sizes in GB. */
   public Map<String, Double> readyImages() {
-    Map<String, Double> readyImages = new LinkedHashMap<>();
+    Map<String, Double> ready = new LinkedHashMap<>();
     images.forEach(
-        (name, i) -> {
-          if (i.readyImages) {
-            readyImages.put(name, i.gb);
+        (name, image) -> {
+          if (image.ready) {
+            ready.put(name, image.gb);
           }
         });
-    return readyImages;
+    return ready;
   }
 
-  /** The fetch was given up, since no task waits for it any more. */
-  public void cancelFetch(String image) {
-    Image held = images.get(image);
-    if (held != null && !held.readyImages) {
-      images.remove(image);
+  /** The machine gives up a fetch, since no task waits for the image any more. */
+  public void cancelFetch(String name) {
+    Image image = images.get(name);
+    if (image != null && !image.ready) {
+      images.remove(name);
     }
   }
 
   private static final class Image {
     private final double gb;
-    private final long sinceMicros;
-    private boolean readyImages;
+    private final long fetchStartMicros;
+    private boolean ready;
 
-    Image(double gb, long sinceMicros) {
+    Image(double gb, long fetchStartMicros) {
       this.gb = gb;
-      this.sinceMicros = sinceMicros;
+      this.fetchStartMicros = fetchStartMicros;
     }
   }
 }
--- a/src/main/java/plumlever/fleet/RunTimeEstimates.java
+++ b/src/main/java/plumlever/fleet/RunTimeEstimates.java
@@ -4,32 +4,43 @@
 import java.util.Map;
 
 /**
- * How far owners' estimates are off, by class of jobs; on some days they are mostly too high or too
- * low.
+ * How many times as long as their owners' estimates tasks run, by job class, since the estimates of
+ * a class tend to be off in the same direction.
  */
 public final class RunTimeEstimates {
-  private static final double LEAST_RATIO = 0.2;
-  private static final double MOST_RATIO = 5;
-  private static final long LEAST_RUN_MICROS = 100_000;
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final double MIN_RATIO = 0.2;
+  private static final double MAX_RATIO = 5;
+  private static final long MIN_RUN_MICROS = 100_000;
 
-  private static final double WEIGHT = 0.08;
+  /** Weight of the last run in the moving average. */
+  private static final double LAST_RUN_WEIGHT = 0.08;
 
   private final Map<String, Double> ratios = new HashMap<>();
 
+  /** A task of this class took this many times its owner's estimate. */
   public void observeRatio(String jobClass, double ratio) {
-    double bounded = Math.max(LEAST_RATIO, Math.min(MOST_RATIO, ratio));
-    ratios.merge(jobClass, bounded, (old, seen) -> old * (1 - WEIGHT) + seen * WEIGHT);
+    ratios.merge(
+        jobClass,
+        bounded(ratio),
+        (average, last) -> average * (1 - LAST_RUN_WEIGHT) + last * LAST_RUN_WEIGHT);
   }
 
-  /** What an earlier leader found. */
+  /** Takes the ratio that an earlier leader stored, unless one is known already. */
   public void adoptRatio(String jobClass, double ratio) {
-    ratios.putIfAbsent(jobClass, Math.max(LEAST_RATIO, Math.min(MOST_RATIO, ratio)));
+    ratios.putIfAbsent(jobClass, bounded(ratio));
   }
 
+  private static double bounded(double ratio) {
+    return Math.max(MIN_RATIO, Math.min(MAX_RATIO, ratio));
+  }
+
+  /** The known ratios by job class. */
   public Map<String, Double> ratios() {
     return ratios;
   }
 
+  /** The moving average for the class; 1 where nothing is known. */
   public double ratio(String jobClass) {
     return ratios.getOrDefault(jobClass, 1.0);
   }
@@ -37,6 +48,6 @@
   /** Run time to plan with for a task of the job, on a machine of nominal speed. */
   public long runMicros(Job job) {
     double ratio = job.runTimeRatio(ratio(job.spec().jobClass()));
-    return Math.max(LEAST_RUN_MICROS, (long) (job.spec().expectedRunS() * 1e6 * ratio));
+    return Math.max(MIN_RUN_MICROS, (long) (job.spec().expectedRunS() * MICROS_PER_SECOND * ratio));
   }
 }
