--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -4,7 +4,11 @@
 import plumlever.wire.ExitCause;
 import plumlever.wire.TaskName;
 
-/** One try at running a task on a machine. It ends only by proof, see {@link Fleet#end}. */
+/**
+ * One attempt to run a task on a machine. It ends only by proof, see {@link Fleet#endAttempt}.
+ *
+ * <p>Times are in microseconds on this controller's steady clock.
+ */
 public final class Attempt {
   private final Job job;
   private final int task;
@@ -22,93 +26,91 @@
   private double gracePeriodS;
   private long stopRequestedMicros;
 
-  /**
-   * @param sentSequenceNumber number of the heartbeat whose answer carried the command, -1 for any
-   *     other attempt
-   * @param directToken token of the direct command that started it, -1 for any other attempt
-   */
-  Attempt(
-      Job job,
-      int task,
-      long id,
-      Machine machine,
-      long incarnation,
-      long answeredSequenceNumber,
-      long directCommandToken,
-      long sentMicros) {
+  /** An attempt in the machine's present worker incarnation. */
+  Attempt(Job job, int task, long id, Machine machine, AttemptOrigin origin, long sentMicros) {
     this.job = job;
     this.task = task;
     this.id = id;
     this.machine = machine;
-    this.incarnation = incarnation;
-    this.answeredSequenceNumber = answeredSequenceNumber;
-    this.directCommandToken = directCommandToken;
+    this.incarnation = machine.contact().incarnation();
+    this.answeredSequenceNumber = origin.answeredSequenceNumber();
+    this.directCommandToken = origin.directCommandToken();
     this.sentMicros = sentMicros;
   }
 
+  /** The job whose task it runs. */
   public Job job() {
     return job;
   }
 
+  /** The number of the task within its job. */
   public int task() {
     return task;
   }
 
+  /** The name of the task. */
   public TaskName name() {
     return new TaskName(job.uid(), task);
   }
 
+  /** Its number, which is unique over all terms. */
   public long id() {
     return id;
   }
 
+  /** The machine that it was started on. */
   public Machine machine() {
     return machine;
   }
 
+  /** The worker incarnation that it was started in. */
   public long incarnation() {
     return incarnation;
   }
 
+  /** Number of the heartbeat whose answer started it, -1 for any other attempt. */
   public long answeredSequenceNumber() {
     return answeredSequenceNumber;
   }
 
+  /** Token of the direct command that started it, -1 for any other attempt. */
   public long directCommandToken() {
     return directCommandToken;
   }
 
   /** True for an attempt of an earlier term that its machine reported. */
   public boolean adopted() {
-    return answeredSequenceNumber < 0 && directCommandToken < 0;
+    return answeredSequenceNumber == AttemptOrigin.NONE && directCommandToken == AttemptOrigin.NONE;
   }
 
+  /** When it was started, or first reported where an earlier leader started it. */
   public long sentMicros() {
     return sentMicros;
   }
 
-  /** Null until the worker has reported it. */
+  /** Its state as last reported; null before the first report. */
   public AttemptState state() {
     return state;
   }
 
+  /** When it was first reported as running, or -1. */
   public long runningSinceMicros() {
     return runningSinceMicros;
   }
 
-  /** A heartbeat shows the attempt in this state. */
-  public void recordState(AttemptState now, long nowMicros) {
-    if (now == AttemptState.RUNNING && runningSinceMicros < 0) {
+  /** A report shows the attempt in this state. */
+  public void recordState(AttemptState reported, long nowMicros) {
+    if (reported == AttemptState.RUNNING && runningSinceMicros < 0) {
       runningSinceMicros = nowMicros;
       job.markStarted();
     }
     confirmStart();
-    state = now;
+    state = reported;
   }
 
-  /** True while it was sent straight to the machine and nothing has been heard of it. */
+  /** True while it was started by a direct command and no report has shown it. */
   boolean unconfirmed() {
-    return directCommandToken >= 0 && state == null && !over;
+    return directCommandToken != AttemptOrigin.NONE && state == null && !over;
   }
 
   private void confirmStart() {
@@ -122,39 +124,46 @@
     return over;
   }
 
-  /** Why it ended, as reported; null if it vanished with its machine or incarnation. */
+  /** Why it ended, as reported; null while it runs, or if it ended without a report. */
   public ExitCause exitCause() {
     return exitCause;
   }
 
-  void end(ExitCause why) {
+  /** The attempt is surely over; see {@link Fleet#endAttempt}. */
+  void end(ExitCause cause) {
     confirmStart();
     if (!over) {
       machine.load().attemptEnded();
     }
     over = true;
-    exitCause = why;
+    exitCause = cause;
   }
 
+  /** True once it has been told to stop. */
   public boolean stopping() {
     return stopping;
   }
 
+  /** How long it may save its work before it is ended. */
   public double gracePeriodS() {
     return gracePeriodS;
   }
 
-  /** From now on every answer to its machine says stop, until it is reported as ended. */
-  public void requestStop(double gracePeriod, long nowMicros) {
-    if (!stopping) {
-      stopping = true;
-      stopRequestedMicros = nowMicros;
-      gracePeriodS = gracePeriod;
-    } else {
-      gracePeriodS = Math.min(gracePeriodS, gracePeriod);
+  /**
+   * From now on every answer to its machine says stop, until it is reported as ended. A repeated
+   * request can only shorten the grace period.
+   */
+  public void requestStop(double maxGracePeriodS, long nowMicros) {
+    if (stopping) {
+      gracePeriodS = Math.min(gracePeriodS, maxGracePeriodS);
+      return;
     }
+    stopping = true;
+    stopRequestedMicros = nowMicros;
+    gracePeriodS = maxGracePeriodS;
   }
 
+  /** When it was first told to stop. */
   public long stopRequestedMicros() {
     return stopRequestedMicros;
   }
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -5,31 +5,35 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import plumlever.wire.ExitCause;
+import plumlever.wire.JobSpec;
 
-/** All machines and attempts of a term, with what each team holds. */
+/** All machines and attempts of a term, with the resources that each team's attempts use. */
 public final class Fleet {
-  /** Resources in use. */
+  /** Resources that a team's attempts use. */
   public static final class TeamUsage {
     private double cores;
     private double accelerators;
 
+    /** Processor cores in use. */
     public double cores() {
       return cores;
     }
 
+    /** Accelerators in use. */
     public double accelerators() {
       return accelerators;
     }
-  }
-
-  private static final int TERM_SHIFT = 24;
-  private static final int TOKEN_SHIFT = 20;
 
-  /** Numbers of a term that are left when it has to end: more than are given out in a second. */
-  private static final long RESERVE = 1 << 16;
+    private void add(JobSpec task) {
+      cores += task.cores();
+      accelerators += task.accelerators();
+    }
 
-  private static final long LAST_ATTEMPT = (1L << TERM_SHIFT) - RESERVE;
-  private static final long LAST_TOKEN = (1L << TOKEN_SHIFT) - RESERVE;
+    private void subtract(JobSpec task) {
+      cores -= task.cores();
+      accelerators -= task.accelerators();
+    }
+  }
 
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
@@ -38,44 +42,45 @@
 
   private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
   private final long term;
-  private long counter;
+  private final AttemptNumbers attemptNumbers;
 
+  /** The fleet of a term that has started nothing yet. */
   public Fleet(long term) {
-    this(term, 0);
+    this(term, new AttemptNumbers(term));
   }
 
-  /**
-   * @param given attempt numbers of the term that count as given out
-   */
-  Fleet(long term, long given) {
+  Fleet(long term, AttemptNumbers attemptNumbers) {
     this.term = term;
-    this.counter = given;
+    this.attemptNumbers = attemptNumbers;
   }
 
+  /** The machines of this cell. */
   public Collection<Machine> machines() {
     return machines.values();
   }
 
+  /** The machine of this cell with that name, or null. */
   public Machine machine(String id) {
     return machines.get(id);
   }
 
-  /** The machine is this cell's from now on. */
+  /** The machine belongs to this cell from now on. */
   public void add(Machine machine) {
     machine.tokens().startTerm(Math.max(term, machine.tokens().term()));
     machines.put(machine.id(), machine);
   }
 
-  /** The least token of a term: a leader may raise it for each machine as it needs. */
+  /** The lowest fencing token of a term: a leader may raise it for each machine as it needs. */
   public static long firstToken(long term) {
-    return term << TOKEN_SHIFT;
+    return FencingTokens.firstOf(term);
   }
 
+  /** The term, or the number of a machine's transfer, that a fencing token belongs to. */
   public static long termOf(long token) {
-    return token >>> TOKEN_SHIFT;
+    return FencingTokens.termOf(token);
   }
 
-  /** A machine of another cell that may hold tasks of this one, or null. */
+  /** The machine of another cell with that name if it may hold tasks of this one, or null. */
   public Machine transferredMachine(String id) {
     return transferred.get(id);
   }
@@ -86,9 +91,9 @@
   }
 
   /**
-   * The machine is another cell's, and may hold tasks of this one.
+   * The machine belongs to another cell from now on, and may hold tasks of this one.
    *
-   * @param number of its transfer, whose tokens are newer than any used here
+   * @param number of its transfer, whose tokens are higher than any used here
    */
   public void transferOut(Machine machine, long number) {
     machines.remove(machine.id(), machine);
@@ -96,99 +101,85 @@
     transferred.put(machine.id(), machine);
   }
 
-  /** No task of this cell is on the other's machine any more, or it comes back. */
+  /** No task of this cell is on the other cell's machine any more, or it belongs to this cell. */
   public void removeTransferred(Machine machine) {
     transferred.remove(machine.id(), machine);
   }
 
-  /** Replaces what a rental told by what the machine itself or the list tells. */
+  /** The machine is gone, or another object takes its place. */
   public void remove(Machine machine) {
     machines.remove(machine.id(), machine);
   }
 
   /**
-   * Attempt numbers are unique over all terms without being stored: the term is in the high bits.
+   * Starts an attempt, which from now on may run on the machine.
+   *
+   * @param direct true for a direct command, false for the answer to the machine's last heartbeat
    */
   public Attempt startAttempt(Job job, int task, Machine machine, boolean direct, long nowMicros) {
-    long id = (term << TERM_SHIFT) | ++counter;
-    return register(
+    AttemptOrigin origin =
         direct
-            ? new Attempt(
-                job,
-                task,
-                id,
-                machine,
-                machine.contact().incarnation(),
-                -1,
-                machine.tokens().current(),
-                nowMicros)
-            : new Attempt(
-                job,
-                task,
-                id,
-                machine,
-                machine.contact().incarnation(),
-                machine.contact().ownSequenceNumber(),
-                -1,
-                nowMicros));
-  }
-
-  /** An attempt of an earlier term that its machine reports. */
+            ? AttemptOrigin.directCommand(machine.tokens().current())
+            : AttemptOrigin.answerTo(machine.contact().ownSequenceNumber());
+    return register(new Attempt(job, task, attemptNumbers.next(), machine, origin, nowMicros));
+  }
+
+  /** Takes in an attempt of an earlier term that its machine reports. */
   public Attempt adoptAttempt(Job job, int task, long id, Machine machine, long nowMicros) {
-    return register(
-        new Attempt(job, task, id, machine, machine.contact().incarnation(), -1, -1, nowMicros));
+    return register(new Attempt(job, task, id, machine, AttemptOrigin.REPORTED, nowMicros));
   }
 
   /**
-   * True when attempt numbers come near those of the next term: with thousands of machines a term
+   * True when attempt numbers come near those of the next term: with thousands of machines, a term
    * that lasts for days gets there.
    */
   public boolean attemptNumbersRunOut() {
-    return counter >= LAST_ATTEMPT;
+    return attemptNumbers.nearlyExhausted();
   }
 
   /** The same of the tokens of one machine, which are raised with each direct command. */
   public boolean tokensRunOut(Machine machine) {
-    return machine.tokens().current() >= firstToken(machine.tokens().term()) + LAST_TOKEN;
+    return machine.tokens().nearlyExhausted();
   }
 
+  /** True for the number of an attempt that a leader of an earlier term started. */
   public boolean isOfEarlierTerm(long attemptId) {
-    return attemptId >>> TERM_SHIFT < term;
+    return attemptNumbers.isOfEarlierTerm(attemptId);
   }
 
   private Attempt register(Attempt attempt) {
     attempt.machine().load().add(attempt);
     attempt.job().addAttempt(attempt);
-    TeamUsage usage =
-        usageByTeam.computeIfAbsent(attempt.job().spec().team(), k -> new TeamUsage());
-    usage.cores += attempt.job().spec().cores();
-    usage.accelerators += attempt.job().spec().accelerators();
+    JobSpec spec = attempt.job().spec();
+    usage(spec.team()).add(spec);
     return attempt;
   }
 
   /**
    * The attempt is surely over: reported as ended, missing from a heartbeat that would list it, of
-   * an incarnation that has ended, or on a machine that was deleted. Its room and quota are free
-   * from here on.
+   * a worker incarnation that has ended, or on a machine that was deleted. Its resources and its
+   * part of the quota are free from now on. Repeated calls change nothing.
+   *
+   * @param cause as reported, or null without a report
    */
   public void endAttempt(Attempt attempt, ExitCause cause) {
     if (attempt.over()) {
       return;
     }
     attempt.end(cause);
-    attempt.job().release(attempt);
-    TeamUsage usage = usageByTeam.get(attempt.job().spec().team());
-    usage.cores -= attempt.job().spec().cores();
-    usage.accelerators -= attempt.job().spec().accelerators();
+    attempt.job().removeAttempt(attempt);
+    JobSpec spec = attempt.job().spec();
+    usage(spec.team()).subtract(spec);
   }
 
-  /** Its machine does not list it any more. */
+  /** The attempt is over, and its machine does not list it any more. */
   public void removeAttempt(Attempt attempt) {
     endAttempt(attempt, attempt.exitCause());
     attempt.machine().load().remove(attempt);
   }
 
+  /** What the team's attempts use, kept up to date. */
   public TeamUsage usage(String team) {
-    return usageByTeam.computeIfAbsent(team, k -> new TeamUsage());
+    return usageByTeam.computeIfAbsent(team, name -> new TeamUsage());
   }
 }
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -5,54 +5,54 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
-/** An accepted job that has not ended, and what is known of its tasks. */
-public final class Job implements Registrable {
-  /** Errors before the pauses grow. */
-  private static final int FREE_ERRORS = 2;
-
-  private static final int DOUBLINGS = 6;
-  private static final long FIRST_PAUSE_MICROS = 1_000_000;
-  private static final long MOST_PAUSE_MICROS = 60_000_000;
+/**
+ * An accepted job that has not ended, and what is known of its tasks. Until its registration is
+ * stored none of its tasks is started, so that a later leader knows which jobs may be on a machine.
+ *
+ * <p>Times are in microseconds on this controller's steady clock.
+ */
+public final class Job extends Registrable {
+  private static final double MICROS_PER_SECOND = 1e6;
 
   private final JobSpec spec;
   private final long revision;
   private final long acceptedMicros;
 
-  /** When the last job that it waits on ended; what counts waiting work counts from here. */
   private long releasedMicros;
 
   private boolean waitsForDependencies;
   private boolean cancellationConfirmed;
   private DependencyGraph.EffectiveGoal goal;
 
-  /** An earlier leader may have started its tasks on machines not yet accounted for. */
   private final boolean inherited;
 
   /** Tasks that completed. */
   private final BitSet completedTasks = new BitSet();
 
-  /** The part of {@link #done} that the state service holds. */
+  /** The part of {@link #completedTasks} that the state service holds. */
   private final BitSet storedTasks = new BitSet();
 
-  /** Tasks that are neither done nor possibly on a machine. */
+  /** Tasks that are neither completed nor possibly on a machine. */
   private final BitSet pending = new BitSet();
 
   private final Int2ObjectHashMap<Attempt> liveAttempts = new Int2ObjectHashMap<>();
 
-  /** Tasks that ran before: what they take the next time tells nothing of their whole run time. */
+  /** Tasks that ran before and are not completed. */
   private final BitSet restarted = new BitSet();
 
-  private RegistrationState registration = RegistrationState.NONE;
+  private final RetryBackoff backoff = new RetryBackoff();
+
   private int completedCount;
   private boolean over;
   private boolean hasStarted;
-  private int errors;
-  private long retryNotBeforeMicros;
   private double ratioSum;
   private int ratioCount;
 
   /**
-   * @param acceptedMicros on this controller's steady clock
+   * A job of which no task has run, as far as is known.
+   *
+   * @param revision of the record that accepted it
+   * @param inherited true if an earlier leader may have started its tasks
    */
   public Job(JobSpec spec, long revision, long acceptedMicros, boolean inherited) {
     this.spec = spec;
@@ -62,7 +62,7 @@
     this.goal =
         new DependencyGraph.EffectiveGoal(
             acceptedMicros,
-            spec.hasDeadline() ? (long) (spec.deadlineS() * 1e6) : Long.MAX_VALUE,
+            spec.hasDeadline() ? (long) (spec.deadlineS() * MICROS_PER_SECOND) : Long.MAX_VALUE,
             spec.jobClass(),
             0,
             spec.priority());
@@ -70,10 +70,12 @@
     pending.set(0, spec.taskCount());
   }
 
+  /** The job as its user submitted it. */
   public JobSpec spec() {
     return spec;
   }
 
+  /** The id that its user gave it. */
   public String uid() {
     return spec.uid();
   }
@@ -87,129 +89,140 @@
     return acceptedMicros;
   }
 
-  /** It waits for other jobs: none of its tasks may start, and it counts for nothing yet. */
+  /**
+   * True while some dependency is not done: none of its tasks may start, and it is no demand for
+   * machines yet.
+   */
   public boolean waitsForDependencies() {
     return waitsForDependencies;
   }
 
+  /** Some dependency is not done. */
   public void blockOnDependencies() {
     waitsForDependencies = true;
   }
 
   /**
-   * Another controller says that it is cancelled: true before it is known here from the records,
-   * and for ever.
+   * True once another controller has said that it is cancelled, which may be before it is known
+   * here from the records.
    */
   public boolean cancellationConfirmed() {
     return cancellationConfirmed;
   }
 
+  /** Another controller says that it is cancelled; final. */
   public void confirmCancellation() {
     cancellationConfirmed = true;
   }
 
-  /** All that it waits on is done. */
-  public void release(long sinceMicros) {
+  /**
+   * All dependencies are done.
+   *
+   * @param endedMicros when the last of them ended
+   */
+  public void release(long endedMicros) {
     waitsForDependencies = false;
-    releasedMicros = Math.max(acceptedMicros, sinceMicros);
+    releasedMicros = Math.max(acceptedMicros, endedMicros);
   }
 
-  /** From when its waiting counts: when it was accepted, or released where it waits on others. */
+  /** From when its waiting counts: when it was accepted, or released where it has dependencies. */
   public long releasedMicros() {
     return releasedMicros;
   }
 
-  /** What it is worth: its own deadline and priority, or what jobs that need it leave it. */
+  /** Its own deadline and priority, or the stricter ones that its dependents leave it. */
   public DependencyGraph.EffectiveGoal goal() {
     return goal;
   }
 
-  public void setGoal(DependencyGraph.EffectiveGoal now) {
-    goal = now;
+  /** Replaces the goal, since that of a dependent has changed. */
+  public void setGoal(DependencyGraph.EffectiveGoal newGoal) {
+    goal = newGoal;
   }
 
-  /** Its own, or of a more urgent job that needs it. */
+  /** Its own, or that of a more urgent dependent. */
   public Priority priority() {
     return goal.priority();
   }
 
+  /** True if it or a dependent has a deadline. */
   public boolean hasDeadline() {
     return goal.deadlineMicros() != Long.MAX_VALUE;
   }
 
   /**
-   * By when it has to be done, its own deadline or what that of a job that needs it leaves;
-   * Long.MAX_VALUE for any time.
+   * By when it has to be done, by its own deadline or that of a dependent; Long.MAX_VALUE where
+   * there is none.
    */
   public long deadlineMicros() {
     return goal.latestEndMicros();
   }
 
+  /** True if an earlier leader may have started its tasks on machines not yet accounted for. */
   public boolean inherited() {
     return inherited;
   }
 
-  /**
-   * Until it is stored none of its tasks is ordered, so that a successor knows which jobs may be on
-   * a machine.
-   */
-  @Override
-  public RegistrationState registration() {
-    return registration;
-  }
-
-  @Override
-  public void setRegistration(RegistrationState now) {
-    registration = now;
-  }
-
+  /** The tasks that completed; a view that is not to be changed. */
   public BitSet completedTasks() {
     return completedTasks;
   }
 
+  /** Completed tasks that the state service holds; whoever stores or reads progress adds to it. */
   public BitSet storedTasks() {
     return storedTasks;
   }
 
+  /** How many tasks completed. */
   public int completedCount() {
     return completedCount;
   }
 
+  /** True once all tasks completed. */
   public boolean complete() {
     return completedCount == spec.taskCount();
   }
 
+  /** How many tasks are neither completed nor possibly on a machine. */
   public int pendingCount() {
     return pending.cardinality();
   }
 
+  /** True if some task is neither completed nor possibly on a machine. */
   public boolean hasPending() {
     return !pending.isEmpty();
   }
 
-  /** A task that never ran, if there is one free: aims for starts count the first. */
+  /**
+   * The pending task to start next, or -1: one that never ran if there is one, since objectives for
+   * starts count the first start of each task.
+   */
   public int nextPendingTask() {
-    for (int i = pending.nextSetBit(0); i >= 0; i = pending.nextSetBit(i + 1)) {
-      if (!restarted.get(i)) {
-        return i;
+    for (int task = pending.nextSetBit(0); task >= 0; task = pending.nextSetBit(task + 1)) {
+      if (!restarted.get(task)) {
+        return task;
       }
     }
     return pending.nextSetBit(0);
   }
 
+  /** True if some pending task never ran. */
   public boolean hasNeverStartedTask() {
-    int index = nextPendingTask();
-    return index >= 0 && !restarted.get(index);
+    int task = nextPendingTask();
+    return task >= 0 && !restarted.get(task);
   }
 
+  /** The attempts that are not over. */
   public Iterable<Attempt> liveAttempts() {
     return liveAttempts.values();
   }
 
+  /** How many attempts are not over. */
   public int liveAttemptCount() {
     return liveAttempts.size();
   }
 
+  /** The task's attempt that is not over, or null. */
   public Attempt liveAttempt(int task) {
     return liveAttempts.get(task);
   }
@@ -219,6 +232,7 @@
     return over;
   }
 
+  /** The job is done, cancelled or dropped. */
   public void markOver() {
     over = true;
   }
@@ -237,6 +251,7 @@
     return hasStarted || completedCount > 0;
   }
 
+  /** One of its tasks was seen to run. */
   public void markStarted() {
     hasStarted = true;
   }
@@ -247,19 +262,22 @@
     liveAttempts.put(attempt.task(), attempt);
   }
 
-  /** The attempt is surely over. */
-  void release(Attempt attempt) {
-    if (liveAttempts.get(attempt.task()) == attempt) {
-      liveAttempts.remove(attempt.task());
-      if (!completedTasks.get(attempt.task())) {
-        pending.set(attempt.task());
-        if (attempt.runningSinceMicros() >= 0) {
-          restarted.set(attempt.task());
-        }
+  /** The attempt is surely over: its task is pending again unless it completed. */
+  void removeAttempt(Attempt attempt) {
+    int task = attempt.task();
+    if (liveAttempts.get(task) != attempt) {
+      return;
+    }
+    liveAttempts.remove(task);
+    if (!completedTasks.get(task)) {
+      pending.set(task);
+      if (attempt.runningSinceMicros() >= 0) {
+        restarted.set(task);
       }
     }
   }
 
+  /** True if the task ran before: its next attempt says nothing of its whole run time. */
   public boolean restarted(int task) {
     return restarted.get(task);
   }
@@ -272,44 +290,32 @@
     return liveAttempts.values().iterator().next().machine().zone();
   }
 
-  /**
-   * A job submitted with a mistake fails on every machine; growing pauses keep it from wearing the
-   * fleet out until its user cancels it.
-   */
+  /** An attempt failed for a reason that may lie in the job. */
   public void recordError(long nowMicros) {
-    errors = Math.min(errors + 1, 16);
-    long pause =
-        errors <= FREE_ERRORS
-            ? FIRST_PAUSE_MICROS
-            : Math.min(
-                MOST_PAUSE_MICROS, FIRST_PAUSE_MICROS << Math.min(errors - FREE_ERRORS, DOUBLINGS));
-    retryNotBeforeMicros = Math.max(retryNotBeforeMicros, nowMicros + pause);
+    backoff.recordError(nowMicros);
   }
 
+  /** A task completed, so earlier errors do not count any more. */
   public void recordSuccess() {
-    errors = 0;
-    retryNotBeforeMicros = 0;
+    backoff.recordSuccess();
+  }
+
+  /** After errors no attempt starts until then; 0 where none need wait. */
+  public long retryNotBeforeMicros() {
+    return backoff.retryNotBeforeMicros();
   }
 
   /** A task ran this many times as long as its owner's estimate. */
-  public void observeRunTimeRatio(double runTimeRatio) {
-    ratioSum += runTimeRatio;
+  public void observeRunTimeRatio(double ratio) {
+    ratioSum += ratio;
     ratioCount++;
   }
 
   /**
-   * Mean of what was observed of its own tasks, mixed with what its class suggests while they are
-   * few.
+   * How many times as long as their owner's estimate its tasks run: the mean of those observed and
+   * one that stands for the job's class.
    */
   public double runTimeRatio(double classRatio) {
     return (ratioSum + classRatio) / (ratioCount + 1);
   }
-
-  public int errors() {
-    return errors;
-  }
-
-  public long retryNotBeforeMicros() {
-    return retryNotBeforeMicros;
-  }
 }
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -4,9 +4,12 @@
 
 /**
  * One machine as the leader knows it: what it is, how far it has got between rental and return, and
- * the parts that keep its tokens, contact, health and load.
+ * the parts that keep its tokens, contact, health and load. Until its registration is stored
+ * nothing is started on it.
+ *
+ * <p>Times are in microseconds on this controller's steady clock.
  */
-public final class Machine implements Registrable {
+public final class Machine extends Registrable {
   private static final double MICROS_PER_SECOND = 1e6;
 
   private final String id;
@@ -22,7 +25,6 @@
   private final MachineLoad load = new MachineLoad();
   private final ImageCache images = new ImageCache();
 
-  private RegistrationState registration = RegistrationState.NONE;
   private boolean accounted;
   private long preemptedAtMicros = -1;
   private boolean draining;
@@ -31,7 +33,12 @@
   private boolean failed;
   private long idleSinceMicros = -1;
 
-  /** A machine that is known by name and has not reported yet. */
+  /**
+   * A machine that is known by name and has not reported yet.
+   *
+   * @param endpoint its address, or null while only its rental is known
+   * @param nowMicros since when it is known
+   */
   public Machine(
       String id, String endpoint, String machineType, String zone, boolean spot, long nowMicros) {
     this.id = id;
@@ -42,34 +49,39 @@
     this.knownSinceMicros = nowMicros;
   }
 
+  /** The name that the cloud gave it. */
   public String id() {
     return id;
   }
 
-  /** Null while only the rental is known. */
+  /** Its address; null while only its rental is known. */
   public String endpoint() {
     return endpoint;
   }
 
-  /** Its address, if none was known. */
+  /** Takes the address unless one is known already. */
   public void learnEndpoint(String address) {
     if (endpoint == null) {
       endpoint = address;
     }
   }
 
+  /** The name of its type. */
   public String machineType() {
     return machineType;
   }
 
+  /** The zone that it is in. */
   public String zone() {
     return zone;
   }
 
+  /** True if the cloud may take it back at short notice. */
   public boolean spot() {
     return spot;
   }
 
+  /** When it was rented, or first heard of. */
   public long knownSinceMicros() {
     return knownSinceMicros;
   }
@@ -79,7 +91,7 @@
     return tokens;
   }
 
-  /** When it and this leader last heard of each other. */
+  /** When the machine and this leader last heard of each other. */
   public MachineContact contact() {
     return contact;
   }
@@ -99,20 +111,10 @@
     return images;
   }
 
-  @Override
-  public RegistrationState registration() {
-    return registration;
-  }
-
-  @Override
-  public void setRegistration(RegistrationState now) {
-    registration = now;
-  }
-
   /**
-   * The machine told of itself.
+   * The machine has reported its state.
    *
-   * @param own by a heartbeat of its own, not by the answer to a direct call
+   * @param own true for a heartbeat that it sent itself, false for the answer to a direct call
    */
   public void recordReport(Heartbeat heartbeat, long nowMicros, boolean own) {
     contact.recordReport(heartbeat, nowMicros, own);
@@ -133,36 +135,39 @@
     return accounted;
   }
 
+  /** Everything that an earlier leader may have started on it is known. */
   public void markAccounted() {
     accounted = true;
   }
 
-  /** It has changed hands: what may run on it has to be found out anew. */
+  /** Its owner has changed: what may run on it is unknown. */
   public void markUnaccounted() {
     accounted = false;
   }
 
-  /** When the cloud takes it away, or -1. */
+  /** When the cloud takes it back by its notice, or -1 without a notice. */
   public long preemptedAtMicros() {
     return preemptedAtMicros;
   }
 
-  /** True if nothing more is started on it, because it is faulty or about to be taken away. */
+  /** True if nothing more is started on it, because it is faulty or about to be preempted. */
   public boolean draining() {
     return draining || preemptedAtMicros >= 0;
   }
 
+  /** Nothing more is started on it, since it is faulty. */
   public void drain() {
     draining = true;
   }
 
-  /** True once it has been decided that it goes back to the cloud. */
+  /** True once it has been decided to return it to the cloud. */
   public boolean returning() {
     return returning;
   }
 
-  public void setReturning(boolean now) {
-    returning = now;
+  /** Whether it has been decided to return it to the cloud. */
+  public void setReturning(boolean returned) {
+    returning = returned;
   }
 
   /** True while it is being given to another cell: nothing is started on it. */
@@ -170,11 +175,16 @@
     return transferring;
   }
 
-  public void setTransferring(boolean now) {
-    transferring = now;
+  /** Whether it is being given to another cell. */
+  public void setTransferring(boolean transferred) {
+    transferring = transferred;
   }
 
-  /** The cloud lists it. */
+  /**
+   * The cloud lists the machine.
+   *
+   * @param asFailed true if as one that stopped by itself
+   */
   public void recordListing(boolean asFailed) {
     failed |= asFailed;
   }
@@ -189,6 +199,11 @@
     return idleSinceMicros;
   }
 
+  /**
+   * Nothing runs on it.
+   *
+   * @param micros since when, or -1 if something runs
+   */
   public void setIdleSince(long micros) {
     idleSinceMicros = micros;
   }
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -3,52 +3,55 @@
 import plumlever.wire.Heartbeat;
 
 /**
- * When a machine and this leader last heard of each other, and in which incarnation. Times are in
- * microseconds on this controller's steady clock; -1 stands for never in this term.
+ * When a machine and this leader last heard of each other, and in which worker incarnation. Times
+ * are in microseconds on this controller's steady clock; -1 stands for never in this term.
  */
 public final class MachineContact {
-  /** Answers in a row that do not arrive before the machine counts as unreachable. */
+  /** Answers in a row that did not arrive at a machine that counts as unreachable. */
   private static final int LOST_ANSWERS_OF_UNREACHABLE = 2;
 
+  /** Before any time, also after another time is added to or subtracted from it. */
+  private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 4;
+
   private long incarnation;
   private long sequenceNumber;
   private long ownSequenceNumber;
   private long lastHeartbeatMicros = -1;
   private long lastSeenMicros = -1;
   private long lastRenewalMicros = -1;
-  private long renewedElsewhereMicros = Long.MIN_VALUE / 4;
+  private long renewedElsewhereMicros = DISTANT_PAST_MICROS;
   private boolean commandInFlight;
   private int consecutiveFailedCalls;
   private int consecutiveLostAnswers;
   private boolean unreachable;
 
-  /** The worker's incarnation by the newest message; 0 before the first. */
+  /** The worker's incarnation by its newest report; 0 before the first. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** The machine was last known to another leader in this incarnation. */
+  /** Another leader knows the machine in this incarnation. */
   public void raiseIncarnation(long known) {
     incarnation = Math.max(incarnation, known);
   }
 
-  /** Sequence number of the newest message in this incarnation. */
+  /** Sequence number of the newest report in this incarnation. */
   public long sequenceNumber() {
     return sequenceNumber;
   }
 
   /**
-   * Number of the last heartbeat that it sent itself; bodies of direct answers may have larger
-   * ones.
+   * Sequence number of the last heartbeat that it sent itself; answers to direct calls may have
+   * larger ones.
    */
   public long ownSequenceNumber() {
     return ownSequenceNumber;
   }
 
   /**
-   * The machine told of itself.
+   * The machine has reported its state.
    *
-   * @param own by a heartbeat of its own, not by the answer to a direct call
+   * @param own true for a heartbeat that it sent itself, false for the answer to a direct call
    */
   void recordReport(Heartbeat heartbeat, long nowMicros, boolean own) {
     if (heartbeat.incarnation() > incarnation) {
@@ -63,63 +66,69 @@
     }
   }
 
-  /** True unless something as new or newer has been heard of the machine. */
+  /** True unless a report as new or newer has been received. */
   public boolean isNewerThanLast(Heartbeat heartbeat) {
-    boolean heardBefore = incarnation > 0 || sequenceNumber > 0;
-    return !heardBefore || heartbeat.isNewerThan(incarnation, sequenceNumber);
+    boolean hasPrevious = incarnation > 0 || sequenceNumber > 0;
+    return !hasPrevious || heartbeat.isNewerThan(incarnation, sequenceNumber);
   }
 
-  /** A heartbeat of its own came after the body of a direct call that was sent later. */
+  /** A heartbeat has arrived after the answer to a direct call that the machine sent later. */
   public void recordOvertakenHeartbeat(long heartbeatSequenceNumber, long nowMicros) {
     ownSequenceNumber = heartbeatSequenceNumber;
     lastHeartbeatMicros = nowMicros;
     lastSeenMicros = nowMicros;
   }
 
-  /** True once it has reported in this term. */
+  /** True once a heartbeat has arrived in this term. */
   public boolean hasReported() {
     return lastHeartbeatMicros >= 0;
   }
 
+  /** When its last heartbeat arrived. */
   public long lastHeartbeatMicros() {
     return lastHeartbeatMicros;
   }
 
-  /** When it last told anything, by a heartbeat or by the answer to a direct call. */
+  /** When its last report arrived, by a heartbeat or by the answer to a direct call. */
   public long lastSeenMicros() {
     return lastSeenMicros;
   }
 
+  /** A heartbeat was answered so that its lease is renewed. */
   void recordRenewal(long nowMicros) {
     lastRenewalMicros = nowMicros;
   }
 
-  /** When this controller last let it renew its lease. */
+  /** When this controller last sent an answer that renews its lease. */
   public long lastRenewalMicros() {
     return lastRenewalMicros;
   }
 
-  /**
-   * Until when a former owner may have let it renew its lease; far in the past if there was none.
-   */
+  /** The latest time at which a former owner may have renewed its lease; long past if none did. */
   public long renewedElsewhereMicros() {
     return renewedElsewhereMicros;
   }
 
+  /** A former owner may have renewed its lease until then. */
   public void recordRenewalElsewhere(long untilMicros) {
     renewedElsewhereMicros = Math.max(renewedElsewhereMicros, untilMicros);
   }
 
-  /** True while a direct call to it, or the answer, is on its way. */
+  /** True while a direct call to it is open. */
   public boolean commandInFlight() {
     return commandInFlight;
   }
 
-  public void setCommandInFlight(boolean now) {
-    commandInFlight = now;
+  /** Whether a direct call to it is open. */
+  public void setCommandInFlight(boolean inFlight) {
+    commandInFlight = inFlight;
   }
 
-  /** A direct call came to its end. */
+  /**
+   * A direct call has ended.
+   *
+   * @param answered false if it got no answer
+   */
   public void recordDirectCall(boolean recordRenewal) {
     consecutiveFailedCalls = recordRenewal ? 0 : consecutiveFailedCalls + 1;
   }
@@ -130,10 +139,9 @@
   }
 
   /**
-   * A heartbeat shows nothing of what was sent before it: a command that is lost, a token that is
-   * not taken. After two in a row the machine gets neither work nor its lease renewed until it
-   * shows the token. Else each answer would push back the time at which its lease has surely
-   * lapsed.
+   * A heartbeat shows neither a command nor a token that an earlier answer carried. After two such
+   * in a row the machine gets neither work nor lease renewals until it shows the token. Otherwise
+   * each answer would push back the time at which its lease has surely expired.
    */
   public void recordLostAnswer() {
     consecutiveLostAnswers++;
@@ -142,6 +150,7 @@
     }
   }
 
+  /** A heartbeat shows what the answers before it carried. */
   public void recordDeliveredAnswer() {
     consecutiveLostAnswers = 0;
     unreachable = false;
--- a/src/main/java/plumlever/fleet/MachineLoad.java
+++ b/src/main/java/plumlever/fleet/MachineLoad.java
@@ -2,14 +2,14 @@
 
 import org.agrona.collections.Long2ObjectHashMap;
 
-/** What may run on a machine: the attempts of this leader and the tasks of other cells. */
+/** What may run on a machine: attempts of this cell's jobs, and tasks of other cells (guests). */
 public final class MachineLoad {
   private final Long2ObjectHashMap<Attempt> attempts = new Long2ObjectHashMap<>();
 
   /** Attempts that are not over. */
   private int liveAttempts;
 
-  /** Those among them of which nothing has been heard since they were sent directly. */
+  /** Live attempts that a direct command started and no report has shown. */
   private int unconfirmedAttempts;
 
   private GuestLoad guests = GuestLoad.NONE;
@@ -30,7 +30,7 @@
     unconfirmedAttempts += attempt.unconfirmed() ? 1 : 0;
   }
 
-  /** Something was heard of an attempt that was sent directly, or it is over. */
+  /** An attempt that a direct command started was reported, or it is over. */
   void attemptConfirmed() {
     unconfirmedAttempts--;
   }
@@ -54,15 +54,12 @@
     return liveAttempts;
   }
 
-  /** True once every attempt that was ever on it has been forgotten. */
+  /** True if the machine lists no attempt, as far as is known. */
   public boolean hasNoAttempts() {
     return attempts.isEmpty();
   }
 
-  /**
-   * True while the machine may have started something that nothing has been heard of: a direct
-   * command without an answer.
-   */
+  /** True while a direct command may have started an attempt that no report has shown. */
   public boolean hasUnconfirmedStart() {
     return unconfirmedAttempts > 0;
   }
@@ -72,7 +69,8 @@
     return guests;
   }
 
-  public void setGuests(GuestLoad now) {
-    guests = now;
+  /** Replaces what tasks of other cells hold of the machine. */
+  public void setGuests(GuestLoad load) {
+    guests = load;
   }
 }
--- a/src/main/java/plumlever/fleet/RegistrationState.java
+++ b/src/main/java/plumlever/fleet/RegistrationState.java
@@ -5,7 +5,10 @@
  * that may be on one.
  */
 public enum RegistrationState {
+  /** No record names it, and none is being written. */
   NONE,
+  /** A record that names it is being written; the outcome is open. */
   WRITING,
+  /** A record that names it is known to be stored. */
   STORED
 }
--- /dev/null
+++ b/src/main/java/plumlever/fleet/RetryBackoff.java
@@ -0,0 +1,35 @@
+package plumlever.fleet;
+
+/**
+ * The pause after errors before a job's next attempt. A job submitted with a mistake fails on every
+ * machine; growing pauses keep it from wearing the fleet out until its user cancels it.
+ */
+final class RetryBackoff {
+  /** Errors in a row before the pauses grow. */
+  private static final int ERRORS_WITH_FIRST_PAUSE = 2;
+
+  private static final int MAX_DOUBLINGS = 6;
+  private static final int MAX_COUNTED_ERRORS = ERRORS_WITH_FIRST_PAUSE + MAX_DOUBLINGS;
+  private static final long FIRST_PAUSE_MICROS = 1_000_000;
+  private static final long MAX_PAUSE_MICROS = 60_000_000;
+
+  private int consecutiveErrors;
+  private long retryNotBeforeMicros;
+
+  void recordError(long nowMicros) {
+    consecutiveErrors = Math.min(consecutiveErrors + 1, MAX_COUNTED_ERRORS);
+    int doublings = Math.max(0, consecutiveErrors - ERRORS_WITH_FIRST_PAUSE);
+    long pauseMicros = Math.min(MAX_PAUSE_MICROS, FIRST_PAUSE_MICROS << doublings);
+    retryNotBeforeMicros = Math.max(retryNotBeforeMicros, nowMicros + pauseMicros);
+  }
+
+  void recordSuccess() {
+    consecutiveErrors = 0;
+    retryNotBeforeMicros = 0;
+  }
+
+  /** The next attempt has to wait until then; 0 where it need not wait. */
+  long retryNotBeforeMicros() {
+    return retryNotBeforeMicros;
+  }
+}
--- a/src/test/java/plumlever/fleet/FleetNumbersTest.java
+++ b/src/test/java/plumlever/fleet/FleetNumbersTest.java
@@ -15,8 +15,8 @@
 
   @Test
   void attemptNumbersRunOutBeforeThoseOfTheNextTerm() {
-    assertFalse(new Fleet(TERM, 16_000_000).attemptNumbersRunOut());
-    assertTrue(new Fleet(TERM, 16_720_000).attemptNumbersRunOut());
+    assertFalse(new Fleet(TERM, new AttemptNumbers(TERM, 16_000_000)).attemptNumbersRunOut());
+    assertTrue(new Fleet(TERM, new AttemptNumbers(TERM, 16_720_000)).attemptNumbersRunOut());
   }
 
   @Test
@@ -25,7 +25,9 @@
     Machine machine = new Machine("i-000001", "i-000001:9", "small", "a", false, 0);
     fleet.add(machine);
     assertFalse(fleet.tokensRunOut(machine));
+
     machine.tokens().raise(Fleet.firstToken(TERM) + 1_000_000);
+
     assertTrue(fleet.tokensRunOut(machine));
     assertEquals(TERM, Fleet.termOf(machine.tokens().current()));
   }
