--- a/src/main/java/plumlever/wire/AttemptState.java
+++ b/src/main/java/plumlever/wire/AttemptState.java
@@ -1,10 +1,14 @@
 package plumlever.wire;
 
-/** What a worker says of a task. */
+/** The state of an attempt as its worker reports it. */
 public enum AttemptState {
+  /** The machine fetches the image. */
   FETCHING("pulling"),
+  /** The task runs. */
   RUNNING("running"),
+  /** The attempt was told to stop and saves its work. */
   SAVING("flushing"),
+  /** The attempt is over; the worker keeps it until it is told to remove it. */
   ENDED("ended");
 
   private final String wireName;
@@ -13,15 +17,16 @@
     this.wireName = wireName;
   }
 
+  /** Its name in heartbeats. */
   public String wireName() {
     return wireName;
   }
 
-  /** By its name in reports. */
+  /** The state with that name in heartbeats. */
   public static AttemptState of(String name) throws InvalidMessageException {
-    for (AttemptState taskStatus : values()) {
-      if (taskStatus.wireName.equals(name)) {
-        return taskStatus;
+    for (AttemptState state : values()) {
+      if (state.wireName.equals(name)) {
+        return state;
       }
     }
     throw new InvalidMessageException("task status is unknown");
--- a/src/main/java/plumlever/wire/ExitCause.java
+++ b/src/main/java/plumlever/wire/ExitCause.java
@@ -1,16 +1,20 @@
 package plumlever.wire;
 
-/**
- * Why a task ended. OTHER stands for causes this version does not know: the attempt is over, the
- * task is not done.
- */
+/** Why an attempt ended. In all cases but {@link #DONE} its task is not completed. */
 public enum ExitCause {
+  /** The task completed. */
   DONE("done"),
+  /** It was told to stop. */
   STOPPED("halted"),
+  /** The task failed. */
   ERROR("error"),
+  /** The start was refused: not enough free resources on the machine. */
   FULL("full"),
+  /** The start was refused: another attempt of the task is on the machine. */
   IN_USE("in_use"),
+  /** The start was refused: there is no such job or task. */
   NO_SUCH("no_such"),
+  /** Any cause that this version does not know. */
   OTHER("other");
 
   private final String wireName;
@@ -19,15 +23,16 @@
     this.wireName = wireName;
   }
 
+  /** Its name in heartbeats. */
   public String wireName() {
     return wireName;
   }
 
-  /** By its name in reports. */
+  /** The cause with that name in heartbeats; {@link #OTHER} if it is not known. */
   public static ExitCause of(String name) {
-    for (ExitCause exitCause : values()) {
-      if (exitCause.wireName.equals(name)) {
-        return exitCause;
+    for (ExitCause cause : values()) {
+      if (cause.wireName.equals(name)) {
+        return cause;
       }
     }
     return OTHER;
--- a/src/main/java/plumlever/wire/HttpStatus.java
+++ b/src/main/java/plumlever/wire/HttpStatus.java
@@ -1,6 +1,6 @@
 package plumlever.wire;
 
-/** The status codes that the protocol uses. */
+/** The HTTP status codes that the protocol uses. */
 public final class HttpStatus {
   public static final int OK = 200;
   public static final int CREATED = 201;
@@ -15,7 +15,7 @@
   public static final int TOO_MANY_REQUESTS = 429;
   public static final int UNAVAILABLE = 503;
 
-  /** The least status that tells of a failure of the server. */
+  /** The lowest status that stands for a failure of the server. */
   public static final int SERVER_ERRORS = 500;
 
   private HttpStatus() {}
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -1,6 +1,7 @@
 package plumlever.wire;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -8,7 +9,22 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** A job as its user submits it. */
+/**
+ * A job as its user submits it: an array of independent tasks.
+ *
+ * @param uid the id that the user gave it
+ * @param jobClass the kind of work; estimates and service-level objectives go by it
+ * @param cores that each task needs, and so on for accelerators and memory
+ * @param machineTypes names of those that tasks may run on; null for all
+ * @param zone the only zone in which tasks may run; null for any
+ * @param oneZone true if all tasks that run at a time have to be in one zone
+ * @param spread true if at most half of the tasks may be in one zone at a time
+ * @param expectedRunS its user's estimate of a task's run time
+ * @param checkpointIntervalS how often a task saves its work; 0 for never
+ * @param checkpointS how long it takes to save
+ * @param deadlineS by when it has to be done, from its submission on; {@link #NO_DEADLINE} for none
+ * @param dependencies ids of the jobs that have to be done before it may start
+ */
 public record JobSpec(
     String uid,
     String jobClass,
@@ -31,7 +47,20 @@
     double deadlineS,
     List<String> dependencies) {
 
-  /** A job that waits for no other. */
+  /** The most tasks that a job may have. */
+  public static final int MAX_TASKS = 100_000;
+
+  /** The value of {@code deadlineS} for a job without a deadline. */
+  public static final double NO_DEADLINE = -1;
+
+  /** The only shape of jobs that this service runs. */
+  private static final String JOB_ARRAY = "sweep";
+
+  private static final int MAX_MACHINE_TYPES = 100;
+
+  private static final Pattern UID = Pattern.compile("job-[0-9]{1,18}");
+
+  /** A job without dependencies. */
   public JobSpec(
       String uid,
       String jobClass,
@@ -75,31 +104,26 @@
         List.of());
   }
 
-  public static final int MAX_TASKS = 100_000;
-
-  /** Stands in {@code deadlineS} for a job with no deadline. */
-  public static final double NO_DEADLINE = -1;
-
-  /** The only shape of jobs that this service runs: an array of independent tasks. */
-  private static final String JOB_ARRAY = "sweep";
-
-  private static final Pattern UID = Pattern.compile("job-[0-9]{1,18}");
-
+  /** True for the id of a job. */
   public static boolean validUid(String uid) {
     return uid != null && UID.matcher(uid).matches();
   }
 
+  /** True if its user has set a deadline. */
   public boolean hasDeadline() {
     return deadlineS >= 0;
   }
 
+  /** True if its tasks save their work. */
   public boolean savesCheckpoints() {
     return checkpointIntervalS > 0;
   }
 
   /**
-   * Reads and checks every field; {@code shape} other than a sweep is not something this service
-   * runs.
+   * Reads a submission, and checks the type and range of every field.
+   *
+   * @throws InvalidMessageException naming the first field that is wrong; also for a job of another
+   *     shape than an array
    */
   public static JobSpec parse(ObjectNode object) throws InvalidMessageException {
     String uid = Json.text(object, ProtocolField.JOB_ID);
@@ -109,24 +133,10 @@
     if (!JOB_ARRAY.equals(Json.text(object, ProtocolField.JOB_SHAPE))) {
       throw new InvalidMessageException("shape is unknown");
     }
-    List<String> machineTypes = null;
-    JsonNode node = object.get(ProtocolField.MACHINE_TYPES);
-    if (node != null && !node.isNull()) {
-      if (!node.isArray() || node.isEmpty() || node.size() > 100) {
-        throw new InvalidMessageException(
-            ProtocolField.MACHINE_TYPES + " must be null or a list of 1 to 100 names");
-      }
-      machineTypes = new ArrayList<>();
-      for (JsonNode element : node) {
-        if (!element.isTextual() || element.textValue().isEmpty()) {
-          throw new InvalidMessageException(ProtocolField.MACHINE_TYPES + " must hold names");
-        }
-        machineTypes.add(element.textValue());
-      }
-    }
-    double cores = Json.amount(object, "cores", 0);
-    double accelerators = Json.amount(object, "accelerators", 0);
-    double memory = Json.amount(object, "memory_gb", 0);
+    List<String> machineTypes = machineTypes(object);
+    double cores = Json.amount(object, ProtocolField.CORES, 0);
+    double accelerators = Json.amount(object, ProtocolField.ACCELERATORS, 0);
+    double memoryGb = Json.amount(object, ProtocolField.MEMORY_GB, 0);
     return new JobSpec(
         uid,
         Json.text(object, ProtocolField.JOB_CLASS),
@@ -135,13 +145,13 @@
         (int) Json.whole(object, ProtocolField.TASK_COUNT, 1, MAX_TASKS),
         cores,
         accelerators,
-        memory,
+        memoryGb,
         Json.text(object, ProtocolField.IMAGE),
-        Json.amount(object, "image_gb", 0),
-        machineTypes == null ? null : List.copyOf(machineTypes),
+        Json.amount(object, ProtocolField.IMAGE_GB, 0),
+        machineTypes,
         Json.textOrNull(object, ProtocolField.ZONE),
-        Json.flag(object, "one_zone"),
-        Json.flag(object, "spread"),
+        Json.flag(object, ProtocolField.ONE_ZONE),
+        Json.flag(object, ProtocolField.SPREAD),
         Json.flag(object, ProtocolField.SPOT),
         Json.amount(object, ProtocolField.EXPECTED_RUN_S, 0),
         Json.amount(object, ProtocolField.CHECKPOINT_INTERVAL_S, 0),
@@ -152,10 +162,30 @@
         dependencies(object));
   }
 
-  /**
-   * The jobs that have to be done before this one starts, each once; a body holds a few thousand at
-   * most.
-   */
+  /** The machine types named, or null where any may be used. */
+  private static List<String> machineTypes(ObjectNode object) throws InvalidMessageException {
+    JsonNode list = object.get(ProtocolField.MACHINE_TYPES);
+    if (list == null || list.isNull()) {
+      return null;
+    }
+    if (!list.isArray() || list.isEmpty() || list.size() > MAX_MACHINE_TYPES) {
+      throw new InvalidMessageException(
+          ProtocolField.MACHINE_TYPES
+              + " must be null or a list of 1 to "
+              + MAX_MACHINE_TYPES
+              + " names");
+    }
+    List<String> names = new ArrayList<>();
+    for (JsonNode element : list) {
+      if (!element.isTextual() || element.textValue().isEmpty()) {
+        throw new InvalidMessageException(ProtocolField.MACHINE_TYPES + " must hold names");
+      }
+      names.add(element.textValue());
+    }
+    return List.copyOf(names);
+  }
+
+  /** The ids of its dependencies, each once. */
   private static List<String> dependencies(ObjectNode object) throws InvalidMessageException {
     JsonNode list = object.get(ProtocolField.DEPENDENCIES);
     if (list == null || list.isNull()) {
@@ -174,8 +204,8 @@
     return List.copyOf(names);
   }
 
-  /** The same job with another list of those that it waits on. */
-  public JobSpec withDependencies(List<String> others) {
+  /** The same job with other dependencies. */
+  public JobSpec withDependencies(List<String> uids) {
     return new JobSpec(
         uid,
         jobClass,
@@ -196,14 +226,15 @@
         checkpointIntervalS,
         checkpointS,
         deadlineS,
-        List.copyOf(others));
+        List.copyOf(uids));
   }
 
+  /** True if other jobs have to be done before it may start. */
   public boolean hasDependencies() {
     return !dependencies.isEmpty();
   }
 
-  /** The same fields again, for the state service. */
+  /** The fields of the submission, for the state service. */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     object
@@ -213,13 +244,13 @@
         .put(ProtocolField.JOB_SHAPE, JOB_ARRAY)
         .put(ProtocolField.PRIORITY, priority.wireName())
         .put(ProtocolField.TASK_COUNT, taskCount)
-        .put("cores", cores)
-        .put("accelerators", accelerators)
-        .put("memory_gb", memoryGb)
+        .put(ProtocolField.CORES, cores)
+        .put(ProtocolField.ACCELERATORS, accelerators)
+        .put(ProtocolField.MEMORY_GB, memoryGb)
         .put(ProtocolField.IMAGE, image)
-        .put("image_gb", imageGb)
-        .put("one_zone", oneZone)
-        .put("spread", spread)
+        .put(ProtocolField.IMAGE_GB, imageGb)
+        .put(ProtocolField.ONE_ZONE, oneZone)
+        .put(ProtocolField.SPREAD, spread)
         .put(ProtocolField.SPOT, spotAllowed)
         .put(ProtocolField.EXPECTED_RUN_S, expectedRunS)
         .put(ProtocolField.CHECKPOINT_INTERVAL_S, checkpointIntervalS)
@@ -231,24 +262,26 @@
       object.put(ProtocolField.DEADLINE_S, deadlineS);
     }
     if (machineTypes != null) {
-      var array = object.putArray(ProtocolField.MACHINE_TYPES);
-      machineTypes.forEach(array::add);
+      ArrayNode names = object.putArray(ProtocolField.MACHINE_TYPES);
+      machineTypes.forEach(names::add);
     }
     if (hasDependencies()) {
-      var array = object.putArray(ProtocolField.DEPENDENCIES);
-      dependencies.forEach(array::add);
+      ArrayNode uids = object.putArray(ProtocolField.DEPENDENCIES);
+      dependencies.forEach(uids::add);
     }
     return object;
   }
 
-  /** True if a task may run on such a machine; rules about several tasks aside. */
+  /**
+   * True if a task may run on such a machine, by itself: {@code oneZone} and {@code spread} aside.
+   */
   public boolean allows(String machineType, String machineZone, boolean spot) {
     return (machineTypes == null || machineTypes.contains(machineType))
         && (zone == null || zone.equals(machineZone))
         && (spotAllowed || !spot);
   }
 
-  /** The most tasks that may be in one zone at a time. */
+  /** How many tasks may be in one zone at a time. */
   public int maxTasksPerZone() {
     return spread ? (taskCount + 1) / 2 : taskCount;
   }
--- a/src/main/java/plumlever/wire/Json.java
+++ b/src/main/java/plumlever/wire/Json.java
@@ -12,39 +12,47 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reading and writing of JSON, and strict access to the fields of a message. Trees are used, and
- * field by field for what comes by the hundred; binding by reflection would cost more start-up time
- * than the processor share allows.
+ * Reads and writes JSON, with strict access to the fields of a message. Most messages are read as
+ * trees, frequent ones field by field; binding by reflection would cost more start-up time than the
+ * processor share allows.
  */
 public final class Json {
+  /** The longest text that a field may hold, in characters. */
+  static final int MAX_TEXT_LENGTH = 200;
+
+  private static final double MAX_AMOUNT = 1e9;
+  private static final int MAX_DEPTH = 64;
+
   private static final ObjectMapper MAPPER =
       new ObjectMapper(
               JsonFactory.builder()
                   .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                   .streamReadConstraints(
-                      StreamReadConstraints.builder().maxNestingDepth(64).build())
+                      StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build())
                   .build())
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-  static final int MAX_TEXT_LENGTH = 200;
-  private static final double MAX_AMOUNT = 1e9;
-
   private Json() {}
 
+  /** An empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
+  /** Reads one JSON object; duplicate fields and anything after it are errors. */
   public static ObjectNode parseObject(String text) throws InvalidMessageException {
     return parseObject(text.getBytes(StandardCharsets.UTF_8));
   }
 
   /**
-   * @param text UTF-8
+   * Reads one JSON object; duplicate fields and anything after it are errors.
+   *
+   * @param text in UTF-8
    */
   public static ObjectNode parseObject(byte[] text) throws InvalidMessageException {
     JsonNode node;
@@ -59,13 +67,12 @@
     return object;
   }
 
-  /**
-   * For messages that come or go by the hundred: read or written field by field, without a tree.
-   */
+  /** For frequent messages, which are read field by field without a tree. */
   static JsonParser parser(byte[] text) throws IOException {
     return MAPPER.getFactory().createParser(text);
   }
 
+  /** For frequent messages, which are written field by field without a tree. */
   static JsonGenerator generator(Writer to) throws IOException {
     return MAPPER.getFactory().createGenerator(to);
   }
@@ -75,16 +82,17 @@
     try {
       return MAPPER.writeValueAsString(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree of plain values could not be written", e);
+      throw new UncheckedIOException("a tree of plain values could not be written", e);
     }
   }
 
+  /** True if the field is missing or null. */
   public static boolean absent(JsonNode object, String field) {
     JsonNode node = object.get(field);
     return node == null || node.isNull();
   }
 
-  /** A field that must be a text that is not empty. */
+  /** A field that must be a text that is neither empty nor too long. */
   public static String text(JsonNode object, String field) throws InvalidMessageException {
     JsonNode node = object.get(field);
     if (node == null
@@ -97,6 +105,7 @@
     return node.textValue();
   }
 
+  /** The same for a field that may be missing or null, which gives null. */
   public static String textOrNull(JsonNode object, String field) throws InvalidMessageException {
     return absent(object, field) ? null : text(object, field);
   }
@@ -110,7 +119,7 @@
     return node.booleanValue();
   }
 
-  /** A finite amount of at least {@code min}. */
+  /** A field that must be a finite number of at least {@code min}, and not too large. */
   public static double amount(JsonNode object, String field, double min)
       throws InvalidMessageException {
     JsonNode node = object.get(field);
@@ -124,6 +133,7 @@
     return value;
   }
 
+  /** True for a finite number of at least {@code min} that is not too large. */
   static boolean inRange(double value, double min) {
     return Double.isFinite(value) && value >= min && value <= MAX_AMOUNT;
   }
--- a/src/main/java/plumlever/wire/ListedMachine.java
+++ b/src/main/java/plumlever/wire/ListedMachine.java
@@ -2,7 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** A machine of the cloud's list. */
+/**
+ * A machine of the cloud's list.
+ *
+ * @param status as the cloud names it
+ * @param ageS how long ago it was rented
+ */
 public record ListedMachine(
     String id,
     String endpoint,
@@ -11,6 +16,14 @@
     boolean spot,
     String status,
     double ageS) {
+  private static final String FAILED = "failed";
+  private static final String AGE_S = "age_s";
+
+  /** True if the machine has stopped by itself. */
+  public boolean failed() {
+    return status.equals(FAILED);
+  }
+
   /** Reads one entry of the cloud's list. */
   public static ListedMachine parse(JsonNode node) throws InvalidMessageException {
     return new ListedMachine(
@@ -20,6 +33,6 @@
         Json.text(node, ProtocolField.ZONE),
         Json.flag(node, ProtocolField.SPOT),
         Json.text(node, ProtocolField.STATUS),
-        Json.absent(node, "age_s") ? 0 : Json.amount(node, "age_s", 0));
+        Json.absent(node, AGE_S) ? 0 : Json.amount(node, AGE_S, 0));
   }
 }
--- a/src/main/java/plumlever/wire/Priority.java
+++ b/src/main/java/plumlever/wire/Priority.java
@@ -1,10 +1,14 @@
 package plumlever.wire;
 
-/** Priorities, the most urgent first. */
+/** Priorities of jobs, in order, the most urgent first. */
 public enum Priority {
+  /** Production work. */
   PROD("prod"),
+  /** Urgent work. */
   HIGH("high"),
+  /** Ordinary work. */
   STANDARD("standard"),
+  /** Work for otherwise idle capacity. */
   IDLE("idle");
 
   private final String wireName;
@@ -13,11 +17,12 @@
     this.wireName = wireName;
   }
 
+  /** Its name in submissions. */
   public String wireName() {
     return wireName;
   }
 
-  /** By its name in submissions. */
+  /** The priority with that name in submissions. */
   public static Priority of(String name) throws InvalidMessageException {
     for (Priority priority : values()) {
       if (priority.wireName.equals(name)) {
--- a/src/main/java/plumlever/wire/ProtocolPath.java
+++ b/src/main/java/plumlever/wire/ProtocolPath.java
@@ -14,6 +14,7 @@
   /** Whether a controller takes requests. */
   public static final String HEALTH = "/up";
 
+  /** Takes submissions; followed by a job's id, the path of that job. */
   public static final String SUBMISSIONS = "/submissions";
 
   /** Follows a job's path and cancels the job. */
@@ -22,7 +23,10 @@
   /** Machine types and their prices. */
   public static final String MACHINE_TYPES = "/catalog";
 
+  /** Lists the cloud's machines, and rents them. */
   public static final String MACHINES = "/hosts";
+
+  /** Returns machines to the cloud. */
   public static final String RETURN_MACHINES = "/hosts/return";
 
   private ProtocolPath() {}
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -1,18 +1,17 @@
 package plumlever.wire;
 
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
 /**
- * What the owner of a machine passes on to a cell whose tasks may be on it: the machine's own
- * report, with that cell's tasks only.
+ * What the owner of a machine relays to a cell whose tasks may be on it: the machine's own
+ * heartbeat, with that cell's attempts only.
  *
  * @param from the cell that owns the machine
- * @param home the cell whose tasks these are
- * @param number that the owner's commands to the machine carry
- * @param lapsed the owner has proof that the machine's lease lapsed after this heartbeat
+ * @param home the cell whose attempts these are
+ * @param number the term or transfer number that the owner's commands to the machine carry
+ * @param lapsed the owner has proof that the machine's lease expired after this heartbeat
  */
 public record RelayedHeartbeat(
     String from, String home, long number, boolean lapsed, Heartbeat heartbeat) {
@@ -22,7 +21,7 @@
   private static final String LAPSED = "lapsed";
   private static final String HEARTBEAT = "report";
 
-  /** The body of the request. */
+  /** The body of the request: JSON in UTF-8. */
   public byte[] write() {
     ObjectNode object =
         Json.object()
@@ -30,44 +29,19 @@
             .put(HOME, home)
             .put(NUMBER, number)
             .put(LAPSED, lapsed)
-            .set(HEARTBEAT, json(heartbeat));
+            .set(HEARTBEAT, heartbeat.toJson());
     return Json.write(object).getBytes(StandardCharsets.UTF_8);
   }
 
-  private static ObjectNode json(Heartbeat heartbeat) {
-    ObjectNode object =
-        Json.object()
-            .put(ProtocolField.MACHINE_ID, heartbeat.machineId())
-            .put(ProtocolField.ENDPOINT, heartbeat.endpoint())
-            .put(ProtocolField.MACHINE_TYPE, heartbeat.machineType())
-            .put(ProtocolField.ZONE, heartbeat.zone())
-            .put(ProtocolField.SPOT, heartbeat.spot())
-            .put(ProtocolField.INCARNATION, heartbeat.incarnation())
-            .put(ProtocolField.SEQUENCE_NUMBER, heartbeat.sequenceNumber())
-            .put(ProtocolField.FENCING_TOKEN, heartbeat.fencingToken());
-    if (heartbeat.hasPreemptionNotice()) {
-      object.put(ProtocolField.PREEMPTION_NOTICE_S, heartbeat.preemptionNoticeS());
-    }
-    ArrayNode attempts = object.putArray(ProtocolField.ATTEMPTS);
-    for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
-      ObjectNode node =
-          attempts
-              .addObject()
-              .put(ProtocolField.TASK, attempt.task().wireName())
-              .put(ProtocolField.ATTEMPT, attempt.attempt())
-              .put(ProtocolField.STATUS, attempt.state().wireName());
-      if (attempt.cause() != null) {
-        node.put("exit_cause", attempt.cause().wireName()).put("saved", attempt.saved());
-      }
-    }
-    return object;
-  }
-
-  /** Reads the body of such a request. */
+  /**
+   * Reads the body of such a request.
+   *
+   * @param body JSON in UTF-8
+   */
   public static RelayedHeartbeat parse(byte[] body) throws InvalidMessageException {
     ObjectNode object = Json.parseObject(body);
     if (!(object.get(HEARTBEAT) instanceof ObjectNode heartbeat)) {
-      throw new InvalidMessageException("report is missing");
+      throw new InvalidMessageException(HEARTBEAT + " is missing");
     }
     return new RelayedHeartbeat(
         Json.text(object, FROM),
@@ -77,7 +51,7 @@
         Heartbeat.parse(Json.write(heartbeat).getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** The same with the tasks that are given. */
+  /** The same heartbeat with other attempts. */
   public static Heartbeat withAttempts(
       Heartbeat heartbeat, List<Heartbeat.AttemptStatus> attempts) {
     return new Heartbeat(
--- a/src/main/java/plumlever/wire/TaskName.java
+++ b/src/main/java/plumlever/wire/TaskName.java
@@ -1,8 +1,13 @@
 package plumlever.wire;
 
-/** Task {@code number} of job {@code job}; on the wire {@code job-000412/3}. */
+/**
+ * The name of a task, such as {@code job-000412/3}.
+ *
+ * @param job the id of its job
+ * @param number of the task within the job, from 0 on
+ */
 public record TaskName(String job, int number) {
-  /** Reads a task's name, such as {@code job-000412/3}. */
+  /** Reads a name as {@link #wireName} writes it. */
   public static TaskName of(String text) throws InvalidMessageException {
     int slash = text.lastIndexOf('/');
     if (slash <= 0 || slash == text.length() - 1) {
@@ -19,6 +24,7 @@
     }
   }
 
+  /** The name as messages and logs have it. */
   public String wireName() {
     return job + "/" + number;
   }
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -4,17 +4,27 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.io.StringWriter;
+import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
 
-/** A command to a worker. */
+/**
+ * A command to a worker.
+ *
+ * @param attempt the number of the attempt that it is about
+ * @param gracePeriodS how long the attempt may save its work before it is ended; of use for {@link
+ *     CommandType#STOP} only
+ */
 public record WorkerCommand(CommandType type, TaskName task, long attempt, double gracePeriodS) {
-  private static final int USUAL_LETTERS = 64;
+  private static final int USUAL_LENGTH = 64;
 
-  /** Commands, by their names on the wire. */
+  /** What is to be done with an attempt. */
   public enum CommandType {
+    /** Start it. */
     RUN("run"),
+    /** Let it save its work for the grace period, then end it. */
     STOP("halt"),
+    /** Forget the ended attempt. */
     REMOVE("reap");
 
     private final String wireName;
@@ -22,21 +32,33 @@
     CommandType(String wireName) {
       this.wireName = wireName;
     }
+
+    private static CommandType of(String name) throws InvalidMessageException {
+      for (CommandType type : values()) {
+        if (type.wireName.equals(name)) {
+          return type;
+        }
+      }
+      throw new InvalidMessageException(ProtocolField.COMMAND_TYPE + " is unknown: " + name);
+    }
   }
 
+  /** Starts an attempt. */
   public static WorkerCommand run(TaskName task, long attempt) {
     return new WorkerCommand(CommandType.RUN, task, attempt, 0);
   }
 
+  /** Stops an attempt after the grace period at the latest. */
   public static WorkerCommand stop(TaskName task, long attempt, double gracePeriodS) {
     return new WorkerCommand(CommandType.STOP, task, attempt, gracePeriodS);
   }
 
+  /** Removes an attempt that has ended. */
   public static WorkerCommand remove(TaskName task, long attempt) {
     return new WorkerCommand(CommandType.REMOVE, task, attempt, 0);
   }
 
-  /** The body of an answer to what another cell has passed on; it goes to no worker. */
+  /** The body of an answer to a heartbeat that another cell relayed; it goes to no worker. */
   public static String relayed(List<WorkerCommand> commands) {
     return body(0, 0, commands);
   }
@@ -51,28 +73,26 @@
     return body(token, incarnation, commands);
   }
 
-  /** The commands that an answer holds. */
+  /**
+   * Reads the commands of an answer.
+   *
+   * @param body JSON in UTF-8
+   */
   public static List<WorkerCommand> parseAnswer(byte[] body) throws InvalidMessageException {
     List<WorkerCommand> commands = new ArrayList<>();
     for (JsonNode node : Json.parseObject(body).path(ProtocolField.COMMANDS)) {
       TaskName task = TaskName.of(Json.text(node, ProtocolField.TASK));
       long attempt = Json.whole(node, ProtocolField.ATTEMPT, 0, Long.MAX_VALUE);
-      String type = Json.text(node, ProtocolField.COMMAND_TYPE);
-      if (type.equals(CommandType.STOP.wireName)) {
-        commands.add(stop(task, attempt, Json.amount(node, ProtocolField.GRACE_PERIOD_S, 0)));
-      } else if (type.equals(CommandType.REMOVE.wireName)) {
-        commands.add(remove(task, attempt));
-      } else if (type.equals(CommandType.RUN.wireName)) {
-        commands.add(run(task, attempt));
-      } else {
-        throw new InvalidMessageException(ProtocolField.COMMAND_TYPE + " is unknown: " + type);
-      }
+      CommandType type = CommandType.of(Json.text(node, ProtocolField.COMMAND_TYPE));
+      double gracePeriodS =
+          type == CommandType.STOP ? Json.amount(node, ProtocolField.GRACE_PERIOD_S, 0) : 0;
+      commands.add(new WorkerCommand(type, task, attempt, gracePeriodS));
     }
     return commands;
   }
 
   private static String body(long token, long incarnation, List<WorkerCommand> commands) {
-    StringWriter out = new StringWriter(USUAL_LETTERS);
+    StringWriter out = new StringWriter(USUAL_LENGTH);
     try (JsonGenerator generator = Json.generator(out)) {
       generator.writeStartObject();
       generator.writeNumberField(ProtocolField.FENCING_TOKEN, token);
@@ -81,20 +101,24 @@
       }
       generator.writeArrayFieldStart(ProtocolField.COMMANDS);
       for (WorkerCommand command : commands) {
-        generator.writeStartObject();
-        generator.writeStringField(ProtocolField.COMMAND_TYPE, command.type.wireName);
-        generator.writeStringField(ProtocolField.TASK, command.task.wireName());
-        generator.writeNumberField(ProtocolField.ATTEMPT, command.attempt);
-        if (command.type == CommandType.STOP) {
-          generator.writeNumberField(ProtocolField.GRACE_PERIOD_S, command.gracePeriodS);
-        }
-        generator.writeEndObject();
+        command.write(generator);
       }
       generator.writeEndArray();
       generator.writeEndObject();
     } catch (IOException e) {
-      throw new IllegalStateException("plain values could not be written to memory", e);
+      throw new UncheckedIOException("plain values could not be written to memory", e);
     }
     return out.toString();
   }
+
+  private void write(JsonGenerator generator) throws IOException {
+    generator.writeStartObject();
+    generator.writeStringField(ProtocolField.COMMAND_TYPE, type.wireName);
+    generator.writeStringField(ProtocolField.TASK, task.wireName());
+    generator.writeNumberField(ProtocolField.ATTEMPT, attempt);
+    if (type == CommandType.STOP) {
+      generator.writeNumberField(ProtocolField.GRACE_PERIOD_S, gracePeriodS);
+    }
+    generator.writeEndObject();
+  }
 }
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -1,36 +1,64 @@
 package plumlever.wire;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Messages: what is read, and what is refused. */
+/** Messages: what is read and written, and what is refused. */
 final class WireTest {
-  static final String GOOD =
+  private static final String SUBMISSION =
       "{\"uid\":\"job-000412\",\"jobclass\":\"train\",\"owner\":\"vision\",\"shape\":\"sweep\","
           + "\"urgency\":\"high\",\"pieces\":16,\"cores\":8.0,\"accelerators\":1.0,\"memory_gb\":64.0,\"bundle\":\"img-07\","
           + "\"image_gb\":6.2,\"flavors\":[\"g8\"],\"site\":null,\"one_zone\":true,\"spread\":false,\"loaners\":true,"
           + "\"expect_s\":240.0,\"snapshot_every_s\":30.0,\"snapshot_s\":4.0,\"due_s\":900.0,\"new_field\":1}";
 
+  private static final String HEARTBEAT =
+      "{\"host\":\"i-1\",\"endpoint\":\"h:1\",\"flavor\":\"g8\",\"site\":\"a\",\"loaners\":true,"
+          + "\"tenure\":1,\"new\":{\"x\":[1,{\"host\":2}]},\"tick\":88,\"baton\":41,\"reclaim_in_s\":null,\"pieces\":[{\"piece\":\"job-1/3\","
+          + "\"try\":2,\"status\":\"running\",\"more\":[[]]},{\"piece\":\"job-1/4\",\"try\":3,\"status\":\"ended\","
+          + "\"exit_cause\":\"halted\",\"saved\":true}]}";
+
+  private static JobSpec job(String text) throws InvalidMessageException {
+    return JobSpec.parse(Json.parseObject(text));
+  }
+
+  private static Heartbeat heartbeat(String text) throws InvalidMessageException {
+    return Heartbeat.parse(text.getBytes(StandardCharsets.UTF_8));
+  }
+
   @Test
-  void readsASubmissionAndWritesItBack() throws InvalidMessageException {
-    JobSpec job = JobSpec.parse(Json.parseObject(GOOD));
+  void readsASubmission() throws InvalidMessageException {
+    JobSpec job = job(SUBMISSION);
+
     assertEquals(16, job.taskCount());
     assertNull(job.zone());
+  }
+
+  @Test
+  void aSubmissionThatIsWrittenAndReadIsTheSame() throws InvalidMessageException {
+    JobSpec job = job(SUBMISSION);
+
     assertEquals(job, JobSpec.parse(job.toJson()));
-    assertEquals(
-        5,
-        JobSpec.parse(
-                Json.parseObject(
-                    GOOD.replace("\"pieces\":16", "\"pieces\":9")
-                        .replace("\"spread\":false", "\"spread\":true")))
-            .maxTasksPerZone());
+  }
+
+  @Test
+  void halfOfTheTasksOfASpreadJobRoundedUpMayBeInAZone() throws InvalidMessageException {
+    JobSpec job =
+        job(
+            SUBMISSION
+                .replace("\"pieces\":16", "\"pieces\":9")
+                .replace("\"spread\":false", "\"spread\":true"));
+
+    assertEquals(5, job.maxTasksPerZone());
   }
 
   @ParameterizedTest
@@ -56,10 +84,10 @@
         "\"expect_s\":240.0|\"expect_s\":1e400",
         "\"site\":null|\"site\":7"
       })
-  void refusesBadFields(String good, String bad) {
-    String text = GOOD.replace(good, bad == null ? "" : bad);
-    assertTrue(!text.equals(GOOD));
-    assertThrows(InvalidMessageException.class, () -> JobSpec.parse(Json.parseObject(text)));
+  void refusesASubmissionWithABadField(String good, String bad) {
+    String text = SUBMISSION.replace(good, bad == null ? "" : bad);
+    assertNotEquals(SUBMISSION, text);
+    assertThrows(InvalidMessageException.class, () -> job(text));
   }
 
   @Test
@@ -70,42 +98,77 @@
   }
 
   @Test
-  void readsAHeartbeatAndWritesCommands() throws InvalidMessageException {
+  void anUnknownExitCauseIsReadAsOther() throws InvalidMessageException {
     Heartbeat heartbeat =
-        Heartbeat.parse(
-            ("{\"host\":\"i-1\",\"endpoint\":\"h:1\",\"flavor\":\"g8\",\"site\":\"a\",\"loaners\":true,"
-                 + "\"tenure\":1,\"tick\":88,\"baton\":41,\"reclaim_in_s\":null,\"pieces\":[{\"piece\":\"job-1/3\",\"try\":2,\"status\":\"ended\",\"exit_cause\":\"something"
-                 + " new\"}]}")
-                .getBytes(java.nio.charset.StandardCharsets.UTF_8));
-    assertEquals(ExitCause.OTHER, heartbeat.attempts().get(0).cause());
-    assertTrue(
-        !heartbeat.hasPreemptionNotice()
-            && heartbeat.isNewerThan(1, 87)
-            && !heartbeat.isNewerThan(2, 1)
-            && !heartbeat.isNewerThan(1, 88));
+        heartbeat(
+            HEARTBEAT.replace("\"exit_cause\":\"halted\"", "\"exit_cause\":\"something new\""));
+
+    assertEquals(ExitCause.OTHER, heartbeat.attempts().get(1).cause());
+  }
+
+  @Test
+  void aHeartbeatIsNewerByIncarnationAndThenBySequenceNumber() throws InvalidMessageException {
+    Heartbeat heartbeat = heartbeat(HEARTBEAT);
+
+    assertTrue(heartbeat.isNewerThan(1, 87));
+    assertFalse(heartbeat.isNewerThan(1, 88));
+    assertFalse(heartbeat.isNewerThan(2, 1));
+  }
+
+  @Test
+  void aHeartbeatWithoutTimeOfPreemptionHasNoNotice() throws InvalidMessageException {
+    assertFalse(heartbeat(HEARTBEAT).hasPreemptionNotice());
+  }
+
+  @Test
+  void writesTheAnswerToAHeartbeat() {
     assertEquals(
         "{\"baton\":41,\"orders\":[{\"verb\":\"halt\",\"piece\":\"job-1/3\",\"try\":2,\"wind_down_s\":10.0}]}",
         WorkerCommand.answer(41, List.of(WorkerCommand.stop(new TaskName("job-1", 3), 2, 10))));
+  }
+
+  @Test
+  void commandsThatAreWrittenAndReadAreTheSame() throws InvalidMessageException {
+    TaskName task = new TaskName("job-1", 3);
+    List<WorkerCommand> commands =
+        List.of(
+            WorkerCommand.run(task, 4),
+            WorkerCommand.stop(task, 2, 10),
+            WorkerCommand.remove(task, 1));
+
+    assertEquals(
+        commands,
+        WorkerCommand.parseAnswer(
+            WorkerCommand.answer(41, commands).getBytes(StandardCharsets.UTF_8)));
+  }
+
+  @Test
+  void refusesAnUnknownCommand() {
+    String body = "{\"baton\":41,\"orders\":[{\"verb\":\"jump\",\"piece\":\"job-1/3\",\"try\":2}]}";
+
+    assertThrows(
+        InvalidMessageException.class,
+        () -> WorkerCommand.parseAnswer(body.getBytes(StandardCharsets.UTF_8)));
+  }
+
+  @Test
+  void refusesANegativeTaskNumber() {
     assertThrows(InvalidMessageException.class, () -> TaskName.of("job-1/-3"));
   }
 
-  private static final String HEARTBEAT =
-      "{\"host\":\"i-1\",\"endpoint\":\"h:1\",\"flavor\":\"g8\",\"site\":\"a\",\"loaners\":true,"
-          + "\"tenure\":1,\"new\":{\"x\":[1,{\"host\":2}]},\"tick\":88,\"baton\":41,\"reclaim_in_s\":null,\"pieces\":[{\"piece\":\"job-1/3\","
-          + "\"try\":2,\"status\":\"running\",\"more\":[[]]},{\"piece\":\"job-1/4\",\"try\":3,\"status\":\"ended\","
-          + "\"exit_cause\":\"halted\",\"saved\":true}]}";
+  @Test
+  void machineTypesThatAreWrittenAndReadAreTheSame() throws InvalidMessageException {
+    List<MachineType> machineTypes =
+        List.of(
+            new MachineType("g8", 8, 1, 64, 50, 0.5, 2, 0.7, 30, List.of("a", "b")),
+            new MachineType("owned", 4, 0, 16, 20, 0, 0.1, 0.1, 5, List.of()));
 
-  private static Heartbeat heartbeat(String text) throws InvalidMessageException {
-    return Heartbeat.parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+    assertEquals(machineTypes, MachineType.parseCatalog(MachineType.writeCatalog(machineTypes)));
   }
 
-  /**
-   * Heartbeats are read field by field: what they say must not hang on fields this version does not
-   * know, nor on their order.
-   */
+  /** Heartbeats are read field by field: unknown fields and the order must make no difference. */
   @Test
-  void readsAHeartbeatWhateverElseIsInIt() throws InvalidMessageException {
-    Heartbeat otherHeartbeat = heartbeat(HEARTBEAT);
+  void readsAHeartbeatWithUnknownFields() throws InvalidMessageException {
     assertEquals(
         new Heartbeat(
             "i-1",
@@ -122,11 +185,19 @@
                     new TaskName("job-1", 3), 2, AttemptState.RUNNING, null, false),
                 new Heartbeat.AttemptStatus(
                     new TaskName("job-1", 4), 3, AttemptState.ENDED, ExitCause.STOPPED, true))),
-        otherHeartbeat);
+        heartbeat(HEARTBEAT));
+  }
+
+  @Test
+  void readsAPreemptionNotice() throws InvalidMessageException {
     assertEquals(
         3.5,
         heartbeat(HEARTBEAT.replace("\"reclaim_in_s\":null", "\"reclaim_in_s\":3.5"))
             .preemptionNoticeS());
+  }
+
+  @Test
+  void aHeartbeatWithoutAttemptsHasNone() throws InvalidMessageException {
     assertEquals(List.of(), heartbeat(HEARTBEAT.replaceAll(",\"pieces\".*", "}")).attempts());
   }
 
@@ -154,9 +225,9 @@
         "\"pieces\":[|\"pieces\":[7,",
         "\"piece\":\"job-1/3\"|\"piece\":\"job-1\""
       })
-  void refusesABadHeartbeat(String good, String bad) {
+  void refusesAHeartbeatWithABadField(String good, String bad) {
     String text = HEARTBEAT.replace(good, bad == null ? "" : bad);
-    assertTrue(!text.equals(HEARTBEAT));
+    assertNotEquals(HEARTBEAT, text);
     assertThrows(InvalidMessageException.class, () -> heartbeat(text));
   }
 
