--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -5,9 +5,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -25,44 +26,54 @@
 import plumlever.wire.ProtocolField;
 import plumlever.wire.ProtocolPath;
 
-/** The cloud's client. Answers that can't be understood count as no answer. */
+/**
+ * The cloud's client. An answer that is not understood counts as no answer. Each call takes a
+ * callback, which runs once, on the loop.
+ */
 public final class CloudClient {
-  /** What became of a rental request. */
-  public enum RentalOutcome {
-    RENTED,
-    NO_CAPACITY,
-    REFUSED,
-    UNKNOWN
-  }
-
-  /** Takes the answer to a rental request; {@code machineIds} is empty unless it was filled. */
-  public interface RentalListener {
-    void onAnswer(RentalOutcome outcome, List<String> machineIds);
-  }
-
+  /** Machines that one rental request may ask for. */
   public static final int MAX_MACHINES_PER_RENTAL = 50;
+
+  /** Machines that one return request may name. */
   public static final int MAX_MACHINES_PER_RETURN = 100;
 
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
   private static final long TIMEOUT_MICROS = 4_000_000;
-  private static final int PAGE = 500;
-  private static final double PART = 0.8;
+  private static final int MACHINES_PER_PAGE = 500;
+
+  /** Part of the rate limit that is used. */
+  private static final double RATE_SHARE = 0.8;
 
   /**
-   * Pause before the next page of a list goes out that was over the rate: a list of thousands of
-   * machines has more pages than the rate allows at once.
+   * Pause before a page of a list that would exceed the rate: a list of thousands of machines has
+   * more pages than the rate allows at once.
    */
   private static final long PAGE_PAUSE_MICROS = 400_000;
 
   /** Requests left to rentals and returns while a list is read. */
-  private static final double LEFT_TO_OTHERS = 2;
+  private static final double REQUESTS_LEFT_TO_OTHERS = 2;
+
+  private static final String NO_CAPACITY_TEXT = "capacity";
+
+  /** An answer, with its body where that is a JSON object and of use for the status. */
+  private record Response(int status, Optional<ObjectNode> body) {
+    private boolean hasMachineIds() {
+      return status == HttpStatus.OK
+          && body.isPresent()
+          && body.get().path(ProtocolField.MACHINE_IDS).isArray();
+    }
+
+    private JsonNode machineIds() {
+      return body.orElseThrow().get(ProtocolField.MACHINE_IDS);
+    }
+  }
 
   private final Loop loop;
   private final Caller caller;
   private final Endpoint endpoint;
   private final Metrics metrics;
   private final TokenBucket requests;
-  private final Map<String, Long> surprises = new HashMap<>();
+  private final Set<String> warnedOf = new HashSet<>();
 
   /** A client that keeps within the cloud's rate limit. */
   public CloudClient(
@@ -75,110 +86,132 @@
     this.loop = loop;
     this.caller = caller;
     this.endpoint = endpoint;
-    this.requests = new TokenBucket(limits.rps() * PART, loop.nowMicros());
+    this.requests = new TokenBucket(limits.rps() * RATE_SHARE, loop.nowMicros());
   }
 
   /**
-   * @param then takes null when the catalogue can't be had now
+   * Reads the machine types with their prices.
+   *
+   * @param callback takes nothing where they can't be had now
    */
-  public void listMachineTypes(Consumer<List<MachineType>> then) {
+  public void listMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
     send(
         "GET",
         ProtocolPath.MACHINE_TYPES,
         null,
-        (status, o) -> {
-          List<MachineType> machineTypes = null;
-          if (status == HttpStatus.OK && o != null) {
-            try {
-              machineTypes = MachineType.parseCatalog(o);
-            } catch (InvalidMessageException e) {
-              warnOnce("catalog", e.getMessage());
-            }
-          }
-          then.accept(machineTypes);
-        });
+        response -> callback.accept(machineTypes(response)));
+  }
+
+  private Optional<List<MachineType>> machineTypes(Response response) {
+    if (response.status() != HttpStatus.OK || response.body().isEmpty()) {
+      return Optional.empty();
+    }
+    try {
+      return Optional.of(MachineType.parseCatalog(response.body().get()));
+    } catch (InvalidMessageException e) {
+      warnOnce("machine types", e.getMessage());
+      return Optional.empty();
+    }
   }
 
   /**
-   * @param then takes null when the list can't be had whole
+   * Reads the list of all machines, page by page.
+   *
+   * @param callback takes nothing where the list can't be had whole
    */
-  public void listMachines(Consumer<List<ListedMachine>> then) {
-    page(null, new ArrayList<>(), then);
+  public void listMachines(Consumer<Optional<List<ListedMachine>>> callback) {
+    readPage("", new ArrayList<>(), callback);
   }
 
-  private void page(String since, List<ListedMachine> into, Consumer<List<ListedMachine>> then) {
-    if (since != null && !requests.has(1 + LEFT_TO_OTHERS, loop.nowMicros())) {
-      loop.after(PAGE_PAUSE_MICROS, () -> page(since, into, then));
+  /**
+   * @param lastId the last machine of the page before; empty for the first page
+   */
+  private void readPage(
+      String lastId,
+      List<ListedMachine> machines,
+      Consumer<Optional<List<ListedMachine>>> callback) {
+    if (!lastId.isEmpty() && !requests.has(1 + REQUESTS_LEFT_TO_OTHERS, loop.nowMicros())) {
+      loop.after(PAGE_PAUSE_MICROS, () -> readPage(lastId, machines, callback));
       return;
     }
     send(
         "GET",
-        ProtocolPath.MACHINES + "?page=" + PAGE + (since == null ? "" : "&since=" + since),
+        ProtocolPath.MACHINES
+            + "?page="
+            + MACHINES_PER_PAGE
+            + (lastId.isEmpty() ? "" : "&since=" + lastId),
         null,
-        (status, o) -> {
-          if (status != HttpStatus.OK
-              || o == null
-              || !o.path(ProtocolField.MACHINE_IDS).isArray()) {
-            then.accept(null);
-            return;
-          }
-          String last = null;
-          try {
-            for (JsonNode node : o.get(ProtocolField.MACHINE_IDS)) {
-              ListedMachine listedMachine = ListedMachine.parse(node);
-              last = listedMachine.id();
-              into.add(listedMachine);
-            }
-          } catch (InvalidMessageException e) {
-            warnOnce(ProtocolField.MACHINE_IDS, e.getMessage());
-            then.accept(null);
-            return;
-          }
-          if (o.path("more").asBoolean(false) && last != null) {
-            page(last, into, then);
-          } else {
-            then.accept(into);
-          }
-        });
+        response -> takePage(response, machines, callback));
   }
 
-  /** Rents machines of one kind under a request name that is never used for anything else. */
-  public void rentMachines(
-      String name, String machineType, String zone, boolean spot, int count, RentalListener then) {
+  private void takePage(
+      Response response,
+      List<ListedMachine> machines,
+      Consumer<Optional<List<ListedMachine>>> callback) {
+    if (!response.hasMachineIds()) {
+      callback.accept(Optional.empty());
+      return;
+    }
+    String lastId = "";
+    try {
+      for (JsonNode node : response.machineIds()) {
+        ListedMachine machine = ListedMachine.parse(node);
+        lastId = machine.id();
+        machines.add(machine);
+      }
+    } catch (InvalidMessageException e) {
+      warnOnce("machine list", e.getMessage());
+      callback.accept(Optional.empty());
+      return;
+    }
+    boolean more = response.body().orElseThrow().path("more").asBoolean(false);
+    if (more && !lastId.isEmpty()) {
+      readPage(lastId, machines, callback);
+    } else {
+      callback.accept(Optional.of(machines));
+    }
+  }
+
+  /** Rents machines; a request whose outcome is unknown is to be repeated with the same id. */
+  public void rentMachines(RentalRequest request, Consumer<RentalResult> callback) {
     ObjectNode body =
         Json.object()
-            .put(ProtocolField.RENTAL_REQUEST, name)
-            .put(ProtocolField.MACHINE_TYPE, machineType)
-            .put(ProtocolField.ZONE, zone)
-            .put(ProtocolField.SPOT, spot)
-            .put(ProtocolField.COUNT, count);
-    send(
-        "POST",
-        ProtocolPath.MACHINES,
-        body,
-        (status, o) -> {
-          List<String> machineIds = new ArrayList<>();
-          if (status == HttpStatus.OK && o != null && o.path(ProtocolField.MACHINE_IDS).isArray()) {
-            o.get(ProtocolField.MACHINE_IDS).forEach(h -> machineIds.add(h.asText()));
-            then.onAnswer(RentalOutcome.RENTED, machineIds);
-          } else if (status == HttpStatus.UNAVAILABLE
-              && o != null
-              && o.path("error").asText().contains("capacity")) {
-            then.onAnswer(RentalOutcome.NO_CAPACITY, machineIds);
-          } else if (status == HttpStatus.UNAVAILABLE
-              || status == HttpStatus.TOO_MANY_REQUESTS
-              || status == HttpStatus.BAD_REQUEST) {
-            then.onAnswer(RentalOutcome.REFUSED, machineIds);
-          } else {
-            then.onAnswer(RentalOutcome.UNKNOWN, machineIds);
-          }
+            .put(ProtocolField.RENTAL_REQUEST, request.id())
+            .put(ProtocolField.MACHINE_TYPE, request.machineType())
+            .put(ProtocolField.ZONE, request.zone())
+            .put(ProtocolField.SPOT, request.spot())
+            .put(ProtocolField.COUNT, request.count());
+    send("POST", ProtocolPath.MACHINES, body, response -> callback.accept(rentalResult(response)));
+  }
+
+  private static RentalResult rentalResult(Response response) {
+    if (response.hasMachineIds()) {
+      List<String> machineIds = new ArrayList<>();
+      response.machineIds().forEach(id -> machineIds.add(id.asText()));
+      return RentalResult.rented(machineIds);
+    }
+    return RentalResult.without(
+        switch (response.status()) {
+          case HttpStatus.UNAVAILABLE ->
+              tellsOfNoCapacity(response)
+                  ? RentalResult.Outcome.NO_CAPACITY
+                  : RentalResult.Outcome.REFUSED;
+          case HttpStatus.TOO_MANY_REQUESTS, HttpStatus.BAD_REQUEST -> RentalResult.Outcome.REFUSED;
+          default -> RentalResult.Outcome.UNKNOWN;
         });
   }
 
+  private static boolean tellsOfNoCapacity(Response response) {
+    return response.body().isPresent()
+        && response.body().get().path("error").asText().contains(NO_CAPACITY_TEXT);
+  }
+
   /**
-   * @param then takes true when the machines are surely gone
+   * Returns machines.
+   *
+   * @param callback takes true when the machines are surely gone, false when that is not known
    */
-  public void returnMachines(List<String> machineIds, Consumer<Boolean> then) {
+  public void returnMachines(List<String> machineIds, Consumer<Boolean> callback) {
     ObjectNode body = Json.object();
     ArrayNode names = body.putArray(ProtocolField.MACHINE_IDS);
     machineIds.forEach(names::add);
@@ -186,17 +219,15 @@
         "POST",
         ProtocolPath.RETURN_MACHINES,
         body,
-        (status, o) -> then.accept(status == HttpStatus.OK));
-  }
-
-  private interface Parsed {
-    void take(int status, ObjectNode body);
+        response -> callback.accept(response.status() == HttpStatus.OK));
   }
 
-  private void send(String method, String path, JsonNode body, Parsed then) {
+  /** Sends a request; one that would exceed the rate is answered as the cloud would refuse it. */
+  private void send(String method, String path, JsonNode body, Consumer<Response> callback) {
     if (!requests.take(1, loop.nowMicros())) {
       metrics.countRefusal("cloud", HttpStatus.TOO_MANY_REQUESTS);
-      loop.after(0, () -> then.take(HttpStatus.TOO_MANY_REQUESTS, null));
+      loop.after(
+          0, () -> callback.accept(new Response(HttpStatus.TOO_MANY_REQUESTS, Optional.empty())));
       return;
     }
     byte[] bytes = body == null ? null : Json.write(body).getBytes(StandardCharsets.UTF_8);
@@ -208,24 +239,28 @@
         TIMEOUT_MICROS,
         (status, data) -> {
           metrics.countRefusal("cloud", status);
-          ObjectNode parsed = null;
-          if (data.length > 0 && (status == HttpStatus.OK || status == HttpStatus.UNAVAILABLE)) {
-            try {
-              parsed = Json.parseObject(data);
-            } catch (InvalidMessageException e) {
-              warnOnce(path, e.getMessage());
-            }
-          }
           if (status == HttpStatus.BAD_REQUEST) {
             warnOnce(path, new String(data, StandardCharsets.UTF_8));
           }
-          then.take(status, parsed);
+          callback.accept(new Response(status, parsedBody(path, status, data)));
         });
   }
 
-  private void warnOnce(String kind, String what) {
-    if (surprises.merge(kind, 1L, Long::sum) == 1) {
-      LOG.warn("cloud gave a surprising answer to {}: {}", kind, what);
+  private Optional<ObjectNode> parsedBody(String path, int status, byte[] data) {
+    if (data.length == 0 || (status != HttpStatus.OK && status != HttpStatus.UNAVAILABLE)) {
+      return Optional.empty();
+    }
+    try {
+      return Optional.of(Json.parseObject(data));
+    } catch (InvalidMessageException e) {
+      warnOnce(path, e.getMessage());
+      return Optional.empty();
+    }
+  }
+
+  private void warnOnce(String subject, String reason) {
+    if (warnedOf.add(subject)) {
+      LOG.warn("the cloud's answer to a request for {} is not understood: {}", subject, reason);
     }
   }
 }
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -1,7 +1,6 @@
 package plumlever.cloud;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.slf4j.Logger;
@@ -12,16 +11,17 @@
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.InvalidMessageException;
-import plumlever.wire.Json;
 import plumlever.wire.MachineType;
-import plumlever.wire.ProtocolField;
 
 /**
- * Learns the machine types once: from the cloud, which are then stored, or from what was last
+ * Loads the machine types once: from the cloud, after which they are stored, or from what was last
  * stored while the cloud does not answer.
  */
 public final class MachineTypeRefresh {
-  private static final long RETRY_MICROS = 1_500_000;
+  /** The pause of a recurring task that has nothing more to do. */
+  private static final long FINISHED = -1;
+
+  private static final long RETRY_INTERVAL_MICROS = 1_500_000;
 
   private final Logger log;
   private final Loop loop;
@@ -29,7 +29,7 @@
   private final StateClient store;
   private final PriceBook prices;
 
-  /** Fills the price book by these clients. */
+  /** Fills the price book from the cloud or the state service. */
   public MachineTypeRefresh(
       Loop loop, CloudClient cloud, StateClient store, PriceBook prices, Logs logs) {
     this.log = logs.of(MachineTypeRefresh.class);
@@ -39,25 +39,23 @@
     this.prices = prices;
   }
 
-  /** Asks until the types are known. */
+  /** Asks until the machine types are known. */
   public RecurringTask task() {
     return new RecurringTask("machine types", loop, this::refresh);
   }
 
   private long refresh() {
     if (prices.isLoaded()) {
-      return -1;
+      return FINISHED;
     }
     cloud.listMachineTypes(
-        machineTypes -> {
-          if (machineTypes != null) {
-            prices.update(machineTypes);
-            storeOnce(machineTypes);
-          } else {
-            readStored();
-          }
-        });
-    return RETRY_MICROS;
+        machineTypes -> machineTypes.ifPresentOrElse(this::takeFromCloud, this::readStored));
+    return RETRY_INTERVAL_MICROS;
+  }
+
+  private void takeFromCloud(List<MachineType> machineTypes) {
+    prices.update(machineTypes);
+    storeIfAbsent(machineTypes);
   }
 
   private void readStored() {
@@ -66,24 +64,24 @@
         StateClient.RequestPriority.ORDINARY,
         got -> {
           if (got.found() && !prices.isLoaded()) {
-            take(got.item().data());
+            takeStored(got.item().data());
           }
         });
   }
 
-  private void take(JsonNode stored) {
+  private void takeStored(JsonNode stored) {
     if (!(stored instanceof ObjectNode catalog)) {
       return;
     }
     try {
       prices.update(MachineType.parseCatalog(catalog));
-      log.info("machine types taken from the state service, the cloud does not answer");
+      log.info("machine types are read from the state service, the cloud does not answer");
     } catch (InvalidMessageException e) {
-      log.warn("the stored machine types can't be read: {}", e.getMessage());
+      log.warn("the stored machine types are invalid: {}", e.getMessage());
     }
   }
 
-  private void storeOnce(List<MachineType> machineTypes) {
+  private void storeIfAbsent(List<MachineType> machineTypes) {
     store.get(
         JobStore.CATALOG,
         StateClient.RequestPriority.ORDINARY,
@@ -92,30 +90,10 @@
             store.transaction(
                 new Transaction()
                     .require(JobStore.CATALOG, 0)
-                    .put(JobStore.CATALOG, record(machineTypes)),
+                    .put(JobStore.CATALOG, MachineType.writeCatalog(machineTypes)),
                 StateClient.RequestPriority.ORDINARY,
                 result -> log.debug("machine types stored: {}", result.outcome()));
           }
         });
   }
-
-  private static ObjectNode record(List<MachineType> machineTypes) {
-    ObjectNode catalog = Json.object();
-    ArrayNode array = catalog.putArray(ProtocolField.MACHINE_TYPES);
-    for (MachineType machineType : machineTypes) {
-      ObjectNode type = array.addObject();
-      type.put(ProtocolField.MACHINE_TYPE_NAME, machineType.name())
-          .put("cores", machineType.cores())
-          .put("accelerators", machineType.accelerators())
-          .put("memory_gb", machineType.memoryGb())
-          .put("cache_gb", machineType.cacheGb())
-          .put("fetch_gb_per_s", machineType.fetchGbPerS())
-          .put("hourly", machineType.hourlyPrice())
-          .put(ProtocolField.SPOT_PRICE, machineType.spotPrice())
-          .put("startup_s", machineType.startupS());
-      ArrayNode zones = type.putArray(ProtocolField.ZONES);
-      machineType.zones().forEach(zones::add);
-    }
-    return catalog;
-  }
 }
--- a/src/main/java/plumlever/cloud/package-info.java
+++ b/src/main/java/plumlever/cloud/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The cloud's client and the machine types with their current prices.
+ * The cloud's client, and the machine types with their current prices.
  *
- * <p>Decides nothing about what to rent.
+ * <p>It keeps the cloud's rate limit and decides nothing about what to rent or return. It must not
+ * know who leads.
  */
 package plumlever.cloud;
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -190,7 +190,7 @@
     scope.own(commands::close);
     scope.own(registry::close);
     scope.own(lists::close);
-    scope.own(new RecurringTask("machine records", context.loop(), registry::flush)).start();
+    scope.own(new RecurringTask("machine records", context.loop(), registry::compact)).start();
     scope.own(new RecurringTask("started jobs", context.loop(), startedJobs::tidy)).start();
     scope.own(new RecurringTask("progress", context.loop(), progress::write)).start();
     scope.own(new RecurringTask("machines", context.loop(), machines::runOnce)).start();
--- /dev/null
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -0,0 +1,109 @@
+package plumlever.leader.machine;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Predicate;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.context.MachineSharing;
+import plumlever.wire.ListedMachine;
+import plumlever.wire.MachineType;
+
+/** Reads the cloud's list of machines, and its machine types with their prices, at intervals. */
+final class CloudInventory {
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final long LIST_INTERVAL_MICROS = 6_000_000;
+  private static final long MACHINE_TYPES_INTERVAL_MICROS = 30_000_000;
+
+  private final Context context;
+  private final Fleet fleet;
+  private final MachineSharing sharing;
+  private final Predicate<String> isReturned;
+  private final Runnable changed;
+  private long listedMicros;
+  private long machineTypesReadMicros;
+  private boolean listing;
+  private boolean readingMachineTypes;
+  private boolean closed;
+
+  /**
+   * @param isReturned tells of a machine's name whether it was returned: the list lags
+   * @param changed runs when something changed that placement depends on
+   */
+  CloudInventory(
+      Context context,
+      Fleet fleet,
+      MachineSharing sharing,
+      Predicate<String> isReturned,
+      Runnable changed) {
+    this.context = context;
+    this.fleet = fleet;
+    this.sharing = sharing;
+    this.isReturned = isReturned;
+    this.changed = changed;
+  }
+
+  /** Reads what is due. */
+  void refresh(long now) {
+    if (!listing && now - listedMicros >= LIST_INTERVAL_MICROS) {
+      listing = true;
+      context.cloud().listMachines(this::takeMachines);
+    }
+    if (!readingMachineTypes && now - machineTypesReadMicros >= MACHINE_TYPES_INTERVAL_MICROS) {
+      readingMachineTypes = true;
+      context.cloud().listMachineTypes(this::takeMachineTypes);
+    }
+  }
+
+  private void takeMachineTypes(Optional<List<MachineType>> machineTypes) {
+    readingMachineTypes = false;
+    if (machineTypes.isEmpty()) {
+      return;
+    }
+    boolean first = !context.prices().isLoaded();
+    machineTypesReadMicros = context.loop().nowMicros();
+    context.prices().update(machineTypes.get());
+    if (first) {
+      changed.run();
+    }
+  }
+
+  private void takeMachines(Optional<List<ListedMachine>> machines) {
+    listing = false;
+    if (machines.isEmpty() || closed) {
+      return;
+    }
+    long now = context.loop().nowMicros();
+    listedMicros = now;
+    context.metrics().count("machine_lists_read");
+    for (ListedMachine listed : machines.get()) {
+      if (!isReturned.test(listed.id()) && sharing.isOwn(listed)) {
+        take(listed, now);
+      }
+    }
+  }
+
+  private void take(ListedMachine listed, long now) {
+    Machine machine = fleet.machine(listed.id());
+    if (machine == null) {
+      machine =
+          new Machine(
+              listed.id(),
+              listed.endpoint(),
+              listed.machineType(),
+              listed.zone(),
+              listed.spot(),
+              now - (long) (listed.ageS() * MICROS_PER_SECOND));
+      machine.setReturning(sharing.mustReturn(listed.id()));
+      fleet.add(machine);
+    }
+    machine.learnEndpoint(listed.endpoint());
+    machine.recordListing(listed.failed());
+  }
+
+  /** Takes no more machines in. */
+  void close() {
+    closed = true;
+  }
+}
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -15,15 +15,21 @@
 import plumlever.scaling.RentalPlan;
 import plumlever.wire.MachineType;
 
-/** Closes machines that the aims can do without, where money matters, and opens them again. */
+/**
+ * Cordons machines that the service-level objectives can do without, where money matters, and
+ * uncordons them when tasks wait.
+ */
 final class FleetSizing {
-  /** The cloud charges at least this for a machine. */
-  static final long LEAST_CHARGE_MICROS = 58_000_000;
+  /** The shortest time that the cloud charges for is used up after this. */
+  static final long MIN_CHARGE_MICROS = 58_000_000;
 
-  private static final long SIZE_EVERY_MICROS = 3_000_000;
+  private static final long INTERVAL_MICROS = 3_000_000;
 
-  /** Prices for each processor and hour are compared in steps of this part of one. */
-  private static final double COARSE = 400;
+  /** Prices per core and hour are compared in steps of this part of one, since spot prices move. */
+  private static final double PRICE_STEPS = 400;
+
+  /** At most this part of the machines in use is cordoned at a time. */
+  private static final int MAX_STEP_DIVISOR = 10;
 
   private final Logger log;
   private final Context context;
@@ -32,9 +38,12 @@
   private final Failover failover;
   private final MachineRentals rentals;
   private final Runnable changed;
-  private int cordonStep = 1;
-  private long sizedMicros;
+  private int step = 1;
+  private long adjustedMicros;
 
+  /**
+   * @param changed runs when something changed that placement depends on
+   */
   FleetSizing(
       Context context,
       Fleet fleet,
@@ -52,94 +61,105 @@
   }
 
   /**
-   * Keeps no more machines open than the aims need. One at a time, the dearest and emptiest, is
-   * closed when all that waits can do without it; the cheapest is opened again before anything is
-   * rented.
+   * Keeps no more machines in use than are needed: the most expensive and emptiest are cordoned
+   * while all waiting tasks can do without them, and the cheapest of those uncordoned before any
+   * are rented.
    */
-  void size(long now) {
+  void adjust(long now) {
     Set<Machine> cordoned = pass.cordoned();
-    cordoned.removeIf(m -> fleet.machine(m.id()) != m);
+    cordoned.removeIf(machine -> fleet.machine(machine.id()) != machine);
     if (!pass.demands().isEmpty()) {
       uncordon(cordoned, now);
-      sizedMicros = now;
-      return;
+      adjustedMicros = now;
+    } else if (now - adjustedMicros >= INTERVAL_MICROS && failover.complete()) {
+      adjustedMicros = now;
+      cordonMore(cordoned, now);
     }
-    if (now - sizedMicros < SIZE_EVERY_MICROS || !failover.complete()) {
+  }
+
+  private void cordonMore(Set<Machine> cordoned, long now) {
+    List<Machine> candidates = candidates(cordoned, now);
+    int count = Math.min(step, candidates.size());
+    if (count == 0) {
       return;
     }
-    sizedMicros = now;
-    List<Machine> able = new ArrayList<>();
+    Set<Machine> more = new LinkedHashSet<>(cordoned);
+    more.addAll(candidates.subList(0, count));
+    if (pass.canDoWithout(more)) {
+      cordoned.addAll(more);
+      context.metrics().count("machines_cordoned", count);
+      log.debug("{} more machines are cordoned, the others suffice", count);
+      step = Math.min(Math.max(1, candidates.size() / MAX_STEP_DIVISOR), step * 2);
+    } else {
+      step = Math.max(1, step / 2);
+    }
+  }
+
+  /** Machines that may be cordoned: the most expensive first, of these the emptiest. */
+  private List<Machine> candidates(Set<Machine> cordoned, long now) {
+    List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       if (machine.contact().hasReported()
           && !cordoned.contains(machine)
           && !machine.returning()
           && !machine.draining()
-          && now - machine.knownSinceMicros() > LEAST_CHARGE_MICROS) {
-        able.add(machine);
+          && now - machine.knownSinceMicros() > MIN_CHARGE_MICROS) {
+        candidates.add(machine);
       }
     }
-    able.sort(
-        Comparator.comparingDouble(this::price).reversed().thenComparingDouble(FleetSizing::load));
-    int step = Math.min(cordonStep, able.size());
-    if (step == 0) {
-      return;
-    }
-    Set<Machine> fewer = new LinkedHashSet<>(cordoned);
-    fewer.addAll(able.subList(0, step));
-    if (pass.canDoWithout(fewer)) {
-      cordoned.addAll(fewer);
-      context.metrics().count("machines_cordoned", step);
-      log.debug("{} more machines are cordoned, the others suffice", step);
-      // A large fleet is too large by many machines at a time; what goes well is tried twice as
-      // far.
-      cordonStep = Math.min(Math.max(1, able.size() / 10), cordonStep * 2);
-    } else {
-      cordonStep = Math.max(1, cordonStep / 2);
-    }
+    candidates.sort(
+        Comparator.comparingDouble(this::pricePerCore)
+            .reversed()
+            .thenComparingDouble(FleetSizing::coresInUse));
+    return candidates;
   }
 
-  /** The cheapest closed machines, as many as hold what waits, are opened again. */
+  /** Uncordons the cheapest machines, as many as hold the waiting tasks, but at least one. */
   private void uncordon(Set<Machine> cordoned, long now) {
-    double cores = 0;
-    for (RentalPlan.Demand demand : pass.demands()) {
-      cores += demand.tasks() * demand.job().cores();
-    }
-    List<Machine> able = new ArrayList<>();
+    List<Machine> candidates = new ArrayList<>();
     for (Machine machine : cordoned) {
       if (!machine.returning() && !machine.draining()) {
-        able.add(machine);
+        candidates.add(machine);
       }
     }
-    able.sort(Comparator.comparingDouble(this::price));
+    candidates.sort(Comparator.comparingDouble(this::pricePerCore));
+    double coresLacking = coresDemanded();
     boolean any = false;
-    for (Machine machine : able) {
-      if (any && cores <= 0) {
+    for (Machine machine : candidates) {
+      if (any && coresLacking <= 0) {
         break;
       }
       MachineType machineType = context.prices().machineType(machine.machineType());
-      cores -= machineType == null ? 0 : machineType.cores() - load(machine);
+      coresLacking -= machineType == null ? 0 : machineType.cores() - coresInUse(machine);
       cordoned.remove(machine);
       any = true;
     }
     if (any) {
-      rentals.sizeChanged(now);
+      rentals.recordAddedCapacity(now);
       changed.run();
     }
-    cordonStep = 1;
+    step = 1;
+  }
+
+  private double coresDemanded() {
+    double cores = 0;
+    for (RentalPlan.Demand demand : pass.demands()) {
+      cores += demand.tasks() * demand.job().cores();
+    }
+    return cores;
   }
 
-  /** Price for each processor; spot prices move a little, so kinds are compared coarsely. */
-  private double price(Machine machine) {
+  private double pricePerCore(Machine machine) {
     MachineType machineType = context.prices().machineType(machine.machineType());
     return machineType == null
         ? Double.MAX_VALUE
         : Math.round(
             context.prices().hourlyPrice(machineType, machine.spot())
                 / machineType.cores()
-                * COARSE);
+                * PRICE_STEPS);
   }
 
-  private static double load(Machine machine) {
+  private static double coresInUse(Machine machine) {
     double cores = 0;
     for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over()) {
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -18,12 +18,29 @@
 
 /**
  * The stored record of the machines that may hold tasks: a machine is in it before anything is
- * ordered from it.
+ * started on it.
+ *
+ * <p>A value lists machines as arrays of name, address and index into its list of kinds; a kind is
+ * an array of machine type, zone and whether it is spot.
  */
 public final class MachineRegistry {
-  private static final long PAUSE_MICROS = 250_000;
+  private static final long WRITE_INTERVAL_MICROS = 250_000;
   private static final String MACHINES = "hosts";
   private static final String KINDS = "kinds";
+
+  /** Positions in the array of a machine. */
+  private static final int MACHINE_NAME = 0;
+
+  private static final int MACHINE_ENDPOINT = 1;
+  private static final int MACHINE_KIND = 2;
+
+  /** Positions in the array of a kind. */
+  private static final int KIND_TYPE = 0;
+
+  private static final int KIND_ZONE = 1;
+  private static final int KIND_SPOT = 2;
+
+  /** Room for the kinds of a value. */
   private static final int KINDS_BYTES = 500;
 
   /** What an entry takes besides name and address. */
@@ -36,15 +53,15 @@
   /**
    * The records of one term, empty until they are loaded.
    *
-   * @param changed runs when machines have come to be on record
+   * @param changed runs when further machines are on record
    */
   public MachineRegistry(Context context, Runnable changed) {
     this.context = context;
     this.log = context.logs().of(MachineRegistry.class);
-    this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, changed);
+    this.records = new SharedRecords<>(context, new Layout(), WRITE_INTERVAL_MICROS, changed);
   }
 
-  /** Takes over what earlier leaders stored. */
+  /** Takes in what earlier leaders stored; machines that are not known yet join the fleet. */
   public void load(List<StateClient.Item> items, Fleet fleet) {
     for (StateClient.Item item : items) {
       int number = JobStore.numberOf(item.key());
@@ -53,22 +70,9 @@
         continue;
       }
       List<Machine> entries = new ArrayList<>();
-      JsonNode kinds = item.data().path(KINDS);
       for (JsonNode node : item.data().path(MACHINES)) {
-        JsonNode kind = kinds.path(node.path(2).asInt());
-        String id = node.path(0).asText();
-        Machine known = fleet.machine(id);
-        Machine machine =
-            known != null
-                ? known
-                : new Machine(
-                    id,
-                    node.path(1).asText(),
-                    kind.path(0).asText(),
-                    kind.path(1).asText(),
-                    kind.path(2).asBoolean(),
-                    context.loop().nowMicros());
-        if (known == null) {
+        if (fleet.machine(node.path(MACHINE_NAME).asText()) == null) {
+          Machine machine = machine(node, item.data().path(KINDS));
           fleet.add(machine);
           entries.add(machine);
         }
@@ -77,22 +81,42 @@
     }
   }
 
-  /** The machine is to be recorded; until its enrolment is stored it takes no orders. */
+  private Machine machine(JsonNode node, JsonNode kinds) {
+    JsonNode kind = kinds.path(node.path(MACHINE_KIND).asInt());
+    return new Machine(
+        node.path(MACHINE_NAME).asText(),
+        node.path(MACHINE_ENDPOINT).asText(),
+        kind.path(KIND_TYPE).asText(),
+        kind.path(KIND_ZONE).asText(),
+        kind.path(KIND_SPOT).asBoolean(),
+        context.loop().nowMicros());
+  }
+
+  /**
+   * The machine is to be put on record, if its address is known; until its registration is stored
+   * nothing is started on it.
+   */
   public void register(Machine machine) {
     if (machine.endpoint() != null) {
       records.enroll(machine);
     }
   }
 
-  /** The machine is gone for good. */
+  /** The machine is gone for good: the next write leaves it out. */
   public void remove(Machine machine) {
     records.remove(machine);
   }
 
-  public long flush() {
+  /**
+   * Rewrites values that list machines which are gone, and splits those that have become too large.
+   *
+   * @return the pause until the next time, in microseconds
+   */
+  public long compact() {
     return records.tidy();
   }
 
+  /** Writes nothing any more. */
   public void close() {
     records.close();
   }
@@ -117,23 +141,21 @@
     public ObjectNode value(List<Machine> machines) {
       ObjectNode object = Json.object();
       ArrayNode kinds = object.putArray(KINDS);
-      ArrayNode machineIds = object.putArray(MACHINES);
-      Map<String, Integer> numbers = new HashMap<>();
+      ArrayNode entries = object.putArray(MACHINES);
+      Map<String, Integer> kindIndexes = new HashMap<>();
       for (Machine machine : machines) {
         int kind =
-            numbers.computeIfAbsent(
+            kindIndexes.computeIfAbsent(
                 machine.machineType() + "/" + machine.zone() + "/" + machine.spot(),
-                k -> {
-                  kinds
-                      .addArray()
-                      .add(machine.machineType())
-                      .add(machine.zone())
-                      .add(machine.spot());
-                  return kinds.size() - 1;
-                });
-        machineIds.addArray().add(machine.id()).add(machine.endpoint()).add(kind);
+                key -> addKind(machine, kinds));
+        entries.addArray().add(machine.id()).add(machine.endpoint()).add(kind);
       }
       return object;
     }
+
+    private static int addKind(Machine machine, ArrayNode kinds) {
+      kinds.addArray().add(machine.machineType()).add(machine.zone()).add(machine.spot());
+      return kinds.size() - 1;
+    }
   }
 }
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -7,6 +7,8 @@
 import java.util.function.Predicate;
 import org.slf4j.Logger;
 import plumlever.cloud.CloudClient;
+import plumlever.cloud.RentalRequest;
+import plumlever.cloud.RentalResult;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
 import plumlever.leader.context.Context;
@@ -16,25 +18,26 @@
 import plumlever.scaling.RentalPlan;
 import plumlever.wire.MachineType;
 
-/** Rents machines for what waits; a request without an answer is repeated until it has one. */
+/**
+ * Rents machines for tasks that wait for one. A request whose outcome is unknown is repeated with
+ * the same id until it is known.
+ */
 final class MachineRentals {
   private static final long NO_CAPACITY_PAUSE_MICROS = 12_000_000;
-  private static final long REPEAT_MICROS = 2_000_000;
-  private static final int MOST_PER_PASS = 300;
-  private static final int MOST_OPEN = 6;
+  private static final long RETRY_PAUSE_MICROS = 2_000_000;
+  private static final int MAX_MACHINES_PER_PLAN = 300;
+  private static final int MAX_OPEN_REQUESTS = 6;
 
-  /** A request that is not settled. */
-  private static final class OpenRental {
-    private final String name;
+  /** A request whose outcome is not known. */
+  private static final class OpenRequest {
+    private final RentalRequest request;
     private final RentalPlan.Kind kind;
-    private final int count;
     private boolean inFlight;
     private long retryMicros;
 
-    OpenRental(String name, RentalPlan.Kind kind, int count) {
-      this.name = name;
+    OpenRequest(RentalRequest request, RentalPlan.Kind kind) {
+      this.request = request;
       this.kind = kind;
-      this.count = count;
     }
   }
 
@@ -44,18 +47,19 @@
   private final SchedulingPass pass;
   private final Failover failover;
   private final MachineSharing sharing;
-  private final Predicate<String> isDeleted;
+  private final Predicate<String> isReturned;
   private final Predicate<String> isCut;
   private final Runnable changed;
   private final RentalPlan plan;
-  private final Map<RentalPlan.Kind, Long> shortUntil = new HashMap<>();
-  private final List<OpenRental> open = new ArrayList<>();
-  private long rentalCounter;
-  private long sizeChangedMicros = -1;
+  private final Map<RentalPlan.Kind, Long> unavailableUntilMicros = new HashMap<>();
+  private final List<OpenRequest> openRequests = new ArrayList<>();
+  private long requestCounter;
+  private long capacityAddedMicros = -1;
 
   /**
-   * @param isDeleted tells of a machine's name whether it was returned
-   * @param isCut tells of a zone whether it seems to be behind a cut: nothing is rented there
+   * @param isReturned tells of a machine's name whether it was returned
+   * @param isCut tells of a zone whether it seems to be cut off: nothing is rented there
+   * @param changed runs when something changed that placement depends on
    */
   MachineRentals(
       Context context,
@@ -63,7 +67,7 @@
       SchedulingPass pass,
       Failover failover,
       MachineSharing sharing,
-      Predicate<String> isDeleted,
+      Predicate<String> isReturned,
       Predicate<String> isCut,
       Runnable changed) {
     this.context = context;
@@ -72,122 +76,148 @@
     this.pass = pass;
     this.failover = failover;
     this.sharing = sharing;
-    this.isDeleted = isDeleted;
+    this.isReturned = isReturned;
     this.isCut = isCut;
     this.changed = changed;
     this.plan = new RentalPlan(context.prices(), context.moneyMatters());
   }
 
-  /** True while the cloud has no more of some kind, as far as is known. */
-  boolean anyShort(long now) {
-    return shortUntil.values().stream().anyMatch(until -> until > now);
+  /** True while the cloud has no more of some kind of machine, as far as is known. */
+  boolean anyUnavailable(long now) {
+    return unavailableUntilMicros.values().stream().anyMatch(until -> until > now);
   }
 
-  /** There is more room: demands found before may be served by it. */
-  void sizeChanged(long now) {
-    sizeChangedMicros = now;
+  /** Capacity was added: it may serve demands that were found before. */
+  void recordAddedCapacity(long now) {
+    capacityAddedMicros = now;
   }
 
-  /** Rents what the last round lacked, and repeats what had no answer. */
+  /** Repeats requests whose outcome is unknown, and rents what the last pass lacked. */
   void rent(long now) {
-    for (OpenRental rental : new ArrayList<>(open)) {
-      if (!rental.inFlight && now >= rental.retryMicros) {
-        send(rental);
+    for (OpenRequest open : new ArrayList<>(openRequests)) {
+      if (!open.inFlight && now >= open.retryMicros) {
+        send(open);
       }
     }
-    // Demands found before the last machine came or was opened again may be served by it: they are
-    // not rented for twice.
-    if (!context.prices().isLoaded()
-        || !(failover.complete() || failover.overdue(now))
-        || pass.finishedMicros() <= sizeChangedMicros
-        || !sharing.mayRent()) {
-      return;
+    if (mayRentMore(now)) {
+      rentPlanned(now);
     }
-    // Machines that are booting are booked already; these are not known by name yet.
-    List<RentalPlan.Coming> coming = new ArrayList<>();
-    for (OpenRental rental : open) {
-      MachineType machineType = context.prices().machineType(rental.kind.machineType());
-      for (int i = 0; machineType != null && i < rental.count; i++) {
-        coming.add(new RentalPlan.Coming(rental.kind, machineType));
+  }
+
+  /**
+   * Demands found before capacity was added last may be served by it: no machine is rented twice.
+   */
+  private boolean mayRentMore(long now) {
+    return context.prices().isLoaded()
+        && (failover.complete() || failover.overdue(now))
+        && pass.finishedMicros() > capacityAddedMicros
+        && sharing.mayRent();
+  }
+
+  private void rentPlanned(long now) {
+    List<RentalPlan.Rental> rentals =
+        plan.plan(pass.demands(), coming(), kind -> isAvailable(kind, now), MAX_MACHINES_PER_PLAN);
+    for (RentalPlan.Rental rental : rentals) {
+      if (openRequests.size() >= MAX_OPEN_REQUESTS) {
+        return;
       }
+      OpenRequest open = new OpenRequest(request(rental), rental.kind());
+      openRequests.add(open);
+      send(open);
+    }
+  }
+
+  private boolean isAvailable(RentalPlan.Kind kind, long now) {
+    return now >= unavailableUntilMicros.getOrDefault(kind, 0L) && !isCut.test(kind.zone());
+  }
+
+  /**
+   * Capacity of machines that are not known by name yet; booting machines are part of the fleet
+   * already.
+   */
+  private List<RentalPlan.Coming> coming() {
+    List<RentalPlan.Coming> coming = new ArrayList<>();
+    for (OpenRequest open : openRequests) {
+      addComing(open.kind, open.request.count(), coming);
     }
     for (RentalPlan.Kind kind : sharing.coming()) {
-      MachineType machineType = context.prices().machineType(kind.machineType());
-      if (machineType != null) {
-        coming.add(new RentalPlan.Coming(kind, machineType));
-      }
+      addComing(kind, 1, coming);
     }
-    for (RentalPlan.Rental planned :
-        plan.plan(
-            pass.demands(),
-            coming,
-            k -> now >= shortUntil.getOrDefault(k, 0L) && !isCut.test(k.zone()),
-            MOST_PER_PASS)) {
-      if (open.size() >= MOST_OPEN) {
-        break;
-      }
-      OpenRental rental =
-          new OpenRental(
-              "r-" + context.term().number() + "-" + ++rentalCounter,
-              planned.kind(),
-              Math.min(planned.count(), CloudClient.MAX_MACHINES_PER_RENTAL));
-      open.add(rental);
-      send(rental);
+    return coming;
+  }
+
+  private void addComing(RentalPlan.Kind kind, int count, List<RentalPlan.Coming> coming) {
+    MachineType machineType = context.prices().machineType(kind.machineType());
+    if (machineType == null) {
+      return;
     }
+    for (int i = 0; i < count; i++) {
+      coming.add(new RentalPlan.Coming(kind, machineType));
+    }
+  }
+
+  /** The id is unique over all terms. */
+  private RentalRequest request(RentalPlan.Rental rental) {
+    requestCounter++;
+    RentalPlan.Kind kind = rental.kind();
+    return new RentalRequest(
+        "r-" + context.term().number() + "-" + requestCounter,
+        kind.machineType(),
+        kind.zone(),
+        kind.spot(),
+        Math.min(rental.count(), CloudClient.MAX_MACHINES_PER_RENTAL));
   }
 
-  private void send(OpenRental rental) {
+  private void send(OpenRequest open) {
     if (!context.term().mayAct()) {
       return;
     }
-    rental.inFlight = true;
-    context
-        .cloud()
-        .rentMachines(
-            rental.name,
-            rental.kind.machineType(),
-            rental.kind.zone(),
-            rental.kind.spot(),
-            rental.count,
-            (outcome, machineIds) -> {
-              rental.inFlight = false;
-              long now = context.loop().nowMicros();
-              switch (outcome) {
-                case RENTED -> {
-                  open.remove(rental);
-                  if (machineIds.size() < rental.count) {
-                    shortUntil.put(rental.kind, now + NO_CAPACITY_PAUSE_MICROS);
-                  }
-                  log.info(
-                      "rented {} of {} {} in {}{}",
-                      machineIds.size(),
-                      rental.count,
-                      rental.kind.machineType(),
-                      rental.kind.zone(),
-                      rental.kind.spot() ? ", spot" : "");
-                  context.metrics().count("machines_rented", machineIds.size());
-                  sizeChangedMicros = now;
-                  changed.run();
-                  sharing.claim(machineIds, machineId -> rented(machineId, rental.kind, now));
-                }
-                case NO_CAPACITY -> {
-                  open.remove(rental);
-                  shortUntil.put(rental.kind, now + NO_CAPACITY_PAUSE_MICROS);
-                }
-                case REFUSED -> {
-                  // Surely not rented; the need is looked at anew after a pause.
-                  open.remove(rental);
-                  shortUntil.put(rental.kind, now + REPEAT_MICROS);
-                }
-                // It may have been rented: the same name is asked for until that is known.
-                case UNKNOWN -> rental.retryMicros = now + REPEAT_MICROS;
-              }
-            });
+    open.inFlight = true;
+    context.cloud().rentMachines(open.request, result -> settle(open, result));
+  }
+
+  private void settle(OpenRequest open, RentalResult result) {
+    open.inFlight = false;
+    long now = context.loop().nowMicros();
+    switch (result.outcome()) {
+      case RENTED -> {
+        openRequests.remove(open);
+        takeRented(open, result.machineIds(), now);
+      }
+      case NO_CAPACITY -> {
+        openRequests.remove(open);
+        unavailableUntilMicros.put(open.kind, now + NO_CAPACITY_PAUSE_MICROS);
+      }
+      case REFUSED -> {
+        openRequests.remove(open);
+        unavailableUntilMicros.put(open.kind, now + RETRY_PAUSE_MICROS);
+      }
+      case UNKNOWN -> open.retryMicros = now + RETRY_PAUSE_MICROS;
+    }
+  }
+
+  private void takeRented(OpenRequest open, List<String> machineIds, long now) {
+    RentalRequest request = open.request;
+    if (machineIds.size() < request.count()) {
+      unavailableUntilMicros.put(open.kind, now + NO_CAPACITY_PAUSE_MICROS);
+    }
+    log.info(
+        "rented {} of {} {} in {}{}",
+        machineIds.size(),
+        request.count(),
+        request.machineType(),
+        request.zone(),
+        request.spot() ? ", spot" : "");
+    context.metrics().count("machines_rented", machineIds.size());
+    capacityAddedMicros = now;
+    changed.run();
+    sharing.claim(machineIds, machineId -> addMachine(machineId, open.kind, now));
   }
 
-  private void rented(String machineId, RentalPlan.Kind kind, long now) {
-    if (fleet.machine(machineId) == null && !isDeleted.test(machineId)) {
-      fleet.add(new Machine(machineId, null, kind.machineType(), kind.zone(), kind.spot(), now));
+  private void addMachine(String machineId, RentalPlan.Kind kind, long rentedMicros) {
+    if (fleet.machine(machineId) == null && !isReturned.test(machineId)) {
+      fleet.add(
+          new Machine(machineId, null, kind.machineType(), kind.zone(), kind.spot(), rentedMicros));
     }
   }
 }
--- a/src/main/java/plumlever/leader/machine/MachineSilence.java
+++ b/src/main/java/plumlever/leader/machine/MachineSilence.java
@@ -11,39 +11,38 @@
 
 /**
  * Which machines are silent, and what that means: that one is gone, that a zone is cut off, or that
- * this controller has lost its workers. What was measured while this thread ran late counts for
- * nothing.
+ * this controller has lost its workers. Silence measured while this thread ran late does not count.
  */
 final class MachineSilence {
   /** A thread as late as this has read too little to judge who is silent. */
-  private static final long LATE_MICROS = 1_000_000;
+  private static final long MAX_LATENESS_MICROS = 1_000_000;
 
-  /**
-   * A zone is taken for cut off when at least so many of its machines, and half of all, are silent.
-   */
-  private static final int LEAST_SILENT = 2;
+  /** A zone counts as cut off if at least so many machines, and half of all, are silent. */
+  private static final int MIN_SILENT_IN_CUT_ZONE = 2;
+
+  /** This controller has lost its workers if such a percentage is silent here... */
+  private static final int SILENT_PERCENT_OF_LOST = 70;
 
-  /** Of ten machines, so many silent ones here and reporting ones elsewhere mean lost workers. */
-  private static final int LOST_OF_TEN = 7;
+  /** ... and at least so many report to others, as a percentage of the machines known here. */
+  private static final int ELSEWHERE_PERCENT_OF_LOST = 40;
 
-  private static final int ELSEWHERE_OF_TEN = 4;
-  private static final int TEN = 10;
+  private static final int PERCENT = 100;
 
-  /** Machines of one zone. */
+  /** How many machines of one zone are in which state. */
   private static final class ZoneCount {
     private int machines;
     private int silent;
 
     /** Machines that the failover still waits for. */
-    private int open;
+    private int unaccounted;
 
     boolean isCut() {
-      return silent >= LEAST_SILENT && silent * 2 >= machines;
+      return silent >= MIN_SILENT_IN_CUT_ZONE && silent * 2 >= machines;
     }
 
-    /** True while most machines of the zone have come over. */
+    /** True if at most a third of the machines are not accounted for. */
     boolean mostlyTakenOver() {
-      return open * 3 <= machines;
+      return unaccounted * 3 <= machines;
     }
   }
 
@@ -53,7 +52,7 @@
   private final Failover failover;
   private final Map<String, ZoneCount> zones = new HashMap<>();
 
-  /** Zones whose machines seem to be behind a cut: nothing is returned or rented there. */
+  /** Zones that seem to be cut off, and until when they count as such. */
   private final Map<String, Long> cutZones = new HashMap<>();
 
   private long punctualSinceMicros;
@@ -65,40 +64,40 @@
     this.failover = failover;
   }
 
-  /** A thread that runs late has read too little to judge who is silent. */
-  void noteLateness(long now) {
-    if (context.latenessMicros().getAsLong() > LATE_MICROS) {
+  /** Takes in whether this thread runs late; silence counts only from when it does not. */
+  void recordLateness(long now) {
+    if (context.latenessMicros().getAsLong() > MAX_LATENESS_MICROS) {
       punctualSinceMicros = now;
     }
   }
 
-  /** True for a zone whose machines seem to be behind a cut. */
+  /** True for a zone that seems to be cut off: nothing is returned or rented there. */
   boolean isCut(String zone) {
     return cutZones.containsKey(zone);
   }
 
-  /** Zones whose machines seem to be behind a cut. */
+  /** Zones that seem to be cut off. */
   Set<String> cutZones() {
     return cutZones.keySet();
   }
 
-  /** True while most machines of the zone have come over to this leader. */
+  /** True if most machines of the zone have reported to this leader. */
   boolean isMostlyTakenOver(String zone) {
     ZoneCount count = zones.get(zone);
     return count != null && count.mostlyTakenOver();
   }
 
-  /** Heartbeats that are far apart make a machine seem silent later. */
-  long mostMicros() {
-    return Math.max(
-        context.parameters().silentMicros(),
-        2 * context.platform().workers().heartbeatMicros()
-            + context.platform().workers().heartbeatMicros() / 2);
+  /** A machine silent for longer is gone or cut off; at least two and a half heartbeats. */
+  long thresholdMicros() {
+    long heartbeatMicros = context.platform().workers().heartbeatMicros();
+    return Math.max(context.parameters().silentMicros(), 2 * heartbeatMicros + heartbeatMicros / 2);
   }
 
-  /** For how long nothing was heard of the machine. */
-  long of(Machine machine, long now) {
-    // What a thread that runs late has not read yet is no silence.
+  /**
+   * For how long nothing has been heard of the machine, counted from the failover and from when
+   * this thread was late last: what a late thread has not read yet is no silence.
+   */
+  long silentMicros(Machine machine, long now) {
     return now
         - Math.max(
             machine.contact().lastSeenMicros(),
@@ -106,9 +105,8 @@
   }
 
   /**
-   * True when most machines are silent here while many report elsewhere: this controller has lost
-   * its workers, not the workers their controllers. It could keep leadership for ever, and no
-   * machine would get an answer or a command.
+   * True when most machines are silent here while many report elsewhere: only this controller is
+   * cut off from the workers. As leader it would leave all machines without answers and commands.
    */
   boolean lostItsWorkers() {
     int all = 0;
@@ -118,22 +116,22 @@
       silent += zone.silent;
     }
     return all > 0
-        && silent * TEN >= all * LOST_OF_TEN
-        && context.workersElsewhere().getAsInt() * TEN >= all * ELSEWHERE_OF_TEN;
+        && silent * PERCENT >= all * SILENT_PERCENT_OF_LOST
+        && context.workersElsewhere().getAsInt() * PERCENT >= all * ELSEWHERE_PERCENT_OF_LOST;
   }
 
-  /** Counts machines anew. */
-  void look(long now) {
+  /** Counts the machines of each zone again. */
+  void countMachines(long now) {
     zones.clear();
     for (Machine machine : fleet.machines()) {
-      boolean open = failover.open().contains(machine);
-      if (machine.contact().hasReported() || open) {
+      boolean unaccounted = failover.open().contains(machine);
+      if (machine.contact().hasReported() || unaccounted) {
         ZoneCount zone = zones.computeIfAbsent(machine.zone(), name -> new ZoneCount());
         zone.machines++;
-        zone.open += open ? 1 : 0;
-        // One missed heartbeat already: machines behind a cut fall silent one after the other, and
-        // by the time the first is called silent all the others must have missed one as well.
-        if (of(machine, now) > context.platform().workers().missedHeartbeatMicros()) {
+        zone.unaccounted += unaccounted ? 1 : 0;
+        // One missed heartbeat is enough here: machines of a zone fall silent one after the other,
+        // and when the first reaches the threshold all others must have missed one as well.
+        if (silentMicros(machine, now) > context.platform().workers().missedHeartbeatMicros()) {
           zone.silent++;
         }
       }
@@ -141,14 +139,14 @@
   }
 
   /**
-   * When a cut ends, its machines find their way back one by one, so it is kept in mind for as long
-   * again.
+   * Decides by the last count which zones seem to be cut off. They count as such for some time
+   * after the cut has ended, since their machines report again one by one.
    */
-  void noteCuts(long now) {
+  void updateCutZones(long now) {
     cutZones.values().removeIf(until -> until < now);
     zones.forEach(
         (name, zone) -> {
-          if (zone.isCut() && cutZones.put(name, now + mostMicros()) == null) {
+          if (zone.isCut() && cutZones.put(name, now + thresholdMicros()) == null) {
             log.warn(
                 "{} of {} machines in {} are silent, as behind a cut",
                 zone.silent,
