--- a/src/main/java/plumlever/settings/Endpoint.java
+++ b/src/main/java/plumlever/settings/Endpoint.java
@@ -2,9 +2,9 @@
 
 /** An address and port. */
 public record Endpoint(String host, int port) {
-  private static final int LAST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
-  /** Null if the text is not {@code ADDRESS:PORT}. */
+  /** The address and port that the text names; null if it is not {@code ADDRESS:PORT}. */
   public static Endpoint parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
@@ -12,14 +12,14 @@
     }
     try {
       int port = Integer.parseInt(text, colon + 1, text.length(), 10);
-      return port < 0 || port > LAST_PORT ? null : new Endpoint(text.substring(0, colon), port);
+      return port < 0 || port > MAX_PORT ? null : new Endpoint(text.substring(0, colon), port);
     } catch (NumberFormatException e) {
       return null;
     }
   }
 
-  // Written out: the generated ones link method handles at their first use, which a cold start
-  // can't afford.
+  // Written out: the generated methods link method handles at their first use, which is slow at a
+  // cold start.
   @Override
   public boolean equals(Object object) {
     return object instanceof Endpoint endpoint
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -13,11 +13,18 @@
 import org.yaml.snakeyaml.error.YAMLException;
 
 /**
- * The operators' own YAML file. An unknown key is an error, since a misspelt one would be lost in
- * silence.
+ * Reads the operators' own YAML file. Every key is optional; an unknown one is an error, since a
+ * misspelt key would otherwise be ignored without notice.
  */
 public final class OperatorFile {
+  private static final String SHARING = "sharing";
+  private static final String OWNED_HOURLY = "owned_hourly";
+  private static final double MAX_OWNED_HOURLY = 1e9;
+  private static final double MICROS_PER_SECOND = 1e6;
+
   private final String file;
+
+  /** What has not been read yet: in the end, the unknown keys. */
   private final Map<String, Object> unreadKeys;
 
   private OperatorFile(String file, Map<String, Object> values) {
@@ -25,12 +32,23 @@
     this.unreadKeys = values;
   }
 
-  /** Reads the operators' file; an unknown key or a value out of range is an error. */
+  /**
+   * Reads and checks the file.
+   *
+   * @throws SettingsException if it can't be read, has an unknown key, or a value has a wrong type
+   *     or range
+   */
   public static OperatorSettings load(Path path, PlatformConfiguration platform)
       throws SettingsException {
+    OperatorFile file = new OperatorFile(path.toString(), read(path));
+    Optional<SharingSettings> sharing = file.sharing(platform);
+    return new OperatorSettings(file.parameters(), sharing);
+  }
+
+  private static Map<String, Object> read(Path path) throws SettingsException {
     Object root;
-    try (Reader in = Files.newBufferedReader(path)) {
-      root = new Yaml(new SafeConstructor(new LoaderOptions())).load(in);
+    try (Reader reader = Files.newBufferedReader(path)) {
+      root = new Yaml(new SafeConstructor(new LoaderOptions())).load(reader);
     } catch (IOException e) {
       throw new SettingsException(path + ": cannot be read: " + e.getClass().getSimpleName());
     } catch (YAMLException e) {
@@ -39,96 +57,99 @@
     }
     Map<String, Object> values = new HashMap<>();
     if (root instanceof Map<?, ?> map) {
-      map.forEach((k, v) -> values.put(String.valueOf(k), v));
+      map.forEach((key, value) -> values.put(String.valueOf(key), value));
     } else if (root != null) {
       throw new SettingsException(path + ": must be a table of keys and values");
     }
-    OperatorFile operatorFile = new OperatorFile(path.toString(), values);
-    Optional<SharingSettings> sharing = operatorFile.sharing(platform);
-    return new OperatorSettings(operatorFile.read(), sharing);
+    return values;
   }
 
   private Optional<SharingSettings> sharing(PlatformConfiguration platform)
       throws SettingsException {
-    Object table = unreadKeys.remove("sharing");
+    Object table = unreadKeys.remove(SHARING);
     if (table == null) {
       return Optional.empty();
     }
     if (!(table instanceof Map<?, ?> map)) {
-      throw new SettingsException(file + ": sharing must be a table");
+      throw error(SHARING + " must be a table");
     }
     return Optional.of(SharingSettings.read(file, map, platform));
   }
 
-  private SchedulerParameters read() throws SettingsException {
-    SchedulerParameters parameters = SchedulerParameters.defaults();
-    SchedulerParameters read =
+  private SchedulerParameters parameters() throws SettingsException {
+    SchedulerParameters defaults = SchedulerParameters.defaults();
+    SchedulerParameters parameters =
         new SchedulerParameters(
-            number("padding_share", parameters.paddingShare(), 0, 1),
-            number("tie_share", parameters.tieShare(), 0, 1),
-            micros("start_target_s", parameters.startTargetMicros(), 0, 1e6),
-            micros("grant_ttl_s", parameters.leaseTtlMicros(), 1, 600),
-            micros("touch_s", parameters.leaseRenewalMicros(), 0.1, 100),
-            micros("act_margin_s", parameters.actMarginMicros(), 0.05, 10),
-            micros("progress_s", parameters.progressPauseMicros(), 0.1, 60),
-            micros("round_budget_s", parameters.passBudgetMicros(), 0.001, 1),
-            micros("silent_s", parameters.silentMicros(), 1, 600),
-            micros("idle_money_s", parameters.idleMoneyMicros(), 0, 1e6),
-            micros("idle_speed_s", parameters.idleSpeedMicros(), 0, 1e6),
-            number("boot_factor", parameters.bootFactor(), 1, 100),
-            micros("rent_s", parameters.rentalMicros(), 0, 3600),
-            micros("begin_s", parameters.mustStartMicros(), 1, 1e6),
-            number("standby_spreads", parameters.headroomDeviations(), 0, 100),
-            number("spot_risk", parameters.spotRisk(), 0, 100),
-            owned());
+            number(OperatorKey.PADDING_SHARE, defaults.paddingShare()),
+            number(OperatorKey.TIE_SHARE, defaults.tieShare()),
+            micros(OperatorKey.START_TARGET_S, defaults.startTargetMicros()),
+            micros(OperatorKey.LEASE_TTL_S, defaults.leaseTtlMicros()),
+            micros(OperatorKey.LEASE_RENEWAL_S, defaults.leaseRenewalMicros()),
+            micros(OperatorKey.ACT_MARGIN_S, defaults.actMarginMicros()),
+            micros(OperatorKey.PROGRESS_PAUSE_S, defaults.progressPauseMicros()),
+            micros(OperatorKey.PASS_BUDGET_S, defaults.passBudgetMicros()),
+            micros(OperatorKey.SILENT_S, defaults.silentMicros()),
+            micros(OperatorKey.IDLE_MONEY_S, defaults.idleMoneyMicros()),
+            micros(OperatorKey.IDLE_SPEED_S, defaults.idleSpeedMicros()),
+            number(OperatorKey.BOOT_FACTOR, defaults.bootFactor()),
+            micros(OperatorKey.RENTAL_S, defaults.rentalMicros()),
+            micros(OperatorKey.MUST_START_S, defaults.mustStartMicros()),
+            number(OperatorKey.HEADROOM_DEVIATIONS, defaults.headroomDeviations()),
+            number(OperatorKey.SPOT_RISK, defaults.spotRisk()),
+            ownedHourly());
     if (!unreadKeys.isEmpty()) {
-      throw new SettingsException(
-          file + ": " + unreadKeys.keySet().iterator().next() + " is unknown");
+      throw error(unreadKeys.keySet().iterator().next() + " is unknown");
     }
-    if (read.leaseRenewalMicros() * 2 + read.actMarginMicros() > read.leaseTtlMicros()) {
-      throw new SettingsException(
-          file + ": grant_ttl_s must exceed twice touch_s and act_margin_s");
+    if (parameters.leaseRenewalMicros() * 2 + parameters.actMarginMicros()
+        > parameters.leaseTtlMicros()) {
+      throw error(
+          OperatorKey.LEASE_TTL_S.text()
+              + " must exceed twice "
+              + OperatorKey.LEASE_RENEWAL_S.text()
+              + " and "
+              + OperatorKey.ACT_MARGIN_S.text());
     }
-    return read;
+    return parameters;
   }
 
-  private Map<String, Double> owned() throws SettingsException {
-    Object object = unreadKeys.remove("owned_hourly");
-    if (object == null) {
+  private Map<String, Double> ownedHourly() throws SettingsException {
+    Object table = unreadKeys.remove(OWNED_HOURLY);
+    if (table == null) {
       return Map.of();
     }
-    if (!(object instanceof Map<?, ?> map)) {
-      throw new SettingsException(file + ": owned_hourly must be a table of type names and costs");
+    if (!(table instanceof Map<?, ?> map)) {
+      throw error(OWNED_HOURLY + " must be a table of type names and costs");
     }
-    Map<String, Double> out = new HashMap<>();
+    Map<String, Double> costs = new HashMap<>();
     for (Map.Entry<?, ?> entry : map.entrySet()) {
-      if (!(entry.getValue() instanceof Number number)
-          || !(number.doubleValue() >= 0 && number.doubleValue() < 1e9)) {
-        throw new SettingsException(
-            file + ": owned_hourly." + entry.getKey() + " must be a cost of at least 0");
+      if (!(entry.getValue() instanceof Number cost)
+          || !(cost.doubleValue() >= 0 && cost.doubleValue() < MAX_OWNED_HOURLY)) {
+        throw error(OWNED_HOURLY + "." + entry.getKey() + " must be a cost of at least 0");
       }
-      out.put(String.valueOf(entry.getKey()), number.doubleValue());
+      costs.put(String.valueOf(entry.getKey()), cost.doubleValue());
     }
-    return Map.copyOf(out);
+    return Map.copyOf(costs);
   }
 
-  private double number(String key, double otherwise, double min, double max)
-      throws SettingsException {
-    Object object = unreadKeys.remove(key);
-    if (object == null) {
-      return otherwise;
+  private double number(OperatorKey key, double defaultValue) throws SettingsException {
+    Object value = unreadKeys.remove(key.text());
+    if (value == null) {
+      return defaultValue;
     }
-    if (!(object instanceof Number number)) {
-      throw new SettingsException(file + ": " + key + " must be a number");
+    if (!(value instanceof Number number)) {
+      throw error(key.text() + " must be a number");
     }
-    double amount = number.doubleValue();
-    if (!(amount >= min && amount <= max)) {
-      throw new SettingsException(file + ": " + key + " must be from " + min + " to " + max);
+    if (!key.accepts(number.doubleValue())) {
+      throw error(key.text() + " must be from " + key.min() + " to " + key.max());
     }
-    return amount;
+    return number.doubleValue();
+  }
+
+  private long micros(OperatorKey key, long defaultMicros) throws SettingsException {
+    return Math.round(number(key, defaultMicros / MICROS_PER_SECOND) * MICROS_PER_SECOND);
   }
 
-  private long micros(String key, long otherwise, double min, double max) throws SettingsException {
-    return Math.round(number(key, otherwise / 1e6, min, max) * 1e6);
+  private SettingsException error(String reason) {
+    return new SettingsException(file + ": " + reason);
   }
 }
--- a/src/main/java/plumlever/settings/OperatorSettings.java
+++ b/src/main/java/plumlever/settings/OperatorSettings.java
@@ -5,10 +5,10 @@
 /**
  * All that the operators' file holds.
  *
- * @param sharing how machines are shared among cells, where they are
+ * @param sharing how machines are shared among cells; empty where one cell has them all
  */
 public record OperatorSettings(SchedulerParameters parameters, Optional<SharingSettings> sharing) {
-  /** What holds without a file. */
+  /** The settings that hold without a file. */
   public static OperatorSettings defaults() {
     return new OperatorSettings(SchedulerParameters.defaults(), Optional.empty());
   }
--- /dev/null
+++ b/src/main/java/plumlever/settings/SharingTable.java
@@ -0,0 +1,250 @@
+package plumlever.settings;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.security.ProviderException;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.regex.Pattern;
+
+/** Reads the {@code sharing} table and checks it against the controllers of the deployment. */
+final class SharingTable {
+  private static final Pattern NAME = Pattern.compile("[a-z][a-z0-9-]{0,30}");
+  private static final Pattern PREFIX = Pattern.compile("[a-z][a-z0-9-]{0,30}/");
+
+  /** Prefixes that a cell without one of its own uses, and the pool's own. */
+  private static final List<String> RESERVED_PREFIXES =
+      List.of(
+          "pool/",
+          "office/",
+          "active/",
+          "ended/",
+          "progress/",
+          "fleet/",
+          "begun/",
+          "hints/",
+          "waits/",
+          "catalog/");
+
+  private static final String MACHINES = "machines";
+  private static final String MAX_TRANSFERS = "most_moving";
+  private static final String ADOPT_AFTER_S = "adopt_after_s";
+  private static final String CELLS = "cells";
+  private static final Set<String> KEYS = Set.of(MACHINES, MAX_TRANSFERS, ADOPT_AFTER_S, CELLS);
+
+  private static final String NAME_KEY = "name";
+  private static final String CONTROLLERS = "controllers";
+  private static final String MIN_MACHINES = "floor";
+  private static final String WEIGHT = "weight";
+  private static final String PREFIX_KEY = "prefix";
+  private static final Set<String> CELL_KEYS =
+      Set.of(NAME_KEY, CONTROLLERS, MIN_MACHINES, WEIGHT, PREFIX_KEY);
+
+  private static final int MACHINES_LIMIT = 1_000_000;
+  private static final int TRANSFERS_LIMIT = 1_000;
+  private static final double WEIGHT_LIMIT = 1e6;
+  private static final int DEFAULT_TRANSFERS = 8;
+  private static final double DEFAULT_ADOPT_S = 600;
+  private static final double MIN_ADOPT_S = 60;
+  private static final double MAX_ADOPT_S = 1e6;
+
+  /** In place of a default: the key must be there. */
+  private static final double REQUIRED = -1;
+
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final int DIGEST_BYTES = 8;
+
+  private final String file;
+  private final PlatformConfiguration platform;
+
+  /** The labels of all controllers of the deployment. */
+  private final Set<String> controllers = new HashSet<>();
+
+  /** The name of each controller's cell, as far as cells have been read. */
+  private final Map<String, String> cellOfController = new LinkedHashMap<>();
+
+  /**
+   * @param file to name in errors
+   */
+  SharingTable(String file, PlatformConfiguration platform) {
+    this.file = file;
+    this.platform = platform;
+    controllers.add(platform.label());
+    platform.peers().forEach(peer -> controllers.add(peer.label()));
+  }
+
+  SharingSettings read(Map<?, ?> table) throws SettingsException {
+    refuseUnknown(table, "", KEYS);
+    int maxMachines = (int) number(table, "", MACHINES, 1, MACHINES_LIMIT, REQUIRED);
+    List<SharingSettings.Cell> cells = cells(table);
+    int minMachines = cells.stream().mapToInt(SharingSettings.Cell::minMachines).sum();
+    if (minMachines > maxMachines) {
+      throw error(
+          CELLS, "have floors of " + minMachines + " machines, the pool has " + maxMachines);
+    }
+    if (platform.stateLimits().transactionOps() < SharingSettings.MIN_TRANSACTION_OPS) {
+      throw error(
+          CELLS,
+          "need "
+              + SharingSettings.MIN_TRANSACTION_OPS
+              + " changes a transaction of the state service");
+    }
+    int maxTransfers =
+        (int) number(table, "", MAX_TRANSFERS, 1, TRANSFERS_LIMIT, DEFAULT_TRANSFERS);
+    double adoptS = number(table, "", ADOPT_AFTER_S, MIN_ADOPT_S, MAX_ADOPT_S, DEFAULT_ADOPT_S);
+    return new SharingSettings(
+        maxMachines,
+        maxTransfers,
+        (long) (adoptS * MICROS_PER_SECOND),
+        cells,
+        ownCell(cells),
+        digest(maxMachines, maxTransfers, cells));
+  }
+
+  private SharingSettings.Cell ownCell(List<SharingSettings.Cell> cells) {
+    return cells.stream()
+        .filter(cell -> cell.controllers().contains(platform.label()))
+        .findFirst()
+        .orElseThrow();
+  }
+
+  private List<SharingSettings.Cell> cells(Map<?, ?> table) throws SettingsException {
+    if (!(table.get(CELLS) instanceof List<?> list) || list.isEmpty()) {
+      throw error(CELLS, "must be a list of cells");
+    }
+    List<SharingSettings.Cell> cells = new ArrayList<>();
+    Set<String> names = new HashSet<>();
+    for (int i = 0; i < list.size(); i++) {
+      String entryKey = CELLS + "[" + i + "]";
+      if (!(list.get(i) instanceof Map<?, ?> entry)) {
+        throw error(entryKey, "must be a table");
+      }
+      SharingSettings.Cell cell = cell(entry, entryKey + ".");
+      if (!names.add(cell.name())) {
+        throw error(entryKey + "." + NAME_KEY, "is used twice: " + cell.name());
+      }
+      checkPrefix(cell, cells, entryKey + "." + PREFIX_KEY);
+      cells.add(cell);
+    }
+    for (String controller : controllers) {
+      if (!cellOfController.containsKey(controller)) {
+        throw error(CELLS, "name no cell for controller " + controller);
+      }
+    }
+    return List.copyOf(cells);
+  }
+
+  private SharingSettings.Cell cell(Map<?, ?> entry, String prefix) throws SettingsException {
+    refuseUnknown(entry, prefix, CELL_KEYS);
+    if (!(entry.get(NAME_KEY) instanceof String name) || !NAME.matcher(name).matches()) {
+      throw error(prefix + NAME_KEY, "must be a name of small letters, digits and hyphens");
+    }
+    Set<String> labels = labels(entry, name, prefix + CONTROLLERS);
+    Object keyPrefix = entry.get(PREFIX_KEY);
+    return new SharingSettings.Cell(
+        name,
+        keyPrefix == null ? name + "/" : String.valueOf(keyPrefix),
+        labels,
+        (int) number(entry, prefix, MIN_MACHINES, 0, MACHINES_LIMIT, 0),
+        weight(entry, prefix + WEIGHT));
+  }
+
+  private Set<String> labels(Map<?, ?> entry, String cell, String key) throws SettingsException {
+    if (!(entry.get(CONTROLLERS) instanceof List<?> list) || list.isEmpty()) {
+      throw error(key, "must be a list of controllers");
+    }
+    Set<String> labels = new LinkedHashSet<>();
+    for (Object element : list) {
+      String label = String.valueOf(element);
+      if (!controllers.contains(label)) {
+        throw error(key, "names " + label + ", which this deployment has not");
+      }
+      String earlierCell = cellOfController.putIfAbsent(label, cell);
+      if (earlierCell != null) {
+        throw error(key, "names " + label + ", which is in " + earlierCell + " too");
+      }
+      labels.add(label);
+    }
+    return Set.copyOf(labels);
+  }
+
+  private double weight(Map<?, ?> entry, String key) throws SettingsException {
+    Object weight = entry.get(WEIGHT);
+    if (weight == null) {
+      return 1;
+    }
+    if (!(weight instanceof Number number)
+        || !(number.doubleValue() > 0 && number.doubleValue() < WEIGHT_LIMIT)) {
+      throw error(key, "must be a number above 0");
+    }
+    return number.doubleValue();
+  }
+
+  private void checkPrefix(
+      SharingSettings.Cell cell, List<SharingSettings.Cell> earlierCells, String key)
+      throws SettingsException {
+    if (!cell.prefix().isEmpty() && !PREFIX.matcher(cell.prefix()).matches()) {
+      throw error(key, "must be empty, or small letters, digits and hyphens with a slash");
+    }
+    if (RESERVED_PREFIXES.contains(cell.prefix())) {
+      throw error(key, "collides with the service's own keys: " + cell.prefix());
+    }
+    for (SharingSettings.Cell earlier : earlierCells) {
+      if (earlier.prefix().equals(cell.prefix())) {
+        throw error(key, "collides with that of " + earlier.name());
+      }
+    }
+  }
+
+  private void refuseUnknown(Map<?, ?> table, String prefix, Set<String> known)
+      throws SettingsException {
+    for (Object key : table.keySet()) {
+      if (!known.contains(String.valueOf(key))) {
+        throw error(prefix + key, "is unknown");
+      }
+    }
+  }
+
+  private double number(
+      Map<?, ?> table, String prefix, String key, double min, double max, double defaultValue)
+      throws SettingsException {
+    Object value = table.get(key);
+    if (value == null && defaultValue != REQUIRED) {
+      return defaultValue;
+    }
+    if (!(value instanceof Number number)
+        || !(number.doubleValue() >= min && number.doubleValue() <= max)) {
+      throw error(prefix + key, "must be a number from " + (long) min + " to " + (long) max);
+    }
+    return number.doubleValue();
+  }
+
+  private SettingsException error(String key, String reason) {
+    return new SettingsException(file + ": sharing." + key + " " + reason);
+  }
+
+  private static String digest(
+      int maxMachines, int maxTransfers, List<SharingSettings.Cell> cells) {
+    StringBuilder text = new StringBuilder().append(maxMachines).append(' ').append(maxTransfers);
+    for (SharingSettings.Cell cell : cells) {
+      text.append('\n').append(cell.name()).append(' ').append(cell.prefix());
+      text.append(' ').append(cell.minMachines()).append(' ').append(cell.weight());
+      cell.controllers().stream().sorted().forEach(label -> text.append(' ').append(label));
+    }
+    try {
+      byte[] hash =
+          MessageDigest.getInstance("SHA-256")
+              .digest(text.toString().getBytes(StandardCharsets.UTF_8));
+      return HexFormat.of().formatHex(hash, 0, DIGEST_BYTES);
+    } catch (NoSuchAlgorithmException e) {
+      throw new ProviderException("every Java has SHA-256", e);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/settings/TomlTable.java
@@ -0,0 +1,113 @@
+package plumlever.settings;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+
+/** A table of a TOML file, with strict access to its keys. Errors name the file and the key. */
+final class TomlTable {
+  private static final double MIN_SECONDS = 0.001;
+  private static final double MAX_SECONDS = 1e9;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  private final String file;
+
+  /**
+   * What comes before the names of its keys in errors: empty, or the table's own name and a dot.
+   */
+  private final String prefix;
+
+  private final JsonNode node;
+
+  private TomlTable(String file, String prefix, JsonNode node) {
+    this.file = file;
+    this.prefix = prefix;
+    this.node = node;
+  }
+
+  static TomlTable root(String file, JsonNode node) {
+    return new TomlTable(file, "", node);
+  }
+
+  SettingsException error(String key, String reason) {
+    return new SettingsException(file + ": " + prefix + key + " " + reason);
+  }
+
+  boolean has(String key) {
+    return node.has(key);
+  }
+
+  /** A table that must be there. */
+  TomlTable table(String key) throws SettingsException {
+    JsonNode child = node.get(key);
+    if (child == null || !child.isObject()) {
+      throw error(key, child == null ? "is missing" : "must be a table");
+    }
+    return new TomlTable(file, prefix + key + ".", child);
+  }
+
+  /** A list of tables; empty if it is missing. */
+  List<TomlTable> tables(String key) throws SettingsException {
+    JsonNode list = node.get(key);
+    if (list == null) {
+      return List.of();
+    }
+    if (!list.isArray()) {
+      throw error(key, "must be a list of tables");
+    }
+    List<TomlTable> tables = new ArrayList<>();
+    for (JsonNode child : list) {
+      if (!child.isObject()) {
+        throw error(key, "must be a list of tables");
+      }
+      tables.add(new TomlTable(file, prefix + key + "[" + tables.size() + "].", child));
+    }
+    return tables;
+  }
+
+  /** A text that must be there. */
+  String text(String key) throws SettingsException {
+    JsonNode value = node.get(key);
+    if (value == null || !value.isTextual() || value.textValue().isBlank()) {
+      throw error(key, value == null ? "is missing" : "must be a text that is not empty");
+    }
+    return value.textValue();
+  }
+
+  Optional<String> optionalText(String key) throws SettingsException {
+    return node.hasNonNull(key) ? Optional.of(text(key)) : Optional.empty();
+  }
+
+  /** A number that must be there and in this range. */
+  double amount(String key, double min, double max) throws SettingsException {
+    JsonNode value = node.get(key);
+    if (value == null || !value.isNumber()) {
+      throw error(key, value == null ? "is missing" : "must be a number");
+    }
+    double amount = value.doubleValue();
+    if (!(amount >= min && amount <= max)) {
+      throw error(key, "must be from " + min + " to " + max);
+    }
+    return amount;
+  }
+
+  /** A number in this range, if it is there. */
+  double amount(String key, double min, double max, double defaultValue) throws SettingsException {
+    return node.hasNonNull(key) ? amount(key, min, max) : defaultValue;
+  }
+
+  /** A time in seconds that must be there, in microseconds. */
+  long micros(String key) throws SettingsException {
+    return Math.round(amount(key, MIN_SECONDS, MAX_SECONDS) * MICROS_PER_SECOND);
+  }
+
+  /** An address with a port that must be there. */
+  Endpoint endpoint(String key) throws SettingsException {
+    Endpoint endpoint = Endpoint.parse(text(key));
+    if (endpoint == null) {
+      throw error(key, "must be ADDRESS:PORT");
+    }
+    return endpoint;
+  }
+}
--- a/src/main/java/plumlever/settings/package-info.java
+++ b/src/main/java/plumlever/settings/package-info.java
@@ -1,6 +1,8 @@
 /**
- * The platform's settings file (TOML), the operators' settings (YAML), and the tunable values.
+ * The settings: the platform's file (TOML), the operators' file (YAML) with the scheduler's
+ * parameters, and how cells share machines.
  *
- * <p>Knows nothing of what the settings are used for.
+ * <p>Everything is read and checked once, at the start; errors name the file, the key and the
+ * reason. It must not know what the settings are used for.
  */
 package plumlever.settings;
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,9 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings files: what is read, and how errors are told. */
+/** Settings files: what is read, and what errors say. */
 final class SettingsTest {
-  private static final String GOOD =
+  private static final String PLATFORM =
       """
       label = "n0"
       area = "a"
@@ -64,40 +65,54 @@
     return Files.writeString(dir.resolve("s"), text);
   }
 
+  private PlatformConfiguration platform(String text) throws IOException, SettingsException {
+    return PlatformConfiguration.load(file(text));
+  }
+
+  private String platformError(String text) {
+    return assertThrows(SettingsException.class, () -> platform(text)).getMessage();
+  }
+
+  private OperatorSettings operators(String yaml) throws IOException, SettingsException {
+    PlatformConfiguration platform = platform(PLATFORM);
+    return OperatorFile.load(file(yaml), platform);
+  }
+
+  private String operatorsError(String yaml) {
+    return assertThrows(SettingsException.class, () -> operators(yaml)).getMessage();
+  }
+
   @Test
   void readsThePlatformsFileAndIgnoresUnknownFields() throws Exception {
-    PlatformConfiguration platform = PlatformConfiguration.load(file(GOOD));
+    PlatformConfiguration platform = platform(PLATFORM);
+
     assertEquals(20_000_000, platform.workers().leaseMicros());
     assertEquals(new Endpoint("127.0.0.2", 8081), platform.peers().get(0).endpoint());
     assertEquals(4096, platform.stateLimits().valueBytes());
   }
 
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      value = {
+        "lease_s = 20.0 | lease_s = \"x\" | deployment.workers.lease_s must be a number",
+        "state = \"127.0.0.1:2\" | `` | outside.state is missing",
+        "127.0.0.1:8080 | 8080 | bind must be ADDRESS:PORT"
+      })
+  void errorsOfThePlatformsFileNameFileKeyAndReason(String good, String bad, String reason) {
+    String text = PLATFORM.replace(good, bad);
+
+    assertEquals(dir.resolve("s") + ": " + reason, platformError(text));
+  }
+
   @Test
-  void errorsNameFileKeyAndReason() throws Exception {
-    assertEquals(
-        dir.resolve("s") + ": deployment.workers.lease_s must be a number",
-        assertThrows(
-                SettingsException.class,
-                () ->
-                    PlatformConfiguration.load(
-                        file(GOOD.replace("lease_s = 20.0", "lease_s = \"x\""))))
-            .getMessage());
-    assertEquals(
-        dir.resolve("s") + ": outside.state is missing",
-        assertThrows(
-                SettingsException.class,
-                () -> PlatformConfiguration.load(file(GOOD.replace("state = \"127.0.0.1:2\"", ""))))
-            .getMessage());
-    assertEquals(
-        dir.resolve("s") + ": bind must be ADDRESS:PORT",
-        assertThrows(
-                SettingsException.class,
-                () -> PlatformConfiguration.load(file(GOOD.replace("127.0.0.1:8080", "8080"))))
-            .getMessage());
-    assertTrue(
-        assertThrows(SettingsException.class, () -> PlatformConfiguration.load(file("label = ")))
-            .getMessage()
-            .contains("not TOML"));
+  void aPlatformFileThatIsNotTomlIsAnError() {
+    assertTrue(platformError("label = ").contains("not TOML"));
+  }
+
+  @Test
+  void aMissingPlatformFileIsAnError() {
     assertTrue(
         assertThrows(SettingsException.class, () -> PlatformConfiguration.load(dir.resolve("none")))
             .getMessage()
@@ -105,7 +120,8 @@
   }
 
   private static String withNext(String next) {
-    return GOOD.replace("txn_ops = 8\n", "txn_ops = 8\n[deployment.state.next]\n" + next + "\n");
+    return PLATFORM.replace(
+        "txn_ops = 8\n", "txn_ops = 8\n[deployment.state.next]\n" + next + "\n");
   }
 
   /** Of each limit the smaller of now and next holds from the start; what is not named stays. */
@@ -124,7 +140,8 @@
       String next, double rps, double writeRps, int valueBytes, int transactionOps)
       throws Exception {
     PlatformConfiguration.StateLimits limits =
-        PlatformConfiguration.load(file(withNext(next.replace("; ", "\n")))).stateLimits();
+        platform(withNext(next.replace("; ", "\n"))).stateLimits();
+
     assertEquals(
         new PlatformConfiguration.StateLimits(rps, writeRps, valueBytes, transactionOps, 4096),
         limits);
@@ -140,28 +157,14 @@
         "rps = \"many\" | deployment.state.next.rps must be a number"
       })
   void limitsThatCannotWorkEndTheStart(String next, String reason) {
-    assertEquals(
-        dir.resolve("s") + ": " + reason,
-        assertThrows(
-                SettingsException.class, () -> PlatformConfiguration.load(file(withNext(next))))
-            .getMessage());
+    assertEquals(dir.resolve("s") + ": " + reason, platformError(withNext(next)));
   }
 
   @Test
   void nextMustBeATable() {
     assertEquals(
         dir.resolve("s") + ": deployment.state.next must be a table",
-        assertThrows(
-                SettingsException.class,
-                () ->
-                    PlatformConfiguration.load(
-                        file(GOOD.replace("txn_ops = 8", "txn_ops = 8\nnext = 7"))))
-            .getMessage());
-  }
-
-  private OperatorSettings operators(String yaml) throws Exception {
-    PlatformConfiguration platform = PlatformConfiguration.load(file(GOOD));
-    return OperatorFile.load(file(yaml), platform);
+        platformError(PLATFORM.replace("txn_ops = 8", "txn_ops = 8\nnext = 7")));
   }
 
   private static final String CELLS =
@@ -181,13 +184,29 @@
   @Test
   void sharingNamesTheCellOfThisController() throws Exception {
     SharingSettings sharing = operators(CELLS).sharing().orElseThrow();
+
     assertEquals("one", sharing.ownCell().name());
     assertEquals("one/", sharing.ownCell().prefix());
     assertEquals(1, sharing.cell("two").weight());
-    assertEquals(sharing.digest(), operators(CELLS).sharing().orElseThrow().digest());
-    SharingSettings other =
-        operators(CELLS.replace("floor: 3", "floor: 2")).sharing().orElseThrow();
-    assertFalse(sharing.digest().equals(other.digest()), "another file has another digest");
+  }
+
+  @Test
+  void theSameSharingTableHasTheSameDigest() throws Exception {
+    String digest = operators(CELLS).sharing().orElseThrow().digest();
+
+    assertEquals(digest, operators(CELLS).sharing().orElseThrow().digest());
+  }
+
+  @Test
+  void anotherSharingTableHasAnotherDigest() throws Exception {
+    String digest = operators(CELLS).sharing().orElseThrow().digest();
+
+    String changed = CELLS.replace("floor: 3", "floor: 2");
+    assertNotEquals(digest, operators(changed).sharing().orElseThrow().digest());
+  }
+
+  @Test
+  void withoutASharingTableNothingIsShared() throws Exception {
     assertTrue(operators("tie_share: 0.1").sharing().isEmpty());
   }
 
@@ -209,50 +228,76 @@
         "floor: 3 | flor: 3 | sharing.cells[1].flor is unknown",
         "'sharing:' | 'sharing: 7 #' | sharing must be a table"
       })
-  void badSharingIsToldWithKeyAndReason(String part, String instead, String reason)
-      throws Exception {
+  void errorsOfTheSharingTableNameKeyAndReason(String part, String instead, String reason) {
     String yaml = instead.startsWith("sharing: 7") ? "sharing: 7" : CELLS.replace(part, instead);
-    SettingsException wrong = assertThrows(SettingsException.class, () -> operators(yaml));
-    assertTrue(wrong.getMessage().contains(reason), wrong.getMessage());
+
+    String error = operatorsError(yaml);
+
+    assertTrue(error.contains(reason), error);
   }
 
   @Test
-  void aControllerInNoCellIsTold() {
+  void aControllerInNoCellIsAnError() {
     String yaml = CELLS.substring(0, CELLS.indexOf("    - name: two"));
-    SettingsException wrong = assertThrows(SettingsException.class, () -> operators(yaml));
-    assertTrue(
-        wrong.getMessage().endsWith("sharing.cells name no cell for controller n1"),
-        wrong.getMessage());
+
+    String error = operatorsError(yaml);
+
+    assertTrue(error.endsWith("sharing.cells name no cell for controller n1"), error);
   }
 
   @Test
-  void operatorsFileChangesParametersAndRefusesUnknownKeys() throws Exception {
+  void theOperatorsFileChangesParametersAndLeavesTheOthers() throws Exception {
     SchedulerParameters parameters =
         operators("padding_share: 0.1\nowned_hourly:\n  rack: 0.02\n").parameters();
+
     assertEquals(0.1, parameters.paddingShare());
     assertEquals(0.02, parameters.ownedHourly().get("rack"));
     assertEquals(SchedulerParameters.defaults().tieShare(), parameters.tieShare());
-    assertTrue(
-        assertThrows(SettingsException.class, () -> operators("pading_share: 0.1"))
-            .getMessage()
-            .endsWith("pading_share is unknown"));
-    assertTrue(
-        assertThrows(SettingsException.class, () -> operators("tie_share: 7"))
-            .getMessage()
-            .contains("tie_share must be from"));
   }
 
   @Test
-  void moneyMattersWhereAimsNameItOrLeaveTimeToRent() throws Exception {
-    assertTrue(PlatformConfiguration.load(file(GOOD)).moneyMatters(35_000_000));
-    String urgent = GOOD.replace("within_s = 250.0", "within_s = 8.0");
-    assertFalse(PlatformConfiguration.load(file(urgent)).moneyMatters(35_000_000));
+  void anEmptyOperatorsFileGivesTheDefaults() throws Exception {
+    assertEquals(SchedulerParameters.defaults(), operators("").parameters());
+  }
+
+  @Test
+  void anUnknownKeyOfTheOperatorsFileIsAnError() {
+    assertTrue(operatorsError("pading_share: 0.1").endsWith("pading_share is unknown"));
+  }
+
+  @Test
+  void aValueOutOfRangeInTheOperatorsFileIsAnError() {
+    assertTrue(operatorsError("tie_share: 7").contains("tie_share must be from"));
+  }
+
+  @Test
+  void theLeaseOfTheLeaderMustExceedTwoRenewals() {
     assertTrue(
-        PlatformConfiguration.load(
-                file(
-                    urgent.replace(
-                        "[deployment.workers]",
-                        "[[deployment.objectives]]\nkind = \"price\"\n[deployment.workers]")))
-            .moneyMatters(35_000_000));
+        operatorsError("touch_s: 2")
+            .endsWith(": grant_ttl_s must exceed twice touch_s and act_margin_s"));
+  }
+
+  private static final long RENTAL_MICROS = 35_000_000;
+  private static final String NO_TIME_TO_RENT =
+      PLATFORM.replace("within_s = 250.0", "within_s = 8.0");
+
+  @Test
+  void moneyMattersWhereObjectivesLeaveTimeToRent() throws Exception {
+    assertTrue(platform(PLATFORM).moneyMatters(RENTAL_MICROS));
+  }
+
+  @Test
+  void moneyDoesNotMatterWhereAnObjectiveLeavesNoTimeToRent() throws Exception {
+    assertFalse(platform(NO_TIME_TO_RENT).moneyMatters(RENTAL_MICROS));
+  }
+
+  @Test
+  void moneyMattersWhereAnObjectiveNamesIt() throws Exception {
+    String text =
+        NO_TIME_TO_RENT.replace(
+            "[deployment.workers]",
+            "[[deployment.objectives]]\nkind = \"price\"\n[deployment.workers]");
+
+    assertTrue(platform(text).moneyMatters(RENTAL_MICROS));
   }
 }
