--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -2,6 +2,7 @@
 
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
+import java.io.OutputStream;
 import java.net.HttpURLConnection;
 import java.net.URI;
 import java.nio.charset.StandardCharsets;
@@ -22,12 +23,14 @@
 import plumlever.settings.SettingsException;
 import plumlever.warmup.WarmUp;
 import plumlever.warmup.WarmUpServices;
+import plumlever.wire.HttpStatus;
+import plumlever.wire.ProtocolPath;
 
 /**
- * Starts a controller on loopback with emulators round it and lets it lead for a few seconds, so
- * that the build can archive the classes that a start and a term need: what is not in the archive
- * is loaded, linked and checked when it is needed, which on little processor takes seconds. Nothing
- * it does reaches beyond this process.
+ * Starts a controller on loopback among emulators and lets it lead for a few seconds, so that the
+ * build can archive the classes that a start and a term need. Other classes are loaded, linked and
+ * verified when they are needed, which takes seconds with a small share of a processor. Nothing of
+ * it reaches beyond this process.
  */
 final class ArchiveTrainingRun {
   private static final String SETTINGS =
@@ -69,96 +72,130 @@
       "accelerators":0.0,"memory_gb":1.0,"bundle":"img","image_gb":1.0,"flavors":null,"site":null,"one_zone":false,
       "spread":false,"loaners":true,"expect_s":2.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":60.0}
       """;
-  private static final int TERM_MS = 7_000;
+  private static final long TERM_MS = 7_000;
+  private static final int CONNECT_TIMEOUT_MS = 3_000;
+  private static final int READ_TIMEOUT_MS = 6_000;
+  private static final String LOOPBACK = "127.0.0.1";
+  private static final String CLASS_SUFFIX = ".class";
 
   private ArchiveTrainingRun() {}
 
+  /** The exit code. */
   static int run() {
-    Path file = null;
     try {
-      Emulators environment = new Emulators();
-      file = Files.createTempFile("plumlever", ".toml");
-      Files.writeString(file, String.format(SETTINGS, environment.port()));
-      Main.run(new String[] {"--config", file.toString(), "--check"});
-      loadOwnClasses();
-      PlatformConfiguration platform = PlatformConfiguration.load(file);
-      Service service = new Service(platform, OperatorSettings.defaults());
-      try (service) {
-        service.start();
-        String base = "http://127.0.0.1:" + service.port();
-        ask(base + "/up", null);
-        ask(base + "/submissions/job-1", null);
-        ask(base + "/submissions", "{\"uid\":\"job-1\"}");
-        ask(base + "/submissions", JOB);
-        environment.heartbeatTo(new Endpoint("127.0.0.1", service.port()));
-        Thread.sleep(TERM_MS);
-        ask(base + "/submissions/job-2", null);
-        ask(base + "/submissions/job-2/abort", "");
+      PlatformConfiguration platform;
+      try (Emulators emulators = new Emulators()) {
+        platform = lead(emulators);
       }
-      environment.close();
       WarmUp.playAll(platform, SchedulerParameters.defaults());
-      return 0;
+      return ExitCode.OK;
     } catch (IOException | SettingsException e) {
       System.err.println("plumlever: the start could not be rehearsed: " + e);
-      return 1;
+      return ExitCode.FAILED;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return 1;
-    } finally {
-      if (file != null) {
-        file.toFile().delete();
+      return ExitCode.FAILED;
+    }
+  }
+
+  private static PlatformConfiguration lead(Emulators emulators)
+      throws IOException, SettingsException, InterruptedException {
+    Path file = Files.createTempFile("plumlever", ".toml");
+    try {
+      Files.writeString(file, String.format(SETTINGS, emulators.port()));
+      Main.run(new String[] {"--config", file.toString(), "--check"});
+      loadOwnClasses();
+      PlatformConfiguration platform = PlatformConfiguration.load(file);
+      try (Service service = new Service(platform, OperatorSettings.defaults())) {
+        service.start();
+        emulateUsers(service.port(), emulators);
       }
+      return platform;
+    } finally {
+      file.toFile().delete();
     }
   }
 
+  private static void emulateUsers(int port, Emulators emulators)
+      throws IOException, InterruptedException {
+    String base = "http://" + LOOPBACK + ":" + port;
+    get(base + ProtocolPath.HEALTH);
+    get(base + ProtocolPath.SUBMISSIONS + "/job-1");
+    post(base + ProtocolPath.SUBMISSIONS, "{\"uid\":\"job-1\"}");
+    post(base + ProtocolPath.SUBMISSIONS, JOB);
+    emulators.sendHeartbeatsTo(new Endpoint(LOOPBACK, port));
+    Thread.sleep(TERM_MS);
+    get(base + ProtocolPath.SUBMISSIONS + "/job-2");
+    post(base + ProtocolPath.SUBMISSIONS + "/job-2" + ProtocolPath.CANCEL_SUFFIX, "");
+  }
+
   /** The state service, the cloud and one machine, served on loopback. */
   private static final class Emulators implements AutoCloseable {
-    private final XnioWorker worker = Service.worker("stand-ins");
+    private static final int BUFFER_BYTES = 8 * 1024;
+    private static final int MAX_BUFFERS = 8;
+    private static final int MAX_CONNECTIONS = 64;
+    private static final long IDLE_MICROS = 60_000_000;
+    private static final long MAX_BODY_BYTES = 1 << 20;
+    private static final long HEARTBEAT_TIMEOUT_MICROS = 2_000_000;
+    private static final long HEARTBEAT_PAUSE_MICROS = 200_000;
+
+    private final XnioWorker worker = Service.worker("emulators");
     private final XnioLoop loop = new XnioLoop(worker.getIoThread());
     private final UndertowCaller caller =
         new UndertowCaller(
-            loop, worker.getIoThread(), new DefaultByteBufferPool(false, 8 * 1024, 8, 1));
+            loop,
+            worker.getIoThread(),
+            new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_BUFFERS, 1));
     private final Server server;
-    private final WarmUpServices outside;
+    private final WarmUpServices services;
     private final String machine;
 
     Emulators() throws IOException {
       server =
-          new Server(worker, new Endpoint("127.0.0.1", 0), 64, 60_000_000, 1 << 20, this::handle);
+          new Server(
+              worker,
+              new Endpoint(LOOPBACK, 0),
+              MAX_CONNECTIONS,
+              IDLE_MICROS,
+              MAX_BODY_BYTES,
+              this::handle);
       server.start();
-      outside = new WarmUpServices(loop, 1, "127.0.0.1:" + server.port());
-      machine = outside.machines().get(0);
+      services = new WarmUpServices(loop, 1, LOOPBACK + ":" + server.port());
+      machine = services.machines().get(0);
     }
 
     int port() {
       return server.port();
     }
 
-    private void handle(String method, String path, byte[] body, Responder out) {
-      if (path.equals("/orders")) {
-        outside.command(machine, new String(body, StandardCharsets.UTF_8));
-        out.send(200, new String(outside.heartbeat(machine), StandardCharsets.UTF_8));
+    private void handle(String method, String path, byte[] body, Responder responder) {
+      if (path.equals(ProtocolPath.COMMANDS)) {
+        services.command(machine, new String(body, StandardCharsets.UTF_8));
+        responder.send(
+            HttpStatus.OK, new String(services.heartbeat(machine), StandardCharsets.UTF_8));
       } else {
-        outside.handle(method, path, body, out::send);
+        services.handle(method, path, body, responder::send);
       }
     }
 
-    /** The machine reports there from now on. */
-    void heartbeatTo(Endpoint node) {
-      loop.execute(
-          () ->
-              caller.call(
-                  node,
-                  "POST",
-                  "/hello",
-                  outside.heartbeat(machine),
-                  2_000_000,
-                  (status, data) -> {
-                    if (status == 200) {
-                      outside.command(machine, new String(data, StandardCharsets.UTF_8));
-                    }
-                    loop.after(200_000, () -> heartbeatTo(node));
-                  }));
+    /** From now on the machine sends its heartbeats there. */
+    void sendHeartbeatsTo(Endpoint controller) {
+      loop.execute(() -> sendHeartbeat(controller));
+    }
+
+    private void sendHeartbeat(Endpoint controller) {
+      caller.call(
+          controller,
+          "POST",
+          ProtocolPath.HEARTBEAT,
+          services.heartbeat(machine),
+          HEARTBEAT_TIMEOUT_MICROS,
+          (status, answer) -> {
+            if (status == HttpStatus.OK) {
+              services.command(machine, new String(answer, StandardCharsets.UTF_8));
+            }
+            loop.after(HEARTBEAT_PAUSE_MICROS, () -> sendHeartbeatsTo(controller));
+          });
     }
 
     @Override
@@ -168,10 +205,7 @@
     }
   }
 
-  /**
-   * A leader's classes too, which nobody needs here: taking leadership must not wait for them to
-   * load.
-   */
+  /** Loads also the classes that only a leader needs, so that an election need not load them. */
   private static void loadOwnClasses() throws IOException {
     Path jar =
         Path.of(
@@ -180,33 +214,51 @@
       return;
     }
     try (JarFile jarFile = new JarFile(jar.toFile())) {
-      for (JarEntry jarEntry : Collections.list(jarFile.entries())) {
-        String name = jarEntry.getName();
-        if (name.startsWith("plumlever/")
-            && !name.startsWith("plumlever/drill/")
-            && !name.startsWith("plumlever/sharing/")
-            && name.endsWith(".class")) {
-          try {
-            Class.forName(name.substring(0, name.length() - 6).replace('/', '.'));
-          } catch (ClassNotFoundException x) {
-            throw new IOException(name, x);
-          }
+      for (JarEntry entry : Collections.list(jarFile.entries())) {
+        if (isOfController(entry.getName())) {
+          load(entry.getName());
         }
       }
     }
   }
 
-  private static void ask(String url, String body) throws IOException {
-    HttpURLConnection httpURLConnection =
-        (HttpURLConnection) URI.create(url).toURL().openConnection();
-    httpURLConnection.setConnectTimeout(3_000);
-    httpURLConnection.setReadTimeout(6_000);
-    if (body != null) {
-      httpURLConnection.setRequestMethod("POST");
-      httpURLConnection.setDoOutput(true);
-      httpURLConnection.getOutputStream().write(body.getBytes(StandardCharsets.UTF_8));
+  private static boolean isOfController(String entryName) {
+    return entryName.startsWith("plumlever/")
+        && !entryName.startsWith("plumlever/drill/")
+        && !entryName.startsWith("plumlever/sharing/")
+        && entryName.endsWith(CLASS_SUFFIX);
+  }
+
+  private static void load(String entryName) throws IOException {
+    String path = entryName.substring(0, entryName.length() - CLASS_SUFFIX.length());
+    try {
+      Class.forName(path.replace('/', '.'));
+    } catch (ClassNotFoundException e) {
+      throw new IOException(entryName, e);
+    }
+  }
+
+  private static void get(String url) throws IOException {
+    HttpURLConnection connection = connection(url);
+    connection.getResponseCode();
+    connection.disconnect();
+  }
+
+  private static void post(String url, String body) throws IOException {
+    HttpURLConnection connection = connection(url);
+    connection.setRequestMethod("POST");
+    connection.setDoOutput(true);
+    try (OutputStream out = connection.getOutputStream()) {
+      out.write(body.getBytes(StandardCharsets.UTF_8));
     }
-    httpURLConnection.getResponseCode();
-    httpURLConnection.disconnect();
+    connection.getResponseCode();
+    connection.disconnect();
+  }
+
+  private static HttpURLConnection connection(String url) throws IOException {
+    HttpURLConnection connection = (HttpURLConnection) URI.create(url).toURL().openConnection();
+    connection.setConnectTimeout(CONNECT_TIMEOUT_MS);
+    connection.setReadTimeout(READ_TIMEOUT_MS);
+    return connection;
   }
 }
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -7,12 +7,13 @@
 import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
 
-/** What would run with the settings given, for {@code --check}. */
+/** Describes what would run with the settings given, for {@code --check}. */
 final class Check {
   private static final double MICROS_PER_SECOND = 1e6;
 
   private Check() {}
 
+  /** Several lines, without an end of line after the last. */
   static String describe(PlatformConfiguration platform, OperatorSettings settings) {
     SchedulerParameters parameters = settings.parameters();
     return String.join(
--- a/src/main/java/plumlever/cli/DrillCommand.java
+++ b/src/main/java/plumlever/cli/DrillCommand.java
@@ -12,74 +12,80 @@
 import plumlever.drill.SharingDrill;
 import plumlever.wire.InvalidMessageException;
 
-/** {@code plumlever drill NAME}: plays a drill and tells whether it passed. */
+/** {@code plumlever drill NAME}: plays a drill and prints whether it passed. */
 final class DrillCommand {
   /** The first argument. */
   static final String NAME = "drill";
 
-  private static final int PASSED = 0;
-  private static final int FAILED = 1;
-  private static final int WRONG = 2;
   private static final int DEFAULT_SECONDS = 600;
   private static final int DEFAULT_MACHINES = 24;
-  private static final int ASKED_TRANSFERS = 12;
-  private static final int MOST_SEEDS = 1_000_000;
+  private static final int MIN_TRANSFERS = 12;
+  private static final int MAX_RANDOM_SEED = 1_000_000;
+  private static final String SHARING = "sharing";
+  private static final String SECONDS = "seconds";
+  private static final String MACHINES = "machines";
+  private static final String SEED = "seed";
+  private static final String JOBS = "jobs";
+  private static final String CALM = "calm";
   private static final String USAGE =
       "plumlever drill sharing [--seconds N] [--machines N] [--seed N] [--jobs FILE] [--calm]";
 
   private DrillCommand() {}
 
-  /** The exit code: 0 passed, 1 failed, 2 wrong arguments. */
+  /** The exit code. */
   static int run(String[] arguments) {
-    Options options =
-        new Options()
-            .addOption(Option.builder().longOpt("seconds").hasArg().build())
-            .addOption(Option.builder().longOpt("machines").hasArg().build())
-            .addOption(Option.builder().longOpt("seed").hasArg().build())
-            .addOption(Option.builder().longOpt("jobs").hasArg().build())
-            .addOption(Option.builder().longOpt("calm").build());
     try {
-      CommandLine line = new DefaultParser(false).parse(options, arguments);
-      if (!line.getArgList().equals(List.of(NAME, "sharing"))) {
-        return wrong("no such drill");
+      CommandLine line = new DefaultParser(false).parse(options(), arguments);
+      if (!line.getArgList().equals(List.of(NAME, SHARING))) {
+        return wrongUsage("no such drill");
       }
-      int seconds = Integer.parseInt(line.getOptionValue("seconds", "" + DEFAULT_SECONDS));
-      int machines = Integer.parseInt(line.getOptionValue("machines", "" + DEFAULT_MACHINES));
+      int seconds = Integer.parseInt(line.getOptionValue(SECONDS, "" + DEFAULT_SECONDS));
+      int machines = Integer.parseInt(line.getOptionValue(MACHINES, "" + DEFAULT_MACHINES));
       long seed =
-          line.hasOption("seed")
-              ? Long.parseLong(line.getOptionValue("seed"))
-              : new SplittableRandom().nextInt(MOST_SEEDS);
+          line.hasOption(SEED)
+              ? Long.parseLong(line.getOptionValue(SEED))
+              : new SplittableRandom().nextInt(MAX_RANDOM_SEED);
       if (seconds < 1 || machines < 1) {
-        return wrong("seconds and machines must be above 0");
+        return wrongUsage("seconds and machines must be above 0");
       }
       List<SharingDrill.JobShapeFile> shapes =
-          line.hasOption("jobs")
-              ? List.of(new SharingDrill.JobShapeFile(Path.of(line.getOptionValue("jobs"))))
+          line.hasOption(JOBS)
+              ? List.of(new SharingDrill.JobShapeFile(Path.of(line.getOptionValue(JOBS))))
               : List.of();
-      int asked = seconds >= DEFAULT_SECONDS ? ASKED_TRANSFERS : 1;
+      int minTransfers = seconds >= DEFAULT_SECONDS ? MIN_TRANSFERS : 1;
       return play(
-          new SharingDrill.Plan(seconds, machines, seed, shapes, !line.hasOption("calm"), asked));
+          new SharingDrill.Plan(
+              seconds, machines, seed, shapes, !line.hasOption(CALM), minTransfers));
     } catch (ParseException | NumberFormatException e) {
-      return wrong(e.getMessage());
+      return wrongUsage(e.getMessage());
     }
   }
 
+  private static Options options() {
+    return new Options()
+        .addOption(Option.builder().longOpt(SECONDS).hasArg().build())
+        .addOption(Option.builder().longOpt(MACHINES).hasArg().build())
+        .addOption(Option.builder().longOpt(SEED).hasArg().build())
+        .addOption(Option.builder().longOpt(JOBS).hasArg().build())
+        .addOption(Option.builder().longOpt(CALM).build());
+  }
+
   private static int play(SharingDrill.Plan plan) {
     try {
       SharingDrill.Outcome outcome = SharingDrill.run(plan);
       outcome.lines().forEach(System.out::println);
       System.out.println(outcome.passed() ? "PASS" : "FAIL");
-      return outcome.passed() ? PASSED : FAILED;
+      return outcome.passed() ? ExitCode.OK : ExitCode.FAILED;
     } catch (IOException | InvalidMessageException e) {
-      return wrong(e.getMessage());
+      return wrongUsage(e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return FAILED;
+      return ExitCode.FAILED;
     }
   }
 
-  private static int wrong(String reason) {
+  private static int wrongUsage(String reason) {
     System.err.println("plumlever: " + reason + " (" + USAGE + ")");
-    return WRONG;
+    return ExitCode.WRONG_USAGE;
   }
 }
--- a/src/main/java/plumlever/cli/Logging.java
+++ b/src/main/java/plumlever/cli/Logging.java
@@ -1,18 +1,26 @@
 package plumlever.cli;
 
 import java.util.Locale;
+import java.util.Set;
 
-/** Sets logging up before the first logger is made. */
+/** Configures logging; to be called before the first logger is made. */
 final class Logging {
   private static final String SIMPLE = "org.slf4j.simpleLogger.";
+  private static final Set<String> LEVELS = Set.of("error", "info", "debug");
+  private static final String DEFAULT_LEVEL = "info";
 
   private Logging() {}
 
+  /**
+   * Logs the service's own lines from this level on, and warnings of libraries.
+   *
+   * @param level the value of {@code LOG_LEVEL}, or null without one
+   */
   static void configure(String level) {
-    String wanted = level == null ? "info" : level.trim().toLowerCase(Locale.ROOT);
-    if (!wanted.equals("error") && !wanted.equals("debug") && !wanted.equals("info")) {
+    String wanted = level == null ? DEFAULT_LEVEL : level.trim().toLowerCase(Locale.ROOT);
+    if (!LEVELS.contains(wanted)) {
       System.err.println("plumlever: LOG_LEVEL " + level + " is unknown, info is used");
-      wanted = "info";
+      wanted = DEFAULT_LEVEL;
     }
     System.setProperty(SIMPLE + "defaultLogLevel", "warn");
     System.setProperty(SIMPLE + "log.plumlever", wanted);
--- a/src/main/java/plumlever/cli/Main.java
+++ b/src/main/java/plumlever/cli/Main.java
@@ -15,112 +15,131 @@
 
 /** The command line. */
 public final class Main {
-  private static final int BAD_SETTINGS = 2;
   private static final String NAME = "plumlever";
 
   /** Not in the help: the build uses it to make the class-data archive. */
-  private static final String REHEARSE = "--rehearse-start";
+  private static final String TRAINING_RUN = "--rehearse-start";
+
+  private static final String CONFIG = "config";
+  private static final String SETTINGS = "settings";
+  private static final String CHECK = "check";
+  private static final String VERSION = "version";
+  private static final String HELP = "help";
+
+  private static final int HELP_WIDTH = 100;
+  private static final int HELP_LEFT_PADDING = 1;
+  private static final int HELP_DESCRIPTION_PADDING = 2;
 
   private Main() {}
 
   /** Runs the command line; the process ends with its exit code. */
   public static void main(String[] args) {
     Logging.configure(System.getenv("LOG_LEVEL"));
-    int code;
-    if (args.length == 1 && args[0].equals(REHEARSE)) {
-      code = ArchiveTrainingRun.run();
+    int exitCode;
+    if (args.length == 1 && args[0].equals(TRAINING_RUN)) {
+      exitCode = ArchiveTrainingRun.run();
     } else if (args.length > 0 && args[0].equals(DrillCommand.NAME)) {
-      code = DrillCommand.run(args);
+      exitCode = DrillCommand.run(args);
     } else {
-      code = run(args);
+      exitCode = run(args);
     }
-    if (code != Service.RUNNING) {
-      System.exit(code);
+    if (exitCode != ExitCode.RUNNING) {
+      System.exit(exitCode);
     }
   }
 
-  /** The exit code, or {@link Service#RUNNING} once a controller runs. */
+  /** The exit code, or {@link ExitCode#RUNNING} once a controller runs. */
   static int run(String[] args) {
-    Options options =
-        new Options()
-            .addOption(
-                Option.builder()
-                    .longOpt("config")
-                    .hasArg()
-                    .argName("FILE")
-                    .desc("settings handed over by the platform (TOML)")
-                    .build())
-            .addOption(
-                Option.builder()
-                    .longOpt("settings")
-                    .hasArg()
-                    .argName("FILE")
-                    .desc("operators' own settings (YAML)")
-                    .build())
-            .addOption(
-                Option.builder()
-                    .longOpt("check")
-                    .desc("check the settings, tell what would run, and end")
-                    .build())
-            .addOption(
-                Option.builder("V").longOpt("version").desc("print the version and end").build())
-            .addOption(Option.builder("h").longOpt("help").desc("print this help and end").build());
+    Options options = options();
     CommandLine line;
     try {
       line = new DefaultParser(false).parse(options, args);
     } catch (ParseException e) {
-      return wrong(e.getMessage());
+      return wrongUsage(e.getMessage());
     }
-    if (line.hasOption("help")) {
-      help(options);
-      return 0;
+    if (line.hasOption(HELP)) {
+      printHelp(options);
+      return ExitCode.OK;
     }
-    if (line.hasOption("version")) {
-      String text = Main.class.getPackage().getImplementationVersion();
-      System.out.println(NAME + " " + (text == null ? "(development)" : text));
-      return 0;
+    if (line.hasOption(VERSION)) {
+      printVersion();
+      return ExitCode.OK;
     }
     if (!line.getArgList().isEmpty()) {
-      return wrong("Unexpected argument: " + line.getArgList().get(0));
+      return wrongUsage("Unexpected argument: " + line.getArgList().get(0));
     }
-    if (!line.hasOption("config")) {
-      return wrong("Missing required option: --config FILE");
+    if (!line.hasOption(CONFIG)) {
+      return wrongUsage("Missing required option: --config FILE");
     }
+    return runWithSettings(line);
+  }
+
+  private static int runWithSettings(CommandLine line) {
     PlatformConfiguration platform;
     OperatorSettings settings;
     try {
-      platform = PlatformConfiguration.load(Path.of(line.getOptionValue("config")));
+      platform = PlatformConfiguration.load(Path.of(line.getOptionValue(CONFIG)));
       settings =
-          line.hasOption("settings")
-              ? OperatorFile.load(Path.of(line.getOptionValue("settings")), platform)
+          line.hasOption(SETTINGS)
+              ? OperatorFile.load(Path.of(line.getOptionValue(SETTINGS)), platform)
               : OperatorSettings.defaults();
     } catch (SettingsException e) {
       System.err.println(NAME + ": " + e.getMessage());
-      return BAD_SETTINGS;
+      return ExitCode.WRONG_USAGE;
     }
-    if (line.hasOption("check")) {
+    if (line.hasOption(CHECK)) {
       System.out.println(Check.describe(platform, settings));
-      return 0;
+      return ExitCode.OK;
     }
     return new Service(platform, settings).run();
   }
 
-  private static int wrong(String what) {
-    System.err.println(NAME + ": " + what + " (--help tells the options)");
-    return BAD_SETTINGS;
+  private static Options options() {
+    return new Options()
+        .addOption(
+            Option.builder()
+                .longOpt(CONFIG)
+                .hasArg()
+                .argName("FILE")
+                .desc("settings handed over by the platform (TOML)")
+                .build())
+        .addOption(
+            Option.builder()
+                .longOpt(SETTINGS)
+                .hasArg()
+                .argName("FILE")
+                .desc("operators' own settings (YAML)")
+                .build())
+        .addOption(
+            Option.builder()
+                .longOpt(CHECK)
+                .desc("check the settings, tell what would run, and end")
+                .build())
+        .addOption(Option.builder("V").longOpt(VERSION).desc("print the version and end").build())
+        .addOption(Option.builder("h").longOpt(HELP).desc("print this help and end").build());
+  }
+
+  private static int wrongUsage(String reason) {
+    System.err.println(NAME + ": " + reason + " (--help tells the options)");
+    return ExitCode.WRONG_USAGE;
+  }
+
+  private static void printVersion() {
+    String version = Main.class.getPackage().getImplementationVersion();
+    System.out.println(NAME + " " + (version == null ? "(development)" : version));
   }
 
-  private static void help(Options options) {
+  private static void printHelp(Options options) {
     PrintWriter out = new PrintWriter(System.out);
     new HelpFormatter()
         .printHelp(
             out,
-            100,
+            HELP_WIDTH,
             NAME + " --config FILE [--settings FILE] [--check]",
             "A cluster scheduler: places arrays of tasks on rented machines.",
             options,
-            1,
-            2,
+            HELP_LEFT_PADDING,
+            HELP_DESCRIPTION_PADDING,
             "Exit codes: 0 ended as asked, 1 could not start, 2 wrong arguments or settings.\n"
                 + "LOG_LEVEL (error, info, debug) sets how much is logged to standard error.");
     out.flush();
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -1,6 +1,7 @@
 package plumlever.cli;
 
 import io.undertow.server.DefaultByteBufferPool;
+import java.io.IOException;
 import java.time.Duration;
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
@@ -17,80 +18,110 @@
 import plumlever.http.UndertowCaller;
 import plumlever.http.XnioLoop;
 import plumlever.metrics.Logs;
+import plumlever.metrics.Metrics;
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.warmup.WarmUp;
 
 /**
- * A controller with its sockets: one XNIO I/O thread that is the loop, one for leadership, and the
- * two listeners.
+ * A controller with its sockets: one XNIO I/O thread that is the loop, one for leader election, and
+ * the two listeners.
  */
 final class Service implements AutoCloseable {
-  /** Stands for "goes on until killed" where an exit code is expected. */
-  static final int RUNNING = -1;
-
   private static final Logger LOG = LoggerFactory.getLogger(Service.class);
   private static final int BUFFER_BYTES = 8 * 1024;
-  private static final int BUFFERS = 64;
+  private static final int MAX_BUFFERS = 64;
+  private static final int MAX_BUFFERS_PER_THREAD = 4;
+  private static final int MAX_ELECTION_BUFFERS = 8;
+  private static final int MAX_ELECTION_BUFFERS_PER_THREAD = 1;
   private static final long BYTES_PER_MB = 1024 * 1024;
+
+  /** Time for the last request, which ends the leader's lease, to be sent. */
   private static final long LAST_REQUEST_MICROS = 100_000;
-  private static final int PEER_CONNECTIONS = 32;
+
+  private static final int MAX_STOP_S = 3;
 
   /**
    * Sockets kept from users and workers: calls to machines (112) and kept connections (48), up to
    * 12 each to the state service, the cloud and two peers, the peers' own, and what the process has
    * open besides.
    */
-  private static final int RESERVED = 280;
+  private static final int RESERVED_SOCKETS = 280;
 
-  private static final int LEAST_SHARED = 32;
-  private static final long LEAST_IDLE_MICROS = 12_000_000;
+  private static final int MIN_SHARED_CONNECTIONS = 32;
+  private static final int PEER_CONNECTIONS = 32;
+  private static final long MAX_PEER_BODY_BYTES = 512 * 1024;
+
+  /** A connection is closed when it has been idle for so many heartbeats, and for so long. */
   private static final int IDLE_HEARTBEATS = 3;
-  private static final long PEER_BODY = 512 * 1024;
-  private static final int STOP_S = 3;
+
+  private static final long MIN_IDLE_MICROS = 12_000_000;
 
   private final PlatformConfiguration platform;
   private final OperatorSettings settings;
   private XnioWorker worker;
   private XnioWorker electionWorker;
   private XnioLoop loop;
-  private Controller node;
-  private UndertowCaller caller;
-  private Server front;
-  private Server back;
+  private Controller controller;
+  private Server userServer;
+  private Server peerServer;
 
   Service(PlatformConfiguration platform, OperatorSettings settings) {
     this.platform = platform;
     this.settings = settings;
   }
 
+  /** The exit code, or {@link ExitCode#RUNNING} once the controller runs. */
   int run() {
     try {
       start();
-    } catch (RuntimeException | java.io.IOException e) {
+    } catch (RuntimeException | IOException e) {
       LOG.error("could not start: {}", e.toString());
       LOG.debug("could not start", e);
       close();
-      return 1;
+      return ExitCode.FAILED;
     }
     Runtime.getRuntime().addShutdownHook(new Thread(this::close, "stop"));
-    return RUNNING;
+    return ExitCode.RUNNING;
+  }
+
+  /** Starts the controller; it runs until this is closed. */
+  void start() throws IOException {
+    createController();
+    startServers();
+    registerGauges(controller.metrics());
+    WarmUp warmUp =
+        new WarmUp(
+            loop,
+            platform,
+            settings.parameters(),
+            controller::latenessMicros,
+            () -> controller.leader() != null);
+    loop.execute(
+        () -> {
+          controller.start();
+          new RecurringTask("warm-up", loop, warmUp::turn).start();
+        });
+    LOG.info(
+        "{} serves {} and {}; objectives: {}",
+        platform.label(),
+        platform.bind(),
+        platform.peerBind(),
+        platform.objectives().stream()
+            .map(PlatformConfiguration.Objective::kind)
+            .distinct()
+            .toList());
   }
 
-  void start() throws java.io.IOException {
+  private void createController() throws IOException {
     worker = worker("plumlever");
-    electionWorker = worker("office");
+    electionWorker = worker("election");
     loop = new XnioLoop(worker.getIoThread());
-    caller =
-        new UndertowCaller(
-            loop, worker.getIoThread(), new DefaultByteBufferPool(false, BUFFER_BYTES, BUFFERS, 4));
+    UndertowCaller caller = caller(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
     XnioLoop electionLoop = new XnioLoop(electionWorker.getIoThread());
     UndertowCaller electionCaller =
-        new UndertowCaller(
-            electionLoop,
-            electionWorker.getIoThread(),
-            new DefaultByteBufferPool(false, BUFFER_BYTES, 8, 1));
-    node =
+        caller(electionWorker, electionLoop, MAX_ELECTION_BUFFERS, MAX_ELECTION_BUFFERS_PER_THREAD);
+    controller =
         new Controller(
             loop,
             caller,
@@ -100,68 +131,58 @@
             settings,
             new SplittableRandom().nextLong(),
             Logs.SERVICE);
-    int users = sharedConnections(platform);
+  }
+
+  private static UndertowCaller caller(
+      XnioWorker worker, XnioLoop loop, int maxBuffers, int maxBuffersPerThread) {
+    return new UndertowCaller(
+        loop,
+        worker.getIoThread(),
+        new DefaultByteBufferPool(false, BUFFER_BYTES, maxBuffers, maxBuffersPerThread));
+  }
+
+  private void startServers() {
     long idleMicros =
-        Math.max(LEAST_IDLE_MICROS, IDLE_HEARTBEATS * platform.workers().heartbeatMicros());
-    front =
+        Math.max(MIN_IDLE_MICROS, IDLE_HEARTBEATS * platform.workers().heartbeatMicros());
+    userServer =
         new Server(
             worker,
             platform.bind(),
-            users,
+            sharedConnections(platform),
             idleMicros,
             Server.MAX_BODY,
-            (method, path, body, out) -> node.router().handle(method, path, body, out));
-    back =
+            (method, path, body, out) -> controller.router().handle(method, path, body, out));
+    peerServer =
         new Server(
             worker,
             platform.peerBind(),
             PEER_CONNECTIONS,
             idleMicros,
-            PEER_BODY,
-            (method, path, body, out) -> node.peer(method, path, body, out));
-    back.start();
-    front.start();
-    node.metrics().gauge("connections", front::connections);
-    node.metrics().gauge("connections_most", () -> users);
-    node.metrics()
-        .gauge(
-            "heap_mb",
-            () ->
-                (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory())
-                    / BYTES_PER_MB);
-    WarmUp warmUp =
-        new WarmUp(
-            loop,
-            platform,
-            settings.parameters(),
-            node::latenessMicros,
-            () -> node.leader() != null);
-    node.metrics()
-        .gauge(
-            "cpu_ms",
-            () ->
-                ProcessHandle.current()
-                    .info()
-                    .totalCpuDuration()
-                    .map(Duration::toMillis)
-                    .orElse(-1L));
-    loop.execute(
-        () -> {
-          node.start();
-          new RecurringTask("warm-up", loop, warmUp::turn).start();
-        });
-    LOG.info(
-        "{} serves {} and {}; aims: {}",
-        platform.label(),
-        platform.bind(),
-        platform.peerBind(),
-        platform.objectives().stream()
-            .map(PlatformConfiguration.Objective::kind)
-            .distinct()
-            .toList());
+            MAX_PEER_BODY_BYTES,
+            (method, path, body, out) -> controller.peer(method, path, body, out));
+    peerServer.start();
+    userServer.start();
   }
 
-  static XnioWorker worker(String name) throws java.io.IOException {
+  private void registerGauges(Metrics metrics) {
+    int maxConnections = sharedConnections(platform);
+    metrics.gauge("connections", userServer::connections);
+    metrics.gauge("connections_most", () -> maxConnections);
+    metrics.gauge("heap_mb", Service::heapMb);
+    metrics.gauge("cpu_ms", Service::processorMs);
+  }
+
+  private static long heapMb() {
+    Runtime runtime = Runtime.getRuntime();
+    return (runtime.totalMemory() - runtime.freeMemory()) / BYTES_PER_MB;
+  }
+
+  private static long processorMs() {
+    return ProcessHandle.current().info().totalCpuDuration().map(Duration::toMillis).orElse(-1L);
+  }
+
+  /** A worker of XNIO with one I/O thread. */
+  static XnioWorker worker(String name) throws IOException {
     return Xnio.getInstance()
         .createWorker(
             OptionMap.builder()
@@ -173,42 +194,30 @@
                 .getMap());
   }
 
-  /** Connections that users and workers share. */
+  /** How many connections users and workers share. */
   static int sharedConnections(PlatformConfiguration platform) {
-    return Math.max(LEAST_SHARED, platform.socketLimit() - RESERVED);
+    return Math.max(MIN_SHARED_CONNECTIONS, platform.socketLimit() - RESERVED_SOCKETS);
   }
 
+  /** The port at which users and workers are served. */
   int port() {
-    return front.port();
+    return userServer.port();
   }
 
   /**
-   * Orderly: no new requests, leadership given up so that a successor need not wait, then the
-   * sockets.
+   * Stops in order: no new requests, leadership given up so that a successor need not wait, then
+   * the sockets.
    */
   @Override
   public void close() {
-    if (node != null) {
-      CountDownLatch stopped = new CountDownLatch(1);
-      loop.execute(
-          () -> {
-            node.close();
-            // The last request, which ends the lease, gets a moment to go out.
-            loop.after(LAST_REQUEST_MICROS, stopped::countDown);
-          });
-      try {
-        if (!stopped.await(STOP_S, TimeUnit.SECONDS)) {
-          LOG.warn("stopped without the orderly end");
-        }
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
+    if (controller != null) {
+      stopController();
     }
-    if (front != null) {
-      front.close();
+    if (userServer != null) {
+      userServer.close();
     }
-    if (back != null) {
-      back.close();
+    if (peerServer != null) {
+      peerServer.close();
     }
     if (worker != null) {
       worker.shutdownNow();
@@ -217,4 +226,20 @@
       electionWorker.shutdownNow();
     }
   }
+
+  private void stopController() {
+    CountDownLatch stopped = new CountDownLatch(1);
+    loop.execute(
+        () -> {
+          controller.close();
+          loop.after(LAST_REQUEST_MICROS, stopped::countDown);
+        });
+    try {
+      if (!stopped.await(MAX_STOP_S, TimeUnit.SECONDS)) {
+        LOG.warn("the controller did not stop in time");
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+  }
 }
--- a/src/main/java/plumlever/cli/package-info.java
+++ b/src/main/java/plumlever/cli/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The command line: arguments, logging, and the process with its sockets.
+ * The command line: arguments, logging, and the process with its sockets and threads.
  *
- * <p>Nothing else depends on it.
+ * <p>It owns the exit codes and what is printed. Nothing else depends on it, and it must not know
+ * what a controller decides.
  */
 package plumlever.cli;
--- a/src/test/java/plumlever/cli/CheckTest.java
+++ b/src/test/java/plumlever/cli/CheckTest.java
@@ -8,10 +8,10 @@
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
 
-/** What {@code --check} tells. */
+/** What {@code --check} prints. */
 final class CheckTest {
   @Test
-  void tellsWhatWouldRunAndWithinWhichLimits() {
+  void describesWhatWouldRunAndWithinWhichLimits() {
     PlatformConfiguration platform =
         new PlatformConfiguration(
             "lever-0",
