--- a/src/main/java/plumlever/concurrent/RecurringTask.java
+++ b/src/main/java/plumlever/concurrent/RecurringTask.java
@@ -3,74 +3,81 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A long-lived activity that comes round on the loop, until cancelled. */
+/** An action that runs on the loop again and again until it is closed. */
 public final class RecurringTask implements AutoCloseable {
-  /**
-   * One turn; the answer is the pause until the next in microseconds, negative when the duty waits
-   * to be woken.
-   */
+  /** What is repeated. */
   public interface Action {
+    /**
+     * Runs once.
+     *
+     * @return the pause until the next run in microseconds; negative to run again only after {@link
+     *     #runAfter}
+     */
     long run();
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(RecurringTask.class);
-  private static final long AFTER_FAILURE_MICROS = 1_000_000;
+  private static final long PAUSE_AFTER_FAILURE_MICROS = 1_000_000;
 
   private final String name;
   private final Loop loop;
-  private final Action turn;
+  private final Action action;
   private Loop.Timer timer;
-  private boolean cancelled;
+  private boolean closed;
   private boolean running;
 
-  /** A task that does nothing until it is started. */
-  public RecurringTask(String name, Loop loop, Action turn) {
+  /**
+   * A task that does nothing until it is started.
+   *
+   * @param name for the log
+   */
+  public RecurringTask(String name, Loop loop, Action action) {
     this.name = name;
     this.loop = loop;
-    this.turn = turn;
+    this.action = action;
   }
 
+  /** Has the first run come soon. */
   public RecurringTask start() {
     runAfter(0);
     return this;
   }
 
-  /** The next turn comes after this pause, whatever was planned. */
+  /** Has the next run come after this pause, whatever was planned; without effect once closed. */
   public void runAfter(long micros) {
-    if (cancelled) {
+    if (closed) {
       return;
     }
     if (timer != null) {
       timer.cancel();
     }
-    timer = loop.after(micros, this::turn);
+    timer = loop.after(micros, this::runNow);
   }
 
-  private void turn() {
+  private void runNow() {
     timer = null;
-    if (cancelled || running) {
+    if (closed || running) {
       return;
     }
     running = true;
-    long pause;
+    long pauseMicros;
     try {
-      pause = turn.run();
+      pauseMicros = action.run();
     } catch (RuntimeException e) {
-      // A duty that died in silence would leave the controller half alive; it is tried again
-      // instead.
+      // Without further runs the controller would keep going without one of its parts.
       LOG.error("recurring task {} failed, tried again in a second", name, e);
-      pause = AFTER_FAILURE_MICROS;
+      pauseMicros = PAUSE_AFTER_FAILURE_MICROS;
     } finally {
       running = false;
     }
-    if (pause >= 0 && timer == null) {
-      runAfter(pause);
+    if (pauseMicros >= 0 && timer == null) {
+      runAfter(pauseMicros);
     }
   }
 
   @Override
   public void close() {
-    cancelled = true;
+    closed = true;
     if (timer != null) {
       timer.cancel();
       timer = null;
--- a/src/main/java/plumlever/concurrent/Scope.java
+++ b/src/main/java/plumlever/concurrent/Scope.java
@@ -5,14 +5,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Owns children and cancels them in the reverse order of their start. */
+/** Owns children and closes them in the reverse order of their adoption. */
 public final class Scope implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Scope.class);
 
   private final Deque<AutoCloseable> children = new ArrayDeque<>();
   private boolean closed;
 
-  /** Closes the child with this scope, in reverse order of owning. */
+  /** Closes the child with this scope; at once if the scope is closed already. */
   public <T extends AutoCloseable> T own(T child) {
     if (closed) {
       closeChild(child);
@@ -22,6 +22,7 @@
     return child;
   }
 
+  /** True once the scope has been closed. */
   public boolean closed() {
     return closed;
   }
@@ -38,6 +39,7 @@
     try {
       child.close();
     } catch (Exception e) {
+      // Whatever it is, the other children are to be closed too.
       LOG.warn("a child could not be closed", e);
     }
   }
--- a/src/main/java/plumlever/concurrent/package-info.java
+++ b/src/main/java/plumlever/concurrent/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The event loop, recurring tasks on it, and scopes that cancel them in reverse order.
+ * The event loop, recurring tasks on it, and scopes that close what they own.
  *
- * <p>Depends on no other package.
+ * <p>It depends on no other package and must not know what runs on the loop.
  */
 package plumlever.concurrent;
--- a/src/main/java/plumlever/metrics/Logs.java
+++ b/src/main/java/plumlever/metrics/Logs.java
@@ -4,11 +4,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives loggers by class, so that what a controller plays to itself can be told from what it does.
+ * Provides loggers by class, so that the lines of the JVM warm-up can be told from the service's
+ * own.
  */
 public interface Logs {
   /** The service's own lines. */
   Logs SERVICE = LoggerFactory::getLogger;
 
+  /** The logger of the class. */
   Logger of(Class<?> owner);
 }
--- a/src/main/java/plumlever/metrics/package-info.java
+++ b/src/main/java/plumlever/metrics/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Counters, time histograms, and the summary line that is logged once a minute.
+ * Counters, histograms of durations, and the summary line that is logged once a minute.
  *
- * <p>Depends on no other package.
+ * <p>It depends on no other package and must not know what the counters mean.
  */
 package plumlever.metrics;
