--- a/src/main/java/plumlever/fleet/ImageCache.java
+++ b/src/main/java/plumlever/fleet/ImageCache.java
@@ -14,7 +14,7 @@
   /** A fetch that takes longer counts as given up. */
   private static final long MAX_FETCH_MICROS = 300_000_000;
 
-  /** At least this part of a fetch under way is still to come, since its rate is not known. */
+  /** At least this part of a running fetch is expected to remain, since its rate is not known. */
   private static final int MIN_REMAINING_DIVISOR = 10;
 
   private static final int INITIAL_CAPACITY = 8;
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -85,6 +85,7 @@
     return revision;
   }
 
+  /** When it was accepted. */
   public long acceptedMicros() {
     return acceptedMicros;
   }
--- /dev/null
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -0,0 +1,91 @@
+package plumlever.fleet;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import plumlever.wire.Heartbeat;
+
+/** When a machine and its leader last heard of each other. */
+final class MachineContactTest {
+  private static final boolean HEARTBEAT = true;
+  private static final boolean DIRECT_ANSWER = false;
+
+  private final MachineContact contact = new MachineContact();
+
+  private static Heartbeat report(long incarnation, long sequenceNumber) {
+    return new Heartbeat(
+        "i-1",
+        "i-1:9",
+        "small",
+        "a",
+        false,
+        incarnation,
+        sequenceNumber,
+        0,
+        Heartbeat.NO_NOTICE,
+        List.of());
+  }
+
+  @Test
+  void aCopyOfAReportIsNotNewer() {
+    assertTrue(contact.isNewerThanLast(report(0, 0)), "there is none before the first");
+    contact.recordReport(report(2, 5), 10, HEARTBEAT);
+
+    assertFalse(contact.isNewerThanLast(report(2, 5)));
+    assertFalse(contact.isNewerThanLast(report(1, 9)));
+    assertTrue(contact.isNewerThanLast(report(2, 6)));
+    assertTrue(contact.isNewerThanLast(report(3, 1)));
+  }
+
+  @Test
+  void theAnswerToADirectCallIsNoHeartbeat() {
+    contact.recordReport(report(1, 5), 10, DIRECT_ANSWER);
+
+    assertFalse(contact.hasReported());
+    assertEquals(0, contact.ownSequenceNumber());
+    assertEquals(10, contact.lastSeenMicros());
+  }
+
+  @Test
+  void aNewIncarnationHasSentNoHeartbeat() {
+    contact.recordReport(report(1, 5), 10, HEARTBEAT);
+
+    contact.recordReport(report(2, 1), 20, DIRECT_ANSWER);
+
+    assertEquals(0, contact.ownSequenceNumber());
+  }
+
+  @Test
+  void twoLostAnswersInARowMakeItUnreachable() {
+    contact.recordLostAnswer();
+    assertFalse(contact.unreachable());
+
+    contact.recordLostAnswer();
+    assertTrue(contact.unreachable());
+  }
+
+  @Test
+  void aDeliveredAnswerMakesItReachable() {
+    contact.recordLostAnswer();
+    contact.recordLostAnswer();
+
+    contact.recordDeliveredAnswer();
+
+    assertFalse(contact.unreachable());
+    contact.recordLostAnswer();
+    assertFalse(contact.unreachable(), "lost answers are counted from the delivered one");
+  }
+
+  @Test
+  void anAnsweredCallEndsARowOfFailedOnes() {
+    contact.recordDirectCall(false);
+    contact.recordDirectCall(false);
+    assertEquals(2, contact.consecutiveFailedCalls());
+
+    contact.recordDirectCall(true);
+    assertEquals(0, contact.consecutiveFailedCalls());
+  }
+}
--- /dev/null
+++ b/src/test/java/plumlever/fleet/MachineTokensTest.java
@@ -0,0 +1,54 @@
+package plumlever.fleet;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** The fencing tokens of one machine. */
+final class MachineTokensTest {
+  private static final long TERM = 7;
+  private static final long FIRST = Fleet.firstToken(TERM);
+
+  private final MachineTokens tokens = new MachineTokens();
+
+  @BeforeEach
+  void startTerm() {
+    tokens.startTerm(TERM);
+  }
+
+  @Test
+  void aTermBeginsWithItsFirstToken() {
+    assertEquals(FIRST, tokens.current());
+    assertTrue(tokens.isOfSameTerm(FIRST + 5));
+    assertFalse(tokens.isOfSameTerm(FIRST - 1));
+  }
+
+  @Test
+  void theTokenNeverDecreases() {
+    tokens.raise(FIRST + 5);
+    tokens.raise(FIRST + 2);
+
+    assertEquals(FIRST + 5, tokens.current());
+  }
+
+  @Test
+  void aDirectCommandIsNotVoidedUntilTheTokenIsRaised() {
+    tokens.commandSent(0);
+    assertTrue(tokens.hasUnvoidedCommand());
+
+    tokens.voidDirectCommands();
+
+    assertFalse(tokens.hasUnvoidedCommand());
+    assertEquals(FIRST + 1, tokens.current());
+  }
+
+  @Test
+  void voidingWithoutACommandLeavesTheToken() {
+    tokens.voidDirectCommands();
+
+    assertEquals(FIRST, tokens.current());
+  }
+}
