--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -92,7 +92,7 @@
   /**
    * Reads the machine types with their prices.
    *
-   * @param callback takes nothing where they can't be had now
+   * @param callback takes an empty result where they can't be read now
    */
   public void listMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
     send(
@@ -117,7 +117,7 @@
   /**
    * Reads the list of all machines, page by page.
    *
-   * @param callback takes nothing where the list can't be had whole
+   * @param callback takes an empty result where the list can't be read in full
    */
   public void listMachines(Consumer<Optional<List<ListedMachine>>> callback) {
     readPage("", new ArrayList<>(), callback);
@@ -141,10 +141,10 @@
             + MACHINES_PER_PAGE
             + (lastId.isEmpty() ? "" : "&since=" + lastId),
         null,
-        response -> takePage(response, machines, callback));
+        response -> handlePage(response, machines, callback));
   }
 
-  private void takePage(
+  private void handlePage(
       Response response,
       List<ListedMachine> machines,
       Consumer<Optional<List<ListedMachine>>> callback) {
@@ -209,9 +209,9 @@
   /**
    * Returns machines.
    *
-   * @param callback takes true when the machines are surely gone, false when that is not known
+   * @param callback takes whether the machines are surely gone
    */
-  public void returnMachines(List<String> machineIds, Consumer<Boolean> callback) {
+  public void returnMachines(List<String> machineIds, Consumer<ReturnOutcome> callback) {
     ObjectNode body = Json.object();
     ArrayNode names = body.putArray(ProtocolField.MACHINE_IDS);
     machineIds.forEach(names::add);
@@ -219,7 +219,11 @@
         "POST",
         ProtocolPath.RETURN_MACHINES,
         body,
-        response -> callback.accept(response.status() == HttpStatus.OK));
+        response ->
+            callback.accept(
+                response.status() == HttpStatus.OK
+                    ? ReturnOutcome.RETURNED
+                    : ReturnOutcome.UNKNOWN));
   }
 
   /** Sends a request; one that would exceed the rate is answered as the cloud would refuse it. */
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -49,11 +49,11 @@
       return FINISHED;
     }
     cloud.listMachineTypes(
-        machineTypes -> machineTypes.ifPresentOrElse(this::takeFromCloud, this::readStored));
+        machineTypes -> machineTypes.ifPresentOrElse(this::useCloudTypes, this::readStored));
     return RETRY_INTERVAL_MICROS;
   }
 
-  private void takeFromCloud(List<MachineType> machineTypes) {
+  private void useCloudTypes(List<MachineType> machineTypes) {
     prices.update(machineTypes);
     storeIfAbsent(machineTypes);
   }
@@ -64,12 +64,12 @@
         StateClient.RequestPriority.ORDINARY,
         got -> {
           if (got.found() && !prices.isLoaded()) {
-            takeStored(got.item().data());
+            useStoredTypes(got.item().data());
           }
         });
   }
 
-  private void takeStored(JsonNode stored) {
+  private void useStoredTypes(JsonNode stored) {
     if (!(stored instanceof ObjectNode catalog)) {
       return;
     }
--- a/src/main/java/plumlever/leader/machine/CloudInventory.java
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -28,7 +28,7 @@
   private boolean closed;
 
   /**
-   * @param isReturned tells of a machine's name whether it was returned: the list lags
+   * @param isReturned true for the name of a machine that was returned: the list lags
    * @param changed runs when something changed that placement depends on
    */
   CloudInventory(
@@ -48,15 +48,15 @@
   void refresh(long now) {
     if (!listing && now - listedMicros >= LIST_INTERVAL_MICROS) {
       listing = true;
-      context.cloud().listMachines(this::takeMachines);
+      context.cloud().listMachines(this::handleMachines);
     }
     if (!readingMachineTypes && now - machineTypesReadMicros >= MACHINE_TYPES_INTERVAL_MICROS) {
       readingMachineTypes = true;
-      context.cloud().listMachineTypes(this::takeMachineTypes);
+      context.cloud().listMachineTypes(this::handleMachineTypes);
     }
   }
 
-  private void takeMachineTypes(Optional<List<MachineType>> machineTypes) {
+  private void handleMachineTypes(Optional<List<MachineType>> machineTypes) {
     readingMachineTypes = false;
     if (machineTypes.isEmpty()) {
       return;
@@ -69,7 +69,7 @@
     }
   }
 
-  private void takeMachines(Optional<List<ListedMachine>> machines) {
+  private void handleMachines(Optional<List<ListedMachine>> machines) {
     listing = false;
     if (machines.isEmpty() || closed) {
       return;
@@ -79,12 +79,12 @@
     context.metrics().count("machine_lists_read");
     for (ListedMachine listed : machines.get()) {
       if (!isReturned.test(listed.id()) && sharing.isOwn(listed)) {
-        take(listed, now);
+        updateMachine(listed, now);
       }
     }
   }
 
-  private void take(ListedMachine listed, long now) {
+  private void updateMachine(ListedMachine listed, long now) {
     Machine machine = fleet.machine(listed.id());
     if (machine == null) {
       machine =
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -28,7 +28,7 @@
   private final SchedulingPass pass;
   private final MachineSilence silence;
   private final CloudInventory inventory;
-  private final CutZoneProbes probes;
+  private final PartitionProbes probes;
   private final LeaseExpiry leases;
   private final ReturnPolicy returnPolicy;
   private final MachineReturns returns;
@@ -56,7 +56,7 @@
     this.fleet = fleet;
     this.pass = pass;
     this.silence = new MachineSilence(context, fleet, failover);
-    this.probes = new CutZoneProbes(fleet, failover, silence, commands, delegation);
+    this.probes = new PartitionProbes(fleet, failover, silence, commands, delegation);
     this.leases = new LeaseExpiry(context, heartbeats, delegation, failover, sharing, changed);
     this.returnPolicy = new ReturnPolicy(context, pass, failover, delegation, sharing, silence);
     this.returns =
@@ -64,7 +64,14 @@
     this.inventory = new CloudInventory(context, fleet, sharing, returns::isReturned, changed);
     this.rentals =
         new MachineRentals(
-            context, fleet, pass, failover, sharing, returns::isReturned, silence::isCut, changed);
+            context,
+            fleet,
+            pass,
+            failover,
+            sharing,
+            returns::isReturned,
+            silence::isPartitioned,
+            changed);
     this.sizing = new FleetSizing(context, fleet, pass, failover, rentals, changed);
   }
 
@@ -111,7 +118,7 @@
   }
 
   private void checkMachines(long now) {
-    silence.updateCutZones(now);
+    silence.updatePartitionedZones(now);
     probes.probe(now);
     boolean scarce = !pass.demands().isEmpty() && rentals.anyUnavailable(now);
     for (Machine machine : fleet.machines()) {
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -48,7 +48,7 @@
   private final Failover failover;
   private final MachineSharing sharing;
   private final Predicate<String> isReturned;
-  private final Predicate<String> isCut;
+  private final Predicate<String> isPartitioned;
   private final Runnable changed;
   private final RentalPlan plan;
   private final Map<RentalPlan.Kind, Long> unavailableUntilMicros = new HashMap<>();
@@ -57,8 +57,8 @@
   private long capacityAddedMicros = -1;
 
   /**
-   * @param isReturned tells of a machine's name whether it was returned
-   * @param isCut tells of a zone whether it seems to be cut off: nothing is rented there
+   * @param isReturned true for the name of a machine that was returned
+   * @param isCut true for a zone that seems to be partitioned: nothing is rented there
    * @param changed runs when something changed that placement depends on
    */
   MachineRentals(
@@ -68,7 +68,7 @@
       Failover failover,
       MachineSharing sharing,
       Predicate<String> isReturned,
-      Predicate<String> isCut,
+      Predicate<String> isPartitioned,
       Runnable changed) {
     this.context = context;
     this.log = context.logs().of(MachineRentals.class);
@@ -77,7 +77,7 @@
     this.failover = failover;
     this.sharing = sharing;
     this.isReturned = isReturned;
-    this.isCut = isCut;
+    this.isPartitioned = isPartitioned;
     this.changed = changed;
     this.plan = new RentalPlan(context.prices(), context.moneyMatters());
   }
@@ -128,7 +128,7 @@
   }
 
   private boolean isAvailable(RentalPlan.Kind kind, long now) {
-    return now >= unavailableUntilMicros.getOrDefault(kind, 0L) && !isCut.test(kind.zone());
+    return now >= unavailableUntilMicros.getOrDefault(kind, 0L) && !isPartitioned.test(kind.zone());
   }
 
   /**
@@ -173,16 +173,16 @@
       return;
     }
     open.inFlight = true;
-    context.cloud().rentMachines(open.request, result -> settle(open, result));
+    context.cloud().rentMachines(open.request, result -> handleResult(open, result));
   }
 
-  private void settle(OpenRequest open, RentalResult result) {
+  private void handleResult(OpenRequest open, RentalResult result) {
     open.inFlight = false;
     long now = context.loop().nowMicros();
     switch (result.outcome()) {
       case RENTED -> {
         openRequests.remove(open);
-        takeRented(open, result.machineIds(), now);
+        addRented(open, result.machineIds(), now);
       }
       case NO_CAPACITY -> {
         openRequests.remove(open);
@@ -196,7 +196,7 @@
     }
   }
 
-  private void takeRented(OpenRequest open, List<String> machineIds, long now) {
+  private void addRented(OpenRequest open, List<String> machineIds, long now) {
     RentalRequest request = open.request;
     if (machineIds.size() < request.count()) {
       unavailableUntilMicros.put(open.kind, now + NO_CAPACITY_PAUSE_MICROS);
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import plumlever.cloud.CloudClient;
+import plumlever.cloud.ReturnOutcome;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
 import plumlever.leader.context.Context;
@@ -111,9 +112,9 @@
         .cloud()
         .returnMachines(
             machines.stream().map(Machine::id).toList(),
-            confirmed -> {
+            outcome -> {
               inProgress = false;
-              if (confirmed && !closed) {
+              if (outcome == ReturnOutcome.RETURNED && !closed) {
                 remove(machines);
               }
             });
--- a/src/main/java/plumlever/leader/machine/MachineSilence.java
+++ b/src/main/java/plumlever/leader/machine/MachineSilence.java
@@ -10,15 +10,16 @@
 import plumlever.leader.failover.Failover;
 
 /**
- * Which machines are silent, and what that means: that one is gone, that a zone is cut off, or that
- * this controller has lost its workers. Silence measured while this thread ran late does not count.
+ * Which machines are silent, and what that means: that one is gone, that a zone is partitioned, or
+ * that this controller has lost its workers. Silence measured while this thread ran late does not
+ * count.
  */
 final class MachineSilence {
   /** A thread as late as this has read too little to judge who is silent. */
   private static final long MAX_LATENESS_MICROS = 1_000_000;
 
-  /** A zone counts as cut off if at least so many machines, and half of all, are silent. */
-  private static final int MIN_SILENT_IN_CUT_ZONE = 2;
+  /** A zone counts as partitioned if at least so many machines, and half of all, are silent. */
+  private static final int MIN_SILENT_IN_PARTITIONED_ZONE = 2;
 
   /** This controller has lost its workers if such a percentage is silent here... */
   private static final int SILENT_PERCENT_OF_LOST = 70;
@@ -36,12 +37,12 @@
     /** Machines that the failover still waits for. */
     private int unaccounted;
 
-    boolean isCut() {
-      return silent >= MIN_SILENT_IN_CUT_ZONE && silent * 2 >= machines;
+    boolean isPartitioned() {
+      return silent >= MIN_SILENT_IN_PARTITIONED_ZONE && silent * 2 >= machines;
     }
 
     /** True if at most a third of the machines are not accounted for. */
-    boolean mostlyTakenOver() {
+    boolean mostlyReported() {
       return unaccounted * 3 <= machines;
     }
   }
@@ -52,8 +53,8 @@
   private final Failover failover;
   private final Map<String, ZoneCount> zones = new HashMap<>();
 
-  /** Zones that seem to be cut off, and until when they count as such. */
-  private final Map<String, Long> cutZones = new HashMap<>();
+  /** Zones that seem to be partitioned, and until when they count as such. */
+  private final Map<String, Long> partitionedZones = new HashMap<>();
 
   private long punctualSinceMicros;
 
@@ -71,23 +72,23 @@
     }
   }
 
-  /** True for a zone that seems to be cut off: nothing is returned or rented there. */
-  boolean isCut(String zone) {
-    return cutZones.containsKey(zone);
+  /** True for a zone that seems to be partitioned: nothing is returned or rented there. */
+  boolean isPartitioned(String zone) {
+    return partitionedZones.containsKey(zone);
   }
 
-  /** Zones that seem to be cut off. */
-  Set<String> cutZones() {
-    return cutZones.keySet();
+  /** Zones that seem to be partitioned. */
+  Set<String> partitionedZones() {
+    return partitionedZones.keySet();
   }
 
   /** True if most machines of the zone have reported to this leader. */
-  boolean isMostlyTakenOver(String zone) {
+  boolean hasMostlyReported(String zone) {
     ZoneCount count = zones.get(zone);
-    return count != null && count.mostlyTakenOver();
+    return count != null && count.mostlyReported();
   }
 
-  /** A machine silent for longer is gone or cut off; at least two and a half heartbeats. */
+  /** A machine silent for longer is gone or partitioned; at least two and a half heartbeats. */
   long thresholdMicros() {
     long heartbeatMicros = context.platform().workers().heartbeatMicros();
     return Math.max(context.parameters().silentMicros(), 2 * heartbeatMicros + heartbeatMicros / 2);
@@ -139,16 +140,16 @@
   }
 
   /**
-   * Decides by the last count which zones seem to be cut off. They count as such for some time
-   * after the cut has ended, since their machines report again one by one.
+   * Decides by the last count which zones seem to be partitioned. They count as such for some time
+   * after the partition has ended, since their machines report again one by one.
    */
-  void updateCutZones(long now) {
-    cutZones.values().removeIf(until -> until < now);
+  void updatePartitionedZones(long now) {
+    partitionedZones.values().removeIf(until -> until < now);
     zones.forEach(
         (name, zone) -> {
-          if (zone.isCut() && cutZones.put(name, now + thresholdMicros()) == null) {
+          if (zone.isPartitioned() && partitionedZones.put(name, now + thresholdMicros()) == null) {
             log.warn(
-                "{} of {} machines in {} are silent, as behind a cut",
+                "{} of {} machines in {} are silent, as in a network partition",
                 zone.silent,
                 zone.machines,
                 name);
--- a/src/main/java/plumlever/leader/machine/PartitionProbes.java
+++ b/src/main/java/plumlever/leader/machine/PartitionProbes.java
@@ -11,12 +11,12 @@
 import plumlever.leader.scheduling.CommandSender;
 
 /**
- * Calls machines of zones that seem to be cut off. Where a zone is cut off from here but not from
- * another controller, that one may renew the leases. Some machines of the zone are called all the
- * time: the first that answers ends the delegation, since workers stay with whoever answers them.
+ * Calls machines of zones that seem to be partitioned. Where a zone can't be reached from here but
+ * from another controller, that one may renew the leases. Some machines of the zone are called all
+ * the time: the first that answers ends the delegation, since workers stay with whoever answers.
  */
-final class CutZoneProbes {
-  /** A machine heard of so lately can be reached. */
+final class PartitionProbes {
+  /** A machine that has reported within this time can be reached. */
   private static final long REACHED_MICROS = 1_500_000;
 
   private static final int CALLS_PER_ZONE = 3;
@@ -27,7 +27,7 @@
   private final CommandSender commands;
   private final RenewalDelegation delegation;
 
-  CutZoneProbes(
+  PartitionProbes(
       Fleet fleet,
       Failover failover,
       MachineSilence silence,
@@ -44,11 +44,11 @@
   void probe(long now) {
     Set<String> unreachedZones = new HashSet<>();
     if (failover.complete()) {
-      unreachedZones.addAll(silence.cutZones());
+      unreachedZones.addAll(silence.partitionedZones());
     }
     Map<String, Integer> calls = new HashMap<>();
     for (Machine machine : fleet.machines()) {
-      if (!machine.contact().hasReported() || !silence.isCut(machine.zone())) {
+      if (!machine.contact().hasReported() || !silence.isPartitioned(machine.zone())) {
         continue;
       }
       if (now - machine.contact().lastSeenMicros() < REACHED_MICROS) {
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -19,7 +19,7 @@
   /** A machine that has not been called so often in vain may just not have been called in time. */
   private static final int MIN_FAILED_CALLS = 2;
 
-  /** How many leases machines of a zone that is cut off may be silent. */
+  /** For how many leases machines of a partitioned zone may be silent. */
   private static final int MAX_SILENT_LEASES = 2;
 
   /** The same while other controllers may renew the leases of the zone. */
@@ -100,14 +100,14 @@
     return failover.open().contains(machine)
         && machine.contact().consecutiveFailedCalls() >= MIN_FAILED_CALLS
         && now - failover.loadedMicros() >= FAILOVER_PATIENCE_MICROS
-        && silence.isMostlyTakenOver(machine.zone());
+        && silence.hasMostlyReported(machine.zone());
   }
 
-  /** Many silent at once in a zone look like a cut, behind which they go on working. */
+  /** Many silent at once in a zone look like a partition, in which they may still run tasks. */
   private boolean isGone(Machine machine, long now) {
     int leases =
         delegation.covers(machine.zone()) ? MAX_SILENT_LEASES_DELEGATED : MAX_SILENT_LEASES;
-    return !silence.isCut(machine.zone())
+    return !silence.isPartitioned(machine.zone())
         || silence.silentMicros(machine, now) > leases * context.platform().workers().leaseMicros();
   }
 
--- a/src/main/java/plumlever/leader/machine/ReturnReason.java
+++ b/src/main/java/plumlever/leader/machine/ReturnReason.java
@@ -8,7 +8,7 @@
   NOT_BOOTING("it does not come up"),
   /** It is one of few in its zone that inherited tasks still wait for. */
   DELAYS_FAILOVER("it holds up the failover"),
-  /** Nothing has been heard of it, and its zone does not seem to be cut off. */
+  /** It has not reported, and its zone does not seem to be partitioned. */
   SILENT("it is silent"),
   /** It is faulty or about to be preempted, and runs nothing any more. */
   DRAINED("it is drained"),
--- a/src/main/java/plumlever/wire/MachineType.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -9,7 +9,7 @@
 /**
  * A machine type of the cloud.
  *
- * @param cacheGb room for images
+ * @param cacheGb capacity of the image cache
  * @param fetchGbPerS rate at which a machine fetches images; 0 if fetching takes no time
  * @param hourlyPrice price of an hour
  * @param spotPrice price of an hour as a spot machine
