--- /dev/null
+++ b/src/test/java/plumlever/cloud/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the package of the same name, without I/O beyond loopback. */
+package plumlever.cloud;
