--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -27,7 +27,7 @@
 
 private TermContexts termContexts ( ) { return new TermContexts ( environment , clients , election , lateness , peerReports ) ; } 
 
-private LeaderElection createElection ( ) { Optional < PoolTerms > poolTerms = environment . settings ( ) . sharing ( ) . map ( pool -> new PoolTerms ( clients . electionStore ( ) , PoolView . COUNTER , PoolView . leaderKey ( pool . own ( ) . name ( ) ) ) ) ; return new LeaderElection ( environment . platform ( ) . label ( ) , environment . electionLoop ( ) , clients . electionStore ( ) , environment . settings ( ) . parameters ( ) , leadership , poolTerms , environment . electionSeed ( ) , environment . logs ( ) ) ; } 
+private LeaderElection createElection ( ) { Optional < PoolTerms > poolTerms = environment . settings ( ) . sharing ( ) . map ( pool -> new PoolTerms ( clients . electionStore ( ) , PoolView . COUNTER , PoolView . leaderKey ( pool . ownCell ( ) . name ( ) ) ) ) ; return new LeaderElection ( environment . platform ( ) . label ( ) , environment . electionLoop ( ) , clients . electionStore ( ) , environment . settings ( ) . parameters ( ) , leadership , poolTerms , environment . electionSeed ( ) , environment . logs ( ) ) ; } 
 
 private OwnStatus createOwnStatus ( ) { return new OwnStatus ( environment . platform ( ) . label ( ) , environment . loop ( ) , election , clients . store ( ) , lateness , leadership , cancellations ) ; } 
 
@@ -42,7 +42,7 @@
 private Optional < TaskCounts > taskCounts ( String uid ) { return leadership . leader ( ) . map ( leader -> leader . taskCounts ( uid ) ) . orElseGet ( ( ) -> peerReports . taskCounts ( uid ) ) ; } 
 
 /** Starts serving: the election, the watch on peers, and all recurring tasks. */ 
-public void start ( ) { Loop loop = environment . loop ( ) ; StateServiceProbe probe = new StateServiceProbe ( loop , clients . store ( ) ) ; scope . own ( election ) ; election . start ( ) ; scope . own ( clients . machineTypes ( ) . duty ( ) ) . start ( ) ; scope . own ( peers . recurringTask ( ) ) . start ( ) ; scope . own ( delegatedRenewal . refreshTask ( ) ) . start ( ) ; scope . own ( new RecurringTask ( "state service probe" , loop , probe :: run ) ) . start ( ) ; scope . own ( new RecurringTask ( "liveness tick" , loop , lateness :: tick ) ) . start ( ) ; scope . own ( new RecurringTask ( "summary" , loop , this :: logSummary ) ) . start ( ) ; } 
+public void start ( ) { Loop loop = environment . loop ( ) ; StateServiceProbe probe = new StateServiceProbe ( loop , clients . store ( ) ) ; scope . own ( election ) ; election . start ( ) ; scope . own ( clients . machineTypes ( ) . task ( ) ) . start ( ) ; scope . own ( peers . recurringTask ( ) ) . start ( ) ; scope . own ( delegatedRenewal . refreshTask ( ) ) . start ( ) ; scope . own ( new RecurringTask ( "state service probe" , loop , probe :: run ) ) . start ( ) ; scope . own ( new RecurringTask ( "liveness tick" , loop , lateness :: tick ) ) . start ( ) ; scope . own ( new RecurringTask ( "summary" , loop , this :: logSummary ) ) . start ( ) ; } 
 
 private long logSummary ( ) { clients . metrics ( ) . logSummary ( ) ; return SUMMARY_INTERVAL_MICROS ; } 
 
--- a/src/main/java/plumlever/fleet/Registered.java
+++ /dev/null
@@ -1,8 +0,0 @@
-package plumlever.fleet;
-
-/** What has to be on record in the state service before anything is ordered of it. */
-public interface Registered {
-  RegistrationState registration();
-
-  void registration(RegistrationState registration);
-}
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -45,7 +45,7 @@
 /** Finished and running tasks of each job by its id, for display at other controllers. */ 
 public Map < String , TaskCounts > taskCounts ( ) { Map < String , TaskCounts > counts = new LinkedHashMap < > ( ) ; if ( loaded ) { parts . jobs ( ) . all ( ) . forEach ( job -> counts . put ( job . uid ( ) , taskCounts ( job ) ) ) ; } return counts ; } 
 
-private static TaskCounts taskCounts ( Job job ) { return new TaskCounts ( job . doneCount ( ) , job . liveCount ( ) ) ; } 
+private static TaskCounts taskCounts ( Job job ) { return new TaskCounts ( job . completedCount ( ) , job . liveAttemptCount ( ) ) ; } 
 
 /** The job's end is stored; its tasks are stopped without waiting for the watch events. */ 
 public void jobCancelled ( String uid ) { if ( loaded ) { parts . jobs ( ) . jobEnded ( uid , JobState . CANCELLED ) ; } } 
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -56,7 +56,7 @@
 * 
 * @param reason for the log 
 */ 
-public void markAccounted ( Machine machine , String reason ) { machine . markAccounted ( ) ; if ( unaccounted . remove ( machine ) ) { unaccountedKnown = false ; log . debug ( "{} accounted for: {}" , machine . id ( ) , reason ) ; if ( unaccounted . isEmpty ( ) ) { long durationMicros = context . loop ( ) . nowMicros ( ) - startedMicros ; context . metrics ( ) . time ( "failover" , durationMicros ) ; log . info ( "failover complete after {} ms, the last machine was {}: {}" , durationMicros / 1_000 , machine . id ( ) , reason ) ; } } } 
+public void markAccounted ( Machine machine , String reason ) { machine . markAccounted ( ) ; if ( unaccounted . remove ( machine ) ) { unaccountedKnown = false ; log . debug ( "{} accounted for: {}" , machine . id ( ) , reason ) ; if ( unaccounted . isEmpty ( ) ) { long durationMicros = context . loop ( ) . nowMicros ( ) - startedMicros ; context . metrics ( ) . recordDuration ( "failover" , durationMicros ) ; log . info ( "failover complete after {} ms, the last machine was {}: {}" , durationMicros / 1_000 , machine . id ( ) , reason ) ; } } } 
 
 /** The machine lists this number of running tasks that this leader does not track. */ 
 public void setUntrackedTasks ( Machine machine , int tasks ) { if ( tasks > 0 ? withUntrackedTasks . add ( machine ) : withUntrackedTasks . remove ( machine ) ) { unaccountedKnown = false ; } } 
@@ -68,10 +68,10 @@
 public boolean blocks ( Job job ) { return ! machinesLoaded || ( job . inherited ( ) && ! unaccounted . isEmpty ( ) ) ; } 
 
 /** How many more tasks of the job its team's limit allows; 0 if the team is unknown. */ 
-public int quotaHeadroom ( Job job ) { PlatformConfiguration . Team team = teams . get ( job . spec ( ) . team ( ) ) ; if ( team == null ) { return 0 ; } if ( team . cpusMax ( ) <= 0 && team . gpusMax ( ) <= 0 ) { return Integer . MAX_VALUE ; } if ( ! countUnaccounted ( ) ) { return 0 ; } Fleet . Held held = fleet . held ( job . spec ( ) . team ( ) ) ; LimitParts . Part limit = sharing . get ( ) . teamLimit ( team ) ; return Math . min ( headroom ( limit . cores ( ) , held . cores ( ) + unaccountedCores , job . spec ( ) . cores ( ) ) , headroom ( limit . accelerators ( ) , held . accelerators ( ) + unaccountedAccelerators , job . spec ( ) . accelerators ( ) ) ) ; } 
+public int quotaHeadroom ( Job job ) { PlatformConfiguration . Team team = teams . get ( job . spec ( ) . team ( ) ) ; if ( team == null ) { return 0 ; } if ( team . maxCores ( ) <= 0 && team . maxAccelerators ( ) <= 0 ) { return Integer . MAX_VALUE ; } if ( ! countUnaccounted ( ) ) { return 0 ; } Fleet . Held held = fleet . held ( job . spec ( ) . team ( ) ) ; LimitParts . Part limit = sharing . get ( ) . teamLimit ( team ) ; return Math . min ( headroom ( limit . cores ( ) , held . cores ( ) + unaccountedCores , job . spec ( ) . cores ( ) ) , headroom ( limit . accelerators ( ) , held . accelerators ( ) + unaccountedAccelerators , job . spec ( ) . accelerators ( ) ) ) ; } 
 
 /** Processor cores that the team's tasks may be using, wherever they are. */ 
-public double coresHeld ( String team ) { return fleet . held ( team ) . cores ( ) + ( countUnaccounted ( ) ? unaccountedCores : 0 ) ; } 
+public double coresHeld ( String team ) { return fleet . usage ( team ) . cores ( ) + ( countUnaccounted ( ) ? unaccountedCores : 0 ) ; } 
 
 /** 
 * Adds up the machines that could run anybody's tasks. A machine may run tasks of a job that 
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -1,6 +1,6 @@
 package plumlever . leader . failover ; 
 
-import com . fasterxml . jackson . databind . node . ObjectNode ; import java . util . HashMap ; import java . util . LinkedHashMap ; import java . util . List ; import java . util . Map ; import java . util . Optional ; import plumlever . fleet . Estimates ; import plumlever . fleet . Fleet ; import plumlever . leader . context . TermContext ; import plumlever . store . JobStore ; import plumlever . store . StateClient ; import plumlever . store . Transaction ; 
+import com . fasterxml . jackson . databind . node . ObjectNode ; import java . util . HashMap ; import java . util . LinkedHashMap ; import java . util . List ; import java . util . Map ; import java . util . Optional ; import plumlever . fleet . Fleet ; import plumlever . fleet . Machine ; import plumlever . leader . context . TermContext ; import plumlever . store . JobStore ; import plumlever . store . StateClient ; import plumlever . store . Transaction ; 
 
 /** 
 * What the next leader would otherwise have to learn anew: which machines have which images, and 
@@ -23,7 +23,7 @@
 private int nextNumber ; private boolean writing ; 
 
 /** Warm state of this term, to be loaded once and then written from time to time. */ 
-public WarmState ( TermContext context , Fleet fleet , Estimates estimates ) { this . context = context ; this . codec = new WarmStateCodec ( fleet , estimates ) ; } 
+public WarmState ( TermContext context , Fleet fleet , RunTimeEstimates estimates ) { this . context = context ; this . codec = new WarmStateCodec ( fleet , estimates ) ; } 
 
 /** Takes over what the last leader stored; the machines must be in the fleet. */ 
 public void load ( List < StateClient . Item > items ) { for ( StateClient . Item item : items ) { codec . read ( item . data ( ) ) ; mayBeStored ( JobStore . sharedRecordNumber ( item . key ( ) ) ) ; } } 
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -13,7 +13,7 @@
 /** A log of the attempts of one term. */ 
 public AttemptLog ( TermContext context ) { this . context = context ; this . log = context . logs ( ) . of ( AttemptLog . class ) ; this . logBudget = new LogBudget ( log , MAX_LINES_PER_SECOND ) ; } 
 
-private boolean enabled ( ) { return logBudget . debug ( context . loop ( ) . nowMicros ( ) ) ; } 
+private boolean enabled ( ) { return logBudget . allowsDebug ( context . loop ( ) . nowMicros ( ) ) ; } 
 
 /** 
 * The attempt is sent to its machine. 
@@ -35,7 +35,7 @@
 void stopped ( Attempt attempt ) { if ( ! attempt . stopping ( ) && enabled ( ) ) { log . debug ( "{} attempt {} on {} incarnation {} is stopped with token {}: its job has ended" , attempt . name ( ) . wireName ( ) , attempt . id ( ) , attempt . machine ( ) . id ( ) , attempt . incarnation ( ) , attempt . machine ( ) . tokens ( ) . current ( ) ) ; } } 
 
 /** A heartbeat proves that the attempt is not on its machine, or not any more. */ 
-void absent ( Attempt attempt , Heartbeat heartbeat ) { if ( enabled ( ) ) { log . debug ( "{} attempt {} on {} incarnation {} is over: a heartbeat shows token {}, the start was" + " sent {}" , attempt . name ( ) . wireName ( ) , attempt . id ( ) , heartbeat . machineId ( ) , heartbeat . incarnation ( ) , heartbeat . fencingToken ( ) , attempt . directToken ( ) < 0 ? "with an answer" : "with token " + attempt . directToken ( ) ) ; } } 
+void absent ( Attempt attempt , Heartbeat heartbeat ) { if ( enabled ( ) ) { log . debug ( "{} attempt {} on {} incarnation {} is over: a heartbeat shows token {}, the start was" + " sent {}" , attempt . name ( ) . wireName ( ) , attempt . id ( ) , heartbeat . machineId ( ) , heartbeat . incarnation ( ) , heartbeat . fencingToken ( ) , attempt . directCommandToken ( ) < 0 ? "with an answer" : "with token " + attempt . directCommandToken ( ) ) ; } } 
 
 /** A direct command with these starts was not answered in time. */ 
 public void unanswered ( Machine machine , long incarnation , long token , List < Attempt > sent ) { if ( enabled ( ) ) { log . debug ( "starts of {} on {} incarnation {} with token {} were not answered: they may be executed" + " until it shows a higher token, its next answer carries {}" , sent . stream ( ) . map ( attempt -> attempt . name ( ) . wireName ( ) + " attempt " + attempt . id ( ) ) . toList ( ) , machine . id ( ) , incarnation , token , machine . tokens ( ) . current ( ) ) ; } } } 
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -4,9 +4,25 @@
 
 /** 
 * The stored record of the machines that may hold tasks: a machine is in it before anything is 
-* ordered from it. 
+* started on it. 
+* 
+* <p>A value lists machines as arrays of name, address and index into its list of kinds; a kind is 
+* an array of machine type, zone and whether it is spot. 
 */ 
-public final class MachineRegistry { private static final long PAUSE_MICROS = 250_000 ; private static final String MACHINES = "hosts" ; private static final String KINDS = "kinds" ; private static final int KINDS_BYTES = 500 ; 
+public final class MachineRegistry { private static final long WRITE_INTERVAL_MICROS = 250_000 ; private static final String MACHINES = "hosts" ; private static final String KINDS = "kinds" ; 
+
+/** Positions in the array of a machine. */ 
+private static final int MACHINE_NAME = 0 ; 
+
+private static final int MACHINE_ENDPOINT = 1 ; private static final int MACHINE_KIND = 2 ; 
+
+/** Positions in the array of a kind. */ 
+private static final int KIND_TYPE = 0 ; 
+
+private static final int KIND_ZONE = 1 ; private static final int KIND_SPOT = 2 ; 
+
+/** Room for the kinds of a value. */ 
+private static final int KINDS_BYTES = 500 ; 
 
 /** What an entry takes besides name and address. */ 
 private static final int ENTRY_BYTES = 11 ; 
@@ -16,21 +32,32 @@
 /** 
 * The records of one term, empty until they are loaded. 
 * 
-* @param changed runs when machines have come to be on record 
+* @param changed runs when further machines are on record 
 */ 
-public MachineRegistry ( TermContext context , Runnable changed ) { this . context = context ; this . log = context . logs ( ) . of ( MachineRegistry . class ) ; this . records = new SharedRecords < > ( context , new Layout ( ) , PAUSE_MICROS , changed ) ; } 
+public MachineRegistry ( TermContext context , Runnable changed ) { this . context = context ; this . log = context . logs ( ) . of ( MachineRegistry . class ) ; this . records = new SharedRecords < > ( context , new Layout ( ) , WRITE_INTERVAL_MICROS , changed ) ; } 
 
-/** Takes over what earlier leaders stored. */ 
-public void load ( List < StateClient . Item > items , Fleet fleet ) { for ( StateClient . Item item : items ) { int number = JobStore . sharedRecordNumber ( item . key ( ) ) ; if ( number < 0 ) { log . error ( "{} is no record of machines" , item . key ( ) ) ; continue ; } List < Machine > entries = new ArrayList < > ( ) ; JsonNode kinds = item . data ( ) . path ( KINDS ) ; for ( JsonNode node : item . data ( ) . path ( MACHINES ) ) { JsonNode kind = kinds . path ( node . path ( 2 ) . asInt ( ) ) ; String id = node . path ( 0 ) . asText ( ) ; Machine known = fleet . machine ( id ) ; Machine machine = known != null ? known : new Machine ( id , node . path ( 1 ) . asText ( ) , kind . path ( 0 ) . asText ( ) , kind . path ( 1 ) . asText ( ) , kind . path ( 2 ) . asBoolean ( ) , context . loop ( ) . nowMicros ( ) ) ; if ( known == null ) { fleet . add ( machine ) ; entries . add ( machine ) ; } } records . load ( number , item . revision ( ) , entries ) ; } } 
+/** Takes in what earlier leaders stored; machines that are not known yet join the fleet. */ 
+public void load ( List < StateClient . Item > items , Fleet fleet ) { for ( StateClient . Item item : items ) { int number = JobStore . sharedRecordNumber ( item . key ( ) ) ; if ( number < 0 ) { log . error ( "{} is no record of machines" , item . key ( ) ) ; continue ; } List < Machine > entries = new ArrayList < > ( ) ; for ( JsonNode node : item . data ( ) . path ( MACHINES ) ) { if ( fleet . machine ( node . path ( MACHINE_NAME ) . asText ( ) ) == null ) { Machine machine = machine ( node , item . data ( ) . path ( KINDS ) ) ; fleet . add ( machine ) ; entries . add ( machine ) ; } } records . load ( number , item . revision ( ) , entries ) ; } } 
 
-/** The machine is to be recorded; until its enrolment is stored it takes no orders. */ 
-public void enroll ( Machine machine ) { if ( machine . endpoint ( ) != null ) { records . register ( machine ) ; } } 
+private Machine machine ( JsonNode node , JsonNode kinds ) { JsonNode kind = kinds . path ( node . path ( MACHINE_KIND ) . asInt ( ) ) ; return new Machine ( node . path ( MACHINE_NAME ) . asText ( ) , node . path ( MACHINE_ENDPOINT ) . asText ( ) , kind . path ( KIND_TYPE ) . asText ( ) , kind . path ( KIND_ZONE ) . asText ( ) , kind . path ( KIND_SPOT ) . asBoolean ( ) , context . loop ( ) . nowMicros ( ) ) ; } 
 
-/** The machine is gone for good. */ 
+/** 
+* The machine is to be put on record, if its address is known; until its registration is stored 
+* nothing is started on it. 
+*/ 
+public void register ( Machine machine ) { if ( machine . endpoint ( ) != null ) { records . register ( machine ) ; } } 
+
+/** The machine is gone for good: the next write leaves it out. */ 
 public void remove ( Machine machine ) { records . remove ( machine ) ; } 
 
-public long tidy ( ) { return records . cleanUp ( ) ; } 
+/** 
+* Rewrites values that list machines which are gone, and splits those that have become too large. 
+* 
+* @return the pause until the next time, in microseconds 
+*/ 
+public long compact ( ) { return records . cleanUp ( ) ; } 
 
+/** Writes nothing any more. */ 
 public void close ( ) { records . close ( ) ; } 
 
 private static final class Layout implements SharedRecords . Layout < Machine > { @ Override public String key ( int number ) { return JobStore . machinesKey ( number ) ; } 
@@ -39,4 +66,6 @@
 
 @ Override public int baseBytes ( ) { return KINDS_BYTES ; } 
 
-@ Override public ObjectNode value ( List < Machine > machines ) { ObjectNode object = Json . object ( ) ; ArrayNode kinds = object . putArray ( KINDS ) ; ArrayNode machineIds = object . putArray ( MACHINES ) ; Map < String , Integer > numbers = new HashMap < > ( ) ; for ( Machine machine : machines ) { int kind = numbers . computeIfAbsent ( machine . machineType ( ) + "/" + machine . zone ( ) + "/" + machine . spot ( ) , k -> { kinds . addArray ( ) . add ( machine . machineType ( ) ) . add ( machine . zone ( ) ) . add ( machine . spot ( ) ) ; return kinds . size ( ) - 1 ; } ) ; machineIds . addArray ( ) . add ( machine . id ( ) ) . add ( machine . endpoint ( ) ) . add ( kind ) ; } return object ; } } } 
+@ Override public ObjectNode value ( List < Machine > machines ) { ObjectNode object = Json . object ( ) ; ArrayNode kinds = object . putArray ( KINDS ) ; ArrayNode entries = object . putArray ( MACHINES ) ; Map < String , Integer > kindIndexes = new HashMap < > ( ) ; for ( Machine machine : machines ) { int kind = kindIndexes . computeIfAbsent ( machine . machineType ( ) + "/" + machine . zone ( ) + "/" + machine . spot ( ) , key -> addKind ( machine , kinds ) ) ; entries . addArray ( ) . add ( machine . id ( ) ) . add ( machine . endpoint ( ) ) . add ( kind ) ; } return object ; } 
+
+private static int addKind ( Machine machine , ArrayNode kinds ) { kinds . addArray ( ) . add ( machine . machineType ( ) ) . add ( machine . zone ( ) ) . add ( machine . spot ( ) ) ; return kinds . size ( ) - 1 ; } } } 
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -16,7 +16,7 @@
 
 private final Logger log ; private final TermContext context ; private final String own ; private final PoolView view ; private final PoolWriter writer ; private final Map < String , Long > unclaimedSince = new HashMap < > ( ) ; private final Set < String > claiming = new HashSet < > ( ) ; private final Set < String > retiring = new HashSet < > ( ) ; 
 
-OwnerClaims ( TermContext context , SharingSettings sharing , PoolView view , PoolWriter writer ) { this . context = context ; this . log = context . logs ( ) . of ( OwnerClaims . class ) ; this . own = sharing . own ( ) . name ( ) ; this . view = view ; this . writer = writer ; } 
+OwnerClaims ( TermContext context , SharingSettings sharing , PoolView view , PoolWriter writer ) { this . context = context ; this . log = context . logs ( ) . of ( OwnerClaims . class ) ; this . own = sharing . ownCell ( ) . name ( ) ; this . view = view ; this . writer = writer ; } 
 
 private static String retired ( String cell ) { return cell + RETIRED ; } 
 
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -1,6 +1,6 @@
 package plumlever . leader . record ; 
 
-import com . fasterxml . jackson . databind . node . ObjectNode ; import java . util . ArrayList ; import java . util . HashMap ; import java . util . LinkedHashMap ; import java . util . LinkedHashSet ; import java . util . List ; import java . util . Map ; import java . util . Set ; import plumlever . fleet . Registered ; import plumlever . fleet . RegistrationState ; import plumlever . leader . context . TermContext ; import plumlever . store . StateClient ; import plumlever . store . Transaction ; 
+import com . fasterxml . jackson . databind . node . ObjectNode ; import java . util . ArrayList ; import java . util . HashMap ; import java . util . LinkedHashMap ; import java . util . LinkedHashSet ; import java . util . List ; import java . util . Map ; import java . util . Set ; import plumlever . fleet . Registrable ; import plumlever . fleet . RegistrationState ; import plumlever . leader . context . TermContext ; import plumlever . store . StateClient ; import plumlever . store . Transaction ; 
 
 /** 
 * Entries of which many share one stored value, a chunk, since the state service limits changes 
@@ -13,7 +13,7 @@
 * stored does it leave the large one. Interrupted at any point, an entry is in one chunk or in two, 
 * never in none. 
 */ 
-public final class SharedRecords < E extends Registered > { private static final long CLEAN_UP_MICROS = 5_000_000 ; private static final int CHECKS_PER_CLEAN_UP = 4 ; private static final long RETRY_MICROS = 300_000 ; private static final long NO_RECORD = 0 ; 
+public final class SharedRecords < E extends Registrable > { private static final long CLEAN_UP_MICROS = 5_000_000 ; private static final int CHECKS_PER_CLEAN_UP = 4 ; private static final long RETRY_MICROS = 300_000 ; private static final long NO_RECORD = 0 ; 
 
 /** How entries are stored. */ 
 public interface Layout < E > { /** The key of the chunk with this number. */ 
@@ -53,12 +53,12 @@
 * 
 * @param entries those that are still of use; the others leave with the next write 
 */ 
-public void load ( int number , long revision , List < E > entries ) { RecordChunk < E > chunk = new RecordChunk < > ( number , layout . baseBytes ( ) ) ; chunk . revision = revision ; chunk . writtenMicros = context . loop ( ) . nowMicros ( ) ; chunks . put ( number , chunk ) ; for ( E entry : entries ) { entry . registration ( RegistrationState . STORED ) ; add ( chunk , entry ) ; } } 
+public void load ( int number , long revision , List < E > entries ) { RecordChunk < E > chunk = new RecordChunk < > ( number , layout . baseBytes ( ) ) ; chunk . revision = revision ; chunk . writtenMicros = context . loop ( ) . nowMicros ( ) ; chunks . put ( number , chunk ) ; for ( E entry : entries ) { entry . setRegistration ( RegistrationState . STORED ) ; add ( chunk , entry ) ; } } 
 
 private void add ( RecordChunk < E > chunk , E entry ) { chunk . add ( entry , layout . bytes ( entry ) ) ; chunkByEntry . put ( entry , chunk ) ; } 
 
 /** Has the entry stored, unless it is stored or being stored already. */ 
-public void register ( E entry ) { if ( entry . registration ( ) != RegistrationState . NONE ) { return ; } entry . registration ( RegistrationState . WRITING ) ; RecordChunk < E > chunk = chunkWithCapacity ( layout . bytes ( entry ) ) ; add ( chunk , entry ) ; chunk . writeDue = true ; write ( chunk ) ; } 
+public void register ( E entry ) { if ( entry . registration ( ) != RegistrationState . NONE ) { return ; } entry . setRegistration ( RegistrationState . WRITING ) ; RecordChunk < E > chunk = chunkWithCapacity ( layout . bytes ( entry ) ) ; add ( chunk , entry ) ; chunk . writeDue = true ; write ( chunk ) ; } 
 
 private RecordChunk < E > chunkWithCapacity ( int bytes ) { for ( RecordChunk < E > chunk : chunks . values ( ) ) { if ( chunk . bytes ( ) + bytes <= context . layout ( ) . valueBytes ( ) ) { return chunk ; } } int number = 0 ; while ( chunks . containsKey ( number ) ) { number ++ ; } RecordChunk < E > chunk = new RecordChunk < > ( number , layout . baseBytes ( ) ) ; chunks . put ( number , chunk ) ; return chunk ; } 
 
@@ -98,7 +98,7 @@
 
 private void applied ( RecordChunk < E > chunk , List < E > written , long revision ) { chunk . revision = written . isEmpty ( ) ? NO_RECORD : revision ; chunk . writing = false ; markStored ( chunk , written ) ; Set < RecordChunk < E >> sources = new LinkedHashSet < > ( ) ; for ( E entry : written ) { if ( destinationByEntry . get ( entry ) == chunk ) { sources . add ( completeMove ( entry , chunk ) ) ; } } sources . forEach ( this :: write ) ; write ( chunk ) ; } 
 
-private void markStored ( RecordChunk < E > chunk , List < E > written ) { boolean newlyStored = false ; for ( E entry : written ) { boolean stillAssigned = chunkByEntry . get ( entry ) == chunk || destinationByEntry . get ( entry ) == chunk ; if ( stillAssigned && entry . registration ( ) == RegistrationState . WRITING ) { entry . registration ( RegistrationState . STORED ) ; newlyStored = true ; } } if ( newlyStored ) { stored . run ( ) ; } } 
+private void markStored ( RecordChunk < E > chunk , List < E > written ) { boolean newlyStored = false ; for ( E entry : written ) { boolean stillAssigned = chunkByEntry . get ( entry ) == chunk || destinationByEntry . get ( entry ) == chunk ; if ( stillAssigned && entry . registration ( ) == RegistrationState . WRITING ) { entry . setRegistration ( RegistrationState . STORED ) ; newlyStored = true ; } } if ( newlyStored ) { stored . run ( ) ; } } 
 
 private void writeLater ( RecordChunk < E > chunk ) { chunk . writeDue = true ; context . loop ( ) . after ( RETRY_MICROS , ( ) -> { chunk . writing = false ; write ( chunk ) ; } ) ; } 
 
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -19,7 +19,7 @@
 
 private final WarmUpLoop loop ; private final WarmUpServices services ; private final PlatformConfiguration platform ; private final SchedulerParameters parameters ; private Controller controller ; private long termEndsMicros ; private int terms ; private int submitted ; 
 
-WarmUpTerms ( PlatformConfiguration real , SchedulerParameters parameters , long wallMicros ) { this . loop = new WarmUpLoop ( wallMicros ) ; this . services = new WarmUpServices ( loop , MACHINES , "practice-%d:9" ) ; this . parameters = parameters ; this . platform = new PlatformConfiguration ( "practice" , real . zone ( ) , real . bind ( ) , real . back ( ) , List . of ( ) , CLOUD , STATE , List . of ( new PlatformConfiguration . Team ( TEAM , 0 , 0 , 0 , 0 ) ) , real . objectives ( ) , real . workers ( ) , real . stateLimits ( ) , real . cloudLimits ( ) , real . socketLimit ( ) ) ; } 
+WarmUpTerms ( PlatformConfiguration real , SchedulerParameters parameters , long wallMicros ) { this . loop = new WarmUpLoop ( wallMicros ) ; this . services = new WarmUpServices ( loop , MACHINES , "practice-%d:9" ) ; this . parameters = parameters ; this . platform = new PlatformConfiguration ( "practice" , real . zone ( ) , real . bind ( ) , real . peerBind ( ) , List . of ( ) , CLOUD , STATE , List . of ( new PlatformConfiguration . Team ( TEAM , 0 , 0 , 0 , 0 ) ) , real . objectives ( ) , real . workers ( ) , real . stateLimits ( ) , real . cloudLimits ( ) , real . socketLimit ( ) ) ; } 
 
 /** Plays the next event; false when both terms have been played. */ 
 boolean step ( ) { if ( controller == null ) { if ( terms == TERMS ) { return false ; } startTerm ( ) ; } if ( ! loop . step ( termEndsMicros ) ) { 
