--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -225,19 +225,19 @@
       int most =
           context.latenessMicros().getAsLong() > LATE_MICROS ? MOST_RAISES_LATE : Integer.MAX_VALUE;
       for (Machine machine : open) {
-        if (commands.raises() >= most) {
+        if (commands.tokenRaisesInFlight() >= most) {
           break;
         }
         // One whose report was just answered shows the token with its next.
         if (machine.contact().lastAnswerMicros() < 0
             || now - machine.contact().lastAnswerMicros() > ANSWER_SHOWS_MICROS) {
-          commands.raise(machine);
+          commands.raiseToken(machine);
         }
       }
       if (failover.complete()) {
         for (Machine machine : fleet.machines()) {
           if (machine.contact().unreachable()) {
-            commands.raise(machine);
+            commands.raiseToken(machine);
           }
         }
       }
@@ -387,7 +387,7 @@
       answers.refuse(heartbeat, refusal.get(), out);
       if (refusal.get() == RenewalRefusal.UNANSWERED_COMMAND) {
         // With a higher token the command is void, and the next heartbeat may be answered.
-        commands.raise(machine);
+        commands.raiseToken(machine);
       }
       return;
     }
@@ -396,7 +396,7 @@
     if (news == HeartbeatHandler.News.NEWS
         && machine.tokens().areOfTermOf(heartbeat.fencingToken())
         && pass.hasPlan(machine)
-        && pass.recorded(machine)
+        && pass.hasRecordedPlan(machine)
         && !machine.load().hasUnconfirmedStart()) {
       starter.start(machine, pass.planned(machine), false, responseCommands);
       pass.dropPlan(machine);
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -106,7 +106,7 @@
   }
 
   /** Machines that are being given to this cell. */
-  default List<RentalPlan.Kind> coming() {
+  default List<RentalPlan.RentalOption> coming() {
     return List.of();
   }
 
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -26,12 +26,12 @@
   /** A request that is not settled. */
   private static final class OpenRental {
     private final String name;
-    private final RentalPlan.Kind kind;
+    private final RentalPlan.RentalOption kind;
     private final int count;
     private boolean inFlight;
     private long retryMicros;
 
-    OpenRental(String name, RentalPlan.Kind kind, int count) {
+    OpenRental(String name, RentalPlan.RentalOption kind, int count) {
       this.name = name;
       this.kind = kind;
       this.count = count;
@@ -48,7 +48,7 @@
   private final Predicate<String> isCut;
   private final Runnable changed;
   private final RentalPlan plan;
-  private final Map<RentalPlan.Kind, Long> shortUntil = new HashMap<>();
+  private final Map<RentalPlan.RentalOption, Long> shortUntil = new HashMap<>();
   private final List<OpenRental> open = new ArrayList<>();
   private long rentalCounter;
   private long sizeChangedMicros = -1;
@@ -104,20 +104,20 @@
       return;
     }
     // Machines that are booting are booked already; these are not known by name yet.
-    List<RentalPlan.Coming> coming = new ArrayList<>();
+    List<RentalPlan.IncomingMachine> coming = new ArrayList<>();
     for (OpenRental rental : open) {
       MachineType machineType = context.prices().machineType(rental.kind.machineType());
       for (int i = 0; machineType != null && i < rental.count; i++) {
-        coming.add(new RentalPlan.Coming(rental.kind, machineType));
+        coming.add(new RentalPlan.IncomingMachine(rental.kind, machineType));
       }
     }
-    for (RentalPlan.Kind kind : sharing.coming()) {
+    for (RentalPlan.RentalOption kind : sharing.coming()) {
       MachineType machineType = context.prices().machineType(kind.machineType());
       if (machineType != null) {
-        coming.add(new RentalPlan.Coming(kind, machineType));
+        coming.add(new RentalPlan.IncomingMachine(kind, machineType));
       }
     }
-    for (RentalPlan.Rental planned :
+    for (RentalPlan.RentalRequest planned :
         plan.plan(
             pass.demands(),
             coming,
@@ -185,7 +185,7 @@
             });
   }
 
-  private void rented(String machineId, RentalPlan.Kind kind, long now) {
+  private void rented(String machineId, RentalPlan.RentalOption kind, long now) {
     if (fleet.machine(machineId) == null && !isDeleted.test(machineId)) {
       fleet.add(new Machine(machineId, null, kind.machineType(), kind.zone(), kind.spot(), now));
     }
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -123,7 +123,7 @@
       }
     }
     double late = CoreDemand.coresNeeded(pass.remainingWork(), limitOf) - coresOwned();
-    double cores = Math.max(pass.coresWaitedFor(), late);
+    double cores = Math.max(pass.waitingCores(), late);
     return (int) Math.min(sharing.machines(), Math.ceil(Math.max(0, cores) / usualCores()));
   }
 
@@ -232,7 +232,7 @@
     }
     able.sort(
         Comparator.<Machine>comparingInt(machine -> machine.load().running() ? 1 : 0)
-            .thenComparingLong(pass::lastEndMicros)
+            .thenComparingLong(pass::expectedIdleMicros)
             .thenComparing(Machine::id));
     int count = 0;
     Set<Machine> without = new HashSet<>(pass.cordoned());
@@ -278,13 +278,14 @@
   }
 
   /** Machines that are offered to this cell. */
-  List<RentalPlan.Kind> coming() {
-    List<RentalPlan.Kind> kinds = new ArrayList<>();
+  List<RentalPlan.RentalOption> coming() {
+    List<RentalPlan.RentalOption> kinds = new ArrayList<>();
     for (PoolView.Versioned<TransferRecord> versioned : view.transfers().values()) {
       TransferRecord record = versioned.value();
       if (record.offer().filter(offer -> offer.to().equals(own)).isPresent()) {
         TransferRecord.Details details = record.machine();
-        kinds.add(new RentalPlan.Kind(details.machineType(), details.zone(), details.spot()));
+        kinds.add(
+            new RentalPlan.RentalOption(details.machineType(), details.zone(), details.spot()));
       }
     }
     return kinds;
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -95,7 +95,7 @@
             steps,
             guests,
             failover,
-            commands::raise);
+            commands::raiseToken);
     this.adoption = new DeadCellAdoption(context, sharing, link, steps, transfers::acquire);
     this.limits = new LimitSharing(context, sharing, jobs, failover, view, writer);
     this.share =
@@ -303,7 +303,7 @@
   }
 
   @Override
-  public List<RentalPlan.Kind> coming() {
+  public List<RentalPlan.RentalOption> coming() {
     return share.coming();
   }
 
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -47,7 +47,7 @@
   private final ActiveJobs jobs;
   private final AttemptLog attemptLog;
   private int starts;
-  private int raises;
+  private int tokenRaisesInFlight;
   private boolean closed;
 
   /**
@@ -90,7 +90,7 @@
           || machine.contact().commandInFlight()
           || machine.load().hasUnconfirmedStart()
           || machine.contact().incarnation() == 0
-          || !pass.recorded(machine)) {
+          || !pass.hasRecordedPlan(machine)) {
         continue;
       }
       if (!delegation.mayCommand(machine.zone())) {
@@ -147,11 +147,11 @@
    * it. Asked often, it calls no machine again before the last call came to its end, and only so
    * many at a time.
    */
-  public void raise(Machine machine) {
+  public void raiseToken(Machine machine) {
     Endpoint at = machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
     if (at == null
         || machine.contact().commandInFlight()
-        || raises >= MOST_RAISES
+        || tokenRaisesInFlight >= MOST_RAISES
         || !context.term().mayAct()) {
       return;
     }
@@ -159,7 +159,7 @@
       probe(machine);
       return;
     }
-    raises++;
+    tokenRaisesInFlight++;
     machine.contact().commandInFlight(true);
     call(
         machine,
@@ -167,7 +167,7 @@
         List.of(),
         RAISE_TIMEOUT_MICROS,
         (status, r) -> {
-          raises--;
+          tokenRaisesInFlight--;
           machine.contact().commandInFlight(false);
           if (closed || !context.term().mayAct()) {
             return;
@@ -180,7 +180,7 @@
               status == HttpStatus.CONFLICT && r.incarnation() != machine.contact().incarnation();
           heartbeats.apply(machine, r, false);
           if (otherIncarnation && !machine.accounted()) {
-            raise(machine);
+            raiseToken(machine);
           }
           if (heartbeats.takeChanged()) {
             changed.run();
@@ -193,11 +193,11 @@
     Endpoint at = machine.endpoint() == null ? null : Endpoint.parse(machine.endpoint());
     if (at == null
         || machine.contact().commandInFlight()
-        || raises >= MOST_RAISES
+        || tokenRaisesInFlight >= MOST_RAISES
         || !context.term().mayAct()) {
       return;
     }
-    raises++;
+    tokenRaisesInFlight++;
     machine.contact().commandInFlight(true);
     context
         .caller()
@@ -208,7 +208,7 @@
             null,
             RAISE_TIMEOUT_MICROS,
             (status, data) -> {
-              raises--;
+              tokenRaisesInFlight--;
               machine.contact().commandInFlight(false);
               Heartbeat heartbeat = status == HttpStatus.OK ? read(machine, data) : null;
               machine.contact().directCallEnded(heartbeat != null);
@@ -223,8 +223,8 @@
   }
 
   /** How many machines are being called to raise the token. */
-  public int raises() {
-    return raises;
+  public int tokenRaisesInFlight() {
+    return tokenRaisesInFlight;
   }
 
   private interface Answer {
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -224,7 +224,7 @@
   }
 
   /** Processors that tasks wait for which are there already, as of the last whole round. */
-  public double coresWaitedFor() {
+  public double waitingCores() {
     double cores = 0;
     for (RentalPlan.Demand demand : lastDemands) {
       cores += demand == lastHeadroomDemand ? 0 : demand.tasks() * demand.job().cores();
@@ -241,7 +241,7 @@
   }
 
   /** True if something of the plan can be ordered: its job is on record. */
-  public boolean recorded(Machine machine) {
+  public boolean hasRecordedPlan(Machine machine) {
     for (PlannedTasks plannedTasks : planned(machine)) {
       if (plannedTasks.job.registration() == RegistrationState.STORED) {
         return true;
@@ -275,7 +275,7 @@
   }
 
   /** When the last task that runs on the machine should end. */
-  public long lastEndMicros(Machine machine) {
+  public long expectedIdleMicros(Machine machine) {
     long now = context.loop().nowMicros();
     MachineType machineType = context.prices().machineType(machine.machineType());
     long last = machine.load().guests().tasks() > 0 ? now + GUESTS_STAY_MICROS : now;
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -15,12 +15,12 @@
   public record Demand(JobSpec job, String zone, int tasks, long runMicros) {}
 
   /** A kind of machine the cloud may have. */
-  public record Kind(String machineType, String zone, boolean spot) {
+  public record RentalOption(String machineType, String zone, boolean spot) {
     // Written out for the same reason as in Endpoint: a new leader asks for it in its first
     // moments.
     @Override
     public boolean equals(Object object) {
-      return object instanceof Kind kind
+      return object instanceof RentalOption kind
           && kind.spot == spot
           && kind.machineType.equals(machineType)
           && kind.zone.equals(zone);
@@ -33,17 +33,17 @@
   }
 
   /** How many machines of a kind to rent. */
-  public record Rental(Kind kind, int count) {}
+  public record RentalRequest(RentalOption kind, int count) {}
 
   /** Room on a machine that is coming up. */
-  public static final class Coming {
-    private final Kind kind;
+  public static final class IncomingMachine {
+    private final RentalOption kind;
     private double cores;
     private double accelerators;
     private double memoryGb;
 
     /** A machine of this kind with all its room. */
-    public Coming(Kind kind, MachineType machineType) {
+    public IncomingMachine(RentalOption kind, MachineType machineType) {
       this.kind = kind;
       this.cores = machineType.cores();
       this.accelerators = machineType.accelerators();
@@ -89,24 +89,28 @@
    * @param coming machines that are booting; their room is used up
    * @param available false for kinds of which the cloud had none lately
    */
-  public List<Rental> plan(
-      List<Demand> demands, List<Coming> coming, Predicate<Kind> available, int mostMachines) {
-    Map<Kind, Integer> rent = new HashMap<>();
-    List<Coming> fresh = new ArrayList<>(coming);
+  public List<RentalRequest> plan(
+      List<Demand> demands,
+      List<IncomingMachine> coming,
+      Predicate<RentalOption> available,
+      int mostMachines) {
+    Map<RentalOption, Integer> rent = new HashMap<>();
+    List<IncomingMachine> fresh = new ArrayList<>(coming);
     int total = 0;
     for (Demand demand : demands) {
       int steppedDown = demand.tasks();
-      for (Coming otherComing : fresh) {
+      for (IncomingMachine otherComing : fresh) {
         if (steppedDown > 0 && allowed(demand, otherComing.kind)) {
           steppedDown -= otherComing.take(demand.job(), steppedDown);
         }
       }
       while (steppedDown > 0 && total < mostMachines) {
-        Kind kind = cheapest(demand, steppedDown, available, rent);
+        RentalOption kind = cheapest(demand, steppedDown, available, rent);
         if (kind == null) {
           break;
         }
-        Coming otherComing = new Coming(kind, prices.machineType(kind.machineType));
+        IncomingMachine otherComing =
+            new IncomingMachine(kind, prices.machineType(kind.machineType));
         int got = otherComing.take(demand.job(), steppedDown);
         if (got == 0) {
           break;
@@ -117,12 +121,12 @@
         total++;
       }
     }
-    List<Rental> out = new ArrayList<>();
-    rent.forEach((k, n) -> out.add(new Rental(k, n)));
+    List<RentalRequest> out = new ArrayList<>();
+    rent.forEach((k, n) -> out.add(new RentalRequest(k, n)));
     return out;
   }
 
-  private static boolean allowed(Demand demand, Kind kind) {
+  private static boolean allowed(Demand demand, RentalOption kind) {
     return demand.job().allows(kind.machineType, kind.zone, kind.spot)
         && (demand.zone() == null || demand.zone().equals(kind.zone));
   }
@@ -131,9 +135,12 @@
    * The least cost for each task served; a machine too large for what is left costs its whole
    * price.
    */
-  private Kind cheapest(
-      Demand demand, int steppedDown, Predicate<Kind> available, Map<Kind, Integer> planned) {
-    Kind best = null;
+  private RentalOption cheapest(
+      Demand demand,
+      int steppedDown,
+      Predicate<RentalOption> available,
+      Map<RentalOption, Integer> planned) {
+    RentalOption best = null;
     double least = Double.MAX_VALUE;
     for (MachineType machineType : prices.machineTypes()) {
       double share = machineType.share(demand.job());
@@ -142,7 +149,7 @@
       }
       for (String zone : machineType.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          Kind kind = new Kind(machineType.name(), zone, spot);
+          RentalOption kind = new RentalOption(machineType.name(), zone, spot);
           if (!allowed(demand, kind) || !available.test(kind)) {
             continue;
           }
