--- /dev/null
+++ b/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
@@ -0,0 +1,55 @@
+package plumlever.leader.scheduling;
+
+import plumlever.fleet.Job;
+import plumlever.leader.context.Context;
+import plumlever.placement.Placer;
+import plumlever.placement.ResourceRequest;
+import plumlever.placement.Zones;
+
+/** Searches for the machines that suit a job's tasks best, with its goals and rules. */
+final class CandidateSearches {
+  private final Context context;
+  private final JobGoals goals;
+  private final ExpectedTimes times;
+  private final Placer placer;
+
+  CandidateSearches(Context context, JobGoals goals, ExpectedTimes times) {
+    this.context = context;
+    this.goals = goals;
+    this.times = times;
+    this.placer =
+        new Placer(
+            context.parameters().paddingShare(),
+            context.parameters().tieShare(),
+            context.moneyMatters() ? context.parameters().rentMicros() : 0,
+            context.moneyMatters() ? 0 : context.parameters().spotRisk());
+  }
+
+  /** What one task of the job needs. */
+  ResourceRequest request(Job job, long nowMicros) {
+    return request(job, nowMicros, goals.startByMicros(job, nowMicros));
+  }
+
+  /** The same for a task that should start by then. */
+  ResourceRequest request(Job job, long nowMicros, long startByMicros) {
+    return new ResourceRequest(
+        job.spec().cores(),
+        job.spec().accelerators(),
+        job.spec().memoryGb(),
+        job.spec().image(),
+        job.spec().imageGb(),
+        times.runMicros(job),
+        goals.finishByMicros(job, nowMicros),
+        startByMicros,
+        job.spec().machineTypes(),
+        job.spec().zone(),
+        job.spec().spotAllowed(),
+        job.spec().checkpoints());
+  }
+
+  /** Begins a search for the tasks of one job; what it commits is taken from the snapshot. */
+  Placer.Search search(ResourceRequest request, Zones zones, FleetSnapshot snapshot) {
+    context.metrics().count("candidates_evaluated", snapshot.candidates().size());
+    return placer.search(request, snapshot.candidates(), zones, snapshot, snapshot.nowMicros());
+  }
+}
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -79,7 +79,7 @@
    * planned anew.
    */
   public void dispatch(Fleet fleet) {
-    for (String machineId : pass.plannedMachines()) {
+    for (String machineId : pass.plannedMachineIds()) {
       if (starts >= MOST_STARTS || !context.term().mayAct()) {
         return;
       }
--- /dev/null
+++ b/src/main/java/plumlever/leader/scheduling/FleetReduction.java
@@ -0,0 +1,77 @@
+package plumlever.leader.scheduling;
+
+import java.util.Set;
+import plumlever.fleet.Job;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.leader.failover.Failover;
+import plumlever.placement.Placer;
+import plumlever.placement.ResourceRequest;
+
+/** Answers whether some machines can be spared: cordoned, or left to another shard. */
+final class FleetReduction {
+  /** More tasks of one job than this are not placed on trial: the machines count as needed. */
+  private static final int MAX_TRIAL_TASKS_PER_JOB = 64;
+
+  private final Context context;
+  private final Failover failover;
+  private final JobQueue queue;
+  private final FleetSnapshotFactory snapshots;
+  private final CandidateSearches searches;
+  private final RentalCriteria criteria;
+  private final HeadroomDemand headroom;
+
+  FleetReduction(
+      Context context,
+      Failover failover,
+      JobQueue queue,
+      FleetSnapshotFactory snapshots,
+      CandidateSearches searches,
+      RentalCriteria criteria,
+      HeadroomDemand headroom) {
+    this.context = context;
+    this.failover = failover;
+    this.queue = queue;
+    this.snapshots = snapshots;
+    this.searches = searches;
+    this.criteria = criteria;
+    this.headroom = headroom;
+  }
+
+  /** True if without them all that waits is served in time, and the capacity headroom is kept. */
+  boolean canDoWithout(Set<Machine> machines) {
+    FleetSnapshot snapshot = snapshots.snapshot(context.loop().nowMicros(), machines);
+    return servesWaiting(snapshot) && headroom.isCoveredBy(snapshot);
+  }
+
+  /** True if without them all that waits is served in time, with or without headroom. */
+  boolean servesWaitingWithout(Set<Machine> machines) {
+    return servesWaiting(snapshots.snapshot(context.loop().nowMicros(), machines));
+  }
+
+  private boolean servesWaiting(FleetSnapshot snapshot) {
+    for (Job job : queue.inSchedulingOrder(snapshot.nowMicros())) {
+      if (!servesJob(job, snapshot)) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private boolean servesJob(Job job, FleetSnapshot snapshot) {
+    long nowMicros = snapshot.nowMicros();
+    ResourceRequest request = searches.request(job, nowMicros);
+    Placer.Search search = searches.search(request, JobZones.of(job), snapshot);
+    int tasks = Math.min(job.freeCount(), failover.quotaHeadroom(job));
+    for (int i = 0; i < tasks; i++) {
+      Placer.Choice choice = search.next();
+      if (!choice.exists()
+          || (!choice.feasible() && criteria.rentalIsInTime(job, request, nowMicros))
+          || i > MAX_TRIAL_TASKS_PER_JOB) {
+        return false;
+      }
+      search.commit(choice);
+    }
+    return true;
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/leader/scheduling/PlannedStarts.java
@@ -0,0 +1,54 @@
+package plumlever.leader.scheduling;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import plumlever.fleet.Job;
+import plumlever.fleet.Machine;
+import plumlever.fleet.RegistrationState;
+
+/** By machine, the tasks that the current pass planned to start there at once. */
+final class PlannedStarts {
+  private final Map<String, Map<Job, PlannedTasks>> byMachine = new HashMap<>();
+
+  void clear() {
+    byMachine.clear();
+  }
+
+  /** One more task of the job is to start on the machine. */
+  void add(String machineId, Job job) {
+    byMachine
+        .computeIfAbsent(machineId, id -> new LinkedHashMap<>())
+        .computeIfAbsent(job, PlannedTasks::new)
+        .addTask();
+  }
+
+  void drop(Machine machine) {
+    byMachine.remove(machine.id());
+  }
+
+  Iterable<PlannedTasks> on(Machine machine) {
+    return byMachine.getOrDefault(machine.id(), Map.of()).values();
+  }
+
+  boolean hasAny(Machine machine) {
+    return byMachine.containsKey(machine.id());
+  }
+
+  /** True if the job of some task planned for the machine is stored as started. */
+  boolean hasRecorded(Machine machine) {
+    for (PlannedTasks planned : on(machine)) {
+      if (planned.job().registration() == RegistrationState.STORED) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** A copy of the names of all machines for which tasks are planned. */
+  List<String> machineIds() {
+    return new ArrayList<>(byMachine.keySet());
+  }
+}
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -16,20 +16,11 @@
 import plumlever.wire.Priority;
 
 /**
- * Makes room for a task that would miss its aim, by stopping tasks of less urgent jobs. Only tasks
- * that save their progress are stopped, so little work is lost, and none that began a moment ago.
+ * Frees capacity for a task that would miss its goals, by stopping tasks of jobs with less
+ * priority. Only tasks that write checkpoints are stopped, so little work is lost, and none that
+ * began a moment ago.
  */
 final class Preemption {
-  /** Tells whether a machine takes orders now. */
-  interface Usable {
-    boolean test(Machine machine, long nowMicros);
-  }
-
-  /** Tells whether stopping an attempt now would cost its job an aim. */
-  interface Harm {
-    boolean test(Attempt attempt, long nowMicros);
-  }
-
   /** A task stopped sooner after its start was hardly worth starting. */
   private static final long SETTLED_MICROS = 35_000_000;
 
@@ -41,15 +32,15 @@
   private final Logger log;
   private final Context context;
   private final Fleet fleet;
-  private final Usable usable;
-  private final Harm harm;
+  private final MachineAvailability availability;
+  private final JobGoals goals;
 
-  Preemption(Context context, Fleet fleet, Usable usable, Harm harm) {
+  Preemption(Context context, Fleet fleet, MachineAvailability availability, JobGoals goals) {
     this.context = context;
     this.log = context.logs().of(Preemption.class);
     this.fleet = fleet;
-    this.usable = usable;
-    this.harm = harm;
+    this.availability = availability;
+    this.goals = goals;
   }
 
   /** Room that could be made for one task of a job. */
@@ -75,7 +66,7 @@
     }
 
     /** True if tasks were told to stop so that one more task of the job will fit. */
-    boolean freeCapacity() {
+    boolean preemptForOneTask() {
       if (offers == null) {
         offers = offers(job, request, startByMicros, now);
       }
@@ -112,11 +103,11 @@
       // Nothing is less urgent, and in a full fleet most of what waits is like this.
       return out;
     }
-    Zones zones = SchedulingPass.zones(job);
+    Zones zones = JobZones.of(job);
     for (Machine machine : fleet.machines()) {
       MachineType machineType = context.prices().machineType(machine.machineType());
       if (machineType == null
-          || !usable.test(machine, now)
+          || !availability.acceptsTasks(machine, now)
           || !job.spec().allows(machine.machineType(), machine.zone(), machine.spot())
           || !zones.allows(machine.zone())) {
         continue;
@@ -136,7 +127,7 @@
         ready =
             Math.max(
                 ready, now + COMMAND_MICROS + (long) (attempt.job().spec().checkpointS() * 1e6));
-        harmed += harm.test(attempt, now) ? 1 : 0;
+        harmed += goals.missesFinishIfStopped(attempt, now) ? 1 : 0;
       }
       if (helps(request, startByMicros, ready)) {
         out.add(new Offer(machine, stop, harmed, ready));
@@ -188,7 +179,7 @@
       }
     }
     candidates.sort(
-        Comparator.<Attempt>comparingInt(a -> harm.test(a, now) ? 1 : 0)
+        Comparator.<Attempt>comparingInt(a -> goals.missesFinishIfStopped(a, now) ? 1 : 0)
             .thenComparing(Comparator.comparingLong(Attempt::runningSinceMicros).reversed()));
     List<Attempt> stop = new ArrayList<>();
     for (Attempt attempt : candidates) {
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -1,6 +1,7 @@
 package plumlever.leader.scheduling;
 
-import java.util.Arrays;
+import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -9,108 +10,132 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * By when a job's tasks should run and be complete: its own deadline, what the aims say of its
- * class, or the default.
+ * By when a job's tasks should run and be complete: its own deadline, the service-level objectives
+ * of its class, or the default.
  */
 final class ServiceObjectives {
-  private final Map<String, long[]> startWithin = new HashMap<>();
-  private final Map<String, long[]> finishWithin = new HashMap<>();
-  private final Map<String, double[]> deadlineTimes = new HashMap<>();
-  private final long startTargetMicros;
-  private long guaranteedWithin = Long.MAX_VALUE;
-
-  ServiceObjectives(List<PlatformConfiguration.Objective> objectives, long startTargetMicros) {
-    this.startTargetMicros = startTargetMicros;
-    for (PlatformConfiguration.Objective objective : objectives) {
-      long within = (long) (objective.withinS() * 1e6);
-      if (objective.jobClass() == null) {
-        if (objective.kind().equals("guarantee")) {
-          guaranteedWithin = Math.min(guaranteedWithin, within);
+  /** What {@link PlatformConfiguration.Objective#kind} may be; other kinds are ignored. */
+  private static final String START_KIND = "wait";
+
+  private static final String FINISH_KIND = "finished";
+  private static final String DEADLINE_KIND = "deadline";
+  private static final String GUARANTEE_KIND = "guarantee";
+
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  private final Map<String, TargetTimes> startTargets = new HashMap<>();
+  private final Map<String, TargetTimes> finishTargets = new HashMap<>();
+
+  /** By class, the multiples of a deadline that still count, ascending. */
+  private final Map<String, List<Double>> deadlineMultiples = new HashMap<>();
+
+  private final long defaultStartMicros;
+  private long guaranteedStartMicros = Long.MAX_VALUE;
+
+  /** The times within which something should happen to a job of one class, ascending. */
+  private static final class TargetTimes {
+    private final List<Long> withinMicros = new ArrayList<>();
+
+    void add(long micros) {
+      withinMicros.add(micros);
+      Collections.sort(withinMicros);
+    }
+
+    /** The soonest target that is still ahead; the last one when all are missed. */
+    long nextMicros(long fromMicros, long nowMicros) {
+      for (long within : withinMicros) {
+        if (fromMicros + within >= nowMicros) {
+          return fromMicros + within;
         }
-        continue;
-      }
-      switch (objective.kind()) {
-        case "wait" ->
-            startWithin.merge(objective.jobClass(), new long[] {within}, ServiceObjectives::both);
-        case "finished" ->
-            finishWithin.merge(objective.jobClass(), new long[] {within}, ServiceObjectives::both);
-        case "deadline" ->
-            deadlineTimes.merge(
-                objective.jobClass(),
-                new double[] {objective.times()},
-                (a, b) -> {
-                  double[] all = Arrays.copyOf(a, a.length + 1);
-                  all[a.length] = b[0];
-                  Arrays.sort(all);
-                  return all;
-                });
-        default -> {}
       }
+      return fromMicros + withinMicros.get(withinMicros.size() - 1);
     }
   }
 
-  private static long[] both(long[] first, long[] second) {
-    long[] all = Arrays.copyOf(first, first.length + 1);
-    all[first.length] = second[0];
-    Arrays.sort(all);
-    return all;
+  /**
+   * The objectives of one platform.
+   *
+   * @param defaultStartMicros within which tasks should start that nothing else is said of
+   */
+  ServiceObjectives(List<PlatformConfiguration.Objective> objectives, long defaultStartMicros) {
+    this.defaultStartMicros = defaultStartMicros;
+    for (PlatformConfiguration.Objective objective : objectives) {
+      long withinMicros = (long) (objective.withinS() * MICROS_PER_SECOND);
+      if (objective.jobClass() != null) {
+        addForClass(objective, withinMicros);
+      } else if (objective.kind().equals(GUARANTEE_KIND)) {
+        guaranteedStartMicros = Math.min(guaranteedStartMicros, withinMicros);
+      }
+    }
   }
 
-  /** The soonest aim that is still ahead; when all are behind, the last of them. */
-  private static long nextOf(long[] withins, long from, long now) {
-    for (long w : withins) {
-      if (from + w >= now) {
-        return from + w;
+  private void addForClass(PlatformConfiguration.Objective objective, long withinMicros) {
+    String jobClass = objective.jobClass();
+    switch (objective.kind()) {
+      case START_KIND ->
+          startTargets.computeIfAbsent(jobClass, c -> new TargetTimes()).add(withinMicros);
+      case FINISH_KIND ->
+          finishTargets.computeIfAbsent(jobClass, c -> new TargetTimes()).add(withinMicros);
+      case DEADLINE_KIND -> {
+        List<Double> multiples =
+            deadlineMultiples.computeIfAbsent(jobClass, c -> new ArrayList<>());
+        multiples.add(objective.times());
+        Collections.sort(multiples);
       }
+      default -> {}
     }
-    return from + withins[withins.length - 1];
   }
 
   /**
-   * By when it should start: of the aims for its start the soonest that is not missed yet.
+   * By when it should start: the soonest objective for its start that is not missed yet.
    * Long.MAX_VALUE for a job that has only a deadline.
    */
-  long startBy(Job job, boolean withinGuarantee, long now) {
-    long[] aims = startWithin.get(job.spec().jobClass());
-    long by =
-        aims != null
-            ? nextOf(aims, job.releasedMicros(), now)
-            : job.hasDeadline() ? Long.MAX_VALUE : job.releasedMicros() + startTargetMicros;
-    if (withinGuarantee && guaranteedWithin != Long.MAX_VALUE) {
-      long guaranteed = job.releasedMicros() + guaranteedWithin;
-      // Once it is missed, the aims of the class are what is left to meet.
-      if (guaranteed >= now || (by == Long.MAX_VALUE && !job.hasDeadline())) {
-        by = Math.min(by, guaranteed);
-      }
+  long startByMicros(Job job, boolean withinGuarantee, long nowMicros) {
+    long classMicros = classStartByMicros(job, nowMicros);
+    if (!withinGuarantee || guaranteedStartMicros == Long.MAX_VALUE) {
+      return classMicros;
+    }
+    long guaranteedMicros = job.releasedMicros() + guaranteedStartMicros;
+    // Once it is missed, the objectives of the class are what is left to meet.
+    boolean counts =
+        guaranteedMicros >= nowMicros || (classMicros == Long.MAX_VALUE && !job.hasDeadline());
+    return counts ? Math.min(classMicros, guaranteedMicros) : classMicros;
+  }
+
+  private long classStartByMicros(Job job, long nowMicros) {
+    TargetTimes targets = startTargets.get(job.spec().jobClass());
+    if (targets != null) {
+      return targets.nextMicros(job.releasedMicros(), nowMicros);
     }
-    return by;
+    return job.hasDeadline() ? Long.MAX_VALUE : job.releasedMicros() + defaultStartMicros;
   }
 
   /**
-   * By when it should be complete: its deadline or what that of a later job leaves it, as many
-   * times over as the aims still allow, and the aims of its class.
+   * By when it should be complete: its deadline or what that of a dependent job leaves it, as many
+   * times over as the objectives still allow, and the objectives of its class. Long.MAX_VALUE for
+   * none.
    */
-  long finishBy(Job job, long now) {
-    long by = Long.MAX_VALUE;
-    if (job.hasDeadline()) {
-      by = job.deadlineMicros();
-      DependencyGraph.EffectiveGoal goal = job.goal();
-      for (double times : deadlineTimes.getOrDefault(goal.jobClass(), new double[0])) {
-        if (by >= now) {
-          break;
-        }
-        by =
-            goal.submittedMicros()
-                + (long) (goal.deadlineMicros() * Math.max(1, times))
-                - goal.tailMicros();
-      }
-    }
-    long[] aims = finishWithin.get(job.spec().jobClass());
-    return aims == null ? by : Math.min(by, nextOf(aims, job.releasedMicros(), now));
+  long finishByMicros(Job job, long nowMicros) {
+    long deadlineMicros =
+        job.hasDeadline() ? extendedDeadlineMicros(job, nowMicros) : Long.MAX_VALUE;
+    TargetTimes targets = finishTargets.get(job.spec().jobClass());
+    return targets == null
+        ? deadlineMicros
+        : Math.min(deadlineMicros, targets.nextMicros(job.releasedMicros(), nowMicros));
   }
 
-  /** True if some start is asked for sooner than this: machines must stand by for it. */
-  boolean startsSoonerThan(long micros) {
-    return guaranteedWithin < micros || startWithin.values().stream().anyMatch(w -> w[0] < micros);
+  private long extendedDeadlineMicros(Job job, long nowMicros) {
+    long deadlineMicros = job.deadlineMicros();
+    DependencyGraph.EffectiveGoal goal = job.goal();
+    for (double multiple : deadlineMultiples.getOrDefault(goal.jobClass(), List.of())) {
+      if (deadlineMicros >= nowMicros) {
+        break;
+      }
+      deadlineMicros =
+          goal.submittedMicros()
+              + (long) (goal.deadlineMicros() * Math.max(1, multiple))
+              - goal.tailMicros();
+    }
+    return deadlineMicros;
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -68,7 +68,7 @@
   /** Takes the tasks planned for the machine, each rule checked again as the command is written. */
   public List<Attempt> start(
       Machine machine,
-      Iterable<SchedulingPass.PlannedTasks> planned,
+      Iterable<PlannedTasks> planned,
       boolean direct,
       List<WorkerCommand> commands) {
     MachineType machineType = context.prices().machineType(machine.machineType());
@@ -85,8 +85,8 @@
     List<Attempt> started = new ArrayList<>();
     FreeCapacity room = new FreeCapacity(machine, machineType);
     long now = context.loop().nowMicros();
-    for (SchedulingPass.PlannedTasks otherPlanned : planned) {
-      Job job = otherPlanned.job;
+    for (PlannedTasks otherPlanned : planned) {
+      Job job = otherPlanned.job();
       if (job.over()
           || job.cancellationConfirmed()
           || job.waitsForDependencies()
@@ -95,8 +95,8 @@
           || !job.spec().allows(machine.machineType(), machine.zone(), machine.spot())) {
         continue;
       }
-      Zones zones = SchedulingPass.zones(job);
-      for (int i = 0; i < otherPlanned.tasks && job.hasFree(); i++) {
+      Zones zones = JobZones.of(job);
+      for (int i = 0; i < otherPlanned.count() && job.hasFree(); i++) {
         if (!room.holds(job.spec())
             || !zones.allows(machine.zone())
             || failover.quotaHeadroom(job) < 1) {
--- /dev/null
+++ b/src/main/java/plumlever/leader/scheduling/TeamGuarantees.java
@@ -0,0 +1,54 @@
+package plumlever.leader.scheduling;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import plumlever.fleet.Job;
+import plumlever.leader.context.Context;
+import plumlever.settings.PlatformConfiguration;
+
+/**
+ * Which jobs run within their team's guarantee. Decided once for each job, when it comes: what ends
+ * later does not move a job that came beyond the guarantee.
+ */
+final class TeamGuarantees {
+  private final Context context;
+  private final Map<String, Double> guaranteedCoresByTeam = new HashMap<>();
+  private final Map<Job, Boolean> covered = new HashMap<>();
+
+  TeamGuarantees(Context context) {
+    this.context = context;
+    for (PlatformConfiguration.Team team : context.platform().teams()) {
+      guaranteedCoresByTeam.put(team.name(), team.cpus());
+    }
+  }
+
+  /** Forgets all other jobs. */
+  void retainAll(Set<Job> jobs) {
+    covered.keySet().retainAll(jobs);
+  }
+
+  /**
+   * Decides for those of the jobs that are new.
+   *
+   * @param jobsByAge all jobs that may run, the oldest first
+   */
+  void decide(List<Job> jobsByAge) {
+    Map<String, Double> coresByTeam = new HashMap<>();
+    for (Job job : jobsByAge) {
+      String team = job.spec().team();
+      double cores =
+          coresByTeam.merge(team, job.spec().taskCount() * job.spec().cores(), Double::sum);
+      boolean fits = cores <= guaranteedCoresByTeam.getOrDefault(team, 0.0);
+      if (covered.putIfAbsent(job, fits) == null && fits) {
+        context.metrics().count("jobs_guaranteed");
+      }
+    }
+  }
+
+  /** True if the job runs within its team's guarantee; false for one that is not decided yet. */
+  boolean covers(Job job) {
+    return covered.getOrDefault(job, false);
+  }
+}
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -14,11 +14,16 @@
   /** Where one task goes: {@code candidate} is -1 if nowhere now. */
   public record Choice(int candidate, long startMicros, boolean feasible) {
     static final Choice NONE = new Choice(-1, Long.MAX_VALUE, false);
+
+    /** False if there is no machine for the task, now or later. */
+    public boolean exists() {
+      return candidate >= 0;
+    }
   }
 
   /** How long a machine would fetch an image that a task needs; 0 if it has it. */
-  public interface Fetch {
-    long micros(int candidate, String machine, String image, double gb);
+  public interface ImageFetchTimes {
+    long micros(int candidate, String image, double gb);
   }
 
   /**
@@ -79,7 +84,7 @@
         ResourceRequest request,
         List<PlacementCandidate> candidates,
         Zones zones,
-        Fetch fetchTimes,
+        ImageFetchTimes fetchTimes,
         long nowMicros) {
       this.request = request;
       this.candidates = candidates;
@@ -97,9 +102,7 @@
         if (share > 1 + ROUNDING || !request.allows(candidate)) {
           continue;
         }
-        fetch[i] =
-            candidate.delayMicros
-                + fetchTimes.micros(i, candidate.machine, request.image(), request.imageGb());
+        fetch[i] = candidate.delayMicros + fetchTimes.micros(i, request.image(), request.imageGb());
         run[i] = (long) (request.runMicros() * candidate.slowness);
         double risk = candidate.spot && !request.saves() ? 1 + spotRisk : 1;
         score[i] = candidate.pricePerS * share * risk * (fetch[i] + run[i]);
@@ -306,7 +309,7 @@
       ResourceRequest request,
       List<PlacementCandidate> candidates,
       Zones zones,
-      Fetch fetchTimes,
+      ImageFetchTimes fetchTimes,
       long nowMicros) {
     return new Search(request, candidates, zones, fetchTimes, nowMicros);
   }
--- a/src/main/java/plumlever/placement/Zones.java
+++ b/src/main/java/plumlever/placement/Zones.java
@@ -17,6 +17,11 @@
     this.limit = limit;
   }
 
+  /** The rules of a job that has none. */
+  public static Zones unrestricted() {
+    return new Zones(false, Integer.MAX_VALUE);
+  }
+
   public void add(String zone) {
     tasks.merge(zone, 1, Integer::sum);
   }
--- a/src/main/java/plumlever/scaling/CapacityHeadroom.java
+++ b/src/main/java/plumlever/scaling/CapacityHeadroom.java
@@ -1,6 +1,7 @@
 package plumlever.scaling;
 
 import java.util.ArrayDeque;
+import java.util.Optional;
 import plumlever.wire.JobSpec;
 
 /**
@@ -27,14 +28,14 @@
   }
 
   /** A job came whose start can't wait for a rental. */
-  public void arrived(long atMicros, JobSpec job) {
+  public void jobArrived(long atMicros, JobSpec job) {
     double cores = job.taskCount() * job.cores();
     arrivals.add(new Arrival(atMicros, cores, job));
     squares += cores * cores;
   }
 
   /** Cores that should be free or coming up. */
-  public double cores(long nowMicros) {
+  public double requiredCores(long nowMicros) {
     while (!arrivals.isEmpty() && arrivals.peek().atMicros < nowMicros - windowMicros) {
       Arrival old = arrivals.poll();
       squares = arrivals.isEmpty() ? 0 : squares - old.cores * old.cores;
@@ -42,8 +43,8 @@
     return deviations * Math.sqrt(Math.max(0, squares) * rentMicros / windowMicros);
   }
 
-  /** What most likely comes next is like what came last; null when nothing came lately. */
-  public JobSpec typical() {
-    return arrivals.isEmpty() ? null : arrivals.peekLast().job;
+  /** The job that came last, which the next one is most likely like; empty if none came lately. */
+  public Optional<JobSpec> latestArrival() {
+    return Optional.ofNullable(arrivals.peekLast()).map(Arrival::job);
   }
 }
--- a/src/test/java/plumlever/placement/PlacerTest.java
+++ b/src/test/java/plumlever/placement/PlacerTest.java
@@ -203,8 +203,7 @@
                   otherAsk,
                   candidates,
                   zones,
-                  (candidate, machine, image, gb) ->
-                      plain.get(Integer.parseInt(machine.substring(1))).fetch,
+                  (candidate, image, gb) -> plain.get(candidate).fetch,
                   NOW)
               .next();
       assertEquals(want, got.candidate(), "round " + round);
@@ -257,7 +256,7 @@
               random.nextBoolean() ? NOW + random.nextInt(60) * 1_000_000L : Long.MAX_VALUE,
               null,
               random.nextInt(3) > 0);
-      Placer.Fetch fetch = (n, m, i, g) -> n % 3 * 4_000_000L;
+      Placer.ImageFetchTimes fetch = (n, i, g) -> n % 3 * 4_000_000L;
       Placer.Search going = placer.search(otherAsk, candidates, zones, fetch, NOW);
       for (int task = 0; task < 25; task++) {
         Placer.Choice fresh = placer.search(otherAsk, candidates, zones, fetch, NOW).next();
@@ -294,7 +293,7 @@
     ResourceRequest four = request(4, 4, 20_000_000, Long.MAX_VALUE, Long.MAX_VALUE, null, true);
     Placer.Search search =
         new Placer(0, TIE, 0, 0)
-            .search(four, List.of(candidate), new Zones(false, 9), (n, m, i, g) -> 0, NOW);
+            .search(four, List.of(candidate), new Zones(false, 9), (n, i, g) -> 0, NOW);
     Placer.Choice first = search.next();
     assertEquals(NOW + 10_000_000, first.startMicros());
     search.commit(first);
