--- /dev/null
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -0,0 +1,90 @@
+package plumlever.leader.scheduling;
+
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import plumlever.fleet.Machine;
+import plumlever.http.Caller;
+import plumlever.leader.context.Context;
+import plumlever.settings.Endpoint;
+import plumlever.wire.Heartbeat;
+import plumlever.wire.HttpStatus;
+import plumlever.wire.InvalidMessageException;
+import plumlever.wire.ProtocolPath;
+import plumlever.wire.WorkerCommand;
+
+/** Direct calls to workers, with their replies read. Decides nothing. */
+final class WorkerCalls {
+  private final Logger log;
+  private final Caller caller;
+
+  WorkerCalls(Context context) {
+    this.log = context.logs().of(WorkerCalls.class);
+    this.caller = context.caller();
+  }
+
+  /**
+   * Sends commands with the machine's current token, for its current incarnation.
+   *
+   * @param then receives what came of it, exactly once, on the loop
+   */
+  void command(
+      Machine machine,
+      Endpoint endpoint,
+      List<WorkerCommand> commands,
+      long timeoutMicros,
+      Consumer<WorkerReply> then) {
+    byte[] body =
+        WorkerCommand.direct(
+                machine.tokens().current(), Math.max(1, machine.contact().incarnation()), commands)
+            .getBytes(StandardCharsets.UTF_8);
+    caller.call(
+        endpoint,
+        "POST",
+        ProtocolPath.COMMANDS,
+        body,
+        timeoutMicros,
+        (status, data) -> then.accept(commandReply(machine, status, data)));
+  }
+
+  private WorkerReply commandReply(Machine machine, int status, byte[] data) {
+    return switch (status) {
+      case HttpStatus.OK ->
+          read(machine, data)
+              .<WorkerReply>map(WorkerReply.Accepted::new)
+              .orElseGet(WorkerReply.Unanswered::new);
+      case HttpStatus.CONFLICT -> new WorkerReply.Refused(read(machine, data));
+      default -> new WorkerReply.Unanswered();
+    };
+  }
+
+  /**
+   * Asks the machine for its state, without a command.
+   *
+   * @param then receives the state, exactly once, on the loop; empty without a readable reply
+   */
+  void inspect(
+      Machine machine, Endpoint endpoint, long timeoutMicros, Consumer<Optional<Heartbeat>> then) {
+    caller.call(
+        endpoint,
+        "GET",
+        ProtocolPath.INSPECT,
+        null,
+        timeoutMicros,
+        (status, data) ->
+            then.accept(status == HttpStatus.OK ? read(machine, data) : Optional.empty()));
+  }
+
+  /** The machine's own heartbeat; empty if it can't be read or is another machine's. */
+  private Optional<Heartbeat> read(Machine machine, byte[] data) {
+    try {
+      return Optional.of(Heartbeat.parse(data))
+          .filter(heartbeat -> heartbeat.machineId().equals(machine.id()));
+    } catch (InvalidMessageException e) {
+      log.warn("the direct reply of {} can't be read: {}", machine.id(), e.getMessage());
+      return Optional.empty();
+    }
+  }
+}
