--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -22,12 +22,15 @@
  */
 final class Preemption {
   /** A task stopped sooner after its start was hardly worth starting. */
-  private static final long SETTLED_MICROS = 35_000_000;
+  private static final long MIN_RUN_MICROS = 35_000_000;
 
-  /** A stop goes out with the next answer, and the room is seen with the heartbeat after it. */
+  /** A stop goes out with the next response, and the heartbeat after it shows what it freed. */
   private static final long COMMAND_MICROS = 3_000_000;
 
-  private static final double EPSILON = 1e-9;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /** Between a task's checkpoint and the end of its grace period. */
+  private static final double STOP_MARGIN_S = 2;
 
   private final Logger log;
   private final Context context;
@@ -43,160 +46,173 @@
     this.goals = goals;
   }
 
-  /** Room that could be made for one task of a job. */
-  private record Offer(Machine machine, List<Attempt> victims, int harmed, long readyMicros) {}
+  /**
+   * Tasks whose stop would free a machine for one task.
+   *
+   * @param goalsMissed how many of them would miss their jobs' goals by it
+   * @param readyMicros when the task could run there
+   */
+  private record Option(
+      Machine machine, List<Attempt> victims, int goalsMissed, long readyMicros) {}
+
+  /** Begins to preempt for the tasks of one job, which should start by then. */
+  Search search(Job job, ResourceRequest request, long startByMicros, long nowMicros) {
+    return new Search(job, request, startByMicros, nowMicros);
+  }
 
   /**
-   * Makes room for the tasks of one job, one after the other; the whole fleet is looked through
-   * once.
+   * Preempts for the tasks of one job, one after the other; the fleet is searched once, when the
+   * first task needs it.
    */
   final class Search {
     private final Job job;
     private final ResourceRequest request;
     private final long startByMicros;
-    private final long now;
-    private List<Offer> offers;
-    private int next;
+    private final long nowMicros;
+    private List<Option> options;
+    private int nextOption;
 
-    private Search(Job job, ResourceRequest request, long startByMicros, long now) {
+    private Search(Job job, ResourceRequest request, long startByMicros, long nowMicros) {
       this.job = job;
       this.request = request;
       this.startByMicros = startByMicros;
-      this.now = now;
+      this.nowMicros = nowMicros;
     }
 
     /** True if tasks were told to stop so that one more task of the job will fit. */
     boolean preemptForOneTask() {
-      if (offers == null) {
-        offers = offers(job, request, startByMicros, now);
+      if (options == null) {
+        options = options();
       }
-      if (next == offers.size()) {
+      if (nextOption == options.size()) {
         return false;
       }
-      Offer offer = offers.get(next++);
-      for (Attempt attempt : offer.victims) {
-        attempt.stop(attempt.job().spec().checkpointS() + 2, now);
+      stop(options.get(nextOption++));
+      return true;
+    }
+
+    private void stop(Option option) {
+      for (Attempt attempt : option.victims) {
+        attempt.stop(attempt.job().spec().checkpointS() + STOP_MARGIN_S, nowMicros);
         context.metrics().count("preempted");
         if (log.isDebugEnabled()) {
           log.debug(
               "{} on {} is preempted for {}",
               attempt.name().wireName(),
-              offer.machine.id(),
+              option.machine.id(),
               job.uid());
         }
       }
-      return true;
     }
-  }
 
-  Search search(Job job, ResourceRequest request, long startByMicros, long now) {
-    return new Search(job, request, startByMicros, now);
-  }
-
-  /**
-   * The least harm first, then the fewest tasks stopped, then the soonest room; a machine is
-   * offered once.
-   */
-  private List<Offer> offers(Job job, ResourceRequest request, long startByMicros, long now) {
-    List<Offer> out = new ArrayList<>();
-    if (job.priority() == Priority.IDLE) {
-      // Nothing is less urgent, and in a full fleet most of what waits is like this.
-      return out;
-    }
-    Zones zones = JobZones.of(job);
-    for (Machine machine : fleet.machines()) {
-      MachineType machineType = context.prices().machineType(machine.machineType());
-      if (machineType == null
-          || !availability.acceptsTasks(machine, now)
-          || !job.spec().allows(machine.machineType(), machine.zone(), machine.spot())
-          || !zones.allows(machine.zone())) {
-        continue;
-      }
-      List<Attempt> stop = victims(machine, machineType, job, now);
-      if (stop.isEmpty()) {
-        continue;
-      }
-      long ready =
-          now
-              + COMMAND_MICROS
-              + machine
-                  .images()
-                  .fetchMicros(job.spec().image(), job.spec().imageGb(), machineType, now);
-      int harmed = 0;
-      for (Attempt attempt : stop) {
-        ready =
-            Math.max(
-                ready, now + COMMAND_MICROS + (long) (attempt.job().spec().checkpointS() * 1e6));
-        harmed += goals.missesFinishIfStopped(attempt, now) ? 1 : 0;
+    /**
+     * The fewest goals missed first, then the fewest tasks stopped, then the soonest ready; a
+     * machine is an option once.
+     */
+    private List<Option> options() {
+      // Nothing has less priority, and in a full fleet most of what waits is like this.
+      if (job.priority() == Priority.IDLE) {
+        return List.of();
       }
-      if (helps(request, startByMicros, ready)) {
-        out.add(new Offer(machine, stop, harmed, ready));
+      List<Option> found = new ArrayList<>();
+      Zones zones = JobZones.of(job);
+      for (Machine machine : fleet.machines()) {
+        MachineType machineType = context.prices().machineType(machine.machineType());
+        if (machineType == null || !suits(machine, zones)) {
+          continue;
+        }
+        List<Attempt> victims = victims(machine, machineType);
+        if (!victims.isEmpty()) {
+          Option option = option(machine, machineType, victims);
+          if (isInTime(option.readyMicros)) {
+            found.add(option);
+          }
+        }
       }
+      found.sort(
+          Comparator.comparingInt(Option::goalsMissed)
+              .thenComparingInt(option -> option.victims.size())
+              .thenComparingLong(Option::readyMicros));
+      // Zones are checked for one more task; a job with such a rule preempts for one in each pass.
+      return job.spec().oneZone() || job.spec().spread()
+          ? found.subList(0, Math.min(1, found.size()))
+          : found;
     }
-    out.sort(
-        Comparator.comparingInt(Offer::harmed)
-            .thenComparingInt(o -> o.victims.size())
-            .thenComparingLong(Offer::readyMicros));
-    // Zones are checked for one more task; a job with such a rule makes room for one a round.
-    return job.spec().oneZone() || job.spec().spread()
-        ? out.subList(0, Math.min(1, out.size()))
-        : out;
-  }
 
-  private static boolean helps(ResourceRequest request, long startByMicros, long ready) {
-    boolean starts = startByMicros != Long.MAX_VALUE && ready <= startByMicros;
-    boolean ends =
-        request.deadlineMicros() != Long.MAX_VALUE
-            && ready + request.runMicros() <= request.deadlineMicros();
-    return starts || ends;
-  }
+    private boolean suits(Machine machine, Zones zones) {
+      return availability.acceptsTasks(machine, nowMicros)
+          && job.spec().allows(machine.machineType(), machine.zone(), machine.spot())
+          && zones.allows(machine.zone());
+    }
 
-  /**
-   * The fewest tasks on the machine that have to stop; empty if it would not be enough or nothing
-   * has to.
-   */
-  private List<Attempt> victims(Machine machine, MachineType machineType, Job job, long now) {
-    double cores = machineType.cores();
-    double memory = machineType.memoryGb();
-    double accelerators = machineType.accelerators();
-    List<Attempt> candidates = new ArrayList<>();
-    for (Attempt attempt : machine.load().attempts()) {
-      if (attempt.over()) {
-        continue;
+    private Option option(Machine machine, MachineType machineType, List<Attempt> victims) {
+      long fetchMicros =
+          machine
+              .images()
+              .fetchMicros(job.spec().image(), job.spec().imageGb(), machineType, nowMicros);
+      long readyMicros = nowMicros + COMMAND_MICROS + fetchMicros;
+      int goalsMissed = 0;
+      for (Attempt victim : victims) {
+        long checkpointMicros = (long) (victim.job().spec().checkpointS() * MICROS_PER_SECOND);
+        readyMicros = Math.max(readyMicros, nowMicros + COMMAND_MICROS + checkpointMicros);
+        goalsMissed += goals.missesFinishIfStopped(victim, nowMicros) ? 1 : 0;
       }
-      if (attempt.stopping()) {
-        // Room on its way already, meant for somebody.
-        return List.of();
+      return new Option(machine, victims, goalsMissed, readyMicros);
+    }
+
+    private boolean isInTime(long readyMicros) {
+      boolean startsInTime = startByMicros != Long.MAX_VALUE && readyMicros <= startByMicros;
+      boolean endsInTime =
+          request.deadlineMicros() != Long.MAX_VALUE
+              && readyMicros + request.runMicros() <= request.deadlineMicros();
+      return startsInTime || endsInTime;
+    }
+
+    /**
+     * The fewest tasks on the machine that have to stop; empty if stopping all that may be stopped
+     * would not be enough, or none has to.
+     */
+    private List<Attempt> victims(Machine machine, MachineType machineType) {
+      FreeCapacity free = FreeCapacity.whole(machineType);
+      List<Attempt> preemptible = new ArrayList<>();
+      for (Attempt attempt : machine.load().attempts()) {
+        if (attempt.over()) {
+          continue;
+        }
+        if (attempt.stopping()) {
+          // Its capacity is being freed already, for another task.
+          return List.of();
+        }
+        free.reserve(attempt.job().spec());
+        if (isPreemptible(attempt)) {
+          preemptible.add(attempt);
+        }
       }
-      cores -= attempt.job().spec().cores();
-      memory -= attempt.job().spec().memoryGb();
-      accelerators -= attempt.job().spec().accelerators();
-      if (attempt.state() == AttemptState.RUNNING
+      preemptible.sort(
+          Comparator.<Attempt>comparingInt(
+                  attempt -> goals.missesFinishIfStopped(attempt, nowMicros) ? 1 : 0)
+              .thenComparing(Comparator.comparingLong(Attempt::runningSinceMicros).reversed()));
+      return fewest(preemptible, free);
+    }
+
+    private boolean isPreemptible(Attempt attempt) {
+      return attempt.state() == AttemptState.RUNNING
           && attempt.job().spec().checkpoints()
           && attempt.job().priority().compareTo(job.priority()) > 0
-          && now - attempt.runningSinceMicros() > SETTLED_MICROS) {
-        candidates.add(attempt);
-      }
+          && nowMicros - attempt.runningSinceMicros() > MIN_RUN_MICROS;
     }
-    candidates.sort(
-        Comparator.<Attempt>comparingInt(a -> goals.missesFinishIfStopped(a, now) ? 1 : 0)
-            .thenComparing(Comparator.comparingLong(Attempt::runningSinceMicros).reversed()));
-    List<Attempt> stop = new ArrayList<>();
-    for (Attempt attempt : candidates) {
-      if (fits(job, cores, memory, accelerators)) {
-        break;
+
+    /** The first of them that have to stop so that the task fits; empty if all are not enough. */
+    private List<Attempt> fewest(List<Attempt> preemptible, FreeCapacity free) {
+      List<Attempt> victims = new ArrayList<>();
+      for (Attempt attempt : preemptible) {
+        if (free.fits(job.spec())) {
+          break;
+        }
+        free.release(attempt.job().spec());
+        victims.add(attempt);
       }
-      cores += attempt.job().spec().cores();
-      memory += attempt.job().spec().memoryGb();
-      accelerators += attempt.job().spec().accelerators();
-      stop.add(attempt);
+      return free.fits(job.spec()) ? victims : List.of();
     }
-    return fits(job, cores, memory, accelerators) ? stop : List.of();
-  }
-
-  private static boolean fits(Job job, double cores, double memory, double accelerators) {
-    return cores + EPSILON >= job.spec().cores()
-        && memory + EPSILON >= job.spec().memoryGb()
-        && accelerators + EPSILON >= job.spec().accelerators();
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -12,44 +12,11 @@
 import plumlever.leader.heartbeat.AttemptLog;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.placement.Zones;
-import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 import plumlever.wire.WorkerCommand;
 
 /** Starts planned tasks: the last place where every rule about a start is checked. */
 public final class TaskStarter {
-  private static final double EPSILON = 1e-9;
-
-  /** What is free on a machine, while tasks are added to it. */
-  private static final class FreeCapacity {
-    private double cores;
-    private double accelerators;
-    private double memoryGb;
-
-    FreeCapacity(Machine machine, MachineType machineType) {
-      cores = machineType.cores() - machine.load().guests().cores();
-      accelerators = machineType.accelerators() - machine.load().guests().accelerators();
-      memoryGb = machineType.memoryGb() - machine.load().guests().memoryGb();
-      for (Attempt attempt : machine.load().attempts()) {
-        if (!attempt.over()) {
-          take(attempt.job().spec());
-        }
-      }
-    }
-
-    boolean holds(JobSpec job) {
-      return cores + EPSILON >= job.cores()
-          && memoryGb + EPSILON >= job.memoryGb()
-          && accelerators + EPSILON >= job.accelerators();
-    }
-
-    void take(JobSpec job) {
-      cores -= job.cores();
-      accelerators -= job.accelerators();
-      memoryGb -= job.memoryGb();
-    }
-  }
-
   private final Context context;
   private final Fleet fleet;
   private final ActiveJobs jobs;
@@ -65,55 +32,70 @@
     this.failover = failover;
   }
 
-  /** Takes the tasks planned for the machine, each rule checked again as the command is written. */
+  /**
+   * Starts the tasks planned for the machine, as far as each rule still allows it as the command is
+   * written. The commands must go out with the message that is being written now.
+   *
+   * @param direct whether they go out by a direct command, rather than in a heartbeat response
+   * @param commands receives the commands
+   * @return the attempts begun; empty if nothing may start on the machine
+   */
   public List<Attempt> start(
       Machine machine,
       Iterable<PlannedTasks> planned,
       boolean direct,
       List<WorkerCommand> commands) {
     MachineType machineType = context.prices().machineType(machine.machineType());
-    if (machineType == null
-        || !jobs.mayRenew()
-        || machine.draining()
-        || machine.returning()
-        || machine.offered()
-        || machine.registration() != RegistrationState.STORED
-        || !machine.accounted()
-        || machine.contact().unreachable()) {
+    if (machineType == null || !mayStartOn(machine)) {
       return List.of();
     }
     List<Attempt> started = new ArrayList<>();
-    FreeCapacity room = new FreeCapacity(machine, machineType);
-    long now = context.loop().nowMicros();
-    for (PlannedTasks otherPlanned : planned) {
-      Job job = otherPlanned.job();
-      if (job.over()
-          || job.cancellationConfirmed()
-          || job.waitsForDependencies()
-          || job.registration() != RegistrationState.STORED
-          || failover.blocks(job)
-          || !job.spec().allows(machine.machineType(), machine.zone(), machine.spot())) {
+    FreeCapacity free = FreeCapacity.of(machine, machineType);
+    long nowMicros = context.loop().nowMicros();
+    for (PlannedTasks tasks : planned) {
+      Job job = tasks.job();
+      if (!mayStart(job, machine)) {
         continue;
       }
       Zones zones = JobZones.of(job);
-      for (int i = 0; i < otherPlanned.count() && job.hasFree(); i++) {
-        if (!room.holds(job.spec())
+      for (int i = 0; i < tasks.count() && job.hasFree(); i++) {
+        if (!free.fits(job.spec())
             || !zones.allows(machine.zone())
             || failover.quotaHeadroom(job) < 1) {
           break;
         }
-        int task = job.firstFree();
-        Attempt attempt = fleet.start(job, task, machine, direct, now);
+        Attempt attempt = fleet.start(job, job.firstFree(), machine, direct, nowMicros);
         started.add(attempt);
         zones.add(machine.zone());
-        room.take(job.spec());
-        machine.images().use(job.spec().image(), job.spec().imageGb(), machineType, now);
+        free.reserve(job.spec());
+        machine.images().use(job.spec().image(), job.spec().imageGb(), machineType, nowMicros);
         commands.add(WorkerCommand.run(attempt.name(), attempt.id()));
-        context.metrics().count("starts_sent");
-        context.metrics().time("wait", now - job.releasedMicros());
-        attemptLog.started(attempt, direct, jobs.endsKnownMicros());
+        report(attempt, direct, nowMicros);
       }
     }
     return started;
   }
+
+  private boolean mayStartOn(Machine machine) {
+    return jobs.mayRenew()
+        && !machine.draining()
+        && !machine.returning()
+        && !machine.offered()
+        && machine.registration() == RegistrationState.STORED
+        && machine.accounted()
+        && !machine.contact().unreachable();
+  }
+
+  private boolean mayStart(Job job, Machine machine) {
+    return JobQueue.mayRun(job)
+        && job.registration() == RegistrationState.STORED
+        && !failover.blocks(job)
+        && job.spec().allows(machine.machineType(), machine.zone(), machine.spot());
+  }
+
+  private void report(Attempt attempt, boolean direct, long nowMicros) {
+    context.metrics().count("starts_sent");
+    context.metrics().time("wait", nowMicros - attempt.job().releasedMicros());
+    attemptLog.started(attempt, direct, jobs.endsKnownMicros());
+  }
 }
