--- a/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
+++ b/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
@@ -2,9 +2,11 @@
 
 import plumlever.fleet.Job;
 import plumlever.leader.context.Context;
+import plumlever.placement.PlacementParameters;
 import plumlever.placement.Placer;
 import plumlever.placement.ResourceRequest;
 import plumlever.placement.Zones;
+import plumlever.wire.JobSpec;
 
 /** Searches for the machines that suit a job's tasks best, with its goals and rules. */
 final class CandidateSearches {
@@ -19,10 +21,11 @@
     this.times = times;
     this.placer =
         new Placer(
-            context.parameters().paddingShare(),
-            context.parameters().tieShare(),
-            context.moneyMatters() ? context.parameters().rentMicros() : 0,
-            context.moneyMatters() ? 0 : context.parameters().spotRisk());
+            new PlacementParameters(
+                context.parameters().paddingShare(),
+                context.parameters().tieShare(),
+                context.moneyMatters() ? context.parameters().rentMicros() : 0,
+                context.moneyMatters() ? 0 : context.parameters().spotRisk()));
   }
 
   /** What one task of the job needs. */
@@ -32,19 +35,15 @@
 
   /** The same for a task that should start by then. */
   ResourceRequest request(Job job, long nowMicros, long startByMicros) {
+    JobSpec spec = job.spec();
     return new ResourceRequest(
-        job.spec().cores(),
-        job.spec().accelerators(),
-        job.spec().memoryGb(),
-        job.spec().image(),
-        job.spec().imageGb(),
-        times.runMicros(job),
-        goals.finishByMicros(job, nowMicros),
-        startByMicros,
-        job.spec().machineTypes(),
-        job.spec().zone(),
-        job.spec().spotAllowed(),
-        job.spec().checkpoints());
+        new ResourceRequest.Resources(spec.cores(), spec.accelerators(), spec.memoryGb()),
+        spec.image(),
+        spec.imageGb(),
+        new ResourceRequest.Timing(
+            times.runMicros(job), goals.finishByMicros(job, nowMicros), startByMicros),
+        new ResourceRequest.MachineRules(
+            spec.machineTypes(), spec.zone(), spec.spotAllowed(), spec.checkpoints()));
   }
 
   /** Begins a search for the tasks of one job; what it commits is taken from the snapshot. */
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -197,7 +197,7 @@
 
     private void planStart(Placer.Choice choice) {
       startedJobs.enroll(job);
-      plannedStarts.add(snapshot.candidates().get(choice.candidate()).machine(), job);
+      plannedStarts.add(snapshot.candidates().get(choice.candidate()).machineId(), job);
       quotas.reserveTask(job);
     }
 
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -161,10 +161,10 @@
     }
 
     private boolean isInTime(long readyMicros) {
-      boolean startsInTime = startByMicros != Long.MAX_VALUE && readyMicros <= startByMicros;
+      boolean startsInTime =
+          startByMicros != ResourceRequest.ANY_TIME && readyMicros <= startByMicros;
       boolean endsInTime =
-          request.deadlineMicros() != Long.MAX_VALUE
-              && readyMicros + request.runMicros() <= request.deadlineMicros();
+          request.hasDeadline() && request.endsInTime(readyMicros, request.runMicros());
       return startsInTime || endsInTime;
     }
 
--- a/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
@@ -32,14 +32,13 @@
   boolean rentalIsInTime(Job job, ResourceRequest request, long nowMicros) {
     long upMicros = nowMicros + context.parameters().rentMicros();
     return upMicros <= goals.startByMicros(job, upMicros)
-        && (request.deadlineMicros() == Long.MAX_VALUE
-            || upMicros + request.runMicros() <= request.deadlineMicros());
+        && request.endsInTime(upMicros, request.runMicros());
   }
 
   /** True if the start goal leaves time to book on one rented machine before renting more. */
   boolean canRentStepwise(ResourceRequest request, long nowMicros) {
     return context.moneyMatters()
-        && request.startByMicros() != Long.MAX_VALUE
+        && request.startByMicros() != ResourceRequest.ANY_TIME
         && request.startByMicros() - nowMicros > 2 * context.parameters().rentMicros();
   }
 }
--- a/src/main/java/plumlever/placement/PlacementCandidate.java
+++ b/src/main/java/plumlever/placement/PlacementCandidate.java
@@ -4,94 +4,90 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** A machine as placement sees it: room now, and the times at which more of it comes free. */
+/**
+ * A machine as placement sees it: its free capacity now, and the times at which more of it comes
+ * free.
+ */
 public final class PlacementCandidate {
-  /** Room that comes free at a time, as far as known. */
-  public record Release(long atMicros, double cores, double accelerators, double memoryGb) {}
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
-  private static final double EPSILON = 1e-9;
-
-  final String machine;
-  final String machineType;
+  final String machineId;
   final String zone;
-  final boolean spot;
-  final double totalCores;
-  final double totalAccelerators;
-  final double totalMemoryGb;
-  final double pricePerS;
+  final MachineShape shape;
+
+  /** Factor by which tasks take longer there than on a machine of nominal speed. */
   final double slowness;
+
+  /** Time until a command reaches the machine. */
+  final long commandDelayMicros;
+
+  /** True once a task is on the machine. */
+  boolean busy;
+
+  /** What is free now. */
   double cores;
+
   double accelerators;
   double memoryGb;
-  boolean busy;
+
   private long upMicros = Long.MIN_VALUE;
+  private final List<Release> releases = new ArrayList<>();
+  private boolean releasesSorted = true;
+
+  /** Capacity that is expected to come free at a time. */
+  private record Release(long atMicros, double cores, double accelerators, double memoryGb) {}
 
   /**
-   * Time until a command reaches the machine: it is only given orders in answers to its heartbeat.
+   * A machine that is up, with all its capacity free.
+   *
+   * @param slowness factor by which tasks take longer than on a machine of nominal speed
+   * @param commandDelayMicros time until a command reaches the machine
    */
-  final long delayMicros;
-
-  private final List<Release> releases = new ArrayList<>();
-  private boolean sorted = true;
-
-  /** A machine with all its room free from now on. */
   public PlacementCandidate(
-      String machine,
-      String machineType,
-      String zone,
-      boolean spot,
-      double totalCores,
-      double totalAccelerators,
-      double totalMemoryGb,
-      double pricePerS,
-      double slowness,
-      long delayMicros) {
-    this.machine = machine;
-    this.machineType = machineType;
+      String machineId, String zone, MachineShape shape, double slowness, long commandDelayMicros) {
+    this.machineId = machineId;
     this.zone = zone;
-    this.spot = spot;
-    this.totalCores = totalCores;
-    this.totalAccelerators = totalAccelerators;
-    this.totalMemoryGb = totalMemoryGb;
-    this.pricePerS = pricePerS;
+    this.shape = shape;
     this.slowness = slowness;
-    this.delayMicros = delayMicros;
-    this.cores = totalCores;
-    this.accelerators = totalAccelerators;
-    this.memoryGb = totalMemoryGb;
+    this.commandDelayMicros = commandDelayMicros;
+    this.cores = shape.cores();
+    this.accelerators = shape.accelerators();
+    this.memoryGb = shape.memoryGb();
   }
 
-  public String machine() {
-    return machine;
+  /** The name of the machine. */
+  public String machineId() {
+    return machineId;
   }
 
-  /** A task that is on the machine already. */
+  /** Takes a task into account that is on the machine already. */
   public void occupy(
-      double taskCores, double taskAccelerators, double taskMemoryGb, long endsAtMicros) {
+      double taskCores, double taskAccelerators, double taskMemoryGb, long endMicros) {
     cores -= taskCores;
     accelerators -= taskAccelerators;
     memoryGb -= taskMemoryGb;
     busy = true;
-    releases.add(new Release(endsAtMicros, taskCores, taskAccelerators, taskMemoryGb));
-    sorted = false;
+    addRelease(new Release(endMicros, taskCores, taskAccelerators, taskMemoryGb));
   }
 
-  /** The machine is not up before then. */
+  /** The machine is not up before then: what is free of it comes free at that time. */
   public void comesUp(long atMicros) {
     upMicros = atMicros;
-    releases.add(new Release(atMicros, cores, accelerators, memoryGb));
-    sorted = false;
+    addRelease(new Release(atMicros, cores, accelerators, memoryGb));
     cores = 0;
     accelerators = 0;
     memoryGb = 0;
   }
 
-  /** When the machine comes up; long ago for one that is. */
+  /** When the machine comes up; Long.MIN_VALUE for one that is. */
   long upMicros() {
     return upMicros;
   }
 
-  /** Room now, or for a machine that is not up yet when it comes up, that nothing is booked for. */
+  /**
+   * Cores that nothing is planned or booked for: now, or for a machine that is not up yet when it
+   * comes up.
+   */
   public double spareCores() {
     double spare = cores;
     for (Release release : releases) {
@@ -102,42 +98,40 @@
     return spare;
   }
 
-  void take(ResourceRequest request) {
-    cores -= request.cores();
-    accelerators -= request.accelerators();
-    memoryGb -= request.memoryGb();
-    busy = true;
+  /** Starts a task now that ends at the given time. */
+  void start(ResourceRequest.Resources task, long endMicros) {
+    occupy(task.cores(), task.accelerators(), task.memoryGb(), endMicros);
   }
 
-  void release(ResourceRequest request, long atMicros) {
-    releases.add(
-        new Release(atMicros, request.cores(), request.accelerators(), request.memoryGb()));
-    sorted = false;
+  boolean fitsNow(ResourceRequest.Resources task) {
+    return fits(task, cores, accelerators, memoryGb);
   }
 
-  boolean fitsNow(ResourceRequest request) {
-    return cores + EPSILON >= request.cores()
-        && memoryGb + EPSILON >= request.memoryGb()
-        && accelerators + EPSILON >= request.accelerators();
+  private static boolean fits(
+      ResourceRequest.Resources task,
+      double freeCores,
+      double freeAccelerators,
+      double freeMemoryGb) {
+    return freeCores + ROUNDING_TOLERANCE >= task.cores()
+        && freeMemoryGb + ROUNDING_TOLERANCE >= task.memoryGb()
+        && freeAccelerators + ROUNDING_TOLERANCE >= task.accelerators();
   }
 
-  /** The earliest time the task fits, or Long.MAX_VALUE. */
-  long earliest(ResourceRequest request, long nowMicros) {
-    if (fitsNow(request)) {
+  /** The earliest time at which the task fits; Long.MAX_VALUE if it never does. */
+  long earliestStartMicros(ResourceRequest.Resources task, long nowMicros) {
+    if (fitsNow(task)) {
       return nowMicros;
     }
-    sort();
-    double otherCores = cores;
-    double otherAccelerators = accelerators;
-    double memory = memoryGb;
+    sortReleases();
+    double freeCores = cores;
+    double freeAccelerators = accelerators;
+    double freeMemoryGb = memoryGb;
     for (Release release : releases) {
-      otherCores += release.cores;
-      otherAccelerators += release.accelerators;
-      memory += release.memoryGb;
-      if (otherCores + EPSILON >= request.cores()
-          && memory + EPSILON >= request.memoryGb()
-          && otherAccelerators + EPSILON >= request.accelerators()) {
-        // Room that is due but has not been reported free is not room now.
+      freeCores += release.cores;
+      freeAccelerators += release.accelerators;
+      freeMemoryGb += release.memoryGb;
+      if (fits(task, freeCores, freeAccelerators, freeMemoryGb)) {
+        // Capacity that is due but has not been reported free is not free now.
         return Math.max(nowMicros + 1, release.atMicros);
       }
     }
@@ -145,40 +139,52 @@
   }
 
   /**
-   * Books room that comes free later: what is released until then goes to this task, and back when
-   * it ends.
+   * Books capacity that comes free later: what is released until the task starts goes to the task,
+   * and comes free again when it ends.
    */
-  void book(ResourceRequest request, long fromMicros, long untilMicros) {
-    sort();
+  void book(ResourceRequest.Resources task, long startMicros, long endMicros) {
     double coresNow = cores;
     double acceleratorsNow = accelerators;
-    double memoryNow = memoryGb;
+    double memoryGbNow = memoryGb;
+    applyReleasesUntil(startMicros);
+    double coresAtStart = cores - task.cores();
+    double acceleratorsAtStart = accelerators - task.accelerators();
+    double memoryGbAtStart = memoryGb - task.memoryGb();
+    // What is free now stays usable as far as the booking leaves it; the rest is not free before
+    // the start.
+    cores = Math.min(coresNow, coresAtStart);
+    accelerators = Math.min(acceleratorsNow, acceleratorsAtStart);
+    memoryGb = Math.min(memoryGbNow, memoryGbAtStart);
+    addRelease(
+        new Release(
+            startMicros,
+            coresAtStart - cores,
+            acceleratorsAtStart - accelerators,
+            memoryGbAtStart - memoryGb));
+    addRelease(new Release(endMicros, task.cores(), task.accelerators(), task.memoryGb()));
+  }
+
+  private void applyReleasesUntil(long atMicros) {
+    sortReleases();
     int count = 0;
-    while (count < releases.size() && releases.get(count).atMicros <= fromMicros) {
-      Release otherRelease = releases.get(count++);
-      cores += otherRelease.cores;
-      accelerators += otherRelease.accelerators;
-      memoryGb += otherRelease.memoryGb;
+    while (count < releases.size() && releases.get(count).atMicros <= atMicros) {
+      Release release = releases.get(count++);
+      cores += release.cores;
+      accelerators += release.accelerators;
+      memoryGb += release.memoryGb;
     }
     releases.subList(0, count).clear();
-    double otherCores = cores - request.cores();
-    double otherAccelerators = accelerators - request.accelerators();
-    double memory = memoryGb - request.memoryGb();
-    // Room there is now stays usable as far as the booking leaves it; the rest is not there before
-    // then.
-    cores = Math.min(coresNow, otherCores);
-    accelerators = Math.min(acceleratorsNow, otherAccelerators);
-    memoryGb = Math.min(memoryNow, memory);
-    releases.add(
-        new Release(
-            fromMicros, otherCores - cores, otherAccelerators - accelerators, memory - memoryGb));
-    release(request, untilMicros);
   }
 
-  private void sort() {
-    if (!sorted) {
+  private void addRelease(Release release) {
+    releases.add(release);
+    releasesSorted = false;
+  }
+
+  private void sortReleases() {
+    if (!releasesSorted) {
       releases.sort(Comparator.comparingLong(Release::atMicros));
-      sorted = true;
+      releasesSorted = true;
     }
   }
 }
--- /dev/null
+++ b/src/main/java/plumlever/placement/SoonestRuns.java
@@ -0,0 +1,47 @@
+package plumlever.placement;
+
+import java.util.PriorityQueue;
+
+/** For tasks that no candidate can serve in time: the candidates by when a task would run there. */
+final class SoonestRuns {
+  private final CandidateScores scores;
+  private final PriorityQueue<Run> queue = new PriorityQueue<>();
+
+  SoonestRuns(CandidateScores scores) {
+    this.scores = scores;
+    for (int candidate : scores.byScore) {
+      add(candidate);
+    }
+  }
+
+  /** When a task would run on a candidate, as of when it was added to the queue. */
+  private record Run(long atMicros, int candidate) implements Comparable<Run> {
+    @Override
+    public int compareTo(Run run) {
+      int byTime = Long.compare(atMicros, run.atMicros);
+      return byTime != 0 ? byTime : Integer.compare(candidate, run.candidate);
+    }
+  }
+
+  private void add(int candidate) {
+    long startMicros = scores.allowedStartMicros(candidate);
+    if (startMicros != Long.MAX_VALUE) {
+      queue.add(new Run(scores.runsAtMicros(candidate, startMicros), candidate));
+    }
+  }
+
+  /** Where the next task would run soonest. */
+  Placer.Choice best() {
+    while (!queue.isEmpty()) {
+      Run run = queue.peek();
+      long startMicros = scores.allowedStartMicros(run.candidate);
+      if (startMicros != Long.MAX_VALUE
+          && scores.runsAtMicros(run.candidate, startMicros) == run.atMicros) {
+        return new Placer.Choice(run.candidate, startMicros, false);
+      }
+      queue.poll();
+      add(run.candidate);
+    }
+    return Placer.Choice.NONE;
+  }
+}
--- /dev/null
+++ b/src/main/java/plumlever/placement/TieBand.java
@@ -0,0 +1,115 @@
+package plumlever.placement;
+
+import java.util.Arrays;
+
+/**
+ * The candidates of one rank within the tie band of the least score, the winner of the tie on top
+ * of a heap. Free capacity only shrinks while it is used, so a candidate that is no choice of the
+ * rank never becomes one again.
+ */
+final class TieBand {
+  private static final int INITIAL_CAPACITY = 16;
+
+  private final CandidateScores scores;
+  private final double tieShare;
+  private int[] heap = new int[INITIAL_CAPACITY];
+  private int size;
+
+  /** Position in the order of scores of the least that is a choice, and the end of its band. */
+  private int first;
+
+  private int end;
+  private ChoiceRank rank;
+
+  TieBand(CandidateScores scores, double tieShare, ChoiceRank rank) {
+    this.scores = scores;
+    this.tieShare = tieShare;
+    begin(rank);
+  }
+
+  /** Starts anew, with the choices of this rank. */
+  void begin(ChoiceRank newRank) {
+    rank = newRank;
+    size = 0;
+    first = 0;
+    end = 0;
+  }
+
+  /** The candidate for the next task, or -1 when there are no choices of this rank left. */
+  int best() {
+    int[] byScore = scores.byScore;
+    while (first < byScore.length && !scores.suits(byScore[first], rank)) {
+      first++;
+    }
+    if (first == byScore.length) {
+      return -1;
+    }
+    double maxScore = scores.score(byScore[first]) * (1 + tieShare);
+    end = Math.max(end, first);
+    while (end < byScore.length && scores.score(byScore[end]) <= maxScore) {
+      if (scores.suits(byScore[end], rank)) {
+        push(byScore[end]);
+      }
+      end++;
+    }
+    while (!scores.suits(heap[0], rank)) {
+      heap[0] = heap[--size];
+      siftDown();
+    }
+    return heap[0];
+  }
+
+  /** The candidate on top has less free capacity than before. */
+  void topChanged() {
+    siftDown();
+  }
+
+  private void push(int candidate) {
+    if (size == heap.length) {
+      heap = Arrays.copyOf(heap, size * 2);
+    }
+    int index = size++;
+    while (index > 0 && precedes(candidate, heap[(index - 1) / 2])) {
+      heap[index] = heap[(index - 1) / 2];
+      index = (index - 1) / 2;
+    }
+    heap[index] = candidate;
+  }
+
+  private void siftDown() {
+    if (size == 0) {
+      return;
+    }
+    int candidate = heap[0];
+    int index = 0;
+    while (2 * index + 1 < size) {
+      int child = 2 * index + 1;
+      if (child + 1 < size && precedes(heap[child + 1], heap[child])) {
+        child++;
+      }
+      if (!precedes(heap[child], candidate)) {
+        break;
+      }
+      heap[index] = heap[child];
+      index = child;
+    }
+    heap[index] = candidate;
+  }
+
+  private boolean precedes(int left, int right) {
+    PlacementCandidate leftCandidate = scores.candidates.get(left);
+    PlacementCandidate rightCandidate = scores.candidates.get(right);
+    return winsTie(leftCandidate, rightCandidate)
+        || (!winsTie(rightCandidate, leftCandidate) && left < right);
+  }
+
+  private static boolean winsTie(PlacementCandidate left, PlacementCandidate right) {
+    if (left.busy != right.busy) {
+      return left.busy;
+    }
+    if (left.memoryGb != right.memoryGb) {
+      return left.memoryGb > right.memoryGb;
+    }
+    return left.cores > right.cores;
+  }
+}
--- a/src/main/java/plumlever/placement/Zones.java
+++ b/src/main/java/plumlever/placement/Zones.java
@@ -3,37 +3,43 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A job's rules about zones, given its tasks that may still be on a machine. */
+/** A job's rules about zones, and how many of its tasks may still be on machines of each. */
 public final class Zones {
   private final boolean oneZone;
-  private final int limit;
-  private final Map<String, Integer> tasks = new HashMap<>();
+  private final int maxTasksPerZone;
+  private final Map<String, Integer> tasksByZone = new HashMap<>();
 
   /**
-   * @param limit the most tasks in one zone
+   * The rules of a job of which no task is on a machine.
+   *
+   * @param oneZone whether all tasks must be in the same zone
+   * @param maxTasksPerZone Integer.MAX_VALUE for any number
    */
-  public Zones(boolean oneZone, int limit) {
+  public Zones(boolean oneZone, int maxTasksPerZone) {
     this.oneZone = oneZone;
-    this.limit = limit;
+    this.maxTasksPerZone = maxTasksPerZone;
   }
 
-  /** The rules of a job that has none. */
+  /** The rules of a job that may be anywhere. */
   public static Zones unrestricted() {
     return new Zones(false, Integer.MAX_VALUE);
   }
 
+  /** Counts one task of the job in the zone. */
   public void add(String zone) {
-    tasks.merge(zone, 1, Integer::sum);
+    tasksByZone.merge(zone, 1, Integer::sum);
   }
 
   /** True if one more task of the job may be in the zone. */
   public boolean allows(String zone) {
-    if (!oneZone && limit == Integer.MAX_VALUE) {
+    if (!oneZone && maxTasksPerZone == Integer.MAX_VALUE) {
       return true;
     }
-    if (oneZone && !tasks.isEmpty() && !(tasks.size() == 1 && tasks.containsKey(zone))) {
-      return false;
-    }
-    return tasks.getOrDefault(zone, 0) < limit;
+    return !(oneZone && hasTasksOutside(zone))
+        && tasksByZone.getOrDefault(zone, 0) < maxTasksPerZone;
+  }
+
+  private boolean hasTasksOutside(String zone) {
+    return !tasksByZone.isEmpty() && !(tasksByZone.size() == 1 && tasksByZone.containsKey(zone));
   }
 }
--- a/src/main/java/plumlever/placement/package-info.java
+++ b/src/main/java/plumlever/placement/package-info.java
@@ -1,6 +1,9 @@
 /**
- * Which machine a task goes to: feasibility, score, ties, zones.
+ * Which machine a task goes to: feasibility, score, ties, zone rules.
  *
- * <p>Pure: no I/O, no clock, and no knowledge of where its inputs come from.
+ * <p>Pure: no I/O and no clock. It knows machines only as {@link
+ * plumlever.placement.PlacementCandidate}s and tasks only as {@link
+ * plumlever.placement.ResourceRequest}s; it must not know jobs, teams, quotas, or where its inputs
+ * come from.
  */
 package plumlever.placement;
--- /dev/null
+++ b/src/test/java/plumlever/placement/PlainPlacementModel.java
@@ -0,0 +1,181 @@
+package plumlever.placement;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+
+/**
+ * The design's rules of placement, straight and slow: feasible before score, least score, ties to
+ * busy machines, then to free memory, then to free cores. Nothing is computed ahead or kept.
+ */
+final class PlainPlacementModel {
+  private static final double ROUNDING_TOLERANCE = 1e-9;
+
+  private final PlacementParameters parameters;
+  private final List<Machine> machines;
+  private final Zones zones;
+  private final long nowMicros;
+
+  PlainPlacementModel(
+      PlacementParameters parameters, List<Machine> machines, Zones zones, long nowMicros) {
+    this.parameters = parameters;
+    this.machines = machines;
+    this.zones = zones;
+    this.nowMicros = nowMicros;
+  }
+
+  /**
+   * @param machine position in the list, or -1 for none
+   */
+  record Choice(int machine, boolean feasible) {}
+
+  private record Release(long atMicros, double cores, double memoryGb) {}
+
+  /** A machine with everything in the open. */
+  static final class Machine {
+    String zone;
+    boolean spot;
+    double totalCores;
+    double totalMemoryGb;
+    double freeCores;
+    double freeMemoryGb;
+    double price;
+    long commandDelayMicros;
+    long fetchMicros;
+    long upMicros = Long.MIN_VALUE;
+    boolean busy;
+    private final List<Release> releases = new ArrayList<>();
+
+    void comesUp(long atMicros) {
+      upMicros = atMicros;
+      releases.add(new Release(atMicros, totalCores, totalMemoryGb));
+      freeCores = 0;
+      freeMemoryGb = 0;
+    }
+
+    void occupy(double cores, double memoryGb, long endMicros) {
+      freeCores -= cores;
+      freeMemoryGb -= memoryGb;
+      busy = true;
+      releases.add(new Release(endMicros, cores, memoryGb));
+    }
+
+    long earliestStartMicros(ResourceRequest request, long nowMicros) {
+      double cores = freeCores;
+      double memoryGb = freeMemoryGb;
+      if (fits(request, cores, memoryGb)) {
+        return nowMicros;
+      }
+      List<Release> sorted = new ArrayList<>(releases);
+      sorted.sort(Comparator.comparingLong(Release::atMicros));
+      for (Release release : sorted) {
+        cores += release.cores;
+        memoryGb += release.memoryGb;
+        if (fits(request, cores, memoryGb)) {
+          return Math.max(nowMicros + 1, release.atMicros);
+        }
+      }
+      return Long.MAX_VALUE;
+    }
+
+    private static boolean fits(ResourceRequest request, double cores, double memoryGb) {
+      return cores + ROUNDING_TOLERANCE >= request.resources().cores()
+          && memoryGb + ROUNDING_TOLERANCE >= request.resources().memoryGb();
+    }
+  }
+
+  /** Where one task of the request goes. */
+  Choice choose(ResourceRequest request) {
+    for (double padding : new double[] {parameters.padding(), 0}) {
+      for (boolean now : new boolean[] {true, false}) {
+        List<Integer> inTime = inTime(request, padding, now);
+        if (!inTime.isEmpty()) {
+          return new Choice(best(request, inTime), padding > 0);
+        }
+      }
+    }
+    return new Choice(soonest(request), false);
+  }
+
+  private List<Integer> inTime(ResourceRequest request, double padding, boolean now) {
+    List<Integer> inTime = new ArrayList<>();
+    for (int i = 0; i < machines.size(); i++) {
+      Machine machine = machines.get(i);
+      long startMicros = allowedStartMicros(request, machine);
+      if (startMicros == Long.MAX_VALUE || (startMicros <= nowMicros) != now) {
+        continue;
+      }
+      boolean hedged = padding > 0 && !now && startMicros > machine.upMicros;
+      long runsAtMicros =
+          startMicros
+              + machine.commandDelayMicros
+              + machine.fetchMicros
+              + (hedged ? parameters.hedgeMicros() : 0);
+      ResourceRequest.Timing timing = request.timing();
+      if (runsAtMicros <= timing.startByMicros()
+          && (timing.deadlineMicros() == Long.MAX_VALUE
+              || runsAtMicros + (long) (timing.runMicros() * (1 + padding))
+                  <= timing.deadlineMicros())) {
+        inTime.add(i);
+      }
+    }
+    return inTime;
+  }
+
+  private int best(ResourceRequest request, List<Integer> inTime) {
+    double leastScore =
+        inTime.stream().mapToDouble(i -> score(request, machines.get(i))).min().orElseThrow();
+    List<Integer> tied = new ArrayList<>(inTime);
+    tied.removeIf(i -> score(request, machines.get(i)) > leastScore * (1 + parameters.tieShare()));
+    int best = tied.get(0);
+    for (int i : tied) {
+      if (winsTie(machines.get(i), machines.get(best))) {
+        best = i;
+      }
+    }
+    return best;
+  }
+
+  private static boolean winsTie(Machine first, Machine second) {
+    if (first.busy != second.busy) {
+      return first.busy;
+    }
+    return first.freeMemoryGb != second.freeMemoryGb
+        ? first.freeMemoryGb > second.freeMemoryGb
+        : first.freeCores > second.freeCores;
+  }
+
+  private double score(ResourceRequest request, Machine machine) {
+    ResourceRequest.Resources task = request.resources();
+    return machine.price
+        * (machine.spot && !request.rules().checkpoints() ? 1 + parameters.spotRisk() : 1)
+        * Math.max(task.cores() / machine.totalCores, task.memoryGb() / machine.totalMemoryGb)
+        * (machine.commandDelayMicros + machine.fetchMicros + request.timing().runMicros());
+  }
+
+  private int soonest(ResourceRequest request) {
+    int best = -1;
+    long soonestMicros = Long.MAX_VALUE;
+    for (int i = 0; i < machines.size(); i++) {
+      Machine machine = machines.get(i);
+      long startMicros = allowedStartMicros(request, machine);
+      if (startMicros != Long.MAX_VALUE
+          && startMicros + machine.commandDelayMicros + machine.fetchMicros < soonestMicros) {
+        soonestMicros = startMicros + machine.commandDelayMicros + machine.fetchMicros;
+        best = i;
+      }
+    }
+    return best;
+  }
+
+  private long allowedStartMicros(ResourceRequest request, Machine machine) {
+    ResourceRequest.MachineRules rules = request.rules();
+    boolean allowed =
+        (rules.zone() == null || rules.zone().equals(machine.zone))
+            && (rules.spotAllowed() || !machine.spot)
+            && zones.allows(machine.zone)
+            && request.resources().cores() <= machine.totalCores
+            && request.resources().memoryGb() <= machine.totalMemoryGb;
+    return allowed ? machine.earliestStartMicros(request, nowMicros) : Long.MAX_VALUE;
+  }
+}
