--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -129,7 +129,7 @@
       OpenRental rental =
           new OpenRental(
               "r-" + context.term().number() + "-" + ++rentalCounter,
-              planned.kind(),
+              planned.option(),
               Math.min(planned.count(), CloudClient.MOST_PER_RENTAL));
       open.add(rental);
       send(rental);
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -33,7 +33,7 @@
   }
 
   /** How many machines of a kind to rent. */
-  public record RentalRequest(RentalOption kind, int count) {}
+  public record RentalRequest(RentalOption option, int count) {}
 
   /** Room on a machine that is coming up. */
   public static final class IncomingMachine {
