--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -31,6 +31,11 @@
     this.estimates = estimates;
   }
 
+  /** So many seconds in whole microseconds. */
+  static long micros(double seconds) {
+    return (long) (seconds * MICROS_PER_SECOND);
+  }
+
   /** Run time of one task of the job on a machine of nominal speed. */
   long runMicros(Job job) {
     return estimates.runMicros(job);
@@ -63,7 +68,7 @@
   /** When an attempt that is not over should free its place on a machine of this type. */
   long endMicros(Attempt attempt, MachineType machineType, long nowMicros) {
     if (attempt.stopping()) {
-      return nowMicros + (long) (attempt.job().spec().checkpointS() * MICROS_PER_SECOND);
+      return nowMicros + micros(attempt.job().spec().checkpointS());
     }
     long runMicros =
         (long)
@@ -76,8 +81,7 @@
     }
     long fetchMicros =
         machineType.fetchGbPerS() > 0
-            ? (long)
-                (attempt.job().spec().imageGb() / machineType.fetchGbPerS() * MICROS_PER_SECOND)
+            ? micros(attempt.job().spec().imageGb() / machineType.fetchGbPerS())
             : 0;
     return Math.max(nowMicros, attempt.sentMicros() + fetchMicros) + runMicros;
   }
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
@@ -58,7 +58,8 @@
 
   private static PlacementCandidate comingUp(
       Machine machine, MachineType machineType, MachineShape shape, long nowMicros) {
-    PlacementCandidate candidate = candidate(machine, shape, 1, 0);
+    PlacementCandidate candidate =
+        new PlacementCandidate(machine.id(), machine.zone(), shape, 1, 0);
     long startupMicros = (long) (machineType.startupS() * STARTUP_MICROS_PER_NOMINAL_SECOND);
     candidate.comesUp(
         Math.max(nowMicros + MIN_STARTUP_MICROS, machine.knownSinceMicros() + startupMicros));
@@ -68,7 +69,8 @@
   private PlacementCandidate up(
       Machine machine, MachineType machineType, MachineShape shape, long nowMicros) {
     PlacementCandidate candidate =
-        candidate(machine, shape, machine.health().slowness(), COMMAND_DELAY_MICROS);
+        new PlacementCandidate(
+            machine.id(), machine.zone(), shape, machine.health().slowness(), COMMAND_DELAY_MICROS);
     for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over()) {
         JobSpec spec = attempt.job().spec();
@@ -89,10 +91,4 @@
     }
     return candidate;
   }
-
-  private static PlacementCandidate candidate(
-      Machine machine, MachineShape shape, double slowness, long commandDelayMicros) {
-    return new PlacementCandidate(
-        machine.id(), machine.zone(), shape, slowness, commandDelayMicros);
-  }
 }
--- a/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
+++ b/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
@@ -15,7 +15,6 @@
  */
 final class HeadroomDemand {
   private static final long ARRIVAL_WINDOW_MICROS = 120_000_000;
-  private static final double MICROS_PER_SECOND = 1e6;
 
   private final Context context;
   private final JobGoals goals;
@@ -70,6 +69,6 @@
         spec,
         null,
         (int) Math.ceil(missingCores / spec.cores()),
-        (long) (spec.expectedRunS() * MICROS_PER_SECOND));
+        ExpectedTimes.micros(spec.expectedRunS()));
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -27,8 +27,6 @@
   /** A stop goes out with the next response, and the heartbeat after it shows what it freed. */
   private static final long COMMAND_MICROS = 3_000_000;
 
-  private static final double MICROS_PER_SECOND = 1e6;
-
   /** Between a task's checkpoint and the end of its grace period. */
   private static final double STOP_MARGIN_S = 2;
 
@@ -153,7 +151,7 @@
       long readyMicros = nowMicros + COMMAND_MICROS + fetchMicros;
       int goalsMissed = 0;
       for (Attempt victim : victims) {
-        long checkpointMicros = (long) (victim.job().spec().checkpointS() * MICROS_PER_SECOND);
+        long checkpointMicros = ExpectedTimes.micros(victim.job().spec().checkpointS());
         readyMicros = Math.max(readyMicros, nowMicros + COMMAND_MICROS + checkpointMicros);
         goalsMissed += goals.missesFinishIfStopped(victim, nowMicros) ? 1 : 0;
       }
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -21,8 +21,6 @@
   private static final String DEADLINE_KIND = "deadline";
   private static final String GUARANTEE_KIND = "guarantee";
 
-  private static final double MICROS_PER_SECOND = 1e6;
-
   private final Map<String, TargetTimes> startTargets = new HashMap<>();
   private final Map<String, TargetTimes> finishTargets = new HashMap<>();
 
@@ -60,7 +58,7 @@
   ServiceObjectives(List<PlatformConfiguration.Objective> objectives, long defaultStartMicros) {
     this.defaultStartMicros = defaultStartMicros;
     for (PlatformConfiguration.Objective objective : objectives) {
-      long withinMicros = (long) (objective.withinS() * MICROS_PER_SECOND);
+      long withinMicros = ExpectedTimes.micros(objective.withinS());
       if (objective.jobClass() != null) {
         addForClass(objective, withinMicros);
       } else if (objective.kind().equals(GUARANTEE_KIND)) {
