--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -87,7 +87,7 @@
 default boolean mayReturnIdle ( ) { return true ; } 
 
 /** Machines that are being given to this cell. */ 
-default List < RentalPlan . Kind > incomingMachines ( ) { return List . of ( ) ; } 
+default List < RentalPlan . RentalOption > incomingMachines ( ) { return List . of ( ) ; } 
 
 /** What this cell may use of the team's limit; a resource without a limit has 0. */ 
 default LimitParts . Part teamLimit ( PlatformConfiguration . Team team ) { return new LimitParts . Part ( team . maxCores ( ) , team . maxAccelerators ( ) ) ; } 
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -9,11 +9,11 @@
 final class MachineRentals { private static final long NO_CAPACITY_PAUSE_MICROS = 12_000_000 ; private static final long RETRY_PAUSE_MICROS = 2_000_000 ; private static final int MAX_MACHINES_PER_PLAN = 300 ; private static final int MAX_OPEN_REQUESTS = 6 ; 
 
 /** A request whose outcome is not known. */ 
-private static final class OpenRequest { private final RentalRequest request ; private final RentalPlan . Kind kind ; private boolean inFlight ; private long retryMicros ; 
+private static final class OpenRequest { private final RentalRequest request ; private final RentalPlan . RentalOption kind ; private boolean inFlight ; private long retryMicros ; 
 
-OpenRequest ( RentalRequest request , RentalPlan . Kind kind ) { this . request = request ; this . kind = kind ; } } 
+OpenRequest ( RentalRequest request , RentalPlan . RentalOption kind ) { this . request = request ; this . kind = kind ; } } 
 
-private final Logger log ; private final TermContext context ; private final Fleet fleet ; private final SchedulingPass pass ; private final Failover failover ; private final MachineSharing sharing ; private final Predicate < String > isReturned ; private final Predicate < String > isPartitioned ; private final Runnable changed ; private final RentalPlan plan ; private final Map < RentalPlan . Kind , Long > unavailableUntilMicros = new HashMap < > ( ) ; private final List < OpenRequest > openRequests = new ArrayList < > ( ) ; private long requestCounter ; private long capacityAddedMicros = - 1 ; 
+private final Logger log ; private final TermContext context ; private final Fleet fleet ; private final SchedulingPass pass ; private final Failover failover ; private final MachineSharing sharing ; private final Predicate < String > isReturned ; private final Predicate < String > isPartitioned ; private final Runnable changed ; private final RentalPlan plan ; private final Map < RentalPlan . RentalOption , Long > unavailableUntilMicros = new HashMap < > ( ) ; private final List < OpenRequest > openRequests = new ArrayList < > ( ) ; private long requestCounter ; private long capacityAddedMicros = - 1 ; 
 
 /** 
 * @param isReturned true for the name of a machine that was returned 
@@ -44,9 +44,9 @@
 * Capacity of machines that are not known by name yet; booting machines are part of the fleet 
 * already. 
 */ 
-private List < RentalPlan . Coming > coming ( ) { List < RentalPlan . Coming > coming = new ArrayList < > ( ) ; for ( OpenRequest open : openRequests ) { addComing ( open . kind , open . request . count ( ) , coming ) ; } for ( RentalPlan . Kind kind : sharing . incomingMachines ( ) ) { addComing ( kind , 1 , coming ) ; } return coming ; } 
+private List < RentalPlan . Coming > coming ( ) { List < RentalPlan . Coming > coming = new ArrayList < > ( ) ; for ( OpenRequest open : openRequests ) { addComing ( open . kind , open . request . count ( ) , coming ) ; } for ( RentalPlan . RentalOption kind : sharing . incomingMachines ( ) ) { addComing ( kind , 1 , coming ) ; } return coming ; } 
 
-private void addComing ( RentalPlan . Kind kind , int count , List < RentalPlan . Coming > coming ) { MachineType machineType = context . prices ( ) . machineType ( kind . machineType ( ) ) ; if ( machineType == null ) { return ; } for ( int i = 0 ; i < count ; i ++ ) { coming . add ( new RentalPlan . Coming ( kind , machineType ) ) ; } } 
+private void addComing ( RentalPlan . Kind kind , int count , List < RentalPlan . Coming > coming ) { MachineType machineType = context . prices ( ) . machineType ( kind . machineType ( ) ) ; if ( machineType == null ) { return ; } for ( int i = 0 ; i < count ; i ++ ) { coming . add ( new RentalPlan . IncomingMachine ( kind , machineType ) ) ; } } 
 
 /** The id is unique over all terms. */ 
 private RentalRequest request ( RentalPlan . Rental rental ) { requestCounter ++ ; RentalPlan . Kind kind = rental . kind ( ) ; return new RentalRequest ( "r-" + context . term ( ) . number ( ) + "-" + requestCounter , kind . machineType ( ) , kind . zone ( ) , kind . spot ( ) , Math . min ( rental . count ( ) , CloudClient . MAX_MACHINES_PER_RENTAL ) ) ; } 
@@ -57,4 +57,4 @@
 
 private void addRented ( OpenRequest open , List < String > machineIds , long now ) { RentalRequest request = open . request ; if ( machineIds . size ( ) < request . count ( ) ) { unavailableUntilMicros . put ( open . kind , now + NO_CAPACITY_PAUSE_MICROS ) ; } log . info ( "rented {} of {} {} in {}{}" , machineIds . size ( ) , request . count ( ) , request . machineType ( ) , request . zone ( ) , request . spot ( ) ? ", spot" : "" ) ; context . metrics ( ) . count ( "machines_rented" , machineIds . size ( ) ) ; capacityAddedMicros = now ; changed . run ( ) ; sharing . claimRented ( machineIds , machineId -> addMachine ( machineId , open . kind , now ) ) ; } 
 
-private void addMachine ( String machineId , RentalPlan . Kind kind , long rentedMicros ) { if ( fleet . machine ( machineId ) == null && ! isReturned . test ( machineId ) ) { fleet . add ( new Machine ( machineId , null , kind . machineType ( ) , kind . zone ( ) , kind . spot ( ) , rentedMicros ) ) ; } } } 
+private void addMachine ( String machineId , RentalPlan . RentalOption kind , long rentedMicros ) { if ( fleet . machine ( machineId ) == null && ! isReturned . test ( machineId ) ) { fleet . add ( new Machine ( machineId , null , kind . machineType ( ) , kind . zone ( ) , kind . spot ( ) , rentedMicros ) ) ; } } } 
--- /dev/null
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
@@ -0,0 +1,94 @@
+package plumlever.leader.scheduling;
+
+import java.util.Set;
+import plumlever.fleet.Attempt;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.GuestLoad;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.Context;
+import plumlever.placement.MachineShape;
+import plumlever.placement.PlacementCandidate;
+import plumlever.wire.JobSpec;
+import plumlever.wire.MachineType;
+
+/** Makes snapshots of the machines that tasks may be planned for. */
+final class FleetSnapshotFactory {
+  /** About what a command takes until it reaches a machine. */
+  private static final long COMMAND_DELAY_MICROS = 50_000;
+
+  /**
+   * A machine that comes up may take this many microseconds for each second of its nominal time.
+   */
+  private static final double STARTUP_MICROS_PER_NOMINAL_SECOND = 1.2e6;
+
+  private static final long MIN_STARTUP_MICROS = 1_000_000;
+
+  private final Context context;
+  private final Fleet fleet;
+  private final MachineAvailability availability;
+  private final ExpectedTimes times;
+
+  FleetSnapshotFactory(
+      Context context, Fleet fleet, MachineAvailability availability, ExpectedTimes times) {
+    this.context = context;
+    this.fleet = fleet;
+    this.availability = availability;
+    this.times = times;
+  }
+
+  /** The machines but for those excluded, with the tasks that are on them. */
+  FleetSnapshot snapshot(long nowMicros, Set<Machine> excluded) {
+    FleetSnapshot snapshot = new FleetSnapshot(context.prices(), nowMicros);
+    MachineShapes shapes = new MachineShapes(context);
+    for (Machine machine : fleet.machines()) {
+      MachineType machineType = context.prices().machineType(machine.machineType());
+      if (machineType == null || excluded.contains(machine)) {
+        continue;
+      }
+      if (availability.isComingUp(machine, nowMicros)) {
+        MachineShape shape = shapes.of(machineType, machine.spot());
+        snapshot.add(machine, comingUp(machine, machineType, shape, nowMicros));
+      } else if (availability.acceptsTasks(machine, nowMicros)) {
+        MachineShape shape = shapes.of(machineType, machine.spot());
+        snapshot.add(machine, up(machine, machineType, shape, nowMicros));
+      }
+    }
+    return snapshot;
+  }
+
+  private static PlacementCandidate comingUp(
+      Machine machine, MachineType machineType, MachineShape shape, long nowMicros) {
+    PlacementCandidate candidate =
+        new PlacementCandidate(machine.id(), machine.zone(), shape, 1, 0);
+    long startupMicros = (long) (machineType.startupS() * STARTUP_MICROS_PER_NOMINAL_SECOND);
+    candidate.comesUp(
+        Math.max(nowMicros + MIN_STARTUP_MICROS, machine.knownSinceMicros() + startupMicros));
+    return candidate;
+  }
+
+  private PlacementCandidate up(
+      Machine machine, MachineType machineType, MachineShape shape, long nowMicros) {
+    PlacementCandidate candidate =
+        new PlacementCandidate(
+            machine.id(), machine.zone(), shape, machine.health().slowness(), COMMAND_DELAY_MICROS);
+    for (Attempt attempt : machine.load().attempts()) {
+      if (!attempt.over()) {
+        JobSpec spec = attempt.job().spec();
+        candidate.occupy(
+            spec.cores(),
+            spec.accelerators(),
+            spec.memoryGb(),
+            times.endMicros(attempt, machineType, nowMicros));
+      }
+    }
+    GuestLoad guests = machine.load().guests();
+    if (guests.tasks() > 0) {
+      candidate.occupy(
+          guests.cores(),
+          guests.accelerators(),
+          guests.memoryGb(),
+          times.guestsEndMicros(nowMicros));
+    }
+    return candidate;
+  }
+}
