--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -1,68 +1,276 @@
-package plumlever ; 
+package plumlever;
 
-import java . util . Optional ; import plumlever . concurrent . Loop ; import plumlever . concurrent . RecurringTask ; import plumlever . concurrent . Scope ; import plumlever . election . DelegatedRenewal ; import plumlever . election . LeaderElection ; import plumlever . election . PoolTerms ; import plumlever . http . Caller ; import plumlever . http . DelegatedHeartbeats ; import plumlever . http . HeartbeatEndpoint ; import plumlever . http . JobForwarder ; import plumlever . http . JobServices ; import plumlever . http . PoolRequests ; import plumlever . http . RequestRouter ; import plumlever . http . Responder ; import plumlever . http . ServingHealth ; import plumlever . http . SubmissionRules ; import plumlever . http . TaskCounts ; import plumlever . http . UserApi ; import plumlever . leader . Leader ; import plumlever . lease . LeaseRenewal ; import plumlever . lease . RenewalLimit ; import plumlever . metrics . Logs ; import plumlever . metrics . Metrics ; import plumlever . peer . Peers ; import plumlever . settings . OperatorSettings ; import plumlever . settings . PlatformConfiguration ; import plumlever . settings . SchedulerParameters ; import plumlever . settings . SharingSettings ; import plumlever . sharing . PoolView ; import plumlever . store . JobRecordCache ; 
+import java.util.Optional;
+import plumlever.concurrent.Loop;
+import plumlever.concurrent.RecurringTask;
+import plumlever.concurrent.Scope;
+import plumlever.election.DelegatedRenewal;
+import plumlever.election.LeaderElection;
+import plumlever.election.PoolTerms;
+import plumlever.http.Caller;
+import plumlever.http.DelegatedHeartbeats;
+import plumlever.http.HeartbeatEndpoint;
+import plumlever.http.JobForwarder;
+import plumlever.http.JobServices;
+import plumlever.http.PoolRequests;
+import plumlever.http.RequestRouter;
+import plumlever.http.Responder;
+import plumlever.http.ServingHealth;
+import plumlever.http.SubmissionRules;
+import plumlever.http.TaskCounts;
+import plumlever.http.UserApi;
+import plumlever.leader.Leader;
+import plumlever.lease.LeaseRenewal;
+import plumlever.lease.RenewalLimit;
+import plumlever.metrics.Logs;
+import plumlever.metrics.Metrics;
+import plumlever.peer.Peers;
+import plumlever.settings.OperatorSettings;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
+import plumlever.settings.SharingSettings;
+import plumlever.sharing.PoolView;
+import plumlever.store.JobRecordCache;
 
-/** 
-* One controller, without its sockets: puts its parts together, starts and ends them. Everything 
-* but leadership lives on the loop it is given, and all methods are called there. 
-*/ 
-public final class Controller implements AutoCloseable { private static final long SUMMARY_INTERVAL_MICROS = 60_000_000 ; 
+/**
+ * One controller, without its sockets: puts its parts together, starts and ends them. Everything
+ * but leadership lives on the loop it is given, and all methods are called there.
+ */
+public final class Controller implements AutoCloseable {
+  private static final long SUMMARY_INTERVAL_MICROS = 60_000_000;
 
-private final ControllerEnvironment environment ; private final ServiceClients clients ; private final Scope scope = new Scope ( ) ; private final LoopLateness lateness ; private final Leadership leadership ; private final LeaderElection election ; private final ConfirmedCancellations cancellations ; private final OwnStatus ownStatus ; private final Peers peers ; private final PeerReports peerReports ; private final JobRecordCache jobRecords ; private final DelegatedRenewal delegatedRenewal ; private final RequestRouter router ; private final Optional < PoolRequests > poolRequests ; 
+  private final ControllerEnvironment environment;
+  private final ServiceClients clients;
+  private final Scope scope = new Scope();
+  private final LoopLateness lateness;
+  private final Leadership leadership;
+  private final LeaderElection election;
+  private final ConfirmedCancellations cancellations;
+  private final OwnStatus ownStatus;
+  private final Peers peers;
+  private final PeerReports peerReports;
+  private final JobRecordCache jobRecords;
+  private final DelegatedRenewal delegatedRenewal;
+  private final RequestRouter router;
+  private final Optional<PoolRequests> poolRequests;
 
-/** A controller that does everything on one loop. */ 
-public Controller ( Loop loop , Caller caller , PlatformConfiguration platform , SchedulerParameters parameters , long seed ) { this ( loop , caller , loop , caller , platform , new OperatorSettings ( parameters , Optional . empty ( ) ) , seed , Logs . SERVICE ) ; } 
+  /** A controller that does everything on one loop. */
+  public Controller(
+      Loop loop,
+      Caller caller,
+      PlatformConfiguration platform,
+      SchedulerParameters parameters,
+      long seed) {
+    this(
+        loop,
+        caller,
+        loop,
+        caller,
+        platform,
+        new OperatorSettings(parameters, Optional.empty()),
+        seed,
+        Logs.SERVICE);
+  }
 
-/** 
-* A controller that has a loop of its own for leadership. 
-* 
-* @param loop owns all decision state 
-* @param electionLoop what leadership runs on, with its own caller, so that nothing here delays 
-* it 
-* @param seed for the random pauses between candidacies 
-*/ 
-public Controller ( Loop loop , Caller caller , Loop electionLoop , Caller electionCaller , PlatformConfiguration platform , OperatorSettings settings , long seed , Logs logs ) { this ( new ControllerEnvironment ( loop , caller , electionLoop , electionCaller , platform , settings , seed , logs ) ) ; } 
+  /**
+   * A controller that has a loop of its own for leadership.
+   *
+   * @param loop owns all decision state
+   * @param electionLoop what leadership runs on, with its own caller, so that nothing here delays
+   *     it
+   * @param seed for the random pauses between candidacies
+   */
+  public Controller(
+      Loop loop,
+      Caller caller,
+      Loop electionLoop,
+      Caller electionCaller,
+      PlatformConfiguration platform,
+      OperatorSettings settings,
+      long seed,
+      Logs logs) {
+    this(
+        new ControllerEnvironment(
+            loop, caller, electionLoop, electionCaller, platform, settings, seed, logs));
+  }
 
-private Controller ( ControllerEnvironment environment ) { this . environment = environment ; Loop loop = environment . loop ( ) ; Optional < SharingSettings > sharing = environment . settings ( ) . sharing ( ) ; clients = new ServiceClients ( environment ) ; lateness = new LoopLateness ( loop , clients . metrics ( ) ) ; leadership = new Leadership ( loop , clients . store ( ) , term -> termContexts ( ) . of ( term ) ) ; election = createElection ( ) ; cancellations = new ConfirmedCancellations ( loop , leadership ) ; ownStatus = createOwnStatus ( ) ; peers = createPeers ( ) ; peerReports = new PeerReports ( peers , sharing ) ; jobRecords = new JobRecordCache ( loop , clients . store ( ) , clients . layout ( ) , clients . metrics ( ) ) ; delegatedRenewal = new DelegatedRenewal ( loop , clients . store ( ) , election , environment . logs ( ) ) ; router = createRouter ( ) ; poolRequests = sharing . map ( pool -> new PoolRequests ( leadership :: leader , router ) ) ; } 
+  private Controller(ControllerEnvironment environment) {
+    this.environment = environment;
+    Loop loop = environment.loop();
+    Optional<SharingSettings> sharing = environment.settings().sharing();
+    clients = new ServiceClients(environment);
+    lateness = new LoopLateness(loop, clients.metrics());
+    leadership = new Leadership(loop, clients.store(), term -> termContexts().of(term));
+    election = createElection();
+    cancellations = new ConfirmedCancellations(loop, leadership);
+    ownStatus = createOwnStatus();
+    peers = createPeers();
+    peerReports = new PeerReports(peers, sharing);
+    jobRecords = new JobRecordCache(loop, clients.store(), clients.layout(), clients.metrics());
+    delegatedRenewal = new DelegatedRenewal(loop, clients.store(), election, environment.logs());
+    router = createRouter();
+    poolRequests = sharing.map(pool -> new PoolRequests(leadership::leader, router));
+  }
 
-private TermContexts termContexts ( ) { return new TermContexts ( environment , clients , election , lateness , peerReports ) ; } 
+  private TermContexts termContexts() {
+    return new TermContexts(environment, clients, election, lateness, peerReports);
+  }
 
-private LeaderElection createElection ( ) { Optional < PoolTerms > poolTerms = environment . settings ( ) . sharing ( ) . map ( pool -> new PoolTerms ( clients . electionStore ( ) , PoolView . COUNTER , PoolView . leaderKey ( pool . ownCell ( ) . name ( ) ) ) ) ; return new LeaderElection ( environment . platform ( ) . label ( ) , environment . electionLoop ( ) , clients . electionStore ( ) , environment . settings ( ) . parameters ( ) , leadership , poolTerms , environment . electionSeed ( ) , environment . logs ( ) ) ; } 
+  private LeaderElection createElection() {
+    Optional<PoolTerms> poolTerms =
+        environment
+            .settings()
+            .sharing()
+            .map(
+                pool ->
+                    new PoolTerms(
+                        clients.electionStore(),
+                        PoolView.COUNTER,
+                        PoolView.leaderKey(pool.ownCell().name())));
+    return new LeaderElection(
+        environment.platform().label(),
+        environment.electionLoop(),
+        clients.electionStore(),
+        environment.settings().parameters(),
+        leadership,
+        poolTerms,
+        environment.electionSeed(),
+        environment.logs());
+  }
 
-private OwnStatus createOwnStatus ( ) { return new OwnStatus ( environment . platform ( ) . label ( ) , environment . loop ( ) , election , clients . store ( ) , lateness , leadership , cancellations ) ; } 
+  private OwnStatus createOwnStatus() {
+    return new OwnStatus(
+        environment.platform().label(),
+        environment.loop(),
+        election,
+        clients.store(),
+        lateness,
+        leadership,
+        cancellations);
+  }
 
-private Peers createPeers ( ) { return new Peers ( environment . loop ( ) , clients . caller ( ) , environment . platform ( ) , ownStatus :: current , cancellations :: confirmedByPeer ) ; } 
+  private Peers createPeers() {
+    return new Peers(
+        environment.loop(),
+        clients.caller(),
+        environment.platform(),
+        ownStatus::current,
+        cancellations::confirmedByPeer);
+  }
 
-private RequestRouter createRouter ( ) { ServingHealth health = new ControllerHealth ( environment . platform ( ) , election , clients . store ( ) , lateness , peerReports ) ; return new RequestRouter ( environment . loop ( ) , createUserApi ( health ) , createHeartbeatEndpoint ( ) , health , clients . metrics ( ) ) ; } 
+  private RequestRouter createRouter() {
+    ServingHealth health =
+        new ControllerHealth(
+            environment.platform(), election, clients.store(), lateness, peerReports);
+    return new RequestRouter(
+        environment.loop(),
+        createUserApi(health),
+        createHeartbeatEndpoint(),
+        health,
+        clients.metrics());
+  }
 
-private UserApi createUserApi ( ServingHealth health ) { PlatformConfiguration platform = environment . platform ( ) ; JobServices jobs = new JobServices ( environment . loop ( ) , clients . store ( ) , jobRecords , clients . layout ( ) , clients . metrics ( ) ) ; Optional < JobForwarder > otherCells = environment . settings ( ) . sharing ( ) . map ( pool -> new JobForwarder ( environment . loop ( ) , clients . store ( ) , clients . caller ( ) , platform , pool ) ) ; return new UserApi ( jobs , new SubmissionRules ( platform . teams ( ) , clients . prices ( ) ) , health , cancellations :: confirmed , this :: taskCounts , otherCells ) ; } 
+  private UserApi createUserApi(ServingHealth health) {
+    PlatformConfiguration platform = environment.platform();
+    JobServices jobs =
+        new JobServices(
+            environment.loop(), clients.store(), jobRecords, clients.layout(), clients.metrics());
+    Optional<JobForwarder> otherCells =
+        environment
+            .settings()
+            .sharing()
+            .map(
+                pool ->
+                    new JobForwarder(
+                        environment.loop(), clients.store(), clients.caller(), platform, pool));
+    return new UserApi(
+        jobs,
+        new SubmissionRules(platform.teams(), clients.prices()),
+        health,
+        cancellations::confirmed,
+        this::taskCounts,
+        otherCells);
+  }
 
-private HeartbeatEndpoint createHeartbeatEndpoint ( ) { DelegatedHeartbeats delegated = new DelegatedHeartbeats ( environment . loop ( ) , delegatedRenewal , jobRecords , new LeaseRenewal ( new RenewalLimit ( environment . platform ( ) . workers ( ) ) ) , clients . metrics ( ) , environment . logs ( ) ) ; return new HeartbeatEndpoint ( new KnownLeader ( leadership , election ) , delegated , ownStatus :: heartbeatWithoutLeading , clients . metrics ( ) ) ; } 
+  private HeartbeatEndpoint createHeartbeatEndpoint() {
+    DelegatedHeartbeats delegated =
+        new DelegatedHeartbeats(
+            environment.loop(),
+            delegatedRenewal,
+            jobRecords,
+            new LeaseRenewal(new RenewalLimit(environment.platform().workers())),
+            clients.metrics(),
+            environment.logs());
+    return new HeartbeatEndpoint(
+        new KnownLeader(leadership, election),
+        delegated,
+        ownStatus::heartbeatWithoutLeading,
+        clients.metrics());
+  }
 
-private Optional < TaskCounts > taskCounts ( String uid ) { return leadership . leader ( ) . map ( leader -> leader . taskCounts ( uid ) ) . orElseGet ( ( ) -> peerReports . taskCounts ( uid ) ) ; } 
+  private Optional<TaskCounts> taskCounts(String uid) {
+    return leadership
+        .leader()
+        .map(leader -> leader.taskCounts(uid))
+        .orElseGet(() -> peerReports.taskCounts(uid));
+  }
 
-/** Starts serving: the election, the watch on peers, and all recurring tasks. */ 
-public void start ( ) { Loop loop = environment . loop ( ) ; StateServiceProbe probe = new StateServiceProbe ( loop , clients . store ( ) ) ; scope . own ( election ) ; election . start ( ) ; scope . own ( clients . machineTypes ( ) . task ( ) ) . start ( ) ; scope . own ( peers . recurringTask ( ) ) . start ( ) ; scope . own ( delegatedRenewal . refreshTask ( ) ) . start ( ) ; scope . own ( new RecurringTask ( "state service probe" , loop , probe :: run ) ) . start ( ) ; scope . own ( new RecurringTask ( "liveness tick" , loop , lateness :: tick ) ) . start ( ) ; scope . own ( new RecurringTask ( "summary" , loop , this :: logSummary ) ) . start ( ) ; } 
+  /** Starts serving: the election, the watch on peers, and all recurring tasks. */
+  public void start() {
+    Loop loop = environment.loop();
+    StateServiceProbe probe = new StateServiceProbe(loop, clients.store());
+    scope.own(election);
+    election.start();
+    scope.own(clients.machineTypes().task()).start();
+    scope.own(peers.recurringTask()).start();
+    scope.own(delegatedRenewal.refreshTask()).start();
+    scope.own(new RecurringTask("state service probe", loop, probe::run)).start();
+    scope.own(new RecurringTask("liveness tick", loop, lateness::tick)).start();
+    scope.own(new RecurringTask("summary", loop, this::logSummary)).start();
+  }
 
-private long logSummary ( ) { clients . metrics ( ) . logSummary ( ) ; return SUMMARY_INTERVAL_MICROS ; } 
+  private long logSummary() {
+    clients.metrics().logSummary();
+    return SUMMARY_INTERVAL_MICROS;
+  }
 
-/** Takes the requests of users, workers and health checks. */ 
-public RequestRouter router ( ) { return router ; } 
+  /** Takes the requests of users, workers and health checks. */
+  public RequestRouter router() {
+    return router;
+  }
 
-/** Takes a request of another controller. */ 
-public void peer ( String method , String path , byte [ ] body , Responder out ) { boolean answered = poolRequests . isPresent ( ) && poolRequests . get ( ) . handle ( path , body , out ) ; if ( ! answered ) { peers . handle ( method , path , body , out ) ; } } 
+  /** Takes a request of another controller. */
+  public void peer(String method, String path, byte[] body, Responder out) {
+    boolean answered = poolRequests.isPresent() && poolRequests.get().handle(path, body, out);
+    if (!answered) {
+      peers.handle(method, path, body, out);
+    }
+  }
 
-/** The leader in this process, or null while this controller does not lead. */ 
-public Leader leader ( ) { return leadership . leader ( ) . orElse ( null ) ; } 
+  /** The leader in this process, or null while this controller does not lead. */
+  public Leader leader() {
+    return leadership.leader().orElse(null);
+  }
 
-/** This controller's counters and times. */ 
-public Metrics metrics ( ) { return clients . metrics ( ) ; } 
+  /** This controller's counters and times. */
+  public Metrics metrics() {
+    return clients.metrics();
+  }
 
-/** True while this controller may act for the controllers. */ 
-public boolean mayAct ( ) { return election . mayAct ( ) ; } 
+  /** True while this controller may act for the controllers. */
+  public boolean mayAct() {
+    return election.mayAct();
+  }
 
-/** How late the thread that decides was lately, in microseconds. */ 
-public long latenessMicros ( ) { return lateness . micros ( ) ; } 
+  /** How late the thread that decides was lately, in microseconds. */
+  public long latenessMicros() {
+    return lateness.micros();
+  }
 
-/** Gives leadership up and ends all recurring tasks. */ 
-@ Override public void close ( ) { scope . close ( ) ; clients . metrics ( ) . logSummary ( ) ; } } 
+  /** Gives leadership up and ends all recurring tasks. */
+  @Override
+  public void close() {
+    scope.close();
+    clients.metrics().logSummary();
+  }
+}
--- a/src/main/java/plumlever/ControllerHealth.java
+++ b/src/main/java/plumlever/ControllerHealth.java
@@ -54,7 +54,7 @@
    */
   @Override
   public boolean isRefusedAlone() {
-    if (store.refusedForMicros() < REFUSED_ALONE_AFTER_MICROS || platform.seeds().isEmpty()) {
+    if (store.refusedForMicros() < REFUSED_ALONE_AFTER_MICROS || platform.peers().isEmpty()) {
       return false;
     }
     List<PeerStatus> heard = peers.recent();
--- a/src/main/java/plumlever/Leadership.java
+++ b/src/main/java/plumlever/Leadership.java
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public void whenTurning(Runnable action) {
+  public void executeOnControllerLoop(Runnable action) {
     loop.execute(action);
   }
 
@@ -47,7 +47,7 @@
   private void begin(Term term) {
     end();
     if (term.mayAct()) {
-      store.leads(true);
+      store.setLeading(true);
       Leader elected = new Leader(contexts.apply(term));
       leader = Optional.of(elected);
       elected.start();
@@ -57,7 +57,7 @@
   private void end() {
     leader.ifPresent(
         leading -> {
-          store.leads(false);
+          store.setLeading(false);
           leading.close();
         });
     leader = Optional.empty();
--- a/src/main/java/plumlever/LoopLateness.java
+++ b/src/main/java/plumlever/LoopLateness.java
@@ -25,7 +25,7 @@
     long now = loop.nowMicros();
     if (nextTickDueMicros > 0) {
       lastTickLateMicros = now - nextTickDueMicros;
-      metrics.time("late", lastTickLateMicros);
+      metrics.recordDuration("late", lastTickLateMicros);
     }
     nextTickDueMicros = now + TICK_INTERVAL_MICROS;
     return TICK_INTERVAL_MICROS;
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -1,8 +1,44 @@
-package plumlever ; 
+package plumlever;
 
-import plumlever . concurrent . Loop ; import plumlever . http . Caller ; import plumlever . metrics . Metrics ; import plumlever . settings . Endpoint ; import plumlever . settings . PlatformConfiguration ; import plumlever . wire . ProtocolPath ; 
+import plumlever.concurrent.Loop;
+import plumlever.http.Caller;
+import plumlever.metrics.Metrics;
+import plumlever.settings.Endpoint;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.wire.ProtocolPath;
 
-/** Measures how long this controller works on the answers to its own calls, by kind of call. */ 
-record MeteredCaller ( Caller caller , Loop loop , Metrics metrics , PlatformConfiguration platform ) implements Caller { @ Override public void call ( Endpoint to , String method , String path , byte [ ] body , long timeoutMicros , ResponseHandler handler ) { String work = kindOf ( to , path ) ; caller . call ( to , method , path , body , timeoutMicros , ( status , data ) -> { long since = loop . nowMicros ( ) ; handler . handle ( status , data ) ; metrics . recordWork ( work , loop . nowMicros ( ) - since ) ; } ) ; } 
+/** Measures how long this controller works on the answers to its own calls, by kind of call. */
+record MeteredCaller(Caller caller, Loop loop, Metrics metrics, PlatformConfiguration platform)
+    implements Caller {
+  @Override
+  public void call(
+      Endpoint to,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMicros,
+      ResponseHandler handler) {
+    String work = kindOf(to, path);
+    caller.call(
+        to,
+        method,
+        path,
+        body,
+        timeoutMicros,
+        (status, data) -> {
+          long since = loop.nowMicros();
+          handler.handle(status, data);
+          metrics.recordWork(work, loop.nowMicros() - since);
+        });
+  }
 
-private String kindOf ( Endpoint to , String path ) { if ( to . equals ( platform . state ( ) ) ) { return "state" ; } if ( to . equals ( platform . cloud ( ) ) ) { return "cloud" ; } return path . equals ( ProtocolPath . COMMANDS ) ? "commands" : "peers" ; } } 
+  private String kindOf(Endpoint to, String path) {
+    if (to.equals(platform.state())) {
+      return "state";
+    }
+    if (to.equals(platform.cloud())) {
+      return "cloud";
+    }
+    return path.equals(ProtocolPath.COMMANDS) ? "commands" : "peers";
+  }
+}
--- a/src/main/java/plumlever/PeerReports.java
+++ b/src/main/java/plumlever/PeerReports.java
@@ -45,6 +45,6 @@
   }
 
   private boolean isOfOwnCell(String label) {
-    return sharing.isEmpty() || sharing.get().own().controllers().contains(label);
+    return sharing.isEmpty() || sharing.get().ownCell().controllers().contains(label);
   }
 }
--- a/src/main/java/plumlever/ServiceClients.java
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -28,7 +28,7 @@
     PlatformConfiguration platform = environment.platform();
     Optional<SharingSettings> sharing = environment.settings().sharing();
     KeySpace keySpace =
-        sharing.map(pool -> KeySpace.under(pool.own().prefix())).orElse(KeySpace.ROOT);
+        sharing.map(pool -> KeySpace.under(pool.ownCell().prefix())).orElse(KeySpace.ROOT);
     this.metrics = new Metrics(environment.logs());
     this.caller = new MeteredCaller(environment.caller(), environment.loop(), metrics, platform);
     this.store =
@@ -58,7 +58,7 @@
 
   private static List<String> prefixesOfOtherCells(Optional<SharingSettings> sharing) {
     return sharing
-        .map(pool -> pool.others().stream().map(SharingSettings.Cell::prefix).toList())
+        .map(pool -> pool.otherCells().stream().map(SharingSettings.Cell::prefix).toList())
         .orElse(List.of());
   }
 
--- a/src/main/java/plumlever/TermContexts.java
+++ b/src/main/java/plumlever/TermContexts.java
@@ -33,7 +33,7 @@
             environment.electionLoop(), clients.electionStore(), environment.loop()),
         lateness::micros,
         environment.logs(),
-        platform.moneyMatters(parameters.rentMicros()),
+        platform.moneyMatters(parameters.rentalMicros()),
         environment.settings().sharing());
   }
 }
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -1,29 +1,119 @@
-package plumlever . cli ; 
+package plumlever.cli;
 
-import java . util . stream . Collectors ; import plumlever . http . Server ; import plumlever . settings . OperatorSettings ; import plumlever . settings . PlatformConfiguration ; import plumlever . settings . SchedulerParameters ; import plumlever . settings . SharingSettings ; 
+import java.util.stream.Collectors;
+import plumlever.http.Server;
+import plumlever.settings.OperatorSettings;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
+import plumlever.settings.SharingSettings;
 
-/** Describes what would run with the settings given, for {@code --check}. */ 
-final class Check { private static final double MICROS_PER_SECOND = 1e6 ; 
+/** Describes what would run with the settings given, for {@code --check}. */
+final class Check {
+  private static final double MICROS_PER_SECOND = 1e6;
 
-private Check ( ) { } 
+  private Check() {}
 
-/** Several lines, without an end of line after the last. */ 
-static String describe ( PlatformConfiguration platform , OperatorSettings settings ) { SchedulerParameters parameters = settings . parameters ( ) ; return String . join ( "\n" , addresses ( platform ) , settings . sharing ( ) . map ( Check :: cells ) . orElse ( "one cell, all machines are its own" ) , connections ( platform ) , limits ( platform . stateLimits ( ) ) , "teams: " + platform . teams ( ) . stream ( ) . map ( PlatformConfiguration . Team :: name ) . collect ( Collectors . joining ( ", " ) ) , money ( platform , parameters ) , placement ( parameters ) ) ; } 
+  /** Several lines, without an end of line after the last. */
+  static String describe(PlatformConfiguration platform, OperatorSettings settings) {
+    SchedulerParameters parameters = settings.parameters();
+    return String.join(
+        "\n",
+        addresses(platform),
+        settings.sharing().map(Check::cells).orElse("one cell, all machines are its own"),
+        connections(platform),
+        limits(platform.stateLimits()),
+        "teams: "
+            + platform.teams().stream()
+                .map(PlatformConfiguration.Team::name)
+                .collect(Collectors.joining(", ")),
+        money(platform, parameters),
+        placement(parameters));
+  }
 
-private static String addresses ( PlatformConfiguration platform ) { String others = platform . peers ( ) . stream ( ) . map ( seed -> seed . label ( ) + " at " + seed . endpoint ( ) ) . collect ( Collectors . joining ( ", " ) ) ; return """
+  private static String addresses(PlatformConfiguration platform) {
+    String others =
+        platform.peers().stream()
+            .map(seed -> seed.label() + " at " + seed.endpoint())
+            .collect(Collectors.joining(", "));
+    return """
     %s in %s would serve users and workers at %s and controllers at %s
     other controllers: %s
     state service at %s, cloud at %s\
-    """ . formatted ( platform . label ( ) , platform . zone ( ) , platform . bind ( ) , platform . peerBind ( ) , others , platform . state ( ) , platform . cloud ( ) ) ; } 
+    """
+        .formatted(
+            platform.label(),
+            platform.zone(),
+            platform.bind(),
+            platform.peerBind(),
+            others,
+            platform.state(),
+            platform.cloud());
+  }
 
-private static String cells ( SharingSettings sharing ) { return "cell " + sharing . ownCell ( ) . name ( ) + " of a pool of " + sharing . maxMachines ( ) + " machines, with sharing file " + sharing . digest ( ) + ": " + sharing . cells ( ) . stream ( ) . map ( cell -> cell . name ( ) + " (floor " + cell . minMachines ( ) + ", weight " + cell . weight ( ) + ", keys under " + ( cell . prefix ( ) . isEmpty ( ) ? "the root" : cell . prefix ( ) ) + ")" ) . collect ( Collectors . joining ( ", " ) ) ; } 
+  private static String cells(SharingSettings sharing) {
+    return "cell "
+        + sharing.ownCell().name()
+        + " of a pool of "
+        + sharing.maxMachines()
+        + " machines, with sharing file "
+        + sharing.digest()
+        + ": "
+        + sharing.cells().stream()
+            .map(
+                cell ->
+                    cell.name()
+                        + " (floor "
+                        + cell.minMachines()
+                        + ", weight "
+                        + cell.weight()
+                        + ", keys under "
+                        + (cell.prefix().isEmpty() ? "the root" : cell.prefix())
+                        + ")")
+            .collect(Collectors.joining(", "));
+  }
 
-private static String connections ( PlatformConfiguration platform ) { int shared = Service . sharedConnections ( platform ) ; return "connections: " + shared + " for users and workers; beyond " + ( int ) ( shared * Server . SCARCE_CONNECTIONS_SHARE ) + " each worker gets one for each report" ; } 
+  private static String connections(PlatformConfiguration platform) {
+    int shared = Service.sharedConnections(platform);
+    return "connections: "
+        + shared
+        + " for users and workers; beyond "
+        + (int) (shared * Server.SCARCE_CONNECTIONS_SHARE)
+        + " each worker gets one for each report";
+  }
 
-private static String limits ( PlatformConfiguration . StateLimits limits ) { return "writes to the state service, within the limits now and next: values of " + limits . valueBytes ( ) + " bytes (now " + limits . formerValueBytes ( ) + "), " + limits . transactionOps ( ) + " changes a transaction, " + limits . writeRps ( ) + " changes and " + limits . rps ( ) + " requests a second" ; } 
+  private static String limits(PlatformConfiguration.StateLimits limits) {
+    return "writes to the state service, within the limits now and next: values of "
+        + limits.valueBytes()
+        + " bytes (now "
+        + limits.formerValueBytes()
+        + "), "
+        + limits.transactionOps()
+        + " changes a transaction, "
+        + limits.writeRps()
+        + " changes and "
+        + limits.rps()
+        + " requests a second";
+  }
 
-private static String money ( PlatformConfiguration platform , SchedulerParameters parameters ) { return platform . moneyMatters ( parameters . rentalMicros ( ) ) ? "money is saved where the aims leave time: idle machines are returned after " + seconds ( parameters . idleMoneyMicros ( ) ) : "machines stand by, since an aim leaves no time to rent one: idle machines are returned" + " after " + seconds ( parameters . idleSpeedMicros ( ) ) ; } 
+  private static String money(PlatformConfiguration platform, SchedulerParameters parameters) {
+    return platform.moneyMatters(parameters.rentalMicros())
+        ? "money is saved where the aims leave time: idle machines are returned after "
+            + seconds(parameters.idleMoneyMicros())
+        : "machines stand by, since an aim leaves no time to rent one: idle machines are returned"
+            + " after "
+            + seconds(parameters.idleSpeedMicros());
+  }
 
-private static String placement ( SchedulerParameters parameters ) { return "padding " + parameters . paddingShare ( ) + ", tie band " + parameters . tieShare ( ) + ", start target " + seconds ( parameters . startTargetMicros ( ) ) ; } 
+  private static String placement(SchedulerParameters parameters) {
+    return "padding "
+        + parameters.paddingShare()
+        + ", tie band "
+        + parameters.tieShare()
+        + ", start target "
+        + seconds(parameters.startTargetMicros());
+  }
 
-private static String seconds ( long micros ) { return micros / MICROS_PER_SECOND + " s" ; } } 
+  private static String seconds(long micros) {
+    return micros / MICROS_PER_SECOND + " s";
+  }
+}
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -1,67 +1,245 @@
-package plumlever . cli ; 
-
-import io . undertow . server . DefaultByteBufferPool ; import java . io . IOException ; import java . time . Duration ; import java . util . SplittableRandom ; import java . util . concurrent . CountDownLatch ; import java . util . concurrent . TimeUnit ; import org . slf4j . Logger ; import org . slf4j . LoggerFactory ; import org . xnio . OptionMap ; import org . xnio . Options ; import org . xnio . Xnio ; import org . xnio . XnioWorker ; import plumlever . Controller ; import plumlever . concurrent . RecurringTask ; import plumlever . http . Server ; import plumlever . http . UndertowCaller ; import plumlever . http . XnioLoop ; import plumlever . metrics . Logs ; import plumlever . metrics . Metrics ; import plumlever . settings . OperatorSettings ; import plumlever . settings . PlatformConfiguration ; import plumlever . warmup . WarmUp ; 
-
-/** 
-* A controller with its sockets: one XNIO I/O thread that is the loop, one for leader election, and 
-* the two listeners. 
-*/ 
-final class Service implements AutoCloseable { private static final Logger LOG = LoggerFactory . getLogger ( Service . class ) ; private static final int BUFFER_BYTES = 8 * 1024 ; private static final int MAX_BUFFERS = 64 ; private static final int MAX_BUFFERS_PER_THREAD = 4 ; private static final int MAX_ELECTION_BUFFERS = 8 ; private static final int MAX_ELECTION_BUFFERS_PER_THREAD = 1 ; private static final long BYTES_PER_MB = 1024 * 1024 ; 
-
-/** Time for the last request, which ends the leader's lease, to be sent. */ 
-private static final long LAST_REQUEST_MICROS = 100_000 ; 
-
-private static final int MAX_STOP_S = 3 ; 
-
-/** 
-* Sockets kept from users and workers: calls to machines (112) and kept connections (48), up to 
-* 12 each to the state service, the cloud and two peers, the peers' own, and what the process has 
-* open besides. 
-*/ 
-private static final int RESERVED_SOCKETS = 280 ; 
-
-private static final int MIN_SHARED_CONNECTIONS = 32 ; private static final int PEER_CONNECTIONS = 32 ; private static final long MAX_PEER_BODY_BYTES = 512 * 1024 ; 
-
-/** A connection is closed when it has been idle for so many heartbeats, and for so long. */ 
-private static final int IDLE_HEARTBEATS = 3 ; 
-
-private static final long MIN_IDLE_MICROS = 12_000_000 ; 
-
-private final PlatformConfiguration platform ; private final OperatorSettings settings ; private XnioWorker worker ; private XnioWorker electionWorker ; private XnioLoop loop ; private Controller controller ; private Server userServer ; private Server peerServer ; 
-
-Service ( PlatformConfiguration platform , OperatorSettings settings ) { this . platform = platform ; this . settings = settings ; } 
-
-/** The exit code, or {@link ExitCode#RUNNING} once the controller runs. */ 
-int run ( ) { try { start ( ) ; } catch ( RuntimeException | IOException e ) { LOG . error ( "could not start: {}" , e . toString ( ) ) ; LOG . debug ( "could not start" , e ) ; close ( ) ; return ExitCode . FAILED ; } Runtime . getRuntime ( ) . addShutdownHook ( new Thread ( this :: close , "stop" ) ) ; return ExitCode . RUNNING ; } 
-
-/** Starts the controller; it runs until this is closed. */ 
-void start ( ) throws IOException { createController ( ) ; startServers ( ) ; registerGauges ( controller . metrics ( ) ) ; WarmUp warmUp = new WarmUp ( loop , platform , settings . parameters ( ) , controller :: latenessMicros , ( ) -> controller . leader ( ) != null ) ; loop . execute ( ( ) -> { controller . start ( ) ; new RecurringTask ( "warm-up" , loop , warmUp :: turn ) . start ( ) ; } ) ; LOG . info ( "{} serves {} and {}; objectives: {}" , platform . label ( ) , platform . bind ( ) , platform . peerBind ( ) , platform . objectives ( ) . stream ( ) . map ( PlatformConfiguration . Objective :: kind ) . distinct ( ) . toList ( ) ) ; } 
-
-private void createController ( ) throws IOException { worker = worker ( "plumlever" ) ; electionWorker = worker ( "election" ) ; loop = new XnioLoop ( worker . getIoThread ( ) ) ; UndertowCaller caller = caller ( worker , loop , MAX_BUFFERS , MAX_BUFFERS_PER_THREAD ) ; XnioLoop electionLoop = new XnioLoop ( electionWorker . getIoThread ( ) ) ; UndertowCaller electionCaller = caller ( electionWorker , electionLoop , MAX_ELECTION_BUFFERS , MAX_ELECTION_BUFFERS_PER_THREAD ) ; controller = new Controller ( loop , caller , electionLoop , electionCaller , platform , settings , new SplittableRandom ( ) . nextLong ( ) , Logs . SERVICE ) ; } 
-
-private static UndertowCaller caller ( XnioWorker worker , XnioLoop loop , int maxBuffers , int maxBuffersPerThread ) { return new UndertowCaller ( loop , worker . getIoThread ( ) , new DefaultByteBufferPool ( false , BUFFER_BYTES , maxBuffers , maxBuffersPerThread ) ) ; } 
-
-private void startServers ( ) { long idleMicros = Math . max ( MIN_IDLE_MICROS , IDLE_HEARTBEATS * platform . workers ( ) . heartbeatMicros ( ) ) ; userServer = new Server ( worker , platform . bind ( ) , sharedConnections ( platform ) , idleMicros , Server . MAX_BODY_BYTES , ( method , path , body , out ) -> controller . router ( ) . handle ( method , path , body , out ) ) ; peerServer = new Server ( worker , platform . peerBind ( ) , PEER_CONNECTIONS , idleMicros , MAX_PEER_BODY_BYTES , ( method , path , body , out ) -> controller . peer ( method , path , body , out ) ) ; peerServer . start ( ) ; userServer . start ( ) ; } 
-
-private void registerGauges ( Metrics metrics ) { int maxConnections = sharedConnections ( platform ) ; metrics . gauge ( "connections" , userServer :: connections ) ; metrics . gauge ( "connections_most" , ( ) -> maxConnections ) ; metrics . gauge ( "heap_mb" , Service :: heapMb ) ; metrics . gauge ( "cpu_ms" , Service :: processorMs ) ; } 
-
-private static long heapMb ( ) { Runtime runtime = Runtime . getRuntime ( ) ; return ( runtime . totalMemory ( ) - runtime . freeMemory ( ) ) / BYTES_PER_MB ; } 
-
-private static long processorMs ( ) { return ProcessHandle . current ( ) . info ( ) . totalCpuDuration ( ) . map ( Duration :: toMillis ) . orElse ( - 1L ) ; } 
-
-/** A worker of XNIO with one I/O thread. */ 
-static XnioWorker worker ( String name ) throws IOException { return Xnio . getInstance ( ) . createWorker ( OptionMap . builder ( ) . set ( Options . WORKER_NAME , name ) . set ( Options . WORKER_IO_THREADS , 1 ) . set ( Options . WORKER_TASK_CORE_THREADS , 1 ) . set ( Options . WORKER_TASK_MAX_THREADS , 1 ) . set ( Options . TCP_NODELAY , true ) . getMap ( ) ) ; } 
-
-/** How many connections users and workers share. */ 
-static int sharedConnections ( PlatformConfiguration platform ) { return Math . max ( MIN_SHARED_CONNECTIONS , platform . socketLimit ( ) - RESERVED_SOCKETS ) ; } 
-
-/** The port at which users and workers are served. */ 
-int port ( ) { return userServer . port ( ) ; } 
-
-/** 
-* Stops in order: no new requests, leadership given up so that a successor need not wait, then 
-* the sockets. 
-*/ 
-@ Override public void close ( ) { if ( controller != null ) { stopController ( ) ; } if ( userServer != null ) { userServer . close ( ) ; } if ( peerServer != null ) { peerServer . close ( ) ; } if ( worker != null ) { worker . shutdownNow ( ) ; } if ( electionWorker != null ) { electionWorker . shutdownNow ( ) ; } } 
-
-private void stopController ( ) { CountDownLatch stopped = new CountDownLatch ( 1 ) ; loop . execute ( ( ) -> { controller . close ( ) ; loop . after ( LAST_REQUEST_MICROS , stopped :: countDown ) ; } ) ; try { if ( ! stopped . await ( MAX_STOP_S , TimeUnit . SECONDS ) ) { LOG . warn ( "the controller did not stop in time" ) ; } } catch ( InterruptedException e ) { Thread . currentThread ( ) . interrupt ( ) ; } } } 
+package plumlever.cli;
+
+import io.undertow.server.DefaultByteBufferPool;
+import java.io.IOException;
+import java.time.Duration;
+import java.util.SplittableRandom;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.Xnio;
+import org.xnio.XnioWorker;
+import plumlever.Controller;
+import plumlever.concurrent.RecurringTask;
+import plumlever.http.Server;
+import plumlever.http.UndertowCaller;
+import plumlever.http.XnioLoop;
+import plumlever.metrics.Logs;
+import plumlever.metrics.Metrics;
+import plumlever.settings.OperatorSettings;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.warmup.WarmUp;
+
+/**
+ * A controller with its sockets: one XNIO I/O thread that is the loop, one for leader election, and
+ * the two listeners.
+ */
+final class Service implements AutoCloseable {
+  private static final Logger LOG = LoggerFactory.getLogger(Service.class);
+  private static final int BUFFER_BYTES = 8 * 1024;
+  private static final int MAX_BUFFERS = 64;
+  private static final int MAX_BUFFERS_PER_THREAD = 4;
+  private static final int MAX_ELECTION_BUFFERS = 8;
+  private static final int MAX_ELECTION_BUFFERS_PER_THREAD = 1;
+  private static final long BYTES_PER_MB = 1024 * 1024;
+
+  /** Time for the last request, which ends the leader's lease, to be sent. */
+  private static final long LAST_REQUEST_MICROS = 100_000;
+
+  private static final int MAX_STOP_S = 3;
+
+  /**
+   * Sockets kept from users and workers: calls to machines (112) and kept connections (48), up to
+   * 12 each to the state service, the cloud and two peers, the peers' own, and what the process has
+   * open besides.
+   */
+  private static final int RESERVED_SOCKETS = 280;
+
+  private static final int MIN_SHARED_CONNECTIONS = 32;
+  private static final int PEER_CONNECTIONS = 32;
+  private static final long MAX_PEER_BODY_BYTES = 512 * 1024;
+
+  /** A connection is closed when it has been idle for so many heartbeats, and for so long. */
+  private static final int IDLE_HEARTBEATS = 3;
+
+  private static final long MIN_IDLE_MICROS = 12_000_000;
+
+  private final PlatformConfiguration platform;
+  private final OperatorSettings settings;
+  private XnioWorker worker;
+  private XnioWorker electionWorker;
+  private XnioLoop loop;
+  private Controller controller;
+  private Server userServer;
+  private Server peerServer;
+
+  Service(PlatformConfiguration platform, OperatorSettings settings) {
+    this.platform = platform;
+    this.settings = settings;
+  }
+
+  /** The exit code, or {@link ExitCode#RUNNING} once the controller runs. */
+  int run() {
+    try {
+      start();
+    } catch (RuntimeException | IOException e) {
+      LOG.error("could not start: {}", e.toString());
+      LOG.debug("could not start", e);
+      close();
+      return ExitCode.FAILED;
+    }
+    Runtime.getRuntime().addShutdownHook(new Thread(this::close, "stop"));
+    return ExitCode.RUNNING;
+  }
+
+  /** Starts the controller; it runs until this is closed. */
+  void start() throws IOException {
+    createController();
+    startServers();
+    registerGauges(controller.metrics());
+    WarmUp warmUp =
+        new WarmUp(
+            loop,
+            platform,
+            settings.parameters(),
+            controller::latenessMicros,
+            () -> controller.leader() != null);
+    loop.execute(
+        () -> {
+          controller.start();
+          new RecurringTask("warm-up", loop, warmUp::turn).start();
+        });
+    LOG.info(
+        "{} serves {} and {}; objectives: {}",
+        platform.label(),
+        platform.bind(),
+        platform.peerBind(),
+        platform.objectives().stream()
+            .map(PlatformConfiguration.Objective::kind)
+            .distinct()
+            .toList());
+  }
+
+  private void createController() throws IOException {
+    worker = worker("plumlever");
+    electionWorker = worker("election");
+    loop = new XnioLoop(worker.getIoThread());
+    UndertowCaller caller = caller(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
+    XnioLoop electionLoop = new XnioLoop(electionWorker.getIoThread());
+    UndertowCaller electionCaller =
+        caller(electionWorker, electionLoop, MAX_ELECTION_BUFFERS, MAX_ELECTION_BUFFERS_PER_THREAD);
+    controller =
+        new Controller(
+            loop,
+            caller,
+            electionLoop,
+            electionCaller,
+            platform,
+            settings,
+            new SplittableRandom().nextLong(),
+            Logs.SERVICE);
+  }
+
+  private static UndertowCaller caller(
+      XnioWorker worker, XnioLoop loop, int maxBuffers, int maxBuffersPerThread) {
+    return new UndertowCaller(
+        loop,
+        worker.getIoThread(),
+        new DefaultByteBufferPool(false, BUFFER_BYTES, maxBuffers, maxBuffersPerThread));
+  }
+
+  private void startServers() {
+    long idleMicros =
+        Math.max(MIN_IDLE_MICROS, IDLE_HEARTBEATS * platform.workers().heartbeatMicros());
+    userServer =
+        new Server(
+            worker,
+            platform.bind(),
+            sharedConnections(platform),
+            idleMicros,
+            Server.MAX_BODY_BYTES,
+            (method, path, body, out) -> controller.router().handle(method, path, body, out));
+    peerServer =
+        new Server(
+            worker,
+            platform.peerBind(),
+            PEER_CONNECTIONS,
+            idleMicros,
+            MAX_PEER_BODY_BYTES,
+            (method, path, body, out) -> controller.peer(method, path, body, out));
+    peerServer.start();
+    userServer.start();
+  }
+
+  private void registerGauges(Metrics metrics) {
+    int maxConnections = sharedConnections(platform);
+    metrics.gauge("connections", userServer::connections);
+    metrics.gauge("connections_most", () -> maxConnections);
+    metrics.gauge("heap_mb", Service::heapMb);
+    metrics.gauge("cpu_ms", Service::processorMs);
+  }
+
+  private static long heapMb() {
+    Runtime runtime = Runtime.getRuntime();
+    return (runtime.totalMemory() - runtime.freeMemory()) / BYTES_PER_MB;
+  }
+
+  private static long processorMs() {
+    return ProcessHandle.current().info().totalCpuDuration().map(Duration::toMillis).orElse(-1L);
+  }
+
+  /** A worker of XNIO with one I/O thread. */
+  static XnioWorker worker(String name) throws IOException {
+    return Xnio.getInstance()
+        .createWorker(
+            OptionMap.builder()
+                .set(Options.WORKER_NAME, name)
+                .set(Options.WORKER_IO_THREADS, 1)
+                .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                .set(Options.TCP_NODELAY, true)
+                .getMap());
+  }
+
+  /** How many connections users and workers share. */
+  static int sharedConnections(PlatformConfiguration platform) {
+    return Math.max(MIN_SHARED_CONNECTIONS, platform.socketLimit() - RESERVED_SOCKETS);
+  }
+
+  /** The port at which users and workers are served. */
+  int port() {
+    return userServer.port();
+  }
+
+  /**
+   * Stops in order: no new requests, leadership given up so that a successor need not wait, then
+   * the sockets.
+   */
+  @Override
+  public void close() {
+    if (controller != null) {
+      stopController();
+    }
+    if (userServer != null) {
+      userServer.close();
+    }
+    if (peerServer != null) {
+      peerServer.close();
+    }
+    if (worker != null) {
+      worker.shutdownNow();
+    }
+    if (electionWorker != null) {
+      electionWorker.shutdownNow();
+    }
+  }
+
+  private void stopController() {
+    CountDownLatch stopped = new CountDownLatch(1);
+    loop.execute(
+        () -> {
+          controller.close();
+          loop.after(LAST_REQUEST_MICROS, stopped::countDown);
+        });
+    try {
+      if (!stopped.await(MAX_STOP_S, TimeUnit.SECONDS)) {
+        LOG.warn("the controller did not stop in time");
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+  }
+}
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -1,83 +1,270 @@
-package plumlever . cloud ; 
+package plumlever.cloud;
 
-import com . fasterxml . jackson . databind . JsonNode ; import com . fasterxml . jackson . databind . node . ArrayNode ; import com . fasterxml . jackson . databind . node . ObjectNode ; import java . nio . charset . StandardCharsets ; import java . util . ArrayList ; import java . util . HashSet ; import java . util . List ; import java . util . Optional ; import java . util . Set ; import java . util . function . Consumer ; import org . slf4j . Logger ; import org . slf4j . LoggerFactory ; import plumlever . concurrent . Loop ; import plumlever . http . Caller ; import plumlever . metrics . Metrics ; import plumlever . settings . Endpoint ; import plumlever . settings . PlatformConfiguration ; import plumlever . store . TokenBucket ; import plumlever . wire . HttpStatus ; import plumlever . wire . InvalidMessageException ; import plumlever . wire . Json ; import plumlever . wire . ListedMachine ; import plumlever . wire . MachineType ; import plumlever . wire . ProtocolField ; import plumlever . wire . ProtocolPath ; 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import plumlever.concurrent.Loop;
+import plumlever.http.Caller;
+import plumlever.metrics.Metrics;
+import plumlever.settings.Endpoint;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.store.TokenBucket;
+import plumlever.wire.HttpStatus;
+import plumlever.wire.InvalidMessageException;
+import plumlever.wire.Json;
+import plumlever.wire.ListedMachine;
+import plumlever.wire.MachineType;
+import plumlever.wire.ProtocolField;
+import plumlever.wire.ProtocolPath;
 
-/** 
-* The cloud's client. An answer that is not understood counts as no answer. Each call takes a 
-* callback, which runs once, on the loop. 
-*/ 
-public final class CloudClient { /** Machines that one rental request may ask for. */ 
-public static final int MAX_MACHINES_PER_RENTAL = 50 ; 
+/**
+ * The cloud's client. An answer that is not understood counts as no answer. Each call takes a
+ * callback, which runs once, on the loop.
+ */
+public final class CloudClient {
+  /** Machines that one rental request may ask for. */
+  public static final int MAX_MACHINES_PER_RENTAL = 50;
 
-/** Machines that one return request may name. */ 
-public static final int MAX_MACHINES_PER_RETURN = 100 ; 
+  /** Machines that one return request may name. */
+  public static final int MAX_MACHINES_PER_RETURN = 100;
 
-private static final Logger LOG = LoggerFactory . getLogger ( CloudClient . class ) ; private static final long TIMEOUT_MICROS = 4_000_000 ; private static final int MACHINES_PER_PAGE = 500 ; 
+  private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
+  private static final long TIMEOUT_MICROS = 4_000_000;
+  private static final int MACHINES_PER_PAGE = 500;
 
-/** Part of the rate limit that is used. */ 
-private static final double RATE_SHARE = 0.8 ; 
+  /** Part of the rate limit that is used. */
+  private static final double RATE_SHARE = 0.8;
 
-/** 
-* Pause before a page of a list that would exceed the rate: a list of thousands of machines has 
-* more pages than the rate allows at once. 
-*/ 
-private static final long PAGE_PAUSE_MICROS = 400_000 ; 
+  /**
+   * Pause before a page of a list that would exceed the rate: a list of thousands of machines has
+   * more pages than the rate allows at once.
+   */
+  private static final long PAGE_PAUSE_MICROS = 400_000;
 
-/** Requests left to rentals and returns while a list is read. */ 
-private static final double REQUESTS_LEFT_TO_OTHERS = 2 ; 
+  /** Requests left to rentals and returns while a list is read. */
+  private static final double REQUESTS_LEFT_TO_OTHERS = 2;
 
-private static final String NO_CAPACITY_TEXT = "capacity" ; 
+  private static final String NO_CAPACITY_TEXT = "capacity";
 
-/** An answer, with its body where that is a JSON object and of use for the status. */ 
-private record Response ( int status , Optional < ObjectNode > body ) { private boolean hasMachineIds ( ) { return status == HttpStatus . OK && body . isPresent ( ) && body . get ( ) . path ( ProtocolField . MACHINE_IDS ) . isArray ( ) ; } 
+  /** An answer, with its body where that is a JSON object and of use for the status. */
+  private record Response(int status, Optional<ObjectNode> body) {
+    private boolean hasMachineIds() {
+      return status == HttpStatus.OK
+          && body.isPresent()
+          && body.get().path(ProtocolField.MACHINE_IDS).isArray();
+    }
 
-private JsonNode machineIds ( ) { return body . orElseThrow ( ) . get ( ProtocolField . MACHINE_IDS ) ; } } 
+    private JsonNode machineIds() {
+      return body.orElseThrow().get(ProtocolField.MACHINE_IDS);
+    }
+  }
 
-private final Loop loop ; private final Caller caller ; private final Endpoint endpoint ; private final Metrics metrics ; private final TokenBucket requests ; private final Set < String > warnedOf = new HashSet < > ( ) ; 
+  private final Loop loop;
+  private final Caller caller;
+  private final Endpoint endpoint;
+  private final Metrics metrics;
+  private final TokenBucket requests;
+  private final Set<String> warnedOf = new HashSet<>();
 
-/** A client that keeps within the cloud's rate limit. */ 
-public CloudClient ( Loop loop , Caller caller , Endpoint endpoint , PlatformConfiguration . CloudLimits limits , Metrics metrics ) { this . metrics = metrics ; this . loop = loop ; this . caller = caller ; this . endpoint = endpoint ; this . requests = new TokenBucket ( limits . rps ( ) * RATE_SHARE , loop . nowMicros ( ) ) ; } 
+  /** A client that keeps within the cloud's rate limit. */
+  public CloudClient(
+      Loop loop,
+      Caller caller,
+      Endpoint endpoint,
+      PlatformConfiguration.CloudLimits limits,
+      Metrics metrics) {
+    this.metrics = metrics;
+    this.loop = loop;
+    this.caller = caller;
+    this.endpoint = endpoint;
+    this.requests = new TokenBucket(limits.rps() * RATE_SHARE, loop.nowMicros());
+  }
 
-/** 
-* Reads the machine types with their prices. 
-* 
-* @param callback takes an empty result where they can't be read now 
-*/ 
-public void listMachineTypes ( Consumer < Optional < List < MachineType >>> callback ) { send ( "GET" , ProtocolPath . MACHINE_TYPES , null , response -> callback . accept ( machineTypes ( response ) ) ) ; } 
+  /**
+   * Reads the machine types with their prices.
+   *
+   * @param callback takes an empty result where they can't be read now
+   */
+  public void listMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
+    send(
+        "GET",
+        ProtocolPath.MACHINE_TYPES,
+        null,
+        response -> callback.accept(machineTypes(response)));
+  }
 
-private Optional < List < MachineType >> machineTypes ( Response response ) { if ( response . status ( ) != HttpStatus . OK || response . body ( ) . isEmpty ( ) ) { return Optional . empty ( ) ; } try { return Optional . of ( MachineType . parseCatalog ( response . body ( ) . get ( ) ) ) ; } catch ( InvalidMessageException e ) { warnOnce ( "machine types" , e . getMessage ( ) ) ; return Optional . empty ( ) ; } } 
+  private Optional<List<MachineType>> machineTypes(Response response) {
+    if (response.status() != HttpStatus.OK || response.body().isEmpty()) {
+      return Optional.empty();
+    }
+    try {
+      return Optional.of(MachineType.parseCatalog(response.body().get()));
+    } catch (InvalidMessageException e) {
+      warnOnce("machine types", e.getMessage());
+      return Optional.empty();
+    }
+  }
 
-/** 
-* Reads the list of all machines, page by page. 
-* 
-* @param callback takes an empty result where the list can't be read in full 
-*/ 
-public void listMachines ( Consumer < Optional < List < ListedMachine >>> callback ) { readPage ( "" , new ArrayList < > ( ) , callback ) ; } 
+  /**
+   * Reads the list of all machines, page by page.
+   *
+   * @param callback takes an empty result where the list can't be read in full
+   */
+  public void listMachines(Consumer<Optional<List<ListedMachine>>> callback) {
+    readPage("", new ArrayList<>(), callback);
+  }
 
-/** 
-* @param lastId the last machine of the page before; empty for the first page 
-*/ 
-private void readPage ( String lastId , List < ListedMachine > machines , Consumer < Optional < List < ListedMachine >>> callback ) { if ( ! lastId . isEmpty ( ) && ! requests . canAcquire ( 1 + REQUESTS_LEFT_TO_OTHERS , loop . nowMicros ( ) ) ) { loop . after ( PAGE_PAUSE_MICROS , ( ) -> readPage ( lastId , machines , callback ) ) ; return ; } send ( "GET" , ProtocolPath . MACHINES + "?page=" + MACHINES_PER_PAGE + ( lastId . isEmpty ( ) ? "" : "&since=" + lastId ) , null , response -> handlePage ( response , machines , callback ) ) ; } 
+  /**
+   * @param lastId the last machine of the page before; empty for the first page
+   */
+  private void readPage(
+      String lastId,
+      List<ListedMachine> machines,
+      Consumer<Optional<List<ListedMachine>>> callback) {
+    if (!lastId.isEmpty() && !requests.canAcquire(1 + REQUESTS_LEFT_TO_OTHERS, loop.nowMicros())) {
+      loop.after(PAGE_PAUSE_MICROS, () -> readPage(lastId, machines, callback));
+      return;
+    }
+    send(
+        "GET",
+        ProtocolPath.MACHINES
+            + "?page="
+            + MACHINES_PER_PAGE
+            + (lastId.isEmpty() ? "" : "&since=" + lastId),
+        null,
+        response -> handlePage(response, machines, callback));
+  }
 
-private void handlePage ( Response response , List < ListedMachine > machines , Consumer < Optional < List < ListedMachine >>> callback ) { if ( ! response . hasMachineIds ( ) ) { callback . accept ( Optional . empty ( ) ) ; return ; } String lastId = "" ; try { for ( JsonNode node : response . machineIds ( ) ) { ListedMachine machine = ListedMachine . parse ( node ) ; lastId = machine . id ( ) ; machines . add ( machine ) ; } } catch ( InvalidMessageException e ) { warnOnce ( "machine list" , e . getMessage ( ) ) ; callback . accept ( Optional . empty ( ) ) ; return ; } boolean more = response . body ( ) . orElseThrow ( ) . path ( "more" ) . asBoolean ( false ) ; if ( more && ! lastId . isEmpty ( ) ) { readPage ( lastId , machines , callback ) ; } else { callback . accept ( Optional . of ( machines ) ) ; } } 
+  private void handlePage(
+      Response response,
+      List<ListedMachine> machines,
+      Consumer<Optional<List<ListedMachine>>> callback) {
+    if (!response.hasMachineIds()) {
+      callback.accept(Optional.empty());
+      return;
+    }
+    String lastId = "";
+    try {
+      for (JsonNode node : response.machineIds()) {
+        ListedMachine machine = ListedMachine.parse(node);
+        lastId = machine.id();
+        machines.add(machine);
+      }
+    } catch (InvalidMessageException e) {
+      warnOnce("machine list", e.getMessage());
+      callback.accept(Optional.empty());
+      return;
+    }
+    boolean more = response.body().orElseThrow().path("more").asBoolean(false);
+    if (more && !lastId.isEmpty()) {
+      readPage(lastId, machines, callback);
+    } else {
+      callback.accept(Optional.of(machines));
+    }
+  }
 
-/** Rents machines; a request whose outcome is unknown is to be repeated with the same id. */ 
-public void rentMachines ( RentalRequest request , Consumer < RentalResult > callback ) { ObjectNode body = Json . object ( ) . put ( ProtocolField . RENTAL_REQUEST , request . id ( ) ) . put ( ProtocolField . MACHINE_TYPE , request . machineType ( ) ) . put ( ProtocolField . ZONE , request . zone ( ) ) . put ( ProtocolField . SPOT , request . spot ( ) ) . put ( ProtocolField . COUNT , request . count ( ) ) ; send ( "POST" , ProtocolPath . MACHINES , body , response -> callback . accept ( rentalResult ( response ) ) ) ; } 
+  /** Rents machines; a request whose outcome is unknown is to be repeated with the same id. */
+  public void rentMachines(RentalRequest request, Consumer<RentalResult> callback) {
+    ObjectNode body =
+        Json.object()
+            .put(ProtocolField.RENTAL_REQUEST, request.id())
+            .put(ProtocolField.MACHINE_TYPE, request.machineType())
+            .put(ProtocolField.ZONE, request.zone())
+            .put(ProtocolField.SPOT, request.spot())
+            .put(ProtocolField.COUNT, request.count());
+    send("POST", ProtocolPath.MACHINES, body, response -> callback.accept(rentalResult(response)));
+  }
 
-private static RentalResult rentalResult ( Response response ) { if ( response . hasMachineIds ( ) ) { List < String > machineIds = new ArrayList < > ( ) ; response . machineIds ( ) . forEach ( id -> machineIds . add ( id . asText ( ) ) ) ; return RentalResult . rented ( machineIds ) ; } return RentalResult . without ( switch ( response . status ( ) ) { case HttpStatus . UNAVAILABLE -> tellsOfNoCapacity ( response ) ? RentalResult . Outcome . NO_CAPACITY : RentalResult . Outcome . REFUSED ; case HttpStatus . TOO_MANY_REQUESTS , HttpStatus . BAD_REQUEST -> RentalResult . Outcome . REFUSED ; default -> RentalResult . Outcome . UNKNOWN ; } ) ; } 
+  private static RentalResult rentalResult(Response response) {
+    if (response.hasMachineIds()) {
+      List<String> machineIds = new ArrayList<>();
+      response.machineIds().forEach(id -> machineIds.add(id.asText()));
+      return RentalResult.rented(machineIds);
+    }
+    return RentalResult.without(
+        switch (response.status()) {
+          case HttpStatus.UNAVAILABLE ->
+              tellsOfNoCapacity(response)
+                  ? RentalResult.Outcome.NO_CAPACITY
+                  : RentalResult.Outcome.REFUSED;
+          case HttpStatus.TOO_MANY_REQUESTS, HttpStatus.BAD_REQUEST -> RentalResult.Outcome.REFUSED;
+          default -> RentalResult.Outcome.UNKNOWN;
+        });
+  }
 
-private static boolean tellsOfNoCapacity ( Response response ) { return response . body ( ) . isPresent ( ) && response . body ( ) . get ( ) . path ( "error" ) . asText ( ) . contains ( NO_CAPACITY_TEXT ) ; } 
+  private static boolean tellsOfNoCapacity(Response response) {
+    return response.body().isPresent()
+        && response.body().get().path("error").asText().contains(NO_CAPACITY_TEXT);
+  }
 
-/** 
-* Returns machines. 
-* 
-* @param callback takes whether the machines are surely gone 
-*/ 
-public void returnMachines ( List < String > machineIds , Consumer < ReturnOutcome > callback ) { ObjectNode body = Json . object ( ) ; ArrayNode names = body . putArray ( ProtocolField . MACHINE_IDS ) ; machineIds . forEach ( names :: add ) ; send ( "POST" , ProtocolPath . RETURN_MACHINES , body , response -> callback . accept ( response . status ( ) == HttpStatus . OK ? ReturnOutcome . RETURNED : ReturnOutcome . UNKNOWN ) ) ; } 
+  /**
+   * Returns machines.
+   *
+   * @param callback takes whether the machines are surely gone
+   */
+  public void returnMachines(List<String> machineIds, Consumer<ReturnOutcome> callback) {
+    ObjectNode body = Json.object();
+    ArrayNode names = body.putArray(ProtocolField.MACHINE_IDS);
+    machineIds.forEach(names::add);
+    send(
+        "POST",
+        ProtocolPath.RETURN_MACHINES,
+        body,
+        response ->
+            callback.accept(
+                response.status() == HttpStatus.OK
+                    ? ReturnOutcome.RETURNED
+                    : ReturnOutcome.UNKNOWN));
+  }
 
-/** Sends a request; one that would exceed the rate is answered as the cloud would refuse it. */ 
-private void send ( String method , String path , JsonNode body , Consumer < Response > callback ) { if ( ! requests . tryAcquire ( 1 , loop . nowMicros ( ) ) ) { metrics . countRefusal ( "cloud" , HttpStatus . TOO_MANY_REQUESTS ) ; loop . after ( 0 , ( ) -> callback . accept ( new Response ( HttpStatus . TOO_MANY_REQUESTS , Optional . empty ( ) ) ) ) ; return ; } byte [ ] bytes = body == null ? null : Json . write ( body ) . getBytes ( StandardCharsets . UTF_8 ) ; caller . call ( endpoint , method , path , bytes , TIMEOUT_MICROS , ( status , data ) -> { metrics . countRefusal ( "cloud" , status ) ; if ( status == HttpStatus . BAD_REQUEST ) { warnOnce ( path , new String ( data , StandardCharsets . UTF_8 ) ) ; } callback . accept ( new Response ( status , parsedBody ( path , status , data ) ) ) ; } ) ; } 
+  /** Sends a request; one that would exceed the rate is answered as the cloud would refuse it. */
+  private void send(String method, String path, JsonNode body, Consumer<Response> callback) {
+    if (!requests.tryAcquire(1, loop.nowMicros())) {
+      metrics.countRefusal("cloud", HttpStatus.TOO_MANY_REQUESTS);
+      loop.after(
+          0, () -> callback.accept(new Response(HttpStatus.TOO_MANY_REQUESTS, Optional.empty())));
+      return;
+    }
+    byte[] bytes = body == null ? null : Json.write(body).getBytes(StandardCharsets.UTF_8);
+    caller.call(
+        endpoint,
+        method,
+        path,
+        bytes,
+        TIMEOUT_MICROS,
+        (status, data) -> {
+          metrics.countRefusal("cloud", status);
+          if (status == HttpStatus.BAD_REQUEST) {
+            warnOnce(path, new String(data, StandardCharsets.UTF_8));
+          }
+          callback.accept(new Response(status, parsedBody(path, status, data)));
+        });
+  }
 
-private Optional < ObjectNode > parsedBody ( String path , int status , byte [ ] data ) { if ( data . length == 0 || ( status != HttpStatus . OK && status != HttpStatus . UNAVAILABLE ) ) { return Optional . empty ( ) ; } try { return Optional . of ( Json . parseObject ( data ) ) ; } catch ( InvalidMessageException e ) { warnOnce ( path , e . getMessage ( ) ) ; return Optional . empty ( ) ; } } 
+  private Optional<ObjectNode> parsedBody(String path, int status, byte[] data) {
+    if (data.length == 0 || (status != HttpStatus.OK && status != HttpStatus.UNAVAILABLE)) {
+      return Optional.empty();
+    }
+    try {
+      return Optional.of(Json.parseObject(data));
+    } catch (InvalidMessageException e) {
+      warnOnce(path, e.getMessage());
+      return Optional.empty();
+    }
+  }
 
-private void warnOnce ( String subject , String reason ) { if ( warnedOf . add ( subject ) ) { LOG . warn ( "the cloud's answer to a request for {} is not understood: {}" , subject , reason ) ; } } } 
+  private void warnOnce(String subject, String reason) {
+    if (warnedOf.add(subject)) {
+      LOG.warn("the cloud's answer to a request for {} is not understood: {}", subject, reason);
+    }
+  }
+}
--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -85,12 +85,12 @@
 
   /** Leadership is free: stands shortly, if it still is then. */
   void standSoon() {
-    task.wakeIn(backoff.beforeCandidacyMicros());
+    task.runAfter(backoff.beforeCandidacyMicros());
   }
 
   /** A request had no answer: stands later, if leadership is free then. */
   void standLater() {
-    task.wakeIn(backoff.beforeRetryMicros());
+    task.runAfter(backoff.beforeRetryMicros());
   }
 
   private long stand() {
--- a/src/main/java/plumlever/election/Leadership.java
+++ b/src/main/java/plumlever/election/Leadership.java
@@ -98,7 +98,7 @@
       return;
     }
     log.info("leading, term {}", term.number());
-    renewal.wakeIn(parameters.leaseRenewalMicros());
+    renewal.runAfter(parameters.leaseRenewalMicros());
     listener.elected(term);
   }
 
@@ -130,7 +130,7 @@
       case ENDED -> stepDown("the lease has ended");
       case UNKNOWN -> {
         long leftMicros = Math.max(1, term.rightUntilMicros() - loop.nowMicros());
-        renewal.wakeIn(Math.min(ElectionBackoff.RETRY_MICROS, leftMicros));
+        renewal.runAfter(Math.min(ElectionBackoff.RETRY_MICROS, leftMicros));
       }
     }
   }
--- a/src/main/java/plumlever/http/CancellationHandler.java
+++ b/src/main/java/plumlever/http/CancellationHandler.java
@@ -43,7 +43,7 @@
 
   private void cancel(String uid, UserRequest request, int attemptsLeft) {
     jobs.records()
-        .look(
+        .lookUp(
             uid,
             status -> {
               switch (status.presence()) {
@@ -76,7 +76,7 @@
     jobs.store()
         .transaction(
             jobs.layout()
-                .end(uid, revision, JobState.CANCELLED, jobs.loop().wallMicros(), List.of()),
+                .endJob(uid, revision, JobState.CANCELLED, jobs.loop().wallMicros(), List.of()),
             StateClient.RequestPriority.URGENT,
             result -> {
               switch (result.outcome()) {
@@ -89,7 +89,7 @@
   }
 
   private void answerCancelled(String uid, UserRequest request) {
-    jobs.records().ended(uid, JobState.CANCELLED);
+    jobs.records().jobEnded(uid, JobState.CANCELLED);
     jobs.metrics().count("jobs_cancelled");
     cancelled.accept(uid);
     request.send(HttpStatus.OK, JobAnswers.body(uid, JobState.CANCELLED));
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -1,50 +1,180 @@
-package plumlever . http ; 
+package plumlever.http;
 
-import java . util . ArrayList ; import java . util . HashSet ; import java . util . List ; import java . util . Optional ; import java . util . Set ; import org . slf4j . Logger ; import plumlever . concurrent . Loop ; import plumlever . election . DelegatedRenewal ; import plumlever . lease . DelegateEvidence ; import plumlever . lease . LeaseRenewal ; import plumlever . lease . RenewalDecision ; import plumlever . lease . RenewalRefusal ; import plumlever . metrics . LogBudget ; import plumlever . metrics . Logs ; import plumlever . metrics . Metrics ; import plumlever . store . JobRecordCache ; import plumlever . wire . AttemptState ; import plumlever . wire . Heartbeat ; import plumlever . wire . HttpStatus ; import plumlever . wire . WorkerCommand ; 
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import org.slf4j.Logger;
+import plumlever.concurrent.Loop;
+import plumlever.election.DelegatedRenewal;
+import plumlever.lease.DelegateEvidence;
+import plumlever.lease.LeaseRenewal;
+import plumlever.lease.RenewalDecision;
+import plumlever.lease.RenewalRefusal;
+import plumlever.metrics.LogBudget;
+import plumlever.metrics.Logs;
+import plumlever.metrics.Metrics;
+import plumlever.store.JobRecordCache;
+import plumlever.wire.AttemptState;
+import plumlever.wire.Heartbeat;
+import plumlever.wire.HttpStatus;
+import plumlever.wire.WorkerCommand;
 
-/** 
-* Answers heartbeats for a leader that can't reach their zone: leases are renewed and tasks of 
-* ended jobs stopped, nothing is started. The answer carries the token that the leader stored with 
-* the delegation. With the token that the heartbeat shows, a start that the leader had sent before 
-* could still be carried out, minutes later and after a cancellation. 
-*/ 
-public final class DelegatedHeartbeats { private static final int MAX_LINES_PER_SECOND = 20 ; 
+/**
+ * Answers heartbeats for a leader that can't reach their zone: leases are renewed and tasks of
+ * ended jobs stopped, nothing is started. The answer carries the token that the leader stored with
+ * the delegation. With the token that the heartbeat shows, a start that the leader had sent before
+ * could still be carried out, minutes later and after a cancellation.
+ */
+public final class DelegatedHeartbeats {
+  private static final int MAX_LINES_PER_SECOND = 20;
 
-private final Loop loop ; private final DelegatedRenewal delegation ; private final JobRecordCache jobs ; private final LeaseRenewal renewal ; private final Metrics metrics ; private final Logger log ; private final LogBudget lines ; 
+  private final Loop loop;
+  private final DelegatedRenewal delegation;
+  private final JobRecordCache jobs;
+  private final LeaseRenewal renewal;
+  private final Metrics metrics;
+  private final Logger log;
+  private final LogBudget lines;
 
-/** 
-* Answers under this delegation. 
-* 
-* @param jobs tells which jobs have ended, so that their tasks are stopped 
-*/ 
-public DelegatedHeartbeats ( Loop loop , DelegatedRenewal delegation , JobRecordCache jobs , LeaseRenewal renewal , Metrics metrics , Logs logs ) { this . loop = loop ; this . delegation = delegation ; this . jobs = jobs ; this . renewal = renewal ; this . metrics = metrics ; this . log = logs . of ( DelegatedHeartbeats . class ) ; this . lines = new LogBudget ( log , MAX_LINES_PER_SECOND ) ; } 
+  /**
+   * Answers under this delegation.
+   *
+   * @param jobs tells which jobs have ended, so that their tasks are stopped
+   */
+  public DelegatedHeartbeats(
+      Loop loop,
+      DelegatedRenewal delegation,
+      JobRecordCache jobs,
+      LeaseRenewal renewal,
+      Metrics metrics,
+      Logs logs) {
+    this.loop = loop;
+    this.delegation = delegation;
+    this.jobs = jobs;
+    this.renewal = renewal;
+    this.metrics = metrics;
+    this.log = logs.of(DelegatedHeartbeats.class);
+    this.lines = new LogBudget(log, MAX_LINES_PER_SECOND);
+  }
 
-/** 
-* Answers the heartbeat if leases in its zone may be renewed here. 
-* 
-* @return false if they may not, and nothing was answered 
-*/ 
-boolean answer ( Heartbeat heartbeat , Responder out ) { Optional < DelegatedRenewal . Right > right = delegation . rightIn ( heartbeat . zone ( ) ) ; 
-// What refuses whatever the jobs are is found out before they are looked up. 
-if ( right . isEmpty ( ) || renewal . refusal ( evidence ( right . get ( ) , heartbeat , loop . nowMicros ( ) ) , loop . nowMicros ( ) ) . isPresent ( ) ) { right . ifPresent ( known -> logRefusal ( heartbeat , known , "before the jobs are looked up" ) ) ; return false ; } jobs . findEnded ( jobsOf ( heartbeat ) , ends -> answerKnowingEnds ( heartbeat , Optional . ofNullable ( ends ) , out ) ) ; return true ; } 
+  /**
+   * Answers the heartbeat if leases in its zone may be renewed here.
+   *
+   * @return false if they may not, and nothing was answered
+   */
+  boolean answer(Heartbeat heartbeat, Responder out) {
+    Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
+    // What refuses whatever the jobs are is found out before they are looked up.
+    if (right.isEmpty()
+        || renewal
+            .refusal(evidence(right.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
+            .isPresent()) {
+      right.ifPresent(known -> logRefusal(heartbeat, known, "before the jobs are looked up"));
+      return false;
+    }
+    jobs.findEnded(
+        jobsOf(heartbeat), ends -> answerKnowingEnds(heartbeat, Optional.ofNullable(ends), out));
+    return true;
+  }
 
-private void answerKnowingEnds ( Heartbeat heartbeat , Optional < JobRecordCache . EndedJobs > ends , Responder out ) { 
-// The right may have ended while the jobs were looked up. A lease is not renewed for tasks 
-// whose 
-// stop can't be given. 
-Optional < DelegatedRenewal . Right > right = delegation . rightIn ( heartbeat . zone ( ) ) ; if ( right . isEmpty ( ) ) { refuse ( heartbeat , RenewalRefusal . DELEGATION_OVER , out ) ; return ; } if ( ends . isEmpty ( ) ) { refuse ( heartbeat , RenewalRefusal . ENDED_JOBS_UNKNOWN , out ) ; return ; } List < WorkerCommand > stops = stops ( heartbeat , ends . get ( ) . uids ( ) ) ; DelegateEvidence evidence = evidence ( right . get ( ) , heartbeat , ends . get ( ) . askedMicros ( ) ) ; RenewalDecision decision = renewal . answer ( evidence , stops , loop . nowMicros ( ) ) ; if ( decision instanceof RenewalDecision . Renewed renewed ) { logRenewal ( heartbeat , evidence , stops ) ; metrics . count ( "leases_renewed_for_leader" ) ; delegation . announceRenewal ( ) ; out . send ( HttpStatus . OK , renewed . body ( ) ) ; } else if ( decision instanceof RenewalDecision . Refused refused ) { refuse ( heartbeat , refused . refusal ( ) , out ) ; } } 
+  private void answerKnowingEnds(
+      Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> ends, Responder out) {
+    // The right may have ended while the jobs were looked up. A lease is not renewed for tasks
+    // whose stop can't be given.
+    Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
+    if (right.isEmpty()) {
+      refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
+      return;
+    }
+    if (ends.isEmpty()) {
+      refuse(heartbeat, RenewalRefusal.ENDED_JOBS_UNKNOWN, out);
+      return;
+    }
+    List<WorkerCommand> stops = stops(heartbeat, ends.get().uids());
+    DelegateEvidence evidence = evidence(right.get(), heartbeat, ends.get().askedMicros());
+    RenewalDecision decision = renewal.answer(evidence, stops, loop.nowMicros());
+    if (decision instanceof RenewalDecision.Renewed renewed) {
+      logRenewal(heartbeat, evidence, stops);
+      metrics.count("leases_renewed_for_leader");
+      delegation.announceRenewal();
+      out.send(HttpStatus.OK, renewed.body());
+    } else if (decision instanceof RenewalDecision.Refused refused) {
+      refuse(heartbeat, refused.refusal(), out);
+    }
+  }
 
-private static DelegateEvidence evidence ( DelegatedRenewal . Right right , Heartbeat heartbeat , long endsKnownMicros ) { return new DelegateEvidence ( right . token ( ) , heartbeat . fencingToken ( ) , right . validUntilMicros ( ) , endsKnownMicros ) ; } 
+  private static DelegateEvidence evidence(
+      DelegatedRenewal.Right right, Heartbeat heartbeat, long endsKnownMicros) {
+    return new DelegateEvidence(
+        right.token(), heartbeat.fencingToken(), right.validUntilMicros(), endsKnownMicros);
+  }
 
-private static Set < String > jobsOf ( Heartbeat heartbeat ) { Set < String > uids = new HashSet < > ( ) ; for ( Heartbeat . AttemptStatus attempt : heartbeat . attempts ( ) ) { if ( isLive ( attempt ) ) { uids . add ( attempt . task ( ) . job ( ) ) ; } } return uids ; } 
+  private static Set<String> jobsOf(Heartbeat heartbeat) {
+    Set<String> uids = new HashSet<>();
+    for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
+      if (isLive(attempt)) {
+        uids.add(attempt.task().job());
+      }
+    }
+    return uids;
+  }
 
-private static boolean isLive ( Heartbeat . AttemptStatus attempt ) { return attempt . state ( ) != AttemptState . ENDED ; } 
+  private static boolean isLive(Heartbeat.AttemptStatus attempt) {
+    return attempt.state() != AttemptState.ENDED;
+  }
 
-private static List < WorkerCommand > stops ( Heartbeat heartbeat , Set < String > ended ) { List < WorkerCommand > stops = new ArrayList < > ( ) ; for ( Heartbeat . AttemptStatus attempt : heartbeat . attempts ( ) ) { if ( isLive ( attempt ) && ended . contains ( attempt . task ( ) . job ( ) ) ) { stops . add ( WorkerCommand . stop ( attempt . task ( ) , attempt . attempt ( ) , 0 ) ) ; } } return stops ; } 
+  private static List<WorkerCommand> stops(Heartbeat heartbeat, Set<String> ended) {
+    List<WorkerCommand> stops = new ArrayList<>();
+    for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
+      if (isLive(attempt) && ended.contains(attempt.task().job())) {
+        stops.add(WorkerCommand.stop(attempt.task(), attempt.attempt(), 0));
+      }
+    }
+    return stops;
+  }
 
-private void refuse ( Heartbeat heartbeat , RenewalRefusal refusal , Responder out ) { metrics . count ( refusal . counter ( ) ) ; if ( lines . allowsDebug ( loop . nowMicros ( ) ) ) { log . debug ( "the lease of {} incarnation {} is not renewed for the leader, token {}: {}" , heartbeat . machineId ( ) , heartbeat . incarnation ( ) , heartbeat . fencingToken ( ) , refusal . reason ( ) ) ; } out . retryLater ( HttpStatus . UNAVAILABLE , refusal . reason ( ) , 1 ) ; } 
+  private void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
+    metrics.count(refusal.counter());
+    if (lines.allowsDebug(loop.nowMicros())) {
+      log.debug(
+          "the lease of {} incarnation {} is not renewed for the leader, token {}: {}",
+          heartbeat.machineId(),
+          heartbeat.incarnation(),
+          heartbeat.fencingToken(),
+          refusal.reason());
+    }
+    out.retryLater(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
+  }
 
-private void logRefusal ( Heartbeat heartbeat , DelegatedRenewal . Right right , String when ) { if ( lines . allowsDebug ( loop . nowMicros ( ) ) ) { log . debug ( "the lease of {} incarnation {} is not renewed for the leader {}: it shows token {}, the" + " delegation has {}" , heartbeat . machineId ( ) , heartbeat . incarnation ( ) , when , heartbeat . fencingToken ( ) , right . token ( ) ) ; } } 
+  private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.Right right, String when) {
+    if (lines.allowsDebug(loop.nowMicros())) {
+      log.debug(
+          "the lease of {} incarnation {} is not renewed for the leader {}: it shows token {}, the"
+              + " delegation has {}",
+          heartbeat.machineId(),
+          heartbeat.incarnation(),
+          when,
+          heartbeat.fencingToken(),
+          right.token());
+    }
+  }
 
-/** An answer without a stop that raises no token is what the worker had before: no line. */ 
-private void logRenewal ( Heartbeat heartbeat , DelegateEvidence evidence , List < WorkerCommand > stops ) { boolean raises = evidence . token ( ) > heartbeat . fencingToken ( ) ; if ( ( raises || ! stops . isEmpty ( ) ) && lines . allowsDebug ( loop . nowMicros ( ) ) ) { log . debug ( "the lease of {} incarnation {} is renewed for the leader, token {} for {}, ended jobs as" + " of {} ms ago, stops {}" , heartbeat . machineId ( ) , heartbeat . incarnation ( ) , evidence . token ( ) , heartbeat . fencingToken ( ) , ( loop . nowMicros ( ) - evidence . endsKnownMicros ( ) ) / 1_000 , stops ) ; } } } 
+  /** An answer without a stop that raises no token is what the worker had before: no line. */
+  private void logRenewal(
+      Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stops) {
+    boolean raises = evidence.token() > heartbeat.fencingToken();
+    if ((raises || !stops.isEmpty()) && lines.allowsDebug(loop.nowMicros())) {
+      log.debug(
+          "the lease of {} incarnation {} is renewed for the leader, token {} for {}, ended jobs as"
+              + " of {} ms ago, stops {}",
+          heartbeat.machineId(),
+          heartbeat.incarnation(),
+          evidence.token(),
+          heartbeat.fencingToken(),
+          (loop.nowMicros() - evidence.endsKnownMicros()) / 1_000,
+          stops);
+    }
+  }
+}
--- a/src/main/java/plumlever/http/JobAcceptance.java
+++ b/src/main/java/plumlever/http/JobAcceptance.java
@@ -93,12 +93,12 @@
   private void answerAccepted(JobSpec spec, long revision, UserRequest request) {
     jobs.metrics().count("jobs_accepted");
     if (!spec.hasDependencies()) {
-      jobs.records().accepted(spec.uid(), revision);
+      jobs.records().jobAccepted(spec.uid(), revision);
       request.send(HttpStatus.CREATED, JobAnswers.body(spec.uid(), JobState.PENDING));
       return;
     }
     jobs.records()
-        .acceptedWaiting(
+        .dependentJobAccepted(
             spec.uid(),
             revision,
             spec.dependencies(),
--- a/src/main/java/plumlever/http/JobAnswers.java
+++ b/src/main/java/plumlever/http/JobAnswers.java
@@ -41,7 +41,7 @@
    * @param whenUnknown answers for a job that was not
    */
   void answerKnown(String uid, UserRequest request, Runnable whenUnknown) {
-    records.look(
+    records.lookUp(
         uid,
         status -> {
           switch (status.presence()) {
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -1,33 +1,140 @@
-package plumlever . http ; 
+package plumlever.http;
 
-import java . nio . charset . StandardCharsets ; import java . util . ArrayList ; import java . util . Iterator ; import java . util . List ; import java . util . function . Consumer ; import plumlever . concurrent . Loop ; import plumlever . settings . PlatformConfiguration ; import plumlever . settings . SharingSettings ; import plumlever . store . JobStore ; import plumlever . store . KeySpace ; import plumlever . store . StateClient ; import plumlever . store . Transaction ; import plumlever . wire . ForwardedRequest ; import plumlever . wire . HttpStatus ; 
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Iterator;
+import java.util.List;
+import java.util.function.Consumer;
+import plumlever.concurrent.Loop;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SharingSettings;
+import plumlever.store.JobStore;
+import plumlever.store.KeySpace;
+import plumlever.store.StateClient;
+import plumlever.store.Transaction;
+import plumlever.wire.ForwardedRequest;
+import plumlever.wire.HttpStatus;
 
-/** 
-* Finds jobs in the other cells of a pool, and has a controller of a job's own cell answer for it. 
-* That a job is in no cell rests on one read of all of them, begun after the question came in. 
-*/ 
-public final class JobForwarder { private static final long TIMEOUT_MICROS = 1_500_000 ; private static final long RETRY_PAUSE_MICROS = 150_000 ; private static final int MAX_ATTEMPTS = 4 ; private static final int RETRY_AFTER_S = 1 ; 
+/**
+ * Finds jobs in the other cells of a pool, and has a controller of a job's own cell answer for it.
+ * That a job is in no cell rests on one read of all of them, begun after the question came in.
+ */
+public final class JobForwarder {
+  private static final long TIMEOUT_MICROS = 1_500_000;
+  private static final long RETRY_PAUSE_MICROS = 150_000;
+  private static final int MAX_ATTEMPTS = 4;
+  private static final int RETRY_AFTER_S = 1;
 
-/** A key under which the cell has the job, if it has it. */ 
-private record Candidate ( SharingSettings . Cell cell , String key ) { } 
+  /** A key under which the cell has the job, if it has it. */
+  private record Candidate(SharingSettings.Cell cell, String key) {}
 
-private final Loop loop ; private final StateClient store ; private final Caller caller ; private final PlatformConfiguration platform ; private final SharingSettings sharing ; 
+  private final Loop loop;
+  private final StateClient store;
+  private final Caller caller;
+  private final PlatformConfiguration platform;
+  private final SharingSettings sharing;
 
-/** Finds jobs in the other cells of this pool. */ 
-public JobForwarder ( Loop loop , StateClient store , Caller caller , PlatformConfiguration platform , SharingSettings sharing ) { this . loop = loop ; this . store = store ; this . caller = caller ; this . platform = platform ; this . sharing = sharing ; } 
+  /** Finds jobs in the other cells of this pool. */
+  public JobForwarder(
+      Loop loop,
+      StateClient store,
+      Caller caller,
+      PlatformConfiguration platform,
+      SharingSettings sharing) {
+    this.loop = loop;
+    this.store = store;
+    this.caller = caller;
+    this.platform = platform;
+    this.sharing = sharing;
+  }
 
-/** Finds out in which other cell the job is. */ 
-void find ( String uid , Consumer < JobLocation > whenFound ) { find ( candidates ( uid ) , MAX_ATTEMPTS , whenFound ) ; } 
+  /** Finds out in which other cell the job is. */
+  void find(String uid, Consumer<JobLocation> whenFound) {
+    find(candidates(uid), MAX_ATTEMPTS, whenFound);
+  }
 
-/** An active job first, then an ended one: the end moves it from one key to the other. */ 
-private List < Candidate > candidates ( String uid ) { List < Candidate > candidates = new ArrayList < > ( ) ; for ( SharingSettings . Cell cell : sharing . otherCells ( ) ) { for ( String key : List . of ( JobStore . activeKey ( uid ) , JobStore . endedKey ( uid ) ) ) { candidates . add ( new Candidate ( cell , KeySpace . absolute ( cell . prefix ( ) , key ) ) ) ; } } return candidates ; } 
+  /** An active job first, then an ended one: the end moves it from one key to the other. */
+  private List<Candidate> candidates(String uid) {
+    List<Candidate> candidates = new ArrayList<>();
+    for (SharingSettings.Cell cell : sharing.otherCells()) {
+      for (String key : List.of(JobStore.activeKey(uid), JobStore.endedKey(uid))) {
+        candidates.add(new Candidate(cell, KeySpace.absolute(cell.prefix(), key)));
+      }
+    }
+    return candidates;
+  }
 
-private void find ( List < Candidate > candidates , int attemptsLeft , Consumer < JobLocation > whenFound ) { Transaction absent = new Transaction ( ) ; candidates . forEach ( candidate -> absent . require ( candidate . key ( ) , 0 ) ) ; store . transaction ( absent , StateClient . RequestPriority . ORDINARY , result -> { switch ( result . outcome ( ) ) { case APPLIED -> whenFound . accept ( new JobLocation . Nowhere ( ) ) ; case CONFLICT -> readFirst ( candidates . iterator ( ) , whenFound ) ; default -> { if ( result . status ( ) == HttpStatus . TOO_MANY_REQUESTS && attemptsLeft > 1 ) { loop . after ( RETRY_PAUSE_MICROS , ( ) -> find ( candidates , attemptsLeft - 1 , whenFound ) ) ; } else { whenFound . accept ( new JobLocation . Unavailable ( ) ) ; } } } } ) ; } 
+  private void find(List<Candidate> candidates, int attemptsLeft, Consumer<JobLocation> whenFound) {
+    Transaction absent = new Transaction();
+    candidates.forEach(candidate -> absent.require(candidate.key(), 0));
+    store.transaction(
+        absent,
+        StateClient.RequestPriority.ORDINARY,
+        result -> {
+          switch (result.outcome()) {
+            case APPLIED -> whenFound.accept(new JobLocation.Nowhere());
+            case CONFLICT -> readFirst(candidates.iterator(), whenFound);
+            default -> {
+              if (result.status() == HttpStatus.TOO_MANY_REQUESTS && attemptsLeft > 1) {
+                loop.after(RETRY_PAUSE_MICROS, () -> find(candidates, attemptsLeft - 1, whenFound));
+              } else {
+                whenFound.accept(new JobLocation.Unavailable());
+              }
+            }
+          }
+        });
+  }
 
-/** Some cell has it; it never leaves that cell, so their keys are read one after the other. */ 
-private void readFirst ( Iterator < Candidate > candidates , Consumer < JobLocation > whenFound ) { if ( ! candidates . hasNext ( ) ) { whenFound . accept ( new JobLocation . Unavailable ( ) ) ; return ; } Candidate candidate = candidates . next ( ) ; store . get ( candidate . key ( ) , StateClient . RequestPriority . ORDINARY , read -> { if ( read . found ( ) ) { whenFound . accept ( new JobLocation . InCell ( candidate . cell ( ) ) ) ; } else if ( read . missing ( ) ) { readFirst ( candidates , whenFound ) ; } else { whenFound . accept ( new JobLocation . Unavailable ( ) ) ; } } ) ; } 
+  /** Some cell has it; it never leaves that cell, so their keys are read one after the other. */
+  private void readFirst(Iterator<Candidate> candidates, Consumer<JobLocation> whenFound) {
+    if (!candidates.hasNext()) {
+      whenFound.accept(new JobLocation.Unavailable());
+      return;
+    }
+    Candidate candidate = candidates.next();
+    store.get(
+        candidate.key(),
+        StateClient.RequestPriority.ORDINARY,
+        read -> {
+          if (read.found()) {
+            whenFound.accept(new JobLocation.InCell(candidate.cell()));
+          } else if (read.missing()) {
+            readFirst(candidates, whenFound);
+          } else {
+            whenFound.accept(new JobLocation.Unavailable());
+          }
+        });
+  }
 
-/** Has a controller of the cell answer the request, the first that can be reached. */ 
-void forward ( SharingSettings . Cell cell , ForwardedRequest request , Responder out ) { List < PlatformConfiguration . PeerController > members = platform . peers ( ) . stream ( ) . filter ( seed -> cell . controllers ( ) . contains ( seed . label ( ) ) ) . toList ( ) ; forward ( members . iterator ( ) , request . write ( ) , out ) ; } 
+  /** Has a controller of the cell answer the request, the first that can be reached. */
+  void forward(SharingSettings.Cell cell, ForwardedRequest request, Responder out) {
+    List<PlatformConfiguration.PeerController> members =
+        platform.peers().stream()
+            .filter(seed -> cell.controllers().contains(seed.label()))
+            .toList();
+    forward(members.iterator(), request.write(), out);
+  }
 
-private void forward ( Iterator < PlatformConfiguration . PeerController > members , byte [ ] body , Responder out ) { if ( ! members . hasNext ( ) ) { out . retryLater ( HttpStatus . UNAVAILABLE , "no controller of the job's cell can be reached" , RETRY_AFTER_S ) ; return ; } caller . call ( members . next ( ) . endpoint ( ) , "POST" , ForwardedRequest . PATH , body , TIMEOUT_MICROS , ( status , answer ) -> { if ( status == 0 || status >= HttpStatus . SERVER_ERRORS ) { forward ( members , body , out ) ; } else { int retryAfterS = status == HttpStatus . TOO_MANY_REQUESTS ? RETRY_AFTER_S : 0 ; out . send ( status , new String ( answer , StandardCharsets . UTF_8 ) , retryAfterS ) ; } } ) ; } } 
+  private void forward(
+      Iterator<PlatformConfiguration.PeerController> members, byte[] body, Responder out) {
+    if (!members.hasNext()) {
+      out.retryLater(
+          HttpStatus.UNAVAILABLE, "no controller of the job's cell can be reached", RETRY_AFTER_S);
+      return;
+    }
+    caller.call(
+        members.next().endpoint(),
+        "POST",
+        ForwardedRequest.PATH,
+        body,
+        TIMEOUT_MICROS,
+        (status, answer) -> {
+          if (status == 0 || status >= HttpStatus.SERVER_ERRORS) {
+            forward(members, body, out);
+          } else {
+            int retryAfterS = status == HttpStatus.TOO_MANY_REQUESTS ? RETRY_AFTER_S : 0;
+            out.send(status, new String(answer, StandardCharsets.UTF_8), retryAfterS);
+          }
+        });
+  }
+}
--- a/src/main/java/plumlever/http/RequestAdmission.java
+++ b/src/main/java/plumlever/http/RequestAdmission.java
@@ -48,7 +48,7 @@
 
   private void answered(String kind, long admittedMicros, int status) {
     open--;
-    metrics.time(kind, loop.nowMicros() - admittedMicros);
+    metrics.recordDuration(kind, loop.nowMicros() - admittedMicros);
     if (status >= HttpStatus.SERVER_ERRORS || status == HttpStatus.TOO_MANY_REQUESTS) {
       metrics.count(kind + "_refused");
     }
--- a/src/main/java/plumlever/http/SubmissionHandler.java
+++ b/src/main/java/plumlever/http/SubmissionHandler.java
@@ -70,7 +70,7 @@
       return;
     }
     Optional<JobStore.Acceptance> records =
-        Optional.ofNullable(jobs.layout().accept(spec, jobs.loop().wallMicros()));
+        Optional.ofNullable(jobs.layout().acceptJob(spec, jobs.loop().wallMicros()));
     if (records.isEmpty()) {
       refuseUnknown(uid, request, SubmissionRefusal.invalid("the submission is too long"));
     } else if (spec.hasDependencies()) {
@@ -98,7 +98,7 @@
       return;
     }
     jobs.records()
-        .unknownOf(
+        .findNeverAccepted(
             spec.dependencies(),
             unknown -> {
               if (unknown == null) {
--- a/src/main/java/plumlever/http/SubmissionRules.java
+++ b/src/main/java/plumlever/http/SubmissionRules.java
@@ -29,10 +29,10 @@
       return Optional.of(
           SubmissionRefusal.unprocessable("a task needs more than its team's limit"));
     }
-    if (!prices.known()) {
+    if (!prices.isLoaded()) {
       return Optional.of(SubmissionRefusal.undecided("the machine types are not known yet"));
     }
-    if (!prices.fits(spec)) {
+    if (!prices.canRun(spec)) {
       return Optional.of(SubmissionRefusal.unprocessable("a task fits no allowed machine type"));
     }
     return Optional.empty();
@@ -40,7 +40,7 @@
 
   /** A resource without a limit has 0. */
   private static boolean exceedsLimit(JobSpec spec, PlatformConfiguration.Team team) {
-    return (team.cpusMax() > 0 && spec.cores() > team.cpusMax())
-        || (team.gpusMax() > 0 && spec.accelerators() > team.gpusMax());
+    return (team.maxCores() > 0 && spec.cores() > team.maxCores())
+        || (team.maxAccelerators() > 0 && spec.accelerators() > team.maxAccelerators());
   }
 }
--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -57,11 +57,11 @@
     if (fleet.tokensRunOut(machine)) {
       context.resignForNumbers();
     }
-    HeartbeatHandler.News news = heartbeats.apply(machine, heartbeat, true);
-    if (heartbeats.takeChanged()) {
+    HeartbeatHandler.Freshness news = heartbeats.apply(machine, heartbeat, true);
+    if (heartbeats.getAndClearChanged()) {
       passes.request();
     }
-    if (news == HeartbeatHandler.News.COPY) {
+    if (news == HeartbeatHandler.Freshness.DUPLICATE) {
       context.metrics().count("heartbeat_copies");
       out.retryLater(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
     } else if (machine.contact().unreachable()) {
@@ -69,7 +69,7 @@
       // tasks.
       out.retryLater(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
     } else {
-      boolean newest = news == HeartbeatHandler.News.NEWS;
+      boolean newest = news == HeartbeatHandler.Freshness.LATEST;
       enrollIfUnrecorded(machine, heartbeat);
       if (newest) {
         notices.apply(machine, heartbeat);
@@ -105,7 +105,7 @@
     if (machine.registration() == RegistrationState.NONE
         && !machine.returning()
         && (machine.accounted() || heartbeat.fencingToken() == 0)) {
-      registry.enroll(machine);
+      registry.register(machine);
     }
   }
 }
--- a/src/main/java/plumlever/leader/HeartbeatScreening.java
+++ b/src/main/java/plumlever/leader/HeartbeatScreening.java
@@ -4,7 +4,7 @@
 import plumlever.http.Responder;
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.context.TermContext;
-import plumlever.leader.heartbeat.EarlyHeartbeats;
+import plumlever.leader.heartbeat.DeferredHeartbeats;
 import plumlever.leader.heartbeat.HeartbeatAnswers;
 import plumlever.leader.machine.MachineManager;
 import plumlever.wire.Heartbeat;
@@ -18,7 +18,7 @@
   private final TermContext context;
   private final MachineManager machines;
   private final MachineSharing sharing;
-  private final EarlyHeartbeats early;
+  private final DeferredHeartbeats early;
   private final HeartbeatAnswers answers;
   private boolean recordsLoaded;
 
@@ -26,7 +26,7 @@
       TermContext context,
       MachineManager machines,
       MachineSharing sharing,
-      EarlyHeartbeats early,
+      DeferredHeartbeats early,
       HeartbeatAnswers answers) {
     this.context = context;
     this.machines = machines;
@@ -68,9 +68,9 @@
       return false;
     }
     if (heartbeat.holdsTasks()) {
-      early.keep(heartbeat, out);
+      early.defer(heartbeat, out);
     } else {
-      answers.sendToIdle(heartbeat, out);
+      answers.renewIdle(heartbeat, out);
     }
     return true;
   }
--- a/src/main/java/plumlever/leader/LeaseRenewalResponder.java
+++ b/src/main/java/plumlever/leader/LeaseRenewalResponder.java
@@ -43,20 +43,20 @@
    * @param newest whether it is the newest of its machine
    */
   void respond(Machine machine, Heartbeat heartbeat, boolean newest, Responder out) {
-    boolean holdsOpenTasks = heartbeats.holdsOpenTasks(heartbeat);
+    boolean holdsOpenTasks = heartbeats.holdsTasksOfActiveJobs(heartbeat);
     Optional<RenewalRefusal> refusal = answers.refusal(machine, holdsOpenTasks);
     if (refusal.isPresent()) {
       refuse(machine, heartbeat, refusal.get(), out);
       return;
     }
-    List<WorkerCommand> due = heartbeats.standingCommands(machine, heartbeat);
+    List<WorkerCommand> due = heartbeats.stopAndRemoveCommands(machine, heartbeat);
     due.addAll(sharing.guestCommands(machine, heartbeat));
-    if (newest && machine.tokens().areOfTermOf(heartbeat.fencingToken())) {
+    if (newest && machine.tokens().isOfSameTerm(heartbeat.fencingToken())) {
       plannedStarts.addTo(due, machine);
     }
     // The right to act is checked once more there: this may have run so late that it has ended.
-    if (answers.send(machine, heartbeat, holdsOpenTasks, due, out)) {
-      machine.answered(context.loop().nowMicros());
+    if (answers.renew(machine, heartbeat, holdsOpenTasks, due, out)) {
+      machine.recordRenewal(context.loop().nowMicros());
     }
   }
 
@@ -64,7 +64,7 @@
     answers.refuse(heartbeat, refusal, out);
     if (refusal == RenewalRefusal.UNANSWERED_COMMAND) {
       // With a higher token the command is void, and the next heartbeat may be answered.
-      commands.raise(machine);
+      commands.raiseToken(machine);
     }
   }
 }
--- a/src/main/java/plumlever/leader/PlannedStarts.java
+++ b/src/main/java/plumlever/leader/PlannedStarts.java
@@ -13,7 +13,9 @@
    * record yet, or an earlier start is not confirmed.
    */
   void addTo(List<WorkerCommand> commands, Machine machine) {
-    if (pass.hasPlan(machine) && pass.recorded(machine) && !machine.load().hasUnconfirmedStart()) {
+    if (pass.hasPlan(machine)
+        && pass.hasRecordedPlan(machine)
+        && !machine.load().hasUnconfirmedStart()) {
       starter.start(machine, pass.planned(machine), false, commands);
       pass.dropPlan(machine);
     }
--- a/src/main/java/plumlever/leader/PreemptionNotices.java
+++ b/src/main/java/plumlever/leader/PreemptionNotices.java
@@ -25,7 +25,7 @@
 
   /** Stops what could not be saved any more if it were left until the next heartbeat. */
   void apply(Machine machine, Heartbeat heartbeat) {
-    if (!heartbeat.noticed()) {
+    if (!heartbeat.hasPreemptionNotice()) {
       return;
     }
     long now = context.loop().nowMicros();
@@ -33,10 +33,10 @@
         NEXT_HEARTBEAT_INTERVALS * context.platform().workers().heartbeatMicros() / 1e6
             + ANSWER_DELIVERY_S;
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over() && attempt.job().spec().checkpoints()) {
+      if (!attempt.over() && attempt.job().spec().savesCheckpoints()) {
         double saveS = attempt.job().spec().checkpointS();
         if (heartbeat.preemptionNoticeS() <= saveS + untilNextAnswerS + NOTICE_MARGIN_S) {
-          attempt.stop(saveS + GRACE_MARGIN_S, now);
+          attempt.requestStop(saveS + GRACE_MARGIN_S, now);
         }
       }
     }
--- a/src/main/java/plumlever/leader/SchedulingPasses.java
+++ b/src/main/java/plumlever/leader/SchedulingPasses.java
@@ -46,7 +46,7 @@
     if (!requested || !context.term().mayAct()) {
       return MIN_PAUSE_MICROS;
     }
-    if (fleet.numbersRunOut()) {
+    if (fleet.attemptNumbersRunOut()) {
       context.resignForNumbers();
       return MIN_PAUSE_MICROS;
     }
@@ -66,8 +66,8 @@
     boolean finished = pass.run();
     long placedMicros = context.loop().nowMicros();
     commands.dispatch(fleet);
-    context.metrics().spent("passes", placedMicros - startedMicros);
-    context.metrics().spent("dispatch", context.loop().nowMicros() - placedMicros);
+    context.metrics().recordWork("passes", placedMicros - startedMicros);
+    context.metrics().recordWork("dispatch", context.loop().nowMicros() - placedMicros);
     return finished;
   }
 }
--- a/src/main/java/plumlever/leader/TermParts.java
+++ b/src/main/java/plumlever/leader/TermParts.java
@@ -2,13 +2,13 @@
 
 import plumlever.concurrent.RecurringTask;
 import plumlever.concurrent.Scope;
-import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
+import plumlever.fleet.RunTimeEstimates;
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.failover.WarmState;
-import plumlever.leader.heartbeat.EarlyHeartbeats;
+import plumlever.leader.heartbeat.DeferredHeartbeats;
 import plumlever.leader.heartbeat.HeartbeatAnswers;
 import plumlever.leader.heartbeat.HeartbeatHandler;
 import plumlever.leader.heartbeat.RenewalDelegation;
@@ -33,7 +33,7 @@
 final class TermParts {
   private final TermContext context;
   private final Fleet fleet;
-  private final Estimates estimates = new Estimates();
+  private final RunTimeEstimates estimates = new RunTimeEstimates();
   private final StartedJobIndex startedJobs;
   private final ActiveJobs jobs;
   private final Failover failover;
@@ -51,7 +51,7 @@
   private final HeartbeatResponder responder;
 
   /** The parts of the term, which do nothing until they are started. */
-  TermParts(TermContext context, EarlyHeartbeats early) {
+  TermParts(TermContext context, DeferredHeartbeats early) {
     this.context = context;
     this.fleet = new Fleet(context.term().number());
     this.startedJobs = new StartedJobIndex(context, this::startedJobsRecorded);
@@ -62,7 +62,7 @@
         new HeartbeatHandler(context, fleet, jobs, estimates, failover, progress, this::sharing);
     TaskStarter starter = new TaskStarter(context, fleet, jobs, failover);
     this.pass = new SchedulingPass(context, fleet, jobs, startedJobs, estimates, failover);
-    jobs.costs(pass::costMicros);
+    jobs.useTaskCosts(pass::costMicros);
     RenewalDelegation delegation = new RenewalDelegation(context, fleet);
     this.commands =
         new CommandSender(context, jobs, pass, heartbeats, starter, delegation, this::requestPass);
@@ -109,7 +109,7 @@
         this::requestPass);
   }
 
-  private HeartbeatResponder createResponder(EarlyHeartbeats early, TaskStarter starter) {
+  private HeartbeatResponder createResponder(DeferredHeartbeats early, TaskStarter starter) {
     HeartbeatAnswers answers = new HeartbeatAnswers(context, jobs, sharing);
     return new HeartbeatResponder(
         context,
@@ -149,15 +149,15 @@
 
   /** Takes what earlier leaders left. */
   void load(RecoveryRead found) {
-    registry.load(found.under(JobStore.FLEET).items(), fleet);
-    warmState.load(found.under(JobStore.WARM_STATE).items());
+    registry.load(found.listing(JobStore.FLEET).items(), fleet);
+    warmState.load(found.listing(JobStore.WARM_STATE).items());
     jobs.load(found);
     if (sharing.inPool()) {
-      sharing.poolRecordsRead(found.under(PoolView.PREFIX), found.askedMicros());
+      sharing.poolRecordsRead(found.listing(PoolView.PREFIX), found.jobsReadSentMicros());
     }
     responder.recordsLoaded();
-    failover.loaded();
-    progress.loaded();
+    failover.machinesLoaded();
+    progress.takeOverStoredProgress();
   }
 
   /** An earlier leader may have stored the last task of a job, but not its end. */
@@ -181,19 +181,19 @@
     scope.own(commands::close);
     scope.own(registry::close);
     scope.own(lists::close);
-    startTask(scope, "machine records", registry::tidy);
-    startTask(scope, "started jobs", startedJobs::tidy);
+    startTask(scope, "machine records", registry::compact);
+    startTask(scope, "started jobs", startedJobs::cleanUp);
     startTask(scope, "progress", progress::write);
-    startTask(scope, "machines", machines::turn);
+    startTask(scope, "machines", machines::runOnce);
     startTask(scope, "warm state", warmState::write);
     startTask(scope, "token raise", tokenRaiser::run);
     scope
         .own(new RecurringTask("dependency lists", context.loop(), lists::run))
-        .wakeIn(DependencyListCleanup.EVERY_MICROS);
+        .runAfter(DependencyListCleanup.INTERVAL_MICROS);
     startTask(scope, "scheduling passes", passes::run);
   }
 
-  private void startTask(Scope scope, String name, RecurringTask.Turn turn) {
+  private void startTask(Scope scope, String name, RecurringTask.Action turn) {
     scope.own(new RecurringTask(name, context.loop(), turn)).start();
   }
 }
--- a/src/main/java/plumlever/leader/TokenRaiser.java
+++ b/src/main/java/plumlever/leader/TokenRaiser.java
@@ -30,27 +30,28 @@
     long startedMicros = context.loop().nowMicros();
     if (context.term().mayAct()) {
       raiseOnUnaccounted();
-      if (failover.complete()) {
+      if (failover.isComplete()) {
         raiseOnUnreachable();
       }
     }
-    context.metrics().spent("token_raise", context.loop().nowMicros() - startedMicros);
-    return failover.complete() ? UNREACHABLE_INTERVAL_MICROS : FAILOVER_INTERVAL_MICROS;
+    context.metrics().recordWork("token_raise", context.loop().nowMicros() - startedMicros);
+    return failover.isComplete() ? UNREACHABLE_INTERVAL_MICROS : FAILOVER_INTERVAL_MICROS;
   }
 
   private void raiseOnUnaccounted() {
     long now = context.loop().nowMicros();
     // Those that did not answer come last: dozens behind a cut would else be called again and
     // again, and nobody else.
-    List<Machine> unaccounted = new ArrayList<>(failover.open());
-    unaccounted.sort(Comparator.comparingInt(machine -> machine.contact().failedCalls()));
+    List<Machine> unaccounted = new ArrayList<>(failover.unaccounted());
+    unaccounted.sort(
+        Comparator.comparingInt(machine -> machine.contact().consecutiveFailedCalls()));
     int maxCalls = maxCalls();
     for (Machine machine : unaccounted) {
-      if (commands.raises() >= maxCalls) {
+      if (commands.tokenRaisesInFlight() >= maxCalls) {
         break;
       }
       if (!showsTokenSoon(machine, now)) {
-        commands.raise(machine);
+        commands.raiseToken(machine);
       }
     }
   }
@@ -66,14 +67,14 @@
   }
 
   private static boolean showsTokenSoon(Machine machine, long now) {
-    long lastAnswer = machine.contact().lastAnswerMicros();
+    long lastAnswer = machine.contact().lastRenewalMicros();
     return lastAnswer >= 0 && now - lastAnswer <= ANSWER_SHOWS_TOKEN_MICROS;
   }
 
   private void raiseOnUnreachable() {
     for (Machine machine : fleet.machines()) {
       if (machine.contact().unreachable()) {
-        commands.raise(machine);
+        commands.raiseToken(machine);
       }
     }
   }
--- a/src/main/java/plumlever/leader/failover/WarmStateCodec.java
+++ b/src/main/java/plumlever/leader/failover/WarmStateCodec.java
@@ -9,9 +9,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import plumlever.fleet.Estimates;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
+import plumlever.fleet.RunTimeEstimates;
 import plumlever.wire.Json;
 
 /**
@@ -34,9 +34,9 @@
   private static final double GB_STEPS = 1_000;
 
   private final Fleet fleet;
-  private final Estimates estimates;
+  private final RunTimeEstimates estimates;
 
-  WarmStateCodec(Fleet fleet, Estimates estimates) {
+  WarmStateCodec(Fleet fleet, RunTimeEstimates estimates) {
     this.fleet = fleet;
     this.estimates = estimates;
   }
@@ -58,13 +58,13 @@
     value
         .path(RATIOS)
         .properties()
-        .forEach(entry -> estimates.suggest(entry.getKey(), entry.getValue().asDouble(1)));
+        .forEach(entry -> estimates.adoptRatio(entry.getKey(), entry.getValue().asDouble(1)));
   }
 
   private static void readImage(Machine machine, List<JsonNode> images, int index) {
     if (index >= 0 && index < images.size()) {
       JsonNode image = images.get(index);
-      machine.images().isReady(image.path(0).asText(), image.path(1).asDouble());
+      machine.images().markReady(image.path(0).asText(), image.path(1).asDouble());
     }
   }
 
@@ -75,7 +75,7 @@
     parts.add(part);
     part.putRatios(estimates.ratios());
     for (Machine machine : fleet.machines()) {
-      Map<String, Double> ready = machine.images().ready();
+      Map<String, Double> ready = machine.images().readyImages();
       if (!ready.isEmpty() && !part.add(machine, ready, maxBytes)) {
         part = new Part();
         parts.add(part);
--- a/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
@@ -6,7 +6,7 @@
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.wire.Heartbeat;
 
@@ -15,14 +15,14 @@
  * the attempt, a later incarnation of the worker, or a refused command; nothing else.
  */
 final class AbsentAttempts {
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final Failover failover;
   private final AttemptLog attemptLog;
   private final PlacementChange placementChange;
 
   AbsentAttempts(
-      Context context,
+      TermContext context,
       Fleet fleet,
       Failover failover,
       AttemptLog attemptLog,
@@ -69,9 +69,9 @@
    * higher token.
    */
   private static boolean provesAbsence(Heartbeat heartbeat, boolean own, Attempt attempt) {
-    return attempt.directToken() >= 0
-        ? heartbeat.fencingToken() > attempt.directToken() || attempt.state() != null
-        : own && attempt.sentSequenceNumber() < heartbeat.sequenceNumber();
+    return attempt.directCommandToken() >= 0
+        ? heartbeat.fencingToken() > attempt.directCommandToken() || attempt.state() != null
+        : own && attempt.answeredSequenceNumber() < heartbeat.sequenceNumber();
   }
 
   private void endUnlisted(Attempt attempt, Heartbeat heartbeat) {
@@ -80,7 +80,7 @@
       context.metrics().count(attempt.state() == null ? "starts_lost" : "attempts_vanished");
       attemptLog.absent(attempt, heartbeat);
     }
-    fleet.forget(attempt);
+    fleet.removeAttempt(attempt);
   }
 
   /**
@@ -92,14 +92,14 @@
       if (!attempt.over() && attempt.state() == null) {
         placementChange.mark();
         context.metrics().count("starts_refused");
-        fleet.forget(attempt);
+        fleet.removeAttempt(attempt);
       }
     }
   }
 
   /** Ends the attempts of earlier incarnations: a worker that starts a new one has killed them. */
   void endIncarnationsBefore(Machine machine, long incarnation) {
-    if (fleet.away(machine.id()) != machine) {
+    if (fleet.transferredMachine(machine.id()) != machine) {
       failover.setUntrackedTasks(machine, 0);
     }
     List<Attempt> ended = new ArrayList<>();
@@ -113,7 +113,7 @@
         placementChange.mark();
         context.metrics().count("attempts_lost");
       }
-      fleet.forget(attempt);
+      fleet.removeAttempt(attempt);
     }
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
+++ b/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
@@ -2,7 +2,7 @@
 
 import org.slf4j.Logger;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.wire.Heartbeat;
 
 /**
@@ -11,10 +11,10 @@
  */
 final class AnswerDelivery {
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final PlacementChange placementChange;
 
-  AnswerDelivery(Context context, PlacementChange placementChange) {
+  AnswerDelivery(TermContext context, PlacementChange placementChange) {
     this.context = context;
     this.log = context.logs().of(AnswerDelivery.class);
     this.placementChange = placementChange;
@@ -28,14 +28,14 @@
    */
   void evaluate(Machine machine, Heartbeat heartbeat, boolean contentLost) {
     boolean wasUnreachable = machine.contact().unreachable();
-    if (machine.tokens().lastAnswered() > heartbeat.fencingToken()) {
-      machine.contact().answerLost();
+    if (machine.tokens().lastRenewal() > heartbeat.fencingToken()) {
+      machine.contact().recordLostAnswer();
     } else if (contentLost) {
-      machine.contact().answerLost();
+      machine.contact().recordLostAnswer();
       // The token in the next heartbeat shows whether the next answer arrived.
       machine.tokens().raise(machine.tokens().current() + 1);
     } else {
-      machine.contact().answerDelivered();
+      machine.contact().recordDeliveredAnswer();
     }
     if (machine.contact().unreachable() != wasUnreachable) {
       reachabilityChanged(machine, wasUnreachable);
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -1,35 +1,160 @@
-package plumlever . leader . heartbeat ; 
+package plumlever.leader.heartbeat;
 
-import org . slf4j . Logger ; import plumlever . fleet . Attempt ; import plumlever . fleet . Fleet ; import plumlever . fleet . Job ; import plumlever . fleet . Machine ; import plumlever . fleet . RunTimeEstimates ; import plumlever . leader . context . TermContext ; import plumlever . leader . progress . ProgressWriter ; import plumlever . wire . AttemptState ; import plumlever . wire . ExitCause ; import plumlever . wire . Heartbeat ; 
+import org.slf4j.Logger;
+import plumlever.fleet.Attempt;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Job;
+import plumlever.fleet.Machine;
+import plumlever.fleet.RunTimeEstimates;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.progress.ProgressWriter;
+import plumlever.wire.AttemptState;
+import plumlever.wire.ExitCause;
+import plumlever.wire.Heartbeat;
 
-/** Applies the reported state of attempts that this leader tracks. */ 
-final class AttemptUpdates { private static final double MICROS_PER_SECOND = 1e6 ; 
+/** Applies the reported state of attempts that this leader tracks. */
+final class AttemptUpdates {
+  private static final double MICROS_PER_SECOND = 1e6;
 
-private final Logger log ; private final TermContext context ; private final Fleet fleet ; private final RunTimeEstimates estimates ; private final ProgressWriter progress ; private final AttemptLog attemptLog ; private final PlacementChange placementChange ; 
+  private final Logger log;
+  private final TermContext context;
+  private final Fleet fleet;
+  private final RunTimeEstimates estimates;
+  private final ProgressWriter progress;
+  private final AttemptLog attemptLog;
+  private final PlacementChange placementChange;
 
-AttemptUpdates ( TermContext context , Fleet fleet , RunTimeEstimates estimates , ProgressWriter progress , AttemptLog attemptLog , PlacementChange placementChange ) { this . context = context ; this . log = context . logs ( ) . of ( AttemptUpdates . class ) ; this . fleet = fleet ; this . estimates = estimates ; this . progress = progress ; this . attemptLog = attemptLog ; this . placementChange = placementChange ; } 
+  AttemptUpdates(
+      TermContext context,
+      Fleet fleet,
+      RunTimeEstimates estimates,
+      ProgressWriter progress,
+      AttemptLog attemptLog,
+      PlacementChange placementChange) {
+    this.context = context;
+    this.log = context.logs().of(AttemptUpdates.class);
+    this.fleet = fleet;
+    this.estimates = estimates;
+    this.progress = progress;
+    this.attemptLog = attemptLog;
+    this.placementChange = placementChange;
+  }
 
-/** Applies the state of an attempt as its machine reports it; one that is over stays over. */ 
-void update ( Attempt attempt , Heartbeat . AttemptStatus reported , long now ) { if ( attempt . over ( ) ) { return ; } boolean started = reported . state ( ) == AttemptState . RUNNING && attempt . state ( ) != AttemptState . RUNNING ; if ( started && ! attempt . job ( ) . hasStarted ( ) ) { context . metrics ( ) . recordDuration ( "first_start" , now - attempt . job ( ) . acceptedMicros ( ) ) ; } attempt . recordState ( reported . state ( ) , now ) ; if ( started ) { started ( attempt , now ) ; } if ( reported . state ( ) == AttemptState . ENDED ) { ended ( attempt , reported . cause ( ) , now ) ; } } 
+  /** Applies the state of an attempt as its machine reports it; one that is over stays over. */
+  void update(Attempt attempt, Heartbeat.AttemptStatus reported, long now) {
+    if (attempt.over()) {
+      return;
+    }
+    boolean started =
+        reported.state() == AttemptState.RUNNING && attempt.state() != AttemptState.RUNNING;
+    if (started && !attempt.job().hasStarted()) {
+      context.metrics().recordDuration("first_start", now - attempt.job().acceptedMicros());
+    }
+    attempt.recordState(reported.state(), now);
+    if (started) {
+      started(attempt, now);
+    }
+    if (reported.state() == AttemptState.ENDED) {
+      ended(attempt, reported.cause(), now);
+    }
+  }
 
-private void started ( Attempt attempt , long now ) { Job job = attempt . job ( ) ; attempt . machine ( ) . images ( ) . isReady ( job . spec ( ) . image ( ) , job . spec ( ) . imageGb ( ) ) ; context . metrics ( ) . recordDuration ( "start" , now - job . acceptedMicros ( ) ) ; if ( ! attempt . adopted ( ) ) { 
-// Capacity that is occupied while the task waits for its image. 
-countCoreMillis ( "core_ms_fetching" , job , now - attempt . sentMicros ( ) ) ; } attemptLog . running ( attempt ) ; } 
+  private void started(Attempt attempt, long now) {
+    Job job = attempt.job();
+    attempt.machine().images().markReady(job.spec().image(), job.spec().imageGb());
+    context.metrics().recordDuration("start", now - job.acceptedMicros());
+    if (!attempt.adopted()) {
+      // Capacity that is occupied while the task waits for its image.
+      countCoreMillis("core_ms_fetching", job, now - attempt.sentMicros());
+    }
+    attemptLog.running(attempt);
+  }
 
-private void countCoreMillis ( String counter , Job job , long micros ) { context . metrics ( ) . count ( counter , ( long ) ( job . spec ( ) . cores ( ) * micros / 1_000 ) ) ; } 
+  private void countCoreMillis(String counter, Job job, long micros) {
+    context.metrics().count(counter, (long) (job.spec().cores() * micros / 1_000));
+  }
 
-private void ended ( Attempt attempt , ExitCause cause , long now ) { placementChange . mark ( ) ; fleet . end ( attempt , cause ) ; switch ( cause ) { case DONE -> completed ( attempt , now ) ; case ERROR , NO_SUCH -> failed ( attempt , cause , now ) ; case STOPPED -> stopped ( attempt ) ; default -> { context . metrics ( ) . count ( "tasks_refused" ) ; log . info ( "{} was refused by {}: {}" , attempt . name ( ) . wireName ( ) , attempt . machine ( ) . id ( ) , cause ) ; } } } 
+  private void ended(Attempt attempt, ExitCause cause, long now) {
+    placementChange.mark();
+    fleet.endAttempt(attempt, cause);
+    switch (cause) {
+      case DONE -> completed(attempt, now);
+      case ERROR, NO_SUCH -> failed(attempt, cause, now);
+      case STOPPED -> stopped(attempt);
+      default -> {
+        context.metrics().count("tasks_refused");
+        log.info(
+            "{} was refused by {}: {}", attempt.name().wireName(), attempt.machine().id(), cause);
+      }
+    }
+  }
 
-private void completed ( Attempt attempt , long now ) { attempt . job ( ) . recordSuccess ( ) ; attempt . machine ( ) . health ( ) . recordSuccess ( ) ; if ( attempt . runningSinceMicros ( ) >= 0 ) { countCoreMillis ( "core_ms_running" , attempt . job ( ) , now - attempt . runningSinceMicros ( ) ) ; } observeRunTime ( attempt , now ) ; attemptLog . done ( attempt ) ; taskDone ( attempt . job ( ) , attempt . task ( ) ) ; } 
+  private void completed(Attempt attempt, long now) {
+    attempt.job().recordSuccess();
+    attempt.machine().health().recordSuccess();
+    if (attempt.runningSinceMicros() >= 0) {
+      countCoreMillis("core_ms_running", attempt.job(), now - attempt.runningSinceMicros());
+    }
+    observeRunTime(attempt, now);
+    attemptLog.done(attempt);
+    taskDone(attempt.job(), attempt.task());
+  }
 
-private void failed ( Attempt attempt , ExitCause cause , long now ) { Job job = attempt . job ( ) ; Machine machine = attempt . machine ( ) ; job . recordError ( now ) ; context . metrics ( ) . count ( "task_errors" ) ; log . info ( "{} ended with {} on {}" , attempt . name ( ) . wireName ( ) , cause , machine . id ( ) ) ; if ( cause == ExitCause . ERROR && machine . health ( ) . recordError ( job . uid ( ) ) ) { log . warn ( "{} fails the tasks of several jobs and is drained" , machine . id ( ) ) ; machine . drain ( ) ; } } 
+  private void failed(Attempt attempt, ExitCause cause, long now) {
+    Job job = attempt.job();
+    Machine machine = attempt.machine();
+    job.recordError(now);
+    context.metrics().count("task_errors");
+    log.info("{} ended with {} on {}", attempt.name().wireName(), cause, machine.id());
+    if (cause == ExitCause.ERROR && machine.health().recordError(job.uid())) {
+      log.warn("{} fails the tasks of several jobs and is drained", machine.id());
+      machine.drain();
+    }
+  }
 
-private void stopped ( Attempt attempt ) { context . metrics ( ) . count ( "tasks_stopped" ) ; String image = attempt . job ( ) . spec ( ) . image ( ) ; if ( attempt . runningSinceMicros ( ) < 0 && ! needsImage ( attempt . machine ( ) , image ) ) { attempt . machine ( ) . images ( ) . dropFetch ( image ) ; } } 
+  private void stopped(Attempt attempt) {
+    context.metrics().count("tasks_stopped");
+    String image = attempt.job().spec().image();
+    if (attempt.runningSinceMicros() < 0 && !needsImage(attempt.machine(), image)) {
+      attempt.machine().images().cancelFetch(image);
+    }
+  }
 
-private static boolean needsImage ( Machine machine , String image ) { for ( Attempt attempt : machine . load ( ) . attempts ( ) ) { if ( ! attempt . over ( ) && attempt . job ( ) . spec ( ) . image ( ) . equals ( image ) ) { return true ; } } return false ; } 
+  private static boolean needsImage(Machine machine, String image) {
+    for (Attempt attempt : machine.load().attempts()) {
+      if (!attempt.over() && attempt.job().spec().image().equals(image)) {
+        return true;
+      }
+    }
+    return false;
+  }
 
-/** Learns the machine's speed and the estimates' error from a run that was observed whole. */ 
-private void observeRunTime ( Attempt attempt , long now ) { if ( attempt . runningSinceMicros ( ) < 0 || attempt . adopted ( ) || attempt . job ( ) . restarted ( attempt . task ( ) ) ) { return ; } double runMicros = now - attempt . runningSinceMicros ( ) ; double expectedMicros = attempt . job ( ) . spec ( ) . expectedRunS ( ) * MICROS_PER_SECOND ; if ( expectedMicros <= 0 || runMicros <= 0 ) { return ; } double plannedMicros = estimates . runMicros ( attempt . job ( ) ) ; attempt . machine ( ) . health ( ) . observeRunTime ( runMicros / plannedMicros ) ; double ratio = runMicros / attempt . machine ( ) . health ( ) . slowness ( ) / expectedMicros ; attempt . job ( ) . observeRunTimeRatio ( ratio ) ; estimates . observeRatio ( attempt . job ( ) . spec ( ) . jobClass ( ) , ratio ) ; } 
+  /** Learns the machine's speed and the estimates' error from a run that was observed whole. */
+  private void observeRunTime(Attempt attempt, long now) {
+    if (attempt.runningSinceMicros() < 0
+        || attempt.adopted()
+        || attempt.job().restarted(attempt.task())) {
+      return;
+    }
+    double runMicros = now - attempt.runningSinceMicros();
+    double expectedMicros = attempt.job().spec().expectedRunS() * MICROS_PER_SECOND;
+    if (expectedMicros <= 0 || runMicros <= 0) {
+      return;
+    }
+    double plannedMicros = estimates.runMicros(attempt.job());
+    attempt.machine().health().observeRunTime(runMicros / plannedMicros);
+    double ratio = runMicros / attempt.machine().health().slowness() / expectedMicros;
+    attempt.job().observeRunTimeRatio(ratio);
+    estimates.observeRatio(attempt.job().spec().jobClass(), ratio);
+  }
 
-/** The task has completed, wherever it ran; has that stored if it is not known yet. */ 
-void taskDone ( Job job , int task ) { if ( job . over ( ) || job . completedTasks ( ) . get ( task ) ) { return ; } job . markCompleted ( task ) ; context . metrics ( ) . count ( "tasks_done" ) ; progress . taskDone ( job , task ) ; } } 
+  /** The task has completed, wherever it ran; has that stored if it is not known yet. */
+  void taskDone(Job job, int task) {
+    if (job.over() || job.completedTasks().get(task)) {
+      return;
+    }
+    job.markCompleted(task);
+    context.metrics().count("tasks_done");
+    progress.taskDone(job, task);
+  }
+}
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -84,10 +84,10 @@
 
   /** Refuses all deferred heartbeats: this controller no longer leads. */
   public void close() {
-    release((heartbeat, out) -> out.later(HttpStatus.UNAVAILABLE, "not in office", 1));
+    release((heartbeat, out) -> out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1));
   }
 
   private static void refuse(Deferred deferred) {
-    deferred.out.later(HttpStatus.UNAVAILABLE, "which jobs have ended is not known yet", 1);
+    deferred.out.retryLater(HttpStatus.UNAVAILABLE, "which jobs have ended is not known yet", 1);
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -1,37 +1,118 @@
-package plumlever . leader . heartbeat ; 
+package plumlever.leader.heartbeat;
 
-import java . util . List ; import java . util . Optional ; import org . slf4j . Logger ; import plumlever . fleet . Fleet ; import plumlever . fleet . Machine ; import plumlever . http . Responder ; import plumlever . leader . context . MachineSharing ; import plumlever . leader . context . TermContext ; import plumlever . leader . job . ActiveJobs ; import plumlever . lease . LeaderEvidence ; import plumlever . lease . LeaseRenewal ; import plumlever . lease . RenewalDecision ; import plumlever . lease . RenewalLimit ; import plumlever . lease . RenewalRefusal ; import plumlever . lease . UnansweredCommands ; import plumlever . metrics . LogBudget ; import plumlever . wire . Heartbeat ; import plumlever . wire . HttpStatus ; import plumlever . wire . WorkerCommand ; 
+import java.util.List;
+import java.util.Optional;
+import org.slf4j.Logger;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.http.Responder;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.lease.LeaderEvidence;
+import plumlever.lease.LeaseRenewal;
+import plumlever.lease.RenewalDecision;
+import plumlever.lease.RenewalLimit;
+import plumlever.lease.RenewalRefusal;
+import plumlever.lease.UnansweredCommands;
+import plumlever.metrics.LogBudget;
+import plumlever.wire.Heartbeat;
+import plumlever.wire.HttpStatus;
+import plumlever.wire.WorkerCommand;
 
-/** 
-* Sends the leader's answers to heartbeats: renews the worker's lease, or refuses to, by the 
-* evidence that there is at the time of the answer. 
-*/ 
-public final class HeartbeatAnswers { private static final int MAX_LINES_PER_SECOND = 20 ; 
+/**
+ * Sends the leader's answers to heartbeats: renews the worker's lease, or refuses to, by the
+ * evidence that there is at the time of the answer.
+ */
+public final class HeartbeatAnswers {
+  private static final int MAX_LINES_PER_SECOND = 20;
 
-private final TermContext context ; private final ActiveJobs jobs ; private final MachineSharing sharing ; private final LeaseRenewal renewal ; private final Logger log ; private final LogBudget logBudget ; 
+  private final TermContext context;
+  private final ActiveJobs jobs;
+  private final MachineSharing sharing;
+  private final LeaseRenewal renewal;
+  private final Logger log;
+  private final LogBudget logBudget;
 
-/** Takes the evidence from these jobs and this view of a pool. */ 
-public HeartbeatAnswers ( TermContext context , ActiveJobs jobs , MachineSharing sharing ) { this . context = context ; this . jobs = jobs ; this . sharing = sharing ; this . renewal = new LeaseRenewal ( new RenewalLimit ( context . platform ( ) . workers ( ) ) ) ; this . log = context . logs ( ) . of ( HeartbeatAnswers . class ) ; this . logBudget = new LogBudget ( log , MAX_LINES_PER_SECOND ) ; } 
+  /** Takes the evidence from these jobs and this view of a pool. */
+  public HeartbeatAnswers(TermContext context, ActiveJobs jobs, MachineSharing sharing) {
+    this.context = context;
+    this.jobs = jobs;
+    this.sharing = sharing;
+    this.renewal = new LeaseRenewal(new RenewalLimit(context.platform().workers()));
+    this.log = context.logs().of(HeartbeatAnswers.class);
+    this.logBudget = new LogBudget(log, MAX_LINES_PER_SECOND);
+  }
 
-/** Why the machine's lease may not be renewed now; empty if it may. */ 
-public Optional < RenewalRefusal > refusal ( Machine machine , boolean holdsOpenTasks ) { return renewal . refusal ( evidence ( machine , holdsOpenTasks ) , context . loop ( ) . nowMicros ( ) ) ; } 
+  /** Why the machine's lease may not be renewed now; empty if it may. */
+  public Optional<RenewalRefusal> refusal(Machine machine, boolean holdsOpenTasks) {
+    return renewal.refusal(evidence(machine, holdsOpenTasks), context.loop().nowMicros());
+  }
 
-/** 
-* Renews the lease with these commands if it may still be renewed, and refuses it otherwise. 
-* 
-* @return true if it was renewed 
-*/ 
-public boolean renew ( Machine machine , Heartbeat heartbeat , boolean holdsOpenTasks , List < WorkerCommand > commands , Responder out ) { return renew ( heartbeat , evidence ( machine , holdsOpenTasks ) , commands , out ) ; } 
+  /**
+   * Renews the lease with these commands if it may still be renewed, and refuses it otherwise.
+   *
+   * @return true if it was renewed
+   */
+  public boolean renew(
+      Machine machine,
+      Heartbeat heartbeat,
+      boolean holdsOpenTasks,
+      List<WorkerCommand> commands,
+      Responder out) {
+    return renew(heartbeat, evidence(machine, holdsOpenTasks), commands, out);
+  }
 
-/** 
-* Renews the lease of a machine without tasks before the jobs are known: nothing runs there that 
-* could have been cancelled, and the term's token voids what a former leader has sent. 
-*/ 
-public void renewIdle ( Heartbeat heartbeat , Responder out ) { LeaderEvidence evidence = LeaderEvidence . ofIdleMachine ( context . term ( ) :: mayAct , Fleet . firstToken ( context . term ( ) . number ( ) ) ) ; renew ( heartbeat , evidence , List . of ( ) , out ) ; } 
+  /**
+   * Renews the lease of a machine without tasks before the jobs are known: nothing runs there that
+   * could have been cancelled, and the term's token voids what a former leader has sent.
+   */
+  public void renewIdle(Heartbeat heartbeat, Responder out) {
+    LeaderEvidence evidence =
+        LeaderEvidence.ofIdleMachine(
+            context.term()::mayAct, Fleet.firstToken(context.term().number()));
+    renew(heartbeat, evidence, List.of(), out);
+  }
 
-private LeaderEvidence evidence ( Machine machine , boolean holdsOpenTasks ) { UnansweredCommands unanswered = machine . load ( ) . hasUnconfirmedStart ( ) ? UnansweredCommands . sentAfter ( machine . tokens ( ) . endsKnownAtLastCommandMicros ( ) ) : UnansweredCommands . NONE ; return new LeaderEvidence ( context . term ( ) :: mayAct , machine . tokens ( ) . current ( ) , holdsOpenTasks , jobs . endsKnownMicros ( ) , unanswered , sharing . guestEvidence ( machine ) ) ; } 
+  private LeaderEvidence evidence(Machine machine, boolean holdsOpenTasks) {
+    UnansweredCommands unanswered =
+        machine.load().hasUnconfirmedStart()
+            ? UnansweredCommands.sentAfter(machine.tokens().endsKnownAtLastCommandMicros())
+            : UnansweredCommands.NONE;
+    return new LeaderEvidence(
+        context.term()::mayAct,
+        machine.tokens().current(),
+        holdsOpenTasks,
+        jobs.endsKnownMicros(),
+        unanswered,
+        sharing.guestEvidence(machine));
+  }
 
-private boolean renew ( Heartbeat heartbeat , LeaderEvidence evidence , List < WorkerCommand > commands , Responder out ) { RenewalDecision decision = renewal . answer ( evidence , commands , context . loop ( ) . nowMicros ( ) ) ; if ( decision instanceof RenewalDecision . Renewed renewed ) { out . send ( HttpStatus . OK , renewed . body ( ) ) ; return true ; } refuse ( heartbeat , ( ( RenewalDecision . Refused ) decision ) . refusal ( ) , out ) ; return false ; } 
+  private boolean renew(
+      Heartbeat heartbeat, LeaderEvidence evidence, List<WorkerCommand> commands, Responder out) {
+    RenewalDecision decision = renewal.answer(evidence, commands, context.loop().nowMicros());
+    if (decision instanceof RenewalDecision.Renewed renewed) {
+      out.send(HttpStatus.OK, renewed.body());
+      return true;
+    }
+    refuse(heartbeat, ((RenewalDecision.Refused) decision).refusal(), out);
+    return false;
+  }
 
-/** Answers without renewing the lease. */ 
-public void refuse ( Heartbeat heartbeat , RenewalRefusal refusal , Responder out ) { context . metrics ( ) . count ( "renewals_refused" ) ; context . metrics ( ) . count ( refusal . counter ( ) ) ; long now = context . loop ( ) . nowMicros ( ) ; if ( logBudget . allowsDebug ( now ) ) { log . debug ( "the lease of {} incarnation {} is not renewed, token {}: {}, ended jobs as of {} ms ago" , heartbeat . machineId ( ) , heartbeat . incarnation ( ) , heartbeat . fencingToken ( ) , refusal . reason ( ) , ( now - jobs . endsKnownMicros ( ) ) / 1_000 ) ; } out . retryLater ( HttpStatus . UNAVAILABLE , refusal . reason ( ) , 1 ) ; } } 
+  /** Answers without renewing the lease. */
+  public void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
+    context.metrics().count("renewals_refused");
+    context.metrics().count(refusal.counter());
+    long now = context.loop().nowMicros();
+    if (logBudget.allowsDebug(now)) {
+      log.debug(
+          "the lease of {} incarnation {} is not renewed, token {}: {}, ended jobs as of {} ms ago",
+          heartbeat.machineId(),
+          heartbeat.incarnation(),
+          heartbeat.fencingToken(),
+          refusal.reason(),
+          (now - jobs.endsKnownMicros()) / 1_000);
+    }
+    out.retryLater(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
+  }
+}
--- a/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
+++ b/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
@@ -6,8 +6,8 @@
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
@@ -19,13 +19,16 @@
  * of tasks that must not run on, and removals of exited attempts that have been handled.
  */
 final class StopAndRemoveCommands {
-  private final Context context;
+  private final TermContext context;
   private final ActiveJobs jobs;
   private final Supplier<MachineSharing> sharing;
   private final AttemptLog attemptLog;
 
   StopAndRemoveCommands(
-      Context context, ActiveJobs jobs, Supplier<MachineSharing> sharing, AttemptLog attemptLog) {
+      TermContext context,
+      ActiveJobs jobs,
+      Supplier<MachineSharing> sharing,
+      AttemptLog attemptLog) {
     this.context = context;
     this.jobs = jobs;
     this.sharing = sharing;
@@ -56,26 +59,26 @@
    * @return true if no direct command can be executed any more once the answer has arrived
    */
   private static boolean voidDirectCommands(Machine machine) {
-    if (machine.tokens().directCommandOpen() && !machine.contact().commandInFlight()) {
+    if (machine.tokens().hasUnvoidedCommand() && !machine.contact().commandInFlight()) {
       machine.tokens().voidDirectCommands();
     }
-    return !machine.tokens().directCommandOpen();
+    return !machine.tokens().hasUnvoidedCommand();
   }
 
   /** True if the worker has reported how the attempt ended and its result is not needed there. */
   private static boolean isHandled(Attempt attempt) {
-    return attempt.cause() != null
-        && (attempt.cause() != ExitCause.DONE
+    return attempt.exitCause() != null
+        && (attempt.exitCause() != ExitCause.DONE
             || attempt.job().over()
-            || attempt.job().stored().get(attempt.task()));
+            || attempt.job().storedTasks().get(attempt.task()));
   }
 
   private void addStop(Attempt attempt, long now, List<WorkerCommand> commands) {
     if (attempt.job().over()
         || attempt.job().cancellationConfirmed()
-        || attempt.job().done().get(attempt.task())) {
+        || attempt.job().completedTasks().get(attempt.task())) {
       attemptLog.stopped(attempt);
-      attempt.stop(0, now);
+      attempt.requestStop(0, now);
     }
     if (attempt.stopping()) {
       commands.add(WorkerCommand.stop(attempt.name(), attempt.id(), attempt.gracePeriodS()));
@@ -85,7 +88,7 @@
   /** Attempts that the heartbeat lists and this leader does not track. */
   private void addForUnknownAttempts(
       Machine machine, Heartbeat heartbeat, boolean mayRemove, List<WorkerCommand> commands) {
-    boolean currentTerm = machine.tokens().areOfTermOf(heartbeat.fencingToken());
+    boolean currentTerm = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       if (machine.load().attempt(reported.attempt()) != null
           || sharing.get().isGuest(machine, reported.attempt())) {
@@ -113,6 +116,6 @@
   private static boolean isHandled(Job job, Heartbeat.AttemptStatus reported) {
     return job == null
         || reported.cause() != ExitCause.DONE
-        || job.stored().get(reported.task().number());
+        || job.storedTasks().get(reported.task().number());
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
@@ -5,7 +5,7 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
@@ -15,14 +15,14 @@
 /** Handles reported attempts that this leader did not start on the machine that reports them. */
 final class UnknownAttempts {
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final ActiveJobs jobs;
   private final AttemptUpdates updates;
   private final PlacementChange placementChange;
 
   UnknownAttempts(
-      Context context,
+      TermContext context,
       Fleet fleet,
       ActiveJobs jobs,
       AttemptUpdates updates,
@@ -65,7 +65,7 @@
   private void completed(Job job, int task, long now) {
     Attempt live = job.liveAttempt(task);
     if (live != null) {
-      live.stop(0, now);
+      live.requestStop(0, now);
     }
     updates.taskDone(job, task);
     placementChange.mark();
@@ -78,15 +78,16 @@
   private boolean mayAdopt(Machine machine, Job job, Heartbeat.AttemptStatus reported) {
     int task = reported.task().number();
     return !machine.accounted()
-        && fleet.ofEarlierTerm(reported.attempt())
+        && fleet.isOfEarlierTerm(reported.attempt())
         && job.inherited()
-        && !job.done().get(task)
+        && !job.completedTasks().get(task)
         && job.liveAttempt(task) == null;
   }
 
   private void adopt(Machine machine, Job job, Heartbeat.AttemptStatus reported, long now) {
-    Attempt attempt = fleet.adopt(job, reported.task().number(), reported.attempt(), machine, now);
-    attempt.observed(reported.state(), now);
+    Attempt attempt =
+        fleet.adoptAttempt(job, reported.task().number(), reported.attempt(), machine, now);
+    attempt.recordState(reported.state(), now);
     updateImages(machine, job, reported.state(), now);
     placementChange.mark();
     context.metrics().count("attempts_adopted");
@@ -94,12 +95,12 @@
 
   private void updateImages(Machine machine, Job job, AttemptState state, long now) {
     if (state == AttemptState.RUNNING) {
-      machine.images().isReady(job.spec().image(), job.spec().imageGb());
+      machine.images().markReady(job.spec().image(), job.spec().imageGb());
       return;
     }
     MachineType machineType = context.prices().machineType(machine.machineType());
     if (machineType != null) {
-      machine.images().use(job.spec().image(), job.spec().imageGb(), machineType, now);
+      machine.images().recordUse(job.spec().image(), job.spec().imageGb(), machineType, now);
     }
   }
 }
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.DependencyGraph;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.JobFinder;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
@@ -25,7 +25,7 @@
   private static final long RETRY_MICROS = 500_000;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Map<String, Job> activeJobs;
   private final Runnable released;
   private final DependentCancellation cancellation;
@@ -50,7 +50,7 @@
    * @param released runs after each release of a job
    */
   DependencyResolver(
-      Context context,
+      TermContext context,
       Map<String, Job> activeJobs,
       DependentCancellation cancellation,
       Runnable released) {
@@ -69,13 +69,13 @@
    */
   void add(Job job, List<String> listKeys) {
     if (!listKeys.isEmpty()) {
-      job.hold();
+      job.blockOnDependencies();
       whenLoaded(() -> readDependencies(job, listKeys, 0, new ArrayList<>()));
     } else if (job.spec().hasDependencies()) {
-      job.hold();
+      job.blockOnDependencies();
       whenLoaded(() -> track(job, job.spec().dependencies()));
     } else if (graph.stateOf(job.uid()) == DependencyGraph.State.UNKNOWN
-        && graph.needed(job.uid())) {
+        && graph.hasLiveDependents(job.uid())) {
       track(job, List.of());
     }
   }
@@ -127,8 +127,8 @@
 
   /** Adds the job to the graph, and looks up those of its dependencies that are not in it yet. */
   private void track(Job job, List<String> dependencies) {
-    List<String> unknown = graph.accepted(job.uid(), job.revision(), dependencies);
-    graph.goal(job.uid(), job.goal(), taskCost.applyAsLong(job));
+    List<String> unknown = graph.addJob(job.uid(), job.revision(), dependencies);
+    graph.setGoal(job.uid(), job.goal(), taskCost.applyAsLong(job));
     for (String name : unknown) {
       Job dependency = activeJobs.get(name);
       if (dependency == null) {
@@ -139,7 +139,7 @@
       // One that is held is tracked with its own dependencies.
     }
     if (!dependencies.isEmpty() && job.waitsForDependencies() && log.isDebugEnabled()) {
-      log.debug("{} depends on {}", job.uid(), graph.waitsFor(job.uid()));
+      log.debug("{} depends on {}", job.uid(), graph.openDependencies(job.uid()));
     }
   }
 
@@ -153,7 +153,7 @@
   }
 
   private void readEnds() {
-    unknownEnds.removeIf(uid -> activeJobs.containsKey(uid) || !graph.needed(uid));
+    unknownEnds.removeIf(uid -> activeJobs.containsKey(uid) || !graph.hasLiveDependents(uid));
     if (closed || unknownEnds.isEmpty()) {
       readingEnds = false;
       return;
@@ -178,7 +178,7 @@
   private void endRead(String uid, JobFinder.Found found) {
     if (found.endState() != null) {
       unknownEnds.remove(uid);
-      graph.ended(uid, found.endState(), found.endedWallMicros());
+      graph.recordEnd(uid, found.endState(), found.endedWallMicros());
     }
   }
 
@@ -192,12 +192,12 @@
     if (graph.stateOf(uid) == DependencyGraph.State.UNKNOWN) {
       return;
     }
-    if (endState.isEmpty() && graph.needed(uid)) {
+    if (endState.isEmpty() && graph.hasLiveDependents(uid)) {
       readEnd(uid);
       return;
     }
     // If no job depends on it, it does not matter how it ended.
-    graph.ended(uid, endState.orElse(JobState.CANCELLED), context.loop().wallMicros());
+    graph.recordEnd(uid, endState.orElse(JobState.CANCELLED), context.loop().wallMicros());
     resolve();
   }
 
@@ -209,7 +209,7 @@
 
   private void releaseJobs() {
     long wallMicros = context.loop().wallMicros();
-    for (String uid : graph.takeReleased()) {
+    for (String uid : graph.drainReleased()) {
       Job job = activeJobs.get(uid);
       if (job != null && job.waitsForDependencies()) {
         long endedWallMicros = graph.releasedMicros(uid);
@@ -223,7 +223,7 @@
   }
 
   private void cancelJobs() {
-    for (String uid : graph.takeCancelled()) {
+    for (String uid : graph.drainCancelled()) {
       Job job = activeJobs.get(uid);
       if (job != null && job.waitsForDependencies() && cancellation.add(job)) {
         log.info("{} is cancelled with its dependency {}", uid, graph.failedDependencyOf(uid));
@@ -247,7 +247,7 @@
       return;
     }
     if (costsToo) {
-      graph.costs(this::taskCostOf);
+      graph.updateDurations(this::taskCostOf);
     }
     graph.propagateGoals(this::applyGoal);
   }
@@ -260,7 +260,7 @@
   private void applyGoal(String uid) {
     Job job = activeJobs.get(uid);
     if (job != null) {
-      job.goal(graph.goal(uid));
+      job.setGoal(graph.effectiveGoal(uid));
     }
   }
 
--- a/src/main/java/plumlever/leader/job/DependentCancellation.java
+++ b/src/main/java/plumlever/leader/job/DependentCancellation.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.JobState;
@@ -18,7 +18,7 @@
 final class DependentCancellation {
   private static final long RETRY_MICROS = 500_000;
 
-  private final Context context;
+  private final TermContext context;
   private final Consumer<String> stored;
   private final Map<String, Job> queue = new LinkedHashMap<>();
   private boolean writing;
@@ -29,7 +29,7 @@
    *
    * @param stored takes the id of each job once its cancellation is stored
    */
-  DependentCancellation(Context context, Consumer<String> stored) {
+  DependentCancellation(TermContext context, Consumer<String> stored) {
     this.context = context;
     this.stored = stored;
   }
@@ -69,7 +69,7 @@
     Transaction transaction =
         context
             .layout()
-            .end(
+            .endJob(
                 job.uid(),
                 job.revision(),
                 JobState.CANCELLED,
--- a/src/main/java/plumlever/leader/job/StoredProgress.java
+++ b/src/main/java/plumlever/leader/job/StoredProgress.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.wire.InvalidMessageException;
@@ -19,14 +19,14 @@
  */
 public final class StoredProgress {
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Map<String, Job> activeJobs;
   private final Map<Job, Integer> sharedChunkNumbers = new HashMap<>();
   private final Map<String, Long> sharedChunkRevisions = new HashMap<>();
   private final Map<Job, Map<String, Long>> chunkRevisions = new HashMap<>();
   private final List<String> orphanedKeys = new ArrayList<>();
 
-  StoredProgress(Context context, Map<String, Job> activeJobs) {
+  StoredProgress(TermContext context, Map<String, Job> activeJobs) {
     this.context = context;
     this.log = context.logs().of(StoredProgress.class);
     this.activeJobs = activeJobs;
@@ -69,7 +69,7 @@
             (uid, done) -> {
               Job job = activeJobs.get(uid);
               if (job != null) {
-                job.stored().or(done);
+                job.storedTasks().or(done);
                 markStoredDone(job);
                 sharedChunkNumbers.put(job, number);
               }
@@ -90,7 +90,9 @@
         .computeIfAbsent(job, j -> new LinkedHashMap<>())
         .put(item.key(), item.revision());
     try {
-      context.layout().readChunk(item.data(), jobAndFirstTask.substring(slash + 1), job.stored());
+      context
+          .layout()
+          .readProgressChunk(item.data(), jobAndFirstTask.substring(slash + 1), job.storedTasks());
       markStoredDone(job);
     } catch (InvalidMessageException e) {
       log.warn("{} can't be read and counts as no progress: {}", item.key(), e.getMessage());
@@ -98,6 +100,6 @@
   }
 
   private static void markStoredDone(Job job) {
-    job.stored().stream().forEach(job::markDone);
+    job.storedTasks().stream().forEach(job::markCompleted);
   }
 }
--- a/src/main/java/plumlever/leader/machine/CloudInventory.java
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -5,8 +5,8 @@
 import java.util.function.Predicate;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.wire.ListedMachine;
 import plumlever.wire.MachineType;
 
@@ -16,7 +16,7 @@
   private static final long LIST_INTERVAL_MICROS = 6_000_000;
   private static final long MACHINE_TYPES_INTERVAL_MICROS = 30_000_000;
 
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final MachineSharing sharing;
   private final Predicate<String> isReturned;
@@ -32,7 +32,7 @@
    * @param changed runs when something changed that placement depends on
    */
   CloudInventory(
-      Context context,
+      TermContext context,
       Fleet fleet,
       MachineSharing sharing,
       Predicate<String> isReturned,
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -1,46 +1,171 @@
-package plumlever . leader . machine ; 
+package plumlever.leader.machine;
 
-import java . util . ArrayList ; import java . util . Comparator ; import java . util . LinkedHashSet ; import java . util . List ; import java . util . Set ; import org . slf4j . Logger ; import plumlever . fleet . Attempt ; import plumlever . fleet . Fleet ; import plumlever . fleet . Machine ; import plumlever . leader . context . TermContext ; import plumlever . leader . failover . Failover ; import plumlever . leader . scheduling . SchedulingPass ; import plumlever . scaling . RentalPlan ; import plumlever . wire . MachineType ; 
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.slf4j.Logger;
+import plumlever.fleet.Attempt;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.scheduling.SchedulingPass;
+import plumlever.scaling.RentalPlan;
+import plumlever.wire.MachineType;
 
-/** 
-* Cordons machines that the service-level objectives can do without, where money matters, and 
-* uncordons them when tasks wait. 
-*/ 
-final class FleetSizing { /** The shortest time that the cloud charges for is used up after this. */ 
-static final long MIN_CHARGE_MICROS = 58_000_000 ; 
+/**
+ * Cordons machines that the service-level objectives can do without, where money matters, and
+ * uncordons them when tasks wait.
+ */
+final class FleetSizing {
+  /** The shortest time that the cloud charges for is used up after this. */
+  static final long MIN_CHARGE_MICROS = 58_000_000;
 
-private static final long INTERVAL_MICROS = 3_000_000 ; 
+  private static final long INTERVAL_MICROS = 3_000_000;
 
-/** Prices per core and hour are compared in steps of this part of one, since spot prices move. */ 
-private static final double PRICE_STEPS = 400 ; 
+  /** Prices per core and hour are compared in steps of this part of one, since spot prices move. */
+  private static final double PRICE_STEPS = 400;
 
-/** At most this part of the machines in use is cordoned at a time. */ 
-private static final int MAX_STEP_DIVISOR = 10 ; 
+  /** At most this part of the machines in use is cordoned at a time. */
+  private static final int MAX_STEP_DIVISOR = 10;
 
-private final Logger log ; private final TermContext context ; private final Fleet fleet ; private final SchedulingPass pass ; private final Failover failover ; private final MachineRentals rentals ; private final Runnable changed ; private int step = 1 ; private long adjustedMicros ; 
+  private final Logger log;
+  private final TermContext context;
+  private final Fleet fleet;
+  private final SchedulingPass pass;
+  private final Failover failover;
+  private final MachineRentals rentals;
+  private final Runnable changed;
+  private int step = 1;
+  private long adjustedMicros;
 
-/** 
-* @param changed runs when something changed that placement depends on 
-*/ 
-FleetSizing ( TermContext context , Fleet fleet , SchedulingPass pass , Failover failover , MachineRentals rentals , Runnable changed ) { this . context = context ; this . log = context . logs ( ) . of ( FleetSizing . class ) ; this . fleet = fleet ; this . pass = pass ; this . failover = failover ; this . rentals = rentals ; this . changed = changed ; } 
+  /**
+   * @param changed runs when something changed that placement depends on
+   */
+  FleetSizing(
+      TermContext context,
+      Fleet fleet,
+      SchedulingPass pass,
+      Failover failover,
+      MachineRentals rentals,
+      Runnable changed) {
+    this.context = context;
+    this.log = context.logs().of(FleetSizing.class);
+    this.fleet = fleet;
+    this.pass = pass;
+    this.failover = failover;
+    this.rentals = rentals;
+    this.changed = changed;
+  }
 
-/** 
-* Keeps no more machines in use than are needed: the most expensive and emptiest are cordoned 
-* while all waiting tasks can do without them, and the cheapest of those uncordoned before any 
-* are rented. 
-*/ 
-void adjust ( long now ) { Set < Machine > cordoned = pass . cordoned ( ) ; cordoned . removeIf ( machine -> fleet . machine ( machine . id ( ) ) != machine ) ; if ( ! pass . demands ( ) . isEmpty ( ) ) { uncordon ( cordoned , now ) ; adjustedMicros = now ; } else if ( now - adjustedMicros >= INTERVAL_MICROS && failover . isComplete ( ) ) { adjustedMicros = now ; cordonMore ( cordoned , now ) ; } } 
+  /**
+   * Keeps no more machines in use than are needed: the most expensive and emptiest are cordoned
+   * while all waiting tasks can do without them, and the cheapest of those uncordoned before any
+   * are rented.
+   */
+  void adjust(long now) {
+    Set<Machine> cordoned = pass.cordoned();
+    cordoned.removeIf(machine -> fleet.machine(machine.id()) != machine);
+    if (!pass.demands().isEmpty()) {
+      uncordon(cordoned, now);
+      adjustedMicros = now;
+    } else if (now - adjustedMicros >= INTERVAL_MICROS && failover.isComplete()) {
+      adjustedMicros = now;
+      cordonMore(cordoned, now);
+    }
+  }
 
-private void cordonMore ( Set < Machine > cordoned , long now ) { List < Machine > candidates = candidates ( cordoned , now ) ; int count = Math . min ( step , candidates . size ( ) ) ; if ( count == 0 ) { return ; } Set < Machine > more = new LinkedHashSet < > ( cordoned ) ; more . addAll ( candidates . subList ( 0 , count ) ) ; if ( pass . canDoWithout ( more ) ) { cordoned . addAll ( more ) ; context . metrics ( ) . count ( "machines_cordoned" , count ) ; log . debug ( "{} more machines are cordoned, the others suffice" , count ) ; step = Math . min ( Math . max ( 1 , candidates . size ( ) / MAX_STEP_DIVISOR ) , step * 2 ) ; } else { step = Math . max ( 1 , step / 2 ) ; } } 
+  private void cordonMore(Set<Machine> cordoned, long now) {
+    List<Machine> candidates = candidates(cordoned, now);
+    int count = Math.min(step, candidates.size());
+    if (count == 0) {
+      return;
+    }
+    Set<Machine> more = new LinkedHashSet<>(cordoned);
+    more.addAll(candidates.subList(0, count));
+    if (pass.canDoWithout(more)) {
+      cordoned.addAll(more);
+      context.metrics().count("machines_cordoned", count);
+      log.debug("{} more machines are cordoned, the others suffice", count);
+      step = Math.min(Math.max(1, candidates.size() / MAX_STEP_DIVISOR), step * 2);
+    } else {
+      step = Math.max(1, step / 2);
+    }
+  }
 
-/** Machines that may be cordoned: the most expensive first, of these the emptiest. */ 
-private List < Machine > candidates ( Set < Machine > cordoned , long now ) { List < Machine > candidates = new ArrayList < > ( ) ; for ( Machine machine : fleet . machines ( ) ) { if ( machine . contact ( ) . hasReported ( ) && ! cordoned . contains ( machine ) && ! machine . returning ( ) && ! machine . draining ( ) && now - machine . knownSinceMicros ( ) > MIN_CHARGE_MICROS ) { candidates . add ( machine ) ; } } candidates . sort ( Comparator . comparingDouble ( this :: pricePerCore ) . reversed ( ) . thenComparingDouble ( FleetSizing :: coresInUse ) ) ; return candidates ; } 
+  /** Machines that may be cordoned: the most expensive first, of these the emptiest. */
+  private List<Machine> candidates(Set<Machine> cordoned, long now) {
+    List<Machine> candidates = new ArrayList<>();
+    for (Machine machine : fleet.machines()) {
+      if (machine.contact().hasReported()
+          && !cordoned.contains(machine)
+          && !machine.returning()
+          && !machine.draining()
+          && now - machine.knownSinceMicros() > MIN_CHARGE_MICROS) {
+        candidates.add(machine);
+      }
+    }
+    candidates.sort(
+        Comparator.comparingDouble(this::pricePerCore)
+            .reversed()
+            .thenComparingDouble(FleetSizing::coresInUse));
+    return candidates;
+  }
 
-/** Uncordons the cheapest machines, as many as hold the waiting tasks, but at least one. */ 
-private void uncordon ( Set < Machine > cordoned , long now ) { List < Machine > candidates = new ArrayList < > ( ) ; for ( Machine machine : cordoned ) { if ( ! machine . returning ( ) && ! machine . draining ( ) ) { candidates . add ( machine ) ; } } candidates . sort ( Comparator . comparingDouble ( this :: pricePerCore ) ) ; double coresLacking = coresDemanded ( ) ; boolean any = false ; for ( Machine machine : candidates ) { if ( any && coresLacking <= 0 ) { break ; } MachineType machineType = context . prices ( ) . machineType ( machine . machineType ( ) ) ; coresLacking -= machineType == null ? 0 : machineType . cores ( ) - coresInUse ( machine ) ; cordoned . remove ( machine ) ; any = true ; } if ( any ) { rentals . recordAddedCapacity ( now ) ; changed . run ( ) ; } step = 1 ; } 
+  /** Uncordons the cheapest machines, as many as hold the waiting tasks, but at least one. */
+  private void uncordon(Set<Machine> cordoned, long now) {
+    List<Machine> candidates = new ArrayList<>();
+    for (Machine machine : cordoned) {
+      if (!machine.returning() && !machine.draining()) {
+        candidates.add(machine);
+      }
+    }
+    candidates.sort(Comparator.comparingDouble(this::pricePerCore));
+    double coresLacking = coresDemanded();
+    boolean any = false;
+    for (Machine machine : candidates) {
+      if (any && coresLacking <= 0) {
+        break;
+      }
+      MachineType machineType = context.prices().machineType(machine.machineType());
+      coresLacking -= machineType == null ? 0 : machineType.cores() - coresInUse(machine);
+      cordoned.remove(machine);
+      any = true;
+    }
+    if (any) {
+      rentals.recordAddedCapacity(now);
+      changed.run();
+    }
+    step = 1;
+  }
 
-private double coresDemanded ( ) { double cores = 0 ; for ( RentalPlan . Demand demand : pass . demands ( ) ) { cores += demand . tasks ( ) * demand . job ( ) . cores ( ) ; } return cores ; } 
+  private double coresDemanded() {
+    double cores = 0;
+    for (RentalPlan.Demand demand : pass.demands()) {
+      cores += demand.tasks() * demand.job().cores();
+    }
+    return cores;
+  }
 
-private double pricePerCore ( Machine machine ) { MachineType machineType = context . prices ( ) . machineType ( machine . machineType ( ) ) ; return machineType == null ? Double . MAX_VALUE : Math . round ( context . prices ( ) . hourlyPrice ( machineType , machine . spot ( ) ) / machineType . cores ( ) * PRICE_STEPS ) ; } 
+  private double pricePerCore(Machine machine) {
+    MachineType machineType = context.prices().machineType(machine.machineType());
+    return machineType == null
+        ? Double.MAX_VALUE
+        : Math.round(
+            context.prices().hourlyPrice(machineType, machine.spot())
+                / machineType.cores()
+                * PRICE_STEPS);
+  }
 
-private static double coresInUse ( Machine machine ) { double cores = 0 ; for ( Attempt attempt : machine . load ( ) . attempts ( ) ) { if ( ! attempt . over ( ) ) { cores += attempt . job ( ) . spec ( ) . cores ( ) ; } } return cores ; } } 
+  private static double coresInUse(Machine machine) {
+    double cores = 0;
+    for (Attempt attempt : machine.load().attempts()) {
+      if (!attempt.over()) {
+        cores += attempt.job().spec().cores();
+      }
+    }
+    return cores;
+  }
+}
--- a/src/main/java/plumlever/leader/machine/LeaseExpiry.java
+++ b/src/main/java/plumlever/leader/machine/LeaseExpiry.java
@@ -3,8 +3,8 @@
 import org.slf4j.Logger;
 import plumlever.election.DelegatedRenewal;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.heartbeat.HeartbeatHandler;
 import plumlever.leader.heartbeat.RenewalDelegation;
@@ -21,7 +21,7 @@
   private static final double CLOCK_DRIFT = 0.002;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final HeartbeatHandler heartbeats;
   private final RenewalDelegation delegation;
   private final Failover failover;
@@ -32,7 +32,7 @@
    * @param changed runs when something changed that placement depends on
    */
   LeaseExpiry(
-      Context context,
+      TermContext context,
       HeartbeatHandler heartbeats,
       RenewalDelegation delegation,
       Failover failover,
@@ -54,25 +54,25 @@
     }
     boolean mayRunTasks = machine.load().mayRunTasks();
     heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
-    sharing.lapsed(machine);
+    sharing.leaseExpired(machine);
     if (mayRunTasks) {
       log.info("the lease of {} has expired", machine.id());
       changed.run();
     }
     if (!machine.accounted()) {
-      failover.accounted(machine, "its lease expired");
+      failover.markAccounted(machine, "its lease expired");
       changed.run();
     }
   }
 
   private long expiresMicros(Machine machine) {
-    if (delegation.covers(machine.zone())) {
+    if (delegation.isDelegated(machine.zone())) {
       return Long.MAX_VALUE;
     }
     // An answer of this term renewed the lease at the latest; before the first, an earlier leader
     // may have, or a delegate of its, whose last read of the delegation stays valid for a while.
     long renewedByOthersMicros =
-        Math.max(failover.loadedMicros(), delegation.endedMicros(machine.zone()))
+        Math.max(failover.loadedMicros(), delegation.revokedMicros(machine.zone()))
             + DelegatedRenewal.VALID_MICROS;
     long renewedMicros =
         Math.max(
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -1,43 +1,140 @@
-package plumlever . leader . machine ; 
+package plumlever.leader.machine;
 
-import plumlever . fleet . Fleet ; import plumlever . fleet . Machine ; import plumlever . leader . context . MachineSharing ; import plumlever . leader . context . TermContext ; import plumlever . leader . failover . Failover ; import plumlever . leader . heartbeat . HeartbeatHandler ; import plumlever . leader . heartbeat . RenewalDelegation ; import plumlever . leader . scheduling . CommandSender ; import plumlever . leader . scheduling . SchedulingPass ; 
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.heartbeat.RenewalDelegation;
+import plumlever.leader.scheduling.CommandSender;
+import plumlever.leader.scheduling.SchedulingPass;
 
-/** 
-* Looks after the machines of one term at short intervals: learns what the cloud has, ends expired 
-* leases, returns what is gone or not needed, and rents what is lacking. 
-*/ 
-public final class MachineManager { private static final long INTERVAL_MICROS = 500_000 ; 
+/**
+ * Looks after the machines of one term at short intervals: learns what the cloud has, ends expired
+ * leases, returns what is gone or not needed, and rents what is lacking.
+ */
+public final class MachineManager {
+  private static final long INTERVAL_MICROS = 500_000;
 
-/** Pause while this leader may not act. */ 
-private static final long INACTIVE_INTERVAL_MICROS = 200_000 ; 
+  /** Pause while this leader may not act. */
+  private static final long INACTIVE_INTERVAL_MICROS = 200_000;
 
-/** How long a leader that steps down leaves leadership to others. */ 
-private static final long STEP_DOWN_MICROS = 10_000_000 ; 
+  /** How long a leader that steps down leaves leadership to others. */
+  private static final long STEP_DOWN_MICROS = 10_000_000;
 
-private final TermContext context ; private final Fleet fleet ; private final SchedulingPass pass ; private final MachineSilence silence ; private final CloudInventory inventory ; private final PartitionProbes probes ; private final LeaseExpiry leases ; private final ReturnPolicy returnPolicy ; private final MachineReturns returns ; private final MachineRentals rentals ; private final FleetSizing sizing ; private boolean closed ; 
+  private final TermContext context;
+  private final Fleet fleet;
+  private final SchedulingPass pass;
+  private final MachineSilence silence;
+  private final CloudInventory inventory;
+  private final PartitionProbes probes;
+  private final LeaseExpiry leases;
+  private final ReturnPolicy returnPolicy;
+  private final MachineReturns returns;
+  private final MachineRentals rentals;
+  private final FleetSizing sizing;
+  private boolean closed;
 
-/** 
-* Manages the machines of one term. 
-* 
-* @param changed runs when something changed that placement depends on 
-*/ 
-public MachineManager ( TermContext context , Fleet fleet , MachineRegistry registry , SchedulingPass pass , HeartbeatHandler heartbeats , CommandSender commands , RenewalDelegation delegation , Failover failover , MachineSharing sharing , Runnable changed ) { this . context = context ; this . fleet = fleet ; this . pass = pass ; this . silence = new MachineSilence ( context , fleet , failover ) ; this . probes = new PartitionProbes ( fleet , failover , silence , commands , delegation ) ; this . leases = new LeaseExpiry ( context , heartbeats , delegation , failover , sharing , changed ) ; this . returnPolicy = new ReturnPolicy ( context , pass , failover , delegation , sharing , silence ) ; this . returns = new MachineReturns ( context , fleet , registry , heartbeats , failover , sharing , changed ) ; this . inventory = new CloudInventory ( context , fleet , sharing , returns :: isReturned , changed ) ; this . rentals = new MachineRentals ( context , fleet , pass , failover , sharing , returns :: isReturned , silence :: isPartitioned , changed ) ; this . sizing = new FleetSizing ( context , fleet , pass , failover , rentals , changed ) ; } 
+  /**
+   * Manages the machines of one term.
+   *
+   * @param changed runs when something changed that placement depends on
+   */
+  public MachineManager(
+      TermContext context,
+      Fleet fleet,
+      MachineRegistry registry,
+      SchedulingPass pass,
+      HeartbeatHandler heartbeats,
+      CommandSender commands,
+      RenewalDelegation delegation,
+      Failover failover,
+      MachineSharing sharing,
+      Runnable changed) {
+    this.context = context;
+    this.fleet = fleet;
+    this.pass = pass;
+    this.silence = new MachineSilence(context, fleet, failover);
+    this.probes = new PartitionProbes(fleet, failover, silence, commands, delegation);
+    this.leases = new LeaseExpiry(context, heartbeats, delegation, failover, sharing, changed);
+    this.returnPolicy = new ReturnPolicy(context, pass, failover, delegation, sharing, silence);
+    this.returns =
+        new MachineReturns(context, fleet, registry, heartbeats, failover, sharing, changed);
+    this.inventory = new CloudInventory(context, fleet, sharing, returns::isReturned, changed);
+    this.rentals =
+        new MachineRentals(
+            context,
+            fleet,
+            pass,
+            failover,
+            sharing,
+            returns::isReturned,
+            silence::isPartitioned,
+            changed);
+    this.sizing = new FleetSizing(context, fleet, pass, failover, rentals, changed);
+  }
 
-/** True for a machine that this leader has returned to the cloud. */ 
-public boolean isDeleted ( String machineId ) { return returns . isReturned ( machineId ) ; } 
+  /** True for a machine that this leader has returned to the cloud. */
+  public boolean isDeleted(String machineId) {
+    return returns.isReturned(machineId);
+  }
 
-/** 
-* Looks after all machines once. 
-* 
-* @return the pause until the next time, in microseconds 
-*/ 
-public long runOnce ( ) { if ( closed || ! context . term ( ) . mayAct ( ) ) { return INACTIVE_INTERVAL_MICROS ; } long start = context . loop ( ) . nowMicros ( ) ; manage ( start ) ; context . metrics ( ) . recordWork ( "machines" , context . loop ( ) . nowMicros ( ) - start ) ; return INTERVAL_MICROS ; } 
+  /**
+   * Looks after all machines once.
+   *
+   * @return the pause until the next time, in microseconds
+   */
+  public long runOnce() {
+    if (closed || !context.term().mayAct()) {
+      return INACTIVE_INTERVAL_MICROS;
+    }
+    long start = context.loop().nowMicros();
+    manage(start);
+    context.metrics().recordWork("machines", context.loop().nowMicros() - start);
+    return INTERVAL_MICROS;
+  }
 
-private void manage ( long now ) { silence . recordLateness ( now ) ; inventory . refresh ( now ) ; silence . countMachines ( now ) ; if ( silence . lostItsWorkers ( ) ) { context . election ( ) . resign ( context . term ( ) , "its workers report to other controllers" , STEP_DOWN_MICROS ) ; } else { checkMachines ( now ) ; } 
-// Whoever is told of a change may have closed this leader meanwhile. 
-if ( closed ) { return ; } returns . sendNext ( ) ; if ( context . moneyMatters ( ) ) { sizing . adjust ( now ) ; } rentals . rent ( now ) ; } 
+  private void manage(long now) {
+    silence.recordLateness(now);
+    inventory.refresh(now);
+    silence.countMachines(now);
+    if (silence.lostItsWorkers()) {
+      context
+          .election()
+          .resign(context.term(), "its workers report to other controllers", STEP_DOWN_MICROS);
+    } else {
+      checkMachines(now);
+    }
+    // Whoever is told of a change may have closed this leader meanwhile.
+    if (closed) {
+      return;
+    }
+    returns.sendNext();
+    if (context.moneyMatters()) {
+      sizing.adjust(now);
+    }
+    rentals.rent(now);
+  }
 
-private void checkMachines ( long now ) { silence . updatePartitionedZones ( now ) ; probes . probe ( now ) ; boolean scarce = ! pass . demands ( ) . isEmpty ( ) && rentals . anyUnavailable ( now ) ; for ( Machine machine : fleet . machines ( ) ) { leases . endIfExpired ( machine , now ) ; if ( ! machine . returning ( ) ) { returnPolicy . reasonToReturn ( machine , scarce , now ) . ifPresent ( reason -> returns . schedule ( machine , reason ) ) ; } } } 
+  private void checkMachines(long now) {
+    silence.updatePartitionedZones(now);
+    probes.probe(now);
+    boolean scarce = !pass.demands().isEmpty() && rentals.anyUnavailable(now);
+    for (Machine machine : fleet.machines()) {
+      leases.endIfExpired(machine, now);
+      if (!machine.returning()) {
+        returnPolicy
+            .reasonToReturn(machine, scarce, now)
+            .ifPresent(reason -> returns.schedule(machine, reason));
+      }
+    }
+  }
 
-/** Takes no further action, also on answers that are on their way. */ 
-public void close ( ) { closed = true ; inventory . close ( ) ; returns . close ( ) ; } } 
+  /** Takes no further action, also on answers that are on their way. */
+  public void close() {
+    closed = true;
+    inventory.close();
+    returns.close();
+  }
+}
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -1,71 +1,161 @@
-package plumlever . leader . machine ; 
-
-import com . fasterxml . jackson . databind . JsonNode ; import com . fasterxml . jackson . databind . node . ArrayNode ; import com . fasterxml . jackson . databind . node . ObjectNode ; import java . util . ArrayList ; import java . util . HashMap ; import java . util . List ; import java . util . Map ; import org . slf4j . Logger ; import plumlever . fleet . Fleet ; import plumlever . fleet . Machine ; import plumlever . leader . context . TermContext ; import plumlever . leader . record . SharedRecords ; import plumlever . store . JobStore ; import plumlever . store . StateClient ; import plumlever . wire . Json ; 
-
-/** 
-* The stored record of the machines that may hold tasks: a machine is in it before anything is 
-* started on it. 
-* 
-* <p>A value lists machines as arrays of name, address and index into its list of kinds; a kind is 
-* an array of machine type, zone and whether it is spot. 
-*/ 
-public final class MachineRegistry { private static final long WRITE_INTERVAL_MICROS = 250_000 ; private static final String MACHINES = "hosts" ; private static final String KINDS = "kinds" ; 
-
-/** Positions in the array of a machine. */ 
-private static final int MACHINE_NAME = 0 ; 
-
-private static final int MACHINE_ENDPOINT = 1 ; private static final int MACHINE_KIND = 2 ; 
-
-/** Positions in the array of a kind. */ 
-private static final int KIND_TYPE = 0 ; 
-
-private static final int KIND_ZONE = 1 ; private static final int KIND_SPOT = 2 ; 
-
-/** Room for the kinds of a value. */ 
-private static final int KINDS_BYTES = 500 ; 
-
-/** What an entry takes besides name and address. */ 
-private static final int ENTRY_BYTES = 11 ; 
-
-private final Logger log ; private final TermContext context ; private final SharedRecords < Machine > records ; 
-
-/** 
-* The records of one term, empty until they are loaded. 
-* 
-* @param changed runs when further machines are on record 
-*/ 
-public MachineRegistry ( TermContext context , Runnable changed ) { this . context = context ; this . log = context . logs ( ) . of ( MachineRegistry . class ) ; this . records = new SharedRecords < > ( context , new Layout ( ) , WRITE_INTERVAL_MICROS , changed ) ; } 
-
-/** Takes in what earlier leaders stored; machines that are not known yet join the fleet. */ 
-public void load ( List < StateClient . Item > items , Fleet fleet ) { for ( StateClient . Item item : items ) { int number = JobStore . sharedRecordNumber ( item . key ( ) ) ; if ( number < 0 ) { log . error ( "{} is no record of machines" , item . key ( ) ) ; continue ; } List < Machine > entries = new ArrayList < > ( ) ; for ( JsonNode node : item . data ( ) . path ( MACHINES ) ) { if ( fleet . machine ( node . path ( MACHINE_NAME ) . asText ( ) ) == null ) { Machine machine = machine ( node , item . data ( ) . path ( KINDS ) ) ; fleet . add ( machine ) ; entries . add ( machine ) ; } } records . load ( number , item . revision ( ) , entries ) ; } } 
-
-private Machine machine ( JsonNode node , JsonNode kinds ) { JsonNode kind = kinds . path ( node . path ( MACHINE_KIND ) . asInt ( ) ) ; return new Machine ( node . path ( MACHINE_NAME ) . asText ( ) , node . path ( MACHINE_ENDPOINT ) . asText ( ) , kind . path ( KIND_TYPE ) . asText ( ) , kind . path ( KIND_ZONE ) . asText ( ) , kind . path ( KIND_SPOT ) . asBoolean ( ) , context . loop ( ) . nowMicros ( ) ) ; } 
-
-/** 
-* The machine is to be put on record, if its address is known; until its registration is stored 
-* nothing is started on it. 
-*/ 
-public void register ( Machine machine ) { if ( machine . endpoint ( ) != null ) { records . register ( machine ) ; } } 
-
-/** The machine is gone for good: the next write leaves it out. */ 
-public void remove ( Machine machine ) { records . remove ( machine ) ; } 
-
-/** 
-* Rewrites values that list machines which are gone, and splits those that have become too large. 
-* 
-* @return the pause until the next time, in microseconds 
-*/ 
-public long compact ( ) { return records . cleanUp ( ) ; } 
-
-/** Writes nothing any more. */ 
-public void close ( ) { records . close ( ) ; } 
-
-private static final class Layout implements SharedRecords . Layout < Machine > { @ Override public String key ( int number ) { return JobStore . machinesKey ( number ) ; } 
-
-@ Override public int bytes ( Machine machine ) { return machine . id ( ) . length ( ) + machine . endpoint ( ) . length ( ) + ENTRY_BYTES ; } 
-
-@ Override public int baseBytes ( ) { return KINDS_BYTES ; } 
-
-@ Override public ObjectNode value ( List < Machine > machines ) { ObjectNode object = Json . object ( ) ; ArrayNode kinds = object . putArray ( KINDS ) ; ArrayNode entries = object . putArray ( MACHINES ) ; Map < String , Integer > kindIndexes = new HashMap < > ( ) ; for ( Machine machine : machines ) { int kind = kindIndexes . computeIfAbsent ( machine . machineType ( ) + "/" + machine . zone ( ) + "/" + machine . spot ( ) , key -> addKind ( machine , kinds ) ) ; entries . addArray ( ) . add ( machine . id ( ) ) . add ( machine . endpoint ( ) ) . add ( kind ) ; } return object ; } 
-
-private static int addKind ( Machine machine , ArrayNode kinds ) { kinds . addArray ( ) . add ( machine . machineType ( ) ) . add ( machine . zone ( ) ) . add ( machine . spot ( ) ) ; return kinds . size ( ) - 1 ; } } } 
+package plumlever.leader.machine;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.record.SharedRecords;
+import plumlever.store.JobStore;
+import plumlever.store.StateClient;
+import plumlever.wire.Json;
+
+/**
+ * The stored record of the machines that may hold tasks: a machine is in it before anything is
+ * started on it.
+ *
+ * <p>A value lists machines as arrays of name, address and index into its list of kinds; a kind is
+ * an array of machine type, zone and whether it is spot.
+ */
+public final class MachineRegistry {
+  private static final long WRITE_INTERVAL_MICROS = 250_000;
+  private static final String MACHINES = "hosts";
+  private static final String KINDS = "kinds";
+
+  /** Positions in the array of a machine. */
+  private static final int MACHINE_NAME = 0;
+
+  private static final int MACHINE_ENDPOINT = 1;
+  private static final int MACHINE_KIND = 2;
+
+  /** Positions in the array of a kind. */
+  private static final int KIND_TYPE = 0;
+
+  private static final int KIND_ZONE = 1;
+  private static final int KIND_SPOT = 2;
+
+  /** Room for the kinds of a value. */
+  private static final int KINDS_BYTES = 500;
+
+  /** What an entry takes besides name and address. */
+  private static final int ENTRY_BYTES = 11;
+
+  private final Logger log;
+  private final TermContext context;
+  private final SharedRecords<Machine> records;
+
+  /**
+   * The records of one term, empty until they are loaded.
+   *
+   * @param changed runs when further machines are on record
+   */
+  public MachineRegistry(TermContext context, Runnable changed) {
+    this.context = context;
+    this.log = context.logs().of(MachineRegistry.class);
+    this.records = new SharedRecords<>(context, new Layout(), WRITE_INTERVAL_MICROS, changed);
+  }
+
+  /** Takes in what earlier leaders stored; machines that are not known yet join the fleet. */
+  public void load(List<StateClient.Item> items, Fleet fleet) {
+    for (StateClient.Item item : items) {
+      int number = JobStore.sharedRecordNumber(item.key());
+      if (number < 0) {
+        log.error("{} is no record of machines", item.key());
+        continue;
+      }
+      List<Machine> entries = new ArrayList<>();
+      for (JsonNode node : item.data().path(MACHINES)) {
+        if (fleet.machine(node.path(MACHINE_NAME).asText()) == null) {
+          Machine machine = machine(node, item.data().path(KINDS));
+          fleet.add(machine);
+          entries.add(machine);
+        }
+      }
+      records.load(number, item.revision(), entries);
+    }
+  }
+
+  private Machine machine(JsonNode node, JsonNode kinds) {
+    JsonNode kind = kinds.path(node.path(MACHINE_KIND).asInt());
+    return new Machine(
+        node.path(MACHINE_NAME).asText(),
+        node.path(MACHINE_ENDPOINT).asText(),
+        kind.path(KIND_TYPE).asText(),
+        kind.path(KIND_ZONE).asText(),
+        kind.path(KIND_SPOT).asBoolean(),
+        context.loop().nowMicros());
+  }
+
+  /**
+   * The machine is to be put on record, if its address is known; until its registration is stored
+   * nothing is started on it.
+   */
+  public void register(Machine machine) {
+    if (machine.endpoint() != null) {
+      records.register(machine);
+    }
+  }
+
+  /** The machine is gone for good: the next write leaves it out. */
+  public void remove(Machine machine) {
+    records.remove(machine);
+  }
+
+  /**
+   * Rewrites values that list machines which are gone, and splits those that have become too large.
+   *
+   * @return the pause until the next time, in microseconds
+   */
+  public long compact() {
+    return records.cleanUp();
+  }
+
+  /** Writes nothing any more. */
+  public void close() {
+    records.close();
+  }
+
+  private static final class Layout implements SharedRecords.Layout<Machine> {
+    @Override
+    public String key(int number) {
+      return JobStore.machinesKey(number);
+    }
+
+    @Override
+    public int bytes(Machine machine) {
+      return machine.id().length() + machine.endpoint().length() + ENTRY_BYTES;
+    }
+
+    @Override
+    public int baseBytes() {
+      return KINDS_BYTES;
+    }
+
+    @Override
+    public ObjectNode value(List<Machine> machines) {
+      ObjectNode object = Json.object();
+      ArrayNode kinds = object.putArray(KINDS);
+      ArrayNode entries = object.putArray(MACHINES);
+      Map<String, Integer> kindIndexes = new HashMap<>();
+      for (Machine machine : machines) {
+        int kind =
+            kindIndexes.computeIfAbsent(
+                machine.machineType() + "/" + machine.zone() + "/" + machine.spot(),
+                key -> addKind(machine, kinds));
+        entries.addArray().add(machine.id()).add(machine.endpoint()).add(kind);
+      }
+      return object;
+    }
+
+    private static int addKind(Machine machine, ArrayNode kinds) {
+      kinds.addArray().add(machine.machineType()).add(machine.zone()).add(machine.spot());
+      return kinds.size() - 1;
+    }
+  }
+}
