--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -1,60 +1,224 @@
-package plumlever . leader . machine ; 
-
-import java . util . ArrayList ; import java . util . HashMap ; import java . util . List ; import java . util . Map ; import java . util . function . Predicate ; import org . slf4j . Logger ; import plumlever . cloud . CloudClient ; import plumlever . cloud . RentalRequest ; import plumlever . cloud . RentalResult ; import plumlever . fleet . Fleet ; import plumlever . fleet . Machine ; import plumlever . leader . context . MachineSharing ; import plumlever . leader . context . TermContext ; import plumlever . leader . failover . Failover ; import plumlever . leader . scheduling . SchedulingPass ; import plumlever . scaling . RentalPlan ; import plumlever . wire . MachineType ; 
-
-/** 
-* Rents machines for tasks that wait for one. A request whose outcome is unknown is repeated with 
-* the same id until it is known. 
-*/ 
-final class MachineRentals { private static final long NO_CAPACITY_PAUSE_MICROS = 12_000_000 ; private static final long RETRY_PAUSE_MICROS = 2_000_000 ; private static final int MAX_MACHINES_PER_PLAN = 300 ; private static final int MAX_OPEN_REQUESTS = 6 ; 
-
-/** A request whose outcome is not known. */ 
-private static final class OpenRequest { private final RentalRequest request ; private final RentalPlan . RentalOption kind ; private boolean inFlight ; private long retryMicros ; 
-
-OpenRequest ( RentalRequest request , RentalPlan . RentalOption kind ) { this . request = request ; this . kind = kind ; } } 
-
-private final Logger log ; private final TermContext context ; private final Fleet fleet ; private final SchedulingPass pass ; private final Failover failover ; private final MachineSharing sharing ; private final Predicate < String > isReturned ; private final Predicate < String > isPartitioned ; private final Runnable changed ; private final RentalPlan plan ; private final Map < RentalPlan . RentalOption , Long > unavailableUntilMicros = new HashMap < > ( ) ; private final List < OpenRequest > openRequests = new ArrayList < > ( ) ; private long requestCounter ; private long capacityAddedMicros = - 1 ; 
-
-/** 
-* @param isReturned true for the name of a machine that was returned 
-* @param isCut true for a zone that seems to be partitioned: nothing is rented there 
-* @param changed runs when something changed that placement depends on 
-*/ 
-MachineRentals ( TermContext context , Fleet fleet , SchedulingPass pass , Failover failover , MachineSharing sharing , Predicate < String > isReturned , Predicate < String > isPartitioned , Runnable changed ) { this . context = context ; this . log = context . logs ( ) . of ( MachineRentals . class ) ; this . fleet = fleet ; this . pass = pass ; this . failover = failover ; this . sharing = sharing ; this . isReturned = isReturned ; this . isPartitioned = isPartitioned ; this . changed = changed ; this . plan = new RentalPlan ( context . prices ( ) , context . moneyMatters ( ) ) ; } 
-
-/** True while the cloud has no more of some kind of machine, as far as is known. */ 
-boolean anyUnavailable ( long now ) { return unavailableUntilMicros . values ( ) . stream ( ) . anyMatch ( until -> until > now ) ; } 
-
-/** Capacity was added: it may serve demands that were found before. */ 
-void recordAddedCapacity ( long now ) { capacityAddedMicros = now ; } 
-
-/** Repeats requests whose outcome is unknown, and rents what the last pass lacked. */ 
-void rent ( long now ) { for ( OpenRequest open : new ArrayList < > ( openRequests ) ) { if ( ! open . inFlight && now >= open . retryMicros ) { send ( open ) ; } } if ( mayRentMore ( now ) ) { rentPlanned ( now ) ; } } 
-
-/** 
-* Demands found before capacity was added last may be served by it: no machine is rented twice. 
-*/ 
-private boolean mayRentMore ( long now ) { return context . prices ( ) . isLoaded ( ) && ( failover . isComplete ( ) || failover . isOverdue ( now ) ) && pass . finishedMicros ( ) > capacityAddedMicros && sharing . mayRent ( ) ; } 
-
-private void rentPlanned ( long now ) { List < RentalPlan . Rental > rentals = plan . plan ( pass . demands ( ) , coming ( ) , kind -> isAvailable ( kind , now ) , MAX_MACHINES_PER_PLAN ) ; for ( RentalPlan . Rental rental : rentals ) { if ( openRequests . size ( ) >= MAX_OPEN_REQUESTS ) { return ; } OpenRequest open = new OpenRequest ( request ( rental ) , rental . kind ( ) ) ; openRequests . add ( open ) ; send ( open ) ; } } 
-
-private boolean isAvailable ( RentalPlan . Kind kind , long now ) { return now >= unavailableUntilMicros . getOrDefault ( kind , 0L ) && ! isPartitioned . test ( kind . zone ( ) ) ; } 
-
-/** 
-* Capacity of machines that are not known by name yet; booting machines are part of the fleet 
-* already. 
-*/ 
-private List < RentalPlan . Coming > coming ( ) { List < RentalPlan . Coming > coming = new ArrayList < > ( ) ; for ( OpenRequest open : openRequests ) { addComing ( open . kind , open . request . count ( ) , coming ) ; } for ( RentalPlan . RentalOption kind : sharing . incomingMachines ( ) ) { addComing ( kind , 1 , coming ) ; } return coming ; } 
-
-private void addComing ( RentalPlan . Kind kind , int count , List < RentalPlan . Coming > coming ) { MachineType machineType = context . prices ( ) . machineType ( kind . machineType ( ) ) ; if ( machineType == null ) { return ; } for ( int i = 0 ; i < count ; i ++ ) { coming . add ( new RentalPlan . IncomingMachine ( kind , machineType ) ) ; } } 
-
-/** The id is unique over all terms. */ 
-private RentalRequest request ( RentalPlan . Rental rental ) { requestCounter ++ ; RentalPlan . Kind kind = rental . kind ( ) ; return new RentalRequest ( "r-" + context . term ( ) . number ( ) + "-" + requestCounter , kind . machineType ( ) , kind . zone ( ) , kind . spot ( ) , Math . min ( rental . count ( ) , CloudClient . MAX_MACHINES_PER_RENTAL ) ) ; } 
-
-private void send ( OpenRequest open ) { if ( ! context . term ( ) . mayAct ( ) ) { return ; } open . inFlight = true ; context . cloud ( ) . rentMachines ( open . request , result -> handleResult ( open , result ) ) ; } 
-
-private void handleResult ( OpenRequest open , RentalResult result ) { open . inFlight = false ; long now = context . loop ( ) . nowMicros ( ) ; switch ( result . outcome ( ) ) { case RENTED -> { openRequests . remove ( open ) ; addRented ( open , result . machineIds ( ) , now ) ; } case NO_CAPACITY -> { openRequests . remove ( open ) ; unavailableUntilMicros . put ( open . kind , now + NO_CAPACITY_PAUSE_MICROS ) ; } case REFUSED -> { openRequests . remove ( open ) ; unavailableUntilMicros . put ( open . kind , now + RETRY_PAUSE_MICROS ) ; } case UNKNOWN -> open . retryMicros = now + RETRY_PAUSE_MICROS ; } } 
-
-private void addRented ( OpenRequest open , List < String > machineIds , long now ) { RentalRequest request = open . request ; if ( machineIds . size ( ) < request . count ( ) ) { unavailableUntilMicros . put ( open . kind , now + NO_CAPACITY_PAUSE_MICROS ) ; } log . info ( "rented {} of {} {} in {}{}" , machineIds . size ( ) , request . count ( ) , request . machineType ( ) , request . zone ( ) , request . spot ( ) ? ", spot" : "" ) ; context . metrics ( ) . count ( "machines_rented" , machineIds . size ( ) ) ; capacityAddedMicros = now ; changed . run ( ) ; sharing . claimRented ( machineIds , machineId -> addMachine ( machineId , open . kind , now ) ) ; } 
-
-private void addMachine ( String machineId , RentalPlan . RentalOption kind , long rentedMicros ) { if ( fleet . machine ( machineId ) == null && ! isReturned . test ( machineId ) ) { fleet . add ( new Machine ( machineId , null , kind . machineType ( ) , kind . zone ( ) , kind . spot ( ) , rentedMicros ) ) ; } } } 
+package plumlever.leader.machine;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Predicate;
+import org.slf4j.Logger;
+import plumlever.cloud.CloudClient;
+import plumlever.cloud.RentalRequest;
+import plumlever.cloud.RentalResult;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.scheduling.SchedulingPass;
+import plumlever.scaling.RentalPlan;
+import plumlever.wire.MachineType;
+
+/**
+ * Rents machines for tasks that wait for one. A request whose outcome is unknown is repeated with
+ * the same id until it is known.
+ */
+final class MachineRentals {
+  private static final long NO_CAPACITY_PAUSE_MICROS = 12_000_000;
+  private static final long RETRY_PAUSE_MICROS = 2_000_000;
+  private static final int MAX_MACHINES_PER_PLAN = 300;
+  private static final int MAX_OPEN_REQUESTS = 6;
+
+  /** A request whose outcome is not known. */
+  private static final class OpenRequest {
+    private final RentalRequest request;
+    private final RentalPlan.RentalOption kind;
+    private boolean inFlight;
+    private long retryMicros;
+
+    OpenRequest(RentalRequest request, RentalPlan.RentalOption kind) {
+      this.request = request;
+      this.kind = kind;
+    }
+  }
+
+  private final Logger log;
+  private final TermContext context;
+  private final Fleet fleet;
+  private final SchedulingPass pass;
+  private final Failover failover;
+  private final MachineSharing sharing;
+  private final Predicate<String> isReturned;
+  private final Predicate<String> isPartitioned;
+  private final Runnable changed;
+  private final RentalPlan plan;
+  private final Map<RentalPlan.RentalOption, Long> unavailableUntilMicros = new HashMap<>();
+  private final List<OpenRequest> openRequests = new ArrayList<>();
+  private long requestCounter;
+  private long capacityAddedMicros = -1;
+
+  /**
+   * @param isReturned true for the name of a machine that was returned
+   * @param isCut true for a zone that seems to be partitioned: nothing is rented there
+   * @param changed runs when something changed that placement depends on
+   */
+  MachineRentals(
+      TermContext context,
+      Fleet fleet,
+      SchedulingPass pass,
+      Failover failover,
+      MachineSharing sharing,
+      Predicate<String> isReturned,
+      Predicate<String> isPartitioned,
+      Runnable changed) {
+    this.context = context;
+    this.log = context.logs().of(MachineRentals.class);
+    this.fleet = fleet;
+    this.pass = pass;
+    this.failover = failover;
+    this.sharing = sharing;
+    this.isReturned = isReturned;
+    this.isPartitioned = isPartitioned;
+    this.changed = changed;
+    this.plan = new RentalPlan(context.prices(), context.moneyMatters());
+  }
+
+  /** True while the cloud has no more of some kind of machine, as far as is known. */
+  boolean anyUnavailable(long now) {
+    return unavailableUntilMicros.values().stream().anyMatch(until -> until > now);
+  }
+
+  /** Capacity was added: it may serve demands that were found before. */
+  void recordAddedCapacity(long now) {
+    capacityAddedMicros = now;
+  }
+
+  /** Repeats requests whose outcome is unknown, and rents what the last pass lacked. */
+  void rent(long now) {
+    for (OpenRequest open : new ArrayList<>(openRequests)) {
+      if (!open.inFlight && now >= open.retryMicros) {
+        send(open);
+      }
+    }
+    if (mayRentMore(now)) {
+      rentPlanned(now);
+    }
+  }
+
+  /**
+   * Demands found before capacity was added last may be served by it: no machine is rented twice.
+   */
+  private boolean mayRentMore(long now) {
+    return context.prices().isLoaded()
+        && (failover.isComplete() || failover.isOverdue(now))
+        && pass.finishedMicros() > capacityAddedMicros
+        && sharing.mayRent();
+  }
+
+  private void rentPlanned(long now) {
+    List<RentalPlan.RentalRequest> rentals =
+        plan.plan(pass.demands(), coming(), kind -> isAvailable(kind, now), MAX_MACHINES_PER_PLAN);
+    for (RentalPlan.RentalRequest rental : rentals) {
+      if (openRequests.size() >= MAX_OPEN_REQUESTS) {
+        return;
+      }
+      OpenRequest open = new OpenRequest(request(rental), rental.option());
+      openRequests.add(open);
+      send(open);
+    }
+  }
+
+  private boolean isAvailable(RentalPlan.RentalOption kind, long now) {
+    return now >= unavailableUntilMicros.getOrDefault(kind, 0L) && !isPartitioned.test(kind.zone());
+  }
+
+  /**
+   * Capacity of machines that are not known by name yet; booting machines are part of the fleet
+   * already.
+   */
+  private List<RentalPlan.IncomingMachine> coming() {
+    List<RentalPlan.IncomingMachine> coming = new ArrayList<>();
+    for (OpenRequest open : openRequests) {
+      addComing(open.kind, open.request.count(), coming);
+    }
+    for (RentalPlan.RentalOption kind : sharing.incomingMachines()) {
+      addComing(kind, 1, coming);
+    }
+    return coming;
+  }
+
+  private void addComing(
+      RentalPlan.RentalOption kind, int count, List<RentalPlan.IncomingMachine> coming) {
+    MachineType machineType = context.prices().machineType(kind.machineType());
+    if (machineType == null) {
+      return;
+    }
+    for (int i = 0; i < count; i++) {
+      coming.add(new RentalPlan.IncomingMachine(kind, machineType));
+    }
+  }
+
+  /** The id is unique over all terms. */
+  private RentalRequest request(RentalPlan.RentalRequest rental) {
+    requestCounter++;
+    RentalPlan.RentalOption kind = rental.option();
+    return new RentalRequest(
+        "r-" + context.term().number() + "-" + requestCounter,
+        kind.machineType(),
+        kind.zone(),
+        kind.spot(),
+        Math.min(rental.count(), CloudClient.MAX_MACHINES_PER_RENTAL));
+  }
+
+  private void send(OpenRequest open) {
+    if (!context.term().mayAct()) {
+      return;
+    }
+    open.inFlight = true;
+    context.cloud().rentMachines(open.request, result -> handleResult(open, result));
+  }
+
+  private void handleResult(OpenRequest open, RentalResult result) {
+    open.inFlight = false;
+    long now = context.loop().nowMicros();
+    switch (result.outcome()) {
+      case RENTED -> {
+        openRequests.remove(open);
+        addRented(open, result.machineIds(), now);
+      }
+      case NO_CAPACITY -> {
+        openRequests.remove(open);
+        unavailableUntilMicros.put(open.kind, now + NO_CAPACITY_PAUSE_MICROS);
+      }
+      case REFUSED -> {
+        openRequests.remove(open);
+        unavailableUntilMicros.put(open.kind, now + RETRY_PAUSE_MICROS);
+      }
+      case UNKNOWN -> open.retryMicros = now + RETRY_PAUSE_MICROS;
+    }
+  }
+
+  private void addRented(OpenRequest open, List<String> machineIds, long now) {
+    RentalRequest request = open.request;
+    if (machineIds.size() < request.count()) {
+      unavailableUntilMicros.put(open.kind, now + NO_CAPACITY_PAUSE_MICROS);
+    }
+    log.info(
+        "rented {} of {} {} in {}{}",
+        machineIds.size(),
+        request.count(),
+        request.machineType(),
+        request.zone(),
+        request.spot() ? ", spot" : "");
+    context.metrics().count("machines_rented", machineIds.size());
+    capacityAddedMicros = now;
+    changed.run();
+    sharing.claimRented(machineIds, machineId -> addMachine(machineId, open.kind, now));
+  }
+
+  private void addMachine(String machineId, RentalPlan.RentalOption kind, long rentedMicros) {
+    if (fleet.machine(machineId) == null && !isReturned.test(machineId)) {
+      fleet.add(
+          new Machine(machineId, null, kind.machineType(), kind.zone(), kind.spot(), rentedMicros));
+    }
+  }
+}
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -11,8 +11,8 @@
 import plumlever.cloud.ReturnOutcome;
 import plumlever.fleet.Fleet;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.heartbeat.HeartbeatHandler;
 
@@ -25,7 +25,7 @@
   private static final int MAX_REMEMBERED = 20_000;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final MachineRegistry registry;
   private final HeartbeatHandler heartbeats;
@@ -49,7 +49,7 @@
    * @param changed runs when something changed that placement depends on
    */
   MachineReturns(
-      Context context,
+      TermContext context,
       Fleet fleet,
       MachineRegistry registry,
       HeartbeatHandler heartbeats,
@@ -100,7 +100,7 @@
     }
     inProgress = true;
     // The call to the cloud is made only once the intent is on record.
-    sharing.retire(machines, () -> send(machines));
+    sharing.recordReturns(machines, () -> send(machines));
   }
 
   private void send(List<Machine> machines) {
@@ -125,10 +125,10 @@
       heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
       returned.add(machine.id());
       fleet.remove(machine);
-      failover.accounted(machine, "it was returned");
+      failover.markAccounted(machine, "it was returned");
       registry.remove(machine);
     }
-    sharing.returned(machines);
+    sharing.machinesReturned(machines);
     changed.run();
   }
 
--- a/src/main/java/plumlever/leader/machine/PartitionProbes.java
+++ b/src/main/java/plumlever/leader/machine/PartitionProbes.java
@@ -43,7 +43,7 @@
   /** Calls machines, and asks for delegation of the zones in which none can be reached. */
   void probe(long now) {
     Set<String> unreachedZones = new HashSet<>();
-    if (failover.complete()) {
+    if (failover.isComplete()) {
       unreachedZones.addAll(silence.partitionedZones());
     }
     Map<String, Integer> calls = new HashMap<>();
@@ -57,6 +57,6 @@
         commands.probe(machine);
       }
     }
-    delegation.want(unreachedZones);
+    delegation.updateUnreachableZones(unreachedZones);
   }
 }
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -2,8 +2,8 @@
 
 import java.util.Optional;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
 import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.heartbeat.RenewalDelegation;
 import plumlever.leader.scheduling.SchedulingPass;
@@ -28,7 +28,7 @@
   private static final double BOOT_S_OF_UNKNOWN_TYPE = 60;
   private static final double MIN_BOOT_S = 15;
 
-  private final Context context;
+  private final TermContext context;
   private final SchedulingPass pass;
   private final Failover failover;
   private final RenewalDelegation delegation;
@@ -36,7 +36,7 @@
   private final MachineSilence silence;
 
   ReturnPolicy(
-      Context context,
+      TermContext context,
       SchedulingPass pass,
       Failover failover,
       RenewalDelegation delegation,
@@ -60,7 +60,7 @@
     if (machine.failed()) {
       return Optional.of(ReturnReason.FAILED);
     }
-    if (!machine.contact().hasReported() && !failover.open().contains(machine)) {
+    if (!machine.contact().hasReported() && !failover.unaccounted().contains(machine)) {
       return reasonIf(bootsTooLong(machine, now), ReturnReason.NOT_BOOTING);
     }
     if (delaysFailover(machine, now)) {
@@ -97,7 +97,7 @@
    * seconds to report to a new leader.
    */
   private boolean delaysFailover(Machine machine, long now) {
-    return failover.open().contains(machine)
+    return failover.unaccounted().contains(machine)
         && machine.contact().consecutiveFailedCalls() >= MIN_FAILED_CALLS
         && now - failover.loadedMicros() >= FAILOVER_PATIENCE_MICROS
         && silence.hasMostlyReported(machine.zone());
@@ -106,13 +106,13 @@
   /** Many silent at once in a zone look like a partition, in which they may still run tasks. */
   private boolean isGone(Machine machine, long now) {
     int leases =
-        delegation.covers(machine.zone()) ? MAX_SILENT_LEASES_DELEGATED : MAX_SILENT_LEASES;
+        delegation.isDelegated(machine.zone()) ? MAX_SILENT_LEASES_DELEGATED : MAX_SILENT_LEASES;
     return !silence.isPartitioned(machine.zone())
         || silence.silentMicros(machine, now) > leases * context.platform().workers().leaseMicros();
   }
 
   private boolean idleTooLong(Machine machine, boolean scarce, long now) {
-    if (machine.load().mayRunTasks() || pass.hasPlan(machine) || !failover.complete()) {
+    if (machine.load().mayRunTasks() || pass.hasPlan(machine) || !failover.isComplete()) {
       machine.setIdleSince(-1);
       return false;
     }
--- a/src/main/java/plumlever/leader/pool/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadCellAdoption.java
@@ -1,42 +1,144 @@
-package plumlever . leader . pool ; 
+package plumlever.leader.pool;
 
-import java . util . HashMap ; import java . util . List ; import java . util . Map ; import java . util . Optional ; import java . util . function . Consumer ; import org . slf4j . Logger ; import plumlever . election . LeaderElection ; import plumlever . leader . context . TermContext ; import plumlever . settings . SharingSettings ; import plumlever . sharing . PoolView ; import plumlever . sharing . TransferRecord ; import plumlever . store . KeySpace ; import plumlever . wire . ListedMachine ; 
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import plumlever.election.LeaderElection;
+import plumlever.leader.context.TermContext;
+import plumlever.settings.SharingSettings;
+import plumlever.sharing.PoolView;
+import plumlever.sharing.TransferRecord;
+import plumlever.store.KeySpace;
+import plumlever.wire.ListedMachine;
 
-/** 
-* Adopts the machines of cells that have had no leader for long. Nobody has renewed their leases 
-* meanwhile, so none of that cell's tasks is on them any more; its jobs stay where they are and go 
-* on when one of its controllers is back. 
-*/ 
-final class DeadCellAdoption { /** Beyond leases: the drift of clocks, and the time that an answer is under way. */ 
-private static final long LAPSE_SLACK_MICROS = 10_000_000 ; 
+/**
+ * Adopts the machines of cells that have had no leader for long. Nobody has renewed their leases
+ * meanwhile, so none of that cell's tasks is on them any more; its jobs stay where they are and go
+ * on when one of its controllers is back.
+ */
+final class DeadCellAdoption {
+  /** Beyond leases: the drift of clocks, and the time that an answer is under way. */
+  private static final long LAPSE_SLACK_MICROS = 10_000_000;
 
-/** What is known of leaders counts only while it is not older. */ 
-private static final long FRESH_MICROS = 5_000_000 ; 
+  /** What is known of leaders counts only while it is not older. */
+  private static final long FRESH_MICROS = 5_000_000;
 
-private final Logger log ; private final TermContext context ; private final SharingSettings sharing ; private final PoolLink link ; private final PoolView view ; private final TransferSteps steps ; private final Consumer < TransferRecord > adopted ; 
+  private final Logger log;
+  private final TermContext context;
+  private final SharingSettings sharing;
+  private final PoolLink link;
+  private final PoolView view;
+  private final TransferSteps steps;
+  private final Consumer<TransferRecord> adopted;
 
-/** What the step under way makes of its machine; steps come one after the other. */ 
-private TransferRecord taking ; 
+  /** What the step under way makes of its machine; steps come one after the other. */
+  private TransferRecord taking;
 
-private final Map < String , Long > leaderlessSince = new HashMap < > ( ) ; 
+  private final Map<String, Long> leaderlessSince = new HashMap<>();
 
-DeadCellAdoption ( TermContext context , SharingSettings sharing , PoolLink link , TransferSteps steps , Consumer < TransferRecord > adopted ) { this . adopted = adopted ; this . context = context ; this . log = context . logs ( ) . of ( DeadCellAdoption . class ) ; this . sharing = sharing ; this . link = link ; this . view = link . view ( ) ; this . steps = steps ; } 
+  DeadCellAdoption(
+      TermContext context,
+      SharingSettings sharing,
+      PoolLink link,
+      TransferSteps steps,
+      Consumer<TransferRecord> adopted) {
+    this.adopted = adopted;
+    this.context = context;
+    this.log = context.logs().of(DeadCellAdoption.class);
+    this.sharing = sharing;
+    this.link = link;
+    this.view = link.view();
+    this.steps = steps;
+  }
 
-private long now ( ) { return context . loop ( ) . nowMicros ( ) ; } 
+  private long now() {
+    return context.loop().nowMicros();
+  }
 
-/** 
-* The cloud lists a machine of another cell. If that has had no leader for long, all leases there 
-* have lapsed, and the machine is adopted. 
-*/ 
-void listed ( ListedMachine listedMachine ) { Optional < String > holder = view . holder ( listedMachine . id ( ) ) ; if ( holder . isEmpty ( ) || listedMachine . endpoint ( ) == null || steps . isUnderWay ( listedMachine . id ( ) ) ) { return ; } Optional < SharingSettings . Cell > cell = sharing . otherCells ( ) . stream ( ) . filter ( other -> other . name ( ) . equals ( holder . get ( ) ) ) . findFirst ( ) ; if ( cell . isPresent ( ) && isDead ( cell . get ( ) ) ) { adopt ( listedMachine , cell . get ( ) ) ; } } 
+  /**
+   * The cloud lists a machine of another cell. If that has had no leader for long, all leases there
+   * have lapsed, and the machine is adopted.
+   */
+  void listed(ListedMachine listedMachine) {
+    Optional<String> holder = view.holder(listedMachine.id());
+    if (holder.isEmpty()
+        || listedMachine.endpoint() == null
+        || steps.isUnderWay(listedMachine.id())) {
+      return;
+    }
+    Optional<SharingSettings.Cell> cell =
+        sharing.otherCells().stream()
+            .filter(other -> other.name().equals(holder.get()))
+            .findFirst();
+    if (cell.isPresent() && isDead(cell.get())) {
+      adopt(listedMachine, cell.get());
+    }
+  }
 
-/** Watches which cells have a leader; only what is fresh counts. */ 
-void watchLeaders ( ) { boolean fresh = now ( ) - link . knownMicros ( ) < FRESH_MICROS ; for ( SharingSettings . Cell cell : sharing . otherCells ( ) ) { if ( ! fresh || view . leader ( cell . name ( ) ) . isPresent ( ) ) { leaderlessSince . remove ( cell . name ( ) ) ; } else { leaderlessSince . putIfAbsent ( cell . name ( ) , now ( ) ) ; } } } 
+  /** Watches which cells have a leader; only what is fresh counts. */
+  void watchLeaders() {
+    boolean fresh = now() - link.knownMicros() < FRESH_MICROS;
+    for (SharingSettings.Cell cell : sharing.otherCells()) {
+      if (!fresh || view.leader(cell.name()).isPresent()) {
+        leaderlessSince.remove(cell.name());
+      } else {
+        leaderlessSince.putIfAbsent(cell.name(), now());
+      }
+    }
+  }
 
-private boolean isDead ( SharingSettings . Cell cell ) { long patience = Math . max ( sharing . adoptAfterMicros ( ) , 2 * context . platform ( ) . workers ( ) . leaseMicros ( ) + LAPSE_SLACK_MICROS ) ; long since = leaderlessSince . getOrDefault ( cell . name ( ) , Long . MAX_VALUE ) ; return since != Long . MAX_VALUE && now ( ) - since > patience ; } 
+  private boolean isDead(SharingSettings.Cell cell) {
+    long patience =
+        Math.max(
+            sharing.adoptAfterMicros(),
+            2 * context.platform().workers().leaseMicros() + LAPSE_SLACK_MICROS);
+    long since = leaderlessSince.getOrDefault(cell.name(), Long.MAX_VALUE);
+    return since != Long.MAX_VALUE && now() - since > patience;
+  }
 
-private void adopt ( ListedMachine listedMachine , SharingSettings . Cell dead ) { String machine = listedMachine . id ( ) ; steps . step ( machine , ( ) -> { if ( ! view . holder ( machine ) . equals ( Optional . of ( dead . name ( ) ) ) || ! isDead ( dead ) ) { return Optional . empty ( ) ; } TransferRecord before = steps . record ( machine ) . orElseGet ( ( ) -> unmoved ( listedMachine , dead ) ) ; String leadership = KeySpace . absolute ( dead . prefix ( ) , LeaderElection . LEADER ) ; return Optional . of ( taken ( before . withoutHome ( dead . name ( ) ) ) . require ( leadership , 0 ) ) ; } , ( ) -> { if ( view . holder ( machine ) . equals ( Optional . of ( sharing . ownCell ( ) . name ( ) ) ) ) { adopted . accept ( taking ) ; log . warn ( "{} is adopted, {} has had no leader for long" , machine , dead . name ( ) ) ; } } ) ; } 
+  private void adopt(ListedMachine listedMachine, SharingSettings.Cell dead) {
+    String machine = listedMachine.id();
+    steps.step(
+        machine,
+        () -> {
+          if (!view.holder(machine).equals(Optional.of(dead.name())) || !isDead(dead)) {
+            return Optional.empty();
+          }
+          TransferRecord before =
+              steps.record(machine).orElseGet(() -> unmoved(listedMachine, dead));
+          String leadership = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
+          return Optional.of(taken(before.withoutHome(dead.name())).require(leadership, 0));
+        },
+        () -> {
+          if (view.holder(machine).equals(Optional.of(sharing.ownCell().name()))) {
+            adopted.accept(taking);
+            log.warn("{} is adopted, {} has had no leader for long", machine, dead.name());
+          }
+        });
+  }
 
-private PoolTransaction taken ( TransferRecord before ) { TransferSteps . Taking built = steps . take ( List . of ( before ) ) ; taking = built . taken ( ) . get ( 0 ) ; return built . transaction ( ) ; } 
+  private PoolTransaction taken(TransferRecord before) {
+    TransferSteps.Taking built = steps.take(List.of(before));
+    taking = built.taken().get(0);
+    return built.transaction();
+  }
 
-private static TransferRecord unmoved ( ListedMachine listedMachine , SharingSettings . Cell owner ) { return new TransferRecord ( TransferRecord . State . TAKEN , new TransferRecord . Details ( listedMachine . id ( ) , listedMachine . endpoint ( ) , listedMachine . machineType ( ) , listedMachine . zone ( ) , listedMachine . spot ( ) ) , 0 , owner . name ( ) , 0 , Optional . empty ( ) , Map . of ( ) ) ; } } 
+  private static TransferRecord unmoved(ListedMachine listedMachine, SharingSettings.Cell owner) {
+    return new TransferRecord(
+        TransferRecord.State.TAKEN,
+        new TransferRecord.Details(
+            listedMachine.id(),
+            listedMachine.endpoint(),
+            listedMachine.machineType(),
+            listedMachine.zone(),
+            listedMachine.spot()),
+        0,
+        owner.name(),
+        0,
+        Optional.empty(),
+        Map.of());
+  }
+}
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -1,43 +1,172 @@
-package plumlever . leader . pool ; 
+package plumlever.leader.pool;
 
-import java . util . HashMap ; import java . util . Map ; import java . util . Optional ; import java . util . TreeMap ; import org . slf4j . Logger ; import plumlever . fleet . Job ; import plumlever . leader . context . TermContext ; import plumlever . leader . failover . Failover ; import plumlever . leader . job . ActiveJobs ; import plumlever . settings . PlatformConfiguration ; import plumlever . settings . SharingSettings ; import plumlever . sharing . CellDemand ; import plumlever . sharing . LimitParts ; import plumlever . sharing . LimitPolicy ; import plumlever . sharing . PoolView ; 
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import org.slf4j.Logger;
+import plumlever.fleet.Job;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SharingSettings;
+import plumlever.sharing.CellDemand;
+import plumlever.sharing.LimitParts;
+import plumlever.sharing.LimitPolicy;
+import plumlever.sharing.PoolView;
 
-/** 
-* Holds this cell's part of each team's limit, and gives away what of it nothing uses. A part that 
-* is being given counts as given from before the transaction is sent until its outcome is known. 
-*/ 
-final class LimitSharing { private final Logger log ; private final TermContext context ; private final SharingSettings sharing ; private final String own ; private final ActiveJobs jobs ; private final Failover failover ; private final PoolView view ; private final PoolWriter writer ; 
+/**
+ * Holds this cell's part of each team's limit, and gives away what of it nothing uses. A part that
+ * is being given counts as given from before the transaction is sent until its outcome is known.
+ */
+final class LimitSharing {
+  private final Logger log;
+  private final TermContext context;
+  private final SharingSettings sharing;
+  private final String own;
+  private final ActiveJobs jobs;
+  private final Failover failover;
+  private final PoolView view;
+  private final PoolWriter writer;
 
-/** Processors of this cell's parts that are being given away. */ 
-private final Map < String , Double > giving = new HashMap < > ( ) ; 
+  /** Processors of this cell's parts that are being given away. */
+  private final Map<String, Double> giving = new HashMap<>();
 
-LimitSharing ( TermContext context , SharingSettings sharing , ActiveJobs jobs , Failover failover , PoolView view , PoolWriter writer ) { this . context = context ; this . log = context . logs ( ) . of ( LimitSharing . class ) ; this . sharing = sharing ; this . own = sharing . ownCell ( ) . name ( ) ; this . jobs = jobs ; this . failover = failover ; this . view = view ; this . writer = writer ; } 
+  LimitSharing(
+      TermContext context,
+      SharingSettings sharing,
+      ActiveJobs jobs,
+      Failover failover,
+      PoolView view,
+      PoolWriter writer) {
+    this.context = context;
+    this.log = context.logs().of(LimitSharing.class);
+    this.sharing = sharing;
+    this.own = sharing.ownCell().name();
+    this.jobs = jobs;
+    this.failover = failover;
+    this.view = view;
+    this.writer = writer;
+  }
 
-/** What this cell may use of the team's limit now; a resource without a limit has 0. */ 
-LimitParts . Part limit ( PlatformConfiguration . Team team ) { if ( team . maxCores ( ) <= 0 && team . maxAccelerators ( ) <= 0 ) { return LimitParts . Part . NONE ; } LimitParts . Part part = view . limit ( team . name ( ) ) . map ( parts -> parts . of ( own ) ) . orElse ( LimitParts . Part . NONE ) ; double cores = part . cores ( ) - giving . getOrDefault ( team . name ( ) , 0.0 ) ; return new LimitParts . Part ( team . maxCores ( ) <= 0 ? 0 : positive ( cores ) , team . maxAccelerators ( ) <= 0 ? 0 : positive ( part . accelerators ( ) ) ) ; } 
+  /** What this cell may use of the team's limit now; a resource without a limit has 0. */
+  LimitParts.Part limit(PlatformConfiguration.Team team) {
+    if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
+      return LimitParts.Part.NONE;
+    }
+    LimitParts.Part part =
+        view.limit(team.name()).map(parts -> parts.of(own)).orElse(LimitParts.Part.NONE);
+    double cores = part.cores() - giving.getOrDefault(team.name(), 0.0);
+    return new LimitParts.Part(
+        team.maxCores() <= 0 ? 0 : positive(cores),
+        team.maxAccelerators() <= 0 ? 0 : positive(part.accelerators()));
+  }
 
-/** A part of nothing is a limit all the same, not the absence of one. */ 
-private static double positive ( double part ) { return Math . max ( part , Double . MIN_VALUE ) ; } 
+  /** A part of nothing is a limit all the same, not the absence of one. */
+  private static double positive(double part) {
+    return Math.max(part, Double.MIN_VALUE);
+  }
 
-/** Processors by team that this cell lacks under its parts. */ 
-Map < String , Double > coresWanted ( ) { Map < String , Double > wanted = new TreeMap < > ( ) ; for ( PlatformConfiguration . Team team : context . platform ( ) . teams ( ) ) { double lacking = coresNeeded ( team ) - limit ( team ) . cores ( ) ; if ( team . maxCores ( ) > 0 && lacking > 0 ) { wanted . put ( team . name ( ) , Math . ceil ( lacking ) ) ; } } return wanted ; } 
+  /** Processors by team that this cell lacks under its parts. */
+  Map<String, Double> coresWanted() {
+    Map<String, Double> wanted = new TreeMap<>();
+    for (PlatformConfiguration.Team team : context.platform().teams()) {
+      double lacking = coresNeeded(team) - limit(team).cores();
+      if (team.maxCores() > 0 && lacking > 0) {
+        wanted.put(team.name(), Math.ceil(lacking));
+      }
+    }
+    return wanted;
+  }
 
-private double coresNeeded ( PlatformConfiguration . Team team ) { double waiting = 0 ; for ( Job job : jobs . all ( ) ) { if ( job . spec ( ) . team ( ) . equals ( team . name ( ) ) && ! job . over ( ) && ! job . waitsForDependencies ( ) ) { waiting += job . pendingCount ( ) * job . spec ( ) . cores ( ) ; } } return Math . min ( team . maxCores ( ) , failover . coresHeld ( team . name ( ) ) + waiting ) ; } 
+  private double coresNeeded(PlatformConfiguration.Team team) {
+    double waiting = 0;
+    for (Job job : jobs.all()) {
+      if (job.spec().team().equals(team.name()) && !job.over() && !job.waitsForDependencies()) {
+        waiting += job.pendingCount() * job.spec().cores();
+      }
+    }
+    return Math.min(team.maxCores(), failover.coresHeld(team.name()) + waiting);
+  }
 
-/** Cuts limits up that nobody has cut up yet, and gives what is spare. */ 
-void run ( ) { for ( PlatformConfiguration . Team team : context . platform ( ) . teams ( ) ) { if ( team . maxCores ( ) <= 0 && team . maxAccelerators ( ) <= 0 ) { continue ; } if ( view . limit ( team . name ( ) ) . isEmpty ( ) ) { split ( team ) ; } else if ( team . maxCores ( ) > 0 && ! giving . containsKey ( team . name ( ) ) ) { giveSpare ( team ) ; } } } 
+  /** Cuts limits up that nobody has cut up yet, and gives what is spare. */
+  void run() {
+    for (PlatformConfiguration.Team team : context.platform().teams()) {
+      if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
+        continue;
+      }
+      if (view.limit(team.name()).isEmpty()) {
+        split(team);
+      } else if (team.maxCores() > 0 && !giving.containsKey(team.name())) {
+        giveSpare(team);
+      }
+    }
+  }
 
-private void split ( PlatformConfiguration . Team team ) { if ( giving . putIfAbsent ( team . name ( ) , 0.0 ) != null ) { return ; } Map < String , Double > weights = new TreeMap < > ( ) ; sharing . cells ( ) . forEach ( cell -> weights . put ( cell . name ( ) , cell . weight ( ) ) ) ; LimitParts parts = LimitParts . split ( team . maxCores ( ) , team . maxAccelerators ( ) , weights ) ; String key = LimitParts . keyOf ( team . name ( ) ) ; writer . submit ( new PoolWriter . Step ( ) { @ Override public Optional < PoolTransaction > build ( ) { return view . limit ( team . name ( ) ) . isPresent ( ) ? Optional . empty ( ) : Optional . of ( transaction ( ) . put ( key , parts . toJson ( ) ) ) ; } 
+  private void split(PlatformConfiguration.Team team) {
+    if (giving.putIfAbsent(team.name(), 0.0) != null) {
+      return;
+    }
+    Map<String, Double> weights = new TreeMap<>();
+    sharing.cells().forEach(cell -> weights.put(cell.name(), cell.weight()));
+    LimitParts parts = LimitParts.split(team.maxCores(), team.maxAccelerators(), weights);
+    String key = LimitParts.keyOf(team.name());
+    writer.submit(
+        new PoolWriter.Step() {
+          @Override
+          public Optional<PoolTransaction> build() {
+            return view.limit(team.name()).isPresent()
+                ? Optional.empty()
+                : Optional.of(transaction().put(key, parts.toJson()));
+          }
 
-@ Override public void finished ( ) { giving . remove ( team . name ( ) ) ; } } ) ; } 
+          @Override
+          public void finished() {
+            giving.remove(team.name());
+          }
+        });
+  }
 
-private PoolTransaction transaction ( ) { return new PoolTransaction ( view , context . term ( ) . requireTerm ( ) ) ; } 
+  private PoolTransaction transaction() {
+    return new PoolTransaction(view, context.term().requireTerm());
+  }
 
-private void giveSpare ( PlatformConfiguration . Team team ) { double spare = limit ( team ) . cores ( ) - coresNeeded ( team ) ; Map < String , Double > wanted = new TreeMap < > ( ) ; for ( SharingSettings . Cell cell : sharing . otherCells ( ) ) { view . demand ( cell . name ( ) ) . filter ( demand -> demand . digest ( ) . equals ( sharing . digest ( ) ) ) . map ( CellDemand :: coresWanted ) . map ( byTeam -> byTeam . get ( team . name ( ) ) ) . ifPresent ( cores -> wanted . put ( cell . name ( ) , cores ) ) ; } LimitPolicy . gift ( spare , wanted ) . ifPresent ( gift -> giveSpare ( team , gift ) ) ; } 
+  private void giveSpare(PlatformConfiguration.Team team) {
+    double spare = limit(team).cores() - coresNeeded(team);
+    Map<String, Double> wanted = new TreeMap<>();
+    for (SharingSettings.Cell cell : sharing.otherCells()) {
+      view.demand(cell.name())
+          .filter(demand -> demand.digest().equals(sharing.digest()))
+          .map(CellDemand::coresWanted)
+          .map(byTeam -> byTeam.get(team.name()))
+          .ifPresent(cores -> wanted.put(cell.name(), cores));
+    }
+    LimitPolicy.gift(spare, wanted).ifPresent(gift -> giveSpare(team, gift));
+  }
 
-private void giveSpare ( PlatformConfiguration . Team team , LimitPolicy . Gift gift ) { giving . put ( team . name ( ) , gift . cores ( ) ) ; String key = LimitParts . keyOf ( team . name ( ) ) ; long seen = view . revisionOf ( key ) ; writer . submit ( new PoolWriter . Step ( ) { @ Override public Optional < PoolTransaction > build ( ) { 
-// Once the record has moved on, this was carried out or never will be: a second try 
-// could give twice. 
-return view . limit ( team . name ( ) ) . filter ( parts -> view . revisionOf ( key ) == seen ) . map ( parts -> parts . moved ( own , gift . to ( ) , gift . cores ( ) , 0 ) ) . map ( parts -> transaction ( ) . put ( key , parts . toJson ( ) ) ) ; } 
+  private void giveSpare(PlatformConfiguration.Team team, LimitPolicy.Gift gift) {
+    giving.put(team.name(), gift.cores());
+    String key = LimitParts.keyOf(team.name());
+    long seen = view.revisionOf(key);
+    writer.submit(
+        new PoolWriter.Step() {
+          @Override
+          public Optional<PoolTransaction> build() {
+            // Once the record has moved on, this was carried out or never will be: a second try
+            // could give twice.
+            return view.limit(team.name())
+                .filter(parts -> view.revisionOf(key) == seen)
+                .map(parts -> parts.moved(own, gift.to(), gift.cores(), 0))
+                .map(parts -> transaction().put(key, parts.toJson()));
+          }
 
-@ Override public void finished ( ) { giving . remove ( team . name ( ) ) ; context . metrics ( ) . count ( "limit_parts_given" ) ; log . debug ( "{} processors of {} are given to {}" , gift . cores ( ) , team . name ( ) , gift . to ( ) ) ; } } ) ; } } 
+          @Override
+          public void finished() {
+            giving.remove(team.name());
+            context.metrics().count("limit_parts_given");
+            log.debug("{} processors of {} are given to {}", gift.cores(), team.name(), gift.to());
+          }
+        });
+  }
+}
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -1,54 +1,301 @@
-package plumlever . leader . pool ; 
+package plumlever.leader.pool;
 
-import java . util . ArrayList ; import java . util . Comparator ; import java . util . HashMap ; import java . util . HashSet ; import java . util . List ; import java . util . Map ; import java . util . Optional ; import java . util . Set ; import org . slf4j . Logger ; import plumlever . fleet . Fleet ; import plumlever . fleet . Machine ; import plumlever . leader . context . TermContext ; import plumlever . leader . failover . Failover ; import plumlever . leader . scheduling . SchedulingPass ; import plumlever . scaling . RentalPlan ; import plumlever . settings . PlatformConfiguration ; import plumlever . settings . SharingSettings ; import plumlever . sharing . CellDemand ; import plumlever . sharing . CoreDemand ; import plumlever . sharing . PoolView ; import plumlever . sharing . SharePolicy ; import plumlever . sharing . TransferRecord ; import plumlever . store . StateClient ; import plumlever . wire . MachineType ; 
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.slf4j.Logger;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.scheduling.SchedulingPass;
+import plumlever.scaling.RentalPlan;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SharingSettings;
+import plumlever.sharing.CellDemand;
+import plumlever.sharing.CoreDemand;
+import plumlever.sharing.PoolView;
+import plumlever.sharing.SharePolicy;
+import plumlever.sharing.TransferRecord;
+import plumlever.store.StateClient;
+import plumlever.wire.MachineType;
 
-/** 
-* Tells the other cells what this one has and lacks, and offers them the machines that the policy 
-* says: idle ones first, then those whose tasks end soonest, none that a deadline here needs. 
-*/ 
-final class MachineShareBalancer { private static final long PUBLISH_INTERVAL_MICROS = 2_000_000 ; private static final long REPUBLISH_INTERVAL_MICROS = 30_000_000 ; 
+/**
+ * Tells the other cells what this one has and lacks, and offers them the machines that the policy
+ * says: idle ones first, then those whose tasks end soonest, none that a deadline here needs.
+ */
+final class MachineShareBalancer {
+  private static final long PUBLISH_INTERVAL_MICROS = 2_000_000;
+  private static final long REPUBLISH_INTERVAL_MICROS = 30_000_000;
 
-/** How long a rental waits for what others can do without. */ 
-private static final long HOLD_RENTAL_MICROS = 5_000_000 ; 
+  /** How long a rental waits for what others can do without. */
+  private static final long HOLD_RENTAL_MICROS = 5_000_000;
 
-/** What was given to a cell since it last told what it lacks. */ 
-private record GivenMachines ( long revision , int machines ) { } 
+  /** What was given to a cell since it last told what it lacks. */
+  private record GivenMachines(long revision, int machines) {}
 
-private final Logger log ; private final TermContext context ; private final SharingSettings sharing ; private final String own ; private final Fleet fleet ; private final SchedulingPass pass ; private final Failover failover ; private final PoolView view ; private final MachineTransfers transfers ; private final LimitSharing limits ; private final Map < String , GivenMachines > givenSinceDemand = new HashMap < > ( ) ; private CellDemand publishedDemand ; private long publishedMicros = Long . MIN_VALUE / 4 ; private long lackingSinceMicros = - 1 ; private boolean publishing ; private boolean digestsDiffer ; 
+  private final Logger log;
+  private final TermContext context;
+  private final SharingSettings sharing;
+  private final String own;
+  private final Fleet fleet;
+  private final SchedulingPass pass;
+  private final Failover failover;
+  private final PoolView view;
+  private final MachineTransfers transfers;
+  private final LimitSharing limits;
+  private final Map<String, GivenMachines> givenSinceDemand = new HashMap<>();
+  private CellDemand publishedDemand;
+  private long publishedMicros = Long.MIN_VALUE / 4;
+  private long lackingSinceMicros = -1;
+  private boolean publishing;
+  private boolean digestsDiffer;
 
-MachineShareBalancer ( TermContext context , SharingSettings sharing , Fleet fleet , SchedulingPass pass , Failover failover , PoolView view , MachineTransfers transfers , LimitSharing limits ) { this . context = context ; this . log = context . logs ( ) . of ( MachineShareBalancer . class ) ; this . sharing = sharing ; this . own = sharing . ownCell ( ) . name ( ) ; this . fleet = fleet ; this . pass = pass ; this . failover = failover ; this . view = view ; this . transfers = transfers ; this . limits = limits ; } 
+  MachineShareBalancer(
+      TermContext context,
+      SharingSettings sharing,
+      Fleet fleet,
+      SchedulingPass pass,
+      Failover failover,
+      PoolView view,
+      MachineTransfers transfers,
+      LimitSharing limits) {
+    this.context = context;
+    this.log = context.logs().of(MachineShareBalancer.class);
+    this.sharing = sharing;
+    this.own = sharing.ownCell().name();
+    this.fleet = fleet;
+    this.pass = pass;
+    this.failover = failover;
+    this.view = view;
+    this.transfers = transfers;
+    this.limits = limits;
+  }
 
-/** One look at what this cell has, lacks and can give. */ 
-void run ( ) { if ( ! failover . isComplete ( ) || ! context . prices ( ) . isLoaded ( ) ) { return ; } long now = context . loop ( ) . nowMicros ( ) ; CellDemand demand = demand ( ) ; if ( demand . wanted ( ) == 0 ) { lackingSinceMicros = - 1 ; } else if ( lackingSinceMicros < 0 ) { lackingSinceMicros = now ; } publishDemand ( demand , now ) ; offer ( demand ) ; } 
+  /** One look at what this cell has, lacks and can give. */
+  void run() {
+    if (!failover.isComplete() || !context.prices().isLoaded()) {
+      return;
+    }
+    long now = context.loop().nowMicros();
+    CellDemand demand = demand();
+    if (demand.wanted() == 0) {
+      lackingSinceMicros = -1;
+    } else if (lackingSinceMicros < 0) {
+      lackingSinceMicros = now;
+    }
+    publishDemand(demand, now);
+    offer(demand);
+  }
 
-private CellDemand demand ( ) { int machines = 0 ; int idle = 0 ; for ( Machine machine : fleet . machines ( ) ) { if ( ! machine . returning ( ) && ! machine . transferring ( ) ) { machines ++ ; idle += isIdle ( machine ) ? 1 : 0 ; } } int wanted = machinesLacking ( ) ; return new CellDemand ( machines , wanted > 0 ? 0 : idle , wanted , sharing . digest ( ) , limits . coresWanted ( ) ) ; } 
+  private CellDemand demand() {
+    int machines = 0;
+    int idle = 0;
+    for (Machine machine : fleet.machines()) {
+      if (!machine.returning() && !machine.transferring()) {
+        machines++;
+        idle += isIdle(machine) ? 1 : 0;
+      }
+    }
+    int wanted = machinesLacking();
+    return new CellDemand(
+        machines, wanted > 0 ? 0 : idle, wanted, sharing.digest(), limits.coresWanted());
+  }
 
-private boolean isIdle ( Machine machine ) { return ! machine . load ( ) . mayRunTasks ( ) && ! pass . hasPlan ( machine ) && transfers . canOffer ( machine ) ; } 
+  private boolean isIdle(Machine machine) {
+    return !machine.load().mayRunTasks() && !pass.hasPlan(machine) && transfers.canOffer(machine);
+  }
 
-/** 
-* Machines of the usual size that would hold what the last round found no room for, or that are 
-* missing for deadlines over all jobs, whichever is more. 
-*/ 
-private int machinesLacking ( ) { Map < String , Double > limitOf = new HashMap < > ( ) ; for ( PlatformConfiguration . Team team : context . platform ( ) . teams ( ) ) { if ( team . maxCores ( ) > 0 ) { limitOf . put ( team . name ( ) , team . maxCores ( ) ) ; } } double late = CoreDemand . coresNeeded ( pass . remainingWork ( ) , limitOf ) - coresOwned ( ) ; double cores = Math . max ( pass . waitingCores ( ) , late ) ; return ( int ) Math . min ( sharing . maxMachines ( ) , Math . ceil ( Math . max ( 0 , cores ) / usualCores ( ) ) ) ; } 
+  /**
+   * Machines of the usual size that would hold what the last round found no room for, or that are
+   * missing for deadlines over all jobs, whichever is more.
+   */
+  private int machinesLacking() {
+    Map<String, Double> limitOf = new HashMap<>();
+    for (PlatformConfiguration.Team team : context.platform().teams()) {
+      if (team.maxCores() > 0) {
+        limitOf.put(team.name(), team.maxCores());
+      }
+    }
+    double late = CoreDemand.coresNeeded(pass.remainingWork(), limitOf) - coresOwned();
+    double cores = Math.max(pass.waitingCores(), late);
+    return (int) Math.min(sharing.maxMachines(), Math.ceil(Math.max(0, cores) / usualCores()));
+  }
 
-private double coresOwned ( ) { double cores = 0 ; for ( Machine machine : fleet . machines ( ) ) { MachineType machineType = context . prices ( ) . machineType ( machine . machineType ( ) ) ; if ( machineType != null && ! machine . returning ( ) && ! machine . transferring ( ) ) { cores += machineType . cores ( ) - machine . load ( ) . guests ( ) . cores ( ) ; } } return cores ; } 
+  private double coresOwned() {
+    double cores = 0;
+    for (Machine machine : fleet.machines()) {
+      MachineType machineType = context.prices().machineType(machine.machineType());
+      if (machineType != null && !machine.returning() && !machine.transferring()) {
+        cores += machineType.cores() - machine.load().guests().cores();
+      }
+    }
+    return cores;
+  }
 
-private double usualCores ( ) { double cores = 0 ; int count = 0 ; for ( Machine machine : fleet . machines ( ) ) { MachineType machineType = context . prices ( ) . machineType ( machine . machineType ( ) ) ; if ( machineType != null ) { cores += machineType . cores ( ) ; count ++ ; } } if ( count > 0 ) { return cores / count ; } return context . prices ( ) . machineTypes ( ) . stream ( ) . mapToDouble ( MachineType :: cores ) . average ( ) . orElse ( 1 ) ; } 
+  private double usualCores() {
+    double cores = 0;
+    int count = 0;
+    for (Machine machine : fleet.machines()) {
+      MachineType machineType = context.prices().machineType(machine.machineType());
+      if (machineType != null) {
+        cores += machineType.cores();
+        count++;
+      }
+    }
+    if (count > 0) {
+      return cores / count;
+    }
+    return context.prices().machineTypes().stream()
+        .mapToDouble(MachineType::cores)
+        .average()
+        .orElse(1);
+  }
 
-private void publishDemand ( CellDemand demand , long now ) { boolean due = demand . equals ( publishedDemand ) ? REPUBLISH_INTERVAL_MICROS < now - publishedMicros : ! publishing ; if ( publishing || ! due || now - publishedMicros < PUBLISH_INTERVAL_MICROS ) { return ; } publishing = true ; publishedMicros = now ; String key = CellDemand . keyOf ( own ) ; context . store ( ) . transaction ( context . term ( ) . requireTerm ( ) . put ( key , demand . toJson ( ) ) , StateClient . RequestPriority . ORDINARY , result -> { publishing = false ; publishedDemand = result . applied ( ) ? demand : null ; } ) ; } 
+  private void publishDemand(CellDemand demand, long now) {
+    boolean due =
+        demand.equals(publishedDemand)
+            ? REPUBLISH_INTERVAL_MICROS < now - publishedMicros
+            : !publishing;
+    if (publishing || !due || now - publishedMicros < PUBLISH_INTERVAL_MICROS) {
+      return;
+    }
+    publishing = true;
+    publishedMicros = now;
+    String key = CellDemand.keyOf(own);
+    context
+        .store()
+        .transaction(
+            context.term().requireTerm().put(key, demand.toJson()),
+            StateClient.RequestPriority.ORDINARY,
+            result -> {
+              publishing = false;
+              publishedDemand = result.applied() ? demand : null;
+            });
+  }
 
-private void offer ( CellDemand demand ) { int free = sharing . maxTransfers ( ) - transfers . openOffers ( ) ; if ( free <= 0 ) { return ; } List < SharePolicy . CellState > cells = new ArrayList < > ( ) ; cells . add ( new SharePolicy . CellState ( own , sharing . ownCell ( ) . minMachines ( ) , sharing . ownCell ( ) . weight ( ) , demand . machines ( ) , demand . idle ( ) , demand . wanted ( ) ) ) ; for ( SharingSettings . Cell cell : sharing . otherCells ( ) ) { stateOf ( cell ) . ifPresent ( cells :: add ) ; } for ( SharePolicy . Move move : SharePolicy . plan ( cells , sharing . maxTransfers ( ) ) ) { if ( move . from ( ) . equals ( own ) && free > 0 ) { free -= offerMachines ( move . to ( ) , Math . min ( free , move . machines ( ) ) ) ; } } } 
+  private void offer(CellDemand demand) {
+    int free = sharing.maxTransfers() - transfers.openOffers();
+    if (free <= 0) {
+      return;
+    }
+    List<SharePolicy.CellState> cells = new ArrayList<>();
+    cells.add(
+        new SharePolicy.CellState(
+            own,
+            sharing.ownCell().minMachines(),
+            sharing.ownCell().weight(),
+            demand.machines(),
+            demand.idle(),
+            demand.wanted()));
+    for (SharingSettings.Cell cell : sharing.otherCells()) {
+      stateOf(cell).ifPresent(cells::add);
+    }
+    for (SharePolicy.Move move : SharePolicy.plan(cells, sharing.maxTransfers())) {
+      if (move.from().equals(own) && free > 0) {
+        free -= offerMachines(move.to(), Math.min(free, move.machines()));
+      }
+    }
+  }
 
-/** A cell as it last told of itself; nothing of one that has no leader or another file. */ 
-private Optional < SharePolicy . CellState > stateOf ( SharingSettings . Cell cell ) { Optional < CellDemand > said = view . demand ( cell . name ( ) ) ; if ( said . isEmpty ( ) || view . leader ( cell . name ( ) ) . isEmpty ( ) ) { return Optional . empty ( ) ; } CellDemand demand = said . get ( ) ; if ( ! demand . digest ( ) . equals ( sharing . digest ( ) ) ) { if ( ! digestsDiffer ) { digestsDiffer = true ; log . warn ( "{} has another sharing file: no machine is given to it" , cell . name ( ) ) ; } return Optional . empty ( ) ; } long revision = view . revisionOf ( CellDemand . keyOf ( cell . name ( ) ) ) ; GivenMachines before = givenSinceDemand . get ( cell . name ( ) ) ; int already = before != null && before . revision ( ) == revision ? before . machines ( ) : 0 ; int wanted = Math . max ( 0 , demand . wanted ( ) - already - transfers . offeredTo ( cell . name ( ) ) ) ; return Optional . of ( new SharePolicy . CellState ( cell . name ( ) , cell . minMachines ( ) , cell . weight ( ) , demand . machines ( ) , demand . idle ( ) , wanted ) ) ; } 
+  /** A cell as it last told of itself; nothing of one that has no leader or another file. */
+  private Optional<SharePolicy.CellState> stateOf(SharingSettings.Cell cell) {
+    Optional<CellDemand> said = view.demand(cell.name());
+    if (said.isEmpty() || view.leader(cell.name()).isEmpty()) {
+      return Optional.empty();
+    }
+    CellDemand demand = said.get();
+    if (!demand.digest().equals(sharing.digest())) {
+      if (!digestsDiffer) {
+        digestsDiffer = true;
+        log.warn("{} has another sharing file: no machine is given to it", cell.name());
+      }
+      return Optional.empty();
+    }
+    long revision = view.revisionOf(CellDemand.keyOf(cell.name()));
+    GivenMachines before = givenSinceDemand.get(cell.name());
+    int already = before != null && before.revision() == revision ? before.machines() : 0;
+    int wanted = Math.max(0, demand.wanted() - already - transfers.offeredTo(cell.name()));
+    return Optional.of(
+        new SharePolicy.CellState(
+            cell.name(),
+            cell.minMachines(),
+            cell.weight(),
+            demand.machines(),
+            demand.idle(),
+            wanted));
+  }
 
-private int offerMachines ( String to , int most ) { List < Machine > candidates = new ArrayList < > ( ) ; for ( Machine machine : fleet . machines ( ) ) { if ( transfers . canOffer ( machine ) && ! pass . hasPlan ( machine ) ) { candidates . add ( machine ) ; } } candidates . sort ( Comparator . < Machine > comparingInt ( machine -> machine . load ( ) . mayRunTasks ( ) ? 1 : 0 ) . thenComparingLong ( pass :: expectedIdleMicros ) . thenComparing ( Machine :: id ) ) ; int count = 0 ; Set < Machine > without = new HashSet < > ( pass . cordoned ( ) ) ; for ( Machine machine : candidates ) { if ( count == most ) { break ; } without . add ( machine ) ; if ( ! pass . servesWaitingWithout ( without ) ) { break ; } transfers . offer ( machine , to ) ; count ++ ; } if ( count > 0 ) { long revision = view . revisionOf ( CellDemand . keyOf ( to ) ) ; GivenMachines before = givenSinceDemand . get ( to ) ; int already = before != null && before . revision ( ) == revision ? before . machines ( ) : 0 ; givenSinceDemand . put ( to , new GivenMachines ( revision , already + count ) ) ; } return count ; } 
+  private int offerMachines(String to, int most) {
+    List<Machine> candidates = new ArrayList<>();
+    for (Machine machine : fleet.machines()) {
+      if (transfers.canOffer(machine) && !pass.hasPlan(machine)) {
+        candidates.add(machine);
+      }
+    }
+    candidates.sort(
+        Comparator.<Machine>comparingInt(machine -> machine.load().mayRunTasks() ? 1 : 0)
+            .thenComparingLong(pass::expectedIdleMicros)
+            .thenComparing(Machine::id));
+    int count = 0;
+    Set<Machine> without = new HashSet<>(pass.cordoned());
+    for (Machine machine : candidates) {
+      if (count == most) {
+        break;
+      }
+      without.add(machine);
+      if (!pass.servesWaitingWithout(without)) {
+        break;
+      }
+      transfers.offer(machine, to);
+      count++;
+    }
+    if (count > 0) {
+      long revision = view.revisionOf(CellDemand.keyOf(to));
+      GivenMachines before = givenSinceDemand.get(to);
+      int already = before != null && before.revision() == revision ? before.machines() : 0;
+      givenSinceDemand.put(to, new GivenMachines(revision, already + count));
+    }
+    return count;
+  }
 
-/** False while others can do without machines, for a few seconds after something is lacking. */ 
-boolean mayRent ( ) { if ( lackingSinceMicros < 0 || context . loop ( ) . nowMicros ( ) - lackingSinceMicros > HOLD_RENTAL_MICROS ) { return true ; } return sharing . otherCells ( ) . stream ( ) . noneMatch ( cell -> stateOf ( cell ) . filter ( state -> state . idle ( ) > 0 && state . machines ( ) > state . floor ( ) ) . isPresent ( ) ) ; } 
+  /** False while others can do without machines, for a few seconds after something is lacking. */
+  boolean mayRent() {
+    if (lackingSinceMicros < 0
+        || context.loop().nowMicros() - lackingSinceMicros > HOLD_RENTAL_MICROS) {
+      return true;
+    }
+    return sharing.otherCells().stream()
+        .noneMatch(
+            cell ->
+                stateOf(cell)
+                    .filter(state -> state.idle() > 0 && state.machines() > state.floor())
+                    .isPresent());
+  }
 
-/** False while any cell of the pool lacks machines: idle ones are for it, not for the cloud. */ 
-boolean mayReturnIdle ( ) { return lackingSinceMicros < 0 && sharing . otherCells ( ) . stream ( ) . noneMatch ( cell -> stateOf ( cell ) . filter ( state -> state . wanted ( ) > 0 ) . isPresent ( ) ) ; } 
+  /** False while any cell of the pool lacks machines: idle ones are for it, not for the cloud. */
+  boolean mayReturnIdle() {
+    return lackingSinceMicros < 0
+        && sharing.otherCells().stream()
+            .noneMatch(cell -> stateOf(cell).filter(state -> state.wanted() > 0).isPresent());
+  }
 
-/** Machines that are offered to this cell. */ 
-List < RentalPlan . RentalOption > coming ( ) { List < RentalPlan . RentalOption > kinds = new ArrayList < > ( ) ; for ( PoolView . Versioned < TransferRecord > versioned : view . transfers ( ) . values ( ) ) { TransferRecord record = versioned . value ( ) ; if ( record . offer ( ) . filter ( offer -> offer . to ( ) . equals ( own ) ) . isPresent ( ) ) { TransferRecord . Details details = record . machine ( ) ; kinds . add ( new RentalPlan . RentalOption ( details . machineType ( ) , details . zone ( ) , details . spot ( ) ) ) ; } } return kinds ; } } 
+  /** Machines that are offered to this cell. */
+  List<RentalPlan.RentalOption> coming() {
+    List<RentalPlan.RentalOption> kinds = new ArrayList<>();
+    for (PoolView.Versioned<TransferRecord> versioned : view.transfers().values()) {
+      TransferRecord record = versioned.value();
+      if (record.offer().filter(offer -> offer.to().equals(own)).isPresent()) {
+        TransferRecord.Details details = record.machine();
+        kinds.add(
+            new RentalPlan.RentalOption(details.machineType(), details.zone(), details.spot()));
+      }
+    }
+    return kinds;
+  }
+}
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -1,55 +1,219 @@
-package plumlever . leader . pool ; 
-
-import java . util . ArrayList ; import java . util . HashMap ; import java . util . HashSet ; import java . util . LinkedHashMap ; import java . util . List ; import java . util . Map ; import java . util . Optional ; import java . util . Set ; import java . util . function . Consumer ; import org . slf4j . Logger ; import plumlever . fleet . Machine ; import plumlever . leader . context . TermContext ; import plumlever . settings . SharingSettings ; import plumlever . sharing . OwnerRecord ; import plumlever . sharing . PoolView ; import plumlever . sharing . TransferRecord ; import plumlever . store . Transaction ; 
-
-/** 
-* Makes machines this cell's own that nobody owns, and gives up those that are to be returned. A 
-* machine to be returned first gets a holder that no cell is: a return that is carried out late can 
-* then only meet a machine that nobody uses. 
-*/ 
-final class OwnerClaims { /** 
-* A machine that nobody has claimed for so long came from a rental that its cell never heard of. 
-*/ 
-private static final long UNCLAIMED_MICROS = 15_000_000 ; 
-
-private static final String RETIRED = "!" ; 
-
-private final Logger log ; private final TermContext context ; private final String own ; private final PoolView view ; private final PoolWriter writer ; private final Map < String , Long > unclaimedSince = new HashMap < > ( ) ; private final Set < String > claiming = new HashSet < > ( ) ; private final Set < String > retiring = new HashSet < > ( ) ; 
-
-OwnerClaims ( TermContext context , SharingSettings sharing , PoolView view , PoolWriter writer ) { this . context = context ; this . log = context . logs ( ) . of ( OwnerClaims . class ) ; this . own = sharing . ownCell ( ) . name ( ) ; this . view = view ; this . writer = writer ; } 
-
-private static String retired ( String cell ) { return cell + RETIRED ; } 
-
-/** True for a machine that this cell, maybe under an earlier leader, is about to return. */ 
-boolean isRetired ( String machine ) { return view . holder ( machine ) . equals ( Optional . of ( retired ( own ) ) ) ; } 
-
-/** Machines that appeared here and are in nobody's record; claimed after a while. */ 
-void unownedMachineSeen ( String machine ) { long now = context . loop ( ) . nowMicros ( ) ; if ( view . holder ( machine ) . isPresent ( ) || claiming . contains ( machine ) ) { unclaimedSince . remove ( machine ) ; return ; } if ( unclaimedSince . size ( ) > 2 * context . platform ( ) . socketLimit ( ) ) { unclaimedSince . values ( ) . removeIf ( since -> now - since > 2 * UNCLAIMED_MICROS ) ; } long since = unclaimedSince . computeIfAbsent ( machine , id -> now ) ; if ( now - since > UNCLAIMED_MICROS ) { unclaimedSince . remove ( machine ) ; claim ( List . of ( machine ) , claimed -> log . info ( "{} was in nobody's record and is this cell's now" , claimed ) ) ; } } 
-
-/** Machines that are to be this cell's; each is handed on if it came to be. */ 
-void claim ( List < String > machines , Consumer < String > claimed ) { groupByRecord ( machines ) . values ( ) . forEach ( group -> { claiming . addAll ( group ) ; writer . submit ( new PoolWriter . Step ( ) { @ Override public Optional < PoolTransaction > build ( ) { List < String > free = group . stream ( ) . filter ( name -> view . holder ( name ) . isEmpty ( ) ) . toList ( ) ; return buildChange ( free , own ) ; } 
-
-@ Override public void finished ( ) { claiming . removeAll ( group ) ; group . stream ( ) . filter ( name -> view . holder ( name ) . equals ( Optional . of ( own ) ) ) . forEach ( claimed ) ; } } ) ; } ) ; } 
-
-/** These machines are to be returned; runs once that is on record of all of them. */ 
-void retire ( List < Machine > machines , Runnable recorded ) { List < String > names = machines . stream ( ) . map ( Machine :: id ) . filter ( name -> ! retiring . contains ( name ) ) . toList ( ) ; Map < String , List < String >> groups = groupByRecord ( names ) ; if ( groups . isEmpty ( ) ) { recorded . run ( ) ; return ; } int [ ] open = { groups . size ( ) } ; for ( List < String > group : groups . values ( ) ) { retiring . addAll ( group ) ; writer . submit ( new PoolWriter . Step ( ) { @ Override public Optional < PoolTransaction > build ( ) { List < String > mine = group . stream ( ) . filter ( name -> view . holder ( name ) . equals ( Optional . of ( own ) ) ) . toList ( ) ; return buildChange ( mine , retired ( own ) ) ; } 
-
-@ Override public void finished ( ) { retiring . removeAll ( group ) ; if ( -- open [ 0 ] == 0 ) { recorded . run ( ) ; } } } ) ; } } 
-
-/** The machines do not exist any more: nobody owns them, and homes of tasks on them are told. */ 
-void returned ( List < Machine > machines ) { for ( List < String > group : groupByRecord ( machines . stream ( ) . map ( Machine :: id ) . toList ( ) ) . values ( ) ) { writer . submit ( new PoolWriter . Step ( ) { @ Override public Optional < PoolTransaction > build ( ) { List < String > remaining = group . stream ( ) . filter ( name -> view . holder ( name ) . equals ( Optional . of ( retired ( own ) ) ) ) . toList ( ) ; return buildChange ( remaining , null ) ; } 
-
-@ Override public void finished ( ) { group . forEach ( name -> unclaimedSince . remove ( name ) ) ; } } ) ; } machines . forEach ( machine -> writer . submit ( recordGone ( machine . id ( ) ) ) ) ; } 
-
-private PoolWriter . Step recordGone ( String machine ) { return new PoolWriter . Step ( ) { @ Override public Optional < PoolTransaction > build ( ) { Optional < TransferRecord > record = view . transfer ( machine ) . map ( PoolView . Versioned :: value ) . filter ( OwnerClaims . this :: isOwnAndExists ) ; if ( record . isEmpty ( ) ) { return Optional . empty ( ) ; } String key = TransferRecord . keyOf ( machine ) ; TransferRecord recordGone = record . get ( ) . withoutHome ( own ) . gone ( ) ; PoolTransaction transaction = new PoolTransaction ( view , context . term ( ) . requireTerm ( ) ) ; return Optional . of ( recordGone . isSettled ( ) ? transaction . drop ( key ) : transaction . put ( key , recordGone . toJson ( ) ) ) ; } 
-
-@ Override public void finished ( ) { log . debug ( "{} is gone, its homes are told" , machine ) ; } } ; } 
-
-private boolean isOwnAndExists ( TransferRecord record ) { return record . owner ( ) . equals ( own ) && record . state ( ) != TransferRecord . State . GONE ; } 
-
-/** 
-* @param holder null for none 
-*/ 
-private Optional < PoolTransaction > buildChange ( List < String > machines , String holder ) { if ( machines . isEmpty ( ) ) { return Optional . empty ( ) ; } String key = OwnerRecord . keyOf ( machines . get ( 0 ) ) ; OwnerRecord record = view . owners ( machines . get ( 0 ) ) ; for ( String machine : machines ) { record = holder == null ? record . without ( machine ) : record . with ( machine , holder ) ; } Transaction base = context . term ( ) . requireTerm ( ) ; PoolTransaction transaction = new PoolTransaction ( view , base ) ; return Optional . of ( record . isEmpty ( ) ? transaction . drop ( key ) : transaction . put ( key , record . toJson ( ) ) ) ; } 
-
-private static Map < String , List < String >> groupByRecord ( List < String > machines ) { Map < String , List < String >> groups = new LinkedHashMap < > ( ) ; machines . forEach ( name -> groups . computeIfAbsent ( OwnerRecord . keyOf ( name ) , key -> new ArrayList < > ( ) ) . add ( name ) ) ; return groups ; } } 
+package plumlever.leader.pool;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.TermContext;
+import plumlever.settings.SharingSettings;
+import plumlever.sharing.OwnerRecord;
+import plumlever.sharing.PoolView;
+import plumlever.sharing.TransferRecord;
+import plumlever.store.Transaction;
+
+/**
+ * Makes machines this cell's own that nobody owns, and gives up those that are to be returned. A
+ * machine to be returned first gets a holder that no cell is: a return that is carried out late can
+ * then only meet a machine that nobody uses.
+ */
+final class OwnerClaims {
+  /**
+   * A machine that nobody has claimed for so long came from a rental that its cell never heard of.
+   */
+  private static final long UNCLAIMED_MICROS = 15_000_000;
+
+  private static final String RETIRED = "!";
+
+  private final Logger log;
+  private final TermContext context;
+  private final String own;
+  private final PoolView view;
+  private final PoolWriter writer;
+  private final Map<String, Long> unclaimedSince = new HashMap<>();
+  private final Set<String> claiming = new HashSet<>();
+  private final Set<String> retiring = new HashSet<>();
+
+  OwnerClaims(TermContext context, SharingSettings sharing, PoolView view, PoolWriter writer) {
+    this.context = context;
+    this.log = context.logs().of(OwnerClaims.class);
+    this.own = sharing.ownCell().name();
+    this.view = view;
+    this.writer = writer;
+  }
+
+  private static String retired(String cell) {
+    return cell + RETIRED;
+  }
+
+  /** True for a machine that this cell, maybe under an earlier leader, is about to return. */
+  boolean isRetired(String machine) {
+    return view.holder(machine).equals(Optional.of(retired(own)));
+  }
+
+  /** Machines that appeared here and are in nobody's record; claimed after a while. */
+  void unownedMachineSeen(String machine) {
+    long now = context.loop().nowMicros();
+    if (view.holder(machine).isPresent() || claiming.contains(machine)) {
+      unclaimedSince.remove(machine);
+      return;
+    }
+    if (unclaimedSince.size() > 2 * context.platform().socketLimit()) {
+      unclaimedSince.values().removeIf(since -> now - since > 2 * UNCLAIMED_MICROS);
+    }
+    long since = unclaimedSince.computeIfAbsent(machine, id -> now);
+    if (now - since > UNCLAIMED_MICROS) {
+      unclaimedSince.remove(machine);
+      claim(
+          List.of(machine),
+          claimed -> log.info("{} was in nobody's record and is this cell's now", claimed));
+    }
+  }
+
+  /** Machines that are to be this cell's; each is handed on if it came to be. */
+  void claim(List<String> machines, Consumer<String> claimed) {
+    groupByRecord(machines)
+        .values()
+        .forEach(
+            group -> {
+              claiming.addAll(group);
+              writer.submit(
+                  new PoolWriter.Step() {
+                    @Override
+                    public Optional<PoolTransaction> build() {
+                      List<String> free =
+                          group.stream().filter(name -> view.holder(name).isEmpty()).toList();
+                      return buildChange(free, own);
+                    }
+
+                    @Override
+                    public void finished() {
+                      claiming.removeAll(group);
+                      group.stream()
+                          .filter(name -> view.holder(name).equals(Optional.of(own)))
+                          .forEach(claimed);
+                    }
+                  });
+            });
+  }
+
+  /** These machines are to be returned; runs once that is on record of all of them. */
+  void retire(List<Machine> machines, Runnable recorded) {
+    List<String> names =
+        machines.stream().map(Machine::id).filter(name -> !retiring.contains(name)).toList();
+    Map<String, List<String>> groups = groupByRecord(names);
+    if (groups.isEmpty()) {
+      recorded.run();
+      return;
+    }
+    int[] open = {groups.size()};
+    for (List<String> group : groups.values()) {
+      retiring.addAll(group);
+      writer.submit(
+          new PoolWriter.Step() {
+            @Override
+            public Optional<PoolTransaction> build() {
+              List<String> mine =
+                  group.stream()
+                      .filter(name -> view.holder(name).equals(Optional.of(own)))
+                      .toList();
+              return buildChange(mine, retired(own));
+            }
+
+            @Override
+            public void finished() {
+              retiring.removeAll(group);
+              if (--open[0] == 0) {
+                recorded.run();
+              }
+            }
+          });
+    }
+  }
+
+  /** The machines do not exist any more: nobody owns them, and homes of tasks on them are told. */
+  void returned(List<Machine> machines) {
+    for (List<String> group : groupByRecord(machines.stream().map(Machine::id).toList()).values()) {
+      writer.submit(
+          new PoolWriter.Step() {
+            @Override
+            public Optional<PoolTransaction> build() {
+              List<String> remaining =
+                  group.stream()
+                      .filter(name -> view.holder(name).equals(Optional.of(retired(own))))
+                      .toList();
+              return buildChange(remaining, null);
+            }
+
+            @Override
+            public void finished() {
+              group.forEach(name -> unclaimedSince.remove(name));
+            }
+          });
+    }
+    machines.forEach(machine -> writer.submit(recordGone(machine.id())));
+  }
+
+  private PoolWriter.Step recordGone(String machine) {
+    return new PoolWriter.Step() {
+      @Override
+      public Optional<PoolTransaction> build() {
+        Optional<TransferRecord> record =
+            view.transfer(machine)
+                .map(PoolView.Versioned::value)
+                .filter(OwnerClaims.this::isOwnAndExists);
+        if (record.isEmpty()) {
+          return Optional.empty();
+        }
+        String key = TransferRecord.keyOf(machine);
+        TransferRecord recordGone = record.get().withoutHome(own).gone();
+        PoolTransaction transaction = new PoolTransaction(view, context.term().requireTerm());
+        return Optional.of(
+            recordGone.isSettled()
+                ? transaction.drop(key)
+                : transaction.put(key, recordGone.toJson()));
+      }
+
+      @Override
+      public void finished() {
+        log.debug("{} is gone, its homes are told", machine);
+      }
+    };
+  }
+
+  private boolean isOwnAndExists(TransferRecord record) {
+    return record.owner().equals(own) && record.state() != TransferRecord.State.GONE;
+  }
+
+  /**
+   * @param holder null for none
+   */
+  private Optional<PoolTransaction> buildChange(List<String> machines, String holder) {
+    if (machines.isEmpty()) {
+      return Optional.empty();
+    }
+    String key = OwnerRecord.keyOf(machines.get(0));
+    OwnerRecord record = view.owners(machines.get(0));
+    for (String machine : machines) {
+      record = holder == null ? record.without(machine) : record.with(machine, holder);
+    }
+    Transaction base = context.term().requireTerm();
+    PoolTransaction transaction = new PoolTransaction(view, base);
+    return Optional.of(
+        record.isEmpty() ? transaction.drop(key) : transaction.put(key, record.toJson()));
+  }
+
+  private static Map<String, List<String>> groupByRecord(List<String> machines) {
+    Map<String, List<String>> groups = new LinkedHashMap<>();
+    machines.forEach(
+        name ->
+            groups.computeIfAbsent(OwnerRecord.keyOf(name), key -> new ArrayList<>()).add(name));
+    return groups;
+  }
+}
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -1,59 +1,321 @@
-package plumlever . leader . pool ; 
+package plumlever.leader.pool;
 
-import java . util . ArrayList ; import java . util . List ; import java . util . Optional ; import java . util . function . Consumer ; import org . slf4j . Logger ; import plumlever . concurrent . RecurringTask ; import plumlever . concurrent . Scope ; import plumlever . fleet . Fleet ; import plumlever . fleet . Machine ; import plumlever . http . Responder ; import plumlever . leader . context . MachineSharing ; import plumlever . leader . context . TermContext ; import plumlever . leader . failover . Failover ; import plumlever . leader . heartbeat . HeartbeatHandler ; import plumlever . leader . job . ActiveJobs ; import plumlever . leader . machine . MachineRegistry ; import plumlever . leader . scheduling . CommandSender ; import plumlever . leader . scheduling . SchedulingPass ; import plumlever . lease . GuestEvidence ; import plumlever . scaling . RentalPlan ; import plumlever . settings . PlatformConfiguration ; import plumlever . settings . SharingSettings ; import plumlever . sharing . LimitParts ; import plumlever . sharing . PoolView ; import plumlever . sharing . TransferRecord ; import plumlever . store . StateClient ; import plumlever . wire . Heartbeat ; import plumlever . wire . HttpStatus ; import plumlever . wire . Json ; import plumlever . wire . ListedMachine ; import plumlever . wire . ProtocolField ; import plumlever . wire . RelayedHeartbeat ; import plumlever . wire . WorkerCommand ; 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import plumlever.concurrent.RecurringTask;
+import plumlever.concurrent.Scope;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.http.Responder;
+import plumlever.leader.context.MachineSharing;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.failover.Failover;
+import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.leader.machine.MachineRegistry;
+import plumlever.leader.scheduling.CommandSender;
+import plumlever.leader.scheduling.SchedulingPass;
+import plumlever.lease.GuestEvidence;
+import plumlever.scaling.RentalPlan;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SharingSettings;
+import plumlever.sharing.LimitParts;
+import plumlever.sharing.PoolView;
+import plumlever.sharing.TransferRecord;
+import plumlever.store.StateClient;
+import plumlever.wire.Heartbeat;
+import plumlever.wire.HttpStatus;
+import plumlever.wire.Json;
+import plumlever.wire.ListedMachine;
+import plumlever.wire.ProtocolField;
+import plumlever.wire.RelayedHeartbeat;
+import plumlever.wire.WorkerCommand;
 
-/** One cell's part in a pool, for one term of its leader. */ 
-public final class PoolSharing implements MachineSharing { private static final long TURN_MICROS = 500_000 ; 
+/** One cell's part in a pool, for one term of its leader. */
+public final class PoolSharing implements MachineSharing {
+  private static final long TURN_MICROS = 500_000;
 
-private final Logger log ; private final TermContext context ; private final SharingSettings sharing ; private final Fleet fleet ; private final MachineRegistry registry ; private final HeartbeatHandler heartbeats ; private final Runnable changed ; private final Scope scope = new Scope ( ) ; private final PoolLink link ; private final PoolView view ; private final PoolWriter writer ; private final OwnerClaims claims ; private final GuestBook guests ; private final MachineTransfers transfers ; private final DeadCellAdoption adoption ; private final LimitSharing limits ; private final MachineShareBalancer share ; private boolean poolRecordsRead ; 
+  private final Logger log;
+  private final TermContext context;
+  private final SharingSettings sharing;
+  private final Fleet fleet;
+  private final MachineRegistry registry;
+  private final HeartbeatHandler heartbeats;
+  private final Runnable changed;
+  private final Scope scope = new Scope();
+  private final PoolLink link;
+  private final PoolView view;
+  private final PoolWriter writer;
+  private final OwnerClaims claims;
+  private final GuestBook guests;
+  private final MachineTransfers transfers;
+  private final DeadCellAdoption adoption;
+  private final LimitSharing limits;
+  private final MachineShareBalancer share;
+  private boolean poolRecordsRead;
 
-/** The sharing of one term; nothing is answered before the records of the pool are loaded. */ 
-public PoolSharing ( TermContext context , SharingSettings sharing , Fleet fleet , ActiveJobs jobs , MachineRegistry registry , HeartbeatHandler heartbeats , SchedulingPass pass , Failover failover , CommandSender commands , Runnable changed ) { this . context = context ; this . log = context . logs ( ) . of ( PoolSharing . class ) ; this . sharing = sharing ; this . fleet = fleet ; this . registry = registry ; this . heartbeats = heartbeats ; this . changed = changed ; this . link = new PoolLink ( context , this :: recordsChanged ) ; this . view = link . view ( ) ; this . writer = new PoolWriter ( context , link , this :: recordsChanged ) ; this . claims = new OwnerClaims ( context , sharing , view , writer ) ; this . guests = new GuestBook ( context , sharing , view ) ; TransferSteps steps = new TransferSteps ( context , sharing . ownCell ( ) . name ( ) , view , writer ) ; this . transfers = new MachineTransfers ( context , sharing , fleet , jobs , heartbeats , registry , pass , view , steps , guests , failover , commands :: raiseToken ) ; this . adoption = new DeadCellAdoption ( context , sharing , link , steps , transfers :: acquire ) ; this . limits = new LimitSharing ( context , sharing , jobs , failover , view , writer ) ; this . share = new MachineShareBalancer ( context , sharing , fleet , pass , failover , view , transfers , limits ) ; } 
+  /** The sharing of one term; nothing is answered before the records of the pool are loaded. */
+  public PoolSharing(
+      TermContext context,
+      SharingSettings sharing,
+      Fleet fleet,
+      ActiveJobs jobs,
+      MachineRegistry registry,
+      HeartbeatHandler heartbeats,
+      SchedulingPass pass,
+      Failover failover,
+      CommandSender commands,
+      Runnable changed) {
+    this.context = context;
+    this.log = context.logs().of(PoolSharing.class);
+    this.sharing = sharing;
+    this.fleet = fleet;
+    this.registry = registry;
+    this.heartbeats = heartbeats;
+    this.changed = changed;
+    this.link = new PoolLink(context, this::recordsChanged);
+    this.view = link.view();
+    this.writer = new PoolWriter(context, link, this::recordsChanged);
+    this.claims = new OwnerClaims(context, sharing, view, writer);
+    this.guests = new GuestBook(context, sharing, view);
+    TransferSteps steps = new TransferSteps(context, sharing.ownCell().name(), view, writer);
+    this.transfers =
+        new MachineTransfers(
+            context,
+            sharing,
+            fleet,
+            jobs,
+            heartbeats,
+            registry,
+            pass,
+            view,
+            steps,
+            guests,
+            failover,
+            commands::raiseToken);
+    this.adoption = new DeadCellAdoption(context, sharing, link, steps, transfers::acquire);
+    this.limits = new LimitSharing(context, sharing, jobs, failover, view, writer);
+    this.share =
+        new MachineShareBalancer(context, sharing, fleet, pass, failover, view, transfers, limits);
+  }
 
-@ Override public boolean inPool ( ) { return true ; } 
+  @Override
+  public boolean inPool() {
+    return true;
+  }
 
-@ Override public void poolRecordsRead ( StateClient . Listing pool , long askedMicros ) { link . load ( pool , askedMicros ) ; poolRecordsRead = true ; List < String > unclaimed = new ArrayList < > ( ) ; for ( Machine machine : List . copyOf ( fleet . machines ( ) ) ) { Optional < String > holder = view . holder ( machine . id ( ) ) ; if ( holder . isEmpty ( ) ) { unclaimed . add ( machine . id ( ) ) ; } else if ( claims . isRetired ( machine . id ( ) ) ) { machine . setReturning ( true ) ; } else if ( ! transfers . owns ( machine . id ( ) ) ) { registry . remove ( machine ) ; fleet . remove ( machine ) ; } } transfers . reconcile ( ) ; if ( ! unclaimed . isEmpty ( ) ) { claims . claim ( unclaimed , claimed -> log . info ( "{} is claimed, it was on record here" , claimed ) ) ; } scope . own ( writer :: close ) ; scope . own ( link :: close ) ; scope . own ( guests :: close ) ; scope . own ( new RecurringTask ( "sharing" , context . loop ( ) , this :: run ) ) . start ( ) ; } 
+  @Override
+  public void poolRecordsRead(StateClient.Listing pool, long askedMicros) {
+    link.load(pool, askedMicros);
+    poolRecordsRead = true;
+    List<String> unclaimed = new ArrayList<>();
+    for (Machine machine : List.copyOf(fleet.machines())) {
+      Optional<String> holder = view.holder(machine.id());
+      if (holder.isEmpty()) {
+        unclaimed.add(machine.id());
+      } else if (claims.isRetired(machine.id())) {
+        machine.setReturning(true);
+      } else if (!transfers.owns(machine.id())) {
+        registry.remove(machine);
+        fleet.remove(machine);
+      }
+    }
+    transfers.reconcile();
+    if (!unclaimed.isEmpty()) {
+      claims.claim(unclaimed, claimed -> log.info("{} is claimed, it was on record here", claimed));
+    }
+    scope.own(writer::close);
+    scope.own(link::close);
+    scope.own(guests::close);
+    scope.own(new RecurringTask("sharing", context.loop(), this::run)).start();
+  }
 
-private void recordsChanged ( ) { if ( poolRecordsRead ) { transfers . reconcile ( ) ; changed . run ( ) ; } } 
+  private void recordsChanged() {
+    if (poolRecordsRead) {
+      transfers.reconcile();
+      changed.run();
+    }
+  }
 
-private long run ( ) { if ( context . term ( ) . mayAct ( ) ) { adoption . watchLeaders ( ) ; transfers . reconcile ( ) ; limits . run ( ) ; share . run ( ) ; } return TURN_MICROS ; } 
+  private long run() {
+    if (context.term().mayAct()) {
+      adoption.watchLeaders();
+      transfers.reconcile();
+      limits.run();
+      share.run();
+    }
+    return TURN_MICROS;
+  }
 
-@ Override public boolean isOwn ( ListedMachine listed ) { if ( transfers . owns ( listed . id ( ) ) || claims . isRetired ( listed . id ( ) ) ) { return true ; } claims . unownedMachineSeen ( listed . id ( ) ) ; adoption . listed ( listed ) ; return false ; } 
+  @Override
+  public boolean isOwn(ListedMachine listed) {
+    if (transfers.owns(listed.id()) || claims.isRetired(listed.id())) {
+      return true;
+    }
+    claims.unownedMachineSeen(listed.id());
+    adoption.listed(listed);
+    return false;
+  }
 
-@ Override public boolean mustReturn ( String machine ) { return claims . isRetired ( machine ) ; } 
+  @Override
+  public boolean mustReturn(String machine) {
+    return claims.isRetired(machine);
+  }
 
-@ Override public boolean answerUnlessOwn ( Heartbeat heartbeat , Responder out ) { String machine = heartbeat . machineId ( ) ; if ( ! poolRecordsRead ) { out . retryLater ( HttpStatus . UNAVAILABLE , "whose machine this is is not known yet" , 1 ) ; return true ; } if ( transfers . owns ( machine ) ) { return answeredOwn ( heartbeat , out ) ; } Optional < String > holder = view . holder ( machine ) ; if ( holder . isEmpty ( ) ) { claims . unownedMachineSeen ( machine ) ; } Optional < String > leader = holder . flatMap ( view :: leader ) ; if ( leader . isPresent ( ) && ! leader . get ( ) . equals ( context . platform ( ) . label ( ) ) ) { out . send ( HttpStatus . MISDIRECTED_REQUEST , Json . write ( Json . object ( ) . put ( ProtocolField . LEADER , leader . get ( ) ) ) ) ; } else { out . retryLater ( HttpStatus . UNAVAILABLE , "nobody answers for this machine now" , 1 ) ; } return true ; } 
+  @Override
+  public boolean answerUnlessOwn(Heartbeat heartbeat, Responder out) {
+    String machine = heartbeat.machineId();
+    if (!poolRecordsRead) {
+      out.retryLater(HttpStatus.UNAVAILABLE, "whose machine this is is not known yet", 1);
+      return true;
+    }
+    if (transfers.owns(machine)) {
+      return answeredOwn(heartbeat, out);
+    }
+    Optional<String> holder = view.holder(machine);
+    if (holder.isEmpty()) {
+      claims.unownedMachineSeen(machine);
+    }
+    Optional<String> leader = holder.flatMap(view::leader);
+    if (leader.isPresent() && !leader.get().equals(context.platform().label())) {
+      out.send(
+          HttpStatus.MISDIRECTED_REQUEST,
+          Json.write(Json.object().put(ProtocolField.LEADER, leader.get())));
+    } else {
+      out.retryLater(HttpStatus.UNAVAILABLE, "nobody answers for this machine now", 1);
+    }
+    return true;
+  }
 
-private boolean answeredOwn ( Heartbeat heartbeat , Responder out ) { Machine machine = fleet . machine ( heartbeat . machineId ( ) ) ; if ( machine != null && Fleet . termOf ( heartbeat . fencingToken ( ) ) > machine . tokens ( ) . term ( ) ) { 
-// The machine has seen a newer owner or leader than this one knows of. 
-out . retryLater ( HttpStatus . UNAVAILABLE , "a newer owner is known to the machine" , 1 ) ; return true ; } boolean viewIsOld = context . loop ( ) . nowMicros ( ) - link . knownMicros ( ) > MachineTransfers . OFFER_VIEW_MICROS ; if ( machine != null && machine . transferring ( ) && viewIsOld ) { out . retryLater ( HttpStatus . UNAVAILABLE , "the machine may have another owner by now" , 1 ) ; return true ; } return false ; } 
+  private boolean answeredOwn(Heartbeat heartbeat, Responder out) {
+    Machine machine = fleet.machine(heartbeat.machineId());
+    if (machine != null && Fleet.termOf(heartbeat.fencingToken()) > machine.tokens().term()) {
+      // The machine has seen a newer owner or leader than this one knows of.
+      out.retryLater(HttpStatus.UNAVAILABLE, "a newer owner is known to the machine", 1);
+      return true;
+    }
+    boolean viewIsOld =
+        context.loop().nowMicros() - link.knownMicros() > MachineTransfers.OFFER_VIEW_MICROS;
+    if (machine != null && machine.transferring() && viewIsOld) {
+      out.retryLater(HttpStatus.UNAVAILABLE, "the machine may have another owner by now", 1);
+      return true;
+    }
+    return false;
+  }
 
-@ Override public void claimRented ( List < String > machines , Consumer < String > own ) { claims . claim ( machines , own ) ; } 
+  @Override
+  public void claimRented(List<String> machines, Consumer<String> own) {
+    claims.claim(machines, own);
+  }
 
-@ Override public void recordReturns ( List < Machine > machines , Runnable recorded ) { claims . retire ( machines , recorded ) ; } 
+  @Override
+  public void recordReturns(List<Machine> machines, Runnable recorded) {
+    claims.retire(machines, recorded);
+  }
 
-@ Override public void machinesReturned ( List < Machine > machines ) { machines . forEach ( guests :: remove ) ; claims . returned ( machines ) ; } 
+  @Override
+  public void machinesReturned(List<Machine> machines) {
+    machines.forEach(guests::remove);
+    claims.returned(machines);
+  }
 
-@ Override public boolean isGuest ( Machine machine , long attempt ) { return guests . isGuest ( machine , attempt ) ; } 
+  @Override
+  public boolean isGuest(Machine machine, long attempt) {
+    return guests.isGuest(machine, attempt);
+  }
 
-@ Override public void heartbeatApplied ( Machine machine , Heartbeat heartbeat ) { guests . reported ( machine , heartbeat ) ; } 
+  @Override
+  public void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
+    guests.reported(machine, heartbeat);
+  }
 
-@ Override public GuestEvidence guestEvidence ( Machine machine ) { return guests . evidence ( machine ) ; } 
+  @Override
+  public GuestEvidence guestEvidence(Machine machine) {
+    return guests.evidence(machine);
+  }
 
-@ Override public List < WorkerCommand > guestCommands ( Machine machine , Heartbeat heartbeat ) { return guests . commands ( machine , heartbeat ) ; } 
+  @Override
+  public List<WorkerCommand> guestCommands(Machine machine, Heartbeat heartbeat) {
+    return guests.commands(machine, heartbeat);
+  }
 
-@ Override public void leaseExpired ( Machine machine ) { guests . lapsed ( machine ) ; } 
+  @Override
+  public void leaseExpired(Machine machine) {
+    guests.lapsed(machine);
+  }
 
-@ Override public void relayed ( RelayedHeartbeat relayed , Responder out ) { String id = relayed . heartbeat ( ) . machineId ( ) ; Optional < TransferRecord > record = poolRecordsRead ? view . transfer ( id ) . map ( PoolView . Versioned :: value ) : Optional . empty ( ) ; Machine machine = poolRecordsRead ? fleet . transferredMachine ( id ) : null ; boolean fits = record . isPresent ( ) && record . get ( ) . isHome ( sharing . ownCell ( ) . name ( ) ) && record . get ( ) . owner ( ) . equals ( relayed . from ( ) ) && relayed . number ( ) >= record . get ( ) . number ( ) ; if ( machine == null || ! fits || ! context . term ( ) . mayAct ( ) ) { out . retryLater ( HttpStatus . UNAVAILABLE , "tasks on this machine are not known here now" , 1 ) ; return ; } machine . tokens ( ) . startTerm ( relayed . number ( ) ) ; boolean news ; if ( relayed . lapsed ( ) ) { heartbeats . endIncarnationsBefore ( machine , Long . MAX_VALUE ) ; news = true ; } else { news = heartbeats . applyRelayed ( machine , relayed . heartbeat ( ) ) ; } if ( news && relayed . heartbeat ( ) . attempts ( ) . isEmpty ( ) ) { transfers . ownTasksGone ( machine ) ; } List < WorkerCommand > commands = relayed . lapsed ( ) ? List . of ( ) : heartbeats . stopAndRemoveCommands ( machine , relayed . heartbeat ( ) ) ; if ( heartbeats . getAndClearChanged ( ) ) { changed . run ( ) ; } out . send ( HttpStatus . OK , WorkerCommand . relayed ( commands ) ) ; } 
+  @Override
+  public void relayed(RelayedHeartbeat relayed, Responder out) {
+    String id = relayed.heartbeat().machineId();
+    Optional<TransferRecord> record =
+        poolRecordsRead ? view.transfer(id).map(PoolView.Versioned::value) : Optional.empty();
+    Machine machine = poolRecordsRead ? fleet.transferredMachine(id) : null;
+    boolean fits =
+        record.isPresent()
+            && record.get().isHome(sharing.ownCell().name())
+            && record.get().owner().equals(relayed.from())
+            && relayed.number() >= record.get().number();
+    if (machine == null || !fits || !context.term().mayAct()) {
+      out.retryLater(HttpStatus.UNAVAILABLE, "tasks on this machine are not known here now", 1);
+      return;
+    }
+    machine.tokens().startTerm(relayed.number());
+    boolean news;
+    if (relayed.lapsed()) {
+      heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
+      news = true;
+    } else {
+      news = heartbeats.applyRelayed(machine, relayed.heartbeat());
+    }
+    if (news && relayed.heartbeat().attempts().isEmpty()) {
+      transfers.ownTasksGone(machine);
+    }
+    List<WorkerCommand> commands =
+        relayed.lapsed()
+            ? List.of()
+            : heartbeats.stopAndRemoveCommands(machine, relayed.heartbeat());
+    if (heartbeats.getAndClearChanged()) {
+      changed.run();
+    }
+    out.send(HttpStatus.OK, WorkerCommand.relayed(commands));
+  }
 
-@ Override public boolean offerTransfer ( String machine , String cell ) { Machine found = poolRecordsRead ? fleet . machine ( machine ) : null ; boolean known = sharing . otherCells ( ) . stream ( ) . anyMatch ( other -> other . name ( ) . equals ( cell ) ) ; if ( found == null || ! known || ! context . term ( ) . mayAct ( ) || ! transfers . canOffer ( found ) ) { return false ; } transfers . offer ( found , cell ) ; return true ; } 
+  @Override
+  public boolean offerTransfer(String machine, String cell) {
+    Machine found = poolRecordsRead ? fleet.machine(machine) : null;
+    boolean known = sharing.otherCells().stream().anyMatch(other -> other.name().equals(cell));
+    if (found == null || !known || !context.term().mayAct() || !transfers.canOffer(found)) {
+      return false;
+    }
+    transfers.offer(found, cell);
+    return true;
+  }
 
-@ Override public boolean mayRent ( ) { return share . mayRent ( ) ; } 
+  @Override
+  public boolean mayRent() {
+    return share.mayRent();
+  }
 
-@ Override public boolean mayReturnIdle ( ) { return share . mayReturnIdle ( ) ; } 
+  @Override
+  public boolean mayReturnIdle() {
+    return share.mayReturnIdle();
+  }
 
-@ Override public List < RentalPlan . RentalOption > incomingMachines ( ) { return share . coming ( ) ; } 
+  @Override
+  public List<RentalPlan.RentalOption> incomingMachines() {
+    return share.coming();
+  }
 
-@ Override public LimitParts . Part teamLimit ( PlatformConfiguration . Team team ) { return limits . limit ( team ) ; } 
+  @Override
+  public LimitParts.Part teamLimit(PlatformConfiguration.Team team) {
+    return limits.limit(team);
+  }
 
-@ Override public void close ( ) { scope . close ( ) ; } } 
+  @Override
+  public void close() {
+    scope.close();
+  }
+}
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -1,42 +1,155 @@
-package plumlever . leader . pool ; 
+package plumlever.leader.pool;
 
-import java . util . ArrayDeque ; import java . util . ArrayList ; import java . util . List ; import java . util . Optional ; import org . slf4j . Logger ; import plumlever . leader . context . TermContext ; import plumlever . store . StateClient ; import plumlever . store . Transaction ; 
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import org.slf4j.Logger;
+import plumlever.leader.context.TermContext;
+import plumlever.store.StateClient;
+import plumlever.store.Transaction;
 
-/** 
-* Changes records of the pool, one transaction at a time. A step that lost its precondition, or had 
-* no answer, is built anew from what a read then shows; it says itself whether there is still 
-* anything to do. 
-*/ 
-final class PoolWriter { /** A change that is wanted. */ 
-interface Step { /** 
-* The transaction that is due by the present view; nothing when the step has come to its end. 
-*/ 
-Optional < PoolTransaction > build ( ) ; 
+/**
+ * Changes records of the pool, one transaction at a time. A step that lost its precondition, or had
+ * no answer, is built anew from what a read then shows; it says itself whether there is still
+ * anything to do.
+ */
+final class PoolWriter {
+  /** A change that is wanted. */
+  interface Step {
+    /**
+     * The transaction that is due by the present view; nothing when the step has come to its end.
+     */
+    Optional<PoolTransaction> build();
 
-/** It has come to its end: carried out, or of no use any more. */ 
-void finished ( ) ; } 
+    /** It has come to its end: carried out, or of no use any more. */
+    void finished();
+  }
 
-private static final long RETRY_MICROS = 250_000 ; private static final int MOST_WAITING = 4_096 ; 
+  private static final long RETRY_MICROS = 250_000;
+  private static final int MOST_WAITING = 4_096;
 
-private final Logger log ; private final TermContext context ; private final PoolLink link ; private final Runnable changed ; private final ArrayDeque < Step > waiting = new ArrayDeque < > ( ) ; private boolean busy ; private boolean closed ; 
+  private final Logger log;
+  private final TermContext context;
+  private final PoolLink link;
+  private final Runnable changed;
+  private final ArrayDeque<Step> waiting = new ArrayDeque<>();
+  private boolean busy;
+  private boolean closed;
 
-PoolWriter ( TermContext context , PoolLink link , Runnable changed ) { this . context = context ; this . log = context . logs ( ) . of ( PoolWriter . class ) ; this . link = link ; this . changed = changed ; } 
+  PoolWriter(TermContext context, PoolLink link, Runnable changed) {
+    this.context = context;
+    this.log = context.logs().of(PoolWriter.class);
+    this.link = link;
+    this.changed = changed;
+  }
 
-/** False when too many wait already; whoever wants it asks again. */ 
-boolean submit ( Step step ) { if ( waiting . size ( ) >= MOST_WAITING ) { return false ; } waiting . add ( step ) ; runNext ( ) ; return true ; } 
+  /** False when too many wait already; whoever wants it asks again. */
+  boolean submit(Step step) {
+    if (waiting.size() >= MOST_WAITING) {
+      return false;
+    }
+    waiting.add(step);
+    runNext();
+    return true;
+  }
 
-private void runNext ( ) { if ( busy || closed || waiting . isEmpty ( ) ) { return ; } busy = true ; run ( waiting . poll ( ) ) ; } 
+  private void runNext() {
+    if (busy || closed || waiting.isEmpty()) {
+      return;
+    }
+    busy = true;
+    run(waiting.poll());
+  }
 
-private void finish ( Step step ) { busy = false ; step . finished ( ) ; runNext ( ) ; } 
+  private void finish(Step step) {
+    busy = false;
+    step.finished();
+    runNext();
+  }
 
-private void run ( Step step ) { if ( closed ) { return ; } if ( ! context . term ( ) . mayAct ( ) ) { 
-// Nothing more is begun in this term; the next leader finds each record in a state that says 
-// what is left to do. 
-context . loop ( ) . after ( RETRY_MICROS , ( ) -> run ( step ) ) ; return ; } Optional < PoolTransaction > built = step . build ( ) ; if ( built . isEmpty ( ) ) { finish ( step ) ; return ; } PoolTransaction transaction = built . get ( ) ; context . store ( ) . transaction ( transaction . transaction ( ) , StateClient . RequestPriority . ORDINARY , result -> { if ( closed ) { return ; } switch ( result . outcome ( ) ) { case APPLIED -> { transaction . changes ( ) . forEach ( ( key , data ) -> link . apply ( new StateClient . KeyEvent ( key , data , result . revision ( ) ) ) ) ; finish ( step ) ; changed . run ( ) ; } case REFUSED -> context . loop ( ) . after ( RETRY_MICROS , ( ) -> run ( step ) ) ; default -> reread ( step , transaction , result . outcome ( ) ) ; } } ) ; } 
+  private void run(Step step) {
+    if (closed) {
+      return;
+    }
+    if (!context.term().mayAct()) {
+      // Nothing more is begun in this term; the next leader finds each record in a state that says
+      // what is left to do.
+      context.loop().after(RETRY_MICROS, () -> run(step));
+      return;
+    }
+    Optional<PoolTransaction> built = step.build();
+    if (built.isEmpty()) {
+      finish(step);
+      return;
+    }
+    PoolTransaction transaction = built.get();
+    context
+        .store()
+        .transaction(
+            transaction.transaction(),
+            StateClient.RequestPriority.ORDINARY,
+            result -> {
+              if (closed) {
+                return;
+              }
+              switch (result.outcome()) {
+                case APPLIED -> {
+                  transaction
+                      .changes()
+                      .forEach(
+                          (key, data) ->
+                              link.apply(new StateClient.KeyEvent(key, data, result.revision())));
+                  finish(step);
+                  changed.run();
+                }
+                case REFUSED -> context.loop().after(RETRY_MICROS, () -> run(step));
+                default -> reread(step, transaction, result.outcome());
+              }
+            });
+  }
 
-/** What became of it is settled by reading the records that it rests on. */ 
-private void reread ( Step step , PoolTransaction transaction , Transaction . Outcome outcome ) { log . debug ( "a change of the pool's records: {}, preconditions are read anew" , outcome ) ; List < String > keys = new ArrayList < > ( transaction . required ( ) ) ; read ( keys , 0 , ( ) -> run ( step ) ) ; } 
+  /** What became of it is settled by reading the records that it rests on. */
+  private void reread(Step step, PoolTransaction transaction, Transaction.Outcome outcome) {
+    log.debug("a change of the pool's records: {}, preconditions are read anew", outcome);
+    List<String> keys = new ArrayList<>(transaction.required());
+    read(keys, 0, () -> run(step));
+  }
 
-private void read ( List < String > keys , int index , Runnable then ) { if ( closed ) { return ; } if ( index == keys . size ( ) ) { changed . run ( ) ; then . run ( ) ; return ; } String key = keys . get ( index ) ; long revisionBefore = link . view ( ) . revisionOf ( key ) ; context . store ( ) . get ( key , StateClient . RequestPriority . ORDINARY , result -> { if ( closed ) { return ; } if ( result . found ( ) ) { link . apply ( new StateClient . KeyEvent ( key , result . item ( ) . data ( ) , result . item ( ) . revision ( ) ) ) ; read ( keys , index + 1 , then ) ; } else if ( result . missing ( ) ) { link . absent ( key , revisionBefore ) ; read ( keys , index + 1 , then ) ; } else { context . loop ( ) . after ( RETRY_MICROS , ( ) -> read ( keys , index , then ) ) ; } } ) ; } 
+  private void read(List<String> keys, int index, Runnable then) {
+    if (closed) {
+      return;
+    }
+    if (index == keys.size()) {
+      changed.run();
+      then.run();
+      return;
+    }
+    String key = keys.get(index);
+    long revisionBefore = link.view().revisionOf(key);
+    context
+        .store()
+        .get(
+            key,
+            StateClient.RequestPriority.ORDINARY,
+            result -> {
+              if (closed) {
+                return;
+              }
+              if (result.found()) {
+                link.apply(
+                    new StateClient.KeyEvent(key, result.item().data(), result.item().revision()));
+                read(keys, index + 1, then);
+              } else if (result.missing()) {
+                link.absent(key, revisionBefore);
+                read(keys, index + 1, then);
+              } else {
+                context.loop().after(RETRY_MICROS, () -> read(keys, index, then));
+              }
+            });
+  }
 
-void close ( ) { closed = true ; } } 
+  void close() {
+    closed = true;
+  }
+}
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
@@ -22,7 +22,7 @@
   private static final long RETRY_MICROS = 300_000;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final ActiveJobs jobs;
   private final LargeJobChunks largeJobs;
   private final Collection<String> orphanedKeys;
@@ -35,7 +35,10 @@
    * @param orphanedKeys to which records are added that the transaction of an end can't drop
    */
   JobCompletion(
-      Context context, ActiveJobs jobs, LargeJobChunks largeJobs, Collection<String> orphanedKeys) {
+      TermContext context,
+      ActiveJobs jobs,
+      LargeJobChunks largeJobs,
+      Collection<String> orphanedKeys) {
     this.context = context;
     this.log = context.logs().of(JobCompletion.class);
     this.jobs = jobs;
@@ -56,11 +59,11 @@
       return;
     }
     List<String> records = largeJobs.keysOf(job);
-    int dropped = Math.min(records.size(), context.layout().dropsAtEnd());
+    int dropped = Math.min(records.size(), context.layout().maxDeletesAtEnd());
     Transaction transaction =
         context
             .layout()
-            .end(
+            .endJob(
                 job.uid(),
                 job.revision(),
                 JobState.DONE,
--- a/src/main/java/plumlever/leader/progress/LargeJobChunks.java
+++ b/src/main/java/plumlever/leader/progress/LargeJobChunks.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.JobStore;
 
 /**
@@ -23,7 +23,7 @@
   /** What a record takes besides the tasks, roughly. */
   private static final int BASE_BYTES = 100;
 
-  private final Context context;
+  private final TermContext context;
 
   /** First tasks of the chunks in which a task has finished since they were written, by job. */
   private final Map<Job, BitSet> dirty = new LinkedHashMap<>();
@@ -31,7 +31,7 @@
   private final Map<Job, Set<String>> keysByJob = new HashMap<>();
   private int tasksPerChunk;
 
-  LargeJobChunks(Context context) {
+  LargeJobChunks(TermContext context) {
     this.context = context;
     this.tasksPerChunk = context.layout().tasksPerChunk();
   }
@@ -48,7 +48,7 @@
 
   /** Has all chunks with finished tasks written. */
   void markAllDirty(Job job) {
-    job.done().stream().forEach(task -> markDirty(job, task));
+    job.completedTasks().stream().forEach(task -> markDirty(job, task));
   }
 
   /** True if any chunk has to be written. */
@@ -127,7 +127,8 @@
   private void put(ProgressWrite write, Job job, int first, int size) {
     String key = JobStore.progressKey(job.uid(), first);
     keysByJob.computeIfAbsent(job, j -> new LinkedHashSet<>()).add(key);
-    write.put(key, size, context.layout().chunk(job.done(), first, tasksPerChunk));
+    write.put(
+        key, size, context.layout().progressChunk(job.completedTasks(), first, tasksPerChunk));
     write.storesDone(job, first, tasksPerChunk);
   }
 
--- a/src/main/java/plumlever/leader/progress/ProgressWrite.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWrite.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.Transaction;
 
 /**
@@ -29,10 +29,10 @@
   private int operationsLeft;
   private long bytes;
 
-  ProgressWrite(Context context, RecordRevisions revisions) {
+  ProgressWrite(TermContext context, RecordRevisions revisions) {
     this.revisions = revisions;
     this.transaction = context.term().requireTerm();
-    this.operationsLeft = context.layout().limits().transactionOps();
+    this.operationsLeft = context.layout().limits().maxOperations();
   }
 
   /** True if one more record of that size may be put. */
@@ -56,18 +56,18 @@
   /** Drops the record of a job that has ended: whatever is written there is of no use. */
   void drop(String key) {
     operationsLeft--;
-    transaction.drop(key);
+    transaction.delete(key);
   }
 
   /** All tasks of the job that are done now count as stored once this is applied. */
   void storesAllDone(Job job) {
-    doneTasks.put(job, (BitSet) job.done().clone());
+    doneTasks.put(job, (BitSet) job.completedTasks().clone());
   }
 
   /** The tasks of a range that are done now count as stored once this is applied. */
   void storesDone(Job job, int firstTask, int tasks) {
     BitSet stored = doneTasks.computeIfAbsent(job, j -> new BitSet());
-    BitSet done = job.done();
+    BitSet done = job.completedTasks();
     for (int task = done.nextSetBit(firstTask);
         task >= 0 && task < firstTask + tasks;
         task = done.nextSetBit(task + 1)) {
@@ -81,7 +81,7 @@
   }
 
   boolean isEmpty() {
-    return transaction.changes() == 0;
+    return transaction.operationCount() == 0;
   }
 
   Transaction transaction() {
@@ -96,7 +96,7 @@
   /** It was applied at this revision of the state service. */
   void applied(long revision) {
     revisions.written(keys, revision);
-    doneTasks.forEach((job, done) -> job.stored().or(done));
+    doneTasks.forEach((job, done) -> job.storedTasks().or(done));
   }
 
   /** It was not applied, or that is not known. */
--- a/src/main/java/plumlever/leader/progress/RecordRevisions.java
+++ b/src/main/java/plumlever/leader/progress/RecordRevisions.java
@@ -4,7 +4,7 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.StateClient;
 
 /** The revisions of progress records as far as they are known; each write is guarded by them. */
@@ -12,11 +12,11 @@
   /** Guards a record that does not exist. */
   private static final long NO_RECORD = 0;
 
-  private final Context context;
+  private final TermContext context;
   private final Map<String, Long> revisions = new HashMap<>();
   private boolean closed;
 
-  RecordRevisions(Context context) {
+  RecordRevisions(TermContext context) {
     this.context = context;
   }
 
--- a/src/main/java/plumlever/leader/progress/SharedChunks.java
+++ b/src/main/java/plumlever/leader/progress/SharedChunks.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.store.JobStore;
 
 /**
@@ -30,11 +30,11 @@
     }
   }
 
-  private final Context context;
+  private final TermContext context;
   private final Map<Integer, Chunk> chunks = new LinkedHashMap<>();
   private final Map<Job, Chunk> chunkByJob = new HashMap<>();
 
-  SharedChunks(Context context) {
+  SharedChunks(TermContext context) {
     this.context = context;
   }
 
@@ -175,7 +175,7 @@
   private void put(Chunk chunk, ProgressWrite write) {
     Map<String, BitSet> doneByJob = new LinkedHashMap<>();
     for (Job job : chunk.jobs) {
-      doneByJob.put(job.uid(), job.done());
+      doneByJob.put(job.uid(), job.completedTasks());
       write.storesAllDone(job);
     }
     write.put(
--- a/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
+++ b/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
@@ -1,7 +1,7 @@
 package plumlever.leader.scheduling;
 
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.placement.PlacementParameters;
 import plumlever.placement.Placer;
 import plumlever.placement.ResourceRequest;
@@ -10,12 +10,12 @@
 
 /** Searches for the machines that suit a job's tasks best, with its goals and rules. */
 final class CandidateSearches {
-  private final Context context;
+  private final TermContext context;
   private final JobGoals goals;
   private final ExpectedTimes times;
   private final Placer placer;
 
-  CandidateSearches(Context context, JobGoals goals, ExpectedTimes times) {
+  CandidateSearches(TermContext context, JobGoals goals, ExpectedTimes times) {
     this.context = context;
     this.goals = goals;
     this.times = times;
@@ -24,7 +24,7 @@
             new PlacementParameters(
                 context.parameters().paddingShare(),
                 context.parameters().tieShare(),
-                context.moneyMatters() ? context.parameters().rentMicros() : 0,
+                context.moneyMatters() ? context.parameters().rentalMicros() : 0,
                 context.moneyMatters() ? 0 : context.parameters().spotRisk()));
   }
 
@@ -43,7 +43,7 @@
         new ResourceRequest.Timing(
             times.runMicros(job), goals.finishByMicros(job, nowMicros), startByMicros),
         new ResourceRequest.MachineRules(
-            spec.machineTypes(), spec.zone(), spec.spotAllowed(), spec.checkpoints()));
+            spec.machineTypes(), spec.zone(), spec.spotAllowed(), spec.savesCheckpoints()));
   }
 
   /** Begins a search for the tasks of one job; what it commits is taken from the snapshot. */
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -1,71 +1,246 @@
-package plumlever . leader . scheduling ; 
-
-import java . util . ArrayList ; import java . util . List ; import java . util . Optional ; import plumlever . fleet . Attempt ; import plumlever . fleet . Fleet ; import plumlever . fleet . Machine ; import plumlever . leader . context . TermContext ; import plumlever . leader . heartbeat . AttemptLog ; import plumlever . leader . heartbeat . HeartbeatHandler ; import plumlever . leader . heartbeat . RenewalDelegation ; import plumlever . leader . job . ActiveJobs ; import plumlever . settings . Endpoint ; import plumlever . wire . Heartbeat ; import plumlever . wire . WorkerCommand ; 
-
-/** 
-* Commands sent directly to machines: planned tasks, so that they need not wait for the next 
-* heartbeat, and empty commands that raise the token on machines that must be accounted for. A 
-* direct command may be carried out late. So one that got no reply leaves its tasks possibly 
-* running, until the machine has shown a higher token or its incarnation has ended; and nothing 
-* started this way is removed with the token that started it (see {@link 
-* plumlever.fleet.MachineTokens#voidDirectCommands}). 
-*/ 
-public final class CommandSender { private static final long START_TIMEOUT_MICROS = 1_500_000 ; private static final long RAISE_TIMEOUT_MICROS = 1_000_000 ; 
-
-/** Calls under way at a time, so that a wave of starts leaves sockets and time for others. */ 
-private static final int MAX_STARTS_IN_FLIGHT = 48 ; 
-
-private static final int MAX_RAISES_IN_FLIGHT = 64 ; 
-
-private final Context context ; private final ActiveJobs jobs ; private final SchedulingPass pass ; private final HeartbeatHandler heartbeats ; private final TaskStarter starter ; private final RenewalDelegation delegation ; private final Runnable onPlacementChange ; private final WorkerCalls calls ; private final AttemptLog attemptLog ; private int startsInFlight ; private int raisesInFlight ; private boolean closed ; 
-
-/** 
-* Sends the commands of one term. 
-* 
-* @param onPlacementChange runs when a reply changed something that placement depends on 
-*/ 
-public CommandSender ( TermContext context , ActiveJobs jobs , SchedulingPass pass , HeartbeatHandler heartbeats , TaskStarter starter , RenewalDelegation delegation , Runnable onPlacementChange ) { this . context = context ; this . jobs = jobs ; this . pass = pass ; this . heartbeats = heartbeats ; this . starter = starter ; this . delegation = delegation ; this . onPlacementChange = onPlacementChange ; this . calls = new WorkerCalls ( context ) ; this . attemptLog = new AttemptLog ( context ) ; } 
-
-/** 
-* Sends what the pass planned; what can't go now goes with the machine's next heartbeat response, 
-* or is planned anew. 
-*/ 
-public void dispatch ( Fleet fleet ) { for ( String machineId : pass . plannedMachineIds ( ) ) { if ( startsInFlight >= MAX_STARTS_IN_FLIGHT || ! context . term ( ) . mayAct ( ) ) { return ; } Machine machine = fleet . machine ( machineId ) ; if ( machine != null ) { dispatch ( machine ) ; } } } 
-
-private void dispatch ( Machine machine ) { Optional < Endpoint > endpoint = endpoint ( machine ) ; if ( endpoint . isEmpty ( ) || machine . contact ( ) . commandInFlight ( ) || machine . load ( ) . hasUnconfirmedStart ( ) || machine . contact ( ) . incarnation ( ) == 0 || ! pass . hasRecordedPlan ( machine ) ) { return ; } if ( ! delegation . mayCommand ( machine . zone ( ) ) ) { context . metrics ( ) . count ( "starts_left_to_heartbeats_delegated" ) ; return ; } List < WorkerCommand > commands = new ArrayList < > ( ) ; List < Attempt > sent = starter . start ( machine , pass . planned ( machine ) , true , commands ) ; pass . dropPlan ( machine ) ; if ( ! sent . isEmpty ( ) ) { sendStarts ( machine , endpoint . get ( ) , commands , sent ) ; } } 
-
-private void sendStarts ( Machine machine , Endpoint endpoint , List < WorkerCommand > commands , List < Attempt > sent ) { machine . tokens ( ) . commandSent ( jobs . endsKnownMicros ( ) ) ; machine . contact ( ) . setCommandInFlight ( true ) ; startsInFlight ++ ; long token = machine . tokens ( ) . current ( ) ; long incarnation = machine . contact ( ) . incarnation ( ) ; long sentMicros = context . loop ( ) . nowMicros ( ) ; calls . command ( machine , endpoint , commands , START_TIMEOUT_MICROS , reply -> { startsInFlight -- ; machine . contact ( ) . setCommandInFlight ( false ) ; if ( closed ) { return ; } context . metrics ( ) . recordDuration ( "direct_command" , context . loop ( ) . nowMicros ( ) - sentMicros ) ; reply . heartbeat ( ) . ifPresent ( heartbeat -> heartbeats . apply ( machine , heartbeat , false ) ) ; if ( reply instanceof WorkerReply . Refused ) { heartbeats . startsRefused ( sent ) ; } else if ( reply instanceof WorkerReply . Unanswered ) { context . metrics ( ) . count ( "direct_commands_unanswered" ) ; machine . tokens ( ) . voidDirectCommands ( ) ; attemptLog . unanswered ( machine , incarnation , token , sent ) ; } reportPlacementChange ( ) ; } ) ; } 
-
-/** 
-* Shows the machine the present token; its reply lists all that earlier leaders started on it. 
-* Does nothing while another direct call to the machine is under way, too many are to others, or 
-* the leader may not act; where no command may be sent, the machine is only inspected. 
-*/ 
-public void raiseToken ( Machine machine ) { Optional < Endpoint > endpoint = callableEndpoint ( machine ) ; if ( endpoint . isEmpty ( ) ) { return ; } if ( ! delegation . mayCommand ( machine . zone ( ) ) ) { inspect ( machine , endpoint . get ( ) ) ; return ; } raiseBegins ( machine ) ; calls . command ( machine , endpoint . get ( ) , List . of ( ) , RAISE_TIMEOUT_MICROS , reply -> { raiseEnds ( machine ) ; if ( ! closed && context . term ( ) . mayAct ( ) ) { machine . contact ( ) . recordDirectCall ( reply . heartbeat ( ) . isPresent ( ) ) ; reply . heartbeat ( ) . ifPresent ( heartbeat -> tokenRaised ( machine , reply , heartbeat ) ) ; } } ) ; } 
-
-private void tokenRaised ( Machine machine , WorkerReply reply , Heartbeat heartbeat ) { boolean incarnationChanged = reply instanceof WorkerReply . Refused && heartbeat . incarnation ( ) != machine . contact ( ) . incarnation ( ) ; heartbeats . apply ( machine , heartbeat , false ) ; if ( incarnationChanged && ! machine . accounted ( ) ) { raiseToken ( machine ) ; } reportPlacementChange ( ) ; } 
-
-/** 
-* Asks the machine for its state, without a command: it may be in a zone where none may be sent. 
-* The same limits hold as for {@link #raiseToken}. 
-*/ 
-public void probe ( Machine machine ) { callableEndpoint ( machine ) . ifPresent ( endpoint -> inspect ( machine , endpoint ) ) ; } 
-
-private void inspect ( Machine machine , Endpoint endpoint ) { raiseBegins ( machine ) ; calls . inspect ( machine , endpoint , RAISE_TIMEOUT_MICROS , state -> { raiseEnds ( machine ) ; machine . contact ( ) . directCallEnded ( state . isPresent ( ) ) ; if ( state . isPresent ( ) && ! closed && context . term ( ) . mayAct ( ) ) { heartbeats . apply ( machine , state . get ( ) , false ) ; reportPlacementChange ( ) ; } } ) ; } 
-
-private void raiseBegins ( Machine machine ) { raisesInFlight ++ ; machine . contact ( ) . setCommandInFlight ( true ) ; } 
-
-private void raiseEnds ( Machine machine ) { raisesInFlight -- ; machine . contact ( ) . commandInFlight ( false ) ; } 
-
-/** Where a call that raises the token may go now; empty if it may not. */ 
-private Optional < Endpoint > callableEndpoint ( Machine machine ) { Optional < Endpoint > endpoint = endpoint ( machine ) ; return machine . contact ( ) . commandInFlight ( ) || raisesInFlight >= MAX_RAISES_IN_FLIGHT || ! context . term ( ) . mayAct ( ) ? Optional . empty ( ) : endpoint ; } 
-
-private static Optional < Endpoint > endpoint ( Machine machine ) { return Optional . ofNullable ( machine . endpoint ( ) ) . map ( Endpoint :: parse ) ; } 
-
-private void reportPlacementChange ( ) { if ( heartbeats . takeChanged ( ) ) { onPlacementChange . run ( ) ; } } 
-
-/** How many machines are being called to raise the token, or inspected. */ 
-public int tokenRaisesInFlight ( ) { return raisesInFlight ; } 
-
-/** The term ends: replies that come later are ignored. */ 
-public void close ( ) { closed = true ; } } 
+package plumlever.leader.scheduling;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import plumlever.fleet.Attempt;
+import plumlever.fleet.Fleet;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.TermContext;
+import plumlever.leader.heartbeat.AttemptLog;
+import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.heartbeat.RenewalDelegation;
+import plumlever.leader.job.ActiveJobs;
+import plumlever.settings.Endpoint;
+import plumlever.wire.Heartbeat;
+import plumlever.wire.WorkerCommand;
+
+/**
+ * Commands sent directly to machines: planned tasks, so that they need not wait for the next
+ * heartbeat, and empty commands that raise the token on machines that must be accounted for. A
+ * direct command may be carried out late. So one that got no reply leaves its tasks possibly
+ * running, until the machine has shown a higher token or its incarnation has ended; and nothing
+ * started this way is removed with the token that started it (see {@link
+ * plumlever.fleet.MachineTokens#voidDirectCommands}).
+ */
+public final class CommandSender {
+  private static final long START_TIMEOUT_MICROS = 1_500_000;
+  private static final long RAISE_TIMEOUT_MICROS = 1_000_000;
+
+  /** Calls under way at a time, so that a wave of starts leaves sockets and time for others. */
+  private static final int MAX_STARTS_IN_FLIGHT = 48;
+
+  private static final int MAX_RAISES_IN_FLIGHT = 64;
+
+  private final TermContext context;
+  private final ActiveJobs jobs;
+  private final SchedulingPass pass;
+  private final HeartbeatHandler heartbeats;
+  private final TaskStarter starter;
+  private final RenewalDelegation delegation;
+  private final Runnable onPlacementChange;
+  private final WorkerCalls calls;
+  private final AttemptLog attemptLog;
+  private int startsInFlight;
+  private int raisesInFlight;
+  private boolean closed;
+
+  /**
+   * Sends the commands of one term.
+   *
+   * @param onPlacementChange runs when a reply changed something that placement depends on
+   */
+  public CommandSender(
+      TermContext context,
+      ActiveJobs jobs,
+      SchedulingPass pass,
+      HeartbeatHandler heartbeats,
+      TaskStarter starter,
+      RenewalDelegation delegation,
+      Runnable onPlacementChange) {
+    this.context = context;
+    this.jobs = jobs;
+    this.pass = pass;
+    this.heartbeats = heartbeats;
+    this.starter = starter;
+    this.delegation = delegation;
+    this.onPlacementChange = onPlacementChange;
+    this.calls = new WorkerCalls(context);
+    this.attemptLog = new AttemptLog(context);
+  }
+
+  /**
+   * Sends what the pass planned; what can't go now goes with the machine's next heartbeat response,
+   * or is planned anew.
+   */
+  public void dispatch(Fleet fleet) {
+    for (String machineId : pass.plannedMachineIds()) {
+      if (startsInFlight >= MAX_STARTS_IN_FLIGHT || !context.term().mayAct()) {
+        return;
+      }
+      Machine machine = fleet.machine(machineId);
+      if (machine != null) {
+        dispatch(machine);
+      }
+    }
+  }
+
+  private void dispatch(Machine machine) {
+    Optional<Endpoint> endpoint = endpoint(machine);
+    if (endpoint.isEmpty()
+        || machine.contact().commandInFlight()
+        || machine.load().hasUnconfirmedStart()
+        || machine.contact().incarnation() == 0
+        || !pass.hasRecordedPlan(machine)) {
+      return;
+    }
+    if (!delegation.mayCommand(machine.zone())) {
+      context.metrics().count("starts_left_to_heartbeats_delegated");
+      return;
+    }
+    List<WorkerCommand> commands = new ArrayList<>();
+    List<Attempt> sent = starter.start(machine, pass.planned(machine), true, commands);
+    pass.dropPlan(machine);
+    if (!sent.isEmpty()) {
+      sendStarts(machine, endpoint.get(), commands, sent);
+    }
+  }
+
+  private void sendStarts(
+      Machine machine, Endpoint endpoint, List<WorkerCommand> commands, List<Attempt> sent) {
+    machine.tokens().commandSent(jobs.endsKnownMicros());
+    machine.contact().setCommandInFlight(true);
+    startsInFlight++;
+    long token = machine.tokens().current();
+    long incarnation = machine.contact().incarnation();
+    long sentMicros = context.loop().nowMicros();
+    calls.command(
+        machine,
+        endpoint,
+        commands,
+        START_TIMEOUT_MICROS,
+        reply -> {
+          startsInFlight--;
+          machine.contact().setCommandInFlight(false);
+          if (closed) {
+            return;
+          }
+          context
+              .metrics()
+              .recordDuration("direct_command", context.loop().nowMicros() - sentMicros);
+          reply.heartbeat().ifPresent(heartbeat -> heartbeats.apply(machine, heartbeat, false));
+          if (reply instanceof WorkerReply.Refused) {
+            heartbeats.startsRefused(sent);
+          } else if (reply instanceof WorkerReply.Unanswered) {
+            context.metrics().count("direct_commands_unanswered");
+            machine.tokens().voidDirectCommands();
+            attemptLog.unanswered(machine, incarnation, token, sent);
+          }
+          reportPlacementChange();
+        });
+  }
+
+  /**
+   * Shows the machine the present token; its reply lists all that earlier leaders started on it.
+   * Does nothing while another direct call to the machine is under way, too many are to others, or
+   * the leader may not act; where no command may be sent, the machine is only inspected.
+   */
+  public void raiseToken(Machine machine) {
+    Optional<Endpoint> endpoint = callableEndpoint(machine);
+    if (endpoint.isEmpty()) {
+      return;
+    }
+    if (!delegation.mayCommand(machine.zone())) {
+      inspect(machine, endpoint.get());
+      return;
+    }
+    raiseBegins(machine);
+    calls.command(
+        machine,
+        endpoint.get(),
+        List.of(),
+        RAISE_TIMEOUT_MICROS,
+        reply -> {
+          raiseEnds(machine);
+          if (!closed && context.term().mayAct()) {
+            machine.contact().recordDirectCall(reply.heartbeat().isPresent());
+            reply.heartbeat().ifPresent(heartbeat -> tokenRaised(machine, reply, heartbeat));
+          }
+        });
+  }
+
+  private void tokenRaised(Machine machine, WorkerReply reply, Heartbeat heartbeat) {
+    boolean incarnationChanged =
+        reply instanceof WorkerReply.Refused
+            && heartbeat.incarnation() != machine.contact().incarnation();
+    heartbeats.apply(machine, heartbeat, false);
+    if (incarnationChanged && !machine.accounted()) {
+      raiseToken(machine);
+    }
+    reportPlacementChange();
+  }
+
+  /**
+   * Asks the machine for its state, without a command: it may be in a zone where none may be sent.
+   * The same limits hold as for {@link #raiseToken}.
+   */
+  public void probe(Machine machine) {
+    callableEndpoint(machine).ifPresent(endpoint -> inspect(machine, endpoint));
+  }
+
+  private void inspect(Machine machine, Endpoint endpoint) {
+    raiseBegins(machine);
+    calls.inspect(
+        machine,
+        endpoint,
+        RAISE_TIMEOUT_MICROS,
+        state -> {
+          raiseEnds(machine);
+          machine.contact().recordDirectCall(state.isPresent());
+          if (state.isPresent() && !closed && context.term().mayAct()) {
+            heartbeats.apply(machine, state.get(), false);
+            reportPlacementChange();
+          }
+        });
+  }
+
+  private void raiseBegins(Machine machine) {
+    raisesInFlight++;
+    machine.contact().setCommandInFlight(true);
+  }
+
+  private void raiseEnds(Machine machine) {
+    raisesInFlight--;
+    machine.contact().setCommandInFlight(false);
+  }
+
+  /** Where a call that raises the token may go now; empty if it may not. */
+  private Optional<Endpoint> callableEndpoint(Machine machine) {
+    Optional<Endpoint> endpoint = endpoint(machine);
+    return machine.contact().commandInFlight()
+            || raisesInFlight >= MAX_RAISES_IN_FLIGHT
+            || !context.term().mayAct()
+        ? Optional.empty()
+        : endpoint;
+  }
+
+  private static Optional<Endpoint> endpoint(Machine machine) {
+    return Optional.ofNullable(machine.endpoint()).map(Endpoint::parse);
+  }
+
+  private void reportPlacementChange() {
+    if (heartbeats.getAndClearChanged()) {
+      onPlacementChange.run();
+    }
+  }
+
+  /** How many machines are being called to raise the token, or inspected. */
+  public int tokenRaisesInFlight() {
+    return raisesInFlight;
+  }
+
+  /** The term ends: replies that come later are ignored. */
+  public void close() {
+    closed = true;
+  }
+}
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -1,10 +1,10 @@
 package plumlever.leader.scheduling;
 
 import plumlever.fleet.Attempt;
-import plumlever.fleet.Estimates;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.fleet.RunTimeEstimates;
+import plumlever.leader.context.TermContext;
 import plumlever.wire.AttemptState;
 import plumlever.wire.MachineType;
 
@@ -23,10 +23,10 @@
 
   private static final long MIN_OVERRUN_MICROS = 1_000_000;
 
-  private final Context context;
-  private final Estimates estimates;
+  private final TermContext context;
+  private final RunTimeEstimates estimates;
 
-  ExpectedTimes(Context context, Estimates estimates) {
+  ExpectedTimes(TermContext context, RunTimeEstimates estimates) {
     this.context = context;
     this.estimates = estimates;
   }
--- a/src/main/java/plumlever/leader/scheduling/FleetReduction.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetReduction.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.placement.Placer;
 import plumlever.placement.ResourceRequest;
@@ -13,7 +13,7 @@
   /** More tasks of one job than this are not placed on trial: the machines count as needed. */
   private static final int MAX_TRIAL_TASKS_PER_JOB = 64;
 
-  private final Context context;
+  private final TermContext context;
   private final Failover failover;
   private final JobQueue queue;
   private final FleetSnapshotFactory snapshots;
@@ -22,7 +22,7 @@
   private final HeadroomDemand headroom;
 
   FleetReduction(
-      Context context,
+      TermContext context,
       Failover failover,
       JobQueue queue,
       FleetSnapshotFactory snapshots,
@@ -62,7 +62,7 @@
     long nowMicros = snapshot.nowMicros();
     ResourceRequest request = searches.request(job, nowMicros);
     Placer.Search search = searches.search(request, JobZones.of(job), snapshot);
-    int tasks = Math.min(job.freeCount(), failover.quotaHeadroom(job));
+    int tasks = Math.min(job.pendingCount(), failover.quotaHeadroom(job));
     for (int i = 0; i < tasks; i++) {
       Placer.Choice choice = search.next();
       if (!choice.exists()
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
@@ -5,7 +5,7 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.GuestLoad;
 import plumlever.fleet.Machine;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.placement.MachineShape;
 import plumlever.placement.PlacementCandidate;
 import plumlever.wire.JobSpec;
@@ -23,13 +23,13 @@
 
   private static final long MIN_STARTUP_MICROS = 1_000_000;
 
-  private final Context context;
+  private final TermContext context;
   private final Fleet fleet;
   private final MachineAvailability availability;
   private final ExpectedTimes times;
 
   FleetSnapshotFactory(
-      Context context, Fleet fleet, MachineAvailability availability, ExpectedTimes times) {
+      TermContext context, Fleet fleet, MachineAvailability availability, ExpectedTimes times) {
     this.context = context;
     this.fleet = fleet;
     this.availability = availability;
--- a/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
+++ b/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.Set;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.scaling.CapacityHeadroom;
 import plumlever.scaling.RentalPlan;
 import plumlever.wire.JobSpec;
@@ -16,18 +16,18 @@
 final class HeadroomDemand {
   private static final long ARRIVAL_WINDOW_MICROS = 120_000_000;
 
-  private final Context context;
+  private final TermContext context;
   private final JobGoals goals;
   private final CapacityHeadroom headroom;
   private final Set<Job> noted = new HashSet<>();
 
-  HeadroomDemand(Context context, JobGoals goals) {
+  HeadroomDemand(TermContext context, JobGoals goals) {
     this.context = context;
     this.goals = goals;
     this.headroom =
         new CapacityHeadroom(
             ARRIVAL_WINDOW_MICROS,
-            context.parameters().rentMicros(),
+            context.parameters().rentalMicros(),
             context.parameters().headroomDeviations());
   }
 
@@ -42,7 +42,7 @@
     if (noted.add(job)
         && nowMicros - releasedMicros < ARRIVAL_WINDOW_MICROS
         && goals.startByMicros(job, releasedMicros) - releasedMicros
-            < context.parameters().rentMicros()) {
+            < context.parameters().rentalMicros()) {
       headroom.jobArrived(nowMicros, job.spec());
     }
   }
--- a/src/main/java/plumlever/leader/scheduling/JobGoals.java
+++ b/src/main/java/plumlever/leader/scheduling/JobGoals.java
@@ -2,7 +2,7 @@
 
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 
 /** By when the tasks of jobs have to start and end, and what that means for their order. */
 final class JobGoals {
@@ -15,12 +15,12 @@
   /** A task past its estimate is taken to need this part of the estimate still. */
   private static final long MIN_REMAINING_DIVISOR = 10;
 
-  private final Context context;
+  private final TermContext context;
   private final ServiceObjectives objectives;
   private final TeamGuarantees guarantees;
   private final ExpectedTimes times;
 
-  JobGoals(Context context, TeamGuarantees guarantees, ExpectedTimes times) {
+  JobGoals(TermContext context, TeamGuarantees guarantees, ExpectedTimes times) {
     this.context = context;
     this.guarantees = guarantees;
     this.times = times;
@@ -49,7 +49,7 @@
         finishByMicros == Long.MAX_VALUE
             ? Long.MAX_VALUE
             : finishByMicros - times.paddedRunMicros(job);
-    return job.hasFreshFree() ? Math.min(byFinish, startByMicros(job, nowMicros)) : byFinish;
+    return job.hasNeverStartedTask() ? Math.min(byFinish, startByMicros(job, nowMicros)) : byFinish;
   }
 
   /** How long the job has left, by its objectives for start and end; may be negative. */
@@ -73,7 +73,7 @@
    */
   boolean mustBegin(Job job, long nowMicros) {
     return !job.hasStarted()
-        && nowMicros - job.releasedMicros() > context.parameters().beginMicros();
+        && nowMicros - job.releasedMicros() > context.parameters().mustStartMicros();
   }
 
   /** True if stopping the attempt now would make its job miss a finish that it can still meet. */
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -2,7 +2,7 @@
 
 import org.slf4j.Logger;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.job.StartedJobIndex;
 import plumlever.placement.Placer;
 import plumlever.placement.ResourceRequest;
@@ -22,7 +22,7 @@
   private static final int MAX_SEARCHED_WITHOUT_CAPACITY = 24;
 
   private final Logger log;
-  private final Context context;
+  private final TermContext context;
   private final StartedJobIndex startedJobs;
   private final JobGoals goals;
   private final CandidateSearches searches;
@@ -34,7 +34,7 @@
   private int jobsWithoutCapacity;
 
   JobPlacer(
-      Context context,
+      TermContext context,
       StartedJobIndex startedJobs,
       JobGoals goals,
       CandidateSearches searches,
@@ -60,13 +60,13 @@
 
   /** Places as many of the job's tasks as its team's quota and the machines allow. */
   void place(Job job, FleetSnapshot snapshot) {
-    if (!JobQueue.mayRun(job) || !job.hasFree()) {
+    if (!JobQueue.mayRun(job) || !job.hasPending()) {
       return;
     }
     long nowMicros = snapshot.nowMicros();
     ResourceRequest request = searches.request(job, nowMicros);
     Zones zones = JobZones.of(job);
-    int tasks = Math.min(job.freeCount(), quotaTasks(job, nowMicros));
+    int tasks = Math.min(job.pendingCount(), quotaTasks(job, nowMicros));
     if (tasks < 1) {
       return;
     }
@@ -137,7 +137,7 @@
             "{}: {} of {} free tasks wait for machines, {} booked",
             job.uid(),
             waiting,
-            job.freeCount(),
+            job.pendingCount(),
             booked);
       }
     }
@@ -186,7 +186,7 @@
       }
       startGoalRelaxed = true;
       long nextStartByMicros =
-          goals.startByMicros(job, nowMicros + context.parameters().rentMicros());
+          goals.startByMicros(job, nowMicros + context.parameters().rentalMicros());
       if (nextStartByMicros <= request.startByMicros()) {
         return false;
       }
@@ -196,7 +196,7 @@
     }
 
     private void planStart(Placer.Choice choice) {
-      startedJobs.enroll(job);
+      startedJobs.register(job);
       plannedStarts.add(snapshot.candidates().get(choice.candidate()).machineId(), job);
       quotas.reserveTask(job);
     }
--- a/src/main/java/plumlever/leader/scheduling/JobQueue.java
+++ b/src/main/java/plumlever/leader/scheduling/JobQueue.java
@@ -63,7 +63,7 @@
     byAge.forEach(job -> headroom.noteArrival(job, nowMicros));
     List<Job> waiting = new ArrayList<>();
     for (Job job : byAge) {
-      if (job.hasFree() && job.notBeforeMicros() <= nowMicros && !failover.blocks(job)) {
+      if (job.hasPending() && job.retryNotBeforeMicros() <= nowMicros && !failover.blocks(job)) {
         waiting.add(job);
       }
     }
--- a/src/main/java/plumlever/leader/scheduling/JobZones.java
+++ b/src/main/java/plumlever/leader/scheduling/JobZones.java
@@ -13,8 +13,8 @@
     if (!job.spec().oneZone() && !job.spec().spread()) {
       return Zones.unrestricted();
     }
-    Zones zones = new Zones(job.spec().oneZone(), job.spec().zoneLimit());
-    for (Attempt attempt : job.live()) {
+    Zones zones = new Zones(job.spec().oneZone(), job.spec().maxTasksPerZone());
+    for (Attempt attempt : job.liveAttempts()) {
       zones.add(attempt.machine().zone());
     }
     return zones;
--- a/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
@@ -2,15 +2,15 @@
 
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 
 /** Which machines tasks may be planned for. */
 final class MachineAvailability {
-  private final Context context;
+  private final TermContext context;
   private final Failover failover;
 
-  MachineAvailability(Context context, Failover failover) {
+  MachineAvailability(TermContext context, Failover failover) {
     this.context = context;
     this.failover = failover;
   }
@@ -24,11 +24,11 @@
         && machine.accounted()
         && !machine.draining()
         && !machine.returning()
-        && !machine.offered()
+        && !machine.transferring()
         && !machine.contact().unreachable()
         && !machine.load().hasUnconfirmedStart()
         && nowMicros - lastSignMicros(machine)
-            < context.platform().workers().latestHeartbeatMicros();
+            < context.platform().workers().missedHeartbeatMicros();
   }
 
   /**
@@ -43,7 +43,7 @@
 
   /** True for a machine that is rented and not up yet, or up and not yet on record. */
   boolean isComingUp(Machine machine, long nowMicros) {
-    if (failover.overdue(nowMicros) && failover.open().contains(machine)) {
+    if (failover.isOverdue(nowMicros) && failover.unaccounted().contains(machine)) {
       return false;
     }
     return !machine.returning()
--- a/src/main/java/plumlever/leader/scheduling/MachineShapes.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineShapes.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.placement.MachineShape;
 import plumlever.wire.MachineType;
 
@@ -13,11 +13,11 @@
 
   private static final double SECONDS_PER_HOUR = 3600;
 
-  private final Context context;
+  private final TermContext context;
   private final Map<String, MachineShape> spotByType = new HashMap<>();
   private final Map<String, MachineShape> onDemandByType = new HashMap<>();
 
-  MachineShapes(Context context) {
+  MachineShapes(TermContext context) {
     this.context = context;
   }
 
@@ -44,7 +44,7 @@
    */
   private double pricePerSecond(MachineType machineType, boolean spot) {
     return context.moneyMatters()
-        ? context.prices().hourly(machineType, spot) / SECONDS_PER_HOUR
+        ? context.prices().hourlyPrice(machineType, spot) / SECONDS_PER_HOUR
         : Math.max(machineType.cores(), machineType.memoryGb() / MEMORY_GB_PER_CORE);
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
@@ -1,7 +1,7 @@
 package plumlever.leader.scheduling;
 
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.placement.Placer;
 import plumlever.placement.ResourceRequest;
 
@@ -10,10 +10,10 @@
   /** A task that would wait longer than this is rented for though its goal is missed anyhow. */
   private static final long LONG_WAIT_MICROS = 120_000_000;
 
-  private final Context context;
+  private final TermContext context;
   private final JobGoals goals;
 
-  RentalCriteria(Context context, JobGoals goals) {
+  RentalCriteria(TermContext context, JobGoals goals) {
     this.context = context;
     this.goals = goals;
   }
@@ -22,7 +22,7 @@
   boolean needsRental(Job job, Placer.Choice booked, ResourceRequest request, long nowMicros) {
     long waitMicros = booked.startMicros() - nowMicros;
     if (!context.moneyMatters()) {
-      return waitMicros > context.parameters().rentMicros();
+      return waitMicros > context.parameters().rentalMicros();
     }
     return !booked.feasible()
         && (rentalIsInTime(job, request, nowMicros) || waitMicros > LONG_WAIT_MICROS);
@@ -30,7 +30,7 @@
 
   /** True if a machine rented now could still serve the task in time. */
   boolean rentalIsInTime(Job job, ResourceRequest request, long nowMicros) {
-    long upMicros = nowMicros + context.parameters().rentMicros();
+    long upMicros = nowMicros + context.parameters().rentalMicros();
     return upMicros <= goals.startByMicros(job, upMicros)
         && request.endsInTime(upMicros, request.runMicros());
   }
@@ -39,6 +39,6 @@
   boolean canRentStepwise(ResourceRequest request, long nowMicros) {
     return context.moneyMatters()
         && request.startByMicros() != ResourceRequest.ANY_TIME
-        && request.startByMicros() - nowMicros > 2 * context.parameters().rentMicros();
+        && request.startByMicros() - nowMicros > 2 * context.parameters().rentalMicros();
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/TeamGuarantees.java
+++ b/src/main/java/plumlever/leader/scheduling/TeamGuarantees.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import plumlever.fleet.Job;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.settings.PlatformConfiguration;
 
 /**
@@ -13,14 +13,14 @@
  * later does not move a job that came beyond the guarantee.
  */
 final class TeamGuarantees {
-  private final Context context;
+  private final TermContext context;
   private final Map<String, Double> guaranteedCoresByTeam = new HashMap<>();
   private final Map<Job, Boolean> covered = new HashMap<>();
 
-  TeamGuarantees(Context context) {
+  TeamGuarantees(TermContext context) {
     this.context = context;
     for (PlatformConfiguration.Team team : context.platform().teams()) {
-      guaranteedCoresByTeam.put(team.name(), team.cpus());
+      guaranteedCoresByTeam.put(team.name(), team.guaranteedCores());
     }
   }
 
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Machine;
 import plumlever.http.Caller;
-import plumlever.leader.context.Context;
+import plumlever.leader.context.TermContext;
 import plumlever.settings.Endpoint;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
@@ -20,7 +20,7 @@
   private final Logger log;
   private final Caller caller;
 
-  WorkerCalls(Context context) {
+  WorkerCalls(TermContext context) {
     this.log = context.logs().of(WorkerCalls.class);
     this.caller = context.caller();
   }
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -1,33 +1,100 @@
-package plumlever . peer ; 
+package plumlever.peer;
 
-import java . util . HashMap ; import java . util . List ; import java . util . Map ; import java . util . Optional ; import java . util . function . Consumer ; import java . util . function . Supplier ; import plumlever . concurrent . Loop ; import plumlever . concurrent . RecurringTask ; import plumlever . http . Caller ; import plumlever . http . Responder ; import plumlever . settings . PlatformConfiguration ; import plumlever . wire . HttpStatus ; 
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import plumlever.concurrent.Loop;
+import plumlever.concurrent.RecurringTask;
+import plumlever.http.Caller;
+import plumlever.http.Responder;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.wire.HttpStatus;
 
-/** The links between controllers: each tells the others its status, over HTTP with Kryo bodies. */ 
-public final class Peers { private static final String PATH = "/peer" ; private static final long INTERVAL_MICROS = 1_000_000 ; private static final long TIMEOUT_MICROS = 2_000_000 ; 
+/** The links between controllers: each tells the others its status, over HTTP with Kryo bodies. */
+public final class Peers {
+  private static final String PATH = "/peer";
+  private static final long INTERVAL_MICROS = 1_000_000;
+  private static final long TIMEOUT_MICROS = 2_000_000;
 
-private record HeardStatus ( PeerStatus status , long receivedMicros ) { } 
+  private record HeardStatus(PeerStatus status, long receivedMicros) {}
 
-private final Loop loop ; private final Caller caller ; private final PlatformConfiguration platform ; private final Supplier < PeerStatus > ownStatus ; private final Consumer < PeerStatus > listener ; private final PeerStatus . Codec codec = new PeerStatus . Codec ( ) ; private final Map < String , HeardStatus > heardByLabel = new HashMap < > ( ) ; 
+  private final Loop loop;
+  private final Caller caller;
+  private final PlatformConfiguration platform;
+  private final Supplier<PeerStatus> ownStatus;
+  private final Consumer<PeerStatus> listener;
+  private final PeerStatus.Codec codec = new PeerStatus.Codec();
+  private final Map<String, HeardStatus> heardByLabel = new HashMap<>();
 
-/** 
-* Exchanges status with the platform's other controllers. 
-* 
-* @param ownStatus what the others are told 
-* @param listener takes each status that another controller sends 
-*/ 
-public Peers ( Loop loop , Caller caller , PlatformConfiguration platform , Supplier < PeerStatus > ownStatus , Consumer < PeerStatus > listener ) { this . loop = loop ; this . caller = caller ; this . platform = platform ; this . ownStatus = ownStatus ; this . listener = listener ; } 
+  /**
+   * Exchanges status with the platform's other controllers.
+   *
+   * @param ownStatus what the others are told
+   * @param listener takes each status that another controller sends
+   */
+  public Peers(
+      Loop loop,
+      Caller caller,
+      PlatformConfiguration platform,
+      Supplier<PeerStatus> ownStatus,
+      Consumer<PeerStatus> listener) {
+    this.loop = loop;
+    this.caller = caller;
+    this.platform = platform;
+    this.ownStatus = ownStatus;
+    this.listener = listener;
+  }
 
-/** Tells the others at a fixed interval. */ 
-public RecurringTask recurringTask ( ) { return new RecurringTask ( "peers" , loop , this :: sendStatus ) ; } 
+  /** Tells the others at a fixed interval. */
+  public RecurringTask recurringTask() {
+    return new RecurringTask("peers", loop, this::sendStatus);
+  }
 
-private long sendStatus ( ) { byte [ ] body = codec . write ( ownStatus . get ( ) ) ; for ( PlatformConfiguration . PeerController seed : platform . peers ( ) ) { caller . call ( seed . endpoint ( ) , "POST" , PATH , body , TIMEOUT_MICROS , ( status , data ) -> { } ) ; } return INTERVAL_MICROS ; } 
+  private long sendStatus() {
+    byte[] body = codec.write(ownStatus.get());
+    for (PlatformConfiguration.PeerController seed : platform.peers()) {
+      caller.call(seed.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
+    }
+    return INTERVAL_MICROS;
+  }
 
-/** Takes a request on the peers' listener. */ 
-public void handle ( String method , String path , byte [ ] body , Responder out ) { if ( ! path . equals ( PATH ) || ! method . equals ( "POST" ) ) { out . error ( HttpStatus . NOT_FOUND , "no such path" ) ; return ; } Optional < PeerStatus > status = read ( body ) . filter ( this :: isOfPeer ) ; if ( status . isEmpty ( ) ) { out . error ( HttpStatus . BAD_REQUEST , "not a peer's status" ) ; return ; } heardByLabel . put ( status . get ( ) . label ( ) , new HeardStatus ( status . get ( ) , loop . nowMicros ( ) ) ) ; listener . accept ( status . get ( ) ) ; out . send ( HttpStatus . OK , "{}" ) ; } 
+  /** Takes a request on the peers' listener. */
+  public void handle(String method, String path, byte[] body, Responder out) {
+    if (!path.equals(PATH) || !method.equals("POST")) {
+      out.error(HttpStatus.NOT_FOUND, "no such path");
+      return;
+    }
+    Optional<PeerStatus> status = read(body).filter(this::isOfPeer);
+    if (status.isEmpty()) {
+      out.error(HttpStatus.BAD_REQUEST, "not a peer's status");
+      return;
+    }
+    heardByLabel.put(status.get().label(), new HeardStatus(status.get(), loop.nowMicros()));
+    listener.accept(status.get());
+    out.send(HttpStatus.OK, "{}");
+  }
 
-private Optional < PeerStatus > read ( byte [ ] body ) { try { return Optional . of ( codec . read ( body ) ) ; } catch ( UnreadablePeerStatusException e ) { return Optional . empty ( ) ; } } 
+  private Optional<PeerStatus> read(byte[] body) {
+    try {
+      return Optional.of(codec.read(body));
+    } catch (UnreadablePeerStatusException e) {
+      return Optional.empty();
+    }
+  }
 
-private boolean isOfPeer ( PeerStatus status ) { return platform . seeds ( ) . stream ( ) . anyMatch ( seed -> seed . label ( ) . equals ( status . label ( ) ) ) ; } 
+  private boolean isOfPeer(PeerStatus status) {
+    return platform.peers().stream().anyMatch(seed -> seed.label().equals(status.label()));
+  }
 
-/** The last status of each controller that was heard of in so many microseconds. */ 
-public List < PeerStatus > heardWithin ( long micros ) { long from = loop . nowMicros ( ) - micros ; return heardByLabel . values ( ) . stream ( ) . filter ( heard -> heard . receivedMicros ( ) >= from ) . map ( HeardStatus :: status ) . toList ( ) ; } } 
+  /** The last status of each controller that was heard of in so many microseconds. */
+  public List<PeerStatus> heardWithin(long micros) {
+    long from = loop.nowMicros() - micros;
+    return heardByLabel.values().stream()
+        .filter(heard -> heard.receivedMicros() >= from)
+        .map(HeardStatus::status)
+        .toList();
+  }
+}
--- a/src/main/java/plumlever/store/DependencyReader.java
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -89,10 +89,10 @@
   private boolean addKnown(String uid, List<StateClient.Item> withList) {
     Optional<JobState> finalState = knownJobs.finalState(uid);
     if (finalState.isPresent()) {
-      graph.ended(uid, finalState.get(), 0);
+      graph.recordEnd(uid, finalState.get(), 0);
     } else if (graph.stateOf(uid) != DependencyGraph.State.UNKNOWN) {
       // In the graph already, but not all that it depends on need be.
-      openDependencies(graph.waitsFor(uid));
+      openDependencies(graph.openDependencies(uid));
     } else if (allActive.isPresent() && allActive.get().containsKey(uid)) {
       addActive(allActive.get().get(uid), withList);
     } else {
@@ -136,7 +136,7 @@
         Optional.ofNullable(job.endState()).or(() -> knownJobs.finalState(uid));
     if (finalState.isPresent()) {
       knownJobs.jobEnded(uid, finalState.get());
-      graph.ended(uid, finalState.get(), job.endedWallMicros());
+      graph.recordEnd(uid, finalState.get(), job.endedWallMicros());
     } else if (job.active() != null) {
       addActive(job.active(), withList);
     }
@@ -151,7 +151,7 @@
   }
 
   private void addToGraph(StateClient.Item item, List<String> dependencies) {
-    graph.accepted(RecordKeys.uidOfActive(item.key()), item.revision(), dependencies);
+    graph.addJob(RecordKeys.uidOfActive(item.key()), item.revision(), dependencies);
     openDependencies(dependencies);
   }
 
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -1,46 +1,197 @@
-package plumlever . warmup ; 
-
-import java . nio . charset . StandardCharsets ; import java . util . List ; import java . util . Optional ; import org . slf4j . LoggerFactory ; import plumlever . Controller ; import plumlever . http . Caller ; import plumlever . http . Responder ; import plumlever . settings . Endpoint ; import plumlever . settings . OperatorSettings ; import plumlever . settings . PlatformConfiguration ; import plumlever . settings . SchedulerParameters ; import plumlever . wire . HttpStatus ; import plumlever . wire . JobSpec ; import plumlever . wire . Json ; import plumlever . wire . Priority ; import plumlever . wire . ProtocolPath ; 
-
-/** 
-* Two terms of a small deployment in memory, with the service's own code and a clock of their own. 
-* Code that has never run is interpreted, some twenty times slower, and on a small processor share 
-* the first minute of a term would be lost to that. 
-*/ 
-final class WarmUpTerms { private static final int TERMS = 2 ; private static final int MACHINES = 40 ; private static final int JOBS = 16 ; private static final long TERM_MICROS = 40_000_000 ; private static final long HEARTBEAT_MICROS = 1_000_000 ; private static final long LATENCY_MICROS = 5_000 ; private static final long FIRST_JOB_MICROS = 500_000 ; private static final long JOB_PAUSE_MICROS = 1_500_000 ; private static final long POLL_PAUSE_MICROS = 2_000_000 ; private static final Endpoint STATE = new Endpoint ( "state" , 1 ) ; private static final Endpoint CLOUD = new Endpoint ( "cloud" , 1 ) ; 
-
-/** Loggers of these terms begin with this, so that only warnings of them are shown. */ 
-private static final String LOGGER_PREFIX = "practice." ; 
-
-private static final String TEAM = "practice" ; 
-
-/** Users are told nothing. */ 
-private static final Responder NO_USER = ( status , json , retry ) -> { } ; 
-
-private final WarmUpLoop loop ; private final WarmUpServices services ; private final PlatformConfiguration platform ; private final SchedulerParameters parameters ; private Controller controller ; private long termEndsMicros ; private int terms ; private int submitted ; 
-
-WarmUpTerms ( PlatformConfiguration real , SchedulerParameters parameters , long wallMicros ) { this . loop = new WarmUpLoop ( wallMicros ) ; this . services = new WarmUpServices ( loop , MACHINES , "practice-%d:9" ) ; this . parameters = parameters ; this . platform = new PlatformConfiguration ( "practice" , real . zone ( ) , real . bind ( ) , real . peerBind ( ) , List . of ( ) , CLOUD , STATE , List . of ( new PlatformConfiguration . Team ( TEAM , 0 , 0 , 0 , 0 ) ) , real . objectives ( ) , real . workers ( ) , real . stateLimits ( ) , real . cloudLimits ( ) , real . socketLimit ( ) ) ; } 
-
-/** Plays the next event; false when both terms have been played. */ 
-boolean step ( ) { if ( controller == null ) { if ( terms == TERMS ) { return false ; } startTerm ( ) ; } if ( ! loop . step ( termEndsMicros ) ) { 
-// Its machines and jobs stay for the next term to take over. 
-controller . close ( ) ; controller = null ; } return true ; } 
-
-private void startTerm ( ) { int term = ++ terms ; termEndsMicros = loop . nowMicros ( ) + TERM_MICROS ; controller = new Controller ( loop , caller ( term ) , loop , caller ( term ) , platform , new OperatorSettings ( parameters , Optional . empty ( ) ) , term , type -> LoggerFactory . getLogger ( LOGGER_PREFIX + type . getSimpleName ( ) ) ) ; controller . start ( ) ; long stagger = HEARTBEAT_MICROS / MACHINES ; long delay = 0 ; for ( String machineId : services . machines ( ) ) { loop . after ( delay , ( ) -> heartbeat ( term , machineId ) ) ; delay += stagger ; } for ( int job = 0 ; job < JOBS ; job ++ ) { loop . after ( FIRST_JOB_MICROS + job * JOB_PAUSE_MICROS , ( ) -> submit ( term ) ) ; } loop . after ( TERM_MICROS / 2 , ( ) -> cancelJobBeforeLast ( term ) ) ; } 
-
-private boolean isOver ( int term ) { return term != terms || controller == null ; } 
-
-/** Calls of a term that is over are lost, as those of a process that has ended. */ 
-private Caller caller ( int term ) { return ( to , method , path , body , timeout , answer ) -> loop . after ( LATENCY_MICROS , ( ) -> { if ( isOver ( term ) ) { return ; } if ( path . equals ( ProtocolPath . COMMANDS ) ) { String machineId = services . machineAt ( to . toString ( ) ) ; services . command ( machineId , new String ( body , StandardCharsets . UTF_8 ) ) ; answer . handle ( HttpStatus . OK , services . heartbeat ( machineId ) ) ; } else { services . handle ( method , path , body , replyTo ( term , answer ) ) ; } } ) ; } 
-
-private WarmUpServices . Reply replyTo ( int term , Caller . Answer answer ) { return ( status , text ) -> loop . after ( LATENCY_MICROS , ( ) -> { if ( term == terms ) { answer . handle ( status , text . getBytes ( StandardCharsets . UTF_8 ) ) ; } } ) ; } 
-
-private void heartbeat ( int term , String machineId ) { if ( isOver ( term ) ) { return ; } controller . router ( ) . handle ( "POST" , ProtocolPath . HEARTBEAT , services . heartbeat ( machineId ) , ( status , json , retry ) -> { if ( status == HttpStatus . OK ) { services . command ( machineId , json ) ; } } ) ; loop . after ( HEARTBEAT_MICROS , ( ) -> heartbeat ( term , machineId ) ) ; } 
-
-private void submit ( int term ) { Priority priority = Priority . values ( ) [ submitted % Priority . values ( ) . length ] ; submitted ++ ; JobSpec job = WarmUpJobs . job ( submitted , TEAM , priority ) ; byte [ ] body = Json . write ( job . toJson ( ) ) . getBytes ( StandardCharsets . UTF_8 ) ; ask ( term , "POST" , ProtocolPath . SUBMISSIONS , body ) ; poll ( term , job . uid ( ) ) ; } 
-
-private void poll ( int term , String uid ) { if ( ! isOver ( term ) ) { ask ( term , "GET" , ProtocolPath . SUBMISSIONS + "/" + uid , null ) ; loop . after ( POLL_PAUSE_MICROS , ( ) -> poll ( term , uid ) ) ; } } 
-
-private void cancelJobBeforeLast ( int term ) { String uid = WarmUpJobs . uid ( submitted - 1 ) ; String path = ProtocolPath . SUBMISSIONS + "/" + uid + ProtocolPath . CANCEL_SUFFIX ; ask ( term , "POST" , path , null ) ; } 
-
-private void ask ( int term , String method , String path , byte [ ] body ) { if ( ! isOver ( term ) ) { controller . router ( ) . handle ( method , path , body , NO_USER ) ; } } } 
+package plumlever.warmup;
+
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Optional;
+import org.slf4j.LoggerFactory;
+import plumlever.Controller;
+import plumlever.http.Caller;
+import plumlever.http.Responder;
+import plumlever.settings.Endpoint;
+import plumlever.settings.OperatorSettings;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SchedulerParameters;
+import plumlever.wire.HttpStatus;
+import plumlever.wire.JobSpec;
+import plumlever.wire.Json;
+import plumlever.wire.Priority;
+import plumlever.wire.ProtocolPath;
+
+/**
+ * Two terms of a small deployment in memory, with the service's own code and a clock of their own.
+ * Code that has never run is interpreted, some twenty times slower, and on a small processor share
+ * the first minute of a term would be lost to that.
+ */
+final class WarmUpTerms {
+  private static final int TERMS = 2;
+  private static final int MACHINES = 40;
+  private static final int JOBS = 16;
+  private static final long TERM_MICROS = 40_000_000;
+  private static final long HEARTBEAT_MICROS = 1_000_000;
+  private static final long LATENCY_MICROS = 5_000;
+  private static final long FIRST_JOB_MICROS = 500_000;
+  private static final long JOB_PAUSE_MICROS = 1_500_000;
+  private static final long POLL_PAUSE_MICROS = 2_000_000;
+  private static final Endpoint STATE = new Endpoint("state", 1);
+  private static final Endpoint CLOUD = new Endpoint("cloud", 1);
+
+  /** Loggers of these terms begin with this, so that only warnings of them are shown. */
+  private static final String LOGGER_PREFIX = "practice.";
+
+  private static final String TEAM = "practice";
+
+  /** Users are told nothing. */
+  private static final Responder NO_USER = (status, json, retry) -> {};
+
+  private final WarmUpLoop loop;
+  private final WarmUpServices services;
+  private final PlatformConfiguration platform;
+  private final SchedulerParameters parameters;
+  private Controller controller;
+  private long termEndsMicros;
+  private int terms;
+  private int submitted;
+
+  WarmUpTerms(PlatformConfiguration real, SchedulerParameters parameters, long wallMicros) {
+    this.loop = new WarmUpLoop(wallMicros);
+    this.services = new WarmUpServices(loop, MACHINES, "practice-%d:9");
+    this.parameters = parameters;
+    this.platform =
+        new PlatformConfiguration(
+            "practice",
+            real.zone(),
+            real.bind(),
+            real.peerBind(),
+            List.of(),
+            CLOUD,
+            STATE,
+            List.of(new PlatformConfiguration.Team(TEAM, 0, 0, 0, 0)),
+            real.objectives(),
+            real.workers(),
+            real.stateLimits(),
+            real.cloudLimits(),
+            real.socketLimit());
+  }
+
+  /** Plays the next event; false when both terms have been played. */
+  boolean step() {
+    if (controller == null) {
+      if (terms == TERMS) {
+        return false;
+      }
+      startTerm();
+    }
+    if (!loop.step(termEndsMicros)) {
+      // Its machines and jobs stay for the next term to take over.
+      controller.close();
+      controller = null;
+    }
+    return true;
+  }
+
+  private void startTerm() {
+    int term = ++terms;
+    termEndsMicros = loop.nowMicros() + TERM_MICROS;
+    controller =
+        new Controller(
+            loop,
+            caller(term),
+            loop,
+            caller(term),
+            platform,
+            new OperatorSettings(parameters, Optional.empty()),
+            term,
+            type -> LoggerFactory.getLogger(LOGGER_PREFIX + type.getSimpleName()));
+    controller.start();
+    long stagger = HEARTBEAT_MICROS / MACHINES;
+    long delay = 0;
+    for (String machineId : services.machines()) {
+      loop.after(delay, () -> heartbeat(term, machineId));
+      delay += stagger;
+    }
+    for (int job = 0; job < JOBS; job++) {
+      loop.after(FIRST_JOB_MICROS + job * JOB_PAUSE_MICROS, () -> submit(term));
+    }
+    loop.after(TERM_MICROS / 2, () -> cancelJobBeforeLast(term));
+  }
+
+  private boolean isOver(int term) {
+    return term != terms || controller == null;
+  }
+
+  /** Calls of a term that is over are lost, as those of a process that has ended. */
+  private Caller caller(int term) {
+    return (to, method, path, body, timeout, answer) ->
+        loop.after(
+            LATENCY_MICROS,
+            () -> {
+              if (isOver(term)) {
+                return;
+              }
+              if (path.equals(ProtocolPath.COMMANDS)) {
+                String machineId = services.machineAt(to.toString());
+                services.command(machineId, new String(body, StandardCharsets.UTF_8));
+                answer.handle(HttpStatus.OK, services.heartbeat(machineId));
+              } else {
+                services.handle(method, path, body, replyTo(term, answer));
+              }
+            });
+  }
+
+  private WarmUpServices.Reply replyTo(int term, Caller.ResponseHandler answer) {
+    return (status, text) ->
+        loop.after(
+            LATENCY_MICROS,
+            () -> {
+              if (term == terms) {
+                answer.handle(status, text.getBytes(StandardCharsets.UTF_8));
+              }
+            });
+  }
+
+  private void heartbeat(int term, String machineId) {
+    if (isOver(term)) {
+      return;
+    }
+    controller
+        .router()
+        .handle(
+            "POST",
+            ProtocolPath.HEARTBEAT,
+            services.heartbeat(machineId),
+            (status, json, retry) -> {
+              if (status == HttpStatus.OK) {
+                services.command(machineId, json);
+              }
+            });
+    loop.after(HEARTBEAT_MICROS, () -> heartbeat(term, machineId));
+  }
+
+  private void submit(int term) {
+    Priority priority = Priority.values()[submitted % Priority.values().length];
+    submitted++;
+    JobSpec job = WarmUpJobs.job(submitted, TEAM, priority);
+    byte[] body = Json.write(job.toJson()).getBytes(StandardCharsets.UTF_8);
+    ask(term, "POST", ProtocolPath.SUBMISSIONS, body);
+    poll(term, job.uid());
+  }
+
+  private void poll(int term, String uid) {
+    if (!isOver(term)) {
+      ask(term, "GET", ProtocolPath.SUBMISSIONS + "/" + uid, null);
+      loop.after(POLL_PAUSE_MICROS, () -> poll(term, uid));
+    }
+  }
+
+  private void cancelJobBeforeLast(int term) {
+    String uid = WarmUpJobs.uid(submitted - 1);
+    String path = ProtocolPath.SUBMISSIONS + "/" + uid + ProtocolPath.CANCEL_SUFFIX;
+    ask(term, "POST", path, null);
+  }
+
+  private void ask(int term, String method, String path, byte[] body) {
+    if (!isOver(term)) {
+      controller.router().handle(method, path, body, NO_USER);
+    }
+  }
+}
--- a/src/test/java/plumlever/architecture/ProtocolWordsTest.java
+++ b/src/test/java/plumlever/architecture/ProtocolWordsTest.java
@@ -38,7 +38,7 @@
           "main/java/plumlever/drill/JobShape.java",
           "main/java/plumlever/drill/StateServiceEmulator.java",
           "main/java/plumlever/drill/WorkerEmulator.java",
-          "main/java/plumlever/settings/OperatorFile.java",
+          "main/java/plumlever/settings/OperatorKey.java",
           "main/java/plumlever/sharing/TransferRecord.java",
           "main/java/plumlever/store/StateProtocol.java",
           "main/java/plumlever/warmup/InMemoryMachines.java",
@@ -48,7 +48,9 @@
           "main/java/plumlever/wire/ProtocolPath.java",
           "main/java/plumlever/wire/WorkerCommand.java",
           "test/java/plumlever/architecture/ProtocolWordsTest.java",
+          "test/java/plumlever/cloud/CloudClientTest.java",
           "test/java/plumlever/lease/LeaseRenewalTest.java",
+          "test/java/plumlever/settings/SettingsTest.java",
           "test/java/plumlever/sim/FakeCloud.java",
           "test/java/plumlever/sim/FakeStore.java",
           "test/java/plumlever/sim/FakeWorker.java",
@@ -58,8 +60,7 @@
           "test/java/plumlever/wire/WireTest.java");
 
   /** Files that are still to be renamed; an entry goes when its file is, and none is added. */
-  private static final Set<String> TO_DO =
-      Set.of("main/java/plumlever/settings/SchedulerParameters.java");
+  private static final Set<String> TO_DO = Set.of();
 
   private static final Pattern PROTOCOL_WORD = pattern();
 
--- a/src/test/java/plumlever/cloud/CloudClientTest.java
+++ b/src/test/java/plumlever/cloud/CloudClientTest.java
@@ -59,7 +59,7 @@
           (to, method, path, body, timeoutMicros, callback) -> {
             paths.add(method + " " + path);
             Answer answer = answers.remove();
-            callback.take(answer.status(), answer.body().getBytes(StandardCharsets.UTF_8));
+            callback.handle(answer.status(), answer.body().getBytes(StandardCharsets.UTF_8));
           },
           new Endpoint("cloud", 1),
           new PlatformConfiguration.CloudLimits(10, 0),
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -1,73 +1,282 @@
-package plumlever . fleet ; 
-
-import static org . junit . jupiter . api . Assertions . assertEquals ; import static org . junit . jupiter . api . Assertions . assertTrue ; 
-
-import java . util . ArrayList ; import java . util . HashMap ; import java . util . HashSet ; import java . util . List ; import java . util . Map ; import java . util . Set ; import java . util . SplittableRandom ; import java . util . stream . IntStream ; import java . util . stream . LongStream ; import org . junit . jupiter . api . Test ; import org . junit . jupiter . params . ParameterizedTest ; import org . junit . jupiter . params . provider . MethodSource ; import plumlever . wire . JobState ; import plumlever . wire . Priority ; 
-
-/** The dependency graph, also beside a slow plain model that derives everything anew each time. */ 
-final class DependencyGraphTest { /** The records, as they are. */ 
-private static final class Model { final Map < String , List < String >> dependencies = new HashMap < > ( ) ; final Map < String , JobState > ended = new HashMap < > ( ) ; final Map < String , DependencyGraph . EffectiveGoal > ownGoals = new HashMap < > ( ) ; final Map < String , Long > durations = new HashMap < > ( ) ; 
-
-boolean cancelled ( String uid ) { return ended . get ( uid ) == JobState . CANCELLED || ( ended . get ( uid ) == null && dependencies . get ( uid ) . stream ( ) . anyMatch ( this :: cancelled ) ) ; } 
-
-boolean released ( String uid ) { return dependencies . get ( uid ) . stream ( ) . allMatch ( name -> ended . get ( name ) == JobState . DONE ) ; } 
-
-DependencyGraph . State state ( String uid ) { return ended . get ( uid ) == JobState . DONE ? DependencyGraph . State . DONE : cancelled ( uid ) ? DependencyGraph . State . CANCELLED : released ( uid ) ? DependencyGraph . State . RELEASED : DependencyGraph . State . WAITING ; } 
-
-/** By when it has to end, for the sake of itself and all that depend on it. */ 
-long latestEnd ( String uid ) { long earliest = ownGoals . get ( uid ) . latestEndMicros ( ) ; for ( String dependent : dependencies . keySet ( ) ) { if ( dependencies . get ( dependent ) . contains ( uid ) && ended . get ( dependent ) == null && ! cancelled ( dependent ) ) { long theirs = latestEnd ( dependent ) ; earliest = Math . min ( earliest , theirs == Long . MAX_VALUE ? theirs : theirs - durations . get ( dependent ) ) ; } } return earliest ; } 
-
-Priority priority ( String uid ) { Priority mostUrgent = ownGoals . get ( uid ) . priority ( ) ; for ( String dependent : dependencies . keySet ( ) ) { if ( dependencies . get ( dependent ) . contains ( uid ) && ended . get ( dependent ) == null && ! cancelled ( dependent ) ) { Priority theirs = priority ( dependent ) ; mostUrgent = theirs . compareTo ( mostUrgent ) < 0 ? theirs : mostUrgent ; } } return mostUrgent ; } } 
-
-static LongStream seeds ( ) { return LongStream . range ( 0 , 150 ) ; } 
-
-/** Jobs come, end and are cancelled in any order, and their records are read late and twice. */ 
-@ ParameterizedTest @ MethodSource ( "seeds" ) void agreesWithThePlainModel ( long seed ) { SplittableRandom random = new SplittableRandom ( seed ) ; Model model = new Model ( ) ; DependencyGraph graph = new DependencyGraph ( ) ; List < String > all = new ArrayList < > ( ) ; Set < String > released = new HashSet < > ( ) ; Set < String > cancelled = new HashSet < > ( ) ; for ( int step = 0 ; step < 60 ; step ++ ) { if ( all . size ( ) < 14 && random . nextInt ( 3 ) > 0 ) { accept ( random , model , graph , all ) ; } else if ( ! all . isEmpty ( ) ) { String uid = all . get ( random . nextInt ( all . size ( ) ) ) ; if ( model . ended . get ( uid ) == null ) { boolean done = model . released ( uid ) && ! model . cancelled ( uid ) && random . nextInt ( 3 ) > 0 ; if ( done || random . nextInt ( 4 ) == 0 ) { model . ended . put ( uid , done ? JobState . DONE : JobState . CANCELLED ) ; graph . recordEnd ( uid , model . ended . get ( uid ) , step ) ; } } else { graph . recordEnd ( uid , model . ended . get ( uid ) , step ) ; } } if ( random . nextInt ( 5 ) == 0 ) { for ( String uid : all ) { model . durations . put ( uid , 1 + random . nextLong ( 30 ) ) ; } graph . updateDurations ( model . durations :: get ) ; } graph . propagateGoals ( uid -> { } ) ; released . addAll ( graph . drainReleased ( ) ) ; cancelled . addAll ( graph . drainCancelled ( ) ) ; check ( model , graph , all , released , cancelled ) ; } assertTrue ( ! released . isEmpty ( ) && all . size ( ) > 5 ) ; } 
-
-private static void accept ( SplittableRandom random , Model model , DependencyGraph graph , List < String > all ) { String uid = "job-" + all . size ( ) ; List < String > dependencies = new ArrayList < > ( ) ; for ( String earlier : all ) { if ( random . nextInt ( 4 ) == 0 ) { dependencies . add ( earlier ) ; } } all . add ( uid ) ; model . dependencies . put ( uid , dependencies ) ; model . durations . put ( uid , 1 + random . nextLong ( 30 ) ) ; model . ownGoals . put ( uid , new DependencyGraph . EffectiveGoal ( all . size ( ) , random . nextInt ( 3 ) == 0 ? 100 + random . nextLong ( 200 ) : Long . MAX_VALUE , "c" , 0 , Priority . values ( ) [ random . nextInt ( 4 ) ] ) ) ; List < String > unknown = graph . addJob ( uid , 1 + all . size ( ) , dependencies ) ; for ( String name : unknown ) { JobState how = model . ended . get ( name ) ; assertTrue ( how != null , name + " has ended, or it would be known" ) ; graph . recordEnd ( name , how , 0 ) ; } graph . setGoal ( uid , model . ownGoals . get ( uid ) , model . durations . get ( uid ) ) ; 
-// Told again, it changes nothing. 
-graph . addJob ( uid , 1 + all . size ( ) , List . of ( ) ) ; } 
-
-private static void check ( Model model , DependencyGraph graph , List < String > all , Set < String > released , Set < String > cancelled ) { for ( String uid : all ) { DependencyGraph . State now = model . state ( uid ) ; if ( model . ended . get ( uid ) != null ) { assertEquals ( DependencyGraph . State . UNKNOWN , graph . stateOf ( uid ) , uid + " has ended and is forgotten" ) ; continue ; } assertEquals ( now , graph . stateOf ( uid ) , uid ) ; assertEquals ( now == DependencyGraph . State . RELEASED , released . contains ( uid ) && ! cancelled . contains ( uid ) , uid + " is reported as released" ) ; assertEquals ( now == DependencyGraph . State . CANCELLED , cancelled . contains ( uid ) , uid + " is reported as cancelled" ) ; if ( now != DependencyGraph . State . CANCELLED ) { assertEquals ( model . latestEnd ( uid ) , graph . effectiveGoal ( uid ) . latestEndMicros ( ) , uid + " has its deadline" ) ; assertEquals ( model . priority ( uid ) , graph . effectiveGoal ( uid ) . priority ( ) , uid + " has its priority" ) ; } } } 
-
-private static DependencyGraph . EffectiveGoal goal ( long deadline , Priority priority ) { return new DependencyGraph . EffectiveGoal ( 0 , deadline , "c" , 0 , priority ) ; } 
-
-/** So many that recursion would overflow the stack. */ 
-private static final int MANY = 10_000 ; 
-
-private static final long LAST_DEADLINE = 1_000_000 ; 
-
-/** A chain of many jobs, of which only the last has a deadline and a high priority. */ 
-private static DependencyGraph longChain ( ) { DependencyGraph graph = new DependencyGraph ( ) ; for ( int i = 0 ; i < MANY ; i ++ ) { boolean last = i == MANY - 1 ; graph . addJob ( "job-" + i , i + 1 , i == 0 ? List . of ( ) : List . of ( "job-" + ( i - 1 ) ) ) ; graph . setGoal ( "job-" + i , goal ( last ? LAST_DEADLINE : Long . MAX_VALUE , last ? Priority . PROD : Priority . IDLE ) , 10 ) ; } return graph ; } 
-
-@ Test void theGoalOfTheLastJobReachesTheFirstOfALongChain ( ) { DependencyGraph graph = longChain ( ) ; 
-
-graph . propagateGoals ( uid -> { } ) ; 
-
-assertEquals ( LAST_DEADLINE - 10L * ( MANY - 1 ) , graph . effectiveGoal ( "job-0" ) . latestEndMicros ( ) ) ; assertEquals ( Priority . PROD , graph . effectiveGoal ( "job-0" ) . priority ( ) ) ; } 
-
-@ Test void eachGoalIsDerivedOnceAndOnlyAfterAChange ( ) { DependencyGraph graph = longChain ( ) ; List < String > changed = new ArrayList < > ( ) ; 
-
-graph . propagateGoals ( changed :: add ) ; assertEquals ( MANY , changed . size ( ) , "each once" ) ; 
-
-graph . propagateGoals ( changed :: add ) ; assertEquals ( MANY , changed . size ( ) , "nothing changed, nothing is derived" ) ; } 
-
-@ Test void aCancellationReachesTheLastJobOfALongChain ( ) { DependencyGraph graph = longChain ( ) ; graph . propagateGoals ( uid -> { } ) ; graph . drainReleased ( ) ; 
-
-graph . recordEnd ( "job-0" , JobState . CANCELLED , 0 ) ; 
-
-assertEquals ( MANY , graph . drainCancelled ( ) . size ( ) ) ; assertEquals ( "job-0" , graph . failedDependencyOf ( "job-" + ( MANY - 1 ) ) ) ; } 
-
-@ Test void aJobWithManyDependenciesIsReleasedByTheLastOfThem ( ) { DependencyGraph graph = new DependencyGraph ( ) ; graph . addJob ( "job-0" , 1 , List . of ( ) ) ; List < String > middle = IntStream . rangeClosed ( 1 , MANY ) . mapToObj ( i -> "job-" + i ) . toList ( ) ; for ( int i = 1 ; i <= MANY ; i ++ ) { graph . addJob ( "job-" + i , i + 1 , List . of ( "job-0" ) ) ; } graph . addJob ( "job-last" , MANY + 2 , middle ) ; graph . drainReleased ( ) ; 
-
-graph . recordEnd ( "job-0" , JobState . DONE , 5 ) ; assertEquals ( MANY , graph . drainReleased ( ) . size ( ) ) ; 
-
-for ( int i = 1 ; i <= MANY ; i ++ ) { assertEquals ( DependencyGraph . State . WAITING , graph . stateOf ( "job-last" ) ) ; graph . recordEnd ( "job-" + i , JobState . DONE , i ) ; } assertEquals ( List . of ( "job-last" ) , graph . drainReleased ( ) ) ; assertEquals ( MANY , graph . releasedMicros ( "job-last" ) ) ; } 
-
-@ Test void aDeadlineOfADependentEndsWithItsCancellation ( ) { DependencyGraph graph = new DependencyGraph ( ) ; graph . addJob ( "job-1" , 1 , List . of ( ) ) ; graph . setGoal ( "job-1" , goal ( Long . MAX_VALUE , Priority . IDLE ) , 7 ) ; graph . propagateGoals ( uid -> { } ) ; graph . addJob ( "job-2" , 2 , List . of ( "job-1" ) ) ; graph . setGoal ( "job-2" , goal ( 90 , Priority . HIGH ) , 20 ) ; graph . propagateGoals ( uid -> { } ) ; 
-
-assertEquals ( 70 , graph . effectiveGoal ( "job-1" ) . latestEndMicros ( ) ) ; assertEquals ( Priority . HIGH , graph . effectiveGoal ( "job-1" ) . priority ( ) ) ; 
-
-graph . recordEnd ( "job-2" , JobState . CANCELLED , 0 ) ; graph . propagateGoals ( uid -> { } ) ; 
-
-assertEquals ( Long . MAX_VALUE , graph . effectiveGoal ( "job-1" ) . latestEndMicros ( ) ) ; assertEquals ( Priority . IDLE , graph . effectiveGoal ( "job-1" ) . priority ( ) ) ; } } 
+package plumlever.fleet;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.stream.IntStream;
+import java.util.stream.LongStream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import plumlever.wire.JobState;
+import plumlever.wire.Priority;
+
+/** The dependency graph, also beside a slow plain model that derives everything anew each time. */
+final class DependencyGraphTest {
+  /** The records, as they are. */
+  private static final class Model {
+    final Map<String, List<String>> dependencies = new HashMap<>();
+    final Map<String, JobState> ended = new HashMap<>();
+    final Map<String, DependencyGraph.EffectiveGoal> ownGoals = new HashMap<>();
+    final Map<String, Long> durations = new HashMap<>();
+
+    boolean cancelled(String uid) {
+      return ended.get(uid) == JobState.CANCELLED
+          || (ended.get(uid) == null && dependencies.get(uid).stream().anyMatch(this::cancelled));
+    }
+
+    boolean released(String uid) {
+      return dependencies.get(uid).stream().allMatch(name -> ended.get(name) == JobState.DONE);
+    }
+
+    DependencyGraph.State state(String uid) {
+      return ended.get(uid) == JobState.DONE
+          ? DependencyGraph.State.DONE
+          : cancelled(uid)
+              ? DependencyGraph.State.CANCELLED
+              : released(uid) ? DependencyGraph.State.RELEASED : DependencyGraph.State.WAITING;
+    }
+
+    /** By when it has to end, for the sake of itself and all that depend on it. */
+    long latestEnd(String uid) {
+      long earliest = ownGoals.get(uid).latestEndMicros();
+      for (String dependent : dependencies.keySet()) {
+        if (dependencies.get(dependent).contains(uid)
+            && ended.get(dependent) == null
+            && !cancelled(dependent)) {
+          long theirs = latestEnd(dependent);
+          earliest =
+              Math.min(
+                  earliest, theirs == Long.MAX_VALUE ? theirs : theirs - durations.get(dependent));
+        }
+      }
+      return earliest;
+    }
+
+    Priority priority(String uid) {
+      Priority mostUrgent = ownGoals.get(uid).priority();
+      for (String dependent : dependencies.keySet()) {
+        if (dependencies.get(dependent).contains(uid)
+            && ended.get(dependent) == null
+            && !cancelled(dependent)) {
+          Priority theirs = priority(dependent);
+          mostUrgent = theirs.compareTo(mostUrgent) < 0 ? theirs : mostUrgent;
+        }
+      }
+      return mostUrgent;
+    }
+  }
+
+  static LongStream seeds() {
+    return LongStream.range(0, 150);
+  }
+
+  /** Jobs come, end and are cancelled in any order, and their records are read late and twice. */
+  @ParameterizedTest
+  @MethodSource("seeds")
+  void agreesWithThePlainModel(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    Model model = new Model();
+    DependencyGraph graph = new DependencyGraph();
+    List<String> all = new ArrayList<>();
+    Set<String> released = new HashSet<>();
+    Set<String> cancelled = new HashSet<>();
+    for (int step = 0; step < 60; step++) {
+      if (all.size() < 14 && random.nextInt(3) > 0) {
+        accept(random, model, graph, all);
+      } else if (!all.isEmpty()) {
+        String uid = all.get(random.nextInt(all.size()));
+        if (model.ended.get(uid) == null) {
+          boolean done = model.released(uid) && !model.cancelled(uid) && random.nextInt(3) > 0;
+          if (done || random.nextInt(4) == 0) {
+            model.ended.put(uid, done ? JobState.DONE : JobState.CANCELLED);
+            graph.recordEnd(uid, model.ended.get(uid), step);
+          }
+        } else {
+          graph.recordEnd(uid, model.ended.get(uid), step);
+        }
+      }
+      if (random.nextInt(5) == 0) {
+        for (String uid : all) {
+          model.durations.put(uid, 1 + random.nextLong(30));
+        }
+        graph.updateDurations(model.durations::get);
+      }
+      graph.propagateGoals(uid -> {});
+      released.addAll(graph.drainReleased());
+      cancelled.addAll(graph.drainCancelled());
+      check(model, graph, all, released, cancelled);
+    }
+    assertTrue(!released.isEmpty() && all.size() > 5);
+  }
+
+  private static void accept(
+      SplittableRandom random, Model model, DependencyGraph graph, List<String> all) {
+    String uid = "job-" + all.size();
+    List<String> dependencies = new ArrayList<>();
+    for (String earlier : all) {
+      if (random.nextInt(4) == 0) {
+        dependencies.add(earlier);
+      }
+    }
+    all.add(uid);
+    model.dependencies.put(uid, dependencies);
+    model.durations.put(uid, 1 + random.nextLong(30));
+    model.ownGoals.put(
+        uid,
+        new DependencyGraph.EffectiveGoal(
+            all.size(),
+            random.nextInt(3) == 0 ? 100 + random.nextLong(200) : Long.MAX_VALUE,
+            "c",
+            0,
+            Priority.values()[random.nextInt(4)]));
+    List<String> unknown = graph.addJob(uid, 1 + all.size(), dependencies);
+    for (String name : unknown) {
+      JobState how = model.ended.get(name);
+      assertTrue(how != null, name + " has ended, or it would be known");
+      graph.recordEnd(name, how, 0);
+    }
+    graph.setGoal(uid, model.ownGoals.get(uid), model.durations.get(uid));
+    // Told again, it changes nothing.
+    graph.addJob(uid, 1 + all.size(), List.of());
+  }
+
+  private static void check(
+      Model model,
+      DependencyGraph graph,
+      List<String> all,
+      Set<String> released,
+      Set<String> cancelled) {
+    for (String uid : all) {
+      DependencyGraph.State now = model.state(uid);
+      if (model.ended.get(uid) != null) {
+        assertEquals(
+            DependencyGraph.State.UNKNOWN, graph.stateOf(uid), uid + " has ended and is forgotten");
+        continue;
+      }
+      assertEquals(now, graph.stateOf(uid), uid);
+      assertEquals(
+          now == DependencyGraph.State.RELEASED,
+          released.contains(uid) && !cancelled.contains(uid),
+          uid + " is reported as released");
+      assertEquals(
+          now == DependencyGraph.State.CANCELLED,
+          cancelled.contains(uid),
+          uid + " is reported as cancelled");
+      if (now != DependencyGraph.State.CANCELLED) {
+        assertEquals(
+            model.latestEnd(uid),
+            graph.effectiveGoal(uid).latestEndMicros(),
+            uid + " has its deadline");
+        assertEquals(
+            model.priority(uid), graph.effectiveGoal(uid).priority(), uid + " has its priority");
+      }
+    }
+  }
+
+  private static DependencyGraph.EffectiveGoal goal(long deadline, Priority priority) {
+    return new DependencyGraph.EffectiveGoal(0, deadline, "c", 0, priority);
+  }
+
+  /** So many that recursion would overflow the stack. */
+  private static final int MANY = 10_000;
+
+  private static final long LAST_DEADLINE = 1_000_000;
+
+  /** A chain of many jobs, of which only the last has a deadline and a high priority. */
+  private static DependencyGraph longChain() {
+    DependencyGraph graph = new DependencyGraph();
+    for (int i = 0; i < MANY; i++) {
+      boolean last = i == MANY - 1;
+      graph.addJob("job-" + i, i + 1, i == 0 ? List.of() : List.of("job-" + (i - 1)));
+      graph.setGoal(
+          "job-" + i,
+          goal(last ? LAST_DEADLINE : Long.MAX_VALUE, last ? Priority.PROD : Priority.IDLE),
+          10);
+    }
+    return graph;
+  }
+
+  @Test
+  void theGoalOfTheLastJobReachesTheFirstOfALongChain() {
+    DependencyGraph graph = longChain();
+
+    graph.propagateGoals(uid -> {});
+
+    assertEquals(LAST_DEADLINE - 10L * (MANY - 1), graph.effectiveGoal("job-0").latestEndMicros());
+    assertEquals(Priority.PROD, graph.effectiveGoal("job-0").priority());
+  }
+
+  @Test
+  void eachGoalIsDerivedOnceAndOnlyAfterAChange() {
+    DependencyGraph graph = longChain();
+    List<String> changed = new ArrayList<>();
+
+    graph.propagateGoals(changed::add);
+    assertEquals(MANY, changed.size(), "each once");
+
+    graph.propagateGoals(changed::add);
+    assertEquals(MANY, changed.size(), "nothing changed, nothing is derived");
+  }
+
+  @Test
+  void aCancellationReachesTheLastJobOfALongChain() {
+    DependencyGraph graph = longChain();
+    graph.propagateGoals(uid -> {});
+    graph.drainReleased();
+
+    graph.recordEnd("job-0", JobState.CANCELLED, 0);
+
+    assertEquals(MANY, graph.drainCancelled().size());
+    assertEquals("job-0", graph.failedDependencyOf("job-" + (MANY - 1)));
+  }
+
+  @Test
+  void aJobWithManyDependenciesIsReleasedByTheLastOfThem() {
+    DependencyGraph graph = new DependencyGraph();
+    graph.addJob("job-0", 1, List.of());
+    List<String> middle = IntStream.rangeClosed(1, MANY).mapToObj(i -> "job-" + i).toList();
+    for (int i = 1; i <= MANY; i++) {
+      graph.addJob("job-" + i, i + 1, List.of("job-0"));
+    }
+    graph.addJob("job-last", MANY + 2, middle);
+    graph.drainReleased();
+
+    graph.recordEnd("job-0", JobState.DONE, 5);
+    assertEquals(MANY, graph.drainReleased().size());
+
+    for (int i = 1; i <= MANY; i++) {
+      assertEquals(DependencyGraph.State.WAITING, graph.stateOf("job-last"));
+      graph.recordEnd("job-" + i, JobState.DONE, i);
+    }
+    assertEquals(List.of("job-last"), graph.drainReleased());
+    assertEquals(MANY, graph.releasedMicros("job-last"));
+  }
+
+  @Test
+  void aDeadlineOfADependentEndsWithItsCancellation() {
+    DependencyGraph graph = new DependencyGraph();
+    graph.addJob("job-1", 1, List.of());
+    graph.setGoal("job-1", goal(Long.MAX_VALUE, Priority.IDLE), 7);
+    graph.propagateGoals(uid -> {});
+    graph.addJob("job-2", 2, List.of("job-1"));
+    graph.setGoal("job-2", goal(90, Priority.HIGH), 20);
+    graph.propagateGoals(uid -> {});
+
+    assertEquals(70, graph.effectiveGoal("job-1").latestEndMicros());
+    assertEquals(Priority.HIGH, graph.effectiveGoal("job-1").priority());
+
+    graph.recordEnd("job-2", JobState.CANCELLED, 0);
+    graph.propagateGoals(uid -> {});
+
+    assertEquals(Long.MAX_VALUE, graph.effectiveGoal("job-1").latestEndMicros());
+    assertEquals(Priority.IDLE, graph.effectiveGoal("job-1").priority());
+  }
+}
