--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -126,7 +126,7 @@
                     new PoolTerms(
                         clients.electionStore(),
                         PoolView.COUNTER,
-                        PoolView.leaderKey(pool.ownCell().name())));
+                        PoolView.leaderKey(pool.ownShard().name())));
     return new LeaderElection(
         environment.platform().label(),
         environment.electionLoop(),
@@ -175,7 +175,7 @@
     JobServices jobs =
         new JobServices(
             environment.loop(), clients.store(), jobRecords, clients.layout(), clients.metrics());
-    Optional<JobForwarder> otherCells =
+    Optional<JobForwarder> otherShards =
         environment
             .settings()
             .sharing()
@@ -189,7 +189,7 @@
         health,
         cancellations::confirmed,
         this::taskCounts,
-        otherCells);
+        otherShards);
   }
 
   private HeartbeatEndpoint createHeartbeatEndpoint() {
--- a/src/main/java/plumlever/PeerReports.java
+++ b/src/main/java/plumlever/PeerReports.java
@@ -35,16 +35,16 @@
         .findFirst();
   }
 
-  /** The largest number of workers that another controller of this cell reported. */
+  /** The largest number of workers that another controller of this shard reported. */
   int workersElsewhere() {
     return recent().stream()
-        .filter(status -> isOfOwnCell(status.label()))
+        .filter(status -> isOfOwnShard(status.label()))
         .mapToInt(PeerStatus::workers)
         .max()
         .orElse(0);
   }
 
-  private boolean isOfOwnCell(String label) {
-    return sharing.isEmpty() || sharing.get().ownCell().controllers().contains(label);
+  private boolean isOfOwnShard(String label) {
+    return sharing.isEmpty() || sharing.get().ownShard().controllers().contains(label);
   }
 }
--- a/src/main/java/plumlever/ServiceClients.java
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -28,7 +28,7 @@
     PlatformConfiguration platform = environment.platform();
     Optional<SharingSettings> sharing = environment.settings().sharing();
     KeySpace keySpace =
-        sharing.map(pool -> KeySpace.under(pool.ownCell().prefix())).orElse(KeySpace.ROOT);
+        sharing.map(pool -> KeySpace.under(pool.ownShard().prefix())).orElse(KeySpace.ROOT);
     this.metrics = new Metrics(environment.logs());
     this.caller = new MeteredCaller(environment.caller(), environment.loop(), metrics, platform);
     this.store =
@@ -47,7 +47,7 @@
             platform.stateLimits(),
             metrics,
             keySpace);
-    this.layout = new JobStore(store.limits(), prefixesOfOtherCells(sharing));
+    this.layout = new JobStore(store.limits(), prefixesOfOtherShards(sharing));
     this.cloud =
         new CloudClient(
             environment.loop(), caller, platform.cloud(), platform.cloudLimits(), metrics);
@@ -56,9 +56,9 @@
         new MachineTypeRefresh(environment.loop(), cloud, store, prices, environment.logs());
   }
 
-  private static List<String> prefixesOfOtherCells(Optional<SharingSettings> sharing) {
+  private static List<String> prefixesOfOtherShards(Optional<SharingSettings> sharing) {
     return sharing
-        .map(pool -> pool.otherCells().stream().map(SharingSettings.Cell::prefix).toList())
+        .map(pool -> pool.otherShards().stream().map(SharingSettings.Shard::prefix).toList())
         .orElse(List.of());
   }
 
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -19,7 +19,7 @@
     return String.join(
         "\n",
         addresses(platform),
-        settings.sharing().map(Check::cells).orElse("one cell, all machines are its own"),
+        settings.sharing().map(Check::shards).orElse("one cell, all machines are its own"),
         connections(platform),
         limits(platform.stateLimits()),
         "teams: "
@@ -50,24 +50,24 @@
             platform.cloud());
   }
 
-  private static String cells(SharingSettings sharing) {
+  private static String shards(SharingSettings sharing) {
     return "cell "
-        + sharing.ownCell().name()
+        + sharing.ownShard().name()
         + " of a pool of "
         + sharing.maxMachines()
         + " machines, with sharing file "
         + sharing.digest()
         + ": "
-        + sharing.cells().stream()
+        + sharing.shards().stream()
             .map(
-                cell ->
-                    cell.name()
+                shard ->
+                    shard.name()
                         + " (floor "
-                        + cell.minMachines()
+                        + shard.minMachines()
                         + ", weight "
-                        + cell.weight()
+                        + shard.weight()
                         + ", keys under "
-                        + (cell.prefix().isEmpty() ? "the root" : cell.prefix())
+                        + (shard.prefix().isEmpty() ? "the root" : shard.prefix())
                         + ")")
             .collect(Collectors.joining(", "));
   }
--- a/src/main/java/plumlever/drill/DrillFiles.java
+++ b/src/main/java/plumlever/drill/DrillFiles.java
@@ -91,14 +91,14 @@
         leaseMicros / MICROS_PER_S);
   }
 
-  /** One cell for each controller; machines are never returned for being idle. */
-  static String sharing(List<String> cells, List<ControllerProcess> controllers, int machines) {
-    int floor = machines / (FLOOR_PART * cells.size());
+  /** One shard for each controller; machines are never returned for being idle. */
+  static String sharing(List<String> shards, List<ControllerProcess> controllers, int machines) {
+    int floor = machines / (FLOOR_PART * shards.size());
     StringBuilder text =
         new StringBuilder("idle_speed_s: 1000000\nsharing:\n  machines: " + machines + "\n");
     text.append("  cells:\n");
-    for (int i = 0; i < cells.size(); i++) {
-      text.append("    - name: ").append(cells.get(i)).append('\n');
+    for (int i = 0; i < shards.size(); i++) {
+      text.append("    - name: ").append(shards.get(i)).append('\n');
       text.append("      controllers: [").append(controllers.get(i).label()).append("]\n");
       text.append("      floor: ").append(floor).append('\n');
     }
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -28,8 +28,8 @@
 import plumlever.wire.Json;
 
 /**
- * Three controllers of three cells as processes of their own, with emulators for all that is round
- * them. Load goes from cell to cell, so that shares move; machines with tasks are given away
+ * Three controllers of three shards as processes of their own, with emulators for all that is round
+ * them. Load goes from shard to shard, so that shares move; machines with tasks are given away
  * besides, and controllers are killed and paused right after. It passes if every job is done, each
  * result was produced once, no two copies of a task ever ran, and no move had a task started anew.
  */
@@ -56,7 +56,7 @@
   /** What came of it. */
   public record Outcome(boolean passed, List<String> lines) {}
 
-  private static final List<String> CELLS = List.of("east", "north", "west");
+  private static final List<String> SHARDS = List.of("east", "north", "west");
   private static final int BUFFER_BYTES = 8 * 1024;
   private static final int BUFFERS = 64;
   private static final int CONNECTIONS = 2_048;
@@ -174,7 +174,7 @@
   private void build() throws IOException {
     Server stateServer = serve(state::handle);
     Server cloudServer = serve(cloud::handle);
-    for (int i = 0; i < CELLS.size(); i++) {
+    for (int i = 0; i < SHARDS.size(); i++) {
       controllers.add(new ControllerProcess("lever-" + i, freePort(), freePort(), directory));
     }
     for (ControllerProcess controller : controllers) {
@@ -191,7 +191,7 @@
     }
     Files.writeString(
         controllers.get(0).operatorsFile(),
-        DrillFiles.sharing(CELLS, controllers, plan.machines()));
+        DrillFiles.sharing(SHARDS, controllers, plan.machines()));
     for (ControllerProcess controller : controllers) {
       controller.start();
     }
@@ -257,18 +257,18 @@
     loop.after(TICK_MICROS, this::tick);
   }
 
-  /** One cell at a time has more to do than its share of machines can hold. */
+  /** One shard at a time has more to do than its share of machines can hold. */
   private void submit(long now) {
-    int cell = (int) ((now - beganMicros) / PHASE_MICROS % CELLS.size());
+    int shard = (int) ((now - beganMicros) / PHASE_MICROS % SHARDS.size());
     double cores = LOAD * CORES * plan.machines() * SUBMIT_EVERY_MICROS / PHASE_MICROS;
     while (cores > 0) {
       JobShape shape = shapes.get(random.nextInt(shapes.size()));
-      users.submit(shape, controllers.get(cell).users());
+      users.submit(shape, controllers.get(shard).users());
       cores -= shape.cores();
     }
   }
 
-  /** The machine on which most tasks run goes to another cell. */
+  /** The machine on which most tasks run goes to another shard. */
   private void moveBusy() {
     workers.entrySet().stream()
         .max(Comparator.comparingInt(entry -> entry.getValue().running()))
@@ -281,8 +281,8 @@
     if (owner < 0) {
       return;
     }
-    int to = (owner + 1 + random.nextInt(CELLS.size() - 1)) % CELLS.size();
-    String body = Json.write(Json.object().put("machine", machine).put("to", CELLS.get(to)));
+    int to = (owner + 1 + random.nextInt(SHARDS.size() - 1)) % SHARDS.size();
+    String body = Json.write(Json.object().put("machine", machine).put("to", SHARDS.get(to)));
     caller.call(
         controllers.get(owner).peers(),
         "POST",
@@ -291,7 +291,7 @@
         CALL_MICROS,
         (status, answer) -> {
           if (status != HttpStatus.OK) {
-            events.add(machine + " could not be given to " + CELLS.get(to) + ": " + status);
+            events.add(machine + " could not be given to " + SHARDS.get(to) + ": " + status);
           }
         });
   }
@@ -300,7 +300,10 @@
     for (var entry : state.under("pool/owners/").entrySet()) {
       try {
         if (OwnerRecord.keyOf(machine).equals("/" + entry.getKey())) {
-          return OwnerRecord.parse(entry.getValue()).holder(machine).map(CELLS::indexOf).orElse(-1);
+          return OwnerRecord.parse(entry.getValue())
+              .holder(machine)
+              .map(SHARDS::indexOf)
+              .orElse(-1);
         }
       } catch (InvalidMessageException e) {
         results.broke("a record of owners can't be read: " + e.getMessage());
--- a/src/main/java/plumlever/drill/TransferLog.java
+++ b/src/main/java/plumlever/drill/TransferLog.java
@@ -46,8 +46,8 @@
 
   private void taken(String machine, String owner, JsonNode value) {
     int tasks = 0;
-    for (JsonNode guests : value.path("homes")) {
-      tasks += guests.size();
+    for (JsonNode foreignTasks : value.path("homes")) {
+      tasks += foreignTasks.size();
     }
     long micros = loop.nowMicros() - offeredMicros.get(machine);
     took.recordValue(micros);
--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -45,7 +45,7 @@
   private final LeadershipRecords records;
   private final ElectionBackoff backoff;
 
-  /** Where terms come from if this is one cell of a pool. */
+  /** Where terms come from if this is one shard of a pool. */
   private final Optional<PoolTerms> poolTerms;
 
   private final Observer observer;
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -52,7 +52,7 @@
    * @param loop that the election runs on
    * @param store client on that loop
    * @param listener told on that loop how terms begin and end
-   * @param poolTerms where terms come from if this is one cell of a pool
+   * @param poolTerms where terms come from if this is one shard of a pool
    */
   public LeaderElection(
       String label,
@@ -110,7 +110,7 @@
   }
 
   /**
-   * True where the state service holds a pool of cells and this controller has no sharing file: it
+   * True where the state service holds a pool of shards and this controller has no sharing file: it
    * neither stands nor answers, for it would take the pool's machines for its own.
    */
   public boolean ineligible() {
--- a/src/main/java/plumlever/election/LeadershipRecords.java
+++ b/src/main/java/plumlever/election/LeadershipRecords.java
@@ -48,7 +48,7 @@
 
   /**
    * @param candidate this controller
-   * @param inPool true if it is told of the pool that its cell belongs to
+   * @param inPool true if it is told of the pool that its shard belongs to
    */
   LeadershipRecords(Logger log, Loop loop, Candidate candidate, boolean inPool) {
     this.log = log;
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -9,14 +9,14 @@
 import plumlever.wire.Json;
 
 /**
- * Terms out of the counter that all cells of a pool share, so that the commands of two cells are
+ * Terms out of the counter that all shards of a pool share, so that the commands of two shards are
  * ordered on a machine and attempt numbers are unique in the pool. Taking a term raises the counter
- * in the same transaction, and tells the other cells who leads.
+ * in the same transaction, and tells the other shards who leads.
  */
 public final class PoolTerms {
   /**
    * Stands in the root of the state service while it holds a pool: a controller without a sharing
-   * file must not lead beside its cells.
+   * file must not lead beside its shards.
    */
   static final String MARKER = LeaderElection.PREFIX + "pool";
 
@@ -25,7 +25,7 @@
   private static final String TERM = "term";
 
   /**
-   * The next term of a cell.
+   * The next term of a shard.
    *
    * @param counterRevision of the pool's counter that it follows from; 0 if there is no counter yet
    */
@@ -36,10 +36,10 @@
   private final String leaderKey;
 
   /**
-   * Terms of one cell of a pool.
+   * Terms of one shard of a pool.
    *
    * @param counterKey of the pool
-   * @param leaderKey where the pool is told who leads this cell
+   * @param leaderKey where the pool is told who leads this shard
    */
   public PoolTerms(StateClient store, String counterKey, String leaderKey) {
     this.store = store;
@@ -50,7 +50,7 @@
   /**
    * Finds the next term above all that the pool has counted.
    *
-   * @param last the last known term of this cell
+   * @param last the last known term of this shard
    * @param then takes the next one, or nothing when the counter can't be read
    */
   void next(long last, Consumer<Optional<Next>> then) {
--- a/src/main/java/plumlever/election/TermRecord.java
+++ b/src/main/java/plumlever/election/TermRecord.java
@@ -5,7 +5,7 @@
 import plumlever.wire.Json;
 
 /**
- * The last term that was taken, as it is stored: of one cell, or counted for all cells of a pool.
+ * The last term that was taken, as it is stored: of one shard, or counted for all shards of a pool.
  *
  * @param number 0 where it can't be read
  */
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -37,7 +37,7 @@
 
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** Machines of other cells that may hold tasks of this one. */
+  /** Machines of other shards that may hold tasks of this one. */
   private final Map<String, Machine> transferred = new LinkedHashMap<>();
 
   private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
@@ -54,17 +54,17 @@
     this.attemptNumbers = attemptNumbers;
   }
 
-  /** The machines of this cell. */
+  /** The machines of this shard. */
   public Collection<Machine> machines() {
     return machines.values();
   }
 
-  /** The machine of this cell with that name, or null. */
+  /** The machine of this shard with that name, or null. */
   public Machine machine(String id) {
     return machines.get(id);
   }
 
-  /** The machine belongs to this cell from now on. */
+  /** The machine belongs to this shard from now on. */
   public void add(Machine machine) {
     machine.tokens().startTerm(Math.max(term, machine.tokens().term()));
     machines.put(machine.id(), machine);
@@ -80,18 +80,18 @@
     return FencingTokens.termOf(token);
   }
 
-  /** The machine of another cell with that name if it may hold tasks of this one, or null. */
+  /** The machine of another shard with that name if it may hold tasks of this one, or null. */
   public Machine transferredMachine(String id) {
     return transferred.get(id);
   }
 
-  /** All machines of other cells that may hold tasks of this one. */
+  /** All machines of other shards that may hold tasks of this one. */
   public Collection<Machine> transferredMachines() {
     return transferred.values();
   }
 
   /**
-   * The machine belongs to another cell from now on, and may hold tasks of this one.
+   * The machine belongs to another shard from now on, and may hold tasks of this one.
    *
    * @param number of its transfer, whose tokens are higher than any used here
    */
@@ -101,7 +101,9 @@
     transferred.put(machine.id(), machine);
   }
 
-  /** No task of this cell is on the other cell's machine any more, or it belongs to this cell. */
+  /**
+   * No task of this shard is on the other shard's machine any more, or it belongs to this shard.
+   */
   public void removeTransferred(Machine machine) {
     transferred.remove(machine.id(), machine);
   }
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -170,12 +170,12 @@
     returning = returned;
   }
 
-  /** True while it is being given to another cell: nothing is started on it. */
+  /** True while it is being given to another shard: nothing is started on it. */
   public boolean transferring() {
     return transferring;
   }
 
-  /** Whether it is being given to another cell. */
+  /** Whether it is being given to another shard. */
   public void setTransferring(boolean transferred) {
     transferring = transferred;
   }
--- a/src/main/java/plumlever/fleet/MachineLoad.java
+++ b/src/main/java/plumlever/fleet/MachineLoad.java
@@ -2,7 +2,10 @@
 
 import org.agrona.collections.Long2ObjectHashMap;
 
-/** What may run on a machine: attempts of this cell's jobs, and tasks of other cells (guests). */
+/**
+ * What may run on a machine: attempts of this shard's jobs, and tasks of other shards (foreign
+ * tasks).
+ */
 public final class MachineLoad {
   private final Long2ObjectHashMap<Attempt> attempts = new Long2ObjectHashMap<>();
 
@@ -12,7 +15,7 @@
   /** Live attempts that a direct command started and no report has shown. */
   private int unconfirmedAttempts;
 
-  private GuestLoad guests = GuestLoad.NONE;
+  private ForeignLoad foreignTasks = ForeignLoad.NONE;
 
   /** Attempts that the machine may still list, over or not. */
   public Iterable<Attempt> attempts() {
@@ -44,12 +47,12 @@
     attempts.remove(attempt.id());
   }
 
-  /** True while a task may be on the machine, also one of another cell. */
+  /** True while a task may be on the machine, also one of another shard. */
   public boolean mayRunTasks() {
-    return liveAttempts > 0 || guests.tasks() > 0;
+    return liveAttempts > 0 || foreignTasks.tasks() > 0;
   }
 
-  /** How many tasks of this cell may be on it. */
+  /** How many tasks of this shard may be on it. */
   public int liveAttempts() {
     return liveAttempts;
   }
@@ -64,13 +67,13 @@
     return unconfirmedAttempts > 0;
   }
 
-  /** What tasks of other cells hold of the machine. */
-  public GuestLoad guests() {
-    return guests;
+  /** What tasks of other shards hold of the machine. */
+  public ForeignLoad foreignTasks() {
+    return foreignTasks;
   }
 
-  /** Replaces what tasks of other cells hold of the machine. */
-  public void setGuests(GuestLoad load) {
-    guests = load;
+  /** Replaces what tasks of other shards hold of the machine. */
+  public void setForeignTasks(ForeignLoad load) {
+    foreignTasks = load;
   }
 }
--- a/src/main/java/plumlever/http/JobAnswers.java
+++ b/src/main/java/plumlever/http/JobAnswers.java
@@ -10,7 +10,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
 
-/** Answers requests from what is stored of a job, here or in another cell. */
+/** Answers requests from what is stored of a job, here or in another shard. */
 final class JobAnswers {
   static final String NO_SUCH_JOB = "no such job";
 
@@ -20,19 +20,19 @@
   private final Metrics metrics;
   private final ServingHealth health;
   private final Function<String, Optional<TaskCounts>> counts;
-  private final Optional<JobForwarder> otherCells;
+  private final Optional<JobForwarder> otherShards;
 
   JobAnswers(
       JobRecordCache records,
       Metrics metrics,
       ServingHealth health,
       Function<String, Optional<TaskCounts>> counts,
-      Optional<JobForwarder> otherCells) {
+      Optional<JobForwarder> otherShards) {
     this.records = records;
     this.metrics = metrics;
     this.health = health;
     this.counts = counts;
-    this.otherCells = otherCells;
+    this.otherShards = otherShards;
   }
 
   /**
@@ -53,22 +53,22 @@
   }
 
   /**
-   * Has another cell answer if it has the job, which this cell has not.
+   * Has another shard answer if it has the job, which this shard has not.
    *
-   * @param whenUnknown answers for a job that no cell has
+   * @param whenUnknown answers for a job that no shard has
    */
   void answerElsewhere(String uid, UserRequest request, Runnable whenUnknown) {
-    if (otherCells.isEmpty() || request.isForwarded()) {
+    if (otherShards.isEmpty() || request.isForwarded()) {
       whenUnknown.run();
       return;
     }
-    JobForwarder forwarder = otherCells.get();
+    JobForwarder forwarder = otherShards.get();
     forwarder.find(
         uid,
         location -> {
-          if (location instanceof JobLocation.InCell found) {
+          if (location instanceof JobLocation.InShard found) {
             metrics.count("users_forwarded");
-            forwarder.forward(found.cell(), request.request(), request);
+            forwarder.forward(found.shard(), request.request(), request);
           } else if (location instanceof JobLocation.Nowhere) {
             whenUnknown.run();
           } else {
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -16,8 +16,8 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Finds jobs in the other cells of a pool, and has a controller of a job's own cell answer for it.
- * That a job is in no cell rests on one read of all of them, begun after the question came in.
+ * Finds jobs in the other shards of a pool, and has a controller of a job's own shard answer for
+ * it. That a job is in no shard rests on one read of all of them, begun after the question came in.
  */
 public final class JobForwarder {
   private static final long TIMEOUT_MICROS = 1_500_000;
@@ -25,8 +25,8 @@
   private static final int MAX_ATTEMPTS = 4;
   private static final int RETRY_AFTER_S = 1;
 
-  /** A key under which the cell has the job, if it has it. */
-  private record Candidate(SharingSettings.Cell cell, String key) {}
+  /** A key under which the shard has the job, if it has it. */
+  private record Candidate(SharingSettings.Shard shard, String key) {}
 
   private final Loop loop;
   private final StateClient store;
@@ -34,7 +34,7 @@
   private final PlatformConfiguration platform;
   private final SharingSettings sharing;
 
-  /** Finds jobs in the other cells of this pool. */
+  /** Finds jobs in the other shards of this pool. */
   public JobForwarder(
       Loop loop,
       StateClient store,
@@ -48,7 +48,7 @@
     this.sharing = sharing;
   }
 
-  /** Finds out in which other cell the job is. */
+  /** Finds out in which other shard the job is. */
   void find(String uid, Consumer<JobLocation> whenFound) {
     find(candidates(uid), MAX_ATTEMPTS, whenFound);
   }
@@ -56,9 +56,9 @@
   /** An active job first, then an ended one: the end moves it from one key to the other. */
   private List<Candidate> candidates(String uid) {
     List<Candidate> candidates = new ArrayList<>();
-    for (SharingSettings.Cell cell : sharing.otherCells()) {
+    for (SharingSettings.Shard shard : sharing.otherShards()) {
       for (String key : List.of(JobStore.activeKey(uid), JobStore.endedKey(uid))) {
-        candidates.add(new Candidate(cell, KeySpace.absolute(cell.prefix(), key)));
+        candidates.add(new Candidate(shard, KeySpace.absolute(shard.prefix(), key)));
       }
     }
     return candidates;
@@ -85,7 +85,7 @@
         });
   }
 
-  /** Some cell has it; it never leaves that cell, so their keys are read one after the other. */
+  /** Some shard has it; it never leaves that shard, so their keys are read one after the other. */
   private void readFirst(Iterator<Candidate> candidates, Consumer<JobLocation> whenFound) {
     if (!candidates.hasNext()) {
       whenFound.accept(new JobLocation.Unavailable());
@@ -97,7 +97,7 @@
         StateClient.RequestPriority.ORDINARY,
         read -> {
           if (read.found()) {
-            whenFound.accept(new JobLocation.InCell(candidate.cell()));
+            whenFound.accept(new JobLocation.InShard(candidate.shard()));
           } else if (read.missing()) {
             readFirst(candidates, whenFound);
           } else {
@@ -106,11 +106,11 @@
         });
   }
 
-  /** Has a controller of the cell answer the request, the first that can be reached. */
-  void forward(SharingSettings.Cell cell, ForwardedRequest request, Responder out) {
+  /** Has a controller of the shard answer the request, the first that can be reached. */
+  void forward(SharingSettings.Shard shard, ForwardedRequest request, Responder out) {
     List<PlatformConfiguration.PeerController> members =
         platform.peers().stream()
-            .filter(seed -> cell.controllers().contains(seed.label()))
+            .filter(seed -> shard.controllers().contains(seed.label()))
             .toList();
     forward(members.iterator(), request.write(), out);
   }
--- a/src/main/java/plumlever/http/JobLocation.java
+++ b/src/main/java/plumlever/http/JobLocation.java
@@ -2,12 +2,12 @@
 
 import plumlever.settings.SharingSettings;
 
-/** Where a job was found among the other cells of a pool. */
+/** Where a job was found among the other shards of a pool. */
 sealed interface JobLocation {
-  /** The cell has the job, and will have it for ever. */
-  record InCell(SharingSettings.Cell cell) implements JobLocation {}
+  /** The shard has the job, and will have it for ever. */
+  record InShard(SharingSettings.Shard shard) implements JobLocation {}
 
-  /** No other cell had the job when the question came in. */
+  /** No other shard had the job when the question came in. */
   record Nowhere() implements JobLocation {}
 
   /** That can't be found out now. */
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequests.java
@@ -11,22 +11,22 @@
 import plumlever.wire.Json;
 import plumlever.wire.RelayedHeartbeat;
 
-/** Takes the requests that controllers of different cells of a pool make of each other. */
+/** Takes the requests that controllers of different shards of a pool make of each other. */
 public final class PoolRequests {
-  /** Where heartbeats of machines are passed on to the cells whose tasks are on them. */
+  /** Where heartbeats of machines are passed on to the shards whose tasks are on them. */
   public static final String RELAY = "/relay";
 
-  /** Where an operator has a machine given to another cell. */
+  /** Where an operator has a machine given to another shard. */
   public static final String TRANSFER = "/transfer";
 
   private final Supplier<Optional<Leader>> leader;
   private final RequestRouter router;
 
   /**
-   * Takes the requests of a pool's other cells.
+   * Takes the requests of a pool's other shards.
    *
    * @param leader the leader in this process, if there is one
-   * @param router answers the requests of users that another cell's controller passes on
+   * @param router answers the requests of users that another shard's controller passes on
    */
   public PoolRequests(Supplier<Optional<Leader>> leader, RequestRouter router) {
     this.leader = leader;
@@ -54,7 +54,7 @@
     return true;
   }
 
-  /** Another cell's leader passes on a heartbeat. */
+  /** Another shard's leader passes on a heartbeat. */
   private void relay(byte[] body, Responder out) throws InvalidMessageException {
     Optional<Leader> leading = leader.get();
     if (leading.isPresent()) {
@@ -64,7 +64,7 @@
     }
   }
 
-  /** An operator gives a machine to another cell. */
+  /** An operator gives a machine to another shard. */
   private void transfer(byte[] body, Responder out) throws InvalidMessageException {
     ObjectNode request = Json.parseObject(body);
     String machine = Json.text(request, "machine");
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Answers a user of another cell's controller; such a request goes no further. */
+  /** Answers a user of another shard's controller; such a request goes no further. */
   private void answerForwarded(byte[] body, Responder out) throws InvalidMessageException {
     ForwardedRequest request = ForwardedRequest.parse(body);
     router.handle(
--- a/src/main/java/plumlever/http/Responder.java
+++ b/src/main/java/plumlever/http/Responder.java
@@ -11,7 +11,7 @@
    */
   void send(int status, String json, int retryAfterS);
 
-  /** True for a request that another cell's controller passed on: it is answered here or not. */
+  /** True for a request that another shard's controller passed on: it is answered here or not. */
   default boolean isForwarded() {
     return false;
   }
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -20,7 +20,7 @@
    * @param rules which submissions can be accepted
    * @param cancelled told the id of each job whose user is told that it is cancelled
    * @param counts finished and running tasks of a job, where they are known here
-   * @param otherCells where the machines are a pool's: finds jobs of its other cells
+   * @param otherShards where the machines are a pool's: finds jobs of its other shards
    */
   public UserApi(
       JobServices jobs,
@@ -28,9 +28,10 @@
       ServingHealth health,
       Consumer<String> cancelled,
       Function<String, Optional<TaskCounts>> counts,
-      Optional<JobForwarder> otherCells) {
+      Optional<JobForwarder> otherShards) {
     RequestAdmission admission = new RequestAdmission(jobs.loop(), jobs.metrics(), health);
-    JobAnswers answers = new JobAnswers(jobs.records(), jobs.metrics(), health, counts, otherCells);
+    JobAnswers answers =
+        new JobAnswers(jobs.records(), jobs.metrics(), health, counts, otherShards);
     JobRequestAdmission jobAdmission = new JobRequestAdmission(jobs.records(), admission);
     this.submissions = new SubmissionHandler(jobs, rules, admission, answers);
     this.statuses = new JobStatusHandler(jobAdmission, answers);
--- a/src/main/java/plumlever/http/UserRequest.java
+++ b/src/main/java/plumlever/http/UserRequest.java
@@ -18,7 +18,7 @@
     this.answered = answered;
   }
 
-  /** The request as another cell's controller would be asked it. */
+  /** The request as another shard's controller would be asked it. */
   ForwardedRequest request() {
     return request;
   }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -69,15 +69,15 @@
   }
 
   /**
-   * Gives a machine to another cell at an operator's wish.
+   * Gives a machine to another shard at an operator's wish.
    *
    * @return false if it is not one that can be given now
    */
-  public boolean transfer(String machine, String cell) {
-    return parts.sharing().offerTransfer(machine, cell);
+  public boolean transfer(String machine, String shard) {
+    return parts.sharing().offerTransfer(machine, shard);
   }
 
-  /** Answers a heartbeat that another cell's leader passes on, for this cell's tasks. */
+  /** Answers a heartbeat that another shard's leader passes on, for this shard's tasks. */
   public void relayed(RelayedHeartbeat relayed, Responder out) {
     parts.sharing().relayed(relayed, out);
   }
--- a/src/main/java/plumlever/leader/LeaseRenewalResponder.java
+++ b/src/main/java/plumlever/leader/LeaseRenewalResponder.java
@@ -50,7 +50,7 @@
       return;
     }
     List<WorkerCommand> due = heartbeats.stopAndRemoveCommands(machine, heartbeat);
-    due.addAll(sharing.guestCommands(machine, heartbeat));
+    due.addAll(sharing.foreignTaskCommands(machine, heartbeat));
     if (newest && machine.tokens().isOfSameTerm(heartbeat.fencingToken())) {
       plannedStarts.addTo(due, machine);
     }
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -32,7 +32,7 @@
  * @param cloud rents, lists and returns machines; used by machines
  * @param prices the machine types and their prices; used by scheduling, machines, the pool,
  *     failover and heartbeats
- * @param caller sends commands to workers and requests to other cells; used by scheduling and the
+ * @param caller sends commands to workers and requests to other shards; used by scheduling and the
  *     pool
  * @param workersElsewhere how many workers send heartbeats to another controller, as the others
  *     say; advice, used by machines
@@ -42,7 +42,7 @@
  * @param logs gives loggers by class
  * @param moneyMatters whether to save money where the objectives leave time; used by scheduling and
  *     machines for each machine of each pass
- * @param sharing how the machines of a pool are shared, if this is one of its cells; used by the
+ * @param sharing how the machines of a pool are shared, if this is one of its shards; used by the
  *     recovery read, by the delegation of renewals and where the parts are put together
  */
 public record TermContext(
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -85,7 +85,7 @@
         holdsOpenTasks,
         jobs.endsKnownMicros(),
         unanswered,
-        sharing.guestEvidence(machine));
+        sharing.foreignTaskEvidence(machine));
   }
 
   private boolean renew(
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -144,13 +144,13 @@
     }
   }
 
-  /** Applies the status of each attempt; returns the attempts of this cell that are listed. */
+  /** Applies the status of each attempt; returns the attempts of this shard that are listed. */
   private LongHashSet applyAttempts(
       Machine machine, Heartbeat heartbeat, boolean currentTerm, long now) {
     LongHashSet listed = new LongHashSet();
     int untracked = 0;
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
-      if (sharing.get().isGuest(machine, reported.attempt())) {
+      if (sharing.get().isForeign(machine, reported.attempt())) {
         continue;
       }
       listed.add(reported.attempt());
@@ -175,7 +175,7 @@
   }
 
   /**
-   * Takes in what the owner of another cell's machine relays of this cell's tasks on it.
+   * Takes in what the owner of another shard's machine relays of this shard's tasks on it.
    *
    * @return false for a copy, which proves nothing
    */
--- a/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
+++ b/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
@@ -91,7 +91,7 @@
     boolean currentTerm = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       if (machine.load().attempt(reported.attempt()) != null
-          || sharing.get().isGuest(machine, reported.attempt())) {
+          || sharing.get().isForeign(machine, reported.attempt())) {
         continue;
       }
       Job job = jobs.get(reported.task().job());
--- a/src/main/java/plumlever/leader/pool/DeadCellAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -15,11 +15,11 @@
 import plumlever.wire.ListedMachine;
 
 /**
- * Adopts the machines of cells that have had no leader for long. Nobody has renewed their leases
- * meanwhile, so none of that cell's tasks is on them any more; its jobs stay where they are and go
+ * Adopts the machines of shards that have had no leader for long. Nobody has renewed their leases
+ * meanwhile, so none of that shard's tasks is on them any more; its jobs stay where they are and go
  * on when one of its controllers is back.
  */
-final class DeadCellAdoption {
+final class DeadShardAdoption {
   /** Beyond leases: the drift of clocks, and the time that an answer is under way. */
   private static final long LAPSE_SLACK_MICROS = 10_000_000;
 
@@ -39,7 +39,7 @@
 
   private final Map<String, Long> leaderlessSince = new HashMap<>();
 
-  DeadCellAdoption(
+  DeadShardAdoption(
       TermContext context,
       SharingSettings sharing,
       PoolLink link,
@@ -47,7 +47,7 @@
       Consumer<TransferRecord> adopted) {
     this.adopted = adopted;
     this.context = context;
-    this.log = context.logs().of(DeadCellAdoption.class);
+    this.log = context.logs().of(DeadShardAdoption.class);
     this.sharing = sharing;
     this.link = link;
     this.view = link.view();
@@ -59,8 +59,8 @@
   }
 
   /**
-   * The cloud lists a machine of another cell. If that has had no leader for long, all leases there
-   * have lapsed, and the machine is adopted.
+   * The cloud lists a machine of another shard. If that has had no leader for long, all leases
+   * there have lapsed, and the machine is adopted.
    */
   void listed(ListedMachine listedMachine) {
     Optional<String> holder = view.holder(listedMachine.id());
@@ -69,37 +69,37 @@
         || steps.isUnderWay(listedMachine.id())) {
       return;
     }
-    Optional<SharingSettings.Cell> cell =
-        sharing.otherCells().stream()
+    Optional<SharingSettings.Shard> shard =
+        sharing.otherShards().stream()
             .filter(other -> other.name().equals(holder.get()))
             .findFirst();
-    if (cell.isPresent() && isDead(cell.get())) {
-      adopt(listedMachine, cell.get());
+    if (shard.isPresent() && isDead(shard.get())) {
+      adopt(listedMachine, shard.get());
     }
   }
 
-  /** Watches which cells have a leader; only what is fresh counts. */
+  /** Watches which shards have a leader; only what is fresh counts. */
   void watchLeaders() {
     boolean fresh = now() - link.knownMicros() < FRESH_MICROS;
-    for (SharingSettings.Cell cell : sharing.otherCells()) {
-      if (!fresh || view.leader(cell.name()).isPresent()) {
-        leaderlessSince.remove(cell.name());
+    for (SharingSettings.Shard shard : sharing.otherShards()) {
+      if (!fresh || view.leader(shard.name()).isPresent()) {
+        leaderlessSince.remove(shard.name());
       } else {
-        leaderlessSince.putIfAbsent(cell.name(), now());
+        leaderlessSince.putIfAbsent(shard.name(), now());
       }
     }
   }
 
-  private boolean isDead(SharingSettings.Cell cell) {
+  private boolean isDead(SharingSettings.Shard shard) {
     long patience =
         Math.max(
             sharing.adoptAfterMicros(),
             2 * context.platform().workers().leaseMicros() + LAPSE_SLACK_MICROS);
-    long since = leaderlessSince.getOrDefault(cell.name(), Long.MAX_VALUE);
+    long since = leaderlessSince.getOrDefault(shard.name(), Long.MAX_VALUE);
     return since != Long.MAX_VALUE && now() - since > patience;
   }
 
-  private void adopt(ListedMachine listedMachine, SharingSettings.Cell dead) {
+  private void adopt(ListedMachine listedMachine, SharingSettings.Shard dead) {
     String machine = listedMachine.id();
     steps.step(
         machine,
@@ -110,10 +110,10 @@
           TransferRecord before =
               steps.record(machine).orElseGet(() -> unmoved(listedMachine, dead));
           String leadership = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
-          return Optional.of(taken(before.withoutHome(dead.name())).require(leadership, 0));
+          return Optional.of(taken(before.withoutTasksOf(dead.name())).require(leadership, 0));
         },
         () -> {
-          if (view.holder(machine).equals(Optional.of(sharing.ownCell().name()))) {
+          if (view.holder(machine).equals(Optional.of(sharing.ownShard().name()))) {
             adopted.accept(taking);
             log.warn("{} is adopted, {} has had no leader for long", machine, dead.name());
           }
@@ -126,7 +126,7 @@
     return built.transaction();
   }
 
-  private static TransferRecord unmoved(ListedMachine listedMachine, SharingSettings.Cell owner) {
+  private static TransferRecord unmoved(ListedMachine listedMachine, SharingSettings.Shard owner) {
     return new TransferRecord(
         TransferRecord.State.TAKEN,
         new TransferRecord.Details(
--- a/src/main/java/plumlever/leader/pool/HomeWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -11,11 +11,11 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Which jobs of another cell have ended whose tasks are guests here, read from the state service:
- * the leases of their machines are renewed only while a cancellation confirmed by that cell would
- * be known in time.
+ * Which jobs of another shard have ended whose tasks are foreign tasks here, read from the state
+ * service: the leases of their machines are renewed only while a cancellation confirmed by that
+ * shard would be known in time.
  */
-final class HomeWatch {
+final class EndedJobsWatch {
   private static final long RETRY_MICROS = 300_000;
 
   private final Logger log;
@@ -31,16 +31,16 @@
   private boolean closed;
 
   /**
-   * @param cellPrefix of the other cell's keys
+   * @param shardPrefix of the other shard's keys
    */
-  HomeWatch(TermContext context, String cellPrefix) {
+  EndedJobsWatch(TermContext context, String shardPrefix) {
     this.context = context;
-    this.log = context.logs().of(HomeWatch.class);
-    this.prefix = KeySpace.absolute(cellPrefix, JobStore.ACTIVE);
+    this.log = context.logs().of(EndedJobsWatch.class);
+    this.prefix = KeySpace.absolute(shardPrefix, JobStore.ACTIVE);
     this.limit = new RenewalLimit(context.platform().workers());
   }
 
-  /** Tasks of the job are guests here. */
+  /** Tasks of the job are foreign tasks here. */
   void watch(String uid) {
     if (!watched.add(uid)) {
       return;
@@ -54,7 +54,7 @@
     }
   }
 
-  /** No task of these jobs is a guest any more. */
+  /** No task of these jobs is a foreign task any more. */
   void keepOnly(Set<String> uids) {
     watched.retainAll(uids);
     jobsToRead.retainAll(uids);
--- /dev/null
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -0,0 +1,357 @@
+package plumlever.leader.pool;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Collectors;
+import org.slf4j.Logger;
+import plumlever.fleet.ForeignLoad;
+import plumlever.fleet.Machine;
+import plumlever.leader.context.TermContext;
+import plumlever.lease.ForeignTaskEvidence;
+import plumlever.settings.Endpoint;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.settings.SharingSettings;
+import plumlever.sharing.ForeignTask;
+import plumlever.sharing.PoolView;
+import plumlever.sharing.TransferRecord;
+import plumlever.wire.AttemptState;
+import plumlever.wire.Heartbeat;
+import plumlever.wire.HttpStatus;
+import plumlever.wire.InvalidMessageException;
+import plumlever.wire.RelayedHeartbeat;
+import plumlever.wire.WorkerCommand;
+
+/**
+ * Tasks of other shards on this shard's machines. Their originating shard alone decides about them:
+ * what the machine tells of them is passed on to it, and what it answers is carried out with the
+ * next answer to the machine. While the originating shard is silent they run on, and their ends
+ * stay with the worker.
+ */
+final class ForeignTasks {
+  /** Where controllers take what is passed on to them. */
+  static final String PATH = "/relay";
+
+  private static final long TIMEOUT_MICROS = 2_000_000;
+  private static final long LEAST_PAUSE_MICROS = 900_000;
+
+  /** The foreign tasks of one originating shard on one machine. */
+  private static final class TasksOfShard {
+    /**
+     * All attempts that the originating shard may have on the machine, also those that are over.
+     */
+    private final Map<Long, ForeignTask> tasks = new LinkedHashMap<>();
+
+    private boolean callInFlight;
+    private long calledMicros = Long.MIN_VALUE / 4;
+    private Heartbeat lastHeartbeat;
+    private boolean lapsed;
+    private boolean expiryRelayed;
+  }
+
+  /** All foreign tasks of one machine. */
+  private static final class MachineForeignTasks {
+    private final Machine machine;
+    private final Map<String, TasksOfShard> byShard = new LinkedHashMap<>();
+    private final Map<Long, WorkerCommand> commands = new HashMap<>();
+    private final Set<Long> ended = new HashSet<>();
+
+    MachineForeignTasks(Machine machine) {
+      this.machine = machine;
+    }
+  }
+
+  private final Logger log;
+  private final TermContext context;
+  private final SharingSettings sharing;
+  private final PoolView view;
+  private final Map<String, MachineForeignTasks> foreignTasksByMachine = new LinkedHashMap<>();
+  private final Map<String, EndedJobsWatch> endedJobsByShard = new HashMap<>();
+  private boolean closed;
+
+  ForeignTasks(TermContext context, SharingSettings sharing, PoolView view) {
+    this.context = context;
+    this.log = context.logs().of(ForeignTasks.class);
+    this.sharing = sharing;
+    this.view = view;
+  }
+
+  /**
+   * The record of a machine of this shard: originating shards come with a transfer and leave when
+   * settled.
+   */
+  void update(Machine machine, TransferRecord record) {
+    MachineForeignTasks machineForeignTasks =
+        foreignTasksByMachine.computeIfAbsent(machine.id(), id -> new MachineForeignTasks(machine));
+    record
+        .tasksByShard()
+        .forEach(
+            (originatingShard, tasks) -> {
+              if (!originatingShard.equals(sharing.ownShard().name())
+                  && !machineForeignTasks.byShard.containsKey(originatingShard)) {
+                TasksOfShard foreignTasks = new TasksOfShard();
+                tasks.forEach(task -> foreignTasks.tasks.put(task.attempt(), task));
+                machineForeignTasks.byShard.put(originatingShard, foreignTasks);
+                tasks.forEach(task -> watch(originatingShard).watch(task.task().job()));
+              }
+            });
+    machineForeignTasks.byShard.keySet().retainAll(record.tasksByShard().keySet());
+    updateLoad(machineForeignTasks);
+    if (machineForeignTasks.byShard.isEmpty()) {
+      remove(machine);
+    }
+  }
+
+  /** The machine has no foreign tasks any more, or is not this shard's. */
+  void remove(Machine machine) {
+    if (foreignTasksByMachine.remove(machine.id()) != null) {
+      machine.load().setForeignTasks(ForeignLoad.NONE);
+      dropUnneededWatches();
+    }
+  }
+
+  private EndedJobsWatch watch(String originatingShard) {
+    return endedJobsByShard.computeIfAbsent(
+        originatingShard, name -> new EndedJobsWatch(context, sharing.shard(name).prefix()));
+  }
+
+  private void dropUnneededWatches() {
+    endedJobsByShard.forEach(
+        (originatingShard, watch) ->
+            watch.keepOnly(
+                foreignTasksByMachine.values().stream()
+                    .filter(
+                        machineForeignTasks ->
+                            machineForeignTasks.byShard.containsKey(originatingShard))
+                    .flatMap(
+                        machineForeignTasks ->
+                            machineForeignTasks
+                                .byShard
+                                .get(originatingShard)
+                                .tasks
+                                .values()
+                                .stream())
+                    .map(task -> task.task().job())
+                    .collect(Collectors.toSet())));
+  }
+
+  boolean isForeign(Machine machine, long attempt) {
+    MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
+    return machineForeignTasks != null
+        && machineForeignTasks.byShard.values().stream()
+            .anyMatch(foreignTasks -> foreignTasks.tasks.containsKey(attempt));
+  }
+
+  /** A heartbeat of the machine was taken in. */
+  void reported(Machine machine, Heartbeat heartbeat) {
+    MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
+    if (machineForeignTasks == null) {
+      return;
+    }
+    Set<Long> listed = new HashSet<>();
+    machineForeignTasks.ended.clear();
+    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
+      listed.add(reported.attempt());
+      if (reported.state() == AttemptState.ENDED) {
+        machineForeignTasks.ended.add(reported.attempt());
+      }
+    }
+    if (machine.tokens().isOfSameTerm(heartbeat.fencingToken())) {
+      // What a former owner ordered can't come any more: what is not on the machine is over.
+      machineForeignTasks
+          .byShard
+          .values()
+          .forEach(foreignTasks -> foreignTasks.tasks.keySet().retainAll(listed));
+    }
+    machineForeignTasks.commands.keySet().retainAll(listed);
+    updateLoad(machineForeignTasks);
+    if (machine.tokens().isOfSameTerm(heartbeat.fencingToken())) {
+      machineForeignTasks.byShard.forEach(
+          (originatingShard, foreignTasks) ->
+              relay(machineForeignTasks, originatingShard, foreignTasks, heartbeat, false));
+    }
+  }
+
+  private static void updateLoad(MachineForeignTasks machineForeignTasks) {
+    int count = 0;
+    double cores = 0;
+    double accelerators = 0;
+    double memoryGb = 0;
+    for (TasksOfShard foreignTasks : machineForeignTasks.byShard.values()) {
+      for (ForeignTask task : foreignTasks.tasks.values()) {
+        if (!foreignTasks.lapsed && !machineForeignTasks.ended.contains(task.attempt())) {
+          count++;
+          cores += task.cores();
+          accelerators += task.accelerators();
+          memoryGb += task.memoryGb();
+        }
+      }
+    }
+    machineForeignTasks
+        .machine
+        .load()
+        .setForeignTasks(new ForeignLoad(count, cores, accelerators, memoryGb));
+  }
+
+  /**
+   * The machine's lease has surely lapsed, so its tasks are dead: their originating shards are
+   * told.
+   */
+  void lapsed(Machine machine) {
+    MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
+    if (machineForeignTasks == null) {
+      return;
+    }
+    machineForeignTasks.byShard.forEach(
+        (originatingShard, foreignTasks) -> {
+          foreignTasks.lapsed = true;
+          if (foreignTasks.lastHeartbeat != null && !foreignTasks.expiryRelayed) {
+            relay(
+                machineForeignTasks,
+                originatingShard,
+                foreignTasks,
+                foreignTasks.lastHeartbeat,
+                true);
+          }
+        });
+    updateLoad(machineForeignTasks);
+  }
+
+  private void relay(
+      MachineForeignTasks machineForeignTasks,
+      String originatingShard,
+      TasksOfShard foreignTasks,
+      Heartbeat heartbeat,
+      boolean lapsed) {
+    long now = context.loop().nowMicros();
+    foreignTasks.lastHeartbeat = heartbeat;
+    foreignTasks.lapsed = lapsed;
+    Optional<Endpoint> leader = leaderOf(originatingShard);
+    if (closed
+        || foreignTasks.callInFlight
+        || leader.isEmpty()
+        || now - foreignTasks.calledMicros < LEAST_PAUSE_MICROS
+        || !context.term().mayAct()) {
+      return;
+    }
+    foreignTasks.callInFlight = true;
+    foreignTasks.calledMicros = now;
+    List<Heartbeat.AttemptStatus> attempts =
+        heartbeat.attempts().stream()
+            .filter(reported -> foreignTasks.tasks.containsKey(reported.attempt()))
+            .toList();
+    RelayedHeartbeat message =
+        new RelayedHeartbeat(
+            sharing.ownShard().name(),
+            originatingShard,
+            machineForeignTasks.machine.tokens().term(),
+            lapsed,
+            RelayedHeartbeat.withAttempts(heartbeat, lapsed ? List.of() : attempts));
+    context
+        .caller()
+        .call(
+            leader.get(),
+            "POST",
+            PATH,
+            message.write(),
+            TIMEOUT_MICROS,
+            (status, body) -> {
+              foreignTasks.callInFlight = false;
+              if (!closed && status == HttpStatus.OK) {
+                foreignTasks.expiryRelayed = lapsed;
+                takeCommands(machineForeignTasks, foreignTasks, body);
+              }
+            });
+  }
+
+  private Optional<Endpoint> leaderOf(String originatingShard) {
+    return view.leader(originatingShard)
+        .flatMap(
+            label ->
+                context.platform().peers().stream()
+                    .filter(seed -> seed.label().equals(label))
+                    .findFirst())
+        .map(PlatformConfiguration.PeerController::endpoint);
+  }
+
+  private void takeCommands(
+      MachineForeignTasks machineForeignTasks, TasksOfShard foreignTasks, byte[] body) {
+    try {
+      for (WorkerCommand command : WorkerCommand.parseAnswer(body)) {
+        if (command.type() != WorkerCommand.CommandType.RUN
+            && foreignTasks.tasks.containsKey(command.attempt())) {
+          machineForeignTasks.commands.put(command.attempt(), command);
+        }
+      }
+    } catch (InvalidMessageException e) {
+      log.warn(
+          "a home's answer can't be read: {}: {}",
+          new String(body, StandardCharsets.UTF_8),
+          e.getMessage());
+    }
+  }
+
+  /**
+   * What is known of the jobs whose tasks may be on the machine. Until it shows this owner's token,
+   * that is all that the originating shards handed over, whatever its heartbeat list.
+   */
+  ForeignTaskEvidence evidence(Machine machine) {
+    MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
+    if (machineForeignTasks == null) {
+      return ForeignTaskEvidence.NONE;
+    }
+    boolean anyRunning = false;
+    long knownMicros = Long.MAX_VALUE;
+    for (Map.Entry<String, TasksOfShard> entry : machineForeignTasks.byShard.entrySet()) {
+      boolean running =
+          entry.getValue().tasks.keySet().stream()
+              .anyMatch(attempt -> !machineForeignTasks.ended.contains(attempt));
+      if (running) {
+        anyRunning = true;
+        knownMicros = Math.min(knownMicros, watch(entry.getKey()).endsKnownMicros());
+      }
+    }
+    return new ForeignTaskEvidence(anyRunning, knownMicros);
+  }
+
+  /** What the originating shards want, and stops of jobs whose end is on record. */
+  List<WorkerCommand> commands(Machine machine, Heartbeat heartbeat) {
+    MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
+    if (machineForeignTasks == null) {
+      return List.of();
+    }
+    List<WorkerCommand> commands = new ArrayList<>();
+    boolean current = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
+    for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
+      WorkerCommand command = machineForeignTasks.commands.get(reported.attempt());
+      boolean over = reported.state() == AttemptState.ENDED;
+      if (!over && jobHasEnded(machineForeignTasks, reported)) {
+        commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
+      } else if (command != null
+          && (command.type() == WorkerCommand.CommandType.REMOVE ? over && current : !over)) {
+        commands.add(command);
+      }
+    }
+    return commands;
+  }
+
+  private boolean jobHasEnded(
+      MachineForeignTasks machineForeignTasks, Heartbeat.AttemptStatus reported) {
+    return machineForeignTasks.byShard.entrySet().stream()
+        .anyMatch(
+            entry ->
+                entry.getValue().tasks.containsKey(reported.attempt())
+                    && watch(entry.getKey()).hasEnded(reported.task().job()));
+  }
+
+  void close() {
+    closed = true;
+    endedJobsByShard.values().forEach(EndedJobsWatch::close);
+  }
+}
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -11,13 +11,13 @@
 import plumlever.leader.job.ActiveJobs;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
-import plumlever.sharing.CellDemand;
 import plumlever.sharing.LimitParts;
 import plumlever.sharing.LimitPolicy;
 import plumlever.sharing.PoolView;
+import plumlever.sharing.ShardDemand;
 
 /**
- * Holds this cell's part of each team's limit, and gives away what of it nothing uses. A part that
+ * Holds this shard's part of each team's limit, and gives away what of it nothing uses. A part that
  * is being given counts as given from before the transaction is sent until its outcome is known.
  */
 final class LimitSharing {
@@ -30,7 +30,7 @@
   private final PoolView view;
   private final PoolWriter writer;
 
-  /** Processors of this cell's parts that are being given away. */
+  /** Processors of this shard's parts that are being given away. */
   private final Map<String, Double> giving = new HashMap<>();
 
   LimitSharing(
@@ -43,14 +43,14 @@
     this.context = context;
     this.log = context.logs().of(LimitSharing.class);
     this.sharing = sharing;
-    this.own = sharing.ownCell().name();
+    this.own = sharing.ownShard().name();
     this.jobs = jobs;
     this.failover = failover;
     this.view = view;
     this.writer = writer;
   }
 
-  /** What this cell may use of the team's limit now; a resource without a limit has 0. */
+  /** What this shard may use of the team's limit now; a resource without a limit has 0. */
   LimitParts.Part limit(PlatformConfiguration.Team team) {
     if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
       return LimitParts.Part.NONE;
@@ -68,7 +68,7 @@
     return Math.max(part, Double.MIN_VALUE);
   }
 
-  /** Processors by team that this cell lacks under its parts. */
+  /** Processors by team that this shard lacks under its parts. */
   Map<String, Double> coresWanted() {
     Map<String, Double> wanted = new TreeMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
@@ -109,7 +109,7 @@
       return;
     }
     Map<String, Double> weights = new TreeMap<>();
-    sharing.cells().forEach(cell -> weights.put(cell.name(), cell.weight()));
+    sharing.shards().forEach(shard -> weights.put(shard.name(), shard.weight()));
     LimitParts parts = LimitParts.split(team.maxCores(), team.maxAccelerators(), weights);
     String key = LimitParts.keyOf(team.name());
     writer.submit(
@@ -135,12 +135,12 @@
   private void giveSpare(PlatformConfiguration.Team team) {
     double spare = limit(team).cores() - coresNeeded(team);
     Map<String, Double> wanted = new TreeMap<>();
-    for (SharingSettings.Cell cell : sharing.otherCells()) {
-      view.demand(cell.name())
+    for (SharingSettings.Shard shard : sharing.otherShards()) {
+      view.demand(shard.name())
           .filter(demand -> demand.digest().equals(sharing.digest()))
-          .map(CellDemand::coresWanted)
+          .map(ShardDemand::coresWanted)
           .map(byTeam -> byTeam.get(team.name()))
-          .ifPresent(cores -> wanted.put(cell.name(), cores));
+          .ifPresent(cores -> wanted.put(shard.name(), cores));
     }
     LimitPolicy.gift(spare, wanted).ifPresent(gift -> giveSpare(team, gift));
   }
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -17,16 +17,16 @@
 import plumlever.scaling.RentalPlan;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
-import plumlever.sharing.CellDemand;
 import plumlever.sharing.CoreDemand;
 import plumlever.sharing.PoolView;
+import plumlever.sharing.ShardDemand;
 import plumlever.sharing.SharePolicy;
 import plumlever.sharing.TransferRecord;
 import plumlever.store.StateClient;
 import plumlever.wire.MachineType;
 
 /**
- * Tells the other cells what this one has and lacks, and offers them the machines that the policy
+ * Tells the other shards what this one has and lacks, and offers them the machines that the policy
  * says: idle ones first, then those whose tasks end soonest, none that a deadline here needs.
  */
 final class MachineShareBalancer {
@@ -36,7 +36,7 @@
   /** How long a rental waits for what others can do without. */
   private static final long HOLD_RENTAL_MICROS = 5_000_000;
 
-  /** What was given to a cell since it last told what it lacks. */
+  /** What was given to a shard since it last told what it lacks. */
   private record GivenMachines(long revision, int machines) {}
 
   private final Logger log;
@@ -50,7 +50,7 @@
   private final MachineTransfers transfers;
   private final LimitSharing limits;
   private final Map<String, GivenMachines> givenSinceDemand = new HashMap<>();
-  private CellDemand publishedDemand;
+  private ShardDemand publishedDemand;
   private long publishedMicros = Long.MIN_VALUE / 4;
   private long lackingSinceMicros = -1;
   private boolean publishing;
@@ -68,7 +68,7 @@
     this.context = context;
     this.log = context.logs().of(MachineShareBalancer.class);
     this.sharing = sharing;
-    this.own = sharing.ownCell().name();
+    this.own = sharing.ownShard().name();
     this.fleet = fleet;
     this.pass = pass;
     this.failover = failover;
@@ -77,13 +77,13 @@
     this.limits = limits;
   }
 
-  /** One look at what this cell has, lacks and can give. */
+  /** One look at what this shard has, lacks and can give. */
   void run() {
     if (!failover.isComplete() || !context.prices().isLoaded()) {
       return;
     }
     long now = context.loop().nowMicros();
-    CellDemand demand = demand();
+    ShardDemand demand = demand();
     if (demand.wanted() == 0) {
       lackingSinceMicros = -1;
     } else if (lackingSinceMicros < 0) {
@@ -93,7 +93,7 @@
     offer(demand);
   }
 
-  private CellDemand demand() {
+  private ShardDemand demand() {
     int machines = 0;
     int idle = 0;
     for (Machine machine : fleet.machines()) {
@@ -103,7 +103,7 @@
       }
     }
     int wanted = machinesLacking();
-    return new CellDemand(
+    return new ShardDemand(
         machines, wanted > 0 ? 0 : idle, wanted, sharing.digest(), limits.coresWanted());
   }
 
@@ -132,7 +132,7 @@
     for (Machine machine : fleet.machines()) {
       MachineType machineType = context.prices().machineType(machine.machineType());
       if (machineType != null && !machine.returning() && !machine.transferring()) {
-        cores += machineType.cores() - machine.load().guests().cores();
+        cores += machineType.cores() - machine.load().foreignTasks().cores();
       }
     }
     return cores;
@@ -157,7 +157,7 @@
         .orElse(1);
   }
 
-  private void publishDemand(CellDemand demand, long now) {
+  private void publishDemand(ShardDemand demand, long now) {
     boolean due =
         demand.equals(publishedDemand)
             ? REPUBLISH_INTERVAL_MICROS < now - publishedMicros
@@ -167,7 +167,7 @@
     }
     publishing = true;
     publishedMicros = now;
-    String key = CellDemand.keyOf(own);
+    String key = ShardDemand.keyOf(own);
     context
         .store()
         .transaction(
@@ -179,53 +179,53 @@
             });
   }
 
-  private void offer(CellDemand demand) {
+  private void offer(ShardDemand demand) {
     int free = sharing.maxTransfers() - transfers.openOffers();
     if (free <= 0) {
       return;
     }
-    List<SharePolicy.CellState> cells = new ArrayList<>();
-    cells.add(
-        new SharePolicy.CellState(
+    List<SharePolicy.ShardState> shards = new ArrayList<>();
+    shards.add(
+        new SharePolicy.ShardState(
             own,
-            sharing.ownCell().minMachines(),
-            sharing.ownCell().weight(),
+            sharing.ownShard().minMachines(),
+            sharing.ownShard().weight(),
             demand.machines(),
             demand.idle(),
             demand.wanted()));
-    for (SharingSettings.Cell cell : sharing.otherCells()) {
-      stateOf(cell).ifPresent(cells::add);
+    for (SharingSettings.Shard shard : sharing.otherShards()) {
+      stateOf(shard).ifPresent(shards::add);
     }
-    for (SharePolicy.Move move : SharePolicy.plan(cells, sharing.maxTransfers())) {
+    for (SharePolicy.Move move : SharePolicy.plan(shards, sharing.maxTransfers())) {
       if (move.from().equals(own) && free > 0) {
         free -= offerMachines(move.to(), Math.min(free, move.machines()));
       }
     }
   }
 
-  /** A cell as it last told of itself; nothing of one that has no leader or another file. */
-  private Optional<SharePolicy.CellState> stateOf(SharingSettings.Cell cell) {
-    Optional<CellDemand> said = view.demand(cell.name());
-    if (said.isEmpty() || view.leader(cell.name()).isEmpty()) {
+  /** A shard as it last told of itself; nothing of one that has no leader or another file. */
+  private Optional<SharePolicy.ShardState> stateOf(SharingSettings.Shard shard) {
+    Optional<ShardDemand> said = view.demand(shard.name());
+    if (said.isEmpty() || view.leader(shard.name()).isEmpty()) {
       return Optional.empty();
     }
-    CellDemand demand = said.get();
+    ShardDemand demand = said.get();
     if (!demand.digest().equals(sharing.digest())) {
       if (!digestsDiffer) {
         digestsDiffer = true;
-        log.warn("{} has another sharing file: no machine is given to it", cell.name());
+        log.warn("{} has another sharing file: no machine is given to it", shard.name());
       }
       return Optional.empty();
     }
-    long revision = view.revisionOf(CellDemand.keyOf(cell.name()));
-    GivenMachines before = givenSinceDemand.get(cell.name());
+    long revision = view.revisionOf(ShardDemand.keyOf(shard.name()));
+    GivenMachines before = givenSinceDemand.get(shard.name());
     int already = before != null && before.revision() == revision ? before.machines() : 0;
-    int wanted = Math.max(0, demand.wanted() - already - transfers.offeredTo(cell.name()));
+    int wanted = Math.max(0, demand.wanted() - already - transfers.offeredTo(shard.name()));
     return Optional.of(
-        new SharePolicy.CellState(
-            cell.name(),
-            cell.minMachines(),
-            cell.weight(),
+        new SharePolicy.ShardState(
+            shard.name(),
+            shard.minMachines(),
+            shard.weight(),
             demand.machines(),
             demand.idle(),
             wanted));
@@ -256,7 +256,7 @@
       count++;
     }
     if (count > 0) {
-      long revision = view.revisionOf(CellDemand.keyOf(to));
+      long revision = view.revisionOf(ShardDemand.keyOf(to));
       GivenMachines before = givenSinceDemand.get(to);
       int already = before != null && before.revision() == revision ? before.machines() : 0;
       givenSinceDemand.put(to, new GivenMachines(revision, already + count));
@@ -270,22 +270,22 @@
         || context.loop().nowMicros() - lackingSinceMicros > HOLD_RENTAL_MICROS) {
       return true;
     }
-    return sharing.otherCells().stream()
+    return sharing.otherShards().stream()
         .noneMatch(
-            cell ->
-                stateOf(cell)
+            shard ->
+                stateOf(shard)
                     .filter(state -> state.idle() > 0 && state.machines() > state.floor())
                     .isPresent());
   }
 
-  /** False while any cell of the pool lacks machines: idle ones are for it, not for the cloud. */
+  /** False while any shard of the pool lacks machines: idle ones are for it, not for the cloud. */
   boolean mayReturnIdle() {
     return lackingSinceMicros < 0
-        && sharing.otherCells().stream()
-            .noneMatch(cell -> stateOf(cell).filter(state -> state.wanted() > 0).isPresent());
+        && sharing.otherShards().stream()
+            .noneMatch(shard -> stateOf(shard).filter(state -> state.wanted() > 0).isPresent());
   }
 
-  /** Machines that are offered to this cell. */
+  /** Machines that are offered to this shard. */
   List<RentalPlan.RentalOption> coming() {
     List<RentalPlan.RentalOption> kinds = new ArrayList<>();
     for (PoolView.Versioned<TransferRecord> versioned : view.transfers().values()) {
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -22,7 +22,7 @@
 import plumlever.leader.machine.MachineRegistry;
 import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.settings.SharingSettings;
-import plumlever.sharing.GuestTask;
+import plumlever.sharing.ForeignTask;
 import plumlever.sharing.OwnerRecord;
 import plumlever.sharing.PoolView;
 import plumlever.sharing.TransferRecord;
@@ -30,9 +30,9 @@
 import plumlever.wire.MachineType;
 
 /**
- * Carries transfers on, from whatever state the records show: offers this cell's machines, takes
+ * Carries transfers on, from whatever state the records show: offers this shard's machines, takes
  * what others offer, and settles what is left of its tasks on machines that others own. Each state
- * can be taken up by the next leader of either cell.
+ * can be taken up by the next leader of either shard.
  */
 final class MachineTransfers {
   /** An offer that nobody takes is withdrawn after this. */
@@ -57,13 +57,13 @@
   private final SchedulingPass pass;
   private final PoolView view;
   private final TransferSteps steps;
-  private final OfferTaker offerTaker;
-  private final GuestBook guests;
+  private final OfferAcceptance offerTaker;
+  private final ForeignTasks foreignTasks;
   private final Failover failover;
   private final Consumer<Machine> raiseToken;
   private final Map<String, Long> offeredMicros = new HashMap<>();
 
-  /** Machines of other cells that were seen without any task of this one. */
+  /** Machines of other shards that were seen without any task of this one. */
   private final Set<String> seenWithoutOwnTasks = new HashSet<>();
 
   private boolean digestMismatchLogged;
@@ -78,14 +78,14 @@
       SchedulingPass pass,
       PoolView view,
       TransferSteps steps,
-      GuestBook guests,
+      ForeignTasks foreignTasks,
       Failover failover,
       Consumer<Machine> raiseToken) {
     this.raiseToken = raiseToken;
     this.context = context;
     this.log = context.logs().of(MachineTransfers.class);
     this.sharing = sharing;
-    this.own = sharing.ownCell().name();
+    this.own = sharing.ownShard().name();
     this.fleet = fleet;
     this.jobs = jobs;
     this.heartbeats = heartbeats;
@@ -93,8 +93,8 @@
     this.pass = pass;
     this.view = view;
     this.steps = steps;
-    this.offerTaker = new OfferTaker(sharing, view, steps, this::acquire);
-    this.guests = guests;
+    this.offerTaker = new OfferAcceptance(sharing, view, steps, this::acquire);
+    this.foreignTasks = foreignTasks;
     this.failover = failover;
   }
 
@@ -102,25 +102,25 @@
     return context.loop().nowMicros();
   }
 
-  /** True while the records show the machine as this cell's. */
+  /** True while the records show the machine as this shard's. */
   boolean owns(String machine) {
     return view.holder(machine).equals(Optional.of(own));
   }
 
-  /** Transfers that this cell has offered and nobody has taken yet. */
+  /** Transfers that this shard has offered and nobody has taken yet. */
   int openOffers() {
     return offeredMicros.size();
   }
 
-  /** Offers to the cell that it has not taken yet. */
-  int offeredTo(String cell) {
+  /** Offers to the shard that it has not taken yet. */
+  int offeredTo(String shard) {
     return (int)
         offeredMicros.keySet().stream()
             .filter(
                 machine ->
                     view.transfer(machine)
                         .flatMap(versioned -> versioned.value().offer())
-                        .filter(offer -> offer.to().equals(cell))
+                        .filter(offer -> offer.to().equals(shard))
                         .isPresent())
             .count();
   }
@@ -138,7 +138,7 @@
         if (owns(entry.getKey())) {
           reconcileOwned(record);
         }
-      } else if (record.isHome(own)) {
+      } else if (record.hasTasksOf(own)) {
         reconcileElsewhere(record);
       } else {
         reconcileLost(record);
@@ -155,7 +155,7 @@
     offerTaker.takeOffers();
   }
 
-  /** It was taken without a task of this cell on it, so no record is left. */
+  /** It was taken without a task of this shard on it, so no record is left. */
   private void releaseWithoutRecord(String id) {
     Machine machine = fleet.machine(id);
     offeredMicros.remove(id);
@@ -165,7 +165,7 @@
     }
   }
 
-  /** A machine of this cell: taken from another, or on offer. */
+  /** A machine of this shard: taken from another, or on offer. */
   private void reconcileOwned(TransferRecord record) {
     Machine machine = acquire(record);
     if (record.state() == TransferRecord.State.TAKEN && !steps.isUnderWay(machine.id())) {
@@ -174,13 +174,13 @@
     } else {
       machine.setTransferring(true);
     }
-    guests.update(machine, record);
+    foreignTasks.update(machine, record);
     if (record.isSettled()) {
       dropSettledRecord(record.machine().id());
     }
   }
 
-  /** The machine as this cell's, under the number of the record at least. */
+  /** The machine as this shard's, under the number of the record at least. */
   Machine acquire(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine == null) {
@@ -222,7 +222,9 @@
     raiseToken.accept(machine);
     context.metrics().count("machines_taken");
     log.info(
-        "{} is this cell's now, {} cells have tasks on it", details.id(), record.homes().size());
+        "{} is this cell's now, {} cells have tasks on it",
+        details.id(),
+        record.tasksByShard().size());
     return machine;
   }
 
@@ -232,7 +234,7 @@
     return known == null ? 0 : (long) (known.startupS() * BOOT_MARGIN * 1e6);
   }
 
-  /** Another cell's machine on which tasks of this one may be. */
+  /** Another shard's machine on which tasks of this one may be. */
   private void reconcileElsewhere(TransferRecord record) {
     Machine machine = fleet.transferredMachine(record.machine().id());
     if (machine == null) {
@@ -247,7 +249,7 @@
     leaveRecordIfOver(machine);
   }
 
-  /** What an earlier leader of this cell left running there. */
+  /** What an earlier leader of this shard left running there. */
   private Machine machineFromRecord(TransferRecord record) {
     TransferRecord.Details details = record.machine();
     Machine machine =
@@ -260,16 +262,16 @@
             now());
     machine.contact().raiseIncarnation(record.incarnation());
     machine.markAccounted();
-    for (GuestTask guest : record.homes().get(own)) {
-      Job job = jobs.get(guest.task().job());
-      int task = guest.task().number();
+    for (ForeignTask foreignTask : record.tasksByShard().get(own)) {
+      Job job = jobs.get(foreignTask.task().job());
+      int task = foreignTask.task().number();
       boolean open =
           job != null
               && !job.over()
               && task < job.spec().taskCount()
               && !job.completedTasks().get(task);
       if (open && job.liveAttempt(task) == null) {
-        fleet.adoptAttempt(job, task, guest.attempt(), machine, now());
+        fleet.adoptAttempt(job, task, foreignTask.attempt(), machine, now());
       }
     }
     return machine;
@@ -280,7 +282,7 @@
     machine.setTransferring(false);
     pass.dropPlan(machine);
     registry.remove(machine);
-    guests.remove(machine);
+    foreignTasks.remove(machine);
     context.metrics().count("machines_given");
     log.info(
         "{} is another cell's now, {} tasks stay on it",
@@ -288,7 +290,7 @@
         machine.load().liveAttempts());
   }
 
-  /** Another cell's machine without tasks of this one. */
+  /** Another shard's machine without tasks of this one. */
   private void reconcileLost(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine != null && !owns(machine.id())) {
@@ -303,7 +305,7 @@
       heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
       seenWithoutOwnTasks.add(machine.id());
     }
-    if (record.isHome(own)) {
+    if (record.hasTasksOf(own)) {
       if (machine == null) {
         leaveRecord(record.machine().id());
       } else {
@@ -312,19 +314,19 @@
     }
   }
 
-  /** The owner has passed on a heartbeat of the machine that lists no task of this cell. */
+  /** The owner has passed on a heartbeat of the machine that lists no task of this shard. */
   void ownTasksGone(Machine machine) {
     seenWithoutOwnTasks.add(machine.id());
     leaveRecordIfOver(machine);
   }
 
-  /** Once none of this cell's tasks can be on the other's machine, the record says so. */
+  /** Once none of this shard's tasks can be on the other's machine, the record says so. */
   private void leaveRecordIfOver(Machine machine) {
     boolean nothingThere =
         seenWithoutOwnTasks.contains(machine.id())
             || steps
                 .record(machine.id())
-                .filter(record -> record.homes().getOrDefault(own, List.of()).isEmpty())
+                .filter(record -> record.tasksByShard().getOrDefault(own, List.of()).isEmpty())
                 .isPresent();
     if (nothingThere && machine.load().hasNoAttempts()) {
       leaveRecord(machine.id());
@@ -337,12 +339,12 @@
         () ->
             steps
                 .record(machine)
-                .filter(record -> record.isHome(own))
-                .map(record -> steps.replaced(machine, record.withoutHome(own))),
+                .filter(record -> record.hasTasksOf(own))
+                .map(record -> steps.replaced(machine, record.withoutTasksOf(own))),
         () -> {
           Machine reconcileElsewhere = fleet.transferredMachine(machine);
           if (reconcileElsewhere != null
-              && steps.record(machine).filter(record -> record.isHome(own)).isEmpty()) {
+              && steps.record(machine).filter(record -> record.hasTasksOf(own)).isEmpty()) {
             fleet.removeTransferred(reconcileElsewhere);
             seenWithoutOwnTasks.remove(machine);
           }
@@ -360,7 +362,7 @@
         () -> {
           Machine settled = fleet.machine(machine);
           if (settled != null && view.transfer(machine).isEmpty()) {
-            guests.remove(settled);
+            foreignTasks.remove(settled);
           }
         });
   }
@@ -382,7 +384,7 @@
         && !steps.isUnderWay(machine.id());
   }
 
-  /** Gives the machine up to that cell; nothing is started on it from here on. */
+  /** Gives the machine up to that shard; nothing is started on it from here on. */
   void offer(Machine machine, String to) {
     machine.setTransferring(true);
     pass.dropPlan(machine);
@@ -408,10 +410,10 @@
     if (!owns(machine.id()) || before.flatMap(TransferRecord::offer).isPresent()) {
       return Optional.empty();
     }
-    Map<String, List<GuestTask>> homes =
-        new TreeMap<>(before.map(TransferRecord::homes).orElse(Map.of()));
+    Map<String, List<ForeignTask>> tasksByShard =
+        new TreeMap<>(before.map(TransferRecord::tasksByShard).orElse(Map.of()));
     if (!machine.load().hasNoAttempts()) {
-      homes.put(own, guestsOf(machine));
+      tasksByShard.put(own, foreignTasksOf(machine));
     }
     TransferRecord offer =
         TransferRecord.offered(
@@ -425,7 +427,7 @@
             own,
             Math.max(machine.tokens().term(), before.map(TransferRecord::number).orElse(0L)),
             new TransferRecord.Offer(to, context.term().revision(), sharing.digest()),
-            homes);
+            tasksByShard);
     int bytes = Json.write(offer.toJson()).getBytes(StandardCharsets.UTF_8).length;
     if (bytes > context.layout().valueBytes()) {
       log.info("{} holds too many tasks for one record and is not offered", machine.id());
@@ -438,11 +440,11 @@
             .put(TransferRecord.keyOf(machine.id()), offer.toJson()));
   }
 
-  private static List<GuestTask> guestsOf(Machine machine) {
-    List<GuestTask> tasks = new ArrayList<>();
+  private static List<ForeignTask> foreignTasksOf(Machine machine) {
+    List<ForeignTask> tasks = new ArrayList<>();
     for (Attempt attempt : machine.load().attempts()) {
       tasks.add(
-          new GuestTask(
+          new ForeignTask(
               attempt.name(),
               attempt.id(),
               attempt.job().spec().cores(),
--- a/src/main/java/plumlever/leader/pool/OfferTaker.java
+++ b/src/main/java/plumlever/leader/pool/OfferAcceptance.java
@@ -15,8 +15,8 @@
 import plumlever.sharing.TransferRecord;
 import plumlever.store.KeySpace;
 
-/** Takes the machines that other cells offer to this one. */
-final class OfferTaker {
+/** Takes the machines that other shards offer to this one. */
+final class OfferAcceptance {
   private final SharingSettings sharing;
   private final String own;
   private final PoolView view;
@@ -30,15 +30,15 @@
   private int openTransactions;
 
   /**
-   * @param acquire makes a machine this cell's in memory
+   * @param acquire makes a machine this shard's in memory
    */
-  OfferTaker(
+  OfferAcceptance(
       SharingSettings sharing,
       PoolView view,
       TransferSteps steps,
       Function<TransferRecord, Machine> acquire) {
     this.sharing = sharing;
-    this.own = sharing.ownCell().name();
+    this.own = sharing.ownShard().name();
     this.view = view;
     this.steps = steps;
     this.acquire = acquire;
@@ -99,14 +99,14 @@
         offered.stream()
             .filter(record -> record.offer().orElseThrow().termRevision() == termRevision)
             .toList();
-    String giver = sharing.cell(offered.get(0).owner()).prefix();
+    String giver = sharing.shard(offered.get(0).owner()).prefix();
     TransferSteps.Taking built = steps.take(ofOneTerm);
     recordsBeingTaken = built.taken();
     return Optional.of(
         built.transaction().require(KeySpace.absolute(giver, LeaderElection.TERM), termRevision));
   }
 
-  /** What has guests is found by its record; what has none is acquired here. */
+  /** What has foreign tasks is found by its record; what has none is acquired here. */
   private void acquireSettled() {
     openTransactions--;
     for (TransferRecord record : recordsBeingTaken) {
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -19,13 +19,13 @@
 import plumlever.store.Transaction;
 
 /**
- * Makes machines this cell's own that nobody owns, and gives up those that are to be returned. A
- * machine to be returned first gets a holder that no cell is: a return that is carried out late can
- * then only meet a machine that nobody uses.
+ * Makes machines this shard's own that nobody owns, and gives up those that are to be returned. A
+ * machine to be returned first gets a holder that no shard is: a return that is carried out late
+ * can then only meet a machine that nobody uses.
  */
 final class OwnerClaims {
   /**
-   * A machine that nobody has claimed for so long came from a rental that its cell never heard of.
+   * A machine that nobody has claimed for so long came from a rental that its shard never heard of.
    */
   private static final long UNCLAIMED_MICROS = 15_000_000;
 
@@ -43,16 +43,16 @@
   OwnerClaims(TermContext context, SharingSettings sharing, PoolView view, PoolWriter writer) {
     this.context = context;
     this.log = context.logs().of(OwnerClaims.class);
-    this.own = sharing.ownCell().name();
+    this.own = sharing.ownShard().name();
     this.view = view;
     this.writer = writer;
   }
 
-  private static String retired(String cell) {
-    return cell + RETIRED;
+  private static String retired(String shard) {
+    return shard + RETIRED;
   }
 
-  /** True for a machine that this cell, maybe under an earlier leader, is about to return. */
+  /** True for a machine that this shard, maybe under an earlier leader, is about to return. */
   boolean isRetired(String machine) {
     return view.holder(machine).equals(Optional.of(retired(own)));
   }
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Machines that are to be this cell's; each is handed on if it came to be. */
+  /** Machines that are to be this shard's; each is handed on if it came to be. */
   void claim(List<String> machines, Consumer<String> claimed) {
     groupByRecord(machines)
         .values()
@@ -137,7 +137,10 @@
     }
   }
 
-  /** The machines do not exist any more: nobody owns them, and homes of tasks on them are told. */
+  /**
+   * The machines do not exist any more: nobody owns them, and originating shards of tasks on them
+   * are told.
+   */
   void returned(List<Machine> machines) {
     for (List<String> group : groupByRecord(machines.stream().map(Machine::id).toList()).values()) {
       writer.submit(
@@ -172,7 +175,7 @@
           return Optional.empty();
         }
         String key = TransferRecord.keyOf(machine);
-        TransferRecord recordGone = record.get().withoutHome(own).gone();
+        TransferRecord recordGone = record.get().withoutTasksOf(own).gone();
         PoolTransaction transaction = new PoolTransaction(view, context.term().requireTerm());
         return Optional.of(
             recordGone.isSettled()
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -18,7 +18,7 @@
 import plumlever.leader.machine.MachineRegistry;
 import plumlever.leader.scheduling.CommandSender;
 import plumlever.leader.scheduling.SchedulingPass;
-import plumlever.lease.GuestEvidence;
+import plumlever.lease.ForeignTaskEvidence;
 import plumlever.scaling.RentalPlan;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
@@ -34,7 +34,7 @@
 import plumlever.wire.RelayedHeartbeat;
 import plumlever.wire.WorkerCommand;
 
-/** One cell's part in a pool, for one term of its leader. */
+/** One shard's part in a pool, for one term of its leader. */
 public final class PoolSharing implements MachineSharing {
   private static final long TURN_MICROS = 500_000;
 
@@ -50,9 +50,9 @@
   private final PoolView view;
   private final PoolWriter writer;
   private final OwnerClaims claims;
-  private final GuestBook guests;
+  private final ForeignTasks foreignTasks;
   private final MachineTransfers transfers;
-  private final DeadCellAdoption adoption;
+  private final DeadShardAdoption adoption;
   private final LimitSharing limits;
   private final MachineShareBalancer share;
   private boolean poolRecordsRead;
@@ -80,8 +80,8 @@
     this.view = link.view();
     this.writer = new PoolWriter(context, link, this::recordsChanged);
     this.claims = new OwnerClaims(context, sharing, view, writer);
-    this.guests = new GuestBook(context, sharing, view);
-    TransferSteps steps = new TransferSteps(context, sharing.ownCell().name(), view, writer);
+    this.foreignTasks = new ForeignTasks(context, sharing, view);
+    TransferSteps steps = new TransferSteps(context, sharing.ownShard().name(), view, writer);
     this.transfers =
         new MachineTransfers(
             context,
@@ -93,10 +93,10 @@
             pass,
             view,
             steps,
-            guests,
+            foreignTasks,
             failover,
             commands::raiseToken);
-    this.adoption = new DeadCellAdoption(context, sharing, link, steps, transfers::acquire);
+    this.adoption = new DeadShardAdoption(context, sharing, link, steps, transfers::acquire);
     this.limits = new LimitSharing(context, sharing, jobs, failover, view, writer);
     this.share =
         new MachineShareBalancer(context, sharing, fleet, pass, failover, view, transfers, limits);
@@ -129,7 +129,7 @@
     }
     scope.own(writer::close);
     scope.own(link::close);
-    scope.own(guests::close);
+    scope.own(foreignTasks::close);
     scope.own(new RecurringTask("sharing", context.loop(), this::run)).start();
   }
 
@@ -218,33 +218,33 @@
 
   @Override
   public void machinesReturned(List<Machine> machines) {
-    machines.forEach(guests::remove);
+    machines.forEach(foreignTasks::remove);
     claims.returned(machines);
   }
 
   @Override
-  public boolean isGuest(Machine machine, long attempt) {
-    return guests.isGuest(machine, attempt);
+  public boolean isForeign(Machine machine, long attempt) {
+    return foreignTasks.isForeign(machine, attempt);
   }
 
   @Override
   public void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
-    guests.reported(machine, heartbeat);
+    foreignTasks.reported(machine, heartbeat);
   }
 
   @Override
-  public GuestEvidence guestEvidence(Machine machine) {
-    return guests.evidence(machine);
+  public ForeignTaskEvidence foreignTaskEvidence(Machine machine) {
+    return foreignTasks.evidence(machine);
   }
 
   @Override
-  public List<WorkerCommand> guestCommands(Machine machine, Heartbeat heartbeat) {
-    return guests.commands(machine, heartbeat);
+  public List<WorkerCommand> foreignTaskCommands(Machine machine, Heartbeat heartbeat) {
+    return foreignTasks.commands(machine, heartbeat);
   }
 
   @Override
   public void leaseExpired(Machine machine) {
-    guests.lapsed(machine);
+    foreignTasks.lapsed(machine);
   }
 
   @Override
@@ -255,7 +255,7 @@
     Machine machine = poolRecordsRead ? fleet.transferredMachine(id) : null;
     boolean fits =
         record.isPresent()
-            && record.get().isHome(sharing.ownCell().name())
+            && record.get().hasTasksOf(sharing.ownShard().name())
             && record.get().owner().equals(relayed.from())
             && relayed.number() >= record.get().number();
     if (machine == null || !fits || !context.term().mayAct()) {
@@ -284,13 +284,13 @@
   }
 
   @Override
-  public boolean offerTransfer(String machine, String cell) {
+  public boolean offerTransfer(String machine, String shard) {
     Machine found = poolRecordsRead ? fleet.machine(machine) : null;
-    boolean known = sharing.otherCells().stream().anyMatch(other -> other.name().equals(cell));
+    boolean known = sharing.otherShards().stream().anyMatch(other -> other.name().equals(shard));
     if (found == null || !known || !context.term().mayAct() || !transfers.canOffer(found)) {
       return false;
     }
-    transfers.offer(found, cell);
+    transfers.offer(found, shard);
     return true;
   }
 
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -26,9 +26,9 @@
   private static final int MOST_BYTES = 40 * 1024;
 
   /**
-   * A transaction that makes machines this cell's.
+   * A transaction that makes machines this shard's.
    *
-   * @param taken their records from then on; of those without guests none is stored
+   * @param taken their records from then on; of those without foreign tasks none is stored
    */
   record Taking(PoolTransaction transaction, List<TransferRecord> taken) {}
 
@@ -39,7 +39,7 @@
   private final Set<String> underWay = new HashSet<>();
 
   /**
-   * @param own name of this cell
+   * @param own name of this shard
    */
   TransferSteps(TermContext context, String own, PoolView view, PoolWriter writer) {
     this.context = context;
@@ -69,13 +69,13 @@
     return record.isSettled() ? transaction().drop(key) : transaction().put(key, record.toJson());
   }
 
-  /** How many machines one transaction can make this cell's. */
+  /** How many machines one transaction can make this shard's. */
   int mostOwnedAtOnce() {
     return context.layout().limits().maxOperations() - SHARED_PUTS;
   }
 
   /**
-   * These machines are this cell's, under a number newer than any other; as many of them as one
+   * These machines are this shard's, under a number newer than any other; as many of them as one
    * transaction holds.
    *
    * @param records of machines whose owners are in one record
--- a/src/main/java/plumlever/leader/pool/package-info.java
+++ b/src/main/java/plumlever/leader/pool/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sharing machines between the cells of a pool: ownership, transfers, tasks of other cells, and
+ * Sharing machines between the shards of a pool: ownership, transfers, tasks of other shards, and
  * shares of limits. The ordinary path of a leader does not know this package.
  */
 package plumlever.leader.pool;
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -16,7 +16,7 @@
   private static final long STAGE_HANDOVER_MICROS = 1_500_000;
 
   /** The ends of other shards' tasks are not known here. */
-  private static final long GUEST_STAY_MICROS = 60_000_000;
+  private static final long FOREIGN_TASK_STAY_MICROS = 60_000_000;
 
   /** Part of the time that an attempt has run which it is expected to need beyond its estimate. */
   private static final long OVERRUN_DIVISOR = 5;
@@ -97,14 +97,15 @@
   }
 
   /** Until when other shards' tasks on a machine are taken to hold their place. */
-  long guestsEndMicros(long nowMicros) {
-    return nowMicros + GUEST_STAY_MICROS;
+  long foreignTasksEndMicros(long nowMicros) {
+    return nowMicros + FOREIGN_TASK_STAY_MICROS;
   }
 
   /** When the last task that is on the machine should have ended; now for an idle machine. */
   long idleMicros(Machine machine, long nowMicros) {
     MachineType machineType = context.prices().machineType(machine.machineType());
-    long idleMicros = machine.load().guests().tasks() > 0 ? guestsEndMicros(nowMicros) : nowMicros;
+    long idleMicros =
+        machine.load().foreignTasks().tasks() > 0 ? foreignTasksEndMicros(nowMicros) : nowMicros;
     for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over() && machineType != null) {
         idleMicros = Math.max(idleMicros, endMicros(attempt, machineType, nowMicros));
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
-import plumlever.fleet.GuestLoad;
+import plumlever.fleet.ForeignLoad;
 import plumlever.fleet.Machine;
 import plumlever.leader.context.TermContext;
 import plumlever.placement.MachineShape;
@@ -81,13 +81,13 @@
             times.endMicros(attempt, machineType, nowMicros));
       }
     }
-    GuestLoad guests = machine.load().guests();
-    if (guests.tasks() > 0) {
+    ForeignLoad foreignTasks = machine.load().foreignTasks();
+    if (foreignTasks.tasks() > 0) {
       candidate.occupy(
-          guests.cores(),
-          guests.accelerators(),
-          guests.memoryGb(),
-          times.guestsEndMicros(nowMicros));
+          foreignTasks.cores(),
+          foreignTasks.accelerators(),
+          foreignTasks.memoryGb(),
+          times.foreignTasksEndMicros(nowMicros));
     }
     return candidate;
   }
--- a/src/main/java/plumlever/leader/scheduling/FreeCapacity.java
+++ b/src/main/java/plumlever/leader/scheduling/FreeCapacity.java
@@ -1,7 +1,7 @@
 package plumlever.leader.scheduling;
 
 import plumlever.fleet.Attempt;
-import plumlever.fleet.GuestLoad;
+import plumlever.fleet.ForeignLoad;
 import plumlever.fleet.Machine;
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
@@ -26,13 +26,13 @@
         machineType.cores(), machineType.accelerators(), machineType.memoryGb());
   }
 
-  /** What the machine's attempts that are not over, and its guests, leave of it. */
+  /** What the machine's attempts that are not over, and its foreign tasks, leave of it. */
   static FreeCapacity of(Machine machine, MachineType machineType) {
     FreeCapacity free = whole(machineType);
-    GuestLoad guests = machine.load().guests();
-    free.cores -= guests.cores();
-    free.accelerators -= guests.accelerators();
-    free.memoryGb -= guests.memoryGb();
+    ForeignLoad foreignTasks = machine.load().foreignTasks();
+    free.cores -= foreignTasks.cores();
+    free.accelerators -= foreignTasks.accelerators();
+    free.memoryGb -= foreignTasks.memoryGb();
     for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over()) {
         free.reserve(attempt.job().spec());
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -12,7 +12,7 @@
  * @param holdsOpenTasks true if the heartbeat lists a task of a job that is not known to have ended
  * @param endsKnownMicros when the last read of ended jobs that was answered had been sent
  * @param unanswered commands that may add to what the heartbeat lists
- * @param guests tasks of other cells
+ * @param foreignTasks tasks of other shards
  */
 public record LeaderEvidence(
     BooleanSupplier mayAct,
@@ -20,12 +20,13 @@
     boolean holdsOpenTasks,
     long endsKnownMicros,
     UnansweredCommands unanswered,
-    GuestEvidence guests)
+    ForeignTaskEvidence foreignTasks)
     implements RenewalEvidence {
 
   /** Nothing runs on the machine, and no command of this term has been sent to it. */
   public static LeaderEvidence ofIdleMachine(BooleanSupplier mayAct, long token) {
-    return new LeaderEvidence(mayAct, token, false, 0, UnansweredCommands.NONE, GuestEvidence.NONE);
+    return new LeaderEvidence(
+        mayAct, token, false, 0, UnansweredCommands.NONE, ForeignTaskEvidence.NONE);
   }
 
   @Override
@@ -33,7 +34,7 @@
     if (!mayAct.getAsBoolean()) {
       return Optional.of(RenewalRefusal.NOT_LEADING);
     }
-    if (!tasksEndInTime(limit, nowMicros) || !guestsEndInTime(limit, nowMicros)) {
+    if (!tasksEndInTime(limit, nowMicros) || !foreignTasksEndInTime(limit, nowMicros)) {
       return Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN);
     }
     if (!unansweredEndInTime(limit, nowMicros)) {
@@ -47,8 +48,8 @@
     return !mayRun || limit.mayRenew(nowMicros, endsKnownMicros);
   }
 
-  private boolean guestsEndInTime(RenewalLimit limit, long nowMicros) {
-    return !guests.running() || limit.mayRenew(nowMicros, guests.endsKnownMicros());
+  private boolean foreignTasksEndInTime(RenewalLimit limit, long nowMicros) {
+    return !foreignTasks.running() || limit.mayRenew(nowMicros, foreignTasks.endsKnownMicros());
   }
 
   /**
--- a/src/main/java/plumlever/settings/OperatorSettings.java
+++ b/src/main/java/plumlever/settings/OperatorSettings.java
@@ -5,7 +5,7 @@
 /**
  * All that the operators' file holds.
  *
- * @param sharing how machines are shared among cells; empty where one cell has them all
+ * @param sharing how machines are shared among shards; empty where one shard has them all
  */
 public record OperatorSettings(SchedulerParameters parameters, Optional<SharingSettings> sharing) {
   /** The settings that hold without a file. */
--- a/src/main/java/plumlever/settings/SharingSettings.java
+++ b/src/main/java/plumlever/settings/SharingSettings.java
@@ -5,48 +5,48 @@
 import java.util.Set;
 
 /**
- * How the machines of one pool are shared among cells, from the {@code sharing} table of the
- * operators' file. A cell is a group of controllers with a leader, jobs and keys of its own; all
- * cells of a pool use one state service and one cloud.
+ * How the machines of one pool are shared among shards, from the {@code sharing} table of the
+ * operators' file. A shard is a group of controllers with a leader, jobs and keys of its own; all
+ * shards of a pool use one state service and one cloud.
  *
  * @param maxMachines how many machines the pool has at most
- * @param maxTransfers how many transfers one cell may have open at a time
- * @param adoptAfterMicros a cell that has had no leader for so long loses its machines to the
+ * @param maxTransfers how many transfers one shard may have open at a time
+ * @param adoptAfterMicros a shard that has had no leader for so long loses its machines to the
  *     others
- * @param ownCell the cell of this controller
+ * @param ownShard the shard of this controller
  * @param digest a hash, which is the same for controllers with the same table
  */
 public record SharingSettings(
     int maxMachines,
     int maxTransfers,
     long adoptAfterMicros,
-    List<Cell> cells,
-    Cell ownCell,
+    List<Shard> shards,
+    Shard ownShard,
     String digest) {
 
   /**
-   * One cell.
+   * One shard.
    *
    * @param prefix of its keys in the state service
    * @param controllers the labels of its controllers
    * @param minMachines how many machines it always keeps
-   * @param weight its part of the machines beyond what the cells always keep, against the others'
+   * @param weight its part of the machines beyond what the shards always keep, against the others'
    *     weights
    */
-  public record Cell(
+  public record Shard(
       String name, String prefix, Set<String> controllers, int minMachines, double weight) {}
 
   /** How many changes a transaction of the state service must allow for a transfer. */
   public static final int MIN_TRANSACTION_OPS = 5;
 
-  /** The cell of that name. */
-  public Cell cell(String name) {
-    return cells.stream().filter(cell -> cell.name().equals(name)).findFirst().orElseThrow();
+  /** The shard of that name. */
+  public Shard shard(String name) {
+    return shards.stream().filter(shard -> shard.name().equals(name)).findFirst().orElseThrow();
   }
 
-  /** All cells but this controller's. */
-  public List<Cell> otherCells() {
-    return cells.stream().filter(cell -> !cell.name().equals(ownCell.name())).toList();
+  /** All shards but this controller's. */
+  public List<Shard> otherShards() {
+    return shards.stream().filter(shard -> !shard.name().equals(ownShard.name())).toList();
   }
 
   /**
--- a/src/main/java/plumlever/settings/SharingTable.java
+++ b/src/main/java/plumlever/settings/SharingTable.java
@@ -19,7 +19,7 @@
   private static final Pattern NAME = Pattern.compile("[a-z][a-z0-9-]{0,30}");
   private static final Pattern PREFIX = Pattern.compile("[a-z][a-z0-9-]{0,30}/");
 
-  /** Prefixes that a cell without one of its own uses, and the pool's own. */
+  /** Prefixes that a shard without one of its own uses, and the pool's own. */
   private static final List<String> RESERVED_PREFIXES =
       List.of(
           "pool/",
@@ -36,15 +36,15 @@
   private static final String MACHINES = "machines";
   private static final String MAX_TRANSFERS = "most_moving";
   private static final String ADOPT_AFTER_S = "adopt_after_s";
-  private static final String CELLS = "cells";
-  private static final Set<String> KEYS = Set.of(MACHINES, MAX_TRANSFERS, ADOPT_AFTER_S, CELLS);
+  private static final String SHARDS = "cells";
+  private static final Set<String> KEYS = Set.of(MACHINES, MAX_TRANSFERS, ADOPT_AFTER_S, SHARDS);
 
   private static final String NAME_KEY = "name";
   private static final String CONTROLLERS = "controllers";
   private static final String MIN_MACHINES = "floor";
   private static final String WEIGHT = "weight";
   private static final String PREFIX_KEY = "prefix";
-  private static final Set<String> CELL_KEYS =
+  private static final Set<String> SHARD_KEYS =
       Set.of(NAME_KEY, CONTROLLERS, MIN_MACHINES, WEIGHT, PREFIX_KEY);
 
   private static final int MACHINES_LIMIT = 1_000_000;
@@ -67,8 +67,8 @@
   /** The labels of all controllers of the deployment. */
   private final Set<String> controllers = new HashSet<>();
 
-  /** The name of each controller's cell, as far as cells have been read. */
-  private final Map<String, String> cellOfController = new LinkedHashMap<>();
+  /** The name of each controller's shard, as far as shards have been read. */
+  private final Map<String, String> shardOfController = new LinkedHashMap<>();
 
   /**
    * @param file to name in errors
@@ -83,15 +83,15 @@
   SharingSettings read(Map<?, ?> table) throws SettingsException {
     refuseUnknown(table, "", KEYS);
     int maxMachines = (int) number(table, "", MACHINES, 1, MACHINES_LIMIT, REQUIRED);
-    List<SharingSettings.Cell> cells = cells(table);
-    int minMachines = cells.stream().mapToInt(SharingSettings.Cell::minMachines).sum();
+    List<SharingSettings.Shard> shards = shards(table);
+    int minMachines = shards.stream().mapToInt(SharingSettings.Shard::minMachines).sum();
     if (minMachines > maxMachines) {
       throw error(
-          CELLS, "have floors of " + minMachines + " machines, the pool has " + maxMachines);
+          SHARDS, "have floors of " + minMachines + " machines, the pool has " + maxMachines);
     }
     if (platform.stateLimits().transactionOps() < SharingSettings.MIN_TRANSACTION_OPS) {
       throw error(
-          CELLS,
+          SHARDS,
           "need "
               + SharingSettings.MIN_TRANSACTION_OPS
               + " changes a transaction of the state service");
@@ -103,52 +103,52 @@
         maxMachines,
         maxTransfers,
         (long) (adoptS * MICROS_PER_SECOND),
-        cells,
-        ownCell(cells),
-        digest(maxMachines, maxTransfers, cells));
+        shards,
+        ownShard(shards),
+        digest(maxMachines, maxTransfers, shards));
   }
 
-  private SharingSettings.Cell ownCell(List<SharingSettings.Cell> cells) {
-    return cells.stream()
-        .filter(cell -> cell.controllers().contains(platform.label()))
+  private SharingSettings.Shard ownShard(List<SharingSettings.Shard> shards) {
+    return shards.stream()
+        .filter(shard -> shard.controllers().contains(platform.label()))
         .findFirst()
         .orElseThrow();
   }
 
-  private List<SharingSettings.Cell> cells(Map<?, ?> table) throws SettingsException {
-    if (!(table.get(CELLS) instanceof List<?> list) || list.isEmpty()) {
-      throw error(CELLS, "must be a list of cells");
+  private List<SharingSettings.Shard> shards(Map<?, ?> table) throws SettingsException {
+    if (!(table.get(SHARDS) instanceof List<?> list) || list.isEmpty()) {
+      throw error(SHARDS, "must be a list of cells");
     }
-    List<SharingSettings.Cell> cells = new ArrayList<>();
+    List<SharingSettings.Shard> shards = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (int i = 0; i < list.size(); i++) {
-      String entryKey = CELLS + "[" + i + "]";
+      String entryKey = SHARDS + "[" + i + "]";
       if (!(list.get(i) instanceof Map<?, ?> entry)) {
         throw error(entryKey, "must be a table");
       }
-      SharingSettings.Cell cell = cell(entry, entryKey + ".");
-      if (!names.add(cell.name())) {
-        throw error(entryKey + "." + NAME_KEY, "is used twice: " + cell.name());
+      SharingSettings.Shard shard = shard(entry, entryKey + ".");
+      if (!names.add(shard.name())) {
+        throw error(entryKey + "." + NAME_KEY, "is used twice: " + shard.name());
       }
-      checkPrefix(cell, cells, entryKey + "." + PREFIX_KEY);
-      cells.add(cell);
+      checkPrefix(shard, shards, entryKey + "." + PREFIX_KEY);
+      shards.add(shard);
     }
     for (String controller : controllers) {
-      if (!cellOfController.containsKey(controller)) {
-        throw error(CELLS, "name no cell for controller " + controller);
+      if (!shardOfController.containsKey(controller)) {
+        throw error(SHARDS, "name no cell for controller " + controller);
       }
     }
-    return List.copyOf(cells);
+    return List.copyOf(shards);
   }
 
-  private SharingSettings.Cell cell(Map<?, ?> entry, String prefix) throws SettingsException {
-    refuseUnknown(entry, prefix, CELL_KEYS);
+  private SharingSettings.Shard shard(Map<?, ?> entry, String prefix) throws SettingsException {
+    refuseUnknown(entry, prefix, SHARD_KEYS);
     if (!(entry.get(NAME_KEY) instanceof String name) || !NAME.matcher(name).matches()) {
       throw error(prefix + NAME_KEY, "must be a name of small letters, digits and hyphens");
     }
     Set<String> labels = labels(entry, name, prefix + CONTROLLERS);
     Object keyPrefix = entry.get(PREFIX_KEY);
-    return new SharingSettings.Cell(
+    return new SharingSettings.Shard(
         name,
         keyPrefix == null ? name + "/" : String.valueOf(keyPrefix),
         labels,
@@ -156,7 +156,7 @@
         weight(entry, prefix + WEIGHT));
   }
 
-  private Set<String> labels(Map<?, ?> entry, String cell, String key) throws SettingsException {
+  private Set<String> labels(Map<?, ?> entry, String shard, String key) throws SettingsException {
     if (!(entry.get(CONTROLLERS) instanceof List<?> list) || list.isEmpty()) {
       throw error(key, "must be a list of controllers");
     }
@@ -166,9 +166,9 @@
       if (!controllers.contains(label)) {
         throw error(key, "names " + label + ", which this deployment has not");
       }
-      String earlierCell = cellOfController.putIfAbsent(label, cell);
-      if (earlierCell != null) {
-        throw error(key, "names " + label + ", which is in " + earlierCell + " too");
+      String earlierShard = shardOfController.putIfAbsent(label, shard);
+      if (earlierShard != null) {
+        throw error(key, "names " + label + ", which is in " + earlierShard + " too");
       }
       labels.add(label);
     }
@@ -188,16 +188,16 @@
   }
 
   private void checkPrefix(
-      SharingSettings.Cell cell, List<SharingSettings.Cell> earlierCells, String key)
+      SharingSettings.Shard shard, List<SharingSettings.Shard> earlierShards, String key)
       throws SettingsException {
-    if (!cell.prefix().isEmpty() && !PREFIX.matcher(cell.prefix()).matches()) {
+    if (!shard.prefix().isEmpty() && !PREFIX.matcher(shard.prefix()).matches()) {
       throw error(key, "must be empty, or small letters, digits and hyphens with a slash");
     }
-    if (RESERVED_PREFIXES.contains(cell.prefix())) {
-      throw error(key, "collides with the service's own keys: " + cell.prefix());
+    if (RESERVED_PREFIXES.contains(shard.prefix())) {
+      throw error(key, "collides with the service's own keys: " + shard.prefix());
     }
-    for (SharingSettings.Cell earlier : earlierCells) {
-      if (earlier.prefix().equals(cell.prefix())) {
+    for (SharingSettings.Shard earlier : earlierShards) {
+      if (earlier.prefix().equals(shard.prefix())) {
         throw error(key, "collides with that of " + earlier.name());
       }
     }
@@ -231,12 +231,12 @@
   }
 
   private static String digest(
-      int maxMachines, int maxTransfers, List<SharingSettings.Cell> cells) {
+      int maxMachines, int maxTransfers, List<SharingSettings.Shard> shards) {
     StringBuilder text = new StringBuilder().append(maxMachines).append(' ').append(maxTransfers);
-    for (SharingSettings.Cell cell : cells) {
-      text.append('\n').append(cell.name()).append(' ').append(cell.prefix());
-      text.append(' ').append(cell.minMachines()).append(' ').append(cell.weight());
-      cell.controllers().stream().sorted().forEach(label -> text.append(' ').append(label));
+    for (SharingSettings.Shard shard : shards) {
+      text.append('\n').append(shard.name()).append(' ').append(shard.prefix());
+      text.append(' ').append(shard.minMachines()).append(' ').append(shard.weight());
+      shard.controllers().stream().sorted().forEach(label -> text.append(' ').append(label));
     }
     try {
       byte[] hash =
--- a/src/main/java/plumlever/sharing/CoreDemand.java
+++ b/src/main/java/plumlever/sharing/CoreDemand.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** How many processors a cell needs for its jobs to be in time. */
+/** How many processors a shard needs for its jobs to be in time. */
 public final class CoreDemand {
   /**
    * What is left of one job.
--- a/src/main/java/plumlever/sharing/GuestTask.java
+++ b/src/main/java/plumlever/sharing/ForeignTask.java
@@ -6,12 +6,12 @@
 import plumlever.wire.TaskName;
 
 /**
- * An attempt of one cell on a machine that another owns.
+ * An attempt of one shard on a machine that another owns.
  *
  * @param attempt its number, unique in the pool
  * @param cores what it takes of the machine
  */
-public record GuestTask(
+public record ForeignTask(
     TaskName task, long attempt, double cores, double accelerators, double memoryGb) {
   private static final int TASK = 0;
   private static final int ATTEMPT = 1;
@@ -23,11 +23,11 @@
     array.addArray().add(task.wireName()).add(attempt).add(cores).add(accelerators).add(memoryGb);
   }
 
-  static GuestTask parse(JsonNode node) throws InvalidMessageException {
+  static ForeignTask parse(JsonNode node) throws InvalidMessageException {
     if (!node.path(TASK).isTextual() || !node.path(ATTEMPT).isIntegralNumber()) {
       throw new InvalidMessageException("no guest task");
     }
-    return new GuestTask(
+    return new ForeignTask(
         TaskName.of(node.path(TASK).asText()),
         node.path(ATTEMPT).asLong(),
         node.path(CORES).asDouble(),
--- a/src/main/java/plumlever/sharing/LimitParts.java
+++ b/src/main/java/plumlever/sharing/LimitParts.java
@@ -7,13 +7,13 @@
 import plumlever.wire.Json;
 
 /**
- * One team's limit, held in parts by the cells: no cell may use more than its part, and the parts
+ * One team's limit, held in parts by the shards: no shard may use more than its part, and the parts
  * together never exceed the limit. Immutable.
  *
- * @param byCell what each cell may use
+ * @param byShard what each shard may use
  */
-public record LimitParts(Map<String, Part> byCell) {
-  /** What one cell may use. */
+public record LimitParts(Map<String, Part> byShard) {
+  /** What one shard may use. */
   public record Part(double cores, double accelerators) {
     /** Nothing. */
     public static final Part NONE = new Part(0, 0);
@@ -34,14 +34,14 @@
     return key.substring(PREFIX.length());
   }
 
-  /** The limit cut up by the cells' weights, in whole processors; the first cell has the rest. */
+  /** The limit cut up by the shards' weights, in whole processors; the first shard has the rest. */
   public static LimitParts split(
-      double cores, double accelerators, Map<String, Double> weightByCell) {
-    double all = weightByCell.values().stream().mapToDouble(Double::doubleValue).sum();
+      double cores, double accelerators, Map<String, Double> weightByShard) {
+    double all = weightByShard.values().stream().mapToDouble(Double::doubleValue).sum();
     Map<String, Part> parts = new TreeMap<>();
     double coresLeft = cores;
     double acceleratorsLeft = accelerators;
-    for (Map.Entry<String, Double> entry : weightByCell.entrySet()) {
+    for (Map.Entry<String, Double> entry : weightByShard.entrySet()) {
       Part part =
           new Part(
               Math.floor(cores * entry.getValue() / all),
@@ -50,25 +50,25 @@
       acceleratorsLeft -= part.accelerators();
       parts.put(entry.getKey(), part);
     }
-    String first = weightByCell.keySet().iterator().next();
+    String first = weightByShard.keySet().iterator().next();
     Part part = parts.get(first);
     parts.put(first, new Part(part.cores() + coresLeft, part.accelerators() + acceleratorsLeft));
     return new LimitParts(parts);
   }
 
-  /** The cell's part. */
-  public Part of(String cell) {
-    return byCell.getOrDefault(cell, Part.NONE);
+  /** The shard's part. */
+  public Part of(String shard) {
+    return byShard.getOrDefault(shard, Part.NONE);
   }
 
-  /** The parts after one cell has given some of its own to another. */
+  /** The parts after one shard has given some of its own to another. */
   public LimitParts moved(String from, String to, double cores, double accelerators) {
     Part giver = of(from);
     Part taker = of(to);
     if (cores > giver.cores() || accelerators > giver.accelerators()) {
       throw new IllegalArgumentException(from + " can't give more than its part");
     }
-    Map<String, Part> parts = new TreeMap<>(byCell);
+    Map<String, Part> parts = new TreeMap<>(byShard);
     parts.put(from, new Part(giver.cores() - cores, giver.accelerators() - accelerators));
     parts.put(to, new Part(taker.cores() + cores, taker.accelerators() + accelerators));
     return new LimitParts(parts);
@@ -78,7 +78,8 @@
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     ObjectNode parts = object.putObject("parts");
-    byCell.forEach((cell, part) -> parts.putArray(cell).add(part.cores()).add(part.accelerators()));
+    byShard.forEach(
+        (shard, part) -> parts.putArray(shard).add(part.cores()).add(part.accelerators()));
     return object;
   }
 
--- a/src/main/java/plumlever/sharing/PoolView.java
+++ b/src/main/java/plumlever/sharing/PoolView.java
@@ -38,13 +38,13 @@
   private final Map<String, OwnerRecord> owners = new HashMap<>();
   private final Map<String, Versioned<TransferRecord>> transfers = new TreeMap<>();
   private final Map<String, String> leaders = new HashMap<>();
-  private final Map<String, CellDemand> demands = new TreeMap<>();
+  private final Map<String, ShardDemand> demands = new TreeMap<>();
   private final Map<String, LimitParts> limits = new TreeMap<>();
   private long counter;
 
-  /** The key that tells who leads the cell; it hangs on the leader's lease. */
-  public static String leaderKey(String cell) {
-    return LEADERS + cell;
+  /** The key that tells who leads the shard; it hangs on the leader's lease. */
+  public static String leaderKey(String shard) {
+    return LEADERS + shard;
   }
 
   /** A record is stored, or was dropped if {@code data} is null. */
@@ -66,8 +66,8 @@
           leaders,
           key.substring(LEADERS.length()),
           data == null ? null : data.path("label").asText());
-    } else if (CellDemand.isKey(key)) {
-      set(demands, CellDemand.cellOf(key), data == null ? null : CellDemand.parse(data));
+    } else if (ShardDemand.isKey(key)) {
+      set(demands, ShardDemand.shardOf(key), data == null ? null : ShardDemand.parse(data));
     } else if (LimitParts.isKey(key)) {
       set(limits, LimitParts.teamOf(key), data == null ? null : LimitParts.parse(data));
     } else if (key.equals(COUNTER) && data != null) {
@@ -142,14 +142,14 @@
     return Collections.unmodifiableMap(transfers);
   }
 
-  /** Label of the cell's leader, if it has one. */
-  public Optional<String> leader(String cell) {
-    return Optional.ofNullable(leaders.get(cell));
+  /** Label of the shard's leader, if it has one. */
+  public Optional<String> leader(String shard) {
+    return Optional.ofNullable(leaders.get(shard));
   }
 
-  /** What the cell last told of its share. */
-  public Optional<CellDemand> demand(String cell) {
-    return Optional.ofNullable(demands.get(cell));
+  /** What the shard last told of its share. */
+  public Optional<ShardDemand> demand(String shard) {
+    return Optional.ofNullable(demands.get(shard));
   }
 
   /** The parts of the team's limit, once they have been cut up. */
--- a/src/main/java/plumlever/sharing/CellDemand.java
+++ b/src/main/java/plumlever/sharing/ShardDemand.java
@@ -7,7 +7,7 @@
 import plumlever.wire.Json;
 
 /**
- * What a cell's leader tells the others of its share: advice, on which no rule rests.
+ * What a shard's leader tells the others of its share: advice, on which no rule rests.
  *
  * @param machines that it owns, up or booting
  * @param idle of these, machines that it can do without
@@ -15,20 +15,20 @@
  * @param digest of its sharing file
  * @param coresWanted by team, room under its part of the team's limit that it lacks
  */
-public record CellDemand(
+public record ShardDemand(
     int machines, int idle, int wanted, String digest, Map<String, Double> coresWanted) {
   private static final String PREFIX = "/pool/demand/";
 
-  /** The key of the cell's record. */
-  public static String keyOf(String cell) {
-    return PREFIX + cell;
+  /** The key of the shard's record. */
+  public static String keyOf(String shard) {
+    return PREFIX + shard;
   }
 
   static boolean isKey(String key) {
     return key.startsWith(PREFIX);
   }
 
-  static String cellOf(String key) {
+  static String shardOf(String key) {
     return key.substring(PREFIX.length());
   }
 
@@ -46,12 +46,12 @@
   }
 
   /** Reads a stored record; what is missing counts as nothing. */
-  static CellDemand parse(JsonNode data) {
+  static ShardDemand parse(JsonNode data) {
     Map<String, Double> teams = new TreeMap<>();
     data.path("cores_wanted")
         .properties()
         .forEach(entry -> teams.put(entry.getKey(), entry.getValue().asDouble()));
-    return new CellDemand(
+    return new ShardDemand(
         data.path("machines").asInt(),
         data.path("idle").asInt(),
         data.path("wanted").asInt(),
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -19,17 +19,18 @@
  *   <li>{@link State#OFFERED}: the owner gives it up; it starts nothing on it from before the
  *       transaction is sent.
  *   <li>{@link State#TAKEN}: the taker owns it, and uses a number that is newer than any that the
- *       former owner could have used. Homes are the cells whose tasks may still be on it.
- *   <li>{@link State#GONE}: the machine does not exist any more; its homes have still to see that
- *       their tasks are over.
+ *       former owner could have used. Homes are the shards whose tasks may still be on it.
+ *   <li>{@link State#GONE}: the machine does not exist any more; its originating shards have still
+ *       to see that their tasks are over.
  * </ul>
  *
- * <p>Each home leaves the record once none of its tasks can be on the machine. A record without
- * homes is dropped, and what the machine was is in the record of owners only.
+ * <p>Each originating shard leaves the record once none of its tasks can be on the machine. A
+ * record without originating shards is dropped, and what the machine was is in the record of owners
+ * only.
  *
  * @param incarnation of the worker when it was offered
  * @param number from the pool's counter, by which the present owner's commands are ordered
- * @param homes guest tasks by cell
+ * @param originatingShards foreign task tasks by shard
  */
 public record TransferRecord(
     State state,
@@ -38,7 +39,7 @@
     String owner,
     long number,
     Optional<Offer> offer,
-    Map<String, List<GuestTask>> homes) {
+    Map<String, List<ForeignTask>> tasksByShard) {
   /** Where the transfer stands. */
   public enum State {
     OFFERED,
@@ -53,7 +54,7 @@
   /**
    * To whom a machine is offered.
    *
-   * @param termRevision revision of the offering cell's term: the offer holds as long as it does
+   * @param termRevision revision of the offering shard's term: the offer holds as long as it does
    * @param digest of the sharing file of the offering controller
    */
   public record Offer(String to, long termRevision, String digest) {}
@@ -72,7 +73,7 @@
   private static final String TAKER = "to";
   private static final String TERM_REVISION = "term_stamp";
   private static final String DIGEST = "digest";
-  private static final String HOMES = "homes";
+  private static final String ORIGINATING_SHARDS = "homes";
 
   /** The key of the machine's record. */
   public static String keyOf(String machine) {
@@ -87,55 +88,57 @@
     return key.substring(PREFIX.length());
   }
 
-  /** True if tasks of the cell may be on the machine, which is not its own. */
-  public boolean isHome(String cell) {
-    return homes.containsKey(cell) && !(state != State.GONE && owner.equals(cell));
+  /** True if tasks of the shard may be on the machine, which is not its own. */
+  public boolean hasTasksOf(String shard) {
+    return tasksByShard.containsKey(shard) && !(state != State.GONE && owner.equals(shard));
   }
 
-  /** The first record of a machine that its owner offers, or the next of one that has guests. */
+  /**
+   * The first record of a machine that its owner offers, or the next of one that has foreign tasks.
+   */
   public static TransferRecord offered(
       Details machine,
       long incarnation,
       String owner,
       long number,
       Offer offer,
-      Map<String, List<GuestTask>> homes) {
+      Map<String, List<ForeignTask>> tasksByShard) {
     return new TransferRecord(
-        State.OFFERED, machine, incarnation, owner, number, Optional.of(offer), homes);
+        State.OFFERED, machine, incarnation, owner, number, Optional.of(offer), tasksByShard);
   }
 
-  /** The taker owns it from here on; its own tasks there are guests no more. */
+  /** The taker owns it from here on; its own tasks there are foreign tasks no more. */
   public TransferRecord taken(String taker, long newNumber) {
-    Map<String, List<GuestTask>> remainingHomes = new TreeMap<>(homes);
-    remainingHomes.remove(taker);
+    Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
+    remainingTasks.remove(taker);
     return new TransferRecord(
-        State.TAKEN, machine, incarnation, taker, newNumber, Optional.empty(), remainingHomes);
+        State.TAKEN, machine, incarnation, taker, newNumber, Optional.empty(), remainingTasks);
   }
 
   /** The offer is taken back; the owner's own tasks need not be listed any more. */
   public TransferRecord withdrawn() {
-    Map<String, List<GuestTask>> remainingHomes = new TreeMap<>(homes);
-    remainingHomes.remove(owner);
+    Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
+    remainingTasks.remove(owner);
     return new TransferRecord(
-        State.TAKEN, machine, incarnation, owner, number, Optional.empty(), remainingHomes);
+        State.TAKEN, machine, incarnation, owner, number, Optional.empty(), remainingTasks);
   }
 
   /** The machine does not exist any more. */
   public TransferRecord gone() {
     return new TransferRecord(
-        State.GONE, machine, incarnation, owner, number, Optional.empty(), homes);
+        State.GONE, machine, incarnation, owner, number, Optional.empty(), tasksByShard);
   }
 
-  /** None of the cell's tasks can be on it any more. */
-  public TransferRecord withoutHome(String cell) {
-    Map<String, List<GuestTask>> remainingHomes = new TreeMap<>(homes);
-    remainingHomes.remove(cell);
-    return new TransferRecord(state, machine, incarnation, owner, number, offer, remainingHomes);
+  /** None of the shard's tasks can be on it any more. */
+  public TransferRecord withoutTasksOf(String shard) {
+    Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
+    remainingTasks.remove(shard);
+    return new TransferRecord(state, machine, incarnation, owner, number, offer, remainingTasks);
   }
 
   /** True when nothing is left to be settled. */
   public boolean isSettled() {
-    return homes.isEmpty() && offer.isEmpty();
+    return tasksByShard.isEmpty() && offer.isEmpty();
   }
 
   /** The record as it is stored. */
@@ -157,11 +160,11 @@
                 .put(TAKER, made.to())
                 .put(TERM_REVISION, made.termRevision())
                 .put(DIGEST, made.digest()));
-    ObjectNode stored = object.putObject(HOMES);
-    homes.forEach(
-        (cell, guests) -> {
-          ArrayNode array = stored.putArray(cell);
-          guests.forEach(guest -> guest.writeTo(array));
+    ObjectNode stored = object.putObject(ORIGINATING_SHARDS);
+    tasksByShard.forEach(
+        (shard, foreignTasks) -> {
+          ArrayNode array = stored.putArray(shard);
+          foreignTasks.forEach(foreignTask -> foreignTask.writeTo(array));
         });
     return object;
   }
@@ -191,16 +194,16 @@
                   Json.whole(made, TERM_REVISION, 0, Long.MAX_VALUE),
                   Json.text(made, DIGEST)));
     }
-    if (!(data.path(HOMES) instanceof ObjectNode stored)) {
+    if (!(data.path(ORIGINATING_SHARDS) instanceof ObjectNode stored)) {
       throw new InvalidMessageException("the transfer of " + machine + " names no homes");
     }
-    Map<String, List<GuestTask>> homes = new TreeMap<>();
+    Map<String, List<ForeignTask>> tasksByShard = new TreeMap<>();
     for (Map.Entry<String, JsonNode> entry : stored.properties()) {
-      List<GuestTask> guests = new ArrayList<>();
+      List<ForeignTask> foreignTasks = new ArrayList<>();
       for (JsonNode node : entry.getValue()) {
-        guests.add(GuestTask.parse(node));
+        foreignTasks.add(ForeignTask.parse(node));
       }
-      homes.put(entry.getKey(), guests);
+      tasksByShard.put(entry.getKey(), foreignTasks);
     }
     return new TransferRecord(
         state,
@@ -209,6 +212,6 @@
         Json.text(data, OWNER),
         Json.whole(data, NUMBER, 0, Long.MAX_VALUE),
         offer,
-        homes);
+        tasksByShard);
   }
 }
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -57,12 +57,12 @@
   private static final int OPERATIONS_OF_END = 2;
 
   private final WriteLimits limits;
-  private final List<String> otherCells;
+  private final List<String> otherShards;
 
   /** What the settings state, so that it depends on no refusal whether a job is accepted. */
   private final int statedValueBytes;
 
-  /** The layout within these limits, for a cell that is alone. */
+  /** The layout within these limits, for a shard that is alone. */
   public JobStore(WriteLimits limits) {
     this(limits, List.of());
   }
@@ -70,10 +70,11 @@
   /**
    * The layout within these limits.
    *
-   * @param otherCells prefixes of other cells' keys, in none of which a job may be that is accepted
+   * @param otherShards prefixes of other shards' keys, in none of which a job may be that is
+   *     accepted
    */
-  public JobStore(WriteLimits limits, List<String> otherCells) {
-    this.otherCells = otherCells;
+  public JobStore(WriteLimits limits, List<String> otherShards) {
+    this.otherShards = otherShards;
     this.limits = limits;
     this.statedValueBytes = limits.maxValueBytes();
   }
@@ -172,7 +173,7 @@
             .require(activeKey(uid), 0)
             .require(endedKey(uid), 0)
             .put(activeKey(uid), active);
-    for (String prefix : otherCells) {
+    for (String prefix : otherShards) {
       transaction
           .require(KeySpace.absolute(prefix, activeKey(uid)), 0)
           .require(KeySpace.absolute(prefix, endedKey(uid)), 0);
--- a/src/main/java/plumlever/store/KeySpace.java
+++ b/src/main/java/plumlever/store/KeySpace.java
@@ -8,7 +8,7 @@
 /**
  * Where the keys of this controller's records are in the state service: under a prefix, or at the
  * root. A key that begins with a slash is taken from the root whatever the prefix, without that
- * slash; it is how records are named that cells share.
+ * slash; it is how records are named that shards share.
  */
 public final class KeySpace {
   /** Keys as they are. */
--- a/src/main/java/plumlever/wire/ForwardedRequest.java
+++ b/src/main/java/plumlever/wire/ForwardedRequest.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A user's request that a controller of another cell is to answer.
+ * A user's request that a controller of another shard is to answer.
  *
  * @param method of the request
  * @param path of the request
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * What the owner of a machine relays to a cell whose tasks may be on it: the machine's own
- * heartbeat, with that cell's attempts only.
+ * What the owner of a machine relays to a shard whose tasks may be on it: the machine's own
+ * heartbeat, with that shard's attempts only.
  *
- * @param from the cell that owns the machine
- * @param home the cell whose attempts these are
+ * @param from the shard that owns the machine
+ * @param originatingShard the shard whose attempts these are
  * @param number the term or transfer number that the owner's commands to the machine carry
  * @param lapsed the owner has proof that the machine's lease expired after this heartbeat
  */
 public record RelayedHeartbeat(
-    String from, String home, long number, boolean lapsed, Heartbeat heartbeat) {
+    String from, String originatingShard, long number, boolean lapsed, Heartbeat heartbeat) {
   private static final String FROM = "from";
-  private static final String HOME = "home";
+  private static final String ORIGINATING_SHARD = "home";
   private static final String NUMBER = "number";
   private static final String LAPSED = "lapsed";
   private static final String HEARTBEAT = "report";
@@ -26,7 +26,7 @@
     ObjectNode object =
         Json.object()
             .put(FROM, from)
-            .put(HOME, home)
+            .put(ORIGINATING_SHARD, originatingShard)
             .put(NUMBER, number)
             .put(LAPSED, lapsed)
             .set(HEARTBEAT, heartbeat.toJson());
@@ -45,7 +45,7 @@
     }
     return new RelayedHeartbeat(
         Json.text(object, FROM),
-        Json.text(object, HOME),
+        Json.text(object, ORIGINATING_SHARD),
         Json.whole(object, NUMBER, 0, Long.MAX_VALUE),
         Json.flag(object, LAPSED),
         Heartbeat.parse(Json.write(heartbeat).getBytes(StandardCharsets.UTF_8)));
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -58,7 +58,7 @@
     return new WorkerCommand(CommandType.REMOVE, task, attempt, 0);
   }
 
-  /** The body of an answer to a heartbeat that another cell relayed; it goes to no worker. */
+  /** The body of an answer to a heartbeat that another shard relayed; it goes to no worker. */
   public static String relayed(List<WorkerCommand> commands) {
     return body(0, 0, commands);
   }
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -106,12 +106,13 @@
 
   private static LeaderEvidence leader(
       boolean holdsTasks, long known, UnansweredCommands unanswered) {
-    return new LeaderEvidence(() -> true, TOKEN, holdsTasks, known, unanswered, GuestEvidence.NONE);
+    return new LeaderEvidence(
+        () -> true, TOKEN, holdsTasks, known, unanswered, ForeignTaskEvidence.NONE);
   }
 
   @Test
-  void guestsCountByTheReadsOfTheirOwnCells() {
-    GuestEvidence unknown = new GuestEvidence(true, NOW - CANCEL);
+  void foreignTasksCountByTheReadsOfTheirOwnShards() {
+    ForeignTaskEvidence unknown = new ForeignTaskEvidence(true, NOW - CANCEL);
     assertEquals(
         Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN),
         refusal(
@@ -119,8 +120,8 @@
   }
 
   /**
-   * The plain model: whatever may be on the machine, listed, unanswered or a guest, may belong to a
-   * job cancelled right after what was last known of it, and must end in time for that.
+   * The plain model: whatever may be on the machine, listed, unanswered or a foreign task, may
+   * belong to a job cancelled right after what was last known of it, and must end in time for that.
    */
   @Test
   void aLeadersRenewalAgreesWithThePlainModel() {
@@ -129,10 +130,10 @@
     for (int i = 0; i < 20_000; i++) {
       boolean listed = random.nextBoolean();
       boolean pending = random.nextBoolean();
-      boolean guest = random.nextBoolean();
+      boolean foreignTask = random.nextBoolean();
       long known = NOW - random.nextLong(2 * CANCEL);
       long sentKnown = NOW - random.nextLong(2 * CANCEL);
-      long guestKnown = NOW - random.nextLong(2 * CANCEL);
+      long foreignTaskKnown = NOW - random.nextLong(2 * CANCEL);
       LeaderEvidence evidence =
           new LeaderEvidence(
               () -> true,
@@ -140,13 +141,15 @@
               listed,
               known,
               pending ? UnansweredCommands.sentAfter(sentKnown) : UnansweredCommands.NONE,
-              guest ? new GuestEvidence(true, guestKnown) : GuestEvidence.NONE);
+              foreignTask
+                  ? new ForeignTaskEvidence(true, foreignTaskKnown)
+                  : ForeignTaskEvidence.NONE);
       if (refusal(evidence).isEmpty()) {
         renewed++;
         long ends = NOW + LEASE;
         assertTrue(!listed || ends < known + CANCEL);
         assertTrue(!pending || (ends < known + CANCEL && ends < sentKnown + CANCEL));
-        assertTrue(!guest || ends < guestKnown + CANCEL);
+        assertTrue(!foreignTask || ends < foreignTaskKnown + CANCEL);
       }
     }
     assertTrue(renewed > 1_000, "some are renewed: " + renewed);
--- a/src/test/java/plumlever/settings/DeployFilesTest.java
+++ b/src/test/java/plumlever/settings/DeployFilesTest.java
@@ -31,7 +31,7 @@
             2_000);
     SharingSettings sharing =
         OperatorFile.load(Path.of("deploy/sharing.yaml"), platform).sharing().orElseThrow();
-    assertEquals("north", sharing.ownCell().name());
-    assertEquals(3, sharing.cells().size());
+    assertEquals("north", sharing.ownShard().name());
+    assertEquals(3, sharing.shards().size());
   }
 }
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -167,7 +167,7 @@
         platformError(PLATFORM.replace("txn_ops = 8", "txn_ops = 8\nnext = 7")));
   }
 
-  private static final String CELLS =
+  private static final String SHARDS =
       """
       sharing:
         machines: 10
@@ -182,26 +182,26 @@
       """;
 
   @Test
-  void sharingNamesTheCellOfThisController() throws Exception {
-    SharingSettings sharing = operators(CELLS).sharing().orElseThrow();
+  void sharingNamesTheShardOfThisController() throws Exception {
+    SharingSettings sharing = operators(SHARDS).sharing().orElseThrow();
 
-    assertEquals("one", sharing.ownCell().name());
-    assertEquals("one/", sharing.ownCell().prefix());
-    assertEquals(1, sharing.cell("two").weight());
+    assertEquals("one", sharing.ownShard().name());
+    assertEquals("one/", sharing.ownShard().prefix());
+    assertEquals(1, sharing.shard("two").weight());
   }
 
   @Test
   void theSameSharingTableHasTheSameDigest() throws Exception {
-    String digest = operators(CELLS).sharing().orElseThrow().digest();
+    String digest = operators(SHARDS).sharing().orElseThrow().digest();
 
-    assertEquals(digest, operators(CELLS).sharing().orElseThrow().digest());
+    assertEquals(digest, operators(SHARDS).sharing().orElseThrow().digest());
   }
 
   @Test
   void anotherSharingTableHasAnotherDigest() throws Exception {
-    String digest = operators(CELLS).sharing().orElseThrow().digest();
+    String digest = operators(SHARDS).sharing().orElseThrow().digest();
 
-    String changed = CELLS.replace("floor: 3", "floor: 2");
+    String changed = SHARDS.replace("floor: 3", "floor: 2");
     assertNotEquals(digest, operators(changed).sharing().orElseThrow().digest());
   }
 
@@ -229,7 +229,7 @@
         "'sharing:' | 'sharing: 7 #' | sharing must be a table"
       })
   void errorsOfTheSharingTableNameKeyAndReason(String part, String instead, String reason) {
-    String yaml = instead.startsWith("sharing: 7") ? "sharing: 7" : CELLS.replace(part, instead);
+    String yaml = instead.startsWith("sharing: 7") ? "sharing: 7" : SHARDS.replace(part, instead);
 
     String error = operatorsError(yaml);
 
@@ -237,8 +237,8 @@
   }
 
   @Test
-  void aControllerInNoCellIsAnError() {
-    String yaml = CELLS.substring(0, CELLS.indexOf("    - name: two"));
+  void aControllerInNoShardIsAnError() {
+    String yaml = SHARDS.substring(0, SHARDS.indexOf("    - name: two"));
 
     String error = operatorsError(yaml);
 
--- a/src/test/java/plumlever/sharing/PoolRecordsTest.java
+++ b/src/test/java/plumlever/sharing/PoolRecordsTest.java
@@ -46,7 +46,7 @@
 
   @Test
   void aTransferGoesThroughItsStates() throws Exception {
-    GuestTask guest = new GuestTask(new TaskName("job-000001", 3), 77, 2, 0, 4);
+    ForeignTask foreignTask = new ForeignTask(new TaskName("job-000001", 3), 77, 2, 0, 4);
     TransferRecord.Details machine =
         new TransferRecord.Details("i-000001", "10.0.0.1:9", "small", "a", true);
     TransferRecord offered =
@@ -56,18 +56,18 @@
             "a",
             5,
             new TransferRecord.Offer("b", 99, "digest"),
-            Map.of("a", List.of(guest)));
+            Map.of("a", List.of(foreignTask)));
     TransferRecord read = TransferRecord.parse("i-000001", offered.toJson());
     assertEquals(offered, read);
-    assertFalse(read.isHome("a"), "it is the owner");
+    assertFalse(read.hasTasksOf("a"), "it is the owner");
     TransferRecord taken = TransferRecord.parse("i-000001", read.taken("b", 6).toJson());
-    assertTrue(taken.isHome("a"));
-    assertEquals(List.of(guest), taken.homes().get("a"));
+    assertTrue(taken.hasTasksOf("a"));
+    assertEquals(List.of(foreignTask), taken.tasksByShard().get("a"));
     assertFalse(taken.isSettled());
-    assertTrue(taken.withoutHome("a").isSettled());
-    assertTrue(taken.taken("a", 7).homes().isEmpty(), "its own tasks are guests no more");
+    assertTrue(taken.withoutTasksOf("a").isSettled());
+    assertTrue(taken.taken("a", 7).tasksByShard().isEmpty(), "its own tasks are guests no more");
     assertTrue(offered.withdrawn().isSettled());
-    assertTrue(taken.gone().isHome("a"));
+    assertTrue(taken.gone().hasTasksOf("a"));
   }
 
   @Test
--- a/src/test/java/plumlever/sharing/SharePolicyTest.java
+++ b/src/test/java/plumlever/sharing/SharePolicyTest.java
@@ -11,15 +11,15 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import plumlever.sharing.SharePolicy.CellState;
 import plumlever.sharing.SharePolicy.Move;
+import plumlever.sharing.SharePolicy.ShardState;
 
 /** The policy held against a slow plain model, and against what it promises. */
 final class SharePolicyTest {
-  private static CellState random(String name, SplittableRandom random) {
+  private static ShardState random(String name, SplittableRandom random) {
     int machines = random.nextInt(40);
     int wanted = random.nextBoolean() ? random.nextInt(20) : 0;
-    return new CellState(
+    return new ShardState(
         name,
         random.nextInt(12),
         1 + random.nextInt(3),
@@ -29,13 +29,13 @@
   }
 
   /** One machine at a time, with everything worked out anew for each. */
-  private static List<Move> plain(List<CellState> cells, int most) {
-    Map<String, CellState> state = new HashMap<>();
+  private static List<Move> plain(List<ShardState> shards, int most) {
+    Map<String, ShardState> state = new HashMap<>();
     List<String> names = new ArrayList<>();
-    cells.forEach(cell -> state.put(cell.name(), cell));
-    cells.stream().map(CellState::name).sorted().forEach(names::add);
+    shards.forEach(shard -> state.put(shard.name(), shard));
+    shards.stream().map(ShardState::name).sorted().forEach(names::add);
     Map<String, Double> share = new HashMap<>();
-    cells.forEach(cell -> share.put(cell.name(), SharePolicy.shareOf(cell, cells)));
+    shards.forEach(shard -> share.put(shard.name(), SharePolicy.shareOf(shard, shards)));
     List<String> takers = new ArrayList<>(names);
     takers.sort(
         (one, other) -> {
@@ -48,8 +48,8 @@
       for (String giver : names) {
         int count = 0;
         for (int i = 0; i < most && !giver.equals(taker); i++) {
-          CellState from = state.get(giver);
-          CellState to = state.get(taker);
+          ShardState from = state.get(giver);
+          ShardState to = state.get(taker);
           boolean idle = from.idle() > 0 && from.machines() > from.floor();
           boolean used =
               to.machines() < share.get(taker)
@@ -71,30 +71,30 @@
     return moves;
   }
 
-  private static CellState changed(CellState cell, int machines, int idle, int wanted) {
-    return new CellState(
-        cell.name(),
-        cell.floor(),
-        cell.weight(),
-        cell.machines() + machines,
-        cell.idle() + idle,
-        cell.wanted() + wanted);
+  private static ShardState changed(ShardState shard, int machines, int idle, int wanted) {
+    return new ShardState(
+        shard.name(),
+        shard.floor(),
+        shard.weight(),
+        shard.machines() + machines,
+        shard.idle() + idle,
+        shard.wanted() + wanted);
   }
 
   @Test
-  void decidesLikeThePlainModelWhateverTheOrderOfCells() {
+  void decidesLikeThePlainModelWhateverTheOrderOfShards() {
     SplittableRandom random = new SplittableRandom(7);
     int moving = 0;
     for (int round = 0; round < 3_000; round++) {
-      List<CellState> cells = new ArrayList<>();
+      List<ShardState> shards = new ArrayList<>();
       for (String name : List.of("a", "b", "c", "d").subList(0, 2 + random.nextInt(3))) {
-        cells.add(random(name, random));
+        shards.add(random(name, random));
       }
       int most = 1 + random.nextInt(10);
-      List<Move> planned = SharePolicy.plan(cells, most);
-      assertEquals(plain(cells, most), planned, cells.toString());
-      Collections.shuffle(cells, new Random(round));
-      assertEquals(planned, SharePolicy.plan(cells, most), cells.toString());
+      List<Move> planned = SharePolicy.plan(shards, most);
+      assertEquals(plain(shards, most), planned, shards.toString());
+      Collections.shuffle(shards, new Random(round));
+      assertEquals(planned, SharePolicy.plan(shards, most), shards.toString());
       moving += planned.isEmpty() ? 0 : 1;
     }
     assertTrue(moving > 500, "rounds with moves: " + moving);
@@ -104,30 +104,30 @@
   void nobodyGoesBelowItsFloorOrGetsMoreThanItLacks() {
     SplittableRandom random = new SplittableRandom(8);
     for (int round = 0; round < 3_000; round++) {
-      List<CellState> cells =
+      List<ShardState> shards =
           List.of(random("a", random), random("b", random), random("c", random));
       Map<String, Integer> change = new HashMap<>();
-      for (Move move : SharePolicy.plan(cells, 50)) {
+      for (Move move : SharePolicy.plan(shards, 50)) {
         change.merge(move.from(), -move.machines(), Integer::sum);
         change.merge(move.to(), move.machines(), Integer::sum);
       }
-      for (CellState cell : cells) {
-        int moved = change.getOrDefault(cell.name(), 0);
-        assertTrue(moved <= cell.wanted(), cells + " " + change);
-        assertTrue(moved >= 0 || cell.machines() + moved >= cell.floor(), cells + " " + change);
+      for (ShardState shard : shards) {
+        int moved = change.getOrDefault(shard.name(), 0);
+        assertTrue(moved <= shard.wanted(), shards + " " + change);
+        assertTrue(moved >= 0 || shard.machines() + moved >= shard.floor(), shards + " " + change);
       }
     }
   }
 
   @Test
   void machinesInUseMoveOnlyFromAboveTheShareByMoreThanTheHysteresis() {
-    CellState taker = new CellState("b", 0, 1, 9, 0, 5);
+    ShardState taker = new ShardState("b", 0, 1, 9, 0, 5);
     assertEquals(
-        List.of(), SharePolicy.plan(List.of(new CellState("a", 0, 1, 10, 0, 0), taker), 5));
-    CellState small = new CellState("b", 0, 1, 4, 0, 5);
+        List.of(), SharePolicy.plan(List.of(new ShardState("a", 0, 1, 10, 0, 0), taker), 5));
+    ShardState small = new ShardState("b", 0, 1, 4, 0, 5);
     assertEquals(
         List.of(new Move("a", "b", 5)),
-        SharePolicy.plan(List.of(new CellState("a", 0, 1, 20, 0, 3), small), 5));
+        SharePolicy.plan(List.of(new ShardState("a", 0, 1, 20, 0, 3), small), 5));
   }
 
   @Test
@@ -144,10 +144,10 @@
   void limitPartsNeverExceedTheLimitAndMoveWhole() {
     Map<String, Double> weights = Map.of("a", 1.0, "b", 2.0, "c", 0.5);
     LimitParts parts = LimitParts.split(100, 3, weights);
-    double cores = parts.byCell().values().stream().mapToDouble(LimitParts.Part::cores).sum();
+    double cores = parts.byShard().values().stream().mapToDouble(LimitParts.Part::cores).sum();
     assertEquals(100, cores);
     assertEquals(
-        3, parts.byCell().values().stream().mapToDouble(LimitParts.Part::accelerators).sum());
+        3, parts.byShard().values().stream().mapToDouble(LimitParts.Part::accelerators).sum());
     LimitParts moved = parts.moved("b", "a", 10, 0);
     assertEquals(parts.of("b").cores() - 10, moved.of("b").cores());
     assertEquals(parts.of("a").cores() + 10, moved.of("a").cores());
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -15,17 +15,17 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 
-/** Three cells of two controllers each, with tasks of one cell running on its machines. */
+/** Three shards of two controllers each, with tasks of one shard running on its machines. */
 final class PoolScenario {
   static final String GIVER = "east";
   static final String TAKER = "north";
   static final String THIRD = "west";
 
-  static final List<SharingSettings.Cell> CELLS =
+  static final List<SharingSettings.Shard> SHARDS =
       List.of(
-          new SharingSettings.Cell(GIVER, "east/", Set.of("n0", "n1"), 0, 1),
-          new SharingSettings.Cell(TAKER, "north/", Set.of("n2", "n3"), 0, 1),
-          new SharingSettings.Cell(THIRD, "west/", Set.of("n4", "n5"), 0, 1));
+          new SharingSettings.Shard(GIVER, "east/", Set.of("n0", "n1"), 0, 1),
+          new SharingSettings.Shard(TAKER, "north/", Set.of("n2", "n3"), 0, 1),
+          new SharingSettings.Shard(THIRD, "west/", Set.of("n4", "n5"), 0, 1));
 
   private static final double CLAIMED_S = 40;
 
@@ -55,14 +55,14 @@
             false,
             cancelMicros,
             new PlatformConfiguration.StateLimits(400, 60, 4096, 8),
-            CELLS);
+            SHARDS);
     cluster.cloud.most = 1;
     cluster.cloud.provide(machines);
     users = new FakeUsers(cluster);
     cluster.play(CLAIMED_S);
   }
 
-  /** A job of the cell of that controller, one processor a task. */
+  /** A job of the shard of that controller, one processor a task. */
   JobSpec submit(String controller, int tasks, double seconds) {
     return submit(controller, jobs.size() % 2 == 0 ? "red" : "blue", tasks, seconds);
   }
@@ -99,10 +99,10 @@
     return "";
   }
 
-  /** Machines of the cell on which tasks run, by how many. */
-  List<String> busy(String cell) {
+  /** Machines of the shard on which tasks run, by how many. */
+  List<String> busy(String shard) {
     return cluster.cloud.machines.values().stream()
-        .filter(vm -> vm.worker != null && running(vm.id) > 0 && ownerOf(vm.id).equals(cell))
+        .filter(vm -> vm.worker != null && running(vm.id) > 0 && ownerOf(vm.id).equals(shard))
         .sorted((one, other) -> Integer.compare(running(other.id), running(one.id)))
         .map(vm -> vm.id)
         .toList();
@@ -131,7 +131,7 @@
         0,
         () -> {
           boolean given =
-              cluster.cell(from).stream()
+              cluster.shard(from).stream()
                   .filter(SimulatedController::leads)
                   .anyMatch(leader -> leader.controller().leader().transfer(machine, to));
           if (!given) {
--- a/src/test/java/plumlever/sim/SharingDaysTest.java
+++ b/src/test/java/plumlever/sim/SharingDaysTest.java
@@ -13,11 +13,11 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * Days of three cells by seed: machines are given away with their tasks every few seconds, through
- * all the troubles that a single cell is played with. The checks watch each task over cells.
+ * Days of three shards by seed: machines are given away with their tasks every few seconds, through
+ * all the troubles that a single shard is played with. The checks watch each task over shards.
  */
 final class SharingDaysTest {
-  private static final List<String> CELLS =
+  private static final List<String> SHARDS =
       List.of(PoolScenario.GIVER, PoolScenario.TAKER, PoolScenario.THIRD);
   private static final int JOBS = 40;
 
@@ -38,16 +38,16 @@
             seed % 2 == 0,
             InvariantChecker.CANCEL_MICROS,
             new PlatformConfiguration.StateLimits(400, 60, 4096, 8),
-            PoolScenario.CELLS);
+            PoolScenario.SHARDS);
     cluster.cloud.most = 20;
     cluster.cloud.provide(6);
     return cluster;
   }
 
-  /** Some machine of some cell is given to another, with whatever runs on it. */
+  /** Some machine of some shard is given to another, with whatever runs on it. */
   private static void move(SimulatedCluster cluster) {
-    String from = CELLS.get(cluster.random.nextInt(CELLS.size()));
-    String to = CELLS.get(cluster.random.nextInt(CELLS.size()));
+    String from = SHARDS.get(cluster.random.nextInt(SHARDS.size()));
+    String to = SHARDS.get(cluster.random.nextInt(SHARDS.size()));
     List<String> busy = new ArrayList<>();
     cluster.cloud.machines.forEach(
         (id, vm) -> {
@@ -55,7 +55,7 @@
             busy.add(id);
           }
         });
-    cluster.cell(from).stream()
+    cluster.shard(from).stream()
         .filter(SimulatedController::leads)
         .findFirst()
         .ifPresent(
--- a/src/test/java/plumlever/sim/SharingHardCasesTest.java
+++ b/src/test/java/plumlever/sim/SharingHardCasesTest.java
@@ -24,7 +24,7 @@
   private SimulatedCluster cluster;
   private String machine;
 
-  /** Tasks of the giving cell run, some of them on the machine that is to be given away. */
+  /** Tasks of the giving shard run, some of them on the machine that is to be given away. */
   private void tasksRun(long seed, double seconds) {
     pool = new PoolScenario(seed, 0, 9);
     cluster = pool.cluster;
@@ -152,10 +152,10 @@
 
   @ParameterizedTest
   @CsvSource({"1,east", "1,north", "2,east", "2,north"})
-  void aLeaderStandsStillAtAStepAndWakes(int step, String cell) {
+  void aLeaderStandsStillAtAStepAndWakes(int step, String shard) {
     for (double seconds : new double[] {2, 15, 40}) {
       tasksRun(50 + step, 30);
-      pool.beforeStep(step, () -> cluster.leader(cell).freeze(seconds));
+      pool.beforeStep(step, () -> cluster.leader(shard).freeze(seconds));
       pool.give(GIVER, machine, TAKER);
       cluster.play(seconds + 10);
       pool.endsWell(200);
@@ -163,15 +163,15 @@
     }
   }
 
-  /** A link of a cell that is lost. */
+  /** A link of a shard that is lost. */
   enum Link {
     STATE_SERVICE,
     PEERS,
     MACHINE
   }
 
-  private void cut(String cell, Link link, boolean on) {
-    for (SimulatedController controller : cluster.cell(cell)) {
+  private void cut(String shard, Link link, boolean on) {
+    for (SimulatedController controller : cluster.shard(shard)) {
       String label = controller.platform.label();
       switch (link) {
         case STATE_SERVICE -> cluster.network.cut(label, "state", on);
@@ -193,13 +193,13 @@
     "MACHINE,east",
     "MACHINE,north"
   })
-  void aCellLosesALinkWhileAMachineMoves(Link link, String cell) {
+  void aShardLosesALinkWhileAMachineMoves(Link link, String shard) {
     for (int step = 1; step <= 2; step++) {
       tasksRun(60 + step, 30);
-      pool.beforeStep(step, () -> cut(cell, link, true));
+      pool.beforeStep(step, () -> cut(shard, link, true));
       pool.give(GIVER, machine, TAKER);
       cluster.play(15);
-      cut(cell, link, false);
+      cut(shard, link, false);
       pool.endsWell(250);
     }
   }
@@ -274,8 +274,8 @@
   }
 
   /**
-   * A cancellation is confirmed by the home while the owner renews, and then nobody can read the
-   * state service for longer than a cancellation has.
+   * A cancellation is confirmed by the originating shard while the owner renews, and then nobody
+   * can read the state service for longer than a cancellation has.
    */
   private void cancelledBeforeALongOutage(long believedCancelMicros) {
     pool = new PoolScenario(79, 0, 9, believedCancelMicros);
@@ -289,7 +289,7 @@
     String owner = cluster.leader(TAKER).platform.label();
     cluster.store.unwatched.add(owner);
     cluster
-        .cell(GIVER)
+        .shard(GIVER)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), owner, true));
     // Watches that are open already come to their end first.
     cluster.play(11);
@@ -301,7 +301,7 @@
   }
 
   @Test
-  void aCancellationConfirmedByTheHomeIsNotOutlivedAtTheOwner() {
+  void aCancellationConfirmedByTheOriginatingShardIsNotOutlivedAtTheOwner() {
     cancelledBeforeALongOutage(InvariantChecker.CANCEL_MICROS);
     assertEquals(List.of(), cluster.invariants.broken);
     cluster
@@ -318,7 +318,7 @@
 
   /** The check can fail: with an hour for a cancellation the owner goes on renewing. */
   @Test
-  void withoutTheBoundGuestsOutliveTheirCancellation() {
+  void withoutTheBoundForeignTasksOutliveTheirCancellation() {
     cancelledBeforeALongOutage(3_600_000_000L);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(rule -> rule.startsWith("ran_cancelled")),
@@ -333,7 +333,7 @@
     // The watch that is open is answered with the offer; the next one never is.
     cluster.store.unwatched.add(giver.platform.label());
     cluster
-        .cell(TAKER)
+        .shard(TAKER)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, true));
     pool.give(GIVER, machine, TAKER);
     cluster.play(12);
@@ -350,7 +350,7 @@
             (code, json, retry) -> status[0] = code);
     assertEquals(503, status[0], "the machine may have another owner by now");
     cluster
-        .cell(TAKER)
+        .shard(TAKER)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, false));
     pool.endsWell(250);
   }
@@ -360,9 +360,9 @@
     tasksRun(81, 20);
     cluster.adoptAfterMicros = 60_000_000;
     // The others have to be started with the shorter time.
-    cluster.cell(TAKER).forEach(controller -> controller.crash(0.5));
-    cluster.cell(THIRD).forEach(controller -> controller.crash(0.5));
-    List<SimulatedController> gone = cluster.cell(GIVER);
+    cluster.shard(TAKER).forEach(controller -> controller.crash(0.5));
+    cluster.shard(THIRD).forEach(controller -> controller.crash(0.5));
+    List<SimulatedController> gone = cluster.shard(GIVER);
     gone.forEach(SimulatedController::kill);
     cluster.play(130);
     assertFalse(pool.ownerOf(machine).equals(GIVER), "it was adopted");
@@ -373,10 +373,10 @@
   }
 
   @Test
-  void cellsWithDifferentSharingFilesGiveEachOtherNothing() {
+  void shardsWithDifferentSharingFilesGiveEachOtherNothing() {
     tasksRun(82, 20);
     cluster.digests.put(TAKER, "another");
-    cluster.cell(TAKER).forEach(controller -> controller.crash(0.5));
+    cluster.shard(TAKER).forEach(controller -> controller.crash(0.5));
     cluster.play(10);
     pool.give(GIVER, machine, TAKER);
     cluster.play(20);
@@ -385,14 +385,16 @@
     pool.nothingWasStartedAnew();
   }
 
-  /** Both of the owner's controllers come back without a sharing file while guests run there. */
+  /**
+   * Both of the owner's controllers come back without a sharing file while foreign tasks run there.
+   */
   @Test
   void controllersWithoutTheSharingFileNeitherLeadNorAnswer() {
     tasksRun(83, 60);
     pool.give(GIVER, machine, TAKER);
     cluster.play(3);
     moved();
-    List<SimulatedController> without = cluster.cell(TAKER);
+    List<SimulatedController> without = cluster.shard(TAKER);
     cluster.digests.put(TAKER, "none");
     without.forEach(controller -> controller.crash(0.5));
     cluster.play(20);
--- a/src/test/java/plumlever/sim/SharingMeasurement.java
+++ b/src/test/java/plumlever/sim/SharingMeasurement.java
@@ -16,12 +16,12 @@
 import plumlever.wire.Json;
 
 /**
- * Measures sharing on simulated machines: load that goes from cell to cell, on shared machines, on
- * three fixed shares, and in one cell that has all machines. No test: docs/sharing.md says what
+ * Measures sharing on simulated machines: load that goes from shard to shard, on shared machines,
+ * on three fixed shares, and in one shard that has all machines. No test: docs/sharing.md says what
  * came of it.
  *
  * <p>Arguments: how many machines, {@code shared}, {@code fixed} or {@code one}, and the most
- * transfers that a cell may have under way.
+ * transfers that a shard may have under way.
  */
 final class SharingMeasurement {
   private static final int PHASES = 3;
@@ -30,7 +30,7 @@
   private static final int TASKS_PER_JOB = 400;
   private static final double CORES_PER_MACHINE = 7;
 
-  /** Part of all processors that one cell asks for in its phase. */
+  /** Part of all processors that one shard asks for in its phase. */
   private static final double LOAD = 1.5;
 
   private final SimulatedCluster cluster;
@@ -40,7 +40,7 @@
 
   private SharingMeasurement(int machines, String mode, int mostMoving) {
     this.mode = mode;
-    List<SharingSettings.Cell> cells = mode.equals("one") ? List.of() : PoolScenario.CELLS;
+    List<SharingSettings.Shard> shards = mode.equals("one") ? List.of() : PoolScenario.SHARDS;
     cluster =
         new SimulatedCluster(
             5,
@@ -49,7 +49,7 @@
             false,
             InvariantChecker.CANCEL_MICROS,
             new PlatformConfiguration.StateLimits(300, 40, 16_384, 12),
-            cells);
+            shards);
     cluster.mostMoving = mostMoving;
     cluster.cloud.most = 1;
     cluster.cloud.provide(machines);
@@ -58,9 +58,9 @@
 
   /** With files that differ nobody gives anything. */
   private void fixShares() {
-    for (SharingSettings.Cell cell : PoolScenario.CELLS) {
-      cluster.digests.put(cell.name(), cell.name());
-      cluster.cell(cell.name()).forEach(controller -> controller.crash(0.5));
+    for (SharingSettings.Shard shard : PoolScenario.SHARDS) {
+      cluster.digests.put(shard.name(), shard.name());
+      cluster.shard(shard.name()).forEach(controller -> controller.crash(0.5));
     }
     cluster.play(30);
   }
@@ -154,7 +154,7 @@
             counted("machines_taken") - taken);
   }
 
-  /** The cell of each machine by its index, from the records. */
+  /** The shard of each machine by its index, from the records. */
   private Map<String, Integer> owners() {
     Map<String, OwnerRecord> records = new HashMap<>();
     cluster
@@ -171,8 +171,8 @@
     Map<String, Integer> owners = new HashMap<>();
     for (String machine : cluster.cloud.machines.keySet()) {
       OwnerRecord record = records.getOrDefault(OwnerRecord.keyOf(machine), OwnerRecord.EMPTY);
-      for (int i = 0; i < PoolScenario.CELLS.size(); i++) {
-        if (record.holder(machine).equals(Optional.of(PoolScenario.CELLS.get(i).name()))) {
+      for (int i = 0; i < PoolScenario.SHARDS.size(); i++) {
+        if (record.holder(machine).equals(Optional.of(PoolScenario.SHARDS.get(i).name()))) {
           owners.put(machine, i);
         }
       }
@@ -180,12 +180,12 @@
     return owners;
   }
 
-  private boolean startedOnMoved(int firstJob, int cell, Map<String, Integer> ownedBefore) {
+  private boolean startedOnMoved(int firstJob, int shard, Map<String, Integer> ownedBefore) {
     Set<String> uids = new HashSet<>();
     jobs.subList(firstJob, jobs.size()).forEach(job -> uids.add(job.uid()));
     return cluster.cloud.machines.values().stream()
         .filter(vm -> vm.worker != null)
-        .filter(vm -> ownedBefore.getOrDefault(vm.id, cell) != cell)
+        .filter(vm -> ownedBefore.getOrDefault(vm.id, shard) != shard)
         .flatMap(vm -> vm.worker.tasks.values().stream())
         .anyMatch(
             task -> task.on() && uids.contains(task.name.substring(0, task.name.indexOf('/'))));
--- a/src/test/java/plumlever/sim/SharingTest.java
+++ b/src/test/java/plumlever/sim/SharingTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Three cells share machines by their policy: what one lacks comes from the others. */
+/** Three shards share machines by their policy: what one lacks comes from the others. */
 final class SharingTest {
   @Test
-  void machinesMoveWithTheirTasksToTheCellThatLacksThem() {
+  void machinesMoveWithTheirTasksToTheShardThatLacksThem() {
     PoolScenario pool = new PoolScenario(1, 0, 24);
     for (int round = 0; round < 3; round++) {
       for (int i = 0; i < 8; i++) {
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -58,14 +58,14 @@
   /** Cells whose controllers have another sharing file, or none, when they are started next. */
   final Map<String, String> digests = new HashMap<>();
 
-  /** Transfers that one cell may have under way. */
+  /** Transfers that one shard may have under way. */
   int mostMoving = 8;
 
-  /** After how long a cell without a leader loses its machines. */
+  /** After how long a shard without a leader loses its machines. */
   long adoptAfterMicros = 600_000_000;
 
-  /** The cells of a pool; empty where there is one cell. */
-  private final List<SharingSettings.Cell> cells;
+  /** The shards of a pool; empty where there is one shard. */
+  private final List<SharingSettings.Shard> shards;
 
   private final EventQueue events = new EventQueue();
 
@@ -101,7 +101,7 @@
   }
 
   /**
-   * @param cells of the pool that the controllers form
+   * @param shards of the pool that the controllers form
    */
   SimulatedCluster(
       long seed,
@@ -110,8 +110,8 @@
       boolean money,
       long cancelMicros,
       PlatformConfiguration.StateLimits limits,
-      List<SharingSettings.Cell> cells) {
-    this(seed, teams, cells);
+      List<SharingSettings.Shard> shards) {
+    this(seed, teams, shards);
     for (int index = 0; index < controllerCount; index++) {
       PlatformConfiguration platform =
           platform(index, controllerCount, teams, money, cancelMicros, limits);
@@ -130,15 +130,15 @@
   }
 
   private SimulatedCluster(
-      long seed, List<PlatformConfiguration.Team> teams, List<SharingSettings.Cell> cells) {
-    this.cells = cells;
+      long seed, List<PlatformConfiguration.Team> teams, List<SharingSettings.Shard> shards) {
+    this.shards = shards;
     random = new SplittableRandom(seed);
     invariants = new InvariantChecker(this, teams);
     store = new FakeStore(this);
     cloud = new FakeCloud(this);
     network =
         new SimulatedNetwork(
-            events, random, controllers.keySet(), new DelegationChecker(this), cells.isEmpty());
+            events, random, controllers.keySet(), new DelegationChecker(this), shards.isEmpty());
     network.services.put(SimulatedNetwork.STATE, store);
     network.services.put(SimulatedNetwork.CLOUD, cloud);
   }
@@ -211,7 +211,7 @@
     for (SimulatedController controller : controllers.values()) {
       if (controller.controller() != null
           && controller.controller().mayAct()
-          && !acting.add(cellOf(controller))) {
+          && !acting.add(shardOf(controller))) {
         invariants.broken.add("two leaders act at " + now() / 1e6);
       }
     }
@@ -244,14 +244,14 @@
     mostSockets = Math.max(mostSockets, inUse);
   }
 
-  boolean hasOneCell() {
-    return cells.isEmpty();
+  boolean hasOneShard() {
+    return shards.isEmpty();
   }
 
   /** What the sharing file of the controller says, if it has one. */
   Optional<SharingSettings> sharing(String label) {
-    return cells.stream()
-        .filter(cell -> cell.controllers().contains(label))
+    return shards.stream()
+        .filter(shard -> shard.controllers().contains(label))
         .findFirst()
         .filter(own -> !digests.getOrDefault(own.name(), "").equals("none"))
         .map(
@@ -260,25 +260,25 @@
                     1_000_000,
                     mostMoving,
                     adoptAfterMicros,
-                    cells,
+                    shards,
                     own,
                     digests.getOrDefault(own.name(), "same")));
   }
 
-  private String cellOf(SimulatedController controller) {
-    return sharing(controller.platform.label()).map(pool -> pool.ownCell().name()).orElse("");
+  private String shardOf(SimulatedController controller) {
+    return sharing(controller.platform.label()).map(pool -> pool.ownShard().name()).orElse("");
   }
 
-  /** The controllers of a cell. */
-  List<SimulatedController> cell(String name) {
+  /** The controllers of a shard. */
+  List<SimulatedController> shard(String name) {
     return controllers.values().stream()
-        .filter(controller -> cellOf(controller).equals(name))
+        .filter(controller -> shardOf(controller).equals(name))
         .toList();
   }
 
-  /** The leader of a cell. */
-  SimulatedController leader(String cell) {
-    return cell(cell).stream().filter(SimulatedController::leads).findFirst().orElseThrow();
+  /** The leader of a shard. */
+  SimulatedController leader(String shard) {
+    return shard(shard).stream().filter(SimulatedController::leads).findFirst().orElseThrow();
   }
 
   SimulatedController leader() {
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -142,7 +142,7 @@
 
     @Override
     public void send(int status, String json, int retry) {
-      if (status == HttpStatus.OK && path.equals(ProtocolPath.HEARTBEAT) && cluster.hasOneCell()) {
+      if (status == HttpStatus.OK && path.equals(ProtocolPath.HEARTBEAT) && cluster.hasOneShard()) {
         cluster.checkRenewal(json, served.leader() != null);
       }
       if (life == ownLife && closing) {
