--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -19,7 +19,7 @@
  *   <li>{@link State#OFFERED}: the owner gives it up; it starts nothing on it from before the
  *       transaction is sent.
  *   <li>{@link State#TAKEN}: the taker owns it, and uses a number that is newer than any that the
- *       former owner could have used. Homes are the shards whose tasks may still be on it.
+ *       former owner could have used. Tasks by shard are those that may still be on it.
  *   <li>{@link State#GONE}: the machine does not exist any more; its originating shards have still
  *       to see that their tasks are over.
  * </ul>
