--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -35,7 +35,7 @@
 final class ArchiveTrainingRun {
   private static final String SETTINGS =
       """
-      label = "rehearsal"
+      label = "training-run"
       area = "here"
       bind = "127.0.0.1:0"
       back = "127.0.0.1:0"
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -77,7 +77,7 @@
     this.limits = limits;
   }
 
-  /** One look at what this shard has, lacks and can give. */
+  /** One pass over what this shard has, lacks and can give. */
   void run() {
     if (!failover.isComplete() || !context.prices().isLoaded()) {
       return;
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -36,9 +36,9 @@
   private static final Endpoint CLOUD = new Endpoint("cloud", 1);
 
   /** Loggers of these terms begin with this, so that only warnings of them are shown. */
-  private static final String LOGGER_PREFIX = "practice.";
+  private static final String LOGGER_PREFIX = "warmup.";
 
-  private static final String TEAM = "practice";
+  private static final String TEAM = "warm-up";
 
   /** Users are told nothing. */
   private static final Responder NO_USER = (status, json, retry) -> {};
@@ -54,11 +54,11 @@
 
   WarmUpTerms(PlatformConfiguration real, SchedulerParameters parameters, long wallMicros) {
     this.loop = new WarmUpLoop(wallMicros);
-    this.services = new WarmUpServices(loop, MACHINES, "practice-%d:9");
+    this.services = new WarmUpServices(loop, MACHINES, "warm-up-%d:9");
     this.parameters = parameters;
     this.platform =
         new PlatformConfiguration(
-            "practice",
+            "warm-up",
             real.zone(),
             real.bind(),
             real.peerBind(),
