--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -100,7 +100,7 @@
     loop.execute(
         () -> {
           controller.start();
-          new RecurringTask("warm-up", loop, warmUp::turn).start();
+          new RecurringTask("warm-up", loop, warmUp::run).start();
         });
     LOG.info(
         "{} serves {} and {}; objectives: {}",
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -62,9 +62,9 @@
     store.get(
         JobStore.CATALOG,
         StateClient.RequestPriority.ORDINARY,
-        got -> {
-          if (got.found() && !prices.isLoaded()) {
-            useStoredTypes(got.item().data());
+        stored -> {
+          if (stored.found() && !prices.isLoaded()) {
+            useStoredTypes(stored.item().data());
           }
         });
   }
@@ -85,8 +85,8 @@
     store.get(
         JobStore.CATALOG,
         StateClient.RequestPriority.ORDINARY,
-        got -> {
-          if (got.missing()) {
+        stored -> {
+          if (stored.missing()) {
             store.transaction(
                 new Transaction()
                     .require(JobStore.CATALOG, 0)
--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -186,11 +186,11 @@
       store.get(
           LeaderElection.LEADER,
           StateClient.RequestPriority.URGENT,
-          got -> {
-            if (got.found() && LeaderRecord.read(got.item().data()).equals(record)) {
+          result -> {
+            if (result.found() && LeaderRecord.read(result.item().data()).equals(record)) {
               // Both keys were put in one change and so have the same revision.
-              won(leaseId, got.item().revision());
-            } else if (got.found() || got.missing() || retries == 0) {
+              won(leaseId, result.item().revision());
+            } else if (result.found() || result.missing() || retries == 0) {
               lost(leaseId);
             } else {
               loop.after(ElectionBackoff.RETRY_MICROS, () -> resolve(leaseId, retries - 1));
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -76,10 +76,10 @@
     store.get(
         LeaderElection.DELEGATION,
         StateClient.RequestPriority.URGENT,
-        got -> {
-          if (got.found()) {
-            accept(DelegationRecord.read(got.item().data()), got.item().revision(), sent);
-          } else if (got.missing()) {
+        result -> {
+          if (result.found()) {
+            accept(DelegationRecord.read(result.item().data()), result.item().revision(), sent);
+          } else if (result.missing()) {
             // Only an answer that says so ends it before its time.
             delegation = NO_DELEGATION;
           }
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -57,11 +57,12 @@
     store.get(
         counterKey,
         StateClient.RequestPriority.URGENT,
-        got -> {
-          if (got.found()) {
-            long counted = TermRecord.read(got.item().data()).number();
-            then.accept(Optional.of(new Next(Math.max(last, counted) + 1, got.item().revision())));
-          } else if (got.missing()) {
+        result -> {
+          if (result.found()) {
+            long counted = TermRecord.read(result.item().data()).number();
+            then.accept(
+                Optional.of(new Next(Math.max(last, counted) + 1, result.item().revision())));
+          } else if (result.missing()) {
             then.accept(Optional.of(new Next(last + 1, 0)));
           } else {
             then.accept(Optional.empty());
--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -57,11 +57,11 @@
     if (fleet.tokensRunOut(machine)) {
       context.resignForNumbers();
     }
-    HeartbeatHandler.Freshness news = heartbeats.apply(machine, heartbeat, true);
+    HeartbeatHandler.Freshness freshness = heartbeats.apply(machine, heartbeat, true);
     if (heartbeats.getAndClearChanged()) {
       passes.request();
     }
-    if (news == HeartbeatHandler.Freshness.DUPLICATE) {
+    if (freshness == HeartbeatHandler.Freshness.DUPLICATE) {
       context.metrics().count("heartbeat_copies");
       out.retryLater(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
     } else if (machine.contact().unreachable()) {
@@ -69,7 +69,7 @@
       // tasks.
       out.retryLater(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
     } else {
-      boolean newest = news == HeartbeatHandler.Freshness.LATEST;
+      boolean newest = freshness == HeartbeatHandler.Freshness.LATEST;
       enrollIfUnrecorded(machine, heartbeat);
       if (newest) {
         notices.apply(machine, heartbeat);
--- a/src/main/java/plumlever/leader/TermParts.java
+++ b/src/main/java/plumlever/leader/TermParts.java
@@ -193,7 +193,7 @@
     startTask(scope, "scheduling passes", passes::run);
   }
 
-  private void startTask(Scope scope, String name, RecurringTask.Action turn) {
-    scope.own(new RecurringTask(name, context.loop(), turn)).start();
+  private void startTask(Scope scope, String name, RecurringTask.Action action) {
+    scope.own(new RecurringTask(name, context.loop(), action)).start();
   }
 }
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -111,9 +111,9 @@
         .get(
             listKeys.get(next),
             StateClient.RequestPriority.ORDINARY,
-            got -> {
-              if (got.found()) {
-                names.addAll(JobStore.names(got.item().data()));
+            result -> {
+              if (result.found()) {
+                names.addAll(JobStore.names(result.item().data()));
                 readDependencies(job, listKeys, next + 1, names);
               } else {
                 // The parts are stored before the job and dropped after its end, so this one is
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -102,10 +102,10 @@
         .get(
             JobStore.endedKey(job.uid()),
             StateClient.RequestPriority.URGENT,
-            got -> {
+            result -> {
               Optional<JobState> endState =
-                  got.found()
-                      ? Optional.ofNullable(JobStore.finalState(got.item().data()))
+                  result.found()
+                      ? Optional.ofNullable(JobStore.finalState(result.item().data()))
                       : Optional.empty();
               endState.ifPresentOrElse(state -> ended(job, state), () -> retryLater(job));
             });
--- a/src/main/java/plumlever/leader/progress/RecordRevisions.java
+++ b/src/main/java/plumlever/leader/progress/RecordRevisions.java
@@ -56,10 +56,10 @@
         .get(
             key,
             StateClient.RequestPriority.ORDINARY,
-            got -> {
-              if (got.found()) {
-                revisions.put(key, got.item().revision());
-              } else if (got.missing()) {
+            result -> {
+              if (result.found()) {
+                revisions.put(key, result.item().revision());
+              } else if (result.missing()) {
                 revisions.remove(key);
               }
               refreshNext(keys, done);
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -154,13 +154,13 @@
       store.get(
           RecordKeys.active(uid),
           StateClient.RequestPriority.ORDINARY,
-          got -> {
-            if (got.found()) {
-              add(uid, Found.active(got.item()));
-            } else if (got.missing()) {
+          result -> {
+            if (result.found()) {
+              add(uid, Found.active(result.item()));
+            } else if (result.missing()) {
               readEnded(uid, RateLimitRetry.MAX_ATTEMPTS);
             } else {
-              failed(got.status(), attemptsLeft, () -> readActive(uid, attemptsLeft - 1));
+              failed(result.status(), attemptsLeft, () -> readActive(uid, attemptsLeft - 1));
             }
           });
     }
@@ -169,13 +169,13 @@
       store.get(
           RecordKeys.ended(uid),
           StateClient.RequestPriority.ORDINARY,
-          got -> {
-            if (got.found() && EndedRecord.finalState(got.item().data()).isPresent()) {
-              add(uid, Found.ended(got.item()));
-            } else if (got.missing()) {
+          result -> {
+            if (result.found() && EndedRecord.finalState(result.item().data()).isPresent()) {
+              add(uid, Found.ended(result.item()));
+            } else if (result.missing()) {
               add(uid, Found.NONE);
             } else {
-              failed(got.status(), attemptsLeft, () -> readEnded(uid, attemptsLeft - 1));
+              failed(result.status(), attemptsLeft, () -> readEnded(uid, attemptsLeft - 1));
             }
           });
     }
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -324,17 +324,17 @@
     store.get(
         RecordKeys.active(uid),
         StateClient.RequestPriority.ORDINARY,
-        got -> {
-          if (got.found() && ActiveRecord.hasDependencies(got.item().data())) {
-            resolveDependencies(uid, got.item().revision(), handler);
-          } else if (got.found()) {
-            knownJobs.activeSeen(uid, got.item().revision());
-            handler.accept(JobStatus.active(got.item().revision()));
-          } else if (got.missing()) {
+        result -> {
+          if (result.found() && ActiveRecord.hasDependencies(result.item().data())) {
+            resolveDependencies(uid, result.item().revision(), handler);
+          } else if (result.found()) {
+            knownJobs.activeSeen(uid, result.item().revision());
+            handler.accept(JobStatus.active(result.item().revision()));
+          } else if (result.missing()) {
             readEnded(uid, attemptsLeft, handler);
           } else {
             retry.retryOr(
-                got.status(),
+                result.status(),
                 attemptsLeft,
                 () -> readActive(uid, attemptsLeft - 1, handler),
                 () -> handler.accept(JobStatus.UNAVAILABLE));
@@ -351,17 +351,17 @@
     store.get(
         RecordKeys.ended(uid),
         StateClient.RequestPriority.ORDINARY,
-        got -> {
+        result -> {
           Optional<JobState> endState =
-              got.found() ? EndedRecord.finalState(got.item().data()) : Optional.empty();
+              result.found() ? EndedRecord.finalState(result.item().data()) : Optional.empty();
           if (endState.isPresent()) {
             jobEnded(uid, endState.get());
             handler.accept(JobStatus.ended(endState.get()));
-          } else if (got.missing()) {
+          } else if (result.missing()) {
             handler.accept(JobStatus.MISSING);
           } else {
             retry.retryOr(
-                got.status(),
+                result.status(),
                 attemptsLeft,
                 () -> readEnded(uid, attemptsLeft - 1, handler),
                 () -> handler.accept(JobStatus.UNAVAILABLE));
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -62,7 +62,7 @@
   }
 
   /** One turn of the recurring task. */
-  public long turn() {
+  public long run() {
     long start = loop.nowMicros();
     if (over || leads.getAsBoolean()) {
       return end();
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -68,9 +68,9 @@
   }
 
   /** True if it is of a later incarnation, or of the same with a larger sequence number. */
-  public boolean isNewerThan(long otherIncarnation, long otherSequenceNumber) {
-    return incarnation > otherIncarnation
-        || (incarnation == otherIncarnation && sequenceNumber > otherSequenceNumber);
+  public boolean isNewerThan(long incarnationThere, long sequenceNumberThere) {
+    return incarnation > incarnationThere
+        || (incarnation == incarnationThere && sequenceNumber > sequenceNumberThere);
   }
 
   /** The fields as a worker sends them. */
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -39,13 +39,13 @@
     assertTrue(
         ask("n1", "POST", "/submissions/" + root.uid() + "/abort", "").body().contains("aborted"));
     for (String controller : cluster.controllers.keySet()) {
-      for (JobSpec otherJob : List.of(middle, last, root)) {
-        Answer answer = ask(controller, "GET", "/submissions/" + otherJob.uid(), null);
+      for (JobSpec job : List.of(middle, last, root)) {
+        Answer answer = ask(controller, "GET", "/submissions/" + job.uid(), null);
         assertTrue(
             answer.status() == 200 && answer.body().contains("\"aborted\""),
             controller + " says " + answer.body());
         assertTrue(
-            ask(controller, "POST", "/submissions", Json.write(otherJob.toJson()))
+            ask(controller, "POST", "/submissions", Json.write(job.toJson()))
                 .body()
                 .contains("\"aborted\""));
       }
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -105,9 +105,9 @@
     cluster.store.transactionOps = 4;
     List<JobSpec> roots = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      JobSpec otherJob = job(1, 2, JobSpec.NO_DEADLINE, Priority.STANDARD, List.of());
-      roots.add(otherJob);
-      users.submit(otherJob, false);
+      JobSpec job = job(1, 2, JobSpec.NO_DEADLINE, Priority.STANDARD, List.of());
+      roots.add(job);
+      users.submit(job, false);
       cluster.play(0.3);
     }
     cluster.play(60);
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -94,11 +94,11 @@
 
   @Test
   void aMachineThatNothingReachesLosesItsTasksToOthers() {
-    JobSpec otherJob = submit(job("blue", Priority.STANDARD, 12, 2, 30, false));
+    JobSpec job = submit(job("blue", Priority.STANDARD, 12, 2, 30, false));
     cluster.play(35);
     makeUnreachable(400);
     cluster.play(150);
-    assertDone(otherJob);
+    assertDone(job);
     JobSpec next = submit(job("blue", Priority.STANDARD, 12, 2, 10, false));
     cluster.play(60);
     assertDone(next);
@@ -111,7 +111,7 @@
    */
   @Test
   void aLeaderThatStoodStillAnswersNobody() {
-    JobSpec otherJob = submit(job("blue", Priority.STANDARD, 40, 2, 40, false));
+    JobSpec job = submit(job("blue", Priority.STANDARD, 40, 2, 40, false));
     cluster.play(40);
     SimulatedController stands = cluster.leader();
     stands.freeze(12);
@@ -120,7 +120,7 @@
         cluster.controllers.values().stream().anyMatch(m -> m != stands && m.leads()),
         "another leads by then");
     cluster.play(120);
-    assertDone(otherJob);
+    assertDone(job);
   }
 
   /**
@@ -385,9 +385,9 @@
     cluster.network.copiedCommandShare = 1;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      JobSpec otherJob = job("blue", Priority.STANDARD, 6, 2, 90, false);
-      all.add(otherJob);
-      users.submit(otherJob, true);
+      JobSpec job = job("blue", Priority.STANDARD, 6, 2, 90, false);
+      all.add(job);
+      users.submit(job, true);
     }
     cluster.play(240);
     assertEquals(List.of(), cluster.invariants.broken);
@@ -456,7 +456,7 @@
   /** The checks can fail: questions left unanswered, and a job that never begins, are seen. */
   @Test
   void theChecksSeeForgottenAndUnservedJobs() {
-    JobSpec otherJob = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
+    JobSpec job = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
     cluster.play(20);
     assertFalse(cluster.invariants.lastTold.isEmpty());
     cluster.controllers.values().forEach(SimulatedController::kill);
@@ -468,6 +468,6 @@
         "forgotten: " + cluster.invariants.broken);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("half")),
-        "half: " + otherJob.uid());
+        "half: " + job.uid());
   }
 }
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -225,10 +225,10 @@
     submit(first, last);
     cluster.play(10);
     for (int i = 0; i < 2; i++) {
-      plumlever.fleet.Job otherJob = cluster.leader().controller().leader().job(first.uid());
+      plumlever.fleet.Job job = cluster.leader().controller().leader().job(first.uid());
       cluster.play(1);
-      assertEquals(Priority.HIGH, otherJob.priority());
-      long remainingMicros = otherJob.deadlineMicros() - otherJob.acceptedMicros();
+      assertEquals(Priority.HIGH, job.priority());
+      long remainingMicros = job.deadlineMicros() - job.acceptedMicros();
       assertTrue(
           remainingMicros > 370_000_000L && remainingMicros < 390_000_000L,
           "400 s less what the last takes: " + remainingMicros);
