--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -11,9 +11,9 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Stores the names that a job depends on where they do not fit its own record. They are cut up into
- * values that are named by their content, so a submission that is repeated goes on where the last
- * attempt stopped.
+ * Stores the list of jobs that a job depends on where it does not fit the job's own record. Lists
+ * are cut up into values that are named by their content, so a submission that is repeated goes on
+ * where the last attempt stopped.
  *
  * <p>The first value is the <em>anchor</em> of the list. It is there before any other value is
  * counted as stored, each further value is written only while it is, and the job's record is
@@ -26,10 +26,10 @@
   private static final long RETRY_MICROS = 150_000;
 
   /** Of the 64 KiB that a transaction may have. */
-  private static final int MOST_TRANSACTION_BYTES = 48 * 1024;
+  private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
   /** A user waits 5 s for an answer, and the next attempt goes on where this one stopped. */
-  private static final long MOST_MICROS = 4_000_000;
+  private static final long MAX_ATTEMPT_MICROS = 4_000_000;
 
   private final Loop loop;
   private final StateClient store;
@@ -45,30 +45,30 @@
   /**
    * Stores all parts of the list.
    *
-   * @param then takes the revision of the anchor once all parts are stored, or nothing when that
+   * @param handler takes the revision of the anchor once all parts are stored, or nothing when that
    *     can't be done now
    */
-  public void store(JobStore.Acceptance acceptance, Consumer<OptionalLong> then) {
-    new Writing(acceptance, then).look();
+  public void store(JobStore.Acceptance acceptance, Consumer<OptionalLong> handler) {
+    new Attempt(acceptance, handler).readStored();
   }
 
   /** One attempt to store one list. */
-  private final class Writing {
+  private final class Attempt {
     private final String anchor;
     private final Map<String, ObjectNode> parts;
-    private final Consumer<OptionalLong> then;
+    private final Consumer<OptionalLong> handler;
     private final long startedMicros = loop.nowMicros();
 
-    Writing(JobStore.Acceptance acceptance, Consumer<OptionalLong> then) {
+    Attempt(JobStore.Acceptance acceptance, Consumer<OptionalLong> handler) {
       this.anchor = acceptance.anchor();
       this.parts = acceptance.parts();
-      this.then = then;
+      this.handler = handler;
     }
 
-    /** Finds out what is there, from the anchor on. */
-    void look() {
+    /** Finds out which parts are stored, and stores the next ones. */
+    void readStored() {
       store.list(
-          anchor.substring(0, anchor.lastIndexOf('/') + 1),
+          DependencyListRecords.prefixOfPart(anchor),
           StateClient.RequestPriority.ORDINARY,
           listing -> {
             if (listing == null) {
@@ -85,24 +85,20 @@
           });
     }
 
-    /** What else is there is only counted once it was seen beside the anchor. */
+    /** Other parts only count as stored once they were seen beside the anchor: reads them again. */
     private void storeAnchor() {
-      send(new Transaction().require(anchor, 0).put(anchor, parts.get(anchor)), this::look);
+      send(new Transaction().require(anchor, 0).put(anchor, parts.get(anchor)), this::readStored);
     }
 
     private void storeRest(Map<String, Long> stored) {
       List<String> missing = new ArrayList<>(parts.keySet());
       missing.removeAll(stored.keySet());
       if (missing.isEmpty()) {
-        then.accept(OptionalLong.of(stored.get(anchor)));
+        handler.accept(OptionalLong.of(stored.get(anchor)));
         return;
       }
+      List<String> sent = missing.subList(0, Math.min(maxPartsPerTransaction(), missing.size()));
       Transaction transaction = new Transaction().require(anchor, stored.get(anchor));
-      int most =
-          Math.min(
-              layout.limits().maxOperations(),
-              Math.max(1, MOST_TRANSACTION_BYTES / layout.valueBytes()));
-      List<String> sent = missing.subList(0, Math.min(most, missing.size()));
       sent.forEach(key -> transaction.require(key, 0).put(key, parts.get(key)));
       send(
           transaction,
@@ -112,6 +108,12 @@
           });
     }
 
+    private int maxPartsPerTransaction() {
+      return Math.min(
+          layout.limits().maxOperations(),
+          Math.max(1, MAX_TRANSACTION_BYTES / layout.valueBytes()));
+    }
+
     private void send(Transaction transaction, Runnable applied) {
       store.transaction(
           transaction,
@@ -119,21 +121,22 @@
           result -> {
             if (result.applied()) {
               applied.run();
-            } else if (loop.nowMicros() - startedMicros > MOST_MICROS || isFinal(result)) {
+            } else if (loop.nowMicros() - startedMicros > MAX_ATTEMPT_MICROS
+                || isRefusedForGood(result)) {
               giveUp();
             } else {
-              loop.after(RETRY_MICROS, this::look);
+              loop.after(RETRY_MICROS, this::readStored);
             }
           });
     }
 
-    private boolean isFinal(Transaction.Result result) {
+    private static boolean isRefusedForGood(Transaction.Result result) {
       return result.outcome() == Transaction.Outcome.REFUSED
           && result.status() != HttpStatus.TOO_MANY_REQUESTS;
     }
 
     private void giveUp() {
-      then.accept(OptionalLong.empty());
+      handler.accept(OptionalLong.empty());
     }
   }
 }
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -3,19 +3,27 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 import plumlever.concurrent.Loop;
-import plumlever.wire.HttpStatus;
 
 /**
- * Follows all keys under a prefix, one watch after the other. Where changes were missed, everything
- * is read anew. What is told counts from when its request was <em>sent</em>.
+ * Watches all keys under a prefix until it is closed. Where changes were missed, everything is read
+ * anew. What is told counts from when its request was <em>sent</em>. Belongs to one loop.
  */
-public final class PrefixWatch {
+public final class PrefixWatch implements AutoCloseable {
   /** Told of everything under the prefix. */
   public interface Listener {
-    /** Changes were missed: this is all there is now. */
+    /**
+     * Changes were missed: this is all there is now.
+     *
+     * @param sentMicros when the request was sent
+     */
     void listed(StateClient.Listing listing, long sentMicros);
 
-    /** Nothing else has changed; the list may be empty. */
+    /**
+     * Nothing else has changed.
+     *
+     * @param changes may be empty
+     * @param sentMicros when the request was sent
+     */
     void changed(List<StateClient.KeyEvent> changes, long sentMicros);
   }
 
@@ -29,6 +37,8 @@
   private boolean closed;
 
   /**
+   * A watch that is not begun yet.
+   *
    * @param waitMicros how long a watch may be left open
    * @param retryMicros pause after a request that was refused or had no answer
    */
@@ -47,7 +57,7 @@
     this.listener = listener;
   }
 
-  /** Follows what changes after that revision. */
+  /** Tells of what changes after that revision. */
   public void watchFrom(long revision) {
     storeRevision = revision;
     watch();
@@ -58,24 +68,22 @@
       return;
     }
     long sent = loop.nowMicros();
-    store.watch(
-        prefix,
-        storeRevision,
-        waitMicros.getAsLong(),
-        changes -> {
-          if (closed) {
-            return;
-          }
-          if (changes.status() == HttpStatus.GONE) {
-            relist();
-          } else if (changes.status() != HttpStatus.OK) {
-            loop.after(retryMicros, this::watch);
-          } else {
-            storeRevision = Math.max(storeRevision, changes.storeRevision());
-            listener.changed(changes.events(), sent);
-            watch();
-          }
-        });
+    store.watch(prefix, storeRevision, waitMicros.getAsLong(), response -> watched(response, sent));
+  }
+
+  private void watched(StateClient.WatchResponse response, long sentMicros) {
+    if (closed) {
+      return;
+    }
+    if (response.expired()) {
+      relist();
+    } else if (!response.answered()) {
+      loop.after(retryMicros, this::watch);
+    } else {
+      storeRevision = Math.max(storeRevision, response.storeRevision());
+      listener.changed(response.events(), sentMicros);
+      watch();
+    }
   }
 
   private void relist() {
@@ -101,6 +109,7 @@
   }
 
   /** Nothing is told from here on. */
+  @Override
   public void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -10,7 +10,7 @@
 /**
  * How much one write may hold. It begins with the smaller of what the settings say of now and of
  * later, and gets smaller when the state service refuses a write for its size: limits may fall
- * without notice. Owned by the thread that decides.
+ * without notice. Belongs to its client's loop.
  */
 public final class WriteLimits {
   /** Below these nothing could be kept; the settings are checked for them. */
@@ -36,12 +36,14 @@
     return maxValueBytes;
   }
 
-  /** The most puts and drops in one transaction; it takes four times as many preconditions. */
+  /** The most puts and deletes in one transaction; it takes four times as many preconditions. */
   public int maxOperations() {
     return maxOperations;
   }
 
-  /** What versions that knew of no later limit took for the most that a value may take. */
+  /**
+   * What former versions, which knew of no later limit, took for the most that a value may take.
+   */
   int formerValueBytes() {
     return formerValueBytes;
   }
@@ -51,35 +53,42 @@
    * next is smaller.
    */
   void refused(Transaction transaction) {
-    int largest = 0;
-    for (JsonNode change : transaction.body().path(StateProtocol.OPERATIONS)) {
-      if (change.has(StateProtocol.VALUE)) {
-        largest =
-            Math.max(
-                largest,
-                Json.write(change.get(StateProtocol.VALUE))
-                    .getBytes(StandardCharsets.UTF_8)
-                    .length);
-      }
-    }
-    int fewer = Math.max(MIN_OPERATIONS, Math.min(maxOperations, transaction.operationCount() / 2));
-    int smaller = Math.max(MIN_VALUE_BYTES, Math.min(maxValueBytes, largest / 2));
-    if (transaction.operationCount() <= MIN_OPERATIONS) {
-      fewer = maxOperations;
-    }
-    if (largest <= MIN_VALUE_BYTES) {
-      smaller = maxValueBytes;
-    }
-    if (fewer < maxOperations || smaller < maxValueBytes) {
+    int largestValue = largestValueBytes(transaction);
+    int fewerOperations = operationsAfterRefusal(transaction.operationCount());
+    int smallerValue = valueBytesAfterRefusal(largestValue);
+    if (fewerOperations < maxOperations || smallerValue < maxValueBytes) {
       LOG.warn(
           "a write of {} changes and values of up to {} bytes was refused: from now on {} changes"
               + " of {} bytes at most",
           transaction.operationCount(),
-          largest,
-          fewer,
-          smaller);
-      maxOperations = fewer;
-      maxValueBytes = smaller;
+          largestValue,
+          fewerOperations,
+          smallerValue);
+      maxOperations = fewerOperations;
+      maxValueBytes = smallerValue;
+    }
+  }
+
+  private int operationsAfterRefusal(int refusedOperations) {
+    return refusedOperations <= MIN_OPERATIONS
+        ? maxOperations
+        : Math.max(MIN_OPERATIONS, Math.min(maxOperations, refusedOperations / 2));
+  }
+
+  private int valueBytesAfterRefusal(int refusedValueBytes) {
+    return refusedValueBytes <= MIN_VALUE_BYTES
+        ? maxValueBytes
+        : Math.max(MIN_VALUE_BYTES, Math.min(maxValueBytes, refusedValueBytes / 2));
+  }
+
+  private static int largestValueBytes(Transaction transaction) {
+    int largest = 0;
+    for (JsonNode operation : transaction.body().path(StateProtocol.OPERATIONS)) {
+      if (operation.has(StateProtocol.VALUE)) {
+        String value = Json.write(operation.get(StateProtocol.VALUE));
+        largest = Math.max(largest, value.getBytes(StandardCharsets.UTF_8).length);
+      }
     }
+    return largest;
   }
 }
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -1,7 +1,6 @@
 package plumlever.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -72,11 +71,14 @@
     layout(2048, 4096).readProgressChunk(record, "2", back);
     assertEquals(2 * ((4096 - 64) / 4 * 3 * 8) + 5, back.nextSetBit(0));
     assertEquals(1, back.cardinality());
+  }
+
+  @Test
+  void refusesAChunkThatIsNotWhatItsKeySays() {
+    JsonNode fromSeven = Json.object().put("f", 7).put("b", "");
     assertThrows(
         InvalidMessageException.class,
-        () ->
-            layout(2048, 4096)
-                .readProgressChunk(Json.object().put("f", 7).put("b", ""), "from-8", back));
+        () -> layout(2048, 4096).readProgressChunk(fromSeven, "from-8", new BitSet()));
   }
 
   /**
@@ -91,102 +93,65 @@
         () -> Integer.parseInt(key.substring(key.lastIndexOf('/') + 1)));
   }
 
+  private static JobSpec spec(List<String> dependencies) {
+    return new JobSpec(
+            "job-99",
+            "c",
+            "red",
+            Priority.HIGH,
+            1,
+            1,
+            0,
+            1,
+            "i",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            5,
+            0,
+            0,
+            JobSpec.NO_DEADLINE)
+        .withDependencies(dependencies);
+  }
+
+  private static JsonNode activeRecord(JobStore.Acceptance acceptance) {
+    return acceptance.transaction().body().path("then").get(0).path("data");
+  }
+
   /**
-   * Any list of names that a body holds is stored, however small values are, and comes back in
-   * full.
+   * Any list of dependencies that a body holds is stored, however small values are, and comes back
+   * in full.
    */
   @ParameterizedTest
   @ValueSource(ints = {1024, 2048, 16384})
-  void namesThatDoNotFitAreStoredInParts(int valueBytes) {
-    JobStore jobStore = layout(valueBytes, 16384);
-    List<String> names = IntStream.range(0, 5_000).mapToObj(i -> "job-" + i * 7L).toList();
-    JobSpec spec =
-        new JobSpec(
-                "job-99",
-                "c",
-                "red",
-                Priority.HIGH,
-                1,
-                1,
-                0,
-                1,
-                "i",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                5,
-                0,
-                0,
-                JobSpec.NO_DEADLINE)
-            .withDependencies(names);
-    JobStore.Acceptance acceptance = jobStore.acceptJob(spec, 5_000);
-    JsonNode active = acceptance.transaction().body().path("then").get(0).path("data");
+  void dependenciesThatDoNotFitAreStoredInParts(int valueBytes) {
+    List<String> dependencies = IntStream.range(0, 5_000).mapToObj(i -> "job-" + i * 7L).toList();
+
+    JobStore.Acceptance acceptance = layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000);
+
+    JsonNode active = activeRecord(acceptance);
     assertTrue(Json.write(active).length() <= valueBytes);
     List<String> back = new ArrayList<>();
     for (String key : JobStore.dependenciesKeys("job-99", active)) {
       assertTrue(Json.write(acceptance.parts().get(key)).length() <= valueBytes);
       back.addAll(JobStore.names(acceptance.parts().get(key)));
     }
-    assertEquals(names, back);
+    assertEquals(dependencies, back);
     assertEquals(List.of(), ActiveRecord.dependenciesInline(active));
     assertTrue(ActiveRecord.hasDependencies(active));
-    JobStore.Acceptance small =
-        jobStore.acceptJob(spec.withDependencies(List.of("job-1", "job-2")), 5_000);
-    assertEquals(Map.of(), small.parts());
-    assertEquals(
-        List.of("job-1", "job-2"),
-        ActiveRecord.dependenciesInline(
-            small.transaction().body().path("then").get(0).path("data")));
   }
 
-  /**
-   * Refused for its size, the next write is smaller; a lease that has ended tells nothing of sizes.
-   */
-  @Test
-  void limitsThatFallWithoutNoticeAreLearnt() {
-    WriteLimits writeLimits =
-        new WriteLimits(new PlatformConfiguration.StateLimits(100, 20, 16384, 12, 16384));
-    Transaction transaction = new Transaction().put("a", Json.object().put("x", "y".repeat(9_000)));
-    writeLimits.refused(transaction);
-    assertTrue(
-        writeLimits.maxValueBytes() < 9_000 && writeLimits.maxValueBytes() >= 4_000,
-        "" + writeLimits.maxValueBytes());
-    assertEquals(12, writeLimits.maxOperations(), "one change is not too many");
-    Transaction many = new Transaction();
-    for (int i = 0; i < 10; i++) {
-      many.delete("k" + i);
-    }
-    writeLimits.refused(many);
-    assertEquals(5, writeLimits.maxOperations());
-    for (int i = 0; i < 20; i++) {
-      writeLimits.refused(transaction);
-      writeLimits.refused(many);
-    }
-    assertTrue(
-        writeLimits.maxValueBytes() >= WriteLimits.MIN_VALUE_BYTES
-            && writeLimits.maxOperations() >= WriteLimits.MIN_OPERATIONS);
-    assertTrue(new Transaction().put("a", Json.object(), 7).isAttachedToLease());
-    assertFalse(transaction.isAttachedToLease());
-  }
+  @ParameterizedTest
+  @ValueSource(ints = {1024, 2048, 16384})
+  void dependenciesThatFitAreStoredInTheRecord(int valueBytes) {
+    List<String> dependencies = List.of("job-1", "job-2");
 
-  @Test
-  void aBucketKeepsTheRateAndLetsUrgentOnesBorrow() {
-    TokenBucket tokenBucket = new TokenBucket(10, 0);
-    int taken = 0;
-    for (int i = 0; i < 100; i++) {
-      taken += tokenBucket.tryAcquire(1, i * 10_000L) ? 1 : 0;
-    }
-    assertTrue(taken >= 18 && taken <= 20, "a burst of ten and ten in the second: " + taken);
-    tokenBucket.setRate(20, 1_000_000);
-    int more = 0;
-    for (int i = 100; i < 200; i++) {
-      more += tokenBucket.tryAcquire(1, i * 10_000L) ? 1 : 0;
-    }
-    assertTrue(more >= 19 && more <= 21, "twice as many in the next: " + more);
-    tokenBucket.acquireOnCredit(5, 1_000_000);
-    assertFalse(tokenBucket.tryAcquire(1, 1_100_000), "what was borrowed is paid back first");
+    JobStore.Acceptance acceptance = layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000);
+
+    assertEquals(Map.of(), acceptance.parts());
+    assertEquals(dependencies, ActiveRecord.dependenciesInline(activeRecord(acceptance)));
   }
 }
--- /dev/null
+++ b/src/test/java/plumlever/store/WriteLimitsTest.java
@@ -0,0 +1,64 @@
+package plumlever.store;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import plumlever.settings.PlatformConfiguration;
+import plumlever.wire.Json;
+
+/** Limits that fall without notice are learnt from refusals. */
+final class WriteLimitsTest {
+  private static final int VALUE_BYTES = 16384;
+  private static final int OPERATIONS = 12;
+
+  private final WriteLimits limits =
+      new WriteLimits(
+          new PlatformConfiguration.StateLimits(100, 20, VALUE_BYTES, OPERATIONS, VALUE_BYTES));
+
+  private static Transaction oneLargeValue() {
+    return new Transaction().put("a", Json.object().put("x", "y".repeat(9_000)));
+  }
+
+  private static Transaction tenDeletes() {
+    Transaction transaction = new Transaction();
+    for (int i = 0; i < 10; i++) {
+      transaction.delete("k" + i);
+    }
+    return transaction;
+  }
+
+  @Test
+  void aRefusedLargeValueMakesValuesSmaller() {
+    limits.refused(oneLargeValue());
+    assertTrue(
+        limits.maxValueBytes() < 9_000 && limits.maxValueBytes() >= 4_000,
+        "" + limits.maxValueBytes());
+    assertEquals(OPERATIONS, limits.maxOperations(), "one change is not too many");
+  }
+
+  @Test
+  void manyRefusedOperationsMakeTransactionsSmaller() {
+    limits.refused(tenDeletes());
+    assertEquals(5, limits.maxOperations());
+  }
+
+  @Test
+  void refusalsMakeNothingSmallerThanTheLeastThatIsOfUse() {
+    for (int i = 0; i < 21; i++) {
+      limits.refused(oneLargeValue());
+      limits.refused(tenDeletes());
+    }
+    assertTrue(
+        limits.maxValueBytes() >= WriteLimits.MIN_VALUE_BYTES
+            && limits.maxOperations() >= WriteLimits.MIN_OPERATIONS);
+  }
+
+  /** A lease that has ended tells nothing of sizes. */
+  @Test
+  void onlyTransactionsWithALeaseAreAttachedToOne() {
+    assertTrue(new Transaction().put("a", Json.object(), 7).isAttachedToLease());
+    assertFalse(oneLargeValue().isAttachedToLease());
+  }
+}
