--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -113,7 +113,7 @@
     if (poolTerms.isEmpty()) {
       new Attempt(seen, new PoolTerms.Next(records.term() + 1, 0), now).createLease();
     } else {
-      poolTerms.get().next(records.term(), next -> standInPool(seen, next));
+      poolTerms.get().findNext(records.term(), next -> standInPool(seen, next));
     }
     return UNTIL_WOKEN;
   }
--- a/src/main/java/plumlever/election/Leadership.java
+++ b/src/main/java/plumlever/election/Leadership.java
@@ -94,7 +94,7 @@
     term.extendFrom(sentMicros, parameters);
     current = term;
     if (!term.mayAct()) {
-      stepDown("the lease ran out during the election");
+      stepDown("the lease expired during the election");
       return;
     }
     log.info("leading, term {}", term.number());
@@ -144,7 +144,7 @@
     }
   }
 
-  /** Ends the term that is held; its lease runs out by itself. */
+  /** Ends the term that is held; its lease expires by itself. */
   void stepDown(String why) {
     Term term = current;
     term.end();
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -51,20 +51,21 @@
    * Finds the next term above all that the pool has counted.
    *
    * @param last the last known term of this cell
-   * @param then takes the next one, or nothing when the counter can't be read
+   * @param handler takes the next one, or nothing when the counter can't be read
    */
-  void next(long last, Consumer<Optional<Next>> then) {
+  void findNext(long last, Consumer<Optional<Next>> handler) {
     store.get(
         counterKey,
         StateClient.RequestPriority.URGENT,
         got -> {
           if (got.found()) {
             long counted = TermRecord.read(got.item().data()).number();
-            then.accept(Optional.of(new Next(Math.max(last, counted) + 1, got.item().revision())));
+            handler.accept(
+                Optional.of(new Next(Math.max(last, counted) + 1, got.item().revision())));
           } else if (got.missing()) {
-            then.accept(Optional.of(new Next(last + 1, 0)));
+            handler.accept(Optional.of(new Next(last + 1, 0)));
           } else {
-            then.accept(Optional.empty());
+            handler.accept(Optional.empty());
           }
         });
   }
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -38,6 +38,7 @@
           EndedRecord.endedWallMicros(item.data()));
     }
 
+    /** True if the job has ever been accepted. */
     public boolean accepted() {
       return active != null || endState != null;
     }
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -20,7 +20,7 @@
  * <ul>
  *   <li>{@code active/ID}: the submission, while the job has not ended. Accepting a job is this one
  *       change.
- *   <li>{@code ended/ID}: how it ended, kept for ever; written in the transaction that drops the
+ *   <li>{@code ended/ID}: how it ended, kept for ever; written in the transaction that deletes the
  *       one above. So a new leader reads only what is left to do, and a poll of a job reads one
  *       key, or two after its end.
  *   <li>{@code progress/ID/from-TASK}: bitmap of finished tasks of a large job, from that task on;
@@ -42,12 +42,25 @@
  * </ul>
  */
 public final class JobStore {
+  /** Jobs that have not ended. */
   public static final String ACTIVE = RecordKeys.ACTIVE;
+
+  /** Finished tasks of jobs that have not ended. */
   public static final String PROGRESS = RecordKeys.PROGRESS;
+
+  /** Machines that may hold tasks. */
   public static final String FLEET = RecordKeys.FLEET;
+
+  /** Jobs that may have been started. */
   public static final String STARTED = RecordKeys.STARTED;
+
+  /** The last machine types read. */
   public static final String CATALOG = RecordKeys.CATALOG;
+
+  /** What a leader learnt, for its successor. */
   public static final String WARM_STATE = RecordKeys.WARM_STATE;
+
+  /** Jobs that have ended. */
   public static final String ENDED = RecordKeys.ENDED;
 
   /** Lists of jobs that jobs depend on, where they do not fit the jobs' records. */
@@ -78,30 +91,37 @@
     this.statedValueBytes = limits.maxValueBytes();
   }
 
+  /** How much one write may hold; it may get less with time. */
   public WriteLimits limits() {
     return limits;
   }
 
+  /** How many bytes a value may have now. */
   public int valueBytes() {
     return limits.maxValueBytes();
   }
 
+  /** The key of the record of a job that has ended. */
   public static String endedKey(String uid) {
     return RecordKeys.ended(uid);
   }
 
+  /** The key of the record of a job that has not ended. */
   public static String activeKey(String uid) {
     return RecordKeys.active(uid);
   }
 
+  /** The key of a record of machines that may hold tasks. */
   public static String machinesKey(int number) {
     return FLEET + number;
   }
 
+  /** The key of a record of jobs that may have been started. */
   public static String startedKey(int number) {
     return STARTED + number;
   }
 
+  /** The key of a record of what a leader learnt, for its successor. */
   public static String warmStateKey(int number) {
     return WARM_STATE + number;
   }
@@ -116,6 +136,7 @@
     return ProgressRecords.chunkKey(uid, firstTask);
   }
 
+  /** The key of a record of the progress of many small jobs. */
   public static String sharedChunkKey(int sharedChunk) {
     return RecordKeys.sharedProgress(sharedChunk);
   }
@@ -268,6 +289,7 @@
     return ActiveRecord.spec(activeRecord);
   }
 
+  /** When the job was accepted, by the clock of the controller that stored it. */
   public static long acceptedWallMicros(JsonNode activeRecord) {
     return ActiveRecord.acceptedWallMicros(activeRecord);
   }
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -41,10 +41,12 @@
    * @param item null unless it was found
    */
   public record ReadResult(int status, Item item) {
+    /** True if the key exists; {@code item} is there then. */
     public boolean found() {
       return status == HttpStatus.OK;
     }
 
+    /** True if the key surely does not exist. */
     public boolean missing() {
       return status == HttpStatus.NOT_FOUND;
     }
@@ -59,6 +61,7 @@
    * @param data the new value, null when the key was deleted
    */
   public record KeyEvent(String key, JsonNode data, long revision) {
+    /** True if the key does not exist any more. */
     public boolean deleted() {
       return data == null;
     }
--- a/src/main/java/plumlever/store/Transaction.java
+++ b/src/main/java/plumlever/store/Transaction.java
@@ -45,6 +45,7 @@
    * @param failed keys of preconditions that did not hold, as far as told
    */
   public record Result(Outcome outcome, int status, long revision, List<String> failed) {
+    /** True if it surely has been carried out. */
     public boolean applied() {
       return outcome == Outcome.APPLIED;
     }
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -13,9 +13,10 @@
  * without notice. Belongs to its client's loop.
  */
 public final class WriteLimits {
-  /** Below these nothing could be kept; the settings are checked for them. */
+  /** The least bytes of a value that records can be kept with; settings are checked for it. */
   public static final int MIN_VALUE_BYTES = 1024;
 
+  /** The least operations of a transaction that records can be kept with. */
   public static final int MIN_OPERATIONS = 3;
 
   private static final Logger LOG = LoggerFactory.getLogger(WriteLimits.class);
