--- /dev/null
+++ b/src/test/java/plumlever/store/RequestBudgetTest.java
@@ -0,0 +1,52 @@
+package plumlever.store;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import plumlever.settings.PlatformConfiguration;
+
+/** A controller takes its part of the state service's limits, and no more. */
+final class RequestBudgetTest {
+  private static final int REQUESTS_PER_S = 100;
+  private static final int WRITES_PER_S = 20;
+
+  private final RequestBudget budget =
+      new RequestBudget(
+          new PlatformConfiguration.StateLimits(REQUESTS_PER_S, WRITES_PER_S, 4096, 8), 0);
+
+  /** How many of a thousand ordinary requests at one time are admitted. */
+  private int admitted(int operations, long nowMicros) {
+    int admitted = 0;
+    for (int i = 0; i < 1_000; i++) {
+      admitted +=
+          budget.admits(StateClient.RequestPriority.ORDINARY, operations, nowMicros) ? 1 : 0;
+    }
+    return admitted;
+  }
+
+  @Test
+  void admitsHalfOfAllRequests() {
+    assertEquals(REQUESTS_PER_S / 2, admitted(0, 0));
+  }
+
+  @Test
+  void admitsHalfOfAllWrites() {
+    assertEquals(WRITES_PER_S / 2, admitted(1, 0));
+  }
+
+  @Test
+  void admitsMoreWritesOfALeader() {
+    budget.setLeading(true, 0);
+    assertEquals(14, admitted(1, 1_000_000));
+  }
+
+  @Test
+  void admitsUrgentRequestsWhateverTheRateAndChargesThem() {
+    assertEquals(REQUESTS_PER_S / 2, admitted(0, 0));
+    for (int i = 0; i < REQUESTS_PER_S / 2; i++) {
+      assertTrue(budget.admits(StateClient.RequestPriority.URGENT, 0, 0));
+    }
+    assertEquals(0, admitted(0, 1_000_000), "a second only pays for the urgent ones");
+  }
+}
