--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -1,61 +1,203 @@
-package plumlever . store ; 
-
-import java . util . ArrayDeque ; import java . util . ArrayList ; import java . util . Collection ; import java . util . Deque ; import java . util . HashMap ; import java . util . List ; import java . util . Map ; import java . util . Optional ; import java . util . function . Consumer ; import plumlever . concurrent . Loop ; import plumlever . wire . JobState ; 
-
-/** 
-* Reads the records of many jobs: one by one while they are few, in listings where that takes fewer 
-* requests. A job under neither of its keys had not been accepted when the first read began. 
-*/ 
-public final class JobFinder { /** 
-* A job's record. 
-* 
-* @param active null unless it has been accepted and has not ended 
-* @param endState null unless it has ended 
-* @param endedWallMicros when, if that was stored, else 0 
-*/ 
-public record Found ( StateClient . Item active , JobState endState , long endedWallMicros ) { static final Found NONE = new Found ( null , null , 0 ) ; 
-
-static Found active ( StateClient . Item item ) { return new Found ( item , null , 0 ) ; } 
-
-static Found ended ( StateClient . Item item ) { return new Found ( null , EndedRecord . finalState ( item . data ( ) ) . orElse ( null ) , EndedRecord . endedWallMicros ( item . data ( ) ) ) ; } 
-
-/** True if the job has ever been accepted. */ 
-public boolean accepted ( ) { return active != null || endState != null ; } } 
-
-/** Beyond this many a listing costs less. */ 
-static final int MAX_SINGLE_READS = 24 ; 
-
-private static final int MAX_READS_AT_ONCE = 6 ; 
-
-private final StateClient store ; private final RateLimitRetry retry ; 
-
-/** Reads by this client. */ 
-public JobFinder ( Loop loop , StateClient store ) { this . store = store ; this . retry = new RateLimitRetry ( loop ) ; } 
-
-/** 
-* Reads the records of these jobs. 
-* 
-* @param handler takes what was found of each, or null when that can't be found out now 
-*/ 
-public void find ( Collection < String > uids , Consumer < Map < String , Found >> handler ) { if ( uids . size ( ) <= MAX_SINGLE_READS ) { new SingleReads ( uids , new HashMap < > ( ) , handler ) . sendNext ( ) ; return ; } list ( RecordKeys . ACTIVE , activeByUid -> { if ( activeByUid . isEmpty ( ) ) { handler . accept ( null ) ; return ; } Map < String , Found > found = new HashMap < > ( ) ; List < String > rest = new ArrayList < > ( ) ; for ( String uid : uids ) { StateClient . Item item = activeByUid . get ( ) . get ( uid ) ; if ( item != null ) { found . put ( uid , Found . active ( item ) ) ; } else { rest . add ( uid ) ; } } findEnded ( rest , found , handler ) ; } ) ; } 
-
-private void findEnded ( List < String > uids , Map < String , Found > found , Consumer < Map < String , Found >> handler ) { if ( uids . size ( ) <= MAX_SINGLE_READS ) { new SingleReads ( uids , found , handler ) . sendNext ( ) ; return ; } list ( RecordKeys . ENDED , endedByUid -> { if ( endedByUid . isEmpty ( ) ) { handler . accept ( null ) ; return ; } for ( String uid : uids ) { StateClient . Item item = endedByUid . get ( ) . get ( uid ) ; found . put ( uid , item == null ? Found . NONE : Found . ended ( item ) ) ; } handler . accept ( found ) ; } ) ; } 
-
-private void list ( String prefix , Consumer < Optional < Map < String , StateClient . Item >>> handler ) { store . list ( prefix , StateClient . RequestPriority . ORDINARY , listing -> { if ( listing == null ) { handler . accept ( Optional . empty ( ) ) ; return ; } Map < String , StateClient . Item > byUid = new HashMap < > ( ) ; listing . items ( ) . forEach ( item -> byUid . put ( item . key ( ) . substring ( prefix . length ( ) ) , item ) ) ; handler . accept ( Optional . of ( byUid ) ) ; } ) ; } 
-
-/** Reads of one key each, a few at a time. */ 
-private final class SingleReads { private final Deque < String > open ; private final Map < String , Found > found ; private final Consumer < Map < String , Found >> handler ; private int pending ; private boolean finished ; 
-
-SingleReads ( Collection < String > uids , Map < String , Found > found , Consumer < Map < String , Found >> handler ) { this . open = new ArrayDeque < > ( uids ) ; this . found = found ; this . handler = handler ; } 
-
-void sendNext ( ) { if ( open . isEmpty ( ) && pending == 0 ) { finish ( found ) ; return ; } while ( ! finished && pending < MAX_READS_AT_ONCE && ! open . isEmpty ( ) ) { pending ++ ; readActive ( open . poll ( ) , RateLimitRetry . MAX_ATTEMPTS ) ; } } 
-
-private void readActive ( String uid , int attemptsLeft ) { store . get ( RecordKeys . active ( uid ) , StateClient . RequestPriority . ORDINARY , result -> { if ( result . found ( ) ) { add ( uid , Found . active ( result . item ( ) ) ) ; } else if ( result . missing ( ) ) { readEnded ( uid , RateLimitRetry . MAX_ATTEMPTS ) ; } else { failed ( result . status ( ) , attemptsLeft , ( ) -> readActive ( uid , attemptsLeft - 1 ) ) ; } } ) ; } 
-
-private void readEnded ( String uid , int attemptsLeft ) { store . get ( RecordKeys . ended ( uid ) , StateClient . RequestPriority . ORDINARY , result -> { if ( result . found ( ) && EndedRecord . finalState ( result . item ( ) . data ( ) ) . isPresent ( ) ) { add ( uid , Found . ended ( result . item ( ) ) ) ; } else if ( result . missing ( ) ) { add ( uid , Found . NONE ) ; } else { failed ( result . status ( ) , attemptsLeft , ( ) -> readEnded ( uid , attemptsLeft - 1 ) ) ; } } ) ; } 
-
-private void add ( String uid , Found job ) { pending -- ; found . put ( uid , job ) ; sendNext ( ) ; } 
-
-private void failed ( int status , int attemptsLeft , Runnable again ) { if ( ! finished ) { retry . retryOr ( status , attemptsLeft , again , ( ) -> finish ( null ) ) ; } } 
-
-private void finish ( Map < String , Found > result ) { if ( ! finished ) { finished = true ; handler . accept ( result ) ; } } } } 
+package plumlever.store;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import plumlever.concurrent.Loop;
+import plumlever.wire.JobState;
+
+/**
+ * Reads the records of many jobs: one by one while they are few, in listings where that takes fewer
+ * requests. A job under neither of its keys had not been accepted when the first read began.
+ */
+public final class JobFinder {
+  /**
+   * A job's record.
+   *
+   * @param active null unless it has been accepted and has not ended
+   * @param endState null unless it has ended
+   * @param endedWallMicros when, if that was stored, else 0
+   */
+  public record Found(StateClient.Item active, JobState endState, long endedWallMicros) {
+    static final Found NONE = new Found(null, null, 0);
+
+    static Found active(StateClient.Item item) {
+      return new Found(item, null, 0);
+    }
+
+    static Found ended(StateClient.Item item) {
+      return new Found(
+          null,
+          EndedRecord.finalState(item.data()).orElse(null),
+          EndedRecord.endedWallMicros(item.data()));
+    }
+
+    /** True if the job has ever been accepted. */
+    public boolean accepted() {
+      return active != null || endState != null;
+    }
+  }
+
+  /** Beyond this many a listing costs less. */
+  static final int MAX_SINGLE_READS = 24;
+
+  private static final int MAX_READS_AT_ONCE = 6;
+
+  private final StateClient store;
+  private final RateLimitRetry retry;
+
+  /** Reads by this client. */
+  public JobFinder(Loop loop, StateClient store) {
+    this.store = store;
+    this.retry = new RateLimitRetry(loop);
+  }
+
+  /**
+   * Reads the records of these jobs.
+   *
+   * @param handler takes what was found of each, or null when that can't be found out now
+   */
+  public void find(Collection<String> uids, Consumer<Map<String, Found>> handler) {
+    if (uids.size() <= MAX_SINGLE_READS) {
+      new SingleReads(uids, new HashMap<>(), handler).sendNext();
+      return;
+    }
+    list(
+        RecordKeys.ACTIVE,
+        activeByUid -> {
+          if (activeByUid.isEmpty()) {
+            handler.accept(null);
+            return;
+          }
+          Map<String, Found> found = new HashMap<>();
+          List<String> rest = new ArrayList<>();
+          for (String uid : uids) {
+            StateClient.Item item = activeByUid.get().get(uid);
+            if (item != null) {
+              found.put(uid, Found.active(item));
+            } else {
+              rest.add(uid);
+            }
+          }
+          findEnded(rest, found, handler);
+        });
+  }
+
+  private void findEnded(
+      List<String> uids, Map<String, Found> found, Consumer<Map<String, Found>> handler) {
+    if (uids.size() <= MAX_SINGLE_READS) {
+      new SingleReads(uids, found, handler).sendNext();
+      return;
+    }
+    list(
+        RecordKeys.ENDED,
+        endedByUid -> {
+          if (endedByUid.isEmpty()) {
+            handler.accept(null);
+            return;
+          }
+          for (String uid : uids) {
+            StateClient.Item item = endedByUid.get().get(uid);
+            found.put(uid, item == null ? Found.NONE : Found.ended(item));
+          }
+          handler.accept(found);
+        });
+  }
+
+  private void list(String prefix, Consumer<Optional<Map<String, StateClient.Item>>> handler) {
+    store.list(
+        prefix,
+        StateClient.RequestPriority.ORDINARY,
+        listing -> {
+          if (listing == null) {
+            handler.accept(Optional.empty());
+            return;
+          }
+          Map<String, StateClient.Item> byUid = new HashMap<>();
+          listing.items().forEach(item -> byUid.put(item.key().substring(prefix.length()), item));
+          handler.accept(Optional.of(byUid));
+        });
+  }
+
+  /** Reads of one key each, a few at a time. */
+  private final class SingleReads {
+    private final Deque<String> open;
+    private final Map<String, Found> found;
+    private final Consumer<Map<String, Found>> handler;
+    private int pending;
+    private boolean finished;
+
+    SingleReads(
+        Collection<String> uids, Map<String, Found> found, Consumer<Map<String, Found>> handler) {
+      this.open = new ArrayDeque<>(uids);
+      this.found = found;
+      this.handler = handler;
+    }
+
+    void sendNext() {
+      if (open.isEmpty() && pending == 0) {
+        finish(found);
+        return;
+      }
+      while (!finished && pending < MAX_READS_AT_ONCE && !open.isEmpty()) {
+        pending++;
+        readActive(open.poll(), RateLimitRetry.MAX_ATTEMPTS);
+      }
+    }
+
+    private void readActive(String uid, int attemptsLeft) {
+      store.get(
+          RecordKeys.active(uid),
+          StateClient.RequestPriority.ORDINARY,
+          result -> {
+            if (result.found()) {
+              add(uid, Found.active(result.item()));
+            } else if (result.missing()) {
+              readEnded(uid, RateLimitRetry.MAX_ATTEMPTS);
+            } else {
+              failed(result.status(), attemptsLeft, () -> readActive(uid, attemptsLeft - 1));
+            }
+          });
+    }
+
+    private void readEnded(String uid, int attemptsLeft) {
+      store.get(
+          RecordKeys.ended(uid),
+          StateClient.RequestPriority.ORDINARY,
+          result -> {
+            if (result.found() && EndedRecord.finalState(result.item().data()).isPresent()) {
+              add(uid, Found.ended(result.item()));
+            } else if (result.missing()) {
+              add(uid, Found.NONE);
+            } else {
+              failed(result.status(), attemptsLeft, () -> readEnded(uid, attemptsLeft - 1));
+            }
+          });
+    }
+
+    private void add(String uid, Found job) {
+      pending--;
+      found.put(uid, job);
+      sendNext();
+    }
+
+    private void failed(int status, int attemptsLeft, Runnable again) {
+      if (!finished) {
+        retry.retryOr(status, attemptsLeft, again, () -> finish(null));
+      }
+    }
+
+    private void finish(Map<String, Found> result) {
+      if (!finished) {
+        finished = true;
+        handler.accept(result);
+      }
+    }
+  }
+}
