--- a/src/main/java/plumlever/ElectionThreadReader.java
+++ b/src/main/java/plumlever/ElectionThreadReader.java
@@ -1,5 +1,6 @@
 package plumlever;
 
+import java.util.Optional;
 import java.util.function.Consumer;
 import plumlever.concurrent.Loop;
 import plumlever.leader.context.TermContext;
@@ -9,7 +10,7 @@
 record ElectionThreadReader(Loop electionLoop, StateClient electionStore, Loop loop)
     implements TermContext.RecoveryReader {
   @Override
-  public void list(String prefix, Consumer<StateClient.Listing> whenRead) {
+  public void list(String prefix, Consumer<Optional<StateClient.Listing>> whenRead) {
     electionLoop.execute(
         () ->
             electionStore.list(
--- a/src/main/java/plumlever/election/LeadershipWatch.java
+++ b/src/main/java/plumlever/election/LeadershipWatch.java
@@ -55,11 +55,11 @@
         LeaderElection.PREFIX,
         StateClient.RequestPriority.URGENT,
         listing -> {
-          if (listing == null) {
+          if (listing.isEmpty()) {
             loop.after(backoff.beforeReadMicros(), this::start);
             return;
           }
-          records.replaceBy(listing, observer.leading());
+          records.replaceBy(listing.get(), observer.leading());
           observer.recordsRead();
           watch();
         });
@@ -92,10 +92,10 @@
         LeaderElection.PREFIX,
         StateClient.RequestPriority.URGENT,
         listing -> {
-          if (listing == null) {
+          if (listing.isEmpty()) {
             observer.refreshFailed();
           } else if (!observer.leading() && !observer.standing()) {
-            records.refreshLeader(listing);
+            records.refreshLeader(listing.get());
             observer.recordsRead();
           }
         });
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -74,8 +74,7 @@
       right.ifPresent(known -> logRefusal(heartbeat, known, "before the jobs are looked up"));
       return false;
     }
-    jobs.findEnded(
-        jobsOf(heartbeat), ends -> answerKnowingEnds(heartbeat, Optional.ofNullable(ends), out));
+    jobs.findEnded(jobsOf(heartbeat), ends -> answerKnowingEnds(heartbeat, ends, out));
     return true;
   }
 
--- a/src/main/java/plumlever/http/JobRequestAdmission.java
+++ b/src/main/java/plumlever/http/JobRequestAdmission.java
@@ -18,7 +18,7 @@
       out.error(HttpStatus.NOT_FOUND, JobAnswers.NO_SUCH_JOB);
       return Optional.empty();
     }
-    Optional<JobState> ended = Optional.ofNullable(records.knownEndState(uid));
+    Optional<JobState> ended = records.knownEndState(uid);
     if (ended.isPresent()) {
       out.send(HttpStatus.OK, JobAnswers.body(uid, ended.get()));
       return Optional.empty();
--- a/src/main/java/plumlever/http/SubmissionHandler.java
+++ b/src/main/java/plumlever/http/SubmissionHandler.java
@@ -69,8 +69,7 @@
       refuseUnknown(uid, request, refusal.get());
       return;
     }
-    Optional<JobStore.Acceptance> records =
-        Optional.ofNullable(jobs.layout().acceptJob(spec, jobs.loop().wallMicros()));
+    Optional<JobStore.Acceptance> records = jobs.layout().acceptJob(spec, jobs.loop().wallMicros());
     if (records.isEmpty()) {
       refuseUnknown(uid, request, SubmissionRefusal.invalid("the submission is too long"));
     } else if (spec.hasDependencies()) {
@@ -101,12 +100,12 @@
         .findNeverAccepted(
             spec.dependencies(),
             unknown -> {
-              if (unknown == null) {
+              if (unknown.isEmpty()) {
                 answers.unavailable(request);
-              } else if (unknown.isEmpty()) {
+              } else if (unknown.get().isEmpty()) {
                 acceptance.acceptWithList(spec, records, request);
               } else {
-                refuseUnknownDependency(spec.uid(), unknown.iterator().next(), request);
+                refuseUnknownDependency(spec.uid(), unknown.get().iterator().next(), request);
               }
             });
   }
--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -7,6 +7,7 @@
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.heartbeat.HeartbeatSource;
 import plumlever.leader.machine.MachineRegistry;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
@@ -57,7 +58,8 @@
     if (fleet.tokensRunOut(machine)) {
       context.resignForNumbers();
     }
-    HeartbeatHandler.Freshness freshness = heartbeats.apply(machine, heartbeat, true);
+    HeartbeatHandler.Freshness freshness =
+        heartbeats.apply(machine, heartbeat, HeartbeatSource.WORKER);
     if (heartbeats.getAndClearChanged()) {
       passes.request();
     }
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -69,10 +69,10 @@
     /**
      * Lists all keys under the prefix.
      *
-     * @param whenRead takes null when the keys could not all be read; runs on the thread that
+     * @param whenRead takes nothing when the keys could not all be read; runs on the thread that
      *     decides
      */
-    void list(String prefix, Consumer<StateClient.Listing> whenRead);
+    void list(String prefix, Consumer<Optional<StateClient.Listing>> whenRead);
   }
 
   /**
--- a/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
@@ -37,14 +37,15 @@
   /**
    * Ends the attempts that the heartbeat proves the machine does not have.
    *
-   * @param own sent by the worker itself
+   * @param source whether it is a heartbeat of its own
    * @param listed attempts that the heartbeat lists
    * @return true if a start was lost
    */
-  boolean endUnlisted(Machine machine, Heartbeat heartbeat, boolean own, LongHashSet listed) {
+  boolean endUnlisted(
+      Machine machine, Heartbeat heartbeat, HeartbeatSource source, LongHashSet listed) {
     List<Attempt> absent = null;
     for (Attempt attempt : machine.load().attempts()) {
-      if (!listed.contains(attempt.id()) && provesAbsence(heartbeat, own, attempt)) {
+      if (!listed.contains(attempt.id()) && provesAbsence(heartbeat, source, attempt)) {
         if (absent == null) {
           absent = new ArrayList<>();
         }
@@ -68,10 +69,12 @@
    * it sent its next heartbeat. A direct command may be executed late, until the worker has seen a
    * higher token.
    */
-  private static boolean provesAbsence(Heartbeat heartbeat, boolean own, Attempt attempt) {
+  private static boolean provesAbsence(
+      Heartbeat heartbeat, HeartbeatSource source, Attempt attempt) {
     return attempt.directCommandToken() >= 0
         ? heartbeat.fencingToken() > attempt.directCommandToken() || attempt.state() != null
-        : own && attempt.answeredSequenceNumber() < heartbeat.sequenceNumber();
+        : source == HeartbeatSource.WORKER
+            && attempt.answeredSequenceNumber() < heartbeat.sequenceNumber();
   }
 
   private void endUnlisted(Attempt attempt, Heartbeat heartbeat) {
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -82,28 +82,28 @@
   /**
    * Takes in what a machine reports, if it is the latest.
    *
-   * @param own sent by the worker itself; the body of a direct call proves nothing about an answer
-   *     on its way
+   * @param source whether it is a heartbeat of its own or the reply to a direct call
    */
-  public Freshness apply(Machine machine, Heartbeat heartbeat, boolean own) {
+  public Freshness apply(Machine machine, Heartbeat heartbeat, HeartbeatSource source) {
     long now = context.loop().nowMicros();
     if (!machine.contact().isNewerThanLast(heartbeat)) {
-      return applyOutdated(machine, heartbeat, own, now);
+      return applyOutdated(machine, heartbeat, source, now);
     }
     boolean incarnationChanged =
         machine.contact().incarnation() > 0
             && heartbeat.incarnation() > machine.contact().incarnation();
     endEarlierIncarnations(machine, heartbeat);
-    observe(machine, heartbeat, own, now);
+    observe(machine, heartbeat, source, now);
     boolean currentTerm = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     machine.tokens().raise(currentTerm ? heartbeat.fencingToken() : 0);
     LongHashSet listed = applyAttempts(machine, heartbeat, currentTerm, now);
-    boolean startLost = absentAttempts.endUnlisted(machine, heartbeat, own, listed);
-    if (own) {
+    boolean startLost = absentAttempts.endUnlisted(machine, heartbeat, source, listed);
+    if (source == HeartbeatSource.WORKER) {
       answerDelivery.evaluate(machine, heartbeat, startLost || incarnationChanged);
     }
     if (currentTerm && !machine.accounted()) {
-      failover.markAccounted(machine, own ? "it reported" : "it answered");
+      failover.markAccounted(
+          machine, source == HeartbeatSource.WORKER ? "it reported" : "it answered");
       placementChange.mark();
     }
     return Freshness.LATEST;
@@ -114,8 +114,8 @@
    * sign of life.
    */
   private static Freshness applyOutdated(
-      Machine machine, Heartbeat heartbeat, boolean own, long now) {
-    if (own
+      Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
+    if (source == HeartbeatSource.WORKER
         && heartbeat.incarnation() == machine.contact().incarnation()
         && heartbeat.sequenceNumber() > machine.contact().ownSequenceNumber()) {
       machine.contact().recordOvertakenHeartbeat(heartbeat.sequenceNumber(), now);
@@ -126,15 +126,15 @@
 
   private void endEarlierIncarnations(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.incarnation() > machine.contact().incarnation()) {
-      endIncarnationsBefore(machine, heartbeat.incarnation());
+      absentAttempts.endIncarnationsBefore(machine, heartbeat.incarnation());
     }
   }
 
-  private void observe(Machine machine, Heartbeat heartbeat, boolean own, long now) {
+  private void observe(Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
     boolean firstHeartbeat = !machine.contact().hasReported();
     boolean newNotice = heartbeat.hasPreemptionNotice() && machine.preemptedAtMicros() < 0;
-    machine.recordReport(heartbeat, now, own);
-    if (firstHeartbeat && own) {
+    machine.recordReport(heartbeat, now, source == HeartbeatSource.WORKER);
+    if (firstHeartbeat && source == HeartbeatSource.WORKER) {
       placementChange.mark();
     }
     if (newNotice) {
@@ -196,7 +196,7 @@
         unknownAttempts.handle(machine, reported, now);
       }
     }
-    absentAttempts.endUnlisted(machine, heartbeat, true, listed);
+    absentAttempts.endUnlisted(machine, heartbeat, HeartbeatSource.WORKER, listed);
     return true;
   }
 
@@ -205,12 +205,9 @@
     absentAttempts.endRefused(sent);
   }
 
-  /**
-   * Ends all attempts on the machine of incarnations before this one; {@code Long.MAX_VALUE} ends
-   * all, for a machine that was deleted or whose lease has surely lapsed.
-   */
-  public void endIncarnationsBefore(Machine machine, long incarnation) {
-    absentAttempts.endIncarnationsBefore(machine, incarnation);
+  /** Ends all attempts on a machine that was deleted or whose lease has surely expired. */
+  public void endAllAttempts(Machine machine) {
+    absentAttempts.endIncarnationsBefore(machine, Long.MAX_VALUE);
   }
 
   /**
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -57,8 +57,8 @@
               StateClient.RequestPriority.ORDINARY,
               found -> {
                 listing = false;
-                if (found != null && !closed) {
-                  removeUnused(found);
+                if (!closed) {
+                  found.ifPresent(this::removeUnused);
                 }
               });
     }
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -164,13 +164,13 @@
           if (closed) {
             return;
           }
-          if (found != null) {
-            found.forEach(this::endRead);
+          if (found.isPresent()) {
+            found.get().forEach(this::endRead);
             resolve();
           }
           // What is neither active here nor ended was accepted a moment ago: it comes with the
           // watch events.
-          boolean retry = found == null || !unknownEnds.isEmpty();
+          boolean retry = found.isEmpty() || !unknownEnds.isEmpty();
           context.loop().after(retry ? RETRY_MICROS : 0, this::readEnds);
         });
   }
--- a/src/main/java/plumlever/leader/machine/LeaseExpiry.java
+++ b/src/main/java/plumlever/leader/machine/LeaseExpiry.java
@@ -53,7 +53,7 @@
       return;
     }
     boolean mayRunTasks = machine.load().mayRunTasks();
-    heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
+    heartbeats.endAllAttempts(machine);
     sharing.leaseExpired(machine);
     if (mayRunTasks) {
       log.info("the lease of {} has expired", machine.id());
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -122,7 +122,7 @@
 
   private void remove(List<Machine> machines) {
     for (Machine machine : machines) {
-      heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
+      heartbeats.endAllAttempts(machine);
       returned.add(machine.id());
       fleet.remove(machine);
       failover.markAccounted(machine, "it was returned");
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -87,11 +87,11 @@
               if (closed) {
                 return;
               }
-              if (now < 0) {
+              if (now.isEmpty()) {
                 context.loop().after(RETRY_MICROS, this::readStoreRevision);
                 return;
               }
-              storeRevision = now;
+              storeRevision = now.getAsLong();
               knownMicros = sent;
               jobsToRead.addAll(watched);
               Set.copyOf(jobsToRead).forEach(this::readJob);
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -302,7 +302,7 @@
   private void reconcileGone(TransferRecord record) {
     Machine machine = fleet.transferredMachine(record.machine().id());
     if (machine != null) {
-      heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
+      heartbeats.endAllAttempts(machine);
       seenWithoutOwnTasks.add(machine.id());
     }
     if (record.hasTasksOf(own)) {
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -265,7 +265,7 @@
     machine.tokens().startTerm(relayed.number());
     boolean news;
     if (relayed.lapsed()) {
-      heartbeats.endIncarnationsBefore(machine, Long.MAX_VALUE);
+      heartbeats.endAllAttempts(machine);
       news = true;
     } else {
       news = heartbeats.applyRelayed(machine, relayed.heartbeat());
--- a/src/main/java/plumlever/leader/record/RecoveryRead.java
+++ b/src/main/java/plumlever/leader/record/RecoveryRead.java
@@ -62,11 +62,11 @@
               if (closed) {
                 return;
               }
-              if (listing == null) {
+              if (listing.isEmpty()) {
                 context.loop().after(RETRY_MICROS, () -> read(prefix, onComplete));
                 return;
               }
-              listings.put(prefix, listing);
+              listings.put(prefix, listing.get());
               if (listings.size() == prefixes.size()) {
                 onComplete.accept(this);
               }
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -9,6 +9,7 @@
 import plumlever.leader.context.TermContext;
 import plumlever.leader.heartbeat.AttemptLog;
 import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.heartbeat.HeartbeatSource;
 import plumlever.leader.heartbeat.RenewalDelegation;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.settings.Endpoint;
@@ -128,7 +129,10 @@
           context
               .metrics()
               .recordDuration("direct_command", context.loop().nowMicros() - sentMicros);
-          reply.heartbeat().ifPresent(heartbeat -> heartbeats.apply(machine, heartbeat, false));
+          reply
+              .heartbeat()
+              .ifPresent(
+                  heartbeat -> heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY));
           if (reply instanceof WorkerReply.Refused) {
             heartbeats.startsRefused(sent);
           } else if (reply instanceof WorkerReply.Unanswered) {
@@ -173,7 +177,7 @@
     boolean incarnationChanged =
         reply instanceof WorkerReply.Refused
             && heartbeat.incarnation() != machine.contact().incarnation();
-    heartbeats.apply(machine, heartbeat, false);
+    heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY);
     if (incarnationChanged && !machine.accounted()) {
       raiseToken(machine);
     }
@@ -198,7 +202,7 @@
           raiseEnds(machine);
           machine.contact().recordDirectCall(state.isPresent());
           if (state.isPresent() && !closed && context.term().mayAct()) {
-            heartbeats.apply(machine, state.get(), false);
+            heartbeats.apply(machine, state.get(), HeartbeatSource.DIRECT_REPLY);
             reportPlacementChange();
           }
         });
@@ -225,7 +229,7 @@
   }
 
   private static Optional<Endpoint> endpoint(Machine machine) {
-    return Optional.ofNullable(machine.endpoint()).map(Endpoint::parse);
+    return Optional.ofNullable(machine.endpoint()).flatMap(Endpoint::parse);
   }
 
   private void reportPlacementChange() {
--- a/src/main/java/plumlever/settings/Endpoint.java
+++ b/src/main/java/plumlever/settings/Endpoint.java
@@ -1,20 +1,25 @@
 package plumlever.settings;
 
+import java.util.Optional;
+
 /** An address and port. */
 public record Endpoint(String host, int port) {
   private static final int MAX_PORT = 65_535;
 
-  /** The address and port that the text names; null if it is not {@code ADDRESS:PORT}. */
-  public static Endpoint parse(String text) {
+  /** The address and port that the text names; nothing if it is not {@code ADDRESS:PORT}. */
+  public static Optional<Endpoint> parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
-      return null;
+      return Optional.empty();
     }
     try {
       int port = Integer.parseInt(text, colon + 1, text.length(), 10);
-      return port < 0 || port > MAX_PORT ? null : new Endpoint(text.substring(0, colon), port);
+      if (port < 0 || port > MAX_PORT) {
+        return Optional.empty();
+      }
+      return Optional.of(new Endpoint(text.substring(0, colon), port));
     } catch (NumberFormatException e) {
-      return null;
+      return Optional.empty();
     }
   }
 
--- a/src/main/java/plumlever/settings/TomlTable.java
+++ b/src/main/java/plumlever/settings/TomlTable.java
@@ -104,10 +104,6 @@
 
   /** An address with a port that must be there. */
   Endpoint endpoint(String key) throws SettingsException {
-    Endpoint endpoint = Endpoint.parse(text(key));
-    if (endpoint == null) {
-      throw error(key, "must be ADDRESS:PORT");
-    }
-    return endpoint;
+    return Endpoint.parse(text(key)).orElseThrow(() -> error(key, "must be ADDRESS:PORT"));
   }
 }
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -71,12 +71,12 @@
           DependencyListRecords.prefixOfPart(anchor),
           StateClient.RequestPriority.ORDINARY,
           listing -> {
-            if (listing == null) {
+            if (listing.isEmpty()) {
               giveUp();
               return;
             }
             Map<String, Long> stored = new HashMap<>();
-            listing.items().forEach(item -> stored.put(item.key(), item.revision()));
+            listing.get().items().forEach(item -> stored.put(item.key(), item.revision()));
             if (stored.containsKey(anchor)) {
               storeRest(stored);
             } else {
--- a/src/main/java/plumlever/store/DependencyReader.java
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -106,12 +106,15 @@
         RecordKeys.ACTIVE,
         StateClient.RequestPriority.ORDINARY,
         listing -> {
-          if (listing == null) {
+          if (listing.isEmpty()) {
             handler.accept(false);
             return;
           }
           Map<String, StateClient.Item> byUid = new HashMap<>();
-          listing.items().forEach(item -> byUid.put(RecordKeys.uidOfActive(item.key()), item));
+          listing
+              .get()
+              .items()
+              .forEach(item -> byUid.put(RecordKeys.uidOfActive(item.key()), item));
           allActive = Optional.of(byUid);
           readLists(withList);
         });
@@ -121,11 +124,11 @@
     finder.find(
         uids,
         found -> {
-          if (found == null) {
+          if (found.isEmpty()) {
             handler.accept(false);
             return;
           }
-          found.forEach((uid, job) -> addFound(uid, job, withList));
+          found.get().forEach((uid, job) -> addFound(uid, job, withList));
           readLists(withList);
         });
   }
@@ -180,8 +183,7 @@
         DependencyListRecords.prefixOfPart(keys.get(0)),
         StateClient.RequestPriority.ORDINARY,
         listing -> {
-          Optional<List<String>> dependencies =
-              Optional.ofNullable(listing).flatMap(found -> joinParts(keys, found));
+          Optional<List<String>> dependencies = listing.flatMap(found -> joinParts(keys, found));
           if (dependencies.isPresent()) {
             addToGraph(job, dependencies.get());
             readLists(jobs);
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -114,10 +114,10 @@
     // by the records.
     store.storeRevision(
         now -> {
-          if (now < 0) {
+          if (now.isEmpty()) {
             failAll(asked);
           } else {
-            storeRevision = storeRevision < 0 ? now : storeRevision;
+            storeRevision = storeRevision < 0 ? now.getAsLong() : storeRevision;
             readMissing(asked);
           }
         });
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -63,7 +63,7 @@
    *
    * @param handler takes what was found of each, or null when that can't be found out now
    */
-  public void find(Collection<String> uids, Consumer<Map<String, Found>> handler) {
+  public void find(Collection<String> uids, Consumer<Optional<Map<String, Found>>> handler) {
     if (uids.size() <= MAX_SINGLE_READS) {
       new SingleReads(uids, new HashMap<>(), handler).sendNext();
       return;
@@ -72,7 +72,7 @@
         RecordKeys.ACTIVE,
         activeByUid -> {
           if (activeByUid.isEmpty()) {
-            handler.accept(null);
+            handler.accept(Optional.empty());
             return;
           }
           Map<String, Found> found = new HashMap<>();
@@ -90,7 +90,7 @@
   }
 
   private void findEnded(
-      List<String> uids, Map<String, Found> found, Consumer<Map<String, Found>> handler) {
+      List<String> uids, Map<String, Found> found, Consumer<Optional<Map<String, Found>>> handler) {
     if (uids.size() <= MAX_SINGLE_READS) {
       new SingleReads(uids, found, handler).sendNext();
       return;
@@ -99,14 +99,14 @@
         RecordKeys.ENDED,
         endedByUid -> {
           if (endedByUid.isEmpty()) {
-            handler.accept(null);
+            handler.accept(Optional.empty());
             return;
           }
           for (String uid : uids) {
             StateClient.Item item = endedByUid.get().get(uid);
             found.put(uid, item == null ? Found.NONE : Found.ended(item));
           }
-          handler.accept(found);
+          handler.accept(Optional.of(found));
         });
   }
 
@@ -115,12 +115,15 @@
         prefix,
         StateClient.RequestPriority.ORDINARY,
         listing -> {
-          if (listing == null) {
+          if (listing.isEmpty()) {
             handler.accept(Optional.empty());
             return;
           }
           Map<String, StateClient.Item> byUid = new HashMap<>();
-          listing.items().forEach(item -> byUid.put(item.key().substring(prefix.length()), item));
+          listing
+              .get()
+              .items()
+              .forEach(item -> byUid.put(item.key().substring(prefix.length()), item));
           handler.accept(Optional.of(byUid));
         });
   }
@@ -129,12 +132,14 @@
   private final class SingleReads {
     private final Deque<String> open;
     private final Map<String, Found> found;
-    private final Consumer<Map<String, Found>> handler;
+    private final Consumer<Optional<Map<String, Found>>> handler;
     private int pending;
     private boolean finished;
 
     SingleReads(
-        Collection<String> uids, Map<String, Found> found, Consumer<Map<String, Found>> handler) {
+        Collection<String> uids,
+        Map<String, Found> found,
+        Consumer<Optional<Map<String, Found>>> handler) {
       this.open = new ArrayDeque<>(uids);
       this.found = found;
       this.handler = handler;
@@ -142,7 +147,7 @@
 
     void sendNext() {
       if (open.isEmpty() && pending == 0) {
-        finish(found);
+        finish(Optional.of(found));
         return;
       }
       while (!finished && pending < MAX_READS_AT_ONCE && !open.isEmpty()) {
@@ -189,11 +194,11 @@
 
     private void failed(int status, int attemptsLeft, Runnable again) {
       if (!finished) {
-        retry.retryOr(status, attemptsLeft, again, () -> finish(null));
+        retry.retryOr(status, attemptsLeft, again, () -> finish(Optional.empty()));
       }
     }
 
-    private void finish(Map<String, Found> result) {
+    private void finish(Optional<Map<String, Found>> result) {
       if (!finished) {
         finished = true;
         handler.accept(result);
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -137,9 +137,9 @@
   /**
    * Which of these were never accepted, by reads begun now where that is not known of them.
    *
-   * @param handler takes null when that can't be found out
+   * @param handler takes nothing when that can't be found out
    */
-  public void findNeverAccepted(Collection<String> uids, Consumer<Set<String>> handler) {
+  public void findNeverAccepted(Collection<String> uids, Consumer<Optional<Set<String>>> handler) {
     Set<String> unknown = new HashSet<>();
     for (String uid : uids) {
       if (knownJobs.activeRevision(uid).isEmpty() && knownJobs.finalState(uid).isEmpty()) {
@@ -147,10 +147,10 @@
       }
     }
     if (unknown.isEmpty()) {
-      handler.accept(Set.of());
+      handler.accept(Optional.of(Set.of()));
       return;
     }
-    finder.find(unknown, found -> handler.accept(found == null ? null : neverAccepted(found)));
+    finder.find(unknown, found -> handler.accept(found.map(this::neverAccepted)));
   }
 
   private Set<String> neverAccepted(Map<String, JobFinder.Found> found) {
@@ -166,17 +166,17 @@
     return neverAccepted;
   }
 
-  /** How it ended, or null if that is not known without asking. */
-  public JobState knownEndState(String uid) {
-    return knownJobs.finalState(uid).orElse(null);
+  /** How it ended, if that is known without asking. */
+  public Optional<JobState> knownEndState(String uid) {
+    return knownJobs.finalState(uid);
   }
 
   /**
    * Which of these jobs have ended, as of a few seconds ago at most.
    *
-   * @param handler takes null when that can't be found out
+   * @param handler takes nothing when that can't be found out
    */
-  public void findEnded(Collection<String> uids, Consumer<EndedJobs> handler) {
+  public void findEnded(Collection<String> uids, Consumer<Optional<EndedJobs>> handler) {
     long now = loop.nowMicros();
     activeAskedMicros.values().removeIf(asked -> now - asked > ACTIVE_VALID_MICROS);
     EndedSearch search = new EndedSearch(now, handler);
@@ -194,7 +194,7 @@
   /** One search for jobs that have ended among those named. */
   private final class EndedSearch {
     private final long startedMicros;
-    private final Consumer<EndedJobs> handler;
+    private final Consumer<Optional<EndedJobs>> handler;
     private final Set<String> ended = new HashSet<>();
 
     /** Answers to wait for, and one for the asking itself. */
@@ -203,7 +203,7 @@
     private boolean failed;
     private long oldestAskedMicros;
 
-    EndedSearch(long startedMicros, Consumer<EndedJobs> handler) {
+    EndedSearch(long startedMicros, Consumer<Optional<EndedJobs>> handler) {
       this.startedMicros = startedMicros;
       this.handler = handler;
       this.oldestAskedMicros = startedMicros;
@@ -234,7 +234,8 @@
     private void answered() {
       pending--;
       if (pending == 0) {
-        handler.accept(failed ? null : new EndedJobs(ended, oldestAskedMicros));
+        handler.accept(
+            failed ? Optional.empty() : Optional.of(new EndedJobs(ended, oldestAskedMicros)));
       }
     }
   }
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -171,8 +171,8 @@
     }
   }
 
-  /** Null when the record is too long to store, whatever it depends on. */
-  public Acceptance acceptJob(JobSpec spec, long wallMicros) {
+  /** The records of a job that is to be accepted; nothing if they are too long to be stored. */
+  public Optional<Acceptance> acceptJob(JobSpec spec, long wallMicros) {
     ObjectNode active = ActiveRecord.write(spec, wallMicros);
     Map<String, ObjectNode> parts = Map.of();
     if (spec.hasDependencies() && bytes(active) > valueBytes()) {
@@ -183,9 +183,9 @@
       active = ActiveRecord.writeWithList(spec, wallMicros, digest, parts.size());
     }
     if (bytes(active) > statedValueBytes) {
-      return null;
+      return Optional.empty();
     }
-    return new Acceptance(parts, createActive(spec.uid(), active));
+    return Optional.of(new Acceptance(parts, createActive(spec.uid(), active)));
   }
 
   private Transaction createActive(String uid, ObjectNode active) {
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -98,12 +98,12 @@
           if (closed) {
             return;
           }
-          if (listing == null) {
+          if (listing.isEmpty()) {
             loop.after(retryMicros, this::relist);
             return;
           }
-          storeRevision = listing.storeRevision();
-          listener.listed(listing, sent);
+          storeRevision = listing.get().storeRevision();
+          listener.listed(listing.get(), sent);
           watch();
         });
   }
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -213,9 +213,9 @@
   /**
    * Reads all keys under a prefix.
    *
-   * @param handler takes null when they could not all be read
+   * @param handler takes nothing when they could not all be read
    */
-  public void list(String prefix, RequestPriority priority, Consumer<Listing> handler) {
+  public void list(String prefix, RequestPriority priority, Consumer<Optional<Listing>> handler) {
     readPage(
         prefix,
         Optional.empty(),
@@ -228,7 +228,7 @@
                 new Listing(new ArrayList<>(page.get().items()), page.get().storeRevision());
             listNextPage(prefix, priority, page.get().lastStoredKey(), listing, handler);
           } else {
-            handler.accept(null);
+            handler.accept(Optional.empty());
           }
         });
   }
@@ -238,9 +238,9 @@
       RequestPriority priority,
       Optional<String> lastStoredKey,
       Listing listing,
-      Consumer<Listing> handler) {
+      Consumer<Optional<Listing>> handler) {
     if (lastStoredKey.isEmpty()) {
-      handler.accept(listing);
+      handler.accept(Optional.of(listing));
       return;
     }
     readPage(
@@ -252,7 +252,7 @@
             listing.items().addAll(page.get().items());
             listNextPage(prefix, priority, page.get().lastStoredKey(), listing, handler);
           } else {
-            handler.accept(null);
+            handler.accept(Optional.empty());
           }
         });
   }
@@ -276,14 +276,14 @@
   /**
    * Reads the revision of the whole store.
    *
-   * @param handler takes -1 when that can't be found out
+   * @param handler takes nothing when that can't be found out
    */
-  public void storeRevision(Consumer<Long> handler) {
+  public void storeRevision(Consumer<OptionalLong> handler) {
     String path =
         StateProtocol.KEYS_BY_PREFIX + EMPTY_PREFIX + StateProtocol.PAGE_SIZE_PARAMETER + 1;
     send(
         Request.get(RequestPriority.ORDINARY, path, TIMEOUT_MICROS),
-        answer -> handler.accept(answers.storeRevision(answer).orElse(-1)));
+        answer -> handler.accept(answers.storeRevision(answer)));
   }
 
   /** Sends a transaction; without an answer it may have been carried out, or may be later. */
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
@@ -61,8 +62,8 @@
             () -> MachineSharing.NONE);
   }
 
-  private static void list(String prefix, Consumer<StateClient.Listing> then) {
-    then.accept(listing(prefix));
+  private static void list(String prefix, Consumer<Optional<StateClient.Listing>> whenRead) {
+    whenRead.accept(Optional.of(listing(prefix)));
   }
 
   private static StateClient.Listing listing(String prefix) {
@@ -114,7 +115,7 @@
 
   /** The machine has reported in this term, without tasks, and is accounted for. */
   HeartbeatFixture accounted() {
-    handler.apply(machine, heartbeat(), true);
+    handler.apply(machine, heartbeat(), HeartbeatSource.WORKER);
     handler.getAndClearChanged();
     return this;
   }
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -27,7 +27,7 @@
   }
 
   private HeartbeatHandler.Freshness apply(Heartbeat heartbeat) {
-    return leader.handler.apply(leader.machine, heartbeat, true);
+    return leader.handler.apply(leader.machine, heartbeat, HeartbeatSource.WORKER);
   }
 
   @Test
@@ -42,7 +42,7 @@
   void aHeartbeatOlderThanADirectAnswerIsSuperseded() {
     leader.accounted();
     Heartbeat sentFirst = leader.heartbeat();
-    leader.handler.apply(leader.machine, leader.heartbeat(), false);
+    leader.handler.apply(leader.machine, leader.heartbeat(), HeartbeatSource.DIRECT_REPLY);
 
     assertEquals(HeartbeatHandler.Freshness.SUPERSEDED, apply(sentFirst));
   }
@@ -89,7 +89,7 @@
   void aStartInAnAnswerIsNotOverWhenADirectAnswerLacksIt() {
     Attempt attempt = leader.accounted().start(0, false);
 
-    leader.handler.apply(leader.machine, leader.heartbeat(), false);
+    leader.handler.apply(leader.machine, leader.heartbeat(), HeartbeatSource.DIRECT_REPLY);
 
     assertFalse(attempt.over());
   }
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -130,7 +130,8 @@
   void dependenciesThatDoNotFitAreStoredInParts(int valueBytes) {
     List<String> dependencies = IntStream.range(0, 5_000).mapToObj(i -> "job-" + i * 7L).toList();
 
-    JobStore.Acceptance acceptance = layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000);
+    JobStore.Acceptance acceptance =
+        layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000).orElseThrow();
 
     JsonNode active = activeRecord(acceptance);
     assertTrue(Json.write(active).length() <= valueBytes);
@@ -149,7 +150,8 @@
   void dependenciesThatFitAreStoredInTheRecord(int valueBytes) {
     List<String> dependencies = List.of("job-1", "job-2");
 
-    JobStore.Acceptance acceptance = layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000);
+    JobStore.Acceptance acceptance =
+        layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000).orElseThrow();
 
     assertEquals(Map.of(), acceptance.parts());
     assertEquals(dependencies, ActiveRecord.dependenciesInline(activeRecord(acceptance)));
