--- a/src/main/java/plumlever/warmup/WarmUpJobs.java
+++ b/src/main/java/plumlever/warmup/WarmUpJobs.java
@@ -1,5 +1,6 @@
 package plumlever.warmup;
 
+import java.util.List;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
@@ -47,6 +48,7 @@
         RUN_S,
         odd ? CHECKPOINT_INTERVAL_S : 0,
         CHECKPOINT_S,
-        odd ? JobSpec.NO_DEADLINE : DEADLINE_S);
+        odd ? JobSpec.NO_DEADLINE : DEADLINE_S,
+        List.of());
   }
 }
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -60,50 +60,6 @@
 
   private static final Pattern UID = Pattern.compile("job-[0-9]{1,18}");
 
-  /** A job without dependencies. */
-  public JobSpec(
-      String uid,
-      String jobClass,
-      String team,
-      Priority priority,
-      int taskCount,
-      double cores,
-      double accelerators,
-      double memoryGb,
-      String image,
-      double imageGb,
-      List<String> machineTypes,
-      String zone,
-      boolean oneZone,
-      boolean spread,
-      boolean spotAllowed,
-      double expectedRunS,
-      double checkpointIntervalS,
-      double checkpointS,
-      double deadlineS) {
-    this(
-        uid,
-        jobClass,
-        team,
-        priority,
-        taskCount,
-        cores,
-        accelerators,
-        memoryGb,
-        image,
-        imageGb,
-        machineTypes,
-        zone,
-        oneZone,
-        spread,
-        spotAllowed,
-        expectedRunS,
-        checkpointIntervalS,
-        checkpointS,
-        deadlineS,
-        List.of());
-  }
-
   /** True for the id of a job. */
   public static boolean validUid(String uid) {
     return uid != null && UID.matcher(uid).matches();
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -17,6 +17,7 @@
 import plumlever.leader.job.StartedJobIndex;
 import plumlever.leader.progress.ProgressWriter;
 import plumlever.leader.record.RecoveryRead;
+import plumlever.sim.TestJob;
 import plumlever.store.JobStore;
 import plumlever.store.StateClient;
 import plumlever.wire.AttemptState;
@@ -24,7 +25,6 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
-import plumlever.wire.Priority;
 import plumlever.wire.TaskName;
 
 /**
@@ -75,27 +75,7 @@
   }
 
   private static JsonNode jobRecord() {
-    JobSpec spec =
-        new JobSpec(
-            JOB,
-            "train",
-            "blue",
-            Priority.STANDARD,
-            2,
-            1,
-            0,
-            1,
-            "img-1",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            60,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+    JobSpec spec = TestJob.job(JOB).jobClass("train").tasks(2).image("img-1").runS(60).build();
     return Json.object().put("at_ms", 0).set("job", spec.toJson());
   }
 
--- a/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
+++ b/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
@@ -11,9 +11,9 @@
 import plumlever.fleet.Job;
 import plumlever.leader.context.ContextFixture;
 import plumlever.leader.context.TermContext;
+import plumlever.sim.TestJob;
 import plumlever.store.JobStore;
 import plumlever.wire.JobSpec;
-import plumlever.wire.Priority;
 
 /** Progress records when the state service takes smaller values than before. */
 final class ProgressLimitsTest {
@@ -26,26 +26,7 @@
 
   private static Job job(int number, int tasks) {
     JobSpec spec =
-        new JobSpec(
-            "job-" + number,
-            "train",
-            "blue",
-            Priority.STANDARD,
-            tasks,
-            1,
-            0,
-            1,
-            "img-1",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            60,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        TestJob.job("job-" + number).jobClass("train").tasks(tasks).image("img-1").runS(60).build();
     return new Job(spec, 1, 0, true);
   }
 
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import plumlever.settings.PlatformConfiguration;
+import plumlever.sim.TestJob;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Json;
@@ -94,26 +95,13 @@
   }
 
   private static JobSpec spec(List<String> dependencies) {
-    return new JobSpec(
-            "job-99",
-            "c",
-            "red",
-            Priority.HIGH,
-            1,
-            1,
-            0,
-            1,
-            "i",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            5,
-            0,
-            0,
-            JobSpec.NO_DEADLINE)
+    return TestJob.job("job-99")
+        .jobClass("c")
+        .team("red")
+        .priority(Priority.HIGH)
+        .image("i")
+        .runS(5)
+        .build()
         .withDependencies(dependencies);
   }
 
