--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -5,6 +5,7 @@
 import plumlever.concurrent.RecurringTask;
 import plumlever.concurrent.Scope;
 import plumlever.election.DelegatedRenewal;
+import plumlever.election.ElectionSettings;
 import plumlever.election.LeaderElection;
 import plumlever.election.PoolTerms;
 import plumlever.http.Caller;
@@ -127,14 +128,17 @@
                         clients.electionStore(),
                         PoolView.COUNTER,
                         PoolView.leaderKey(pool.ownShard().name())));
+    ElectionSettings settings =
+        new ElectionSettings(
+            environment.platform().label(),
+            environment.settings().parameters(),
+            poolTerms,
+            environment.electionSeed());
     return new LeaderElection(
-        environment.platform().label(),
+        settings,
         environment.electionLoop(),
         clients.electionStore(),
-        environment.settings().parameters(),
         leadership,
-        poolTerms,
-        environment.electionSeed(),
         environment.logs());
   }
 
@@ -247,9 +251,9 @@
     }
   }
 
-  /** The leader in this process, or null while this controller does not lead. */
-  public Leader leader() {
-    return leadership.leader().orElse(null);
+  /** The leader in this process, while this controller leads. */
+  public Optional<Leader> leader() {
+    return leadership.leader();
   }
 
   /** This controller's counters and times. */
--- a/src/main/java/plumlever/KnownLeader.java
+++ b/src/main/java/plumlever/KnownLeader.java
@@ -14,6 +14,6 @@
 
   @Override
   public Optional<String> leaderLabel() {
-    return Optional.ofNullable(election.leaderLabel());
+    return election.leaderLabel();
   }
 }
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -96,7 +96,7 @@
             platform,
             settings.parameters(),
             controller::latenessMicros,
-            () -> controller.leader() != null);
+            () -> controller.leader().isPresent());
     loop.execute(
         () -> {
           controller.start();
--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -55,18 +55,15 @@
 
   Candidacy(
       Candidate candidate,
-      Loop loop,
-      StateClient store,
-      SchedulerParameters parameters,
-      LeadershipRecords records,
+      ElectionContext context,
       ElectionBackoff backoff,
       Optional<PoolTerms> poolTerms,
       Observer observer) {
     this.candidate = candidate;
-    this.loop = loop;
-    this.store = store;
-    this.parameters = parameters;
-    this.records = records;
+    this.loop = context.loop();
+    this.store = context.store();
+    this.parameters = context.parameters();
+    this.records = context.records();
     this.backoff = backoff;
     this.poolTerms = poolTerms;
     this.observer = observer;
--- a/src/main/java/plumlever/election/Leadership.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -15,7 +15,7 @@
  * #leading()} and {@link #mayAct()}, which any thread may call, and for the time at which the
  * controller's own loop last ran, which that loop writes.
  */
-final class Leadership implements AutoCloseable {
+final class HeldTerm implements AutoCloseable {
   /**
    * A leader whose decisions have stood still for this long serves nobody: far longer than any
    * lateness it may survive.
@@ -49,19 +49,12 @@
   /** When the controller's own loop last ran; written there. */
   private volatile long controllerLoopRanMicros;
 
-  Leadership(
-      Logger log,
-      Loop loop,
-      StateClient store,
-      SchedulerParameters parameters,
-      LeadershipRecords records,
-      ElectionListener listener,
-      Observer observer) {
+  HeldTerm(Logger log, ElectionContext context, ElectionListener listener, Observer observer) {
     this.log = log;
-    this.loop = loop;
-    this.store = store;
-    this.parameters = parameters;
-    this.records = records;
+    this.loop = context.loop();
+    this.store = context.store();
+    this.parameters = context.parameters();
+    this.records = context.records();
     this.listener = listener;
     this.observer = observer;
     this.renewal = new RecurringTask("lease renewal", loop, this::renewLease);
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -18,8 +18,8 @@
  * <p>It runs on a loop of its own, so that no scheduling pass, no crowd of heartbeats and no first
  * use of code delays a renewal or an election; a leader whose controller loop has stalled gives
  * leadership up. The parts are {@link LeadershipRecords} (what is known), {@link LeadershipWatch}
- * (how it gets known), {@link Candidacy} (attempts at the election) and {@link Leadership} (the
- * term that is held); all of them belong to that loop. Everything public here may be called on any
+ * (how it gets known), {@link Candidacy} (attempts at the election) and {@link HeldTerm} (the term
+ * that is held); all of them belong to that loop. Everything public here may be called on any
  * thread.
  */
 public final class LeaderElection implements AutoCloseable {
@@ -43,7 +43,7 @@
   private final Scope scope = new Scope();
   private final LeadershipRecords records;
   private final LeadershipWatch watch;
-  private final Leadership leadership;
+  private final HeldTerm heldTerm;
   private final Candidacy candidacy;
 
   /**
@@ -52,33 +52,27 @@
    * @param loop that the election runs on
    * @param store client on that loop
    * @param listener told on that loop how terms begin and end
-   * @param poolTerms where terms come from if this is one shard of a pool
    */
   public LeaderElection(
-      String label,
+      ElectionSettings settings,
       Loop loop,
       StateClient store,
-      SchedulerParameters parameters,
       ElectionListener listener,
-      Optional<PoolTerms> poolTerms,
-      long seed,
       Logs logs) {
-    this.label = label;
+    this.label = settings.label();
     this.loop = loop;
-    this.parameters = parameters;
+    this.parameters = settings.parameters();
     Logger log = logs.of(LeaderElection.class);
-    SplittableRandom random = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(settings.seed());
     Candidate candidate = new Candidate(label, Long.toHexString(random.nextLong()));
     ElectionBackoff backoff = new ElectionBackoff(random);
     Coordinator coordinator = new Coordinator();
-    this.records = new LeadershipRecords(log, loop, candidate, poolTerms.isPresent());
-    this.watch = scope.own(new LeadershipWatch(loop, store, records, backoff, coordinator));
-    this.leadership =
-        scope.own(new Leadership(log, loop, store, parameters, records, listener, coordinator));
+    this.records = new LeadershipRecords(log, loop, candidate, settings.poolTerms().isPresent());
+    ElectionContext context = new ElectionContext(loop, store, parameters, records);
+    this.watch = scope.own(new LeadershipWatch(context, backoff, coordinator));
+    this.heldTerm = scope.own(new HeldTerm(log, context, listener, coordinator));
     this.candidacy =
-        scope.own(
-            new Candidacy(
-                candidate, loop, store, parameters, records, backoff, poolTerms, coordinator));
+        scope.own(new Candidacy(candidate, context, backoff, settings.poolTerms(), coordinator));
   }
 
   /** Reads the leadership records, and stands whenever leadership is free. */
@@ -88,7 +82,7 @@
 
   /** True while this controller holds a term, whether or not it may act in it. */
   public boolean leading() {
-    return leadership.leading();
+    return heldTerm.leading();
   }
 
   /** The last known term, of whatever controller; 0 before the first. */
@@ -119,18 +113,17 @@
 
   /** True while this controller may act for the controllers, in whatever term. */
   public boolean mayAct() {
-    return leadership.mayAct();
+    return heldTerm.mayAct();
   }
 
-  /** The live leader's label, or null if none is known lately. */
-  public String leaderLabel() {
+  /** The live leader's label, if one is known lately. */
+  public Optional<String> leaderLabel() {
     boolean fresh =
         loop.nowMicros() - records.leaderSeenMicros()
             < LeadershipWatch.WAIT_MICROS + 2 * parameters.leaseTtlMicros();
     return records
         .leaderLabel()
-        .filter(leader -> fresh && !(leader.equals(label) && !leadership.leading()))
-        .orElse(null);
+        .filter(leader -> fresh && !(leader.equals(label) && !heldTerm.leading()));
   }
 
   /**
@@ -142,15 +135,15 @@
    */
   public void resign(Term term, String why, long pauseMicros) {
     term.end();
-    loop.execute(() -> leadership.giveUp(term, why, pauseMicros));
+    loop.execute(() -> heldTerm.giveUp(term, why, pauseMicros));
   }
 
   /** What the parts tell each other; on the election's loop only. */
   private final class Coordinator
-      implements LeadershipWatch.Observer, Leadership.Observer, Candidacy.Observer {
+      implements LeadershipWatch.Observer, HeldTerm.Observer, Candidacy.Observer {
     @Override
     public boolean leading() {
-      return leadership.leading();
+      return heldTerm.leading();
     }
 
     @Override
@@ -160,9 +153,9 @@
 
     @Override
     public void recordsRead() {
-      if (leadership.leading()) {
+      if (heldTerm.leading()) {
         if (records.ledByAnother()) {
-          leadership.stepDown("another controller leads");
+          heldTerm.stepDown("another controller leads");
         }
       } else if (!candidacy.standing() && records.leadershipFree()) {
         candidacy.standSoon();
@@ -176,7 +169,7 @@
 
     @Override
     public void won(Term term, long sentMicros) {
-      leadership.begin(term, sentMicros);
+      heldTerm.begin(term, sentMicros);
     }
 
     @Override
@@ -200,7 +193,7 @@
   public void close() {
     loop.execute(
         () -> {
-          leadership.current().ifPresent(term -> leadership.giveUp(term, "shutting down", 0));
+          heldTerm.current().ifPresent(term -> heldTerm.giveUp(term, "shutting down", 0));
           scope.close();
         });
   }
--- a/src/main/java/plumlever/election/LeadershipWatch.java
+++ b/src/main/java/plumlever/election/LeadershipWatch.java
@@ -33,15 +33,10 @@
   private final Observer observer;
   private boolean closed;
 
-  LeadershipWatch(
-      Loop loop,
-      StateClient store,
-      LeadershipRecords records,
-      ElectionBackoff backoff,
-      Observer observer) {
-    this.loop = loop;
-    this.store = store;
-    this.records = records;
+  LeadershipWatch(ElectionContext context, ElectionBackoff backoff, Observer observer) {
+    this.loop = context.loop();
+    this.store = context.store();
+    this.records = context.records();
     this.backoff = backoff;
     this.observer = observer;
   }
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -18,7 +18,10 @@
   private final long answeredSequenceNumber;
   private final long directCommandToken;
   private final long sentMicros;
+
+  /** As last reported; null before the first report. */
   private AttemptState state;
+
   private long runningSinceMicros = -1;
   private boolean over;
   private ExitCause exitCause;
@@ -88,9 +91,14 @@
     return sentMicros;
   }
 
-  /** Its state as last reported; null before the first report. */
-  public AttemptState state() {
-    return state;
+  /** True once a report has shown it. */
+  public boolean reported() {
+    return state != null;
+  }
+
+  /** True if it was running when it was last reported. */
+  public boolean running() {
+    return state == AttemptState.RUNNING;
   }
 
   /** When it was first reported as running, or -1. */
@@ -110,7 +118,7 @@
 
   /** True while it was started by a direct command and no report has shown it. */
   boolean unconfirmed() {
-    return directCommandToken != AttemptOrigin.NONE && state == null && !over;
+    return directCommandToken != AttemptOrigin.NONE && !reported() && !over;
   }
 
   private void confirmStart() {
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
 import plumlever.wire.JobState;
-import plumlever.wire.Priority;
 
 /**
  * The directed acyclic graph of jobs that depend on others, and what follows from how those end.
@@ -36,57 +36,6 @@
     DONE
   }
 
-  /**
-   * The deadline and priority by which a job is scheduled: its own, or what a dependent leaves it.
-   *
-   * @param submittedMicros when the job with the deadline was submitted
-   * @param deadlineMicros its deadline, counted from then on; Long.MAX_VALUE for none
-   * @param jobClass its class, whose service-level objectives say by how much the deadline may be
-   *     missed
-   * @param downstreamPathMicros duration of the longest path of dependents up to and including the
-   *     job with the deadline; 0 where it is the job's own
-   * @param priority the most urgent of the job and its dependents
-   */
-  public record EffectiveGoal(
-      long submittedMicros,
-      long deadlineMicros,
-      String jobClass,
-      long downstreamPathMicros,
-      Priority priority) {
-    /** By when this job has to end; Long.MAX_VALUE where no deadline applies. */
-    public long latestEndMicros() {
-      return hasDeadline()
-          ? submittedMicros + deadlineMicros - downstreamPathMicros
-          : Long.MAX_VALUE;
-    }
-
-    private boolean hasDeadline() {
-      return deadlineMicros != Long.MAX_VALUE;
-    }
-
-    /** What this goal of a job that takes so long leaves its dependencies. */
-    EffectiveGoal forDependency(long durationMicros) {
-      return new EffectiveGoal(
-          submittedMicros,
-          deadlineMicros,
-          jobClass,
-          hasDeadline() ? downstreamPathMicros + durationMicros : 0,
-          priority);
-    }
-
-    /** The earlier deadline and the more urgent priority of the two. */
-    EffectiveGoal strictest(EffectiveGoal other) {
-      EffectiveGoal sooner = other.latestEndMicros() < latestEndMicros() ? other : this;
-      Priority moreUrgent = other.priority.compareTo(priority) < 0 ? other.priority : priority;
-      return sooner.priority == moreUrgent ? sooner : sooner.withPriority(moreUrgent);
-    }
-
-    private EffectiveGoal withPriority(Priority otherPriority) {
-      return new EffectiveGoal(
-          submittedMicros, deadlineMicros, jobClass, downstreamPathMicros, otherPriority);
-    }
-  }
-
   private final Map<String, JobVertex> vertices = new HashMap<>();
   private final List<String> released = new ArrayList<>();
   private final List<String> cancelled = new ArrayList<>();
@@ -187,10 +136,9 @@
     return vertex == null ? 0 : vertex.revision();
   }
 
-  /** The job whose cancellation cancelled this one; null if it is not cancelled. */
-  public String failedDependencyOf(String uid) {
-    JobVertex vertex = vertices.get(uid);
-    return vertex == null ? null : vertex.failedDependency();
+  /** The job whose cancellation cancelled this one, if it is cancelled. */
+  public Optional<String> failedDependencyOf(String uid) {
+    return Optional.ofNullable(vertices.get(uid)).map(JobVertex::failedDependency);
   }
 
   /** When the last of its dependencies ended; 0 if that is not known or there is none. */
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -113,16 +113,14 @@
     machines.remove(machine.id(), machine);
   }
 
-  /**
-   * Starts an attempt, which from now on may run on the machine.
-   *
-   * @param direct true for a direct command, false for the answer to the machine's last heartbeat
-   */
-  public Attempt startAttempt(Job job, int task, Machine machine, boolean direct, long nowMicros) {
+  /** Starts an attempt, which from now on may run on the machine. */
+  public Attempt startAttempt(
+      Job job, int task, Machine machine, StartChannel channel, long nowMicros) {
     AttemptOrigin origin =
-        direct
-            ? AttemptOrigin.directCommand(machine.tokens().current())
-            : AttemptOrigin.answerTo(machine.contact().ownSequenceNumber());
+        switch (channel) {
+          case DIRECT_COMMAND -> AttemptOrigin.directCommand(machine.tokens().current());
+          case HEARTBEAT_ANSWER -> AttemptOrigin.answerTo(machine.contact().ownSequenceNumber());
+        };
     return register(new Attempt(job, task, attemptNumbers.next(), machine, origin, nowMicros));
   }
 
--- a/src/main/java/plumlever/fleet/GoalPropagation.java
+++ b/src/main/java/plumlever/fleet/GoalPropagation.java
@@ -39,7 +39,7 @@
         continue;
       }
       previous = vertex;
-      DependencyGraph.EffectiveGoal goal = derive(vertex);
+      EffectiveGoal goal = derive(vertex);
       if (!goal.equals(vertex.effectiveGoal())) {
         vertex.setEffectiveGoal(goal);
         changed.accept(vertex.uid());
@@ -48,8 +48,8 @@
     }
   }
 
-  private static DependencyGraph.EffectiveGoal derive(JobVertex vertex) {
-    DependencyGraph.EffectiveGoal goal = vertex.ownGoal();
+  private static EffectiveGoal derive(JobVertex vertex) {
+    EffectiveGoal goal = vertex.ownGoal();
     for (JobVertex dependent : vertex.dependents()) {
       if (!dependent.isOver() && dependent.effectiveGoal() != null) {
         goal = goal.strictest(dependent.effectiveGoal().forDependency(dependent.durationMicros()));
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatSource.java
+++ b/src/main/java/plumlever/fleet/HeartbeatSource.java
@@ -1,4 +1,4 @@
-package plumlever.leader.heartbeat;
+package plumlever.fleet;
 
 /** How a machine's account of itself came. */
 public enum HeartbeatSource {
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -22,7 +22,7 @@
 
   private boolean waitsForDependencies;
   private boolean cancellationConfirmed;
-  private DependencyGraph.EffectiveGoal goal;
+  private EffectiveGoal goal;
 
   private final boolean inherited;
 
@@ -60,7 +60,7 @@
     this.acceptedMicros = acceptedMicros;
     this.releasedMicros = acceptedMicros;
     this.goal =
-        new DependencyGraph.EffectiveGoal(
+        new EffectiveGoal(
             acceptedMicros,
             spec.hasDeadline() ? (long) (spec.deadlineS() * MICROS_PER_SECOND) : Long.MAX_VALUE,
             spec.jobClass(),
@@ -132,12 +132,12 @@
   }
 
   /** Its own deadline and priority, or the stricter ones that its dependents leave it. */
-  public DependencyGraph.EffectiveGoal goal() {
+  public EffectiveGoal goal() {
     return goal;
   }
 
   /** Replaces the goal, since that of a dependent has changed. */
-  public void setGoal(DependencyGraph.EffectiveGoal newGoal) {
+  public void setGoal(EffectiveGoal newGoal) {
     goal = newGoal;
   }
 
--- a/src/main/java/plumlever/fleet/JobVertex.java
+++ b/src/main/java/plumlever/fleet/JobVertex.java
@@ -15,8 +15,8 @@
   private String failedDependency;
   private long releasedMicros;
 
-  private DependencyGraph.EffectiveGoal ownGoal;
-  private DependencyGraph.EffectiveGoal effectiveGoal;
+  private EffectiveGoal ownGoal;
+  private EffectiveGoal effectiveGoal;
   private long durationMicros;
 
   JobVertex(String uid) {
@@ -121,20 +121,20 @@
   }
 
   /** What the job itself asks for; null before it is set. */
-  DependencyGraph.EffectiveGoal ownGoal() {
+  EffectiveGoal ownGoal() {
     return ownGoal;
   }
 
-  void setOwnGoal(DependencyGraph.EffectiveGoal goal) {
+  void setOwnGoal(EffectiveGoal goal) {
     ownGoal = goal;
   }
 
   /** Its own goal, or the stricter one that its dependents leave it; null before it is derived. */
-  DependencyGraph.EffectiveGoal effectiveGoal() {
+  EffectiveGoal effectiveGoal() {
     return effectiveGoal;
   }
 
-  void setEffectiveGoal(DependencyGraph.EffectiveGoal goal) {
+  void setEffectiveGoal(EffectiveGoal goal) {
     effectiveGoal = goal;
   }
 
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -111,13 +111,9 @@
     return images;
   }
 
-  /**
-   * The machine has reported its state.
-   *
-   * @param own true for a heartbeat that it sent itself, false for the answer to a direct call
-   */
-  public void recordReport(Heartbeat heartbeat, long nowMicros, boolean own) {
-    contact.recordReport(heartbeat, nowMicros, own);
+  /** The machine has reported its state. */
+  public void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
+    contact.recordReport(heartbeat, source, nowMicros);
     preemptedAtMicros =
         heartbeat.hasPreemptionNotice()
             ? nowMicros + (long) (heartbeat.preemptionNoticeS() * MICROS_PER_SECOND)
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -48,19 +48,15 @@
     return ownSequenceNumber;
   }
 
-  /**
-   * The machine has reported its state.
-   *
-   * @param own true for a heartbeat that it sent itself, false for the answer to a direct call
-   */
-  void recordReport(Heartbeat heartbeat, long nowMicros, boolean own) {
+  /** The machine has reported its state. */
+  void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
     if (heartbeat.incarnation() > incarnation) {
       ownSequenceNumber = 0;
     }
     incarnation = heartbeat.incarnation();
     sequenceNumber = heartbeat.sequenceNumber();
     lastSeenMicros = nowMicros;
-    if (own) {
+    if (source == HeartbeatSource.WORKER) {
       ownSequenceNumber = heartbeat.sequenceNumber();
       lastHeartbeatMicros = nowMicros;
     }
@@ -129,8 +125,8 @@
    *
    * @param answered false if it got no answer
    */
-  public void recordDirectCall(boolean recordRenewal) {
-    consecutiveFailedCalls = recordRenewal ? 0 : consecutiveFailedCalls + 1;
+  public void recordDirectCall(boolean answered) {
+    consecutiveFailedCalls = answered ? 0 : consecutiveFailedCalls + 1;
   }
 
   /** Direct calls in a row that got no answer. */
--- a/src/main/java/plumlever/http/CancellationHandler.java
+++ b/src/main/java/plumlever/http/CancellationHandler.java
@@ -1,6 +1,7 @@
 package plumlever.http;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import plumlever.store.JobRecordCache;
 import plumlever.store.StateClient;
@@ -66,7 +67,7 @@
   }
 
   private void answerEnded(String uid, JobRecordCache.JobStatus ended, UserRequest request) {
-    if (ended.endState() == JobState.CANCELLED) {
+    if (ended.endState().equals(Optional.of(JobState.CANCELLED))) {
       cancelled.accept(uid);
     }
     request.send(HttpStatus.OK, answers.describe(uid, ended));
--- a/src/main/java/plumlever/http/JobAnswers.java
+++ b/src/main/java/plumlever/http/JobAnswers.java
@@ -91,8 +91,8 @@
 
   /** The answer's body for a job that was found. */
   String describe(String uid, JobRecordCache.JobStatus found) {
-    if (found.endState() != null) {
-      return body(uid, found.endState());
+    if (found.endState().isPresent()) {
+      return body(uid, found.endState().get());
     }
     Optional<TaskCounts> known = counts.apply(uid);
     boolean running = known.isPresent() && known.get().running() > 0;
--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -1,13 +1,13 @@
 package plumlever.leader;
 
 import plumlever.fleet.Fleet;
+import plumlever.fleet.HeartbeatSource;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
 import plumlever.http.Responder;
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.heartbeat.HeartbeatHandler;
-import plumlever.leader.heartbeat.HeartbeatSource;
 import plumlever.leader.machine.MachineRegistry;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -87,14 +87,14 @@
     return parts.failover().isComplete();
   }
 
-  /** The job as this leader knows it, or null. */
-  public Job job(String uid) {
-    return loaded ? parts.jobs().get(uid) : null;
+  /** The job as this leader knows it, if it does. */
+  public Optional<Job> job(String uid) {
+    return loaded ? Optional.ofNullable(parts.jobs().get(uid)) : Optional.empty();
   }
 
   /** Finished and running tasks of a job for display, if it is known here. */
   public Optional<TaskCounts> taskCounts(String uid) {
-    return Optional.ofNullable(job(uid)).map(Leader::taskCounts);
+    return job(uid).map(Leader::taskCounts);
   }
 
   /** Finished and running tasks of each job by its id, for display at other controllers. */
--- a/src/main/java/plumlever/leader/LeaseRenewalResponder.java
+++ b/src/main/java/plumlever/leader/LeaseRenewalResponder.java
@@ -64,7 +64,7 @@
     answers.refuse(heartbeat, refusal, out);
     if (refusal == RenewalRefusal.UNANSWERED_COMMAND) {
       // With a higher token the command is void, and the next heartbeat may be answered.
-      commands.raiseToken(machine);
+      commands.sendToken(machine);
     }
   }
 }
--- a/src/main/java/plumlever/leader/PlannedStarts.java
+++ b/src/main/java/plumlever/leader/PlannedStarts.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import plumlever.fleet.Machine;
+import plumlever.fleet.StartChannel;
 import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.leader.scheduling.TaskStarter;
 import plumlever.wire.WorkerCommand;
@@ -16,7 +17,7 @@
     if (pass.hasPlan(machine)
         && pass.hasRecordedPlan(machine)
         && !machine.load().hasUnconfirmedStart()) {
-      starter.start(machine, pass.planned(machine), false, commands);
+      starter.start(machine, pass.planned(machine), StartChannel.HEARTBEAT_ANSWER, commands);
       pass.dropPlan(machine);
     }
   }
--- a/src/main/java/plumlever/leader/TokenRaiser.java
+++ b/src/main/java/plumlever/leader/TokenRaiser.java
@@ -51,7 +51,7 @@
         break;
       }
       if (!showsTokenSoon(machine, now)) {
-        commands.raiseToken(machine);
+        commands.sendToken(machine);
       }
     }
   }
@@ -74,7 +74,7 @@
   private void raiseOnUnreachable() {
     for (Machine machine : fleet.machines()) {
       if (machine.contact().unreachable()) {
-        commands.raiseToken(machine);
+        commands.sendToken(machine);
       }
     }
   }
--- a/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
@@ -5,6 +5,7 @@
 import org.agrona.collections.LongHashSet;
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
+import plumlever.fleet.HeartbeatSource;
 import plumlever.fleet.Machine;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
@@ -57,7 +58,7 @@
     }
     boolean startLost = false;
     for (Attempt attempt : absent) {
-      startLost |= !attempt.over() && attempt.state() == null;
+      startLost |= !attempt.over() && !attempt.reported();
       endUnlisted(attempt, heartbeat);
     }
     return startLost;
@@ -72,7 +73,7 @@
   private static boolean provesAbsence(
       Heartbeat heartbeat, HeartbeatSource source, Attempt attempt) {
     return attempt.directCommandToken() >= 0
-        ? heartbeat.fencingToken() > attempt.directCommandToken() || attempt.state() != null
+        ? heartbeat.fencingToken() > attempt.directCommandToken() || attempt.reported()
         : source == HeartbeatSource.WORKER
             && attempt.answeredSequenceNumber() < heartbeat.sequenceNumber();
   }
@@ -80,7 +81,7 @@
   private void endUnlisted(Attempt attempt, Heartbeat heartbeat) {
     if (!attempt.over()) {
       placementChange.mark();
-      context.metrics().count(attempt.state() == null ? "starts_lost" : "attempts_vanished");
+      context.metrics().count(attempt.reported() ? "attempts_vanished" : "starts_lost");
       attemptLog.absent(attempt, heartbeat);
     }
     fleet.removeAttempt(attempt);
@@ -92,7 +93,7 @@
    */
   void endRefused(Iterable<Attempt> sent) {
     for (Attempt attempt : sent) {
-      if (!attempt.over() && attempt.state() == null) {
+      if (!attempt.over() && !attempt.reported()) {
         placementChange.mark();
         context.metrics().count("starts_refused");
         fleet.removeAttempt(attempt);
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -4,6 +4,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Machine;
+import plumlever.fleet.StartChannel;
 import plumlever.leader.context.TermContext;
 import plumlever.metrics.LogBudget;
 import plumlever.wire.Heartbeat;
@@ -33,10 +34,10 @@
   /**
    * The attempt is sent to its machine.
    *
-   * @param direct by a direct command, not with the answer to a heartbeat
+   * @param channel how the command goes out
    * @param endsKnownMicros when the latest answered read of ended jobs was sent
    */
-  public void started(Attempt attempt, boolean direct, long endsKnownMicros) {
+  public void started(Attempt attempt, StartChannel channel, long endsKnownMicros) {
     if (enabled()) {
       log.debug(
           "{} attempt {} is sent to {} incarnation {} {} token {}, ended jobs as of {} ms ago",
@@ -44,7 +45,7 @@
           attempt.id(),
           attempt.machine().id(),
           attempt.incarnation(),
-          direct ? "by direct command," : "with an answer,",
+          channel == StartChannel.DIRECT_COMMAND ? "by direct command," : "with an answer,",
           attempt.machine().tokens().current(),
           (context.loop().nowMicros() - endsKnownMicros) / 1_000);
     }
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -45,8 +45,7 @@
     if (attempt.over()) {
       return;
     }
-    boolean started =
-        reported.state() == AttemptState.RUNNING && attempt.state() != AttemptState.RUNNING;
+    boolean started = reported.state() == AttemptState.RUNNING && !attempt.running();
     if (started && !attempt.job().hasStarted()) {
       context.metrics().recordDuration("first_start", now - attempt.job().acceptedMicros());
     }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -6,6 +6,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
+import plumlever.fleet.HeartbeatSource;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RunTimeEstimates;
 import plumlever.leader.context.MachineSharing;
@@ -133,7 +134,7 @@
   private void observe(Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
     boolean firstHeartbeat = !machine.contact().hasReported();
     boolean newNotice = heartbeat.hasPreemptionNotice() && machine.preemptedAtMicros() < 0;
-    machine.recordReport(heartbeat, now, source == HeartbeatSource.WORKER);
+    machine.recordReport(heartbeat, source, now);
     if (firstHeartbeat && source == HeartbeatSource.WORKER) {
       placementChange.mark();
     }
@@ -185,7 +186,7 @@
     }
     endEarlierIncarnations(machine, heartbeat);
     long now = context.loop().nowMicros();
-    machine.recordReport(heartbeat, now, true);
+    machine.recordReport(heartbeat, HeartbeatSource.WORKER, now);
     LongHashSet listed = new LongHashSet();
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       listed.add(reported.attempt());
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -92,7 +92,7 @@
    * within which a cancellation that this leader does not know of must have stopped all tasks might
    * expire before the lease does.
    */
-  public boolean mayRenew() {
+  public boolean mayStartOrRenew() {
     return limit.mayRenew(context.loop().nowMicros(), endsKnownMicros);
   }
 
@@ -223,7 +223,7 @@
     public void changed(List<StateClient.KeyEvent> changes, long sentMicros) {
       endsKnownMicros = sentMicros;
       for (StateClient.KeyEvent change : changes) {
-        if (change.data() == null) {
+        if (change.deleted()) {
           removeJob(uidOf(change.key()), Optional.empty());
         } else {
           addJob(change.key(), change.data(), change.revision(), false);
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -176,10 +176,13 @@
   }
 
   private void endRead(String uid, JobFinder.Found found) {
-    if (found.endState() != null) {
-      unknownEnds.remove(uid);
-      graph.recordEnd(uid, found.endState(), found.endedWallMicros());
-    }
+    found
+        .endState()
+        .ifPresent(
+            endState -> {
+              unknownEnds.remove(uid);
+              graph.recordEnd(uid, endState, found.endedWallMicros());
+            });
   }
 
   /**
@@ -226,7 +229,10 @@
     for (String uid : graph.drainCancelled()) {
       Job job = activeJobs.get(uid);
       if (job != null && job.waitsForDependencies() && cancellation.add(job)) {
-        log.info("{} is cancelled with its dependency {}", uid, graph.failedDependencyOf(uid));
+        log.info(
+            "{} is cancelled with its dependency {}",
+            uid,
+            graph.failedDependencyOf(uid).orElse("unknown"));
       }
     }
     cancellation.run();
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -150,7 +150,7 @@
                 knownMicros = sent;
                 for (StateClient.KeyEvent event : response.events()) {
                   String uid = event.key().substring(prefix.length());
-                  if (event.data() == null && watched.contains(uid)) {
+                  if (event.deleted() && watched.contains(uid)) {
                     ended.add(uid);
                   }
                 }
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -60,7 +60,7 @@
   private final OfferAcceptance offerTaker;
   private final ForeignTasks foreignTasks;
   private final Failover failover;
-  private final Consumer<Machine> raiseToken;
+  private final Consumer<Machine> sendToken;
   private final Map<String, Long> offeredMicros = new HashMap<>();
 
   /** Machines of other shards that were seen without any task of this one. */
@@ -80,8 +80,8 @@
       TransferSteps steps,
       ForeignTasks foreignTasks,
       Failover failover,
-      Consumer<Machine> raiseToken) {
-    this.raiseToken = raiseToken;
+      Consumer<Machine> sendToken) {
+    this.sendToken = sendToken;
     this.context = context;
     this.log = context.logs().of(MachineTransfers.class);
     this.sharing = sharing;
@@ -191,7 +191,7 @@
       machine.tokens().startTerm(record.number());
       machine.markUnaccounted();
       machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
-      raiseToken.accept(machine);
+      sendToken.accept(machine);
     } else if (!machine.accounted() && machine.contact().renewedElsewhereMicros() < 0) {
       machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
     }
@@ -219,7 +219,7 @@
     machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
     fleet.add(machine);
     registry.register(machine);
-    raiseToken.accept(machine);
+    sendToken.accept(machine);
     context.metrics().count("machines_taken");
     log.info(
         "{} is this cell's now, {} cells have tasks on it",
--- a/src/main/java/plumlever/leader/pool/PoolLink.java
+++ b/src/main/java/plumlever/leader/pool/PoolLink.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.slf4j.Logger;
 import plumlever.leader.context.TermContext;
 import plumlever.sharing.PoolView;
@@ -70,7 +71,7 @@
     List<String> keys = new ArrayList<>();
     for (StateClient.Item item : listing.items()) {
       keys.add(item.key());
-      apply(new StateClient.KeyEvent(item.key(), item.data(), item.revision()));
+      apply(new StateClient.KeyEvent(item.key(), Optional.of(item.data()), item.revision()));
     }
     try {
       view.retain(keys, listing.storeRevision());
@@ -82,7 +83,7 @@
   /** A record has changed, by this controller's own transaction or by another's. */
   void apply(StateClient.KeyEvent change) {
     try {
-      view.apply(change.key(), change.data(), change.revision());
+      view.apply(change.key(), change.value().orElse(null), change.revision());
     } catch (InvalidMessageException e) {
       // Nothing is guessed of it: the machine stays with whoever the records named before.
       log.error("{} can't be read and is left alone: {}", change.key(), e.getMessage());
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -95,7 +95,7 @@
             steps,
             foreignTasks,
             failover,
-            commands::raiseToken);
+            commands::sendToken);
     this.adoption = new DeadShardAdoption(context, sharing, link, steps, transfers::acquire);
     this.limits = new LimitSharing(context, sharing, jobs, failover, view, writer);
     this.share =
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -99,7 +99,9 @@
                       .changes()
                       .forEach(
                           (key, data) ->
-                              link.apply(new StateClient.KeyEvent(key, data, result.revision())));
+                              link.apply(
+                                  new StateClient.KeyEvent(
+                                      key, Optional.ofNullable(data), result.revision())));
                   finish(step);
                   changed.run();
                 }
@@ -138,7 +140,8 @@
               }
               if (result.found()) {
                 link.apply(
-                    new StateClient.KeyEvent(key, result.item().data(), result.item().revision()));
+                    new StateClient.KeyEvent(
+                        key, Optional.of(result.item().data()), result.item().revision()));
                 read(keys, index + 1, then);
               } else if (result.missing()) {
                 link.absent(key, revisionBefore);
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -104,9 +104,7 @@
             StateClient.RequestPriority.URGENT,
             result -> {
               Optional<JobState> endState =
-                  result.found()
-                      ? Optional.ofNullable(JobStore.finalState(result.item().data()))
-                      : Optional.empty();
+                  result.found() ? JobStore.finalState(result.item().data()) : Optional.empty();
               endState.ifPresentOrElse(state -> ended(job, state), () -> retryLater(job));
             });
   }
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -5,11 +5,12 @@
 import java.util.Optional;
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
+import plumlever.fleet.HeartbeatSource;
 import plumlever.fleet.Machine;
+import plumlever.fleet.StartChannel;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.heartbeat.AttemptLog;
 import plumlever.leader.heartbeat.HeartbeatHandler;
-import plumlever.leader.heartbeat.HeartbeatSource;
 import plumlever.leader.heartbeat.RenewalDelegation;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.settings.Endpoint;
@@ -100,7 +101,8 @@
       return;
     }
     List<WorkerCommand> commands = new ArrayList<>();
-    List<Attempt> sent = starter.start(machine, pass.planned(machine), true, commands);
+    List<Attempt> sent =
+        starter.start(machine, pass.planned(machine), StartChannel.DIRECT_COMMAND, commands);
     pass.dropPlan(machine);
     if (!sent.isEmpty()) {
       sendStarts(machine, endpoint.get(), commands, sent);
@@ -149,7 +151,7 @@
    * Does nothing while another direct call to the machine is under way, too many are to others, or
    * the leader may not act; where no command may be sent, the machine is only inspected.
    */
-  public void raiseToken(Machine machine) {
+  public void sendToken(Machine machine) {
     Optional<Endpoint> endpoint = callableEndpoint(machine);
     if (endpoint.isEmpty()) {
       return;
@@ -179,14 +181,14 @@
             && heartbeat.incarnation() != machine.contact().incarnation();
     heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY);
     if (incarnationChanged && !machine.accounted()) {
-      raiseToken(machine);
+      sendToken(machine);
     }
     reportPlacementChange();
   }
 
   /**
    * Asks the machine for its state, without a command: it may be in a zone where none may be sent.
-   * The same limits hold as for {@link #raiseToken}.
+   * The same limits hold as for {@link #sendToken}.
    */
   public void probe(Machine machine) {
     callableEndpoint(machine).ifPresent(endpoint -> inspect(machine, endpoint));
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -5,7 +5,6 @@
 import plumlever.fleet.Machine;
 import plumlever.fleet.RunTimeEstimates;
 import plumlever.leader.context.TermContext;
-import plumlever.wire.AttemptState;
 import plumlever.wire.MachineType;
 
 /** How long tasks are expected to run, and when attempts are expected to end. */
@@ -75,7 +74,7 @@
             (estimates.runMicros(attempt.job())
                 * attempt.machine().health().slowness()
                 * paddingFactor());
-    if (attempt.state() == AttemptState.RUNNING && attempt.runningSinceMicros() >= 0) {
+    if (attempt.running() && attempt.runningSinceMicros() >= 0) {
       long endMicros = attempt.runningSinceMicros() + runMicros;
       return endMicros > nowMicros ? endMicros : overdueEndMicros(attempt, nowMicros);
     }
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -11,7 +11,6 @@
 import plumlever.leader.context.TermContext;
 import plumlever.placement.ResourceRequest;
 import plumlever.placement.Zones;
-import plumlever.wire.AttemptState;
 import plumlever.wire.MachineType;
 import plumlever.wire.Priority;
 
@@ -194,7 +193,7 @@
     }
 
     private boolean isPreemptible(Attempt attempt) {
-      return attempt.state() == AttemptState.RUNNING
+      return attempt.running()
           && attempt.job().spec().savesCheckpoints()
           && attempt.job().priority().compareTo(job.priority()) > 0
           && nowMicros - attempt.runningSinceMicros() > MIN_RUN_MICROS;
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import plumlever.fleet.DependencyGraph;
+import plumlever.fleet.EffectiveGoal;
 import plumlever.fleet.Job;
 import plumlever.settings.PlatformConfiguration;
 
@@ -124,7 +124,7 @@
 
   private long extendedDeadlineMicros(Job job, long nowMicros) {
     long deadlineMicros = job.deadlineMicros();
-    DependencyGraph.EffectiveGoal goal = job.goal();
+    EffectiveGoal goal = job.goal();
     for (double multiple : deadlineMultiples.getOrDefault(goal.jobClass(), List.of())) {
       if (deadlineMicros >= nowMicros) {
         break;
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -7,6 +7,7 @@
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
+import plumlever.fleet.StartChannel;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 import plumlever.leader.heartbeat.AttemptLog;
@@ -36,14 +37,14 @@
    * Starts the tasks planned for the machine, as far as each rule still allows it as the command is
    * written. The commands must go out with the message that is being written now.
    *
-   * @param direct whether they go out by a direct command, rather than in a heartbeat response
+   * @param channel how the commands go out
    * @param commands receives the commands
    * @return the attempts begun; empty if nothing may start on the machine
    */
   public List<Attempt> start(
       Machine machine,
       Iterable<PlannedTasks> planned,
-      boolean direct,
+      StartChannel channel,
       List<WorkerCommand> commands) {
     MachineType machineType = context.prices().machineType(machine.machineType());
     if (machineType == null || !mayStartOn(machine)) {
@@ -65,7 +66,7 @@
           break;
         }
         Attempt attempt =
-            fleet.startAttempt(job, job.nextPendingTask(), machine, direct, nowMicros);
+            fleet.startAttempt(job, job.nextPendingTask(), machine, channel, nowMicros);
         started.add(attempt);
         zones.add(machine.zone());
         free.reserve(job.spec());
@@ -73,14 +74,14 @@
             .images()
             .recordUse(job.spec().image(), job.spec().imageGb(), machineType, nowMicros);
         commands.add(WorkerCommand.run(attempt.name(), attempt.id()));
-        report(attempt, direct, nowMicros);
+        report(attempt, channel, nowMicros);
       }
     }
     return started;
   }
 
   private boolean mayStartOn(Machine machine) {
-    return jobs.mayRenew()
+    return jobs.mayStartOrRenew()
         && !machine.draining()
         && !machine.returning()
         && !machine.transferring()
@@ -96,9 +97,9 @@
         && job.spec().allows(machine.machineType(), machine.zone(), machine.spot());
   }
 
-  private void report(Attempt attempt, boolean direct, long nowMicros) {
+  private void report(Attempt attempt, StartChannel channel, long nowMicros) {
     context.metrics().count("starts_sent");
     context.metrics().recordDuration("wait", nowMicros - attempt.job().releasedMicros());
-    attemptLog.started(attempt, direct, jobs.endsKnownMicros());
+    attemptLog.started(attempt, channel, jobs.endsKnownMicros());
   }
 }
--- a/src/main/java/plumlever/store/DependencyReader.java
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -135,13 +135,12 @@
 
   private void addFound(String uid, JobFinder.Found job, List<StateClient.Item> withList) {
     // What ended while this was read is known from the watch, which may have come first.
-    Optional<JobState> finalState =
-        Optional.ofNullable(job.endState()).or(() -> knownJobs.finalState(uid));
+    Optional<JobState> finalState = job.endState().or(() -> knownJobs.finalState(uid));
     if (finalState.isPresent()) {
       knownJobs.jobEnded(uid, finalState.get());
       graph.recordEnd(uid, finalState.get(), job.endedWallMicros());
-    } else if (job.active() != null) {
-      addActive(job.active(), withList);
+    } else {
+      job.active().ifPresent(item -> addActive(item, withList));
     }
   }
 
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -59,8 +59,8 @@
     this.questions = new QuestionBatch<>(loop, () -> Integer.MAX_VALUE, this::answerAll);
   }
 
-  /** The dependency whose cancellation cancelled this job, or null. */
-  String failedDependencyOf(String uid) {
+  /** The dependency whose cancellation cancelled this job, if one did. */
+  Optional<String> failedDependencyOf(String uid) {
     return graph.failedDependencyOf(uid);
   }
 
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -20,27 +20,28 @@
   /**
    * A job's record.
    *
-   * @param active null unless it has been accepted and has not ended
-   * @param endState null unless it has ended
+   * @param active the record of a job that has been accepted and has not ended
+   * @param endState how it ended, if it has ended
    * @param endedWallMicros when, if that was stored, else 0
    */
-  public record Found(StateClient.Item active, JobState endState, long endedWallMicros) {
-    static final Found NONE = new Found(null, null, 0);
+  public record Found(
+      Optional<StateClient.Item> active, Optional<JobState> endState, long endedWallMicros) {
+    static final Found NONE = new Found(Optional.empty(), Optional.empty(), 0);
 
     static Found active(StateClient.Item item) {
-      return new Found(item, null, 0);
+      return new Found(Optional.of(item), Optional.empty(), 0);
     }
 
     static Found ended(StateClient.Item item) {
       return new Found(
-          null,
-          EndedRecord.finalState(item.data()).orElse(null),
+          Optional.empty(),
+          EndedRecord.finalState(item.data()),
           EndedRecord.endedWallMicros(item.data()));
     }
 
     /** True if the job has ever been accepted. */
     public boolean accepted() {
-      return active != null || endState != null;
+      return active.isPresent() || endState.isPresent();
     }
   }
 
@@ -61,7 +62,7 @@
   /**
    * Reads the records of these jobs.
    *
-   * @param handler takes what was found of each, or null when that can't be found out now
+   * @param handler takes what was found of each, or nothing when that can't be found out now
    */
   public void find(Collection<String> uids, Consumer<Optional<Map<String, Found>>> handler) {
     if (uids.size() <= MAX_SINGLE_READS) {
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -38,18 +38,18 @@
    * What the state service says of a job.
    *
    * @param revision of the record of an active job, else 0
-   * @param endState null unless it has ended
+   * @param endState how it ended, if it has ended
    */
-  public record JobStatus(Presence presence, long revision, JobState endState) {
-    static final JobStatus MISSING = new JobStatus(Presence.MISSING, 0, null);
-    static final JobStatus UNAVAILABLE = new JobStatus(Presence.UNAVAILABLE, 0, null);
+  public record JobStatus(Presence presence, long revision, Optional<JobState> endState) {
+    static final JobStatus MISSING = new JobStatus(Presence.MISSING, 0, Optional.empty());
+    static final JobStatus UNAVAILABLE = new JobStatus(Presence.UNAVAILABLE, 0, Optional.empty());
 
     static JobStatus active(long revision) {
-      return new JobStatus(Presence.ACTIVE, revision, null);
+      return new JobStatus(Presence.ACTIVE, revision, Optional.empty());
     }
 
     static JobStatus ended(JobState endState) {
-      return new JobStatus(Presence.ENDED, 0, endState);
+      return new JobStatus(Presence.ENDED, 0, Optional.of(endState));
     }
 
     /** True if the job has been accepted. */
@@ -159,9 +159,8 @@
         (uid, job) -> {
           if (!job.accepted()) {
             neverAccepted.add(uid);
-          } else if (job.endState() != null) {
-            jobEnded(uid, job.endState());
           }
+          job.endState().ifPresent(endState -> jobEnded(uid, endState));
         });
     return neverAccepted;
   }
@@ -394,7 +393,7 @@
 
   /** Stored before it is told, like every end. */
   private void cancelWithDependency(String uid, long revision, Consumer<JobStatus> handler) {
-    String dependency = dependencyRecords.failedDependencyOf(uid);
+    String dependency = dependencyRecords.failedDependencyOf(uid).orElse("unknown");
     store.transaction(
         layout.endJob(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of()),
         StateClient.RequestPriority.URGENT,
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -280,9 +280,9 @@
     return EndedRecord.endedWallMicros(endedRecord);
   }
 
-  /** Null when it can't be read. */
-  public static JobState finalState(JsonNode endedRecord) {
-    return EndedRecord.finalState(endedRecord).orElse(null);
+  /** How the job ended; empty when that can't be read. */
+  public static Optional<JobState> finalState(JsonNode endedRecord) {
+    return EndedRecord.finalState(endedRecord);
   }
 
   /** The submission that an active record holds. */
--- a/src/main/java/plumlever/store/StateAnswerReader.java
+++ b/src/main/java/plumlever/store/StateAnswerReader.java
@@ -34,8 +34,8 @@
         .filter(
             body ->
                 body.hasNonNull(StateProtocol.VALUE) && holdsInteger(body, StateProtocol.REVISION))
-        .map(body -> new StateClient.ReadResult(HttpStatus.OK, item(body, key)))
-        .orElseGet(() -> new StateClient.ReadResult(answer.failureStatus(), null));
+        .map(body -> new StateClient.ReadResult(HttpStatus.OK, Optional.of(item(body, key))))
+        .orElseGet(() -> new StateClient.ReadResult(answer.failureStatus(), Optional.empty()));
   }
 
   Optional<Page> page(StateAnswer answer, String prefix) {
@@ -132,16 +132,17 @@
     List<StateClient.KeyEvent> events = new ArrayList<>();
     for (JsonNode node : body.path(StateProtocol.EVENTS)) {
       if (node.hasNonNull(StateProtocol.PUT)) {
-        events.add(event(node, StateProtocol.PUT, prefix, node.path(StateProtocol.VALUE)));
+        JsonNode value = node.path(StateProtocol.VALUE);
+        events.add(event(node, StateProtocol.PUT, prefix, Optional.of(value)));
       } else if (node.hasNonNull(StateProtocol.DELETE)) {
-        events.add(event(node, StateProtocol.DELETE, prefix, null));
+        events.add(event(node, StateProtocol.DELETE, prefix, Optional.empty()));
       }
     }
     return events;
   }
 
   private StateClient.KeyEvent event(
-      JsonNode node, String keyField, String prefix, JsonNode value) {
+      JsonNode node, String keyField, String prefix, Optional<JsonNode> value) {
     return new StateClient.KeyEvent(
         keySpace.fromStored(node.get(keyField).asText(), prefix),
         value,
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -38,14 +38,19 @@
    * What a read of one key brought.
    *
    * @param status 200, 404, or anything else for "not known"; 0 without an answer
-   * @param item null unless it was found
+   * @param foundItem the key, if it was found
    */
-  public record ReadResult(int status, Item item) {
-    /** True if the key exists; {@code item} is there then. */
+  public record ReadResult(int status, Optional<Item> foundItem) {
+    /** True if the key exists. */
     public boolean found() {
       return status == HttpStatus.OK;
     }
 
+    /** The key; only where it was {@link #found}. */
+    public Item item() {
+      return foundItem.orElseThrow();
+    }
+
     /** True if the key surely does not exist. */
     public boolean missing() {
       return status == HttpStatus.NOT_FOUND;
@@ -58,12 +63,17 @@
   /**
    * One change of a key.
    *
-   * @param data the new value, null when the key was deleted
+   * @param value the new one, nothing when the key was deleted
    */
-  public record KeyEvent(String key, JsonNode data, long revision) {
+  public record KeyEvent(String key, Optional<JsonNode> value, long revision) {
     /** True if the key does not exist any more. */
     public boolean deleted() {
-      return data == null;
+      return value.isEmpty();
+    }
+
+    /** The new value; only where the key was not {@link #deleted}. */
+    public JsonNode data() {
+      return value.orElseThrow();
     }
   }
 
--- /dev/null
+++ b/src/test/java/plumlever/concurrent/ManualLoop.java
@@ -0,0 +1,53 @@
+package plumlever.concurrent;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+
+/** A loop whose time passes only when a test says so. */
+public final class ManualLoop implements Loop {
+  private final List<Pending> pending = new ArrayList<>();
+  private long nowMicros;
+
+  /** A loop at this time. */
+  public ManualLoop(long nowMicros) {
+    this.nowMicros = nowMicros;
+  }
+
+  private record Pending(long dueMicros, Runnable action) {}
+
+  @Override
+  public long nowMicros() {
+    return nowMicros;
+  }
+
+  @Override
+  public long wallMicros() {
+    return nowMicros;
+  }
+
+  @Override
+  public Timer after(long delayMicros, Runnable action) {
+    Pending added = new Pending(nowMicros + delayMicros, action);
+    pending.add(added);
+    return () -> pending.remove(added);
+  }
+
+  @Override
+  public void execute(Runnable action) {
+    after(0, action);
+  }
+
+  /** Lets this much time pass, with all that becomes due in it. */
+  public void advance(long micros) {
+    long untilMicros = nowMicros + micros;
+    while (pending.stream().anyMatch(next -> next.dueMicros() <= untilMicros)) {
+      Pending next =
+          pending.stream().min(Comparator.comparingLong(Pending::dueMicros)).orElseThrow();
+      pending.remove(next);
+      nowMicros = Math.max(nowMicros, next.dueMicros());
+      next.action().run();
+    }
+    nowMicros = untilMicros;
+  }
+}
--- /dev/null
+++ b/src/test/java/plumlever/concurrent/package-info.java
@@ -0,0 +1,2 @@
+/** Loops of tests. */
+package plumlever.concurrent;
--- /dev/null
+++ b/src/test/java/plumlever/election/ElectionBackoffTest.java
@@ -0,0 +1,59 @@
+package plumlever.election;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+
+/** Candidates that failed together do not try again together, and wait longer after each loss. */
+final class ElectionBackoffTest {
+  private static final int PAUSES = 1_000;
+
+  private final ElectionBackoff backoff = new ElectionBackoff(new SplittableRandom(1));
+
+  private long shortestCandidacyPauseMicros() {
+    long shortest = Long.MAX_VALUE;
+    for (int i = 0; i < PAUSES; i++) {
+      shortest = Math.min(shortest, backoff.beforeCandidacyMicros());
+    }
+    return shortest;
+  }
+
+  @Test
+  void theFirstCandidacyHasNoLeastPause() {
+    assertTrue(shortestCandidacyPauseMicros() < 10_000);
+  }
+
+  @Test
+  void lostElectionsLengthenThePauseUpToABound() {
+    backoff.electionLost();
+    long afterOne = shortestCandidacyPauseMicros();
+    for (int i = 0; i < 5; i++) {
+      backoff.electionLost();
+    }
+    long afterSix = shortestCandidacyPauseMicros();
+    backoff.electionLost();
+    long afterSeven = shortestCandidacyPauseMicros();
+
+    assertTrue(afterOne >= 150_000 && afterSix >= 6 * 150_000);
+    assertEquals(afterSix / 1e6, afterSeven / 1e6, 0.01);
+  }
+
+  @Test
+  void aWonElectionForgetsTheLostOnes() {
+    backoff.electionLost();
+
+    backoff.electionWon();
+
+    assertTrue(shortestCandidacyPauseMicros() < 10_000);
+  }
+
+  @Test
+  void requestsAreNotRepeatedAtOnce() {
+    for (int i = 0; i < PAUSES; i++) {
+      assertTrue(backoff.beforeReadMicros() >= ElectionBackoff.RETRY_MICROS);
+      assertTrue(backoff.beforeRetryMicros() >= ElectionBackoff.RETRY_MICROS);
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/plumlever/election/TermTest.java
@@ -0,0 +1,55 @@
+package plumlever.election;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import plumlever.concurrent.ManualLoop;
+import plumlever.settings.SchedulerParameters;
+
+/** How long the right to act lasts. */
+final class TermTest {
+  private final SchedulerParameters parameters = SchedulerParameters.defaults();
+  private final ManualLoop loop = new ManualLoop(1_000_000);
+  private final Term term = new Term(loop, 7, 40, 12);
+
+  @Test
+  void thereIsNoRightBeforeTheLease() {
+    assertFalse(term.mayAct());
+  }
+
+  @Test
+  void theRightEndsBeforeTheLeaseCan() {
+    long sentMicros = loop.nowMicros();
+    term.extendFrom(sentMicros, parameters);
+    assertTrue(term.mayAct());
+    assertTrue(
+        term.rightUntilMicros() + parameters.actMarginMicros()
+            <= sentMicros + parameters.leaseTtlMicros());
+
+    loop.advance(term.rightUntilMicros() - loop.nowMicros());
+
+    assertFalse(term.mayAct());
+  }
+
+  @Test
+  void anAnswerThatIsOvertakenDoesNotShortenTheRight() {
+    term.extendFrom(1_000_000, parameters);
+    long untilMicros = term.rightUntilMicros();
+
+    term.extendFrom(900_000, parameters);
+
+    assertEquals(untilMicros, term.rightUntilMicros());
+  }
+
+  @Test
+  void aTermThatHasEndedNeverComesBack() {
+    term.extendFrom(1_000_000, parameters);
+    term.end();
+
+    term.extendFrom(2_000_000, parameters);
+
+    assertFalse(term.mayAct());
+  }
+}
--- /dev/null
+++ b/src/test/java/plumlever/election/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of who leads, and for how long. */
+package plumlever.election;
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -24,7 +24,7 @@
   private static final class Model {
     final Map<String, List<String>> dependencies = new HashMap<>();
     final Map<String, JobState> ended = new HashMap<>();
-    final Map<String, DependencyGraph.EffectiveGoal> ownGoals = new HashMap<>();
+    final Map<String, EffectiveGoal> ownGoals = new HashMap<>();
     final Map<String, Long> durations = new HashMap<>();
 
     boolean cancelled(String uid) {
@@ -131,7 +131,7 @@
     model.durations.put(uid, 1 + random.nextLong(30));
     model.ownGoals.put(
         uid,
-        new DependencyGraph.EffectiveGoal(
+        new EffectiveGoal(
             all.size(),
             random.nextInt(3) == 0 ? 100 + random.nextLong(200) : Long.MAX_VALUE,
             "c",
@@ -181,8 +181,8 @@
     }
   }
 
-  private static DependencyGraph.EffectiveGoal goal(long deadline, Priority priority) {
-    return new DependencyGraph.EffectiveGoal(0, deadline, "c", 0, priority);
+  private static EffectiveGoal goal(long deadline, Priority priority) {
+    return new EffectiveGoal(0, deadline, "c", 0, priority);
   }
 
   /** So many that recursion would overflow the stack. */
@@ -235,7 +235,7 @@
     graph.recordEnd("job-0", JobState.CANCELLED, 0);
 
     assertEquals(MANY, graph.drainCancelled().size());
-    assertEquals("job-0", graph.failedDependencyOf("job-" + (MANY - 1)));
+    assertEquals("job-0", graph.failedDependencyOf("job-" + (MANY - 1)).orElseThrow());
   }
 
   @Test
--- a/src/test/java/plumlever/fleet/MachineContactTest.java
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -10,9 +10,6 @@
 
 /** When a machine and its leader last heard of each other. */
 final class MachineContactTest {
-  private static final boolean HEARTBEAT = true;
-  private static final boolean DIRECT_ANSWER = false;
-
   private final MachineContact contact = new MachineContact();
 
   private static Heartbeat report(long incarnation, long sequenceNumber) {
@@ -32,7 +29,7 @@
   @Test
   void aCopyOfAReportIsNotNewer() {
     assertTrue(contact.isNewerThanLast(report(0, 0)), "there is none before the first");
-    contact.recordReport(report(2, 5), 10, HEARTBEAT);
+    contact.recordReport(report(2, 5), HeartbeatSource.WORKER, 10);
 
     assertFalse(contact.isNewerThanLast(report(2, 5)));
     assertFalse(contact.isNewerThanLast(report(1, 9)));
@@ -42,7 +39,7 @@
 
   @Test
   void theAnswerToADirectCallIsNoHeartbeat() {
-    contact.recordReport(report(1, 5), 10, DIRECT_ANSWER);
+    contact.recordReport(report(1, 5), HeartbeatSource.DIRECT_REPLY, 10);
 
     assertFalse(contact.hasReported());
     assertEquals(0, contact.ownSequenceNumber());
@@ -51,9 +48,9 @@
 
   @Test
   void aNewIncarnationHasSentNoHeartbeat() {
-    contact.recordReport(report(1, 5), 10, HEARTBEAT);
+    contact.recordReport(report(1, 5), HeartbeatSource.WORKER, 10);
 
-    contact.recordReport(report(2, 1), 20, DIRECT_ANSWER);
+    contact.recordReport(report(2, 1), HeartbeatSource.DIRECT_REPLY, 20);
 
     assertEquals(0, contact.ownSequenceNumber());
   }
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -4,6 +4,7 @@
 import java.util.Optional;
 import plumlever.cloud.PriceBook;
 import plumlever.concurrent.Loop;
+import plumlever.concurrent.ManualLoop;
 import plumlever.http.Caller;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
@@ -43,27 +44,7 @@
           new PlatformConfiguration.CloudLimits(6, 5_000_000),
           1000);
 
-  private static final class StoppedLoop implements Loop {
-    @Override
-    public long nowMicros() {
-      return 1_000_000_000L;
-    }
-
-    @Override
-    public long wallMicros() {
-      return nowMicros();
-    }
-
-    @Override
-    public Timer after(long delayMicros, Runnable action) {
-      return () -> {};
-    }
-
-    @Override
-    public void execute(Runnable action) {}
-  }
-
-  private final Loop loop = new StoppedLoop();
+  private final Loop loop = new ManualLoop(1_000_000_000L);
   private final Metrics metrics = new Metrics(Logs.SERVICE);
   private final TermContext context;
   private boolean refusesWrites;
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -6,9 +6,11 @@
 import java.util.function.Consumer;
 import plumlever.fleet.Attempt;
 import plumlever.fleet.Fleet;
+import plumlever.fleet.HeartbeatSource;
 import plumlever.fleet.Job;
 import plumlever.fleet.Machine;
 import plumlever.fleet.RunTimeEstimates;
+import plumlever.fleet.StartChannel;
 import plumlever.leader.context.ContextFixture;
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.context.TermContext;
@@ -82,15 +84,17 @@
   /** The number of an attempt that a leader of an earlier term started. */
   static long attemptOfEarlierTerm() {
     HeartbeatFixture earlier = new HeartbeatFixture();
-    return new Fleet(TERM - 1).startAttempt(earlier.job, 0, earlier.machine, false, 0).id();
+    return new Fleet(TERM - 1)
+        .startAttempt(earlier.job, 0, earlier.machine, StartChannel.HEARTBEAT_ANSWER, 0)
+        .id();
   }
 
   /** A task that this leader starts, with the answer to the last heartbeat or directly. */
-  Attempt start(int task, boolean direct) {
-    if (direct) {
+  Attempt start(int task, StartChannel channel) {
+    if (channel == StartChannel.DIRECT_COMMAND) {
       machine.tokens().commandSent(services.nowMicros());
     }
-    return fleet.startAttempt(job, task, machine, direct, services.nowMicros());
+    return fleet.startAttempt(job, task, machine, channel, services.nowMicros());
   }
 
   /** The machine has reported in this term, without tasks, and is accounted for. */
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -12,6 +12,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import plumlever.fleet.Attempt;
+import plumlever.fleet.HeartbeatSource;
+import plumlever.fleet.StartChannel;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.TaskName;
 import plumlever.wire.WorkerCommand;
@@ -77,7 +79,7 @@
 
   @Test
   void aStartInAnAnswerIsOverWhenTheNextHeartbeatLacksIt() {
-    Attempt attempt = leader.accounted().start(0, false);
+    Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
 
     apply(leader.heartbeat());
 
@@ -87,7 +89,7 @@
   /** The body of a direct call proves nothing about an answer that is still in flight. */
   @Test
   void aStartInAnAnswerIsNotOverWhenADirectAnswerLacksIt() {
-    Attempt attempt = leader.accounted().start(0, false);
+    Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
 
     leader.handler.apply(leader.machine, leader.heartbeat(), HeartbeatSource.DIRECT_REPLY);
 
@@ -96,7 +98,7 @@
 
   @Test
   void anUnansweredDirectStartIsNotOverWhileItsTokenCounts() {
-    Attempt attempt = leader.accounted().start(0, true);
+    Attempt attempt = leader.accounted().start(0, StartChannel.DIRECT_COMMAND);
 
     apply(leader.heartbeat());
 
@@ -105,7 +107,7 @@
 
   @Test
   void anUnansweredDirectStartIsOverOnceAHigherTokenIsShown() {
-    Attempt attempt = leader.accounted().start(0, true);
+    Attempt attempt = leader.accounted().start(0, StartChannel.DIRECT_COMMAND);
     leader.machine.tokens().voidDirectCommands();
 
     apply(leader.heartbeat());
@@ -116,9 +118,9 @@
   /** Also direct starts: the worker executes none that names an earlier incarnation. */
   @Test
   void aNewIncarnationEndsAllAttemptsOfEarlierOnes() {
-    Attempt running = leader.accounted().start(0, false);
+    Attempt running = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
     apply(leader.heartbeat(running(0, running.id())));
-    Attempt unanswered = leader.start(1, true);
+    Attempt unanswered = leader.start(1, StartChannel.DIRECT_COMMAND);
 
     apply(leader.heartbeatOfNextIncarnation());
 
@@ -128,7 +130,7 @@
 
   @Test
   void aTaskOfACancelledJobIsStoppedByEveryAnswer() {
-    Attempt attempt = leader.accounted().start(0, false);
+    Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
     leader.job.confirmCancellation();
 
     for (int i = 0; i < 2; i++) {
@@ -140,7 +142,7 @@
 
   @Test
   void aCompletedAttemptStaysAtTheWorkerUntilItsResultIsStored() {
-    Attempt attempt = leader.accounted().start(0, false);
+    Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
     Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
 
@@ -149,7 +151,7 @@
 
   @Test
   void aCompletedAttemptIsRemovedOnceItsResultIsStored() {
-    Attempt attempt = leader.accounted().start(0, false);
+    Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
     Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
     leader.job.storedTasks().set(0);
@@ -159,7 +161,7 @@
 
   @Test
   void nothingIsRemovedWhileADirectCommandIsInFlight() {
-    Attempt attempt = leader.accounted().start(0, true);
+    Attempt attempt = leader.accounted().start(0, StartChannel.DIRECT_COMMAND);
     leader.machine.contact().setCommandInFlight(true);
     Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
@@ -170,7 +172,7 @@
 
   @Test
   void theAnswerThatRemovesAnAttemptVoidsTheCommandThatStartedIt() {
-    Attempt attempt = leader.accounted().start(0, true);
+    Attempt attempt = leader.accounted().start(0, StartChannel.DIRECT_COMMAND);
     Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
     leader.job.storedTasks().set(0);
@@ -185,7 +187,7 @@
   void aMachineIsUnreachableAfterTwoLostAnswers() {
     leader.accounted();
     for (int i = 0; i < 2; i++) {
-      leader.start(i, false);
+      leader.start(i, StartChannel.HEARTBEAT_ANSWER);
       apply(leader.heartbeat());
     }
 
@@ -196,7 +198,7 @@
   void aMachineThatShowsTheLatestTokenIsReachableAgain() {
     leader.accounted();
     for (int i = 0; i < 2; i++) {
-      leader.start(i, false);
+      leader.start(i, StartChannel.HEARTBEAT_ANSWER);
       apply(leader.heartbeat());
     }
 
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -102,7 +102,7 @@
     int machines = cluster.cloud.machines.size();
     assertTrue(machines <= 2, "for one task: " + machines);
     cluster.play(200);
-    Job waiting = cluster.leader().controller().leader().job(last.uid());
+    Job waiting = cluster.leader().actingLeader().job(last.uid()).orElseThrow();
     assertTrue(waiting.waitsForDependencies());
     assertEquals("pending", told(last));
     assertTrue(cluster.cloud.machines.size() <= machines, "none for a job that waits");
@@ -116,8 +116,14 @@
     long released = 0;
     for (int i = 0; i < 1_300 && released == 0; i++) {
       cluster.play(0.1);
-      Job job = cluster.leader().controller().leader().job(last.uid());
-      released = job != null && !job.waitsForDependencies() ? job.releasedMicros() : 0;
+      released =
+          cluster
+              .leader()
+              .actingLeader()
+              .job(last.uid())
+              .filter(job -> !job.waitsForDependencies())
+              .map(Job::releasedMicros)
+              .orElse(0L);
     }
     assertTrue(cluster.now() - released < 10_000_000, "its times begin with its release");
     cluster.play(60);
@@ -132,10 +138,10 @@
     submit(first, last);
     cluster.play(130);
     assertTold("done", first);
-    long released = cluster.leader().controller().leader().job(last.uid()).releasedMicros();
+    long released = cluster.leader().actingLeader().job(last.uid()).orElseThrow().releasedMicros();
     cluster.leader().crash(1);
     cluster.play(20);
-    Job job = cluster.leader().controller().leader().job(last.uid());
+    Job job = cluster.leader().actingLeader().job(last.uid()).orElseThrow();
     assertTrue(released - job.acceptedMicros() > 50_000_000);
     assertEquals(released / 1e6, job.releasedMicros() / 1e6, 2);
   }
@@ -226,7 +232,7 @@
     JobSpec later = job(1, 5, 900, Priority.STANDARD, List.of(shared.uid()));
     submit(shared, later, soon);
     cluster.play(10);
-    Job stage = cluster.leader().controller().leader().job(shared.uid());
+    Job stage = cluster.leader().actingLeader().job(shared.uid()).orElseThrow();
     long dueForSoon = stage.deadlineMicros();
     assertEquals(Priority.HIGH, stage.priority());
     users.cancelled(soon);
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -138,8 +138,7 @@
     cluster.leader().crash(3);
     cluster.play(75);
     assertTrue(
-        cluster.leader().controller().leader().failoverComplete(),
-        "all machines are accounted for");
+        cluster.leader().actingLeader().failoverComplete(), "all machines are accounted for");
     cluster.play(150);
     assertDone(full, waiting);
   }
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -18,6 +17,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -127,10 +127,11 @@
   void endsTellWhenSinceTheFirstVersionWithDependencies() throws InvalidMessageException {
     Map<String, JsonNode> records = records(FIRST_WITH_DEPENDENCIES);
     JsonNode done = records.get("ended/job-000001");
-    assertEquals(JobState.DONE, JobStore.finalState(done));
+    assertEquals(JobState.DONE, JobStore.finalState(done).orElseThrow());
     assertEquals(done.path("at_ms").asLong() * 1_000, JobStore.endedWallMicros(done));
     assertTrue(JobStore.endedWallMicros(done) > 0);
-    assertEquals(JobState.CANCELLED, JobStore.finalState(records.get("ended/job-000005")));
+    assertEquals(
+        JobState.CANCELLED, JobStore.finalState(records.get("ended/job-000005")).orElseThrow());
   }
 
   /**
@@ -191,9 +192,9 @@
   }
 
   private static Job job(SimulatedCluster cluster, String uid) {
-    Job job = cluster.leader().controller().leader().job(uid);
-    assertNotNull(job, uid);
-    return job;
+    Optional<Job> job = cluster.leader().actingLeader().job(uid);
+    assertTrue(job.isPresent(), uid);
+    return job.get();
   }
 
   private static void end(SimulatedCluster cluster, String uid) {
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -53,7 +53,7 @@
     assertEquals(0, cluster.cloud.refused, "requests over the cloud's rate");
     cluster.leader().crash(3);
     cluster.play(12);
-    assertTrue(cluster.leader().controller().leader().failoverComplete(), "taken over in seconds");
+    assertTrue(cluster.leader().actingLeader().failoverComplete(), "taken over in seconds");
     cluster.calmSince = cluster.now();
     cluster.play(120);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -17,7 +17,7 @@
 
 /**
  * What a leader does not know: jobs are cancelled through another controller while it can't hear of
- * it, and their tasks must be gone in time all the same (safety notes, 49 and 50).
+ * it, and their tasks must be gone in time all the same (rules 49 and 50 of docs/design.md).
  */
 final class GapTest {
   private SimulatedCluster cluster;
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -42,7 +42,7 @@
     cluster.leader().crash(5);
     cluster.play(12);
     assertTrue(
-        cluster.leader().controller().leader().failoverComplete(),
+        cluster.leader().actingLeader().failoverComplete(),
         "a large fleet is taken over in seconds");
     cluster.cloud.machines.values().stream()
         .filter(v -> v.spot && v.worker != null)
@@ -147,7 +147,7 @@
     cluster.leader().crash(3);
     cluster.play(FakeWorker.LEASE_MICROS / 1e6 + 10);
     assertTrue(
-        cluster.leader().controller().leader().failoverComplete(),
+        cluster.leader().actingLeader().failoverComplete(),
         "a cut zone holds a failover up for no longer than a lease");
     cluster.network.cuts.clear();
     cluster.calmSince = cluster.now();
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -225,7 +225,7 @@
     submit(first, last);
     cluster.play(10);
     for (int i = 0; i < 2; i++) {
-      plumlever.fleet.Job job = cluster.leader().controller().leader().job(first.uid());
+      plumlever.fleet.Job job = cluster.leader().actingLeader().job(first.uid()).orElseThrow();
       cluster.play(1);
       assertEquals(Priority.HIGH, job.priority());
       long remainingMicros = job.deadlineMicros() - job.acceptedMicros();
@@ -239,7 +239,7 @@
     cluster.play(2);
     assertEquals(
         Priority.IDLE,
-        cluster.leader().controller().leader().job(first.uid()).priority(),
+        cluster.leader().actingLeader().job(first.uid()).orElseThrow().priority(),
         "undone with the job that had it");
     assertEquals(List.of(), cluster.invariants.broken);
   }
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -121,7 +121,7 @@
 
   void give(String from, String machine, String to) {
     assertTrue(
-        cluster.leader(from).controller().leader().transfer(machine, to),
+        cluster.leader(from).actingLeader().transfer(machine, to),
         machine + " can be given by " + from);
   }
 
@@ -133,7 +133,7 @@
           boolean given =
               cluster.shard(from).stream()
                   .filter(SimulatedController::leads)
-                  .anyMatch(leader -> leader.controller().leader().transfer(machine, to));
+                  .anyMatch(leader -> leader.actingLeader().transfer(machine, to));
           if (!given) {
             cluster.at(200_000, () -> giveSoon(from, machine, to));
           }
--- a/src/test/java/plumlever/sim/SharingDaysTest.java
+++ b/src/test/java/plumlever/sim/SharingDaysTest.java
@@ -61,7 +61,7 @@
         .ifPresent(
             leader -> {
               for (String machine : busy) {
-                if (!from.equals(to) && leader.controller().leader().transfer(machine, to)) {
+                if (!from.equals(to) && leader.actingLeader().transfer(machine, to)) {
                   return;
                 }
               }
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -5,6 +5,7 @@
 import plumlever.concurrent.Loop;
 import plumlever.http.Caller;
 import plumlever.http.Responder;
+import plumlever.leader.Leader;
 import plumlever.metrics.Logs;
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
@@ -49,7 +50,12 @@
   }
 
   boolean leads() {
-    return controller != null && controller.leader() != null;
+    return controller != null && controller.leader().isPresent();
+  }
+
+  /** The leader in its process; only while it leads. */
+  Leader actingLeader() {
+    return controller.leader().orElseThrow();
   }
 
   /** Starts the process anew. */
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -361,7 +361,7 @@
             .filter(SimulatedController::leads)
             .findFirst()
             .orElseThrow();
-    assertTrue(next.controller().leader().failoverComplete(), "the failover is complete");
+    assertTrue(next.actingLeader().failoverComplete(), "the failover is complete");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
@@ -392,7 +392,7 @@
     users.submit(late, false);
     cluster.play(16);
     assertFalse(
-        cluster.leader().controller().leader().failoverComplete(),
+        cluster.leader().actingLeader().failoverComplete(),
         "the cut zone is not accounted for yet");
     assertTrue(
         cluster.cloud.machines.values().stream()
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -79,7 +79,7 @@
         assertTrue(JobStore.acceptedWallMicros(entry.getValue()) > 0);
         assertEquals(List.of(), spec.dependencies());
       } else if (entry.getKey().startsWith(JobStore.ENDED)) {
-        assertTrue(JobStore.finalState(entry.getValue()) != null);
+        assertTrue(JobStore.finalState(entry.getValue()).isPresent());
         assertEquals(0, JobStore.endedWallMicros(entry.getValue()), "when it ended is not told");
       }
     }
@@ -103,20 +103,20 @@
       if (entry.getKey().startsWith(JobStore.ACTIVE)) {
         assertTrue(
             cluster
-                    .leader()
-                    .controller()
-                    .leader()
-                    .job(entry.getKey().substring(JobStore.ACTIVE.length()))
-                != null,
+                .leader()
+                .actingLeader()
+                .job(entry.getKey().substring(JobStore.ACTIVE.length()))
+                .isPresent(),
             entry.getKey());
       }
     }
     BitSet packed = JobStore.readSharedChunk(records.get("progress/pack/0")).get("job-000030");
-    Job small = cluster.leader().controller().leader().job("job-000030");
-    if (small != null) {
-      assertEquals(packed, small.completedTasks());
-    }
-    Job large = cluster.leader().controller().leader().job("job-900001");
+    cluster
+        .leader()
+        .actingLeader()
+        .job("job-000030")
+        .ifPresent(small -> assertEquals(packed, small.completedTasks()));
+    Job large = cluster.leader().actingLeader().job("job-900001").orElseThrow();
     assertEquals(
         FormerVersion.progressItReads(cluster.store, NOW_BYTES).get("job-900001"),
         large.completedTasks(),
