--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -4,11 +4,11 @@
 
 /**
  * How long a lease may still be renewed by a controller that may not know of the latest
- * cancellations (rule 49 of `docs/design.md`). A task lives for a lease from when the answered heartbeat was
- * sent, so with tasks on the machine the answer is given only while that ends in time for a
- * cancellation confirmed right after the last read of ended jobs was <em>sent</em>. The right to
- * act mostly ends sooner; this stands by itself, so that nothing that lengthens the right lengthens
- * the life of cancelled tasks.
+ * cancellations (rule 49 of `docs/design.md`). A task lives for a lease from when the answered
+ * heartbeat was sent, so with tasks on the machine the answer is given only while that ends in time
+ * for a cancellation confirmed right after the last read of ended jobs was <em>sent</em>. The right
+ * to act mostly ends sooner; this stands by itself, so that nothing that lengthens the right
+ * lengthens the life of cancelled tasks.
  */
 public final class RenewalLimit {
   /**
