--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -1,6 +1,7 @@
 package plumlever.fleet;
 
 import java.util.BitSet;
+import java.util.Optional;
 import org.agrona.collections.Int2ObjectHashMap;
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
@@ -283,12 +284,12 @@
     return restarted.get(task);
   }
 
-  /** The zone that a one-zone job is bound to by its live tasks, or null. */
-  public String boundZone() {
+  /** The zone that a one-zone job is bound to by its live tasks, if it is. */
+  public Optional<String> boundZone() {
     if (!spec.oneZone() || liveAttempts.isEmpty()) {
-      return null;
+      return Optional.empty();
     }
-    return liveAttempts.values().iterator().next().machine().zone();
+    return Optional.of(liveAttempts.values().iterator().next().machine().zone());
   }
 
   /** An attempt failed for a reason that may lie in the job. */
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequests.java
@@ -58,7 +58,7 @@
   private void relay(byte[] body, Responder out) throws InvalidMessageException {
     Optional<Leader> leading = leader.get();
     if (leading.isPresent()) {
-      leading.get().relayed(RelayedHeartbeat.parse(body), out);
+      leading.get().relayedHeartbeat(RelayedHeartbeat.parse(body), out);
     } else {
       out.retryLater(HttpStatus.UNAVAILABLE, "does not lead", 1);
     }
--- a/src/main/java/plumlever/leader/HeartbeatScreening.java
+++ b/src/main/java/plumlever/leader/HeartbeatScreening.java
@@ -60,7 +60,7 @@
       out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
     }
-    if (machines.isDeleted(heartbeat.machineId())) {
+    if (machines.isReturned(heartbeat.machineId())) {
       out.retryLater(HttpStatus.UNAVAILABLE, "this machine was returned", 1);
       return true;
     }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -78,8 +78,8 @@
   }
 
   /** Answers a heartbeat that another shard's leader passes on, for this shard's tasks. */
-  public void relayed(RelayedHeartbeat relayed, Responder out) {
-    parts.sharing().relayed(relayed, out);
+  public void relayedHeartbeat(RelayedHeartbeat relayed, Responder out) {
+    parts.sharing().answerRelayed(relayed, out);
   }
 
   /** True once nothing that earlier leaders started is unknown. */
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -106,7 +106,7 @@
   /**
    * Answers a heartbeat that the leader of the machine's shard passes on for this shard's tasks.
    */
-  default void relayed(RelayedHeartbeat relayed, Responder out) {}
+  default void answerRelayed(RelayedHeartbeat relayed, Responder out) {}
 
   /**
    * Gives a machine to another shard, whatever the policy says.
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -178,11 +178,11 @@
   /**
    * Takes in what the owner of another shard's machine relays of this shard's tasks on it.
    *
-   * @return false for a copy, which proves nothing
+   * @return {@code LATEST}, or {@code DUPLICATE} for a copy, which proves nothing
    */
-  public boolean applyRelayed(Machine machine, Heartbeat heartbeat) {
+  public Freshness applyRelayed(Machine machine, Heartbeat heartbeat) {
     if (!machine.contact().isNewerThanLast(heartbeat)) {
-      return false;
+      return Freshness.DUPLICATE;
     }
     endEarlierIncarnations(machine, heartbeat);
     long now = context.loop().nowMicros();
@@ -198,7 +198,7 @@
       }
     }
     absentAttempts.endUnlisted(machine, heartbeat, HeartbeatSource.WORKER, listed);
-    return true;
+    return Freshness.LATEST;
   }
 
   /** The worker refused a direct command: none of these starts was executed, or ever will be. */
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -186,13 +186,14 @@
     dependencies.useTaskCosts(taskCostMicros);
   }
 
-  /**
-   * Propagates deadlines and priorities along dependencies; cheap where nothing has changed.
-   *
-   * @param costsToo estimate the costs of tasks anew
-   */
-  public void propagateGoals(boolean costsToo) {
-    dependencies.propagateGoals(costsToo);
+  /** Estimates the costs of tasks anew, for the next {@link #propagateGoals}. */
+  public void updateTaskCosts() {
+    dependencies.updateTaskCosts();
+  }
+
+  /** Propagates deadlines and priorities along dependencies; cheap where nothing has changed. */
+  public void propagateGoals() {
+    dependencies.propagateGoals();
   }
 
   /** Stops following the records; called once more has no effect. */
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -243,19 +243,18 @@
     taskCost = taskCostMicros;
   }
 
-  /**
-   * Propagates deadlines and priorities to dependencies; cheap where nothing has changed.
-   *
-   * @param costsToo estimate the costs of tasks anew
-   */
-  void propagateGoals(boolean costsToo) {
-    if (graph.size() == 0) {
-      return;
-    }
-    if (costsToo) {
+  /** Estimates the costs of tasks anew. */
+  void updateTaskCosts() {
+    if (graph.size() > 0) {
       graph.updateDurations(this::taskCostOf);
     }
-    graph.propagateGoals(this::applyGoal);
+  }
+
+  /** Propagates deadlines and priorities to dependencies; cheap where nothing has changed. */
+  void propagateGoals() {
+    if (graph.size() > 0) {
+      graph.propagateGoals(this::applyGoal);
+    }
   }
 
   private long taskCostOf(String uid) {
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -9,7 +9,6 @@
 import java.util.Map;
 import java.util.Set;
 import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.record.SharedRecords;
@@ -24,8 +23,6 @@
  * cut off as long as a lease.
  */
 public final class StartedJobIndex {
-  private static final Logger LOG = LoggerFactory.getLogger(StartedJobIndex.class);
-
   /** The first start of each job waits for this, so little is gathered into one write. */
   private static final long PAUSE_MICROS = 60_000;
 
@@ -35,6 +32,7 @@
   /** A record as it was read. */
   private record FoundRecord(int number, long revision, List<String> uids) {}
 
+  private final Logger log;
   private final SharedRecords<Job> records;
   private final List<FoundRecord> found = new ArrayList<>();
   private final Set<String> foundUids = new HashSet<>();
@@ -45,6 +43,7 @@
    * @param recorded runs after jobs have become stored
    */
   public StartedJobIndex(TermContext context, Runnable recorded) {
+    this.log = context.logs().of(StartedJobIndex.class);
     this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, recorded);
   }
 
@@ -58,7 +57,7 @@
     for (StateClient.Item item : items) {
       int number = JobStore.sharedRecordNumber(item.key());
       if (number < 0) {
-        LOG.error("{} is no record of jobs", item.key());
+        log.error("{} is no record of jobs", item.key());
         continue;
       }
       List<String> uids = new ArrayList<>();
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -76,7 +76,7 @@
   }
 
   /** True for a machine that this leader has returned to the cloud. */
-  public boolean isDeleted(String machineId) {
+  public boolean isReturned(String machineId) {
     return returns.isReturned(machineId);
   }
 
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -248,7 +248,7 @@
   }
 
   @Override
-  public void relayed(RelayedHeartbeat relayed, Responder out) {
+  public void answerRelayed(RelayedHeartbeat relayed, Responder out) {
     String id = relayed.heartbeat().machineId();
     Optional<TransferRecord> record =
         poolRecordsRead ? view.transfer(id).map(PoolView.Versioned::value) : Optional.empty();
@@ -268,7 +268,9 @@
       heartbeats.endAllAttempts(machine);
       news = true;
     } else {
-      news = heartbeats.applyRelayed(machine, relayed.heartbeat());
+      news =
+          heartbeats.applyRelayed(machine, relayed.heartbeat())
+              == HeartbeatHandler.Freshness.LATEST;
     }
     if (news && relayed.heartbeat().attempts().isEmpty()) {
       transfers.ownTasksGone(machine);
--- a/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
+++ b/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
@@ -67,7 +67,7 @@
   private static RentalPlan.Demand demand(JobSpec spec, double missingCores) {
     return new RentalPlan.Demand(
         spec,
-        null,
+        Optional.empty(),
         (int) Math.ceil(missingCores / spec.cores()),
         ExpectedTimes.micros(spec.expectedRunS()));
   }
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -107,9 +107,11 @@
 
   private void begin(long nowMicros) {
     results.clear();
-    boolean updateCosts = nowMicros - costsUpdatedMicros > COST_UPDATE_MICROS;
-    jobs.propagateGoals(updateCosts);
-    costsUpdatedMicros = updateCosts ? nowMicros : costsUpdatedMicros;
+    if (nowMicros - costsUpdatedMicros > COST_UPDATE_MICROS) {
+      jobs.updateTaskCosts();
+      costsUpdatedMicros = nowMicros;
+    }
+    jobs.propagateGoals();
     queued = queue.inSchedulingOrder(nowMicros);
     nextJob = 0;
     placer.clear();
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -42,13 +42,13 @@
   /**
    * Tasks of one job that wait for a machine.
    *
-   * @param zone where they have to run; null for any zone that the job allows
+   * @param boundZone where they have to run; empty for any zone that the job allows
    * @param runMicros run time of each on a machine of nominal speed
    */
-  public record Demand(JobSpec job, String zone, int tasks, long runMicros) {
+  public record Demand(JobSpec job, Optional<String> boundZone, int tasks, long runMicros) {
     private boolean allows(RentalOption option) {
       return job.allows(option.machineType, option.zone, option.spot)
-          && (zone == null || zone.equals(option.zone));
+          && (boundZone.isEmpty() || boundZone.get().equals(option.zone));
     }
   }
 
