--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -149,7 +149,7 @@
     @Override
     public void send(int status, String json, int retry) {
       if (status == HttpStatus.OK && path.equals(ProtocolPath.HEARTBEAT) && cluster.hasOneShard()) {
-        cluster.checkRenewal(json, served.leader() != null);
+        cluster.checkRenewal(json, served.leader().isPresent());
       }
       if (life == ownLife && closing) {
         reply.sendClosing(status, json);
