--- a/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
+++ b/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
@@ -8,7 +8,10 @@
 import plumlever.placement.Zones;
 import plumlever.wire.JobSpec;
 
-/** Searches for the machines that suit a job's tasks best, with its goals and rules. */
+/**
+ * Builds the resource request of a job and starts placement searches over a fleet snapshot, with
+ * the operator's placement parameters.
+ */
 final class CandidateSearches {
   private final TermContext context;
   private final JobGoals goals;
@@ -28,12 +31,14 @@
                 context.moneyMatters() ? 0 : context.parameters().spotRisk()));
   }
 
-  /** What one task of the job needs. */
+  /**
+   * Returns the resource request of one task of the job, with the job's current start objective.
+   */
   ResourceRequest request(Job job, long nowMicros) {
     return request(job, nowMicros, goals.startByMicros(job, nowMicros));
   }
 
-  /** The same for a task that should start by then. */
+  /** Returns the resource request of one task of the job, with the given latest start time. */
   ResourceRequest request(Job job, long nowMicros, long startByMicros) {
     JobSpec spec = job.spec();
     return new ResourceRequest(
@@ -46,7 +51,10 @@
             spec.machineTypes(), spec.zone(), spec.spotAllowed(), spec.savesCheckpoints()));
   }
 
-  /** Begins a search for the tasks of one job; what it commits is taken from the snapshot. */
+  /**
+   * Starts a search for machines for the tasks of one job. Each committed choice reserves capacity
+   * in the snapshot.
+   */
   Placer.Search search(ResourceRequest request, Zones zones, FleetSnapshot snapshot) {
     context.metrics().count("candidates_evaluated", snapshot.candidates().size());
     return placer.search(request, snapshot.candidates(), zones, snapshot, snapshot.nowMicros());
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -18,18 +18,24 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Commands sent directly to machines: planned tasks, so that they need not wait for the next
- * heartbeat, and empty commands that raise the token on machines that must be accounted for. A
- * direct command may be carried out late. So one that got no reply leaves its tasks possibly
- * running, until the machine has shown a higher token or its incarnation has ended; and nothing
- * started this way is removed with the token that started it (see {@link
+ * Sends direct commands to workers: starts of planned tasks, which then need not wait for the
+ * machine's next heartbeat, and empty commands that raise the fencing token of a machine with
+ * unknown tasks of earlier leaders.
+ *
+ * <p>A direct command may be executed after its call has timed out. Tasks of an unanswered command
+ * therefore count as possibly running until the machine reports a higher token or its incarnation
+ * has ended. For the same reason, a heartbeat that shows only the token of the start command does
+ * not prove that a task started by this command is absent (see {@link
  * plumlever.fleet.MachineTokens#voidDirectCommands}).
  */
 public final class CommandSender {
   private static final long START_TIMEOUT_MICROS = 1_500_000;
   private static final long RAISE_TIMEOUT_MICROS = 1_000_000;
 
-  /** Calls under way at a time, so that a wave of starts leaves sockets and time for others. */
+  /**
+   * Maximum number of concurrent start commands. Leaves sockets and loop time for other calls when
+   * many tasks start at once.
+   */
   private static final int MAX_STARTS_IN_FLIGHT = 48;
 
   private static final int MAX_RAISES_IN_FLIGHT = 64;
@@ -48,9 +54,9 @@
   private boolean closed;
 
   /**
-   * Sends the commands of one term.
+   * Creates the sender of direct commands for one term.
    *
-   * @param onPlacementChange runs when a reply changed something that placement depends on
+   * @param onPlacementChange runs when a worker's reply changes the input of placement
    */
   public CommandSender(
       TermContext context,
@@ -72,8 +78,8 @@
   }
 
   /**
-   * Sends what the pass planned; what can't go now goes with the machine's next heartbeat response,
-   * or is planned anew.
+   * Sends the planned starts to their machines. A start that cannot be sent now goes out with the
+   * machine's next heartbeat response or is planned again by the next pass.
    */
   public void dispatch(Fleet fleet) {
     for (String machineId : pass.plannedMachineIds()) {
@@ -147,9 +153,12 @@
   }
 
   /**
-   * Shows the machine the present token; its reply lists all that earlier leaders started on it.
-   * Does nothing while another direct call to the machine is under way, too many are to others, or
-   * the leader may not act; where no command may be sent, the machine is only inspected.
+   * Sends an empty command with the machine's current fencing token. The worker's reply lists all
+   * tasks that earlier leaders started on the machine.
+   *
+   * <p>Does nothing while another direct call to the machine is in flight, while the maximum number
+   * of token raises is in flight, or when the leader may not act. In a delegated zone, where
+   * commands are not allowed, the machine is only inspected.
    */
   public void sendToken(Machine machine) {
     Optional<Endpoint> endpoint = callableEndpoint(machine);
@@ -187,8 +196,8 @@
   }
 
   /**
-   * Asks the machine for its state, without a command: it may be in a zone where none may be sent.
-   * The same limits hold as for {@link #sendToken}.
+   * Requests the machine's state without sending a command, which also works in delegated zones.
+   * The limits of {@link #sendToken} apply.
    */
   public void probe(Machine machine) {
     callableEndpoint(machine).ifPresent(endpoint -> inspect(machine, endpoint));
@@ -220,7 +229,10 @@
     machine.contact().setCommandInFlight(false);
   }
 
-  /** Where a call that raises the token may go now; empty if it may not. */
+  /**
+   * Returns the machine's endpoint if a token raise or an inspection may be sent now, otherwise
+   * empty.
+   */
   private Optional<Endpoint> callableEndpoint(Machine machine) {
     Optional<Endpoint> endpoint = endpoint(machine);
     return machine.contact().commandInFlight()
@@ -240,12 +252,12 @@
     }
   }
 
-  /** How many machines are being called to raise the token, or inspected. */
+  /** Number of token raises and inspections in flight. */
   public int tokenRaisesInFlight() {
     return raisesInFlight;
   }
 
-  /** The term ends: replies that come later are ignored. */
+  /** Ends the term: later replies are ignored. */
   public void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -7,17 +7,23 @@
 import plumlever.leader.context.TermContext;
 import plumlever.wire.MachineType;
 
-/** How long tasks are expected to run, and when attempts are expected to end. */
+/** Estimates how long tasks run and when attempts end. */
 final class ExpectedTimes {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** Between two jobs of a dependency chain: a heartbeat, the record, a pass and a command. */
+  /**
+   * Delay between the end of a job and the start of a dependent job: a heartbeat, the write of the
+   * job record, a scheduling pass and a start command.
+   */
   private static final long STAGE_HANDOVER_MICROS = 1_500_000;
 
-  /** The ends of other shards' tasks are not known here. */
+  /** Assumed remaining run time of foreign tasks, whose estimates are not known to this shard. */
   private static final long FOREIGN_TASK_STAY_MICROS = 60_000_000;
 
-  /** Part of the time that an attempt has run which it is expected to need beyond its estimate. */
+  /**
+   * An attempt that has exceeded its estimate is expected to run for another 1/5 of its run time so
+   * far.
+   */
   private static final long OVERRUN_DIVISOR = 5;
 
   private static final long MIN_OVERRUN_MICROS = 1_000_000;
@@ -30,24 +36,25 @@
     this.estimates = estimates;
   }
 
-  /** So many seconds in whole microseconds. */
+  /** Converts seconds to whole microseconds. */
   static long micros(double seconds) {
     return (long) (seconds * MICROS_PER_SECOND);
   }
 
-  /** Run time of one task of the job on a machine of nominal speed. */
+  /** Estimated run time of one task of the job on a machine of nominal speed. */
   long runMicros(Job job) {
     return estimates.runMicros(job);
   }
 
-  /** The same with the safety margin for wrong estimates. */
+  /** Estimated run time with the safety margin for estimation errors. */
   long paddedRunMicros(Job job) {
     return (long) (estimates.runMicros(job) * paddingFactor());
   }
 
   /**
-   * What a task of the job takes from its release on, padded, with the fetch of its image: what it
-   * leaves the jobs that it depends on.
+   * Estimated time from a job's release to the end of its tasks: padded run time, average image
+   * fetch time and dependency delay. Dependencies of the job have to end this long before the job's
+   * own latest end.
    */
   long costMicros(Job job) {
     double fetchMicros = 0;
@@ -64,7 +71,7 @@
     return paddedRunMicros(job) + averageFetchMicros + STAGE_HANDOVER_MICROS;
   }
 
-  /** When an attempt that is not over should free its place on a machine of this type. */
+  /** Estimates when a live attempt releases its resources on a machine of the given type. */
   long endMicros(Attempt attempt, MachineType machineType, long nowMicros) {
     if (attempt.stopping()) {
       return nowMicros + micros(attempt.job().spec().checkpointS());
@@ -86,8 +93,8 @@
   }
 
   /**
-   * A task past its estimate may take any time; the longer it has run, the longer it is expected to
-   * run on.
+   * Estimates the end of an attempt that has exceeded its estimate. The expected remaining time
+   * grows with the time that the attempt has run.
    */
   private static long overdueEndMicros(Attempt attempt, long nowMicros) {
     return nowMicros
@@ -95,12 +102,14 @@
         + MIN_OVERRUN_MICROS;
   }
 
-  /** Until when other shards' tasks on a machine are taken to hold their place. */
+  /** Time until which foreign tasks on a machine are assumed to hold their resources. */
   long foreignTasksEndMicros(long nowMicros) {
     return nowMicros + FOREIGN_TASK_STAY_MICROS;
   }
 
-  /** When the last task that is on the machine should have ended; now for an idle machine. */
+  /**
+   * Estimates when the last task on the machine ends. Returns the current time for an idle machine.
+   */
   long idleMicros(Machine machine, long nowMicros) {
     MachineType machineType = context.prices().machineType(machine.machineType());
     long idleMicros =
--- a/src/main/java/plumlever/leader/scheduling/FleetReduction.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetReduction.java
@@ -8,9 +8,15 @@
 import plumlever.placement.Placer;
 import plumlever.placement.ResourceRequest;
 
-/** Answers whether some machines can be spared: cordoned, or left to another shard. */
+/**
+ * Checks whether the fleet can do without some machines, before they are cordoned or transferred to
+ * another shard.
+ */
 final class FleetReduction {
-  /** More tasks of one job than this are not placed on trial: the machines count as needed. */
+  /**
+   * Limit on the trial placements per job. A job with more pending tasks counts as not served,
+   * which keeps the machines in the fleet.
+   */
   private static final int MAX_TRIAL_TASKS_PER_JOB = 64;
 
   private final TermContext context;
@@ -38,13 +44,18 @@
     this.headroom = headroom;
   }
 
-  /** True if without them all that waits is served in time, and the capacity headroom is kept. */
+  /**
+   * True if the remaining machines serve all pending jobs in time and cover the capacity headroom.
+   */
   boolean canDoWithout(Set<Machine> machines) {
     FleetSnapshot snapshot = snapshots.snapshot(context.loop().nowMicros(), machines);
     return servesWaiting(snapshot) && headroom.isCoveredBy(snapshot);
   }
 
-  /** True if without them all that waits is served in time, with or without headroom. */
+  /**
+   * True if the remaining machines serve all pending jobs in time. The capacity headroom is not
+   * checked.
+   */
   boolean servesWaitingWithout(Set<Machine> machines) {
     return servesWaiting(snapshots.snapshot(context.loop().nowMicros(), machines));
   }
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshot.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshot.java
@@ -8,15 +8,15 @@
 import plumlever.placement.Placer;
 
 /**
- * The machines as one pass sees them, with the capacity that the pass gives away. Made by {@link
- * FleetSnapshotFactory}.
+ * The placement candidates of one scheduling pass. Their free capacity shrinks as the pass places
+ * tasks. Created by {@link FleetSnapshotFactory}.
  */
 final class FleetSnapshot implements Placer.ImageFetchTimes {
   private final PriceBook prices;
   private final long nowMicros;
   private final List<PlacementCandidate> candidates = new ArrayList<>();
 
-  /** The machine of each candidate. */
+  /** Machines by candidate index. */
   private final List<Machine> machines = new ArrayList<>();
 
   FleetSnapshot(PriceBook prices, long nowMicros) {
@@ -29,7 +29,7 @@
     candidates.add(candidate);
   }
 
-  /** The moment at which the machines were looked at. */
+  /** Time at which the snapshot was taken. */
   long nowMicros() {
     return nowMicros;
   }
@@ -46,7 +46,7 @@
         .fetchMicros(image, imageGb, prices.machineType(machine.machineType()), nowMicros);
   }
 
-  /** Cores that nothing is planned or booked for, on machines that are up or come up. */
+  /** Unreserved cores on machines that are up or coming up. */
   double spareCores() {
     double cores = 0;
     for (PlacementCandidate candidate : candidates) {
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
@@ -11,13 +11,14 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 
-/** Makes snapshots of the machines that tasks may be planned for. */
+/** Takes snapshots of the machines that are available for placement. */
 final class FleetSnapshotFactory {
-  /** About what a command takes until it reaches a machine. */
+  /** Approximate latency of a command to a machine. */
   private static final long COMMAND_DELAY_MICROS = 50_000;
 
   /**
-   * A machine that comes up may take this many microseconds for each second of its nominal time.
+   * Startup estimate in microseconds per second of the machine type's nominal startup time: 1.2
+   * times the nominal time.
    */
   private static final double STARTUP_MICROS_PER_NOMINAL_SECOND = 1.2e6;
 
@@ -36,7 +37,10 @@
     this.times = times;
   }
 
-  /** The machines but for those excluded, with the tasks that are on them. */
+  /**
+   * Takes a snapshot of all available machines except the excluded ones, with the tasks on each
+   * machine.
+   */
   FleetSnapshot snapshot(long nowMicros, Set<Machine> excluded) {
     FleetSnapshot snapshot = new FleetSnapshot(context.prices(), nowMicros);
     MachineShapes shapes = new MachineShapes(context);
--- a/src/main/java/plumlever/leader/scheduling/FreeCapacity.java
+++ b/src/main/java/plumlever/leader/scheduling/FreeCapacity.java
@@ -6,7 +6,7 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 
-/** What is free on one machine, while tasks are added to it or taken from it. */
+/** Free resources of one machine, updated as tasks are added and removed. */
 final class FreeCapacity {
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
@@ -20,13 +20,13 @@
     this.memoryGb = memoryGb;
   }
 
-  /** All of a machine of this type. */
+  /** Resources of an empty machine of the given type. */
   static FreeCapacity whole(MachineType machineType) {
     return new FreeCapacity(
         machineType.cores(), machineType.accelerators(), machineType.memoryGb());
   }
 
-  /** What the machine's attempts that are not over, and its foreign tasks, leave of it. */
+  /** Resources of the machine minus its live attempts and its foreign tasks. */
   static FreeCapacity of(Machine machine, MachineType machineType) {
     FreeCapacity free = whole(machineType);
     ForeignLoad foreignTasks = machine.load().foreignTasks();
@@ -41,21 +41,21 @@
     return free;
   }
 
-  /** True if one task of the job fits. */
+  /** True if one task of the job fits into the free resources. */
   boolean fits(JobSpec spec) {
     return cores + ROUNDING_TOLERANCE >= spec.cores()
         && memoryGb + ROUNDING_TOLERANCE >= spec.memoryGb()
         && accelerators + ROUNDING_TOLERANCE >= spec.accelerators();
   }
 
-  /** One task of the job goes to the machine, or is on it. */
+  /** Subtracts the resources of one task of the job. */
   void reserve(JobSpec spec) {
     cores -= spec.cores();
     accelerators -= spec.accelerators();
     memoryGb -= spec.memoryGb();
   }
 
-  /** One task of the job leaves the machine. */
+  /** Adds back the resources of one task of the job. */
   void release(JobSpec spec) {
     cores += spec.cores();
     accelerators += spec.accelerators();
--- a/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
+++ b/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
@@ -10,8 +10,8 @@
 import plumlever.wire.JobSpec;
 
 /**
- * The capacity to keep free for work that has not come yet and, when it comes, must start sooner
- * than a machine can be rented.
+ * Capacity headroom: resources kept free for future jobs whose start objective is shorter than the
+ * time to rent a machine.
  */
 final class HeadroomDemand {
   private static final long ARRIVAL_WINDOW_MICROS = 120_000_000;
@@ -31,12 +31,15 @@
             context.parameters().headroomDeviations());
   }
 
-  /** Forgets that other jobs were noted. */
+  /** Drops the arrival marks of all jobs that are not in the given set. */
   void retainAll(Set<Job> jobs) {
     noted.retainAll(jobs);
   }
 
-  /** Counts a job once as an arrival if its start can't wait for a rental. */
+  /**
+   * Records the arrival of a job whose start objective is shorter than the time to rent a machine.
+   * Each job is recorded at most once.
+   */
   void noteArrival(Job job, long nowMicros) {
     long releasedMicros = job.releasedMicros();
     if (noted.add(job)
@@ -47,12 +50,17 @@
     }
   }
 
-  /** True if enough capacity is free or coming up. */
+  /**
+   * True if the spare cores of the machines that are up or coming up cover the required headroom.
+   */
   boolean isCoveredBy(FleetSnapshot snapshot) {
     return snapshot.spareCores() >= headroom.requiredCores(snapshot.nowMicros());
   }
 
-  /** What has to be rented so that there is enough; empty if there is, or nothing came lately. */
+  /**
+   * Rental demand for the part of the headroom that spare cores do not cover. Empty if the headroom
+   * is covered or there were no recent arrivals.
+   */
   Optional<RentalPlan.Demand> missing(FleetSnapshot snapshot) {
     double missingCores = headroom.requiredCores(snapshot.nowMicros()) - snapshot.spareCores();
     if (missingCores <= 0) {
--- a/src/main/java/plumlever/leader/scheduling/JobGoals.java
+++ b/src/main/java/plumlever/leader/scheduling/JobGoals.java
@@ -4,15 +4,25 @@
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
 
-/** By when the tasks of jobs have to start and end, and what that means for their order. */
+/**
+ * Computes by when the tasks of a job have to start and end, and the resulting scheduling
+ * precedence.
+ */
 final class JobGoals {
-  /** A goal missed longer ago than this makes its job wait no longer behind others. */
+  /**
+   * Time for which a job that missed its goal is ordered behind jobs that can still meet theirs.
+   */
   private static final long RECENTLY_MISSED_MICROS = 120_000_000;
 
-  /** What a stopped task loses until it runs again: saving, waiting for capacity, its image. */
+  /**
+   * Time that a preempted task loses until it runs again: checkpoint, wait for capacity and image
+   * fetch.
+   */
   private static final long RESTART_MICROS = 60_000_000;
 
-  /** A task past its estimate is taken to need this part of the estimate still. */
+  /**
+   * A task that has exceeded its estimate is assumed to need at least 1/10 of the estimate more.
+   */
   private static final long MIN_REMAINING_DIVISOR = 10;
 
   private final TermContext context;
@@ -29,19 +39,19 @@
             context.platform().objectives(), context.parameters().startTargetMicros());
   }
 
-  /** By when the job's tasks should start; Long.MAX_VALUE for any time. */
+  /** Time by which the job's tasks should start; Long.MAX_VALUE if there is no limit. */
   long startByMicros(Job job, long nowMicros) {
     return objectives.startByMicros(job, guarantees.covers(job), nowMicros);
   }
 
-  /** By when the job should be complete; Long.MAX_VALUE for any time. */
+  /** Time by which the job should be complete; Long.MAX_VALUE if there is no limit. */
   long finishByMicros(Job job, long nowMicros) {
     return objectives.finishByMicros(job, nowMicros);
   }
 
   /**
-   * When the job's next task has to run at the latest; tasks that ran before have met any objective
-   * for a start.
+   * Latest time at which the job's next task has to run. Start objectives do not apply to tasks
+   * that have run before.
    */
   long latestStartMicros(Job job, long nowMicros) {
     long finishByMicros = finishByMicros(job, nowMicros);
@@ -52,7 +62,10 @@
     return job.hasNeverStartedTask() ? Math.min(byFinish, startByMicros(job, nowMicros)) : byFinish;
   }
 
-  /** How long the job has left, by its objectives for start and end; may be negative. */
+  /**
+   * Time left until the job's goals for start and end are missed; negative if they are missed
+   * already.
+   */
   long remainingMicros(Job job, long costMicros, long nowMicros) {
     long finishByMicros = finishByMicros(job, nowMicros);
     long startByMicros = startByMicros(job, nowMicros);
@@ -61,22 +74,27 @@
   }
 
   /**
-   * What missed its goal a moment ago makes way for what can still meet its own, but not for ever.
+   * True if the job missed its goal less than {@link #RECENTLY_MISSED_MICROS} ago. Jobs that can
+   * still meet their goals are scheduled before such a job. The limit prevents starvation.
    */
   static boolean missedRecently(long latestStartMicros, long nowMicros) {
     return latestStartMicros < nowMicros && nowMicros - latestStartMicros < RECENTLY_MISSED_MICROS;
   }
 
   /**
-   * There may be no end of work that is more urgent or guaranteed, so what has waited long to begin
-   * goes first.
+   * True if the job has waited longer than the operator's limit and none of its tasks has run. The
+   * job then precedes all others, because a steady stream of more urgent or guaranteed jobs would
+   * starve it.
    */
   boolean mustBegin(Job job, long nowMicros) {
     return !job.hasStarted()
         && nowMicros - job.releasedMicros() > context.parameters().mustStartMicros();
   }
 
-  /** True if stopping the attempt now would make its job miss a finish that it can still meet. */
+  /**
+   * True if the attempt's job can still meet its finish goal, but would miss it if the attempt were
+   * stopped now.
+   */
   boolean missesFinishIfStopped(Attempt attempt, long nowMicros) {
     long finishByMicros = finishByMicros(attempt.job(), nowMicros);
     if (finishByMicros == Long.MAX_VALUE || attempt.runningSinceMicros() < 0) {
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -9,16 +9,19 @@
 import plumlever.placement.Zones;
 
 /**
- * Places the tasks of one job after the other: plans starts, preempts, books capacity that comes
- * free later, and asks for machines for the rest.
+ * Places the tasks of one job in a scheduling pass: plans starts, preempts other tasks, books
+ * capacity that will be released later, and records rental demand for the remaining tasks.
  */
 final class JobPlacer {
-  /** Tasks of one job in one pass beyond those that start at once. */
+  /** Maximum number of booked tasks per job and pass; tasks that start at once are not counted. */
   private static final int MAX_BOOKED_PER_JOB = 64;
 
   private static final int MAX_PREEMPTING_PER_JOB = 48;
 
-  /** Jobs in one pass that are searched for though no machine has free capacity for them now. */
+  /**
+   * Maximum number of jobs per pass that are searched for although no machine has free capacity for
+   * their tasks.
+   */
   private static final int MAX_SEARCHED_WITHOUT_CAPACITY = 24;
 
   private final Logger log;
@@ -53,12 +56,12 @@
     this.demands = results.demands();
   }
 
-  /** A new pass begins. */
+  /** Resets the counters for a new pass. */
   void clear() {
     jobsWithoutCapacity = 0;
   }
 
-  /** Places as many of the job's tasks as its team's quota and the machines allow. */
+  /** Places as many pending tasks of the job as the team's quota and the machines allow. */
   void place(Job job, FleetSnapshot snapshot) {
     if (!JobQueue.mayRun(job) || !job.hasPending()) {
       return;
@@ -72,9 +75,9 @@
     }
     if (!Placer.hasFreeCapacityNow(request, snapshot.candidates(), zones)
         && ++jobsWithoutCapacity > MAX_SEARCHED_WITHOUT_CAPACITY) {
-      // Behind so many that wait as well there is no machine that could be booked for soon; where
-      // hundreds of jobs wait in a full fleet, searching for each would take longer than until the
-      // next urgent one comes.
+      // With this many jobs waiting ahead, no capacity can be booked for the near future. Searching
+      // for hundreds of waiting jobs in a full fleet would take longer than the time until the next
+      // urgent job arrives.
       if (!context.moneyMatters()) {
         demands.add(job, tasks, request.runMicros());
       }
@@ -83,18 +86,21 @@
     new Placement(job, request, zones, snapshot).placeTasks(tasks);
   }
 
-  /** The tasks that the team's quota allows; a job that must begin keeps a task's worth of it. */
+  /**
+   * Returns how many tasks the team's quota allows. If the quota does not allow a single task of a
+   * starving job, the resources of one task are reserved in the quota.
+   */
   private int quotaTasks(Job job, long nowMicros) {
     int tasks = quotas.headroomTasks(job);
     if (tasks < 1 && goals.mustBegin(job, nowMicros)) {
-      // What its team's smaller tasks leave of the limit would go to the next of them, again and
-      // again.
+      // Without the reservation, smaller tasks of the same team would take every part of the quota
+      // that becomes free, and the starving job would never start.
       quotas.reserveTask(job);
     }
     return tasks;
   }
 
-  /** The placement of one job's tasks in one pass. */
+  /** Places the tasks of one job in one pass. */
   private final class Placement {
     private final Job job;
     private final Zones zones;
@@ -134,7 +140,7 @@
     private void logWaiting() {
       if (log.isDebugEnabled()) {
         log.debug(
-            "{}: {} of {} free tasks wait for machines, {} booked",
+            "job {}: {} of {} pending tasks need rented machines, {} tasks booked for later",
             job.uid(),
             waiting,
             job.pendingCount(),
@@ -142,7 +148,10 @@
       }
     }
 
-    /** Decides about one task, or about all that remain; returns how many remain after it. */
+    /**
+     * Places one task, or handles all remaining tasks at once. Returns the number of tasks that
+     * remain.
+     */
     private int placeNext(int remaining) {
       Placer.Choice choice = search.next();
       if (!choice.feasible() && choice.startMicros() > nowMicros) {
@@ -154,8 +163,8 @@
         }
       }
       if (!choice.exists()) {
-        // With time to spare one machine is a start: the rest is booked on it, or found short, in
-        // the next pass.
+        // If the start goal leaves enough time, rent a single machine first. The next pass books
+        // the other tasks on this machine or requests more machines.
         waiting += criteria.canRentStepwise(request, nowMicros) ? 1 : remaining;
         return 0;
       }
@@ -177,8 +186,9 @@
     }
 
     /**
-     * No machine that is rented now would be up for the present goal, so what is booked or rented
-     * is for the next one. True if there is one, and the search began anew with it.
+     * Replaces the request's start objective by the next one that a machine rented now can meet,
+     * and restarts the search. Returns false if there is no later objective or the objective was
+     * already replaced.
      */
     private boolean relaxStartGoal() {
       if (startGoalRelaxed || !context.moneyMatters()) {
--- a/src/main/java/plumlever/leader/scheduling/JobQueue.java
+++ b/src/main/java/plumlever/leader/scheduling/JobQueue.java
@@ -11,7 +11,7 @@
 import plumlever.leader.failover.Failover;
 import plumlever.leader.job.ActiveJobs;
 
-/** The order in which a pass goes through the jobs that wait. */
+/** Determines the order in which a scheduling pass handles the pending jobs. */
 final class JobQueue {
   private final ActiveJobs jobs;
   private final Failover failover;
@@ -32,12 +32,15 @@
     this.headroom = headroom;
   }
 
-  /** True while tasks of the job may run: it has not ended, and all its dependencies are done. */
+  /**
+   * True if tasks of the job may run: the job has not ended, its cancellation is not confirmed and
+   * all its dependencies are done.
+   */
   static boolean mayRun(Job job) {
     return !job.over() && !job.cancellationConfirmed() && !job.waitsForDependencies();
   }
 
-  /** All jobs that have tasks left that may run, in no particular order. */
+  /** Returns all incomplete jobs whose tasks may run, in no particular order. */
   List<Job> unfinished() {
     List<Job> unfinished = new ArrayList<>();
     for (Job job : jobs.all()) {
@@ -49,9 +52,12 @@
   }
 
   /**
-   * The jobs that wait for machines: what must begin first, the oldest first; then work within a
-   * guarantee, then by priority, then what can still meet its goal, the most pressing first. Jobs
-   * that are new are taken into account for guarantees and capacity headroom.
+   * Returns the jobs with pending tasks in scheduling order: first jobs past the limit for their
+   * first start, by age; then jobs within their team's guarantee; then by priority; then jobs that
+   * can still meet their goals before jobs that recently missed them; then by latest start time and
+   * age.
+   *
+   * <p>Also assigns guarantees to new jobs and records their arrival for the capacity headroom.
    */
   List<Job> inSchedulingOrder(long nowMicros) {
     Set<Job> known = new HashSet<>(jobs.all());
--- a/src/main/java/plumlever/leader/scheduling/JobZones.java
+++ b/src/main/java/plumlever/leader/scheduling/JobZones.java
@@ -4,11 +4,11 @@
 import plumlever.fleet.Job;
 import plumlever.placement.Zones;
 
-/** A job's zone rules as placement needs them. */
+/** Converts a job's zone constraints for placement. */
 final class JobZones {
   private JobZones() {}
 
-  /** The job's zone rules, counting all its tasks that may still be on a machine. */
+  /** Returns the job's zone constraints, with the zones of all its live attempts. */
   static Zones of(Job job) {
     if (!job.spec().oneZone() && !job.spec().spread()) {
       return Zones.unrestricted();
--- a/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
@@ -5,7 +5,7 @@
 import plumlever.leader.context.TermContext;
 import plumlever.leader.failover.Failover;
 
-/** Which machines tasks may be planned for. */
+/** Decides which machines are available for placement. */
 final class MachineAvailability {
   private final TermContext context;
   private final Failover failover;
@@ -16,8 +16,9 @@
   }
 
   /**
-   * True if tasks may start on the machine now. A machine that missed a heartbeat may be gone, and
-   * one with an unanswered direct command may have carried it out.
+   * True if tasks may start on the machine now. Machines with a missed heartbeat are excluded
+   * because they may have failed. Machines with an unanswered direct command are excluded because
+   * the command may have been executed.
    */
   boolean acceptsTasks(Machine machine, long nowMicros) {
     return machine.registration() == RegistrationState.STORED
@@ -32,8 +33,10 @@
   }
 
   /**
-   * A new leader has the machines' answers to its direct calls before their own heartbeats; without
-   * those machines there would seem to be no free capacity, and more would be rented.
+   * Time of the machine's last heartbeat in this term, or the start of the term if there was none.
+   * After a failover, the leader accounts for machines by direct calls before their own heartbeats
+   * arrive. Without this fallback the fleet would appear to have no free capacity, and the leader
+   * would rent machines that are not needed.
    */
   private long lastSignMicros(Machine machine) {
     return machine.contact().hasReported()
@@ -41,7 +44,10 @@
         : failover.startedMicros();
   }
 
-  /** True for a machine that is rented and not up yet, or up and not yet on record. */
+  /**
+   * True for a machine that is rented but has not reported yet, or has reported but whose
+   * registration is not stored yet.
+   */
   boolean isComingUp(Machine machine, long nowMicros) {
     if (failover.isOverdue(nowMicros) && failover.unaccounted().contains(machine)) {
       return false;
--- a/src/main/java/plumlever/leader/scheduling/MachineShapes.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineShapes.java
@@ -6,9 +6,9 @@
 import plumlever.placement.MachineShape;
 import plumlever.wire.MachineType;
 
-/** The machine types of one snapshot as placement knows them, each made once. */
+/** Caches the machine shapes of one snapshot by machine type and spot flag. */
 final class MachineShapes {
-  /** Where only speed matters, so much memory counts as much as one core. */
+  /** Memory that counts as much as one core when prices are ignored. */
   private static final double MEMORY_GB_PER_CORE = 4;
 
   private static final double SECONDS_PER_HOUR = 3600;
@@ -39,8 +39,9 @@
   }
 
   /**
-   * Where only speed matters no machine is dearer than another for its size: what is left of the
-   * score is the time that a task holds its share, with the image if it has to be fetched.
+   * Price per second, or a measure of machine size if only speed matters. The size measure gives
+   * all machines the same price per resource, so placement scores depend only on the time for which
+   * a task holds its share of the machine, including a necessary image fetch.
    */
   private double pricePerSecond(MachineType machineType, boolean spot) {
     return context.moneyMatters()
--- a/src/main/java/plumlever/leader/scheduling/PassResults.java
+++ b/src/main/java/plumlever/leader/scheduling/PassResults.java
@@ -1,8 +1,8 @@
 package plumlever.leader.scheduling;
 
-/** What a pass produces as it goes through the jobs. */
+/** Results that a scheduling pass collects. */
 record PassResults(PlannedStarts plannedStarts, TeamQuotas quotas, RentalDemands demands) {
-  /** A new pass begins; the demands that the last one published stay. */
+  /** Resets the results for a new pass. Demands published by the last pass are kept. */
   void clear() {
     plannedStarts.clear();
     quotas.clear();
--- a/src/main/java/plumlever/leader/scheduling/PlannedStarts.java
+++ b/src/main/java/plumlever/leader/scheduling/PlannedStarts.java
@@ -9,7 +9,7 @@
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
 
-/** By machine, the tasks that the current pass planned to start there at once. */
+/** Tasks that the current pass planned to start at once, by machine. */
 final class PlannedStarts {
   private final Map<String, Map<Job, PlannedTasks>> byMachine = new HashMap<>();
 
@@ -17,7 +17,7 @@
     byMachine.clear();
   }
 
-  /** One more task of the job is to start on the machine. */
+  /** Adds one task of the job to the machine's plan. */
   void add(String machineId, Job job) {
     byMachine
         .computeIfAbsent(machineId, id -> new LinkedHashMap<>())
@@ -37,7 +37,7 @@
     return byMachine.containsKey(machine.id());
   }
 
-  /** True if the job of some task planned for the machine is stored as started. */
+  /** True if the machine has a planned task whose job is stored as started. */
   boolean hasRecorded(Machine machine) {
     for (PlannedTasks planned : on(machine)) {
       if (planned.job().registration() == RegistrationState.STORED) {
@@ -47,7 +47,7 @@
     return false;
   }
 
-  /** A copy of the names of all machines for which tasks are planned. */
+  /** Returns a copy of the ids of all machines with planned tasks. */
   List<String> machineIds() {
     return new ArrayList<>(byMachine.keySet());
   }
--- a/src/main/java/plumlever/leader/scheduling/PlannedTasks.java
+++ b/src/main/java/plumlever/leader/scheduling/PlannedTasks.java
@@ -2,7 +2,10 @@
 
 import plumlever.fleet.Job;
 
-/** How many tasks of one job are planned for one machine; they go out with its next command. */
+/**
+ * Number of tasks of one job that are planned for one machine. The tasks start with the next
+ * command to the machine.
+ */
 public final class PlannedTasks {
   private final Job job;
   private int count;
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -15,18 +15,24 @@
 import plumlever.wire.Priority;
 
 /**
- * Frees capacity for a task that would miss its goals, by stopping tasks of jobs with less
- * priority. Only tasks that write checkpoints are stopped, so little work is lost, and none that
- * began a moment ago.
+ * Frees capacity for tasks that would otherwise miss their goals by stopping tasks of jobs with
+ * lower priority. Only tasks that write checkpoints are stopped, which limits the lost work, and
+ * only after {@link #MIN_RUN_MICROS} of run time.
  */
 final class Preemption {
-  /** A task stopped sooner after its start was hardly worth starting. */
+  /**
+   * Minimum run time before preemption. A task stopped earlier would have made too little progress
+   * to justify its start.
+   */
   private static final long MIN_RUN_MICROS = 35_000_000;
 
-  /** A stop goes out with the next response, and the heartbeat after it shows what it freed. */
+  /**
+   * Time until freed capacity is known: the stop command goes out with the next heartbeat response,
+   * and the heartbeat after that response reports the result.
+   */
   private static final long COMMAND_MICROS = 3_000_000;
 
-  /** Between a task's checkpoint and the end of its grace period. */
+  /** Margin between the end of a task's checkpoint and the end of its grace period. */
   private static final double STOP_MARGIN_S = 2;
 
   private final Logger log;
@@ -44,22 +50,22 @@
   }
 
   /**
-   * Tasks whose stop would free a machine for one task.
+   * Tasks on one machine whose preemption makes room for one task.
    *
-   * @param goalsMissed how many of them would miss their jobs' goals by it
-   * @param readyMicros when the task could run there
+   * @param goalsMissed number of these tasks whose jobs would miss their finish goals
+   * @param readyMicros when the new task could run on the machine
    */
   private record Option(
       Machine machine, List<Attempt> victims, int goalsMissed, long readyMicros) {}
 
-  /** Begins to preempt for the tasks of one job, which should start by then. */
+  /** Starts preemption for the tasks of one job, which should start by the given time. */
   Search search(Job job, ResourceRequest request, long startByMicros, long nowMicros) {
     return new Search(job, request, startByMicros, nowMicros);
   }
 
   /**
-   * Preempts for the tasks of one job, one after the other; the fleet is searched once, when the
-   * first task needs it.
+   * Preempts for the tasks of one job, one task at a time. The fleet is searched once, on the first
+   * call.
    */
   final class Search {
     private final Job job;
@@ -76,7 +82,9 @@
       this.nowMicros = nowMicros;
     }
 
-    /** True if tasks were told to stop so that one more task of the job will fit. */
+    /**
+     * Preempts tasks to make room for one more task of the job. Returns false if no option is left.
+     */
     boolean preemptForOneTask() {
       if (options == null) {
         options = options();
@@ -94,7 +102,7 @@
         context.metrics().count("preempted");
         if (log.isDebugEnabled()) {
           log.debug(
-              "{} on {} is preempted for {}",
+              "task {} on machine {} is preempted for job {}",
               attempt.name().wireName(),
               option.machine.id(),
               job.uid());
@@ -103,11 +111,12 @@
     }
 
     /**
-     * The fewest goals missed first, then the fewest tasks stopped, then the soonest ready; a
-     * machine is an option once.
+     * Returns at most one option per machine, ordered by goals missed, number of preempted tasks
+     * and ready time.
      */
     private List<Option> options() {
-      // Nothing has less priority, and in a full fleet most of what waits is like this.
+      // No job has a lower priority. Most pending jobs in a full fleet are of idle priority, so
+      // this check avoids most searches.
       if (job.priority() == Priority.IDLE) {
         return List.of();
       }
@@ -130,7 +139,8 @@
           Comparator.comparingInt(Option::goalsMissed)
               .thenComparingInt(option -> option.victims.size())
               .thenComparingLong(Option::readyMicros));
-      // Zones are checked for one more task; a job with such a rule preempts for one in each pass.
+      // Zone constraints were checked for one more task only. Jobs with such constraints therefore
+      // preempt for at most one task per pass.
       return job.spec().oneZone() || job.spec().spread()
           ? found.subList(0, Math.min(1, found.size()))
           : found;
@@ -166,8 +176,9 @@
     }
 
     /**
-     * The fewest tasks on the machine that have to stop; empty if stopping all that may be stopped
-     * would not be enough, or none has to.
+     * Returns the smallest set of tasks to stop on the machine, in preemption order. Empty if
+     * stopping all preemptible tasks would not free enough capacity, or if no task has to be
+     * stopped.
      */
     private List<Attempt> victims(Machine machine, MachineType machineType) {
       FreeCapacity free = FreeCapacity.whole(machineType);
@@ -177,7 +188,7 @@
           continue;
         }
         if (attempt.stopping()) {
-          // Its capacity is being freed already, for another task.
+          // Capacity on this machine is already being freed for another task.
           return List.of();
         }
         free.reserve(attempt.job().spec());
@@ -199,7 +210,10 @@
           && nowMicros - attempt.runningSinceMicros() > MIN_RUN_MICROS;
     }
 
-    /** The first of them that have to stop so that the task fits; empty if all are not enough. */
+    /**
+     * Returns the shortest prefix of the preemptible tasks whose capacity makes room for one task
+     * of the job; empty if all of them together are not enough.
+     */
     private List<Attempt> fewest(List<Attempt> preemptible, FreeCapacity free) {
       List<Attempt> victims = new ArrayList<>();
       for (Attempt attempt : preemptible) {
--- a/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
@@ -5,9 +5,12 @@
 import plumlever.placement.Placer;
 import plumlever.placement.ResourceRequest;
 
-/** Decides whether a machine should be rented for a task that no machine can serve in time. */
+/** Decides whether to rent a machine for a task that the current fleet cannot serve in time. */
 final class RentalCriteria {
-  /** A task that would wait longer than this is rented for though its goal is missed anyhow. */
+  /**
+   * Waiting time beyond which a machine is rented even if the task misses its goal on a rented
+   * machine too.
+   */
   private static final long LONG_WAIT_MICROS = 120_000_000;
 
   private final TermContext context;
@@ -18,7 +21,7 @@
     this.goals = goals;
   }
 
-  /** True if the task should not just wait for the booked start. */
+  /** True if a machine should be rented for the task instead of waiting for the booked start. */
   boolean needsRental(Job job, Placer.Choice booked, ResourceRequest request, long nowMicros) {
     long waitMicros = booked.startMicros() - nowMicros;
     if (!context.moneyMatters()) {
@@ -28,14 +31,17 @@
         && (rentalIsInTime(job, request, nowMicros) || waitMicros > LONG_WAIT_MICROS);
   }
 
-  /** True if a machine rented now could still serve the task in time. */
+  /** True if the task would meet its goals on a machine rented now. */
   boolean rentalIsInTime(Job job, ResourceRequest request, long nowMicros) {
     long upMicros = nowMicros + context.parameters().rentalMicros();
     return upMicros <= goals.startByMicros(job, upMicros)
         && request.endsInTime(upMicros, request.runMicros());
   }
 
-  /** True if the start goal leaves time to book on one rented machine before renting more. */
+  /**
+   * True if the start goal leaves enough time to rent one machine, book tasks on it and rent more
+   * machines later.
+   */
   boolean canRentStepwise(ResourceRequest request, long nowMicros) {
     return context.moneyMatters()
         && request.startByMicros() != ResourceRequest.ANY_TIME
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -17,15 +17,19 @@
 import plumlever.sharing.CoreDemand;
 
 /**
- * The scheduling pass: which waiting tasks go to which machine, and what has to be rented for the
- * others. A plan binds nobody: it is made anew as things change, and each rule about a start is
- * checked again as the command is written ({@link TaskStarter}). A pass that uses up its time is
- * resumed with the next job when it is called again.
+ * Assigns pending tasks to machines and determines the rental demand for the tasks that do not fit.
+ *
+ * <p>A plan is only a proposal: every pass computes a new plan, and {@link TaskStarter} checks all
+ * constraints again when a start command is written. A pass that exceeds its time budget stops
+ * after the current job and resumes with the next job on the next call.
  */
 public final class SchedulingPass {
   private static final long HEADROOM_CHECK_MICROS = 1_000_000;
 
-  /** Pause between updates of the run times that dependency chains count with. */
+  /**
+   * Interval between updates of the expected run times that goal propagation along dependency
+   * chains uses.
+   */
   private static final long COST_UPDATE_MICROS = 10_000_000;
 
   private final TermContext context;
@@ -40,19 +44,19 @@
   private final PassResults results;
   private final Set<Machine> cordoned = new LinkedHashSet<>();
 
-  /** The jobs of the pass that is under way, and the next of them. */
+  /** Jobs of the current pass, and the index of the next job. */
   private List<Job> queued = List.of();
 
   private int nextJob;
 
-  /** The machines as the pass that is under way sees them; none while nothing waits. */
+  /** Fleet snapshot of the current pass; empty if no job is pending. */
   private Optional<FleetSnapshot> snapshot = Optional.empty();
 
   private long headroomCheckedMicros = Long.MIN_VALUE / 2;
   private long costsUpdatedMicros;
   private long spentMicros;
 
-  /** The passes of one term; nothing is planned before the first run. */
+  /** Creates the scheduling passes of one term. Nothing is planned before the first run. */
   public SchedulingPass(
       TermContext context,
       Fleet fleet,
@@ -86,7 +90,10 @@
             results);
   }
 
-  /** Goes through the jobs in scheduling order; true when it came to the end within its time. */
+  /**
+   * Places the pending jobs in scheduling order. Returns true if the pass is complete, and false if
+   * the time budget was used up.
+   */
   public boolean run() {
     long startMicros = context.loop().nowMicros();
     if (nextJob >= queued.size()) {
@@ -129,7 +136,10 @@
     context.metrics().recordDuration("pass", spentMicros);
   }
 
-  /** Where nothing waits, the machines are looked at for their free capacity only now and then. */
+  /**
+   * Checks the headroom. If no job is pending and there is no demand, the check runs at most once
+   * per {@link #HEADROOM_CHECK_MICROS}.
+   */
   private Optional<RentalPlan.Demand> missingHeadroom(long nowMicros) {
     if (snapshot.isEmpty()
         && demands().isEmpty()
@@ -140,27 +150,27 @@
     return headroom.missing(snapshot.orElseGet(() -> snapshots.snapshot(nowMicros, cordoned)));
   }
 
-  /** What the last complete pass took, without the pauses in it. */
+  /** Duration of the last complete pass, excluding pauses between its parts. */
   public long spentMicros() {
     return spentMicros;
   }
 
-  /** When the last complete pass ended, and {@link #demands} were found. */
+  /** Time at which the last complete pass ended and published {@link #demands}. */
   public long finishedMicros() {
     return results.demands().publishedMicros();
   }
 
-  /** What waits for machines, as of the last complete pass; the most urgent first. */
+  /** Rental demands of the last complete pass, most urgent first. */
   public List<RentalPlan.Demand> demands() {
     return results.demands().published();
   }
 
-  /** Cores of the tasks that wait for machines, as of the last complete pass. */
+  /** Total cores of the pending tasks that needed machines in the last complete pass. */
   public double waitingCores() {
     return results.demands().waitingCores();
   }
 
-  /** The tasks planned for the machine; they may be changed by the next pass. */
+  /** Tasks planned for the machine. The next pass may change them. */
   public Iterable<PlannedTasks> planned(Machine machine) {
     return results.plannedStarts().on(machine);
   }
@@ -170,56 +180,59 @@
     return results.plannedStarts().hasAny(machine);
   }
 
-  /** True if a planned task may be started: its job is on record. */
+  /**
+   * True if a task whose job is stored as started is planned for the machine, so that it may start.
+   */
   public boolean hasRecordedPlan(Machine machine) {
     return results.plannedStarts().hasRecorded(machine);
   }
 
-  /** Forgets what is planned for the machine. */
+  /** Discards the plan for the machine. */
   public void dropPlan(Machine machine) {
     results.plannedStarts().drop(machine);
   }
 
-  /** A copy of the names of the machines for which tasks are planned. */
+  /** Returns a copy of the ids of all machines with planned tasks. */
   List<String> plannedMachineIds() {
     return results.plannedStarts().machineIds();
   }
 
   /**
-   * Machines that are cordoned: they get no new tasks, because the others will do, and are returned
-   * once they are empty. The caller adds to and removes from the set.
+   * Cordoned machines, which the rest of the fleet can replace. They receive no new tasks and are
+   * returned when they become idle. The caller modifies the set.
    */
   public Set<Machine> cordoned() {
     return cordoned;
   }
 
   /**
-   * True if all that waits would still be served in time without these machines, and enough
-   * capacity headroom were left. No plan is changed.
+   * True if the rest of the fleet serves all pending jobs in time and covers the capacity headroom.
+   * Does not change the plan.
    */
   public boolean canDoWithout(Set<Machine> machines) {
     return reduction.canDoWithout(machines);
   }
 
   /**
-   * The same without regard to headroom: capacity for work that may come counts less than what
-   * waits in another shard.
+   * True if the rest of the fleet serves all pending jobs in time. Ignores the capacity headroom,
+   * because capacity for possible future jobs is less important than pending jobs of another shard.
+   * Does not change the plan.
    */
   public boolean servesWaitingWithout(Set<Machine> machines) {
     return reduction.servesWaitingWithout(machines);
   }
 
-  /** What a task of the job is expected to take from its release on, in microseconds. */
+  /** Estimated time in microseconds from the job's release to the end of its tasks. */
   public long costMicros(Job job) {
     return times.costMicros(job);
   }
 
-  /** When the last task that runs on the machine should end, in microseconds of the loop. */
+  /** Loop time in microseconds at which the last task on the machine is expected to end. */
   public long expectedIdleMicros(Machine machine) {
     return times.idleMicros(machine, context.loop().nowMicros());
   }
 
-  /** What is left of the jobs that may run, and the time that each has left. */
+  /** Remaining work of all jobs that may run, with the time left until their goals. */
   public List<CoreDemand.Work> remainingWork() {
     long nowMicros = context.loop().nowMicros();
     List<CoreDemand.Work> works = new ArrayList<>();
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -10,11 +10,11 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * By when a job's tasks should run and be complete: its own deadline, the service-level objectives
- * of its class, or the default.
+ * Service-level objectives: computes by when a job's tasks should start and be complete, from the
+ * job's deadline, the objectives of its class and the default start target.
  */
 final class ServiceObjectives {
-  /** What {@link PlatformConfiguration.Objective#kind} may be; other kinds are ignored. */
+  /** Supported values of {@link PlatformConfiguration.Objective#kind}; other kinds are ignored. */
   private static final String START_KIND = "wait";
 
   private static final String FINISH_KIND = "finished";
@@ -24,13 +24,13 @@
   private final Map<String, TargetTimes> startTargets = new HashMap<>();
   private final Map<String, TargetTimes> finishTargets = new HashMap<>();
 
-  /** By class, the multiples of a deadline that still count, ascending. */
+  /** Permitted multiples of the deadline by job class, in ascending order. */
   private final Map<String, List<Double>> deadlineMultiples = new HashMap<>();
 
   private final long defaultStartMicros;
   private long guaranteedStartMicros = Long.MAX_VALUE;
 
-  /** The times within which something should happen to a job of one class, ascending. */
+  /** Target times of one job class relative to the job's release, in ascending order. */
   private static final class TargetTimes {
     private final List<Long> withinMicros = new ArrayList<>();
 
@@ -39,7 +39,7 @@
       Collections.sort(withinMicros);
     }
 
-    /** The soonest target that is still ahead; the last one when all are missed. */
+    /** Returns the earliest target that is not missed yet, or the last target if all are missed. */
     long nextMicros(long fromMicros, long nowMicros) {
       for (long within : withinMicros) {
         if (fromMicros + within >= nowMicros) {
@@ -51,9 +51,10 @@
   }
 
   /**
-   * The objectives of one platform.
+   * Reads the objectives of a platform.
    *
-   * @param defaultStartMicros within which tasks should start that nothing else is said of
+   * @param defaultStartMicros start target for jobs without a deadline whose class has no start
+   *     objective
    */
   ServiceObjectives(List<PlatformConfiguration.Objective> objectives, long defaultStartMicros) {
     this.defaultStartMicros = defaultStartMicros;
@@ -85,8 +86,8 @@
   }
 
   /**
-   * By when it should start: the soonest objective for its start that is not missed yet.
-   * Long.MAX_VALUE for a job that has only a deadline.
+   * Returns the time by which the job should start: the earliest start objective that is not missed
+   * yet. Long.MAX_VALUE for a job that has a deadline but no start objective.
    */
   long startByMicros(Job job, boolean withinGuarantee, long nowMicros) {
     long classMicros = classStartByMicros(job, nowMicros);
@@ -94,7 +95,7 @@
       return classMicros;
     }
     long guaranteedMicros = job.releasedMicros() + guaranteedStartMicros;
-    // Once it is missed, the objectives of the class are what is left to meet.
+    // Once the guaranteed start time is missed, only the objectives of the job's class apply.
     boolean counts =
         guaranteedMicros >= nowMicros || (classMicros == Long.MAX_VALUE && !job.hasDeadline());
     return counts ? Math.min(classMicros, guaranteedMicros) : classMicros;
@@ -109,9 +110,10 @@
   }
 
   /**
-   * By when it should be complete: its deadline or what that of a dependent job leaves it, as many
-   * times over as the objectives still allow, and the objectives of its class. Long.MAX_VALUE for
-   * none.
+   * Returns the time by which the job should be complete: the earlier of its effective deadline and
+   * the finish objective of its class. The effective deadline includes the deadlines of dependent
+   * jobs. After a miss, the deadline is extended to the next permitted multiple. Long.MAX_VALUE if
+   * there is neither.
    */
   long finishByMicros(Job job, long nowMicros) {
     long deadlineMicros =
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -16,7 +16,10 @@
 import plumlever.wire.MachineType;
 import plumlever.wire.WorkerCommand;
 
-/** Starts planned tasks: the last place where every rule about a start is checked. */
+/**
+ * Starts planned tasks. Checks all constraints on a start once more, immediately before the command
+ * is sent.
+ */
 public final class TaskStarter {
   private final TermContext context;
   private final Fleet fleet;
@@ -24,7 +27,7 @@
   private final Failover failover;
   private final AttemptLog attemptLog;
 
-  /** Starts tasks of these jobs on machines of the fleet. */
+  /** Creates a starter for the given jobs and fleet. */
   public TaskStarter(TermContext context, Fleet fleet, ActiveJobs jobs, Failover failover) {
     this.context = context;
     this.attemptLog = new AttemptLog(context);
@@ -34,12 +37,12 @@
   }
 
   /**
-   * Starts the tasks planned for the machine, as far as each rule still allows it as the command is
-   * written. The commands must go out with the message that is being written now.
+   * Starts the tasks planned for the machine as far as all constraints still allow. The caller must
+   * send the commands with the message that is being written now.
    *
-   * @param channel how the commands go out
+   * @param channel how the commands are sent
    * @param commands receives the commands
-   * @return the attempts begun; empty if nothing may start on the machine
+   * @return the new attempts; empty if no task may start on the machine
    */
   public List<Attempt> start(
       Machine machine,
--- a/src/main/java/plumlever/leader/scheduling/TeamGuarantees.java
+++ b/src/main/java/plumlever/leader/scheduling/TeamGuarantees.java
@@ -9,8 +9,9 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * Which jobs run within their team's guarantee. Decided once for each job, when it comes: what ends
- * later does not move a job that came beyond the guarantee.
+ * Determines which jobs run within their team's guaranteed cores. The decision is made once, when
+ * the job arrives. A job that exceeded the guarantee on arrival is not covered later when other
+ * jobs end.
  */
 final class TeamGuarantees {
   private final TermContext context;
@@ -24,15 +25,15 @@
     }
   }
 
-  /** Forgets all other jobs. */
+  /** Drops all jobs that are not in the given set. */
   void retainAll(Set<Job> jobs) {
     covered.keySet().retainAll(jobs);
   }
 
   /**
-   * Decides for those of the jobs that are new.
+   * Decides for all jobs without a decision.
    *
-   * @param jobsByAge all jobs that may run, the oldest first
+   * @param jobsByAge all jobs that may run, oldest first
    */
   void decide(List<Job> jobsByAge) {
     Map<String, Double> coresByTeam = new HashMap<>();
@@ -47,7 +48,7 @@
     }
   }
 
-  /** True if the job runs within its team's guarantee; false for one that is not decided yet. */
+  /** True if the job runs within its team's guarantee; false if there is no decision yet. */
   boolean covers(Job job) {
     return covered.getOrDefault(job, false);
   }
--- a/src/main/java/plumlever/leader/scheduling/TeamQuotas.java
+++ b/src/main/java/plumlever/leader/scheduling/TeamQuotas.java
@@ -6,7 +6,7 @@
 import plumlever.leader.failover.Failover;
 import plumlever.wire.JobSpec;
 
-/** What each team's quota leaves for further tasks in the current pass. */
+/** Tracks the quota that remains for each team in the current pass. */
 final class TeamQuotas {
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
@@ -17,7 +17,7 @@
     this.failover = failover;
   }
 
-  /** What the tasks planned for one team in this pass take of its quota. */
+  /** Resources planned for one team in the current pass. */
   private static final class PlannedUse {
     private double cores;
     private double accelerators;
@@ -27,7 +27,7 @@
       accelerators += spec.accelerators();
     }
 
-    /** How many tasks of this size the planned use stands for. */
+    /** Converts the planned resources into a number of tasks of the given size, rounded up. */
     int inTasksOf(JobSpec spec) {
       if (spec.cores() > 0) {
         return (int) Math.ceil(cores / spec.cores() - ROUNDING_TOLERANCE);
@@ -39,19 +39,20 @@
     }
   }
 
-  /** A new pass begins: nothing is planned yet. */
+  /** Resets the planned resources for a new pass. */
   void clear() {
     plannedByTeam.clear();
   }
 
-  /** The team's quota is charged with one task of the job until the pass ends. */
+  /** Charges one task of the job to its team's quota until the end of the pass. */
   void reserveTask(Job job) {
     plannedByTeam.computeIfAbsent(job.spec().team(), team -> new PlannedUse()).add(job.spec());
   }
 
   /**
-   * How many more tasks of the job its team's quota allows, counting whatever may still be running
-   * anywhere and what this pass planned; Integer.MAX_VALUE for a team without limits.
+   * Returns how many more tasks of the job the team's quota allows. Counts all tasks that may still
+   * run on any machine and the tasks planned in this pass. Integer.MAX_VALUE for a team without
+   * limits.
    */
   int headroomTasks(Job job) {
     int tasks = failover.quotaHeadroom(job);
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -15,7 +15,7 @@
 import plumlever.wire.ProtocolPath;
 import plumlever.wire.WorkerCommand;
 
-/** Direct calls to workers, with their replies read. Decides nothing. */
+/** Sends direct calls to workers and parses the replies. Makes no scheduling decisions. */
 final class WorkerCalls {
   private final Logger log;
   private final Caller caller;
@@ -26,9 +26,9 @@
   }
 
   /**
-   * Sends commands with the machine's current token, for its current incarnation.
+   * Sends commands with the machine's current fencing token and incarnation.
    *
-   * @param then receives what came of it, exactly once, on the loop
+   * @param then receives the result exactly once, on the loop
    */
   void command(
       Machine machine,
@@ -61,9 +61,9 @@
   }
 
   /**
-   * Asks the machine for its state, without a command.
+   * Requests the machine's state without sending a command.
    *
-   * @param then receives the state, exactly once, on the loop; empty without a readable reply
+   * @param then receives the state exactly once, on the loop; empty if there is no valid reply
    */
   void inspect(
       Machine machine, Endpoint endpoint, long timeoutMicros, Consumer<Optional<Heartbeat>> then) {
@@ -77,13 +77,14 @@
             then.accept(status == HttpStatus.OK ? read(machine, data) : Optional.empty()));
   }
 
-  /** The machine's own heartbeat; empty if it can't be read or is another machine's. */
+  /** Parses the machine's heartbeat; empty if the data is invalid or names another machine. */
   private Optional<Heartbeat> read(Machine machine, byte[] data) {
     try {
       return Optional.of(Heartbeat.parse(data))
           .filter(heartbeat -> heartbeat.machineId().equals(machine.id()));
     } catch (InvalidMessageException e) {
-      log.warn("the direct reply of {} can't be read: {}", machine.id(), e.getMessage());
+      log.warn(
+          "machine {} sent an invalid reply to a direct call: {}", machine.id(), e.getMessage());
       return Optional.empty();
     }
   }
--- a/src/main/java/plumlever/leader/scheduling/WorkerReply.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerReply.java
@@ -3,12 +3,16 @@
 import java.util.Optional;
 import plumlever.wire.Heartbeat;
 
-/** What came of a direct call to a worker. */
+/** Result of a direct call to a worker. */
 sealed interface WorkerReply {
-  /** The worker's own heartbeat, if the reply had one that could be read. */
+  /** The worker's heartbeat, if the reply contained a valid one. */
   Optional<Heartbeat> heartbeat();
 
-  /** The worker carried the commands out; this is its state after them. */
+  /**
+   * The worker executed the commands.
+   *
+   * @param state the worker's state after the commands
+   */
   record Accepted(Heartbeat state) implements WorkerReply {
     @Override
     public Optional<Heartbeat> heartbeat() {
@@ -17,13 +21,16 @@
   }
 
   /**
-   * The worker carried nothing out and never will: its token or incarnation has moved on.
+   * The worker rejected the commands and will never execute them, because its token or incarnation
+   * is newer.
    *
-   * @param heartbeat empty if its state could not be read
+   * @param heartbeat the worker's state; empty if the reply contained no valid heartbeat
    */
   record Refused(Optional<Heartbeat> heartbeat) implements WorkerReply {}
 
-  /** No reply, or none that could be read: the commands may be carried out, also later. */
+  /**
+   * No valid reply arrived. The worker may have executed the commands or may still execute them.
+   */
   record Unanswered() implements WorkerReply {
     @Override
     public Optional<Heartbeat> heartbeat() {
--- a/src/main/java/plumlever/placement/CandidateScores.java
+++ b/src/main/java/plumlever/placement/CandidateScores.java
@@ -4,22 +4,25 @@
 import java.util.List;
 
 /**
- * All candidates evaluated once for the tasks of one job: what the task would cost on each, and
- * whether it would be in time there. What changes as tasks are committed is asked of the
- * candidates.
+ * Evaluates all candidates once for the tasks of one job: score, preparation time and run time on
+ * each candidate. Free capacity and zone counts, which change as tasks are committed, are not
+ * cached here but read from the candidates and the zone constraints.
  */
 final class CandidateScores {
   final ResourceRequest request;
   final List<PlacementCandidate> candidates;
   final long nowMicros;
 
-  /** Candidates whose machine could ever take the task, the least score first. */
+  /**
+   * Indexes of the candidates whose machine could run the task when empty, in ascending order of
+   * score.
+   */
   final int[] byScore;
 
   private final PlacementParameters parameters;
   private final Zones zones;
 
-  /** By candidate, the time from free capacity to the run: the command's way and the image. */
+  /** Time from free capacity to the task's start by candidate: command delay and image fetch. */
   private final long[] preparationMicros;
 
   private final long[] runMicros;
@@ -59,8 +62,8 @@
                 * share
                 * riskFactor(candidate)
                 * (preparationMicros[i] + runMicros[i]);
-        // Scores are never negative, so the order of their bits is theirs; the candidate's number
-        // is in the low half.
+        // Scores are never negative, so the bits of a float sort like its value. The low half of
+        // the key holds the candidate's index.
         sortKeys[count++] = (long) Float.floatToIntBits((float) score[i]) << Integer.SIZE | i;
       }
     }
@@ -80,24 +83,29 @@
     return score[candidate];
   }
 
-  /** The earliest time at which the task fits on the candidate, whatever the zone rules say. */
+  /**
+   * Returns the earliest time at which the task fits on the candidate, ignoring zone constraints.
+   */
   long earliestStartMicros(int candidate) {
     return candidates.get(candidate).earliestStartMicros(request.resources(), nowMicros);
   }
 
-  /** The same, but Long.MAX_VALUE where the zone rules forbid one more task of the job. */
+  /**
+   * Returns the earliest time at which the task fits on the candidate, or Long.MAX_VALUE if the
+   * zone constraints forbid one more task of the job in the candidate's zone.
+   */
   long allowedStartMicros(int candidate) {
     return zones.allows(candidates.get(candidate).zone)
         ? earliestStartMicros(candidate)
         : Long.MAX_VALUE;
   }
 
-  /** When a task that gets its capacity at the given time would run. */
+  /** Returns when a task would run if its capacity becomes free at the given time. */
   long runsAtMicros(int candidate, long startMicros) {
     return startMicros + preparationMicros[candidate];
   }
 
-  /** True if the candidate is a choice of this rank for one more task. */
+  /** True if the candidate is a choice of the given rank for one more task. */
   boolean suits(int index, ChoiceRank rank) {
     PlacementCandidate candidate = candidates.get(index);
     if (!zones.allows(candidate.zone) || candidate.fitsNow(request.resources()) == rank.later) {
@@ -109,15 +117,15 @@
     }
     double padding = rank.padded ? parameters.padding() : 0;
     long runsAtMicros = startMicros + preparationMicros[index];
-    // Capacity that others leave may come later than estimated; on a machine that comes up it does
-    // not depend on that.
+    // Running tasks may release capacity later than estimated, so time for renting a machine must
+    // remain. Capacity of a machine that is coming up does not depend on other tasks.
     if (padding > 0 && rank.later && startMicros > candidate.upMicros()) {
       runsAtMicros += parameters.hedgeMicros();
     }
     return request.isMetBy(runsAtMicros, (long) (runMicros[index] * (1 + padding)));
   }
 
-  /** One task goes to the chosen candidate: now, or booked for later. */
+  /** Starts one task on the chosen candidate, or books capacity if the task starts later. */
   void commit(Placer.Choice choice) {
     int index = choice.candidate();
     PlacementCandidate candidate = candidates.get(index);
--- a/src/main/java/plumlever/placement/ChoiceRank.java
+++ b/src/main/java/plumlever/placement/ChoiceRank.java
@@ -1,16 +1,16 @@
 package plumlever.placement;
 
-/** How well a choice serves a task in time, the best first. */
+/** Ranks of the choices that meet a task's times, best first. */
 enum ChoiceRank {
   NOW_WITH_PADDING(false, true),
   LATER_WITH_PADDING(true, true),
   NOW_WITHOUT_PADDING(false, false),
   LATER_WITHOUT_PADDING(true, false);
 
-  /** True if the task has to wait until capacity comes free. */
+  /** True if the task has to wait until capacity becomes free. */
   final boolean later;
 
-  /** True if the task is in time though it runs longer than estimated, by the padding. */
+  /** True if the task meets its times even with the padded run time. */
   final boolean padded;
 
   ChoiceRank(boolean later, boolean padded) {
--- a/src/main/java/plumlever/placement/MachineShape.java
+++ b/src/main/java/plumlever/placement/MachineShape.java
@@ -1,9 +1,9 @@
 package plumlever.placement;
 
 /**
- * What all machines of one type have in common, spot machines apart from the others.
+ * Properties shared by all machines of one type. Spot machines have a shape of their own.
  *
- * @param pricePerS price of a second; where only speed matters, any measure of the size
+ * @param pricePerS price per second; a measure of machine size if only speed matters
  */
 public record MachineShape(
     String machineType,
--- a/src/main/java/plumlever/placement/PlacementCandidate.java
+++ b/src/main/java/plumlever/placement/PlacementCandidate.java
@@ -5,8 +5,7 @@
 import java.util.List;
 
 /**
- * A machine as placement sees it: its free capacity now, and the times at which more of it comes
- * free.
+ * A machine as placement sees it: its free capacity now and the expected releases of more capacity.
  */
 public final class PlacementCandidate {
   private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -15,16 +14,16 @@
   final String zone;
   final MachineShape shape;
 
-  /** Factor by which tasks take longer there than on a machine of nominal speed. */
+  /** Factor by which tasks run longer than on a machine of nominal speed. */
   final double slowness;
 
-  /** Time until a command reaches the machine. */
+  /** Latency of a command to the machine. */
   final long commandDelayMicros;
 
-  /** True once a task is on the machine. */
+  /** True if any task is on the machine. */
   boolean busy;
 
-  /** What is free now. */
+  /** Resources that are free now. */
   double cores;
 
   double accelerators;
@@ -34,14 +33,14 @@
   private final List<Release> releases = new ArrayList<>();
   private boolean releasesSorted = true;
 
-  /** Capacity that is expected to come free at a time. */
+  /** Resources that are expected to become free at the given time. */
   private record Release(long atMicros, double cores, double accelerators, double memoryGb) {}
 
   /**
-   * A machine that is up, with all its capacity free.
+   * Creates a machine that is up and empty.
    *
-   * @param slowness factor by which tasks take longer than on a machine of nominal speed
-   * @param commandDelayMicros time until a command reaches the machine
+   * @param slowness factor by which tasks run longer than on a machine of nominal speed
+   * @param commandDelayMicros latency of a command to the machine
    */
   public PlacementCandidate(
       String machineId, String zone, MachineShape shape, double slowness, long commandDelayMicros) {
@@ -55,12 +54,15 @@
     this.memoryGb = shape.memoryGb();
   }
 
-  /** The name of the machine. */
+  /** Id of the machine. */
   public String machineId() {
     return machineId;
   }
 
-  /** Takes a task into account that is on the machine already. */
+  /**
+   * Subtracts the resources of a task until its end. Used for tasks on the machine and for new
+   * tasks.
+   */
   public void occupy(
       double taskCores, double taskAccelerators, double taskMemoryGb, long endMicros) {
     cores -= taskCores;
@@ -70,7 +72,7 @@
     addRelease(new Release(endMicros, taskCores, taskAccelerators, taskMemoryGb));
   }
 
-  /** The machine is not up before then: what is free of it comes free at that time. */
+  /** Marks the machine as coming up: its free resources are released at the given time. */
   public void comesUp(long atMicros) {
     upMicros = atMicros;
     addRelease(new Release(atMicros, cores, accelerators, memoryGb));
@@ -79,14 +81,13 @@
     memoryGb = 0;
   }
 
-  /** When the machine comes up; Long.MIN_VALUE for one that is. */
+  /** Time at which the machine comes up; Long.MIN_VALUE if the machine is up. */
   long upMicros() {
     return upMicros;
   }
 
   /**
-   * Cores that nothing is planned or booked for: now, or for a machine that is not up yet when it
-   * comes up.
+   * Unreserved cores, now or, for a machine that is coming up, at the time when the machine is up.
    */
   public double spareCores() {
     double spare = cores;
@@ -117,7 +118,7 @@
         && freeAccelerators + ROUNDING_TOLERANCE >= task.accelerators();
   }
 
-  /** The earliest time at which the task fits; Long.MAX_VALUE if it never does. */
+  /** Returns the earliest time at which the task fits; Long.MAX_VALUE if the task never fits. */
   long earliestStartMicros(ResourceRequest.Resources task, long nowMicros) {
     if (fitsNow(task)) {
       return nowMicros;
@@ -131,7 +132,7 @@
       freeAccelerators += release.accelerators;
       freeMemoryGb += release.memoryGb;
       if (fits(task, freeCores, freeAccelerators, freeMemoryGb)) {
-        // Capacity that is due but has not been reported free is not free now.
+        // Resources whose release is due but not reported yet are not free now.
         return Math.max(nowMicros + 1, release.atMicros);
       }
     }
@@ -139,8 +140,8 @@
   }
 
   /**
-   * Books capacity that comes free later: what is released until the task starts goes to the task,
-   * and comes free again when it ends.
+   * Books resources that become free later. Resources released until the start are assigned to the
+   * task and are released again when the task ends.
    */
   void book(ResourceRequest.Resources task, long startMicros, long endMicros) {
     double coresNow = cores;
@@ -150,8 +151,8 @@
     double coresAtStart = cores - task.cores();
     double acceleratorsAtStart = accelerators - task.accelerators();
     double memoryGbAtStart = memoryGb - task.memoryGb();
-    // What is free now stays usable as far as the booking leaves it; the rest is not free before
-    // the start.
+    // Resources that are free now remain available if the booked task does not need them. All other
+    // resources are unavailable until the start.
     cores = Math.min(coresNow, coresAtStart);
     accelerators = Math.min(acceleratorsNow, acceleratorsAtStart);
     memoryGb = Math.min(memoryGbNow, memoryGbAtStart);
--- a/src/main/java/plumlever/placement/PlacementParameters.java
+++ b/src/main/java/plumlever/placement/PlacementParameters.java
@@ -1,14 +1,14 @@
 package plumlever.placement;
 
 /**
- * What an operator may set of placement.
+ * Placement settings.
  *
- * @param padding share added to run-time estimates when a deadline is checked
- * @param tieShare scores this close to the least are a tie
- * @param hedgeMicros the time that must be left when a task waits for others to end, so that a
- *     machine could still be rented for it
- * @param spotRisk share by which a spot machine seems dearer to a task that would lose its work
- *     with it
+ * @param padding share added to run-time estimates when deadlines are checked
+ * @param tieShare relative difference from the lowest score within which scores count as tied
+ * @param hedgeMicros time that must remain when a task waits for other tasks to end, so that a
+ *     machine can still be rented if they end late
+ * @param spotRisk share by which the score of a spot machine is raised for a task without
+ *     checkpoints
  */
 public record PlacementParameters(
     double padding, double tieShare, long hedgeMicros, double spotRisk) {}
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * Chooses machines for tasks, as the design says. Machines that meet the task's times come before
- * any score; of these the least of price per second, times the task's largest share of the machine,
- * times run time; scores within the tie band go to machines that run tasks already, then to the
- * most free memory, then to the most free cores.
+ * Chooses machines for tasks. Machines on which the task meets its times precede all others,
+ * whatever the score. Among these machines, the lowest score wins: price per second times the
+ * task's dominant share of the machine times the time that the task occupies the machine. Scores
+ * within the tie band count as equal: busy machines are preferred, then the most free memory, then
+ * the most free cores.
  */
 public final class Placer {
   private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -14,36 +15,36 @@
 
   private final PlacementParameters parameters;
 
-  /** Chooses by these parameters. */
+  /** Creates a placer with the given parameters. */
   public Placer(PlacementParameters parameters) {
     this.parameters = parameters;
   }
 
   /**
-   * Where one task goes.
+   * Placement of one task.
    *
-   * @param candidate position in the list of candidates; -1 if the task fits on none, now or later
-   * @param startMicros when its capacity is free
-   * @param feasible whether it is in time, with the padding of its run time
+   * @param candidate index in the list of candidates; -1 if no candidate can ever run the task
+   * @param startMicros when capacity for the task is free
+   * @param feasible true if the task meets its times with the padded run time
    */
   public record Choice(int candidate, long startMicros, boolean feasible) {
     static final Choice NONE = new Choice(-1, Long.MAX_VALUE, false);
 
-    /** False if there is no machine for the task, now or later. */
+    /** False if no candidate can run the task now or later. */
     public boolean exists() {
       return candidate >= 0;
     }
   }
 
-  /** How long a candidate would fetch an image; 0 if it has it. */
+  /** Image fetch time by candidate; 0 if the machine has the image. */
   public interface ImageFetchTimes {
-    /** In microseconds, for an image of so many gigabytes. */
+    /** Returns the fetch time in microseconds of an image of the given size. */
     long micros(int candidate, String image, double imageGb);
   }
 
   /**
-   * Begins a search for tasks of one job, which are all alike. What it commits is taken from the
-   * candidates and counted by the zone rules.
+   * Starts a search for the tasks of one job, which all have the same request. Each committed
+   * choice is subtracted from the candidate's capacity and counted by the zone constraints.
    */
   public Search search(
       ResourceRequest request,
@@ -56,9 +57,9 @@
   }
 
   /**
-   * Chooses for the tasks of one job, one after the other. Each candidate is evaluated once; the
-   * tie band slides over the order of scores as machines fill up. Within a search free capacity
-   * only shrinks, so a rank that has run out of choices stays so.
+   * Chooses machines for the tasks of one job, one task at a time. Each candidate is scored once.
+   * The tie band moves towards higher scores as machines fill up. Free capacity only shrinks within
+   * a search, so a rank without choices never gets choices again.
    */
   public final class Search {
     private final CandidateScores scores;
@@ -71,7 +72,7 @@
       this.band = new TieBand(scores, parameters.tieShare(), RANKS[rank]);
     }
 
-    /** Where the next task goes; nothing is changed. */
+    /** Returns the choice for the next task without committing it. */
     public Choice next() {
       while (rank < RANKS.length) {
         int candidate = band.best();
@@ -88,7 +89,10 @@
       return soonest.best();
     }
 
-    /** The task goes to the choice that {@link #next} returned last: now, or booked for later. */
+    /**
+     * Commits the last choice that {@link #next} returned: starts the task now or books it for
+     * later.
+     */
     public void commit(Choice choice) {
       scores.commit(choice);
       if (rank < RANKS.length) {
@@ -98,8 +102,8 @@
   }
 
   /**
-   * True if some candidate has free capacity for one such task now; cheaper than a search, which
-   * sees to scores and times as well.
+   * True if some candidate has free capacity for one task now. Cheaper than a search, which also
+   * computes scores and times.
    */
   public static boolean hasFreeCapacityNow(
       ResourceRequest request, List<PlacementCandidate> candidates, Zones zones) {
@@ -114,7 +118,7 @@
     return false;
   }
 
-  /** True if a task that takes this share of a machine fits when the machine is empty. */
+  /** True if a task with the given dominant share fits on an empty machine. */
   static boolean fitsWhole(double share) {
     return share <= 1 + ROUNDING_TOLERANCE;
   }
--- a/src/main/java/plumlever/placement/ResourceRequest.java
+++ b/src/main/java/plumlever/placement/ResourceRequest.java
@@ -3,38 +3,39 @@
 import java.util.List;
 
 /**
- * What one task of a job needs: resources, an image, times to meet, and rules about machines.
+ * Requirements of one task of a job: resources, image, times to meet and machine constraints.
  *
- * @param imageGb the size of the image, in gigabytes
+ * @param imageGb size of the image in gigabytes
  */
 public record ResourceRequest(
     Resources resources, String image, double imageGb, Timing timing, MachineRules rules) {
 
-  /** No deadline, or no time to start by. */
+  /** Stands for no deadline or no latest start time. */
   public static final long ANY_TIME = Long.MAX_VALUE;
 
-  /** Share of a resource that a machine does not have at all: more than the whole machine. */
+  /** Share of a resource that the machine does not have. Above 1, so the task never fits. */
   private static final double UNAVAILABLE_SHARE = 2;
 
-  /** What the task holds of a machine. */
+  /** Resources that the task needs on a machine. */
   public record Resources(double cores, double accelerators, double memoryGb) {}
 
   /**
-   * The times that the task should meet.
+   * Times that the task should meet.
    *
-   * @param runMicros run time to plan with on a machine of nominal speed
-   * @param deadlineMicros when it should be complete, or {@link #ANY_TIME}
-   * @param startByMicros when it should run, or {@link #ANY_TIME}
+   * @param runMicros planned run time on a machine of nominal speed
+   * @param deadlineMicros when the task should be complete, or {@link #ANY_TIME}
+   * @param startByMicros latest start time, or {@link #ANY_TIME}
    */
   public record Timing(long runMicros, long deadlineMicros, long startByMicros) {}
 
   /**
-   * On which machines the task may run.
+   * Constraints on the machines that may run the task.
    *
-   * @param machineTypes null for any
-   * @param zone null for any
+   * @param machineTypes allowed machine types; null for any
+   * @param zone required zone; null for any
    * @param spotAllowed whether spot machines are allowed
-   * @param checkpoints whether the task writes checkpoints, so that it loses little with a machine
+   * @param checkpoints whether the task writes checkpoints, which limit the lost work if the
+   *     machine is lost
    */
   public record MachineRules(
       List<String> machineTypes, String zone, boolean spotAllowed, boolean checkpoints) {
@@ -46,22 +47,22 @@
     }
   }
 
-  /** When it should run, or {@link #ANY_TIME}. */
+  /** Latest start time, or {@link #ANY_TIME}. */
   public long startByMicros() {
     return timing.startByMicros;
   }
 
-  /** Run time to plan with on a machine of nominal speed. */
+  /** Planned run time on a machine of nominal speed. */
   public long runMicros() {
     return timing.runMicros;
   }
 
-  /** True if a task that runs from then on, for so long, meets its times. */
+  /** True if a task with the given start and duration meets its start time and its deadline. */
   public boolean isMetBy(long startMicros, long taskMicros) {
     return startMicros <= timing.startByMicros && endsInTime(startMicros, taskMicros);
   }
 
-  /** True if a task that runs from then on, for so long, meets its deadline or has none. */
+  /** True if a task with the given start and duration meets its deadline or has none. */
   public boolean endsInTime(long startMicros, long taskMicros) {
     return timing.deadlineMicros == ANY_TIME || startMicros + taskMicros <= timing.deadlineMicros;
   }
@@ -71,7 +72,10 @@
     return timing.deadlineMicros != ANY_TIME;
   }
 
-  /** The largest share of the machine's resources that the task takes; above 1 it never fits. */
+  /**
+   * Returns the dominant share: the largest share of any machine resource that the task needs.
+   * Above 1 the task never fits.
+   */
   double share(MachineShape shape) {
     double share = Math.max(resources.cores / shape.cores(), resources.memoryGb / shape.memoryGb());
     if (resources.accelerators <= 0) {
--- a/src/main/java/plumlever/placement/SoonestRuns.java
+++ b/src/main/java/plumlever/placement/SoonestRuns.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** For tasks that no candidate can serve in time: the candidates by when a task would run there. */
+/**
+ * Orders candidates by the earliest time at which a task would run. Used for tasks that no
+ * candidate can serve in time.
+ */
 final class SoonestRuns {
   private final CandidateScores scores;
   private final PriorityQueue<Run> queue = new PriorityQueue<>();
@@ -14,7 +17,7 @@
     }
   }
 
-  /** When a task would run on a candidate, as of when it was added to the queue. */
+  /** Time at which a task would run on a candidate. May be outdated after a commit. */
   private record Run(long atMicros, int candidate) implements Comparable<Run> {
     @Override
     public int compareTo(Run run) {
@@ -30,7 +33,7 @@
     }
   }
 
-  /** Where the next task would run soonest. */
+  /** Returns the candidate on which the next task would run first. */
   Placer.Choice best() {
     while (!queue.isEmpty()) {
       Run run = queue.peek();
--- a/src/main/java/plumlever/placement/TieBand.java
+++ b/src/main/java/plumlever/placement/TieBand.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * The candidates of one rank within the tie band of the least score, the winner of the tie on top
- * of a heap. Free capacity only shrinks while it is used, so a candidate that is no choice of the
- * rank never becomes one again.
+ * Heap of the candidates of one rank whose scores are within the tie band of the lowest score, with
+ * the preferred candidate on top. Free capacity only shrinks during a search, so a candidate that
+ * is not a choice of the rank never becomes one again.
  */
 final class TieBand {
   private static final int INITIAL_CAPACITY = 16;
@@ -15,7 +15,9 @@
   private int[] heap = new int[INITIAL_CAPACITY];
   private int size;
 
-  /** Position in the order of scores of the least that is a choice, and the end of its band. */
+  /**
+   * Index in the score order of the first candidate that is a choice, and the end of the tie band.
+   */
   private int first;
 
   private int end;
@@ -27,7 +29,7 @@
     begin(rank);
   }
 
-  /** Starts anew, with the choices of this rank. */
+  /** Clears the heap and starts over with the given rank. */
   void begin(ChoiceRank newRank) {
     rank = newRank;
     size = 0;
@@ -35,7 +37,7 @@
     end = 0;
   }
 
-  /** The candidate for the next task, or -1 when there are no choices of this rank left. */
+  /** Returns the candidate for the next task, or -1 if the rank has no choices left. */
   int best() {
     int[] byScore = scores.byScore;
     while (first < byScore.length && !scores.suits(byScore[first], rank)) {
@@ -59,7 +61,7 @@
     return heap[0];
   }
 
-  /** The candidate on top has less free capacity than before. */
+  /** Restores the heap order after the free capacity of the top candidate has decreased. */
   void topChanged() {
     siftDown();
   }
--- a/src/main/java/plumlever/placement/Zones.java
+++ b/src/main/java/plumlever/placement/Zones.java
@@ -3,24 +3,24 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A job's rules about zones, and how many of its tasks may still be on machines of each. */
+/** Zone constraints of a job, with the number of its tasks in each zone. */
 public final class Zones {
   private final boolean oneZone;
   private final int maxTasksPerZone;
   private final Map<String, Integer> tasksByZone = new HashMap<>();
 
   /**
-   * The rules of a job of which no task is on a machine.
+   * Creates the constraints of a job that has no tasks on machines.
    *
-   * @param oneZone whether all tasks must be in the same zone
-   * @param maxTasksPerZone Integer.MAX_VALUE for any number
+   * @param oneZone whether all tasks must run in the same zone
+   * @param maxTasksPerZone limit per zone; Integer.MAX_VALUE for no limit
    */
   public Zones(boolean oneZone, int maxTasksPerZone) {
     this.oneZone = oneZone;
     this.maxTasksPerZone = maxTasksPerZone;
   }
 
-  /** The rules of a job that may be anywhere. */
+  /** Returns the constraints of a job whose tasks may run in any zone. */
   public static Zones unrestricted() {
     return new Zones(false, Integer.MAX_VALUE);
   }
@@ -30,7 +30,7 @@
     tasksByZone.merge(zone, 1, Integer::sum);
   }
 
-  /** True if one more task of the job may be in the zone. */
+  /** True if one more task of the job may run in the zone. */
   public boolean allows(String zone) {
     if (!oneZone && maxTasksPerZone == Integer.MAX_VALUE) {
       return true;
--- a/src/main/java/plumlever/placement/package-info.java
+++ b/src/main/java/plumlever/placement/package-info.java
@@ -1,9 +1,8 @@
 /**
- * Which machine a task goes to: feasibility, score, ties, zone rules.
+ * Task placement: feasibility, scoring, tie-breaking and zone constraints.
  *
- * <p>Pure: no I/O and no clock. It knows machines only as {@link
- * plumlever.placement.PlacementCandidate}s and tasks only as {@link
- * plumlever.placement.ResourceRequest}s; it must not know jobs, teams, quotas, or where its inputs
- * come from.
+ * <p>This package has no I/O and reads no clock. Machines are represented by {@link
+ * plumlever.placement.PlacementCandidate}, tasks by {@link plumlever.placement.ResourceRequest}.
+ * The package must not depend on jobs, teams, quotas or the source of its inputs.
  */
 package plumlever.placement;
--- a/src/main/java/plumlever/scaling/CapacityHeadroom.java
+++ b/src/main/java/plumlever/scaling/CapacityHeadroom.java
@@ -5,9 +5,10 @@
 import plumlever.wire.JobSpec;
 
 /**
- * How much capacity to keep free for work that should start sooner than a machine can be rented. On
- * the whole as much comes free as comes in; what is needed beyond that is the spread of what comes
- * in while a machine is rented and comes up. Pure.
+ * Computes how many cores to keep free for jobs whose start objective is shorter than the time to
+ * rent a machine. Running tasks release about as many cores as arriving jobs need on average. The
+ * headroom covers the deviation from this average during the time to rent and boot a machine. No
+ * I/O and no clock.
  */
 public final class CapacityHeadroom {
   private final long windowMicros;
@@ -15,17 +16,17 @@
   private final double deviations;
   private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
-  /** Of the cores of the arrivals. */
+  /** Sum of the squared cores of all arrivals. */
   private double sumOfSquares;
 
   private record Arrival(long atMicros, double cores, JobSpec job) {}
 
   /**
-   * Headroom by what came lately; none before the first arrival.
+   * Creates the headroom without any arrivals.
    *
-   * @param windowMicros arrivals longer ago than this are forgotten
-   * @param rentMicros what it takes to rent a machine and have it up
-   * @param deviations how many times the standard deviation is kept free
+   * @param windowMicros age after which arrivals are dropped
+   * @param rentMicros time to rent and boot a machine
+   * @param deviations number of standard deviations to keep free
    */
   public CapacityHeadroom(long windowMicros, long rentMicros, double deviations) {
     this.windowMicros = windowMicros;
@@ -33,24 +34,27 @@
     this.deviations = deviations;
   }
 
-  /** A job came whose start can't wait for a rental; to be called in the order of time. */
+  /** Records the arrival of a job that cannot wait for a rental. Calls must be in time order. */
   public void jobArrived(long atMicros, JobSpec job) {
     double cores = job.taskCount() * job.cores();
     arrivals.add(new Arrival(atMicros, cores, job));
     sumOfSquares += cores * cores;
   }
 
-  /** Cores that should be free or coming up; forgets arrivals that are too old. */
+  /** Returns the cores that should be free or coming up. Drops arrivals older than the window. */
   public double requiredCores(long nowMicros) {
     while (!arrivals.isEmpty() && arrivals.peek().atMicros < nowMicros - windowMicros) {
       Arrival expired = arrivals.poll();
-      // Rounding errors must not outlive the arrivals.
+      // Reset the sum with the last arrival, so that rounding errors do not accumulate.
       sumOfSquares = arrivals.isEmpty() ? 0 : sumOfSquares - expired.cores * expired.cores;
     }
     return deviations * Math.sqrt(Math.max(0, sumOfSquares) * rentMicros / windowMicros);
   }
 
-  /** The job that came last, which the next one is most likely like; empty if none came lately. */
+  /**
+   * Returns the last arrival, as a prediction of the next one; empty if there were no recent
+   * arrivals.
+   */
   public Optional<JobSpec> latestArrival() {
     return Optional.ofNullable(arrivals.peekLast()).map(Arrival::job);
   }
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -10,29 +10,37 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 
-/** What to rent for tasks that no machine, up or coming up, can start in time. Pure. */
+/**
+ * Chooses which machines to rent for tasks that no machine of the fleet can start in time. No I/O
+ * and no clock.
+ */
 public final class RentalPlan {
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
-  /** Keeps the number of tasks that a machine holds finite where they take next to nothing. */
+  /**
+   * Lower bound of a task's share of a machine. Keeps the number of tasks per machine finite for
+   * tasks that need almost no resources.
+   */
   private static final double MIN_SHARE = 1e-6;
 
-  /** Where only speed matters, a machine that comes up in this time seems twice as dear. */
+  /** Startup time in seconds that doubles an option's cost if only speed matters. */
   private static final double STARTUP_S_DOUBLING_COST = 300;
 
-  /** How much dearer an option may seem for what is rented of it at the same time. */
+  /**
+   * Upper limit of the surcharge on an option for the machines of this option already in the plan.
+   */
   private static final double MAX_CROWDING_SURCHARGE = 0.3;
 
-  /** How many machines of an option make half of that surcharge. */
+  /** Number of planned machines of an option at which half of the maximum surcharge applies. */
   private static final int MACHINES_FOR_HALF_SURCHARGE = 30;
 
   private final PriceBook prices;
   private final boolean moneyMatters;
 
   /**
-   * Plans by these prices.
+   * Creates a planner with the given prices.
    *
-   * @param moneyMatters false where only speed matters, so that slow starts seem dearer
+   * @param moneyMatters false if only speed matters: long startup times then raise an option's cost
    */
   public RentalPlan(PriceBook prices, boolean moneyMatters) {
     this.prices = prices;
@@ -40,10 +48,10 @@
   }
 
   /**
-   * Tasks of one job that wait for a machine.
+   * Tasks of one job that need machines.
    *
-   * @param boundZone where they have to run; empty for any zone that the job allows
-   * @param runMicros run time of each on a machine of nominal speed
+   * @param boundZone zone in which the tasks have to run; empty for any zone that the job allows
+   * @param runMicros run time of one task on a machine of nominal speed
    */
   public record Demand(JobSpec job, Optional<String> boundZone, int tasks, long runMicros) {
     private boolean allows(RentalOption option) {
@@ -52,10 +60,10 @@
     }
   }
 
-  /** What can be rented: a machine type in a zone, as a spot machine or not. */
+  /** A rental option: a machine type in a zone, as a spot or an on-demand machine. */
   public record RentalOption(String machineType, String zone, boolean spot) {
-    // Written out: the generated ones link method handles at their first use, which a new leader
-    // can't afford in its first moments.
+    // Written by hand because generated record methods link method handles on first use, which
+    // would delay the first operations of a new leader.
     @Override
     public boolean equals(Object object) {
       return object instanceof RentalOption option
@@ -70,17 +78,17 @@
     }
   }
 
-  /** How many machines of an option to rent. */
+  /** Number of machines to rent of one option. */
   public record RentalRequest(RentalOption option, int count) {}
 
-  /** A machine that is coming up, or to be rented, and what is free of it. */
+  /** Free resources of a machine that is coming up or planned to be rented. */
   public static final class IncomingMachine {
     private final RentalOption option;
     private double cores;
     private double accelerators;
     private double memoryGb;
 
-    /** A machine of this option with all its capacity free. */
+    /** Creates an empty machine of the given option. */
     public IncomingMachine(RentalOption option, MachineType machineType) {
       this.option = option;
       this.cores = machineType.cores();
@@ -88,7 +96,9 @@
       this.memoryGb = machineType.memoryGb();
     }
 
-    /** Reserves capacity for at most so many tasks of the job; returns for how many. */
+    /**
+     * Reserves resources for up to the given number of tasks. Returns the number of tasks that fit.
+     */
     private int reserve(JobSpec job, int maxTasks) {
       int tasks = maxTasks;
       tasks = Math.min(tasks, tasksWithin(cores, job.cores()));
@@ -106,13 +116,13 @@
   }
 
   /**
-   * Chooses what to rent, the cheapest for each demand in turn.
+   * Chooses the machines to rent. Serves the demands in order, each with the cheapest options.
    *
-   * @param demands the most urgent first
-   * @param incoming machines that are coming up, which serve demands first; their capacity is used
-   *     up
-   * @param available false for options of which the cloud had none lately
-   * @param maxMachines no more machines than this are chosen
+   * @param demands most urgent first
+   * @param incoming machines that are coming up; demands use their capacity first, and the plan
+   *     consumes it
+   * @param available false for options that the cloud recently had no capacity for
+   * @param maxMachines maximum number of machines to rent
    */
   public List<RentalRequest> plan(
       List<Demand> demands,
@@ -124,7 +134,7 @@
     return planning.requests();
   }
 
-  /** One plan as it is made. */
+  /** State of one planning run. */
   private final class Planning {
     private final List<IncomingMachine> machines;
     private final Predicate<RentalOption> available;
@@ -149,7 +159,10 @@
       }
     }
 
-    /** The tasks for which no machine that is incoming or to be rented has capacity. */
+    /**
+     * Reserves capacity on the incoming and planned machines. Returns the number of tasks that do
+     * not fit.
+     */
     private int tasksLeftByMachines(Demand demand) {
       int tasks = demand.tasks;
       for (IncomingMachine machine : machines) {
@@ -160,7 +173,10 @@
       return tasks;
     }
 
-    /** Rents one machine; returns how many of the tasks it serves, 0 if none, and it is not. */
+    /**
+     * Adds one machine of the option to the plan. Returns the number of tasks that the machine
+     * serves; if 0, no machine is added.
+     */
     private int rent(RentalOption option, JobSpec job, int tasks) {
       IncomingMachine machine = new IncomingMachine(option, prices.machineType(option.machineType));
       int served = machine.reserve(job, tasks);
@@ -172,7 +188,7 @@
       return served;
     }
 
-    /** The available option of the least cost for each task served. */
+    /** Returns the available option with the lowest cost per task served. */
     private Optional<RentalOption> cheapest(Demand demand, int tasks) {
       RentalOption best = null;
       double leastCost = Double.MAX_VALUE;
@@ -194,7 +210,10 @@
       return Optional.ofNullable(best);
     }
 
-    /** A machine too large for the tasks that are left costs them its whole price. */
+    /**
+     * Cost of a machine divided by the number of remaining tasks that it serves. A machine that is
+     * too large for the remaining tasks is charged to them in full.
+     */
     private double costPerTask(
         MachineType machineType, RentalOption option, double share, int tasks) {
       int tasksPerMachine = (int) (1 / Math.max(share, MIN_SHARE) + ROUNDING_TOLERANCE);
@@ -206,7 +225,10 @@
       return cost * crowdingFactor(option);
     }
 
-    /** Spreads rentals, so that one zone's trouble or shortage takes less at once. */
+    /**
+     * Surcharge that spreads rentals over options, which limits the impact of an outage or a
+     * capacity shortage in one zone.
+     */
     private double crowdingFactor(RentalOption option) {
       int count = countByOption.getOrDefault(option, 0);
       return 1 + MAX_CROWDING_SURCHARGE * count / (MACHINES_FOR_HALF_SURCHARGE + count);
@@ -219,7 +241,7 @@
     }
   }
 
-  /** All options of the machine type, spot machines first in each zone. */
+  /** Returns all options of the machine type, by zone and spot before on-demand. */
   private static List<RentalOption> options(MachineType machineType) {
     List<RentalOption> options = new ArrayList<>();
     for (String zone : machineType.zones()) {
--- a/src/main/java/plumlever/scaling/package-info.java
+++ b/src/main/java/plumlever/scaling/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What to rent for work that waits, and how much capacity headroom to keep.
+ * Scaling: which machines to rent for pending tasks, and how much capacity headroom to keep.
  *
- * <p>Pure: no I/O and no clock. It knows prices, machine types and what jobs ask for; it must not
- * know machines that are up, teams, or how rentals are requested.
+ * <p>This package has no I/O and reads no clock. It depends on prices, machine types and job
+ * specifications. It must not depend on running machines, on teams or on how rentals are requested.
  */
 package plumlever.scaling;
--- a/src/test/java/plumlever/placement/PlacerTest.java
+++ b/src/test/java/plumlever/placement/PlacerTest.java
@@ -9,14 +9,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The placement compared with a slow plain model of the design's rules, on random fleets. */
+/** Compares the placer with a slow reference model of the placement rules on random fleets. */
 final class PlacerTest {
   private static final long NOW_MICROS = 1_000_000_000L;
   private static final long SECOND_MICROS = 1_000_000L;
   private static final PlacementParameters PARAMETERS =
       new PlacementParameters(0.05, 0.02, 10_000_000L, 0.3);
 
-  /** The same random machines for the placer and for the model. */
+  /** Identical random machines for the placer and the reference model. */
   private static final class RandomFleet {
     final List<PlainPlacementModel.Machine> machines = new ArrayList<>();
     final List<PlacementCandidate> candidates = new ArrayList<>();
@@ -103,7 +103,8 @@
       }
     }
     assertTrue(
-        placedNow > 300 && placedLater > 300 && infeasible > 300, "the fleets cover all cases");
+        placedNow > 300 && placedLater > 300 && infeasible > 300,
+        "the random fleets produce too few choices of some kind");
   }
 
   private static ResourceRequest requestWithDeadlineOrStartBy(SplittableRandom random) {
@@ -122,7 +123,7 @@
         random.nextInt(3) > 0);
   }
 
-  /** A search goes on from task to task; each time it must choose as one begun anew would. */
+  /** A search that continues after each commit must return the same choice as a new search. */
   @Test
   void aSearchThatGoesOnChoosesAsAFreshOne() {
     SplittableRandom random = new SplittableRandom(11);
@@ -154,10 +155,15 @@
     }
     assertTrue(
         placedNow > 1_000 && placedLater > 200 && infeasibleLater > 1_000,
-        "all kinds of choice: " + placedNow + " " + placedLater + " " + infeasibleLater);
+        "too few choices now, later or infeasible: "
+            + placedNow
+            + " "
+            + placedLater
+            + " "
+            + infeasibleLater);
   }
 
-  /** Prices close enough for many ties. */
+  /** Returns candidates whose prices are close enough to produce many ties. */
   private static List<PlacementCandidate> candidatesOfNearlyEqualPrice(SplittableRandom random) {
     List<PlacementCandidate> candidates = new ArrayList<>();
     for (int i = 0; i < 1 + random.nextInt(12); i++) {
@@ -194,7 +200,7 @@
     return new ResourceRequest.Resources(cores, 0, memoryGb);
   }
 
-  /** A task of an even run time writes checkpoints. */
+  /** Creates a request. Tasks with an even run time write checkpoints. */
   private static ResourceRequest request(
       ResourceRequest.Resources resources,
       long runMicros,
@@ -240,13 +246,13 @@
     assertEquals(
         NOW_MICROS + 30 * SECOND_MICROS,
         second.startMicros(),
-        "the second waits for the first to end");
+        "the second task starts when the first one ends");
   }
 
   @Test
   void aOneZoneJobStaysInItsZone() {
     Zones oneZone = new Zones(true, 9);
-    assertTrue(oneZone.allows("b"), "no task is anywhere yet");
+    assertTrue(oneZone.allows("b"), "no task has been placed yet");
     oneZone.add("a");
     assertFalse(oneZone.allows("b"));
   }
@@ -256,7 +262,8 @@
     Zones oneZone = new Zones(true, 9);
     oneZone.add("a");
     oneZone.add("b");
-    assertFalse(oneZone.allows("a"), "by whatever mishap: no more until one zone is empty");
+    assertFalse(
+        oneZone.allows("a"), "tasks in two zones: no more tasks until one of the zones is empty");
   }
 
   @Test
--- a/src/test/java/plumlever/placement/PlainPlacementModel.java
+++ b/src/test/java/plumlever/placement/PlainPlacementModel.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * The design's rules of placement, straight and slow: feasible before score, least score, ties to
- * busy machines, then to free memory, then to free cores. Nothing is computed ahead or kept.
+ * Reference model of the placement rules, without caching or precomputation: feasible machines
+ * first, then the lowest score; ties go to busy machines, then to the most free memory, then to the
+ * most free cores.
  */
 final class PlainPlacementModel {
   private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -25,13 +26,13 @@
   }
 
   /**
-   * @param machine position in the list, or -1 for none
+   * @param machine index in the list of machines, or -1 for none
    */
   record Choice(int machine, boolean feasible) {}
 
   private record Release(long atMicros, double cores, double memoryGb) {}
 
-  /** A machine with everything in the open. */
+  /** A machine of the reference model, with directly accessible state. */
   static final class Machine {
     String zone;
     boolean spot;
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Where one task of the request goes. */
+  /** Chooses the machine for one task of the request. */
   Choice choose(ResourceRequest request) {
     for (double padding : new double[] {parameters.padding(), 0}) {
       for (boolean now : new boolean[] {true, false}) {
--- a/src/test/java/plumlever/placement/package-info.java
+++ b/src/test/java/plumlever/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the package of the same name, without I/O beyond loopback. */
+/** Tests of task placement. No I/O other than loopback. */
 package plumlever.placement;
--- a/src/test/java/plumlever/sim/PreemptionTest.java
+++ b/src/test/java/plumlever/sim/PreemptionTest.java
@@ -10,7 +10,10 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
-/** Tasks that make way for a job that would miss its deadline in a fleet that can't grow. */
+/**
+ * Tests preemption in a fleet that cannot grow: an urgent job would miss its deadline unless tasks
+ * of lower priority that write checkpoints are stopped.
+ */
 final class PreemptionTest {
   private static final double LONG_RUN_S = 400;
 
@@ -49,8 +52,8 @@
     cluster.play(150);
     JobSpec urgent = submit(Priority.PROD, 1, 10, 0, 60);
     cluster.play(40);
-    assertTrue(preempted() > 0, "a task was told to stop");
-    assertTrue(cluster.invariants.began(urgent.uid()), "the urgent job has begun");
+    assertTrue(preempted() > 0, "at least one task is preempted");
+    assertTrue(cluster.invariants.began(urgent.uid()), "the urgent job has started");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
