--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -186,9 +186,9 @@
     }
 
     /**
-     * Replaces the request's start objective by the next one that a machine rented now can meet,
-     * and restarts the search. Returns false if there is no later objective or the objective was
-     * already replaced.
+     * Replaces a start objective that neither the fleet nor a machine rented now can meet by the
+     * next one that a rented machine can meet, and restarts the search. Returns false if there is
+     * no later objective, if the objective was already replaced, or if only speed matters.
      */
     private boolean relaxStartGoal() {
       if (startGoalRelaxed || !context.moneyMatters()) {
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -95,7 +95,8 @@
       return classMicros;
     }
     long guaranteedMicros = job.releasedMicros() + guaranteedStartMicros;
-    // Once the guaranteed start time is missed, only the objectives of the job's class apply.
+    // Once the guaranteed start time is missed, the class objective or the job's deadline replaces
+    // it. Without either, the guaranteed time remains the goal.
     boolean counts =
         guaranteedMicros >= nowMicros || (classMicros == Long.MAX_VALUE && !job.hasDeadline());
     return counts ? Math.min(classMicros, guaranteedMicros) : classMicros;
--- a/src/main/java/plumlever/placement/Zones.java
+++ b/src/main/java/plumlever/placement/Zones.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Zone constraints of a job, with the number of its tasks in each zone. */
+/** Zone constraints of a job, with the number of its tasks that may be on machines of each zone. */
 public final class Zones {
   private final boolean oneZone;
   private final int maxTasksPerZone;
