--- a/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
+++ b/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
@@ -47,7 +47,7 @@
         spec.imageGb(),
         new ResourceRequest.Timing(
             times.runMicros(job), goals.finishByMicros(job, nowMicros), startByMicros),
-        new ResourceRequest.MachineRules(
+        new ResourceRequest.MachineConstraints(
             spec.machineTypes(), spec.zone(), spec.spotAllowed(), spec.savesCheckpoints()));
   }
 
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -30,7 +30,7 @@
  */
 public final class CommandSender {
   private static final long START_TIMEOUT_MICROS = 1_500_000;
-  private static final long RAISE_TIMEOUT_MICROS = 1_000_000;
+  private static final long TOKEN_RAISE_TIMEOUT_MICROS = 1_000_000;
 
   /**
    * Maximum number of concurrent start commands. Leaves sockets and loop time for other calls when
@@ -38,7 +38,7 @@
    */
   private static final int MAX_STARTS_IN_FLIGHT = 48;
 
-  private static final int MAX_RAISES_IN_FLIGHT = 64;
+  private static final int MAX_TOKEN_RAISES_IN_FLIGHT = 64;
 
   private final TermContext context;
   private final ActiveJobs jobs;
@@ -50,7 +50,7 @@
   private final WorkerCalls calls;
   private final AttemptLog attemptLog;
   private int startsInFlight;
-  private int raisesInFlight;
+  private int tokenRaisesInFlight;
   private boolean closed;
 
   /**
@@ -123,7 +123,7 @@
     long token = machine.tokens().current();
     long incarnation = machine.contact().incarnation();
     long sentMicros = context.loop().nowMicros();
-    calls.command(
+    calls.sendCommands(
         machine,
         endpoint,
         commands,
@@ -148,7 +148,7 @@
             machine.tokens().voidDirectCommands();
             attemptLog.unanswered(machine, incarnation, token, sent);
           }
-          reportPlacementChange();
+          notifyPlacementChange();
         });
   }
 
@@ -161,7 +161,7 @@
    * commands are not allowed, the machine is only inspected.
    */
   public void sendToken(Machine machine) {
-    Optional<Endpoint> endpoint = callableEndpoint(machine);
+    Optional<Endpoint> endpoint = endpointForTokenRaise(machine);
     if (endpoint.isEmpty()) {
       return;
     }
@@ -169,22 +169,24 @@
       inspect(machine, endpoint.get());
       return;
     }
-    raiseBegins(machine);
-    calls.command(
+    tokenRaiseStarted(machine);
+    calls.sendCommands(
         machine,
         endpoint.get(),
         List.of(),
-        RAISE_TIMEOUT_MICROS,
+        TOKEN_RAISE_TIMEOUT_MICROS,
         reply -> {
-          raiseEnds(machine);
+          tokenRaiseEnded(machine);
           if (!closed && context.term().mayAct()) {
             machine.contact().recordDirectCall(reply.heartbeat().isPresent());
-            reply.heartbeat().ifPresent(heartbeat -> tokenRaised(machine, reply, heartbeat));
+            reply
+                .heartbeat()
+                .ifPresent(heartbeat -> handleTokenRaiseReply(machine, reply, heartbeat));
           }
         });
   }
 
-  private void tokenRaised(Machine machine, WorkerReply reply, Heartbeat heartbeat) {
+  private void handleTokenRaiseReply(Machine machine, WorkerReply reply, Heartbeat heartbeat) {
     boolean incarnationChanged =
         reply instanceof WorkerReply.Refused
             && heartbeat.incarnation() != machine.contact().incarnation();
@@ -192,7 +194,7 @@
     if (incarnationChanged && !machine.accounted()) {
       sendToken(machine);
     }
-    reportPlacementChange();
+    notifyPlacementChange();
   }
 
   /**
@@ -200,32 +202,32 @@
    * The limits of {@link #sendToken} apply.
    */
   public void probe(Machine machine) {
-    callableEndpoint(machine).ifPresent(endpoint -> inspect(machine, endpoint));
+    endpointForTokenRaise(machine).ifPresent(endpoint -> inspect(machine, endpoint));
   }
 
   private void inspect(Machine machine, Endpoint endpoint) {
-    raiseBegins(machine);
+    tokenRaiseStarted(machine);
     calls.inspect(
         machine,
         endpoint,
-        RAISE_TIMEOUT_MICROS,
+        TOKEN_RAISE_TIMEOUT_MICROS,
         state -> {
-          raiseEnds(machine);
+          tokenRaiseEnded(machine);
           machine.contact().recordDirectCall(state.isPresent());
           if (state.isPresent() && !closed && context.term().mayAct()) {
             heartbeats.apply(machine, state.get(), HeartbeatSource.DIRECT_REPLY);
-            reportPlacementChange();
+            notifyPlacementChange();
           }
         });
   }
 
-  private void raiseBegins(Machine machine) {
-    raisesInFlight++;
+  private void tokenRaiseStarted(Machine machine) {
+    tokenRaisesInFlight++;
     machine.contact().setCommandInFlight(true);
   }
 
-  private void raiseEnds(Machine machine) {
-    raisesInFlight--;
+  private void tokenRaiseEnded(Machine machine) {
+    tokenRaisesInFlight--;
     machine.contact().setCommandInFlight(false);
   }
 
@@ -233,10 +235,10 @@
    * Returns the machine's endpoint if a token raise or an inspection may be sent now, otherwise
    * empty.
    */
-  private Optional<Endpoint> callableEndpoint(Machine machine) {
+  private Optional<Endpoint> endpointForTokenRaise(Machine machine) {
     Optional<Endpoint> endpoint = endpoint(machine);
     return machine.contact().commandInFlight()
-            || raisesInFlight >= MAX_RAISES_IN_FLIGHT
+            || tokenRaisesInFlight >= MAX_TOKEN_RAISES_IN_FLIGHT
             || !context.term().mayAct()
         ? Optional.empty()
         : endpoint;
@@ -246,7 +248,7 @@
     return Optional.ofNullable(machine.endpoint()).flatMap(Endpoint::parse);
   }
 
-  private void reportPlacementChange() {
+  private void notifyPlacementChange() {
     if (heartbeats.getAndClearChanged()) {
       onPlacementChange.run();
     }
@@ -254,7 +256,7 @@
 
   /** Number of token raises and inspections in flight. */
   public int tokenRaisesInFlight() {
-    return raisesInFlight;
+    return tokenRaisesInFlight;
   }
 
   /** Ends the term: later replies are ignored. */
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -15,10 +15,10 @@
    * Delay between the end of a job and the start of a dependent job: a heartbeat, the write of the
    * job record, a scheduling pass and a start command.
    */
-  private static final long STAGE_HANDOVER_MICROS = 1_500_000;
+  private static final long DEPENDENCY_DELAY_MICROS = 1_500_000;
 
   /** Assumed remaining run time of foreign tasks, whose estimates are not known to this shard. */
-  private static final long FOREIGN_TASK_STAY_MICROS = 60_000_000;
+  private static final long FOREIGN_TASK_REMAINING_MICROS = 60_000_000;
 
   /**
    * An attempt that has exceeded its estimate is expected to run for another 1/5 of its run time so
@@ -37,7 +37,7 @@
   }
 
   /** Converts seconds to whole microseconds. */
-  static long micros(double seconds) {
+  static long secondsToMicros(double seconds) {
     return (long) (seconds * MICROS_PER_SECOND);
   }
 
@@ -68,13 +68,13 @@
       }
     }
     long averageFetchMicros = types == 0 ? 0 : (long) (fetchMicros / types);
-    return paddedRunMicros(job) + averageFetchMicros + STAGE_HANDOVER_MICROS;
+    return paddedRunMicros(job) + averageFetchMicros + DEPENDENCY_DELAY_MICROS;
   }
 
   /** Estimates when a live attempt releases its resources on a machine of the given type. */
   long endMicros(Attempt attempt, MachineType machineType, long nowMicros) {
     if (attempt.stopping()) {
-      return nowMicros + micros(attempt.job().spec().checkpointS());
+      return nowMicros + secondsToMicros(attempt.job().spec().checkpointS());
     }
     long runMicros =
         (long)
@@ -87,7 +87,7 @@
     }
     long fetchMicros =
         machineType.fetchGbPerS() > 0
-            ? micros(attempt.job().spec().imageGb() / machineType.fetchGbPerS())
+            ? secondsToMicros(attempt.job().spec().imageGb() / machineType.fetchGbPerS())
             : 0;
     return Math.max(nowMicros, attempt.sentMicros() + fetchMicros) + runMicros;
   }
@@ -104,7 +104,7 @@
 
   /** Time until which foreign tasks on a machine are assumed to hold their resources. */
   long foreignTasksEndMicros(long nowMicros) {
-    return nowMicros + FOREIGN_TASK_STAY_MICROS;
+    return nowMicros + FOREIGN_TASK_REMAINING_MICROS;
   }
 
   /**
--- a/src/main/java/plumlever/leader/scheduling/FleetReduction.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetReduction.java
@@ -47,20 +47,20 @@
   /**
    * True if the remaining machines serve all pending jobs in time and cover the capacity headroom.
    */
-  boolean canDoWithout(Set<Machine> machines) {
+  boolean canRemoveMachines(Set<Machine> machines) {
     FleetSnapshot snapshot = snapshots.snapshot(context.loop().nowMicros(), machines);
-    return servesWaiting(snapshot) && headroom.isCoveredBy(snapshot);
+    return servesPendingJobs(snapshot) && headroom.isCoveredBy(snapshot);
   }
 
   /**
    * True if the remaining machines serve all pending jobs in time. The capacity headroom is not
    * checked.
    */
-  boolean servesWaitingWithout(Set<Machine> machines) {
-    return servesWaiting(snapshots.snapshot(context.loop().nowMicros(), machines));
+  boolean servesPendingJobsWithout(Set<Machine> machines) {
+    return servesPendingJobs(snapshots.snapshot(context.loop().nowMicros(), machines));
   }
 
-  private boolean servesWaiting(FleetSnapshot snapshot) {
+  private boolean servesPendingJobs(FleetSnapshot snapshot) {
     for (Job job : queue.inSchedulingOrder(snapshot.nowMicros())) {
       if (!servesJob(job, snapshot)) {
         return false;
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
@@ -51,26 +51,26 @@
       }
       if (availability.isComingUp(machine, nowMicros)) {
         MachineShape shape = shapes.of(machineType, machine.spot());
-        snapshot.add(machine, comingUp(machine, machineType, shape, nowMicros));
+        snapshot.add(machine, candidateComingUp(machine, machineType, shape, nowMicros));
       } else if (availability.acceptsTasks(machine, nowMicros)) {
         MachineShape shape = shapes.of(machineType, machine.spot());
-        snapshot.add(machine, up(machine, machineType, shape, nowMicros));
+        snapshot.add(machine, candidateUp(machine, machineType, shape, nowMicros));
       }
     }
     return snapshot;
   }
 
-  private static PlacementCandidate comingUp(
+  private static PlacementCandidate candidateComingUp(
       Machine machine, MachineType machineType, MachineShape shape, long nowMicros) {
     PlacementCandidate candidate =
         new PlacementCandidate(machine.id(), machine.zone(), shape, 1, 0);
     long startupMicros = (long) (machineType.startupS() * STARTUP_MICROS_PER_NOMINAL_SECOND);
-    candidate.comesUp(
+    candidate.markComingUp(
         Math.max(nowMicros + MIN_STARTUP_MICROS, machine.knownSinceMicros() + startupMicros));
     return candidate;
   }
 
-  private PlacementCandidate up(
+  private PlacementCandidate candidateUp(
       Machine machine, MachineType machineType, MachineShape shape, long nowMicros) {
     PlacementCandidate candidate =
         new PlacementCandidate(
--- a/src/main/java/plumlever/leader/scheduling/FreeCapacity.java
+++ b/src/main/java/plumlever/leader/scheduling/FreeCapacity.java
@@ -21,14 +21,14 @@
   }
 
   /** Resources of an empty machine of the given type. */
-  static FreeCapacity whole(MachineType machineType) {
+  static FreeCapacity ofEmptyMachine(MachineType machineType) {
     return new FreeCapacity(
         machineType.cores(), machineType.accelerators(), machineType.memoryGb());
   }
 
   /** Resources of the machine minus its live attempts and its foreign tasks. */
   static FreeCapacity of(Machine machine, MachineType machineType) {
-    FreeCapacity free = whole(machineType);
+    FreeCapacity free = ofEmptyMachine(machineType);
     ForeignLoad foreignTasks = machine.load().foreignTasks();
     free.cores -= foreignTasks.cores();
     free.accelerators -= foreignTasks.accelerators();
--- a/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
+++ b/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
@@ -19,7 +19,7 @@
   private final TermContext context;
   private final JobGoals goals;
   private final CapacityHeadroom headroom;
-  private final Set<Job> noted = new HashSet<>();
+  private final Set<Job> recordedJobs = new HashSet<>();
 
   HeadroomDemand(TermContext context, JobGoals goals) {
     this.context = context;
@@ -33,20 +33,20 @@
 
   /** Drops the arrival marks of all jobs that are not in the given set. */
   void retainAll(Set<Job> jobs) {
-    noted.retainAll(jobs);
+    recordedJobs.retainAll(jobs);
   }
 
   /**
    * Records the arrival of a job whose start objective is shorter than the time to rent a machine.
    * Each job is recorded at most once.
    */
-  void noteArrival(Job job, long nowMicros) {
+  void recordArrival(Job job, long nowMicros) {
     long releasedMicros = job.releasedMicros();
-    if (noted.add(job)
+    if (recordedJobs.add(job)
         && nowMicros - releasedMicros < ARRIVAL_WINDOW_MICROS
         && goals.startByMicros(job, releasedMicros) - releasedMicros
             < context.parameters().rentalMicros()) {
-      headroom.jobArrived(nowMicros, job.spec());
+      headroom.recordArrival(nowMicros, job.spec());
     }
   }
 
@@ -61,7 +61,7 @@
    * Rental demand for the part of the headroom that spare cores do not cover. Empty if the headroom
    * is covered or there were no recent arrivals.
    */
-  Optional<RentalPlan.Demand> missing(FleetSnapshot snapshot) {
+  Optional<RentalPlan.Demand> uncoveredDemand(FleetSnapshot snapshot) {
     double missingCores = headroom.requiredCores(snapshot.nowMicros()) - snapshot.spareCores();
     if (missingCores <= 0) {
       return Optional.empty();
@@ -77,6 +77,6 @@
         spec,
         Optional.empty(),
         (int) Math.ceil(missingCores / spec.cores()),
-        ExpectedTimes.micros(spec.expectedRunS()));
+        ExpectedTimes.secondsToMicros(spec.expectedRunS()));
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/JobGoals.java
+++ b/src/main/java/plumlever/leader/scheduling/JobGoals.java
@@ -86,7 +86,7 @@
    * job then precedes all others, because a steady stream of more urgent or guaranteed jobs would
    * starve it.
    */
-  boolean mustBegin(Job job, long nowMicros) {
+  boolean mustStart(Job job, long nowMicros) {
     return !job.hasStarted()
         && nowMicros - job.releasedMicros() > context.parameters().mustStartMicros();
   }
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -16,7 +16,7 @@
   /** Maximum number of booked tasks per job and pass; tasks that start at once are not counted. */
   private static final int MAX_BOOKED_PER_JOB = 64;
 
-  private static final int MAX_PREEMPTING_PER_JOB = 48;
+  private static final int MAX_PREEMPTIONS_PER_JOB = 48;
 
   /**
    * Maximum number of jobs per pass that are searched for although no machine has free capacity for
@@ -32,7 +32,7 @@
   private final RentalCriteria criteria;
   private final Preemption preemption;
   private final TeamQuotas quotas;
-  private final PlannedStarts plannedStarts;
+  private final StartPlan plannedStarts;
   private final RentalDemands demands;
   private int jobsWithoutCapacity;
 
@@ -69,7 +69,7 @@
     long nowMicros = snapshot.nowMicros();
     ResourceRequest request = searches.request(job, nowMicros);
     Zones zones = JobZones.of(job);
-    int tasks = Math.min(job.pendingCount(), quotaTasks(job, nowMicros));
+    int tasks = Math.min(job.pendingCount(), tasksWithinQuota(job, nowMicros));
     if (tasks < 1) {
       return;
     }
@@ -90,9 +90,9 @@
    * Returns how many tasks the team's quota allows. If the quota does not allow a single task of a
    * starving job, the resources of one task are reserved in the quota.
    */
-  private int quotaTasks(Job job, long nowMicros) {
+  private int tasksWithinQuota(Job job, long nowMicros) {
     int tasks = quotas.headroomTasks(job);
-    if (tasks < 1 && goals.mustBegin(job, nowMicros)) {
+    if (tasks < 1 && goals.mustStart(job, nowMicros)) {
       // Without the reservation, smaller tasks of the same team would take every part of the quota
       // that becomes free, and the starving job would never start.
       quotas.reserveTask(job);
@@ -106,14 +106,14 @@
     private final Zones zones;
     private final FleetSnapshot snapshot;
     private final long nowMicros;
-    private final Preemption.Search victims;
+    private final Preemption.Search preemptionSearch;
     private ResourceRequest request;
     private Placer.Search search;
     private boolean preemptionExhausted;
     private boolean startGoalRelaxed;
-    private int preempting;
-    private int booked;
-    private int waiting;
+    private int preemptions;
+    private int bookedTasks;
+    private int tasksNeedingRental;
 
     Placement(Job job, ResourceRequest request, Zones zones, FleetSnapshot snapshot) {
       this.job = job;
@@ -122,7 +122,7 @@
       this.snapshot = snapshot;
       this.nowMicros = snapshot.nowMicros();
       this.search = searches.search(request, zones, snapshot);
-      this.victims =
+      this.preemptionSearch =
           preemption.search(job, request, goals.startByMicros(job, nowMicros), nowMicros);
     }
 
@@ -131,20 +131,20 @@
       while (remaining > 0) {
         remaining = placeNext(remaining);
       }
-      if (waiting > 0) {
-        demands.add(job, waiting, request.runMicros());
-        logWaiting();
+      if (tasksNeedingRental > 0) {
+        demands.add(job, tasksNeedingRental, request.runMicros());
+        logRentalDemand();
       }
     }
 
-    private void logWaiting() {
+    private void logRentalDemand() {
       if (log.isDebugEnabled()) {
         log.debug(
             "job {}: {} of {} pending tasks need rented machines, {} tasks booked for later",
             job.uid(),
-            waiting,
+            tasksNeedingRental,
             job.pendingCount(),
-            booked);
+            bookedTasks);
       }
     }
 
@@ -165,7 +165,7 @@
       if (!choice.exists()) {
         // If the start goal leaves enough time, rent a single machine first. The next pass books
         // the other tasks on this machine or requests more machines.
-        waiting += criteria.canRentStepwise(request, nowMicros) ? 1 : remaining;
+        tasksNeedingRental += criteria.canRentStepwise(request, nowMicros) ? 1 : remaining;
         return 0;
       }
       search.commit(choice);
@@ -177,11 +177,11 @@
     }
 
     private boolean preemptForOneTask() {
-      if (preemptionExhausted || preempting >= MAX_PREEMPTING_PER_JOB) {
+      if (preemptionExhausted || preemptions >= MAX_PREEMPTIONS_PER_JOB) {
         return false;
       }
-      preemptionExhausted = !victims.preemptForOneTask();
-      preempting += preemptionExhausted ? 0 : 1;
+      preemptionExhausted = !preemptionSearch.preemptForOneTask();
+      preemptions += preemptionExhausted ? 0 : 1;
       return !preemptionExhausted;
     }
 
@@ -212,12 +212,12 @@
     }
 
     private int book(Placer.Choice choice, int remaining) {
-      boolean rental = criteria.needsRental(job, choice, request, nowMicros);
-      waiting += rental ? 1 : 0;
-      if (++booked < MAX_BOOKED_PER_JOB) {
+      boolean needsRental = criteria.needsRental(job, choice, request, nowMicros);
+      tasksNeedingRental += needsRental ? 1 : 0;
+      if (++bookedTasks < MAX_BOOKED_PER_JOB) {
         return remaining - 1;
       }
-      waiting += rental ? remaining - 1 : 0;
+      tasksNeedingRental += needsRental ? remaining - 1 : 0;
       return 0;
     }
   }
--- a/src/main/java/plumlever/leader/scheduling/JobQueue.java
+++ b/src/main/java/plumlever/leader/scheduling/JobQueue.java
@@ -66,7 +66,7 @@
     List<Job> byAge = unfinished();
     byAge.sort(Comparator.comparingLong(Job::releasedMicros));
     guarantees.decide(byAge);
-    byAge.forEach(job -> headroom.noteArrival(job, nowMicros));
+    byAge.forEach(job -> headroom.recordArrival(job, nowMicros));
     List<Job> waiting = new ArrayList<>();
     for (Job job : byAge) {
       if (job.hasPending() && job.retryNotBeforeMicros() <= nowMicros && !failover.blocks(job)) {
@@ -82,7 +82,7 @@
     waiting.forEach(job -> latestStarts.put(job, goals.latestStartMicros(job, nowMicros)));
     waiting.sort(
         Comparator.<Job>comparingLong(
-                job -> goals.mustBegin(job, nowMicros) ? job.releasedMicros() : Long.MAX_VALUE)
+                job -> goals.mustStart(job, nowMicros) ? job.releasedMicros() : Long.MAX_VALUE)
             .thenComparingInt(job -> guarantees.covers(job) ? 0 : 1)
             .thenComparing(Job::priority)
             .thenComparingInt(
--- a/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
@@ -28,7 +28,7 @@
         && !machine.transferring()
         && !machine.contact().unreachable()
         && !machine.load().hasUnconfirmedStart()
-        && nowMicros - lastSignMicros(machine)
+        && nowMicros - lastHeartbeatOrTermStartMicros(machine)
             < context.platform().workers().missedHeartbeatMicros();
   }
 
@@ -38,7 +38,7 @@
    * arrive. Without this fallback the fleet would appear to have no free capacity, and the leader
    * would rent machines that are not needed.
    */
-  private long lastSignMicros(Machine machine) {
+  private long lastHeartbeatOrTermStartMicros(Machine machine) {
     return machine.contact().hasReported()
         ? machine.contact().lastHeartbeatMicros()
         : failover.startedMicros();
--- a/src/main/java/plumlever/leader/scheduling/PassResults.java
+++ b/src/main/java/plumlever/leader/scheduling/PassResults.java
@@ -1,7 +1,7 @@
 package plumlever.leader.scheduling;
 
 /** Results that a scheduling pass collects. */
-record PassResults(PlannedStarts plannedStarts, TeamQuotas quotas, RentalDemands demands) {
+record PassResults(StartPlan plannedStarts, TeamQuotas quotas, RentalDemands demands) {
   /** Resets the results for a new pass. Demands published by the last pass are kept. */
   void clear() {
     plannedStarts.clear();
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -92,11 +92,11 @@
       if (nextOption == options.size()) {
         return false;
       }
-      stop(options.get(nextOption++));
+      preempt(options.get(nextOption++));
       return true;
     }
 
-    private void stop(Option option) {
+    private void preempt(Option option) {
       for (Attempt attempt : option.victims) {
         attempt.requestStop(attempt.job().spec().checkpointS() + STOP_MARGIN_S, nowMicros);
         context.metrics().count("preempted");
@@ -124,7 +124,7 @@
       Zones zones = JobZones.of(job);
       for (Machine machine : fleet.machines()) {
         MachineType machineType = context.prices().machineType(machine.machineType());
-        if (machineType == null || !suits(machine, zones)) {
+        if (machineType == null || !isEligible(machine, zones)) {
           continue;
         }
         List<Attempt> victims = victims(machine, machineType);
@@ -146,7 +146,7 @@
           : found;
     }
 
-    private boolean suits(Machine machine, Zones zones) {
+    private boolean isEligible(Machine machine, Zones zones) {
       return availability.acceptsTasks(machine, nowMicros)
           && job.spec().allows(machine.machineType(), machine.zone(), machine.spot())
           && zones.allows(machine.zone());
@@ -160,7 +160,7 @@
       long readyMicros = nowMicros + COMMAND_MICROS + fetchMicros;
       int goalsMissed = 0;
       for (Attempt victim : victims) {
-        long checkpointMicros = ExpectedTimes.micros(victim.job().spec().checkpointS());
+        long checkpointMicros = ExpectedTimes.secondsToMicros(victim.job().spec().checkpointS());
         readyMicros = Math.max(readyMicros, nowMicros + COMMAND_MICROS + checkpointMicros);
         goalsMissed += goals.missesFinishIfStopped(victim, nowMicros) ? 1 : 0;
       }
@@ -171,7 +171,7 @@
       boolean startsInTime =
           startByMicros != ResourceRequest.ANY_TIME && readyMicros <= startByMicros;
       boolean endsInTime =
-          request.hasDeadline() && request.endsInTime(readyMicros, request.runMicros());
+          request.hasDeadline() && request.meetsDeadline(readyMicros, request.runMicros());
       return startsInTime || endsInTime;
     }
 
@@ -181,7 +181,7 @@
      * stopped.
      */
     private List<Attempt> victims(Machine machine, MachineType machineType) {
-      FreeCapacity free = FreeCapacity.whole(machineType);
+      FreeCapacity free = FreeCapacity.ofEmptyMachine(machineType);
       List<Attempt> preemptible = new ArrayList<>();
       for (Attempt attempt : machine.load().attempts()) {
         if (attempt.over()) {
@@ -200,7 +200,7 @@
           Comparator.<Attempt>comparingInt(
                   attempt -> goals.missesFinishIfStopped(attempt, nowMicros) ? 1 : 0)
               .thenComparing(Comparator.comparingLong(Attempt::runningSinceMicros).reversed()));
-      return fewest(preemptible, free);
+      return selectVictims(preemptible, free);
     }
 
     private boolean isPreemptible(Attempt attempt) {
@@ -214,7 +214,7 @@
      * Returns the shortest prefix of the preemptible tasks whose capacity makes room for one task
      * of the job; empty if all of them together are not enough.
      */
-    private List<Attempt> fewest(List<Attempt> preemptible, FreeCapacity free) {
+    private List<Attempt> selectVictims(List<Attempt> preemptible, FreeCapacity free) {
       List<Attempt> victims = new ArrayList<>();
       for (Attempt attempt : preemptible) {
         if (free.fits(job.spec())) {
--- a/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
@@ -35,7 +35,7 @@
   boolean rentalIsInTime(Job job, ResourceRequest request, long nowMicros) {
     long upMicros = nowMicros + context.parameters().rentalMicros();
     return upMicros <= goals.startByMicros(job, upMicros)
-        && request.endsInTime(upMicros, request.runMicros());
+        && request.meetsDeadline(upMicros, request.runMicros());
   }
 
   /**
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -77,8 +77,7 @@
     RentalCriteria criteria = new RentalCriteria(context, goals);
     this.reduction =
         new FleetReduction(context, failover, queue, snapshots, searches, criteria, headroom);
-    this.results =
-        new PassResults(new PlannedStarts(), new TeamQuotas(failover), new RentalDemands());
+    this.results = new PassResults(new StartPlan(), new TeamQuotas(failover), new RentalDemands());
     this.placer =
         new JobPlacer(
             context,
@@ -97,7 +96,7 @@
   public boolean run() {
     long startMicros = context.loop().nowMicros();
     if (nextJob >= queued.size()) {
-      begin(startMicros);
+      beginPass(startMicros);
     }
     while (nextJob < queued.size()) {
       placer.place(queued.get(nextJob++), snapshot.orElseThrow());
@@ -108,11 +107,11 @@
         return false;
       }
     }
-    complete(startMicros);
+    completePass(startMicros);
     return true;
   }
 
-  private void begin(long nowMicros) {
+  private void beginPass(long nowMicros) {
     results.clear();
     if (nowMicros - costsUpdatedMicros > COST_UPDATE_MICROS) {
       jobs.updateTaskCosts();
@@ -127,7 +126,7 @@
         queued.isEmpty() ? Optional.empty() : Optional.of(snapshots.snapshot(nowMicros, cordoned));
   }
 
-  private void complete(long startMicros) {
+  private void completePass(long startMicros) {
     Optional<RentalPlan.Demand> missingHeadroom = missingHeadroom(startMicros);
     snapshot = Optional.empty();
     long finishedMicros = context.loop().nowMicros();
@@ -147,7 +146,8 @@
       return Optional.empty();
     }
     headroomCheckedMicros = nowMicros;
-    return headroom.missing(snapshot.orElseGet(() -> snapshots.snapshot(nowMicros, cordoned)));
+    return headroom.uncoveredDemand(
+        snapshot.orElseGet(() -> snapshots.snapshot(nowMicros, cordoned)));
   }
 
   /** Duration of the last complete pass, excluding pauses between its parts. */
@@ -210,7 +210,7 @@
    * Does not change the plan.
    */
   public boolean canDoWithout(Set<Machine> machines) {
-    return reduction.canDoWithout(machines);
+    return reduction.canRemoveMachines(machines);
   }
 
   /**
@@ -219,7 +219,7 @@
    * Does not change the plan.
    */
   public boolean servesWaitingWithout(Set<Machine> machines) {
-    return reduction.servesWaitingWithout(machines);
+    return reduction.servesPendingJobsWithout(machines);
   }
 
   /** Estimated time in microseconds from the job's release to the end of its tasks. */
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -59,16 +59,16 @@
   ServiceObjectives(List<PlatformConfiguration.Objective> objectives, long defaultStartMicros) {
     this.defaultStartMicros = defaultStartMicros;
     for (PlatformConfiguration.Objective objective : objectives) {
-      long withinMicros = ExpectedTimes.micros(objective.withinS());
+      long withinMicros = ExpectedTimes.secondsToMicros(objective.withinS());
       if (objective.jobClass() != null) {
-        addForClass(objective, withinMicros);
+        addClassObjective(objective, withinMicros);
       } else if (objective.kind().equals(GUARANTEE_KIND)) {
         guaranteedStartMicros = Math.min(guaranteedStartMicros, withinMicros);
       }
     }
   }
 
-  private void addForClass(PlatformConfiguration.Objective objective, long withinMicros) {
+  private void addClassObjective(PlatformConfiguration.Objective objective, long withinMicros) {
     String jobClass = objective.jobClass();
     switch (objective.kind()) {
       case START_KIND ->
@@ -97,9 +97,9 @@
     long guaranteedMicros = job.releasedMicros() + guaranteedStartMicros;
     // Once the guaranteed start time is missed, the class objective or the job's deadline replaces
     // it. Without either, the guaranteed time remains the goal.
-    boolean counts =
+    boolean guaranteeApplies =
         guaranteedMicros >= nowMicros || (classMicros == Long.MAX_VALUE && !job.hasDeadline());
-    return counts ? Math.min(classMicros, guaranteedMicros) : classMicros;
+    return guaranteeApplies ? Math.min(classMicros, guaranteedMicros) : classMicros;
   }
 
   private long classStartByMicros(Job job, long nowMicros) {
--- a/src/main/java/plumlever/leader/scheduling/PlannedStarts.java
+++ b/src/main/java/plumlever/leader/scheduling/StartPlan.java
@@ -10,7 +10,7 @@
 import plumlever.fleet.RegistrationState;
 
 /** Tasks that the current pass planned to start at once, by machine. */
-final class PlannedStarts {
+final class StartPlan {
   private final Map<String, Map<Job, PlannedTasks>> byMachine = new HashMap<>();
 
   void clear() {
--- a/src/main/java/plumlever/leader/scheduling/TeamQuotas.java
+++ b/src/main/java/plumlever/leader/scheduling/TeamQuotas.java
@@ -11,14 +11,14 @@
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Failover failover;
-  private final Map<String, PlannedUse> plannedByTeam = new HashMap<>();
+  private final Map<String, PlannedUsage> plannedByTeam = new HashMap<>();
 
   TeamQuotas(Failover failover) {
     this.failover = failover;
   }
 
   /** Resources planned for one team in the current pass. */
-  private static final class PlannedUse {
+  private static final class PlannedUsage {
     private double cores;
     private double accelerators;
 
@@ -28,7 +28,7 @@
     }
 
     /** Converts the planned resources into a number of tasks of the given size, rounded up. */
-    int inTasksOf(JobSpec spec) {
+    int asTaskCount(JobSpec spec) {
       if (spec.cores() > 0) {
         return (int) Math.ceil(cores / spec.cores() - ROUNDING_TOLERANCE);
       }
@@ -46,7 +46,7 @@
 
   /** Charges one task of the job to its team's quota until the end of the pass. */
   void reserveTask(Job job) {
-    plannedByTeam.computeIfAbsent(job.spec().team(), team -> new PlannedUse()).add(job.spec());
+    plannedByTeam.computeIfAbsent(job.spec().team(), team -> new PlannedUsage()).add(job.spec());
   }
 
   /**
@@ -56,9 +56,9 @@
    */
   int headroomTasks(Job job) {
     int tasks = failover.quotaHeadroom(job);
-    PlannedUse planned = plannedByTeam.get(job.spec().team());
+    PlannedUsage planned = plannedByTeam.get(job.spec().team());
     if (planned != null && tasks != Integer.MAX_VALUE) {
-      tasks -= planned.inTasksOf(job.spec());
+      tasks -= planned.asTaskCount(job.spec());
     }
     return Math.max(0, tasks);
   }
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -28,14 +28,14 @@
   /**
    * Sends commands with the machine's current fencing token and incarnation.
    *
-   * @param then receives the result exactly once, on the loop
+   * @param onReply receives the result exactly once, on the loop
    */
-  void command(
+  void sendCommands(
       Machine machine,
       Endpoint endpoint,
       List<WorkerCommand> commands,
       long timeoutMicros,
-      Consumer<WorkerReply> then) {
+      Consumer<WorkerReply> onReply) {
     byte[] body =
         WorkerCommand.direct(
                 machine.tokens().current(), Math.max(1, machine.contact().incarnation()), commands)
@@ -46,16 +46,16 @@
         ProtocolPath.COMMANDS,
         body,
         timeoutMicros,
-        (status, data) -> then.accept(commandReply(machine, status, data)));
+        (status, data) -> onReply.accept(parseCommandReply(machine, status, data)));
   }
 
-  private WorkerReply commandReply(Machine machine, int status, byte[] data) {
+  private WorkerReply parseCommandReply(Machine machine, int status, byte[] data) {
     return switch (status) {
       case HttpStatus.OK ->
-          read(machine, data)
+          parseHeartbeat(machine, data)
               .<WorkerReply>map(WorkerReply.Accepted::new)
               .orElseGet(WorkerReply.Unanswered::new);
-      case HttpStatus.CONFLICT -> new WorkerReply.Refused(read(machine, data));
+      case HttpStatus.CONFLICT -> new WorkerReply.Refused(parseHeartbeat(machine, data));
       default -> new WorkerReply.Unanswered();
     };
   }
@@ -63,10 +63,13 @@
   /**
    * Requests the machine's state without sending a command.
    *
-   * @param then receives the state exactly once, on the loop; empty if there is no valid reply
+   * @param onState receives the state exactly once, on the loop; empty if there is no valid reply
    */
   void inspect(
-      Machine machine, Endpoint endpoint, long timeoutMicros, Consumer<Optional<Heartbeat>> then) {
+      Machine machine,
+      Endpoint endpoint,
+      long timeoutMicros,
+      Consumer<Optional<Heartbeat>> onState) {
     caller.call(
         endpoint,
         "GET",
@@ -74,11 +77,12 @@
         null,
         timeoutMicros,
         (status, data) ->
-            then.accept(status == HttpStatus.OK ? read(machine, data) : Optional.empty()));
+            onState.accept(
+                status == HttpStatus.OK ? parseHeartbeat(machine, data) : Optional.empty()));
   }
 
   /** Parses the machine's heartbeat; empty if the data is invalid or names another machine. */
-  private Optional<Heartbeat> read(Machine machine, byte[] data) {
+  private Optional<Heartbeat> parseHeartbeat(Machine machine, byte[] data) {
     try {
       return Optional.of(Heartbeat.parse(data))
           .filter(heartbeat -> heartbeat.machineId().equals(machine.id()));
--- a/src/main/java/plumlever/placement/CandidateScores.java
+++ b/src/main/java/plumlever/placement/CandidateScores.java
@@ -52,8 +52,8 @@
     int count = 0;
     for (int i = 0; i < candidates.size(); i++) {
       PlacementCandidate candidate = candidates.get(i);
-      double share = request.share(candidate.shape);
-      if (Placer.fitsWhole(share) && request.rules().allow(candidate)) {
+      double share = request.dominantShare(candidate.shape);
+      if (Placer.fitsEmptyMachine(share) && request.constraints().allow(candidate)) {
         preparationMicros[i] =
             candidate.commandDelayMicros + fetchTimes.micros(i, request.image(), request.imageGb());
         runMicros[i] = (long) (request.runMicros() * candidate.slowness);
@@ -76,7 +76,9 @@
   }
 
   private double riskFactor(PlacementCandidate candidate) {
-    return candidate.shape.spot() && !request.rules().checkpoints() ? 1 + parameters.spotRisk() : 1;
+    return candidate.shape.spot() && !request.constraints().writesCheckpoints()
+        ? 1 + parameters.spotRisk()
+        : 1;
   }
 
   double score(int candidate) {
@@ -106,7 +108,7 @@
   }
 
   /** True if the candidate is a choice of the given rank for one more task. */
-  boolean suits(int index, ChoiceRank rank) {
+  boolean isChoiceOfRank(int index, ChoiceRank rank) {
     PlacementCandidate candidate = candidates.get(index);
     if (!zones.allows(candidate.zone) || candidate.fitsNow(request.resources()) == rank.later) {
       return false;
@@ -120,9 +122,9 @@
     // Running tasks may release capacity later than estimated, so time for renting a machine must
     // remain. Capacity of a machine that is coming up does not depend on other tasks.
     if (padding > 0 && rank.later && startMicros > candidate.upMicros()) {
-      runsAtMicros += parameters.hedgeMicros();
+      runsAtMicros += parameters.rentalMarginMicros();
     }
-    return request.isMetBy(runsAtMicros, (long) (runMicros[index] * (1 + padding)));
+    return request.meetsTimes(runsAtMicros, (long) (runMicros[index] * (1 + padding)));
   }
 
   /** Starts one task on the chosen candidate, or books capacity if the task starts later. */
--- a/src/main/java/plumlever/placement/SoonestRuns.java
+++ b/src/main/java/plumlever/placement/EarliestRunQueue.java
@@ -6,11 +6,11 @@
  * Orders candidates by the earliest time at which a task would run. Used for tasks that no
  * candidate can serve in time.
  */
-final class SoonestRuns {
+final class EarliestRunQueue {
   private final CandidateScores scores;
   private final PriorityQueue<Run> queue = new PriorityQueue<>();
 
-  SoonestRuns(CandidateScores scores) {
+  EarliestRunQueue(CandidateScores scores) {
     this.scores = scores;
     for (int candidate : scores.byScore) {
       add(candidate);
--- a/src/main/java/plumlever/placement/PlacementCandidate.java
+++ b/src/main/java/plumlever/placement/PlacementCandidate.java
@@ -73,7 +73,7 @@
   }
 
   /** Marks the machine as coming up: its free resources are released at the given time. */
-  public void comesUp(long atMicros) {
+  public void markComingUp(long atMicros) {
     upMicros = atMicros;
     addRelease(new Release(atMicros, cores, accelerators, memoryGb));
     cores = 0;
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -64,7 +64,7 @@
   public final class Search {
     private final CandidateScores scores;
     private final TieBand band;
-    private SoonestRuns soonest;
+    private EarliestRunQueue earliestRuns;
     private int rank;
 
     private Search(CandidateScores scores) {
@@ -81,12 +81,12 @@
         }
         rank++;
         if (rank < RANKS.length) {
-          band.begin(RANKS[rank]);
+          band.reset(RANKS[rank]);
         } else {
-          soonest = new SoonestRuns(scores);
+          earliestRuns = new EarliestRunQueue(scores);
         }
       }
-      return soonest.best();
+      return earliestRuns.best();
     }
 
     /**
@@ -96,7 +96,7 @@
     public void commit(Choice choice) {
       scores.commit(choice);
       if (rank < RANKS.length) {
-        band.topChanged();
+        band.topCapacityReduced();
       }
     }
   }
@@ -109,9 +109,9 @@
       ResourceRequest request, List<PlacementCandidate> candidates, Zones zones) {
     for (PlacementCandidate candidate : candidates) {
       if (candidate.fitsNow(request.resources())
-          && request.rules().allow(candidate)
+          && request.constraints().allow(candidate)
           && zones.allows(candidate.zone)
-          && fitsWhole(request.share(candidate.shape))) {
+          && fitsEmptyMachine(request.dominantShare(candidate.shape))) {
         return true;
       }
     }
@@ -119,7 +119,7 @@
   }
 
   /** True if a task with the given dominant share fits on an empty machine. */
-  static boolean fitsWhole(double share) {
+  static boolean fitsEmptyMachine(double share) {
     return share <= 1 + ROUNDING_TOLERANCE;
   }
 }
--- a/src/main/java/plumlever/placement/ResourceRequest.java
+++ b/src/main/java/plumlever/placement/ResourceRequest.java
@@ -8,7 +8,11 @@
  * @param imageGb size of the image in gigabytes
  */
 public record ResourceRequest(
-    Resources resources, String image, double imageGb, Timing timing, MachineRules rules) {
+    Resources resources,
+    String image,
+    double imageGb,
+    Timing timing,
+    MachineConstraints constraints) {
 
   /** Stands for no deadline or no latest start time. */
   public static final long ANY_TIME = Long.MAX_VALUE;
@@ -34,11 +38,11 @@
    * @param machineTypes allowed machine types; null for any
    * @param zone required zone; null for any
    * @param spotAllowed whether spot machines are allowed
-   * @param checkpoints whether the task writes checkpoints, which limit the lost work if the
+   * @param writesCheckpoints whether the task writes checkpoints, which limit the lost work if the
    *     machine is lost
    */
-  public record MachineRules(
-      List<String> machineTypes, String zone, boolean spotAllowed, boolean checkpoints) {
+  public record MachineConstraints(
+      List<String> machineTypes, String zone, boolean spotAllowed, boolean writesCheckpoints) {
 
     boolean allow(PlacementCandidate candidate) {
       return (machineTypes == null || machineTypes.contains(candidate.shape.machineType()))
@@ -58,12 +62,12 @@
   }
 
   /** True if a task with the given start and duration meets its start time and its deadline. */
-  public boolean isMetBy(long startMicros, long taskMicros) {
-    return startMicros <= timing.startByMicros && endsInTime(startMicros, taskMicros);
+  public boolean meetsTimes(long startMicros, long taskMicros) {
+    return startMicros <= timing.startByMicros && meetsDeadline(startMicros, taskMicros);
   }
 
   /** True if a task with the given start and duration meets its deadline or has none. */
-  public boolean endsInTime(long startMicros, long taskMicros) {
+  public boolean meetsDeadline(long startMicros, long taskMicros) {
     return timing.deadlineMicros == ANY_TIME || startMicros + taskMicros <= timing.deadlineMicros;
   }
 
@@ -76,7 +80,7 @@
    * Returns the dominant share: the largest share of any machine resource that the task needs.
    * Above 1 the task never fits.
    */
-  double share(MachineShape shape) {
+  double dominantShare(MachineShape shape) {
     double share = Math.max(resources.cores / shape.cores(), resources.memoryGb / shape.memoryGb());
     if (resources.accelerators <= 0) {
       return share;
--- a/src/main/java/plumlever/placement/TieBand.java
+++ b/src/main/java/plumlever/placement/TieBand.java
@@ -26,11 +26,11 @@
   TieBand(CandidateScores scores, double tieShare, ChoiceRank rank) {
     this.scores = scores;
     this.tieShare = tieShare;
-    begin(rank);
+    reset(rank);
   }
 
   /** Clears the heap and starts over with the given rank. */
-  void begin(ChoiceRank newRank) {
+  void reset(ChoiceRank newRank) {
     rank = newRank;
     size = 0;
     first = 0;
@@ -40,7 +40,7 @@
   /** Returns the candidate for the next task, or -1 if the rank has no choices left. */
   int best() {
     int[] byScore = scores.byScore;
-    while (first < byScore.length && !scores.suits(byScore[first], rank)) {
+    while (first < byScore.length && !scores.isChoiceOfRank(byScore[first], rank)) {
       first++;
     }
     if (first == byScore.length) {
@@ -49,12 +49,12 @@
     double maxScore = scores.score(byScore[first]) * (1 + tieShare);
     end = Math.max(end, first);
     while (end < byScore.length && scores.score(byScore[end]) <= maxScore) {
-      if (scores.suits(byScore[end], rank)) {
+      if (scores.isChoiceOfRank(byScore[end], rank)) {
         push(byScore[end]);
       }
       end++;
     }
-    while (!scores.suits(heap[0], rank)) {
+    while (!scores.isChoiceOfRank(heap[0], rank)) {
       heap[0] = heap[--size];
       siftDown();
     }
@@ -62,7 +62,7 @@
   }
 
   /** Restores the heap order after the free capacity of the top candidate has decreased. */
-  void topChanged() {
+  void topCapacityReduced() {
     siftDown();
   }
 
@@ -101,11 +101,11 @@
   private boolean precedes(int left, int right) {
     PlacementCandidate leftCandidate = scores.candidates.get(left);
     PlacementCandidate rightCandidate = scores.candidates.get(right);
-    return winsTie(leftCandidate, rightCandidate)
-        || (!winsTie(rightCandidate, leftCandidate) && left < right);
+    return isPreferred(leftCandidate, rightCandidate)
+        || (!isPreferred(rightCandidate, leftCandidate) && left < right);
   }
 
-  private static boolean winsTie(PlacementCandidate left, PlacementCandidate right) {
+  private static boolean isPreferred(PlacementCandidate left, PlacementCandidate right) {
     if (left.busy != right.busy) {
       return left.busy;
     }
--- a/src/main/java/plumlever/scaling/CapacityHeadroom.java
+++ b/src/main/java/plumlever/scaling/CapacityHeadroom.java
@@ -12,7 +12,7 @@
  */
 public final class CapacityHeadroom {
   private final long windowMicros;
-  private final long rentMicros;
+  private final long rentalMicros;
   private final double deviations;
   private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
@@ -25,17 +25,17 @@
    * Creates the headroom without any arrivals.
    *
    * @param windowMicros age after which arrivals are dropped
-   * @param rentMicros time to rent and boot a machine
+   * @param rentalMicros time to rent and boot a machine
    * @param deviations number of standard deviations to keep free
    */
-  public CapacityHeadroom(long windowMicros, long rentMicros, double deviations) {
+  public CapacityHeadroom(long windowMicros, long rentalMicros, double deviations) {
     this.windowMicros = windowMicros;
-    this.rentMicros = rentMicros;
+    this.rentalMicros = rentalMicros;
     this.deviations = deviations;
   }
 
   /** Records the arrival of a job that cannot wait for a rental. Calls must be in time order. */
-  public void jobArrived(long atMicros, JobSpec job) {
+  public void recordArrival(long atMicros, JobSpec job) {
     double cores = job.taskCount() * job.cores();
     arrivals.add(new Arrival(atMicros, cores, job));
     sumOfSquares += cores * cores;
@@ -48,7 +48,7 @@
       // Reset the sum with the last arrival, so that rounding errors do not accumulate.
       sumOfSquares = arrivals.isEmpty() ? 0 : sumOfSquares - expired.cores * expired.cores;
     }
-    return deviations * Math.sqrt(Math.max(0, sumOfSquares) * rentMicros / windowMicros);
+    return deviations * Math.sqrt(Math.max(0, sumOfSquares) * rentalMicros / windowMicros);
   }
 
   /**
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -29,7 +29,7 @@
   /**
    * Upper limit of the surcharge on an option for the machines of this option already in the plan.
    */
-  private static final double MAX_CROWDING_SURCHARGE = 0.3;
+  private static final double MAX_CONCENTRATION_SURCHARGE = 0.3;
 
   /** Number of planned machines of an option at which half of the maximum surcharge applies. */
   private static final int MACHINES_FOR_HALF_SURCHARGE = 30;
@@ -129,29 +129,30 @@
       List<IncomingMachine> incoming,
       Predicate<RentalOption> available,
       int maxMachines) {
-    Planning planning = new Planning(incoming, available, maxMachines);
-    demands.forEach(planning::serve);
-    return planning.requests();
+    PlanBuilder builder = new PlanBuilder(incoming, available, maxMachines);
+    demands.forEach(builder::serve);
+    return builder.requests();
   }
 
   /** State of one planning run. */
-  private final class Planning {
+  private final class PlanBuilder {
     private final List<IncomingMachine> machines;
     private final Predicate<RentalOption> available;
     private final Map<RentalOption, Integer> countByOption = new HashMap<>();
     private int machinesLeft;
 
-    Planning(List<IncomingMachine> incoming, Predicate<RentalOption> available, int maxMachines) {
+    PlanBuilder(
+        List<IncomingMachine> incoming, Predicate<RentalOption> available, int maxMachines) {
       this.machines = new ArrayList<>(incoming);
       this.available = available;
       this.machinesLeft = maxMachines;
     }
 
     void serve(Demand demand) {
-      int tasks = tasksLeftByMachines(demand);
+      int tasks = reserveOnMachines(demand);
       while (tasks > 0 && machinesLeft > 0) {
         Optional<RentalOption> option = cheapest(demand, tasks);
-        int served = option.isPresent() ? rent(option.get(), demand.job, tasks) : 0;
+        int served = option.isPresent() ? addMachine(option.get(), demand.job, tasks) : 0;
         if (served == 0) {
           return;
         }
@@ -163,7 +164,7 @@
      * Reserves capacity on the incoming and planned machines. Returns the number of tasks that do
      * not fit.
      */
-    private int tasksLeftByMachines(Demand demand) {
+    private int reserveOnMachines(Demand demand) {
       int tasks = demand.tasks;
       for (IncomingMachine machine : machines) {
         if (tasks > 0 && demand.allows(machine.option)) {
@@ -177,7 +178,7 @@
      * Adds one machine of the option to the plan. Returns the number of tasks that the machine
      * serves; if 0, no machine is added.
      */
-    private int rent(RentalOption option, JobSpec job, int tasks) {
+    private int addMachine(RentalOption option, JobSpec job, int tasks) {
       IncomingMachine machine = new IncomingMachine(option, prices.machineType(option.machineType));
       int served = machine.reserve(job, tasks);
       if (served > 0) {
@@ -222,16 +223,16 @@
       if (!moneyMatters) {
         cost *= 1 + machineType.startupS() / STARTUP_S_DOUBLING_COST;
       }
-      return cost * crowdingFactor(option);
+      return cost * concentrationFactor(option);
     }
 
     /**
      * Surcharge that spreads rentals over options, which limits the impact of an outage or a
      * capacity shortage in one zone.
      */
-    private double crowdingFactor(RentalOption option) {
+    private double concentrationFactor(RentalOption option) {
       int count = countByOption.getOrDefault(option, 0);
-      return 1 + MAX_CROWDING_SURCHARGE * count / (MACHINES_FOR_HALF_SURCHARGE + count);
+      return 1 + MAX_CONCENTRATION_SURCHARGE * count / (MACHINES_FOR_HALF_SURCHARGE + count);
     }
 
     List<RentalRequest> requests() {
--- a/src/test/java/plumlever/placement/PlacerTest.java
+++ b/src/test/java/plumlever/placement/PlacerTest.java
@@ -18,17 +18,17 @@
 
   /** Identical random machines for the placer and the reference model. */
   private static final class RandomFleet {
-    final List<PlainPlacementModel.Machine> machines = new ArrayList<>();
+    final List<ReferencePlacementModel.Machine> machines = new ArrayList<>();
     final List<PlacementCandidate> candidates = new ArrayList<>();
 
     RandomFleet(SplittableRandom random) {
       for (int i = 0; i < 1 + random.nextInt(8); i++) {
-        PlainPlacementModel.Machine machine = randomMachine(random);
+        ReferencePlacementModel.Machine machine = randomMachine(random);
         PlacementCandidate candidate = candidate(i, machine);
         if (random.nextInt(5) == 0) {
           long upMicros = NOW_MICROS + (1 + random.nextInt(40)) * SECOND_MICROS;
-          machine.comesUp(upMicros);
-          candidate.comesUp(upMicros);
+          machine.markComingUp(upMicros);
+          candidate.markComingUp(upMicros);
         }
         while (machine.freeCores > 0 && random.nextInt(4) > 0) {
           double cores = Math.min(machine.freeCores, 1 + random.nextInt(4));
@@ -42,8 +42,8 @@
       }
     }
 
-    private static PlainPlacementModel.Machine randomMachine(SplittableRandom random) {
-      PlainPlacementModel.Machine machine = new PlainPlacementModel.Machine();
+    private static ReferencePlacementModel.Machine randomMachine(SplittableRandom random) {
+      ReferencePlacementModel.Machine machine = new ReferencePlacementModel.Machine();
       machine.zone = random.nextBoolean() ? "a" : "b";
       machine.spot = random.nextBoolean();
       machine.totalCores = random.nextBoolean() ? 4 : 16;
@@ -56,7 +56,8 @@
       return machine;
     }
 
-    private static PlacementCandidate candidate(int index, PlainPlacementModel.Machine machine) {
+    private static PlacementCandidate candidate(
+        int index, ReferencePlacementModel.Machine machine) {
       MachineShape shape =
           new MachineShape(
               "f", machine.spot, machine.totalCores, 0, machine.totalMemoryGb, machine.price);
@@ -70,7 +71,7 @@
   }
 
   @Test
-  void agreesWithThePlainModelOnRandomFleets() {
+  void matchesReferenceModelOnRandomFleets() {
     SplittableRandom random = new SplittableRandom(7);
     int placedNow = 0;
     int placedLater = 0;
@@ -83,8 +84,9 @@
       }
       ResourceRequest request = requestWithDeadlineOrStartBy(random);
 
-      PlainPlacementModel.Choice expected =
-          new PlainPlacementModel(PARAMETERS, fleet.machines, zones, NOW_MICROS).choose(request);
+      ReferencePlacementModel.Choice expected =
+          new ReferencePlacementModel(PARAMETERS, fleet.machines, zones, NOW_MICROS)
+              .choose(request);
       Placer.Choice actual =
           new Placer(PARAMETERS)
               .search(request, fleet.candidates, zones, fleet::fetchMicros, NOW_MICROS)
@@ -125,7 +127,7 @@
 
   /** A search that continues after each commit must return the same choice as a new search. */
   @Test
-  void aSearchThatGoesOnChoosesAsAFreshOne() {
+  void continuedSearchMatchesNewSearch() {
     SplittableRandom random = new SplittableRandom(11);
     Placer placer = new Placer(PARAMETERS);
     int placedNow = 0;
@@ -213,11 +215,11 @@
         "img",
         1,
         new ResourceRequest.Timing(runMicros, deadlineMicros, startByMicros),
-        new ResourceRequest.MachineRules(null, zone, spotAllowed, runMicros % 2 == 0));
+        new ResourceRequest.MachineConstraints(null, zone, spotAllowed, runMicros % 2 == 0));
   }
 
   @Test
-  void bookedCapacityIsNotGivenAwayTwice() {
+  void bookedCapacityIsNotBookedAgain() {
     PlacementCandidate candidate =
         new PlacementCandidate("m", "a", new MachineShape("f", false, 4, 0, 16, 1), 1, 0);
     candidate.occupy(4, 0, 4, NOW_MICROS + 10 * SECOND_MICROS);
@@ -250,7 +252,7 @@
   }
 
   @Test
-  void aOneZoneJobStaysInItsZone() {
+  void oneZoneJobMustStayInItsZone() {
     Zones oneZone = new Zones(true, 9);
     assertTrue(oneZone.allows("b"), "no task has been placed yet");
     oneZone.add("a");
@@ -258,7 +260,7 @@
   }
 
   @Test
-  void aOneZoneJobThatIsInTwoZonesGetsNoMoreTasks() {
+  void oneZoneJobInTwoZonesGetsNoMoreTasks() {
     Zones oneZone = new Zones(true, 9);
     oneZone.add("a");
     oneZone.add("b");
@@ -267,7 +269,7 @@
   }
 
   @Test
-  void aSpreadJobKeepsItsLimitInEachZone() {
+  void spreadJobRespectsLimitPerZone() {
     Zones spread = new Zones(false, 1);
     spread.add("a");
     assertFalse(spread.allows("a"));
--- a/src/test/java/plumlever/placement/PlainPlacementModel.java
+++ b/src/test/java/plumlever/placement/ReferencePlacementModel.java
@@ -9,7 +9,7 @@
  * first, then the lowest score; ties go to busy machines, then to the most free memory, then to the
  * most free cores.
  */
-final class PlainPlacementModel {
+final class ReferencePlacementModel {
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final PlacementParameters parameters;
@@ -17,7 +17,7 @@
   private final Zones zones;
   private final long nowMicros;
 
-  PlainPlacementModel(
+  ReferencePlacementModel(
       PlacementParameters parameters, List<Machine> machines, Zones zones, long nowMicros) {
     this.parameters = parameters;
     this.machines = machines;
@@ -47,7 +47,7 @@
     boolean busy;
     private final List<Release> releases = new ArrayList<>();
 
-    void comesUp(long atMicros) {
+    void markComingUp(long atMicros) {
       upMicros = atMicros;
       releases.add(new Release(atMicros, totalCores, totalMemoryGb));
       freeCores = 0;
@@ -95,7 +95,7 @@
         }
       }
     }
-    return new Choice(soonest(request), false);
+    return new Choice(earliestRun(request), false);
   }
 
   private List<Integer> inTime(ResourceRequest request, double padding, boolean now) {
@@ -106,12 +106,12 @@
       if (startMicros == Long.MAX_VALUE || (startMicros <= nowMicros) != now) {
         continue;
       }
-      boolean hedged = padding > 0 && !now && startMicros > machine.upMicros;
+      boolean needsRentalMargin = padding > 0 && !now && startMicros > machine.upMicros;
       long runsAtMicros =
           startMicros
               + machine.commandDelayMicros
               + machine.fetchMicros
-              + (hedged ? parameters.hedgeMicros() : 0);
+              + (needsRentalMargin ? parameters.rentalMarginMicros() : 0);
       ResourceRequest.Timing timing = request.timing();
       if (runsAtMicros <= timing.startByMicros()
           && (timing.deadlineMicros() == Long.MAX_VALUE
@@ -130,14 +130,14 @@
     tied.removeIf(i -> score(request, machines.get(i)) > leastScore * (1 + parameters.tieShare()));
     int best = tied.get(0);
     for (int i : tied) {
-      if (winsTie(machines.get(i), machines.get(best))) {
+      if (isPreferred(machines.get(i), machines.get(best))) {
         best = i;
       }
     }
     return best;
   }
 
-  private static boolean winsTie(Machine first, Machine second) {
+  private static boolean isPreferred(Machine first, Machine second) {
     if (first.busy != second.busy) {
       return first.busy;
     }
@@ -149,12 +149,14 @@
   private double score(ResourceRequest request, Machine machine) {
     ResourceRequest.Resources task = request.resources();
     return machine.price
-        * (machine.spot && !request.rules().checkpoints() ? 1 + parameters.spotRisk() : 1)
+        * (machine.spot && !request.constraints().writesCheckpoints()
+            ? 1 + parameters.spotRisk()
+            : 1)
         * Math.max(task.cores() / machine.totalCores, task.memoryGb() / machine.totalMemoryGb)
         * (machine.commandDelayMicros + machine.fetchMicros + request.timing().runMicros());
   }
 
-  private int soonest(ResourceRequest request) {
+  private int earliestRun(ResourceRequest request) {
     int best = -1;
     long soonestMicros = Long.MAX_VALUE;
     for (int i = 0; i < machines.size(); i++) {
@@ -170,10 +172,10 @@
   }
 
   private long allowedStartMicros(ResourceRequest request, Machine machine) {
-    ResourceRequest.MachineRules rules = request.rules();
+    ResourceRequest.MachineConstraints constraints = request.constraints();
     boolean allowed =
-        (rules.zone() == null || rules.zone().equals(machine.zone))
-            && (rules.spotAllowed() || !machine.spot)
+        (constraints.zone() == null || constraints.zone().equals(machine.zone))
+            && (constraints.spotAllowed() || !machine.spot)
             && zones.allows(machine.zone)
             && request.resources().cores() <= machine.totalCores
             && request.resources().memoryGb() <= machine.totalMemoryGb;
--- a/src/test/java/plumlever/sim/PreemptionTest.java
+++ b/src/test/java/plumlever/sim/PreemptionTest.java
@@ -22,7 +22,7 @@
   private final FakeUsers users = new FakeUsers(cluster);
 
   @BeforeEach
-  void smallFleet() {
+  void limitFleetSize() {
     cluster.cloud.most = 2;
   }
 
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aTaskThatWritesCheckpointsMakesWayForAnUrgentDeadline() {
+  void checkpointingTaskIsPreemptedForUrgentDeadline() {
     submit(Priority.IDLE, 200, LONG_RUN_S, 10, JobSpec.NO_DEADLINE);
     cluster.play(150);
     JobSpec urgent = submit(Priority.PROD, 1, 10, 0, 60);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aTaskWithoutCheckpointsIsNotStopped() {
+  void taskWithoutCheckpointsIsNotPreempted() {
     submit(Priority.IDLE, 200, LONG_RUN_S, 0, JobSpec.NO_DEADLINE);
     cluster.play(150);
     submit(Priority.PROD, 1, 10, 0, 60);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aTaskOfTheSamePriorityIsNotStopped() {
+  void taskOfSamePriorityIsNotPreempted() {
     submit(Priority.PROD, 200, LONG_RUN_S, 10, JobSpec.NO_DEADLINE);
     cluster.play(150);
     submit(Priority.PROD, 1, 10, 0, 60);
