--- a/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
+++ b/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
@@ -10,8 +10,8 @@
 import plumlever.wire.JobSpec;
 
 /**
- * The capacity to keep free for work that has not come yet and, when it comes, must start sooner
- * than a machine can be rented.
+ * Capacity headroom: resources kept free for future jobs whose start objective is shorter than the
+ * time to rent a machine.
  */
 final class HeadroomDemand {
   private static final long ARRIVAL_WINDOW_MICROS = 120_000_000;
@@ -19,7 +19,7 @@
   private final TermContext context;
   private final JobGoals goals;
   private final CapacityHeadroom headroom;
-  private final Set<Job> noted = new HashSet<>();
+  private final Set<Job> recordedJobs = new HashSet<>();
 
   HeadroomDemand(TermContext context, JobGoals goals) {
     this.context = context;
@@ -31,29 +31,37 @@
             context.parameters().headroomDeviations());
   }
 
-  /** Forgets that other jobs were noted. */
+  /** Drops the arrival marks of all jobs that are not in the given set. */
   void retainAll(Set<Job> jobs) {
-    noted.retainAll(jobs);
+    recordedJobs.retainAll(jobs);
   }
 
-  /** Counts a job once as an arrival if its start can't wait for a rental. */
-  void noteArrival(Job job, long nowMicros) {
+  /**
+   * Records the arrival of a job whose start objective is shorter than the time to rent a machine.
+   * Each job is recorded at most once.
+   */
+  void recordArrival(Job job, long nowMicros) {
     long releasedMicros = job.releasedMicros();
-    if (noted.add(job)
+    if (recordedJobs.add(job)
         && nowMicros - releasedMicros < ARRIVAL_WINDOW_MICROS
         && goals.startByMicros(job, releasedMicros) - releasedMicros
             < context.parameters().rentalMicros()) {
-      headroom.jobArrived(nowMicros, job.spec());
+      headroom.recordArrival(nowMicros, job.spec());
     }
   }
 
-  /** True if enough capacity is free or coming up. */
+  /**
+   * True if the spare cores of the machines that are up or coming up cover the required headroom.
+   */
   boolean isCoveredBy(FleetSnapshot snapshot) {
     return snapshot.spareCores() >= headroom.requiredCores(snapshot.nowMicros());
   }
 
-  /** What has to be rented so that there is enough; empty if there is, or nothing came lately. */
-  Optional<RentalPlan.Demand> missing(FleetSnapshot snapshot) {
+  /**
+   * Rental demand for the part of the headroom that spare cores do not cover. Empty if the headroom
+   * is covered or there were no recent arrivals.
+   */
+  Optional<RentalPlan.Demand> uncoveredDemand(FleetSnapshot snapshot) {
     double missingCores = headroom.requiredCores(snapshot.nowMicros()) - snapshot.spareCores();
     if (missingCores <= 0) {
       return Optional.empty();
@@ -69,6 +77,6 @@
         spec,
         Optional.empty(),
         (int) Math.ceil(missingCores / spec.cores()),
-        ExpectedTimes.micros(spec.expectedRunS()));
+        ExpectedTimes.secondsToMicros(spec.expectedRunS()));
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/PassResults.java
+++ b/src/main/java/plumlever/leader/scheduling/PassResults.java
@@ -1,8 +1,8 @@
 package plumlever.leader.scheduling;
 
-/** What a pass produces as it goes through the jobs. */
-record PassResults(PlannedStarts plannedStarts, TeamQuotas quotas, RentalDemands demands) {
-  /** A new pass begins; the demands that the last one published stay. */
+/** Results that a scheduling pass collects. */
+record PassResults(StartPlan plannedStarts, TeamQuotas quotas, RentalDemands demands) {
+  /** Resets the results for a new pass. Demands published by the last pass are kept. */
   void clear() {
     plannedStarts.clear();
     quotas.clear();
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -15,7 +15,7 @@
 import plumlever.wire.ProtocolPath;
 import plumlever.wire.WorkerCommand;
 
-/** Direct calls to workers, with their replies read. Decides nothing. */
+/** Sends direct calls to workers and parses the replies. Makes no scheduling decisions. */
 final class WorkerCalls {
   private final Logger log;
   private final Caller caller;
@@ -26,16 +26,16 @@
   }
 
   /**
-   * Sends commands with the machine's current token, for its current incarnation.
+   * Sends commands with the machine's current fencing token and incarnation.
    *
-   * @param then receives what came of it, exactly once, on the loop
+   * @param onReply receives the result exactly once, on the loop
    */
-  void command(
+  void sendCommands(
       Machine machine,
       Endpoint endpoint,
       List<WorkerCommand> commands,
       long timeoutMicros,
-      Consumer<WorkerReply> then) {
+      Consumer<WorkerReply> onReply) {
     byte[] body =
         WorkerCommand.direct(
                 machine.tokens().current(), Math.max(1, machine.contact().incarnation()), commands)
@@ -46,27 +46,30 @@
         ProtocolPath.COMMANDS,
         body,
         timeoutMicros,
-        (status, data) -> then.accept(commandReply(machine, status, data)));
+        (status, data) -> onReply.accept(parseCommandReply(machine, status, data)));
   }
 
-  private WorkerReply commandReply(Machine machine, int status, byte[] data) {
+  private WorkerReply parseCommandReply(Machine machine, int status, byte[] data) {
     return switch (status) {
       case HttpStatus.OK ->
-          read(machine, data)
+          parseHeartbeat(machine, data)
               .<WorkerReply>map(WorkerReply.Accepted::new)
               .orElseGet(WorkerReply.Unanswered::new);
-      case HttpStatus.CONFLICT -> new WorkerReply.Refused(read(machine, data));
+      case HttpStatus.CONFLICT -> new WorkerReply.Refused(parseHeartbeat(machine, data));
       default -> new WorkerReply.Unanswered();
     };
   }
 
   /**
-   * Asks the machine for its state, without a command.
+   * Requests the machine's state without sending a command.
    *
-   * @param then receives the state, exactly once, on the loop; empty without a readable reply
+   * @param onState receives the state exactly once, on the loop; empty if there is no valid reply
    */
   void inspect(
-      Machine machine, Endpoint endpoint, long timeoutMicros, Consumer<Optional<Heartbeat>> then) {
+      Machine machine,
+      Endpoint endpoint,
+      long timeoutMicros,
+      Consumer<Optional<Heartbeat>> onState) {
     caller.call(
         endpoint,
         "GET",
@@ -74,16 +77,18 @@
         null,
         timeoutMicros,
         (status, data) ->
-            then.accept(status == HttpStatus.OK ? read(machine, data) : Optional.empty()));
+            onState.accept(
+                status == HttpStatus.OK ? parseHeartbeat(machine, data) : Optional.empty()));
   }
 
-  /** The machine's own heartbeat; empty if it can't be read or is another machine's. */
-  private Optional<Heartbeat> read(Machine machine, byte[] data) {
+  /** Parses the machine's heartbeat; empty if the data is invalid or names another machine. */
+  private Optional<Heartbeat> parseHeartbeat(Machine machine, byte[] data) {
     try {
       return Optional.of(Heartbeat.parse(data))
           .filter(heartbeat -> heartbeat.machineId().equals(machine.id()));
     } catch (InvalidMessageException e) {
-      log.warn("the direct reply of {} can't be read: {}", machine.id(), e.getMessage());
+      log.warn(
+          "machine {} sent an invalid reply to a direct call: {}", machine.id(), e.getMessage());
       return Optional.empty();
     }
   }
--- a/src/main/java/plumlever/placement/SoonestRuns.java
+++ b/src/main/java/plumlever/placement/EarliestRunQueue.java
@@ -2,19 +2,22 @@
 
 import java.util.PriorityQueue;
 
-/** For tasks that no candidate can serve in time: the candidates by when a task would run there. */
-final class SoonestRuns {
+/**
+ * Orders candidates by the earliest time at which a task would run. Used for tasks that no
+ * candidate can serve in time.
+ */
+final class EarliestRunQueue {
   private final CandidateScores scores;
   private final PriorityQueue<Run> queue = new PriorityQueue<>();
 
-  SoonestRuns(CandidateScores scores) {
+  EarliestRunQueue(CandidateScores scores) {
     this.scores = scores;
     for (int candidate : scores.byScore) {
       add(candidate);
     }
   }
 
-  /** When a task would run on a candidate, as of when it was added to the queue. */
+  /** Time at which a task would run on a candidate. May be outdated after a commit. */
   private record Run(long atMicros, int candidate) implements Comparable<Run> {
     @Override
     public int compareTo(Run run) {
@@ -30,7 +33,7 @@
     }
   }
 
-  /** Where the next task would run soonest. */
+  /** Returns the candidate on which the next task would run first. */
   Placer.Choice best() {
     while (!queue.isEmpty()) {
       Run run = queue.peek();
--- a/src/main/java/plumlever/placement/TieBand.java
+++ b/src/main/java/plumlever/placement/TieBand.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * The candidates of one rank within the tie band of the least score, the winner of the tie on top
- * of a heap. Free capacity only shrinks while it is used, so a candidate that is no choice of the
- * rank never becomes one again.
+ * Heap of the candidates of one rank whose scores are within the tie band of the lowest score, with
+ * the preferred candidate on top. Free capacity only shrinks during a search, so a candidate that
+ * is not a choice of the rank never becomes one again.
  */
 final class TieBand {
   private static final int INITIAL_CAPACITY = 16;
@@ -15,7 +15,9 @@
   private int[] heap = new int[INITIAL_CAPACITY];
   private int size;
 
-  /** Position in the order of scores of the least that is a choice, and the end of its band. */
+  /**
+   * Index in the score order of the first candidate that is a choice, and the end of the tie band.
+   */
   private int first;
 
   private int end;
@@ -24,21 +26,21 @@
   TieBand(CandidateScores scores, double tieShare, ChoiceRank rank) {
     this.scores = scores;
     this.tieShare = tieShare;
-    begin(rank);
+    reset(rank);
   }
 
-  /** Starts anew, with the choices of this rank. */
-  void begin(ChoiceRank newRank) {
+  /** Clears the heap and starts over with the given rank. */
+  void reset(ChoiceRank newRank) {
     rank = newRank;
     size = 0;
     first = 0;
     end = 0;
   }
 
-  /** The candidate for the next task, or -1 when there are no choices of this rank left. */
+  /** Returns the candidate for the next task, or -1 if the rank has no choices left. */
   int best() {
     int[] byScore = scores.byScore;
-    while (first < byScore.length && !scores.suits(byScore[first], rank)) {
+    while (first < byScore.length && !scores.isChoiceOfRank(byScore[first], rank)) {
       first++;
     }
     if (first == byScore.length) {
@@ -47,20 +49,20 @@
     double maxScore = scores.score(byScore[first]) * (1 + tieShare);
     end = Math.max(end, first);
     while (end < byScore.length && scores.score(byScore[end]) <= maxScore) {
-      if (scores.suits(byScore[end], rank)) {
+      if (scores.isChoiceOfRank(byScore[end], rank)) {
         push(byScore[end]);
       }
       end++;
     }
-    while (!scores.suits(heap[0], rank)) {
+    while (!scores.isChoiceOfRank(heap[0], rank)) {
       heap[0] = heap[--size];
       siftDown();
     }
     return heap[0];
   }
 
-  /** The candidate on top has less free capacity than before. */
-  void topChanged() {
+  /** Restores the heap order after the free capacity of the top candidate has decreased. */
+  void topCapacityReduced() {
     siftDown();
   }
 
@@ -99,11 +101,11 @@
   private boolean precedes(int left, int right) {
     PlacementCandidate leftCandidate = scores.candidates.get(left);
     PlacementCandidate rightCandidate = scores.candidates.get(right);
-    return winsTie(leftCandidate, rightCandidate)
-        || (!winsTie(rightCandidate, leftCandidate) && left < right);
+    return isPreferred(leftCandidate, rightCandidate)
+        || (!isPreferred(rightCandidate, leftCandidate) && left < right);
   }
 
-  private static boolean winsTie(PlacementCandidate left, PlacementCandidate right) {
+  private static boolean isPreferred(PlacementCandidate left, PlacementCandidate right) {
     if (left.busy != right.busy) {
       return left.busy;
     }
--- a/src/test/java/plumlever/placement/PlacerTest.java
+++ b/src/test/java/plumlever/placement/PlacerTest.java
@@ -9,26 +9,26 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The placement compared with a slow plain model of the design's rules, on random fleets. */
+/** Compares the placer with a slow reference model of the placement rules on random fleets. */
 final class PlacerTest {
   private static final long NOW_MICROS = 1_000_000_000L;
   private static final long SECOND_MICROS = 1_000_000L;
   private static final PlacementParameters PARAMETERS =
       new PlacementParameters(0.05, 0.02, 10_000_000L, 0.3);
 
-  /** The same random machines for the placer and for the model. */
+  /** Identical random machines for the placer and the reference model. */
   private static final class RandomFleet {
-    final List<PlainPlacementModel.Machine> machines = new ArrayList<>();
+    final List<ReferencePlacementModel.Machine> machines = new ArrayList<>();
     final List<PlacementCandidate> candidates = new ArrayList<>();
 
     RandomFleet(SplittableRandom random) {
       for (int i = 0; i < 1 + random.nextInt(8); i++) {
-        PlainPlacementModel.Machine machine = randomMachine(random);
+        ReferencePlacementModel.Machine machine = randomMachine(random);
         PlacementCandidate candidate = candidate(i, machine);
         if (random.nextInt(5) == 0) {
           long upMicros = NOW_MICROS + (1 + random.nextInt(40)) * SECOND_MICROS;
-          machine.comesUp(upMicros);
-          candidate.comesUp(upMicros);
+          machine.markComingUp(upMicros);
+          candidate.markComingUp(upMicros);
         }
         while (machine.freeCores > 0 && random.nextInt(4) > 0) {
           double cores = Math.min(machine.freeCores, 1 + random.nextInt(4));
@@ -42,8 +42,8 @@
       }
     }
 
-    private static PlainPlacementModel.Machine randomMachine(SplittableRandom random) {
-      PlainPlacementModel.Machine machine = new PlainPlacementModel.Machine();
+    private static ReferencePlacementModel.Machine randomMachine(SplittableRandom random) {
+      ReferencePlacementModel.Machine machine = new ReferencePlacementModel.Machine();
       machine.zone = random.nextBoolean() ? "a" : "b";
       machine.spot = random.nextBoolean();
       machine.totalCores = random.nextBoolean() ? 4 : 16;
@@ -56,7 +56,8 @@
       return machine;
     }
 
-    private static PlacementCandidate candidate(int index, PlainPlacementModel.Machine machine) {
+    private static PlacementCandidate candidate(
+        int index, ReferencePlacementModel.Machine machine) {
       MachineShape shape =
           new MachineShape(
               "f", machine.spot, machine.totalCores, 0, machine.totalMemoryGb, machine.price);
@@ -70,7 +71,7 @@
   }
 
   @Test
-  void agreesWithThePlainModelOnRandomFleets() {
+  void matchesReferenceModelOnRandomFleets() {
     SplittableRandom random = new SplittableRandom(7);
     int placedNow = 0;
     int placedLater = 0;
@@ -83,8 +84,9 @@
       }
       ResourceRequest request = requestWithDeadlineOrStartBy(random);
 
-      PlainPlacementModel.Choice expected =
-          new PlainPlacementModel(PARAMETERS, fleet.machines, zones, NOW_MICROS).choose(request);
+      ReferencePlacementModel.Choice expected =
+          new ReferencePlacementModel(PARAMETERS, fleet.machines, zones, NOW_MICROS)
+              .choose(request);
       Placer.Choice actual =
           new Placer(PARAMETERS)
               .search(request, fleet.candidates, zones, fleet::fetchMicros, NOW_MICROS)
@@ -103,7 +105,8 @@
       }
     }
     assertTrue(
-        placedNow > 300 && placedLater > 300 && infeasible > 300, "the fleets cover all cases");
+        placedNow > 300 && placedLater > 300 && infeasible > 300,
+        "the random fleets produce too few choices of some kind");
   }
 
   private static ResourceRequest requestWithDeadlineOrStartBy(SplittableRandom random) {
@@ -122,9 +125,9 @@
         random.nextInt(3) > 0);
   }
 
-  /** A search goes on from task to task; each time it must choose as one begun anew would. */
+  /** A search that continues after each commit must return the same choice as a new search. */
   @Test
-  void aSearchThatGoesOnChoosesAsAFreshOne() {
+  void continuedSearchMatchesNewSearch() {
     SplittableRandom random = new SplittableRandom(11);
     Placer placer = new Placer(PARAMETERS);
     int placedNow = 0;
@@ -154,10 +157,15 @@
     }
     assertTrue(
         placedNow > 1_000 && placedLater > 200 && infeasibleLater > 1_000,
-        "all kinds of choice: " + placedNow + " " + placedLater + " " + infeasibleLater);
+        "too few choices now, later or infeasible: "
+            + placedNow
+            + " "
+            + placedLater
+            + " "
+            + infeasibleLater);
   }
 
-  /** Prices close enough for many ties. */
+  /** Returns candidates whose prices are close enough to produce many ties. */
   private static List<PlacementCandidate> candidatesOfNearlyEqualPrice(SplittableRandom random) {
     List<PlacementCandidate> candidates = new ArrayList<>();
     for (int i = 0; i < 1 + random.nextInt(12); i++) {
@@ -194,7 +202,7 @@
     return new ResourceRequest.Resources(cores, 0, memoryGb);
   }
 
-  /** A task of an even run time writes checkpoints. */
+  /** Creates a request. Tasks with an even run time write checkpoints. */
   private static ResourceRequest request(
       ResourceRequest.Resources resources,
       long runMicros,
@@ -207,11 +215,11 @@
         "img",
         1,
         new ResourceRequest.Timing(runMicros, deadlineMicros, startByMicros),
-        new ResourceRequest.MachineRules(null, zone, spotAllowed, runMicros % 2 == 0));
+        new ResourceRequest.MachineConstraints(null, zone, spotAllowed, runMicros % 2 == 0));
   }
 
   @Test
-  void bookedCapacityIsNotGivenAwayTwice() {
+  void bookedCapacityIsNotBookedAgain() {
     PlacementCandidate candidate =
         new PlacementCandidate("m", "a", new MachineShape("f", false, 4, 0, 16, 1), 1, 0);
     candidate.occupy(4, 0, 4, NOW_MICROS + 10 * SECOND_MICROS);
@@ -240,27 +248,28 @@
     assertEquals(
         NOW_MICROS + 30 * SECOND_MICROS,
         second.startMicros(),
-        "the second waits for the first to end");
+        "the second task starts when the first one ends");
   }
 
   @Test
-  void aOneZoneJobStaysInItsZone() {
+  void oneZoneJobMustStayInItsZone() {
     Zones oneZone = new Zones(true, 9);
-    assertTrue(oneZone.allows("b"), "no task is anywhere yet");
+    assertTrue(oneZone.allows("b"), "no task has been placed yet");
     oneZone.add("a");
     assertFalse(oneZone.allows("b"));
   }
 
   @Test
-  void aOneZoneJobThatIsInTwoZonesGetsNoMoreTasks() {
+  void oneZoneJobInTwoZonesGetsNoMoreTasks() {
     Zones oneZone = new Zones(true, 9);
     oneZone.add("a");
     oneZone.add("b");
-    assertFalse(oneZone.allows("a"), "by whatever mishap: no more until one zone is empty");
+    assertFalse(
+        oneZone.allows("a"), "tasks in two zones: no more tasks until one of the zones is empty");
   }
 
   @Test
-  void aSpreadJobKeepsItsLimitInEachZone() {
+  void spreadJobRespectsLimitPerZone() {
     Zones spread = new Zones(false, 1);
     spread.add("a");
     assertFalse(spread.allows("a"));
