--- a/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
@@ -12,8 +12,9 @@
 import plumlever.wire.Heartbeat;
 
 /**
- * Ends attempts that are proved not to be on their machine. Proof is a heartbeat that would list
- * the attempt, a later incarnation of the worker, or a refused command; nothing else.
+ * Ends attempts that are proven not to be on their machine. Only three things count as proof: a
+ * heartbeat that would have to list the attempt but does not, a later incarnation of the worker, or
+ * a refused command.
  */
 final class AbsentAttempts {
   private final TermContext context;
@@ -36,11 +37,11 @@
   }
 
   /**
-   * Ends the attempts that the heartbeat proves the machine does not have.
+   * Ends the attempts that are not on the machine according to the heartbeat.
    *
-   * @param source whether it is a heartbeat of its own
-   * @param listed attempts that the heartbeat lists
-   * @return true if a start was lost
+   * @param source whether the worker sent the heartbeat or replied to a direct call
+   * @param listed the attempts that the heartbeat lists
+   * @return true if the heartbeat shows that a start command was lost
    */
   boolean endUnlisted(
       Machine machine, Heartbeat heartbeat, HeartbeatSource source, LongHashSet listed) {
@@ -65,10 +66,10 @@
   }
 
   /**
-   * True if the heartbeat, which does not list the attempt, would list it were it on the machine or
-   * could it still start there. A command in an answer was executed or dropped by the worker before
-   * it sent its next heartbeat. A direct command may be executed late, until the worker has seen a
-   * higher token.
+   * Returns whether a heartbeat that does not list the attempt proves that the attempt neither runs
+   * on the machine nor can still start there. The worker executes or drops a command in an answer
+   * before it sends its next heartbeat. The worker may execute a direct command late, until it has
+   * seen a higher token.
    */
   private static boolean provesAbsence(
       Heartbeat heartbeat, HeartbeatSource source, Attempt attempt) {
@@ -88,8 +89,8 @@
   }
 
   /**
-   * Ends attempts whose start the worker refused: it executed nothing of the command and never
-   * will, since its token or incarnation has moved on.
+   * Ends attempts whose start command the worker refused. The worker has executed no part of the
+   * command and never will, because its token or incarnation is newer than the command's.
    */
   void endRefused(Iterable<Attempt> sent) {
     for (Attempt attempt : sent) {
@@ -101,7 +102,10 @@
     }
   }
 
-  /** Ends the attempts of earlier incarnations: a worker that starts a new one has killed them. */
+  /**
+   * Ends the attempts of incarnations before this one. A worker that starts a new incarnation has
+   * killed the tasks of its earlier incarnations.
+   */
   void endIncarnationsBefore(Machine machine, long incarnation) {
     if (fleet.transferredMachine(machine.id()) != machine) {
       failover.setUntrackedTasks(machine, 0);
--- a/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
+++ b/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
@@ -6,8 +6,8 @@
 import plumlever.wire.Heartbeat;
 
 /**
- * Determines from a machine's own heartbeats whether the answers sent to it arrive. Its heartbeats
- * may come through although nothing reaches it.
+ * Determines from the heartbeats that a worker sends whether the leader's answers reach the worker.
+ * Heartbeats may arrive although no answer gets through in the opposite direction.
  */
 final class AnswerDelivery {
   private final Logger log;
@@ -23,8 +23,9 @@
   /**
    * Updates whether the machine counts as unreachable.
    *
-   * @param heartbeat sent by the worker itself
-   * @param contentLost the heartbeat shows that a start was lost, or that the incarnation changed
+   * @param heartbeat a heartbeat that the worker sent, not the reply to a direct call
+   * @param contentLost whether the heartbeat shows that a start command was lost or that the
+   *     incarnation changed
    */
   void evaluate(Machine machine, Heartbeat heartbeat, boolean contentLost) {
     boolean wasUnreachable = machine.contact().unreachable();
@@ -32,7 +33,8 @@
       machine.contact().recordLostAnswer();
     } else if (contentLost) {
       machine.contact().recordLostAnswer();
-      // The token in the next heartbeat shows whether the next answer arrived.
+      // The next answer carries the raised token. The token in the next heartbeat shows whether
+      // that answer arrived.
       machine.tokens().raise(machine.tokens().current() + 1);
     } else {
       machine.contact().recordDeliveredAnswer();
@@ -46,8 +48,10 @@
     placementChange.mark();
     context.metrics().count(reachable ? "machines_reachable_again" : "machines_unreachable");
     log.info(
-        "{} {}",
+        "machine {} {}",
         machine.id(),
-        reachable ? "is reachable again" : "sends heartbeats, but no answer seems to reach it");
+        reachable
+            ? "is reachable again"
+            : "is unreachable: it sends heartbeats, but the answers do not arrive");
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -10,8 +10,9 @@
 import plumlever.wire.Heartbeat;
 
 /**
- * Logs the life of each attempt, to be searched by job or machine: each line names task, attempt,
- * machine, incarnation and token. Debug level only, with a limit on lines per second.
+ * Logs the lifecycle of each attempt, for searches by job or machine. Lines name the task, the
+ * attempt, the machine, the incarnation and, where it matters, the token. Lines are logged at debug
+ * level only, with a limit on lines per second.
  */
 public final class AttemptLog {
   private static final int MAX_LINES_PER_SECOND = 200;
@@ -20,7 +21,7 @@
   private final Logger log;
   private final LogBudget logBudget;
 
-  /** A log of the attempts of one term. */
+  /** Creates the log of one term's attempts. */
   public AttemptLog(TermContext context) {
     this.context = context;
     this.log = context.logs().of(AttemptLog.class);
@@ -32,39 +33,40 @@
   }
 
   /**
-   * The attempt is sent to its machine.
+   * Logs that the start command of an attempt is sent to its machine.
    *
-   * @param channel how the command goes out
+   * @param channel how the command is sent
    * @param endsKnownMicros when the latest answered read of ended jobs was sent
    */
   public void started(Attempt attempt, StartChannel channel, long endsKnownMicros) {
     if (enabled()) {
       log.debug(
-          "{} attempt {} is sent to {} incarnation {} {} token {}, ended jobs as of {} ms ago",
+          "task {} attempt {} is sent to machine {} incarnation {} {} token {}, last read of ended"
+              + " jobs sent {} ms ago",
           attempt.name().wireName(),
           attempt.id(),
           attempt.machine().id(),
           attempt.incarnation(),
-          channel == StartChannel.DIRECT_COMMAND ? "by direct command," : "with an answer,",
+          channel == StartChannel.DIRECT_COMMAND ? "by direct command," : "in a heartbeat answer,",
           attempt.machine().tokens().current(),
           (context.loop().nowMicros() - endsKnownMicros) / 1_000);
     }
   }
 
-  /** The attempt is reported as running. */
+  /** Logs that the worker reports the attempt as running. */
   void running(Attempt attempt) {
     debug(attempt, "is running");
   }
 
-  /** The attempt is reported as completed. */
+  /** Logs that the worker reports the attempt as completed. */
   void done(Attempt attempt) {
-    debug(attempt, "is done");
+    debug(attempt, "has completed");
   }
 
   private void debug(Attempt attempt, String event) {
     if (enabled()) {
       log.debug(
-          "{} attempt {} {} on {} incarnation {}",
+          "task {} attempt {} {} on machine {} incarnation {}",
           attempt.name().wireName(),
           attempt.id(),
           event,
@@ -73,11 +75,12 @@
     }
   }
 
-  /** The attempt's job has ended, so from now on every answer stops it. */
+  /** Logs that every answer will stop the attempt: its job has ended or its task has completed. */
   void stopped(Attempt attempt) {
     if (!attempt.stopping() && enabled()) {
       log.debug(
-          "{} attempt {} on {} incarnation {} is stopped with token {}: its job has ended",
+          "stopping task {} attempt {} on machine {} incarnation {} with token {}: its job has"
+              + " ended or the task has completed",
           attempt.name().wireName(),
           attempt.id(),
           attempt.machine().id(),
@@ -86,29 +89,30 @@
     }
   }
 
-  /** A heartbeat proves that the attempt is not on its machine, or not any more. */
+  /** Logs that a heartbeat proves the attempt not to be on its machine. */
   void absent(Attempt attempt, Heartbeat heartbeat) {
     if (enabled()) {
       log.debug(
-          "{} attempt {} on {} incarnation {} is over: a heartbeat shows token {}, the start was"
-              + " sent {}",
+          "task {} attempt {} on machine {} incarnation {} is over: a heartbeat with token {} does"
+              + " not list it, its start was sent {}",
           attempt.name().wireName(),
           attempt.id(),
           heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
           attempt.directCommandToken() < 0
-              ? "with an answer"
-              : "with token " + attempt.directCommandToken());
+              ? "in a heartbeat answer"
+              : "by direct command with token " + attempt.directCommandToken());
     }
   }
 
-  /** A direct command with these starts was not answered in time. */
+  /** Logs that a direct command with these starts was not answered in time. */
   public void unanswered(Machine machine, long incarnation, long token, List<Attempt> sent) {
     if (enabled()) {
       log.debug(
-          "starts of {} on {} incarnation {} with token {} were not answered: they may be executed"
-              + " until it shows a higher token, its next answer carries {}",
+          "direct command to start {} on machine {} incarnation {} with token {} was not answered:"
+              + " the worker may execute it until it has seen a higher token; the next answer to"
+              + " the worker carries token {}",
           sent.stream()
               .map(attempt -> attempt.name().wireName() + " attempt " + attempt.id())
               .toList(),
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -12,7 +12,7 @@
 import plumlever.wire.ExitCause;
 import plumlever.wire.Heartbeat;
 
-/** Applies the reported state of attempts that this leader tracks. */
+/** Applies reported states to the attempts that this leader tracks. */
 final class AttemptUpdates {
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -40,7 +40,7 @@
     this.placementChange = placementChange;
   }
 
-  /** Applies the state of an attempt as its machine reports it; one that is over stays over. */
+  /** Applies the reported state to the attempt, unless the attempt is already over. */
   void update(Attempt attempt, Heartbeat.AttemptStatus reported, long now) {
     if (attempt.over()) {
       return;
@@ -63,7 +63,7 @@
     attempt.machine().images().markReady(job.spec().image(), job.spec().imageGb());
     context.metrics().recordDuration("start", now - job.acceptedMicros());
     if (!attempt.adopted()) {
-      // Capacity that is occupied while the task waits for its image.
+      // The task occupied its cores while the machine fetched the image.
       countCoreMillis("core_ms_fetching", job, now - attempt.sentMicros());
     }
     attemptLog.running(attempt);
@@ -83,7 +83,10 @@
       default -> {
         context.metrics().count("tasks_refused");
         log.info(
-            "{} was refused by {}: {}", attempt.name().wireName(), attempt.machine().id(), cause);
+            "task {} was refused by machine {}: {}",
+            attempt.name().wireName(),
+            attempt.machine().id(),
+            cause);
       }
     }
   }
@@ -104,9 +107,9 @@
     Machine machine = attempt.machine();
     job.recordError(now);
     context.metrics().count("task_errors");
-    log.info("{} ended with {} on {}", attempt.name().wireName(), cause, machine.id());
+    log.info("task {} ended with {} on machine {}", attempt.name().wireName(), cause, machine.id());
     if (cause == ExitCause.ERROR && machine.health().recordError(job.uid())) {
-      log.warn("{} fails the tasks of several jobs and is drained", machine.id());
+      log.warn("draining machine {}: tasks of several jobs have failed on it", machine.id());
       machine.drain();
     }
   }
@@ -128,7 +131,11 @@
     return false;
   }
 
-  /** Learns the machine's speed and the estimates' error from a run that was observed whole. */
+  /**
+   * Updates the machine's observed speed and the error of the run time estimates. Uses only runs
+   * that this leader has observed from start to end: adopted attempts and restarted tasks are
+   * skipped.
+   */
   private void observeRunTime(Attempt attempt, long now) {
     if (attempt.runningSinceMicros() < 0
         || attempt.adopted()
@@ -147,7 +154,10 @@
     estimates.observeRatio(attempt.job().spec().jobClass(), ratio);
   }
 
-  /** The task has completed, wherever it ran; has that stored if it is not known yet. */
+  /**
+   * Marks a task as completed, on whichever machine it ran, and has the completion stored. Does
+   * nothing if the completion is already known or the job is over.
+   */
   void taskDone(Job job, int task) {
     if (job.over() || job.completedTasks().get(task)) {
       return;
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -11,25 +11,25 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Heartbeats of machines with tasks that arrive before a new leader has read which jobs there are.
- * An answer would renew leases of tasks whose jobs may have been cancelled long ago, so it is
- * deferred until the leader knows, within the time that a worker waits.
+ * Defers the heartbeats of machines with tasks that arrive before a new leader has loaded the jobs.
+ * An immediate answer would renew the leases of tasks whose jobs may have been cancelled long ago.
+ * The answer is deferred until the jobs are loaded, but not beyond the worker's request timeout.
  */
 public final class DeferredHeartbeats {
-  /** A worker gives up after 4 s, and the answer needs time to reach it. */
+  /** A worker's request times out after 4 s; the answer needs the remaining time to arrive. */
   private static final long MAX_WAIT_MICROS = 2_500_000;
 
   private record Deferred(Heartbeat heartbeat, Responder out, long receivedMicros) {}
 
   private final Loop loop;
 
-  /** Each deferred heartbeat holds a connection. */
+  /** The most heartbeats deferred at a time; each deferred heartbeat holds a connection open. */
   private final int capacity;
 
   private final Map<String, Deferred> byMachine = new LinkedHashMap<>();
 
   /**
-   * Defers no heartbeat yet.
+   * Creates a queue without deferred heartbeats.
    *
    * @param socketLimit the most heartbeats that can be deferred at a time
    */
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Keeps the heartbeat until the jobs are known, or refuses it if too many wait. A later heartbeat
-   * of a machine replaces its earlier one, which is refused.
+   * Defers the heartbeat until the jobs are loaded, or refuses it if the queue is full. A later
+   * heartbeat of a machine replaces the machine's earlier one, which is refused.
    */
   public void defer(Heartbeat heartbeat, Responder out) {
     long now = loop.nowMicros();
@@ -64,8 +64,9 @@
   }
 
   /**
-   * Answers all deferred heartbeats now that the jobs are known. Each is answered in an event of
-   * its own, so that requests which arrive meanwhile need not wait for all of them.
+   * Answers all deferred heartbeats after the jobs have been loaded. Each heartbeat is answered in
+   * a separate event of the loop, so that requests arriving in the meantime do not wait until all
+   * heartbeats are answered.
    */
   public void release(BiConsumer<Heartbeat, Responder> answer) {
     List<Deferred> all = new ArrayList<>(byMachine.values());
@@ -82,7 +83,7 @@
     }
   }
 
-  /** Refuses all deferred heartbeats: this controller no longer leads. */
+  /** Refuses all deferred heartbeats because this controller no longer leads. */
   public void close() {
     release((heartbeat, out) -> out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1));
   }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -21,8 +21,8 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Sends the leader's answers to heartbeats: renews the worker's lease, or refuses to, by the
- * evidence that there is at the time of the answer.
+ * Sends the leader's answers to heartbeats. An answer either renews the worker's lease or refuses
+ * the renewal, depending on the evidence available when the answer is built.
  */
 public final class HeartbeatAnswers {
   private static final int MAX_LINES_PER_SECOND = 20;
@@ -34,7 +34,9 @@
   private final Logger log;
   private final LogBudget logBudget;
 
-  /** Takes the evidence from these jobs and this view of a pool. */
+  /**
+   * Creates a sender of answers that takes its evidence from these jobs and this view of a pool.
+   */
   public HeartbeatAnswers(TermContext context, ActiveJobs jobs, MachineSharing sharing) {
     this.context = context;
     this.jobs = jobs;
@@ -44,15 +46,16 @@
     this.logBudget = new LogBudget(log, MAX_LINES_PER_SECOND);
   }
 
-  /** Why the machine's lease may not be renewed now; empty if it may. */
+  /** Returns why the machine's lease may not be renewed now, or empty if it may be renewed. */
   public Optional<RenewalRefusal> refusal(Machine machine, boolean holdsOpenTasks) {
     return renewal.refusal(evidence(machine, holdsOpenTasks), context.loop().nowMicros());
   }
 
   /**
-   * Renews the lease with these commands if it may still be renewed, and refuses it otherwise.
+   * Sends an answer that renews the lease and carries these commands if the lease may still be
+   * renewed, and a refusal otherwise.
    *
-   * @return true if it was renewed
+   * @return true if the lease was renewed
    */
   public boolean renew(
       Machine machine,
@@ -64,8 +67,9 @@
   }
 
   /**
-   * Renews the lease of a machine without tasks before the jobs are known: nothing runs there that
-   * could have been cancelled, and the term's token voids what a former leader has sent.
+   * Renews the lease of a machine without tasks before the leader has loaded the jobs. No task of a
+   * cancelled job can be running on the machine, and the token of the new term invalidates the
+   * commands of earlier leaders.
    */
   public void renewIdle(Heartbeat heartbeat, Responder out) {
     LeaderEvidence evidence =
@@ -99,14 +103,15 @@
     return false;
   }
 
-  /** Answers without renewing the lease. */
+  /** Sends a refusal, which does not renew the lease. */
   public void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     context.metrics().count("renewals_refused");
     context.metrics().count(refusal.counter());
     long now = context.loop().nowMicros();
     if (logBudget.allowsDebug(now)) {
       log.debug(
-          "the lease of {} incarnation {} is not renewed, token {}: {}, ended jobs as of {} ms ago",
+          "lease of machine {} incarnation {} is not renewed, heartbeat token {}: {}; last read of"
+              + " ended jobs sent {} ms ago",
           heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -19,8 +19,10 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Evaluates the heartbeats of one term: decides how fresh each is, and passes what it proves to the
- * parts that keep it. Everything that heartbeats change goes through here.
+ * Applies the heartbeats that the leader receives during one term. For each heartbeat, checks
+ * whether it is newer than the last report of its machine, and passes the reported attempt states
+ * to the components that track attempts. Every state change caused by a heartbeat is made through
+ * this class.
  */
 public final class HeartbeatHandler {
   private final Logger log;
@@ -36,9 +38,10 @@
   private final StopAndRemoveCommands stopAndRemoveCommands;
 
   /**
-   * Handles the heartbeats of one term.
+   * Creates the handler of one term.
    *
-   * @param sharing asked with each heartbeat; it is set up later than this
+   * @param sharing supplies the view of the pool; called for each heartbeat, because the view is
+   *     created after this handler
    */
   public HeartbeatHandler(
       TermContext context,
@@ -62,28 +65,32 @@
     this.stopAndRemoveCommands = new StopAndRemoveCommands(context, jobs, sharing, attemptLog);
   }
 
-  /** True if anything on which placement depends has changed since the last call. */
+  /** Returns whether an input of placement has changed since the last call; resets the flag. */
   public boolean getAndClearChanged() {
     return placementChange.getAndClear();
   }
 
-  /** How a heartbeat compares with what was received before. */
+  /** The order of a heartbeat relative to the reports received before from its machine. */
   public enum Freshness {
-    /** The newest of its machine. */
+    /** The heartbeat is newer than every earlier report of its machine. */
     LATEST,
-    /** The worker waits for its answer, but the body of a direct call that came first was newer. */
+    /**
+     * The worker still waits for the answer to the heartbeat, but the reply to a direct call, which
+     * arrived first, has newer content.
+     */
     SUPERSEDED,
     /**
-     * Late or sent twice: the worker does not wait for its answer, and its tasks are as old as it
-     * is.
+     * The heartbeat is a delayed or repeated copy. The worker no longer waits for its answer, and
+     * its task list is outdated.
      */
     DUPLICATE
   }
 
   /**
-   * Takes in what a machine reports, if it is the latest.
+   * Applies a machine's report if it is newer than all earlier reports of the machine.
    *
-   * @param source whether it is a heartbeat of its own or the reply to a direct call
+   * @param source whether the report is a heartbeat sent by the worker or the reply to a direct
+   *     call
    */
   public Freshness apply(Machine machine, Heartbeat heartbeat, HeartbeatSource source) {
     long now = context.loop().nowMicros();
@@ -104,15 +111,19 @@
     }
     if (currentTerm && !machine.accounted()) {
       failover.markAccounted(
-          machine, source == HeartbeatSource.WORKER ? "it reported" : "it answered");
+          machine,
+          source == HeartbeatSource.WORKER
+              ? "its worker sent a heartbeat"
+              : "it replied to a direct call");
       placementChange.mark();
     }
     return Freshness.LATEST;
   }
 
   /**
-   * Copies come seconds to minutes late. They must neither bring back what is gone nor count as a
-   * sign of life.
+   * Classifies a report that is not the newest of its machine. Copies of heartbeats arrive seconds
+   * to minutes late. A copy must neither restore removed attempts nor count as a sign that the
+   * machine is alive.
    */
   private static Freshness applyOutdated(
       Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
@@ -141,11 +152,18 @@
     if (newNotice) {
       placementChange.mark();
       context.metrics().count("preemption_notices");
-      log.info("{} has a preemption notice of {} s", machine.id(), heartbeat.preemptionNoticeS());
+      log.info(
+          "machine {} received a preemption notice: it will be reclaimed in {} s",
+          machine.id(),
+          heartbeat.preemptionNoticeS());
     }
   }
 
-  /** Applies the status of each attempt; returns the attempts of this shard that are listed. */
+  /**
+   * Applies the reported status of each attempt.
+   *
+   * @return the listed attempts that belong to this shard
+   */
   private LongHashSet applyAttempts(
       Machine machine, Heartbeat heartbeat, boolean currentTerm, long now) {
     LongHashSet listed = new LongHashSet();
@@ -176,9 +194,10 @@
   }
 
   /**
-   * Takes in what the owner of another shard's machine relays of this shard's tasks on it.
+   * Applies a heartbeat that another shard's leader relays. The machine belongs to that shard, and
+   * the heartbeat lists this shard's tasks on it.
    *
-   * @return {@code LATEST}, or {@code DUPLICATE} for a copy, which proves nothing
+   * @return {@code LATEST}, or {@code DUPLICATE} for an outdated copy, which is ignored
    */
   public Freshness applyRelayed(Machine machine, Heartbeat heartbeat) {
     if (!machine.contact().isNewerThanLast(heartbeat)) {
@@ -201,19 +220,23 @@
     return Freshness.LATEST;
   }
 
-  /** The worker refused a direct command: none of these starts was executed, or ever will be. */
+  /**
+   * Ends the attempts of a direct command that the worker refused. The worker has executed none of
+   * these starts and never will.
+   */
   public void startsRefused(Iterable<Attempt> sent) {
     absentAttempts.endRefused(sent);
   }
 
-  /** Ends all attempts on a machine that was deleted or whose lease has surely expired. */
+  /** Ends all attempts on a machine that was deleted or whose lease has certainly expired. */
   public void endAllAttempts(Machine machine) {
     absentAttempts.endIncarnationsBefore(machine, Long.MAX_VALUE);
   }
 
   /**
-   * True if the machine has tasks of jobs that are not known here to have ended; stops of all
-   * others go with any answer.
+   * Returns whether the heartbeat lists an unfinished task of a job that this leader does not know
+   * to have ended. Tasks of other jobs need no check, because every answer carries their stop
+   * commands.
    */
   public boolean holdsTasksOfActiveJobs(Heartbeat heartbeat) {
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
@@ -224,7 +247,10 @@
     return false;
   }
 
-  /** The stops and removals that an answer to this heartbeat must carry, whatever is planned. */
+  /**
+   * Returns the stop and remove commands that every answer to this heartbeat must carry,
+   * independent of the scheduling plan.
+   */
   public List<WorkerCommand> stopAndRemoveCommands(Machine machine, Heartbeat heartbeat) {
     return stopAndRemoveCommands.forAnswer(machine, heartbeat);
   }
--- a/src/main/java/plumlever/leader/heartbeat/PlacementChange.java
+++ b/src/main/java/plumlever/leader/heartbeat/PlacementChange.java
@@ -1,6 +1,6 @@
 package plumlever.leader.heartbeat;
 
-/** Remembers that a heartbeat changed something on which placement depends. */
+/** Records whether a heartbeat has changed an input of placement. */
 final class PlacementChange {
   private boolean changed;
 
@@ -8,7 +8,7 @@
     changed = true;
   }
 
-  /** True if there was a change since the last call. */
+  /** Returns whether there was a change since the last call, and resets the flag. */
   boolean getAndClear() {
     boolean wasChanged = changed;
     changed = false;
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -19,27 +19,40 @@
 import plumlever.store.Transaction;
 
 /**
- * Delegates the renewal of leases to the other controllers, in zones that this leader can't reach
- * and as long as it can't. From when a delegation is sent until it is known to be revoked and the
- * last read of it has expired, no lease there counts as lapsed by time, and no direct command is
- * sent to a machine there.
+ * Delegates lease renewal to the other controllers in zones that this leader cannot reach, while it
+ * cannot reach them. A delegation may be in use from the time at which it is sent until its
+ * revocation is confirmed and the last read of it has expired. During that period no lease in the
+ * zone is considered expired by elapsed time, and no direct command is sent to a machine in the
+ * zone.
  *
- * <p>Each zone is delegated with a token above all that this leader has sent there. Renewals carry
- * it, so they void starts that were not answered; and it stays above all commands, since none is
- * sent while a renewal can still carry it.
+ * <p>Each zone is delegated with a fencing token higher than every token that this leader has sent
+ * to the zone. Renewals carry that token and thereby invalidate unanswered start commands. No
+ * command is sent while a renewal can still carry the token, and therefore the token stays higher
+ * than the tokens of all commands.
  */
 public final class RenewalDelegation {
 
-  /** Workers try one controller after the other; by then some have found one that reaches them. */
+  /**
+   * How long the leader waits for a controller to announce that it renews leases under the
+   * delegation. Workers try the controllers one after the other; within 9 s some workers have found
+   * a controller that reaches them.
+   */
   private static final long ANNOUNCEMENT_TIMEOUT_MICROS = 9_000_000;
 
+  /** How long a zone is not delegated again after no controller has renewed leases there. */
   private static final long INELIGIBILITY_MICROS = 90_000_000;
 
-  /** The other controller's clock may be slower by twice the bound on drift. */
+  /**
+   * How long another controller may use a read of the delegation, measured on this controller's
+   * clock. The other controller's clock may be slower by twice the drift bound, which adds 1/500.
+   */
   private static final long READ_VALID_MICROS =
       DelegatedRenewal.VALID_MICROS + DelegatedRenewal.VALID_MICROS / 500;
 
-  /** So that the record fits the smallest value, whatever the zones are called. */
+  /**
+   * Limits the size of the record: it must fit the smallest limit on stored values, however long
+   * the zone names are.
+   */
   private static final int MAX_ZONES = 8;
 
   private static final long NO_RECORD = 0;
@@ -50,51 +63,57 @@
   private final TermContext context;
   private final Fleet fleet;
 
-  /** The last token that was delegated with each zone. */
+  /** The token of the latest delegation of each zone. */
   private final Map<String, Long> lastTokenByZone = new HashMap<>();
 
-  /** Zones in which others may be renewing leases. */
+  /** Zones in which other controllers may be renewing leases. */
   private final Set<String> delegatedZones = new HashSet<>();
 
+  /** When the revocation of each zone's latest delegation was confirmed. */
   private final Map<String, Long> revokedMicros = new HashMap<>();
 
-  /** Revision of the record; there is none after an election. */
+  /** Revision of the stored record. After an election no record exists. */
   private long revision = NO_RECORD;
 
   private final Map<String, Long> ineligibleUntilMicros = new HashMap<>();
   private long delegatedMicros;
   private boolean writing;
 
-  /** The delegations of one term: none at first. */
+  /** Creates the delegations of one term; no zone is delegated at first. */
   public RenewalDelegation(TermContext context, Fleet fleet) {
     this.context = context;
     this.fleet = fleet;
     this.log = context.logs().of(RenewalDelegation.class);
   }
 
-  /** True while others may be renewing leases in the zone. */
+  /** Returns whether other controllers may be renewing leases in the zone. */
   public boolean isDelegated(String zone) {
     return delegatedZones.contains(zone);
   }
 
   /**
-   * False while another controller may renew leases in the zone: a direct command could have the
-   * same token as its renewals, and would not be voided by them.
+   * Returns whether direct commands may be sent to machines in the zone. They may not while another
+   * controller may renew leases there: a command could carry the same token as the renewals, and
+   * the renewals would then not invalidate the command.
    */
   public boolean mayCommand(String zone) {
     return !delegatedZones.contains(zone)
         && context.loop().nowMicros() >= revokedMicros(zone) + READ_VALID_MICROS;
   }
 
-  /** When the delegation of the zone was known to be revoked; long ago if there was none. */
+  /**
+   * Returns when the revocation of the zone's latest delegation was confirmed, or a time in the
+   * distant past if there was none.
+   */
   public long revokedMicros(String zone) {
     return revokedMicros.getOrDefault(zone, LONG_AGO_MICROS);
   }
 
   /**
-   * Delegates renewal in zones that can't be reached now, and revokes the delegation once none is
-   * left. A zone that can be reached again stays delegated until the whole delegation has ended:
-   * others may not have read its end yet.
+   * Delegates renewal in the zones that are unreachable now, and revokes the delegation once no
+   * zone is left to delegate. A zone that becomes reachable stays delegated until the whole
+   * delegation is revoked, because other controllers may not yet have read the end of the zone's
+   * delegation.
    */
   public void updateUnreachableZones(Set<String> unreachableZones) {
     Set<String> zones = zonesToDelegate(unreachableZones);
@@ -111,7 +130,11 @@
     }
   }
 
-  /** As many of the unreachable zones as one record holds, those delegated already first. */
+  /**
+   * Selects as many unreachable zones as fit into one record, preferring zones that are already
+   * delegated. Selects no zone if no other controller uses the present delegation; the delegated
+   * zones are then excluded from delegation for {@link #INELIGIBILITY_MICROS}.
+   */
   private Set<String> zonesToDelegate(Set<String> unreachableZones) {
     long now = context.loop().nowMicros();
     Set<String> zones = new HashSet<>(unreachableZones);
@@ -130,8 +153,9 @@
   }
 
   /**
-   * True if no other controller has announced in time that it reaches these workers. Then their
-   * leases lapse, which is only noticed in zones that are not delegated.
+   * Returns whether no other controller has announced in time that it reaches workers in the
+   * delegated zones. The leases of these workers then expire, and this leader detects the expiry
+   * only in zones that are not delegated.
    */
   private boolean hasNoDelegate(long now) {
     return !delegatedZones.isEmpty()
@@ -148,7 +172,7 @@
         .filter(zone -> !previousZones.contains(zone))
         .forEach(zone -> lastTokenByZone.put(zone, sufficientToken(zone)));
     log.info(
-        "leases in {} may be renewed by the other controllers, term {}, tokens {}",
+        "delegating lease renewal in zones {} to the other controllers, term {}, tokens {}",
         delegatedZones,
         context.term().number(),
         lastTokenByZone);
@@ -158,7 +182,8 @@
         result -> {
           switch (result.outcome()) {
             case APPLIED -> revision = result.revision();
-            // Not delegated, nor later, since what it was guarded by has moved on.
+            // The delegation was not written and cannot be written later, because a key that the
+            // transaction requires has changed.
             case CONFLICT -> {
               delegatedZones.retainAll(previousZones);
               revision = UNKNOWN_REVISION;
@@ -169,7 +194,10 @@
         });
   }
 
-  /** Above the tokens of all commands sent to the zone, and of all earlier delegations of it. */
+  /**
+   * Returns a token higher than the tokens of all commands sent to the zone and of all earlier
+   * delegations of the zone.
+   */
   private long sufficientToken(String zone) {
     long highest = lastTokenByZone.getOrDefault(zone, Fleet.firstToken(context.term().number()));
     for (Machine machine : fleet.machines()) {
@@ -181,8 +209,9 @@
   }
 
   /**
-   * Writes the record empty, whatever was there, instead of dropping it: its revision moves on, so
-   * a delegation whose answer was lost can't be executed any more.
+   * Overwrites the record with an empty one, whatever its revision, instead of deleting it. The
+   * write raises the record's revision, so that a delegation whose write was not answered can no
+   * longer be applied.
    */
   private void revoke() {
     write(
@@ -200,7 +229,10 @@
     long now = context.loop().nowMicros();
     delegatedZones.forEach(zone -> revokedMicros.put(zone, now));
     if (!delegatedZones.isEmpty()) {
-      log.info("leases in {} are renewed only by this leader again", delegatedZones);
+      log.info(
+          "revoked the delegation of lease renewal in zones {}: only this leader renews leases"
+              + " there",
+          delegatedZones);
     }
     delegatedZones.clear();
   }
--- a/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
+++ b/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
@@ -15,8 +15,9 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * The commands that every answer to a heartbeat carries, whatever is planned for the machine: stops
- * of tasks that must not run on, and removals of exited attempts that have been handled.
+ * Builds the commands that every answer to a heartbeat carries, independent of the scheduling plan:
+ * stops of tasks that must not continue to run, and removals of ended attempts whose result the
+ * leader has processed.
  */
 final class StopAndRemoveCommands {
   private final TermContext context;
@@ -35,7 +36,7 @@
     this.attemptLog = attemptLog;
   }
 
-  /** The commands for an answer to this heartbeat, in a list that the caller may extend. */
+  /** Returns the commands for an answer to this heartbeat, in a list that the caller may extend. */
   List<WorkerCommand> forAnswer(Machine machine, Heartbeat heartbeat) {
     long now = context.loop().nowMicros();
     List<WorkerCommand> commands = new ArrayList<>();
@@ -52,11 +53,12 @@
   }
 
   /**
-   * A worker that has forgotten an attempt would start it again from a late copy of a direct
-   * command. So nothing is removed until the answer that says so also voids such copies, which has
-   * to wait for a command that is still in flight.
+   * Raises the machine's token so that the answer invalidates all earlier direct commands, unless a
+   * direct command is still in flight. A worker that has removed an attempt would start the attempt
+   * again on receiving a delayed copy of the direct command. Therefore the leader removes attempts
+   * only with an answer that also invalidates these copies.
    *
-   * @return true if no direct command can be executed any more once the answer has arrived
+   * @return true if no earlier direct command can be executed once the answer has arrived
    */
   private static boolean voidDirectCommands(Machine machine) {
     if (machine.tokens().hasUnvoidedCommand() && !machine.contact().commandInFlight()) {
@@ -65,7 +67,10 @@
     return !machine.tokens().hasUnvoidedCommand();
   }
 
-  /** True if the worker has reported how the attempt ended and its result is not needed there. */
+  /**
+   * Returns whether the worker has reported how the attempt ended and no longer needs to keep the
+   * result.
+   */
   private static boolean isHandled(Attempt attempt) {
     return attempt.exitCause() != null
         && (attempt.exitCause() != ExitCause.DONE
@@ -85,7 +90,7 @@
     }
   }
 
-  /** Attempts that the heartbeat lists and this leader does not track. */
+  /** Adds the commands for attempts that the heartbeat lists and this leader does not track. */
   private void addForUnknownAttempts(
       Machine machine, Heartbeat heartbeat, boolean mayRemove, List<WorkerCommand> commands) {
     boolean currentTerm = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
@@ -96,9 +101,9 @@
       }
       Job job = jobs.get(reported.task().job());
       if (reported.state() != AttemptState.ENDED) {
-        // A heartbeat that shows an earlier term does not account for its machine, but tasks of
-        // jobs that have ended are stopped by the first answer: it renews their lease, and the
-        // machine may not receive another one.
+        // A heartbeat with a token of an earlier term does not account for its machine, so tasks of
+        // active jobs are not stopped. Tasks of ended jobs are stopped by the first answer, because
+        // that answer renews the machine's lease and the machine may not receive another answer.
         if (currentTerm || job == null) {
           commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
         }
@@ -109,9 +114,9 @@
   }
 
   /**
-   * The same as {@link #isHandled(Attempt)} for an attempt that is not tracked.
+   * Does the check of {@link #isHandled(Attempt)} for an attempt that this leader does not track.
    *
-   * @param job null if it is not active
+   * @param job the attempt's job, or null if the job is not active
    */
   private static boolean isHandled(Job job, Heartbeat.AttemptStatus reported) {
     return job == null
--- a/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Takes in what the attempt proves: a completed task counts wherever it ran, and a task that an
-   * earlier leader started is adopted if nothing else runs it.
+   * Applies the report of an unknown attempt. A completed task counts on whichever machine it ran.
+   * A task that an earlier leader started is adopted if no other attempt of the task is live.
    */
   void handle(Machine machine, Heartbeat.AttemptStatus reported, long now) {
     Job job = jobs.get(reported.task().job());
@@ -52,10 +52,10 @@
     } else if (mayAdopt(machine, job, reported)) {
       adopt(machine, job, reported, now);
     } else if (job.liveAttempt(task) != null) {
-      // Mostly a heartbeat that was delayed in the network; if not, the stop that answers it comes
-      // in time.
+      // The usual cause is a heartbeat that was delayed in the network. Otherwise the stop command
+      // in the answer reaches the second attempt in time.
       log.info(
-          "{} is reported by {} and runs on {}",
+          "task {} is reported by machine {} but runs on machine {}",
           reported.task().wireName(),
           machine.id(),
           job.liveAttempt(task).machine().id());
@@ -72,8 +72,9 @@
   }
 
   /**
-   * Only the heartbeat that accounts for a machine may bring attempts of earlier terms: one that
-   * was delayed until after the lease had lapsed lists tasks that are dead.
+   * Returns whether the reported attempt may be adopted. Only the heartbeat that accounts for a
+   * machine may add attempts of earlier terms: a heartbeat that was delayed until after the lease
+   * had expired lists tasks that have been killed.
    */
   private boolean mayAdopt(Machine machine, Job job, Heartbeat.AttemptStatus reported) {
     int task = reported.task().number();
--- a/src/main/java/plumlever/leader/heartbeat/package-info.java
+++ b/src/main/java/plumlever/leader/heartbeat/package-info.java
@@ -1,9 +1,9 @@
 /**
  * Evaluates workers' heartbeats and answers them.
  *
- * <p>Owns what a heartbeat proves about attempts and machines, the commands that every answer
- * carries, the decision whether an answer renews the worker's lease, and the delegation of renewal
- * to other controllers. It must not know placement: it only notes that something changed on which
- * placement depends.
+ * <p>Responsible for deriving the state of attempts and machines from heartbeats, for the commands
+ * that every answer carries, for deciding whether an answer renews the worker's lease, and for
+ * delegating lease renewal to other controllers. The package must not depend on placement: it only
+ * records that an input of placement has changed.
  */
 package plumlever.leader.heartbeat;
