--- a/src/main/java/plumlever/lease/ClockDrift.java
+++ b/src/main/java/plumlever/lease/ClockDrift.java
@@ -1,20 +1,22 @@
 package plumlever.lease;
 
 /**
- * What a time counted on one clock may be on another's. Each clock may be off by 0.05%; this allows
- * for twice the sum of two of them.
+ * Bounds how long a period measured on one clock may be on another clock. Each clock may be off by
+ * 0.05%. The bounds allow for 0.2%, twice the sum of the errors of two clocks.
  */
 public final class ClockDrift {
   private static final double PART = 0.002;
 
   private ClockDrift() {}
 
-  /** The least that may have passed elsewhere when this time has passed here. */
+  /**
+   * Returns the least time that may have passed on another clock when this time has passed here.
+   */
   public static long shortestMicros(long micros) {
     return (long) (micros * (1 - PART));
   }
 
-  /** The most that may have to pass here until this time has passed elsewhere. */
+  /** Returns the most time that may pass here until this time has passed on another clock. */
   public static long longestMicros(long micros) {
     return (long) (micros * (1 + PART));
   }
--- a/src/main/java/plumlever/lease/DelegateEvidence.java
+++ b/src/main/java/plumlever/lease/DelegateEvidence.java
@@ -4,13 +4,14 @@
 import plumlever.fleet.Fleet;
 
 /**
- * The evidence of a controller that renews leases for the leader.
+ * The evidence of a controller that renews leases on behalf of the leader.
  *
- * @param token the delegation's token, chosen by the leader above all that it has sent to the zone
- *     and will send there while the delegation lasts: the answer voids whatever is on its way
+ * @param token the delegation's token; the leader chose it higher than every token that it has sent
+ *     or will send to the zone before the delegation ends, so the answer invalidates all commands
+ *     in flight
  * @param reportedToken the highest token that the machine has seen
- * @param validUntilMicros until when the last read of the delegation is good
- * @param endsKnownMicros when the oldest read of the jobs of the machine's tasks had been sent
+ * @param validUntilMicros when the last read of the delegation expires
+ * @param endsKnownMicros when the oldest of the reads of the jobs of the machine's tasks was sent
  */
 public record DelegateEvidence(
     long token, long reportedToken, long validUntilMicros, long endsKnownMicros)
--- a/src/main/java/plumlever/lease/DelegationRecord.java
+++ b/src/main/java/plumlever/lease/DelegationRecord.java
@@ -9,12 +9,13 @@
 import plumlever.wire.Json;
 
 /**
- * The leader's delegation of lease renewal, as it is stored. Versions that would renew without
- * voiding commands look for a field {@code zones}; there is none, so they are given no right. What
- * they themselves have written holds no token and gives no right here.
+ * The stored record of the leader's delegation of lease renewal. Earlier versions of the software
+ * would renew leases without invalidating commands. These versions read a field with another name
+ * than {@code zones}, so this record delegates nothing to them. Records that they have written hold
+ * no tokens and delegate nothing here.
  *
  * @param term the leader's term
- * @param tokenByZone for each delegated zone the token that renewals there carry
+ * @param tokenByZone the token that renewals in each delegated zone carry
  */
 public record DelegationRecord(long term, Map<String, Long> tokenByZone) {
   private static final String TERM = "term";
@@ -22,12 +23,12 @@
   private static final String ZONE = "zone";
   private static final String TOKEN = "token";
 
-  /** Keeps a copy of the map. */
+  /** Copies the map. */
   public DelegationRecord {
     tokenByZone = Map.copyOf(tokenByZone);
   }
 
-  /** Reads what is stored; whatever can't be read gives no right. */
+  /** Reads a stored record. Entries that cannot be read delegate nothing. */
   public static DelegationRecord read(JsonNode stored) {
     Map<String, Long> tokens = new TreeMap<>();
     for (JsonNode zone : stored.path(ZONES)) {
@@ -38,7 +39,7 @@
     return new DelegationRecord(stored.path(TERM).asLong(-1), tokens);
   }
 
-  /** The form that is stored. */
+  /** Returns the JSON object to store. */
   public ObjectNode write() {
     ObjectNode stored = Json.object().put(TERM, term);
     ArrayNode zones = stored.putArray(ZONES);
@@ -47,7 +48,7 @@
     return stored;
   }
 
-  /** The token of renewals in the zone, if it is delegated. */
+  /** Returns the token that renewals in the zone carry, or empty if the zone is not delegated. */
   public OptionalLong tokenOf(String zone) {
     Long token = tokenByZone.get(zone);
     return token == null ? OptionalLong.empty() : OptionalLong.of(token);
--- a/src/main/java/plumlever/lease/ForeignTaskEvidence.java
+++ b/src/main/java/plumlever/lease/ForeignTaskEvidence.java
@@ -1,13 +1,14 @@
 package plumlever.lease;
 
 /**
- * What the owner of a machine knows of the jobs of other shards whose tasks may be on it.
+ * The evidence of a machine's owner on the foreign tasks on the machine.
  *
- * @param running true if such a task may run there, or still be started by its shard
- * @param endsKnownMicros when the oldest of the last answered reads of these shards' ended jobs had
- *     been sent
+ * @param running true if a foreign task may be running on the machine, or may still be started
+ *     there by its originating shard
+ * @param endsKnownMicros the send time of the last answered read of a shard's ended jobs; with
+ *     several originating shards, the oldest of these times
  */
 public record ForeignTaskEvidence(boolean running, long endsKnownMicros) {
-  /** The machine holds nothing of other shards. */
+  /** The evidence for a machine without foreign tasks. */
   public static final ForeignTaskEvidence NONE = new ForeignTaskEvidence(false, 0);
 }
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -6,13 +6,14 @@
 /**
  * The evidence of the leader that owns the machine.
  *
- * @param mayAct the right to act, asked from the clock as the answer is built
- * @param token the machine's present token, above that of every command that has had no answer for
- *     its time
+ * @param mayAct whether the leader may still act according to the clock; checked when the answer is
+ *     built
+ * @param token the machine's current token, higher than that of every command that was not answered
+ *     within its timeout
  * @param holdsOpenTasks true if the heartbeat lists a task of a job that is not known to have ended
- * @param endsKnownMicros when the last read of ended jobs that was answered had been sent
- * @param unanswered commands that may add to what the heartbeat lists
- * @param foreignTasks tasks of other shards
+ * @param endsKnownMicros when the last answered read of ended jobs was sent
+ * @param unanswered commands that may start tasks that the heartbeat does not list
+ * @param foreignTasks evidence on the foreign tasks on the machine
  */
 public record LeaderEvidence(
     BooleanSupplier mayAct,
@@ -23,7 +24,7 @@
     ForeignTaskEvidence foreignTasks)
     implements RenewalEvidence {
 
-  /** Nothing runs on the machine, and no command of this term has been sent to it. */
+  /** Creates the evidence for a machine without tasks that was sent no command in this term. */
   public static LeaderEvidence ofIdleMachine(BooleanSupplier mayAct, long token) {
     return new LeaderEvidence(
         mayAct, token, false, 0, UnansweredCommands.NONE, ForeignTaskEvidence.NONE);
@@ -53,8 +54,9 @@
   }
 
   /**
-   * The heartbeat does not list what an unanswered command may add, so the lease must end in time
-   * for every cancellation that came after the command was sent.
+   * Returns whether tasks that unanswered commands may start would end in time. The heartbeat does
+   * not list these tasks. Therefore the lease must expire in time for every cancellation that was
+   * confirmed after the command was sent.
    */
   private boolean unansweredEndInTime(RenewalLimit limit, long nowMicros) {
     return !unanswered.pending() || limit.mayRenew(nowMicros, unanswered.endsKnownMicros());
--- a/src/main/java/plumlever/lease/LeaseRenewal.java
+++ b/src/main/java/plumlever/lease/LeaseRenewal.java
@@ -5,24 +5,28 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * The only place where an answer is built that renews a worker's lease: none can be given without
- * evidence. A renewed lease prolongs whatever may still be carried out in its incarnation, so the
- * evidence has to account for commands without an answer as well as for the tasks that are listed.
+ * Builds all answers that renew a worker's lease. No other class builds them, so no lease is
+ * renewed without evidence. A renewed lease extends the incarnation, in which the worker may still
+ * execute commands that are in flight. The evidence therefore covers unanswered commands as well as
+ * the tasks that the heartbeat lists.
  */
 public final class LeaseRenewal {
   private final RenewalLimit limit;
 
-  /** Builds answers under this limit. */
+  /** Creates a builder of answers that applies this limit. */
   public LeaseRenewal(RenewalLimit limit) {
     this.limit = limit;
   }
 
-  /** Why the lease would be refused now, if it would be. */
+  /** Returns why renewal would be refused now, or empty if the lease may be renewed. */
   public Optional<RenewalRefusal> refusal(RenewalEvidence evidence, long nowMicros) {
     return evidence.refusal(limit, nowMicros);
   }
 
-  /** The answer to a heartbeat, with these commands; to be sent at once or not at all. */
+  /**
+   * Returns the answer to a heartbeat, with these commands. The caller must send the answer
+   * immediately or discard it.
+   */
   public RenewalDecision answer(
       RenewalEvidence evidence, List<WorkerCommand> commands, long nowMicros) {
     Optional<RenewalRefusal> refusal = refusal(evidence, nowMicros);
--- a/src/main/java/plumlever/lease/RenewalDecision.java
+++ b/src/main/java/plumlever/lease/RenewalDecision.java
@@ -1,15 +1,19 @@
 package plumlever.lease;
 
-/** Whether a heartbeat is answered with a renewal of its worker's lease. */
+/** The decision whether the answer to a heartbeat renews the worker's lease. */
 public sealed interface RenewalDecision {
 
   /**
-   * The lease is renewed by this answer.
+   * The lease is renewed.
    *
-   * @param body the answer to the heartbeat
+   * @param body the body of the answer that renews the lease
    */
   record Renewed(String body) implements RenewalDecision {}
 
-  /** The lease is not renewed. */
+  /**
+   * The lease is not renewed.
+   *
+   * @param refusal the reason
+   */
   record Refused(RenewalRefusal refusal) implements RenewalDecision {}
 }
--- a/src/main/java/plumlever/lease/RenewalEvidence.java
+++ b/src/main/java/plumlever/lease/RenewalEvidence.java
@@ -3,18 +3,18 @@
 import java.util.Optional;
 
 /**
- * What justifies a renewal: the leader has one kind, a controller that renews leases for it
- * another.
+ * The evidence that justifies a lease renewal. The leader provides one kind of evidence, a
+ * controller that renews leases on behalf of the leader another.
  */
 public sealed interface RenewalEvidence permits LeaderEvidence, DelegateEvidence {
 
-  /** The token that the answer carries: with it, commands with lower ones are void. */
+  /** Returns the token of the answer. The token invalidates all commands with lower tokens. */
   long token();
 
   /**
-   * Why the lease must not be renewed now, if it must not.
+   * Returns why the lease must not be renewed now, or empty if the lease may be renewed.
    *
-   * @param nowMicros by the clock that the evidence is told in
+   * @param nowMicros the present time, on the same clock as the times of the evidence
    */
   Optional<RenewalRefusal> refusal(RenewalLimit limit, long nowMicros);
 }
--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -3,23 +3,23 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * How long a lease may still be renewed by a controller that may not know of the latest
- * cancellations (rule 49 of `docs/design.md`). A task lives for a lease from when the answered
- * heartbeat was sent, so with tasks on the machine the answer is given only while that ends in time
- * for a cancellation confirmed right after the last read of ended jobs was <em>sent</em>. The right
- * to act mostly ends sooner; this stands by itself, so that nothing that lengthens the right
- * lengthens the life of cancelled tasks.
+ * Limits how long a controller may renew a lease without knowing the latest cancellations (rule 49
+ * of `docs/design.md`). A task can run for one lease duration after the answered heartbeat was
+ * sent. If the machine has tasks, the lease is therefore renewed only while this period ends in
+ * time for a cancellation confirmed right after the last answered read of ended jobs was
+ * <em>sent</em>. The leader's right to act usually ends earlier. The limit does not depend on that
+ * right, so that a change that extends the right cannot extend the run time of cancelled tasks.
  */
 public final class RenewalLimit {
   /**
-   * Added to a lease before it surely has expired: an answer on its way, a late timer of the
-   * worker.
+   * Added to the lease duration before the lease is considered certainly expired. Covers an answer
+   * in flight and a late timer of the worker.
    */
   private static final long EXPIRY_MARGIN_MICROS = 1_500_000;
 
   /**
-   * Ended jobs are read this many times as often as needed, so that one read that is lost or slow
-   * costs no lease.
+   * Ended jobs are read this many times as often as necessary, so that no lease expires because one
+   * read was lost or slow.
    */
   private static final int READS_PER_LIMIT = 6;
 
@@ -28,7 +28,7 @@
 
   private final long maxAgeMicros;
 
-  /** The limit that follows from these lease and cancellation times. */
+  /** Computes the limit from these lease and cancellation times. */
   public RenewalLimit(PlatformConfiguration.Workers workers) {
     this.maxAgeMicros =
         ClockDrift.shortestMicros(workers.cancelMicros())
@@ -37,17 +37,18 @@
   }
 
   /**
-   * True while a heartbeat that came in by {@code nowMicros} may be answered with 200 although its
-   * machine has tasks.
+   * Returns whether a heartbeat received by {@code nowMicros} may be answered with status 200,
+   * which renews the lease, although its machine has tasks.
    *
-   * @param endsKnownMicros when the last read of ended jobs that was answered had been sent
+   * @param endsKnownMicros when the last answered read of ended jobs was sent
    */
   public boolean mayRenew(long nowMicros, long endsKnownMicros) {
     return nowMicros - endsKnownMicros <= maxAgeMicros;
   }
 
   /**
-   * How long a watch of ended jobs may be left open: one that is not answered yet tells nothing.
+   * Returns how long a watch of ended jobs may stay open. A watch that has not been answered yet
+   * does not show which jobs have ended.
    */
   public long watchMicros() {
     return Math.max(MIN_WATCH_MICROS, Math.min(MAX_WATCH_MICROS, maxAgeMicros / READS_PER_LIMIT));
--- a/src/main/java/plumlever/lease/RenewalRefusal.java
+++ b/src/main/java/plumlever/lease/RenewalRefusal.java
@@ -2,24 +2,24 @@
 
 import java.util.Locale;
 
-/** Why a lease is not renewed. The reasons are sent to workers, so their texts stay as they are. */
+/** The reasons for not renewing a lease. Their texts are sent to workers and must not change. */
 public enum RenewalRefusal {
-  /** The controller may not act as leader, or not any more. */
+  /** The controller may not act as leader, or may no longer do so. */
   NOT_LEADING("not in office"),
 
-  /** A task may be of a job that has ended without this controller's knowing. */
+  /** A task may belong to a job whose end is not known to this controller yet. */
   ENDED_JOBS_UNKNOWN("which jobs have ended is not known"),
 
-  /** A command on its way may add a task that the heartbeat does not list. */
+  /** A command in flight may start a task that the heartbeat does not list. */
   UNANSWERED_COMMAND("a command without an answer may still be carried out"),
 
-  /** The delegation under which leases are renewed for the leader is too old. */
+  /** The last read of the delegation under which leases are renewed has expired. */
   DELEGATION_OVER("the leader's delegation has run out"),
 
-  /** The machine has seen a token of another term than the delegation's. */
+  /** The machine has seen a token of a term that differs from the delegation's term. */
   OTHER_TERM("the machine has seen another term than the delegation's"),
 
-  /** The delegation's token would not void all commands to the machine. */
+  /** The delegation's token is too low to invalidate all commands to the machine. */
   TOKEN_NOT_SUFFICIENT("the machine has seen a higher token than the delegation's");
 
   private final String reason;
@@ -28,12 +28,12 @@
     this.reason = reason;
   }
 
-  /** The text that the worker is sent. */
+  /** Returns the text that is sent to the worker. */
   public String reason() {
     return reason;
   }
 
-  /** The name of the counter of such refusals. */
+  /** Returns the name of the counter of refusals for this reason. */
   public String counter() {
     return "renewals_refused_" + name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/plumlever/lease/UnansweredCommands.java
+++ b/src/main/java/plumlever/lease/UnansweredCommands.java
@@ -1,19 +1,19 @@
 package plumlever.lease;
 
 /**
- * Commands to start tasks that were sent straight to a machine and have had no answer: each may be
- * carried out until the machine has shown a higher token than theirs or its incarnation has ended,
- * whatever its heartbeats list.
+ * The direct start commands to a machine that have not been answered. The worker may execute each
+ * of these commands until it has reported a higher token than the command's or its incarnation has
+ * ended, whether or not its heartbeats list the task.
  *
- * @param pending false if there are none
- * @param endsKnownMicros when the last read of ended jobs that was answered before they were sent
- *     had been sent: what was cancelled before it was not started
+ * @param pending true if there are unanswered commands
+ * @param endsKnownMicros the send time of the last read of ended jobs that was answered before the
+ *     commands were sent; the commands start no task of a job cancelled before that time
  */
 public record UnansweredCommands(boolean pending, long endsKnownMicros) {
-  /** Every command to the machine has been answered, or none was sent. */
+  /** No command to the machine is unanswered. */
   public static final UnansweredCommands NONE = new UnansweredCommands(false, 0);
 
-  /** There are some, sent after this read of ended jobs. */
+  /** Returns a record of unanswered commands that were sent after this read of ended jobs. */
   public static UnansweredCommands sentAfter(long endsKnownMicros) {
     return new UnansweredCommands(true, endsKnownMicros);
   }
--- a/src/main/java/plumlever/lease/package-info.java
+++ b/src/main/java/plumlever/lease/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Under which proof a worker's lease is renewed.
+ * Decides on which evidence a worker's lease is renewed.
  *
- * <p>Owns the decision: every answer that renews a lease is built by {@link
- * plumlever.lease.LeaseRenewal} from typed evidence, and the reasons of refusals. Owns the stored
- * form of a delegation as well. Must not know who gathers the evidence, nor how: no I/O, no clock,
- * no jobs.
+ * <p>Responsible for the decision, for the reasons of refusals and for the stored form of a
+ * delegation. {@link plumlever.lease.LeaseRenewal} builds every answer that renews a lease, from
+ * typed evidence. The package must not depend on how the evidence is gathered: it does no I/O,
+ * reads no clock and does not know jobs.
  */
 package plumlever.lease;
