--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -12,7 +12,7 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 
-/** Takes a worker's heartbeat in and answers it. */
+/** Applies a worker's heartbeat and answers it. */
 final class HeartbeatResponder {
   private final TermContext context;
   private final Fleet fleet;
@@ -44,12 +44,12 @@
     this.notices = new PreemptionNotices(context);
   }
 
-  /** What earlier leaders left is known from now on. */
+  /** Called once the records of earlier leaders have been loaded. */
   void recordsLoaded() {
     screening.recordsLoaded();
   }
 
-  /** Answers the heartbeat, now or once the records are loaded. */
+  /** Answers the heartbeat, immediately or once the records are loaded. */
   void respond(Heartbeat heartbeat, Responder out) {
     if (screening.answered(heartbeat, out)) {
       return;
@@ -67,8 +67,8 @@
       context.metrics().count("heartbeat_copies");
       out.retryLater(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
     } else if (machine.contact().unreachable()) {
-      // Were it answered, its lease would count as renewed for ever, and nobody else could have its
-      // tasks.
+      // Each answer would count as a renewal, so the lease would never be considered expired and
+      // the machine's tasks could never be started elsewhere.
       out.retryLater(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
     } else {
       boolean newest = freshness == HeartbeatHandler.Freshness.LATEST;
@@ -81,7 +81,7 @@
     }
   }
 
-  /** The machine of the heartbeat, which may be heard of for the first time. */
+  /** Returns the machine of the heartbeat; adds the machine to the fleet if it is unknown. */
   private Machine machineOf(Heartbeat heartbeat) {
     Machine machine = fleet.machine(heartbeat.machineId());
     if (machine == null) {
@@ -100,8 +100,8 @@
   }
 
   /**
-   * A heartbeat that shows an earlier term may be a late copy of a machine that is gone: nothing is
-   * recorded for it.
+   * Registers the machine if it has no record yet. A heartbeat with a token of an earlier term may
+   * be a delayed copy from a machine that no longer exists, and does not register the machine.
    */
   private void enrollIfUnrecorded(Machine machine, Heartbeat heartbeat) {
     if (machine.registration() == RegistrationState.NONE
--- a/src/main/java/plumlever/leader/HeartbeatScreening.java
+++ b/src/main/java/plumlever/leader/HeartbeatScreening.java
@@ -10,9 +10,9 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 
-/** Decides which heartbeats this leader must not act on, or not yet, and answers those. */
+/** Answers or defers the heartbeats that this leader must not act on, or must not act on yet. */
 final class HeartbeatScreening {
-  /** So that the leader of the later term is not stood against. */
+  /** Pause before the next candidacy, to avoid competing with the leader of the later term. */
   private static final long LATER_TERM_PAUSE_MICROS = 1_000_000;
 
   private final TermContext context;
@@ -35,14 +35,16 @@
     this.answers = answers;
   }
 
-  /** What earlier leaders left is known from now on. */
+  /** Called once the records of earlier leaders have been loaded. */
   void recordsLoaded() {
     recordsLoaded = true;
   }
 
   /**
-   * @return true if the heartbeat is answered, or kept to be answered; nothing else may follow from
-   *     it
+   * Answers or defers the heartbeat if this leader must not act on it now.
+   *
+   * @return true if the heartbeat was answered or deferred; the caller must then ignore the
+   *     heartbeat
    */
   boolean answered(Heartbeat heartbeat, Responder out) {
     if (!context.term().mayAct()) {
@@ -53,9 +55,10 @@
       return true;
     }
     if (showsLaterTerm(heartbeat)) {
-      // Somebody holds a later term, so this one is over whatever this controller believes.
+      // A controller has been elected for a later term, so this term is over even if this
+      // controller has not noticed it.
       context.resign(
-          "a worker has seen term " + Fleet.termOf(heartbeat.fencingToken()),
+          "a worker has seen a token of the later term " + Fleet.termOf(heartbeat.fencingToken()),
           LATER_TERM_PAUSE_MICROS);
       out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -17,9 +17,10 @@
 import plumlever.wire.RelayedHeartbeat;
 
 /**
- * One term of leadership, from election until the leader leaves: reads what earlier leaders left,
- * then has the parts of the term work. All methods are called on the thread that decides. Until the
- * records are read, jobs are unknown here and heartbeats of machines with tasks wait.
+ * One term of leadership, from the election until the controller no longer leads. The leader loads
+ * the records of earlier leaders and then starts the components of the term. All methods are called
+ * on the loop thread, which makes all decisions. Until the records are loaded, the leader knows no
+ * jobs and defers the heartbeats of machines with tasks.
  */
 public final class Leader implements AutoCloseable {
   private final Logger log;
@@ -30,7 +31,7 @@
   private final TermParts parts;
   private boolean loaded;
 
-  /** A leader for one term, which does nothing until it is started. */
+  /** Creates a leader for one term. The leader does nothing until it is started. */
   public Leader(TermContext context) {
     this.context = context;
     this.log = context.logs().of(Leader.class);
@@ -39,12 +40,12 @@
     this.parts = new TermParts(context, early);
   }
 
-  /** True while this leader's own term lasts. */
+  /** Returns whether this leader's term is still valid. */
   public boolean mayAct() {
     return context.term().mayAct();
   }
 
-  /** Begins to read the records; the parts of the term start once that is done. */
+  /** Starts to load the records; the components of the term start when the load is complete. */
   public void start() {
     records.read(this::begin);
   }
@@ -54,7 +55,8 @@
     loaded = true;
     parts.endCompleteJobs();
     log.info(
-        "term {} begins with {} jobs and {} machines to account for, {} ms after election",
+        "term {} started with {} jobs and {} machines not yet accounted for, {} ms after the"
+            + " election",
         context.term().number(),
         parts.jobs().all().size(),
         parts.failover().unaccounted().size(),
@@ -69,35 +71,35 @@
   }
 
   /**
-   * Gives a machine to another shard at an operator's wish.
+   * Offers the transfer of a machine to another shard, at the request of an operator.
    *
-   * @return false if it is not one that can be given now
+   * @return false if the machine cannot be transferred now
    */
   public boolean transfer(String machine, String shard) {
     return parts.sharing().offerTransfer(machine, shard);
   }
 
-  /** Answers a heartbeat that another shard's leader passes on, for this shard's tasks. */
+  /** Answers a heartbeat that another shard's leader relays for this shard's tasks. */
   public void relayedHeartbeat(RelayedHeartbeat relayed, Responder out) {
     parts.sharing().answerRelayed(relayed, out);
   }
 
-  /** True once nothing that earlier leaders started is unknown. */
+  /** Returns whether everything that earlier leaders started is accounted for. */
   public boolean failoverComplete() {
     return parts.failover().isComplete();
   }
 
-  /** The job as this leader knows it, if it does. */
+  /** Returns the job, or empty if this leader does not know the job. */
   public Optional<Job> job(String uid) {
     return loaded ? Optional.ofNullable(parts.jobs().get(uid)) : Optional.empty();
   }
 
-  /** Finished and running tasks of a job for display, if it is known here. */
+  /** Returns a job's counts of completed and running tasks, for display; empty if unknown. */
   public Optional<TaskCounts> taskCounts(String uid) {
     return job(uid).map(Leader::taskCounts);
   }
 
-  /** Finished and running tasks of each job by its id, for display at other controllers. */
+  /** Returns the task counts of each job by job id, for display by other controllers. */
   public Map<String, TaskCounts> taskCounts() {
     Map<String, TaskCounts> counts = new LinkedHashMap<>();
     if (loaded) {
@@ -110,27 +112,30 @@
     return new TaskCounts(job.completedCount(), job.liveAttemptCount());
   }
 
-  /** The job's end is stored; its tasks are stopped without waiting for the watch events. */
+  /** Stops the tasks of a job whose cancellation is stored, without waiting for watch events. */
   public void jobCancelled(String uid) {
     if (loaded) {
       parts.jobs().jobEnded(uid, JobState.CANCELLED);
     }
   }
 
-  /** Advice of another controller, which may only stop more. */
+  /**
+   * Takes another controller's report that these cancellations are confirmed. The report is
+   * advisory and can only cause additional tasks to be stopped.
+   */
   public void cancellationsConfirmed(Collection<String> uids) {
     if (loaded) {
       parts.jobs().cancellationsConfirmed(uids);
     }
   }
 
-  /** Ends the term's work: nothing of it acts afterwards. */
+  /** Ends the term's work. No component of the term acts afterwards. */
   @Override
   public void close() {
     records.close();
     early.close();
     scope.close();
-    // Also where the records were never read, so that the jobs are not in the scope.
+    // If the records were never loaded, the scope does not own the jobs and does not close them.
     parts.jobs().close();
   }
 }
--- a/src/main/java/plumlever/leader/LeaseRenewalResponder.java
+++ b/src/main/java/plumlever/leader/LeaseRenewalResponder.java
@@ -13,7 +13,7 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.WorkerCommand;
 
-/** Renews a machine's lease with all commands that are due, if there is evidence enough for it. */
+/** Renews a machine's lease and sends all commands that are due, if the evidence is sufficient. */
 final class LeaseRenewalResponder {
   private final TermContext context;
   private final HeartbeatHandler heartbeats;
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Answers a heartbeat that was taken in.
+   * Answers a heartbeat that has been applied.
    *
-   * @param newest whether it is the newest of its machine
+   * @param newest whether the heartbeat is the newest report of its machine
    */
   void respond(Machine machine, Heartbeat heartbeat, boolean newest, Responder out) {
     boolean holdsOpenTasks = heartbeats.holdsTasksOfActiveJobs(heartbeat);
@@ -54,7 +54,8 @@
     if (newest && machine.tokens().isOfSameTerm(heartbeat.fencingToken())) {
       plannedStarts.addTo(due, machine);
     }
-    // The right to act is checked once more there: this may have run so late that it has ended.
+    // The leader's right to act may have ended since the check above if this thread ran late, so
+    // renew() checks the right again.
     if (answers.renew(machine, heartbeat, holdsOpenTasks, due, out)) {
       machine.recordRenewal(context.loop().nowMicros());
     }
@@ -63,7 +64,7 @@
   private void refuse(Machine machine, Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     answers.refuse(heartbeat, refusal, out);
     if (refusal == RenewalRefusal.UNANSWERED_COMMAND) {
-      // With a higher token the command is void, and the next heartbeat may be answered.
+      // A higher token invalidates the command, so that the next heartbeat can be answered.
       commands.sendToken(machine);
     }
   }
--- a/src/main/java/plumlever/leader/PlannedStarts.java
+++ b/src/main/java/plumlever/leader/PlannedStarts.java
@@ -7,11 +7,11 @@
 import plumlever.leader.scheduling.TaskStarter;
 import plumlever.wire.WorkerCommand;
 
-/** Starts, with the answer to a heartbeat, the tasks that are planned for its machine. */
+/** Adds the starts of the tasks planned for a machine to the answer to its heartbeat. */
 record PlannedStarts(SchedulingPass pass, TaskStarter starter) {
   /**
-   * Adds the commands that start the planned tasks, unless the machine or their jobs are not on
-   * record yet, or an earlier start is not confirmed.
+   * Adds the commands that start the planned tasks. Adds none if the machine or the jobs of the
+   * tasks are not recorded yet, or if an earlier start is unconfirmed.
    */
   void addTo(List<WorkerCommand> commands, Machine machine) {
     if (pass.hasPlan(machine)
--- a/src/main/java/plumlever/leader/PreemptionNotices.java
+++ b/src/main/java/plumlever/leader/PreemptionNotices.java
@@ -6,11 +6,11 @@
 import plumlever.wire.Heartbeat;
 
 /**
- * Acts on the notice that a machine will be taken away: tasks that can save a checkpoint are
- * stopped in time for it, others are left to finish if they can.
+ * Handles the notice that a machine will be preempted. Tasks that can save a checkpoint are stopped
+ * early enough to save it. Other tasks continue to run, as they may complete in the remaining time.
  */
 final class PreemptionNotices {
-  /** The next heartbeat comes within so many usual intervals. */
+  /** The next heartbeat is expected within this many heartbeat intervals. */
   private static final double NEXT_HEARTBEAT_INTERVALS = 1.5;
 
   private static final int ANSWER_DELIVERY_S = 1;
@@ -23,7 +23,10 @@
     this.context = context;
   }
 
-  /** Stops what could not be saved any more if it were left until the next heartbeat. */
+  /**
+   * Stops the tasks that would have too little time left for a checkpoint if they were stopped only
+   * at the next heartbeat.
+   */
   void apply(Machine machine, Heartbeat heartbeat) {
     if (!heartbeat.hasPreemptionNotice()) {
       return;
--- a/src/main/java/plumlever/leader/SchedulingPasses.java
+++ b/src/main/java/plumlever/leader/SchedulingPasses.java
@@ -6,15 +6,16 @@
 import plumlever.leader.scheduling.SchedulingPass;
 
 /**
- * Decides when scheduling passes run. Requests for one are gathered: the pause after a pass is a
- * few times what it took, so that heartbeats and users' requests come first.
+ * Decides when scheduling passes run. Requests for a pass are coalesced: the pause after a pass is
+ * a multiple of the time that the pass took, so that heartbeats and users' requests are handled
+ * first.
  */
 final class SchedulingPasses {
   private static final long MIN_PAUSE_MICROS = 150_000;
   private static final long MAX_PAUSE_MICROS = 1_500_000;
   private static final int PAUSE_PER_TIME_SPENT = 3;
 
-  /** Before a pass that used up its time budget goes on. */
+  /** The pause before a pass that has used up its time budget is resumed. */
   private static final long RESUME_PAUSE_MICROS = 5_000;
 
   private final TermContext context;
@@ -30,12 +31,12 @@
     this.commands = commands;
   }
 
-  /** Something changed that placement depends on. */
+  /** Requests a pass because an input of placement has changed. */
   void request() {
     requested = true;
   }
 
-  /** What was planned for jobs that had to be recorded first can go out now. */
+  /** Sends the planned starts of jobs that had to be recorded as started first. */
   void startedJobsRecorded() {
     requested = true;
     commands.dispatch(fleet);
@@ -55,7 +56,7 @@
       return RESUME_PAUSE_MICROS;
     }
     requested = false;
-    // A thread that runs late has heartbeats and requests before it that come first.
+    // If the thread is late, heartbeats and requests are queued and must be handled first.
     long pause =
         PAUSE_PER_TIME_SPENT * Math.max(pass.spentMicros(), context.latenessMicros().getAsLong());
     return Math.max(MIN_PAUSE_MICROS, Math.min(MAX_PAUSE_MICROS, pause));
--- a/src/main/java/plumlever/leader/TermParts.java
+++ b/src/main/java/plumlever/leader/TermParts.java
@@ -27,8 +27,8 @@
 import plumlever.store.JobStore;
 
 /**
- * The parts that work for the leader in one term: puts them together, fills them with what earlier
- * leaders left, and starts them. None outlives the term.
+ * The components that work for the leader during one term. Creates them, loads the records of
+ * earlier leaders into them, and starts them. All components are closed when the term ends.
  */
 final class TermParts {
   private final TermContext context;
@@ -50,7 +50,7 @@
   private final TokenRaiser tokenRaiser;
   private final HeartbeatResponder responder;
 
-  /** The parts of the term, which do nothing until they are started. */
+  /** Creates the components of the term. They do nothing until they are started. */
   TermParts(TermContext context, DeferredHeartbeats early) {
     this.context = context;
     this.fleet = new Fleet(context.term().number());
@@ -147,7 +147,7 @@
     return responder;
   }
 
-  /** Takes what earlier leaders left. */
+  /** Loads the records of earlier leaders. */
   void load(RecoveryRead found) {
     registry.load(found.listing(JobStore.FLEET).items(), fleet);
     warmState.load(found.listing(JobStore.WARM_STATE).items());
@@ -160,7 +160,10 @@
     progress.takeOverStoredProgress();
   }
 
-  /** An earlier leader may have stored the last task of a job, but not its end. */
+  /**
+   * Ends the jobs whose tasks are all complete. An earlier leader may have stored the completion of
+   * a job's last task but not the end of the job.
+   */
   void endCompleteJobs() {
     jobs.all()
         .forEach(
@@ -171,7 +174,7 @@
             });
   }
 
-  /** Starts all recurring work; it ends with the scope, in reverse order. */
+  /** Starts all recurring tasks. The scope closes the components in reverse order. */
   void start(Scope scope) {
     scope.own(sharing::close);
     scope.own(jobs::close);
--- a/src/main/java/plumlever/leader/TokenRaiser.java
+++ b/src/main/java/plumlever/leader/TokenRaiser.java
@@ -10,19 +10,21 @@
 import plumlever.leader.scheduling.CommandSender;
 
 /**
- * Shows the term's token to machines not accounted for, without waiting for their heartbeats; and
- * now and then to those that nothing seems to reach, whose heartbeats are not answered meanwhile.
+ * Sends raised fencing tokens to machines by direct call. Machines that are not yet accounted for
+ * in a failover receive the term's token without having to send a heartbeat first. Unreachable
+ * machines are called periodically, because their heartbeats are not answered.
  */
 record TokenRaiser(TermContext context, Fleet fleet, Failover failover, CommandSender commands) {
   private static final long FAILOVER_INTERVAL_MICROS = 100_000;
   private static final long UNREACHABLE_INTERVAL_MICROS = 4_000_000;
 
-  /** Within this time after an answer the machine's next heartbeat shows the token. */
+  /** A machine's next heartbeat shows the token of an answer within this time after the answer. */
   private static final long ANSWER_SHOWS_TOKEN_MICROS = 2_000_000;
 
+  /** The lateness of the loop thread above which the number of calls is limited. */
   private static final long LATE_FROM_MICROS = 50_000;
 
-  /** Enough to find out the machines that are gone. */
+  /** Enough concurrent calls to detect the machines that no longer exist. */
   private static final int MAX_CALLS_WHILE_LATE = 6;
 
   /** Runs as a recurring task; returns the pause until the next run. */
@@ -40,8 +42,8 @@
 
   private void raiseOnUnaccounted() {
     long now = context.loop().nowMicros();
-    // Those that did not answer come last: dozens behind a cut would else be called again and
-    // again, and nobody else.
+    // Machines that did not answer come last. Otherwise dozens of machines behind a network
+    // partition would be called repeatedly and no other machine would be called.
     List<Machine> unaccounted = new ArrayList<>(failover.unaccounted());
     unaccounted.sort(
         Comparator.comparingInt(machine -> machine.contact().consecutiveFailedCalls()));
@@ -57,8 +59,9 @@
   }
 
   /**
-   * Where time is short, calls make way for the heartbeats that come anyhow: both tell the same,
-   * and all machines that still work report within seconds.
+   * Returns the limit on concurrent calls. While the loop thread is late, calls are limited in
+   * favor of heartbeats: both provide the same information, and every machine that works sends a
+   * heartbeat within seconds.
    */
   private int maxCalls() {
     return context.latenessMicros().getAsLong() > LATE_FROM_MICROS
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -15,128 +15,128 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * What a leader has to know of the pool that its machines belong to. The defaults hold without a
- * pool: all machines are its own, and nothing is read or stored.
+ * A leader's view of the pool that its machines belong to. The default methods are for a leader
+ * without a pool: the leader owns all machines, and nothing is read or stored.
  */
 public interface MachineSharing {
-  /** A leader that has all machines for itself. */
+  /** The view of a leader that shares no machines. */
   MachineSharing NONE = new MachineSharing() {};
 
-  /** True where this is one shard of a pool. */
+  /** Returns whether this leader's shard belongs to a pool. */
   default boolean inPool() {
     return false;
   }
 
   /**
-   * True where a token of a later term proves that this term is over. The shards of a pool number
-   * their terms from one counter, so there it may be another shard's.
+   * Returns whether a token of a later term proves that this term is over. The shards of a pool
+   * number their terms from one counter, so in a pool the later term may belong to another shard.
    */
   default boolean laterTermEndsThisOne() {
     return !inPool();
   }
 
   /**
-   * Takes the records of the pool, read after the term had been taken.
+   * Loads the records of the pool, which were read after the election.
    *
-   * @param askedMicros when the read had been sent
+   * @param askedMicros when the read was sent
    */
   default void poolRecordsRead(StateClient.Listing pool, long askedMicros) {}
 
-  /** True if a machine that the cloud lists is this shard's. */
+  /** Returns whether a machine listed by the cloud belongs to this shard. */
   default boolean isOwn(ListedMachine listed) {
     return true;
   }
 
-  /** True for a machine of this shard that is on record as one to be returned. */
+  /** Returns whether a machine of this shard is recorded as to be returned to the cloud. */
   default boolean mustReturn(String machine) {
     return false;
   }
 
   /**
-   * Answers the heartbeat of a machine that is not this shard's, or that it may not answer now.
+   * Answers the heartbeat if its machine belongs to another shard, or if this shard may not answer
+   * the machine normally now.
    *
-   * @return true if it has been answered
+   * @return true if the heartbeat has been answered
    */
   default boolean answerUnlessOwn(Heartbeat heartbeat, Responder out) {
     return false;
   }
 
   /**
-   * Makes rented machines this shard's own.
+   * Claims rented machines for this shard.
    *
-   * @param claimed takes each machine once it is on record as this shard's
+   * @param claimed receives each machine once it is recorded as this shard's
    */
   default void claimRented(List<String> machines, Consumer<String> claimed) {
     machines.forEach(claimed);
   }
 
   /**
-   * Has it recorded that these machines are to be returned.
+   * Records that these machines are to be returned to the cloud.
    *
-   * @param recorded runs once that is stored; from then on nobody else can own them
+   * @param recorded called once the record is stored; after that no other shard can become the
+   *     owner of the machines
    */
   default void recordReturns(List<Machine> machines, Runnable recorded) {
     recorded.run();
   }
 
-  /** The machines do not exist any more. */
+  /** Called when the machines have been returned and no longer exist. */
   default void machinesReturned(List<Machine> machines) {}
 
-  /** True for an attempt of another shard that may be on the machine. */
+  /** Returns whether the attempt belongs to a foreign task that may be on the machine. */
   default boolean isForeign(Machine machine, long attempt) {
     return false;
   }
 
-  /** A heartbeat of one of this shard's machines was applied to what the leader knows. */
+  /** Called when the leader has applied a heartbeat of one of this shard's machines. */
   default void heartbeatApplied(Machine machine, Heartbeat heartbeat) {}
 
-  /** What is known of the jobs of other shards whose tasks may be on the machine. */
+  /** Returns the evidence on the foreign tasks that may be on the machine. */
   default ForeignTaskEvidence foreignTaskEvidence(Machine machine) {
     return ForeignTaskEvidence.NONE;
   }
 
-  /** What the shards whose tasks are on the machine want done with them. */
+  /** Returns the commands that the originating shards have requested for their foreign tasks. */
   default List<WorkerCommand> foreignTaskCommands(Machine machine, Heartbeat heartbeat) {
     return List.of();
   }
 
-  /** The lease of the machine has surely expired: none of its tasks can still run. */
+  /** Called when the machine's lease has certainly expired, so that none of its tasks can run. */
   default void leaseExpired(Machine machine) {}
 
-  /**
-   * Answers a heartbeat that the leader of the machine's shard passes on for this shard's tasks.
-   */
+  /** Answers a heartbeat that the leader of the machine's shard relays for this shard's tasks. */
   default void answerRelayed(RelayedHeartbeat relayed, Responder out) {}
 
   /**
-   * Gives a machine to another shard, whatever the policy says.
+   * Offers the transfer of a machine to another shard, regardless of the sharing policy.
    *
-   * @return false if it is not one that can be given now
+   * @return false if the machine cannot be transferred now
    */
   default boolean offerTransfer(String machine, String shard) {
     return false;
   }
 
-  /** False while capacity that is lacking may still come from other shards. */
+  /** Returns whether machines may be rented; false while other shards may provide the capacity. */
   default boolean mayRent() {
     return true;
   }
 
-  /** False while an idle machine may be of use to some shard. */
+  /** Returns whether idle machines may be returned; false while a shard may need them. */
   default boolean mayReturnIdle() {
     return true;
   }
 
-  /** Machines that are being given to this shard. */
+  /** Returns the machines that are being transferred to this shard. */
   default List<RentalPlan.RentalOption> incomingMachines() {
     return List.of();
   }
 
-  /** What this shard may use of the team's limit; a resource without a limit has 0. */
+  /** Returns this shard's part of the team's limit; 0 stands for a resource without a limit. */
   default LimitParts.Part teamLimit(PlatformConfiguration.Team team) {
     return new LimitParts.Part(team.maxCores(), team.maxAccelerators());
   }
 
-  /** The term has ended: nothing is read or stored any more. */
+  /** Called when the term has ended. Nothing is read or stored afterwards. */
   default void close() {}
 }
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -19,31 +19,32 @@
 import plumlever.store.StateClient;
 
 /**
- * What the parts of a leader share in one term. A part takes it whole but uses only what it needs:
- * all use the loop, the term, the metrics and the logs; who uses the rest is told below.
+ * The services and settings that the components of a leader share during one term. Every component
+ * receives the whole context and uses only what it needs. All components use the loop, the term,
+ * the metrics and the logs; the users of the other values are named below.
  *
- * @param loop runs all decisions of the term, and is their clock
+ * @param loop runs all decisions of the term and provides their clock
  * @param platform limits, objectives, teams and addresses of the deployment
- * @param parameters what the operators set; used by scheduling, machines and progress
+ * @param parameters the operators' settings; used by scheduling, machines and progress
  * @param election ends the term early; used by machines and by the delegation of renewals
  * @param term the term of leadership, with its number, token and right to act
- * @param store the state service; used by whatever reads or writes records
+ * @param store client of the state service; used by all components that read or write records
  * @param layout keys and values of records; used with {@code store}
  * @param cloud rents, lists and returns machines; used by machines
  * @param prices the machine types and their prices; used by scheduling, machines, the pool,
  *     failover and heartbeats
  * @param caller sends commands to workers and requests to other shards; used by scheduling and the
  *     pool
- * @param workersElsewhere how many workers send heartbeats to another controller, as the others
- *     say; advice, used by machines
- * @param reader reads what earlier leaders left, not on this thread; used by the recovery read
- * @param latenessMicros how late this thread was lately: what can wait makes way; used by the pace
- *     of scheduling passes and of token raises, and by machines
- * @param logs gives loggers by class
- * @param moneyMatters whether to save money where the objectives leave time; used by scheduling and
- *     machines for each machine of each pass
- * @param sharing how the machines of a pool are shared, if this is one of its shards; used by the
- *     recovery read, by the delegation of renewals and where the parts are put together
+ * @param workersElsewhere how many workers send heartbeats to other controllers, as reported by
+ *     these controllers; advisory, used by machines
+ * @param reader reads the records of earlier leaders on another thread; used by the recovery read
+ * @param latenessMicros how late the loop thread has run recently, so that deferrable work can be
+ *     postponed; used to pace scheduling passes and token raises, and by machines
+ * @param logs provides loggers by class
+ * @param moneyMatters whether to reduce cost where the objectives leave time; used by scheduling
+ *     and machines for each machine of each pass
+ * @param sharing how the machines of a pool are shared, if this leader's shard belongs to a pool;
+ *     used by the recovery read, by the delegation of renewals and when the components are created
  */
 public record TermContext(
     Loop loop,
@@ -64,31 +65,31 @@
     boolean moneyMatters,
     Optional<SharingSettings> sharing) {
 
-  /** Lists keys on another thread than the one that decides. */
+  /** Lists keys on a thread other than the loop thread. */
   public interface RecoveryReader {
     /**
      * Lists all keys under the prefix.
      *
-     * @param whenRead takes nothing when the keys could not all be read; runs on the thread that
-     *     decides
+     * @param whenRead receives the listing, or empty if not all keys could be read; called on the
+     *     loop thread
      */
     void list(String prefix, Consumer<Optional<StateClient.Listing>> whenRead);
   }
 
   /**
-   * Ends the term; this controller does not stand again for the pause.
+   * Ends the term. This controller is not a candidate again until the pause has passed.
    *
-   * @param reason for the log
+   * @param reason the reason to log
    */
   public void resign(String reason, long pauseMicros) {
     election.resign(term, reason, pauseMicros);
   }
 
   /**
-   * Ends the term because its numbers for attempts or tokens run out: a new term starts all numbers
-   * anew, and this controller may take it itself.
+   * Ends the term because its attempt numbers or fencing tokens are nearly exhausted. All numbers
+   * restart in a new term, and this controller may become the leader of that term.
    */
   public void resignForNumbers() {
-    resign("the numbers of this term run out", 0);
+    resign("the attempt numbers or fencing tokens of this term are nearly exhausted", 0);
   }
 }
--- a/src/main/java/plumlever/leader/context/package-info.java
+++ b/src/main/java/plumlever/leader/context/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the parts of a leader share for one term: the services that they call and the view that they
- * have of a pool. It holds no state of its own and must know none of the parts.
+ * The context that the components of a leader share during one term: the services that they call
+ * and their view of a pool. The package holds no state and must not depend on any of the
+ * components.
  */
 package plumlever.leader.context;
--- a/src/main/java/plumlever/leader/package-info.java
+++ b/src/main/java/plumlever/leader/package-info.java
@@ -1,8 +1,9 @@
 /**
- * One term of the leader: puts its parts together, starts and ends them, decides when scheduling
- * passes run and when tokens are raised, and takes heartbeats through the checks to their answer.
+ * Runs one term of the leader: creates, starts and closes the components of the term, decides when
+ * scheduling passes run and when tokens are raised, and handles heartbeats from the first check to
+ * the answer.
  *
- * <p>What a part decides is known in its own package below, not here; whether machines are shared
- * with other shards is known here only as {@code MachineSharing}.
+ * <p>The decisions of each component are made in the component's own subpackage. This package
+ * accesses the sharing of machines with other shards only through {@code MachineSharing}.
  */
 package plumlever.leader;
