--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -18,11 +18,11 @@
 import plumlever.wire.Json;
 
 /**
- * The context of a leader without election, term and cloud. Its clock stands still, timers never
- * expire, and requests get no answer, but for refused writes.
+ * A leader's context without election, term and cloud. The clock does not advance, timers never
+ * fire, and requests are not answered, except for the writes refused by {@link #refuseValueOf}.
  */
 public final class ContextFixture {
-  /** The largest stored value at first. */
+  /** The initial limit on the size of a stored value. */
   public static final int VALUE_BYTES = 8192;
 
   private static final Endpoint NOWHERE = new Endpoint("nowhere", 1);
@@ -50,9 +50,9 @@
   private boolean refusesWrites;
 
   /**
-   * A context in which a new leader finds what this reader lists.
+   * Creates a context in which a new leader reads the records that this reader lists.
    *
-   * @param reader must answer at once
+   * @param reader must call back synchronously
    */
   public ContextFixture(TermContext.RecoveryReader reader) {
     Caller caller =
@@ -91,7 +91,7 @@
     return loop.nowMicros();
   }
 
-  /** The state service refuses a value of this size, and so the limit falls to half of it. */
+  /** Makes the state service refuse a value of this size, which lowers the limit to half of it. */
   public void refuseValueOf(int bytes) {
     refusesWrites = true;
     context
--- a/src/test/java/plumlever/leader/context/package-info.java
+++ b/src/test/java/plumlever/leader/context/package-info.java
@@ -1,2 +1,2 @@
-/** What tests of a leader's parts share: a context whose services are set by hand. */
+/** Shared fixture for tests of the leader's components: a context with stubbed services. */
 package plumlever.leader.context;
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -30,8 +30,8 @@
 import plumlever.wire.TaskName;
 
 /**
- * A leader's heartbeat handler with one machine and one job of two tasks, which an earlier leader
- * may have started. Requests to other services get no answer.
+ * Sets up a leader's heartbeat handler with one machine and one job of two tasks. An earlier leader
+ * may have started tasks of the job. Requests to other services are not answered.
  */
 final class HeartbeatFixture {
   static final long TERM = 7;
@@ -81,7 +81,7 @@
     return Json.object().put("at_ms", 0).set("job", spec.toJson());
   }
 
-  /** The number of an attempt that a leader of an earlier term started. */
+  /** Returns the number of an attempt that the leader of the previous term started. */
   static long attemptOfEarlierTerm() {
     HeartbeatFixture earlier = new HeartbeatFixture();
     return new Fleet(TERM - 1)
@@ -89,7 +89,7 @@
         .id();
   }
 
-  /** A task that this leader starts, with the answer to the last heartbeat or directly. */
+  /** Starts a task in the answer to the last heartbeat or by direct command. */
   Attempt start(int task, StartChannel channel) {
     if (channel == StartChannel.DIRECT_COMMAND) {
       machine.tokens().commandSent(services.nowMicros());
@@ -97,24 +97,24 @@
     return fleet.startAttempt(job, task, machine, channel, services.nowMicros());
   }
 
-  /** The machine has reported in this term, without tasks, and is accounted for. */
+  /** Makes the machine accounted for by a heartbeat that lists no tasks. */
   HeartbeatFixture accounted() {
     handler.apply(machine, heartbeat(), HeartbeatSource.WORKER);
     handler.getAndClearChanged();
     return this;
   }
 
-  /** The machine's next heartbeat, with the highest token that was given out. */
+  /** Returns the machine's next heartbeat, with the highest token issued for the machine. */
   Heartbeat heartbeat(Heartbeat.AttemptStatus... attempts) {
     return heartbeatWithToken(machine.tokens().current(), attempts);
   }
 
-  /** The machine's next heartbeat. */
+  /** Returns the machine's next heartbeat, with this token. */
   Heartbeat heartbeatWithToken(long token, Heartbeat.AttemptStatus... attempts) {
     return heartbeat(1, token, List.of(attempts));
   }
 
-  /** The first heartbeat after the machine's lease has expired. */
+  /** Returns the machine's first heartbeat after its lease has expired. */
   Heartbeat heartbeatOfNextIncarnation() {
     return heartbeat(2, machine.tokens().current(), List.of());
   }
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -18,7 +18,7 @@
 import plumlever.wire.TaskName;
 import plumlever.wire.WorkerCommand;
 
-/** What heartbeats prove, and which commands answer them. */
+/** Tests how heartbeats change attempts and machines, and which commands the answers carry. */
 final class HeartbeatHandlerTest {
   private static final TaskName TASK = new TaskName(JOB, 0);
 
@@ -59,7 +59,10 @@
     assertEquals(earlier, leader.job.liveAttempt(0).id());
   }
 
-  /** It was held back until after the lease had lapsed: the task is dead. */
+  /**
+   * The heartbeat may have been delayed until after the lease expired; the worker has then killed
+   * the task.
+   */
   @Test
   void anAttemptOfAnEarlierTermIsNotAdoptedFromAnAccountedMachine() {
     leader.accounted();
@@ -86,7 +89,7 @@
     assertTrue(attempt.over());
   }
 
-  /** The body of a direct call proves nothing about an answer that is still in flight. */
+  /** The reply to a direct call does not show whether an answer in flight will arrive. */
   @Test
   void aStartInAnAnswerIsNotOverWhenADirectAnswerLacksIt() {
     Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
@@ -115,7 +118,7 @@
     assertTrue(attempt.over());
   }
 
-  /** Also direct starts: the worker executes none that names an earlier incarnation. */
+  /** Direct starts end as well: the worker rejects commands for an earlier incarnation. */
   @Test
   void aNewIncarnationEndsAllAttemptsOfEarlierOnes() {
     Attempt running = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
--- a/src/test/java/plumlever/leader/heartbeat/package-info.java
+++ b/src/test/java/plumlever/leader/heartbeat/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the package of the same name, without I/O and on a clock set by hand. */
+/** Tests of the main package of the same name, without I/O and with a manually set clock. */
 package plumlever.leader.heartbeat;
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -24,7 +24,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.WorkerCommand;
 
-/** Leases are renewed in one place, and only with evidence that is sufficient. */
+/** Tests that leases are renewed by one class only, and only with sufficient evidence. */
 final class LeaseRenewalTest {
   private static final long LEASE = 26_000_000;
   private static final long CANCEL = 56_000_000;
@@ -83,7 +83,7 @@
     assertEquals(Optional.empty(), refusal(LeaderEvidence.ofIdleMachine(() -> true, TOKEN)));
   }
 
-  /** What the heartbeat does not list may still be started. */
+  /** The worker may still start the command's task although the heartbeat does not list it. */
   @Test
   void anUnansweredCommandCountsAlthoughNothingIsListed() {
     assertEquals(
@@ -120,8 +120,9 @@
   }
 
   /**
-   * The plain model: whatever may be on the machine, listed, unanswered or a foreign task, may
-   * belong to a job cancelled right after what was last known of it, and must end in time for that.
+   * Compares renewals with a reference model. A task that may be on the machine (listed, started by
+   * an unanswered command, or foreign) may belong to a job that was cancelled right after the last
+   * read of ended jobs. If the lease is renewed, the task must end in time for that cancellation.
    */
   @Test
   void aLeadersRenewalAgreesWithThePlainModel() {
@@ -152,7 +153,8 @@
         assertTrue(!foreignTask || ends < foreignTaskKnown + CANCEL);
       }
     }
-    assertTrue(renewed > 1_000, "some are renewed: " + renewed);
+    assertTrue(
+        renewed > 1_000, "expected more than 1000 renewals in 20000 random cases: " + renewed);
   }
 
   @Test
@@ -179,7 +181,7 @@
     }
   }
 
-  /** An answer that renews a lease can't be built anywhere else. */
+  /** Only LeaseRenewal may build answers that renew a lease. */
   @Test
   void onlyOnePlaceBuildsAnswersThatRenew() {
     JavaClasses project =
--- a/src/test/java/plumlever/lease/package-info.java
+++ b/src/test/java/plumlever/lease/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the proofs under which leases are renewed. */
+/** Tests of the evidence on which leases are renewed. */
 package plumlever.lease;
