--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -15,34 +15,35 @@
 import plumlever.wire.ProtocolField;
 
 /**
- * Not rules of the protocol, but what the proof of delegated renewal rests on: no start is sent
- * straight into a zone while the delegation of it may count, and no lease is renewed for the leader
- * while a start is on its way that the renewal does not void.
+ * Checks the invariants on which the correctness of delegated renewal depends; the protocol itself
+ * does not require them. No direct start is sent into a zone while a delegation of the zone may be
+ * in use. No lease is renewed under a delegation while a direct start is in flight that the renewal
+ * does not invalidate.
  */
 final class DelegationChecker {
-  /** A start sent straight to a machine that has not arrived. */
+  /** A direct start command that has not arrived at its machine. */
   private record Start(String machine, long token, long incarnation, String body) {}
 
   private final SimulatedCluster cluster;
   private final List<Start> underWay = new ArrayList<>();
 
-  /** Until when a delegation of the zone may count. */
+  /** Until when controllers may use a delegation of each zone. */
   private final Map<String, Long> countsUntil = new HashMap<>();
 
   private long term = -1;
 
-  /** Renewals that voided a start on its way. */
+  /** Number of renewals that invalidated a start in flight. */
   int voided;
 
   DelegationChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  /** The delegation was written. */
+  /** Called when the state service has stored a delegation record. */
   void stored(JsonNode data) {
     DelegationRecord record = DelegationRecord.read(data);
     if (record.term() != term) {
-      // An election drops what the leader before had delegated.
+      // An election deletes the previous leader's delegation.
       countsUntil.clear();
       term = record.term();
     }
@@ -57,7 +58,7 @@
     }
   }
 
-  /** Commands are sent straight to a machine. */
+  /** Called when direct commands are sent to a machine. */
   void sent(String machine, String body) {
     if (!body.contains("\"run\"")) {
       return;
@@ -71,28 +72,28 @@
             && cluster.now() < countsUntil.getOrDefault(vm.zone, 0L);
     if (counts) {
       cluster.invariants.broken.add(
-          "a start was sent straight to " + machine + " in a delegated zone: " + body);
+          "a direct start was sent to machine " + machine + " in a delegated zone: " + body);
     }
   }
 
-  /** Commands have arrived at the machine, and are carried out or refused. */
+  /** Called when direct commands have arrived at the machine, which executes or refuses them. */
   void arrived(String machine, String body) {
     underWay.removeIf(start -> start.machine.equals(machine) && start.body.equals(body));
   }
 
-  /** A worker has taken an answer of a controller that does not lead. */
+  /** Called when a worker has accepted a renewal from a controller that does not lead. */
   void renewedForLeader(String machine, long incarnation, long token) {
     for (Start start : underWay) {
       if (start.machine.equals(machine) && start.incarnation == incarnation) {
         if (start.token >= token) {
           cluster.invariants.broken.add(
-              "the lease of "
+              "the lease of machine "
                   + machine
-                  + " was renewed for the leader with token "
+                  + " was renewed under a delegation with token "
                   + token
                   + " at "
                   + cluster.now() / 1e6
-                  + " while a start is on its way: "
+                  + " s while a start that the token does not invalidate was in flight: "
                   + start.body);
         } else {
           voided++;
@@ -110,7 +111,7 @@
           command.path(ProtocolField.INCARNATION).asLong(),
           body);
     } catch (InvalidMessageException e) {
-      throw new AssertionError("a command can't be read: " + body, e);
+      throw new AssertionError("direct command is not a JSON object: " + body, e);
     }
   }
 }
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -13,22 +13,22 @@
 import plumlever.wire.JobSpec;
 
 /**
- * The story: two zones lost each other a few milliseconds after the leader had sent the first tasks
- * of a job straight to machines of both. Those in the other zone were held back by the network. The
- * user cancelled the job two and a half seconds later and was told that it is cancelled. The leader
- * let the other controllers renew leases in the zone that it could not reach, and one of them did,
- * for as long as the zones were apart. When they found each other again, after a minute, the held
- * commands arrived, and two machines started tasks of the job 57 s after its cancellation, in a
- * deployment that has 56 s for it.
+ * Guards against tasks that start after the cancellation limit because a network partition delayed
+ * their direct start commands.
  *
- * <p>The cause: a command without an answer is voided by a higher token or by the end of the
- * incarnation. The higher token stood in the leader's books only. The renewing controller answered
- * with the token that the machine's heartbeat showed and stopped what the heartbeat listed, so
- * neither came.
+ * <p>Sequence: two zones are partitioned a few milliseconds after the leader has sent direct starts
+ * of a job to machines in both zones, and the network holds the commands for the other zone. The
+ * job is cancelled 2.5 s later. Another controller renews the leases in the unreachable zone under
+ * the leader's delegation until the partition ends after about a minute. Then the held commands
+ * arrive. Before the fix, two machines started tasks 57 s after the cancellation, in a deployment
+ * with a cancellation limit of 56 s.
  *
- * <p>The evidence: starts with the first token of the term arriving at the moment at which the
- * partition ended, in incarnations as old as the partition, while the stops to reached machines had
- * long gone out with the next token.
+ * <p>Cause: an unanswered command is invalidated only by a higher token or by the end of the
+ * incarnation. The leader had raised the token only in its own memory. The renewing controller
+ * answered with the token reported by the machine and stopped only the listed tasks, so the machine
+ * received no higher token and its incarnation did not end. The late starts therefore carried the
+ * term's first token and were accepted in incarnations as old as the partition, while the stops for
+ * reachable machines had been sent with the next token.
  */
 final class HeldStartTest {
   private static final double APART_S = 62;
@@ -85,7 +85,10 @@
         .sum();
   }
 
-  /** A controller and the machines of zone a on one side, the others on the other. */
+  /**
+   * Cuts or restores the network between two sides: the controller and the machines in {@code
+   * behind} on one side, all other controllers and machines on the other.
+   */
   private void cutZone(String controller, Set<String> behind, boolean on) {
     for (String other : cluster.controllers.keySet()) {
       if (!other.equals(controller)) {
@@ -98,13 +101,13 @@
         .forEach(machine -> cluster.network.cut(controller, machine, on));
   }
 
-  /** Brings the story about, up to a second before the zones find each other again. */
+  /** Plays the sequence up to one second before the end of the partition. */
   private JobSpec cancelledWhileApart(long seed, Runnable whileApart) {
     deployment(seed);
     for (int i = 0; i < 6; i++) {
       running.add(submit("blue", 6, 150));
     }
-    // What ends just before the partition leaves room in both zones.
+    // This job ends just before the partition and leaves free capacity in both zones.
     JobSpec brief = submit("blue", 24, 20);
     for (int i = 0; i < 90 && !"done".equals(cluster.invariants.lastTold.get(brief.uid())); i++) {
       cluster.play(1);
@@ -117,7 +120,7 @@
             .findFirst()
             .orElseThrow();
     Set<String> zone = machinesIn("a");
-    assertTrue(attemptsIn(zone) > 0, "machines in the zone run tasks");
+    assertTrue(attemptsIn(zone) > 0, "expected running tasks on the machines of zone a");
 
     cluster.network.extraCommandDelayMicros = COMMANDS_TAKE_MICROS;
     long commanded = counted("starts_sent");
@@ -139,24 +142,30 @@
   void aStartHeldByAPartitionIsNotCarriedOutAfterTheCancellation(long seed) {
     JobSpec cancelled = cancelledWhileApart(seed, () -> {});
     String leader = cluster.leader().platform.label();
-    assertTrue(counted("leases_renewed_for_leader") > 20, "leases are renewed behind the cut");
-    assertTrue(counted("direct_commands_unanswered") > 0, "starts have had no answer");
-    assertTrue(cluster.network.delegations.voided > 0, "and are voided by renewals");
+    assertTrue(
+        counted("leases_renewed_for_leader") > 20,
+        "expected more than 20 delegated renewals behind the cut");
+    assertTrue(counted("direct_commands_unanswered") > 0, "expected unanswered direct starts");
+    assertTrue(
+        cluster.network.delegations.voided > 0,
+        "expected delegated renewals to invalidate held starts");
     cluster.play(60);
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
     assertEquals(leader, cluster.leader().platform.label());
-    assertEquals(0, counted("attempts_lost"), "no task behind the cut was lost");
+    assertEquals(0, counted("attempts_lost"), "attempts lost behind the cut");
     cluster.play(120);
     running.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
   }
 
-  /** The leader that sent the starts ends while they are held, and its delegation with it. */
+  /**
+   * The leader that sent the starts fails while they are held; its delegation ends with its term.
+   */
   @ParameterizedTest
   @ValueSource(longs = {221, 222, 223, 224})
   void norAfterAChangeOfLeader(long seed) {
     JobSpec cancelled = cancelledWhileApart(seed, () -> cluster.leader().crash(20));
-    assertTrue(cluster.store.term() > 1, "another term has begun");
+    assertTrue(cluster.store.term() > 1, "expected a new term after the leader crashed");
     cluster.play(200);
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -13,12 +13,13 @@
 import plumlever.wire.JobSpec;
 
 /**
- * Days on which links hold messages back for seconds up to beyond the time of a cancellation, zones
- * lose each other, renewal is delegated, leaders change, machines hang and go on, and most jobs are
- * cancelled soon. Each attempt is followed: none may be started, or go on, too long after its
- * cancellation was confirmed.
+ * Guards against attempts that start or keep running longer than the cancellation limit after the
+ * cancellation of their job was confirmed. Random simulations combine the faults that can lead
+ * there: links delay messages for seconds up to more than the limit, zones are partitioned, lease
+ * renewal is delegated, leaders change, and workers hang and resume, while most jobs are cancelled
+ * soon after they are accepted.
  *
- * <p>{@code -Dplumlever.soak.first=F -Dplumlever.soak.seeds=N} plays other and more seeds.
+ * <p>{@code -Dplumlever.soak.first=F -Dplumlever.soak.seeds=N} runs N seeds from seed F.
  */
 final class RenewalSoakTest {
   private static final long FIRST_SEED = 7_100;
@@ -27,7 +28,7 @@
   private static final double CALM_S = 130;
   private static final int CANCELLED_OF_TEN = 7;
 
-  /** One day of a seed. */
+  /** The simulation of one seed. */
   private static final class Day {
     private final SimulatedCluster cluster;
     private final FakeUsers users;
@@ -122,13 +123,16 @@
           .toList();
     }
 
-    /** Cuts the pair, and joins it again after that time. */
+    /** Cuts the network between two hosts and restores it after this time. */
     private void hold(String one, String other, long lastsMicros) {
       cluster.network.cut(one, other, true);
       cluster.at(lastsMicros, () -> cluster.network.cut(one, other, false));
     }
 
-    /** A controller and the machines of one zone on one side, all others on the other. */
+    /**
+     * Partitions the network: one controller and the machines of one zone on one side, all other
+     * hosts on the other.
+     */
     private void zonesApart(long lastsMicros) {
       String inside = anyController().platform.label();
       String zone = cluster.random.nextBoolean() ? "a" : "b";
@@ -151,7 +155,7 @@
                       .forEach(machine -> hold(leader.platform.label(), machine, lastsMicros)));
     }
 
-    /** Cut for seconds, together for a second or so, again and again. */
+    /** Repeatedly cuts the leader from zone a for 1 to 10 s and reconnects it for 0.2 to 2.7 s. */
     private void flapping(long lastsMicros) {
       long at = 0;
       while (at < lastsMicros) {
@@ -214,10 +218,12 @@
       startsAfterCancel += day.cluster.invariants.startsAfterCancel;
     }
     System.out.printf(
-        "soak: %d renewals for a leader, %d starts voided by them, %d jobs cancelled, %d tasks"
-            + " begun after that, in time; broken: %s%n",
+        "soak: %d delegated renewals, %d starts invalidated by them, %d jobs cancelled, %d tasks"
+            + " started after cancellation but within the limit; violations: %s%n",
         renewed, voided, cancelled, startsAfterCancel, brokenBySeed);
     assertEquals(Map.of(), brokenBySeed);
-    assertTrue(renewed > 0 && voided > 0 && cancelled > 0, "the troubles took place");
+    assertTrue(
+        renewed > 0 && voided > 0 && cancelled > 0,
+        "expected renewals, invalidated starts and cancellations in some seed");
   }
 }
