--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -22,7 +22,7 @@
   private final SchedulingPasses passes;
   private final HeartbeatScreening screening;
   private final LeaseRenewalResponder renewals;
-  private final PreemptionNotices notices;
+  private final PreemptionNotices preemptionNotices;
 
   HeartbeatResponder(
       TermContext context,
@@ -41,7 +41,7 @@
     this.passes = passes;
     this.screening = screening;
     this.renewals = renewals;
-    this.notices = new PreemptionNotices(context);
+    this.preemptionNotices = new PreemptionNotices(context);
   }
 
   /** Called once the records of earlier leaders have been loaded. */
@@ -51,12 +51,12 @@
 
   /** Answers the heartbeat, immediately or once the records are loaded. */
   void respond(Heartbeat heartbeat, Responder out) {
-    if (screening.answered(heartbeat, out)) {
+    if (screening.answerOrDefer(heartbeat, out)) {
       return;
     }
-    Machine machine = machineOf(heartbeat);
+    Machine machine = findOrAddMachine(heartbeat);
     if (fleet.tokensRunOut(machine)) {
-      context.resignForNumbers();
+      context.resignForExhaustedNumbers();
     }
     HeartbeatHandler.Freshness freshness =
         heartbeats.apply(machine, heartbeat, HeartbeatSource.WORKER);
@@ -72,9 +72,9 @@
       out.retryLater(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
     } else {
       boolean newest = freshness == HeartbeatHandler.Freshness.LATEST;
-      enrollIfUnrecorded(machine, heartbeat);
+      registerIfUnregistered(machine, heartbeat);
       if (newest) {
-        notices.apply(machine, heartbeat);
+        preemptionNotices.apply(machine, heartbeat);
       }
       sharing.heartbeatApplied(machine, heartbeat);
       renewals.respond(machine, heartbeat, newest, out);
@@ -82,7 +82,7 @@
   }
 
   /** Returns the machine of the heartbeat; adds the machine to the fleet if it is unknown. */
-  private Machine machineOf(Heartbeat heartbeat) {
+  private Machine findOrAddMachine(Heartbeat heartbeat) {
     Machine machine = fleet.machine(heartbeat.machineId());
     if (machine == null) {
       machine =
@@ -103,7 +103,7 @@
    * Registers the machine if it has no record yet. A heartbeat with a token of an earlier term may
    * be a delayed copy from a machine that no longer exists, and does not register the machine.
    */
-  private void enrollIfUnrecorded(Machine machine, Heartbeat heartbeat) {
+  private void registerIfUnregistered(Machine machine, Heartbeat heartbeat) {
     if (machine.registration() == RegistrationState.NONE
         && !machine.returning()
         && (machine.accounted() || heartbeat.fencingToken() == 0)) {
--- a/src/main/java/plumlever/leader/HeartbeatScreening.java
+++ b/src/main/java/plumlever/leader/HeartbeatScreening.java
@@ -18,7 +18,7 @@
   private final TermContext context;
   private final MachineManager machines;
   private final MachineSharing sharing;
-  private final DeferredHeartbeats early;
+  private final DeferredHeartbeats deferredHeartbeats;
   private final HeartbeatAnswers answers;
   private boolean recordsLoaded;
 
@@ -26,12 +26,12 @@
       TermContext context,
       MachineManager machines,
       MachineSharing sharing,
-      DeferredHeartbeats early,
+      DeferredHeartbeats deferredHeartbeats,
       HeartbeatAnswers answers) {
     this.context = context;
     this.machines = machines;
     this.sharing = sharing;
-    this.early = early;
+    this.deferredHeartbeats = deferredHeartbeats;
     this.answers = answers;
   }
 
@@ -46,7 +46,7 @@
    * @return true if the heartbeat was answered or deferred; the caller must then ignore the
    *     heartbeat
    */
-  boolean answered(Heartbeat heartbeat, Responder out) {
+  boolean answerOrDefer(Heartbeat heartbeat, Responder out) {
     if (!context.term().mayAct()) {
       out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
@@ -71,7 +71,7 @@
       return false;
     }
     if (heartbeat.holdsTasks()) {
-      early.defer(heartbeat, out);
+      deferredHeartbeats.defer(heartbeat, out);
     } else {
       answers.renewIdle(heartbeat, out);
     }
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -27,8 +27,8 @@
   private final TermContext context;
   private final Scope scope = new Scope();
   private final RecoveryRead records;
-  private final DeferredHeartbeats early;
-  private final TermParts parts;
+  private final DeferredHeartbeats deferredHeartbeats;
+  private final TermComponents components;
   private boolean loaded;
 
   /** Creates a leader for one term. The leader does nothing until it is started. */
@@ -36,8 +36,9 @@
     this.context = context;
     this.log = context.logs().of(Leader.class);
     this.records = new RecoveryRead(context);
-    this.early = new DeferredHeartbeats(context.loop(), context.platform().socketLimit());
-    this.parts = new TermParts(context, early);
+    this.deferredHeartbeats =
+        new DeferredHeartbeats(context.loop(), context.platform().socketLimit());
+    this.components = new TermComponents(context, deferredHeartbeats);
   }
 
   /** Returns whether this leader's term is still valid. */
@@ -47,27 +48,27 @@
 
   /** Starts to load the records; the components of the term start when the load is complete. */
   public void start() {
-    records.read(this::begin);
+    records.read(this::onRecordsRead);
   }
 
-  private void begin(RecoveryRead found) {
-    parts.load(found);
+  private void onRecordsRead(RecoveryRead recoveryRead) {
+    components.load(recoveryRead);
     loaded = true;
-    parts.endCompleteJobs();
+    components.endCompleteJobs();
     log.info(
         "term {} started with {} jobs and {} machines not yet accounted for, {} ms after the"
             + " election",
         context.term().number(),
-        parts.jobs().all().size(),
-        parts.failover().unaccounted().size(),
-        (context.loop().nowMicros() - parts.failover().startedMicros()) / 1_000);
-    early.release(this::heartbeat);
-    parts.start(scope);
+        components.jobs().all().size(),
+        components.failover().unaccounted().size(),
+        (context.loop().nowMicros() - components.failover().startedMicros()) / 1_000);
+    deferredHeartbeats.release(this::heartbeat);
+    components.start(scope);
   }
 
   /** Answers a worker's heartbeat; the caller has checked that this controller leads. */
   public void heartbeat(Heartbeat heartbeat, Responder out) {
-    parts.responder().respond(heartbeat, out);
+    components.responder().respond(heartbeat, out);
   }
 
   /**
@@ -76,22 +77,22 @@
    * @return false if the machine cannot be transferred now
    */
   public boolean transfer(String machine, String shard) {
-    return parts.sharing().offerTransfer(machine, shard);
+    return components.sharing().offerTransfer(machine, shard);
   }
 
   /** Answers a heartbeat that another shard's leader relays for this shard's tasks. */
   public void relayedHeartbeat(RelayedHeartbeat relayed, Responder out) {
-    parts.sharing().answerRelayed(relayed, out);
+    components.sharing().answerRelayed(relayed, out);
   }
 
   /** Returns whether everything that earlier leaders started is accounted for. */
   public boolean failoverComplete() {
-    return parts.failover().isComplete();
+    return components.failover().isComplete();
   }
 
   /** Returns the job, or empty if this leader does not know the job. */
   public Optional<Job> job(String uid) {
-    return loaded ? Optional.ofNullable(parts.jobs().get(uid)) : Optional.empty();
+    return loaded ? Optional.ofNullable(components.jobs().get(uid)) : Optional.empty();
   }
 
   /** Returns a job's counts of completed and running tasks, for display; empty if unknown. */
@@ -103,7 +104,7 @@
   public Map<String, TaskCounts> taskCounts() {
     Map<String, TaskCounts> counts = new LinkedHashMap<>();
     if (loaded) {
-      parts.jobs().all().forEach(job -> counts.put(job.uid(), taskCounts(job)));
+      components.jobs().all().forEach(job -> counts.put(job.uid(), taskCounts(job)));
     }
     return counts;
   }
@@ -115,7 +116,7 @@
   /** Stops the tasks of a job whose cancellation is stored, without waiting for watch events. */
   public void jobCancelled(String uid) {
     if (loaded) {
-      parts.jobs().jobEnded(uid, JobState.CANCELLED);
+      components.jobs().jobEnded(uid, JobState.CANCELLED);
     }
   }
 
@@ -125,7 +126,7 @@
    */
   public void cancellationsConfirmed(Collection<String> uids) {
     if (loaded) {
-      parts.jobs().cancellationsConfirmed(uids);
+      components.jobs().cancellationsConfirmed(uids);
     }
   }
 
@@ -133,9 +134,9 @@
   @Override
   public void close() {
     records.close();
-    early.close();
+    deferredHeartbeats.close();
     scope.close();
     // If the records were never loaded, the scope does not own the jobs and does not close them.
-    parts.jobs().close();
+    components.jobs().close();
   }
 }
--- a/src/main/java/plumlever/leader/LeaseRenewalResponder.java
+++ b/src/main/java/plumlever/leader/LeaseRenewalResponder.java
@@ -43,8 +43,8 @@
    * @param newest whether the heartbeat is the newest report of its machine
    */
   void respond(Machine machine, Heartbeat heartbeat, boolean newest, Responder out) {
-    boolean holdsOpenTasks = heartbeats.holdsTasksOfActiveJobs(heartbeat);
-    Optional<RenewalRefusal> refusal = answers.refusal(machine, holdsOpenTasks);
+    boolean holdsTasksOfActiveJobs = heartbeats.holdsTasksOfActiveJobs(heartbeat);
+    Optional<RenewalRefusal> refusal = answers.refusal(machine, holdsTasksOfActiveJobs);
     if (refusal.isPresent()) {
       refuse(machine, heartbeat, refusal.get(), out);
       return;
@@ -56,7 +56,7 @@
     }
     // The leader's right to act may have ended since the check above if this thread ran late, so
     // renew() checks the right again.
-    if (answers.renew(machine, heartbeat, holdsOpenTasks, due, out)) {
+    if (answers.renew(machine, heartbeat, holdsTasksOfActiveJobs, due, out)) {
       machine.recordRenewal(context.loop().nowMicros());
     }
   }
--- a/src/main/java/plumlever/leader/SchedulingPasses.java
+++ b/src/main/java/plumlever/leader/SchedulingPasses.java
@@ -13,7 +13,7 @@
 final class SchedulingPasses {
   private static final long MIN_PAUSE_MICROS = 150_000;
   private static final long MAX_PAUSE_MICROS = 1_500_000;
-  private static final int PAUSE_PER_TIME_SPENT = 3;
+  private static final int PAUSE_FACTOR = 3;
 
   /** The pause before a pass that has used up its time budget is resumed. */
   private static final long RESUME_PAUSE_MICROS = 5_000;
@@ -48,7 +48,7 @@
       return MIN_PAUSE_MICROS;
     }
     if (fleet.attemptNumbersRunOut()) {
-      context.resignForNumbers();
+      context.resignForExhaustedNumbers();
       return MIN_PAUSE_MICROS;
     }
     boolean finished = runPass();
@@ -57,18 +57,17 @@
     }
     requested = false;
     // If the thread is late, heartbeats and requests are queued and must be handled first.
-    long pause =
-        PAUSE_PER_TIME_SPENT * Math.max(pass.spentMicros(), context.latenessMicros().getAsLong());
+    long pause = PAUSE_FACTOR * Math.max(pass.spentMicros(), context.latenessMicros().getAsLong());
     return Math.max(MIN_PAUSE_MICROS, Math.min(MAX_PAUSE_MICROS, pause));
   }
 
   private boolean runPass() {
     long startedMicros = context.loop().nowMicros();
     boolean finished = pass.run();
-    long placedMicros = context.loop().nowMicros();
+    long passEndedMicros = context.loop().nowMicros();
     commands.dispatch(fleet);
-    context.metrics().recordWork("passes", placedMicros - startedMicros);
-    context.metrics().recordWork("dispatch", context.loop().nowMicros() - placedMicros);
+    context.metrics().recordWork("passes", passEndedMicros - startedMicros);
+    context.metrics().recordWork("dispatch", context.loop().nowMicros() - passEndedMicros);
     return finished;
   }
 }
--- a/src/main/java/plumlever/leader/TermParts.java
+++ b/src/main/java/plumlever/leader/TermComponents.java
@@ -30,7 +30,7 @@
  * The components that work for the leader during one term. Creates them, loads the records of
  * earlier leaders into them, and starts them. All components are closed when the term ends.
  */
-final class TermParts {
+final class TermComponents {
   private final TermContext context;
   private final Fleet fleet;
   private final RunTimeEstimates estimates = new RunTimeEstimates();
@@ -46,12 +46,12 @@
   private final MachineSharing sharing;
   private final MachineManager machines;
   private final WarmState warmState;
-  private final DependencyListCleanup lists;
+  private final DependencyListCleanup dependencyListCleanup;
   private final TokenRaiser tokenRaiser;
   private final HeartbeatResponder responder;
 
   /** Creates the components of the term. They do nothing until they are started. */
-  TermParts(TermContext context, DeferredHeartbeats early) {
+  TermComponents(TermContext context, DeferredHeartbeats deferredHeartbeats) {
     this.context = context;
     this.fleet = new Fleet(context.term().number());
     this.startedJobs = new StartedJobIndex(context, this::startedJobsRecorded);
@@ -71,9 +71,9 @@
     this.sharing = createSharing();
     this.machines = createMachineManager(delegation);
     this.warmState = new WarmState(context, fleet, estimates);
-    this.lists = new DependencyListCleanup(context, jobs);
+    this.dependencyListCleanup = new DependencyListCleanup(context, jobs);
     this.tokenRaiser = new TokenRaiser(context, fleet, failover, commands);
-    this.responder = createResponder(early, starter);
+    this.responder = createResponder(deferredHeartbeats, starter);
   }
 
   private MachineSharing createSharing() {
@@ -109,7 +109,8 @@
         this::requestPass);
   }
 
-  private HeartbeatResponder createResponder(DeferredHeartbeats early, TaskStarter starter) {
+  private HeartbeatResponder createResponder(
+      DeferredHeartbeats deferredHeartbeats, TaskStarter starter) {
     HeartbeatAnswers answers = new HeartbeatAnswers(context, jobs, sharing);
     return new HeartbeatResponder(
         context,
@@ -118,7 +119,7 @@
         registry,
         sharing,
         passes,
-        new HeartbeatScreening(context, machines, sharing, early, answers),
+        new HeartbeatScreening(context, machines, sharing, deferredHeartbeats, answers),
         new LeaseRenewalResponder(
             context, heartbeats, answers, sharing, new PlannedStarts(pass, starter), commands));
   }
@@ -148,12 +149,13 @@
   }
 
   /** Loads the records of earlier leaders. */
-  void load(RecoveryRead found) {
-    registry.load(found.listing(JobStore.FLEET).items(), fleet);
-    warmState.load(found.listing(JobStore.WARM_STATE).items());
-    jobs.load(found);
+  void load(RecoveryRead recoveryRead) {
+    registry.load(recoveryRead.listing(JobStore.FLEET).items(), fleet);
+    warmState.load(recoveryRead.listing(JobStore.WARM_STATE).items());
+    jobs.load(recoveryRead);
     if (sharing.inPool()) {
-      sharing.poolRecordsRead(found.listing(PoolView.PREFIX), found.jobsReadSentMicros());
+      sharing.poolRecordsRead(
+          recoveryRead.listing(PoolView.PREFIX), recoveryRead.jobsReadSentMicros());
     }
     responder.recordsLoaded();
     failover.machinesLoaded();
@@ -183,7 +185,7 @@
     scope.own(machines::close);
     scope.own(commands::close);
     scope.own(registry::close);
-    scope.own(lists::close);
+    scope.own(dependencyListCleanup::close);
     startTask(scope, "machine records", registry::compact);
     startTask(scope, "started jobs", startedJobs::cleanUp);
     startTask(scope, "progress", progress::write);
@@ -191,7 +193,7 @@
     startTask(scope, "warm state", warmState::write);
     startTask(scope, "token raise", tokenRaiser::run);
     scope
-        .own(new RecurringTask("dependency lists", context.loop(), lists::run))
+        .own(new RecurringTask("dependency lists", context.loop(), dependencyListCleanup::run))
         .runAfter(DependencyListCleanup.INTERVAL_MICROS);
     startTask(scope, "scheduling passes", passes::run);
   }
--- a/src/main/java/plumlever/leader/TokenRaiser.java
+++ b/src/main/java/plumlever/leader/TokenRaiser.java
@@ -22,7 +22,7 @@
   private static final long ANSWER_SHOWS_TOKEN_MICROS = 2_000_000;
 
   /** The lateness of the loop thread above which the number of calls is limited. */
-  private static final long LATE_FROM_MICROS = 50_000;
+  private static final long LATENESS_THRESHOLD_MICROS = 50_000;
 
   /** Enough concurrent calls to detect the machines that no longer exist. */
   private static final int MAX_CALLS_WHILE_LATE = 6;
@@ -31,16 +31,16 @@
   long run() {
     long startedMicros = context.loop().nowMicros();
     if (context.term().mayAct()) {
-      raiseOnUnaccounted();
+      sendToUnaccounted();
       if (failover.isComplete()) {
-        raiseOnUnreachable();
+        sendToUnreachable();
       }
     }
     context.metrics().recordWork("token_raise", context.loop().nowMicros() - startedMicros);
     return failover.isComplete() ? UNREACHABLE_INTERVAL_MICROS : FAILOVER_INTERVAL_MICROS;
   }
 
-  private void raiseOnUnaccounted() {
+  private void sendToUnaccounted() {
     long now = context.loop().nowMicros();
     // Machines that did not answer come last. Otherwise dozens of machines behind a network
     // partition would be called repeatedly and no other machine would be called.
@@ -64,7 +64,7 @@
    * heartbeat within seconds.
    */
   private int maxCalls() {
-    return context.latenessMicros().getAsLong() > LATE_FROM_MICROS
+    return context.latenessMicros().getAsLong() > LATENESS_THRESHOLD_MICROS
         ? MAX_CALLS_WHILE_LATE
         : Integer.MAX_VALUE;
   }
@@ -74,7 +74,7 @@
     return lastAnswer >= 0 && now - lastAnswer <= ANSWER_SHOWS_TOKEN_MICROS;
   }
 
-  private void raiseOnUnreachable() {
+  private void sendToUnreachable() {
     for (Machine machine : fleet.machines()) {
       if (machine.contact().unreachable()) {
         commands.sendToken(machine);
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -38,9 +38,9 @@
   /**
    * Loads the records of the pool, which were read after the election.
    *
-   * @param askedMicros when the read was sent
+   * @param readSentMicros when the read was sent
    */
-  default void poolRecordsRead(StateClient.Listing pool, long askedMicros) {}
+  default void poolRecordsRead(StateClient.Listing pool, long readSentMicros) {}
 
   /** Returns whether a machine listed by the cloud belongs to this shard. */
   default boolean isOwn(ListedMachine listed) {
@@ -65,20 +65,20 @@
   /**
    * Claims rented machines for this shard.
    *
-   * @param claimed receives each machine once it is recorded as this shard's
+   * @param onClaimed receives each machine once it is recorded as this shard's
    */
-  default void claimRented(List<String> machines, Consumer<String> claimed) {
-    machines.forEach(claimed);
+  default void claimRented(List<String> machines, Consumer<String> onClaimed) {
+    machines.forEach(onClaimed);
   }
 
   /**
    * Records that these machines are to be returned to the cloud.
    *
-   * @param recorded called once the record is stored; after that no other shard can become the
+   * @param onRecorded called once the record is stored; after that no other shard can become the
    *     owner of the machines
    */
-  default void recordReturns(List<Machine> machines, Runnable recorded) {
-    recorded.run();
+  default void recordReturns(List<Machine> machines, Runnable onRecorded) {
+    onRecorded.run();
   }
 
   /** Called when the machines have been returned and no longer exist. */
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -70,10 +70,10 @@
     /**
      * Lists all keys under the prefix.
      *
-     * @param whenRead receives the listing, or empty if not all keys could be read; called on the
+     * @param onRead receives the listing, or empty if not all keys could be read; called on the
      *     loop thread
      */
-    void list(String prefix, Consumer<Optional<StateClient.Listing>> whenRead);
+    void list(String prefix, Consumer<Optional<StateClient.Listing>> onRead);
   }
 
   /**
@@ -89,7 +89,7 @@
    * Ends the term because its attempt numbers or fencing tokens are nearly exhausted. All numbers
    * restart in a new term, and this controller may become the leader of that term.
    */
-  public void resignForNumbers() {
+  public void resignForExhaustedNumbers() {
     resign("the attempt numbers or fencing tokens of this term are nearly exhausted", 0);
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
@@ -92,8 +92,8 @@
    * Ends attempts whose start command the worker refused. The worker has executed no part of the
    * command and never will, because its token or incarnation is newer than the command's.
    */
-  void endRefused(Iterable<Attempt> sent) {
-    for (Attempt attempt : sent) {
+  void endRefused(Iterable<Attempt> refusedStarts) {
+    for (Attempt attempt : refusedStarts) {
       if (!attempt.over() && !attempt.reported()) {
         placementChange.mark();
         context.metrics().count("starts_refused");
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -55,15 +55,15 @@
 
   /** Logs that the worker reports the attempt as running. */
   void running(Attempt attempt) {
-    debug(attempt, "is running");
+    logEvent(attempt, "is running");
   }
 
   /** Logs that the worker reports the attempt as completed. */
   void done(Attempt attempt) {
-    debug(attempt, "has completed");
+    logEvent(attempt, "has completed");
   }
 
-  private void debug(Attempt attempt, String event) {
+  private void logEvent(Attempt attempt, String event) {
     if (enabled()) {
       log.debug(
           "task {} attempt {} {} on machine {} incarnation {}",
@@ -107,13 +107,13 @@
   }
 
   /** Logs that a direct command with these starts was not answered in time. */
-  public void unanswered(Machine machine, long incarnation, long token, List<Attempt> sent) {
+  public void unanswered(Machine machine, long incarnation, long token, List<Attempt> starts) {
     if (enabled()) {
       log.debug(
           "direct command to start {} on machine {} incarnation {} with token {} was not answered:"
               + " the worker may execute it until it has seen a higher token; the next answer to"
               + " the worker carries token {}",
-          sent.stream()
+          starts.stream()
               .map(attempt -> attempt.name().wireName() + " attempt " + attempt.id())
               .toList(),
           machine.id(),
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -51,14 +51,14 @@
     }
     attempt.recordState(reported.state(), now);
     if (started) {
-      started(attempt, now);
+      applyStart(attempt, now);
     }
     if (reported.state() == AttemptState.ENDED) {
-      ended(attempt, reported.cause(), now);
+      applyEnd(attempt, reported.cause(), now);
     }
   }
 
-  private void started(Attempt attempt, long now) {
+  private void applyStart(Attempt attempt, long now) {
     Job job = attempt.job();
     attempt.machine().images().markReady(job.spec().image(), job.spec().imageGb());
     context.metrics().recordDuration("start", now - job.acceptedMicros());
@@ -73,13 +73,13 @@
     context.metrics().count(counter, (long) (job.spec().cores() * micros / 1_000));
   }
 
-  private void ended(Attempt attempt, ExitCause cause, long now) {
+  private void applyEnd(Attempt attempt, ExitCause cause, long now) {
     placementChange.mark();
     fleet.endAttempt(attempt, cause);
     switch (cause) {
-      case DONE -> completed(attempt, now);
-      case ERROR, NO_SUCH -> failed(attempt, cause, now);
-      case STOPPED -> stopped(attempt);
+      case DONE -> applyCompletion(attempt, now);
+      case ERROR, NO_SUCH -> applyError(attempt, cause, now);
+      case STOPPED -> applyStop(attempt);
       default -> {
         context.metrics().count("tasks_refused");
         log.info(
@@ -91,7 +91,7 @@
     }
   }
 
-  private void completed(Attempt attempt, long now) {
+  private void applyCompletion(Attempt attempt, long now) {
     attempt.job().recordSuccess();
     attempt.machine().health().recordSuccess();
     if (attempt.runningSinceMicros() >= 0) {
@@ -99,10 +99,10 @@
     }
     observeRunTime(attempt, now);
     attemptLog.done(attempt);
-    taskDone(attempt.job(), attempt.task());
+    markTaskCompleted(attempt.job(), attempt.task());
   }
 
-  private void failed(Attempt attempt, ExitCause cause, long now) {
+  private void applyError(Attempt attempt, ExitCause cause, long now) {
     Job job = attempt.job();
     Machine machine = attempt.machine();
     job.recordError(now);
@@ -114,7 +114,7 @@
     }
   }
 
-  private void stopped(Attempt attempt) {
+  private void applyStop(Attempt attempt) {
     context.metrics().count("tasks_stopped");
     String image = attempt.job().spec().image();
     if (attempt.runningSinceMicros() < 0 && !needsImage(attempt.machine(), image)) {
@@ -158,7 +158,7 @@
    * Marks a task as completed, on whichever machine it ran, and has the completion stored. Does
    * nothing if the completion is already known or the job is over.
    */
-  void taskDone(Job job, int task) {
+  void markTaskCompleted(Job job, int task) {
     if (job.over() || job.completedTasks().get(task)) {
       return;
     }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -47,8 +47,8 @@
   }
 
   /** Returns why the machine's lease may not be renewed now, or empty if it may be renewed. */
-  public Optional<RenewalRefusal> refusal(Machine machine, boolean holdsOpenTasks) {
-    return renewal.refusal(evidence(machine, holdsOpenTasks), context.loop().nowMicros());
+  public Optional<RenewalRefusal> refusal(Machine machine, boolean holdsTasksOfActiveJobs) {
+    return renewal.refusal(evidence(machine, holdsTasksOfActiveJobs), context.loop().nowMicros());
   }
 
   /**
@@ -60,10 +60,10 @@
   public boolean renew(
       Machine machine,
       Heartbeat heartbeat,
-      boolean holdsOpenTasks,
+      boolean holdsTasksOfActiveJobs,
       List<WorkerCommand> commands,
       Responder out) {
-    return renew(heartbeat, evidence(machine, holdsOpenTasks), commands, out);
+    return renew(heartbeat, evidence(machine, holdsTasksOfActiveJobs), commands, out);
   }
 
   /**
@@ -78,17 +78,17 @@
     renew(heartbeat, evidence, List.of(), out);
   }
 
-  private LeaderEvidence evidence(Machine machine, boolean holdsOpenTasks) {
-    UnansweredCommands unanswered =
+  private LeaderEvidence evidence(Machine machine, boolean holdsTasksOfActiveJobs) {
+    UnansweredCommands unansweredCommands =
         machine.load().hasUnconfirmedStart()
             ? UnansweredCommands.sentAfter(machine.tokens().endsKnownAtLastCommandMicros())
             : UnansweredCommands.NONE;
     return new LeaderEvidence(
         context.term()::mayAct,
         machine.tokens().current(),
-        holdsOpenTasks,
+        holdsTasksOfActiveJobs,
         jobs.endsKnownMicros(),
-        unanswered,
+        unansweredCommands,
         sharing.foreignTaskEvidence(machine));
   }
 
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -31,7 +31,7 @@
   private final Failover failover;
   private final Supplier<MachineSharing> sharing;
   private final PlacementChange placementChange = new PlacementChange();
-  private final AttemptUpdates updates;
+  private final AttemptUpdates attemptUpdates;
   private final UnknownAttempts unknownAttempts;
   private final AbsentAttempts absentAttempts;
   private final AnswerDelivery answerDelivery;
@@ -57,9 +57,10 @@
     this.failover = failover;
     this.sharing = sharing;
     AttemptLog attemptLog = new AttemptLog(context);
-    this.updates =
+    this.attemptUpdates =
         new AttemptUpdates(context, fleet, estimates, progress, attemptLog, placementChange);
-    this.unknownAttempts = new UnknownAttempts(context, fleet, jobs, updates, placementChange);
+    this.unknownAttempts =
+        new UnknownAttempts(context, fleet, jobs, attemptUpdates, placementChange);
     this.absentAttempts = new AbsentAttempts(context, fleet, failover, attemptLog, placementChange);
     this.answerDelivery = new AnswerDelivery(context, placementChange);
     this.stopAndRemoveCommands = new StopAndRemoveCommands(context, jobs, sharing, attemptLog);
@@ -101,7 +102,7 @@
         machine.contact().incarnation() > 0
             && heartbeat.incarnation() > machine.contact().incarnation();
     endEarlierIncarnations(machine, heartbeat);
-    observe(machine, heartbeat, source, now);
+    recordReport(machine, heartbeat, source, now);
     boolean currentTerm = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     machine.tokens().raise(currentTerm ? heartbeat.fencingToken() : 0);
     LongHashSet listed = applyAttempts(machine, heartbeat, currentTerm, now);
@@ -142,14 +143,16 @@
     }
   }
 
-  private void observe(Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
+  private void recordReport(
+      Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
     boolean firstHeartbeat = !machine.contact().hasReported();
-    boolean newNotice = heartbeat.hasPreemptionNotice() && machine.preemptedAtMicros() < 0;
+    boolean newPreemptionNotice =
+        heartbeat.hasPreemptionNotice() && machine.preemptedAtMicros() < 0;
     machine.recordReport(heartbeat, source, now);
     if (firstHeartbeat && source == HeartbeatSource.WORKER) {
       placementChange.mark();
     }
-    if (newNotice) {
+    if (newPreemptionNotice) {
       placementChange.mark();
       context.metrics().count("preemption_notices");
       log.info(
@@ -174,8 +177,8 @@
       }
       listed.add(reported.attempt());
       Attempt attempt = machine.load().attempt(reported.attempt());
-      if (attempt != null && isOfTask(attempt, reported)) {
-        updates.update(attempt, reported, now);
+      if (attempt != null && isAttemptOfTask(attempt, reported)) {
+        attemptUpdates.update(attempt, reported, now);
       } else if (attempt == null && currentTerm) {
         unknownAttempts.handle(machine, reported, now);
       }
@@ -188,7 +191,7 @@
     return listed;
   }
 
-  private static boolean isOfTask(Attempt attempt, Heartbeat.AttemptStatus reported) {
+  private static boolean isAttemptOfTask(Attempt attempt, Heartbeat.AttemptStatus reported) {
     return attempt.task() == reported.task().number()
         && attempt.job().uid().equals(reported.task().job());
   }
@@ -211,7 +214,7 @@
       listed.add(reported.attempt());
       Attempt attempt = machine.load().attempt(reported.attempt());
       if (attempt != null) {
-        updates.update(attempt, reported, now);
+        attemptUpdates.update(attempt, reported, now);
       } else if (reported.state() == AttemptState.ENDED) {
         unknownAttempts.handle(machine, reported, now);
       }
@@ -224,8 +227,8 @@
    * Ends the attempts of a direct command that the worker refused. The worker has executed none of
    * these starts and never will.
    */
-  public void startsRefused(Iterable<Attempt> sent) {
-    absentAttempts.endRefused(sent);
+  public void startsRefused(Iterable<Attempt> refusedStarts) {
+    absentAttempts.endRefused(refusedStarts);
   }
 
   /** Ends all attempts on a machine that was deleted or whose lease has certainly expired. */
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -57,7 +57,7 @@
 
   private static final long NO_RECORD = 0;
   private static final long UNKNOWN_REVISION = -1;
-  private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 4;
+  private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 4;
 
   private final Logger log;
   private final TermContext context;
@@ -106,7 +106,7 @@
    * distant past if there was none.
    */
   public long revokedMicros(String zone) {
-    return revokedMicros.getOrDefault(zone, LONG_AGO_MICROS);
+    return revokedMicros.getOrDefault(zone, DISTANT_PAST_MICROS);
   }
 
   /**
@@ -220,12 +220,12 @@
         result -> {
           if (result.applied()) {
             revision = result.revision();
-            revoked();
+            recordRevocation();
           }
         });
   }
 
-  private void revoked() {
+  private void recordRevocation() {
     long now = context.loop().nowMicros();
     delegatedZones.forEach(zone -> revokedMicros.put(zone, now));
     if (!delegatedZones.isEmpty()) {
--- a/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
@@ -18,20 +18,20 @@
   private final TermContext context;
   private final Fleet fleet;
   private final ActiveJobs jobs;
-  private final AttemptUpdates updates;
+  private final AttemptUpdates attemptUpdates;
   private final PlacementChange placementChange;
 
   UnknownAttempts(
       TermContext context,
       Fleet fleet,
       ActiveJobs jobs,
-      AttemptUpdates updates,
+      AttemptUpdates attemptUpdates,
       PlacementChange placementChange) {
     this.context = context;
     this.log = context.logs().of(UnknownAttempts.class);
     this.fleet = fleet;
     this.jobs = jobs;
-    this.updates = updates;
+    this.attemptUpdates = attemptUpdates;
     this.placementChange = placementChange;
   }
 
@@ -47,7 +47,7 @@
     }
     if (reported.state() == AttemptState.ENDED) {
       if (reported.cause() == ExitCause.DONE) {
-        completed(job, task, now);
+        applyCompletion(job, task, now);
       }
     } else if (mayAdopt(machine, job, reported)) {
       adopt(machine, job, reported, now);
@@ -62,12 +62,12 @@
     }
   }
 
-  private void completed(Job job, int task, long now) {
-    Attempt live = job.liveAttempt(task);
-    if (live != null) {
-      live.requestStop(0, now);
+  private void applyCompletion(Job job, int task, long now) {
+    Attempt liveAttemptOfTask = job.liveAttempt(task);
+    if (liveAttemptOfTask != null) {
+      liveAttemptOfTask.requestStop(0, now);
     }
-    updates.taskDone(job, task);
+    attemptUpdates.markTaskCompleted(job, task);
     placementChange.mark();
   }
 
--- a/src/main/java/plumlever/lease/ClockDrift.java
+++ b/src/main/java/plumlever/lease/ClockDrift.java
@@ -5,7 +5,7 @@
  * 0.05%. The bounds allow for 0.2%, twice the sum of the errors of two clocks.
  */
 public final class ClockDrift {
-  private static final double PART = 0.002;
+  private static final double DRIFT_ALLOWANCE = 0.002;
 
   private ClockDrift() {}
 
@@ -13,11 +13,11 @@
    * Returns the least time that may have passed on another clock when this time has passed here.
    */
   public static long shortestMicros(long micros) {
-    return (long) (micros * (1 - PART));
+    return (long) (micros * (1 - DRIFT_ALLOWANCE));
   }
 
   /** Returns the most time that may pass here until this time has passed on another clock. */
   public static long longestMicros(long micros) {
-    return (long) (micros * (1 + PART));
+    return (long) (micros * (1 + DRIFT_ALLOWANCE));
   }
 }
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -10,17 +10,18 @@
  *     built
  * @param token the machine's current token, higher than that of every command that was not answered
  *     within its timeout
- * @param holdsOpenTasks true if the heartbeat lists a task of a job that is not known to have ended
+ * @param holdsTasksOfActiveJobs true if the heartbeat lists a task of a job that is not known to
+ *     have ended
  * @param endsKnownMicros when the last answered read of ended jobs was sent
- * @param unanswered commands that may start tasks that the heartbeat does not list
+ * @param unansweredCommands commands that may start tasks that the heartbeat does not list
  * @param foreignTasks evidence on the foreign tasks on the machine
  */
 public record LeaderEvidence(
     BooleanSupplier mayAct,
     long token,
-    boolean holdsOpenTasks,
+    boolean holdsTasksOfActiveJobs,
     long endsKnownMicros,
-    UnansweredCommands unanswered,
+    UnansweredCommands unansweredCommands,
     ForeignTaskEvidence foreignTasks)
     implements RenewalEvidence {
 
@@ -35,17 +36,17 @@
     if (!mayAct.getAsBoolean()) {
       return Optional.of(RenewalRefusal.NOT_LEADING);
     }
-    if (!tasksEndInTime(limit, nowMicros) || !foreignTasksEndInTime(limit, nowMicros)) {
+    if (!ownTasksEndInTime(limit, nowMicros) || !foreignTasksEndInTime(limit, nowMicros)) {
       return Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN);
     }
-    if (!unansweredEndInTime(limit, nowMicros)) {
+    if (!unansweredCommandsEndInTime(limit, nowMicros)) {
       return Optional.of(RenewalRefusal.UNANSWERED_COMMAND);
     }
     return Optional.empty();
   }
 
-  private boolean tasksEndInTime(RenewalLimit limit, long nowMicros) {
-    boolean mayRun = holdsOpenTasks || unanswered.pending();
+  private boolean ownTasksEndInTime(RenewalLimit limit, long nowMicros) {
+    boolean mayRun = holdsTasksOfActiveJobs || unansweredCommands.pending();
     return !mayRun || limit.mayRenew(nowMicros, endsKnownMicros);
   }
 
@@ -58,7 +59,8 @@
    * not list these tasks. Therefore the lease must expire in time for every cancellation that was
    * confirmed after the command was sent.
    */
-  private boolean unansweredEndInTime(RenewalLimit limit, long nowMicros) {
-    return !unanswered.pending() || limit.mayRenew(nowMicros, unanswered.endsKnownMicros());
+  private boolean unansweredCommandsEndInTime(RenewalLimit limit, long nowMicros) {
+    return !unansweredCommands.pending()
+        || limit.mayRenew(nowMicros, unansweredCommands.endsKnownMicros());
   }
 }
--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -26,11 +26,11 @@
   private static final long MIN_WATCH_MICROS = 250_000;
   private static final long MAX_WATCH_MICROS = 10_000_000;
 
-  private final long maxAgeMicros;
+  private final long maxReadAgeMicros;
 
   /** Computes the limit from these lease and cancellation times. */
   public RenewalLimit(PlatformConfiguration.Workers workers) {
-    this.maxAgeMicros =
+    this.maxReadAgeMicros =
         ClockDrift.shortestMicros(workers.cancelMicros())
             - ClockDrift.longestMicros(workers.leaseMicros())
             - EXPIRY_MARGIN_MICROS;
@@ -43,7 +43,7 @@
    * @param endsKnownMicros when the last answered read of ended jobs was sent
    */
   public boolean mayRenew(long nowMicros, long endsKnownMicros) {
-    return nowMicros - endsKnownMicros <= maxAgeMicros;
+    return nowMicros - endsKnownMicros <= maxReadAgeMicros;
   }
 
   /**
@@ -51,6 +51,7 @@
    * does not show which jobs have ended.
    */
   public long watchMicros() {
-    return Math.max(MIN_WATCH_MICROS, Math.min(MAX_WATCH_MICROS, maxAgeMicros / READS_PER_LIMIT));
+    return Math.max(
+        MIN_WATCH_MICROS, Math.min(MAX_WATCH_MICROS, maxReadAgeMicros / READS_PER_LIMIT));
   }
 }
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -25,18 +25,18 @@
   /** The initial limit on the size of a stored value. */
   public static final int VALUE_BYTES = 8192;
 
-  private static final Endpoint NOWHERE = new Endpoint("nowhere", 1);
+  private static final Endpoint UNUSED_ENDPOINT = new Endpoint("nowhere", 1);
   private static final PlatformConfiguration.StateLimits LIMITS =
       new PlatformConfiguration.StateLimits(100, 40, VALUE_BYTES, 8);
   private static final PlatformConfiguration PLATFORM =
       new PlatformConfiguration(
           "n0",
           "z0",
-          NOWHERE,
-          NOWHERE,
+          UNUSED_ENDPOINT,
+          UNUSED_ENDPOINT,
           List.of(),
-          NOWHERE,
-          NOWHERE,
+          UNUSED_ENDPOINT,
+          UNUSED_ENDPOINT,
           List.of(new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
           List.of(),
           new PlatformConfiguration.Workers(3_000_000, 26_000_000, 30_000_000),
@@ -61,7 +61,7 @@
             answer.handle(HttpStatus.BAD_REQUEST, new byte[0]);
           }
         };
-    StateClient store = new StateClient(loop, caller, NOWHERE, LIMITS, metrics);
+    StateClient store = new StateClient(loop, caller, UNUSED_ENDPOINT, LIMITS, metrics);
     this.context =
         new TermContext(
             loop,
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -41,17 +41,17 @@
   final Machine machine;
   final Job job;
   final HeartbeatHandler handler;
-  private final ContextFixture services = new ContextFixture(HeartbeatFixture::list);
+  private final ContextFixture contextFixture = new ContextFixture(HeartbeatFixture::list);
   private long sequenceNumber;
 
   HeartbeatFixture() {
-    TermContext context = services.context();
+    TermContext context = contextFixture.context();
     StartedJobIndex startedJobs = new StartedJobIndex(context, () -> {});
     ActiveJobs jobs = new ActiveJobs(context, startedJobs, () -> {});
     RecoveryRead records = new RecoveryRead(context);
     records.read(jobs::load);
     job = jobs.get(JOB);
-    machine = new Machine("i-1", "i-1:9", "small", "a", false, services.nowMicros());
+    machine = new Machine("i-1", "i-1:9", "small", "a", false, contextFixture.nowMicros());
     fleet.add(machine);
     handler =
         new HeartbeatHandler(
@@ -64,8 +64,8 @@
             () -> MachineSharing.NONE);
   }
 
-  private static void list(String prefix, Consumer<Optional<StateClient.Listing>> whenRead) {
-    whenRead.accept(Optional.of(listing(prefix)));
+  private static void list(String prefix, Consumer<Optional<StateClient.Listing>> onRead) {
+    onRead.accept(Optional.of(listing(prefix)));
   }
 
   private static StateClient.Listing listing(String prefix) {
@@ -92,9 +92,9 @@
   /** Starts a task in the answer to the last heartbeat or by direct command. */
   Attempt start(int task, StartChannel channel) {
     if (channel == StartChannel.DIRECT_COMMAND) {
-      machine.tokens().commandSent(services.nowMicros());
+      machine.tokens().commandSent(contextFixture.nowMicros());
     }
-    return fleet.startAttempt(job, task, machine, channel, services.nowMicros());
+    return fleet.startAttempt(job, task, machine, channel, contextFixture.nowMicros());
   }
 
   /** Makes the machine accounted for by a heartbeat that lists no tasks. */
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -22,19 +22,19 @@
 final class HeartbeatHandlerTest {
   private static final TaskName TASK = new TaskName(JOB, 0);
 
-  private final HeartbeatFixture leader = new HeartbeatFixture();
+  private final HeartbeatFixture fixture = new HeartbeatFixture();
 
   private List<WorkerCommand> commandsFor(Heartbeat heartbeat) {
-    return leader.handler.stopAndRemoveCommands(leader.machine, heartbeat);
+    return fixture.handler.stopAndRemoveCommands(fixture.machine, heartbeat);
   }
 
   private HeartbeatHandler.Freshness apply(Heartbeat heartbeat) {
-    return leader.handler.apply(leader.machine, heartbeat, HeartbeatSource.WORKER);
+    return fixture.handler.apply(fixture.machine, heartbeat, HeartbeatSource.WORKER);
   }
 
   @Test
   void aHeartbeatReceivedTwiceIsADuplicate() {
-    Heartbeat heartbeat = leader.heartbeat();
+    Heartbeat heartbeat = fixture.heartbeat();
     apply(heartbeat);
 
     assertEquals(HeartbeatHandler.Freshness.DUPLICATE, apply(heartbeat));
@@ -42,21 +42,21 @@
 
   @Test
   void aHeartbeatOlderThanADirectAnswerIsSuperseded() {
-    leader.accounted();
-    Heartbeat sentFirst = leader.heartbeat();
-    leader.handler.apply(leader.machine, leader.heartbeat(), HeartbeatSource.DIRECT_REPLY);
+    fixture.accounted();
+    Heartbeat sentFirst = fixture.heartbeat();
+    fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_REPLY);
 
     assertEquals(HeartbeatHandler.Freshness.SUPERSEDED, apply(sentFirst));
   }
 
   @Test
-  void theHeartbeatThatAccountsForAMachineBringsAttemptsOfEarlierTerms() {
+  void theHeartbeatThatAccountsForAMachineAdoptsAttemptsOfEarlierTerms() {
     long earlier = HeartbeatFixture.attemptOfEarlierTerm();
 
-    apply(leader.heartbeat(running(0, earlier)));
+    apply(fixture.heartbeat(running(0, earlier)));
 
-    assertNotNull(leader.job.liveAttempt(0));
-    assertEquals(earlier, leader.job.liveAttempt(0).id());
+    assertNotNull(fixture.job.liveAttempt(0));
+    assertEquals(earlier, fixture.job.liveAttempt(0).id());
   }
 
   /**
@@ -65,26 +65,26 @@
    */
   @Test
   void anAttemptOfAnEarlierTermIsNotAdoptedFromAnAccountedMachine() {
-    leader.accounted();
+    fixture.accounted();
 
-    apply(leader.heartbeat(running(0, HeartbeatFixture.attemptOfEarlierTerm())));
+    apply(fixture.heartbeat(running(0, HeartbeatFixture.attemptOfEarlierTerm())));
 
-    assertNull(leader.job.liveAttempt(0));
+    assertNull(fixture.job.liveAttempt(0));
   }
 
   @Test
-  void aHeartbeatWithATokenOfAnEarlierTermBringsNoAttempts() {
-    apply(leader.heartbeatWithToken(1, running(0, HeartbeatFixture.attemptOfEarlierTerm())));
+  void aHeartbeatWithATokenOfAnEarlierTermAdoptsNoAttempts() {
+    apply(fixture.heartbeatWithToken(1, running(0, HeartbeatFixture.attemptOfEarlierTerm())));
 
-    assertNull(leader.job.liveAttempt(0));
-    assertFalse(leader.machine.accounted());
+    assertNull(fixture.job.liveAttempt(0));
+    assertFalse(fixture.machine.accounted());
   }
 
   @Test
   void aStartInAnAnswerIsOverWhenTheNextHeartbeatLacksIt() {
-    Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
 
-    apply(leader.heartbeat());
+    apply(fixture.heartbeat());
 
     assertTrue(attempt.over());
   }
@@ -92,28 +92,28 @@
   /** The reply to a direct call does not show whether an answer in flight will arrive. */
   @Test
   void aStartInAnAnswerIsNotOverWhenADirectAnswerLacksIt() {
-    Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
 
-    leader.handler.apply(leader.machine, leader.heartbeat(), HeartbeatSource.DIRECT_REPLY);
+    fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_REPLY);
 
     assertFalse(attempt.over());
   }
 
   @Test
-  void anUnansweredDirectStartIsNotOverWhileItsTokenCounts() {
-    Attempt attempt = leader.accounted().start(0, StartChannel.DIRECT_COMMAND);
+  void anUnansweredDirectStartIsNotOverWhileItsTokenIsCurrent() {
+    Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
 
-    apply(leader.heartbeat());
+    apply(fixture.heartbeat());
 
     assertFalse(attempt.over());
   }
 
   @Test
   void anUnansweredDirectStartIsOverOnceAHigherTokenIsShown() {
-    Attempt attempt = leader.accounted().start(0, StartChannel.DIRECT_COMMAND);
-    leader.machine.tokens().voidDirectCommands();
+    Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
+    fixture.machine.tokens().voidDirectCommands();
 
-    apply(leader.heartbeat());
+    apply(fixture.heartbeat());
 
     assertTrue(attempt.over());
   }
@@ -121,11 +121,11 @@
   /** Direct starts end as well: the worker rejects commands for an earlier incarnation. */
   @Test
   void aNewIncarnationEndsAllAttemptsOfEarlierOnes() {
-    Attempt running = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
-    apply(leader.heartbeat(running(0, running.id())));
-    Attempt unanswered = leader.start(1, StartChannel.DIRECT_COMMAND);
+    Attempt running = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    apply(fixture.heartbeat(running(0, running.id())));
+    Attempt unanswered = fixture.start(1, StartChannel.DIRECT_COMMAND);
 
-    apply(leader.heartbeatOfNextIncarnation());
+    apply(fixture.heartbeatOfNextIncarnation());
 
     assertTrue(running.over());
     assertTrue(unanswered.over());
@@ -133,11 +133,11 @@
 
   @Test
   void aTaskOfACancelledJobIsStoppedByEveryAnswer() {
-    Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
-    leader.job.confirmCancellation();
+    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    fixture.job.confirmCancellation();
 
     for (int i = 0; i < 2; i++) {
-      Heartbeat heartbeat = leader.heartbeat(running(0, attempt.id()));
+      Heartbeat heartbeat = fixture.heartbeat(running(0, attempt.id()));
       apply(heartbeat);
       assertEquals(List.of(WorkerCommand.stop(TASK, attempt.id(), 0)), commandsFor(heartbeat));
     }
@@ -145,8 +145,8 @@
 
   @Test
   void aCompletedAttemptStaysAtTheWorkerUntilItsResultIsStored() {
-    Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
-    Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
+    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    Heartbeat heartbeat = fixture.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
 
     assertEquals(List.of(), commandsFor(heartbeat));
@@ -154,59 +154,59 @@
 
   @Test
   void aCompletedAttemptIsRemovedOnceItsResultIsStored() {
-    Attempt attempt = leader.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
-    Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
+    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    Heartbeat heartbeat = fixture.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
-    leader.job.storedTasks().set(0);
+    fixture.job.storedTasks().set(0);
 
     assertEquals(List.of(WorkerCommand.remove(TASK, attempt.id())), commandsFor(heartbeat));
   }
 
   @Test
   void nothingIsRemovedWhileADirectCommandIsInFlight() {
-    Attempt attempt = leader.accounted().start(0, StartChannel.DIRECT_COMMAND);
-    leader.machine.contact().setCommandInFlight(true);
-    Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
+    Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
+    fixture.machine.contact().setCommandInFlight(true);
+    Heartbeat heartbeat = fixture.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
-    leader.job.storedTasks().set(0);
+    fixture.job.storedTasks().set(0);
 
     assertEquals(List.of(), commandsFor(heartbeat));
   }
 
   @Test
   void theAnswerThatRemovesAnAttemptVoidsTheCommandThatStartedIt() {
-    Attempt attempt = leader.accounted().start(0, StartChannel.DIRECT_COMMAND);
-    Heartbeat heartbeat = leader.heartbeat(completed(0, attempt.id()));
+    Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
+    Heartbeat heartbeat = fixture.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
-    leader.job.storedTasks().set(0);
+    fixture.job.storedTasks().set(0);
 
     List<WorkerCommand> commands = commandsFor(heartbeat);
 
     assertEquals(List.of(WorkerCommand.remove(TASK, attempt.id())), commands);
-    assertTrue(leader.machine.tokens().current() > attempt.directCommandToken());
+    assertTrue(fixture.machine.tokens().current() > attempt.directCommandToken());
   }
 
   @Test
   void aMachineIsUnreachableAfterTwoLostAnswers() {
-    leader.accounted();
+    fixture.accounted();
     for (int i = 0; i < 2; i++) {
-      leader.start(i, StartChannel.HEARTBEAT_ANSWER);
-      apply(leader.heartbeat());
+      fixture.start(i, StartChannel.HEARTBEAT_ANSWER);
+      apply(fixture.heartbeat());
     }
 
-    assertTrue(leader.machine.contact().unreachable());
+    assertTrue(fixture.machine.contact().unreachable());
   }
 
   @Test
   void aMachineThatShowsTheLatestTokenIsReachableAgain() {
-    leader.accounted();
+    fixture.accounted();
     for (int i = 0; i < 2; i++) {
-      leader.start(i, StartChannel.HEARTBEAT_ANSWER);
-      apply(leader.heartbeat());
+      fixture.start(i, StartChannel.HEARTBEAT_ANSWER);
+      apply(fixture.heartbeat());
     }
 
-    apply(leader.heartbeat());
+    apply(fixture.heartbeat());
 
-    assertFalse(leader.machine.contact().unreachable());
+    assertFalse(fixture.machine.contact().unreachable());
   }
 }
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -72,20 +72,20 @@
   }
 
   @Test
-  void aLeaderWithoutTheRightRenewsNothing() {
+  void aLeaderThatMayNotActRenewsNothing() {
     assertEquals(
         Optional.of(RenewalRefusal.NOT_LEADING),
         refusal(LeaderEvidence.ofIdleMachine(() -> false, TOKEN)));
   }
 
   @Test
-  void aLeaderWithTheRightRenewsForAnIdleMachine() {
+  void aLeaderThatMayActRenewsForAnIdleMachine() {
     assertEquals(Optional.empty(), refusal(LeaderEvidence.ofIdleMachine(() -> true, TOKEN)));
   }
 
   /** The worker may still start the command's task although the heartbeat does not list it. */
   @Test
-  void anUnansweredCommandCountsAlthoughNothingIsListed() {
+  void anUnansweredCommandIsEvaluatedAlthoughNoTaskIsListed() {
     assertEquals(
         Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN),
         refusal(leader(false, NOW - CANCEL, UnansweredCommands.sentAfter(NOW))));
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void foreignTasksCountByTheReadsOfTheirOwnShards() {
+  void foreignTasksAreEvaluatedByTheReadsOfTheirOriginatingShards() {
     ForeignTaskEvidence unknown = new ForeignTaskEvidence(true, NOW - CANCEL);
     assertEquals(
         Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN),
@@ -125,7 +125,7 @@
    * read of ended jobs. If the lease is renewed, the task must end in time for that cancellation.
    */
   @Test
-  void aLeadersRenewalAgreesWithThePlainModel() {
+  void aLeadersRenewalAgreesWithTheReferenceModel() {
     SplittableRandom random = new SplittableRandom(31);
     int renewed = 0;
     for (int i = 0; i < 20_000; i++) {
@@ -158,7 +158,7 @@
   }
 
   @Test
-  void theRecordIsReadAsItWasWritten() throws InvalidMessageException {
+  void aWrittenRecordIsReadUnchanged() throws InvalidMessageException {
     DelegationRecord record = new DelegationRecord(5, Map.of("east", TOKEN, "west", TOKEN + 7));
     assertEquals(
         "{\"term\":5,\"zones\":[{\"zone\":\"east\",\"token\":5242883},"
@@ -168,7 +168,7 @@
   }
 
   @Test
-  void whatHoldsNoTokenGivesNoRight() throws InvalidMessageException {
+  void aRecordWithoutTokensDelegatesNothing() throws InvalidMessageException {
     for (String stored :
         List.of(
             "{}",
@@ -183,7 +183,7 @@
 
   /** Only LeaseRenewal may build answers that renew a lease. */
   @Test
-  void onlyOnePlaceBuildsAnswersThatRenew() {
+  void onlyLeaseRenewalBuildsAnswersThatRenew() {
     JavaClasses project =
         new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -25,15 +25,15 @@
   private record Start(String machine, long token, long incarnation, String body) {}
 
   private final SimulatedCluster cluster;
-  private final List<Start> underWay = new ArrayList<>();
+  private final List<Start> startsInFlight = new ArrayList<>();
 
   /** Until when controllers may use a delegation of each zone. */
-  private final Map<String, Long> countsUntil = new HashMap<>();
+  private final Map<String, Long> delegatedUntilMicros = new HashMap<>();
 
   private long term = -1;
 
   /** Number of renewals that invalidated a start in flight. */
-  int voided;
+  int invalidatedStarts;
 
   DelegationChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
@@ -44,16 +44,16 @@
     DelegationRecord record = DelegationRecord.read(data);
     if (record.term() != term) {
       // An election deletes the previous leader's delegation.
-      countsUntil.clear();
+      delegatedUntilMicros.clear();
       term = record.term();
     }
-    Set<String> zones = new HashSet<>(countsUntil.keySet());
+    Set<String> zones = new HashSet<>(delegatedUntilMicros.keySet());
     zones.addAll(record.tokenByZone().keySet());
     for (String zone : zones) {
       if (record.tokenByZone().containsKey(zone)) {
-        countsUntil.put(zone, Long.MAX_VALUE);
-      } else if (countsUntil.get(zone) == Long.MAX_VALUE) {
-        countsUntil.put(zone, cluster.now() + DelegatedRenewal.VALID_MICROS);
+        delegatedUntilMicros.put(zone, Long.MAX_VALUE);
+      } else if (delegatedUntilMicros.get(zone) == Long.MAX_VALUE) {
+        delegatedUntilMicros.put(zone, cluster.now() + DelegatedRenewal.VALID_MICROS);
       }
     }
   }
@@ -63,14 +63,14 @@
     if (!body.contains("\"run\"")) {
       return;
     }
-    Start start = start(machine, body);
-    underWay.add(start);
+    Start start = parseStart(machine, body);
+    startsInFlight.add(start);
     FakeCloud.Vm vm = cluster.cloud.machines.get(machine);
-    boolean counts =
+    boolean mayBeDelegated =
         vm != null
             && Fleet.termOf(start.token) == term
-            && cluster.now() < countsUntil.getOrDefault(vm.zone, 0L);
-    if (counts) {
+            && cluster.now() < delegatedUntilMicros.getOrDefault(vm.zone, 0L);
+    if (mayBeDelegated) {
       cluster.invariants.broken.add(
           "a direct start was sent to machine " + machine + " in a delegated zone: " + body);
     }
@@ -78,12 +78,12 @@
 
   /** Called when direct commands have arrived at the machine, which executes or refuses them. */
   void arrived(String machine, String body) {
-    underWay.removeIf(start -> start.machine.equals(machine) && start.body.equals(body));
+    startsInFlight.removeIf(start -> start.machine.equals(machine) && start.body.equals(body));
   }
 
   /** Called when a worker has accepted a renewal from a controller that does not lead. */
   void renewedForLeader(String machine, long incarnation, long token) {
-    for (Start start : underWay) {
+    for (Start start : startsInFlight) {
       if (start.machine.equals(machine) && start.incarnation == incarnation) {
         if (start.token >= token) {
           cluster.invariants.broken.add(
@@ -96,13 +96,13 @@
                   + " s while a start that the token does not invalidate was in flight: "
                   + start.body);
         } else {
-          voided++;
+          invalidatedStarts++;
         }
       }
     }
   }
 
-  private static Start start(String machine, String body) {
+  private static Start parseStart(String machine, String body) {
     try {
       JsonNode command = Json.parseObject(body);
       return new Start(
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -31,16 +31,16 @@
  * reachable machines had been sent with the next token.
  */
 final class HeldStartTest {
-  private static final double APART_S = 62;
+  private static final double PARTITION_S = 62;
   private static final long CANCEL_AFTER_MICROS = 2_600_000;
-  private static final long CHANGE_AFTER_MICROS = 14_000_000;
-  private static final long COMMANDS_TAKE_MICROS = 200_000;
+  private static final long LEADER_CHANGE_AFTER_MICROS = 14_000_000;
+  private static final long COMMAND_DELAY_MICROS = 200_000;
 
   private SimulatedCluster cluster;
   private FakeUsers users;
-  private final List<JobSpec> running = new ArrayList<>();
+  private final List<JobSpec> runningJobs = new ArrayList<>();
 
-  private void deployment(long seed) {
+  private void createCluster(long seed) {
     cluster =
         new SimulatedCluster(
             seed,
@@ -73,7 +73,7 @@
     return ids;
   }
 
-  private long counted(String counter) {
+  private long sumOfCounter(String counter) {
     return cluster.controllers.values().stream()
         .mapToLong(controller -> controller.controller().metrics().counter(counter))
         .sum();
@@ -86,76 +86,81 @@
   }
 
   /**
-   * Cuts or restores the network between two sides: the controller and the machines in {@code
-   * behind} on one side, all other controllers and machines on the other.
+   * Cuts or restores the network between two sides: the isolated controller and machines on one
+   * side, all other controllers and machines on the other.
    */
-  private void cutZone(String controller, Set<String> behind, boolean on) {
+  private void setPartition(String isolatedController, Set<String> isolatedMachines, boolean on) {
     for (String other : cluster.controllers.keySet()) {
-      if (!other.equals(controller)) {
-        cluster.network.cut(controller, other, on);
-        behind.forEach(machine -> cluster.network.cut(other, machine, on));
+      if (!other.equals(isolatedController)) {
+        cluster.network.cut(isolatedController, other, on);
+        isolatedMachines.forEach(machine -> cluster.network.cut(other, machine, on));
       }
     }
     cluster.cloud.machines.keySet().stream()
-        .filter(machine -> !behind.contains(machine))
-        .forEach(machine -> cluster.network.cut(controller, machine, on));
+        .filter(machine -> !isolatedMachines.contains(machine))
+        .forEach(machine -> cluster.network.cut(isolatedController, machine, on));
   }
 
   /** Plays the sequence up to one second before the end of the partition. */
-  private JobSpec cancelledWhileApart(long seed, Runnable whileApart) {
-    deployment(seed);
+  private JobSpec cancelJobDuringPartition(long seed, Runnable duringPartition) {
+    createCluster(seed);
     for (int i = 0; i < 6; i++) {
-      running.add(submit("blue", 6, 150));
+      runningJobs.add(submit("blue", 6, 150));
     }
     // This job ends just before the partition and leaves free capacity in both zones.
-    JobSpec brief = submit("blue", 24, 20);
-    for (int i = 0; i < 90 && !"done".equals(cluster.invariants.lastTold.get(brief.uid())); i++) {
+    JobSpec shortJob = submit("blue", 24, 20);
+    for (int i = 0;
+        i < 90 && !"done".equals(cluster.invariants.lastTold.get(shortJob.uid()));
+        i++) {
       cluster.play(1);
     }
-    assertEquals("done", cluster.invariants.lastTold.get(brief.uid()));
+    assertEquals("done", cluster.invariants.lastTold.get(shortJob.uid()));
     String leader = cluster.leader().platform.label();
-    String behind =
+    String isolatedController =
         cluster.controllers.keySet().stream()
             .filter(n -> !n.equals(leader))
             .findFirst()
             .orElseThrow();
-    Set<String> zone = machinesIn("a");
-    assertTrue(attemptsIn(zone) > 0, "expected running tasks on the machines of zone a");
+    Set<String> isolatedMachines = machinesIn("a");
+    assertTrue(
+        attemptsIn(isolatedMachines) > 0, "expected running tasks on the machines of zone a");
 
-    cluster.network.extraCommandDelayMicros = COMMANDS_TAKE_MICROS;
-    long commanded = counted("starts_sent");
+    cluster.network.extraCommandDelayMicros = COMMAND_DELAY_MICROS;
+    long startsSentBefore = sumOfCounter("starts_sent");
     JobSpec cancelled = submit("blue", 24, 100);
-    while (counted("starts_sent") == commanded) {
+    while (sumOfCounter("starts_sent") == startsSentBefore) {
       cluster.play(0.01);
     }
-    cutZone(behind, zone, true);
+    setPartition(isolatedController, isolatedMachines, true);
     cluster.network.extraCommandDelayMicros = 0;
     cluster.at(CANCEL_AFTER_MICROS, () -> users.cancel(cancelled.uid()));
-    cluster.at((long) (APART_S * 1e6), () -> cutZone(behind, zone, false));
-    cluster.at(CHANGE_AFTER_MICROS, whileApart);
-    cluster.play(APART_S - 1);
+    cluster.at(
+        (long) (PARTITION_S * 1e6),
+        () -> setPartition(isolatedController, isolatedMachines, false));
+    cluster.at(LEADER_CHANGE_AFTER_MICROS, duringPartition);
+    cluster.play(PARTITION_S - 1);
     return cancelled;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {211, 212, 213, 214})
-  void aStartHeldByAPartitionIsNotCarriedOutAfterTheCancellation(long seed) {
-    JobSpec cancelled = cancelledWhileApart(seed, () -> {});
+  void aStartHeldByAPartitionIsNotExecutedAfterTheCancellation(long seed) {
+    JobSpec cancelled = cancelJobDuringPartition(seed, () -> {});
     String leader = cluster.leader().platform.label();
     assertTrue(
-        counted("leases_renewed_for_leader") > 20,
+        sumOfCounter("leases_renewed_for_leader") > 20,
         "expected more than 20 delegated renewals behind the cut");
-    assertTrue(counted("direct_commands_unanswered") > 0, "expected unanswered direct starts");
+    assertTrue(sumOfCounter("direct_commands_unanswered") > 0, "expected unanswered direct starts");
     assertTrue(
-        cluster.network.delegations.voided > 0,
+        cluster.network.delegations.invalidatedStarts > 0,
         "expected delegated renewals to invalidate held starts");
     cluster.play(60);
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
     assertEquals(leader, cluster.leader().platform.label());
-    assertEquals(0, counted("attempts_lost"), "attempts lost behind the cut");
+    assertEquals(0, sumOfCounter("attempts_lost"), "attempts lost behind the cut");
     cluster.play(120);
-    running.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
+    runningJobs.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
   }
 
   /**
@@ -163,12 +168,12 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {221, 222, 223, 224})
-  void norAfterAChangeOfLeader(long seed) {
-    JobSpec cancelled = cancelledWhileApart(seed, () -> cluster.leader().crash(20));
+  void aStartHeldByAPartitionIsNotExecutedAfterAChangeOfLeader(long seed) {
+    JobSpec cancelled = cancelJobDuringPartition(seed, () -> cluster.leader().crash(20));
     assertTrue(cluster.store.term() > 1, "expected a new term after the leader crashed");
     cluster.play(200);
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
-    running.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
+    runningJobs.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
   }
 }
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -24,17 +24,17 @@
 final class RenewalSoakTest {
   private static final long FIRST_SEED = 7_100;
   private static final int SEEDS = 16;
-  private static final double TROUBLED_S = 420;
-  private static final double CALM_S = 130;
-  private static final int CANCELLED_OF_TEN = 7;
+  private static final double FAULT_PHASE_S = 420;
+  private static final double RECOVERY_PHASE_S = 130;
+  private static final int CANCELLED_JOBS_PER_TEN = 7;
 
   /** The simulation of one seed. */
-  private static final class Day {
+  private static final class Simulation {
     private final SimulatedCluster cluster;
     private final FakeUsers users;
-    private boolean troubled = true;
+    private boolean faultsEnabled = true;
 
-    Day(long seed) {
+    Simulation(long seed) {
       cluster =
           new SimulatedCluster(
               seed,
@@ -46,15 +46,15 @@
       users = new FakeUsers(cluster);
     }
 
-    void play() {
+    void run() {
       cluster.at(0, this::submitNext);
       cluster.play(40);
       cluster.network.heldCommandShare = 0.02;
       cluster.network.heldCommandMicros = InvariantChecker.CANCEL_MICROS * 3 / 2;
       cluster.network.copiedHeartbeatShare = 0.01;
-      cluster.at(0, this::troubleNext);
-      cluster.play(TROUBLED_S);
-      troubled = false;
+      cluster.at(0, this::injectNextFault);
+      cluster.play(FAULT_PHASE_S);
+      faultsEnabled = false;
       cluster.network.cuts.clear();
       cluster.network.heldCommandShare = 0;
       cluster.store.refused.clear();
@@ -63,16 +63,16 @@
           .filter(vm -> vm.worker != null)
           .forEach(vm -> vm.worker.hung = false);
       cluster.calmSince = cluster.now();
-      cluster.play(CALM_S);
+      cluster.play(RECOVERY_PHASE_S);
     }
 
     private void submitNext() {
-      if (!troubled) {
+      if (!faultsEnabled) {
         return;
       }
       JobSpec job = job();
       users.submit(job, false);
-      if (cluster.random.nextInt(10) < CANCELLED_OF_TEN) {
+      if (cluster.random.nextInt(10) < CANCELLED_JOBS_PER_TEN) {
         cluster.at(
             300_000 + cluster.random.nextLong(8_000_000),
             () -> users.cancelOnceAccepted(job.uid()));
@@ -92,23 +92,23 @@
           .build();
     }
 
-    private void troubleNext() {
-      if (!troubled) {
+    private void injectNextFault() {
+      if (!faultsEnabled) {
         return;
       }
-      long lastsMicros = 2_000_000L + cluster.random.nextLong(68_000_000L);
+      long durationMicros = 2_000_000L + cluster.random.nextLong(68_000_000L);
       switch (cluster.random.nextInt(8)) {
-        case 0, 1, 2 -> zonesApart(lastsMicros);
-        case 3 -> leaderWithoutZone(lastsMicros);
-        case 4 -> flapping(lastsMicros);
-        case 5 -> hang(lastsMicros);
-        case 6 -> refuseLeader(lastsMicros / 4);
+        case 0, 1, 2 -> partitionZone(durationMicros);
+        case 3 -> cutLeaderFromZoneA(durationMicros);
+        case 4 -> flapLeaderLink(durationMicros);
+        case 5 -> hangWorkers(durationMicros);
+        case 6 -> refuseLeaderAtStore(durationMicros / 4);
         default -> anyController().crash(0.2 + cluster.random.nextInt(7));
       }
       if (cluster.random.nextInt(4) == 0) {
-        cluster.at(cluster.random.nextLong(lastsMicros), () -> anyController().crash(0.2));
+        cluster.at(cluster.random.nextLong(durationMicros), () -> anyController().crash(0.2));
       }
-      cluster.at(lastsMicros / 2 + cluster.random.nextLong(30_000_000L), this::troubleNext);
+      cluster.at(durationMicros / 2 + cluster.random.nextLong(30_000_000L), this::injectNextFault);
     }
 
     private SimulatedController anyController() {
@@ -124,69 +124,71 @@
     }
 
     /** Cuts the network between two hosts and restores it after this time. */
-    private void hold(String one, String other, long lastsMicros) {
-      cluster.network.cut(one, other, true);
-      cluster.at(lastsMicros, () -> cluster.network.cut(one, other, false));
+    private void cutTemporarily(String host, String other, long durationMicros) {
+      cluster.network.cut(host, other, true);
+      cluster.at(durationMicros, () -> cluster.network.cut(host, other, false));
     }
 
     /**
      * Partitions the network: one controller and the machines of one zone on one side, all other
      * hosts on the other.
      */
-    private void zonesApart(long lastsMicros) {
-      String inside = anyController().platform.label();
+    private void partitionZone(long durationMicros) {
+      String isolatedController = anyController().platform.label();
       String zone = cluster.random.nextBoolean() ? "a" : "b";
       for (String other : cluster.controllers.keySet()) {
-        if (!other.equals(inside)) {
-          hold(inside, other, lastsMicros);
-          machinesIn(zone).forEach(machine -> hold(other, machine, lastsMicros));
+        if (!other.equals(isolatedController)) {
+          cutTemporarily(isolatedController, other, durationMicros);
+          machinesIn(zone).forEach(machine -> cutTemporarily(other, machine, durationMicros));
         }
       }
       machinesIn(zone.equals("a") ? "b" : "a")
-          .forEach(machine -> hold(inside, machine, lastsMicros));
+          .forEach(machine -> cutTemporarily(isolatedController, machine, durationMicros));
     }
 
-    private void leaderWithoutZone(long lastsMicros) {
+    private void cutLeaderFromZoneA(long durationMicros) {
       cluster.controllers.values().stream()
           .filter(SimulatedController::leads)
           .forEach(
               leader ->
                   machinesIn("a")
-                      .forEach(machine -> hold(leader.platform.label(), machine, lastsMicros)));
+                      .forEach(
+                          machine ->
+                              cutTemporarily(leader.platform.label(), machine, durationMicros)));
     }
 
     /** Repeatedly cuts the leader from zone a for 1 to 10 s and reconnects it for 0.2 to 2.7 s. */
-    private void flapping(long lastsMicros) {
+    private void flapLeaderLink(long durationMicros) {
       long at = 0;
-      while (at < lastsMicros) {
+      while (at < durationMicros) {
         long cutMicros = 1_000_000 + cluster.random.nextLong(9_000_000);
-        cluster.at(at, () -> leaderWithoutZone(cutMicros));
+        cluster.at(at, () -> cutLeaderFromZoneA(cutMicros));
         at += cutMicros + 200_000 + cluster.random.nextLong(2_500_000);
       }
     }
 
-    private void hang(long lastsMicros) {
+    private void hangWorkers(long durationMicros) {
       cluster.cloud.machines.values().stream()
           .filter(vm -> vm.worker != null && cluster.random.nextInt(4) == 0)
           .forEach(
               vm -> {
                 vm.worker.hung = true;
-                cluster.at(lastsMicros / 2, () -> vm.worker.hung = false);
+                cluster.at(durationMicros / 2, () -> vm.worker.hung = false);
               });
     }
 
-    private void refuseLeader(long lastsMicros) {
+    private void refuseLeaderAtStore(long durationMicros) {
       cluster.controllers.values().stream()
           .filter(SimulatedController::leads)
           .forEach(
               leader -> {
                 cluster.store.refused.add(leader.platform.label());
                 cluster.at(
-                    lastsMicros, () -> cluster.store.refused.remove(leader.platform.label()));
+                    durationMicros, () -> cluster.store.refused.remove(leader.platform.label()));
               });
     }
 
-    long counted(String counter) {
+    long sumOfCounter(String counter) {
       return cluster.controllers.values().stream()
           .filter(controller -> controller.controller() != null)
           .mapToLong(controller -> controller.controller().metrics().counter(counter))
@@ -200,28 +202,28 @@
   }
 
   @Test
-  void nothingRunsTooLongAfterItsCancellation() {
-    Map<Long, List<String>> brokenBySeed = new TreeMap<>();
+  void noTaskRunsBeyondTheCancellationLimit() {
+    Map<Long, List<String>> violationsBySeed = new TreeMap<>();
     long renewed = 0;
     long voided = 0;
     long cancelled = 0;
     long startsAfterCancel = 0;
     for (long seed : seeds().toArray()) {
-      Day day = new Day(seed);
-      day.play();
-      if (!day.cluster.invariants.broken.isEmpty()) {
-        brokenBySeed.put(seed, day.cluster.invariants.broken.subList(0, 1));
+      Simulation simulation = new Simulation(seed);
+      simulation.run();
+      if (!simulation.cluster.invariants.broken.isEmpty()) {
+        violationsBySeed.put(seed, simulation.cluster.invariants.broken.subList(0, 1));
       }
-      renewed += day.counted("leases_renewed_for_leader");
-      voided += day.cluster.network.delegations.voided;
-      cancelled += day.cluster.invariants.cancelledAt.size();
-      startsAfterCancel += day.cluster.invariants.startsAfterCancel;
+      renewed += simulation.sumOfCounter("leases_renewed_for_leader");
+      voided += simulation.cluster.network.delegations.invalidatedStarts;
+      cancelled += simulation.cluster.invariants.cancelledAt.size();
+      startsAfterCancel += simulation.cluster.invariants.startsAfterCancel;
     }
     System.out.printf(
         "soak: %d delegated renewals, %d starts invalidated by them, %d jobs cancelled, %d tasks"
             + " started after cancellation but within the limit; violations: %s%n",
-        renewed, voided, cancelled, startsAfterCancel, brokenBySeed);
-    assertEquals(Map.of(), brokenBySeed);
+        renewed, voided, cancelled, startsAfterCancel, violationsBySeed);
+    assertEquals(Map.of(), violationsBySeed);
     assertTrue(
         renewed > 0 && voided > 0 && cancelled > 0,
         "expected renewals, invalidated starts and cancellations in some seed");
