--- a/src/main/java/plumlever/leader/TermParts.java
+++ b/src/main/java/plumlever/leader/TermComponents.java
@@ -27,10 +27,10 @@
 import plumlever.store.JobStore;
 
 /**
- * The parts that work for the leader in one term: puts them together, fills them with what earlier
- * leaders left, and starts them. None outlives the term.
+ * The components that work for the leader during one term. Creates them, loads the records of
+ * earlier leaders into them, and starts them. All components are closed when the term ends.
  */
-final class TermParts {
+final class TermComponents {
   private final TermContext context;
   private final Fleet fleet;
   private final RunTimeEstimates estimates = new RunTimeEstimates();
@@ -46,12 +46,12 @@
   private final MachineSharing sharing;
   private final MachineManager machines;
   private final WarmState warmState;
-  private final DependencyListCleanup lists;
+  private final DependencyListCleanup dependencyListCleanup;
   private final TokenRaiser tokenRaiser;
   private final HeartbeatResponder responder;
 
-  /** The parts of the term, which do nothing until they are started. */
-  TermParts(TermContext context, DeferredHeartbeats early) {
+  /** Creates the components of the term. They do nothing until they are started. */
+  TermComponents(TermContext context, DeferredHeartbeats deferredHeartbeats) {
     this.context = context;
     this.fleet = new Fleet(context.term().number());
     this.startedJobs = new StartedJobIndex(context, this::startedJobsRecorded);
@@ -71,9 +71,9 @@
     this.sharing = createSharing();
     this.machines = createMachineManager(delegation);
     this.warmState = new WarmState(context, fleet, estimates);
-    this.lists = new DependencyListCleanup(context, jobs);
+    this.dependencyListCleanup = new DependencyListCleanup(context, jobs);
     this.tokenRaiser = new TokenRaiser(context, fleet, failover, commands);
-    this.responder = createResponder(early, starter);
+    this.responder = createResponder(deferredHeartbeats, starter);
   }
 
   private MachineSharing createSharing() {
@@ -109,7 +109,8 @@
         this::requestPass);
   }
 
-  private HeartbeatResponder createResponder(DeferredHeartbeats early, TaskStarter starter) {
+  private HeartbeatResponder createResponder(
+      DeferredHeartbeats deferredHeartbeats, TaskStarter starter) {
     HeartbeatAnswers answers = new HeartbeatAnswers(context, jobs, sharing);
     return new HeartbeatResponder(
         context,
@@ -118,7 +119,7 @@
         registry,
         sharing,
         passes,
-        new HeartbeatScreening(context, machines, sharing, early, answers),
+        new HeartbeatScreening(context, machines, sharing, deferredHeartbeats, answers),
         new LeaseRenewalResponder(
             context, heartbeats, answers, sharing, new PlannedStarts(pass, starter), commands));
   }
@@ -147,20 +148,24 @@
     return responder;
   }
 
-  /** Takes what earlier leaders left. */
-  void load(RecoveryRead found) {
-    registry.load(found.listing(JobStore.FLEET).items(), fleet);
-    warmState.load(found.listing(JobStore.WARM_STATE).items());
-    jobs.load(found);
+  /** Loads the records of earlier leaders. */
+  void load(RecoveryRead recoveryRead) {
+    registry.load(recoveryRead.listing(JobStore.FLEET).items(), fleet);
+    warmState.load(recoveryRead.listing(JobStore.WARM_STATE).items());
+    jobs.load(recoveryRead);
     if (sharing.inPool()) {
-      sharing.poolRecordsRead(found.listing(PoolView.PREFIX), found.jobsReadSentMicros());
+      sharing.poolRecordsRead(
+          recoveryRead.listing(PoolView.PREFIX), recoveryRead.jobsReadSentMicros());
     }
     responder.recordsLoaded();
     failover.machinesLoaded();
     progress.takeOverStoredProgress();
   }
 
-  /** An earlier leader may have stored the last task of a job, but not its end. */
+  /**
+   * Ends the jobs whose tasks are all complete. An earlier leader may have stored the completion of
+   * a job's last task but not the end of the job.
+   */
   void endCompleteJobs() {
     jobs.all()
         .forEach(
@@ -171,7 +176,7 @@
             });
   }
 
-  /** Starts all recurring work; it ends with the scope, in reverse order. */
+  /** Starts all recurring tasks. The scope closes the components in reverse order. */
   void start(Scope scope) {
     scope.own(sharing::close);
     scope.own(jobs::close);
@@ -180,7 +185,7 @@
     scope.own(machines::close);
     scope.own(commands::close);
     scope.own(registry::close);
-    scope.own(lists::close);
+    scope.own(dependencyListCleanup::close);
     startTask(scope, "machine records", registry::compact);
     startTask(scope, "started jobs", startedJobs::cleanUp);
     startTask(scope, "progress", progress::write);
@@ -188,7 +193,7 @@
     startTask(scope, "warm state", warmState::write);
     startTask(scope, "token raise", tokenRaiser::run);
     scope
-        .own(new RecurringTask("dependency lists", context.loop(), lists::run))
+        .own(new RecurringTask("dependency lists", context.loop(), dependencyListCleanup::run))
         .runAfter(DependencyListCleanup.INTERVAL_MICROS);
     startTask(scope, "scheduling passes", passes::run);
   }
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -12,7 +12,7 @@
 import plumlever.wire.ExitCause;
 import plumlever.wire.Heartbeat;
 
-/** Applies the reported state of attempts that this leader tracks. */
+/** Applies reported states to the attempts that this leader tracks. */
 final class AttemptUpdates {
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -40,7 +40,7 @@
     this.placementChange = placementChange;
   }
 
-  /** Applies the state of an attempt as its machine reports it; one that is over stays over. */
+  /** Applies the reported state to the attempt, unless the attempt is already over. */
   void update(Attempt attempt, Heartbeat.AttemptStatus reported, long now) {
     if (attempt.over()) {
       return;
@@ -51,19 +51,19 @@
     }
     attempt.recordState(reported.state(), now);
     if (started) {
-      started(attempt, now);
+      applyStart(attempt, now);
     }
     if (reported.state() == AttemptState.ENDED) {
-      ended(attempt, reported.cause(), now);
+      applyEnd(attempt, reported.cause(), now);
     }
   }
 
-  private void started(Attempt attempt, long now) {
+  private void applyStart(Attempt attempt, long now) {
     Job job = attempt.job();
     attempt.machine().images().markReady(job.spec().image(), job.spec().imageGb());
     context.metrics().recordDuration("start", now - job.acceptedMicros());
     if (!attempt.adopted()) {
-      // Capacity that is occupied while the task waits for its image.
+      // The task occupied its cores while the machine fetched the image.
       countCoreMillis("core_ms_fetching", job, now - attempt.sentMicros());
     }
     attemptLog.running(attempt);
@@ -73,22 +73,25 @@
     context.metrics().count(counter, (long) (job.spec().cores() * micros / 1_000));
   }
 
-  private void ended(Attempt attempt, ExitCause cause, long now) {
+  private void applyEnd(Attempt attempt, ExitCause cause, long now) {
     placementChange.mark();
     fleet.endAttempt(attempt, cause);
     switch (cause) {
-      case DONE -> completed(attempt, now);
-      case ERROR, NO_SUCH -> failed(attempt, cause, now);
-      case STOPPED -> stopped(attempt);
+      case DONE -> applyCompletion(attempt, now);
+      case ERROR, NO_SUCH -> applyError(attempt, cause, now);
+      case STOPPED -> applyStop(attempt);
       default -> {
         context.metrics().count("tasks_refused");
         log.info(
-            "{} was refused by {}: {}", attempt.name().wireName(), attempt.machine().id(), cause);
+            "task {} was refused by machine {}: {}",
+            attempt.name().wireName(),
+            attempt.machine().id(),
+            cause);
       }
     }
   }
 
-  private void completed(Attempt attempt, long now) {
+  private void applyCompletion(Attempt attempt, long now) {
     attempt.job().recordSuccess();
     attempt.machine().health().recordSuccess();
     if (attempt.runningSinceMicros() >= 0) {
@@ -96,22 +99,22 @@
     }
     observeRunTime(attempt, now);
     attemptLog.done(attempt);
-    taskDone(attempt.job(), attempt.task());
+    markTaskCompleted(attempt.job(), attempt.task());
   }
 
-  private void failed(Attempt attempt, ExitCause cause, long now) {
+  private void applyError(Attempt attempt, ExitCause cause, long now) {
     Job job = attempt.job();
     Machine machine = attempt.machine();
     job.recordError(now);
     context.metrics().count("task_errors");
-    log.info("{} ended with {} on {}", attempt.name().wireName(), cause, machine.id());
+    log.info("task {} ended with {} on machine {}", attempt.name().wireName(), cause, machine.id());
     if (cause == ExitCause.ERROR && machine.health().recordError(job.uid())) {
-      log.warn("{} fails the tasks of several jobs and is drained", machine.id());
+      log.warn("draining machine {}: tasks of several jobs have failed on it", machine.id());
       machine.drain();
     }
   }
 
-  private void stopped(Attempt attempt) {
+  private void applyStop(Attempt attempt) {
     context.metrics().count("tasks_stopped");
     String image = attempt.job().spec().image();
     if (attempt.runningSinceMicros() < 0 && !needsImage(attempt.machine(), image)) {
@@ -128,7 +131,11 @@
     return false;
   }
 
-  /** Learns the machine's speed and the estimates' error from a run that was observed whole. */
+  /**
+   * Updates the machine's observed speed and the error of the run time estimates. Uses only runs
+   * that this leader has observed from start to end: adopted attempts and restarted tasks are
+   * skipped.
+   */
   private void observeRunTime(Attempt attempt, long now) {
     if (attempt.runningSinceMicros() < 0
         || attempt.adopted()
@@ -147,8 +154,11 @@
     estimates.observeRatio(attempt.job().spec().jobClass(), ratio);
   }
 
-  /** The task has completed, wherever it ran; has that stored if it is not known yet. */
-  void taskDone(Job job, int task) {
+  /**
+   * Marks a task as completed, on whichever machine it ran, and has the completion stored. Does
+   * nothing if the completion is already known or the job is over.
+   */
+  void markTaskCompleted(Job job, int task) {
     if (job.over() || job.completedTasks().get(task)) {
       return;
     }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -19,8 +19,10 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Evaluates the heartbeats of one term: decides how fresh each is, and passes what it proves to the
- * parts that keep it. Everything that heartbeats change goes through here.
+ * Applies the heartbeats that the leader receives during one term. For each heartbeat, checks
+ * whether it is newer than the last report of its machine, and passes the reported attempt states
+ * to the components that track attempts. Every state change caused by a heartbeat is made through
+ * this class.
  */
 public final class HeartbeatHandler {
   private final Logger log;
@@ -29,16 +31,17 @@
   private final Failover failover;
   private final Supplier<MachineSharing> sharing;
   private final PlacementChange placementChange = new PlacementChange();
-  private final AttemptUpdates updates;
+  private final AttemptUpdates attemptUpdates;
   private final UnknownAttempts unknownAttempts;
   private final AbsentAttempts absentAttempts;
   private final AnswerDelivery answerDelivery;
   private final StopAndRemoveCommands stopAndRemoveCommands;
 
   /**
-   * Handles the heartbeats of one term.
+   * Creates the handler of one term.
    *
-   * @param sharing asked with each heartbeat; it is set up later than this
+   * @param sharing supplies the view of the pool; called for each heartbeat, because the view is
+   *     created after this handler
    */
   public HeartbeatHandler(
       TermContext context,
@@ -54,36 +57,41 @@
     this.failover = failover;
     this.sharing = sharing;
     AttemptLog attemptLog = new AttemptLog(context);
-    this.updates =
+    this.attemptUpdates =
         new AttemptUpdates(context, fleet, estimates, progress, attemptLog, placementChange);
-    this.unknownAttempts = new UnknownAttempts(context, fleet, jobs, updates, placementChange);
+    this.unknownAttempts =
+        new UnknownAttempts(context, fleet, jobs, attemptUpdates, placementChange);
     this.absentAttempts = new AbsentAttempts(context, fleet, failover, attemptLog, placementChange);
     this.answerDelivery = new AnswerDelivery(context, placementChange);
     this.stopAndRemoveCommands = new StopAndRemoveCommands(context, jobs, sharing, attemptLog);
   }
 
-  /** True if anything on which placement depends has changed since the last call. */
+  /** Returns whether an input of placement has changed since the last call; resets the flag. */
   public boolean getAndClearChanged() {
     return placementChange.getAndClear();
   }
 
-  /** How a heartbeat compares with what was received before. */
+  /** The order of a heartbeat relative to the reports received before from its machine. */
   public enum Freshness {
-    /** The newest of its machine. */
+    /** The heartbeat is newer than every earlier report of its machine. */
     LATEST,
-    /** The worker waits for its answer, but the body of a direct call that came first was newer. */
+    /**
+     * The worker still waits for the answer to the heartbeat, but the reply to a direct call, which
+     * arrived first, has newer content.
+     */
     SUPERSEDED,
     /**
-     * Late or sent twice: the worker does not wait for its answer, and its tasks are as old as it
-     * is.
+     * The heartbeat is a delayed or repeated copy. The worker no longer waits for its answer, and
+     * its task list is outdated.
      */
     DUPLICATE
   }
 
   /**
-   * Takes in what a machine reports, if it is the latest.
+   * Applies a machine's report if it is newer than all earlier reports of the machine.
    *
-   * @param source whether it is a heartbeat of its own or the reply to a direct call
+   * @param source whether the report is a heartbeat sent by the worker or the reply to a direct
+   *     call
    */
   public Freshness apply(Machine machine, Heartbeat heartbeat, HeartbeatSource source) {
     long now = context.loop().nowMicros();
@@ -94,7 +102,7 @@
         machine.contact().incarnation() > 0
             && heartbeat.incarnation() > machine.contact().incarnation();
     endEarlierIncarnations(machine, heartbeat);
-    observe(machine, heartbeat, source, now);
+    recordReport(machine, heartbeat, source, now);
     boolean currentTerm = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     machine.tokens().raise(currentTerm ? heartbeat.fencingToken() : 0);
     LongHashSet listed = applyAttempts(machine, heartbeat, currentTerm, now);
@@ -104,15 +112,19 @@
     }
     if (currentTerm && !machine.accounted()) {
       failover.markAccounted(
-          machine, source == HeartbeatSource.WORKER ? "it reported" : "it answered");
+          machine,
+          source == HeartbeatSource.WORKER
+              ? "its worker sent a heartbeat"
+              : "it replied to a direct call");
       placementChange.mark();
     }
     return Freshness.LATEST;
   }
 
   /**
-   * Copies come seconds to minutes late. They must neither bring back what is gone nor count as a
-   * sign of life.
+   * Classifies a report that is not the newest of its machine. Copies of heartbeats arrive seconds
+   * to minutes late. A copy must neither restore removed attempts nor count as a sign that the
+   * machine is alive.
    */
   private static Freshness applyOutdated(
       Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
@@ -131,21 +143,30 @@
     }
   }
 
-  private void observe(Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
+  private void recordReport(
+      Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
     boolean firstHeartbeat = !machine.contact().hasReported();
-    boolean newNotice = heartbeat.hasPreemptionNotice() && machine.preemptedAtMicros() < 0;
+    boolean newPreemptionNotice =
+        heartbeat.hasPreemptionNotice() && machine.preemptedAtMicros() < 0;
     machine.recordReport(heartbeat, source, now);
     if (firstHeartbeat && source == HeartbeatSource.WORKER) {
       placementChange.mark();
     }
-    if (newNotice) {
+    if (newPreemptionNotice) {
       placementChange.mark();
       context.metrics().count("preemption_notices");
-      log.info("{} has a preemption notice of {} s", machine.id(), heartbeat.preemptionNoticeS());
+      log.info(
+          "machine {} received a preemption notice: it will be reclaimed in {} s",
+          machine.id(),
+          heartbeat.preemptionNoticeS());
     }
   }
 
-  /** Applies the status of each attempt; returns the attempts of this shard that are listed. */
+  /**
+   * Applies the reported status of each attempt.
+   *
+   * @return the listed attempts that belong to this shard
+   */
   private LongHashSet applyAttempts(
       Machine machine, Heartbeat heartbeat, boolean currentTerm, long now) {
     LongHashSet listed = new LongHashSet();
@@ -156,8 +177,8 @@
       }
       listed.add(reported.attempt());
       Attempt attempt = machine.load().attempt(reported.attempt());
-      if (attempt != null && isOfTask(attempt, reported)) {
-        updates.update(attempt, reported, now);
+      if (attempt != null && isAttemptOfTask(attempt, reported)) {
+        attemptUpdates.update(attempt, reported, now);
       } else if (attempt == null && currentTerm) {
         unknownAttempts.handle(machine, reported, now);
       }
@@ -170,15 +191,16 @@
     return listed;
   }
 
-  private static boolean isOfTask(Attempt attempt, Heartbeat.AttemptStatus reported) {
+  private static boolean isAttemptOfTask(Attempt attempt, Heartbeat.AttemptStatus reported) {
     return attempt.task() == reported.task().number()
         && attempt.job().uid().equals(reported.task().job());
   }
 
   /**
-   * Takes in what the owner of another shard's machine relays of this shard's tasks on it.
+   * Applies a heartbeat that another shard's leader relays. The machine belongs to that shard, and
+   * the heartbeat lists this shard's tasks on it.
    *
-   * @return {@code LATEST}, or {@code DUPLICATE} for a copy, which proves nothing
+   * @return {@code LATEST}, or {@code DUPLICATE} for an outdated copy, which is ignored
    */
   public Freshness applyRelayed(Machine machine, Heartbeat heartbeat) {
     if (!machine.contact().isNewerThanLast(heartbeat)) {
@@ -192,7 +214,7 @@
       listed.add(reported.attempt());
       Attempt attempt = machine.load().attempt(reported.attempt());
       if (attempt != null) {
-        updates.update(attempt, reported, now);
+        attemptUpdates.update(attempt, reported, now);
       } else if (reported.state() == AttemptState.ENDED) {
         unknownAttempts.handle(machine, reported, now);
       }
@@ -201,19 +223,23 @@
     return Freshness.LATEST;
   }
 
-  /** The worker refused a direct command: none of these starts was executed, or ever will be. */
-  public void startsRefused(Iterable<Attempt> sent) {
-    absentAttempts.endRefused(sent);
+  /**
+   * Ends the attempts of a direct command that the worker refused. The worker has executed none of
+   * these starts and never will.
+   */
+  public void startsRefused(Iterable<Attempt> refusedStarts) {
+    absentAttempts.endRefused(refusedStarts);
   }
 
-  /** Ends all attempts on a machine that was deleted or whose lease has surely expired. */
+  /** Ends all attempts on a machine that was deleted or whose lease has certainly expired. */
   public void endAllAttempts(Machine machine) {
     absentAttempts.endIncarnationsBefore(machine, Long.MAX_VALUE);
   }
 
   /**
-   * True if the machine has tasks of jobs that are not known here to have ended; stops of all
-   * others go with any answer.
+   * Returns whether the heartbeat lists an unfinished task of a job that this leader does not know
+   * to have ended. Tasks of other jobs need no check, because every answer carries their stop
+   * commands.
    */
   public boolean holdsTasksOfActiveJobs(Heartbeat heartbeat) {
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
@@ -224,7 +250,10 @@
     return false;
   }
 
-  /** The stops and removals that an answer to this heartbeat must carry, whatever is planned. */
+  /**
+   * Returns the stop and remove commands that every answer to this heartbeat must carry,
+   * independent of the scheduling plan.
+   */
   public List<WorkerCommand> stopAndRemoveCommands(Machine machine, Heartbeat heartbeat) {
     return stopAndRemoveCommands.forAnswer(machine, heartbeat);
   }
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -30,8 +30,8 @@
 import plumlever.wire.TaskName;
 
 /**
- * A leader's heartbeat handler with one machine and one job of two tasks, which an earlier leader
- * may have started. Requests to other services get no answer.
+ * Sets up a leader's heartbeat handler with one machine and one job of two tasks. An earlier leader
+ * may have started tasks of the job. Requests to other services are not answered.
  */
 final class HeartbeatFixture {
   static final long TERM = 7;
@@ -41,17 +41,17 @@
   final Machine machine;
   final Job job;
   final HeartbeatHandler handler;
-  private final ContextFixture services = new ContextFixture(HeartbeatFixture::list);
+  private final ContextFixture contextFixture = new ContextFixture(HeartbeatFixture::list);
   private long sequenceNumber;
 
   HeartbeatFixture() {
-    TermContext context = services.context();
+    TermContext context = contextFixture.context();
     StartedJobIndex startedJobs = new StartedJobIndex(context, () -> {});
     ActiveJobs jobs = new ActiveJobs(context, startedJobs, () -> {});
     RecoveryRead records = new RecoveryRead(context);
     records.read(jobs::load);
     job = jobs.get(JOB);
-    machine = new Machine("i-1", "i-1:9", "small", "a", false, services.nowMicros());
+    machine = new Machine("i-1", "i-1:9", "small", "a", false, contextFixture.nowMicros());
     fleet.add(machine);
     handler =
         new HeartbeatHandler(
@@ -64,8 +64,8 @@
             () -> MachineSharing.NONE);
   }
 
-  private static void list(String prefix, Consumer<Optional<StateClient.Listing>> whenRead) {
-    whenRead.accept(Optional.of(listing(prefix)));
+  private static void list(String prefix, Consumer<Optional<StateClient.Listing>> onRead) {
+    onRead.accept(Optional.of(listing(prefix)));
   }
 
   private static StateClient.Listing listing(String prefix) {
@@ -81,7 +81,7 @@
     return Json.object().put("at_ms", 0).set("job", spec.toJson());
   }
 
-  /** The number of an attempt that a leader of an earlier term started. */
+  /** Returns the number of an attempt that the leader of the previous term started. */
   static long attemptOfEarlierTerm() {
     HeartbeatFixture earlier = new HeartbeatFixture();
     return new Fleet(TERM - 1)
@@ -89,32 +89,32 @@
         .id();
   }
 
-  /** A task that this leader starts, with the answer to the last heartbeat or directly. */
+  /** Starts a task in the answer to the last heartbeat or by direct command. */
   Attempt start(int task, StartChannel channel) {
     if (channel == StartChannel.DIRECT_COMMAND) {
-      machine.tokens().commandSent(services.nowMicros());
+      machine.tokens().commandSent(contextFixture.nowMicros());
     }
-    return fleet.startAttempt(job, task, machine, channel, services.nowMicros());
+    return fleet.startAttempt(job, task, machine, channel, contextFixture.nowMicros());
   }
 
-  /** The machine has reported in this term, without tasks, and is accounted for. */
+  /** Makes the machine accounted for by a heartbeat that lists no tasks. */
   HeartbeatFixture accounted() {
     handler.apply(machine, heartbeat(), HeartbeatSource.WORKER);
     handler.getAndClearChanged();
     return this;
   }
 
-  /** The machine's next heartbeat, with the highest token that was given out. */
+  /** Returns the machine's next heartbeat, with the highest token issued for the machine. */
   Heartbeat heartbeat(Heartbeat.AttemptStatus... attempts) {
     return heartbeatWithToken(machine.tokens().current(), attempts);
   }
 
-  /** The machine's next heartbeat. */
+  /** Returns the machine's next heartbeat, with this token. */
   Heartbeat heartbeatWithToken(long token, Heartbeat.AttemptStatus... attempts) {
     return heartbeat(1, token, List.of(attempts));
   }
 
-  /** The first heartbeat after the machine's lease has expired. */
+  /** Returns the machine's first heartbeat after its lease has expired. */
   Heartbeat heartbeatOfNextIncarnation() {
     return heartbeat(2, machine.tokens().current(), List.of());
   }
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -24,7 +24,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.WorkerCommand;
 
-/** Leases are renewed in one place, and only with evidence that is sufficient. */
+/** Tests that leases are renewed by one class only, and only with sufficient evidence. */
 final class LeaseRenewalTest {
   private static final long LEASE = 26_000_000;
   private static final long CANCEL = 56_000_000;
@@ -72,20 +72,20 @@
   }
 
   @Test
-  void aLeaderWithoutTheRightRenewsNothing() {
+  void aLeaderThatMayNotActRenewsNothing() {
     assertEquals(
         Optional.of(RenewalRefusal.NOT_LEADING),
         refusal(LeaderEvidence.ofIdleMachine(() -> false, TOKEN)));
   }
 
   @Test
-  void aLeaderWithTheRightRenewsForAnIdleMachine() {
+  void aLeaderThatMayActRenewsForAnIdleMachine() {
     assertEquals(Optional.empty(), refusal(LeaderEvidence.ofIdleMachine(() -> true, TOKEN)));
   }
 
-  /** What the heartbeat does not list may still be started. */
+  /** The worker may still start the command's task although the heartbeat does not list it. */
   @Test
-  void anUnansweredCommandCountsAlthoughNothingIsListed() {
+  void anUnansweredCommandIsEvaluatedAlthoughNoTaskIsListed() {
     assertEquals(
         Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN),
         refusal(leader(false, NOW - CANCEL, UnansweredCommands.sentAfter(NOW))));
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void foreignTasksCountByTheReadsOfTheirOwnShards() {
+  void foreignTasksAreEvaluatedByTheReadsOfTheirOriginatingShards() {
     ForeignTaskEvidence unknown = new ForeignTaskEvidence(true, NOW - CANCEL);
     assertEquals(
         Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN),
@@ -120,11 +120,12 @@
   }
 
   /**
-   * The plain model: whatever may be on the machine, listed, unanswered or a foreign task, may
-   * belong to a job cancelled right after what was last known of it, and must end in time for that.
+   * Compares renewals with a reference model. A task that may be on the machine (listed, started by
+   * an unanswered command, or foreign) may belong to a job that was cancelled right after the last
+   * read of ended jobs. If the lease is renewed, the task must end in time for that cancellation.
    */
   @Test
-  void aLeadersRenewalAgreesWithThePlainModel() {
+  void aLeadersRenewalAgreesWithTheReferenceModel() {
     SplittableRandom random = new SplittableRandom(31);
     int renewed = 0;
     for (int i = 0; i < 20_000; i++) {
@@ -152,11 +153,12 @@
         assertTrue(!foreignTask || ends < foreignTaskKnown + CANCEL);
       }
     }
-    assertTrue(renewed > 1_000, "some are renewed: " + renewed);
+    assertTrue(
+        renewed > 1_000, "expected more than 1000 renewals in 20000 random cases: " + renewed);
   }
 
   @Test
-  void theRecordIsReadAsItWasWritten() throws InvalidMessageException {
+  void aWrittenRecordIsReadUnchanged() throws InvalidMessageException {
     DelegationRecord record = new DelegationRecord(5, Map.of("east", TOKEN, "west", TOKEN + 7));
     assertEquals(
         "{\"term\":5,\"zones\":[{\"zone\":\"east\",\"token\":5242883},"
@@ -166,7 +168,7 @@
   }
 
   @Test
-  void whatHoldsNoTokenGivesNoRight() throws InvalidMessageException {
+  void aRecordWithoutTokensDelegatesNothing() throws InvalidMessageException {
     for (String stored :
         List.of(
             "{}",
@@ -179,9 +181,9 @@
     }
   }
 
-  /** An answer that renews a lease can't be built anywhere else. */
+  /** Only LeaseRenewal may build answers that renew a lease. */
   @Test
-  void onlyOnePlaceBuildsAnswersThatRenew() {
+  void onlyLeaseRenewalBuildsAnswersThatRenew() {
     JavaClasses project =
         new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -15,93 +15,94 @@
 import plumlever.wire.ProtocolField;
 
 /**
- * Not rules of the protocol, but what the proof of delegated renewal rests on: no start is sent
- * straight into a zone while the delegation of it may count, and no lease is renewed for the leader
- * while a start is on its way that the renewal does not void.
+ * Checks the invariants on which the correctness of delegated renewal depends; the protocol itself
+ * does not require them. No direct start is sent into a zone while a delegation of the zone may be
+ * in use. No lease is renewed under a delegation while a direct start is in flight that the renewal
+ * does not invalidate.
  */
 final class DelegationChecker {
-  /** A start sent straight to a machine that has not arrived. */
+  /** A direct start command that has not arrived at its machine. */
   private record Start(String machine, long token, long incarnation, String body) {}
 
   private final SimulatedCluster cluster;
-  private final List<Start> underWay = new ArrayList<>();
+  private final List<Start> startsInFlight = new ArrayList<>();
 
-  /** Until when a delegation of the zone may count. */
-  private final Map<String, Long> countsUntil = new HashMap<>();
+  /** Until when controllers may use a delegation of each zone. */
+  private final Map<String, Long> delegatedUntilMicros = new HashMap<>();
 
   private long term = -1;
 
-  /** Renewals that voided a start on its way. */
-  int voided;
+  /** Number of renewals that invalidated a start in flight. */
+  int invalidatedStarts;
 
   DelegationChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  /** The delegation was written. */
+  /** Called when the state service has stored a delegation record. */
   void stored(JsonNode data) {
     DelegationRecord record = DelegationRecord.read(data);
     if (record.term() != term) {
-      // An election drops what the leader before had delegated.
-      countsUntil.clear();
+      // An election deletes the previous leader's delegation.
+      delegatedUntilMicros.clear();
       term = record.term();
     }
-    Set<String> zones = new HashSet<>(countsUntil.keySet());
+    Set<String> zones = new HashSet<>(delegatedUntilMicros.keySet());
     zones.addAll(record.tokenByZone().keySet());
     for (String zone : zones) {
       if (record.tokenByZone().containsKey(zone)) {
-        countsUntil.put(zone, Long.MAX_VALUE);
-      } else if (countsUntil.get(zone) == Long.MAX_VALUE) {
-        countsUntil.put(zone, cluster.now() + DelegatedRenewal.VALID_MICROS);
+        delegatedUntilMicros.put(zone, Long.MAX_VALUE);
+      } else if (delegatedUntilMicros.get(zone) == Long.MAX_VALUE) {
+        delegatedUntilMicros.put(zone, cluster.now() + DelegatedRenewal.VALID_MICROS);
       }
     }
   }
 
-  /** Commands are sent straight to a machine. */
+  /** Called when direct commands are sent to a machine. */
   void sent(String machine, String body) {
     if (!body.contains("\"run\"")) {
       return;
     }
-    Start start = start(machine, body);
-    underWay.add(start);
+    Start start = parseStart(machine, body);
+    startsInFlight.add(start);
     FakeCloud.Vm vm = cluster.cloud.machines.get(machine);
-    boolean counts =
+    boolean mayBeDelegated =
         vm != null
             && Fleet.termOf(start.token) == term
-            && cluster.now() < countsUntil.getOrDefault(vm.zone, 0L);
-    if (counts) {
+            && cluster.now() < delegatedUntilMicros.getOrDefault(vm.zone, 0L);
+    if (mayBeDelegated) {
       cluster.invariants.broken.add(
-          "a start was sent straight to " + machine + " in a delegated zone: " + body);
+          "a direct start was sent to machine " + machine + " in a delegated zone: " + body);
     }
   }
 
-  /** Commands have arrived at the machine, and are carried out or refused. */
+  /** Called when direct commands have arrived at the machine, which executes or refuses them. */
   void arrived(String machine, String body) {
-    underWay.removeIf(start -> start.machine.equals(machine) && start.body.equals(body));
+    startsInFlight.removeIf(start -> start.machine.equals(machine) && start.body.equals(body));
   }
 
-  /** A worker has taken an answer of a controller that does not lead. */
+  /** Called when a worker has accepted a renewal from a controller that does not lead. */
   void renewedForLeader(String machine, long incarnation, long token) {
-    for (Start start : underWay) {
+    for (Start start : startsInFlight) {
       if (start.machine.equals(machine) && start.incarnation == incarnation) {
         if (start.token >= token) {
           cluster.invariants.broken.add(
-              "the lease of "
+              "the lease of machine "
                   + machine
-                  + " was renewed for the leader with token "
+                  + " was renewed under a delegation with token "
                   + token
                   + " at "
                   + cluster.now() / 1e6
-                  + " while a start is on its way: "
+                  + " s while a start that the token does not invalidate was in flight: "
                   + start.body);
         } else {
-          voided++;
+          invalidatedStarts++;
         }
       }
     }
   }
 
-  private static Start start(String machine, String body) {
+  private static Start parseStart(String machine, String body) {
     try {
       JsonNode command = Json.parseObject(body);
       return new Start(
@@ -110,7 +111,7 @@
           command.path(ProtocolField.INCARNATION).asLong(),
           body);
     } catch (InvalidMessageException e) {
-      throw new AssertionError("a command can't be read: " + body, e);
+      throw new AssertionError("direct command is not a JSON object: " + body, e);
     }
   }
 }
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -13,34 +13,34 @@
 import plumlever.wire.JobSpec;
 
 /**
- * The story: two zones lost each other a few milliseconds after the leader had sent the first tasks
- * of a job straight to machines of both. Those in the other zone were held back by the network. The
- * user cancelled the job two and a half seconds later and was told that it is cancelled. The leader
- * let the other controllers renew leases in the zone that it could not reach, and one of them did,
- * for as long as the zones were apart. When they found each other again, after a minute, the held
- * commands arrived, and two machines started tasks of the job 57 s after its cancellation, in a
- * deployment that has 56 s for it.
+ * Guards against tasks that start after the cancellation limit because a network partition delayed
+ * their direct start commands.
  *
- * <p>The cause: a command without an answer is voided by a higher token or by the end of the
- * incarnation. The higher token stood in the leader's books only. The renewing controller answered
- * with the token that the machine's heartbeat showed and stopped what the heartbeat listed, so
- * neither came.
+ * <p>Sequence: two zones are partitioned a few milliseconds after the leader has sent direct starts
+ * of a job to machines in both zones, and the network holds the commands for the other zone. The
+ * job is cancelled 2.5 s later. Another controller renews the leases in the unreachable zone under
+ * the leader's delegation until the partition ends after about a minute. Then the held commands
+ * arrive. Before the fix, two machines started tasks 57 s after the cancellation, in a deployment
+ * with a cancellation limit of 56 s.
  *
- * <p>The evidence: starts with the first token of the term arriving at the moment at which the
- * partition ended, in incarnations as old as the partition, while the stops to reached machines had
- * long gone out with the next token.
+ * <p>Cause: an unanswered command is invalidated only by a higher token or by the end of the
+ * incarnation. The leader had raised the token only in its own memory. The renewing controller
+ * answered with the token reported by the machine and stopped only the listed tasks, so the machine
+ * received no higher token and its incarnation did not end. The late starts therefore carried the
+ * term's first token and were accepted in incarnations as old as the partition, while the stops for
+ * reachable machines had been sent with the next token.
  */
 final class HeldStartTest {
-  private static final double APART_S = 62;
+  private static final double PARTITION_S = 62;
   private static final long CANCEL_AFTER_MICROS = 2_600_000;
-  private static final long CHANGE_AFTER_MICROS = 14_000_000;
-  private static final long COMMANDS_TAKE_MICROS = 200_000;
+  private static final long LEADER_CHANGE_AFTER_MICROS = 14_000_000;
+  private static final long COMMAND_DELAY_MICROS = 200_000;
 
   private SimulatedCluster cluster;
   private FakeUsers users;
-  private final List<JobSpec> running = new ArrayList<>();
+  private final List<JobSpec> runningJobs = new ArrayList<>();
 
-  private void deployment(long seed) {
+  private void createCluster(long seed) {
     cluster =
         new SimulatedCluster(
             seed,
@@ -73,7 +73,7 @@
     return ids;
   }
 
-  private long counted(String counter) {
+  private long sumOfCounter(String counter) {
     return cluster.controllers.values().stream()
         .mapToLong(controller -> controller.controller().metrics().counter(counter))
         .sum();
@@ -85,81 +85,95 @@
         .sum();
   }
 
-  /** A controller and the machines of zone a on one side, the others on the other. */
-  private void cutZone(String controller, Set<String> behind, boolean on) {
+  /**
+   * Cuts or restores the network between two sides: the isolated controller and machines on one
+   * side, all other controllers and machines on the other.
+   */
+  private void setPartition(String isolatedController, Set<String> isolatedMachines, boolean on) {
     for (String other : cluster.controllers.keySet()) {
-      if (!other.equals(controller)) {
-        cluster.network.cut(controller, other, on);
-        behind.forEach(machine -> cluster.network.cut(other, machine, on));
+      if (!other.equals(isolatedController)) {
+        cluster.network.cut(isolatedController, other, on);
+        isolatedMachines.forEach(machine -> cluster.network.cut(other, machine, on));
       }
     }
     cluster.cloud.machines.keySet().stream()
-        .filter(machine -> !behind.contains(machine))
-        .forEach(machine -> cluster.network.cut(controller, machine, on));
+        .filter(machine -> !isolatedMachines.contains(machine))
+        .forEach(machine -> cluster.network.cut(isolatedController, machine, on));
   }
 
-  /** Brings the story about, up to a second before the zones find each other again. */
-  private JobSpec cancelledWhileApart(long seed, Runnable whileApart) {
-    deployment(seed);
+  /** Plays the sequence up to one second before the end of the partition. */
+  private JobSpec cancelJobDuringPartition(long seed, Runnable duringPartition) {
+    createCluster(seed);
     for (int i = 0; i < 6; i++) {
-      running.add(submit("blue", 6, 150));
+      runningJobs.add(submit("blue", 6, 150));
     }
-    // What ends just before the partition leaves room in both zones.
-    JobSpec brief = submit("blue", 24, 20);
-    for (int i = 0; i < 90 && !"done".equals(cluster.invariants.lastTold.get(brief.uid())); i++) {
+    // This job ends just before the partition and leaves free capacity in both zones.
+    JobSpec shortJob = submit("blue", 24, 20);
+    for (int i = 0;
+        i < 90 && !"done".equals(cluster.invariants.lastTold.get(shortJob.uid()));
+        i++) {
       cluster.play(1);
     }
-    assertEquals("done", cluster.invariants.lastTold.get(brief.uid()));
+    assertEquals("done", cluster.invariants.lastTold.get(shortJob.uid()));
     String leader = cluster.leader().platform.label();
-    String behind =
+    String isolatedController =
         cluster.controllers.keySet().stream()
             .filter(n -> !n.equals(leader))
             .findFirst()
             .orElseThrow();
-    Set<String> zone = machinesIn("a");
-    assertTrue(attemptsIn(zone) > 0, "machines in the zone run tasks");
+    Set<String> isolatedMachines = machinesIn("a");
+    assertTrue(
+        attemptsIn(isolatedMachines) > 0, "expected running tasks on the machines of zone a");
 
-    cluster.network.extraCommandDelayMicros = COMMANDS_TAKE_MICROS;
-    long commanded = counted("starts_sent");
+    cluster.network.extraCommandDelayMicros = COMMAND_DELAY_MICROS;
+    long startsSentBefore = sumOfCounter("starts_sent");
     JobSpec cancelled = submit("blue", 24, 100);
-    while (counted("starts_sent") == commanded) {
+    while (sumOfCounter("starts_sent") == startsSentBefore) {
       cluster.play(0.01);
     }
-    cutZone(behind, zone, true);
+    setPartition(isolatedController, isolatedMachines, true);
     cluster.network.extraCommandDelayMicros = 0;
     cluster.at(CANCEL_AFTER_MICROS, () -> users.cancel(cancelled.uid()));
-    cluster.at((long) (APART_S * 1e6), () -> cutZone(behind, zone, false));
-    cluster.at(CHANGE_AFTER_MICROS, whileApart);
-    cluster.play(APART_S - 1);
+    cluster.at(
+        (long) (PARTITION_S * 1e6),
+        () -> setPartition(isolatedController, isolatedMachines, false));
+    cluster.at(LEADER_CHANGE_AFTER_MICROS, duringPartition);
+    cluster.play(PARTITION_S - 1);
     return cancelled;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {211, 212, 213, 214})
-  void aStartHeldByAPartitionIsNotCarriedOutAfterTheCancellation(long seed) {
-    JobSpec cancelled = cancelledWhileApart(seed, () -> {});
+  void aStartHeldByAPartitionIsNotExecutedAfterTheCancellation(long seed) {
+    JobSpec cancelled = cancelJobDuringPartition(seed, () -> {});
     String leader = cluster.leader().platform.label();
-    assertTrue(counted("leases_renewed_for_leader") > 20, "leases are renewed behind the cut");
-    assertTrue(counted("direct_commands_unanswered") > 0, "starts have had no answer");
-    assertTrue(cluster.network.delegations.voided > 0, "and are voided by renewals");
+    assertTrue(
+        sumOfCounter("leases_renewed_for_leader") > 20,
+        "expected more than 20 delegated renewals behind the cut");
+    assertTrue(sumOfCounter("direct_commands_unanswered") > 0, "expected unanswered direct starts");
+    assertTrue(
+        cluster.network.delegations.invalidatedStarts > 0,
+        "expected delegated renewals to invalidate held starts");
     cluster.play(60);
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
     assertEquals(leader, cluster.leader().platform.label());
-    assertEquals(0, counted("attempts_lost"), "no task behind the cut was lost");
+    assertEquals(0, sumOfCounter("attempts_lost"), "attempts lost behind the cut");
     cluster.play(120);
-    running.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
+    runningJobs.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
   }
 
-  /** The leader that sent the starts ends while they are held, and its delegation with it. */
+  /**
+   * The leader that sent the starts fails while they are held; its delegation ends with its term.
+   */
   @ParameterizedTest
   @ValueSource(longs = {221, 222, 223, 224})
-  void norAfterAChangeOfLeader(long seed) {
-    JobSpec cancelled = cancelledWhileApart(seed, () -> cluster.leader().crash(20));
-    assertTrue(cluster.store.term() > 1, "another term has begun");
+  void aStartHeldByAPartitionIsNotExecutedAfterAChangeOfLeader(long seed) {
+    JobSpec cancelled = cancelJobDuringPartition(seed, () -> cluster.leader().crash(20));
+    assertTrue(cluster.store.term() > 1, "expected a new term after the leader crashed");
     cluster.play(200);
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
-    running.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
+    runningJobs.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
   }
 }
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -13,27 +13,28 @@
 import plumlever.wire.JobSpec;
 
 /**
- * Days on which links hold messages back for seconds up to beyond the time of a cancellation, zones
- * lose each other, renewal is delegated, leaders change, machines hang and go on, and most jobs are
- * cancelled soon. Each attempt is followed: none may be started, or go on, too long after its
- * cancellation was confirmed.
+ * Guards against attempts that start or keep running longer than the cancellation limit after the
+ * cancellation of their job was confirmed. Random simulations combine the faults that can lead
+ * there: links delay messages for seconds up to more than the limit, zones are partitioned, lease
+ * renewal is delegated, leaders change, and workers hang and resume, while most jobs are cancelled
+ * soon after they are accepted.
  *
- * <p>{@code -Dplumlever.soak.first=F -Dplumlever.soak.seeds=N} plays other and more seeds.
+ * <p>{@code -Dplumlever.soak.first=F -Dplumlever.soak.seeds=N} runs N seeds from seed F.
  */
 final class RenewalSoakTest {
   private static final long FIRST_SEED = 7_100;
   private static final int SEEDS = 16;
-  private static final double TROUBLED_S = 420;
-  private static final double CALM_S = 130;
-  private static final int CANCELLED_OF_TEN = 7;
+  private static final double FAULT_PHASE_S = 420;
+  private static final double RECOVERY_PHASE_S = 130;
+  private static final int CANCELLED_JOBS_PER_TEN = 7;
 
-  /** One day of a seed. */
-  private static final class Day {
+  /** The simulation of one seed. */
+  private static final class Simulation {
     private final SimulatedCluster cluster;
     private final FakeUsers users;
-    private boolean troubled = true;
+    private boolean faultsEnabled = true;
 
-    Day(long seed) {
+    Simulation(long seed) {
       cluster =
           new SimulatedCluster(
               seed,
@@ -45,15 +46,15 @@
       users = new FakeUsers(cluster);
     }
 
-    void play() {
+    void run() {
       cluster.at(0, this::submitNext);
       cluster.play(40);
       cluster.network.heldCommandShare = 0.02;
       cluster.network.heldCommandMicros = InvariantChecker.CANCEL_MICROS * 3 / 2;
       cluster.network.copiedHeartbeatShare = 0.01;
-      cluster.at(0, this::troubleNext);
-      cluster.play(TROUBLED_S);
-      troubled = false;
+      cluster.at(0, this::injectNextFault);
+      cluster.play(FAULT_PHASE_S);
+      faultsEnabled = false;
       cluster.network.cuts.clear();
       cluster.network.heldCommandShare = 0;
       cluster.store.refused.clear();
@@ -62,16 +63,16 @@
           .filter(vm -> vm.worker != null)
           .forEach(vm -> vm.worker.hung = false);
       cluster.calmSince = cluster.now();
-      cluster.play(CALM_S);
+      cluster.play(RECOVERY_PHASE_S);
     }
 
     private void submitNext() {
-      if (!troubled) {
+      if (!faultsEnabled) {
         return;
       }
       JobSpec job = job();
       users.submit(job, false);
-      if (cluster.random.nextInt(10) < CANCELLED_OF_TEN) {
+      if (cluster.random.nextInt(10) < CANCELLED_JOBS_PER_TEN) {
         cluster.at(
             300_000 + cluster.random.nextLong(8_000_000),
             () -> users.cancelOnceAccepted(job.uid()));
@@ -91,23 +92,23 @@
           .build();
     }
 
-    private void troubleNext() {
-      if (!troubled) {
+    private void injectNextFault() {
+      if (!faultsEnabled) {
         return;
       }
-      long lastsMicros = 2_000_000L + cluster.random.nextLong(68_000_000L);
+      long durationMicros = 2_000_000L + cluster.random.nextLong(68_000_000L);
       switch (cluster.random.nextInt(8)) {
-        case 0, 1, 2 -> zonesApart(lastsMicros);
-        case 3 -> leaderWithoutZone(lastsMicros);
-        case 4 -> flapping(lastsMicros);
-        case 5 -> hang(lastsMicros);
-        case 6 -> refuseLeader(lastsMicros / 4);
+        case 0, 1, 2 -> partitionZone(durationMicros);
+        case 3 -> cutLeaderFromZoneA(durationMicros);
+        case 4 -> flapLeaderLink(durationMicros);
+        case 5 -> hangWorkers(durationMicros);
+        case 6 -> refuseLeaderAtStore(durationMicros / 4);
         default -> anyController().crash(0.2 + cluster.random.nextInt(7));
       }
       if (cluster.random.nextInt(4) == 0) {
-        cluster.at(cluster.random.nextLong(lastsMicros), () -> anyController().crash(0.2));
+        cluster.at(cluster.random.nextLong(durationMicros), () -> anyController().crash(0.2));
       }
-      cluster.at(lastsMicros / 2 + cluster.random.nextLong(30_000_000L), this::troubleNext);
+      cluster.at(durationMicros / 2 + cluster.random.nextLong(30_000_000L), this::injectNextFault);
     }
 
     private SimulatedController anyController() {
@@ -122,67 +123,72 @@
           .toList();
     }
 
-    /** Cuts the pair, and joins it again after that time. */
-    private void hold(String one, String other, long lastsMicros) {
-      cluster.network.cut(one, other, true);
-      cluster.at(lastsMicros, () -> cluster.network.cut(one, other, false));
+    /** Cuts the network between two hosts and restores it after this time. */
+    private void cutTemporarily(String host, String other, long durationMicros) {
+      cluster.network.cut(host, other, true);
+      cluster.at(durationMicros, () -> cluster.network.cut(host, other, false));
     }
 
-    /** A controller and the machines of one zone on one side, all others on the other. */
-    private void zonesApart(long lastsMicros) {
-      String inside = anyController().platform.label();
+    /**
+     * Partitions the network: one controller and the machines of one zone on one side, all other
+     * hosts on the other.
+     */
+    private void partitionZone(long durationMicros) {
+      String isolatedController = anyController().platform.label();
       String zone = cluster.random.nextBoolean() ? "a" : "b";
       for (String other : cluster.controllers.keySet()) {
-        if (!other.equals(inside)) {
-          hold(inside, other, lastsMicros);
-          machinesIn(zone).forEach(machine -> hold(other, machine, lastsMicros));
+        if (!other.equals(isolatedController)) {
+          cutTemporarily(isolatedController, other, durationMicros);
+          machinesIn(zone).forEach(machine -> cutTemporarily(other, machine, durationMicros));
         }
       }
       machinesIn(zone.equals("a") ? "b" : "a")
-          .forEach(machine -> hold(inside, machine, lastsMicros));
+          .forEach(machine -> cutTemporarily(isolatedController, machine, durationMicros));
     }
 
-    private void leaderWithoutZone(long lastsMicros) {
+    private void cutLeaderFromZoneA(long durationMicros) {
       cluster.controllers.values().stream()
           .filter(SimulatedController::leads)
           .forEach(
               leader ->
                   machinesIn("a")
-                      .forEach(machine -> hold(leader.platform.label(), machine, lastsMicros)));
+                      .forEach(
+                          machine ->
+                              cutTemporarily(leader.platform.label(), machine, durationMicros)));
     }
 
-    /** Cut for seconds, together for a second or so, again and again. */
-    private void flapping(long lastsMicros) {
+    /** Repeatedly cuts the leader from zone a for 1 to 10 s and reconnects it for 0.2 to 2.7 s. */
+    private void flapLeaderLink(long durationMicros) {
       long at = 0;
-      while (at < lastsMicros) {
+      while (at < durationMicros) {
         long cutMicros = 1_000_000 + cluster.random.nextLong(9_000_000);
-        cluster.at(at, () -> leaderWithoutZone(cutMicros));
+        cluster.at(at, () -> cutLeaderFromZoneA(cutMicros));
         at += cutMicros + 200_000 + cluster.random.nextLong(2_500_000);
       }
     }
 
-    private void hang(long lastsMicros) {
+    private void hangWorkers(long durationMicros) {
       cluster.cloud.machines.values().stream()
           .filter(vm -> vm.worker != null && cluster.random.nextInt(4) == 0)
           .forEach(
               vm -> {
                 vm.worker.hung = true;
-                cluster.at(lastsMicros / 2, () -> vm.worker.hung = false);
+                cluster.at(durationMicros / 2, () -> vm.worker.hung = false);
               });
     }
 
-    private void refuseLeader(long lastsMicros) {
+    private void refuseLeaderAtStore(long durationMicros) {
       cluster.controllers.values().stream()
           .filter(SimulatedController::leads)
           .forEach(
               leader -> {
                 cluster.store.refused.add(leader.platform.label());
                 cluster.at(
-                    lastsMicros, () -> cluster.store.refused.remove(leader.platform.label()));
+                    durationMicros, () -> cluster.store.refused.remove(leader.platform.label()));
               });
     }
 
-    long counted(String counter) {
+    long sumOfCounter(String counter) {
       return cluster.controllers.values().stream()
           .filter(controller -> controller.controller() != null)
           .mapToLong(controller -> controller.controller().metrics().counter(counter))
@@ -196,28 +202,30 @@
   }
 
   @Test
-  void nothingRunsTooLongAfterItsCancellation() {
-    Map<Long, List<String>> brokenBySeed = new TreeMap<>();
+  void noTaskRunsBeyondTheCancellationLimit() {
+    Map<Long, List<String>> violationsBySeed = new TreeMap<>();
     long renewed = 0;
     long voided = 0;
     long cancelled = 0;
     long startsAfterCancel = 0;
     for (long seed : seeds().toArray()) {
-      Day day = new Day(seed);
-      day.play();
-      if (!day.cluster.invariants.broken.isEmpty()) {
-        brokenBySeed.put(seed, day.cluster.invariants.broken.subList(0, 1));
+      Simulation simulation = new Simulation(seed);
+      simulation.run();
+      if (!simulation.cluster.invariants.broken.isEmpty()) {
+        violationsBySeed.put(seed, simulation.cluster.invariants.broken.subList(0, 1));
       }
-      renewed += day.counted("leases_renewed_for_leader");
-      voided += day.cluster.network.delegations.voided;
-      cancelled += day.cluster.invariants.cancelledAt.size();
-      startsAfterCancel += day.cluster.invariants.startsAfterCancel;
+      renewed += simulation.sumOfCounter("leases_renewed_for_leader");
+      voided += simulation.cluster.network.delegations.invalidatedStarts;
+      cancelled += simulation.cluster.invariants.cancelledAt.size();
+      startsAfterCancel += simulation.cluster.invariants.startsAfterCancel;
     }
     System.out.printf(
-        "soak: %d renewals for a leader, %d starts voided by them, %d jobs cancelled, %d tasks"
-            + " begun after that, in time; broken: %s%n",
-        renewed, voided, cancelled, startsAfterCancel, brokenBySeed);
-    assertEquals(Map.of(), brokenBySeed);
-    assertTrue(renewed > 0 && voided > 0 && cancelled > 0, "the troubles took place");
+        "soak: %d delegated renewals, %d starts invalidated by them, %d jobs cancelled, %d tasks"
+            + " started after cancellation but within the limit; violations: %s%n",
+        renewed, voided, cancelled, startsAfterCancel, violationsBySeed);
+    assertEquals(Map.of(), violationsBySeed);
+    assertTrue(
+        renewed > 0 && voided > 0 && cancelled > 0,
+        "expected renewals, invalidated starts and cancellations in some seed");
   }
 }
