--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -23,8 +23,8 @@
 import plumlever.wire.JobState;
 
 /**
- * The jobs that have not ended. They are loaded once from the records that a new leader reads, and
- * then follow the state service by a watch.
+ * Holds the jobs that have not ended. The jobs are loaded once from the records that a new leader
+ * reads; afterwards a watch on the state service keeps them up to date.
  */
 public final class ActiveJobs {
   private static final long WATCH_RETRY_MICROS = 500_000;
@@ -44,9 +44,9 @@
   private long endsKnownMicros = NEVER_MICROS;
 
   /**
-   * The jobs of one term, none until they are loaded.
+   * Creates an empty view for one term; {@link #load} fills it.
    *
-   * @param changed runs when a job has come, has ended or may start
+   * @param changed runs when a job is added, ends or may start
    */
   public ActiveJobs(TermContext context, StartedJobIndex startedJobs, Runnable changed) {
     this.context = context;
@@ -72,36 +72,40 @@
             new WatchListener());
   }
 
-  /** All active jobs, in the order in which they were found. */
+  /** Returns all active jobs in the order in which they were added. */
   public Collection<Job> all() {
     return active.values();
   }
 
-  /** The job, or null if it is not active. */
+  /** Returns the active job with this id, or null if there is none. */
   public Job get(String uid) {
     return active.get(uid);
   }
 
-  /** The progress records as earlier leaders left them. */
+  /** Returns the progress records that earlier leaders stored. */
   public StoredProgress storedProgress() {
     return storedProgress;
   }
 
   /**
-   * True while a task may be started, or the lease of a machine with tasks renewed. Later, the time
-   * within which a cancellation that this leader does not know of must have stopped all tasks might
-   * expire before the lease does.
+   * Returns true while the leader may start tasks and renew the leases of machines with tasks. Both
+   * are refused once the latest read of ended jobs is too old: a job may have been cancelled since
+   * that read, and the deadline by which its tasks have to be stopped could pass before the
+   * machine's lease expires.
    */
   public boolean mayStartOrRenew() {
     return limit.mayRenew(context.loop().nowMicros(), endsKnownMicros);
   }
 
-  /** When the latest answered read that shows which jobs have ended was sent. */
+  /** Returns when the latest answered read that shows which jobs have ended was sent. */
   public long endsKnownMicros() {
     return endsKnownMicros;
   }
 
-  /** Adds all jobs that the new leader has read, and starts to watch for changes since then. */
+  /**
+   * Adds all jobs that the new leader has read, and watches for changes after the revision of that
+   * read.
+   */
   public void load(RecoveryRead found) {
     endsKnownMicros = found.jobsReadSentMicros();
     StateClient.Listing jobs = found.listing(JobStore.ACTIVE);
@@ -114,9 +118,10 @@
   }
 
   /**
-   * Adds a job unless it is known.
+   * Adds a job unless it is already active.
    *
-   * @param inheritable it was there when the term began, so earlier leaders may have started it
+   * @param inheritable true if the job existed when the term began, so that earlier leaders may
+   *     have started its tasks
    */
   private void addJob(String key, JsonNode data, long revision, boolean inheritable) {
     String uid = uidOf(key);
@@ -133,14 +138,14 @@
               inheritable && startedJobs.mayHaveStarted(uid));
       active.put(uid, job);
       log.debug(
-          "{} is active: {} tasks of class {}, accepted {} ms ago",
+          "job {} is active: {} tasks of class {}, accepted {} ms ago",
           uid,
           job.spec().taskCount(),
           job.spec().jobClass(),
           ageMicros / 1_000);
       dependencies.add(job, JobStore.dependenciesKeys(uid, data));
     } catch (InvalidMessageException e) {
-      log.error("{} can't be read: {}", key, e.getMessage());
+      log.error("ignoring unreadable job record {}: {}", key, e.getMessage());
     }
   }
 
@@ -153,20 +158,22 @@
     if (job != null) {
       job.markOver();
       startedJobs.remove(job);
-      log.debug("{} has ended", uid);
+      log.debug("job {} has ended", uid);
     }
     dependencies.jobEnded(uid, endState);
   }
 
-  /** The job's end is stored; known here before the watch reports it. */
+  /**
+   * Removes a job whose final state is stored, without waiting for the watch to report the change.
+   */
   public void jobEnded(String uid, JobState endState) {
     removeJob(uid, Optional.of(endState));
     changed.run();
   }
 
   /**
-   * Another controller has confirmed the cancellation of these jobs: none of their tasks is started
-   * any more, and those that run are stopped.
+   * Marks jobs whose cancellation another controller has confirmed. No further tasks of these jobs
+   * are started, and their running tasks are stopped.
    */
   public void cancellationsConfirmed(Collection<String> uids) {
     for (String uid : uids) {
@@ -179,32 +186,35 @@
   }
 
   /**
-   * Sets how the cost of a task is estimated, image included, with which deadlines are propagated
-   * along dependencies.
+   * Sets the function that estimates the cost of a task, including the image download. The
+   * propagation of deadlines to dependencies uses these estimates.
    */
   public void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
     dependencies.useTaskCosts(taskCostMicros);
   }
 
-  /** Estimates the costs of tasks anew, for the next {@link #propagateGoals}. */
+  /** Recomputes the task cost estimates that the next call of {@link #propagateGoals} uses. */
   public void updateTaskCosts() {
     dependencies.updateTaskCosts();
   }
 
-  /** Propagates deadlines and priorities along dependencies; cheap where nothing has changed. */
+  /**
+   * Propagates deadlines and priorities from jobs to their dependencies; cheap if nothing has
+   * changed.
+   */
   public void propagateGoals() {
     dependencies.propagateGoals();
   }
 
-  /** Stops following the records; called once more has no effect. */
+  /** Stops the watch and the dependency resolution. Idempotent. */
   public void close() {
     watch.close();
     dependencies.close();
   }
 
-  /** Applies changes of the job records. */
+  /** Applies the changes of job records that the watch reports. */
   private final class WatchListener implements PrefixWatch.Listener {
-    /** Changes were missed: what is not listed any more has ended. */
+    /** Handles the full listing that follows missed events: jobs that are not listed have ended. */
     @Override
     public void listed(StateClient.Listing listing, long sentMicros) {
       Set<String> listed = new HashSet<>();
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -11,15 +11,15 @@
 import plumlever.store.Transaction;
 
 /**
- * Removes stored dependency lists that no job uses: those of jobs that have ended, and those of
- * submissions that were refused or given up on after their list had been stored.
+ * Removes stored dependency lists that no active job uses: lists of jobs that have ended, and lists
+ * of submissions that were refused or abandoned after their list had been stored.
  *
- * <p>That a list in use is never removed follows from the transactions alone ({@link
- * plumlever.store.DependencyLists}). The time that a list is left alone is for controllers of
- * earlier versions, which accept a job without looking at the anchor of its list.
+ * <p>The transactions alone guarantee that a list in use is never removed ({@link
+ * plumlever.store.DependencyLists}). The minimum unused time before removal exists for controllers
+ * of earlier versions, which accept a job without checking the anchor of its list.
  */
 public final class DependencyListCleanup {
-  /** Pause between two clean-ups, and before the first. */
+  /** Interval between two clean-ups, and delay before the first clean-up. */
   public static final long INTERVAL_MICROS = 300_000_000;
 
   private static final long MIN_UNUSED_MICROS = 900_000_000;
@@ -27,25 +27,29 @@
   private final TermContext context;
   private final ActiveJobs jobs;
 
-  /** When each list without an active job was first seen, by its anchor as it was then. */
+  /** When each unused list was first seen. A list whose anchor has changed counts as a new list. */
   private final Map<UnusedList, Long> firstSeenMicros = new HashMap<>();
 
   private boolean listing;
   private boolean closed;
 
-  /** A list without an active job, as it was listed; 0 where the anchor is gone. */
+  /**
+   * A stored list without an active job.
+   *
+   * @param anchorRevision revision of the anchor when the list was read; 0 if the anchor is missing
+   */
   private record UnusedList(JobStore.DependencyListId name, long anchorRevision) {}
 
-  /** Cleans up what none of these jobs uses. */
+  /** Creates a clean-up that keeps the lists of these active jobs. */
   public DependencyListCleanup(TermContext context, ActiveJobs jobs) {
     this.context = context;
     this.jobs = jobs;
   }
 
   /**
-   * Lists all stored dependency lists and removes those that have been unused for long enough.
+   * Lists all stored dependency lists and removes those that have been unused for the minimum time.
    *
-   * @return microseconds until this should be called next
+   * @return microseconds until the next call
    */
   public long run() {
     if (!listing && context.term().mayAct()) {
@@ -103,8 +107,8 @@
   }
 
   /**
-   * Removes as many parts as one transaction takes, then the next ones; the anchor goes with the
-   * first. What fails is found again by the next listing.
+   * Removes the list in batches of one transaction each, with the anchor in the first batch. Parts
+   * that a failed transaction leaves behind are found by the next clean-up.
    */
   private void remove(JobStore.DependencyListId name, long anchorRevision, List<String> keys) {
     if (closed || keys.isEmpty()) {
@@ -132,7 +136,7 @@
             });
   }
 
-  /** Removes nothing more. */
+  /** Stops the clean-up; no further removals are sent. */
   public void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -18,8 +18,8 @@
 
 /**
  * Resolves the dependencies of active jobs. A job is released when all its dependencies are stored
- * as done, and cancelled when one is stored as cancelled; only stored ends count. Deadlines and
- * priorities are propagated from jobs to their dependencies.
+ * as done, and cancelled when one of them is stored as cancelled; only stored final states count.
+ * Deadlines and priorities are propagated from jobs to their dependencies.
  */
 final class DependencyResolver {
   private static final long RETRY_MICROS = 500_000;
@@ -32,10 +32,10 @@
   private final JobFinder finder;
   private final DependencyGraph graph = new DependencyGraph();
 
-  /** Ended jobs on which others depend, and of which it is not known yet how they ended. */
+  /** Dependencies that are not active and whose final state has not been read yet. */
   private final Set<String> unknownEnds = new LinkedHashSet<>();
 
-  /** Jobs whose dependencies are tracked once all active jobs are known, in any order. */
+  /** Actions deferred until all active jobs have been added, since jobs are added in any order. */
   private final List<Runnable> deferredUntilLoaded = new ArrayList<>();
 
   private ToLongFunction<Job> taskCost = job -> 0;
@@ -44,9 +44,9 @@
   private boolean closed;
 
   /**
-   * Resolves nothing until all jobs are loaded.
+   * Creates a resolver that resolves no dependencies before {@link #loaded}.
    *
-   * @param activeJobs the active jobs by id, as they are at any time
+   * @param activeJobs live view of the active jobs by id
    * @param released runs after each release of a job
    */
   DependencyResolver(
@@ -63,9 +63,10 @@
   }
 
   /**
-   * The job is active from now on; it is held if it has dependencies.
+   * Adds an active job; the job is blocked if it has dependencies.
    *
-   * @param listKeys where its dependencies are stored, if they did not fit its own record
+   * @param listKeys keys of the stored dependency list; empty if the job record holds all
+   *     dependencies
    */
   void add(Job job, List<String> listKeys) {
     if (!listKeys.isEmpty()) {
@@ -88,7 +89,7 @@
     }
   }
 
-  /** All active jobs have been added. */
+  /** Runs the deferred actions; called once all active jobs have been added. */
   void loaded() {
     loaded = true;
     deferredUntilLoaded.forEach(Runnable::run);
@@ -96,7 +97,10 @@
     resolve();
   }
 
-  /** Reads the dependencies of a job part by part; it is held until they are known. */
+  /**
+   * Reads the dependency list of a job part by part. The job stays blocked until all parts are
+   * read.
+   */
   private void readDependencies(Job job, List<String> listKeys, int next, List<String> names) {
     if (closed || job.over()) {
       return;
@@ -116,8 +120,8 @@
                 names.addAll(JobStore.names(result.item().data()));
                 readDependencies(job, listKeys, next + 1, names);
               } else {
-                // The parts are stored before the job and dropped after its end, so this one is
-                // only unavailable at the moment.
+                // All parts are stored before the job record and deleted only after the job has
+                // ended, so the part exists and the read failed only temporarily.
                 context
                     .loop()
                     .after(RETRY_MICROS, () -> readDependencies(job, listKeys, next, names));
@@ -125,7 +129,10 @@
             });
   }
 
-  /** Adds the job to the graph, and looks up those of its dependencies that are not in it yet. */
+  /**
+   * Adds the job to the graph and looks up those of its dependencies that the graph does not
+   * contain yet.
+   */
   private void track(Job job, List<String> dependencies) {
     List<String> unknown = graph.addJob(job.uid(), job.revision(), dependencies);
     graph.setGoal(job.uid(), job.goal(), taskCost.applyAsLong(job));
@@ -136,10 +143,10 @@
       } else if (!dependency.waitsForDependencies()) {
         track(dependency, List.of());
       }
-      // One that is held is tracked with its own dependencies.
+      // A blocked dependency is tracked once its own dependencies are known.
     }
     if (!dependencies.isEmpty() && job.waitsForDependencies() && log.isDebugEnabled()) {
-      log.debug("{} depends on {}", job.uid(), graph.openDependencies(job.uid()));
+      log.debug("job {} waits for dependencies {}", job.uid(), graph.openDependencies(job.uid()));
     }
   }
 
@@ -147,7 +154,7 @@
     unknownEnds.add(uid);
     if (!readingEnds) {
       readingEnds = true;
-      // All that are found missing in this event are read together.
+      // Deferred so that all dependencies found missing in the current event are read together.
       context.loop().after(0, this::readEnds);
     }
   }
@@ -168,8 +175,8 @@
             found.get().forEach(this::endRead);
             resolve();
           }
-          // What is neither active here nor ended was accepted a moment ago: it comes with the
-          // watch events.
+          // A dependency that is neither active here nor ended was accepted a moment ago; the watch
+          // has not reported it yet.
           boolean retry = found.isEmpty() || !unknownEnds.isEmpty();
           context.loop().after(retry ? RETRY_MICROS : 0, this::readEnds);
         });
@@ -186,9 +193,9 @@
   }
 
   /**
-   * The job is not active any more.
+   * Handles the end of an active job.
    *
-   * @param endState how its end was stored; empty if that is not known
+   * @param endState the stored final state; empty if it is not known
    */
   void jobEnded(String uid, Optional<JobState> endState) {
     cancellation.remove(uid);
@@ -199,12 +206,16 @@
       readEnd(uid);
       return;
     }
-    // If no job depends on it, it does not matter how it ended.
+    // The final state is unknown here only if no live job depends on this job. In that case the
+    // value has no effect.
     graph.recordEnd(uid, endState.orElse(JobState.CANCELLED), context.loop().wallMicros());
     resolve();
   }
 
-  /** Releases and cancels the jobs for which that follows from what is known now. */
+  /**
+   * Releases the jobs whose dependencies are all done, and cancels the jobs with a cancelled
+   * dependency.
+   */
   void resolve() {
     releaseJobs();
     cancelJobs();
@@ -219,7 +230,8 @@
         long ageMicros = endedWallMicros > 0 ? Math.max(0, wallMicros - endedWallMicros) : 0;
         job.release(context.loop().nowMicros() - ageMicros);
         context.metrics().count("jobs_released");
-        log.debug("{} is released, its last dependency ended {} ms ago", uid, ageMicros / 1_000);
+        log.debug(
+            "job {} is released: its last dependency ended {} ms ago", uid, ageMicros / 1_000);
         released.run();
       }
     }
@@ -230,7 +242,7 @@
       Job job = activeJobs.get(uid);
       if (job != null && job.waitsForDependencies() && cancellation.add(job)) {
         log.info(
-            "{} is cancelled with its dependency {}",
+            "job {} is cancelled because its dependency {} was cancelled",
             uid,
             graph.failedDependencyOf(uid).orElse("unknown"));
       }
@@ -238,19 +250,25 @@
     cancellation.run();
   }
 
-  /** Sets how the cost of a task is estimated, image included, to plan deadlines along chains. */
+  /**
+   * Sets the function that estimates the cost of a task, including the image download. The
+   * estimates serve to derive the deadlines of dependencies.
+   */
   void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
     taskCost = taskCostMicros;
   }
 
-  /** Estimates the costs of tasks anew. */
+  /** Recomputes the task cost estimates of all jobs in the graph. */
   void updateTaskCosts() {
     if (graph.size() > 0) {
       graph.updateDurations(this::taskCostOf);
     }
   }
 
-  /** Propagates deadlines and priorities to dependencies; cheap where nothing has changed. */
+  /**
+   * Propagates deadlines and priorities from jobs to their dependencies; cheap if nothing has
+   * changed.
+   */
   void propagateGoals() {
     if (graph.size() > 0) {
       graph.propagateGoals(this::applyGoal);
--- a/src/main/java/plumlever/leader/job/DependentCancellation.java
+++ b/src/main/java/plumlever/leader/job/DependentCancellation.java
@@ -12,8 +12,8 @@
 import plumlever.wire.JobState;
 
 /**
- * Stores the end of jobs that are cancelled because a dependency was cancelled. One at a time: to
- * whoever asks for their state they are cancelled already, so this is not urgent.
+ * Stores the cancellation of jobs whose dependency was cancelled. The jobs are stored one at a
+ * time: status queries already report them as cancelled, so the writes are not urgent.
  */
 final class DependentCancellation {
   private static final long RETRY_MICROS = 500_000;
@@ -25,9 +25,9 @@
   private boolean closed;
 
   /**
-   * Cancels nothing yet.
+   * Creates an empty queue.
    *
-   * @param stored takes the id of each job once its cancellation is stored
+   * @param stored receives the id of each job after its cancellation has been stored
    */
   DependentCancellation(TermContext context, Consumer<String> stored) {
     this.context = context;
@@ -35,20 +35,22 @@
   }
 
   /**
-   * Queues the job until the next call of {@link #run}.
+   * Queues the job; the next call of {@link #run} starts the write.
    *
-   * @return false if it was queued already
+   * @return false if the job was already queued
    */
   boolean add(Job job) {
     return queue.put(job.uid(), job) == null;
   }
 
-  /** The job has ended, or is not cancelled any more. */
+  /** Removes a job from the queue because it has ended or no longer has to be cancelled. */
   void remove(String uid) {
     queue.remove(uid);
   }
 
-  /** Stores the end of the first job in the queue, and those of the others after it. */
+  /**
+   * Stores the cancellation of the first queued job, and then those of the remaining jobs in order.
+   */
   void run() {
     if (writing || closed) {
       return;
@@ -89,7 +91,8 @@
                 return;
               }
               if (result.outcome() == Transaction.Outcome.CONFLICT) {
-                // Stored by a controller that was asked about the job: the watch will report it.
+                // A controller that was asked about the job has already stored its final state; the
+                // watch will report the change.
                 queue.remove(job.uid());
               }
               context.loop().after(RETRY_MICROS, this::run);
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -17,19 +17,22 @@
 import plumlever.wire.Json;
 
 /**
- * The stored index of jobs of which a leader may have started a task: a job is in it before its
- * first start is sent. So a job that a new leader does not find here was never on any machine, and
- * need not wait until all machines are accounted for. A failover takes seconds, and where a zone is
- * cut off as long as a lease.
+ * The stored index of jobs of which a leader may have started a task. A job is added to the index
+ * before its first start command is sent. A job that a new leader does not find in the index has
+ * therefore never run on any machine, and its tasks need not wait until all machines are accounted
+ * for. That wait takes seconds, or up to a full lease if a zone is partitioned.
  */
 public final class StartedJobIndex {
-  /** The first start of each job waits for this, so little is gathered into one write. */
+  /**
+   * Minimum time between two writes of a record. The first start of each job waits for the write,
+   * so only few additions are batched.
+   */
   private static final long PAUSE_MICROS = 60_000;
 
   private static final String JOBS = "jobs";
   private static final int BASE_BYTES = 32;
 
-  /** A record as it was read. */
+  /** A record as an earlier leader stored it. */
   private record FoundRecord(int number, long revision, List<String> uids) {}
 
   private final Logger log;
@@ -38,9 +41,9 @@
   private final Set<String> foundUids = new HashSet<>();
 
   /**
-   * An index that is empty until it is read.
+   * Creates an empty index.
    *
-   * @param recorded runs after jobs have become stored
+   * @param recorded runs after jobs have been stored in the index
    */
   public StartedJobIndex(TermContext context, Runnable recorded) {
     this.log = context.logs().of(StartedJobIndex.class);
@@ -48,8 +51,8 @@
   }
 
   /**
-   * Reads what earlier leaders stored. It was listed after this controller took its term, so nobody
-   * else can add to it.
+   * Reads the records of earlier leaders. The records were listed after this controller had
+   * acquired its term, so no other controller can still add jobs to them.
    */
   void read(List<StateClient.Item> items) {
     found.clear();
@@ -57,7 +60,7 @@
     for (StateClient.Item item : items) {
       int number = JobStore.sharedRecordNumber(item.key());
       if (number < 0) {
-        log.error("{} is no record of jobs", item.key());
+        log.error("ignoring key {}: not a record of the started-job index", item.key());
         continue;
       }
       List<String> uids = new ArrayList<>();
@@ -67,12 +70,15 @@
     }
   }
 
-  /** True if an earlier leader may have started a task of it; so for all if there is no record. */
+  /**
+   * Returns true if an earlier leader may have started a task of the job. Without any index record,
+   * this is assumed for every job.
+   */
   boolean mayHaveStarted(String uid) {
     return found.isEmpty() || foundUids.contains(uid);
   }
 
-  /** The active jobs are known: those that have ended leave the index. */
+  /** Loads the index entries of active jobs; jobs that have ended leave the index. */
   void loaded(ActiveJobs jobs) {
     Map<String, Job> kept = new HashMap<>();
     for (FoundRecord record : found) {
@@ -88,29 +94,29 @@
   }
 
   /**
-   * Has the job stored in the index, since there is capacity for one of its tasks; none is started
-   * until that is done. Not sooner: in a full fleet jobs wait for long, and only those in the index
-   * have to wait through a failover.
+   * Adds the job to the stored index, once there is capacity for one of its tasks. No task is
+   * started until the write is acknowledged. Jobs are not added earlier because jobs wait for a
+   * long time in a full fleet, and only jobs in the index have to wait for the end of a failover.
    */
   public void register(Job job) {
     records.register(job);
   }
 
-  /** The job has ended and leaves the index. */
+  /** Removes a job that has ended from the index. */
   void remove(Job job) {
     records.remove(job);
   }
 
   /**
-   * Writes records that jobs have left.
+   * Rewrites the records from which jobs have been removed.
    *
-   * @return microseconds until this should be called next
+   * @return microseconds until the next call
    */
   public long cleanUp() {
     return records.cleanUp();
   }
 
-  /** Stores nothing more. */
+  /** Stops all writes. */
   public void close() {
     records.close();
   }
--- a/src/main/java/plumlever/leader/job/StoredProgress.java
+++ b/src/main/java/plumlever/leader/job/StoredProgress.java
@@ -14,8 +14,8 @@
 import plumlever.wire.InvalidMessageException;
 
 /**
- * The progress records as earlier leaders left them. Finished tasks are marked in the jobs; which
- * record holds which job, and each record's revision, is kept for whoever writes them next.
+ * The progress records that earlier leaders stored. Finished tasks are marked in the jobs. The
+ * record that holds each job and the revision of each record are kept for the leader's own writes.
  */
 public final class StoredProgress {
   private final Logger log;
@@ -32,27 +32,27 @@
     this.activeJobs = activeJobs;
   }
 
-  /** The number of the shared chunk in which the progress of each small job was found. */
+  /** Returns, for each small job, the number of the shared chunk that holds its progress. */
   public Map<Job, Integer> sharedChunkNumbers() {
     return Collections.unmodifiableMap(sharedChunkNumbers);
   }
 
-  /** The revision of each shared chunk, by its key. */
+  /** Returns the revision of each shared chunk by key. */
   public Map<String, Long> sharedChunkRevisions() {
     return Collections.unmodifiableMap(sharedChunkRevisions);
   }
 
-  /** For each large job the revisions of its chunks, by their keys. */
+  /** Returns the revisions of the chunks of each large job by key. */
   public Map<Job, Map<String, Long>> chunkRevisions() {
     return Collections.unmodifiableMap(chunkRevisions);
   }
 
-  /** Keys of chunks whose job has ended; they are to be dropped. */
+  /** Returns the keys of chunks whose job has ended and which are to be deleted. */
   public List<String> orphanedKeys() {
     return Collections.unmodifiableList(orphanedKeys);
   }
 
-  /** Reads one record; the active jobs must be known. */
+  /** Reads one record; the active jobs must already be loaded. */
   void read(StateClient.Item item) {
     int sharedChunk = JobStore.sharedChunkOf(item.key());
     if (sharedChunk >= 0) {
@@ -81,7 +81,8 @@
     int slash = jobAndFirstTask.lastIndexOf('/');
     Job job = slash < 0 ? null : activeJobs.get(jobAndFirstTask.substring(0, slash));
     if (job == null) {
-      // Left by a job that ended with more chunks than one transaction drops, or written late.
+      // The job ended with more chunks than one transaction can delete, or the chunk was written
+      // after the job had ended.
       context.metrics().count("orphaned_progress_records");
       orphanedKeys.add(item.key());
       return;
@@ -95,7 +96,10 @@
           .readProgressChunk(item.data(), jobAndFirstTask.substring(slash + 1), job.storedTasks());
       markStoredDone(job);
     } catch (InvalidMessageException e) {
-      log.warn("{} can't be read and counts as no progress: {}", item.key(), e.getMessage());
+      log.warn(
+          "progress record {} is unreadable, its tasks count as not finished: {}",
+          item.key(),
+          e.getMessage());
     }
   }
 
