--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -15,8 +15,9 @@
 import plumlever.wire.JobState;
 
 /**
- * Stores the ends of complete jobs at once: a job's user expects to read it within seconds of the
- * last task. An end is retried until it is stored, or until a stored end of somebody else is read.
+ * Stores the final state of complete jobs without delay, because users expect to read the final
+ * state within seconds of the last task. The write is retried until it succeeds or until the final
+ * state stored by another controller has been read.
  */
 final class JobCompletion {
   private static final long RETRY_MICROS = 300_000;
@@ -30,9 +31,10 @@
   private boolean closed;
 
   /**
-   * Ends no job yet.
+   * Creates the writer; no job is being completed yet.
    *
-   * @param orphanedKeys to which records are added that the transaction of an end can't drop
+   * @param orphanedKeys receives the keys of records that do not fit into the transaction that
+   *     stores the final state
    */
   JobCompletion(
       TermContext context,
@@ -46,7 +48,10 @@
     this.orphanedKeys = orphanedKeys;
   }
 
-  /** All tasks of the job are done: has its end stored, unless that is under way. */
+  /**
+   * Stores the final state of a job whose tasks are all done, unless the write is already in
+   * progress.
+   */
   void complete(Job job) {
     if (ending.add(job)) {
       storeEnd(job);
@@ -85,7 +90,7 @@
 
   private void endStored(Job job, List<String> recordsLeft) {
     context.metrics().count("jobs_done");
-    log.debug("{} done", job.uid());
+    log.debug("job {} is done, final state stored", job.uid());
     orphanedKeys.addAll(recordsLeft);
     largeJobs.forget(job);
     ended(job, JobState.DONE);
@@ -95,7 +100,10 @@
     context.loop().after(RETRY_MICROS, () -> storeEnd(job));
   }
 
-  /** Its end was stored by another controller, or by an earlier write that was not answered. */
+  /**
+   * Reads the final state after a conflict. The state was stored by another controller, or by an
+   * earlier write of this leader whose answer was lost.
+   */
   private void readEndState(Job job) {
     context
         .store()
--- a/src/main/java/plumlever/leader/progress/LargeJobChunks.java
+++ b/src/main/java/plumlever/leader/progress/LargeJobChunks.java
@@ -13,19 +13,22 @@
 import plumlever.store.JobStore;
 
 /**
- * The records of jobs that are too large to share one: each has records of its own, and each record
- * holds the finished tasks of one range of tasks.
+ * The progress records of jobs that are too large to share a record with other jobs. Each of these
+ * jobs has its own records, called chunks; a chunk holds the finished tasks of one range of tasks.
  */
 final class LargeJobChunks {
-  /** Base64 holds six tasks in each byte. */
+  /** Each Base64 character encodes six tasks. */
   private static final int TASKS_PER_BYTE = 6;
 
-  /** What a record takes besides the tasks, roughly. */
+  /** Approximate size of a chunk without its tasks. */
   private static final int BASE_BYTES = 100;
 
   private final TermContext context;
 
-  /** First tasks of the chunks in which a task has finished since they were written, by job. */
+  /**
+   * First tasks of the chunks to be written, because a task has finished since the last write, by
+   * job.
+   */
   private final Map<Job, BitSet> dirty = new LinkedHashMap<>();
 
   private final Map<Job, Set<String>> keysByJob = new HashMap<>();
@@ -36,42 +39,42 @@
     this.tasksPerChunk = context.layout().tasksPerChunk();
   }
 
-  /** The job has these records, as an earlier leader left them. */
+  /** Adopts the chunks that an earlier leader stored for the job. */
   void takeOver(Job job, Collection<String> keys) {
     keysByJob.computeIfAbsent(job, j -> new LinkedHashSet<>()).addAll(keys);
   }
 
-  /** Has the chunk of the finished task written. */
+  /** Schedules the chunk that contains the finished task to be written. */
   void markDirty(Job job, int task) {
     dirty.computeIfAbsent(job, j -> new BitSet()).set(task / tasksPerChunk * tasksPerChunk);
   }
 
-  /** Has all chunks with finished tasks written. */
+  /** Schedules all chunks with finished tasks to be written. */
   void markAllDirty(Job job) {
     job.completedTasks().stream().forEach(task -> markDirty(job, task));
   }
 
-  /** True if any chunk has to be written. */
+  /** Returns true if any chunk has to be written. */
   boolean isDirty() {
     return !dirty.isEmpty();
   }
 
-  /** The job is complete: its end is stored instead. */
+  /** Discards the scheduled writes of a complete job; its final state is stored instead. */
   void markComplete(Job job) {
     dirty.remove(job);
   }
 
-  /** Keys of all records of the job. */
+  /** Returns the keys of all stored chunks of the job. */
   List<String> keysOf(Job job) {
     return List.copyOf(keysByJob.getOrDefault(job, Set.of()));
   }
 
-  /** The job has ended, and all its records are dropped. */
+  /** Removes an ended job; the caller has its chunks deleted. */
   void forget(Job job) {
     keysByJob.remove(job);
   }
 
-  /** The limit may have fallen: chunks that would be too large now are cut anew. */
+  /** Divides the tasks into smaller chunks if the value size limit has decreased. */
   void fitLimit() {
     if (context.layout().tasksPerChunk() >= tasksPerChunk) {
       return;
@@ -84,9 +87,9 @@
   }
 
   /**
-   * Forgets jobs that have ended.
+   * Removes jobs that have ended.
    *
-   * @param orphanedKeys to which the keys of their records are added
+   * @param orphanedKeys receives the keys of their chunks
    */
   void removeEnded(Collection<String> orphanedKeys) {
     dirty.keySet().removeIf(Job::over);
@@ -101,7 +104,7 @@
             });
   }
 
-  /** Adds chunks that have to be written, as many as fit. */
+  /** Adds scheduled chunks to the transaction, as many as fit. */
   void addTo(ProgressWrite write) {
     Map<Job, BitSet> added = new LinkedHashMap<>();
     dirty.forEach((job, firstTasks) -> added.put(job, addTo(write, job, firstTasks)));
--- a/src/main/java/plumlever/leader/progress/ProgressWrite.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWrite.java
@@ -14,11 +14,12 @@
 import plumlever.store.Transaction;
 
 /**
- * One transaction of progress records: what it may still take while it is put together, and what
- * follows from its outcome. Each record that it puts is guarded by the record's own revision.
+ * One transaction of progress records. While the transaction is built, the remaining capacity is
+ * tracked; afterwards its outcome is applied to the jobs and to the known revisions. Each record
+ * that is written is guarded by its own revision.
  */
 final class ProgressWrite {
-  /** Leaves room in a request of 64 KiB. */
+  /** Leaves headroom below the request size limit of 64 KiB. */
   private static final long MAX_BYTES = 48 * 1024;
 
   private final RecordRevisions revisions;
@@ -35,17 +36,17 @@
     this.operationsLeft = context.layout().limits().maxOperations();
   }
 
-  /** True if one more record of that size may be put. */
+  /** Returns true if one more record of this size fits. */
   boolean fits(long moreBytes) {
     return operationsLeft > 0 && bytes + moreBytes <= MAX_BYTES;
   }
 
-  /** True if one more record may be dropped. */
+  /** Returns true if one more record can be deleted. */
   boolean mayDrop() {
     return operationsLeft > 0;
   }
 
-  /** Puts a record, which {@link #fits}. */
+  /** Writes a record; call only if {@link #fits} returns true. */
   void put(String key, long size, JsonNode value) {
     operationsLeft--;
     bytes += size;
@@ -53,18 +54,27 @@
     transaction.require(key, revisions.of(key)).put(key, value);
   }
 
-  /** Drops the record of a job that has ended: whatever is written there is of no use. */
+  /**
+   * Deletes the record of a job that has ended. The delete needs no guard: nothing that is written
+   * to this record is of use any longer.
+   */
   void drop(String key) {
     operationsLeft--;
     transaction.delete(key);
   }
 
-  /** All tasks of the job that are done now count as stored once this is applied. */
+  /**
+   * Registers all currently finished tasks of the job, which count as stored once the transaction
+   * is applied.
+   */
   void storesAllDone(Job job) {
     doneTasks.put(job, (BitSet) job.completedTasks().clone());
   }
 
-  /** The tasks of a range that are done now count as stored once this is applied. */
+  /**
+   * Registers the currently finished tasks of a range, which count as stored once the transaction
+   * is applied.
+   */
   void storesDone(Job job, int firstTask, int tasks) {
     BitSet stored = doneTasks.computeIfAbsent(job, j -> new BitSet());
     BitSet done = job.completedTasks();
@@ -75,7 +85,7 @@
     }
   }
 
-  /** Has the action run if this is not known to have been applied. */
+  /** Registers an action that runs if the transaction failed or its outcome is unknown. */
   void onFailure(Runnable action) {
     failureActions.add(action);
   }
@@ -88,18 +98,22 @@
     return transaction;
   }
 
-  /** Keys of the records that it puts. */
+  /** Returns the keys of the records that the transaction writes. */
   Set<String> keys() {
     return Collections.unmodifiableSet(keys);
   }
 
-  /** It was applied at this revision of the state service. */
+  /**
+   * Handles success of the transaction.
+   *
+   * @param revision the revision of the state service at which the transaction was applied
+   */
   void applied(long revision) {
     revisions.written(keys, revision);
     doneTasks.forEach((job, done) -> job.storedTasks().or(done));
   }
 
-  /** It was not applied, or that is not known. */
+  /** Handles a transaction that failed or whose outcome is unknown. */
   void failed() {
     failureActions.forEach(Runnable::run);
   }
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -11,13 +11,14 @@
 import plumlever.store.Transaction;
 
 /**
- * Stores finished tasks in batches, and the end of a job at once. Small jobs share records, since
- * the state service limits changes most. Losing stored progress is safe: a completed task that is
- * started again ends at once. Still each record is guarded by its own revision, so that a write
- * that is executed late undoes nothing, and there is one write at a time.
+ * Stores finished tasks in batches, and the final state of a job immediately. Small jobs share
+ * records because the limit on changes is the tightest limit of the state service. Losing stored
+ * progress is safe: a completed task that is started again ends immediately. Nevertheless each
+ * record is guarded by its own revision, so that a delayed write cannot overwrite a newer one, and
+ * only one write is in flight at a time.
  */
 public final class ProgressWriter {
-  /** While more has to be written the pause between writes is shorter by this factor. */
+  /** The pause between writes is divided by this factor while more records have to be written. */
   private static final int BACKLOG_SPEED_UP = 8;
 
   private final TermContext context;
@@ -27,13 +28,13 @@
   private final LargeJobChunks largeJobs;
   private final JobCompletion completion;
 
-  /** Records of jobs that have ended, to be dropped. */
+  /** Keys of records to be deleted because their job has ended. */
   private final ArrayDeque<String> orphanedKeys = new ArrayDeque<>();
 
   private boolean writing;
   private boolean closed;
 
-  /** Writes the progress of these jobs. */
+  /** Creates a writer for the progress of these jobs. */
   public ProgressWriter(TermContext context, ActiveJobs jobs) {
     this.context = context;
     this.jobs = jobs;
@@ -44,9 +45,9 @@
   }
 
   /**
-   * Takes over the records as earlier leaders left them. Jobs that an earlier limit let share one
-   * record may not fit it any more: these are written to others, and until then the record stays as
-   * it is.
+   * Adopts the records that earlier leaders stored. If the value size limit has decreased, a shared
+   * record may no longer hold all of its jobs. The jobs that do not fit are written to other
+   * records; the old record stays unchanged until then.
    */
   public void takeOverStoredProgress() {
     StoredProgress found = jobs.storedProgress();
@@ -71,7 +72,10 @@
     oversized.forEach(this::assign);
   }
 
-  /** Has all the job's finished tasks written, in a shared record if it is small enough. */
+  /**
+   * Schedules all finished tasks of the job to be written, in a shared record if the job is small
+   * enough.
+   */
   private void assign(Job job) {
     if (sharedChunks.mayHold(job)) {
       sharedChunks.add(job);
@@ -80,7 +84,10 @@
     }
   }
 
-  /** Has the finished task stored with the next write, or the job's end if it was the last. */
+  /**
+   * Schedules a finished task for the next write, or stores the job's final state if this was the
+   * last task.
+   */
   public void taskDone(Job job, int task) {
     if (job.complete()) {
       largeJobs.markComplete(job);
@@ -95,9 +102,9 @@
   }
 
   /**
-   * Writes as much as one transaction takes, the oldest first.
+   * Writes as much as fits into one transaction, oldest changes first.
    *
-   * @return microseconds until this should be called next
+   * @return microseconds until the next call
    */
   public long write() {
     long pauseMicros = context.parameters().progressPauseMicros();
@@ -122,7 +129,7 @@
     sharedChunks.removeEnded();
   }
 
-  /** Limits may have fallen: records that would be too large now are divided. */
+  /** Splits records that exceed the value size limit, which may have decreased. */
   private void fitLimits() {
     largeJobs.fitLimit();
     sharedChunks.splitOversized(this::assign);
@@ -155,8 +162,8 @@
               if (result.outcome() == Transaction.Outcome.REFUSED) {
                 writing = false;
               } else {
-                // It may have been executed, or may be yet: the next write is guarded by what is
-                // there now.
+                // The transaction may have been executed or may still be executed. The next write
+                // is guarded by the revisions that are stored now.
                 revisions.refresh(write.keys(), () -> writing = false);
               }
             });
@@ -166,7 +173,7 @@
     return largeJobs.isDirty() || !orphanedKeys.isEmpty() || sharedChunks.isDirty();
   }
 
-  /** Stops writing; what is not stored is found out by the next leader. */
+  /** Stops all writes. The next leader has to determine any progress that is not stored. */
   public void close() {
     closed = true;
     revisions.close();
--- a/src/main/java/plumlever/leader/progress/RecordRevisions.java
+++ b/src/main/java/plumlever/leader/progress/RecordRevisions.java
@@ -7,9 +7,12 @@
 import plumlever.leader.context.TermContext;
 import plumlever.store.StateClient;
 
-/** The revisions of progress records as far as they are known; each write is guarded by them. */
+/**
+ * The last known revisions of the progress records. Each write of a record is guarded by its
+ * revision.
+ */
 final class RecordRevisions {
-  /** Guards a record that does not exist. */
+  /** Revision that guards a record that does not exist yet. */
   private static final long NO_RECORD = 0;
 
   private final TermContext context;
@@ -20,26 +23,26 @@
     this.context = context;
   }
 
-  /** The revision by which the next write of the record is guarded. */
+  /** Returns the revision that guards the next write of the record. */
   long of(String key) {
     return revisions.getOrDefault(key, NO_RECORD);
   }
 
-  /** Takes over revisions that were read. */
+  /** Adds revisions that were read. */
   void putAll(Map<String, Long> read) {
     revisions.putAll(read);
   }
 
-  /** All these records were written by one transaction. */
+  /** Sets the revision of all records that one transaction has written. */
   void written(Collection<String> keys, long revision) {
     keys.forEach(key -> revisions.put(key, revision));
   }
 
   /**
-   * Reads the revisions anew, one after the other: the records may have been written by a
-   * transaction without an answer. A record that can't be read keeps its revision.
+   * Reads the revisions again, one record after the other, because a transaction without an answer
+   * may have written the records. If a record cannot be read, the known revision is kept.
    *
-   * @param done runs once all have been read
+   * @param done runs after all reads
    */
   void refresh(Collection<String> keys, Runnable done) {
     refreshNext(new ArrayDeque<>(keys), done);
--- a/src/main/java/plumlever/leader/progress/SharedChunks.java
+++ b/src/main/java/plumlever/leader/progress/SharedChunks.java
@@ -15,8 +15,8 @@
 import plumlever.store.JobStore;
 
 /**
- * The records that small jobs share: which job is in which, and which have to be written. A shared
- * chunk is only written whole, with all its jobs.
+ * The progress records that small jobs share: which chunk holds which job, and which chunks have to
+ * be written. A shared chunk is always written as a whole, with all of its jobs.
  */
 final class SharedChunks {
   private static final class Chunk {
@@ -38,7 +38,7 @@
     this.context = context;
   }
 
-  /** True if the job may share a record with others under the present limits. */
+  /** Returns true if the job is small enough for a shared chunk under the current limits. */
   boolean mayHold(Job job) {
     return sizeOf(job) >= 0;
   }
@@ -48,9 +48,9 @@
   }
 
   /**
-   * Takes over the place in which an earlier leader stored the job.
+   * Assigns the job to the chunk in which an earlier leader stored it.
    *
-   * @return false if the job does not fit there any more
+   * @return false if the job no longer fits into that chunk
    */
   boolean takeOver(Job job, int number) {
     Chunk chunk = chunks.computeIfAbsent(number, Chunk::new);
@@ -72,7 +72,10 @@
     chunkByJob.put(job, chunk);
   }
 
-  /** Has the job, which {@link #mayHold}, written with the next chunk that has capacity. */
+  /**
+   * Assigns the job to a chunk with capacity and schedules the chunk to be written; call only if
+   * {@link #mayHold} returns true.
+   */
   void add(Job job) {
     Chunk chunk = chunkWithCapacity(sizeOf(job));
     insert(chunk, job);
@@ -95,9 +98,9 @@
   }
 
   /**
-   * Has the chunk that holds the job written.
+   * Schedules the job's chunk to be written.
    *
-   * @return false if none holds it
+   * @return false if no chunk holds the job
    */
   boolean markDirty(Job job) {
     Chunk chunk = chunkByJob.get(job);
@@ -108,15 +111,15 @@
     return true;
   }
 
-  /** True if any chunk has to be written. */
+  /** Returns true if any chunk has to be written. */
   boolean isDirty() {
     return chunks.values().stream().anyMatch(chunk -> chunk.dirty);
   }
 
   /**
-   * The limit may have fallen: takes jobs out of chunks that are too large now.
+   * Removes jobs from chunks that exceed the value size limit, which may have decreased.
    *
-   * @param assign finds another place for a job that was taken out
+   * @param assign assigns a removed job to another record
    */
   void splitOversized(Consumer<Job> assign) {
     for (Chunk chunk : List.copyOf(chunks.values())) {
@@ -126,7 +129,7 @@
     }
   }
 
-  /** Keeps as many jobs as fit, and returns the others. */
+  /** Keeps as many jobs as fit into the chunk and returns the others. */
   private List<Job> split(Chunk chunk) {
     List<Job> jobs = new ArrayList<>(chunk.jobs);
     chunk.jobs.clear();
@@ -144,7 +147,7 @@
     return removed;
   }
 
-  /** Forgets jobs that have ended; they leave the records with the next write. */
+  /** Removes jobs that have ended; the next write of their chunk omits them. */
   void removeEnded() {
     chunks.values().forEach(this::removeEnded);
   }
@@ -161,7 +164,7 @@
     }
   }
 
-  /** Adds chunks that have to be written, as many as fit. */
+  /** Adds scheduled chunks to the transaction, as many as fit. */
   void addTo(ProgressWrite write) {
     for (Chunk chunk : chunks.values()) {
       if (chunk.dirty && write.fits(chunk.bytes)) {
--- a/src/main/java/plumlever/leader/record/RecordChunk.java
+++ b/src/main/java/plumlever/leader/record/RecordChunk.java
@@ -4,27 +4,29 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** One stored value of {@link SharedRecords}: its entries, its size and what is due to it. */
+/** One stored value of {@link SharedRecords}: its entries, its size and its pending changes. */
 final class RecordChunk<E> {
   final int number;
   private final Set<E> entries = new LinkedHashSet<>();
   private int bytes;
 
-  /** Of these, bytes of entries that are being moved to other chunks. */
+  /** The part of {@link #bytes} that belongs to entries being moved to other chunks. */
   private int departingBytes;
 
-  /** Revision of the stored value, 0 where there is none. */
+  /** Revision of the stored value; 0 if no value is stored. */
   long revision;
 
-  /** When it was last sent or loaded; 0 before. */
+  /** When the chunk was last sent or loaded; 0 if it was neither. */
   long writtenMicros;
 
   boolean writing;
 
-  /** An entry must be stored before it can be used. */
+  /** True if the chunk holds entries that cannot be used until they are stored. */
   boolean writeDue;
 
-  /** Entries have left that are still stored; that can wait. */
+  /**
+   * True if the stored value still holds entries that were removed; the clean-up may be delayed.
+   */
   boolean cleanUpDue;
 
   RecordChunk(int number, int baseBytes) {
@@ -40,7 +42,7 @@
     return bytes;
   }
 
-  /** What its size will be once all moves to other chunks are complete. */
+  /** Returns the size of the chunk once all moves to other chunks are complete. */
   int bytesAfterMoves() {
     return bytes - departingBytes;
   }
@@ -50,7 +52,11 @@
     bytes += size;
   }
 
-  /** Takes the entry out, which is to be cleaned up in the stored value; false if not in it. */
+  /**
+   * Removes the entry and marks the stored value for clean-up.
+   *
+   * @return false if the chunk does not hold the entry
+   */
   boolean remove(E entry, int size) {
     if (!entries.remove(entry)) {
       return false;
@@ -60,12 +66,12 @@
     return true;
   }
 
-  /** An entry of that size is being moved to another chunk. */
+  /** Records that an entry of this size is being moved to another chunk. */
   void moveStarted(int size) {
     departingBytes += size;
   }
 
-  /** The move of an entry of that size is complete or given up. */
+  /** Records that the move of an entry of this size is complete or was abandoned. */
   void moveEnded(int size) {
     departingBytes -= size;
   }
--- a/src/main/java/plumlever/leader/record/RecoveryRead.java
+++ b/src/main/java/plumlever/leader/record/RecoveryRead.java
@@ -11,10 +11,10 @@
 import plumlever.store.StateClient;
 
 /**
- * Reads what earlier leaders left in the state service. All of it is requested at once: their
- * writes are guarded by their terms, so nothing of it changes any more but the jobs that come and
- * end. It is read on the election's thread: on the one that decides each answer would wait behind
- * the heartbeats of all workers that come to a new leader.
+ * Reads the records that earlier leaders stored. All prefixes are requested at once: the writes of
+ * earlier leaders are guarded by their terms, so from now on the records change only as jobs are
+ * accepted or end. The reads run on the election thread. On the controller loop, each answer would
+ * queue behind the heartbeats that all workers send to a new leader.
  */
 public final class RecoveryRead {
   private static final long RETRY_MICROS = 500_000;
@@ -25,7 +25,7 @@
   private long jobsReadSentMicros;
   private boolean closed;
 
-  /** Reads nothing yet. */
+  /** Creates the reader; no request is sent yet. */
   public RecoveryRead(TermContext context) {
     this.context = context;
     this.prefixes =
@@ -42,9 +42,10 @@
   }
 
   /**
-   * Reads everything; what can't be read is retried.
+   * Reads all prefixes; a failed read is retried.
    *
-   * @param onComplete runs once, when everything has been read, unless this is closed before
+   * @param onComplete runs once after all prefixes have been read, unless the reader is closed
+   *     before
    */
   public void read(Consumer<RecoveryRead> onComplete) {
     prefixes.forEach(prefix -> read(prefix, onComplete));
@@ -73,17 +74,20 @@
             });
   }
 
-  /** The keys under the prefix, as they were after the term had been taken. */
+  /** Returns the keys under the prefix, as read after the term had been acquired. */
   public StateClient.Listing listing(String prefix) {
     return listings.get(prefix);
   }
 
-  /** When the read of the active jobs was sent: jobs that ended before it are known to have. */
+  /**
+   * Returns when the read of the active jobs was sent. The listing reflects every job that ended
+   * before that time.
+   */
   public long jobsReadSentMicros() {
     return jobsReadSentMicros;
   }
 
-  /** Nothing is reported any more; reads under way are ignored. */
+  /** Prevents the completion callback; answers to reads in flight are ignored. */
   public void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -15,15 +15,15 @@
 import plumlever.store.Transaction;
 
 /**
- * Entries of which many share one stored value, a chunk, since the state service limits changes
- * most. Each write is guarded by the term and by the chunk's own revision: one that is executed
- * late can't undo another, nor a successor's. An entry counts as stored only after the answer that
- * says so.
+ * Stores many entries per value, called a chunk, because the limit on changes is the tightest limit
+ * of the state service. Each write is guarded by the term and by the chunk's own revision, so a
+ * delayed write cannot overwrite a newer write of this leader or of a later leader. An entry counts
+ * as stored only after a write that contains it has been acknowledged.
  *
- * <p>A chunk that an earlier limit allowed may be larger than one may be now. It is not written as
- * it is: what does not fit is first written to other chunks, and only when that is known to be
- * stored does it leave the large one. Interrupted at any point, an entry is in one chunk or in two,
- * never in none.
+ * <p>If the value size limit has decreased, a chunk may be larger than the limit. An oversized
+ * chunk is never written as it is. The entries that do not fit are first written to other chunks,
+ * and they leave the oversized chunk only after these writes have been acknowledged. Whenever this
+ * procedure is interrupted, each entry is in one or two chunks, never in none.
  */
 public final class SharedRecords<E extends Registrable> {
   private static final long CLEAN_UP_MICROS = 5_000_000;
@@ -31,41 +31,43 @@
   private static final long RETRY_MICROS = 300_000;
   private static final long NO_RECORD = 0;
 
-  /** How entries are stored. */
+  /** Defines how entries are stored. */
   public interface Layout<E> {
-    /** The key of the chunk with this number. */
+    /** Returns the key of the chunk with this number. */
     String key(int number);
 
-    /** Bytes that the entry takes of a chunk; the same from its registration on. */
+    /** Returns the size of the entry in a chunk; must not change once the entry is registered. */
     int bytes(E entry);
 
-    /** Bytes that every chunk takes besides. */
+    /** Returns the size of a chunk without entries. */
     int baseBytes();
 
-    /** The value of a chunk with these entries. */
+    /** Returns the value of a chunk with these entries. */
     ObjectNode value(List<E> entries);
   }
 
   private final TermContext context;
   private final Layout<E> layout;
 
-  /** Entries that are registered within this time after a write are written together. */
+  /**
+   * Minimum time between two writes of a chunk; entries registered meanwhile are written together.
+   */
   private final long pauseMicros;
 
   private final Runnable stored;
   private final Map<Integer, RecordChunk<E>> chunks = new LinkedHashMap<>();
   private final Map<E, RecordChunk<E>> chunkByEntry = new HashMap<>();
 
-  /** The destinations of entries that are being moved out of chunks that are too large. */
+  /** Destination chunks of the entries that are being moved out of oversized chunks. */
   private final Map<E, RecordChunk<E>> destinationByEntry = new HashMap<>();
 
   private boolean closed;
 
   /**
-   * No entries, until they are loaded or registered.
+   * Creates an empty set of records.
    *
-   * @param pauseMicros least pause between two writes of a chunk
-   * @param stored runs after entries have become stored
+   * @param pauseMicros minimum time between two writes of a chunk
+   * @param stored runs after registered entries have been stored
    */
   public SharedRecords(TermContext context, Layout<E> layout, long pauseMicros, Runnable stored) {
     this.context = context;
@@ -75,9 +77,9 @@
   }
 
   /**
-   * Takes over a chunk as an earlier leader stored it.
+   * Loads a chunk that an earlier leader stored.
    *
-   * @param entries those that are still of use; the others leave with the next write
+   * @param entries the entries that are still needed; the next write of the chunk omits all others
    */
   public void load(int number, long revision, List<E> entries) {
     RecordChunk<E> chunk = new RecordChunk<>(number, layout.baseBytes());
@@ -95,7 +97,7 @@
     chunkByEntry.put(entry, chunk);
   }
 
-  /** Has the entry stored, unless it is stored or being stored already. */
+  /** Stores the entry, unless the entry is already stored or being written. */
   public void register(E entry) {
     if (entry.registration() != RegistrationState.NONE) {
       return;
@@ -123,10 +125,11 @@
   }
 
   /**
-   * The entry is of no use any more. It leaves its chunk with the next write, or with a clean-up.
+   * Removes an entry that is no longer needed. The stored value is updated by the next write of the
+   * chunk or by a clean-up.
    */
   public void remove(E entry) {
-    // It may be registered anew, and is not stored then.
+    // The entry may be registered again later, and must not count as stored then.
     entry.setRegistration(RegistrationState.NONE);
     RecordChunk<E> destination = destinationByEntry.remove(entry);
     RecordChunk<E> chunk = chunkByEntry.remove(entry);
@@ -142,9 +145,9 @@
   }
 
   /**
-   * Divides chunks that are too large, and writes those from which entries have been removed.
+   * Splits oversized chunks, and rewrites chunks from which entries have been removed.
    *
-   * @return microseconds until this should be called next
+   * @return microseconds until the next call
    */
   public long cleanUp() {
     long now = context.loop().nowMicros();
@@ -162,7 +165,10 @@
     return chunk.bytes() > context.layout().valueBytes();
   }
 
-  /** Has what does not fit the chunk stored in others; it stays in this one until that is done. */
+  /**
+   * Writes the entries that exceed the limit to other chunks. The entries stay in this chunk until
+   * the writes have been acknowledged.
+   */
   private void moveExcess(RecordChunk<E> chunk) {
     Set<RecordChunk<E>> destinations = new LinkedHashSet<>();
     for (E entry : List.copyOf(chunk.entries())) {
@@ -186,7 +192,11 @@
     return destination;
   }
 
-  /** The entry is stored in its destination, and leaves the chunk in which it was before. */
+  /**
+   * Removes an entry that is stored in its destination from its previous chunk.
+   *
+   * @return the previous chunk
+   */
   private RecordChunk<E> completeMove(E entry, RecordChunk<E> destination) {
     destinationByEntry.remove(entry);
     RecordChunk<E> source = chunkByEntry.put(entry, destination);
@@ -220,7 +230,7 @@
       chunk.writing = false;
       context.loop().after(RETRY_MICROS, () -> write(chunk));
     } else if (isOversized(chunk)) {
-      // The limit has fallen during the pause.
+      // The value size limit has decreased during the pause.
       chunk.writing = false;
       moveExcess(chunk);
     } else {
@@ -300,8 +310,8 @@
   }
 
   /**
-   * The transaction may have been executed, or may be yet: the next write is guarded by what is
-   * stored now.
+   * Reads the chunk's stored revision to guard the next write, because the transaction may have
+   * been executed or may still be executed.
    */
   private void refreshRevision(RecordChunk<E> chunk) {
     context
@@ -319,7 +329,7 @@
             });
   }
 
-  /** Stops writing; outcomes of writes that are under way are ignored. */
+  /** Stops all writes; the outcomes of writes in flight are ignored. */
   public void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/record/package-info.java
+++ b/src/main/java/plumlever/leader/record/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Values of the state service that many entries share, and the reads with which a new leader
- * recovers what earlier ones stored.
+ * State service values that hold many entries each, and the reads with which a new leader recovers
+ * the records of earlier leaders.
  *
- * <p>Owns how entries are spread over values and how writes of them are guarded. It must not know
- * what the entries mean.
+ * <p>Owns the distribution of entries over values and the guards of their writes. Must not depend
+ * on the meaning of the entries.
  */
 package plumlever.leader.record;
--- a/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
+++ b/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
@@ -15,7 +15,9 @@
 import plumlever.store.JobStore;
 import plumlever.wire.JobSpec;
 
-/** Progress records when the state service takes smaller values than before. */
+/**
+ * Tests how progress records are divided after the state service has lowered its value size limit.
+ */
 final class ProgressLimitsTest {
   private static final int SMALL_JOBS = 40;
   private static final int SMALL_JOB_TASKS = 600;
@@ -41,7 +43,7 @@
   private void limitFalls() {
     int before = context.layout().valueBytes();
     services.refuseValueOf(ContextFixture.VALUE_BYTES / 2);
-    assertNotEquals(before, context.layout().valueBytes(), "the limit has fallen");
+    assertNotEquals(before, context.layout().valueBytes(), "the limit must have changed");
   }
 
   private static int sizeOf(List<Job> jobs) {
@@ -73,8 +75,8 @@
     kept.removeAll(removed);
     assertFalse(removed.isEmpty());
     assertTrue(sizeOf(kept) <= context.layout().sharedChunkBytes());
-    assertTrue(kept.stream().allMatch(chunks::markDirty), "those that fit stay");
-    assertTrue(removed.stream().noneMatch(chunks::markDirty), "the others have no place");
+    assertTrue(kept.stream().allMatch(chunks::markDirty), "jobs that fit stay in the chunk");
+    assertTrue(removed.stream().noneMatch(chunks::markDirty), "removed jobs are in no chunk");
   }
 
   @Test
