--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -18,15 +18,20 @@
 import plumlever.wire.MachineType;
 
 /**
- * What earlier leaders may have left running. Until every machine that could hold one of its tasks
- * is accounted for, no task of a job that an earlier leader knew is started; and a machine not
- * accounted for counts against every team's limit with all it could hold.
+ * Tracks what earlier leaders may have left running. A machine is accounted for once all tasks that
+ * earlier leaders may have started on it are known, or once the machine is gone. The leader starts
+ * no task of a job that an earlier leader may have started until every machine that could hold such
+ * a task is accounted for. Until then, the full capacity of each machine not accounted for counts
+ * against every team's limit.
  */
 public final class Failover {
-  /** Nearly all machines that can be reached are accounted for by then, also in a large fleet. */
+  /**
+   * By this time after the machines were loaded, nearly all reachable machines are accounted for,
+   * even in a large fleet.
+   */
   private static final long OVERDUE_AFTER_MICROS = 7_000_000;
 
-  /** By how much sums of fractions may be off. */
+  /** Tolerance for rounding errors in sums of fractions. */
   private static final double ROUNDING = 1e-9;
 
   private final Logger log;
@@ -47,9 +52,9 @@
   private long loadedMicros;
 
   /**
-   * The failover that begins with this term.
+   * Creates the failover of a term that has just begun.
    *
-   * @param sharing asked for the limits of teams; it is set up later than this
+   * @param sharing supplies the teams' limits; available only after this constructor has run
    */
   public Failover(TermContext context, Fleet fleet, Supplier<MachineSharing> sharing) {
     this.sharing = sharing;
@@ -60,20 +65,23 @@
     context.platform().teams().forEach(t -> teams.put(t.name(), t));
   }
 
-  /** When this controller became leader. */
+  /** Returns when this controller became leader. */
   public long startedMicros() {
     return startedMicros;
   }
 
   /**
-   * When the machines were loaded: every later answer to a machine is noted there. An earlier
-   * answer may have renewed any lease.
+   * Returns when the machines were loaded. Lease renewals by later answers are recorded for each
+   * machine; an earlier answer may have renewed the lease of any machine.
    */
   public long loadedMicros() {
     return loadedMicros;
   }
 
-  /** All machines that may hold tasks are in the fleet from now on. */
+  /**
+   * Starts the reconciliation; called once all machines that may hold tasks have been added to the
+   * fleet.
+   */
   public void machinesLoaded() {
     machinesLoaded = true;
     unaccountedKnown = false;
@@ -86,30 +94,31 @@
       }
     }
     if (unaccounted.isEmpty()) {
-      log.info("failover complete: no machine may hold a task");
+      log.info("failover complete: no machine can hold tasks of earlier leaders");
     }
   }
 
-  /** True once nothing that earlier leaders started is unknown. */
+  /** Returns true once all tasks that earlier leaders may have left running are known. */
   public boolean isComplete() {
     return machinesLoaded && unaccounted.isEmpty();
   }
 
   /**
-   * True when the machines still unaccounted for will not be soon: they are gone or behind a
-   * network partition, and nothing can be planned with them.
+   * Returns true if the remaining machines are unlikely to be accounted for soon, because they are
+   * gone or behind a network partition. Plans must not rely on these machines.
    */
   public boolean isOverdue(long now) {
     return machinesLoaded && !unaccounted.isEmpty() && now - loadedMicros > OVERDUE_AFTER_MICROS;
   }
 
-  /** Machines that may still run tasks of earlier leaders that are not known. */
+  /** Returns the machines that may still run unknown tasks of earlier leaders. */
   public Set<Machine> unaccounted() {
     return unaccounted;
   }
 
   /**
-   * Nothing that an earlier leader started on the machine is unknown any more, or it is gone.
+   * Marks the machine as accounted for: all tasks that an earlier leader started on the machine are
+   * known, or the machine is gone.
    *
    * @param reason for the log
    */
@@ -117,12 +126,12 @@
     machine.markAccounted();
     if (unaccounted.remove(machine)) {
       unaccountedKnown = false;
-      log.debug("{} accounted for: {}", machine.id(), reason);
+      log.debug("machine {} is accounted for: {}", machine.id(), reason);
       if (unaccounted.isEmpty()) {
         long durationMicros = context.loop().nowMicros() - startedMicros;
         context.metrics().recordDuration("failover", durationMicros);
         log.info(
-            "failover complete after {} ms, the last machine was {}: {}",
+            "failover complete after {} ms, machine {} was the last one accounted for: {}",
             durationMicros / 1_000,
             machine.id(),
             reason);
@@ -130,24 +139,27 @@
     }
   }
 
-  /** The machine lists this number of running tasks that this leader does not track. */
+  /** Sets how many running tasks the machine reports that this leader does not track. */
   public void setUntrackedTasks(Machine machine, int tasks) {
     if (tasks > 0 ? withUntrackedTasks.add(machine) : withUntrackedTasks.remove(machine)) {
       unaccountedKnown = false;
     }
   }
 
-  /** True while the machine runs tasks that this leader does not track. */
+  /** Returns true while the machine runs tasks that this leader does not track. */
   public boolean runsUntracked(Machine machine) {
     return withUntrackedTasks.contains(machine);
   }
 
-  /** True while a task of the job could be running on a machine not accounted for. */
+  /** Returns true while a task of the job could be running on a machine not accounted for. */
   public boolean blocks(Job job) {
     return !machinesLoaded || (job.inherited() && !unaccounted.isEmpty());
   }
 
-  /** How many more tasks of the job its team's limit allows; 0 if the team is unknown. */
+  /**
+   * Returns how many more tasks of the job fit into its team's limit; 0 if the team or the size of
+   * a machine not accounted for is unknown.
+   */
   public int quotaHeadroom(Job job) {
     PlatformConfiguration.Team team = teams.get(job.spec().team());
     if (team == null) {
@@ -169,17 +181,18 @@
             job.spec().accelerators()));
   }
 
-  /** Processor cores that the team's tasks may be using, wherever they are. */
+  /** Returns the number of processor cores that the team's tasks may be using on all machines. */
   public double coresHeld(String team) {
     return fleet.usage(team).cores() + (countUnaccounted() ? unaccountedCores : 0);
   }
 
   /**
-   * Adds up the machines that could run anybody's tasks. A machine may run tasks of a job that
-   * ended before this term: whose they are is unknown, and until they are seen to be gone they
-   * count like those of a machine not accounted for.
+   * Sums up the capacity of the machines that may be running tasks of any team. These include
+   * machines with untracked tasks: an untracked task may belong to a job that ended before this
+   * term, so its team is unknown. Until such tasks have ended, their machine counts like a machine
+   * not accounted for.
    *
-   * @return false when the size of one of them is not known
+   * @return false if the size of one of the machines is unknown
    */
   private boolean countUnaccounted() {
     if (unaccountedKnown) {
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -14,36 +14,37 @@
 import plumlever.store.Transaction;
 
 /**
- * What the next leader would otherwise have to learn anew: which machines have which images, and
- * how far estimates are off. It is stored in as many values as a large fleet takes. It is advice
- * only: wrong or missing warm state costs time, and breaks no rule.
+ * Stores data that the next leader would otherwise have to learn again: the images cached on each
+ * machine, and the observed error of run-time estimates. A large fleet takes several values. The
+ * data is advisory only: wrong or missing warm state costs time but violates no rule.
  */
 public final class WarmState {
   private static final long INTERVAL_MICROS = 10_000_000;
+  /** The interval is divided by this factor while a full transaction of changes was found. */
   private static final int BACKLOG_SPEED_UP = 4;
 
-  /** Changes in one transaction: submissions must not wait for these. */
+  /** Maximum number of changes per transaction, to avoid delaying submissions. */
   private static final int MAX_CHANGES = 2;
 
   private final TermContext context;
   private final WarmStateCodec codec;
 
-  /** What is stored as far as that is known, by number; empty for values that were dropped. */
+  /** The last known stored values by number; empty for deleted values. */
   private final Map<Integer, Optional<ObjectNode>> storedValues = new HashMap<>();
 
-  /** Higher than the number of any value that may be stored. */
+  /** Greater than the number of every value that may be stored. */
   private int storedCount;
 
   private int nextNumber;
   private boolean writing;
 
-  /** Warm state of this term, to be loaded once and then written from time to time. */
+  /** Creates the warm state of one term. The state is loaded once and then written periodically. */
   public WarmState(TermContext context, Fleet fleet, RunTimeEstimates estimates) {
     this.context = context;
     this.codec = new WarmStateCodec(fleet, estimates);
   }
 
-  /** Takes over what the last leader stored; the machines must be in the fleet. */
+  /** Applies the values that earlier leaders stored. The machines must already be in the fleet. */
   public void load(List<StateClient.Item> items) {
     for (StateClient.Item item : items) {
       codec.read(item.data());
@@ -56,9 +57,9 @@
   }
 
   /**
-   * Writes some of what has changed, continuing where the last call stopped.
+   * Writes some of the changed values, continuing after the values of the previous call.
    *
-   * @return microseconds until this should be called next
+   * @return microseconds until the next call
    */
   public long write() {
     if (writing) {
@@ -71,7 +72,10 @@
     return changes.size() == MAX_CHANGES ? INTERVAL_MICROS / BACKLOG_SPEED_UP : INTERVAL_MICROS;
   }
 
-  /** Values that differ from what is stored, by number; empty for those to be dropped. */
+  /**
+   * Returns the next values that differ from the stored ones, by number; empty for values to be
+   * deleted.
+   */
   private Map<Integer, Optional<ObjectNode>> nextChanges() {
     List<ObjectNode> values = codec.write(context.layout().valueBytes());
     int count = Math.max(values.size(), storedCount);
--- a/src/main/java/plumlever/leader/failover/WarmStateCodec.java
+++ b/src/main/java/plumlever/leader/failover/WarmStateCodec.java
@@ -15,18 +15,21 @@
 import plumlever.wire.Json;
 
 /**
- * Writes image caches and estimates into as many values as they take, and reads them back. The
- * estimates are in the first value; each value names its images once, and machines by index.
+ * Encodes image caches and estimates into one or more values, and decodes these values. The first
+ * value holds the estimates. Each value lists its images once; machines refer to images by index.
  */
 final class WarmStateCodec {
   private static final String IMAGES = "images";
   private static final String MACHINES = "machines";
   private static final String RATIOS = "ratios";
 
-  /** What a value takes besides its machines and images, and each of those besides its name. */
+  /** Size of a value without machines and images. */
   private static final int BASE_BYTES = 400;
 
+  /** Size of a machine besides its name and image indexes. */
   private static final int MACHINE_BYTES = 6;
+
+  /** Size of an image besides its name. */
   private static final int IMAGE_BYTES = 24;
   private static final int INDEX_BYTES = 4;
 
@@ -68,7 +71,7 @@
     }
   }
 
-  /** The present state, in values of at most this size; at least one. */
+  /** Encodes the current state into values of at most this size; returns at least one value. */
   List<ObjectNode> write(int maxBytes) {
     List<Part> parts = new ArrayList<>();
     Part part = new Part();
@@ -85,7 +88,7 @@
     return parts.stream().map(each -> each.value).toList();
   }
 
-  /** One value under construction. */
+  /** Builds one value. */
   private static final class Part {
     final ObjectNode value = Json.object();
     private final ArrayNode images = value.putArray(IMAGES);
@@ -100,7 +103,11 @@
       bytes += Json.write(ratios).length();
     }
 
-    /** Adds the machine with its images in GB; false when it does not fit. */
+    /**
+     * Adds the machine with its images, in GB by name.
+     *
+     * @return false if the machine does not fit into the value
+     */
     boolean add(Machine machine, Map<String, Double> ready, int maxBytes) {
       int size = sizeOf(machine, ready);
       if (bytes + size > maxBytes) {
@@ -126,7 +133,10 @@
       return images.size() - 1;
     }
 
-    /** Users name images, and escaped characters may take several times the name's length. */
+    /**
+     * Returns the encoded size of an image name. Users choose the names, and escaping may make a
+     * name several times as long.
+     */
     private static int jsonBytes(String image) {
       return Json.write(TextNode.valueOf(image)).getBytes(StandardCharsets.UTF_8).length;
     }
--- a/src/main/java/plumlever/leader/failover/package-info.java
+++ b/src/main/java/plumlever/leader/failover/package-info.java
@@ -1,8 +1,8 @@
 /**
- * What a new leader takes over from earlier ones.
+ * State that a new leader takes over from earlier leaders.
  *
- * <p>Owns which machines may still run tasks that this leader did not start, what they count
- * against teams' limits, and the stored estimates and image caches. It starts nothing, and must not
- * know how machines are called or heartbeats evaluated.
+ * <p>Owns the set of machines that may still run tasks which this leader did not start, their share
+ * of the teams' limits, and the stored estimates and image caches. Starts no tasks, and must not
+ * depend on how machines are called or how heartbeats are evaluated.
  */
 package plumlever.leader.failover;
--- a/src/test/java/plumlever/leader/failover/WarmStateCodecTest.java
+++ b/src/test/java/plumlever/leader/failover/WarmStateCodecTest.java
@@ -13,7 +13,10 @@
 import plumlever.fleet.RunTimeEstimates;
 import plumlever.wire.Json;
 
-/** What the next leader learns from the stored warm state. */
+/**
+ * Tests that the next leader can restore image caches and estimates from the stored warm state,
+ * including warm state that is split over several values.
+ */
 final class WarmStateCodecTest {
   private static final int LARGE_VALUE_BYTES = 16 * 1024;
   private static final int SMALL_VALUE_BYTES = 1024;
@@ -27,7 +30,10 @@
     return fleet;
   }
 
-  /** A fleet in which each machine has an image of its own and one that all share. */
+  /**
+   * Returns a fleet in which each machine has one image of its own and one image that all machines
+   * share.
+   */
   private static Fleet fleetWithImages(int machines) {
     Fleet fleet = fleet(machines);
     int number = 0;
@@ -75,7 +81,7 @@
     assertTrue(values.size() > 1);
     for (ObjectNode value : values) {
       int bytes = Json.write(value).getBytes(StandardCharsets.UTF_8).length;
-      assertTrue(bytes <= SMALL_VALUE_BYTES, "a value of " + bytes + " bytes");
+      assertTrue(bytes <= SMALL_VALUE_BYTES, "a value of " + bytes + " bytes exceeds the limit");
     }
   }
 
