--- a/src/main/java/plumlever/leader/machine/CloudInventory.java
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -10,7 +10,7 @@
 import plumlever.wire.ListedMachine;
 import plumlever.wire.MachineType;
 
-/** Reads the cloud's list of machines, and its machine types with their prices, at intervals. */
+/** Periodically reads the cloud's list of machines, and its machine types with their prices. */
 final class CloudInventory {
   private static final double MICROS_PER_SECOND = 1e6;
   private static final long LIST_INTERVAL_MICROS = 6_000_000;
@@ -28,7 +28,8 @@
   private boolean closed;
 
   /**
-   * @param isReturned true for the name of a machine that was returned: the list lags
+   * @param isReturned true for the id of a machine that was returned; the cloud's list may still
+   *     contain the machine for some time
    * @param changed runs when something changed that placement depends on
    */
   CloudInventory(
@@ -44,7 +45,7 @@
     this.changed = changed;
   }
 
-  /** Reads what is due. */
+  /** Starts the reads that are due. */
   void refresh(long now) {
     if (!listing && now - listedMicros >= LIST_INTERVAL_MICROS) {
       listing = true;
@@ -102,7 +103,7 @@
     machine.recordListing(listed.failed());
   }
 
-  /** Takes no more machines in. */
+  /** Ignores machine lists that arrive later. */
   void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -16,19 +16,22 @@
 import plumlever.wire.MachineType;
 
 /**
- * Cordons machines that the service-level objectives can do without, where money matters, and
- * uncordons them when tasks wait.
+ * Cordons machines that are not needed to meet the service-level objectives, if money matters, and
+ * uncordons machines when tasks wait.
  */
 final class FleetSizing {
-  /** The shortest time that the cloud charges for is used up after this. */
+  /** Age after which the minimum time that the cloud charges for a machine is used up. */
   static final long MIN_CHARGE_MICROS = 58_000_000;
 
   private static final long INTERVAL_MICROS = 3_000_000;
 
-  /** Prices per core and hour are compared in steps of this part of one, since spot prices move. */
+  /**
+   * Prices per core and hour are rounded to multiples of 1/400 before they are compared, because
+   * spot prices fluctuate.
+   */
   private static final double PRICE_STEPS = 400;
 
-  /** At most this part of the machines in use is cordoned at a time. */
+  /** At most 1/10 of the candidates is cordoned at a time. */
   private static final int MAX_STEP_DIVISOR = 10;
 
   private final Logger log;
@@ -61,9 +64,9 @@
   }
 
   /**
-   * Keeps no more machines in use than are needed: the most expensive and emptiest are cordoned
-   * while all waiting tasks can do without them, and the cheapest of those uncordoned before any
-   * are rented.
+   * Keeps only as many machines in use as are needed. While no tasks wait, the most expensive and
+   * then emptiest machines are cordoned, provided that the remaining machines suffice. While tasks
+   * wait, the cheapest cordoned machines are uncordoned before any machine is rented.
    */
   void adjust(long now) {
     Set<Machine> cordoned = pass.cordoned();
@@ -88,14 +91,17 @@
     if (pass.canDoWithout(more)) {
       cordoned.addAll(more);
       context.metrics().count("machines_cordoned", count);
-      log.debug("{} more machines are cordoned, the others suffice", count);
+      log.debug("cordoned {} more machines: the remaining machines suffice", count);
       step = Math.min(Math.max(1, candidates.size() / MAX_STEP_DIVISOR), step * 2);
     } else {
       step = Math.max(1, step / 2);
     }
   }
 
-  /** Machines that may be cordoned: the most expensive first, of these the emptiest. */
+  /**
+   * Returns the machines that may be cordoned, the most expensive first and, at the same price, the
+   * emptiest first.
+   */
   private List<Machine> candidates(Set<Machine> cordoned, long now) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
@@ -114,7 +120,7 @@
     return candidates;
   }
 
-  /** Uncordons the cheapest machines, as many as hold the waiting tasks, but at least one. */
+  /** Uncordons the cheapest machines, as many as the waiting tasks need, but at least one. */
   private void uncordon(Set<Machine> cordoned, long now) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : cordoned) {
--- a/src/main/java/plumlever/leader/machine/LeaseExpiry.java
+++ b/src/main/java/plumlever/leader/machine/LeaseExpiry.java
@@ -10,14 +10,14 @@
 import plumlever.leader.heartbeat.RenewalDelegation;
 
 /**
- * Ends what ran on machines whose lease has surely expired: nobody can have renewed it for so long,
- * whatever the machine may have reported.
+ * Ends the attempts on machines whose lease has certainly expired: no controller can have renewed
+ * the lease for its full duration, whatever the machine may have reported.
  */
 final class LeaseExpiry {
-  /** Added to a lease: an answer on its way, a late timer. */
+  /** Safety margin added to a lease, for an answer in transit and a late timer. */
   private static final long MARGIN_MICROS = 1_500_000;
 
-  /** Part by which the clocks of worker and controller together may drift. */
+  /** Bound on the combined drift of the clocks of worker and controller, as a fraction. */
   private static final double CLOCK_DRIFT = 0.002;
 
   private final Logger log;
@@ -47,7 +47,7 @@
     this.changed = changed;
   }
 
-  /** Ends what may run on the machine if its lease has surely expired by now. */
+  /** Ends all attempts that may run on the machine if its lease has certainly expired. */
   void endIfExpired(Machine machine, long now) {
     if (now < expiresMicros(machine)) {
       return;
@@ -56,11 +56,11 @@
     heartbeats.endAllAttempts(machine);
     sharing.leaseExpired(machine);
     if (mayRunTasks) {
-      log.info("the lease of {} has expired", machine.id());
+      log.info("lease of machine {} has expired, its attempts are ended", machine.id());
       changed.run();
     }
     if (!machine.accounted()) {
-      failover.markAccounted(machine, "its lease expired");
+      failover.markAccounted(machine, "its lease has expired");
       changed.run();
     }
   }
@@ -69,8 +69,9 @@
     if (delegation.isDelegated(machine.zone())) {
       return Long.MAX_VALUE;
     }
-    // An answer of this term renewed the lease at the latest; before the first, an earlier leader
-    // may have, or a delegate of its, whose last read of the delegation stays valid for a while.
+    // Renewals by this leader are recorded. An earlier leader may have renewed the lease until this
+    // leader loaded the machines. A delegate may have renewed the lease for VALID_MICROS after the
+    // end of its delegation, since its last read of the delegation stays valid for that time.
     long renewedByOthersMicros =
         Math.max(failover.loadedMicros(), delegation.revokedMicros(machine.zone()))
             + DelegatedRenewal.VALID_MICROS;
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -11,16 +11,17 @@
 import plumlever.leader.scheduling.SchedulingPass;
 
 /**
- * Looks after the machines of one term at short intervals: learns what the cloud has, ends expired
- * leases, returns what is gone or not needed, and rents what is lacking.
+ * Manages the machines of one term at short intervals: reads the inventory of the cloud, ends
+ * expired leases, returns machines that are gone or not needed, and rents machines that are
+ * lacking.
  */
 public final class MachineManager {
   private static final long INTERVAL_MICROS = 500_000;
 
-  /** Pause while this leader may not act. */
+  /** Pause between cycles while the leader has no right to act. */
   private static final long INACTIVE_INTERVAL_MICROS = 200_000;
 
-  /** How long a leader that steps down leaves leadership to others. */
+  /** How long a leader that resigns stays out of the election. */
   private static final long STEP_DOWN_MICROS = 10_000_000;
 
   private final TermContext context;
@@ -37,7 +38,7 @@
   private boolean closed;
 
   /**
-   * Manages the machines of one term.
+   * Creates the manager of one term.
    *
    * @param changed runs when something changed that placement depends on
    */
@@ -75,15 +76,15 @@
     this.sizing = new FleetSizing(context, fleet, pass, failover, rentals, changed);
   }
 
-  /** True for a machine that this leader has returned to the cloud. */
+  /** Returns true for a machine that this leader has returned to the cloud. */
   public boolean isReturned(String machineId) {
     return returns.isReturned(machineId);
   }
 
   /**
-   * Looks after all machines once.
+   * Runs one management cycle.
    *
-   * @return the pause until the next time, in microseconds
+   * @return microseconds until the next cycle
    */
   public long runOnce() {
     if (closed || !context.term().mayAct()) {
@@ -102,11 +103,14 @@
     if (silence.lostItsWorkers()) {
       context
           .election()
-          .resign(context.term(), "its workers report to other controllers", STEP_DOWN_MICROS);
+          .resign(
+              context.term(),
+              "most workers are silent here and many report to other controllers",
+              STEP_DOWN_MICROS);
     } else {
       checkMachines(now);
     }
-    // Whoever is told of a change may have closed this leader meanwhile.
+    // A callback for a change may have closed this leader in the meantime.
     if (closed) {
       return;
     }
@@ -131,7 +135,7 @@
     }
   }
 
-  /** Takes no further action, also on answers that are on their way. */
+  /** Takes no further action, including on answers in flight. */
   public void close() {
     closed = true;
     inventory.close();
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -17,11 +17,11 @@
 import plumlever.wire.Json;
 
 /**
- * The stored record of the machines that may hold tasks: a machine is in it before anything is
- * started on it.
+ * The stored record of the machines that may hold tasks. A machine is added to the record before
+ * any task is started on it.
  *
- * <p>A value lists machines as arrays of name, address and index into its list of kinds; a kind is
- * an array of machine type, zone and whether it is spot.
+ * <p>Format: each value lists machines as arrays of name, address and index into the list of kinds
+ * of the value. A kind is an array of machine type, zone and whether the machine is a spot machine.
  */
 public final class MachineRegistry {
   private static final long WRITE_INTERVAL_MICROS = 250_000;
@@ -40,10 +40,10 @@
   private static final int KIND_ZONE = 1;
   private static final int KIND_SPOT = 2;
 
-  /** Room for the kinds of a value. */
+  /** Space reserved for the kinds of a value. */
   private static final int KINDS_BYTES = 500;
 
-  /** What an entry takes besides name and address. */
+  /** Size of an entry besides name and address. */
   private static final int ENTRY_BYTES = 11;
 
   private final Logger log;
@@ -51,9 +51,9 @@
   private final SharedRecords<Machine> records;
 
   /**
-   * The records of one term, empty until they are loaded.
+   * Creates an empty registry for one term.
    *
-   * @param changed runs when further machines are on record
+   * @param changed runs after more machines have been stored
    */
   public MachineRegistry(TermContext context, Runnable changed) {
     this.context = context;
@@ -61,12 +61,15 @@
     this.records = new SharedRecords<>(context, new Layout(), WRITE_INTERVAL_MICROS, changed);
   }
 
-  /** Takes in what earlier leaders stored; machines that are not known yet join the fleet. */
+  /**
+   * Loads the records of earlier leaders; machines that are not in the fleet yet are added to the
+   * fleet.
+   */
   public void load(List<StateClient.Item> items, Fleet fleet) {
     for (StateClient.Item item : items) {
       int number = JobStore.sharedRecordNumber(item.key());
       if (number < 0) {
-        log.error("{} is no record of machines", item.key());
+        log.error("ignoring key {}: not a record of the machine registry", item.key());
         continue;
       }
       List<Machine> entries = new ArrayList<>();
@@ -93,8 +96,8 @@
   }
 
   /**
-   * The machine is to be put on record, if its address is known; until its registration is stored
-   * nothing is started on it.
+   * Stores the machine if its address is known. No task is started on the machine until the write
+   * is acknowledged.
    */
   public void register(Machine machine) {
     if (machine.endpoint() != null) {
@@ -102,21 +105,21 @@
     }
   }
 
-  /** The machine is gone for good: the next write leaves it out. */
+  /** Removes a machine that no longer exists; the next write omits the machine. */
   public void remove(Machine machine) {
     records.remove(machine);
   }
 
   /**
-   * Rewrites values that list machines which are gone, and splits those that have become too large.
+   * Rewrites values that list removed machines, and splits values that exceed the size limit.
    *
-   * @return the pause until the next time, in microseconds
+   * @return microseconds until the next call
    */
   public long compact() {
     return records.cleanUp();
   }
 
-  /** Writes nothing any more. */
+  /** Stops all writes. */
   public void close() {
     records.close();
   }
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -19,8 +19,8 @@
 import plumlever.wire.MachineType;
 
 /**
- * Rents machines for tasks that wait for one. A request whose outcome is unknown is repeated with
- * the same id until it is known.
+ * Rents machines for waiting tasks. A request whose outcome is unknown is repeated with the same id
+ * until the outcome is known, so that no machine is rented twice.
  */
 final class MachineRentals {
   private static final long NO_CAPACITY_PAUSE_MICROS = 12_000_000;
@@ -28,7 +28,7 @@
   private static final int MAX_MACHINES_PER_PLAN = 300;
   private static final int MAX_OPEN_REQUESTS = 6;
 
-  /** A request whose outcome is not known. */
+  /** A request whose outcome is not known yet. */
   private static final class OpenRequest {
     private final RentalRequest request;
     private final RentalPlan.RentalOption kind;
@@ -57,8 +57,8 @@
   private long capacityAddedMicros = -1;
 
   /**
-   * @param isReturned true for the name of a machine that was returned
-   * @param isCut true for a zone that seems to be partitioned: nothing is rented there
+   * @param isReturned true for the id of a machine that was returned
+   * @param isPartitioned true for a zone that seems to be partitioned; no machines are rented there
    * @param changed runs when something changed that placement depends on
    */
   MachineRentals(
@@ -82,17 +82,20 @@
     this.plan = new RentalPlan(context.prices(), context.moneyMatters());
   }
 
-  /** True while the cloud has no more of some kind of machine, as far as is known. */
+  /** Returns true while at least one rental option is known to be unavailable. */
   boolean anyUnavailable(long now) {
     return unavailableUntilMicros.values().stream().anyMatch(until -> until > now);
   }
 
-  /** Capacity was added: it may serve demands that were found before. */
+  /** Records that capacity was added, which may serve demands that were found earlier. */
   void recordAddedCapacity(long now) {
     capacityAddedMicros = now;
   }
 
-  /** Repeats requests whose outcome is unknown, and rents what the last pass lacked. */
+  /**
+   * Repeats requests whose outcome is unknown, and rents machines for the demands of the last
+   * scheduling pass.
+   */
   void rent(long now) {
     for (OpenRequest open : new ArrayList<>(openRequests)) {
       if (!open.inFlight && now >= open.retryMicros) {
@@ -105,7 +108,9 @@
   }
 
   /**
-   * Demands found before capacity was added last may be served by it: no machine is rented twice.
+   * Returns true if machines may be rented for the demands of the last scheduling pass. Demands
+   * found before capacity was last added may be served by that capacity, so no machines are rented
+   * for them.
    */
   private boolean mayRentMore(long now) {
     return context.prices().isLoaded()
@@ -132,8 +137,8 @@
   }
 
   /**
-   * Capacity of machines that are not known by name yet; booting machines are part of the fleet
-   * already.
+   * Returns the capacity of requested machines, whose ids are not known yet, and of machines that
+   * are being transferred to this shard. Booting machines are already part of the fleet.
    */
   private List<RentalPlan.IncomingMachine> coming() {
     List<RentalPlan.IncomingMachine> coming = new ArrayList<>();
@@ -157,7 +162,7 @@
     }
   }
 
-  /** The id is unique over all terms. */
+  /** Creates a request whose id is unique across all terms. */
   private RentalRequest request(RentalPlan.RentalRequest rental) {
     requestCounter++;
     RentalPlan.RentalOption kind = rental.option();
@@ -203,7 +208,7 @@
       unavailableUntilMicros.put(open.kind, now + NO_CAPACITY_PAUSE_MICROS);
     }
     log.info(
-        "rented {} of {} {} in {}{}",
+        "rented {} of {} requested machines of type {} in zone {}{}",
         machineIds.size(),
         request.count(),
         request.machineType(),
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -17,11 +17,14 @@
 import plumlever.leader.heartbeat.HeartbeatHandler;
 
 /**
- * Returns machines to the cloud, one request at a time, repeated until the cloud has confirmed it,
- * and remembers the names of those returned.
+ * Returns machines to the cloud, one request at a time. A request is repeated until the cloud has
+ * confirmed it. The ids of returned machines are remembered.
  */
 final class MachineReturns {
-  /** Names kept, so that late copies of heartbeats bring no returned machine back. */
+  /**
+   * Number of ids kept. The ids prevent a delayed copy of a heartbeat from adding a returned
+   * machine to the fleet again.
+   */
   private static final int MAX_REMEMBERED = 20_000;
 
   private final Logger log;
@@ -66,15 +69,18 @@
     this.changed = changed;
   }
 
-  /** True for a machine that the cloud has confirmed as returned in this term. */
+  /** Returns true for a machine whose return the cloud has confirmed in this term. */
   boolean isReturned(String machineId) {
     return returned.contains(machineId);
   }
 
-  /** The machine is to be returned: it gets no more work, and is part of the next request. */
+  /**
+   * Schedules the return of the machine: no more tasks are started on the machine, and it becomes
+   * part of a later request.
+   */
   void schedule(Machine machine, ReturnReason reason) {
     log.info(
-        "returning {} ({} in {}{}): {}",
+        "returning machine {} (type {} in zone {}{}): {}",
         machine.id(),
         machine.machineType(),
         machine.zone(),
@@ -84,7 +90,7 @@
     context.metrics().count("machines_returned");
   }
 
-  /** Sends the next request, unless one is open or no machine is to be returned. */
+  /** Sends the next request, unless a request is in progress or no machine is to be returned. */
   void sendNext() {
     if (inProgress) {
       return;
@@ -99,7 +105,7 @@
       return;
     }
     inProgress = true;
-    // The call to the cloud is made only once the intent is on record.
+    // The request is sent to the cloud only after the intent to return the machines is stored.
     sharing.recordReturns(machines, () -> send(machines));
   }
 
@@ -125,14 +131,14 @@
       heartbeats.endAllAttempts(machine);
       returned.add(machine.id());
       fleet.remove(machine);
-      failover.markAccounted(machine, "it was returned");
+      failover.markAccounted(machine, "it was returned to the cloud");
       registry.remove(machine);
     }
     sharing.machinesReturned(machines);
     changed.run();
   }
 
-  /** Sends and takes in nothing any more. */
+  /** Sends no further requests and ignores outcomes that arrive later. */
   void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/machine/MachineSilence.java
+++ b/src/main/java/plumlever/leader/machine/MachineSilence.java
@@ -10,38 +10,49 @@
 import plumlever.leader.failover.Failover;
 
 /**
- * Which machines are silent, and what that means: that one is gone, that a zone is partitioned, or
- * that this controller has lost its workers. Silence measured while this thread ran late does not
- * count.
+ * Detects silent machines and the cause of the silence: a machine is gone, its zone is partitioned,
+ * or this controller has lost its connection to the workers. Silence measured while the controller
+ * loop ran late does not count.
  */
 final class MachineSilence {
-  /** A thread as late as this has read too little to judge who is silent. */
+  /**
+   * A loop that is later than this has read too few heartbeats to decide which machines are silent.
+   */
   private static final long MAX_LATENESS_MICROS = 1_000_000;
 
-  /** A zone counts as partitioned if at least so many machines, and half of all, are silent. */
+  /**
+   * A zone counts as partitioned if at least this many of its machines, and at least half of all
+   * its machines, are silent.
+   */
   private static final int MIN_SILENT_IN_PARTITIONED_ZONE = 2;
 
-  /** This controller has lost its workers if such a percentage is silent here... */
+  /**
+   * This controller counts as cut off from its workers if at least this percentage of the machines
+   * is silent here...
+   */
   private static final int SILENT_PERCENT_OF_LOST = 70;
 
-  /** ... and at least so many report to others, as a percentage of the machines known here. */
+  /**
+   * ... and at least this many workers, as a percentage of the machines known here, report to other
+   * controllers.
+   */
   private static final int ELSEWHERE_PERCENT_OF_LOST = 40;
 
   private static final int PERCENT = 100;
 
-  /** How many machines of one zone are in which state. */
+  /** Number of machines of one zone by state. */
   private static final class ZoneCount {
     private int machines;
     private int silent;
 
-    /** Machines that the failover still waits for. */
+    /** Machines that are not accounted for in the failover. */
     private int unaccounted;
 
     boolean isPartitioned() {
       return silent >= MIN_SILENT_IN_PARTITIONED_ZONE && silent * 2 >= machines;
     }
 
-    /** True if at most a third of the machines are not accounted for. */
+    /** Returns true if at most a third of the machines is not accounted for. */
     boolean mostlyReported() {
       return unaccounted * 3 <= machines;
     }
@@ -53,7 +64,7 @@
   private final Failover failover;
   private final Map<String, ZoneCount> zones = new HashMap<>();
 
-  /** Zones that seem to be partitioned, and until when they count as such. */
+  /** Zones that seem to be partitioned, with the time until which they count as partitioned. */
   private final Map<String, Long> partitionedZones = new HashMap<>();
 
   private long punctualSinceMicros;
@@ -65,38 +76,47 @@
     this.failover = failover;
   }
 
-  /** Takes in whether this thread runs late; silence counts only from when it does not. */
+  /**
+   * Checks whether the controller loop runs late; silence counts only from the last late cycle on.
+   */
   void recordLateness(long now) {
     if (context.latenessMicros().getAsLong() > MAX_LATENESS_MICROS) {
       punctualSinceMicros = now;
     }
   }
 
-  /** True for a zone that seems to be partitioned: nothing is returned or rented there. */
+  /**
+   * Returns true for a zone that seems to be partitioned; no machines are rented there, and silent
+   * machines are kept for longer.
+   */
   boolean isPartitioned(String zone) {
     return partitionedZones.containsKey(zone);
   }
 
-  /** Zones that seem to be partitioned. */
+  /** Returns the zones that seem to be partitioned. */
   Set<String> partitionedZones() {
     return partitionedZones.keySet();
   }
 
-  /** True if most machines of the zone have reported to this leader. */
+  /** Returns true if most machines of the zone have reported to this leader. */
   boolean hasMostlyReported(String zone) {
     ZoneCount count = zones.get(zone);
     return count != null && count.mostlyReported();
   }
 
-  /** A machine silent for longer is gone or partitioned; at least two and a half heartbeats. */
+  /**
+   * Returns the duration of silence after which a machine counts as gone or partitioned; at least
+   * two and a half heartbeat intervals.
+   */
   long thresholdMicros() {
     long heartbeatMicros = context.platform().workers().heartbeatMicros();
     return Math.max(context.parameters().silentMicros(), 2 * heartbeatMicros + heartbeatMicros / 2);
   }
 
   /**
-   * For how long nothing has been heard of the machine, counted from the failover and from when
-   * this thread was late last: what a late thread has not read yet is no silence.
+   * Returns for how long nothing has been received from the machine. The time is counted at the
+   * earliest from the loading of the machines and from the last late cycle of the controller loop,
+   * because a late loop has not read all received messages yet.
    */
   long silentMicros(Machine machine, long now) {
     return now
@@ -106,8 +126,9 @@
   }
 
   /**
-   * True when most machines are silent here while many report elsewhere: only this controller is
-   * cut off from the workers. As leader it would leave all machines without answers and commands.
+   * Returns true if most machines are silent here while many workers report to other controllers,
+   * so only this controller is cut off from the workers. If it remained leader, all machines would
+   * be left without answers and commands.
    */
   boolean lostItsWorkers() {
     int all = 0;
@@ -121,7 +142,7 @@
         && context.workersElsewhere().getAsInt() * PERCENT >= all * ELSEWHERE_PERCENT_OF_LOST;
   }
 
-  /** Counts the machines of each zone again. */
+  /** Recounts the machines of each zone. */
   void countMachines(long now) {
     zones.clear();
     for (Machine machine : fleet.machines()) {
@@ -130,8 +151,9 @@
         ZoneCount zone = zones.computeIfAbsent(machine.zone(), name -> new ZoneCount());
         zone.machines++;
         zone.unaccounted += unaccounted ? 1 : 0;
-        // One missed heartbeat is enough here: machines of a zone fall silent one after the other,
-        // and when the first reaches the threshold all others must have missed one as well.
+        // One missed heartbeat suffices here. The machines of a partitioned zone become silent one
+        // after the other; when the first one reaches the threshold, each of the others has missed
+        // at least one heartbeat.
         if (silentMicros(machine, now) > context.platform().workers().missedHeartbeatMicros()) {
           zone.silent++;
         }
@@ -140,8 +162,8 @@
   }
 
   /**
-   * Decides by the last count which zones seem to be partitioned. They count as such for some time
-   * after the partition has ended, since their machines report again one by one.
+   * Derives the partitioned zones from the last count. A zone counts as partitioned for some time
+   * after the partition has ended, because its machines resume their reports one by one.
    */
   void updatePartitionedZones(long now) {
     partitionedZones.values().removeIf(until -> until < now);
@@ -149,7 +171,7 @@
         (name, zone) -> {
           if (zone.isPartitioned() && partitionedZones.put(name, now + thresholdMicros()) == null) {
             log.warn(
-                "{} of {} machines in {} are silent, as in a network partition",
+                "{} of {} machines in zone {} are silent, the zone counts as partitioned",
                 zone.silent,
                 zone.machines,
                 name);
--- a/src/main/java/plumlever/leader/machine/PartitionProbes.java
+++ b/src/main/java/plumlever/leader/machine/PartitionProbes.java
@@ -11,12 +11,13 @@
 import plumlever.leader.scheduling.CommandSender;
 
 /**
- * Calls machines of zones that seem to be partitioned. Where a zone can't be reached from here but
- * from another controller, that one may renew the leases. Some machines of the zone are called all
- * the time: the first that answers ends the delegation, since workers stay with whoever answers.
+ * Calls machines of zones that seem to be partitioned. If this leader cannot reach a zone but
+ * another controller can, the other controller may renew the leases of the zone. Some machines of
+ * the zone are called continuously, because workers keep reporting to the controller that answers
+ * them; the first machine that answers the leader ends the delegation.
  */
 final class PartitionProbes {
-  /** A machine that has reported within this time can be reached. */
+  /** A machine that has reported within this time counts as reachable. */
   private static final long REACHED_MICROS = 1_500_000;
 
   private static final int CALLS_PER_ZONE = 3;
@@ -40,7 +41,10 @@
     this.delegation = delegation;
   }
 
-  /** Calls machines, and asks for delegation of the zones in which none can be reached. */
+  /**
+   * Calls machines of partitioned zones, and requests delegation for the zones in which no machine
+   * can be reached.
+   */
   void probe(long now) {
     Set<String> unreachedZones = new HashSet<>();
     if (failover.isComplete()) {
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -9,20 +9,23 @@
 import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.wire.MachineType;
 
-/** Decides which machines go back to the cloud, and why. It returns none itself. */
+/**
+ * Decides which machines are returned to the cloud and why. The requests to the cloud are sent
+ * elsewhere ({@link MachineReturns}).
+ */
 final class ReturnPolicy {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** The failover waits at least this long for each machine. */
+  /** Minimum time that the failover waits for each machine. */
   private static final long FAILOVER_PATIENCE_MICROS = 2_000_000;
 
-  /** A machine that has not been called so often in vain may just not have been called in time. */
+  /** With fewer failed calls, a machine may only not have been called in time. */
   private static final int MIN_FAILED_CALLS = 2;
 
-  /** For how many leases machines of a partitioned zone may be silent. */
+  /** Number of lease durations for which machines of a partitioned zone may be silent. */
   private static final int MAX_SILENT_LEASES = 2;
 
-  /** The same while other controllers may renew the leases of the zone. */
+  /** The same limit while other controllers may renew the leases of the zone. */
   private static final int MAX_SILENT_LEASES_DELEGATED = 6;
 
   private static final double BOOT_S_OF_UNKNOWN_TYPE = 60;
@@ -51,10 +54,10 @@
   }
 
   /**
-   * Why the machine is to be returned; empty to keep it. Also keeps account of since when it has
-   * been idle.
+   * Returns the reason to return the machine, or empty to keep it. Also updates the time since
+   * which the machine has been idle.
    *
-   * @param scarce true if tasks wait although the cloud has no more machines of some kind
+   * @param scarce true if tasks wait although some rental option is unavailable
    */
   Optional<ReturnReason> reasonToReturn(Machine machine, boolean scarce, long now) {
     if (machine.failed()) {
@@ -91,10 +94,10 @@
   }
 
   /**
-   * True for one of few machines that neither answer calls nor report to a new leader while the
-   * rest of their zone does. Mostly they were preempted shortly before. All inherited tasks wait
-   * for them, so they are given up sooner than other silent machines; but a large fleet takes
-   * seconds to report to a new leader.
+   * Returns true for a machine that neither answers calls nor reports to the new leader while most
+   * of its zone has reported. In most cases the machine was preempted shortly before. All inherited
+   * tasks wait for such machines, so they are returned earlier than other silent machines. The
+   * minimum wait exists because a large fleet takes seconds to report to a new leader.
    */
   private boolean delaysFailover(Machine machine, long now) {
     return failover.unaccounted().contains(machine)
@@ -103,7 +106,10 @@
         && silence.hasMostlyReported(machine.zone());
   }
 
-  /** Many silent at once in a zone look like a partition, in which they may still run tasks. */
+  /**
+   * Returns true if a silent machine counts as gone. Many silent machines in one zone indicate a
+   * partition, during which they may still run tasks.
+   */
   private boolean isGone(Machine machine, long now) {
     int leases =
         delegation.isDelegated(machine.zone()) ? MAX_SILENT_LEASES_DELEGATED : MAX_SILENT_LEASES;
@@ -125,7 +131,10 @@
             || now - machine.idleSinceMicros() > maxIdleMicros(scarce));
   }
 
-  /** Where machines are scarce, waiting tasks may need the place of one that does not suit them. */
+  /**
+   * Returns how long a machine may be idle. If machines are scarce, the time is shorter: an idle
+   * machine that does not suit the waiting tasks may occupy capacity of the cloud that they need.
+   */
   private long maxIdleMicros(boolean scarce) {
     return context.moneyMatters() || scarce
         ? context.parameters().idleMoneyMicros()
--- a/src/main/java/plumlever/leader/machine/ReturnReason.java
+++ b/src/main/java/plumlever/leader/machine/ReturnReason.java
@@ -2,17 +2,20 @@
 
 /** Why a machine is returned to the cloud. */
 enum ReturnReason {
-  /** The cloud lists it as one that stopped by itself. */
-  FAILED("it failed"),
-  /** It has been booting for far longer than its type takes. */
-  NOT_BOOTING("it does not come up"),
-  /** It is one of few in its zone that inherited tasks still wait for. */
-  DELAYS_FAILOVER("it holds up the failover"),
-  /** It has not reported, and its zone does not seem to be partitioned. */
-  SILENT("it is silent"),
-  /** It is faulty or about to be preempted, and runs nothing any more. */
+  /** The cloud lists the machine as stopped by itself. */
+  FAILED("the cloud lists it as failed"),
+  /** The machine has been booting for far longer than its type takes. */
+  NOT_BOOTING("it did not boot in time"),
+  /** The machine is one of few in its zone for which inherited tasks still wait. */
+  DELAYS_FAILOVER("it delays the failover"),
+  /**
+   * The machine has not reported for longer than allowed. The limit is higher while its zone seems
+   * to be partitioned.
+   */
+  SILENT("it has stopped reporting"),
+  /** The machine is faulty or about to be preempted, and runs no tasks any longer. */
   DRAINED("it is drained"),
-  /** Nothing has run on it for so long that it is not worth its price. */
+  /** The machine has been idle for so long that it is not worth its price. */
   IDLE("it is idle");
 
   private final String logText;
@@ -21,7 +24,7 @@
     this.logText = logText;
   }
 
-  /** As the log states it. */
+  /** Returns the text for the log. */
   @Override
   public String toString() {
     return logText;
--- a/src/main/java/plumlever/leader/machine/package-info.java
+++ b/src/main/java/plumlever/leader/machine/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The machines of the fleet: the stored record of those that may hold tasks, renting and returning
- * them, expired leases, and telling dead machines from unreachable ones.
+ * Manages the machines of the fleet: the stored record of machines that may hold tasks, rental and
+ * return, lease expiry, and the distinction between dead and unreachable machines.
  *
- * <p>It starts no tasks and places none: it asks the scheduling pass what is lacking and which
- * machines can be spared.
+ * <p>Starts and places no tasks: the scheduling pass reports which capacity is lacking and which
+ * machines are not needed.
  */
 package plumlever.leader.machine;
