--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -24,8 +24,8 @@
  */
 public final class StartedJobIndex {
   /**
-   * Minimum time between two writes of a record. The first start of each job waits for the write,
-   * so only few additions are batched.
+   * Minimum time between two writes of a record. The time is short, so only few additions share a
+   * write, because the first start of each job waits for the write.
    */
   private static final long PAUSE_MICROS = 60_000;
 
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -193,7 +193,8 @@
   }
 
   /**
-   * Removes an entry that is stored in its destination from its previous chunk.
+   * Completes the move of an entry that is now stored in its destination: the entry leaves its
+   * previous chunk.
    *
    * @return the previous chunk
    */
