--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -46,9 +46,9 @@
   private final Set<Machine> withUntrackedTasks = new LinkedHashSet<>();
 
   private boolean machinesLoaded;
-  private boolean unaccountedKnown;
-  private double unaccountedCores;
-  private double unaccountedAccelerators;
+  private boolean possiblyOccupiedKnown;
+  private double possiblyOccupiedCores;
+  private double possiblyOccupiedAccelerators;
   private long loadedMicros;
 
   /**
@@ -84,7 +84,7 @@
    */
   public void machinesLoaded() {
     machinesLoaded = true;
-    unaccountedKnown = false;
+    possiblyOccupiedKnown = false;
     loadedMicros = context.loop().nowMicros();
     for (Machine machine : fleet.machines()) {
       if (machine.registration() == RegistrationState.STORED
@@ -125,7 +125,7 @@
   public void markAccounted(Machine machine, String reason) {
     machine.markAccounted();
     if (unaccounted.remove(machine)) {
-      unaccountedKnown = false;
+      possiblyOccupiedKnown = false;
       log.debug("machine {} is accounted for: {}", machine.id(), reason);
       if (unaccounted.isEmpty()) {
         long durationMicros = context.loop().nowMicros() - startedMicros;
@@ -142,7 +142,7 @@
   /** Sets how many running tasks the machine reports that this leader does not track. */
   public void setUntrackedTasks(Machine machine, int tasks) {
     if (tasks > 0 ? withUntrackedTasks.add(machine) : withUntrackedTasks.remove(machine)) {
-      unaccountedKnown = false;
+      possiblyOccupiedKnown = false;
     }
   }
 
@@ -168,22 +168,22 @@
     if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
       return Integer.MAX_VALUE;
     }
-    if (!countUnaccounted()) {
+    if (!countPossiblyOccupied()) {
       return 0;
     }
     Fleet.TeamUsage held = fleet.usage(job.spec().team());
     LimitParts.Part limit = sharing.get().teamLimit(team);
     return Math.min(
-        headroom(limit.cores(), held.cores() + unaccountedCores, job.spec().cores()),
+        headroom(limit.cores(), held.cores() + possiblyOccupiedCores, job.spec().cores()),
         headroom(
             limit.accelerators(),
-            held.accelerators() + unaccountedAccelerators,
+            held.accelerators() + possiblyOccupiedAccelerators,
             job.spec().accelerators()));
   }
 
   /** Returns the number of processor cores that the team's tasks may be using on all machines. */
   public double coresHeld(String team) {
-    return fleet.usage(team).cores() + (countUnaccounted() ? unaccountedCores : 0);
+    return fleet.usage(team).cores() + (countPossiblyOccupied() ? possiblyOccupiedCores : 0);
   }
 
   /**
@@ -194,31 +194,31 @@
    *
    * @return false if the size of one of the machines is unknown
    */
-  private boolean countUnaccounted() {
-    if (unaccountedKnown) {
+  private boolean countPossiblyOccupied() {
+    if (possiblyOccupiedKnown) {
       return true;
     }
     Set<Machine> possiblyOccupied = new HashSet<>(unaccounted);
     possiblyOccupied.addAll(withUntrackedTasks);
-    unaccountedCores = 0;
-    unaccountedAccelerators = 0;
+    possiblyOccupiedCores = 0;
+    possiblyOccupiedAccelerators = 0;
     for (Machine machine : possiblyOccupied) {
       MachineType machineType = context.prices().machineType(machine.machineType());
       if (machineType == null) {
         return false;
       }
-      unaccountedCores += machineType.cores();
-      unaccountedAccelerators += machineType.accelerators();
+      possiblyOccupiedCores += machineType.cores();
+      possiblyOccupiedAccelerators += machineType.accelerators();
     }
-    unaccountedKnown = true;
+    possiblyOccupiedKnown = true;
     return true;
   }
 
-  private static int headroom(double limit, double used, double each) {
-    if (limit <= 0 || each <= 0) {
+  private static int headroom(double limit, double used, double perTask) {
+    if (limit <= 0 || perTask <= 0) {
       return Integer.MAX_VALUE;
     }
     return (int)
-        Math.max(0, Math.min(Integer.MAX_VALUE, Math.floor((limit - used) / each + ROUNDING)));
+        Math.max(0, Math.min(Integer.MAX_VALUE, Math.floor((limit - used) / perTask + ROUNDING)));
   }
 }
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -20,6 +20,7 @@
  */
 public final class WarmState {
   private static final long INTERVAL_MICROS = 10_000_000;
+
   /** The interval is divided by this factor while a full transaction of changes was found. */
   private static final int BACKLOG_SPEED_UP = 4;
 
@@ -48,11 +49,11 @@
   public void load(List<StateClient.Item> items) {
     for (StateClient.Item item : items) {
       codec.read(item.data());
-      mayBeStored(JobStore.sharedRecordNumber(item.key()));
+      raiseStoredCount(JobStore.sharedRecordNumber(item.key()));
     }
   }
 
-  private void mayBeStored(int number) {
+  private void raiseStoredCount(int number) {
     storedCount = Math.max(storedCount, number + 1);
   }
 
@@ -108,12 +109,13 @@
             StateClient.RequestPriority.ORDINARY,
             result -> {
               writing = false;
-              changes.forEach((number, value) -> written(number, value, result.applied()));
+              changes.forEach(
+                  (number, value) -> updateStoredValue(number, value, result.applied()));
             });
   }
 
-  private void written(int number, Optional<ObjectNode> value, boolean applied) {
-    mayBeStored(number);
+  private void updateStoredValue(int number, Optional<ObjectNode> value, boolean applied) {
+    raiseStoredCount(number);
     if (applied) {
       storedValues.put(number, value);
     } else {
--- a/src/main/java/plumlever/leader/failover/WarmStateCodec.java
+++ b/src/main/java/plumlever/leader/failover/WarmStateCodec.java
@@ -31,6 +31,7 @@
 
   /** Size of an image besides its name. */
   private static final int IMAGE_BYTES = 24;
+
   private static final int INDEX_BYTES = 4;
 
   private static final double RATIO_STEPS = 100;
@@ -73,23 +74,23 @@
 
   /** Encodes the current state into values of at most this size; returns at least one value. */
   List<ObjectNode> write(int maxBytes) {
-    List<Part> parts = new ArrayList<>();
-    Part part = new Part();
-    parts.add(part);
-    part.putRatios(estimates.ratios());
+    List<ValueBuilder> builders = new ArrayList<>();
+    ValueBuilder builder = new ValueBuilder();
+    builders.add(builder);
+    builder.putRatios(estimates.ratios());
     for (Machine machine : fleet.machines()) {
       Map<String, Double> ready = machine.images().readyImages();
-      if (!ready.isEmpty() && !part.add(machine, ready, maxBytes)) {
-        part = new Part();
-        parts.add(part);
-        part.add(machine, ready, maxBytes);
+      if (!ready.isEmpty() && !builder.add(machine, ready, maxBytes)) {
+        builder = new ValueBuilder();
+        builders.add(builder);
+        builder.add(machine, ready, maxBytes);
       }
     }
-    return parts.stream().map(each -> each.value).toList();
+    return builders.stream().map(each -> each.value).toList();
   }
 
   /** Builds one value. */
-  private static final class Part {
+  private static final class ValueBuilder {
     final ObjectNode value = Json.object();
     private final ArrayNode images = value.putArray(IMAGES);
     private final ObjectNode machines = value.putObject(MACHINES);
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -33,11 +33,11 @@
   private final Logger log;
   private final TermContext context;
   private final StartedJobIndex startedJobs;
-  private final Runnable changed;
+  private final Runnable onChange;
   private final Map<String, Job> active = new LinkedHashMap<>();
   private final StoredProgress storedProgress;
   private final DependencyResolver dependencies;
-  private final RenewalLimit limit;
+  private final RenewalLimit renewalLimit;
   private final PrefixWatch watch;
 
   /** When the latest answered read that shows which jobs have ended was sent. */
@@ -46,13 +46,13 @@
   /**
    * Creates an empty view for one term; {@link #load} fills it.
    *
-   * @param changed runs when a job is added, ends or may start
+   * @param onChange runs when a job is added, ends or may start
    */
-  public ActiveJobs(TermContext context, StartedJobIndex startedJobs, Runnable changed) {
+  public ActiveJobs(TermContext context, StartedJobIndex startedJobs, Runnable onChange) {
     this.context = context;
     this.log = context.logs().of(ActiveJobs.class);
     this.startedJobs = startedJobs;
-    this.changed = changed;
+    this.onChange = onChange;
     Map<String, Job> activeView = Collections.unmodifiableMap(active);
     this.storedProgress = new StoredProgress(context, activeView);
     this.dependencies =
@@ -60,14 +60,14 @@
             context,
             activeView,
             new DependentCancellation(context, uid -> jobEnded(uid, JobState.CANCELLED)),
-            changed);
-    this.limit = new RenewalLimit(context.platform().workers());
+            onChange);
+    this.renewalLimit = new RenewalLimit(context.platform().workers());
     this.watch =
         new PrefixWatch(
             context.loop(),
             context.store(),
             JobStore.ACTIVE,
-            limit::watchMicros,
+            renewalLimit::watchMicros,
             WATCH_RETRY_MICROS,
             new WatchListener());
   }
@@ -94,7 +94,7 @@
    * machine's lease expires.
    */
   public boolean mayStartOrRenew() {
-    return limit.mayRenew(context.loop().nowMicros(), endsKnownMicros);
+    return renewalLimit.mayRenew(context.loop().nowMicros(), endsKnownMicros);
   }
 
   /** Returns when the latest answered read that shows which jobs have ended was sent. */
@@ -112,18 +112,18 @@
     startedJobs.read(found.listing(JobStore.STARTED).items());
     jobs.items().forEach(item -> addJob(item.key(), item.data(), item.revision(), true));
     found.listing(JobStore.PROGRESS).items().forEach(storedProgress::read);
-    startedJobs.loaded(this);
-    dependencies.loaded();
+    startedJobs.loadEntries(this);
+    dependencies.jobsLoaded();
     watch.watchFrom(jobs.storeRevision());
   }
 
   /**
    * Adds a job unless it is already active.
    *
-   * @param inheritable true if the job existed when the term began, so that earlier leaders may
-   *     have started its tasks
+   * @param existedAtTermStart true if the job existed when the term began, so that earlier leaders
+   *     may have started its tasks
    */
-  private void addJob(String key, JsonNode data, long revision, boolean inheritable) {
+  private void addJob(String key, JsonNode data, long revision, boolean existedAtTermStart) {
     String uid = uidOf(key);
     if (active.containsKey(uid)) {
       return;
@@ -135,7 +135,7 @@
               JobStore.spec(data),
               revision,
               context.loop().nowMicros() - Math.max(0, ageMicros),
-              inheritable && startedJobs.mayHaveStarted(uid));
+              existedAtTermStart && startedJobs.mayHaveStarted(uid));
       active.put(uid, job);
       log.debug(
           "job {} is active: {} tasks of class {}, accepted {} ms ago",
@@ -153,22 +153,22 @@
     return key.substring(JobStore.ACTIVE.length());
   }
 
-  private void removeJob(String uid, Optional<JobState> endState) {
+  private void removeJob(String uid, Optional<JobState> finalState) {
     Job job = active.remove(uid);
     if (job != null) {
       job.markOver();
       startedJobs.remove(job);
       log.debug("job {} has ended", uid);
     }
-    dependencies.jobEnded(uid, endState);
+    dependencies.jobEnded(uid, finalState);
   }
 
   /**
    * Removes a job whose final state is stored, without waiting for the watch to report the change.
    */
-  public void jobEnded(String uid, JobState endState) {
-    removeJob(uid, Optional.of(endState));
-    changed.run();
+  public void jobEnded(String uid, JobState finalState) {
+    removeJob(uid, Optional.of(finalState));
+    onChange.run();
   }
 
   /**
@@ -180,7 +180,7 @@
       Job job = active.get(uid);
       if (job != null && !job.over()) {
         job.confirmCancellation();
-        changed.run();
+        onChange.run();
       }
     }
   }
@@ -227,7 +227,7 @@
       ended.forEach(uid -> removeJob(uid, Optional.empty()));
       dependencies.resolve();
       endsKnownMicros = sentMicros;
-      changed.run();
+      onChange.run();
     }
 
     @Override
@@ -242,7 +242,7 @@
       }
       if (!changes.isEmpty()) {
         dependencies.resolve();
-        changed.run();
+        onChange.run();
       }
     }
   }
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -27,38 +27,38 @@
   private final Logger log;
   private final TermContext context;
   private final Map<String, Job> activeJobs;
-  private final Runnable released;
+  private final Runnable onRelease;
   private final DependentCancellation cancellation;
   private final JobFinder finder;
   private final DependencyGraph graph = new DependencyGraph();
 
   /** Dependencies that are not active and whose final state has not been read yet. */
-  private final Set<String> unknownEnds = new LinkedHashSet<>();
+  private final Set<String> unknownFinalStates = new LinkedHashSet<>();
 
   /** Actions deferred until all active jobs have been added, since jobs are added in any order. */
   private final List<Runnable> deferredUntilLoaded = new ArrayList<>();
 
   private ToLongFunction<Job> taskCost = job -> 0;
-  private boolean readingEnds;
+  private boolean readingFinalStates;
   private boolean loaded;
   private boolean closed;
 
   /**
-   * Creates a resolver that resolves no dependencies before {@link #loaded}.
+   * Creates a resolver that resolves no dependencies before {@link #jobsLoaded}.
    *
    * @param activeJobs live view of the active jobs by id
-   * @param released runs after each release of a job
+   * @param onRelease runs after each release of a job
    */
   DependencyResolver(
       TermContext context,
       Map<String, Job> activeJobs,
       DependentCancellation cancellation,
-      Runnable released) {
+      Runnable onRelease) {
     this.context = context;
     this.log = context.logs().of(DependencyResolver.class);
     this.activeJobs = activeJobs;
     this.cancellation = cancellation;
-    this.released = released;
+    this.onRelease = onRelease;
     this.finder = new JobFinder(context.loop(), context.store());
   }
 
@@ -90,7 +90,7 @@
   }
 
   /** Runs the deferred actions; called once all active jobs have been added. */
-  void loaded() {
+  void jobsLoaded() {
     loaded = true;
     deferredUntilLoaded.forEach(Runnable::run);
     deferredUntilLoaded.clear();
@@ -139,7 +139,7 @@
     for (String name : unknown) {
       Job dependency = activeJobs.get(name);
       if (dependency == null) {
-        readEnd(name);
+        queueFinalStateRead(name);
       } else if (!dependency.waitsForDependencies()) {
         track(dependency, List.of());
       }
@@ -150,65 +150,66 @@
     }
   }
 
-  private void readEnd(String uid) {
-    unknownEnds.add(uid);
-    if (!readingEnds) {
-      readingEnds = true;
+  private void queueFinalStateRead(String uid) {
+    unknownFinalStates.add(uid);
+    if (!readingFinalStates) {
+      readingFinalStates = true;
       // Deferred so that all dependencies found missing in the current event are read together.
-      context.loop().after(0, this::readEnds);
+      context.loop().after(0, this::readFinalStates);
     }
   }
 
-  private void readEnds() {
-    unknownEnds.removeIf(uid -> activeJobs.containsKey(uid) || !graph.hasLiveDependents(uid));
-    if (closed || unknownEnds.isEmpty()) {
-      readingEnds = false;
+  private void readFinalStates() {
+    unknownFinalStates.removeIf(
+        uid -> activeJobs.containsKey(uid) || !graph.hasLiveDependents(uid));
+    if (closed || unknownFinalStates.isEmpty()) {
+      readingFinalStates = false;
       return;
     }
     finder.find(
-        new ArrayList<>(unknownEnds),
+        new ArrayList<>(unknownFinalStates),
         found -> {
           if (closed) {
             return;
           }
           if (found.isPresent()) {
-            found.get().forEach(this::endRead);
+            found.get().forEach(this::recordFinalState);
             resolve();
           }
           // A dependency that is neither active here nor ended was accepted a moment ago; the watch
           // has not reported it yet.
-          boolean retry = found.isEmpty() || !unknownEnds.isEmpty();
-          context.loop().after(retry ? RETRY_MICROS : 0, this::readEnds);
+          boolean retry = found.isEmpty() || !unknownFinalStates.isEmpty();
+          context.loop().after(retry ? RETRY_MICROS : 0, this::readFinalStates);
         });
   }
 
-  private void endRead(String uid, JobFinder.Found found) {
+  private void recordFinalState(String uid, JobFinder.Found found) {
     found
         .endState()
         .ifPresent(
-            endState -> {
-              unknownEnds.remove(uid);
-              graph.recordEnd(uid, endState, found.endedWallMicros());
+            finalState -> {
+              unknownFinalStates.remove(uid);
+              graph.recordEnd(uid, finalState, found.endedWallMicros());
             });
   }
 
   /**
    * Handles the end of an active job.
    *
-   * @param endState the stored final state; empty if it is not known
+   * @param finalState the stored final state; empty if it is not known
    */
-  void jobEnded(String uid, Optional<JobState> endState) {
+  void jobEnded(String uid, Optional<JobState> finalState) {
     cancellation.remove(uid);
     if (graph.stateOf(uid) == DependencyGraph.State.UNKNOWN) {
       return;
     }
-    if (endState.isEmpty() && graph.hasLiveDependents(uid)) {
-      readEnd(uid);
+    if (finalState.isEmpty() && graph.hasLiveDependents(uid)) {
+      queueFinalStateRead(uid);
       return;
     }
     // The final state is unknown here only if no live job depends on this job. In that case the
     // value has no effect.
-    graph.recordEnd(uid, endState.orElse(JobState.CANCELLED), context.loop().wallMicros());
+    graph.recordEnd(uid, finalState.orElse(JobState.CANCELLED), context.loop().wallMicros());
     resolve();
   }
 
@@ -232,7 +233,7 @@
         context.metrics().count("jobs_released");
         log.debug(
             "job {} is released: its last dependency ended {} ms ago", uid, ageMicros / 1_000);
-        released.run();
+        onRelease.run();
       }
     }
   }
--- a/src/main/java/plumlever/leader/job/DependentCancellation.java
+++ b/src/main/java/plumlever/leader/job/DependentCancellation.java
@@ -19,7 +19,7 @@
   private static final long RETRY_MICROS = 500_000;
 
   private final TermContext context;
-  private final Consumer<String> stored;
+  private final Consumer<String> onStored;
   private final Map<String, Job> queue = new LinkedHashMap<>();
   private boolean writing;
   private boolean closed;
@@ -27,11 +27,11 @@
   /**
    * Creates an empty queue.
    *
-   * @param stored receives the id of each job after its cancellation has been stored
+   * @param onStored receives the id of each job after its cancellation has been stored
    */
-  DependentCancellation(TermContext context, Consumer<String> stored) {
+  DependentCancellation(TermContext context, Consumer<String> onStored) {
     this.context = context;
-    this.stored = stored;
+    this.onStored = onStored;
   }
 
   /**
@@ -86,7 +86,7 @@
               writing = false;
               if (result.applied()) {
                 context.metrics().count("jobs_cancelled_with_dependency");
-                stored.accept(job.uid());
+                onStored.accept(job.uid());
                 run();
                 return;
               }
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -33,21 +33,21 @@
   private static final int BASE_BYTES = 32;
 
   /** A record as an earlier leader stored it. */
-  private record FoundRecord(int number, long revision, List<String> uids) {}
+  private record StoredRecord(int number, long revision, List<String> uids) {}
 
   private final Logger log;
   private final SharedRecords<Job> records;
-  private final List<FoundRecord> found = new ArrayList<>();
-  private final Set<String> foundUids = new HashSet<>();
+  private final List<StoredRecord> storedRecords = new ArrayList<>();
+  private final Set<String> storedUids = new HashSet<>();
 
   /**
    * Creates an empty index.
    *
-   * @param recorded runs after jobs have been stored in the index
+   * @param onStored runs after jobs have been stored in the index
    */
-  public StartedJobIndex(TermContext context, Runnable recorded) {
+  public StartedJobIndex(TermContext context, Runnable onStored) {
     this.log = context.logs().of(StartedJobIndex.class);
-    this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, recorded);
+    this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, onStored);
   }
 
   /**
@@ -55,8 +55,8 @@
    * acquired its term, so no other controller can still add jobs to them.
    */
   void read(List<StateClient.Item> items) {
-    found.clear();
-    foundUids.clear();
+    storedRecords.clear();
+    storedUids.clear();
     for (StateClient.Item item : items) {
       int number = JobStore.sharedRecordNumber(item.key());
       if (number < 0) {
@@ -65,8 +65,8 @@
       }
       List<String> uids = new ArrayList<>();
       item.data().path(JOBS).forEach(uid -> uids.add(uid.asText()));
-      found.add(new FoundRecord(number, item.revision(), uids));
-      foundUids.addAll(uids);
+      storedRecords.add(new StoredRecord(number, item.revision(), uids));
+      storedUids.addAll(uids);
     }
   }
 
@@ -75,13 +75,13 @@
    * this is assumed for every job.
    */
   boolean mayHaveStarted(String uid) {
-    return found.isEmpty() || foundUids.contains(uid);
+    return storedRecords.isEmpty() || storedUids.contains(uid);
   }
 
   /** Loads the index entries of active jobs; jobs that have ended leave the index. */
-  void loaded(ActiveJobs jobs) {
+  void loadEntries(ActiveJobs jobs) {
     Map<String, Job> kept = new HashMap<>();
-    for (FoundRecord record : found) {
+    for (StoredRecord record : storedRecords) {
       List<Job> entries = new ArrayList<>();
       for (String uid : record.uids) {
         Job job = jobs.get(uid);
--- a/src/main/java/plumlever/leader/machine/CloudInventory.java
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -20,7 +20,7 @@
   private final Fleet fleet;
   private final MachineSharing sharing;
   private final Predicate<String> isReturned;
-  private final Runnable changed;
+  private final Runnable onChange;
   private long listedMicros;
   private long machineTypesReadMicros;
   private boolean listing;
@@ -30,19 +30,19 @@
   /**
    * @param isReturned true for the id of a machine that was returned; the cloud's list may still
    *     contain the machine for some time
-   * @param changed runs when something changed that placement depends on
+   * @param onChange runs when something changed that placement depends on
    */
   CloudInventory(
       TermContext context,
       Fleet fleet,
       MachineSharing sharing,
       Predicate<String> isReturned,
-      Runnable changed) {
+      Runnable onChange) {
     this.context = context;
     this.fleet = fleet;
     this.sharing = sharing;
     this.isReturned = isReturned;
-    this.changed = changed;
+    this.onChange = onChange;
   }
 
   /** Starts the reads that are due. */
@@ -66,7 +66,7 @@
     machineTypesReadMicros = context.loop().nowMicros();
     context.prices().update(machineTypes.get());
     if (first) {
-      changed.run();
+      onChange.run();
     }
   }
 
--- a/src/main/java/plumlever/leader/machine/MachineSilence.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -14,7 +14,7 @@
  * or this controller has lost its connection to the workers. Silence measured while the controller
  * loop ran late does not count.
  */
-final class MachineSilence {
+final class FailureDetector {
   /**
    * A loop that is later than this has read too few heartbeats to decide which machines are silent.
    */
@@ -30,13 +30,13 @@
    * This controller counts as cut off from its workers if at least this percentage of the machines
    * is silent here...
    */
-  private static final int SILENT_PERCENT_OF_LOST = 70;
+  private static final int MIN_SILENT_PERCENT_IF_CUT_OFF = 70;
 
   /**
    * ... and at least this many workers, as a percentage of the machines known here, report to other
    * controllers.
    */
-  private static final int ELSEWHERE_PERCENT_OF_LOST = 40;
+  private static final int MIN_ELSEWHERE_PERCENT_IF_CUT_OFF = 40;
 
   private static final int PERCENT = 100;
 
@@ -67,11 +67,11 @@
   /** Zones that seem to be partitioned, with the time until which they count as partitioned. */
   private final Map<String, Long> partitionedZones = new HashMap<>();
 
-  private long punctualSinceMicros;
+  private long lastLateMicros;
 
-  MachineSilence(TermContext context, Fleet fleet, Failover failover) {
+  FailureDetector(TermContext context, Fleet fleet, Failover failover) {
     this.context = context;
-    this.log = context.logs().of(MachineSilence.class);
+    this.log = context.logs().of(FailureDetector.class);
     this.fleet = fleet;
     this.failover = failover;
   }
@@ -81,7 +81,7 @@
    */
   void recordLateness(long now) {
     if (context.latenessMicros().getAsLong() > MAX_LATENESS_MICROS) {
-      punctualSinceMicros = now;
+      lastLateMicros = now;
     }
   }
 
@@ -121,8 +121,7 @@
   long silentMicros(Machine machine, long now) {
     return now
         - Math.max(
-            machine.contact().lastSeenMicros(),
-            Math.max(failover.loadedMicros(), punctualSinceMicros));
+            machine.contact().lastSeenMicros(), Math.max(failover.loadedMicros(), lastLateMicros));
   }
 
   /**
@@ -130,7 +129,7 @@
    * so only this controller is cut off from the workers. If it remained leader, all machines would
    * be left without answers and commands.
    */
-  boolean lostItsWorkers() {
+  boolean isCutOffFromWorkers() {
     int all = 0;
     int silent = 0;
     for (ZoneCount zone : zones.values()) {
@@ -138,8 +137,9 @@
       silent += zone.silent;
     }
     return all > 0
-        && silent * PERCENT >= all * SILENT_PERCENT_OF_LOST
-        && context.workersElsewhere().getAsInt() * PERCENT >= all * ELSEWHERE_PERCENT_OF_LOST;
+        && silent * PERCENT >= all * MIN_SILENT_PERCENT_IF_CUT_OFF
+        && context.workersElsewhere().getAsInt() * PERCENT
+            >= all * MIN_ELSEWHERE_PERCENT_IF_CUT_OFF;
   }
 
   /** Recounts the machines of each zone. */
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -40,12 +40,12 @@
   private final SchedulingPass pass;
   private final Failover failover;
   private final MachineRentals rentals;
-  private final Runnable changed;
+  private final Runnable onChange;
   private int step = 1;
   private long adjustedMicros;
 
   /**
-   * @param changed runs when something changed that placement depends on
+   * @param onChange runs when something changed that placement depends on
    */
   FleetSizing(
       TermContext context,
@@ -53,14 +53,14 @@
       SchedulingPass pass,
       Failover failover,
       MachineRentals rentals,
-      Runnable changed) {
+      Runnable onChange) {
     this.context = context;
     this.log = context.logs().of(FleetSizing.class);
     this.fleet = fleet;
     this.pass = pass;
     this.failover = failover;
     this.rentals = rentals;
-    this.changed = changed;
+    this.onChange = onChange;
   }
 
   /**
@@ -129,20 +129,20 @@
       }
     }
     candidates.sort(Comparator.comparingDouble(this::pricePerCore));
-    double coresLacking = coresDemanded();
+    double missingCores = coresDemanded();
     boolean any = false;
     for (Machine machine : candidates) {
-      if (any && coresLacking <= 0) {
+      if (any && missingCores <= 0) {
         break;
       }
       MachineType machineType = context.prices().machineType(machine.machineType());
-      coresLacking -= machineType == null ? 0 : machineType.cores() - coresInUse(machine);
+      missingCores -= machineType == null ? 0 : machineType.cores() - coresInUse(machine);
       cordoned.remove(machine);
       any = true;
     }
     if (any) {
       rentals.recordAddedCapacity(now);
-      changed.run();
+      onChange.run();
     }
     step = 1;
   }
--- a/src/main/java/plumlever/leader/machine/LeaseExpiry.java
+++ b/src/main/java/plumlever/leader/machine/LeaseExpiry.java
@@ -26,10 +26,10 @@
   private final RenewalDelegation delegation;
   private final Failover failover;
   private final MachineSharing sharing;
-  private final Runnable changed;
+  private final Runnable onChange;
 
   /**
-   * @param changed runs when something changed that placement depends on
+   * @param onChange runs when something changed that placement depends on
    */
   LeaseExpiry(
       TermContext context,
@@ -37,14 +37,14 @@
       RenewalDelegation delegation,
       Failover failover,
       MachineSharing sharing,
-      Runnable changed) {
+      Runnable onChange) {
     this.context = context;
     this.log = context.logs().of(LeaseExpiry.class);
     this.heartbeats = heartbeats;
     this.delegation = delegation;
     this.failover = failover;
     this.sharing = sharing;
-    this.changed = changed;
+    this.onChange = onChange;
   }
 
   /** Ends all attempts that may run on the machine if its lease has certainly expired. */
@@ -57,11 +57,11 @@
     sharing.leaseExpired(machine);
     if (mayRunTasks) {
       log.info("lease of machine {} has expired, its attempts are ended", machine.id());
-      changed.run();
+      onChange.run();
     }
     if (!machine.accounted()) {
       failover.markAccounted(machine, "its lease has expired");
-      changed.run();
+      onChange.run();
     }
   }
 
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -22,15 +22,15 @@
   private static final long INACTIVE_INTERVAL_MICROS = 200_000;
 
   /** How long a leader that resigns stays out of the election. */
-  private static final long STEP_DOWN_MICROS = 10_000_000;
+  private static final long RESIGNATION_PAUSE_MICROS = 10_000_000;
 
   private final TermContext context;
   private final Fleet fleet;
   private final SchedulingPass pass;
-  private final MachineSilence silence;
+  private final FailureDetector failureDetector;
   private final CloudInventory inventory;
   private final PartitionProbes probes;
-  private final LeaseExpiry leases;
+  private final LeaseExpiry leaseExpiry;
   private final ReturnPolicy returnPolicy;
   private final MachineReturns returns;
   private final MachineRentals rentals;
@@ -40,7 +40,7 @@
   /**
    * Creates the manager of one term.
    *
-   * @param changed runs when something changed that placement depends on
+   * @param onChange runs when something changed that placement depends on
    */
   public MachineManager(
       TermContext context,
@@ -52,17 +52,19 @@
       RenewalDelegation delegation,
       Failover failover,
       MachineSharing sharing,
-      Runnable changed) {
+      Runnable onChange) {
     this.context = context;
     this.fleet = fleet;
     this.pass = pass;
-    this.silence = new MachineSilence(context, fleet, failover);
-    this.probes = new PartitionProbes(fleet, failover, silence, commands, delegation);
-    this.leases = new LeaseExpiry(context, heartbeats, delegation, failover, sharing, changed);
-    this.returnPolicy = new ReturnPolicy(context, pass, failover, delegation, sharing, silence);
+    this.failureDetector = new FailureDetector(context, fleet, failover);
+    this.probes = new PartitionProbes(fleet, failover, failureDetector, commands, delegation);
+    this.leaseExpiry =
+        new LeaseExpiry(context, heartbeats, delegation, failover, sharing, onChange);
+    this.returnPolicy =
+        new ReturnPolicy(context, pass, failover, delegation, sharing, failureDetector);
     this.returns =
-        new MachineReturns(context, fleet, registry, heartbeats, failover, sharing, changed);
-    this.inventory = new CloudInventory(context, fleet, sharing, returns::isReturned, changed);
+        new MachineReturns(context, fleet, registry, heartbeats, failover, sharing, onChange);
+    this.inventory = new CloudInventory(context, fleet, sharing, returns::isReturned, onChange);
     this.rentals =
         new MachineRentals(
             context,
@@ -71,9 +73,9 @@
             failover,
             sharing,
             returns::isReturned,
-            silence::isPartitioned,
-            changed);
-    this.sizing = new FleetSizing(context, fleet, pass, failover, rentals, changed);
+            failureDetector::isPartitioned,
+            onChange);
+    this.sizing = new FleetSizing(context, fleet, pass, failover, rentals, onChange);
   }
 
   /** Returns true for a machine that this leader has returned to the cloud. */
@@ -97,16 +99,16 @@
   }
 
   private void manage(long now) {
-    silence.recordLateness(now);
+    failureDetector.recordLateness(now);
     inventory.refresh(now);
-    silence.countMachines(now);
-    if (silence.lostItsWorkers()) {
+    failureDetector.countMachines(now);
+    if (failureDetector.isCutOffFromWorkers()) {
       context
           .election()
           .resign(
               context.term(),
               "most workers are silent here and many report to other controllers",
-              STEP_DOWN_MICROS);
+              RESIGNATION_PAUSE_MICROS);
     } else {
       checkMachines(now);
     }
@@ -122,11 +124,11 @@
   }
 
   private void checkMachines(long now) {
-    silence.updatePartitionedZones(now);
+    failureDetector.updatePartitionedZones(now);
     probes.probe(now);
     boolean scarce = !pass.demands().isEmpty() && rentals.anyUnavailable(now);
     for (Machine machine : fleet.machines()) {
-      leases.endIfExpired(machine, now);
+      leaseExpiry.endIfExpired(machine, now);
       if (!machine.returning()) {
         returnPolicy
             .reasonToReturn(machine, scarce, now)
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -53,12 +53,12 @@
   /**
    * Creates an empty registry for one term.
    *
-   * @param changed runs after more machines have been stored
+   * @param onChange runs after more machines have been stored
    */
-  public MachineRegistry(TermContext context, Runnable changed) {
+  public MachineRegistry(TermContext context, Runnable onChange) {
     this.context = context;
     this.log = context.logs().of(MachineRegistry.class);
-    this.records = new SharedRecords<>(context, new Layout(), WRITE_INTERVAL_MICROS, changed);
+    this.records = new SharedRecords<>(context, new Layout(), WRITE_INTERVAL_MICROS, onChange);
   }
 
   /**
@@ -75,7 +75,7 @@
       List<Machine> entries = new ArrayList<>();
       for (JsonNode node : item.data().path(MACHINES)) {
         if (fleet.machine(node.path(MACHINE_NAME).asText()) == null) {
-          Machine machine = machine(node, item.data().path(KINDS));
+          Machine machine = readMachine(node, item.data().path(KINDS));
           fleet.add(machine);
           entries.add(machine);
         }
@@ -84,7 +84,7 @@
     }
   }
 
-  private Machine machine(JsonNode node, JsonNode kinds) {
+  private Machine readMachine(JsonNode node, JsonNode kinds) {
     JsonNode kind = kinds.path(node.path(MACHINE_KIND).asInt());
     return new Machine(
         node.path(MACHINE_NAME).asText(),
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -31,13 +31,13 @@
   /** A request whose outcome is not known yet. */
   private static final class OpenRequest {
     private final RentalRequest request;
-    private final RentalPlan.RentalOption kind;
+    private final RentalPlan.RentalOption option;
     private boolean inFlight;
     private long retryMicros;
 
-    OpenRequest(RentalRequest request, RentalPlan.RentalOption kind) {
+    OpenRequest(RentalRequest request, RentalPlan.RentalOption option) {
       this.request = request;
-      this.kind = kind;
+      this.option = option;
     }
   }
 
@@ -49,7 +49,7 @@
   private final MachineSharing sharing;
   private final Predicate<String> isReturned;
   private final Predicate<String> isPartitioned;
-  private final Runnable changed;
+  private final Runnable onChange;
   private final RentalPlan plan;
   private final Map<RentalPlan.RentalOption, Long> unavailableUntilMicros = new HashMap<>();
   private final List<OpenRequest> openRequests = new ArrayList<>();
@@ -59,7 +59,7 @@
   /**
    * @param isReturned true for the id of a machine that was returned
    * @param isPartitioned true for a zone that seems to be partitioned; no machines are rented there
-   * @param changed runs when something changed that placement depends on
+   * @param onChange runs when something changed that placement depends on
    */
   MachineRentals(
       TermContext context,
@@ -69,7 +69,7 @@
       MachineSharing sharing,
       Predicate<String> isReturned,
       Predicate<String> isPartitioned,
-      Runnable changed) {
+      Runnable onChange) {
     this.context = context;
     this.log = context.logs().of(MachineRentals.class);
     this.fleet = fleet;
@@ -78,7 +78,7 @@
     this.sharing = sharing;
     this.isReturned = isReturned;
     this.isPartitioned = isPartitioned;
-    this.changed = changed;
+    this.onChange = onChange;
     this.plan = new RentalPlan(context.prices(), context.moneyMatters());
   }
 
@@ -121,56 +121,63 @@
 
   private void rentPlanned(long now) {
     List<RentalPlan.RentalRequest> rentals =
-        plan.plan(pass.demands(), coming(), kind -> isAvailable(kind, now), MAX_MACHINES_PER_PLAN);
+        plan.plan(
+            pass.demands(),
+            incomingCapacity(),
+            option -> isAvailable(option, now),
+            MAX_MACHINES_PER_PLAN);
     for (RentalPlan.RentalRequest rental : rentals) {
       if (openRequests.size() >= MAX_OPEN_REQUESTS) {
         return;
       }
-      OpenRequest open = new OpenRequest(request(rental), rental.option());
+      OpenRequest open = new OpenRequest(newRequest(rental), rental.option());
       openRequests.add(open);
       send(open);
     }
   }
 
-  private boolean isAvailable(RentalPlan.RentalOption kind, long now) {
-    return now >= unavailableUntilMicros.getOrDefault(kind, 0L) && !isPartitioned.test(kind.zone());
+  private boolean isAvailable(RentalPlan.RentalOption option, long now) {
+    return now >= unavailableUntilMicros.getOrDefault(option, 0L)
+        && !isPartitioned.test(option.zone());
   }
 
   /**
    * Returns the capacity of requested machines, whose ids are not known yet, and of machines that
    * are being transferred to this shard. Booting machines are already part of the fleet.
    */
-  private List<RentalPlan.IncomingMachine> coming() {
-    List<RentalPlan.IncomingMachine> coming = new ArrayList<>();
+  private List<RentalPlan.IncomingMachine> incomingCapacity() {
+    List<RentalPlan.IncomingMachine> incomingCapacity = new ArrayList<>();
     for (OpenRequest open : openRequests) {
-      addComing(open.kind, open.request.count(), coming);
+      addIncoming(open.option, open.request.count(), incomingCapacity);
     }
-    for (RentalPlan.RentalOption kind : sharing.incomingMachines()) {
-      addComing(kind, 1, coming);
+    for (RentalPlan.RentalOption option : sharing.incomingMachines()) {
+      addIncoming(option, 1, incomingCapacity);
     }
-    return coming;
+    return incomingCapacity;
   }
 
-  private void addComing(
-      RentalPlan.RentalOption kind, int count, List<RentalPlan.IncomingMachine> coming) {
-    MachineType machineType = context.prices().machineType(kind.machineType());
+  private void addIncoming(
+      RentalPlan.RentalOption option,
+      int count,
+      List<RentalPlan.IncomingMachine> incomingCapacity) {
+    MachineType machineType = context.prices().machineType(option.machineType());
     if (machineType == null) {
       return;
     }
     for (int i = 0; i < count; i++) {
-      coming.add(new RentalPlan.IncomingMachine(kind, machineType));
+      incomingCapacity.add(new RentalPlan.IncomingMachine(option, machineType));
     }
   }
 
   /** Creates a request whose id is unique across all terms. */
-  private RentalRequest request(RentalPlan.RentalRequest rental) {
+  private RentalRequest newRequest(RentalPlan.RentalRequest rental) {
     requestCounter++;
-    RentalPlan.RentalOption kind = rental.option();
+    RentalPlan.RentalOption option = rental.option();
     return new RentalRequest(
         "r-" + context.term().number() + "-" + requestCounter,
-        kind.machineType(),
-        kind.zone(),
-        kind.spot(),
+        option.machineType(),
+        option.zone(),
+        option.spot(),
         Math.min(rental.count(), CloudClient.MAX_MACHINES_PER_RENTAL));
   }
 
@@ -192,11 +199,11 @@
       }
       case NO_CAPACITY -> {
         openRequests.remove(open);
-        unavailableUntilMicros.put(open.kind, now + NO_CAPACITY_PAUSE_MICROS);
+        unavailableUntilMicros.put(open.option, now + NO_CAPACITY_PAUSE_MICROS);
       }
       case REFUSED -> {
         openRequests.remove(open);
-        unavailableUntilMicros.put(open.kind, now + RETRY_PAUSE_MICROS);
+        unavailableUntilMicros.put(open.option, now + RETRY_PAUSE_MICROS);
       }
       case UNKNOWN -> open.retryMicros = now + RETRY_PAUSE_MICROS;
     }
@@ -205,7 +212,7 @@
   private void addRented(OpenRequest open, List<String> machineIds, long now) {
     RentalRequest request = open.request;
     if (machineIds.size() < request.count()) {
-      unavailableUntilMicros.put(open.kind, now + NO_CAPACITY_PAUSE_MICROS);
+      unavailableUntilMicros.put(open.option, now + NO_CAPACITY_PAUSE_MICROS);
     }
     log.info(
         "rented {} of {} requested machines of type {} in zone {}{}",
@@ -216,14 +223,15 @@
         request.spot() ? ", spot" : "");
     context.metrics().count("machines_rented", machineIds.size());
     capacityAddedMicros = now;
-    changed.run();
-    sharing.claimRented(machineIds, machineId -> addMachine(machineId, open.kind, now));
+    onChange.run();
+    sharing.claimRented(machineIds, machineId -> addMachine(machineId, open.option, now));
   }
 
-  private void addMachine(String machineId, RentalPlan.RentalOption kind, long rentedMicros) {
+  private void addMachine(String machineId, RentalPlan.RentalOption option, long rentedMicros) {
     if (fleet.machine(machineId) == null && !isReturned.test(machineId)) {
       fleet.add(
-          new Machine(machineId, null, kind.machineType(), kind.zone(), kind.spot(), rentedMicros));
+          new Machine(
+              machineId, null, option.machineType(), option.zone(), option.spot(), rentedMicros));
     }
   }
 }
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -25,7 +25,7 @@
    * Number of ids kept. The ids prevent a delayed copy of a heartbeat from adding a returned
    * machine to the fleet again.
    */
-  private static final int MAX_REMEMBERED = 20_000;
+  private static final int MAX_RETURNED_IDS = 20_000;
 
   private final Logger log;
   private final TermContext context;
@@ -34,7 +34,7 @@
   private final HeartbeatHandler heartbeats;
   private final Failover failover;
   private final MachineSharing sharing;
-  private final Runnable changed;
+  private final Runnable onChange;
   private final Set<String> returned =
       Collections.newSetFromMap(
           new LinkedHashMap<>() {
@@ -42,14 +42,14 @@
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-              return size() > MAX_REMEMBERED;
+              return size() > MAX_RETURNED_IDS;
             }
           });
   private boolean inProgress;
   private boolean closed;
 
   /**
-   * @param changed runs when something changed that placement depends on
+   * @param onChange runs when something changed that placement depends on
    */
   MachineReturns(
       TermContext context,
@@ -58,7 +58,7 @@
       HeartbeatHandler heartbeats,
       Failover failover,
       MachineSharing sharing,
-      Runnable changed) {
+      Runnable onChange) {
     this.context = context;
     this.log = context.logs().of(MachineReturns.class);
     this.fleet = fleet;
@@ -66,7 +66,7 @@
     this.heartbeats = heartbeats;
     this.failover = failover;
     this.sharing = sharing;
-    this.changed = changed;
+    this.onChange = onChange;
   }
 
   /** Returns true for a machine whose return the cloud has confirmed in this term. */
@@ -135,7 +135,7 @@
       registry.remove(machine);
     }
     sharing.machinesReturned(machines);
-    changed.run();
+    onChange.run();
   }
 
   /** Sends no further requests and ignores outcomes that arrive later. */
--- a/src/main/java/plumlever/leader/machine/PartitionProbes.java
+++ b/src/main/java/plumlever/leader/machine/PartitionProbes.java
@@ -18,25 +18,25 @@
  */
 final class PartitionProbes {
   /** A machine that has reported within this time counts as reachable. */
-  private static final long REACHED_MICROS = 1_500_000;
+  private static final long REACHABLE_MICROS = 1_500_000;
 
   private static final int CALLS_PER_ZONE = 3;
 
   private final Fleet fleet;
   private final Failover failover;
-  private final MachineSilence silence;
+  private final FailureDetector failureDetector;
   private final CommandSender commands;
   private final RenewalDelegation delegation;
 
   PartitionProbes(
       Fleet fleet,
       Failover failover,
-      MachineSilence silence,
+      FailureDetector failureDetector,
       CommandSender commands,
       RenewalDelegation delegation) {
     this.fleet = fleet;
     this.failover = failover;
-    this.silence = silence;
+    this.failureDetector = failureDetector;
     this.commands = commands;
     this.delegation = delegation;
   }
@@ -46,21 +46,21 @@
    * can be reached.
    */
   void probe(long now) {
-    Set<String> unreachedZones = new HashSet<>();
+    Set<String> unreachableZones = new HashSet<>();
     if (failover.isComplete()) {
-      unreachedZones.addAll(silence.partitionedZones());
+      unreachableZones.addAll(failureDetector.partitionedZones());
     }
     Map<String, Integer> calls = new HashMap<>();
     for (Machine machine : fleet.machines()) {
-      if (!machine.contact().hasReported() || !silence.isPartitioned(machine.zone())) {
+      if (!machine.contact().hasReported() || !failureDetector.isPartitioned(machine.zone())) {
         continue;
       }
-      if (now - machine.contact().lastSeenMicros() < REACHED_MICROS) {
-        unreachedZones.remove(machine.zone());
+      if (now - machine.contact().lastSeenMicros() < REACHABLE_MICROS) {
+        unreachableZones.remove(machine.zone());
       } else if (calls.merge(machine.zone(), 1, Integer::sum) <= CALLS_PER_ZONE) {
         commands.probe(machine);
       }
     }
-    delegation.updateUnreachableZones(unreachedZones);
+    delegation.updateUnreachableZones(unreachableZones);
   }
 }
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -17,7 +17,7 @@
   private static final double MICROS_PER_SECOND = 1e6;
 
   /** Minimum time that the failover waits for each machine. */
-  private static final long FAILOVER_PATIENCE_MICROS = 2_000_000;
+  private static final long FAILOVER_MIN_WAIT_MICROS = 2_000_000;
 
   /** With fewer failed calls, a machine may only not have been called in time. */
   private static final int MIN_FAILED_CALLS = 2;
@@ -36,7 +36,7 @@
   private final Failover failover;
   private final RenewalDelegation delegation;
   private final MachineSharing sharing;
-  private final MachineSilence silence;
+  private final FailureDetector failureDetector;
 
   ReturnPolicy(
       TermContext context,
@@ -44,13 +44,13 @@
       Failover failover,
       RenewalDelegation delegation,
       MachineSharing sharing,
-      MachineSilence silence) {
+      FailureDetector failureDetector) {
     this.context = context;
     this.pass = pass;
     this.failover = failover;
     this.delegation = delegation;
     this.sharing = sharing;
-    this.silence = silence;
+    this.failureDetector = failureDetector;
   }
 
   /**
@@ -69,7 +69,7 @@
     if (delaysFailover(machine, now)) {
       return Optional.of(ReturnReason.DELAYS_FAILOVER);
     }
-    if (silence.silentMicros(machine, now) > silence.thresholdMicros()) {
+    if (failureDetector.silentMicros(machine, now) > failureDetector.thresholdMicros()) {
       return reasonIf(isGone(machine, now), ReturnReason.SILENT);
     }
     if (machine.draining() && !machine.load().mayRunTasks()) {
@@ -87,10 +87,10 @@
     MachineType machineType = context.prices().machineType(machine.machineType());
     double bootS =
         machineType == null ? BOOT_S_OF_UNKNOWN_TYPE : Math.max(machineType.startupS(), MIN_BOOT_S);
-    long patienceMicros = (long) (bootS * MICROS_PER_SECOND * context.parameters().bootFactor());
+    long bootTimeoutMicros = (long) (bootS * MICROS_PER_SECOND * context.parameters().bootFactor());
     long sinceMicros =
-        Math.max(machine.knownSinceMicros(), failover.startedMicros() - patienceMicros / 2);
-    return now - sinceMicros > patienceMicros;
+        Math.max(machine.knownSinceMicros(), failover.startedMicros() - bootTimeoutMicros / 2);
+    return now - sinceMicros > bootTimeoutMicros;
   }
 
   /**
@@ -102,8 +102,8 @@
   private boolean delaysFailover(Machine machine, long now) {
     return failover.unaccounted().contains(machine)
         && machine.contact().consecutiveFailedCalls() >= MIN_FAILED_CALLS
-        && now - failover.loadedMicros() >= FAILOVER_PATIENCE_MICROS
-        && silence.hasMostlyReported(machine.zone());
+        && now - failover.loadedMicros() >= FAILOVER_MIN_WAIT_MICROS
+        && failureDetector.hasMostlyReported(machine.zone());
   }
 
   /**
@@ -113,8 +113,9 @@
   private boolean isGone(Machine machine, long now) {
     int leases =
         delegation.isDelegated(machine.zone()) ? MAX_SILENT_LEASES_DELEGATED : MAX_SILENT_LEASES;
-    return !silence.isPartitioned(machine.zone())
-        || silence.silentMicros(machine, now) > leases * context.platform().workers().leaseMicros();
+    return !failureDetector.isPartitioned(machine.zone())
+        || failureDetector.silentMicros(machine, now)
+            > leases * context.platform().workers().leaseMicros();
   }
 
   private boolean idleTooLong(Machine machine, boolean scarce, long now) {
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -27,7 +27,7 @@
   private final ActiveJobs jobs;
   private final LargeJobChunks largeJobs;
   private final Collection<String> orphanedKeys;
-  private final Set<Job> ending = new LinkedHashSet<>();
+  private final Set<Job> inProgress = new LinkedHashSet<>();
   private boolean closed;
 
   /**
@@ -53,18 +53,18 @@
    * progress.
    */
   void complete(Job job) {
-    if (ending.add(job)) {
-      storeEnd(job);
+    if (inProgress.add(job)) {
+      storeFinalState(job);
     }
   }
 
-  private void storeEnd(Job job) {
+  private void storeFinalState(Job job) {
     if (closed || job.over()) {
-      ending.remove(job);
+      inProgress.remove(job);
       return;
     }
     List<String> records = largeJobs.keysOf(job);
-    int dropped = Math.min(records.size(), context.layout().maxDeletesAtEnd());
+    int deletedCount = Math.min(records.size(), context.layout().maxDeletesAtEnd());
     Transaction transaction =
         context
             .layout()
@@ -73,7 +73,7 @@
                 job.revision(),
                 JobState.DONE,
                 context.loop().wallMicros(),
-                records.subList(0, dropped));
+                records.subList(0, deletedCount));
     context
         .store()
         .transaction(
@@ -81,45 +81,46 @@
             StateClient.RequestPriority.URGENT,
             result -> {
               switch (result.outcome()) {
-                case APPLIED -> endStored(job, records.subList(dropped, records.size()));
-                case CONFLICT -> readEndState(job);
+                case APPLIED ->
+                    finalStateStored(job, records.subList(deletedCount, records.size()));
+                case CONFLICT -> readFinalState(job);
                 default -> retryLater(job);
               }
             });
   }
 
-  private void endStored(Job job, List<String> recordsLeft) {
+  private void finalStateStored(Job job, List<String> recordsLeft) {
     context.metrics().count("jobs_done");
     log.debug("job {} is done, final state stored", job.uid());
     orphanedKeys.addAll(recordsLeft);
-    largeJobs.forget(job);
-    ended(job, JobState.DONE);
+    largeJobs.remove(job);
+    finish(job, JobState.DONE);
   }
 
   private void retryLater(Job job) {
-    context.loop().after(RETRY_MICROS, () -> storeEnd(job));
+    context.loop().after(RETRY_MICROS, () -> storeFinalState(job));
   }
 
   /**
    * Reads the final state after a conflict. The state was stored by another controller, or by an
    * earlier write of this leader whose answer was lost.
    */
-  private void readEndState(Job job) {
+  private void readFinalState(Job job) {
     context
         .store()
         .get(
             JobStore.endedKey(job.uid()),
             StateClient.RequestPriority.URGENT,
             result -> {
-              Optional<JobState> endState =
+              Optional<JobState> finalState =
                   result.found() ? JobStore.finalState(result.item().data()) : Optional.empty();
-              endState.ifPresentOrElse(state -> ended(job, state), () -> retryLater(job));
+              finalState.ifPresentOrElse(state -> finish(job, state), () -> retryLater(job));
             });
   }
 
-  private void ended(Job job, JobState endState) {
-    ending.remove(job);
-    jobs.jobEnded(job.uid(), endState);
+  private void finish(Job job, JobState finalState) {
+    inProgress.remove(job);
+    jobs.jobEnded(job.uid(), finalState);
   }
 
   void close() {
--- a/src/main/java/plumlever/leader/progress/LargeJobChunks.java
+++ b/src/main/java/plumlever/leader/progress/LargeJobChunks.java
@@ -40,7 +40,7 @@
   }
 
   /** Adopts the chunks that an earlier leader stored for the job. */
-  void takeOver(Job job, Collection<String> keys) {
+  void adopt(Job job, Collection<String> keys) {
     keysByJob.computeIfAbsent(job, j -> new LinkedHashSet<>()).addAll(keys);
   }
 
@@ -70,12 +70,12 @@
   }
 
   /** Removes an ended job; the caller has its chunks deleted. */
-  void forget(Job job) {
+  void remove(Job job) {
     keysByJob.remove(job);
   }
 
   /** Divides the tasks into smaller chunks if the value size limit has decreased. */
-  void fitLimit() {
+  void enforceValueLimit() {
     if (context.layout().tasksPerChunk() >= tasksPerChunk) {
       return;
     }
@@ -105,34 +105,34 @@
   }
 
   /** Adds scheduled chunks to the transaction, as many as fit. */
-  void addTo(ProgressWrite write) {
+  void addTo(ProgressBatch batch) {
     Map<Job, BitSet> added = new LinkedHashMap<>();
-    dirty.forEach((job, firstTasks) -> added.put(job, addTo(write, job, firstTasks)));
+    dirty.forEach((job, firstTasks) -> added.put(job, addTo(batch, job, firstTasks)));
     added.forEach((job, firstTasks) -> dirty.get(job).andNot(firstTasks));
     dirty.values().removeIf(BitSet::isEmpty);
-    write.onFailure(() -> added.forEach(this::restoreDirty));
+    batch.onFailure(() -> added.forEach(this::restoreDirty));
   }
 
-  private BitSet addTo(ProgressWrite write, Job job, BitSet firstTasks) {
+  private BitSet addTo(ProgressBatch batch, Job job, BitSet firstTasks) {
     int size =
         Math.min(
             context.layout().valueBytes(), job.spec().taskCount() / TASKS_PER_BYTE + BASE_BYTES);
     BitSet added = new BitSet();
     for (int first = firstTasks.nextSetBit(0);
-        first >= 0 && write.fits(size);
+        first >= 0 && batch.fits(size);
         first = firstTasks.nextSetBit(first + 1)) {
       added.set(first);
-      put(write, job, first, size);
+      put(batch, job, first, size);
     }
     return added;
   }
 
-  private void put(ProgressWrite write, Job job, int first, int size) {
+  private void put(ProgressBatch batch, Job job, int first, int size) {
     String key = JobStore.progressKey(job.uid(), first);
     keysByJob.computeIfAbsent(job, j -> new LinkedHashSet<>()).add(key);
-    write.put(
+    batch.put(
         key, size, context.layout().progressChunk(job.completedTasks(), first, tasksPerChunk));
-    write.storesDone(job, first, tasksPerChunk);
+    batch.coverCompleted(job, first, tasksPerChunk);
   }
 
   private void restoreDirty(Job job, BitSet firstTasks) {
--- a/src/main/java/plumlever/leader/progress/ProgressWrite.java
+++ b/src/main/java/plumlever/leader/progress/ProgressBatch.java
@@ -18,19 +18,19 @@
  * tracked; afterwards its outcome is applied to the jobs and to the known revisions. Each record
  * that is written is guarded by its own revision.
  */
-final class ProgressWrite {
+final class ProgressBatch {
   /** Leaves headroom below the request size limit of 64 KiB. */
   private static final long MAX_BYTES = 48 * 1024;
 
   private final RecordRevisions revisions;
   private final Transaction transaction;
   private final Set<String> keys = new LinkedHashSet<>();
-  private final Map<Job, BitSet> doneTasks = new LinkedHashMap<>();
+  private final Map<Job, BitSet> coveredTasks = new LinkedHashMap<>();
   private final List<Runnable> failureActions = new ArrayList<>();
   private int operationsLeft;
   private long bytes;
 
-  ProgressWrite(TermContext context, RecordRevisions revisions) {
+  ProgressBatch(TermContext context, RecordRevisions revisions) {
     this.revisions = revisions;
     this.transaction = context.term().requireTerm();
     this.operationsLeft = context.layout().limits().maxOperations();
@@ -42,7 +42,7 @@
   }
 
   /** Returns true if one more record can be deleted. */
-  boolean mayDrop() {
+  boolean canDelete() {
     return operationsLeft > 0;
   }
 
@@ -58,7 +58,7 @@
    * Deletes the record of a job that has ended. The delete needs no guard: nothing that is written
    * to this record is of use any longer.
    */
-  void drop(String key) {
+  void delete(String key) {
     operationsLeft--;
     transaction.delete(key);
   }
@@ -67,16 +67,16 @@
    * Registers all currently finished tasks of the job, which count as stored once the transaction
    * is applied.
    */
-  void storesAllDone(Job job) {
-    doneTasks.put(job, (BitSet) job.completedTasks().clone());
+  void coverAllCompleted(Job job) {
+    coveredTasks.put(job, (BitSet) job.completedTasks().clone());
   }
 
   /**
    * Registers the currently finished tasks of a range, which count as stored once the transaction
    * is applied.
    */
-  void storesDone(Job job, int firstTask, int tasks) {
-    BitSet stored = doneTasks.computeIfAbsent(job, j -> new BitSet());
+  void coverCompleted(Job job, int firstTask, int tasks) {
+    BitSet stored = coveredTasks.computeIfAbsent(job, j -> new BitSet());
     BitSet done = job.completedTasks();
     for (int task = done.nextSetBit(firstTask);
         task >= 0 && task < firstTask + tasks;
@@ -110,7 +110,7 @@
    */
   void applied(long revision) {
     revisions.written(keys, revision);
-    doneTasks.forEach((job, done) -> job.storedTasks().or(done));
+    coveredTasks.forEach((job, done) -> job.storedTasks().or(done));
   }
 
   /** Handles a transaction that failed or whose outcome is unknown. */
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -57,7 +57,7 @@
         .forEach(
             (job, chunks) -> {
               revisions.putAll(chunks);
-              largeJobs.takeOver(job, chunks.keySet());
+              largeJobs.adopt(job, chunks.keySet());
             });
     orphanedKeys.addAll(found.orphanedKeys());
     List<Job> oversized = new ArrayList<>();
@@ -65,7 +65,7 @@
         .sharedChunkNumbers()
         .forEach(
             (job, number) -> {
-              if (!sharedChunks.takeOver(job, number)) {
+              if (!sharedChunks.adopt(job, number)) {
                 oversized.add(job);
               }
             });
@@ -77,7 +77,7 @@
    * enough.
    */
   private void assign(Job job) {
-    if (sharedChunks.mayHold(job)) {
+    if (sharedChunks.canShare(job)) {
       sharedChunks.add(job);
     } else {
       largeJobs.markAllDirty(job);
@@ -93,7 +93,7 @@
       largeJobs.markComplete(job);
       completion.complete(job);
     } else if (!sharedChunks.markDirty(job)) {
-      if (sharedChunks.mayHold(job)) {
+      if (sharedChunks.canShare(job)) {
         sharedChunks.add(job);
       } else {
         largeJobs.markDirty(job, task);
@@ -109,18 +109,18 @@
   public long write() {
     long pauseMicros = context.parameters().progressPauseMicros();
     removeEnded();
-    fitLimits();
+    enforceValueLimits();
     if (writing || closed) {
       return pauseMicros;
     }
-    ProgressWrite write = new ProgressWrite(context, revisions);
-    sharedChunks.addTo(write);
-    largeJobs.addTo(write);
-    dropOrphaned(write);
-    if (write.isEmpty()) {
+    ProgressBatch batch = new ProgressBatch(context, revisions);
+    sharedChunks.addTo(batch);
+    largeJobs.addTo(batch);
+    deleteOrphaned(batch);
+    if (batch.isEmpty()) {
       return pauseMicros;
     }
-    send(write);
+    send(batch);
     return hasBacklog() ? pauseMicros / BACKLOG_SPEED_UP : pauseMicros;
   }
 
@@ -130,41 +130,41 @@
   }
 
   /** Splits records that exceed the value size limit, which may have decreased. */
-  private void fitLimits() {
-    largeJobs.fitLimit();
+  private void enforceValueLimits() {
+    largeJobs.enforceValueLimit();
     sharedChunks.splitOversized(this::assign);
   }
 
-  private void dropOrphaned(ProgressWrite write) {
-    List<String> dropped = new ArrayList<>();
-    while (write.mayDrop() && !orphanedKeys.isEmpty()) {
+  private void deleteOrphaned(ProgressBatch batch) {
+    List<String> deleted = new ArrayList<>();
+    while (batch.canDelete() && !orphanedKeys.isEmpty()) {
       String key = orphanedKeys.poll();
-      dropped.add(key);
-      write.drop(key);
+      deleted.add(key);
+      batch.delete(key);
     }
-    write.onFailure(() -> orphanedKeys.addAll(dropped));
+    batch.onFailure(() -> orphanedKeys.addAll(deleted));
   }
 
-  private void send(ProgressWrite write) {
+  private void send(ProgressBatch batch) {
     writing = true;
     context
         .store()
         .transaction(
-            write.transaction(),
+            batch.transaction(),
             StateClient.RequestPriority.ORDINARY,
             result -> {
               if (result.applied()) {
-                write.applied(result.revision());
+                batch.applied(result.revision());
                 writing = false;
                 return;
               }
-              write.failed();
+              batch.failed();
               if (result.outcome() == Transaction.Outcome.REFUSED) {
                 writing = false;
               } else {
                 // The transaction may have been executed or may still be executed. The next write
                 // is guarded by the revisions that are stored now.
-                revisions.refresh(write.keys(), () -> writing = false);
+                revisions.refresh(batch.keys(), () -> writing = false);
               }
             });
   }
--- a/src/main/java/plumlever/leader/progress/SharedChunks.java
+++ b/src/main/java/plumlever/leader/progress/SharedChunks.java
@@ -39,7 +39,7 @@
   }
 
   /** Returns true if the job is small enough for a shared chunk under the current limits. */
-  boolean mayHold(Job job) {
+  boolean canShare(Job job) {
     return sizeOf(job) >= 0;
   }
 
@@ -52,7 +52,7 @@
    *
    * @return false if the job no longer fits into that chunk
    */
-  boolean takeOver(Job job, int number) {
+  boolean adopt(Job job, int number) {
     Chunk chunk = chunks.computeIfAbsent(number, Chunk::new);
     if (!fits(chunk, job)) {
       return false;
@@ -74,7 +74,7 @@
 
   /**
    * Assigns the job to a chunk with capacity and schedules the chunk to be written; call only if
-   * {@link #mayHold} returns true.
+   * {@link #canShare} returns true.
    */
   void add(Job job) {
     Chunk chunk = chunkWithCapacity(sizeOf(job));
@@ -165,23 +165,23 @@
   }
 
   /** Adds scheduled chunks to the transaction, as many as fit. */
-  void addTo(ProgressWrite write) {
+  void addTo(ProgressBatch batch) {
     for (Chunk chunk : chunks.values()) {
-      if (chunk.dirty && write.fits(chunk.bytes)) {
+      if (chunk.dirty && batch.fits(chunk.bytes)) {
         chunk.dirty = false;
-        write.onFailure(() -> chunk.dirty = true);
-        put(chunk, write);
+        batch.onFailure(() -> chunk.dirty = true);
+        put(chunk, batch);
       }
     }
   }
 
-  private void put(Chunk chunk, ProgressWrite write) {
+  private void put(Chunk chunk, ProgressBatch batch) {
     Map<String, BitSet> doneByJob = new LinkedHashMap<>();
     for (Job job : chunk.jobs) {
       doneByJob.put(job.uid(), job.completedTasks());
-      write.storesAllDone(job);
+      batch.coverAllCompleted(job);
     }
-    write.put(
+    batch.put(
         JobStore.sharedChunkKey(chunk.number),
         chunk.bytes,
         context.layout().sharedChunk(doneByJob));
--- a/src/main/java/plumlever/leader/record/RecordChunk.java
+++ b/src/main/java/plumlever/leader/record/RecordChunk.java
@@ -11,7 +11,7 @@
   private int bytes;
 
   /** The part of {@link #bytes} that belongs to entries being moved to other chunks. */
-  private int departingBytes;
+  private int movingBytes;
 
   /** Revision of the stored value; 0 if no value is stored. */
   long revision;
@@ -44,7 +44,7 @@
 
   /** Returns the size of the chunk once all moves to other chunks are complete. */
   int bytesAfterMoves() {
-    return bytes - departingBytes;
+    return bytes - movingBytes;
   }
 
   void add(E entry, int size) {
@@ -68,11 +68,11 @@
 
   /** Records that an entry of this size is being moved to another chunk. */
   void moveStarted(int size) {
-    departingBytes += size;
+    movingBytes += size;
   }
 
   /** Records that the move of an entry of this size is complete or was abandoned. */
   void moveEnded(int size) {
-    departingBytes -= size;
+    movingBytes -= size;
   }
 }
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -54,7 +54,7 @@
    */
   private final long pauseMicros;
 
-  private final Runnable stored;
+  private final Runnable onStored;
   private final Map<Integer, RecordChunk<E>> chunks = new LinkedHashMap<>();
   private final Map<E, RecordChunk<E>> chunkByEntry = new HashMap<>();
 
@@ -67,13 +67,13 @@
    * Creates an empty set of records.
    *
    * @param pauseMicros minimum time between two writes of a chunk
-   * @param stored runs after registered entries have been stored
+   * @param onStored runs after registered entries have been stored
    */
-  public SharedRecords(TermContext context, Layout<E> layout, long pauseMicros, Runnable stored) {
+  public SharedRecords(TermContext context, Layout<E> layout, long pauseMicros, Runnable onStored) {
     this.context = context;
     this.layout = layout;
     this.pauseMicros = pauseMicros;
-    this.stored = stored;
+    this.onStored = onStored;
   }
 
   /**
@@ -294,7 +294,7 @@
       }
     }
     if (newlyStored) {
-      stored.run();
+      onStored.run();
     }
   }
 
@@ -320,10 +320,10 @@
         .get(
             layout.key(chunk.number),
             StateClient.RequestPriority.ORDINARY,
-            got -> {
-              if (got.found()) {
-                chunk.revision = got.item().revision();
-              } else if (got.missing()) {
+            result -> {
+              if (result.found()) {
+                chunk.revision = result.item().revision();
+              } else if (result.missing()) {
                 chunk.revision = NO_RECORD;
               }
               writeLater(chunk);
--- a/src/test/java/plumlever/leader/failover/WarmStateCodecTest.java
+++ b/src/test/java/plumlever/leader/failover/WarmStateCodecTest.java
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void theNextLeaderKnowsWhichMachineHasWhichImage() {
+  void imageCachesAreRestored() {
     Fleet next = fleet(MACHINES);
 
     read(write(fleetWithImages(MACHINES), LARGE_VALUE_BYTES), next);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void theNextLeaderKnowsTheEstimates() {
+  void estimatesAreRestored() {
     RunTimeEstimates estimates = new RunTimeEstimates();
     estimates.adoptRatio("train", 1.5);
     RunTimeEstimates next = new RunTimeEstimates();
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void noValueIsLargerThanTheLimit() {
+  void noValueExceedsTheLimit() {
     List<ObjectNode> values = write(fleetWithImages(MACHINES), SMALL_VALUE_BYTES);
 
     assertTrue(values.size() > 1);
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void nothingIsLostWhenTheStateTakesSeveralValues() {
+  void stateSplitOverSeveralValuesIsRestoredInFull() {
     Fleet next = fleet(MACHINES);
 
     read(write(fleetWithImages(MACHINES), SMALL_VALUE_BYTES), next);
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void machinesThatAreGoneAreIgnored() {
+  void machinesMissingFromTheFleetAreIgnored() {
     Fleet next = fleet(1);
 
     read(write(fleetWithImages(2), LARGE_VALUE_BYTES), next);
--- a/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
+++ b/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
@@ -40,7 +40,7 @@
     return jobs;
   }
 
-  private void limitFalls() {
+  private void lowerValueLimit() {
     int before = context.layout().valueBytes();
     services.refuseValueOf(ContextFixture.VALUE_BYTES / 2);
     assertNotEquals(before, context.layout().valueBytes(), "the limit must have changed");
@@ -51,9 +51,9 @@
   }
 
   @Test
-  void aSharedChunkThatFitsKeepsItsJobs() {
+  void sharedChunkWithinTheLimitKeepsItsJobs() {
     SharedChunks chunks = new SharedChunks(context);
-    smallJobs().forEach(job -> assertTrue(chunks.takeOver(job, 0)));
+    smallJobs().forEach(job -> assertTrue(chunks.adopt(job, 0)));
     List<Job> removed = new ArrayList<>();
 
     chunks.splitOversized(removed::add);
@@ -63,11 +63,11 @@
   }
 
   @Test
-  void jobsLeaveASharedChunkThatIsTooLarge() {
+  void oversizedSharedChunkIsSplit() {
     SharedChunks chunks = new SharedChunks(context);
     List<Job> kept = smallJobs();
-    kept.forEach(job -> assertTrue(chunks.takeOver(job, 0)));
-    limitFalls();
+    kept.forEach(job -> assertTrue(chunks.adopt(job, 0)));
+    lowerValueLimit();
     List<Job> removed = new ArrayList<>();
 
     chunks.splitOversized(removed::add);
@@ -80,42 +80,42 @@
   }
 
   @Test
-  void jobsThatDoNotFitTheirFormerChunkAreNotTakenOver() {
+  void jobsThatExceedALoweredLimitAreNotAdopted() {
     SharedChunks chunks = new SharedChunks(context);
-    limitFalls();
-    List<Job> taken = new ArrayList<>();
+    lowerValueLimit();
+    List<Job> adopted = new ArrayList<>();
 
     for (Job job : smallJobs()) {
-      if (chunks.takeOver(job, 0)) {
-        taken.add(job);
+      if (chunks.adopt(job, 0)) {
+        adopted.add(job);
       }
     }
 
-    assertTrue(taken.size() < SMALL_JOBS);
-    assertTrue(sizeOf(taken) <= context.layout().sharedChunkBytes());
+    assertTrue(adopted.size() < SMALL_JOBS);
+    assertTrue(sizeOf(adopted) <= context.layout().sharedChunkBytes());
   }
 
   @Test
-  void storedChunksOfALargeJobAreNotWrittenAgain() {
+  void storedChunksOfALargeJobAreNotRewritten() {
     LargeJobChunks chunks = new LargeJobChunks(context);
     Job job = job(1, LARGE_JOB_TASKS);
     job.markCompleted(LARGE_JOB_TASKS - 1);
-    chunks.takeOver(job, List.of(JobStore.progressKey(job.uid(), 0)));
+    chunks.adopt(job, List.of(JobStore.progressKey(job.uid(), 0)));
 
-    chunks.fitLimit();
+    chunks.enforceValueLimit();
 
     assertFalse(chunks.isDirty());
   }
 
   @Test
-  void chunksOfALargeJobAreCutAnewWhenTheLimitFalls() {
+  void loweredLimitSplitsChunksOfALargeJob() {
     LargeJobChunks chunks = new LargeJobChunks(context);
     Job job = job(1, LARGE_JOB_TASKS);
     job.markCompleted(LARGE_JOB_TASKS - 1);
-    chunks.takeOver(job, List.of(JobStore.progressKey(job.uid(), 0)));
-    limitFalls();
+    chunks.adopt(job, List.of(JobStore.progressKey(job.uid(), 0)));
+    lowerValueLimit();
 
-    chunks.fitLimit();
+    chunks.enforceValueLimit();
 
     assertTrue(chunks.isDirty());
   }
