--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -19,7 +19,7 @@
   /** Minimum time that the failover waits for each machine. */
   private static final long FAILOVER_MIN_WAIT_MICROS = 2_000_000;
 
-  /** With fewer failed calls, a machine may only not have been called in time. */
+  /** A machine with fewer failed calls may not have been called early enough to answer. */
   private static final int MIN_FAILED_CALLS = 2;
 
   /** Number of lease durations for which machines of a partitioned zone may be silent. */
@@ -95,9 +95,10 @@
 
   /**
    * Returns true for a machine that neither answers calls nor reports to the new leader while most
-   * of its zone has reported. In most cases the machine was preempted shortly before. All inherited
-   * tasks wait for such machines, so they are returned earlier than other silent machines. The
-   * minimum wait exists because a large fleet takes seconds to report to a new leader.
+   * of its zone has reported. In most cases the machine was preempted shortly before. All tasks of
+   * inherited jobs wait for such machines, so these machines are returned earlier than other silent
+   * machines. The minimum wait exists because a large fleet takes seconds to report to a new
+   * leader.
    */
   private boolean delaysFailover(Machine machine, long now) {
     return failover.unaccounted().contains(machine)
--- a/src/main/java/plumlever/leader/progress/ProgressBatch.java
+++ b/src/main/java/plumlever/leader/progress/ProgressBatch.java
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Deletes the record of a job that has ended. The delete needs no guard: nothing that is written
-   * to this record is of use any longer.
+   * Deletes the record of a job that has ended. The delete is not guarded by a revision, because
+   * any later content of the record is useless as well.
    */
   void delete(String key) {
     operationsLeft--;
