--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -23,8 +23,8 @@
 import plumlever.wire.JobState;
 
 /**
- * The jobs that have not ended. They are loaded once from the records that a new leader reads, and
- * then follow the state service by a watch.
+ * Holds the jobs that have not ended. The jobs are loaded once from the records that a new leader
+ * reads; afterwards a watch on the state service keeps them up to date.
  */
 public final class ActiveJobs {
   private static final long WATCH_RETRY_MICROS = 500_000;
@@ -33,26 +33,26 @@
   private final Logger log;
   private final TermContext context;
   private final StartedJobIndex startedJobs;
-  private final Runnable changed;
+  private final Runnable onChange;
   private final Map<String, Job> active = new LinkedHashMap<>();
   private final StoredProgress storedProgress;
   private final DependencyResolver dependencies;
-  private final RenewalLimit limit;
+  private final RenewalLimit renewalLimit;
   private final PrefixWatch watch;
 
   /** When the latest answered read that shows which jobs have ended was sent. */
   private long endsKnownMicros = NEVER_MICROS;
 
   /**
-   * The jobs of one term, none until they are loaded.
+   * Creates an empty view for one term; {@link #load} fills it.
    *
-   * @param changed runs when a job has come, has ended or may start
+   * @param onChange runs when a job is added, ends or may start
    */
-  public ActiveJobs(TermContext context, StartedJobIndex startedJobs, Runnable changed) {
+  public ActiveJobs(TermContext context, StartedJobIndex startedJobs, Runnable onChange) {
     this.context = context;
     this.log = context.logs().of(ActiveJobs.class);
     this.startedJobs = startedJobs;
-    this.changed = changed;
+    this.onChange = onChange;
     Map<String, Job> activeView = Collections.unmodifiableMap(active);
     this.storedProgress = new StoredProgress(context, activeView);
     this.dependencies =
@@ -60,65 +60,70 @@
             context,
             activeView,
             new DependentCancellation(context, uid -> jobEnded(uid, JobState.CANCELLED)),
-            changed);
-    this.limit = new RenewalLimit(context.platform().workers());
+            onChange);
+    this.renewalLimit = new RenewalLimit(context.platform().workers());
     this.watch =
         new PrefixWatch(
             context.loop(),
             context.store(),
             JobStore.ACTIVE,
-            limit::watchMicros,
+            renewalLimit::watchMicros,
             WATCH_RETRY_MICROS,
             new WatchListener());
   }
 
-  /** All active jobs, in the order in which they were found. */
+  /** Returns all active jobs in the order in which they were added. */
   public Collection<Job> all() {
     return active.values();
   }
 
-  /** The job, or null if it is not active. */
+  /** Returns the active job with this id, or null if there is none. */
   public Job get(String uid) {
     return active.get(uid);
   }
 
-  /** The progress records as earlier leaders left them. */
+  /** Returns the progress records that earlier leaders stored. */
   public StoredProgress storedProgress() {
     return storedProgress;
   }
 
   /**
-   * True while a task may be started, or the lease of a machine with tasks renewed. Later, the time
-   * within which a cancellation that this leader does not know of must have stopped all tasks might
-   * expire before the lease does.
+   * Returns true while the leader may start tasks and renew the leases of machines with tasks. Both
+   * are refused once the latest read of ended jobs is too old: a job may have been cancelled since
+   * that read, and the deadline by which its tasks have to be stopped could pass before the
+   * machine's lease expires.
    */
   public boolean mayStartOrRenew() {
-    return limit.mayRenew(context.loop().nowMicros(), endsKnownMicros);
+    return renewalLimit.mayRenew(context.loop().nowMicros(), endsKnownMicros);
   }
 
-  /** When the latest answered read that shows which jobs have ended was sent. */
+  /** Returns when the latest answered read that shows which jobs have ended was sent. */
   public long endsKnownMicros() {
     return endsKnownMicros;
   }
 
-  /** Adds all jobs that the new leader has read, and starts to watch for changes since then. */
+  /**
+   * Adds all jobs that the new leader has read, and watches for changes after the revision of that
+   * read.
+   */
   public void load(RecoveryRead found) {
     endsKnownMicros = found.jobsReadSentMicros();
     StateClient.Listing jobs = found.listing(JobStore.ACTIVE);
     startedJobs.read(found.listing(JobStore.STARTED).items());
     jobs.items().forEach(item -> addJob(item.key(), item.data(), item.revision(), true));
     found.listing(JobStore.PROGRESS).items().forEach(storedProgress::read);
-    startedJobs.loaded(this);
-    dependencies.loaded();
+    startedJobs.loadEntries(this);
+    dependencies.jobsLoaded();
     watch.watchFrom(jobs.storeRevision());
   }
 
   /**
-   * Adds a job unless it is known.
+   * Adds a job unless it is already active.
    *
-   * @param inheritable it was there when the term began, so earlier leaders may have started it
+   * @param existedAtTermStart true if the job existed when the term began, so that earlier leaders
+   *     may have started its tasks
    */
-  private void addJob(String key, JsonNode data, long revision, boolean inheritable) {
+  private void addJob(String key, JsonNode data, long revision, boolean existedAtTermStart) {
     String uid = uidOf(key);
     if (active.containsKey(uid)) {
       return;
@@ -130,17 +135,17 @@
               JobStore.spec(data),
               revision,
               context.loop().nowMicros() - Math.max(0, ageMicros),
-              inheritable && startedJobs.mayHaveStarted(uid));
+              existedAtTermStart && startedJobs.mayHaveStarted(uid));
       active.put(uid, job);
       log.debug(
-          "{} is active: {} tasks of class {}, accepted {} ms ago",
+          "job {} is active: {} tasks of class {}, accepted {} ms ago",
           uid,
           job.spec().taskCount(),
           job.spec().jobClass(),
           ageMicros / 1_000);
       dependencies.add(job, JobStore.dependenciesKeys(uid, data));
     } catch (InvalidMessageException e) {
-      log.error("{} can't be read: {}", key, e.getMessage());
+      log.error("ignoring unreadable job record {}: {}", key, e.getMessage());
     }
   }
 
@@ -148,63 +153,68 @@
     return key.substring(JobStore.ACTIVE.length());
   }
 
-  private void removeJob(String uid, Optional<JobState> endState) {
+  private void removeJob(String uid, Optional<JobState> finalState) {
     Job job = active.remove(uid);
     if (job != null) {
       job.markOver();
       startedJobs.remove(job);
-      log.debug("{} has ended", uid);
+      log.debug("job {} has ended", uid);
     }
-    dependencies.jobEnded(uid, endState);
+    dependencies.jobEnded(uid, finalState);
   }
 
-  /** The job's end is stored; known here before the watch reports it. */
-  public void jobEnded(String uid, JobState endState) {
-    removeJob(uid, Optional.of(endState));
-    changed.run();
+  /**
+   * Removes a job whose final state is stored, without waiting for the watch to report the change.
+   */
+  public void jobEnded(String uid, JobState finalState) {
+    removeJob(uid, Optional.of(finalState));
+    onChange.run();
   }
 
   /**
-   * Another controller has confirmed the cancellation of these jobs: none of their tasks is started
-   * any more, and those that run are stopped.
+   * Marks jobs whose cancellation another controller has confirmed. No further tasks of these jobs
+   * are started, and their running tasks are stopped.
    */
   public void cancellationsConfirmed(Collection<String> uids) {
     for (String uid : uids) {
       Job job = active.get(uid);
       if (job != null && !job.over()) {
         job.confirmCancellation();
-        changed.run();
+        onChange.run();
       }
     }
   }
 
   /**
-   * Sets how the cost of a task is estimated, image included, with which deadlines are propagated
-   * along dependencies.
+   * Sets the function that estimates the cost of a task, including the image download. The
+   * propagation of deadlines to dependencies uses these estimates.
    */
   public void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
     dependencies.useTaskCosts(taskCostMicros);
   }
 
-  /** Estimates the costs of tasks anew, for the next {@link #propagateGoals}. */
+  /** Recomputes the task cost estimates that the next call of {@link #propagateGoals} uses. */
   public void updateTaskCosts() {
     dependencies.updateTaskCosts();
   }
 
-  /** Propagates deadlines and priorities along dependencies; cheap where nothing has changed. */
+  /**
+   * Propagates deadlines and priorities from jobs to their dependencies; cheap if nothing has
+   * changed.
+   */
   public void propagateGoals() {
     dependencies.propagateGoals();
   }
 
-  /** Stops following the records; called once more has no effect. */
+  /** Stops the watch and the dependency resolution. Idempotent. */
   public void close() {
     watch.close();
     dependencies.close();
   }
 
-  /** Applies changes of the job records. */
+  /** Applies the changes of job records that the watch reports. */
   private final class WatchListener implements PrefixWatch.Listener {
-    /** Changes were missed: what is not listed any more has ended. */
+    /** Handles the full listing that follows missed events: jobs that are not listed have ended. */
     @Override
     public void listed(StateClient.Listing listing, long sentMicros) {
       Set<String> listed = new HashSet<>();
@@ -217,7 +227,7 @@
       ended.forEach(uid -> removeJob(uid, Optional.empty()));
       dependencies.resolve();
       endsKnownMicros = sentMicros;
-      changed.run();
+      onChange.run();
     }
 
     @Override
@@ -232,7 +242,7 @@
       }
       if (!changes.isEmpty()) {
         dependencies.resolve();
-        changed.run();
+        onChange.run();
       }
     }
   }
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -17,65 +17,71 @@
 import plumlever.wire.Json;
 
 /**
- * The stored index of jobs of which a leader may have started a task: a job is in it before its
- * first start is sent. So a job that a new leader does not find here was never on any machine, and
- * need not wait until all machines are accounted for. A failover takes seconds, and where a zone is
- * cut off as long as a lease.
+ * The stored index of jobs of which a leader may have started a task. A job is added to the index
+ * before its first start command is sent. A job that a new leader does not find in the index has
+ * therefore never run on any machine, and its tasks need not wait until all machines are accounted
+ * for. That wait takes seconds, or up to a full lease if a zone is partitioned.
  */
 public final class StartedJobIndex {
-  /** The first start of each job waits for this, so little is gathered into one write. */
+  /**
+   * Minimum time between two writes of a record. The time is short, so only few additions share a
+   * write, because the first start of each job waits for the write.
+   */
   private static final long PAUSE_MICROS = 60_000;
 
   private static final String JOBS = "jobs";
   private static final int BASE_BYTES = 32;
 
-  /** A record as it was read. */
-  private record FoundRecord(int number, long revision, List<String> uids) {}
+  /** A record as an earlier leader stored it. */
+  private record StoredRecord(int number, long revision, List<String> uids) {}
 
   private final Logger log;
   private final SharedRecords<Job> records;
-  private final List<FoundRecord> found = new ArrayList<>();
-  private final Set<String> foundUids = new HashSet<>();
+  private final List<StoredRecord> storedRecords = new ArrayList<>();
+  private final Set<String> storedUids = new HashSet<>();
 
   /**
-   * An index that is empty until it is read.
+   * Creates an empty index.
    *
-   * @param recorded runs after jobs have become stored
+   * @param onStored runs after jobs have been stored in the index
    */
-  public StartedJobIndex(TermContext context, Runnable recorded) {
+  public StartedJobIndex(TermContext context, Runnable onStored) {
     this.log = context.logs().of(StartedJobIndex.class);
-    this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, recorded);
+    this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, onStored);
   }
 
   /**
-   * Reads what earlier leaders stored. It was listed after this controller took its term, so nobody
-   * else can add to it.
+   * Reads the records of earlier leaders. The records were listed after this controller had
+   * acquired its term, so no other controller can still add jobs to them.
    */
   void read(List<StateClient.Item> items) {
-    found.clear();
-    foundUids.clear();
+    storedRecords.clear();
+    storedUids.clear();
     for (StateClient.Item item : items) {
       int number = JobStore.sharedRecordNumber(item.key());
       if (number < 0) {
-        log.error("{} is no record of jobs", item.key());
+        log.error("ignoring key {}: not a record of the started-job index", item.key());
         continue;
       }
       List<String> uids = new ArrayList<>();
       item.data().path(JOBS).forEach(uid -> uids.add(uid.asText()));
-      found.add(new FoundRecord(number, item.revision(), uids));
-      foundUids.addAll(uids);
+      storedRecords.add(new StoredRecord(number, item.revision(), uids));
+      storedUids.addAll(uids);
     }
   }
 
-  /** True if an earlier leader may have started a task of it; so for all if there is no record. */
+  /**
+   * Returns true if an earlier leader may have started a task of the job. Without any index record,
+   * this is assumed for every job.
+   */
   boolean mayHaveStarted(String uid) {
-    return found.isEmpty() || foundUids.contains(uid);
+    return storedRecords.isEmpty() || storedUids.contains(uid);
   }
 
-  /** The active jobs are known: those that have ended leave the index. */
-  void loaded(ActiveJobs jobs) {
+  /** Loads the index entries of active jobs; jobs that have ended leave the index. */
+  void loadEntries(ActiveJobs jobs) {
     Map<String, Job> kept = new HashMap<>();
-    for (FoundRecord record : found) {
+    for (StoredRecord record : storedRecords) {
       List<Job> entries = new ArrayList<>();
       for (String uid : record.uids) {
         Job job = jobs.get(uid);
@@ -88,29 +94,29 @@
   }
 
   /**
-   * Has the job stored in the index, since there is capacity for one of its tasks; none is started
-   * until that is done. Not sooner: in a full fleet jobs wait for long, and only those in the index
-   * have to wait through a failover.
+   * Adds the job to the stored index, once there is capacity for one of its tasks. No task is
+   * started until the write is acknowledged. Jobs are not added earlier because jobs wait for a
+   * long time in a full fleet, and only jobs in the index have to wait for the end of a failover.
    */
   public void register(Job job) {
     records.register(job);
   }
 
-  /** The job has ended and leaves the index. */
+  /** Removes a job that has ended from the index. */
   void remove(Job job) {
     records.remove(job);
   }
 
   /**
-   * Writes records that jobs have left.
+   * Rewrites the records from which jobs have been removed.
    *
-   * @return microseconds until this should be called next
+   * @return microseconds until the next call
    */
   public long cleanUp() {
     return records.cleanUp();
   }
 
-  /** Stores nothing more. */
+  /** Stops all writes. */
   public void close() {
     records.close();
   }
--- a/src/main/java/plumlever/leader/machine/CloudInventory.java
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -10,7 +10,7 @@
 import plumlever.wire.ListedMachine;
 import plumlever.wire.MachineType;
 
-/** Reads the cloud's list of machines, and its machine types with their prices, at intervals. */
+/** Periodically reads the cloud's list of machines, and its machine types with their prices. */
 final class CloudInventory {
   private static final double MICROS_PER_SECOND = 1e6;
   private static final long LIST_INTERVAL_MICROS = 6_000_000;
@@ -20,7 +20,7 @@
   private final Fleet fleet;
   private final MachineSharing sharing;
   private final Predicate<String> isReturned;
-  private final Runnable changed;
+  private final Runnable onChange;
   private long listedMicros;
   private long machineTypesReadMicros;
   private boolean listing;
@@ -28,23 +28,24 @@
   private boolean closed;
 
   /**
-   * @param isReturned true for the name of a machine that was returned: the list lags
-   * @param changed runs when something changed that placement depends on
+   * @param isReturned true for the id of a machine that was returned; the cloud's list may still
+   *     contain the machine for some time
+   * @param onChange runs when something changed that placement depends on
    */
   CloudInventory(
       TermContext context,
       Fleet fleet,
       MachineSharing sharing,
       Predicate<String> isReturned,
-      Runnable changed) {
+      Runnable onChange) {
     this.context = context;
     this.fleet = fleet;
     this.sharing = sharing;
     this.isReturned = isReturned;
-    this.changed = changed;
+    this.onChange = onChange;
   }
 
-  /** Reads what is due. */
+  /** Starts the reads that are due. */
   void refresh(long now) {
     if (!listing && now - listedMicros >= LIST_INTERVAL_MICROS) {
       listing = true;
@@ -65,7 +66,7 @@
     machineTypesReadMicros = context.loop().nowMicros();
     context.prices().update(machineTypes.get());
     if (first) {
-      changed.run();
+      onChange.run();
     }
   }
 
@@ -102,7 +103,7 @@
     machine.recordListing(listed.failed());
   }
 
-  /** Takes no more machines in. */
+  /** Ignores machine lists that arrive later. */
   void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -11,25 +11,26 @@
 import plumlever.leader.scheduling.SchedulingPass;
 
 /**
- * Looks after the machines of one term at short intervals: learns what the cloud has, ends expired
- * leases, returns what is gone or not needed, and rents what is lacking.
+ * Manages the machines of one term at short intervals: reads the inventory of the cloud, ends
+ * expired leases, returns machines that are gone or not needed, and rents machines that are
+ * lacking.
  */
 public final class MachineManager {
   private static final long INTERVAL_MICROS = 500_000;
 
-  /** Pause while this leader may not act. */
+  /** Pause between cycles while the leader has no right to act. */
   private static final long INACTIVE_INTERVAL_MICROS = 200_000;
 
-  /** How long a leader that steps down leaves leadership to others. */
-  private static final long STEP_DOWN_MICROS = 10_000_000;
+  /** How long a leader that resigns stays out of the election. */
+  private static final long RESIGNATION_PAUSE_MICROS = 10_000_000;
 
   private final TermContext context;
   private final Fleet fleet;
   private final SchedulingPass pass;
-  private final MachineSilence silence;
+  private final FailureDetector failureDetector;
   private final CloudInventory inventory;
   private final PartitionProbes probes;
-  private final LeaseExpiry leases;
+  private final LeaseExpiry leaseExpiry;
   private final ReturnPolicy returnPolicy;
   private final MachineReturns returns;
   private final MachineRentals rentals;
@@ -37,9 +38,9 @@
   private boolean closed;
 
   /**
-   * Manages the machines of one term.
+   * Creates the manager of one term.
    *
-   * @param changed runs when something changed that placement depends on
+   * @param onChange runs when something changed that placement depends on
    */
   public MachineManager(
       TermContext context,
@@ -51,17 +52,19 @@
       RenewalDelegation delegation,
       Failover failover,
       MachineSharing sharing,
-      Runnable changed) {
+      Runnable onChange) {
     this.context = context;
     this.fleet = fleet;
     this.pass = pass;
-    this.silence = new MachineSilence(context, fleet, failover);
-    this.probes = new PartitionProbes(fleet, failover, silence, commands, delegation);
-    this.leases = new LeaseExpiry(context, heartbeats, delegation, failover, sharing, changed);
-    this.returnPolicy = new ReturnPolicy(context, pass, failover, delegation, sharing, silence);
+    this.failureDetector = new FailureDetector(context, fleet, failover);
+    this.probes = new PartitionProbes(fleet, failover, failureDetector, commands, delegation);
+    this.leaseExpiry =
+        new LeaseExpiry(context, heartbeats, delegation, failover, sharing, onChange);
+    this.returnPolicy =
+        new ReturnPolicy(context, pass, failover, delegation, sharing, failureDetector);
     this.returns =
-        new MachineReturns(context, fleet, registry, heartbeats, failover, sharing, changed);
-    this.inventory = new CloudInventory(context, fleet, sharing, returns::isReturned, changed);
+        new MachineReturns(context, fleet, registry, heartbeats, failover, sharing, onChange);
+    this.inventory = new CloudInventory(context, fleet, sharing, returns::isReturned, onChange);
     this.rentals =
         new MachineRentals(
             context,
@@ -70,20 +73,20 @@
             failover,
             sharing,
             returns::isReturned,
-            silence::isPartitioned,
-            changed);
-    this.sizing = new FleetSizing(context, fleet, pass, failover, rentals, changed);
+            failureDetector::isPartitioned,
+            onChange);
+    this.sizing = new FleetSizing(context, fleet, pass, failover, rentals, onChange);
   }
 
-  /** True for a machine that this leader has returned to the cloud. */
+  /** Returns true for a machine that this leader has returned to the cloud. */
   public boolean isReturned(String machineId) {
     return returns.isReturned(machineId);
   }
 
   /**
-   * Looks after all machines once.
+   * Runs one management cycle.
    *
-   * @return the pause until the next time, in microseconds
+   * @return microseconds until the next cycle
    */
   public long runOnce() {
     if (closed || !context.term().mayAct()) {
@@ -96,17 +99,20 @@
   }
 
   private void manage(long now) {
-    silence.recordLateness(now);
+    failureDetector.recordLateness(now);
     inventory.refresh(now);
-    silence.countMachines(now);
-    if (silence.lostItsWorkers()) {
+    failureDetector.countMachines(now);
+    if (failureDetector.isCutOffFromWorkers()) {
       context
           .election()
-          .resign(context.term(), "its workers report to other controllers", STEP_DOWN_MICROS);
+          .resign(
+              context.term(),
+              "most workers are silent here and many report to other controllers",
+              RESIGNATION_PAUSE_MICROS);
     } else {
       checkMachines(now);
     }
-    // Whoever is told of a change may have closed this leader meanwhile.
+    // A callback for a change may have closed this leader in the meantime.
     if (closed) {
       return;
     }
@@ -118,11 +124,11 @@
   }
 
   private void checkMachines(long now) {
-    silence.updatePartitionedZones(now);
+    failureDetector.updatePartitionedZones(now);
     probes.probe(now);
     boolean scarce = !pass.demands().isEmpty() && rentals.anyUnavailable(now);
     for (Machine machine : fleet.machines()) {
-      leases.endIfExpired(machine, now);
+      leaseExpiry.endIfExpired(machine, now);
       if (!machine.returning()) {
         returnPolicy
             .reasonToReturn(machine, scarce, now)
@@ -131,7 +137,7 @@
     }
   }
 
-  /** Takes no further action, also on answers that are on their way. */
+  /** Takes no further action, including on answers in flight. */
   public void close() {
     closed = true;
     inventory.close();
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -19,8 +19,8 @@
 import plumlever.wire.MachineType;
 
 /**
- * Rents machines for tasks that wait for one. A request whose outcome is unknown is repeated with
- * the same id until it is known.
+ * Rents machines for waiting tasks. A request whose outcome is unknown is repeated with the same id
+ * until the outcome is known, so that no machine is rented twice.
  */
 final class MachineRentals {
   private static final long NO_CAPACITY_PAUSE_MICROS = 12_000_000;
@@ -28,16 +28,16 @@
   private static final int MAX_MACHINES_PER_PLAN = 300;
   private static final int MAX_OPEN_REQUESTS = 6;
 
-  /** A request whose outcome is not known. */
+  /** A request whose outcome is not known yet. */
   private static final class OpenRequest {
     private final RentalRequest request;
-    private final RentalPlan.RentalOption kind;
+    private final RentalPlan.RentalOption option;
     private boolean inFlight;
     private long retryMicros;
 
-    OpenRequest(RentalRequest request, RentalPlan.RentalOption kind) {
+    OpenRequest(RentalRequest request, RentalPlan.RentalOption option) {
       this.request = request;
-      this.kind = kind;
+      this.option = option;
     }
   }
 
@@ -49,7 +49,7 @@
   private final MachineSharing sharing;
   private final Predicate<String> isReturned;
   private final Predicate<String> isPartitioned;
-  private final Runnable changed;
+  private final Runnable onChange;
   private final RentalPlan plan;
   private final Map<RentalPlan.RentalOption, Long> unavailableUntilMicros = new HashMap<>();
   private final List<OpenRequest> openRequests = new ArrayList<>();
@@ -57,9 +57,9 @@
   private long capacityAddedMicros = -1;
 
   /**
-   * @param isReturned true for the name of a machine that was returned
-   * @param isCut true for a zone that seems to be partitioned: nothing is rented there
-   * @param changed runs when something changed that placement depends on
+   * @param isReturned true for the id of a machine that was returned
+   * @param isPartitioned true for a zone that seems to be partitioned; no machines are rented there
+   * @param onChange runs when something changed that placement depends on
    */
   MachineRentals(
       TermContext context,
@@ -69,7 +69,7 @@
       MachineSharing sharing,
       Predicate<String> isReturned,
       Predicate<String> isPartitioned,
-      Runnable changed) {
+      Runnable onChange) {
     this.context = context;
     this.log = context.logs().of(MachineRentals.class);
     this.fleet = fleet;
@@ -78,21 +78,24 @@
     this.sharing = sharing;
     this.isReturned = isReturned;
     this.isPartitioned = isPartitioned;
-    this.changed = changed;
+    this.onChange = onChange;
     this.plan = new RentalPlan(context.prices(), context.moneyMatters());
   }
 
-  /** True while the cloud has no more of some kind of machine, as far as is known. */
+  /** Returns true while at least one rental option is known to be unavailable. */
   boolean anyUnavailable(long now) {
     return unavailableUntilMicros.values().stream().anyMatch(until -> until > now);
   }
 
-  /** Capacity was added: it may serve demands that were found before. */
+  /** Records that capacity was added, which may serve demands that were found earlier. */
   void recordAddedCapacity(long now) {
     capacityAddedMicros = now;
   }
 
-  /** Repeats requests whose outcome is unknown, and rents what the last pass lacked. */
+  /**
+   * Repeats requests whose outcome is unknown, and rents machines for the demands of the last
+   * scheduling pass.
+   */
   void rent(long now) {
     for (OpenRequest open : new ArrayList<>(openRequests)) {
       if (!open.inFlight && now >= open.retryMicros) {
@@ -105,7 +108,9 @@
   }
 
   /**
-   * Demands found before capacity was added last may be served by it: no machine is rented twice.
+   * Returns true if machines may be rented for the demands of the last scheduling pass. Demands
+   * found before capacity was last added may be served by that capacity, so no machines are rented
+   * for them.
    */
   private boolean mayRentMore(long now) {
     return context.prices().isLoaded()
@@ -116,56 +121,63 @@
 
   private void rentPlanned(long now) {
     List<RentalPlan.RentalRequest> rentals =
-        plan.plan(pass.demands(), coming(), kind -> isAvailable(kind, now), MAX_MACHINES_PER_PLAN);
+        plan.plan(
+            pass.demands(),
+            incomingCapacity(),
+            option -> isAvailable(option, now),
+            MAX_MACHINES_PER_PLAN);
     for (RentalPlan.RentalRequest rental : rentals) {
       if (openRequests.size() >= MAX_OPEN_REQUESTS) {
         return;
       }
-      OpenRequest open = new OpenRequest(request(rental), rental.option());
+      OpenRequest open = new OpenRequest(newRequest(rental), rental.option());
       openRequests.add(open);
       send(open);
     }
   }
 
-  private boolean isAvailable(RentalPlan.RentalOption kind, long now) {
-    return now >= unavailableUntilMicros.getOrDefault(kind, 0L) && !isPartitioned.test(kind.zone());
+  private boolean isAvailable(RentalPlan.RentalOption option, long now) {
+    return now >= unavailableUntilMicros.getOrDefault(option, 0L)
+        && !isPartitioned.test(option.zone());
   }
 
   /**
-   * Capacity of machines that are not known by name yet; booting machines are part of the fleet
-   * already.
+   * Returns the capacity of requested machines, whose ids are not known yet, and of machines that
+   * are being transferred to this shard. Booting machines are already part of the fleet.
    */
-  private List<RentalPlan.IncomingMachine> coming() {
-    List<RentalPlan.IncomingMachine> coming = new ArrayList<>();
+  private List<RentalPlan.IncomingMachine> incomingCapacity() {
+    List<RentalPlan.IncomingMachine> incomingCapacity = new ArrayList<>();
     for (OpenRequest open : openRequests) {
-      addComing(open.kind, open.request.count(), coming);
+      addIncoming(open.option, open.request.count(), incomingCapacity);
     }
-    for (RentalPlan.RentalOption kind : sharing.incomingMachines()) {
-      addComing(kind, 1, coming);
+    for (RentalPlan.RentalOption option : sharing.incomingMachines()) {
+      addIncoming(option, 1, incomingCapacity);
     }
-    return coming;
+    return incomingCapacity;
   }
 
-  private void addComing(
-      RentalPlan.RentalOption kind, int count, List<RentalPlan.IncomingMachine> coming) {
-    MachineType machineType = context.prices().machineType(kind.machineType());
+  private void addIncoming(
+      RentalPlan.RentalOption option,
+      int count,
+      List<RentalPlan.IncomingMachine> incomingCapacity) {
+    MachineType machineType = context.prices().machineType(option.machineType());
     if (machineType == null) {
       return;
     }
     for (int i = 0; i < count; i++) {
-      coming.add(new RentalPlan.IncomingMachine(kind, machineType));
+      incomingCapacity.add(new RentalPlan.IncomingMachine(option, machineType));
     }
   }
 
-  /** The id is unique over all terms. */
-  private RentalRequest request(RentalPlan.RentalRequest rental) {
+  /** Creates a request whose id is unique across all terms. */
+  private RentalRequest newRequest(RentalPlan.RentalRequest rental) {
     requestCounter++;
-    RentalPlan.RentalOption kind = rental.option();
+    RentalPlan.RentalOption option = rental.option();
     return new RentalRequest(
         "r-" + context.term().number() + "-" + requestCounter,
-        kind.machineType(),
-        kind.zone(),
-        kind.spot(),
+        option.machineType(),
+        option.zone(),
+        option.spot(),
         Math.min(rental.count(), CloudClient.MAX_MACHINES_PER_RENTAL));
   }
 
@@ -187,11 +199,11 @@
       }
       case NO_CAPACITY -> {
         openRequests.remove(open);
-        unavailableUntilMicros.put(open.kind, now + NO_CAPACITY_PAUSE_MICROS);
+        unavailableUntilMicros.put(open.option, now + NO_CAPACITY_PAUSE_MICROS);
       }
       case REFUSED -> {
         openRequests.remove(open);
-        unavailableUntilMicros.put(open.kind, now + RETRY_PAUSE_MICROS);
+        unavailableUntilMicros.put(open.option, now + RETRY_PAUSE_MICROS);
       }
       case UNKNOWN -> open.retryMicros = now + RETRY_PAUSE_MICROS;
     }
@@ -200,10 +212,10 @@
   private void addRented(OpenRequest open, List<String> machineIds, long now) {
     RentalRequest request = open.request;
     if (machineIds.size() < request.count()) {
-      unavailableUntilMicros.put(open.kind, now + NO_CAPACITY_PAUSE_MICROS);
+      unavailableUntilMicros.put(open.option, now + NO_CAPACITY_PAUSE_MICROS);
     }
     log.info(
-        "rented {} of {} {} in {}{}",
+        "rented {} of {} requested machines of type {} in zone {}{}",
         machineIds.size(),
         request.count(),
         request.machineType(),
@@ -211,14 +223,15 @@
         request.spot() ? ", spot" : "");
     context.metrics().count("machines_rented", machineIds.size());
     capacityAddedMicros = now;
-    changed.run();
-    sharing.claimRented(machineIds, machineId -> addMachine(machineId, open.kind, now));
+    onChange.run();
+    sharing.claimRented(machineIds, machineId -> addMachine(machineId, open.option, now));
   }
 
-  private void addMachine(String machineId, RentalPlan.RentalOption kind, long rentedMicros) {
+  private void addMachine(String machineId, RentalPlan.RentalOption option, long rentedMicros) {
     if (fleet.machine(machineId) == null && !isReturned.test(machineId)) {
       fleet.add(
-          new Machine(machineId, null, kind.machineType(), kind.zone(), kind.spot(), rentedMicros));
+          new Machine(
+              machineId, null, option.machineType(), option.zone(), option.spot(), rentedMicros));
     }
   }
 }
--- a/src/main/java/plumlever/leader/machine/PartitionProbes.java
+++ b/src/main/java/plumlever/leader/machine/PartitionProbes.java
@@ -11,52 +11,56 @@
 import plumlever.leader.scheduling.CommandSender;
 
 /**
- * Calls machines of zones that seem to be partitioned. Where a zone can't be reached from here but
- * from another controller, that one may renew the leases. Some machines of the zone are called all
- * the time: the first that answers ends the delegation, since workers stay with whoever answers.
+ * Calls machines of zones that seem to be partitioned. If this leader cannot reach a zone but
+ * another controller can, the other controller may renew the leases of the zone. Some machines of
+ * the zone are called continuously, because workers keep reporting to the controller that answers
+ * them; the first machine that answers the leader ends the delegation.
  */
 final class PartitionProbes {
-  /** A machine that has reported within this time can be reached. */
-  private static final long REACHED_MICROS = 1_500_000;
+  /** A machine that has reported within this time counts as reachable. */
+  private static final long REACHABLE_MICROS = 1_500_000;
 
   private static final int CALLS_PER_ZONE = 3;
 
   private final Fleet fleet;
   private final Failover failover;
-  private final MachineSilence silence;
+  private final FailureDetector failureDetector;
   private final CommandSender commands;
   private final RenewalDelegation delegation;
 
   PartitionProbes(
       Fleet fleet,
       Failover failover,
-      MachineSilence silence,
+      FailureDetector failureDetector,
       CommandSender commands,
       RenewalDelegation delegation) {
     this.fleet = fleet;
     this.failover = failover;
-    this.silence = silence;
+    this.failureDetector = failureDetector;
     this.commands = commands;
     this.delegation = delegation;
   }
 
-  /** Calls machines, and asks for delegation of the zones in which none can be reached. */
+  /**
+   * Calls machines of partitioned zones, and requests delegation for the zones in which no machine
+   * can be reached.
+   */
   void probe(long now) {
-    Set<String> unreachedZones = new HashSet<>();
+    Set<String> unreachableZones = new HashSet<>();
     if (failover.isComplete()) {
-      unreachedZones.addAll(silence.partitionedZones());
+      unreachableZones.addAll(failureDetector.partitionedZones());
     }
     Map<String, Integer> calls = new HashMap<>();
     for (Machine machine : fleet.machines()) {
-      if (!machine.contact().hasReported() || !silence.isPartitioned(machine.zone())) {
+      if (!machine.contact().hasReported() || !failureDetector.isPartitioned(machine.zone())) {
         continue;
       }
-      if (now - machine.contact().lastSeenMicros() < REACHED_MICROS) {
-        unreachedZones.remove(machine.zone());
+      if (now - machine.contact().lastSeenMicros() < REACHABLE_MICROS) {
+        unreachableZones.remove(machine.zone());
       } else if (calls.merge(machine.zone(), 1, Integer::sum) <= CALLS_PER_ZONE) {
         commands.probe(machine);
       }
     }
-    delegation.updateUnreachableZones(unreachedZones);
+    delegation.updateUnreachableZones(unreachableZones);
   }
 }
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -11,13 +11,14 @@
 import plumlever.store.Transaction;
 
 /**
- * Stores finished tasks in batches, and the end of a job at once. Small jobs share records, since
- * the state service limits changes most. Losing stored progress is safe: a completed task that is
- * started again ends at once. Still each record is guarded by its own revision, so that a write
- * that is executed late undoes nothing, and there is one write at a time.
+ * Stores finished tasks in batches, and the final state of a job immediately. Small jobs share
+ * records because the limit on changes is the tightest limit of the state service. Losing stored
+ * progress is safe: a completed task that is started again ends immediately. Nevertheless each
+ * record is guarded by its own revision, so that a delayed write cannot overwrite a newer one, and
+ * only one write is in flight at a time.
  */
 public final class ProgressWriter {
-  /** While more has to be written the pause between writes is shorter by this factor. */
+  /** The pause between writes is divided by this factor while more records have to be written. */
   private static final int BACKLOG_SPEED_UP = 8;
 
   private final TermContext context;
@@ -27,13 +28,13 @@
   private final LargeJobChunks largeJobs;
   private final JobCompletion completion;
 
-  /** Records of jobs that have ended, to be dropped. */
+  /** Keys of records to be deleted because their job has ended. */
   private final ArrayDeque<String> orphanedKeys = new ArrayDeque<>();
 
   private boolean writing;
   private boolean closed;
 
-  /** Writes the progress of these jobs. */
+  /** Creates a writer for the progress of these jobs. */
   public ProgressWriter(TermContext context, ActiveJobs jobs) {
     this.context = context;
     this.jobs = jobs;
@@ -44,9 +45,9 @@
   }
 
   /**
-   * Takes over the records as earlier leaders left them. Jobs that an earlier limit let share one
-   * record may not fit it any more: these are written to others, and until then the record stays as
-   * it is.
+   * Adopts the records that earlier leaders stored. If the value size limit has decreased, a shared
+   * record may no longer hold all of its jobs. The jobs that do not fit are written to other
+   * records; the old record stays unchanged until then.
    */
   public void takeOverStoredProgress() {
     StoredProgress found = jobs.storedProgress();
@@ -56,7 +57,7 @@
         .forEach(
             (job, chunks) -> {
               revisions.putAll(chunks);
-              largeJobs.takeOver(job, chunks.keySet());
+              largeJobs.adopt(job, chunks.keySet());
             });
     orphanedKeys.addAll(found.orphanedKeys());
     List<Job> oversized = new ArrayList<>();
@@ -64,29 +65,35 @@
         .sharedChunkNumbers()
         .forEach(
             (job, number) -> {
-              if (!sharedChunks.takeOver(job, number)) {
+              if (!sharedChunks.adopt(job, number)) {
                 oversized.add(job);
               }
             });
     oversized.forEach(this::assign);
   }
 
-  /** Has all the job's finished tasks written, in a shared record if it is small enough. */
+  /**
+   * Schedules all finished tasks of the job to be written, in a shared record if the job is small
+   * enough.
+   */
   private void assign(Job job) {
-    if (sharedChunks.mayHold(job)) {
+    if (sharedChunks.canShare(job)) {
       sharedChunks.add(job);
     } else {
       largeJobs.markAllDirty(job);
     }
   }
 
-  /** Has the finished task stored with the next write, or the job's end if it was the last. */
+  /**
+   * Schedules a finished task for the next write, or stores the job's final state if this was the
+   * last task.
+   */
   public void taskDone(Job job, int task) {
     if (job.complete()) {
       largeJobs.markComplete(job);
       completion.complete(job);
     } else if (!sharedChunks.markDirty(job)) {
-      if (sharedChunks.mayHold(job)) {
+      if (sharedChunks.canShare(job)) {
         sharedChunks.add(job);
       } else {
         largeJobs.markDirty(job, task);
@@ -95,25 +102,25 @@
   }
 
   /**
-   * Writes as much as one transaction takes, the oldest first.
+   * Writes as much as fits into one transaction, oldest changes first.
    *
-   * @return microseconds until this should be called next
+   * @return microseconds until the next call
    */
   public long write() {
     long pauseMicros = context.parameters().progressPauseMicros();
     removeEnded();
-    fitLimits();
+    enforceValueLimits();
     if (writing || closed) {
       return pauseMicros;
     }
-    ProgressWrite write = new ProgressWrite(context, revisions);
-    sharedChunks.addTo(write);
-    largeJobs.addTo(write);
-    dropOrphaned(write);
-    if (write.isEmpty()) {
+    ProgressBatch batch = new ProgressBatch(context, revisions);
+    sharedChunks.addTo(batch);
+    largeJobs.addTo(batch);
+    deleteOrphaned(batch);
+    if (batch.isEmpty()) {
       return pauseMicros;
     }
-    send(write);
+    send(batch);
     return hasBacklog() ? pauseMicros / BACKLOG_SPEED_UP : pauseMicros;
   }
 
@@ -122,42 +129,42 @@
     sharedChunks.removeEnded();
   }
 
-  /** Limits may have fallen: records that would be too large now are divided. */
-  private void fitLimits() {
-    largeJobs.fitLimit();
+  /** Splits records that exceed the value size limit, which may have decreased. */
+  private void enforceValueLimits() {
+    largeJobs.enforceValueLimit();
     sharedChunks.splitOversized(this::assign);
   }
 
-  private void dropOrphaned(ProgressWrite write) {
-    List<String> dropped = new ArrayList<>();
-    while (write.mayDrop() && !orphanedKeys.isEmpty()) {
+  private void deleteOrphaned(ProgressBatch batch) {
+    List<String> deleted = new ArrayList<>();
+    while (batch.canDelete() && !orphanedKeys.isEmpty()) {
       String key = orphanedKeys.poll();
-      dropped.add(key);
-      write.drop(key);
+      deleted.add(key);
+      batch.delete(key);
     }
-    write.onFailure(() -> orphanedKeys.addAll(dropped));
+    batch.onFailure(() -> orphanedKeys.addAll(deleted));
   }
 
-  private void send(ProgressWrite write) {
+  private void send(ProgressBatch batch) {
     writing = true;
     context
         .store()
         .transaction(
-            write.transaction(),
+            batch.transaction(),
             StateClient.RequestPriority.ORDINARY,
             result -> {
               if (result.applied()) {
-                write.applied(result.revision());
+                batch.applied(result.revision());
                 writing = false;
                 return;
               }
-              write.failed();
+              batch.failed();
               if (result.outcome() == Transaction.Outcome.REFUSED) {
                 writing = false;
               } else {
-                // It may have been executed, or may be yet: the next write is guarded by what is
-                // there now.
-                revisions.refresh(write.keys(), () -> writing = false);
+                // The transaction may have been executed or may still be executed. The next write
+                // is guarded by the revisions that are stored now.
+                revisions.refresh(batch.keys(), () -> writing = false);
               }
             });
   }
@@ -166,7 +173,7 @@
     return largeJobs.isDirty() || !orphanedKeys.isEmpty() || sharedChunks.isDirty();
   }
 
-  /** Stops writing; what is not stored is found out by the next leader. */
+  /** Stops all writes. The next leader has to determine any progress that is not stored. */
   public void close() {
     closed = true;
     revisions.close();
--- a/src/test/java/plumlever/leader/failover/WarmStateCodecTest.java
+++ b/src/test/java/plumlever/leader/failover/WarmStateCodecTest.java
@@ -13,7 +13,10 @@
 import plumlever.fleet.RunTimeEstimates;
 import plumlever.wire.Json;
 
-/** What the next leader learns from the stored warm state. */
+/**
+ * Tests that the next leader can restore image caches and estimates from the stored warm state,
+ * including warm state that is split over several values.
+ */
 final class WarmStateCodecTest {
   private static final int LARGE_VALUE_BYTES = 16 * 1024;
   private static final int SMALL_VALUE_BYTES = 1024;
@@ -27,7 +30,10 @@
     return fleet;
   }
 
-  /** A fleet in which each machine has an image of its own and one that all share. */
+  /**
+   * Returns a fleet in which each machine has one image of its own and one image that all machines
+   * share.
+   */
   private static Fleet fleetWithImages(int machines) {
     Fleet fleet = fleet(machines);
     int number = 0;
@@ -48,7 +54,7 @@
   }
 
   @Test
-  void theNextLeaderKnowsWhichMachineHasWhichImage() {
+  void imageCachesAreRestored() {
     Fleet next = fleet(MACHINES);
 
     read(write(fleetWithImages(MACHINES), LARGE_VALUE_BYTES), next);
@@ -57,7 +63,7 @@
   }
 
   @Test
-  void theNextLeaderKnowsTheEstimates() {
+  void estimatesAreRestored() {
     RunTimeEstimates estimates = new RunTimeEstimates();
     estimates.adoptRatio("train", 1.5);
     RunTimeEstimates next = new RunTimeEstimates();
@@ -69,18 +75,18 @@
   }
 
   @Test
-  void noValueIsLargerThanTheLimit() {
+  void noValueExceedsTheLimit() {
     List<ObjectNode> values = write(fleetWithImages(MACHINES), SMALL_VALUE_BYTES);
 
     assertTrue(values.size() > 1);
     for (ObjectNode value : values) {
       int bytes = Json.write(value).getBytes(StandardCharsets.UTF_8).length;
-      assertTrue(bytes <= SMALL_VALUE_BYTES, "a value of " + bytes + " bytes");
+      assertTrue(bytes <= SMALL_VALUE_BYTES, "a value of " + bytes + " bytes exceeds the limit");
     }
   }
 
   @Test
-  void nothingIsLostWhenTheStateTakesSeveralValues() {
+  void stateSplitOverSeveralValuesIsRestoredInFull() {
     Fleet next = fleet(MACHINES);
 
     read(write(fleetWithImages(MACHINES), SMALL_VALUE_BYTES), next);
@@ -91,7 +97,7 @@
   }
 
   @Test
-  void machinesThatAreGoneAreIgnored() {
+  void machinesMissingFromTheFleetAreIgnored() {
     Fleet next = fleet(1);
 
     read(write(fleetWithImages(2), LARGE_VALUE_BYTES), next);
--- a/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
+++ b/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
@@ -15,7 +15,9 @@
 import plumlever.store.JobStore;
 import plumlever.wire.JobSpec;
 
-/** Progress records when the state service takes smaller values than before. */
+/**
+ * Tests how progress records are divided after the state service has lowered its value size limit.
+ */
 final class ProgressLimitsTest {
   private static final int SMALL_JOBS = 40;
   private static final int SMALL_JOB_TASKS = 600;
@@ -38,10 +40,10 @@
     return jobs;
   }
 
-  private void limitFalls() {
+  private void lowerValueLimit() {
     int before = context.layout().valueBytes();
     services.refuseValueOf(ContextFixture.VALUE_BYTES / 2);
-    assertNotEquals(before, context.layout().valueBytes(), "the limit has fallen");
+    assertNotEquals(before, context.layout().valueBytes(), "the limit must have changed");
   }
 
   private static int sizeOf(List<Job> jobs) {
@@ -49,9 +51,9 @@
   }
 
   @Test
-  void aSharedChunkThatFitsKeepsItsJobs() {
+  void sharedChunkWithinTheLimitKeepsItsJobs() {
     SharedChunks chunks = new SharedChunks(context);
-    smallJobs().forEach(job -> assertTrue(chunks.takeOver(job, 0)));
+    smallJobs().forEach(job -> assertTrue(chunks.adopt(job, 0)));
     List<Job> removed = new ArrayList<>();
 
     chunks.splitOversized(removed::add);
@@ -61,11 +63,11 @@
   }
 
   @Test
-  void jobsLeaveASharedChunkThatIsTooLarge() {
+  void oversizedSharedChunkIsSplit() {
     SharedChunks chunks = new SharedChunks(context);
     List<Job> kept = smallJobs();
-    kept.forEach(job -> assertTrue(chunks.takeOver(job, 0)));
-    limitFalls();
+    kept.forEach(job -> assertTrue(chunks.adopt(job, 0)));
+    lowerValueLimit();
     List<Job> removed = new ArrayList<>();
 
     chunks.splitOversized(removed::add);
@@ -73,47 +75,47 @@
     kept.removeAll(removed);
     assertFalse(removed.isEmpty());
     assertTrue(sizeOf(kept) <= context.layout().sharedChunkBytes());
-    assertTrue(kept.stream().allMatch(chunks::markDirty), "those that fit stay");
-    assertTrue(removed.stream().noneMatch(chunks::markDirty), "the others have no place");
+    assertTrue(kept.stream().allMatch(chunks::markDirty), "jobs that fit stay in the chunk");
+    assertTrue(removed.stream().noneMatch(chunks::markDirty), "removed jobs are in no chunk");
   }
 
   @Test
-  void jobsThatDoNotFitTheirFormerChunkAreNotTakenOver() {
+  void jobsThatExceedALoweredLimitAreNotAdopted() {
     SharedChunks chunks = new SharedChunks(context);
-    limitFalls();
-    List<Job> taken = new ArrayList<>();
+    lowerValueLimit();
+    List<Job> adopted = new ArrayList<>();
 
     for (Job job : smallJobs()) {
-      if (chunks.takeOver(job, 0)) {
-        taken.add(job);
+      if (chunks.adopt(job, 0)) {
+        adopted.add(job);
       }
     }
 
-    assertTrue(taken.size() < SMALL_JOBS);
-    assertTrue(sizeOf(taken) <= context.layout().sharedChunkBytes());
+    assertTrue(adopted.size() < SMALL_JOBS);
+    assertTrue(sizeOf(adopted) <= context.layout().sharedChunkBytes());
   }
 
   @Test
-  void storedChunksOfALargeJobAreNotWrittenAgain() {
+  void storedChunksOfALargeJobAreNotRewritten() {
     LargeJobChunks chunks = new LargeJobChunks(context);
     Job job = job(1, LARGE_JOB_TASKS);
     job.markCompleted(LARGE_JOB_TASKS - 1);
-    chunks.takeOver(job, List.of(JobStore.progressKey(job.uid(), 0)));
+    chunks.adopt(job, List.of(JobStore.progressKey(job.uid(), 0)));
 
-    chunks.fitLimit();
+    chunks.enforceValueLimit();
 
     assertFalse(chunks.isDirty());
   }
 
   @Test
-  void chunksOfALargeJobAreCutAnewWhenTheLimitFalls() {
+  void loweredLimitSplitsChunksOfALargeJob() {
     LargeJobChunks chunks = new LargeJobChunks(context);
     Job job = job(1, LARGE_JOB_TASKS);
     job.markCompleted(LARGE_JOB_TASKS - 1);
-    chunks.takeOver(job, List.of(JobStore.progressKey(job.uid(), 0)));
-    limitFalls();
+    chunks.adopt(job, List.of(JobStore.progressKey(job.uid(), 0)));
+    lowerValueLimit();
 
-    chunks.fitLimit();
+    chunks.enforceValueLimit();
 
     assertTrue(chunks.isDirty());
   }
