--- a/src/main/java/plumlever/store/DependencyListRecords.java
+++ b/src/main/java/plumlever/store/DependencyListRecords.java
@@ -13,34 +13,34 @@
 import plumlever.wire.Json;
 
 /**
- * Lists of the jobs that a job depends on, where they do not fit its record: each is cut up into
- * parts, the first of which is its anchor.
+ * The stored format of dependency lists that do not fit the active record of their job. A list is
+ * split into parts; the first part is the anchor of the list.
  */
 final class DependencyListRecords {
   private static final String UIDS = "names";
   private static final int DIGEST_LETTERS = 24;
 
-  /** What the JSON round a part takes. */
+  /** The bytes of the JSON around the entries of a part. */
   private static final int PART_BASE_BYTES = 32;
 
-  /** What the JSON round a job's id takes: quotes and a comma. */
+  /** The bytes of the JSON around a job id: two quotes and a comma. */
   private static final int UID_BASE_BYTES = 3;
 
   private DependencyListRecords() {}
 
-  /** The prefix of the keys of a list's parts. */
+  /** Returns the key prefix of the parts of a list. */
   static String prefix(String uid, String digest) {
     return RecordKeys.DEPENDENCIES + uid + "/" + digest + "/";
   }
 
-  /** The prefix of the list that a part belongs to. */
+  /** Returns the key prefix of the list that the given part belongs to. */
   static String prefixOfPart(String key) {
     return key.substring(0, key.lastIndexOf('/') + 1);
   }
 
   /**
-   * Names a list by what it holds and how it is cut up: whoever stores the same list the same way
-   * stores the same values.
+   * Returns a digest of the entries of a list and of the value size by which the list is split. Two
+   * controllers that store the same list with the same value size therefore write identical values.
    */
   static String digest(List<String> uids, int maxValueBytes) {
     return Hashing.sha256()
@@ -49,7 +49,7 @@
         .substring(0, DIGEST_LETTERS);
   }
 
-  /** The parts of a list by key, the anchor first. */
+  /** Splits a list into parts, by key, anchor first. */
   static Map<String, ObjectNode> parts(String prefix, List<String> uids, int maxValueBytes) {
     Map<String, ObjectNode> parts = new LinkedHashMap<>();
     ArrayNode part = null;
@@ -68,14 +68,16 @@
     return parts;
   }
 
-  /** The jobs that a part names. */
+  /** Returns the jobs named by a part. */
   static List<String> uids(JsonNode part) {
     List<String> uids = new ArrayList<>();
     part.path(UIDS).forEach(uid -> uids.add(uid.asText()));
     return uids;
   }
 
-  /** Which list a key belongs to; nothing for a key that is no part of one. */
+  /**
+   * Returns the list that the key belongs to; empty if the key is not part of a dependency list.
+   */
   static Optional<JobStore.DependencyListId> listOf(String key) {
     int uidBegin = RecordKeys.DEPENDENCIES.length();
     int uidEnd = key.indexOf('/', uidBegin);
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -11,31 +11,31 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Stores the list of jobs that a job depends on where it does not fit the job's own record. Lists
- * are cut up into values that are named by their content, so a submission that is repeated goes on
- * where the last attempt stopped.
+ * Stores dependency lists that do not fit the active record of their job. A list is split into
+ * values whose keys contain a digest of the list, so a repeated submission resumes where the
+ * previous attempt stopped.
  *
- * <p>The first value is the <em>anchor</em> of the list. It is there before any other value is
- * counted as stored, each further value is written only while it is, and the job's record is
- * written only if it is still the same one ({@link JobStore.Acceptance#anchoredAt}). Whoever
- * removes a list that no job uses removes the anchor first ({@link JobStore#removeList}). So a
- * record never refers to a list of which a part is missing, however late transactions are carried
- * out.
+ * <p>The first value is the <em>anchor</em> of the list. A value counts as stored only if it was
+ * read together with the anchor. Every further value is written on the condition that the anchor
+ * exists. The active record is written on the condition that the anchor is unchanged ({@link
+ * JobStore.Acceptance#anchoredAt}). The removal of an unused list deletes the anchor first ({@link
+ * JobStore#removeDependencyList}). An active record therefore never refers to an incomplete list,
+ * however late transactions are applied.
  */
 public final class DependencyLists {
   private static final long RETRY_MICROS = 150_000;
 
-  /** Of the 64 KiB that a transaction may have. */
+  /** The state service accepts transactions of up to 64 KiB; the rest is left for keys and JSON. */
   private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
-  /** A user waits 5 s for an answer, and the next attempt goes on where this one stopped. */
+  /** A user's request times out after 5 s; the next attempt resumes where this one stopped. */
   private static final long MAX_ATTEMPT_MICROS = 4_000_000;
 
   private final Loop loop;
   private final StateClient store;
   private final JobStore layout;
 
-  /** Stores lists through this client, by this layout. */
+  /** Creates a writer that uses the given client and record layout. */
   public DependencyLists(Loop loop, StateClient store, JobStore layout) {
     this.loop = loop;
     this.store = store;
@@ -45,8 +45,8 @@
   /**
    * Stores all parts of the list.
    *
-   * @param handler takes the revision of the anchor once all parts are stored, or nothing when that
-   *     can't be done now
+   * @param handler receives the revision of the anchor once all parts are stored, or an empty value
+   *     if the list could not be stored
    */
   public void store(JobStore.Acceptance acceptance, Consumer<OptionalLong> handler) {
     new Attempt(acceptance, handler).readStored();
@@ -65,7 +65,7 @@
       this.handler = handler;
     }
 
-    /** Finds out which parts are stored, and stores the next ones. */
+    /** Reads which parts are stored, then stores the next ones. */
     void readStored() {
       store.list(
           DependencyListRecords.prefixOfPart(anchor),
@@ -85,7 +85,10 @@
           });
     }
 
-    /** Other parts only count as stored once they were seen beside the anchor: reads them again. */
+    /**
+     * After the anchor is stored, reads the list again: other parts count as stored only if they
+     * were read together with the anchor.
+     */
     private void storeAnchor() {
       send(new Transaction().require(anchor, 0).put(anchor, parts.get(anchor)), this::readStored);
     }
--- a/src/main/java/plumlever/store/DependencyReader.java
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -17,11 +17,11 @@
 import plumlever.wire.JobState;
 
 /**
- * Adds jobs to a dependency graph with all that they depend on, directly and through others. One
- * reader reads once.
+ * Adds jobs to a dependency graph together with all direct and transitive dependencies. An instance
+ * is used for a single read.
  */
 final class DependencyReader {
-  /** After so many steps back along dependency chains all active jobs are read at once. */
+  /** After this many steps along dependency chains, all active jobs are read in one listing. */
   private static final int MAX_STEPS = 3;
 
   private final StateClient store;
@@ -33,14 +33,17 @@
   private final Deque<String> open = new ArrayDeque<>();
   private final Consumer<Boolean> handler;
 
-  /** All active jobs, once that takes fewer requests than going on one by one. */
+  /**
+   * All active jobs by id, once they were listed because reading single jobs would take more
+   * requests.
+   */
   private Optional<Map<String, StateClient.Item>> allActive = Optional.empty();
 
   private int steps;
 
   /**
-   * @param complete true for jobs that are in the graph with all that they depend on
-   * @param handler takes whether everything could be read
+   * @param complete returns true for jobs that are in the graph with all of their dependencies
+   * @param handler receives whether everything could be read
    */
   DependencyReader(
       StateClient store,
@@ -63,7 +66,7 @@
     readOpen();
   }
 
-  /** Adds the open jobs, as far as they are known, and reads the others. */
+  /** Adds the open jobs that can be resolved without a request, and reads the others. */
   private void readOpen() {
     Set<String> unread = new LinkedHashSet<>();
     List<StateClient.Item> withList = new ArrayList<>();
@@ -85,13 +88,15 @@
     }
   }
 
-  /** False if the job has to be read. */
+  /**
+   * Adds the job if it can be resolved without a request; returns false if the job has to be read.
+   */
   private boolean addKnown(String uid, List<StateClient.Item> withList) {
     Optional<JobState> finalState = knownJobs.finalState(uid);
     if (finalState.isPresent()) {
       graph.recordEnd(uid, finalState.get(), 0);
     } else if (graph.stateOf(uid) != DependencyGraph.State.UNKNOWN) {
-      // In the graph already, but not all that it depends on need be.
+      // The job is in the graph already, but some of its dependencies may not be.
       openDependencies(graph.openDependencies(uid));
     } else if (allActive.isPresent() && allActive.get().containsKey(uid)) {
       addActive(allActive.get().get(uid), withList);
@@ -134,7 +139,8 @@
   }
 
   private void addFound(String uid, JobFinder.Found job, List<StateClient.Item> withList) {
-    // What ended while this was read is known from the watch, which may have come first.
+    // A job may have ended during this read; the watch may then have reported the end before this
+    // response arrived.
     Optional<JobState> finalState = job.endState().or(() -> knownJobs.finalState(uid));
     if (finalState.isPresent()) {
       knownJobs.jobEnded(uid, finalState.get());
@@ -165,7 +171,7 @@
     }
   }
 
-  /** The lists that do not fit their jobs' records, one job after the other. */
+  /** Reads the dependency lists that do not fit the active records, one job after the other. */
   private void readLists(List<StateClient.Item> jobs) {
     if (jobs.isEmpty()) {
       if (open.isEmpty()) {
@@ -193,8 +199,8 @@
   }
 
   /**
-   * Nothing where a part is missing: it is gone because the job has ended meanwhile, and then its
-   * record says so.
+   * Returns the complete list; empty if a part is missing. A part is missing only if the job has
+   * ended since its active record was read; the next read finds its ended record.
    */
   private static Optional<List<String>> joinParts(List<String> keys, StateClient.Listing listing) {
     Map<String, List<String>> parts = new HashMap<>();
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -11,13 +11,15 @@
 import plumlever.wire.JobState;
 
 /**
- * What the state service says of jobs that depend on others. Their records never change until they
- * end, so they are read once, with those that they name, directly and through others; from then on
- * one question for what has ended since the last one, begun after the users asked, answers all of
- * them. Nothing depends on who leads, nor on a version's knowing of dependencies.
+ * Caches the records of jobs that have dependencies. The record of a job does not change until the
+ * job ends, so each record is read once, together with its direct and transitive dependencies.
+ *
+ * <p>After that, a single request for the jobs that ended since the previous request answers all
+ * pending lookups. That request is sent after the lookups were requested. The results depend
+ * neither on which controller leads nor on whether the leader's version supports dependencies.
  */
 final class DependencyRecordCache {
-  /** What follows for a job from the records, as of a moment after it was asked about. */
+  /** The state of a job as derived from the records; at least as recent as the lookup. */
   enum Answer {
     WAITING,
     RELEASED,
@@ -28,10 +30,10 @@
 
   private record Question(String uid, int attemptsLeft, Consumer<Answer> handler) {}
 
-  /** Beyond this many the graph is begun anew; jobs are read again as they are asked about. */
+  /** When the graph has more jobs than this, it is discarded; jobs are read again on demand. */
   private static final int MAX_JOBS = 50_000;
 
-  /** In place of the revision up to which ends are in the graph, before there is one. */
+  /** Value of {@link #storeRevision} before the first read. */
   private static final long UNKNOWN = -1;
 
   private final StateClient store;
@@ -42,14 +44,14 @@
 
   private DependencyGraph graph = new DependencyGraph();
 
-  /** Jobs that are in the graph with all that they depend on, directly or through others. */
+  /** Jobs that are in the graph together with all direct and transitive dependencies. */
   private Set<String> complete = new HashSet<>();
 
-  /** Ends up to this revision are in the graph. */
+  /** The graph contains all ends of jobs up to this revision. */
   private long storeRevision = UNKNOWN;
 
   /**
-   * @param knownJobs told of each end that is read
+   * @param knownJobs receives the final state of each ended job that is read
    */
   DependencyRecordCache(Loop loop, StateClient store, JobFinder finder, KnownJobs knownJobs) {
     this.store = store;
@@ -59,20 +61,20 @@
     this.questions = new QuestionBatch<>(loop, () -> Integer.MAX_VALUE, this::answerAll);
   }
 
-  /** The dependency whose cancellation cancelled this job, if one did. */
+  /** Returns the dependency whose cancellation cancelled this job, if there is one. */
   Optional<String> failedDependencyOf(String uid) {
     return graph.failedDependencyOf(uid);
   }
 
   /**
-   * The revision of a job's record that is in the graph with all that it depends on; 0 for any
-   * other.
+   * Returns the revision of the record if the graph holds the job and all of its dependencies,
+   * otherwise 0.
    */
   long revision(String uid) {
     return complete.contains(uid) ? graph.revision(uid) : 0;
   }
 
-  /** The job was accepted here a moment ago: its own record need not be read. */
+  /** Adds a job that this controller has just accepted, so that its record need not be read. */
   void jobAccepted(String uid, long revision, List<String> dependencies) {
     if (storeRevision >= 0) {
       graph.addJob(uid, revision, dependencies);
@@ -80,7 +82,7 @@
     }
   }
 
-  /** An end that this controller knows of. */
+  /** Records the end of a job that this controller learned of from another source. */
   void jobEnded(String uid, JobState finalState) {
     addEnd(uid, finalState, 0);
     discardNews();
@@ -91,13 +93,16 @@
     complete.remove(uid);
   }
 
-  /** The graph's news are for a leader, who acts on them; here jobs are asked about one by one. */
+  /**
+   * Discards the lists of released and cancelled jobs. Only a leader acts on them; this cache only
+   * looks up single jobs.
+   */
   private void discardNews() {
     graph.drainReleased();
     graph.drainCancelled();
   }
 
-  /** Finds out what follows for a job that depends, or depended, on others. */
+  /** Determines the state of a job that has, or had, dependencies. */
   void ask(String uid, Consumer<Answer> handler) {
     questions.add(new Question(uid, RateLimitRetry.MAX_ATTEMPTS, handler));
   }
@@ -110,8 +115,8 @@
       readMissing(asked);
       return;
     }
-    // Where to begin: whatever ends after this revision is told by the watch, whatever did before
-    // by the records.
+    // The revision at which observation starts. Jobs that end after this revision are reported by
+    // the watch; for jobs that ended before, the ended records are read.
     store.storeRevision(
         now -> {
           if (now.isEmpty()) {
@@ -123,7 +128,10 @@
         });
   }
 
-  /** Reads what is missing of the dependency chains asked about, step by step away from them. */
+  /**
+   * Reads the requested jobs and their dependencies that are not in the graph yet, then the new
+   * ends.
+   */
   private void readMissing(List<Question> asked) {
     Set<String> incomplete = new LinkedHashSet<>();
     for (Question question : asked) {
@@ -149,7 +157,7 @@
         .read(incomplete);
   }
 
-  /** All that ended since the last question, as of now. */
+  /** Requests all ends of jobs since the previous request, then completes the lookups. */
   private void readNewEnds(List<Question> asked) {
     DependencyGraph readInto = graph;
     store.watch(
@@ -186,8 +194,8 @@
           change.deleted() ? Optional.empty() : EndedRecord.finalState(change.data());
       if (finalState.isPresent()) {
         String uid = RecordKeys.uidOfEnded(change.key());
-        // Also of jobs that are not in the graph: one that was read before it ended may be on its
-        // way into it.
+        // Ends of jobs that are not in the graph are recorded too: a pending read may have fetched
+        // the active record before the job ended and may add that job to the graph later.
         knownJobs.jobEnded(uid, finalState.get());
         addEnd(uid, finalState.get(), EndedRecord.endedWallMicros(change.data()));
       }
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -13,16 +13,17 @@
 import plumlever.wire.JobState;
 
 /**
- * Reads the records of many jobs: one by one while they are few, in listings where that takes fewer
- * requests. A job under neither of its keys had not been accepted when the first read began.
+ * Reads the records of a set of jobs: few jobs with one read per key, many jobs with a listing,
+ * which takes fewer requests. A job found under neither of its keys had not been accepted when the
+ * first read started.
  */
 public final class JobFinder {
   /**
-   * A job's record.
+   * The record of a job.
    *
-   * @param active the record of a job that has been accepted and has not ended
-   * @param endState how it ended, if it has ended
-   * @param endedWallMicros when, if that was stored, else 0
+   * @param active the active record if the job has been accepted and has not ended
+   * @param endState the final state if the job has ended
+   * @param endedWallMicros when the job ended, or 0 if that was not stored
    */
   public record Found(
       Optional<StateClient.Item> active, Optional<JobState> endState, long endedWallMicros) {
@@ -39,13 +40,13 @@
           EndedRecord.endedWallMicros(item.data()));
     }
 
-    /** True if the job has ever been accepted. */
+    /** Returns true if the job was ever accepted. */
     public boolean accepted() {
       return active.isPresent() || endState.isPresent();
     }
   }
 
-  /** Beyond this many a listing costs less. */
+  /** Above this number of jobs, a listing takes fewer requests than single reads. */
   static final int MAX_SINGLE_READS = 24;
 
   private static final int MAX_READS_AT_ONCE = 6;
@@ -53,7 +54,7 @@
   private final StateClient store;
   private final RateLimitRetry retry;
 
-  /** Reads by this client. */
+  /** Creates a finder that reads through the given client. */
   public JobFinder(Loop loop, StateClient store) {
     this.store = store;
     this.retry = new RateLimitRetry(loop);
@@ -62,7 +63,8 @@
   /**
    * Reads the records of these jobs.
    *
-   * @param handler takes what was found of each, or nothing when that can't be found out now
+   * @param handler receives the record of each job, or an empty value if the records could not be
+   *     read
    */
   public void find(Collection<String> uids, Consumer<Optional<Map<String, Found>>> handler) {
     if (uids.size() <= MAX_SINGLE_READS) {
@@ -129,7 +131,7 @@
         });
   }
 
-  /** Reads of one key each, a few at a time. */
+  /** Reads single keys, a limited number at the same time. */
   private final class SingleReads {
     private final Deque<String> open;
     private final Map<String, Found> found;
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -16,29 +16,32 @@
 import plumlever.wire.JobState;
 
 /**
- * What the state service says of jobs. Every answer but a final state rests on a read begun after
- * it was asked for. Most questions are about jobs that have not ended, whose record is known: these
- * are put together, and one transaction of preconditions only finds out for all of them whether
- * anything has changed.
+ * Looks up the state of jobs in the records in the state service. Final states are served from
+ * memory, because they never change. Every other result is based on a read that started after the
+ * lookup was requested; only {@link #findEnded} also uses reads that are a few seconds old.
+ *
+ * <p>Most lookups concern active jobs whose record revision is already known. These lookups are
+ * batched: a single transaction that contains only preconditions checks for all of them whether any
+ * record has changed.
  */
 public final class JobRecordCache {
-  /** What is known of a job. */
+  /** Whether a job exists, as far as the state service tells. */
   public enum Presence {
-    /** Accepted, and not ended. */
+    /** The job has been accepted and has not ended. */
     ACTIVE,
-    /** In a final state. */
+    /** The job is in a final state. */
     ENDED,
-    /** Never accepted. */
+    /** The job was never accepted. */
     MISSING,
-    /** That can't be found out now. */
+    /** The state service did not answer; the state of the job is unknown. */
     UNAVAILABLE
   }
 
   /**
-   * What the state service says of a job.
+   * The state of a job as read from the state service.
    *
-   * @param revision of the record of an active job, else 0
-   * @param endState how it ended, if it has ended
+   * @param revision the revision of the record of an active job, otherwise 0
+   * @param endState the final state if the job has ended
    */
   public record JobStatus(Presence presence, long revision, Optional<JobState> endState) {
     static final JobStatus MISSING = new JobStatus(Presence.MISSING, 0, Optional.empty());
@@ -52,20 +55,21 @@
       return new JobStatus(Presence.ENDED, 0, Optional.of(endState));
     }
 
-    /** True if the job has been accepted. */
+    /** Returns true if the job has been accepted, whether or not it has ended. */
     public boolean found() {
       return presence == Presence.ACTIVE || presence == Presence.ENDED;
     }
   }
 
   /**
-   * Jobs that have ended.
+   * The jobs of a query that have ended.
    *
-   * @param askedMicros when the oldest of the reads that showed the others as active had been sent
+   * @param askedMicros the send time of the oldest read that showed one of the remaining jobs as
+   *     active
    */
   public record EndedJobs(Set<String> uids, long askedMicros) {}
 
-  /** A question about a job whose record is known. */
+  /** A lookup of a job whose active record has a known revision. */
   private record Question(
       String uid, long revision, int attemptsLeft, Consumer<JobStatus> handler) {
     String key() {
@@ -73,10 +77,12 @@
     }
   }
 
-  /** A transaction takes so many preconditions for each operation that it may hold. */
+  /**
+   * The state service accepts this many preconditions for each operation allowed in a transaction.
+   */
   private static final int PRECONDITIONS_PER_OPERATION = 4;
 
-  /** For how long a job that was active is taken to be so by {@link #findEnded}. */
+  /** How long {@link #findEnded} treats a job as active after a read that showed it as active. */
   private static final long ACTIVE_VALID_MICROS = 3_000_000;
 
   private static final Logger LOG = LoggerFactory.getLogger(JobRecordCache.class);
@@ -91,10 +97,10 @@
   private final DependencyRecordCache dependencyRecords;
   private final QuestionBatch<Question> questions;
 
-  /** Jobs that were active, by when that was asked. */
+  /** For each job that was found active, the time at which that read was requested. */
   private final Map<String, Long> activeAskedMicros = new HashMap<>();
 
-  /** An empty cache over this client. */
+  /** Creates an empty cache that reads through the given client. */
   public JobRecordCache(Loop loop, StateClient store, JobStore layout, Metrics metrics) {
     this.loop = loop;
     this.store = store;
@@ -110,7 +116,7 @@
             this::compare);
   }
 
-  /** The job has been accepted with this revision. */
+  /** Records that the job was accepted and that its record has this revision. */
   public void jobAccepted(String uid, long revision) {
     if (revision > 0) {
       knownJobs.activeSeen(uid, revision);
@@ -118,9 +124,9 @@
   }
 
   /**
-   * A job that depends on others has been accepted with this revision.
+   * Records that a job with dependencies was accepted and that its record has this revision.
    *
-   * @param handler takes what follows from how those end
+   * @param handler receives the state of the job that follows from the states of its dependencies
    */
   public void dependentJobAccepted(
       String uid, long revision, List<String> dependencies, Consumer<JobStatus> handler) {
@@ -128,16 +134,17 @@
     resolveDependencies(uid, revision, handler);
   }
 
-  /** The job's end is stored. */
+  /** Records that the final state of the job has been stored. */
   public void jobEnded(String uid, JobState endState) {
     knownJobs.jobEnded(uid, endState);
     dependencyRecords.jobEnded(uid, endState);
   }
 
   /**
-   * Which of these were never accepted, by reads begun now where that is not known of them.
+   * Finds the jobs among {@code uids} that were never accepted. Jobs about which nothing is cached
+   * are read from the state service now.
    *
-   * @param handler takes nothing when that can't be found out
+   * @param handler receives an empty value if the state service could not be read
    */
   public void findNeverAccepted(Collection<String> uids, Consumer<Optional<Set<String>>> handler) {
     Set<String> unknown = new HashSet<>();
@@ -165,15 +172,16 @@
     return neverAccepted;
   }
 
-  /** How it ended, if that is known without asking. */
+  /** Returns the final state of the job if it is cached; sends no request. */
   public Optional<JobState> knownEndState(String uid) {
     return knownJobs.finalState(uid);
   }
 
   /**
-   * Which of these jobs have ended, as of a few seconds ago at most.
+   * Finds the jobs among {@code uids} that have ended. The result may be a few seconds old; {@link
+   * EndedJobs#askedMicros} tells how old.
    *
-   * @param handler takes nothing when that can't be found out
+   * @param handler receives an empty value if the state of any of the jobs could not be read
    */
   public void findEnded(Collection<String> uids, Consumer<Optional<EndedJobs>> handler) {
     long now = loop.nowMicros();
@@ -190,13 +198,13 @@
     search.allAsked();
   }
 
-  /** One search for jobs that have ended among those named. */
+  /** One call of {@link #findEnded}. */
   private final class EndedSearch {
     private final long startedMicros;
     private final Consumer<Optional<EndedJobs>> handler;
     private final Set<String> ended = new HashSet<>();
 
-    /** Answers to wait for, and one for the asking itself. */
+    /** The number of outstanding lookups, plus one until all lookups have been requested. */
     private int pending = 1;
 
     private boolean failed;
@@ -239,7 +247,9 @@
     }
   }
 
-  /** Finds out; the answer comes later, on the loop. */
+  /**
+   * Reads the state of the job; the handler is called on the loop, possibly before this returns.
+   */
   public void lookUp(String uid, Consumer<JobStatus> handler) {
     lookUp(uid, RateLimitRetry.MAX_ATTEMPTS, handler);
   }
@@ -255,8 +265,9 @@
       questions.add(new Question(uid, revision.getAsLong(), attemptsLeft, handler));
       return;
     }
-    // A job that depends on others and is in the graph need not be read again: what has ended is
-    // asked for all of them.
+    // The record of a job with dependencies does not change until the job ends. A job that is
+    // already in the dependency graph is therefore not read again; one query for ended jobs covers
+    // all of them.
     long dependentRevision = dependencyRecords.revision(uid);
     if (dependentRevision > 0) {
       resolveDependencies(uid, dependentRevision, handler);
@@ -265,7 +276,7 @@
     }
   }
 
-  /** Finds out with one transaction whether any of these records has changed. */
+  /** Checks with a single transaction whether any of these records has changed. */
   private void compare(List<Question> asked) {
     Transaction transaction = new Transaction();
     Set<String> keys = new HashSet<>();
@@ -294,10 +305,10 @@
   }
 
   /**
-   * Some of the records compared have changed.
+   * Handles one lookup of a batch in which at least one record has changed.
    *
-   * @param changed keys of them; whether all are named is not promised, so the others are compared
-   *     once more
+   * @param changed the keys of changed records. The state service does not guarantee that the list
+   *     is complete, so the lookups of all other records are repeated once.
    */
   private void someChanged(Question question, Set<String> changed) {
     if (changed.isEmpty() || changed.contains(question.key()) || question.attemptsLeft() <= 1) {
@@ -317,8 +328,9 @@
   }
 
   /**
-   * An active job first, then an ended one: the end moves it in one change, so a job that is found
-   * under neither key had not been accepted when the first read began.
+   * Reads the active record first, then the ended record. A job that ends is moved from one key to
+   * the other in one transaction, so a job found under neither key had not been accepted when the
+   * first read started.
    */
   private void readActive(String uid, int attemptsLeft, Consumer<JobStatus> handler) {
     store.get(
@@ -370,8 +382,8 @@
   }
 
   /**
-   * For a job that depends on others, or did: whether it is cancelled through one of them follows
-   * from how those ended.
+   * Determines the state of a job that has, or had, dependencies. Whether such a job is cancelled
+   * depends on the final states of its dependencies.
    */
   private void resolveDependencies(String uid, long revision, Consumer<JobStatus> handler) {
     dependencyRecords.ask(
@@ -380,7 +392,8 @@
           switch (answer) {
             case WAITING -> handler.accept(JobStatus.active(revision));
             case RELEASED -> {
-              // Nothing before it can be cancelled any more: from now on it is a job like others.
+              // None of its dependencies can be cancelled any more, so from now on the job is
+              // handled like a job without dependencies.
               knownJobs.activeSeen(uid, revision);
               handler.accept(JobStatus.active(revision));
             }
@@ -391,7 +404,10 @@
         });
   }
 
-  /** Stored before it is told, like every end. */
+  /**
+   * Ends the job as cancelled because a dependency was cancelled. As for every final state, the
+   * record is stored before the handler learns the state.
+   */
   private void cancelWithDependency(String uid, long revision, Consumer<JobStatus> handler) {
     String dependency = dependencyRecords.failedDependencyOf(uid).orElse("unknown");
     store.transaction(
@@ -400,14 +416,14 @@
         result -> {
           switch (result.outcome()) {
             case APPLIED -> {
-              LOG.info("{} is cancelled with its dependency {}", uid, dependency);
+              LOG.info("job {} cancelled because its dependency {} was cancelled", uid, dependency);
               metrics.count("jobs_cancelled_with_dependency");
               jobEnded(uid, JobState.CANCELLED);
               handler.accept(JobStatus.ended(JobState.CANCELLED));
             }
             case REFUSED -> handler.accept(JobStatus.UNAVAILABLE);
-            // Another controller stored it, or this was carried out without an answer: the record
-            // tells.
+            // Either another controller has stored the final state, or this transaction was applied
+            // and its response lost. Reading the record shows which state was stored.
             case CONFLICT, UNKNOWN ->
                 readEnded(
                     uid,
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -13,78 +13,83 @@
 import plumlever.wire.Json;
 
 /**
- * The layout of the records in the state service: what other packages need of it. The stored forms
- * are each in a class of its own ({@link ActiveRecord}, {@link EndedRecord}, {@link
- * ProgressRecords}, {@link DependencyListRecords}), the keys in {@link RecordKeys}.
+ * The layout of the records in the state service, as used by other packages. Each stored format is
+ * implemented by a class of its own ({@link ActiveRecord}, {@link EndedRecord}, {@link
+ * ProgressRecords}, {@link DependencyListRecords}); the keys are defined in {@link RecordKeys}.
  *
  * <ul>
- *   <li>{@code active/ID}: the submission, while the job has not ended. Accepting a job is this one
- *       change.
- *   <li>{@code ended/ID}: how it ended, kept for ever; written in the transaction that deletes the
- *       one above. So a new leader reads only what is left to do, and a poll of a job reads one
- *       key, or two after its end.
- *   <li>{@code progress/ID/from-TASK}: bitmap of finished tasks of a large job, from that task on;
- *       {@code progress/pack/N}: those of many small ones, since changes are what the state service
- *       has least of. Earlier versions wrote {@code progress/ID/CHUNK}, cut up by the largest value
- *       of their settings, which is read and not written any more; they pass over the present form,
- *       for they would take its bits for those of other tasks.
- *   <li>{@code waits/ID/DIGEST/N}: the jobs that a job depends on, where they do not fit its
- *       record; written before it.
- *   <li>{@code fleet/N}: machines that may hold tasks, as many as fit one value. A machine is in
- *       one of them before any command is sent to it, so a new leader knows every machine that
- *       could run something, however far the cloud's list lags.
- *   <li>{@code begun/N}: jobs that a leader may have started tasks of, as many as fit one value. A
- *       job is in one of them before its first command, so what a new leader does not find there is
- *       on no machine.
- *   <li>{@code hints/N}: what a leader learnt of images and estimates, for its successor.
- *   <li>{@code catalog}: the last machine types read, for a controller that starts while the cloud
- *       is down.
+ *   <li>{@code active/ID}: the submission of a job that has not ended. Creating this record accepts
+ *       the job.
+ *   <li>{@code ended/ID}: the final state of a job, kept forever. The transaction that writes this
+ *       record also deletes the active record. A new leader therefore reads only unfinished jobs,
+ *       and a poll of a job reads one key, or two keys after the job has ended.
+ *   <li>{@code progress/ID/from-TASK}: bitmap of the finished tasks of a large job, starting at
+ *       task number TASK. {@code progress/pack/N}: bitmaps of many small jobs in one record,
+ *       because writes are the scarcest resource of the state service. Earlier versions wrote
+ *       {@code progress/ID/CHUNK}, with chunks sized by the largest value in their settings. That
+ *       format is still read but no longer written. Earlier versions skip the present format;
+ *       otherwise they would assign its bits to the wrong tasks.
+ *   <li>{@code waits/ID/DIGEST/N}: the dependencies of a job if they do not fit its active record.
+ *       They are written before the active record.
+ *   <li>{@code fleet/N}: machines that may hold tasks, as many as fit one value. A machine is
+ *       listed here before any command is sent to it. A new leader therefore knows every machine
+ *       that may run a task, however stale the machine list of the cloud is.
+ *   <li>{@code begun/N}: jobs of which a leader may have started tasks, as many as fit one value. A
+ *       job is listed here before its first command is sent. A new leader therefore knows that a
+ *       job that is not listed has no task on any machine.
+ *   <li>{@code hints/N}: warm state, which is what a leader has learned about images and run time
+ *       estimates, for its successor.
+ *   <li>{@code catalog}: the machine types that were last read, for a controller that starts while
+ *       the cloud is unavailable.
  * </ul>
  */
 public final class JobStore {
-  /** Jobs that have not ended. */
+  /** Prefix of the records of jobs that have not ended. */
   public static final String ACTIVE = RecordKeys.ACTIVE;
 
-  /** Finished tasks of jobs that have not ended. */
+  /** Prefix of the records of finished tasks of jobs that have not ended. */
   public static final String PROGRESS = RecordKeys.PROGRESS;
 
-  /** Machines that may hold tasks. */
+  /** Prefix of the records of machines that may hold tasks. */
   public static final String FLEET = RecordKeys.FLEET;
 
-  /** Jobs that may have been started. */
+  /** Prefix of the records of jobs of which a leader may have started tasks. */
   public static final String STARTED = RecordKeys.STARTED;
 
-  /** The last machine types read. */
+  /** Key of the record of the machine types that were last read. */
   public static final String CATALOG = RecordKeys.CATALOG;
 
-  /** What a leader learnt, for its successor. */
+  /** Prefix of the records of warm state, which a leader stores for its successor. */
   public static final String WARM_STATE = RecordKeys.WARM_STATE;
 
-  /** Jobs that have ended. */
+  /** Prefix of the records of jobs that have ended. */
   public static final String ENDED = RecordKeys.ENDED;
 
-  /** Lists of jobs that jobs depend on, where they do not fit the jobs' records. */
+  /** Prefix of the dependency lists that do not fit the active records of their jobs. */
   public static final String DEPENDENCIES = RecordKeys.DEPENDENCIES;
 
-  /** The end of a job puts the ended record and deletes the active one. */
+  /** The transaction that ends a job puts the ended record and deletes the active record. */
   private static final int OPERATIONS_OF_END = 2;
 
   private final WriteLimits limits;
   private final List<String> otherShards;
 
-  /** What the settings state, so that it depends on no refusal whether a job is accepted. */
+  /**
+   * The value size from the settings. Whether a submission is accepted is checked against this
+   * size, so that the outcome does not depend on refusals that have lowered {@link #limits}.
+   */
   private final int statedValueBytes;
 
-  /** The layout within these limits, for a shard that is alone. */
+  /** Creates the layout for a shard that does not belong to a pool. */
   public JobStore(WriteLimits limits) {
     this(limits, List.of());
   }
 
   /**
-   * The layout within these limits.
+   * Creates the layout for a shard of a pool.
    *
-   * @param otherShards prefixes of other shards' keys, in none of which a job may be that is
-   *     accepted
+   * @param otherShards key prefixes of the other shards of the pool; a job is accepted only if it
+   *     exists under none of them
    */
   public JobStore(WriteLimits limits, List<String> otherShards) {
     this.otherShards = otherShards;
@@ -92,86 +97,94 @@
     this.statedValueBytes = limits.maxValueBytes();
   }
 
-  /** How much one write may hold; it may get less with time. */
+  /** Returns the limits of a single write; they shrink when the state service refuses a write. */
   public WriteLimits limits() {
     return limits;
   }
 
-  /** How many bytes a value may have now. */
+  /** Returns the current maximum size of a value in bytes. */
   public int valueBytes() {
     return limits.maxValueBytes();
   }
 
-  /** The key of the record of a job that has ended. */
+  /** Returns the key of the ended record of the job. */
   public static String endedKey(String uid) {
     return RecordKeys.ended(uid);
   }
 
-  /** The key of the record of a job that has not ended. */
+  /** Returns the key of the active record of the job. */
   public static String activeKey(String uid) {
     return RecordKeys.active(uid);
   }
 
-  /** The key of a record of machines that may hold tasks. */
+  /** Returns the key of the machine record with this number. */
   public static String machinesKey(int number) {
     return FLEET + number;
   }
 
-  /** The key of a record of jobs that may have been started. */
+  /** Returns the key of the record of started jobs with this number. */
   public static String startedKey(int number) {
     return STARTED + number;
   }
 
-  /** The key of a record of what a leader learnt, for its successor. */
+  /** Returns the key of the warm state record with this number. */
   public static String warmStateKey(int number) {
     return WARM_STATE + number;
   }
 
-  /** Number of a record that entries share, or -1. */
+  /**
+   * Returns the number after the first slash in the key of a record that several jobs or machines
+   * share, or -1 if there is none.
+   */
   public static int sharedRecordNumber(String key) {
     return RecordKeys.sharedRecordNumber(key);
   }
 
-  /** The record of the tasks from this one on. */
+  /** Returns the key of the progress chunk that starts at this task. */
   public static String progressKey(String uid, int firstTask) {
     return ProgressRecords.chunkKey(uid, firstTask);
   }
 
-  /** The key of a record of the progress of many small jobs. */
+  /** Returns the key of the shared progress chunk with this number. */
   public static String sharedChunkKey(int sharedChunk) {
     return RecordKeys.sharedProgress(sharedChunk);
   }
 
-  /** Number of the shared chunk, or -1 for any other key. */
+  /** Returns the number of the shared progress chunk, or -1 for any other key. */
   public static int sharedChunkOf(String key) {
     return RecordKeys.sharedProgressNumber(key);
   }
 
   /**
-   * How a job is accepted.
+   * The writes that accept a job.
    *
-   * @param parts what has to be stored before the transaction, by key: the jobs that it depends on,
-   *     if they do not fit; the anchor of the list first
-   * @param transaction creates the job's record
+   * @param parts the values to store before the transaction, by key: the parts of the dependency
+   *     list, anchor first. Empty if the dependencies fit the active record.
+   * @param transaction creates the active record of the job
    */
   public record Acceptance(Map<String, ObjectNode> parts, Transaction transaction) {
-    /** True if the jobs that the job depends on have to be stored first. */
+    /** Returns true if a dependency list has to be stored before the transaction. */
     public boolean hasList() {
       return !parts.isEmpty();
     }
 
-    /** The key of the first part. */
+    /** Returns the key of the first part of the dependency list. */
     String anchor() {
       return parts.keySet().iterator().next();
     }
 
-    /** The transaction, which fails if the list has been removed since its anchor was seen. */
+    /**
+     * Returns the transaction with a precondition on the anchor of the dependency list: it fails if
+     * the list was removed after the anchor was read.
+     *
+     * @param anchorRevision the revision of the anchor when it was read
+     */
     public Transaction anchoredAt(long anchorRevision) {
       return transaction.require(anchor(), anchorRevision);
     }
   }
 
-  /** The records of a job that is to be accepted; nothing if they are too long to be stored. */
+  /** Builds the records of a job to be accepted; empty if the active record would be too large. */
   public Optional<Acceptance> acceptJob(JobSpec spec, long wallMicros) {
     ObjectNode active = ActiveRecord.write(spec, wallMicros);
     Map<String, ObjectNode> parts = Map.of();
@@ -206,37 +219,43 @@
     return Json.write(value).getBytes(StandardCharsets.UTF_8).length;
   }
 
-  /** The keys that hold what the job depends on, besides its own record. */
+  /**
+   * Returns the keys of the dependency list parts of the job; empty if the active record holds the
+   * dependencies itself.
+   */
   public static List<String> dependenciesKeys(String uid, JsonNode activeRecord) {
     return ActiveRecord.dependenciesKeys(uid, activeRecord);
   }
 
   /**
-   * A stored list of jobs that a job depends on.
+   * Identifies a stored dependency list.
    *
-   * @param uid the job that it was stored for, whether or not that was accepted
-   * @param prefix of the keys of its parts
+   * @param uid the job for which the list was stored, even if that job was never accepted
+   * @param prefix the key prefix of the parts
    */
   public record DependencyListId(String uid, String prefix) {}
 
-  /** Which list a key belongs to; nothing for a key that is no part of one. */
+  /**
+   * Returns the list that the key belongs to; empty if the key is not part of a dependency list.
+   */
   public static Optional<DependencyListId> dependencyListOf(String key) {
     return DependencyListRecords.listOf(key);
   }
 
-  /** The key of a list's first part. */
+  /** Returns the key of the first part of the list. */
   public static String anchorOf(DependencyListId list) {
     return list.prefix() + 0;
   }
 
   /**
-   * Removes parts of a list that no job uses: its job has no active record, and the anchor is as it
-   * was seen. What is left without an anchor is not counted by whoever stores the list anew.
+   * Adds the removal of a list that no job uses to a transaction. Preconditions: the job has no
+   * active record, and the anchor is unchanged. Parts that remain without an anchor do not count as
+   * stored when the list is stored again.
    *
-   * @param conditional what the removal is added to
-   * @param anchorRevision of the anchor as listed, 0 where it is gone
-   * @param keys parts that were listed, as many as one transaction deletes, the anchor among the
-   *     first
+   * @param conditional the transaction that the removal is added to
+   * @param anchorRevision the revision of the anchor when it was listed, 0 if it is already removed
+   * @param keys the listed parts to delete, anchor first; as many are deleted as fit one
+   *     transaction
    */
   public Transaction removeDependencyList(
       Transaction conditional, DependencyListId list, long anchorRevision, List<String> keys) {
@@ -245,17 +264,17 @@
     return conditional;
   }
 
-  /** The jobs that a part of a list names. */
+  /** Returns the jobs named by a part of a dependency list. */
   public static List<String> names(JsonNode part) {
     return DependencyListRecords.uids(part);
   }
 
   /**
-   * Ends a job: its state is final from here on.
+   * Builds the transaction that stores the final state of a job.
    *
-   * @param revision of its active record
-   * @param useless records of it that are of no use any more; as many are deleted as the
-   *     transaction takes
+   * @param revision the revision of the active record
+   * @param useless keys of records of this job that are no longer needed; as many are deleted as
+   *     fit the transaction
    */
   public Transaction endJob(
       String uid, long revision, JobState finalState, long wallMicros, List<String> useless) {
@@ -268,72 +287,76 @@
     return transaction;
   }
 
-  /** How many other records of a job its end can delete. */
+  /** Returns how many additional records the transaction that ends a job can delete. */
   public int maxDeletesAtEnd() {
     return Math.max(0, limits.maxOperations() - OPERATIONS_OF_END);
   }
 
   /**
-   * When it ended, by the clock of the controller that stored it; 0 where an earlier version did.
+   * Returns when the job ended, by the clock of the controller that stored the record; 0 if an
+   * earlier version, which did not store the time, wrote the record.
    */
   public static long endedWallMicros(JsonNode endedRecord) {
     return EndedRecord.endedWallMicros(endedRecord);
   }
 
-  /** How the job ended; empty when that can't be read. */
+  /** Returns the final state of the job; empty if the record is unreadable. */
   public static Optional<JobState> finalState(JsonNode endedRecord) {
     return EndedRecord.finalState(endedRecord);
   }
 
-  /** The submission that an active record holds. */
+  /** Returns the submission stored in an active record. */
   public static JobSpec spec(JsonNode activeRecord) throws InvalidMessageException {
     return ActiveRecord.spec(activeRecord);
   }
 
-  /** When the job was accepted, by the clock of the controller that stored it. */
+  /** Returns when the job was accepted, by the clock of the controller that stored the record. */
   public static long acceptedWallMicros(JsonNode activeRecord) {
     return ActiveRecord.acceptedWallMicros(activeRecord);
   }
 
-  /** How many tasks one record of a large job holds. */
+  /** Returns how many tasks one progress chunk of a large job covers. */
   public int tasksPerChunk() {
     return ProgressRecords.tasksPerChunk(valueBytes());
   }
 
-  /** The record that holds which of these tasks of a large job have finished. */
+  /** Builds the progress chunk of a large job for a range of tasks. */
   public JsonNode progressChunk(BitSet done, int firstTask, int tasks) {
     return ProgressRecords.chunk(done, firstTask, tasks);
   }
 
-  /** Bytes the job takes in a shared chunk, or -1 when it is too large to share a record. */
+  /** Returns the bytes the job takes in a shared chunk, or -1 if it is too large to share one. */
   public int bytesInSharedChunk(JobSpec spec) {
     return ProgressRecords.bytesInSharedChunk(spec, valueBytes()).orElse(-1);
   }
 
-  /** Bytes the job takes in a shared chunk, whether or not it may share one. */
+  /**
+   * Returns the bytes the job takes in a shared chunk, whether or not it is small enough to share
+   * one.
+   */
   public static int sizeInSharedChunk(JobSpec spec) {
     return ProgressRecords.sizeInSharedChunk(spec);
   }
 
-  /** Bytes that the jobs of a shared chunk may take together. */
+  /** Returns how many bytes the jobs of a shared chunk may take together. */
   public int sharedChunkBytes() {
     return ProgressRecords.sharedChunkBytes(valueBytes());
   }
 
-  /** The record that holds the finished tasks of these jobs. */
+  /** Builds the shared chunk that holds the finished tasks of these jobs. */
   public JsonNode sharedChunk(Map<String, BitSet> doneByJob) {
     return ProgressRecords.sharedChunk(doneByJob);
   }
 
-  /** The finished tasks by job; a job whose bitmap can't be read has none. */
+  /** Reads the finished tasks by job; a job whose bitmap is unreadable gets an empty set. */
   public static Map<String, BitSet> readSharedChunk(JsonNode record) {
     return ProgressRecords.readSharedChunk(record);
   }
 
   /**
-   * Adds the tasks of a stored chunk to {@code into}.
+   * Adds the finished tasks of a stored chunk to {@code into}.
    *
-   * @param name the last part of its key
+   * @param name the last segment of the key of the chunk
    */
   public void readProgressChunk(JsonNode record, String name, BitSet into)
       throws InvalidMessageException {
--- a/src/main/java/plumlever/store/StateAnswer.java
+++ b/src/main/java/plumlever/store/StateAnswer.java
@@ -5,22 +5,22 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * An answer of the state service.
+ * A response of the state service.
  *
- * @param status 0 without an answer, or with one that can't be understood
- * @param body of an answer 200 or 409, as far as it has one
+ * @param status the HTTP status; 0 if there was no response or the response was unreadable
+ * @param body the body of a response with status 200 or 409, if it has one
  */
 record StateAnswer(int status, Optional<ObjectNode> body) {
   static StateAnswer withoutBody(int status) {
     return new StateAnswer(status, Optional.empty());
   }
 
-  /** The body of an answer 200. */
+  /** Returns the body of a response with status 200. */
   Optional<ObjectNode> successBody() {
     return status == HttpStatus.OK ? body : Optional.empty();
   }
 
-  /** The status to tell of an answer that did not hold what was asked for. */
+  /** Returns the status to report if the response lacks what was requested. */
   int failureStatus() {
     return status == HttpStatus.OK ? 0 : status;
   }
--- a/src/main/java/plumlever/store/StateAnswerReader.java
+++ b/src/main/java/plumlever/store/StateAnswerReader.java
@@ -9,21 +9,21 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Reads the state service's answers into what the client's callers get. An answer that lacks what
- * it must hold counts as none.
+ * Converts responses of the state service to the result types of {@link StateClient}. A response
+ * that lacks a required field is treated like a missing response.
  */
 final class StateAnswerReader {
   /**
-   * A part of a listing.
+   * A page of a listing.
    *
-   * @param storeRevision as of which it was read
-   * @param lastStoredKey after which the next part begins; empty for the last part
+   * @param storeRevision the revision at which the page was read
+   * @param lastStoredKey the key after which the next page begins; empty for the last page
    */
   record Page(List<StateClient.Item> items, long storeRevision, Optional<String> lastStoredKey) {}
 
   private final KeySpace keySpace;
 
-  /** Answers about keys of this space. */
+  /** Creates a reader for responses about keys of this key space. */
   StateAnswerReader(KeySpace keySpace) {
     this.keySpace = keySpace;
   }
@@ -70,12 +70,12 @@
         node.path(StateProtocol.LEASE_ID).asLong(0));
   }
 
-  /** The revision of the whole store. */
+  /** Reads the revision of the whole store. */
   OptionalLong storeRevision(StateAnswer answer) {
     return integer(answer, StateProtocol.STORE_REVISION);
   }
 
-  /** The id of a lease that was created. */
+  /** Reads the id of a lease that was created. */
   OptionalLong leaseId(StateAnswer answer) {
     return integer(answer, StateProtocol.LEASE_ID);
   }
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -19,104 +19,109 @@
 import plumlever.wire.Json;
 
 /**
- * The state service's client. Keeps this controller's part of the request limits; a request over it
- * is refused here, at once. Answers that can't be understood count as no answer.
+ * The client of the state service. It enforces this controller's share of the request limits: an
+ * ordinary request over the limit is refused locally and immediately. An unreadable response is
+ * treated like a missing one.
  *
- * <p>Owned by the loop that it was made with: all methods are called there, and all answers come
- * there.
+ * <p>Threads: all methods are called on the loop that the client was created with, and all handlers
+ * run on that loop.
  */
 public final class StateClient {
   /**
-   * A key.
+   * A key with its value.
    *
-   * @param data its value
-   * @param leaseId the lease that it is attached to; 0 for none
+   * @param data the value
+   * @param leaseId the lease that the key is attached to; 0 if none
    */
   public record Item(String key, JsonNode data, long revision, long leaseId) {}
 
   /**
-   * What a read of one key brought.
+   * The result of reading one key.
    *
-   * @param status 200, 404, or anything else for "not known"; 0 without an answer
-   * @param foundItem the key, if it was found
+   * @param status 200 or 404; any other status means that the result is unknown, 0 that no response
+   *     arrived
+   * @param foundItem the key and its value if the key exists
    */
   public record ReadResult(int status, Optional<Item> foundItem) {
-    /** True if the key exists. */
+    /** Returns true if the key exists. */
     public boolean found() {
       return status == HttpStatus.OK;
     }
 
-    /** The key; only where it was {@link #found}. */
+    /** Returns the key and its value; call only if {@link #found}. */
     public Item item() {
       return foundItem.orElseThrow();
     }
 
-    /** True if the key surely does not exist. */
+    /** Returns true if the state service reported that the key does not exist. */
     public boolean missing() {
       return status == HttpStatus.NOT_FOUND;
     }
   }
 
-  /** All keys under a prefix, as of a revision from which changes can be watched. */
+  /** All keys under a prefix, and a revision from which later changes can be watched. */
   public record Listing(List<Item> items, long storeRevision) {}
 
   /**
-   * One change of a key.
+   * A change of a key.
    *
-   * @param value the new one, nothing when the key was deleted
+   * @param value the new value, empty if the key was deleted
    */
   public record KeyEvent(String key, Optional<JsonNode> value, long revision) {
-    /** True if the key does not exist any more. */
+    /** Returns true if the key was deleted. */
     public boolean deleted() {
       return value.isEmpty();
     }
 
-    /** The new value; only where the key was not {@link #deleted}. */
+    /** Returns the new value; call only if the key was not {@link #deleted}. */
     public JsonNode data() {
       return value.orElseThrow();
     }
   }
 
   /**
-   * What a watch brought.
+   * The result of a watch request.
    *
-   * @param status 200, 410 when the revision to watch from was too old, else not known
-   * @param storeRevision up to which {@code events} are complete
+   * @param status 200; 410 if the start revision was too old; any other status means unknown
+   * @param storeRevision the revision up to which {@code events} are complete
    */
   public record WatchResponse(int status, long storeRevision, List<KeyEvent> events) {
-    /** True if the events are all there were; they may be none. */
+    /** Returns true if the events are complete; there may be none. */
     public boolean answered() {
       return status == HttpStatus.OK;
     }
 
-    /** True if it can no longer be told what has changed since then: everything is read anew. */
+    /**
+     * Returns true if the state service no longer has the changes since the start revision, so that
+     * all keys have to be read again.
+     */
     public boolean expired() {
       return status == HttpStatus.GONE;
     }
   }
 
-  /** What became of a lease that was to be renewed. */
+  /** The result of renewing a lease. */
   public enum RenewalResult {
-    /** It has its full time again. */
+    /** The lease has its full time to live again. */
     RENEWED,
-    /** It had ended, with the keys that were attached to it. */
+    /** The lease had already ended, and the keys attached to it are deleted. */
     ENDED,
-    /** No answer, or a refusal: it may have been renewed. */
+    /** No response, or a refusal. The lease may have been renewed. */
     UNKNOWN
   }
 
-  /** What happens to a request that is over this controller's part of the limits. */
+  /** How a request is handled that exceeds this controller's share of the limits. */
   public enum RequestPriority {
-    /** It is sent all the same, and paid for by later ordinary ones: for leadership and leases. */
+    /** Sent regardless, and charged to later ordinary requests. Used for leadership and leases. */
     URGENT,
-    /** It is refused at once with 429. */
+    /** Refused locally and immediately with status 429. */
     ORDINARY
   }
 
   /**
-   * A request.
+   * An HTTP request to the state service.
    *
-   * @param operations how many puts and deletes it holds
+   * @param operations the number of puts and deletes in the body
    */
   private record Request(
       RequestPriority priority,
@@ -147,7 +152,7 @@
   private static final long TIMEOUT_MICROS = 1_800_000;
   private static final int PAGE_SIZE = 500;
 
-  /** A prefix of no key. */
+  /** A prefix under which no key is ever stored. */
   private static final String EMPTY_PREFIX = "nothing/";
 
   private final Loop loop;
@@ -161,7 +166,7 @@
   private final WriteLimits limits;
   private final UnexpectedAnswers unexpectedAnswers = new UnexpectedAnswers(LOG);
 
-  /** A client that keeps within its part of the limits. */
+  /** Creates a client whose keys are at the root of the state service. */
   public StateClient(
       Loop loop,
       Caller caller,
@@ -171,7 +176,7 @@
     this(loop, caller, endpoint, limits, metrics, KeySpace.ROOT);
   }
 
-  /** A client whose keys are in that space. */
+  /** Creates a client whose keys are in the given key space. */
   public StateClient(
       Loop loop,
       Caller caller,
@@ -190,24 +195,25 @@
     this.limits = new WriteLimits(limits);
   }
 
-  /** How much one write may hold. */
+  /** Returns the limits of a single write. */
   public WriteLimits limits() {
     return limits;
   }
 
-  /** This controller leads from now on, or does no more: a leader gets more of the writes. */
+  /** Sets whether this controller leads; a leader gets a larger share of the writes. */
   public void setLeading(boolean leading) {
     budget.setLeading(leading, loop.nowMicros());
   }
 
-  /** When the service last did anything but refuse this controller. */
+  /** Returns when the state service last answered a request with anything other than a 503. */
   public long lastServedMicros() {
     return availability.lastServedMicros();
   }
 
   /**
-   * How long every request has been refused or unanswered; 0 while the service serves this
-   * controller. A quiet controller asks little, so silence alone is no sign.
+   * Returns how long every request has been refused or unanswered; 0 while requests are served. The
+   * duration starts with a failed request, not with the last successful one, because an idle
+   * controller sends few requests.
    */
   public long refusedForMicros() {
     return availability.refusedForMicros(loop.nowMicros());
@@ -221,9 +227,9 @@
   }
 
   /**
-   * Reads all keys under a prefix.
+   * Reads all keys under a prefix, page by page.
    *
-   * @param handler takes nothing when they could not all be read
+   * @param handler receives an empty value if any page could not be read
    */
   public void list(String prefix, RequestPriority priority, Consumer<Optional<Listing>> handler) {
     readPage(
@@ -232,8 +238,8 @@
         priority,
         page -> {
           if (page.isPresent()) {
-            // Pages are read at different revisions; watching from the first one misses nothing in
-            // between.
+            // Pages are read at different revisions. A watch that starts from the revision of the
+            // first page also reports the changes made between the pages.
             Listing listing =
                 new Listing(new ArrayList<>(page.get().items()), page.get().storeRevision());
             listNextPage(prefix, priority, page.get().lastStoredKey(), listing, handler);
@@ -284,9 +290,9 @@
   }
 
   /**
-   * Reads the revision of the whole store.
+   * Reads the current revision of the store.
    *
-   * @param handler takes nothing when that can't be found out
+   * @param handler receives an empty value if the revision could not be read
    */
   public void storeRevision(Consumer<OptionalLong> handler) {
     String path =
@@ -296,7 +302,10 @@
         answer -> handler.accept(answers.storeRevision(answer)));
   }
 
-  /** Sends a transaction; without an answer it may have been carried out, or may be later. */
+  /**
+   * Sends a transaction. Without a response, it may have been applied or may still be applied
+   * later.
+   */
   public void transaction(
       Transaction transaction, RequestPriority priority, Consumer<Transaction.Result> handler) {
     JsonNode body =
@@ -313,7 +322,10 @@
         });
   }
 
-  /** A transaction with a lease is malformed as well once that lease has ended. */
+  /**
+   * Returns true if the refusal indicates that the write is too large. A transaction that puts a
+   * key on a lease is excluded: it is also malformed if the lease has ended.
+   */
   private static boolean tellsOfSize(int status, Transaction transaction) {
     return status == HttpStatus.PAYLOAD_TOO_LARGE
         || (status == HttpStatus.BAD_REQUEST && !transaction.isAttachedToLease());
@@ -322,7 +334,8 @@
   /**
    * Creates a lease.
    *
-   * @param handler takes the lease id, or nothing when that failed or had no answer
+   * @param handler receives the lease id, or an empty value if the request failed or had no
+   *     response
    */
   public void createLease(long ttlMicros, Consumer<OptionalLong> handler) {
     send(
@@ -338,7 +351,7 @@
         answer -> handler.accept(answers.renewalResult(answer)));
   }
 
-  /** Ends a lease at once; the keys that are attached to it are deleted. */
+  /** Revokes a lease immediately; the keys attached to it are deleted. */
   public void revokeLease(long leaseId) {
     send(Request.urgentDelete(leasePath(leaseId)), answer -> {});
   }
@@ -348,9 +361,9 @@
   }
 
   /**
-   * Asks for the changes under a prefix since a revision.
+   * Requests the changes under a prefix since a revision.
    *
-   * @param waitMicros how long the service may wait for the first change if there is none yet
+   * @param waitMicros how long the state service may hold the request open until the first change
    */
   public void watch(String prefix, long since, long waitMicros, Consumer<WatchResponse> handler) {
     String path =
--- a/src/main/java/plumlever/store/StateProtocol.java
+++ b/src/main/java/plumlever/store/StateProtocol.java
@@ -1,8 +1,8 @@
 package plumlever.store;
 
 /**
- * Paths and JSON fields of the state service. A constant bears the term that the code uses, its
- * value is the name on the wire.
+ * Paths and JSON fields of the state service. Each constant is named with the term used in the
+ * code; its value is the name on the wire.
  */
 final class StateProtocol {
   static final String KEYS = "/keys/";
