--- a/src/main/java/plumlever/store/ActiveRecord.java
+++ b/src/main/java/plumlever/store/ActiveRecord.java
@@ -9,7 +9,10 @@
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
 
-/** A job that has not ended, as it is stored: its submission, and where its dependencies are. */
+/**
+ * The stored record of a job that has not ended: the submission and the location of its
+ * dependencies.
+ */
 final class ActiveRecord {
   private static final String SPEC = "job";
   private static final String ACCEPTED_MS = "at_ms";
@@ -19,7 +22,7 @@
 
   private ActiveRecord() {}
 
-  /** A record that holds all that the job depends on. */
+  /** Builds a record that holds the dependencies of the job inline. */
   static ObjectNode write(JobSpec spec, long acceptedWallMicros) {
     ObjectNode record = Json.object().put(ACCEPTED_MS, acceptedWallMicros / 1_000);
     record.set(SPEC, spec.toJson());
@@ -27,10 +30,10 @@
   }
 
   /**
-   * A record without the job's dependencies, which are stored beside it.
+   * Builds a record without the dependencies of the job, which are stored in a separate list.
    *
-   * @param digest names their list
-   * @param parts of how many values that list is
+   * @param digest the digest in the keys of the list
+   * @param parts the number of values that the list consists of
    */
   static ObjectNode writeWithList(JobSpec spec, long acceptedWallMicros, String digest, int parts) {
     ObjectNode record = write(spec.withDependencies(List.of()), acceptedWallMicros);
@@ -38,10 +41,9 @@
     return record;
   }
 
-  /** The submission. */
   static JobSpec spec(JsonNode activeRecord) throws InvalidMessageException {
     if (!(activeRecord.get(SPEC) instanceof ObjectNode object)) {
-      throw new InvalidMessageException("the record holds no job");
+      throw new InvalidMessageException("active record: field 'job' is missing or not an object");
     }
     return JobSpec.parse(object);
   }
@@ -50,12 +52,12 @@
     return activeRecord.path(ACCEPTED_MS).asLong() * 1_000;
   }
 
-  /** True if the job depends on others. */
+  /** Returns true if the job depends on other jobs. */
   static boolean hasDependencies(JsonNode activeRecord) {
     return activeRecord.has(DEPENDENCY_LIST) || !dependencies(activeRecord).isEmpty();
   }
 
-  /** What the job depends on, where its own record holds that. */
+  /** Returns the dependencies that the record holds inline. */
   static List<String> dependenciesInline(JsonNode activeRecord) {
     List<String> uids = new ArrayList<>();
     dependencies(activeRecord).forEach(uid -> uids.add(uid.asText()));
@@ -66,7 +68,7 @@
     return activeRecord.path(SPEC).path(ProtocolField.DEPENDENCIES);
   }
 
-  /** The keys that hold what the job depends on, besides its own record. */
+  /** Returns the keys of the dependency list parts; empty if the dependencies are stored inline. */
   static List<String> dependenciesKeys(String uid, JsonNode activeRecord) {
     JsonNode list = activeRecord.path(DEPENDENCY_LIST);
     String prefix = DependencyListRecords.prefix(uid, list.path(DIGEST).asText());
--- a/src/main/java/plumlever/store/EndedRecord.java
+++ b/src/main/java/plumlever/store/EndedRecord.java
@@ -6,7 +6,7 @@
 import plumlever.wire.JobState;
 import plumlever.wire.Json;
 
-/** How a job ended, as it is stored. */
+/** The stored record of the final state of a job. */
 final class EndedRecord {
   private static final String STATE = "s";
   private static final String ENDED_MS = "at_ms";
@@ -14,15 +14,15 @@
   private EndedRecord() {}
 
   /**
-   * The record of an end.
+   * Builds the record.
    *
-   * @param wallMicros when it is stored
+   * @param wallMicros when the final state is stored
    */
   static ObjectNode write(JobState finalState, long wallMicros) {
     return Json.object().put(STATE, finalState.wireName()).put(ENDED_MS, wallMicros / 1_000);
   }
 
-  /** How the job ended; nothing when that can't be read. */
+  /** Returns the final state of the job; empty if the record is unreadable. */
   static Optional<JobState> finalState(JsonNode endedRecord) {
     String name = endedRecord.path(STATE).asText();
     for (JobState state : JobState.values()) {
@@ -34,7 +34,8 @@
   }
 
   /**
-   * When it ended, by the clock of the controller that stored it; 0 where an earlier version did.
+   * Returns when the job ended, by the clock of the controller that stored the record; 0 if an
+   * earlier version, which did not store the time, wrote the record.
    */
   static long endedWallMicros(JsonNode endedRecord) {
     return endedRecord.path(ENDED_MS).asLong(0) * 1_000;
--- a/src/main/java/plumlever/store/KeySpace.java
+++ b/src/main/java/plumlever/store/KeySpace.java
@@ -6,12 +6,12 @@
 import plumlever.wire.Json;
 
 /**
- * Where the keys of this controller's records are in the state service: under a prefix, or at the
- * root. A key that begins with a slash is taken from the root whatever the prefix, without that
- * slash; it is how records are named that shards share.
+ * Maps the keys used by this controller to stored keys, which are under a prefix or at the root. A
+ * key that begins with a slash is absolute: the slash is removed and no prefix is added. Absolute
+ * keys name records that the shards of a pool share.
  */
 public final class KeySpace {
-  /** Keys as they are. */
+  /** The key space without a prefix. */
   public static final KeySpace ROOT = new KeySpace("");
 
   private static final String ABSOLUTE = "/";
@@ -22,36 +22,36 @@
     this.prefix = prefix;
   }
 
-  /** Keys under this prefix, which ends with a slash or is empty. */
+  /** Returns the key space of this prefix, which ends with a slash or is empty. */
   public static KeySpace under(String prefix) {
     return prefix.isEmpty() ? ROOT : new KeySpace(prefix);
   }
 
-  /** The key of another key space, by that one's prefix. */
+  /** Returns the absolute name of a key in the key space of another prefix. */
   public static String absolute(String prefix, String key) {
     return ABSOLUTE + prefix + key;
   }
 
-  /** True if the key is named from the root, whatever the prefix. */
+  /** Returns true if the key is absolute. */
   static boolean isAbsolute(String key) {
     return key.startsWith(ABSOLUTE);
   }
 
-  /** The key as it is stored. */
+  /** Returns the key as it is stored. */
   String toStored(String key) {
     return isAbsolute(key) ? key.substring(1) : prefix + key;
   }
 
   /**
-   * The name of a stored key as whoever asked for it knows it.
+   * Maps a stored key in a response back to the form used in the request.
    *
-   * @param asked the key or prefix that was asked for
+   * @param asked the key or prefix of the request
    */
   String fromStored(String stored, String asked) {
     return isAbsolute(asked) ? ABSOLUTE + stored : stored.substring(prefix.length());
   }
 
-  /** The name of a stored key as a transaction named it. */
+  /** Maps a stored key back to the form used in a transaction. */
   String fromStored(String stored) {
     if (isRoot()) {
       return stored;
@@ -63,7 +63,7 @@
     return prefix.isEmpty();
   }
 
-  /** The body of a transaction with all keys as they are stored. */
+  /** Returns a copy of the body of a transaction in which all keys are stored keys. */
   ObjectNode toStored(ObjectNode body) {
     ObjectNode stored = Json.object();
     ArrayNode preconditions = stored.putArray(StateProtocol.PRECONDITIONS);
--- a/src/main/java/plumlever/store/KnownJobs.java
+++ b/src/main/java/plumlever/store/KnownJobs.java
@@ -6,33 +6,33 @@
 import java.util.OptionalLong;
 import plumlever.wire.JobState;
 
-/** What is known of jobs without asking, in bounded memory: what is evicted is read again. */
+/** A bounded in-memory cache of job states; entries that were evicted are read again. */
 final class KnownJobs {
   private static final int MAX_ENDED = 20_000;
   private static final int MAX_ACTIVE = 5_000;
 
-  /** Final states never change, so they may be told from memory. */
+  /** Final states never change, so cached values are always valid. */
   private final Cache<String, JobState> finalStates = cache(MAX_ENDED);
 
-  /** Of records that were active when last seen: they may have changed since. */
+  /** Revisions of records that were active when last read; the records may have changed since. */
   private final Cache<String, Long> activeRevisions = cache(MAX_ACTIVE);
 
   private static <V> Cache<String, V> cache(int maxSize) {
     return CacheBuilder.newBuilder().concurrencyLevel(1).maximumSize(maxSize).build();
   }
 
-  /** The job's end is stored. */
+  /** Records that the final state of the job has been stored. */
   void jobEnded(String uid, JobState finalState) {
     activeRevisions.invalidate(uid);
     finalStates.put(uid, finalState);
   }
 
-  /** The job's active record was seen with this revision. */
+  /** Records the revision of the active record of the job. */
   void activeSeen(String uid, long revision) {
     activeRevisions.put(uid, revision);
   }
 
-  /** The job's active record has changed, or is gone. */
+  /** Removes the revision of an active record that has changed or was deleted. */
   void forgetActive(String uid) {
     activeRevisions.invalidate(uid);
   }
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -5,21 +5,22 @@
 import plumlever.concurrent.Loop;
 
 /**
- * Watches all keys under a prefix until it is closed. Where changes were missed, everything is read
- * anew. What is told counts from when its request was <em>sent</em>. Belongs to one loop.
+ * Watches all keys under a prefix until it is closed. If changes were missed, all keys are listed
+ * again. A notification is as recent as the send time of its request, not the arrival of its
+ * response. Used on one loop only.
  */
 public final class PrefixWatch implements AutoCloseable {
-  /** Told of everything under the prefix. */
+  /** Receives the keys under the prefix and their changes. */
   public interface Listener {
     /**
-     * Changes were missed: this is all there is now.
+     * Called with all current keys after changes were missed.
      *
      * @param sentMicros when the request was sent
      */
     void listed(StateClient.Listing listing, long sentMicros);
 
     /**
-     * Nothing else has changed.
+     * Called with all changes since the previous call.
      *
      * @param changes may be empty
      * @param sentMicros when the request was sent
@@ -37,10 +38,10 @@
   private boolean closed;
 
   /**
-   * A watch that is not begun yet.
+   * Creates a watch that has not started.
    *
-   * @param waitMicros how long a watch may be left open
-   * @param retryMicros pause after a request that was refused or had no answer
+   * @param waitMicros how long the state service may hold a watch request open
+   * @param retryMicros the pause after a request that was refused or had no response
    */
   public PrefixWatch(
       Loop loop,
@@ -57,7 +58,7 @@
     this.listener = listener;
   }
 
-  /** Tells of what changes after that revision. */
+  /** Starts the watch; reports the changes after this revision. */
   public void watchFrom(long revision) {
     storeRevision = revision;
     watch();
@@ -108,7 +109,7 @@
         });
   }
 
-  /** Nothing is told from here on. */
+  /** Stops the watch; the listener is not called any more. */
   @Override
   public void close() {
     closed = true;
--- a/src/main/java/plumlever/store/ProgressRecords.java
+++ b/src/main/java/plumlever/store/ProgressRecords.java
@@ -14,8 +14,8 @@
 import plumlever.wire.Json;
 
 /**
- * Which tasks have finished, as it is stored: bitmaps in Base64, in chunks of one large job each or
- * of many small ones.
+ * The stored format of the sets of finished tasks: Base64 bitmaps in chunks. A chunk belongs to one
+ * large job or is shared by many small jobs.
  */
 final class ProgressRecords {
   private static final String BITS = "b";
@@ -23,34 +23,34 @@
   private static final String SHARED = "p";
   private static final String FROM = "from-";
 
-  /** Base64 makes so many letters of so many bytes. */
+  /** Base64 encodes every 3 bytes as 4 letters. */
   private static final int BASE64_LETTERS = 4;
 
   private static final int BASE64_BYTES = 3;
   private static final int TASKS_IN_LETTERS = BASE64_BYTES * Byte.SIZE;
 
-  /** What the JSON round a chunk, a shared chunk and an entry of one takes. */
+  /** The bytes of the JSON around a chunk, a shared chunk, and an entry of a shared chunk. */
   private static final int CHUNK_BASE_BYTES = 64;
 
   private static final int SHARED_CHUNK_BASE_BYTES = 32;
   private static final int SHARED_ENTRY_BYTES = 8;
 
-  /** A job may take up to this part of a shared chunk. */
+  /** A job shares a chunk only if at least this many jobs of its size would fit the chunk. */
   private static final int MIN_ENTRIES_OF_SHARED_CHUNK = 8;
 
   private ProgressRecords() {}
 
-  /** The record of the tasks from this one on. */
+  /** Returns the key of the chunk that starts at this task. */
   static String chunkKey(String uid, int firstTask) {
     return RecordKeys.PROGRESS + uid + "/" + FROM + firstTask;
   }
 
-  /** How many tasks one chunk of a large job holds. */
+  /** Returns how many tasks one chunk of a large job covers. */
   static int tasksPerChunk(int maxValueBytes) {
     return (maxValueBytes - CHUNK_BASE_BYTES) / BASE64_LETTERS * BASE64_BYTES * Byte.SIZE;
   }
 
-  /** The chunk of these tasks. */
+  /** Builds the chunk of a range of tasks. */
   static ObjectNode chunk(BitSet done, int firstTask, int tasks) {
     return Json.object()
         .put(FIRST_TASK, firstTask)
@@ -58,10 +58,10 @@
   }
 
   /**
-   * Adds the tasks of a stored chunk to {@code into}.
+   * Adds the finished tasks of a stored chunk to {@code into}.
    *
-   * @param name the last part of its key
-   * @param formerMaxValueBytes by which earlier versions cut up their chunks
+   * @param name the last segment of the key of the chunk
+   * @param formerMaxValueBytes the value size by which earlier versions split their chunks
    */
   static void readChunk(JsonNode record, String name, int formerMaxValueBytes, BitSet into)
       throws InvalidMessageException {
@@ -69,7 +69,7 @@
     int firstTask = firstTask(name, formerMaxValueBytes);
     if (firstTask < 0
         || (record.has(FIRST_TASK) && record.get(FIRST_TASK).asInt(-1) != firstTask)) {
-      throw new InvalidMessageException("a progress record is not what its key says");
+      throw new InvalidMessageException("progress record: first task does not match the key");
     }
     bits.stream().forEach(i -> into.set(firstTask + i));
   }
@@ -86,10 +86,12 @@
   }
 
   private static InvalidMessageException unreadable() {
-    return new InvalidMessageException("a progress record can't be read");
+    return new InvalidMessageException("unreadable progress record");
   }
 
-  /** Bytes that the job takes in a shared chunk; nothing when it is too large to share one. */
+  /**
+   * Returns the bytes the job takes in a shared chunk; empty if the job is too large to share one.
+   */
   static OptionalInt bytesInSharedChunk(JobSpec spec, int maxValueBytes) {
     int bytes = sizeInSharedChunk(spec);
     return bytes <= maxValueBytes / MIN_ENTRIES_OF_SHARED_CHUNK
@@ -97,19 +99,22 @@
         : OptionalInt.empty();
   }
 
-  /** Bytes that the job takes in a shared chunk, whether or not it may share one. */
+  /**
+   * Returns the bytes the job takes in a shared chunk, whether or not it is small enough to share
+   * one.
+   */
   static int sizeInSharedChunk(JobSpec spec) {
     return spec.uid().length()
         + SHARED_ENTRY_BYTES
         + (spec.taskCount() + TASKS_IN_LETTERS - 1) / TASKS_IN_LETTERS * BASE64_LETTERS;
   }
 
-  /** Bytes that the jobs of a shared chunk may take together. */
+  /** Returns how many bytes the jobs of a shared chunk may take together. */
   static int sharedChunkBytes(int maxValueBytes) {
     return maxValueBytes - SHARED_CHUNK_BASE_BYTES;
   }
 
-  /** The chunk that these jobs share. */
+  /** Builds the shared chunk of these jobs. */
   static ObjectNode sharedChunk(Map<String, BitSet> doneByJob) {
     ObjectNode entries = Json.object();
     doneByJob.forEach((uid, done) -> entries.put(uid, base64(done)));
@@ -118,7 +123,7 @@
     return chunk;
   }
 
-  /** The finished tasks by job; a job whose bitmap can't be read has none. */
+  /** Reads the finished tasks by job; a job whose bitmap is unreadable gets an empty set. */
   static Map<String, BitSet> readSharedChunk(JsonNode record) {
     Map<String, BitSet> doneByJob = new LinkedHashMap<>();
     record
--- a/src/main/java/plumlever/store/QuestionBatch.java
+++ b/src/main/java/plumlever/store/QuestionBatch.java
@@ -7,9 +7,9 @@
 import plumlever.concurrent.Loop;
 
 /**
- * Collects questions for a moment, so that one request answers all of them.
+ * Collects lookups for a short time so that a single request serves all of them.
  *
- * @param <Q> a question
+ * @param <Q> the type of a lookup
  */
 final class QuestionBatch<Q> {
   private static final long COLLECT_MICROS = 25_000;
@@ -20,8 +20,8 @@
   private List<Q> collected = new ArrayList<>();
 
   /**
-   * @param maxSize as many questions as are not collected any longer
-   * @param request asks all that were collected; never none
+   * @param maxSize the batch size at which the request is sent without further delay
+   * @param request sends the request for a batch, which is never empty
    */
   QuestionBatch(Loop loop, IntSupplier maxSize, Consumer<List<Q>> request) {
     this.loop = loop;
--- a/src/main/java/plumlever/store/RateLimitRetry.java
+++ b/src/main/java/plumlever/store/RateLimitRetry.java
@@ -4,11 +4,11 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Sends requests again shortly where a rate limit refused them. Any other failure is told at once:
- * in an outage users are not kept waiting.
+ * Retries requests that were refused by a rate limit, after a short pause. Any other failure is
+ * reported immediately, so that users do not wait during an outage.
  */
 final class RateLimitRetry {
-  /** How often a request is sent at most. */
+  /** The maximum number of times that a request is sent. */
   static final int MAX_ATTEMPTS = 4;
 
   private static final long PAUSE_MICROS = 150_000;
@@ -20,10 +20,11 @@
   }
 
   /**
-   * A request has failed.
+   * Retries a failed request if it was rate-limited and attempts are left; otherwise reports the
+   * failure.
    *
-   * @param status of its answer
-   * @param attemptsLeft with the failed one
+   * @param status the status of the response
+   * @param attemptsLeft the remaining attempts, including the failed one
    */
   void retryOr(int status, int attemptsLeft, Runnable retry, Runnable fail) {
     if (status == HttpStatus.TOO_MANY_REQUESTS) {
@@ -34,9 +35,9 @@
   }
 
   /**
-   * A request has to be sent again.
+   * Retries a request if attempts are left; otherwise reports the failure.
    *
-   * @param attemptsLeft with the last one
+   * @param attemptsLeft the remaining attempts, including the last one
    */
   void retryOr(int attemptsLeft, Runnable retry, Runnable fail) {
     if (attemptsLeft > 1) {
--- a/src/main/java/plumlever/store/RecordKeys.java
+++ b/src/main/java/plumlever/store/RecordKeys.java
@@ -1,6 +1,6 @@
 package plumlever.store;
 
-/** The keys of records in the state service, and the numbers in them. */
+/** The keys of the records in the state service and the numbers in them. */
 final class RecordKeys {
   static final String ACTIVE = "active/";
   static final String ENDED = "ended/";
@@ -11,7 +11,7 @@
   static final String WARM_STATE = "hints/";
   static final String CATALOG = "catalog";
 
-  /** Progress of small jobs that share records. */
+  /** Prefix of the progress chunks that small jobs share. */
   static final String SHARED_PROGRESS = PROGRESS + "pack/";
 
   private static final int NO_NUMBER = -1;
@@ -22,7 +22,7 @@
     return ACTIVE + uid;
   }
 
-  /** The job that an active record's key names. */
+  /** Returns the job named by the key of an active record. */
   static String uidOfActive(String key) {
     return key.substring(ACTIVE.length());
   }
@@ -31,7 +31,7 @@
     return ENDED + uid;
   }
 
-  /** The job that an ended record's key names. */
+  /** Returns the job named by the key of an ended record. */
   static String uidOfEnded(String key) {
     return key.substring(ENDED.length());
   }
@@ -40,12 +40,15 @@
     return SHARED_PROGRESS + number;
   }
 
-  /** Number of a record that entries share, or -1. */
+  /**
+   * Returns the number after the first slash in the key of a record that several jobs or machines
+   * share, or -1 if there is none.
+   */
   static int sharedRecordNumber(String key) {
     return number(key, key.indexOf('/') + 1);
   }
 
-  /** Number of a record of shared progress, or -1 for any other key. */
+  /** Returns the number of a shared progress chunk, or -1 for any other key. */
   static int sharedProgressNumber(String key) {
     return key.startsWith(SHARED_PROGRESS) ? number(key, SHARED_PROGRESS.length()) : NO_NUMBER;
   }
--- a/src/main/java/plumlever/store/RequestBudget.java
+++ b/src/main/java/plumlever/store/RequestBudget.java
@@ -3,13 +3,16 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * This controller's part of the state service's limits, which all controllers share: of requests,
- * and of puts and deletes.
+ * This controller's share of the state service's rate limits, which all controllers share. There is
+ * one limit for requests and one for puts and deletes.
  */
 final class RequestBudget {
   private static final double PART = 0.5;
 
-  /** Of writes the leader needs most: ends of jobs, records of jobs and machines, progress. */
+  /**
+   * The leader's share of the writes. The leader writes most: ends of jobs, records of jobs and
+   * machines, and progress.
+   */
   private static final double LEADER_WRITES_PART = 0.7;
 
   private final double writesPerSecond;
@@ -22,15 +25,15 @@
     this.writes = new TokenBucket(writesPerSecond * PART, nowMicros);
   }
 
-  /** This controller leads from now on, or does no more. */
+  /** Sets whether this controller leads, which determines its share of the writes. */
   void setLeading(boolean leading, long nowMicros) {
     writes.setRate(writesPerSecond * (leading ? LEADER_WRITES_PART : PART), nowMicros);
   }
 
   /**
-   * True if a request may be sent now; it is charged for then.
+   * Returns true if a request may be sent now, and charges the request in that case.
    *
-   * @param operations how many puts and deletes it holds
+   * @param operations the number of puts and deletes in the request
    */
   boolean admits(StateClient.RequestPriority priority, int operations, long nowMicros) {
     if (priority == StateClient.RequestPriority.URGENT) {
--- a/src/main/java/plumlever/store/ServiceAvailability.java
+++ b/src/main/java/plumlever/store/ServiceAvailability.java
@@ -2,7 +2,7 @@
 
 import plumlever.wire.HttpStatus;
 
-/** Since when the state service serves this controller, or does not. */
+/** Tracks since when the state service has served or refused this controller. */
 final class ServiceAvailability {
   private static final long NOT_REFUSED = -1;
 
@@ -14,9 +14,9 @@
   }
 
   /**
-   * A request has ended.
+   * Records the outcome of a request.
    *
-   * @param status 0 without an answer
+   * @param status the status of the response; 0 if no response arrived
    */
   void requestEnded(int status, long nowMicros) {
     if (status != 0 && status != HttpStatus.UNAVAILABLE) {
@@ -27,12 +27,15 @@
     }
   }
 
-  /** When a request was last answered by anything but 503. */
+  /** Returns when a request was last answered with anything other than a 503. */
   long lastServedMicros() {
     return lastServedMicros;
   }
 
-  /** For how long every request has been refused or unanswered; 0 after one that was served. */
+  /**
+   * Returns how long every request has been refused or unanswered; 0 if the last request was
+   * served.
+   */
   long refusedForMicros(long nowMicros) {
     return refusedSinceMicros < 0 ? 0 : nowMicros - refusedSinceMicros;
   }
--- a/src/main/java/plumlever/store/TokenBucket.java
+++ b/src/main/java/plumlever/store/TokenBucket.java
@@ -1,8 +1,8 @@
 package plumlever.store;
 
 /**
- * Keeps requests within a rate, with bursts of one second's worth. It has no clock: callers tell
- * the time, which never goes back.
+ * A token bucket rate limiter that allows bursts of one second's worth of tokens. It reads no
+ * clock: callers pass the current time, which must not decrease.
  */
 public final class TokenBucket {
   private static final double MICROS_PER_S = 1_000_000;
@@ -12,7 +12,7 @@
   private double tokens;
   private long refilledMicros;
 
-  /** A bucket that is full and holds one second's worth. */
+  /** Creates a full bucket with a capacity of one second's worth of tokens. */
   public TokenBucket(double perSecond, long nowMicros) {
     this.tokensPerMicro = perSecond / MICROS_PER_S;
     this.capacity = Math.max(1, perSecond);
@@ -20,7 +20,7 @@
     this.refilledMicros = nowMicros;
   }
 
-  /** From now on this many a second. */
+  /** Changes the refill rate and the capacity. */
   public void setRate(double perSecond, long nowMicros) {
     refill(nowMicros);
     tokensPerMicro = perSecond / MICROS_PER_S;
@@ -28,13 +28,13 @@
     tokens = Math.min(tokens, capacity);
   }
 
-  /** True if so many, or a full bucket, could be taken now. */
+  /** Returns true if this many tokens, or a full bucket if the amount is larger, are available. */
   public boolean canAcquire(double amount, long nowMicros) {
     refill(nowMicros);
     return tokens >= Math.min(amount, capacity);
   }
 
-  /** Takes tokens if there are enough; false if there are not, and none is taken. */
+  /** Takes tokens if enough are available; otherwise takes none and returns false. */
   public boolean tryAcquire(double amount, long nowMicros) {
     refill(nowMicros);
     if (tokens < amount) {
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Takes tokens whether or not there are enough, for requests that must go whatever the rate. They
-   * are paid for by the ones that can wait, up to one second's worth.
+   * Takes tokens even if not enough are available, for requests that must be sent regardless of the
+   * rate. The debt, at most one second's worth, delays later calls of {@link #tryAcquire}.
    */
   public void acquireOnCredit(double amount, long nowMicros) {
     refill(nowMicros);
--- a/src/main/java/plumlever/store/Transaction.java
+++ b/src/main/java/plumlever/store/Transaction.java
@@ -8,19 +8,22 @@
 import plumlever.wire.Json;
 
 /**
- * A transaction under construction: its operations are carried out together if all its
- * preconditions hold, or none is. Keys are named as {@link KeySpace} says.
+ * A transaction under construction. Its operations are applied atomically if all of its
+ * preconditions hold; otherwise none is applied. Keys are named as described in {@link KeySpace}.
  */
 public final class Transaction {
-  /** What became of a transaction. */
+  /** The outcome of a transaction. */
   public enum Outcome {
-    /** Carried out. */
+    /** All operations were applied. */
     APPLIED,
     /** A precondition did not hold; nothing was changed. */
     CONFLICT,
-    /** Surely not carried out: refused by a limit, an outage or as malformed. */
+    /**
+     * Certainly not applied: the transaction was rejected by a limit, during an outage or as
+     * malformed.
+     */
     REFUSED,
-    /** No answer: it may have been carried out, or may be later. */
+    /** No response: the transaction may have been applied, or may still be applied later. */
     UNKNOWN;
 
     static Outcome ofStatus(int status) {
@@ -38,14 +41,14 @@
   }
 
   /**
-   * What became of it.
+   * The result of a transaction.
    *
-   * @param status of the answer; 0 without one
-   * @param revision of its changes when applied, else -1
-   * @param failed keys of preconditions that did not hold, as far as told
+   * @param status the status of the response; 0 if no response arrived
+   * @param revision the revision of the changes if the transaction was applied, otherwise -1
+   * @param failed the keys whose preconditions did not hold; the list may be incomplete
    */
   public record Result(Outcome outcome, int status, long revision, List<String> failed) {
-    /** True if it surely has been carried out. */
+    /** Returns true if the transaction is known to have been applied. */
     public boolean applied() {
       return outcome == Outcome.APPLIED;
     }
@@ -60,7 +63,7 @@
   /**
    * Adds a precondition.
    *
-   * @param revision that the key must have; 0: it must not exist
+   * @param revision the revision that the key must have; 0 if the key must not exist
    */
   public Transaction require(String key, long revision) {
     noteKey(key);
@@ -68,14 +71,17 @@
     return this;
   }
 
-  /** Puts a value that stays. */
+  /** Adds an operation that puts a value not attached to a lease. */
   public Transaction put(String key, JsonNode data) {
     noteKey(key);
     operations.addObject().put(StateProtocol.PUT, key).set(StateProtocol.VALUE, data);
     return this;
   }
 
-  /** Puts a value that is deleted when the lease ends. */
+  /**
+   * Adds an operation that puts a value attached to a lease; the key is deleted when the lease
+   * ends.
+   */
   public Transaction put(String key, JsonNode data, long leaseId) {
     noteKey(key);
     attachedToLease = true;
@@ -87,7 +93,7 @@
     return this;
   }
 
-  /** Deletes a key, if it is there. */
+  /** Adds an operation that deletes a key if it exists. */
   public Transaction delete(String key) {
     noteKey(key);
     operations.addObject().put(StateProtocol.DELETE, key);
@@ -98,17 +104,20 @@
     namesAbsolute |= KeySpace.isAbsolute(key);
   }
 
-  /** True if a key is named from the root of the state service. */
+  /** Returns true if a key of the transaction is absolute, see {@link KeySpace}. */
   boolean namesAbsolute() {
     return namesAbsolute;
   }
 
-  /** True if it puts a key on a lease: such a transaction is malformed once the lease has ended. */
+  /**
+   * Returns true if the transaction attaches a key to a lease. Such a transaction is rejected as
+   * malformed after the lease has ended.
+   */
   boolean isAttachedToLease() {
     return attachedToLease;
   }
 
-  /** How many puts and deletes it holds. */
+  /** Returns the number of puts and deletes. */
   public int operationCount() {
     return operations.size();
   }
--- a/src/main/java/plumlever/store/UnexpectedAnswers.java
+++ b/src/main/java/plumlever/store/UnexpectedAnswers.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import org.slf4j.Logger;
 
-/** Logs answers that can't be understood, once for each kind of request. */
+/** Logs unreadable responses, once per kind of request. */
 final class UnexpectedAnswers {
   private final Logger log;
   private final Set<String> loggedKinds = new HashSet<>();
@@ -14,14 +14,17 @@
   }
 
   /**
-   * An answer that can't be understood.
+   * Logs an unreadable response if it is the first for this kind of request.
    *
-   * @param what the problem, or the answer itself
+   * @param what the error found, or the response itself
    */
   void report(String method, String path, String what) {
     String kind = method + " " + firstSegment(path);
     if (loggedKinds.add(kind)) {
-      log.warn("state service gave a surprising answer to {}: {}", kind, what);
+      log.warn(
+          "unexpected response of the state service to {} (logged once per kind of request): {}",
+          kind,
+          what);
     }
   }
 
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -8,15 +8,19 @@
 import plumlever.wire.Json;
 
 /**
- * How much one write may hold. It begins with the smaller of what the settings say of now and of
- * later, and gets smaller when the state service refuses a write for its size: limits may fall
- * without notice. Belongs to its client's loop.
+ * The limits of a single write. They start with the smaller of the present and the announced future
+ * limits in the settings. They shrink when the state service refuses a write because of its size,
+ * because the state service may lower its limits without notice. Used on the loop of its client
+ * only.
  */
 public final class WriteLimits {
-  /** The least bytes of a value that records can be kept with; settings are checked for it. */
+  /**
+   * The smallest value size in bytes with which all records can be stored; enforced on the
+   * settings.
+   */
   public static final int MIN_VALUE_BYTES = 1024;
 
-  /** The least operations of a transaction that records can be kept with. */
+  /** The smallest number of operations per transaction with which all records can be stored. */
   public static final int MIN_OPERATIONS = 3;
 
   private static final Logger LOG = LoggerFactory.getLogger(WriteLimits.class);
@@ -25,33 +29,36 @@
   private int maxValueBytes;
   private int maxOperations;
 
-  /** The limits that the settings state. */
+  /** Creates the limits from the settings. */
   public WriteLimits(PlatformConfiguration.StateLimits settings) {
     this.maxValueBytes = settings.valueBytes();
     this.maxOperations = settings.transactionOps();
     this.formerValueBytes = settings.formerValueBytes();
   }
 
-  /** The most that a value may take, in bytes. */
+  /** Returns the maximum size of a value in bytes. */
   public int maxValueBytes() {
     return maxValueBytes;
   }
 
-  /** The most puts and deletes in one transaction; it takes four times as many preconditions. */
+  /**
+   * Returns the maximum number of puts and deletes in a transaction. A transaction may have four
+   * times as many preconditions.
+   */
   public int maxOperations() {
     return maxOperations;
   }
 
   /**
-   * What former versions, which knew of no later limit, took for the most that a value may take.
+   * Returns the value size that earlier versions use, which do not support announced future limits.
    */
   int formerValueBytes() {
     return formerValueBytes;
   }
 
   /**
-   * A transaction was called malformed. Nothing but its size can be wrong with it, so what comes
-   * next is smaller.
+   * Lowers the limits after a transaction was rejected as malformed or too large. The size is the
+   * only possible cause, so later transactions are made smaller.
    */
   void refused(Transaction transaction) {
     int largestValue = largestValueBytes(transaction);
@@ -59,8 +66,8 @@
     int smallerValue = valueBytesAfterRefusal(largestValue);
     if (fewerOperations < maxOperations || smallerValue < maxValueBytes) {
       LOG.warn(
-          "a write of {} changes and values of up to {} bytes was refused: from now on {} changes"
-              + " of {} bytes at most",
+          "state service refused a write of {} operations with values of up to {} bytes; limiting"
+              + " transactions to {} operations and values to {} bytes",
           transaction.operationCount(),
           largestValue,
           fewerOperations,
--- a/src/main/java/plumlever/store/package-info.java
+++ b/src/main/java/plumlever/store/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The state service: its client, transactions within its limits, the layout of all records, and
- * what is known of jobs from reading them.
+ * The state service: its client, transactions within its limits, the layout of all records, and a
+ * cache of job states.
  *
- * <p>Owns the state service's protocol ({@code StateProtocol}), the keys and the stored forms of
- * jobs and their progress. Must not know of leadership: who may write is decided by the
- * preconditions that callers add.
+ * <p>This package owns the protocol of the state service ({@code StateProtocol}), the keys, and the
+ * stored formats of jobs and their progress. It must not depend on leadership: the preconditions
+ * that callers add to a transaction decide who may write.
  */
 package plumlever.store;
