--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -9,32 +9,32 @@
 import plumlever.store.Transaction;
 
 /**
- * When this controller stands for election, and what becomes of each attempt. There is one attempt
- * at a time. Runs on the election's loop only.
+ * Decides when this controller attempts to become leader, and handles the outcome of each attempt.
+ * At most one attempt is in progress. Used on the election loop only.
  */
 final class Candidacy implements AutoCloseable {
-  /** The pause of a recurring task that waits to be woken. */
+  /** Return value of a recurring task that runs again only when it is scheduled explicitly. */
   private static final long UNTIL_WOKEN = -1;
 
-  /** Before it is read who has won instead. */
+  /** The pause after a lost election, before the new leader is read. */
   private static final long AFTER_LOSS_MICROS = 50_000;
 
-  /** How often an election without an answer is asked about after the first time. */
+  /** How often the leader is read again after an election whose outcome is unknown. */
   private static final int MAX_RETRIES = 3;
 
-  /** Told on the election's loop how attempts end. */
+  /** Notified on the election loop of the outcome of attempts. */
   interface Observer {
-    /** True while this controller leads, so that it has nothing to stand for. */
+    /** Returns true while this controller leads; no attempt is made then. */
     boolean leading();
 
     /**
-     * An attempt has succeeded.
+     * Called when this controller was elected.
      *
-     * @param sentMicros when the request for the term's lease had been sent
+     * @param sentMicros the send time of the request that created the lease of the term
      */
     void won(Term term, long sentMicros);
 
-    /** An attempt has failed, and time enough has passed to read who has won. */
+    /** Called after a failed attempt and a pause, when the new leader can be read. */
     void lost();
   }
 
@@ -45,7 +45,7 @@
   private final LeadershipRecords records;
   private final ElectionBackoff backoff;
 
-  /** Where terms come from if this is one shard of a pool. */
+  /** The source of terms if this controller belongs to a shard of a pool. */
   private final Optional<PoolTerms> poolTerms;
 
   private final Observer observer;
@@ -67,25 +67,28 @@
     this.backoff = backoff;
     this.poolTerms = poolTerms;
     this.observer = observer;
-    this.task = new RecurringTask("candidacy", loop, this::stand);
+    this.task = new RecurringTask("election attempt", loop, this::stand);
   }
 
-  /** True while an attempt is under way. */
+  /** Returns true while an attempt is in progress. */
   boolean standing() {
     return standing;
   }
 
-  /** Stands no sooner than after this pause. */
+  /** Delays the next attempt by at least this pause. */
   void pause(long pauseMicros) {
     notBeforeMicros = loop.nowMicros() + pauseMicros;
   }
 
-  /** Leadership is free: stands shortly, if it still is then. */
+  /**
+   * Schedules an attempt after a short random pause; it is made only if leadership is still vacant
+   * then.
+   */
   void standSoon() {
     task.runAfter(backoff.beforeCandidacyMicros());
   }
 
-  /** A request had no answer: stands later, if leadership is free then. */
+  /** Schedules an attempt after a longer random pause, because a request had no response. */
   void standLater() {
     task.runAfter(backoff.beforeRetryMicros());
   }
@@ -103,9 +106,9 @@
       return notBeforeMicros - now;
     }
     standing = true;
-    // The preconditions are what this decision was taken on: watch events go on arriving while the
-    // lease is made, and a precondition on the newest revision would depose a leader elected in
-    // between.
+    // The transaction requires the revisions on which this decision is based. Watch events continue
+    // to arrive while the lease is created; a precondition on the newest revision could therefore
+    // depose a leader elected in the meantime.
     LeadershipRecords.Revisions seen = records.revisions();
     if (poolTerms.isEmpty()) {
       new Attempt(seen, new PoolTerms.Next(records.term() + 1, 0), now).createLease();
@@ -130,7 +133,7 @@
     private final PoolTerms.Next next;
     private final LeaderRecord record;
 
-    /** When the first request was sent, from which the right to act is counted. */
+    /** When the first request of the attempt was sent. The lease is counted from this time. */
     private final long sentMicros;
 
     Attempt(LeadershipRecords.Revisions seen, PoolTerms.Next next, long sentMicros) {
@@ -178,14 +181,14 @@
           : transaction.delete(LeaderElection.DELEGATION);
     }
 
-    /** An uncertain answer is resolved by reading, never by assuming. */
+    /** Reads the leader key after an election whose outcome is unknown. */
     private void resolve(long leaseId, int retries) {
       store.get(
           LeaderElection.LEADER,
           StateClient.RequestPriority.URGENT,
           result -> {
             if (result.found() && LeaderRecord.read(result.item().data()).equals(record)) {
-              // Both keys were put in one change and so have the same revision.
+              // The election put both keys in one transaction, so they have the same revision.
               won(leaseId, result.item().revision());
             } else if (result.found() || result.missing() || retries == 0) {
               lost(leaseId);
@@ -202,7 +205,7 @@
     }
 
     private void lost(long leaseId) {
-      // Ending the lease makes a late execution of the transaction fail.
+      // Revoking the lease makes the transaction fail if it is executed late.
       store.revokeLease(leaseId);
       standing = false;
       backoff.electionLost();
--- a/src/main/java/plumlever/election/Candidate.java
+++ b/src/main/java/plumlever/election/Candidate.java
@@ -1,10 +1,10 @@
 package plumlever.election;
 
 /**
- * Who stands for election: one life of one controller. A process that starts anew is another
- * candidate, although it bears the same label.
+ * A candidate for leadership: one incarnation of a controller. After a restart the process is a
+ * different candidate with the same label.
  *
- * @param label of the controller
- * @param nonce chosen at random when the process started
+ * @param label the label of the controller
+ * @param nonce a random value chosen when the process started
  */
 record Candidate(String label, String nonce) {}
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -12,30 +12,33 @@
 import plumlever.store.Transaction;
 
 /**
- * A follower's right to renew leases for a leader that can't reach the workers of some zones,
- * although both reach the state service. The leader's delegation is a key on its lease, dropped by
- * whoever is elected next. It counts here for a short time from when a read that showed it was
- * <em>sent</em>; the leader waits that long, and a lease, before it takes a machine of these zones
- * for lapsed (see {@code MachineManager.lapsesAt}), and that long before it sends a command there.
+ * The right of a follower to renew leases on behalf of a leader that cannot reach the workers of
+ * some zones, while both controllers reach the state service.
  *
- * <p>Used on the controller's own loop only.
+ * <p>The leader writes the delegation to a key attached to its own lease; the next election deletes
+ * the key. A follower may use the delegation for {@link #VALID_MICROS} after it <em>sent</em> the
+ * read that returned it. The leader waits for that time plus a lease before it treats the lease of
+ * a machine in these zones as expired (see {@code LeaseExpiry}). It also waits for that time before
+ * it sends a command to such a machine.
+ *
+ * <p>Used on the controller loop only.
  */
 public final class DelegatedRenewal {
-  /** How long a read of the delegation is good for. */
+  /** How long a delegation may be used after the read that returned it was sent. */
   public static final long VALID_MICROS = 2_000_000;
 
-  /** How often the delegation is read while there is one. */
+  /** The interval at which the delegation is read while there is one. */
   private static final long READ_MICROS = 600_000;
 
   /**
-   * The right in one zone.
+   * The right to renew leases in one zone.
    *
-   * @param token that renewals carry
-   * @param validUntilMicros until when the read that it rests on is good
+   * @param token the fencing token that renewals carry
+   * @param validUntilMicros when the right expires unless the delegation is read again
    */
   public record Right(long token, long validUntilMicros) {}
 
-  /** The delegation that gives no right. */
+  /** A delegation that covers no zone. */
   private static final DelegationRecord NO_DELEGATION = new DelegationRecord(-1, Map.of());
 
   private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
@@ -46,16 +49,16 @@
   private final LeaderElection election;
   private DelegationRecord delegation = NO_DELEGATION;
 
-  /** Of the newest delegation that was read. */
+  /** The revision of the newest delegation that was read. */
   private long revision = RenewalAnnouncement.NONE;
 
-  /** When the last read that showed a delegation was sent. */
+  /** The send time of the last read that returned a delegation. */
   private long readSentMicros = NEVER_MICROS;
 
-  /** Of the delegation under which a renewal was last announced. */
+  /** The revision of the delegation for which a renewal was last announced. */
   private long announcedRevision = RenewalAnnouncement.NONE;
 
-  /** Reads the leader's delegation by this client. */
+  /** Creates the right of this controller; the delegation is read through the given client. */
   public DelegatedRenewal(Loop loop, StateClient store, LeaderElection election, Logs logs) {
     this.log = logs.of(DelegatedRenewal.class);
     this.loop = loop;
@@ -63,9 +66,9 @@
     this.election = election;
   }
 
-  /** Reads the delegation over and over while there is one. */
+  /** Returns the task that reads the delegation at a fixed interval while there is one. */
   public RecurringTask refreshTask() {
-    return new RecurringTask("delegated renewal", loop, this::refresh);
+    return new RecurringTask("delegation refresh", loop, this::refresh);
   }
 
   private long refresh() {
@@ -80,7 +83,7 @@
           if (result.found()) {
             accept(DelegationRecord.read(result.item().data()), result.item().revision(), sent);
           } else if (result.missing()) {
-            // Only an answer that says so ends it before its time.
+            // Without an explicit 404, the delegation remains usable until it expires.
             delegation = NO_DELEGATION;
           }
         });
@@ -89,14 +92,14 @@
 
   private void accept(DelegationRecord read, long readRevision, long sentMicros) {
     if (readRevision < revision) {
-      // Answers may overtake each other; an older record may name tokens that are not sufficient
-      // any more.
+      // Responses may arrive out of order. The tokens in an older record may no longer be
+      // sufficient.
       return;
     }
     if (!read.equals(delegation)) {
       log.info(
-          "leases are renewed for the leader of term {}, zones and tokens {} (revision {}, read {}"
-              + " ms ago)",
+          "lease renewal delegated by the leader of term {}: tokens by zone {} (revision {}, read"
+              + " sent {} ms ago)",
           read.term(),
           read.tokenByZone(),
           readRevision,
@@ -108,8 +111,8 @@
   }
 
   /**
-   * A lease was renewed: the leader is told once for each delegation that somebody can reach its
-   * workers, or it would take the delegation back.
+   * Announces that a lease was renewed, once per delegation. Without an announcement, the leader
+   * assumes that no other controller reaches its workers, and revokes the delegation.
    */
   public void announceRenewal() {
     if (announcedRevision == revision) {
@@ -128,7 +131,10 @@
         });
   }
 
-  /** The right to renew leases in the zone, if there is one; asked again right before each use. */
+  /**
+   * Returns the right to renew leases in the zone, if there is one. Callers must check it again
+   * immediately before each use.
+   */
   public Optional<Right> rightIn(String zone) {
     long validUntil = readSentMicros + VALID_MICROS;
     OptionalLong token = delegation.tokenOf(zone);
--- a/src/main/java/plumlever/election/ElectionBackoff.java
+++ b/src/main/java/plumlever/election/ElectionBackoff.java
@@ -3,8 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Pauses before requests of the election are repeated. They are random, so that candidates that
- * failed together do not try again together. Used on the election's loop only.
+ * The pauses before election requests are repeated. The pauses contain random jitter so that
+ * candidates that failed at the same time do not retry at the same time. Used on the election loop
+ * only.
  */
 final class ElectionBackoff {
   /** The shortest pause before a request is repeated. */
@@ -23,17 +24,23 @@
     this.random = random;
   }
 
-  /** Before the leadership records are read again. */
+  /** Returns the pause before the leadership records are read again. */
   long beforeReadMicros() {
     return RETRY_MICROS + random.nextInt(READ_JITTER_MICROS);
   }
 
-  /** Before another attempt, where one could not be begun for want of an answer. */
+  /**
+   * Returns the pause before the next attempt if the previous one could not start because a request
+   * had no response.
+   */
   long beforeRetryMicros() {
     return RETRY_MICROS + random.nextInt(ATTEMPT_JITTER_MICROS);
   }
 
-  /** Before standing for a leadership that has become free: longer after each lost election. */
+  /**
+   * Returns the pause before an attempt after leadership has become vacant; it grows with each lost
+   * election.
+   */
   long beforeCandidacyMicros() {
     return lostElections * PER_LOST_ELECTION_MICROS + random.nextInt(CANDIDACY_JITTER_MICROS);
   }
--- a/src/main/java/plumlever/election/ElectionContext.java
+++ b/src/main/java/plumlever/election/ElectionContext.java
@@ -5,11 +5,11 @@
 import plumlever.store.StateClient;
 
 /**
- * What the parts of one election share.
+ * The dependencies shared by the components of an election.
  *
- * @param loop that all of them run on
- * @param store client on that loop
- * @param records what is known of who leads
+ * @param loop runs all of the components
+ * @param store the state service client on that loop
+ * @param records the known state of leadership
  */
 record ElectionContext(
     Loop loop, StateClient store, SchedulerParameters parameters, LeadershipRecords records) {}
--- a/src/main/java/plumlever/election/ElectionListener.java
+++ b/src/main/java/plumlever/election/ElectionListener.java
@@ -1,16 +1,19 @@
 package plumlever.election;
 
 /**
- * What the election needs of its controller: called on the election's own loop, which none of these
- * may hold up.
+ * The callbacks from an election to its controller. They are called on the election loop and must
+ * not block it.
  */
 public interface ElectionListener {
-  /** A term of this controller has begun. */
+  /** Called when a term of this controller has begun. */
   void elected(Term term);
 
-  /** A term of this controller has ended. */
+  /** Called when a term of this controller has ended. */
   void steppedDown(Term term);
 
-  /** Runs the action on the controller's own loop, to find out whether that one still runs. */
+  /**
+   * Runs the action on the controller loop; the election uses it to detect a stalled controller
+   * loop.
+   */
   void executeOnControllerLoop(Runnable action);
 }
--- a/src/main/java/plumlever/election/ElectionSettings.java
+++ b/src/main/java/plumlever/election/ElectionSettings.java
@@ -4,11 +4,11 @@
 import plumlever.settings.SchedulerParameters;
 
 /**
- * How a controller stands for election.
+ * The settings of a candidate for leadership.
  *
- * @param label of the controller
- * @param poolTerms where terms come from if it is in one shard of a pool
- * @param seed of the random pauses, and of what tells this process from earlier ones
+ * @param label the label of the controller
+ * @param poolTerms the source of terms if the controller belongs to a shard of a pool
+ * @param seed seeds the random pauses and the nonce of this process
  */
 public record ElectionSettings(
     String label, SchedulerParameters parameters, Optional<PoolTerms> poolTerms, long seed) {}
--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -8,29 +8,31 @@
 import plumlever.store.StateClient;
 
 /**
- * The term that this controller holds, if it holds one: renews its lease, and ends it when that
- * fails, when its decisions have stalled, or when it is given up.
+ * The term that this controller holds, if any. Renews the lease of the term. Ends the term when the
+ * renewal fails, when the controller loop has stalled, or when the controller resigns.
  *
- * <p>Threads: everything runs on the election's loop, but for {@link #current()}, {@link
- * #leading()} and {@link #mayAct()}, which any thread may call, and for the time at which the
- * controller's own loop last ran, which that loop writes.
+ * <p>Threads: everything runs on the election loop, except {@link #current()}, {@link #leading()}
+ * and {@link #mayAct()}, which may be called on any thread, and the time of the last run of the
+ * controller loop, which that loop writes.
  */
 final class HeldTerm implements AutoCloseable {
   /**
-   * A leader whose decisions have stood still for this long serves nobody: far longer than any
-   * lateness it may survive.
+   * A leader whose controller loop has been stalled for this long resigns. The limit is far above
+   * any delay that a leader is expected to recover from.
    */
   private static final long STALLED_MICROS = 10_000_000;
 
-  /** The pause of a recurring task that waits to be woken. */
+  /** Return value of a recurring task that runs again only when it is scheduled explicitly. */
   private static final long UNTIL_WOKEN = -1;
 
-  /** Told on the election's loop how terms end. */
+  /** Notified on the election loop when a term ends. */
   interface Observer {
-    /** Before a term is given up: this controller is not to stand for this long. */
+    /**
+     * Called before a term is resigned: this controller must not attempt an election for this long.
+     */
     void candidacyPaused(long pauseMicros);
 
-    /** A term has ended. */
+    /** Called when a term has ended. */
     void termEnded();
   }
 
@@ -46,7 +48,7 @@
   /** The term in which this controller leads, or null. */
   private volatile Term current;
 
-  /** When the controller's own loop last ran; written there. */
+  /** When the controller loop last ran; written on that loop. */
   private volatile long controllerLoopRanMicros;
 
   HeldTerm(Logger log, ElectionContext context, ElectionListener listener, Observer observer) {
@@ -60,26 +62,28 @@
     this.renewal = new RecurringTask("lease renewal", loop, this::renewLease);
   }
 
-  /** The term in which this controller leads; any thread. */
+  /** Returns the term in which this controller leads; may be called on any thread. */
   Optional<Term> current() {
     return Optional.ofNullable(current);
   }
 
-  /** True while this controller leads; any thread. */
+  /** Returns true while this controller leads; may be called on any thread. */
   boolean leading() {
     return current != null;
   }
 
-  /** True while this controller may act in the term that it holds; any thread. */
+  /**
+   * Returns true while this controller may act in the term it holds; may be called on any thread.
+   */
   boolean mayAct() {
     Term term = current;
     return term != null && term.mayAct();
   }
 
   /**
-   * An election has been won.
+   * Starts the term of an election that this controller has won.
    *
-   * @param sentMicros when the request for the term's lease had been sent
+   * @param sentMicros the send time of the request that created the lease of the term
    */
   void begin(Term term, long sentMicros) {
     records.elected(term.number());
@@ -90,7 +94,7 @@
       stepDown("the lease expired during the election");
       return;
     }
-    log.info("leading, term {}", term.number());
+    log.info("elected leader for term {}", term.number());
     renewal.runAfter(parameters.leaseRenewalMicros());
     listener.elected(term);
   }
@@ -102,11 +106,11 @@
     }
     long now = loop.nowMicros();
     if (!term.mayAct()) {
-      stepDown("the lease could not be renewed");
+      stepDown("the lease was not renewed in time");
       return UNTIL_WOKEN;
     }
     if (now - controllerLoopRanMicros > STALLED_MICROS) {
-      giveUp(term, "its decisions have stalled", STALLED_MICROS);
+      giveUp(term, "the controller loop has stalled", STALLED_MICROS);
       return UNTIL_WOKEN;
     }
     listener.executeOnControllerLoop(() -> controllerLoopRanMicros = loop.nowMicros());
@@ -120,7 +124,7 @@
     }
     switch (result) {
       case RENEWED -> term.extendFrom(sentMicros, parameters);
-      case ENDED -> stepDown("the lease has ended");
+      case ENDED -> stepDown("the state service reports that the lease has ended");
       case UNKNOWN -> {
         long leftMicros = Math.max(1, term.rightUntilMicros() - loop.nowMicros());
         renewal.runAfter(Math.min(ElectionBackoff.RETRY_MICROS, leftMicros));
@@ -128,7 +132,7 @@
     }
   }
 
-  /** Gives the term up if it is still held, and its lease with it. */
+  /** Ends the term and revokes its lease, if the term is still held. */
   void giveUp(Term term, String why, long pauseMicros) {
     observer.candidacyPaused(pauseMicros);
     if (current == term) {
@@ -137,12 +141,12 @@
     }
   }
 
-  /** Ends the term that is held; its lease expires by itself. */
+  /** Ends the held term without revoking its lease, which expires on its own. */
   void stepDown(String why) {
     Term term = current;
     term.end();
     current = null;
-    log.info("no longer leading term {}: {}", term.number(), why);
+    log.info("leadership of term {} ended: {}", term.number(), why);
     listener.steppedDown(term);
     records.leadershipEnded();
     observer.termEnded();
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -10,28 +10,33 @@
 import plumlever.store.StateClient;
 
 /**
- * Who leads. The leader holds a key that is attached to a lease of the state service; taking it
- * raises the term in the same transaction. How long this controller may act is counted from when
- * its last successful renewal was <em>sent</em>, so it ends before the state service lets anyone
- * else in.
+ * Elects the leader among the controllers. The leader holds a key that is attached to a lease of
+ * the state service; the transaction that creates the key also increments the term. The time during
+ * which a leader may act is counted from when its last successful renewal was <em>sent</em>. It
+ * therefore ends before the state service can expire the lease and admit another leader.
  *
- * <p>It runs on a loop of its own, so that no scheduling pass, no crowd of heartbeats and no first
- * use of code delays a renewal or an election; a leader whose controller loop has stalled gives
- * leadership up. The parts are {@link LeadershipRecords} (what is known), {@link LeadershipWatch}
- * (how it gets known), {@link Candidacy} (attempts at the election) and {@link HeldTerm} (the term
- * that is held); all of them belong to that loop. Everything public here may be called on any
- * thread.
+ * <p>The election runs on a separate loop, so that scheduling passes, heartbeat load and class
+ * loading do not delay renewals or elections. A leader whose controller loop has stalled resigns.
+ * The components are {@link LeadershipRecords} (the known state), {@link LeadershipWatch} (reads
+ * and watches that state), {@link Candidacy} (attempts to become leader) and {@link HeldTerm} (the
+ * term being held); all of them are used on the election loop only. All public methods of this
+ * class may be called on any thread.
  */
 public final class LeaderElection implements AutoCloseable {
   static final String PREFIX = "office/";
 
-  /** A controller's word that it renews leases under a delegation. */
+  /**
+   * Written by a controller that renews leases under a delegation, see {@link RenewalAnnouncement}.
+   */
   static final String RENEWAL_ANNOUNCEMENT = PREFIX + "stand-in";
 
-  /** Allows the other controllers to renew leases for the leader, see {@link DelegatedRenewal}. */
+  /**
+   * Allows the other controllers to renew leases on behalf of the leader, see {@link
+   * DelegatedRenewal}.
+   */
   public static final String DELEGATION = PREFIX + "mandate";
 
-  /** Attached to the leader's lease. */
+  /** Identifies the leader; attached to the lease of the leader. */
   public static final String LEADER = PREFIX + "leader";
 
   /** The last term; every write of a leader requires its revision. */
@@ -47,11 +52,11 @@
   private final Candidacy candidacy;
 
   /**
-   * A candidate that stands once it is started.
+   * Creates a candidate that takes part in elections after {@link #start}.
    *
-   * @param loop that the election runs on
-   * @param store client on that loop
-   * @param listener told on that loop how terms begin and end
+   * @param loop runs the election
+   * @param store the state service client on that loop
+   * @param listener called on that loop when a term begins or ends
    */
   public LeaderElection(
       ElectionSettings settings,
@@ -75,48 +80,53 @@
         scope.own(new Candidacy(candidate, context, backoff, settings.poolTerms(), coordinator));
   }
 
-  /** Reads the leadership records, and stands whenever leadership is free. */
+  /** Reads the leadership records and attempts to become leader whenever leadership is vacant. */
   public void start() {
     loop.execute(watch::start);
   }
 
-  /** True while this controller holds a term, whether or not it may act in it. */
+  /** Returns true while this controller holds a term, whether or not it may still act in it. */
   public boolean leading() {
     return heldTerm.leading();
   }
 
-  /** The last known term, of whatever controller; 0 before the first. */
+  /** Returns the last known term of any controller; 0 before the first term. */
   public long term() {
     return records.term();
   }
 
   /**
-   * Revision of the delegation under which another controller has said that it renews leases; -1
-   * before the first. It may be out of date: a hint, no proof.
+   * Returns the revision of the delegation under which another controller has announced that it
+   * renews leases, or -1 if there was no announcement. The value may be out of date; it is a hint,
+   * not a proof.
    */
   public long announcedDelegation() {
     return records.announcedDelegation();
   }
 
-  /** True if a delegation was there when leadership was last heard of: a hint to read it. */
+  /** Returns true if the last known leadership records include a delegation; a hint to read it. */
   public boolean delegationSeen() {
     return records.delegationSeen();
   }
 
   /**
-   * True where the state service holds a pool of shards and this controller has no sharing file: it
-   * neither stands nor answers, for it would take the pool's machines for its own.
+   * Returns true if the state service holds a pool of shards but this controller has no sharing
+   * file. Such a controller neither takes part in elections nor answers users, because it would
+   * treat the machines of the whole pool as its own.
    */
   public boolean ineligible() {
     return records.ineligible();
   }
 
-  /** True while this controller may act for the controllers, in whatever term. */
+  /** Returns true while this controller may act as the leader, in any term. */
   public boolean mayAct() {
     return heldTerm.mayAct();
   }
 
-  /** The live leader's label, if one is known lately. */
+  /**
+   * Returns the label of the leader if it was seen recently; never this controller's own label
+   * while it does not lead.
+   */
   public Optional<String> leaderLabel() {
     boolean fresh =
         loop.nowMicros() - records.leaderSeenMicros()
@@ -127,18 +137,17 @@
   }
 
   /**
-   * Gives leadership up, at once, and does not stand for a while so that another controller gets
-   * it.
+   * Ends the term immediately and delays the next attempt, so that another controller is elected.
    *
-   * @param term nothing happens if it is no longer held
-   * @param why for the log
+   * @param term the term to end; nothing is resigned if it is no longer held
+   * @param why the reason for the log
    */
   public void resign(Term term, String why, long pauseMicros) {
     term.end();
     loop.execute(() -> heldTerm.giveUp(term, why, pauseMicros));
   }
 
-  /** What the parts tell each other; on the election's loop only. */
+  /** Connects the components of the election; used on the election loop only. */
   private final class Coordinator
       implements LeadershipWatch.Observer, HeldTerm.Observer, Candidacy.Observer {
     @Override
@@ -155,7 +164,7 @@
     public void recordsRead() {
       if (heldTerm.leading()) {
         if (records.ledByAnother()) {
-          heldTerm.stepDown("another controller leads");
+          heldTerm.stepDown("another controller holds the leader key");
         }
       } else if (!candidacy.standing() && records.leadershipFree()) {
         candidacy.standSoon();
@@ -188,7 +197,7 @@
     }
   }
 
-  /** Gives leadership up and stands no more. */
+  /** Resigns leadership if held, and takes part in no further elections. */
   @Override
   public void close() {
     loop.execute(
--- a/src/main/java/plumlever/election/LeaderRecord.java
+++ b/src/main/java/plumlever/election/LeaderRecord.java
@@ -5,10 +5,10 @@
 import plumlever.wire.Json;
 
 /**
- * The leader's key as it is stored.
+ * The stored value of the leader key.
  *
- * @param candidate who was elected; labels are empty where they can't be read
- * @param term in which it leads
+ * @param candidate the elected candidate; unreadable fields are empty
+ * @param term the term of the leader
  */
 record LeaderRecord(Candidate candidate, long term) {
   private static final String LABEL = "label";
--- a/src/main/java/plumlever/election/LeadershipRecords.java
+++ b/src/main/java/plumlever/election/LeadershipRecords.java
@@ -7,23 +7,25 @@
 import plumlever.store.StateClient;
 
 /**
- * What was last read or watched of the leadership records. It sends nothing and decides nothing.
+ * The state of leadership as last read or watched. This class sends no requests and makes no
+ * decisions.
  *
- * <p>Threads: everything is changed on the election's loop only. The volatile fields may be read on
- * any thread, each by itself; all others are read on that loop as well.
+ * <p>Threads: all changes are made on the election loop. Volatile fields may be read on any thread,
+ * each independently of the others; all other fields are read on the election loop only.
  */
 final class LeadershipRecords {
   /** The revision of a key that does not exist. */
   private static final long NO_KEY = 0;
 
-  /** In place of the leader key's revision when nothing is known of it. */
+  /** The revision of the leader key if nothing is known about that key. */
   private static final long UNKNOWN = -1;
 
   /**
-   * The revisions that a decision to stand is taken on, and that its transaction requires.
+   * The revisions on which the decision to attempt an election is based, and which the election
+   * transaction requires.
    *
-   * @param leader of the leader's key, 0 if there is none
-   * @param term of the term's key, 0 if there is none
+   * @param leader the revision of the leader key, 0 if it does not exist
+   * @param term the revision of the term key, 0 if it does not exist
    */
   record Revisions(long leader, long term) {}
 
@@ -43,12 +45,12 @@
   private volatile boolean delegationSeen;
   private volatile long announcedDelegation = RenewalAnnouncement.NONE;
 
-  /** The state service holds a pool, of which this controller knows nothing. */
+  /** True if the state service holds a pool but this controller has no sharing settings. */
   private volatile boolean ineligible;
 
   /**
    * @param candidate this controller
-   * @param inPool true if it is told of the pool that its shard belongs to
+   * @param inPool true if this controller has the settings of the pool that its shard belongs to
    */
   LeadershipRecords(Logger log, Loop loop, Candidate candidate, boolean inPool) {
     this.log = log;
@@ -58,9 +60,9 @@
   }
 
   /**
-   * Takes over a complete listing.
+   * Replaces the known state by a complete listing.
    *
-   * @param leading true while this controller leads: it knows its term better
+   * @param leading true while this controller leads; its own term is newer than the listed term
    */
   void replaceBy(StateClient.Listing listing, boolean leading) {
     leaderRevision = NO_KEY;
@@ -88,7 +90,7 @@
     return listing.items().stream().anyMatch(item -> item.key().equals(key));
   }
 
-  /** Takes over who leads and in which term; the watch goes on from where it was. */
+  /** Updates the leader and the term from a listing; the position of the watch does not change. */
   void refreshLeader(StateClient.Listing listing) {
     boolean leaderFound = false;
     for (StateClient.Item item : listing.items()) {
@@ -107,9 +109,9 @@
   }
 
   /**
-   * Takes over what a watch told.
+   * Applies the events of a watch response.
    *
-   * @param leading true while this controller leads: it knows its term better
+   * @param leading true while this controller leads; its own term is newer than that of the events
    */
   void apply(StateClient.WatchResponse changes, boolean leading) {
     storeRevision = Math.max(storeRevision, changes.storeRevision());
@@ -129,7 +131,7 @@
       case LeaderElection.RENEWAL_ANNOUNCEMENT -> applyAnnouncement(event);
       case PoolTerms.MARKER -> applyPoolMarker(!event.deleted());
       default -> {
-        // Other keys under the prefix are not this controller's concern.
+        // Other keys under the prefix are ignored.
       }
     }
   }
@@ -173,12 +175,14 @@
   private void applyPoolMarker(boolean found) {
     boolean nowIneligible = found && !inPool;
     if (nowIneligible && !ineligible) {
-      log.error("the state service holds a pool of cells: this controller needs its sharing file");
+      log.error(
+          "the state service holds a pool of shards, but this controller has no sharing file:"
+              + " it takes no part in elections and does not serve users");
     }
     ineligible = nowIneligible;
   }
 
-  /** This controller has been elected. */
+  /** Records that this controller was elected. */
   void elected(long newTerm) {
     term = newTerm;
     leaderLabel = candidate.label();
@@ -187,8 +191,8 @@
   }
 
   /**
-   * This controller leads no more. Until its key is seen to go, or somebody else's comes, nothing
-   * is known of who leads.
+   * Records that this controller no longer leads. The leader is unknown until the watch reports
+   * that the leader key was deleted or replaced.
    */
   void leadershipEnded() {
     if (ownLeadership()) {
@@ -197,29 +201,33 @@
     }
   }
 
-  /** True once all records have been read. */
+  /** Returns true once all records have been read. */
   boolean complete() {
     return complete;
   }
 
-  /** The revision up to which changes are taken over. */
+  /** Returns the revision up to which changes have been applied. */
   long storeRevision() {
     return storeRevision;
   }
 
-  /** The revisions now. */
+  /** Returns the current revisions of the leader key and the term key. */
   Revisions revisions() {
     return new Revisions(leaderRevision, termRevision);
   }
 
-  /** True if there is a leader's key, or may be, that is not of this life of this controller. */
+  /**
+   * Returns true if a leader key exists, or may exist, that does not belong to this incarnation of
+   * this controller.
+   */
   boolean ledByAnother() {
     return leaderRevision != NO_KEY && !ownLeadership();
   }
 
   /**
-   * True if nobody leads, provided that this controller does not. A key of its own that it does not
-   * act on is left from an earlier life of this process: that one is dead, so leadership is free.
+   * Returns true if leadership is vacant, provided that this controller does not lead. A leader key
+   * with the label of this controller was written by an earlier incarnation of its process. That
+   * process has ended, so leadership is vacant.
    */
   boolean leadershipFree() {
     return leaderRevision == NO_KEY || candidate.label().equals(leaderLabel);
@@ -229,32 +237,38 @@
     return candidate.label().equals(leaderLabel) && candidate.nonce().equals(leaderNonce);
   }
 
-  /** The label of the last known leader; any thread. */
+  /** Returns the label of the last known leader; may be called on any thread. */
   Optional<String> leaderLabel() {
     return Optional.ofNullable(leaderLabel);
   }
 
-  /** When the leader was last known to hold its key; any thread. */
+  /** Returns when the leader was last known to hold its key; may be called on any thread. */
   long leaderSeenMicros() {
     return leaderSeenMicros;
   }
 
-  /** The last known term; any thread. */
+  /** Returns the last known term; may be called on any thread. */
   long term() {
     return term;
   }
 
-  /** True if a delegation was there; any thread. */
+  /** Returns true if a delegation exists as far as is known; may be called on any thread. */
   boolean delegationSeen() {
     return delegationSeen;
   }
 
-  /** Revision of the delegation that was last announced to be used; any thread. */
+  /**
+   * Returns the revision of the delegation whose use was last announced; may be called on any
+   * thread.
+   */
   long announcedDelegation() {
     return announcedDelegation;
   }
 
-  /** True if the state service holds a pool that this controller is not told of; any thread. */
+  /**
+   * Returns true if the state service holds a pool but this controller has no sharing settings; may
+   * be called on any thread.
+   */
   boolean ineligible() {
     return ineligible;
   }
--- a/src/main/java/plumlever/election/LeadershipWatch.java
+++ b/src/main/java/plumlever/election/LeadershipWatch.java
@@ -4,25 +4,25 @@
 import plumlever.store.StateClient;
 
 /**
- * Reads the leadership records, then watches them until it is closed. Runs on the election's loop
+ * Reads the leadership records, then watches them until it is closed. Used on the election loop
  * only.
  */
 final class LeadershipWatch implements AutoCloseable {
-  /** How long one watch is left open. */
+  /** How long the state service may hold a watch request open. */
   static final long WAIT_MICROS = 5_000_000;
 
-  /** Told on the election's loop of what was read. */
+  /** Notified on the election loop of what was read. */
   interface Observer {
-    /** True while this controller leads. */
+    /** Returns true while this controller leads. */
     boolean leading();
 
-    /** True while this controller has an attempt at the election under way. */
+    /** Returns true while this controller has an election attempt in progress. */
     boolean standing();
 
-    /** The records have been read, or watched for a while. */
+    /** Called when the records were read or a watch request was answered. */
     void recordsRead();
 
-    /** The leader could not be read anew. */
+    /** Called when the leader could not be read. */
     void refreshFailed();
   }
 
@@ -41,7 +41,7 @@
     this.observer = observer;
   }
 
-  /** Reads all records, and watches from there on. */
+  /** Reads all records and starts the watch. */
   void start() {
     if (closed) {
       return;
@@ -71,8 +71,8 @@
     if (changes.expired()) {
       start();
     } else if (!changes.answered()) {
-      // Refused or cut off: what is known grows old, so it is read anew before anything is built on
-      // it.
+      // The watch was refused or had no response. The known state may be stale, so all records are
+      // read again before any decision is based on them.
       loop.after(backoff.beforeReadMicros(), this::start);
     } else {
       records.apply(changes, observer.leading());
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Reads who leads, beside the watch that goes on. */
+  /** Reads the leader and the term without interrupting the watch. */
   void refresh() {
     store.list(
         LeaderElection.PREFIX,
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -9,14 +9,16 @@
 import plumlever.wire.Json;
 
 /**
- * Terms out of the counter that all shards of a pool share, so that the commands of two shards are
- * ordered on a machine and attempt numbers are unique in the pool. Taking a term raises the counter
- * in the same transaction, and tells the other shards who leads.
+ * Assigns terms from a counter that all shards of a pool share. Shared terms order the commands
+ * that two shards send to the same machine, and make attempt numbers unique in the pool. The
+ * transaction of an election also increments the counter and publishes the leader to the other
+ * shards.
  */
 public final class PoolTerms {
   /**
-   * Stands in the root of the state service while it holds a pool: a controller without a sharing
-   * file must not lead beside its shards.
+   * Exists at the root of the state service while it holds a pool. A controller without a sharing
+   * file that finds this key must not become leader, because it would act alongside the leaders of
+   * the shards.
    */
   static final String MARKER = LeaderElection.PREFIX + "pool";
 
@@ -27,7 +29,8 @@
   /**
    * The next term of a shard.
    *
-   * @param counterRevision of the pool's counter that it follows from; 0 if there is no counter yet
+   * @param counterRevision the revision of the pool's counter from which the term was derived; 0 if
+   *     the counter does not exist yet
    */
   record Next(long term, long counterRevision) {}
 
@@ -36,10 +39,10 @@
   private final String leaderKey;
 
   /**
-   * Terms of one shard of a pool.
+   * Creates the source of terms for one shard of a pool.
    *
-   * @param counterKey of the pool
-   * @param leaderKey where the pool is told who leads this shard
+   * @param counterKey the key of the pool's counter
+   * @param leaderKey the key under which the leader of this shard is published to the pool
    */
   public PoolTerms(StateClient store, String counterKey, String leaderKey) {
     this.store = store;
@@ -48,10 +51,10 @@
   }
 
   /**
-   * Finds the next term above all that the pool has counted.
+   * Finds the next term, which is above all terms counted in the pool.
    *
    * @param last the last known term of this shard
-   * @param handler takes the next one, or nothing when the counter can't be read
+   * @param handler receives the next term, or an empty value if the counter could not be read
    */
   void findNext(long last, Consumer<Optional<Next>> handler) {
     store.get(
@@ -70,7 +73,7 @@
         });
   }
 
-  /** Adds to the transaction that takes the term what the pool is told of it. */
+  /** Adds the updates of the pool's records to the election transaction. */
   Transaction addTo(Transaction transaction, Next next, String label, long leaseId) {
     ObjectNode leader = Json.object().put(LABEL, label).put(TERM, next.term());
     transaction
--- a/src/main/java/plumlever/election/RenewalAnnouncement.java
+++ b/src/main/java/plumlever/election/RenewalAnnouncement.java
@@ -5,13 +5,12 @@
 import plumlever.wire.Json;
 
 /**
- * A controller's word that it renews leases for the leader, as it is stored.
+ * The stored record by which a controller announces that it renews leases on behalf of the leader.
  *
- * @param delegationRevision of the delegation under which it does so; {@link #NONE} where it can't
- *     be read
+ * @param delegationRevision the revision of the delegation it uses; {@link #NONE} if unreadable
  */
 record RenewalAnnouncement(long delegationRevision) {
-  /** The revision of no delegation. */
+  /** The revision used when there is no delegation. */
   static final long NONE = -1;
 
   private static final String DELEGATION_REVISION = "mandate";
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -6,12 +6,12 @@
 import plumlever.store.Transaction;
 
 /**
- * One term of leadership, and the right to act in it. Once it has ended it never comes back, also
- * if the same controller is elected again: whoever still works for the old term must not go on
- * under the right of the new one.
+ * One term of leadership and the right to act in it. A term that has ended never becomes valid
+ * again, even if the same controller is re-elected, so that work started in the old term cannot
+ * continue under the new one.
  *
- * <p>Threads: the right is extended on the election's loop only; everything public may be called on
- * any thread, {@link #end} as well.
+ * <p>Threads: the right to act is extended on the election loop only; all public methods and {@link
+ * #end} may be called on any thread.
  */
 public final class Term {
   private final Loop loop;
@@ -28,46 +28,46 @@
     this.leaseId = leaseId;
   }
 
-  /** Unique among all terms, and above all earlier ones. */
+  /** Returns the number of the term, which is unique and higher than that of every earlier term. */
   public long number() {
     return number;
   }
 
-  /** The revision at which the term was taken. */
+  /** Returns the revision of the election transaction. */
   public long revision() {
     return revision;
   }
 
-  /** The lease that the leader's key is attached to. */
+  /** Returns the lease that the leader key is attached to. */
   public long leaseId() {
     return leaseId;
   }
 
   /**
-   * True while its holder may act for the controllers; asked again right before every answer and
-   * command.
+   * Returns true while the leader may act. Callers must check it immediately before every response
+   * and command.
    */
   public boolean mayAct() {
     return !ended && loop.nowMicros() < rightUntilMicros;
   }
 
   /**
-   * A transaction that requires that no later term has begun: what a leader writes of its own work
-   * is added to it, so that a write carried out late can't spoil a successor's.
+   * Returns a new transaction with the precondition that no later term has begun. A leader adds its
+   * writes to this transaction, so that a delayed write cannot overwrite records of its successor.
    */
   public Transaction requireTerm() {
     return new Transaction().require(LeaderElection.TERM, revision);
   }
 
-  /** Until when its holder may act, unless it is ended sooner. */
+  /** Returns until when the leader may act, unless the term is ended earlier. */
   long rightUntilMicros() {
     return rightUntilMicros;
   }
 
   /**
-   * The term's lease was created or renewed.
+   * Extends the right to act after the lease was created or renewed.
    *
-   * @param sentMicros when that request had been sent
+   * @param sentMicros when the request for the lease was sent
    */
   void extendFrom(long sentMicros, SchedulerParameters parameters) {
     long validMicros = ClockDrift.shortestMicros(parameters.leaseTtlMicros());
@@ -75,7 +75,7 @@
         Math.max(rightUntilMicros, sentMicros + validMicros - parameters.actMarginMicros());
   }
 
-  /** Ends the right to act for good. */
+  /** Ends the right to act permanently. */
   void end() {
     ended = true;
   }
--- a/src/main/java/plumlever/election/TermRecord.java
+++ b/src/main/java/plumlever/election/TermRecord.java
@@ -5,9 +5,9 @@
 import plumlever.wire.Json;
 
 /**
- * The last term that was taken, as it is stored: of one shard, or counted for all shards of a pool.
+ * The stored record of the last term, either of one shard or of all shards of a pool.
  *
- * @param number 0 where it can't be read
+ * @param number the number of the term; 0 if unreadable
  */
 record TermRecord(long number) {
   private static final String TERM = "term";
--- a/src/main/java/plumlever/election/package-info.java
+++ b/src/main/java/plumlever/election/package-info.java
@@ -1,9 +1,9 @@
 /**
  * Leader election, the term with its right to act, and delegated lease renewal.
  *
- * <p>Owns the keys under {@code office/} of the state service, but for the delegation's, which the
- * leader writes. {@link plumlever.election.LeaderElection} and its parts run on a loop of their
- * own; {@link plumlever.election.DelegatedRenewal} belongs to the controller's. Knows nothing of
- * jobs and machines, nor of what a leader does in its term.
+ * <p>This package owns the keys under {@code office/} in the state service, except that of the
+ * delegation, which the leader writes. {@link plumlever.election.LeaderElection} and its components
+ * run on the election loop; {@link plumlever.election.DelegatedRenewal} runs on the controller
+ * loop. This package must not depend on jobs, machines, or the work of a leader during a term.
  */
 package plumlever.election;
