--- a/src/main/java/plumlever/ConfirmedCancellations.java
+++ b/src/main/java/plumlever/ConfirmedCancellations.java
@@ -7,19 +7,21 @@
 import plumlever.peer.PeerStatus;
 
 /**
- * Jobs whose users were told that they are cancelled. The leader is told at once, here or over the
- * peer link: it stops their tasks even if the state service refuses to tell it.
+ * Jobs whose cancellation was recently confirmed to a user. The leader learns of each confirmed
+ * cancellation directly, either in this process or over the peer link. It then stops the tasks of
+ * the job even while the state service refuses the leader's reads.
  */
 final class ConfirmedCancellations {
   /**
-   * For as long as peers are told: the state service may have refused one of them all that time.
+   * How long a cancellation is reported to the peers. The state service may refuse one of them for
+   * all of this time.
    */
   private static final long TOLD_FOR_MICROS = 20_000_000;
 
   private final Loop loop;
   private final Leadership leadership;
 
-  /** When the cancellation was last confirmed here, by job. */
+  /** For each job, the time at which its cancellation was last confirmed by this controller. */
   private final Map<String, Long> confirmedAtMicros = new LinkedHashMap<>();
 
   ConfirmedCancellations(Loop loop, Leadership leadership) {
@@ -27,20 +29,26 @@
     this.leadership = leadership;
   }
 
-  /** A user of this controller is being told that the job is cancelled. */
+  /** Records that this controller is confirming the cancellation of the job to a user. */
   void confirmed(String uid) {
     confirmedAtMicros.put(uid, loop.nowMicros());
     leadership.leader().ifPresent(leader -> leader.jobCancelled(uid));
   }
 
-  /** Another controller has confirmed these cancellations to its users. */
+  /**
+   * Passes the cancellations that another controller confirmed to the leader, if it is in this
+   * process.
+   */
   void confirmedByPeer(PeerStatus status) {
     leadership
         .leader()
         .ifPresent(leader -> leader.cancellationsConfirmed(status.confirmedCancellations()));
   }
 
-  /** The ids of jobs whose cancellation was confirmed here lately, for the peers. */
+  /**
+   * Returns the ids of the jobs whose cancellation this controller recently confirmed, to be
+   * reported to the peers.
+   */
   List<String> recent() {
     long now = loop.nowMicros();
     confirmedAtMicros.values().removeIf(at -> now - at > TOLD_FOR_MICROS);
--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -34,8 +34,9 @@
 import plumlever.store.JobRecordCache;
 
 /**
- * One controller, without its sockets: puts its parts together, starts and ends them. Everything
- * but leadership lives on the loop it is given, and all methods are called there.
+ * One controller without its sockets: creates, connects, starts and closes the components. All
+ * state except that of leader election is owned by the loop passed in, and all methods are called
+ * on that loop.
  */
 public final class Controller implements AutoCloseable {
   private static final long SUMMARY_INTERVAL_MICROS = 60_000_000;
@@ -55,7 +56,7 @@
   private final RequestRouter router;
   private final Optional<PoolRequests> poolRequests;
 
-  /** A controller that does everything on one loop. */
+  /** Creates a controller that runs leader election on the same loop as everything else. */
   public Controller(
       Loop loop,
       Caller caller,
@@ -74,12 +75,12 @@
   }
 
   /**
-   * A controller that has a loop of its own for leadership.
+   * Creates a controller that runs leader election on a separate loop.
    *
-   * @param loop owns all decision state
-   * @param electionLoop what leadership runs on, with its own caller, so that nothing here delays
-   *     it
-   * @param seed for the random pauses between candidacies
+   * @param loop owns all state except that of leader election
+   * @param electionLoop runs leader election, with its own caller, so that work on {@code loop}
+   *     does not delay elections or lease renewals
+   * @param seed seeds the random pauses between election attempts
    */
   public Controller(
       Loop loop,
@@ -219,7 +220,7 @@
         .orElseGet(() -> peerReports.taskCounts(uid));
   }
 
-  /** Starts serving: the election, the watch on peers, and all recurring tasks. */
+  /** Starts the election, the status exchange with peers, and all recurring tasks. */
   public void start() {
     Loop loop = environment.loop();
     StateServiceProbe probe = new StateServiceProbe(loop, clients.store());
@@ -229,8 +230,8 @@
     scope.own(peers.recurringTask()).start();
     scope.own(delegatedRenewal.refreshTask()).start();
     scope.own(new RecurringTask("state service probe", loop, probe::run)).start();
-    scope.own(new RecurringTask("liveness tick", loop, lateness::tick)).start();
-    scope.own(new RecurringTask("summary", loop, this::logSummary)).start();
+    scope.own(new RecurringTask("loop lateness tick", loop, lateness::tick)).start();
+    scope.own(new RecurringTask("metrics summary", loop, this::logSummary)).start();
   }
 
   private long logSummary() {
@@ -238,12 +239,12 @@
     return SUMMARY_INTERVAL_MICROS;
   }
 
-  /** Takes the requests of users, workers and health checks. */
+  /** Returns the router for the requests of users, workers and health checks. */
   public RequestRouter router() {
     return router;
   }
 
-  /** Takes a request of another controller. */
+  /** Handles a request of another controller. */
   public void peer(String method, String path, byte[] body, Responder out) {
     boolean answered = poolRequests.isPresent() && poolRequests.get().handle(path, body, out);
     if (!answered) {
@@ -251,27 +252,27 @@
     }
   }
 
-  /** The leader in this process, while this controller leads. */
+  /** Returns the leader in this process; empty while this controller does not lead. */
   public Optional<Leader> leader() {
     return leadership.leader();
   }
 
-  /** This controller's counters and times. */
+  /** Returns the metrics of this controller. */
   public Metrics metrics() {
     return clients.metrics();
   }
 
-  /** True while this controller may act for the controllers. */
+  /** Returns true while this controller leads and its lease allows it to act. */
   public boolean mayAct() {
     return election.mayAct();
   }
 
-  /** How late the thread that decides was lately, in microseconds. */
+  /** Returns how late the controller loop recently ran, in microseconds. */
   public long latenessMicros() {
     return lateness.micros();
   }
 
-  /** Gives leadership up and ends all recurring tasks. */
+  /** Resigns leadership if held, and stops all recurring tasks. */
   @Override
   public void close() {
     scope.close();
--- a/src/main/java/plumlever/ControllerEnvironment.java
+++ b/src/main/java/plumlever/ControllerEnvironment.java
@@ -7,13 +7,14 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * What a controller is given from outside.
+ * The external dependencies and settings of a controller.
  *
- * @param loop owns all decision state
- * @param caller sends the requests of what runs on {@code loop}
- * @param electionLoop what leadership runs on, so that nothing on {@code loop} delays it
- * @param electionCaller sends the requests of what runs on {@code electionLoop}
- * @param electionSeed for the random pauses between candidacies
+ * @param loop owns all state except that of leader election
+ * @param caller sends the requests of components on {@code loop}
+ * @param electionLoop runs leader election, so that work on {@code loop} does not delay elections
+ *     or lease renewals
+ * @param electionCaller sends the requests of components on {@code electionLoop}
+ * @param electionSeed seeds the random pauses between election attempts
  */
 record ControllerEnvironment(
     Loop loop,
--- a/src/main/java/plumlever/ControllerHealth.java
+++ b/src/main/java/plumlever/ControllerHealth.java
@@ -8,11 +8,15 @@
 import plumlever.store.StateClient;
 
 /**
- * Whether users are better off with another controller. In a common outage no controller says so,
- * or there would be nobody left to ask.
+ * Decides whether users should use another controller instead of this one. During an outage that
+ * affects all controllers, every controller continues to take requests, because otherwise none
+ * would.
  */
 final class ControllerHealth implements ServingHealth {
-  /** Longer than it takes any controller to notice a common outage and tell its peers. */
+  /**
+   * Longer than any controller takes to notice an outage that affects all controllers and to report
+   * it to its peers.
+   */
   private static final long REFUSED_ALONE_AFTER_MICROS = 3_000_000;
 
   private static final long LATE_FROM_MICROS = 500_000;
@@ -48,9 +52,9 @@
   }
 
   /**
-   * True when the state service serves others but not this controller, by refusals or by silence. A
-   * controller that hears of no peer either is cut off from all of them, and can't tell what they
-   * get.
+   * Returns true if the state service serves other controllers but refuses this one or does not
+   * answer it. A controller that has no recent status of any peer is treated as isolated: it cannot
+   * tell whether the state service serves the others.
    */
   @Override
   public boolean isRefusedAlone() {
@@ -62,8 +66,9 @@
   }
 
   /**
-   * True when this controller runs so late that users wait for seconds, as a leader does whom
-   * hundreds of workers come to, while another is on time.
+   * Returns true if this controller runs so late that users wait for seconds while another
+   * controller runs on time. This happens, for example, to a leader that receives the heartbeats of
+   * hundreds of workers.
    */
   private boolean isLateAlone() {
     return lateness.micros() >= LATE_FROM_MICROS
--- a/src/main/java/plumlever/ElectionThreadReader.java
+++ b/src/main/java/plumlever/ElectionThreadReader.java
@@ -6,7 +6,10 @@
 import plumlever.leader.context.TermContext;
 import plumlever.store.StateClient;
 
-/** Reads what earlier leaders left on the election's thread, so that decisions go on meanwhile. */
+/**
+ * Reads the records of earlier leaders on the election thread, so that the reads do not delay the
+ * controller loop.
+ */
 record ElectionThreadReader(Loop electionLoop, StateClient electionStore, Loop loop)
     implements TermContext.RecoveryReader {
   @Override
--- a/src/main/java/plumlever/KnownLeader.java
+++ b/src/main/java/plumlever/KnownLeader.java
@@ -5,7 +5,10 @@
 import plumlever.http.LeaderLookup;
 import plumlever.leader.Leader;
 
-/** The leader in this process, or the one elsewhere that the election has seen. */
+/**
+ * Looks up the leader: in this process if this controller leads, otherwise by the label known to
+ * the election.
+ */
 record KnownLeader(Leadership leadership, LeaderElection election) implements LeaderLookup {
   @Override
   public Optional<Leader> actingLeader() {
--- a/src/main/java/plumlever/Leadership.java
+++ b/src/main/java/plumlever/Leadership.java
@@ -9,7 +9,10 @@
 import plumlever.leader.context.TermContext;
 import plumlever.store.StateClient;
 
-/** Begins and ends this controller's terms: there is a {@link Leader} while it leads, else none. */
+/**
+ * Starts and ends this controller's terms: creates a {@link Leader} when a term begins and closes
+ * it when the term ends.
+ */
 final class Leadership implements ElectionListener {
   private final Loop loop;
   private final StateClient store;
@@ -17,7 +20,7 @@
   private Optional<Leader> leader = Optional.empty();
 
   /**
-   * @param contexts gives what a leader works with in the term
+   * @param contexts creates the context that the leader uses during a term
    */
   Leadership(Loop loop, StateClient store, Function<Term, TermContext> contexts) {
     this.loop = loop;
@@ -41,8 +44,8 @@
   }
 
   /**
-   * A term that has ended by the time this thread gets to it is not begun: another may be under way
-   * elsewhere.
+   * Starts the leader of a term. A term that ended before the controller loop ran this action is
+   * not started, because another controller may already lead.
    */
   private void begin(Term term) {
     end();
@@ -63,7 +66,7 @@
     leader = Optional.empty();
   }
 
-  /** The leader in this process, also when its right to act has just ended. */
+  /** Returns the leader in this process, even if its lease no longer allows it to act. */
   Optional<Leader> leader() {
     return leader;
   }
--- a/src/main/java/plumlever/LoopLateness.java
+++ b/src/main/java/plumlever/LoopLateness.java
@@ -4,8 +4,8 @@
 import plumlever.metrics.Metrics;
 
 /**
- * How late the deciding thread is. A tick is due at a fixed interval; how late it comes tells
- * whether the processor's share is enough.
+ * Measures how late the controller loop runs. A tick is due at a fixed interval; its delay shows
+ * whether the controller gets enough processor time.
  */
 final class LoopLateness {
   private static final long TICK_INTERVAL_MICROS = 500_000;
@@ -31,7 +31,10 @@
     return TICK_INTERVAL_MICROS;
   }
 
-  /** How late the last tick was, or the next one already is; 0 before the first. */
+  /**
+   * Returns how late the last tick was, or how long the next tick is already overdue if that is
+   * more; 0 before the first tick.
+   */
   long micros() {
     return nextTickDueMicros == 0
         ? 0
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -7,7 +7,10 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.ProtocolPath;
 
-/** Measures how long this controller works on the answers to its own calls, by kind of call. */
+/**
+ * A caller that measures the time this controller spends on handling responses, by the kind of
+ * service called.
+ */
 record MeteredCaller(Caller caller, Loop loop, Metrics metrics, PlatformConfiguration platform)
     implements Caller {
   @Override
--- a/src/main/java/plumlever/OwnStatus.java
+++ b/src/main/java/plumlever/OwnStatus.java
@@ -8,7 +8,7 @@
 import plumlever.peer.PeerStatus;
 import plumlever.store.StateClient;
 
-/** What this controller tells its peers of itself. */
+/** Builds the status that this controller reports to its peers. */
 final class OwnStatus {
   private static final long MACHINE_COUNTED_FOR_MICROS = 5_000_000;
 
@@ -20,7 +20,10 @@
   private final Leadership leadership;
   private final ConfirmedCancellations cancellations;
 
-  /** When a machine last sent a heartbeat here while this controller did not lead, by its id. */
+  /**
+   * For each machine that sent a heartbeat to this controller while it did not lead, the time of
+   * the last one.
+   */
   private final Map<String, Long> heartbeatAtMicros = new HashMap<>();
 
   OwnStatus(
@@ -40,12 +43,12 @@
     this.cancellations = cancellations;
   }
 
-  /** The machine sent a heartbeat to this controller, which does not lead. */
+  /** Records that the machine sent a heartbeat to this controller while it did not lead. */
   void heartbeatWithoutLeading(String machineId) {
     heartbeatAtMicros.put(machineId, loop.nowMicros());
   }
 
-  /** The status as of now. */
+  /** Returns the current status. */
   PeerStatus current() {
     long now = loop.nowMicros();
     heartbeatAtMicros.values().removeIf(at -> now - at > MACHINE_COUNTED_FOR_MICROS);
--- a/src/main/java/plumlever/PeerReports.java
+++ b/src/main/java/plumlever/PeerReports.java
@@ -7,11 +7,14 @@
 import plumlever.peer.Peers;
 import plumlever.settings.SharingSettings;
 
-/** The latest status that the other controllers sent of themselves; advice only. */
+/**
+ * The latest status reported by each of the other controllers. Advisory only: it may be stale or
+ * missing.
+ */
 final class PeerReports {
   private static final long VALID_MICROS = 3_500_000;
 
-  /** Counts are for display only and may be older. */
+  /** Task counts are only displayed and may therefore be older. */
   private static final long COUNTS_VALID_MICROS = 5_000_000;
 
   private final Peers peers;
@@ -22,12 +25,14 @@
     this.sharing = sharing;
   }
 
-  /** The status of each peer that was heard of lately. */
+  /** Returns the status of each peer that reported recently. */
   List<PeerStatus> recent() {
     return peers.heardWithin(VALID_MICROS);
   }
 
-  /** Finished and running tasks of the job, if a leader elsewhere reported them. */
+  /**
+   * Returns the finished and running tasks of the job if a leader in another process reported them.
+   */
   Optional<TaskCounts> taskCounts(String uid) {
     return peers.heardWithin(COUNTS_VALID_MICROS).stream()
         .filter(PeerStatus::leading)
@@ -35,7 +40,7 @@
         .findFirst();
   }
 
-  /** The largest number of workers that another controller of this shard reported. */
+  /** Returns the largest number of workers reported by another controller of this shard. */
   int workersElsewhere() {
     return recent().stream()
         .filter(status -> isOfOwnShard(status.label()))
--- a/src/main/java/plumlever/ServiceClients.java
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -13,7 +13,10 @@
 import plumlever.store.KeySpace;
 import plumlever.store.StateClient;
 
-/** A controller's clients of the state service and the cloud, and what they share. */
+/**
+ * A controller's clients for the state service and the cloud, with the metrics and prices they
+ * share.
+ */
 final class ServiceClients {
   private final Metrics metrics;
   private final Caller caller;
@@ -66,7 +69,10 @@
     return metrics;
   }
 
-  /** Sends requests on the loop that decides, and measures the work on their answers. */
+  /**
+   * Returns the caller for the controller loop, which measures the time spent on handling
+   * responses.
+   */
   Caller caller() {
     return caller;
   }
@@ -75,7 +81,7 @@
     return store;
   }
 
-  /** The state service as the election's thread uses it. */
+  /** Returns the state service client for the election thread. */
   StateClient electionStore() {
     return electionStore;
   }
@@ -88,7 +94,7 @@
     return cloud;
   }
 
-  /** The machine types and prices, once {@link #machineTypes()} has learned them. */
+  /** Returns the machine types and prices; empty until {@link #machineTypes()} has read them. */
   PriceBook prices() {
     return prices;
   }
--- a/src/main/java/plumlever/StateServiceProbe.java
+++ b/src/main/java/plumlever/StateServiceProbe.java
@@ -5,8 +5,8 @@
 import plumlever.store.StateClient;
 
 /**
- * Asks the state service something small while nothing else is answered, so that its silence is
- * noticed by a controller that has no other reason to ask.
+ * Sends a small read to the state service if no request was served recently. An idle controller
+ * sends few other requests and would otherwise not notice an outage.
  */
 final class StateServiceProbe {
   private static final long INTERVAL_MICROS = 1_000_000;
--- a/src/main/java/plumlever/TermContexts.java
+++ b/src/main/java/plumlever/TermContexts.java
@@ -6,7 +6,7 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
 
-/** Puts together what a leader works with in one term. */
+/** Creates the context that a leader uses during one term. */
 record TermContexts(
     ControllerEnvironment environment,
     ServiceClients clients,
--- a/src/main/java/plumlever/peer/PeerStatus.java
+++ b/src/main/java/plumlever/peer/PeerStatus.java
@@ -12,14 +12,15 @@
 import plumlever.http.TaskCounts;
 
 /**
- * What a controller tells the others of itself. It is advice only: no rule rests on it.
+ * The status that a controller reports to its peers. Advisory only: correctness must not depend on
+ * it.
  *
- * @param storeRefusedMicros how long the state service has refused it; 0 while it is served
- * @param lateMicros how late its deciding thread was lately
- * @param workers how many workers reported to it in the last seconds
- * @param counts finished and running tasks by job, from the leader, for display
- * @param confirmedCancellations jobs whose users were lately told through this controller that they
- *     are cancelled: who leads stops their tasks even if the state service refuses to tell it
+ * @param storeRefusedMicros how long the state service has refused the sender; 0 while it is served
+ * @param lateMicros how late the sender's controller loop recently ran
+ * @param workers the number of workers that recently sent heartbeats to the sender
+ * @param counts finished and running tasks by job, reported by a leader, for display
+ * @param confirmedCancellations jobs whose cancellation the sender recently confirmed to users. The
+ *     leader stops their tasks even while the state service refuses the leader's reads.
  */
 public record PeerStatus(
     String label,
@@ -31,7 +32,10 @@
     Map<String, TaskCounts> counts,
     List<String> confirmedCancellations) {
 
-  /** Kryo's form of it; written out, so that nothing is looked up by reflection at start. */
+  /**
+   * The Kryo encoding of the status. The serializer is written by hand to avoid reflection at
+   * start-up.
+   */
   public static final class Codec {
     private static final int MAX_BYTES = 256 * 1024;
     private static final int INITIAL_BUFFER_BYTES = 4 * 1024;
@@ -39,13 +43,13 @@
     private final Kryo kryo = new Kryo();
     private final Output output = new Output(INITIAL_BUFFER_BYTES, MAX_BYTES);
 
-    /** A codec for one thread. */
+    /** Creates a codec that is used by one thread only. */
     public Codec() {
       kryo.setRegistrationRequired(true);
       kryo.register(PeerStatus.class, new StatusSerializer(), REGISTRATION);
     }
 
-    /** The status as it is sent. */
+    /** Encodes a status for sending. */
     public byte[] write(PeerStatus peerStatus) {
       output.reset();
       kryo.writeObject(output, peerStatus);
@@ -53,9 +57,9 @@
     }
 
     /**
-     * The status that was sent so.
+     * Decodes a received status.
      *
-     * @throws UnreadablePeerStatusException if these are not the bytes of one
+     * @throws UnreadablePeerStatusException if the bytes are not a valid status
      */
     public PeerStatus read(byte[] bytes) {
       try {
@@ -82,7 +86,7 @@
       out.writeVarLong(peerStatus.lateMicros, true);
       out.writeVarInt(peerStatus.workers, true);
       writeCounts(out, peerStatus.counts);
-      // Earlier versions read as far as here and leave the rest.
+      // Earlier versions read up to here and ignore the rest.
       writeCancellations(out, peerStatus.confirmedCancellations);
     }
 
@@ -114,7 +118,7 @@
       long lateMicros = in.readVarLong(true);
       int workers = in.readVarInt(true);
       if (label == null) {
-        throw new KryoException("no label");
+        throw new KryoException("peer status has no label");
       }
       return new PeerStatus(
           label,
@@ -136,7 +140,7 @@
       return counts;
     }
 
-    /** Earlier versions end before this. */
+    /** Reads the confirmed cancellations; messages of earlier versions end before this field. */
     private static List<String> readCancellations(Input in) {
       List<String> uids = new ArrayList<>();
       if (in.position() < in.limit()) {
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -13,7 +13,10 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.HttpStatus;
 
-/** The links between controllers: each tells the others its status, over HTTP with Kryo bodies. */
+/**
+ * The links between controllers. Each controller sends its status to the others, over HTTP with
+ * Kryo bodies.
+ */
 public final class Peers {
   private static final String PATH = "/peer";
   private static final long INTERVAL_MICROS = 1_000_000;
@@ -30,10 +33,10 @@
   private final Map<String, HeardStatus> heardByLabel = new HashMap<>();
 
   /**
-   * Exchanges status with the platform's other controllers.
+   * Creates the links to the other controllers of the platform.
    *
-   * @param ownStatus what the others are told
-   * @param listener takes each status that another controller sends
+   * @param ownStatus provides the status that is sent
+   * @param listener receives each status that another controller sends
    */
   public Peers(
       Loop loop,
@@ -48,9 +51,9 @@
     this.listener = listener;
   }
 
-  /** Tells the others at a fixed interval. */
+  /** Returns the task that sends the status at a fixed interval. */
   public RecurringTask recurringTask() {
-    return new RecurringTask("peers", loop, this::sendStatus);
+    return new RecurringTask("peer status", loop, this::sendStatus);
   }
 
   private long sendStatus() {
@@ -61,7 +64,7 @@
     return INTERVAL_MICROS;
   }
 
-  /** Takes a request on the peers' listener. */
+  /** Handles a request on the listener for peers. */
   public void handle(String method, String path, byte[] body, Responder out) {
     if (!path.equals(PATH) || !method.equals("POST")) {
       out.error(HttpStatus.NOT_FOUND, "no such path");
@@ -89,7 +92,7 @@
     return platform.peers().stream().anyMatch(seed -> seed.label().equals(status.label()));
   }
 
-  /** The last status of each controller that was heard of in so many microseconds. */
+  /** Returns the last status of each controller from which one was received within this time. */
   public List<PeerStatus> heardWithin(long micros) {
     long from = loop.nowMicros() - micros;
     return heardByLabel.values().stream()
--- a/src/main/java/plumlever/peer/UnreadablePeerStatusException.java
+++ b/src/main/java/plumlever/peer/UnreadablePeerStatusException.java
@@ -1,10 +1,10 @@
 package plumlever.peer;
 
-/** What came as a peer's status can't be read as one. */
+/** Thrown if a message received from a peer is not a valid status. */
 public final class UnreadablePeerStatusException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   UnreadablePeerStatusException(Throwable cause) {
-    super("a peer's status can't be read", cause);
+    super("unreadable peer status", cause);
   }
 }
--- a/src/main/java/plumlever/peer/package-info.java
+++ b/src/main/java/plumlever/peer/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What controllers tell each other of themselves, by Kryo over HTTP. It owns the messages' form,
- * which former versions read and write too.
+ * The status that controllers report to each other, encoded with Kryo and sent over HTTP. This
+ * package owns the message format, which earlier versions also read and write.
  *
- * <p>Advice only: nothing that the rules need may rest on it alone, and it must not know who leads.
+ * <p>The status is advisory: correctness must not depend on it alone. This package must not depend
+ * on leadership.
  */
 package plumlever.peer;
