--- a/src/test/java/plumlever/election/ElectionBackoffTest.java
+++ b/src/test/java/plumlever/election/ElectionBackoffTest.java
@@ -6,7 +6,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Candidates that failed together do not try again together, and wait longer after each loss. */
+/**
+ * Candidates that failed at the same time retry at different times, and wait longer after each lost
+ * election.
+ */
 final class ElectionBackoffTest {
   private static final int PAUSES = 1_000;
 
--- a/src/test/java/plumlever/election/HeldTermTest.java
+++ b/src/test/java/plumlever/election/HeldTermTest.java
@@ -19,7 +19,7 @@
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.StateClient;
 
-/** When a controller stops leading. */
+/** The conditions under which a controller stops leading. */
 final class HeldTermTest {
   private static final long STALL_MICROS = 11_000_000;
 
@@ -46,7 +46,8 @@
         new StateClient(
             loop, stateService, new Endpoint("state", 1), limits, new Metrics(Logs.SERVICE));
     LeadershipRecords records =
-        new LeadershipRecords(NOPLogger.NOP_LOGGER, loop, new Candidate("n0", "life"), false);
+        new LeadershipRecords(
+            NOPLogger.NOP_LOGGER, loop, new Candidate("n0", "incarnation"), false);
     return new HeldTerm(
         NOPLogger.NOP_LOGGER,
         new ElectionContext(loop, store, parameters, records),
@@ -132,7 +133,7 @@
   void aTermThatIsNotHeldIsNotGivenUp() {
     Term term = begin();
 
-    heldTerm.giveUp(new Term(loop, 2, 10, 8), "an earlier one", 0);
+    heldTerm.giveUp(new Term(loop, 2, 10, 8), "test: term is not held", 0);
 
     assertEquals(Optional.of(term), heldTerm.current());
     assertEquals(List.of(), revoked);
--- a/src/test/java/plumlever/election/LeadershipRecordsTest.java
+++ b/src/test/java/plumlever/election/LeadershipRecordsTest.java
@@ -14,11 +14,11 @@
 import plumlever.store.StateClient;
 import plumlever.wire.Json;
 
-/** What a controller makes of the leadership records that it has read or watched. */
+/** The state of leadership that a controller derives from the records it has read or watched. */
 final class LeadershipRecordsTest {
-  private static final Candidate SELF = new Candidate("n0", "this life");
-  private static final Candidate EARLIER_SELF = new Candidate("n0", "an earlier life");
-  private static final Candidate OTHER = new Candidate("n1", "its life");
+  private static final Candidate SELF = new Candidate("n0", "this incarnation");
+  private static final Candidate EARLIER_SELF = new Candidate("n0", "earlier incarnation");
+  private static final Candidate OTHER = new Candidate("n1", "other incarnation");
 
   private final ManualLoop loop = new ManualLoop(0);
   private final LeadershipRecords records = recordsOf(false);
@@ -132,7 +132,9 @@
     records.leadershipEnded();
 
     assertEquals(Optional.empty(), records.leaderLabel());
-    assertFalse(records.leadershipFree(), "until the own key is seen to go");
+    assertFalse(
+        records.leadershipFree(),
+        "not vacant until this controller's leader key is known to be deleted");
   }
 
   @Test
--- a/src/test/java/plumlever/election/TermTest.java
+++ b/src/test/java/plumlever/election/TermTest.java
@@ -8,7 +8,7 @@
 import plumlever.concurrent.ManualLoop;
 import plumlever.settings.SchedulerParameters;
 
-/** How long the right to act lasts. */
+/** The duration of the right to act in a term. */
 final class TermTest {
   private final SchedulerParameters parameters = SchedulerParameters.defaults();
   private final ManualLoop loop = new ManualLoop(1_000_000);
--- a/src/test/java/plumlever/election/package-info.java
+++ b/src/test/java/plumlever/election/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of who leads, and for how long. */
+/** Tests of leader election and of the duration of terms. */
 package plumlever.election;
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -22,7 +22,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 
-/** The layout of records. */
+/** Tests of the record layout. */
 final class JobStoreTest {
   private static JobStore layout(int valueBytes, int formerValueBytes) {
     return new JobStore(
@@ -31,8 +31,8 @@
   }
 
   /**
-   * A hundred thousand finished tasks do not fit one value: each chunk must, and together they lose
-   * none.
+   * The progress of a job with 100,000 tasks does not fit one value. Each chunk must fit, and the
+   * chunks together must hold every finished task.
    */
   @ParameterizedTest
   @ValueSource(ints = {1024, 2048, 4096, 16384})
@@ -50,7 +50,7 @@
       JsonNode chunk = jobStore.progressChunk(done, first, jobStore.tasksPerChunk());
       assertTrue(Json.write(chunk).length() <= valueBytes);
       String key = JobStore.progressKey("job-1", first);
-      // By whatever size it was cut up, it is read the same.
+      // A chunk is read correctly whatever value size it was split by.
       layout(1024, 4096).readProgressChunk(chunk, key.substring(key.lastIndexOf('/') + 1), back);
       chunks++;
     }
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Versions before wrote chunks by number, cut up by what their settings gave as the largest
-   * value: now, not next.
+   * Earlier versions numbered their chunks and split them by the present value limit in their
+   * settings, without regard to the announced future limit.
    */
   @Test
   void readsTheChunksOfEarlierVersions() throws InvalidMessageException {
@@ -83,8 +83,8 @@
   }
 
   /**
-   * A version before takes the last part of a chunk's key for its number: it must not find one
-   * there.
+   * An earlier version parses the last segment of a chunk's key as the chunk number. The present
+   * keys must not parse as a number, so that an earlier version skips them.
    */
   @Test
   void earlierVersionsTakeNoChunkForOneOfTheirs() {
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Any list of dependencies that a body holds is stored, however small values are, and comes back
-   * in full.
+   * A dependency list of the maximum length is stored without loss, even if the value limit is
+   * small.
    */
   @ParameterizedTest
   @ValueSource(ints = {1024, 2048, 16384})
--- a/src/test/java/plumlever/store/RequestBudgetTest.java
+++ b/src/test/java/plumlever/store/RequestBudgetTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.settings.PlatformConfiguration;
 
-/** A controller takes its part of the state service's limits, and no more. */
+/** A controller uses only its share of the state service's limits. */
 final class RequestBudgetTest {
   private static final int REQUESTS_PER_S = 100;
   private static final int WRITES_PER_S = 20;
@@ -15,7 +15,7 @@
       new RequestBudget(
           new PlatformConfiguration.StateLimits(REQUESTS_PER_S, WRITES_PER_S, 4096, 8), 0);
 
-  /** How many of a thousand ordinary requests at one time are admitted. */
+  /** Returns how many of 1,000 ordinary requests sent at the same time are admitted. */
   private int admitted(int operations, long nowMicros) {
     int admitted = 0;
     for (int i = 0; i < 1_000; i++) {
@@ -47,6 +47,7 @@
     for (int i = 0; i < REQUESTS_PER_S / 2; i++) {
       assertTrue(budget.admits(StateClient.RequestPriority.URGENT, 0, 0));
     }
-    assertEquals(0, admitted(0, 1_000_000), "a second only pays for the urgent ones");
+    assertEquals(
+        0, admitted(0, 1_000_000), "the refill of one second only repays the urgent requests");
   }
 }
--- a/src/test/java/plumlever/store/TokenBucketTest.java
+++ b/src/test/java/plumlever/store/TokenBucketTest.java
@@ -5,11 +5,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Requests stay within a rate. */
+/** The token bucket keeps requests within a rate. */
 final class TokenBucketTest {
   private static final long SECOND_MICROS = 1_000_000;
 
-  /** Tries to take a token a hundred times in the second that begins then. */
+  /**
+   * Returns how many tokens are taken in the second from {@code beginMicros}, with 100 tries of one
+   * token each.
+   */
   private static int takenWithinSecond(TokenBucket bucket, long beginMicros) {
     int taken = 0;
     for (int i = 0; i < 100; i++) {
@@ -21,7 +24,9 @@
   @Test
   void aFullBucketGivesABurstAndThenItsRate() {
     int taken = takenWithinSecond(new TokenBucket(10, 0), 0);
-    assertTrue(taken >= 18 && taken <= 20, "a burst of ten and ten in the second: " + taken);
+    assertTrue(
+        taken >= 18 && taken <= 20,
+        "expected a burst of 10 tokens and 8 to 10 refilled ones, got " + taken);
   }
 
   @Test
@@ -30,7 +35,9 @@
     takenWithinSecond(bucket, 0);
     bucket.setRate(20, SECOND_MICROS);
     int taken = takenWithinSecond(bucket, SECOND_MICROS);
-    assertTrue(taken >= 19 && taken <= 21, "twice as many in the next: " + taken);
+    assertTrue(
+        taken >= 19 && taken <= 21,
+        "expected about 20 tokens in one second at the doubled rate, got " + taken);
   }
 
   @Test
@@ -38,7 +45,11 @@
     TokenBucket bucket = new TokenBucket(20, 0);
     takenWithinSecond(bucket, 0);
     bucket.acquireOnCredit(5, SECOND_MICROS);
-    assertFalse(bucket.tryAcquire(1, SECOND_MICROS + 100_000), "two of five are paid back");
-    assertTrue(bucket.tryAcquire(1, SECOND_MICROS + 400_000), "all are");
+    assertFalse(
+        bucket.tryAcquire(1, SECOND_MICROS + 100_000),
+        "2 of 5 borrowed tokens are repaid after 100 ms");
+    assertTrue(
+        bucket.tryAcquire(1, SECOND_MICROS + 400_000),
+        "all 5 borrowed tokens are repaid after 400 ms");
   }
 }
--- a/src/test/java/plumlever/store/WriteLimitsTest.java
+++ b/src/test/java/plumlever/store/WriteLimitsTest.java
@@ -8,7 +8,10 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.Json;
 
-/** Limits that fall without notice are learnt from refusals. */
+/**
+ * The limits are lowered after refused writes, because the state service may lower its limits
+ * without notice.
+ */
 final class WriteLimitsTest {
   private static final int VALUE_BYTES = 16384;
   private static final int OPERATIONS = 12;
@@ -34,8 +37,11 @@
     limits.refused(oneLargeValue());
     assertTrue(
         limits.maxValueBytes() < 9_000 && limits.maxValueBytes() >= 4_000,
-        "" + limits.maxValueBytes());
-    assertEquals(OPERATIONS, limits.maxOperations(), "one change is not too many");
+        "maximum value bytes: " + limits.maxValueBytes());
+    assertEquals(
+        OPERATIONS,
+        limits.maxOperations(),
+        "a transaction of one operation does not lower the operation limit");
   }
 
   @Test
@@ -55,7 +61,7 @@
             && limits.maxOperations() >= WriteLimits.MIN_OPERATIONS);
   }
 
-  /** A lease that has ended tells nothing of sizes. */
+  /** A refused transaction with a lease does not lower the limits: the lease may have ended. */
   @Test
   void onlyTransactionsWithALeaseAreAttachedToOne() {
     assertTrue(new Transaction().put("a", Json.object(), 7).isAttachedToLease());
--- a/src/test/java/plumlever/store/package-info.java
+++ b/src/test/java/plumlever/store/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the package of the same name, without I/O beyond loopback. */
+/** Tests of the package of the same name; they use no I/O other than loopback. */
 package plumlever.store;
