--- a/src/main/java/plumlever/store/DependencyListRecords.java
+++ b/src/main/java/plumlever/store/DependencyListRecords.java
@@ -18,13 +18,13 @@
  */
 final class DependencyListRecords {
   private static final String UIDS = "names";
-  private static final int DIGEST_LETTERS = 24;
+  private static final int DIGEST_LENGTH = 24;
 
   /** The bytes of the JSON around the entries of a part. */
-  private static final int PART_BASE_BYTES = 32;
+  private static final int PART_OVERHEAD_BYTES = 32;
 
   /** The bytes of the JSON around a job id: two quotes and a comma. */
-  private static final int UID_BASE_BYTES = 3;
+  private static final int UID_OVERHEAD_BYTES = 3;
 
   private DependencyListRecords() {}
 
@@ -46,7 +46,7 @@
     return Hashing.sha256()
         .hashString(maxValueBytes + " " + String.join(" ", uids), StandardCharsets.UTF_8)
         .toString()
-        .substring(0, DIGEST_LETTERS);
+        .substring(0, DIGEST_LENGTH);
   }
 
   /** Splits a list into parts, by key, anchor first. */
@@ -55,12 +55,12 @@
     ArrayNode part = null;
     int bytes = 0;
     for (String uid : uids) {
-      int uidBytes = uid.length() + UID_BASE_BYTES;
+      int uidBytes = uid.length() + UID_OVERHEAD_BYTES;
       if (part == null || bytes + uidBytes > maxValueBytes) {
         ObjectNode value = Json.object();
         part = value.putArray(UIDS);
         parts.put(prefix + parts.size(), value);
-        bytes = PART_BASE_BYTES;
+        bytes = PART_OVERHEAD_BYTES;
       }
       part.add(uid);
       bytes += uidBytes;
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -72,13 +72,13 @@
           StateClient.RequestPriority.ORDINARY,
           listing -> {
             if (listing.isEmpty()) {
-              giveUp();
+              fail();
               return;
             }
             Map<String, Long> stored = new HashMap<>();
             listing.get().items().forEach(item -> stored.put(item.key(), item.revision()));
             if (stored.containsKey(anchor)) {
-              storeRest(stored);
+              storeRemainingParts(stored);
             } else {
               storeAnchor();
             }
@@ -93,21 +93,21 @@
       send(new Transaction().require(anchor, 0).put(anchor, parts.get(anchor)), this::readStored);
     }
 
-    private void storeRest(Map<String, Long> stored) {
+    private void storeRemainingParts(Map<String, Long> stored) {
       List<String> missing = new ArrayList<>(parts.keySet());
       missing.removeAll(stored.keySet());
       if (missing.isEmpty()) {
         handler.accept(OptionalLong.of(stored.get(anchor)));
         return;
       }
-      List<String> sent = missing.subList(0, Math.min(maxPartsPerTransaction(), missing.size()));
+      List<String> batch = missing.subList(0, Math.min(maxPartsPerTransaction(), missing.size()));
       Transaction transaction = new Transaction().require(anchor, stored.get(anchor));
-      sent.forEach(key -> transaction.require(key, 0).put(key, parts.get(key)));
+      batch.forEach(key -> transaction.require(key, 0).put(key, parts.get(key)));
       send(
           transaction,
           () -> {
-            sent.forEach(key -> stored.put(key, 0L));
-            storeRest(stored);
+            batch.forEach(key -> stored.put(key, 0L));
+            storeRemainingParts(stored);
           });
     }
 
@@ -125,20 +125,20 @@
             if (result.applied()) {
               applied.run();
             } else if (loop.nowMicros() - startedMicros > MAX_ATTEMPT_MICROS
-                || isRefusedForGood(result)) {
-              giveUp();
+                || isPermanentlyRefused(result)) {
+              fail();
             } else {
               loop.after(RETRY_MICROS, this::readStored);
             }
           });
     }
 
-    private static boolean isRefusedForGood(Transaction.Result result) {
+    private static boolean isPermanentlyRefused(Transaction.Result result) {
       return result.outcome() == Transaction.Outcome.REFUSED
           && result.status() != HttpStatus.TOO_MANY_REQUESTS;
     }
 
-    private void giveUp() {
+    private void fail() {
       handler.accept(OptionalLong.empty());
     }
   }
--- a/src/main/java/plumlever/store/DependencyReader.java
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -26,11 +26,11 @@
 
   private final StateClient store;
   private final JobFinder finder;
-  private final KnownJobs knownJobs;
+  private final JobStateCache jobStates;
   private final DependencyGraph graph;
-  private final Predicate<String> complete;
+  private final Predicate<String> isComplete;
   private final Set<String> seen = new HashSet<>();
-  private final Deque<String> open = new ArrayDeque<>();
+  private final Deque<String> queue = new ArrayDeque<>();
   private final Consumer<Boolean> handler;
 
   /**
@@ -42,49 +42,49 @@
   private int steps;
 
   /**
-   * @param complete returns true for jobs that are in the graph with all of their dependencies
+   * @param isComplete returns true for jobs that are in the graph with all of their dependencies
    * @param handler receives whether everything could be read
    */
   DependencyReader(
       StateClient store,
       JobFinder finder,
-      KnownJobs knownJobs,
+      JobStateCache jobStates,
       DependencyGraph graph,
-      Predicate<String> complete,
+      Predicate<String> isComplete,
       Consumer<Boolean> handler) {
     this.store = store;
     this.finder = finder;
-    this.knownJobs = knownJobs;
+    this.jobStates = jobStates;
     this.graph = graph;
-    this.complete = complete;
+    this.isComplete = isComplete;
     this.handler = handler;
   }
 
   void read(Collection<String> uids) {
     seen.addAll(uids);
-    open.addAll(uids);
-    readOpen();
+    queue.addAll(uids);
+    processQueue();
   }
 
-  /** Adds the open jobs that can be resolved without a request, and reads the others. */
-  private void readOpen() {
-    Set<String> unread = new LinkedHashSet<>();
+  /** Adds the queued jobs that can be resolved without a request, and reads the others. */
+  private void processQueue() {
+    Set<String> unresolved = new LinkedHashSet<>();
     List<StateClient.Item> withList = new ArrayList<>();
-    while (!open.isEmpty()) {
-      String uid = open.poll();
+    while (!queue.isEmpty()) {
+      String uid = queue.poll();
       if (!addKnown(uid, withList)) {
-        unread.add(uid);
+        unresolved.add(uid);
       }
     }
-    if (unread.isEmpty()) {
+    if (unresolved.isEmpty()) {
       readLists(withList);
     } else if (allActive.isEmpty()
-        && (steps >= MAX_STEPS || unread.size() > JobFinder.MAX_SINGLE_READS)) {
-      open.addAll(unread);
+        && (steps >= MAX_STEPS || unresolved.size() > JobFinder.MAX_SINGLE_READS)) {
+      queue.addAll(unresolved);
       readAllActive(withList);
     } else {
       steps++;
-      find(unread, withList);
+      find(unresolved, withList);
     }
   }
 
@@ -92,12 +92,12 @@
    * Adds the job if it can be resolved without a request; returns false if the job has to be read.
    */
   private boolean addKnown(String uid, List<StateClient.Item> withList) {
-    Optional<JobState> finalState = knownJobs.finalState(uid);
+    Optional<JobState> finalState = jobStates.finalState(uid);
     if (finalState.isPresent()) {
       graph.recordEnd(uid, finalState.get(), 0);
     } else if (graph.stateOf(uid) != DependencyGraph.State.UNKNOWN) {
       // The job is in the graph already, but some of its dependencies may not be.
-      openDependencies(graph.openDependencies(uid));
+      enqueueDependencies(graph.openDependencies(uid));
     } else if (allActive.isPresent() && allActive.get().containsKey(uid)) {
       addActive(allActive.get().get(uid), withList);
     } else {
@@ -141,9 +141,9 @@
   private void addFound(String uid, JobFinder.Found job, List<StateClient.Item> withList) {
     // A job may have ended during this read; the watch may then have reported the end before this
     // response arrived.
-    Optional<JobState> finalState = job.endState().or(() -> knownJobs.finalState(uid));
+    Optional<JobState> finalState = job.endState().or(() -> jobStates.finalState(uid));
     if (finalState.isPresent()) {
-      knownJobs.jobEnded(uid, finalState.get());
+      jobStates.recordEnd(uid, finalState.get());
       graph.recordEnd(uid, finalState.get(), job.endedWallMicros());
     } else {
       job.active().ifPresent(item -> addActive(item, withList));
@@ -160,13 +160,13 @@
 
   private void addToGraph(StateClient.Item item, List<String> dependencies) {
     graph.addJob(RecordKeys.uidOfActive(item.key()), item.revision(), dependencies);
-    openDependencies(dependencies);
+    enqueueDependencies(dependencies);
   }
 
-  private void openDependencies(List<String> uids) {
+  private void enqueueDependencies(List<String> uids) {
     for (String uid : uids) {
-      if (!complete.test(uid) && seen.add(uid)) {
-        open.add(uid);
+      if (!isComplete.test(uid) && seen.add(uid)) {
+        queue.add(uid);
       }
     }
   }
@@ -174,10 +174,10 @@
   /** Reads the dependency lists that do not fit the active records, one job after the other. */
   private void readLists(List<StateClient.Item> jobs) {
     if (jobs.isEmpty()) {
-      if (open.isEmpty()) {
+      if (queue.isEmpty()) {
         handler.accept(true);
       } else {
-        readOpen();
+        processQueue();
       }
       return;
     }
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -20,7 +20,7 @@
  */
 final class DependencyRecordCache {
   /** The state of a job as derived from the records; at least as recent as the lookup. */
-  enum Answer {
+  enum Resolution {
     WAITING,
     RELEASED,
     CANCELLED,
@@ -28,37 +28,37 @@
     UNAVAILABLE
   }
 
-  private record Question(String uid, int attemptsLeft, Consumer<Answer> handler) {}
+  private record Lookup(String uid, int attemptsLeft, Consumer<Resolution> handler) {}
 
   /** When the graph has more jobs than this, it is discarded; jobs are read again on demand. */
   private static final int MAX_JOBS = 50_000;
 
   /** Value of {@link #storeRevision} before the first read. */
-  private static final long UNKNOWN = -1;
+  private static final long UNKNOWN_REVISION = -1;
 
   private final StateClient store;
   private final JobFinder finder;
-  private final KnownJobs knownJobs;
+  private final JobStateCache jobStates;
   private final RateLimitRetry retry;
-  private final QuestionBatch<Question> questions;
+  private final LookupBatch<Lookup> pendingLookups;
 
   private DependencyGraph graph = new DependencyGraph();
 
   /** Jobs that are in the graph together with all direct and transitive dependencies. */
-  private Set<String> complete = new HashSet<>();
+  private Set<String> completeJobs = new HashSet<>();
 
   /** The graph contains all ends of jobs up to this revision. */
-  private long storeRevision = UNKNOWN;
+  private long storeRevision = UNKNOWN_REVISION;
 
   /**
-   * @param knownJobs receives the final state of each ended job that is read
+   * @param jobStates receives the final state of each ended job that is read
    */
-  DependencyRecordCache(Loop loop, StateClient store, JobFinder finder, KnownJobs knownJobs) {
+  DependencyRecordCache(Loop loop, StateClient store, JobFinder finder, JobStateCache jobStates) {
     this.store = store;
     this.finder = finder;
-    this.knownJobs = knownJobs;
+    this.jobStates = jobStates;
     this.retry = new RateLimitRetry(loop);
-    this.questions = new QuestionBatch<>(loop, () -> Integer.MAX_VALUE, this::answerAll);
+    this.pendingLookups = new LookupBatch<>(loop, () -> Integer.MAX_VALUE, this::resolveAll);
   }
 
   /** Returns the dependency whose cancellation cancelled this job, if there is one. */
@@ -71,48 +71,48 @@
    * otherwise 0.
    */
   long revision(String uid) {
-    return complete.contains(uid) ? graph.revision(uid) : 0;
+    return completeJobs.contains(uid) ? graph.revision(uid) : 0;
   }
 
   /** Adds a job that this controller has just accepted, so that its record need not be read. */
   void jobAccepted(String uid, long revision, List<String> dependencies) {
     if (storeRevision >= 0) {
       graph.addJob(uid, revision, dependencies);
-      discardNews();
+      discardGraphEvents();
     }
   }
 
   /** Records the end of a job that this controller learned of from another source. */
   void jobEnded(String uid, JobState finalState) {
     addEnd(uid, finalState, 0);
-    discardNews();
+    discardGraphEvents();
   }
 
   private void addEnd(String uid, JobState finalState, long endedWallMicros) {
     graph.recordEnd(uid, finalState, endedWallMicros);
-    complete.remove(uid);
+    completeJobs.remove(uid);
   }
 
   /**
    * Discards the lists of released and cancelled jobs. Only a leader acts on them; this cache only
    * looks up single jobs.
    */
-  private void discardNews() {
+  private void discardGraphEvents() {
     graph.drainReleased();
     graph.drainCancelled();
   }
 
   /** Determines the state of a job that has, or had, dependencies. */
-  void ask(String uid, Consumer<Answer> handler) {
-    questions.add(new Question(uid, RateLimitRetry.MAX_ATTEMPTS, handler));
+  void lookUp(String uid, Consumer<Resolution> handler) {
+    pendingLookups.add(new Lookup(uid, RateLimitRetry.MAX_ATTEMPTS, handler));
   }
 
-  private void answerAll(List<Question> asked) {
+  private void resolveAll(List<Lookup> batch) {
     if (graph.size() > MAX_JOBS) {
       reset();
     }
     if (storeRevision >= 0) {
-      readMissing(asked);
+      readMissing(batch);
       return;
     }
     // The revision at which observation starts. Jobs that end after this revision are reported by
@@ -120,10 +120,10 @@
     store.storeRevision(
         now -> {
           if (now.isEmpty()) {
-            failAll(asked);
+            failAll(batch);
           } else {
             storeRevision = storeRevision < 0 ? now.getAsLong() : storeRevision;
-            readMissing(asked);
+            readMissing(batch);
           }
         });
   }
@@ -132,58 +132,58 @@
    * Reads the requested jobs and their dependencies that are not in the graph yet, then the new
    * ends.
    */
-  private void readMissing(List<Question> asked) {
+  private void readMissing(List<Lookup> batch) {
     Set<String> incomplete = new LinkedHashSet<>();
-    for (Question question : asked) {
-      if (!complete.contains(question.uid())) {
-        incomplete.add(question.uid());
+    for (Lookup lookup : batch) {
+      if (!completeJobs.contains(lookup.uid())) {
+        incomplete.add(lookup.uid());
       }
     }
-    DependencyGraph readInto = graph;
+    DependencyGraph targetGraph = graph;
     new DependencyReader(
             store,
             finder,
-            knownJobs,
-            readInto,
-            uid -> complete.contains(uid),
+            jobStates,
+            targetGraph,
+            uid -> completeJobs.contains(uid),
             allRead -> {
-              if (!allRead || readInto != graph) {
-                failAll(asked);
+              if (!allRead || targetGraph != graph) {
+                failAll(batch);
                 return;
               }
-              complete.addAll(incomplete);
-              readNewEnds(asked);
+              completeJobs.addAll(incomplete);
+              readNewEnds(batch);
             })
         .read(incomplete);
   }
 
   /** Requests all ends of jobs since the previous request, then completes the lookups. */
-  private void readNewEnds(List<Question> asked) {
-    DependencyGraph readInto = graph;
+  private void readNewEnds(List<Lookup> batch) {
+    DependencyGraph targetGraph = graph;
     store.watch(
         RecordKeys.ENDED,
         storeRevision,
         0,
         changes -> {
-          if (readInto != graph) {
-            failAll(asked);
+          if (targetGraph != graph) {
+            failAll(batch);
           } else if (changes.expired()) {
             reset();
-            asked.forEach(
-                question ->
-                    retry.retryOr(
-                        question.attemptsLeft(), () -> askAgain(question), () -> fail(question)));
+            batch.forEach(
+                lookup ->
+                    retry.retryOrFail(
+                        lookup.attemptsLeft(), () -> requeue(lookup), () -> fail(lookup)));
           } else if (!changes.answered()) {
-            asked.forEach(
-                question ->
-                    retry.retryOr(
+            batch.forEach(
+                lookup ->
+                    retry.retryOrFail(
                         changes.status(),
-                        question.attemptsLeft(),
-                        () -> askAgain(question),
-                        () -> fail(question)));
+                        lookup.attemptsLeft(),
+                        () -> requeue(lookup),
+                        () -> fail(lookup)));
           } else {
             addEnds(changes);
-            asked.forEach(question -> question.handler().accept(answerTo(question)));
+            batch.forEach(lookup -> lookup.handler().accept(resolutionOf(lookup)));
           }
         });
   }
@@ -196,42 +196,42 @@
         String uid = RecordKeys.uidOfEnded(change.key());
         // Ends of jobs that are not in the graph are recorded too: a pending read may have fetched
         // the active record before the job ended and may add that job to the graph later.
-        knownJobs.jobEnded(uid, finalState.get());
+        jobStates.recordEnd(uid, finalState.get());
         addEnd(uid, finalState.get(), EndedRecord.endedWallMicros(change.data()));
       }
     }
     storeRevision = Math.max(storeRevision, changes.storeRevision());
-    discardNews();
+    discardGraphEvents();
   }
 
-  private Answer answerTo(Question question) {
-    if (knownJobs.finalState(question.uid()).isPresent()) {
-      return Answer.ENDED;
+  private Resolution resolutionOf(Lookup lookup) {
+    if (jobStates.finalState(lookup.uid()).isPresent()) {
+      return Resolution.ENDED;
     }
-    return switch (graph.stateOf(question.uid())) {
-      case WAITING -> Answer.WAITING;
-      case RELEASED -> Answer.RELEASED;
-      case CANCELLED -> Answer.CANCELLED;
-      case DONE -> Answer.ENDED;
-      case UNKNOWN -> Answer.UNAVAILABLE;
+    return switch (graph.stateOf(lookup.uid())) {
+      case WAITING -> Resolution.WAITING;
+      case RELEASED -> Resolution.RELEASED;
+      case CANCELLED -> Resolution.CANCELLED;
+      case DONE -> Resolution.ENDED;
+      case UNKNOWN -> Resolution.UNAVAILABLE;
     };
   }
 
-  private void askAgain(Question question) {
-    questions.add(new Question(question.uid(), question.attemptsLeft() - 1, question.handler()));
+  private void requeue(Lookup lookup) {
+    pendingLookups.add(new Lookup(lookup.uid(), lookup.attemptsLeft() - 1, lookup.handler()));
   }
 
-  private static void fail(Question question) {
-    question.handler().accept(Answer.UNAVAILABLE);
+  private static void fail(Lookup lookup) {
+    lookup.handler().accept(Resolution.UNAVAILABLE);
   }
 
-  private static void failAll(List<Question> asked) {
-    asked.forEach(DependencyRecordCache::fail);
+  private static void failAll(List<Lookup> batch) {
+    batch.forEach(DependencyRecordCache::fail);
   }
 
   private void reset() {
     graph = new DependencyGraph();
-    complete = new HashSet<>();
-    storeRevision = UNKNOWN;
+    completeJobs = new HashSet<>();
+    storeRevision = UNKNOWN_REVISION;
   }
 }
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -79,16 +79,16 @@
             return;
           }
           Map<String, Found> found = new HashMap<>();
-          List<String> rest = new ArrayList<>();
+          List<String> missing = new ArrayList<>();
           for (String uid : uids) {
             StateClient.Item item = activeByUid.get().get(uid);
             if (item != null) {
               found.put(uid, Found.active(item));
             } else {
-              rest.add(uid);
+              missing.add(uid);
             }
           }
-          findEnded(rest, found, handler);
+          findEnded(missing, found, handler);
         });
   }
 
@@ -133,7 +133,7 @@
 
   /** Reads single keys, a limited number at the same time. */
   private final class SingleReads {
-    private final Deque<String> open;
+    private final Deque<String> remaining;
     private final Map<String, Found> found;
     private final Consumer<Optional<Map<String, Found>>> handler;
     private int pending;
@@ -143,19 +143,19 @@
         Collection<String> uids,
         Map<String, Found> found,
         Consumer<Optional<Map<String, Found>>> handler) {
-      this.open = new ArrayDeque<>(uids);
+      this.remaining = new ArrayDeque<>(uids);
       this.found = found;
       this.handler = handler;
     }
 
     void sendNext() {
-      if (open.isEmpty() && pending == 0) {
+      if (remaining.isEmpty() && pending == 0) {
         finish(Optional.of(found));
         return;
       }
-      while (!finished && pending < MAX_READS_AT_ONCE && !open.isEmpty()) {
+      while (!finished && pending < MAX_READS_AT_ONCE && !remaining.isEmpty()) {
         pending++;
-        readActive(open.poll(), RateLimitRetry.MAX_ATTEMPTS);
+        readActive(remaining.poll(), RateLimitRetry.MAX_ATTEMPTS);
       }
     }
 
@@ -195,9 +195,9 @@
       sendNext();
     }
 
-    private void failed(int status, int attemptsLeft, Runnable again) {
+    private void failed(int status, int attemptsLeft, Runnable repeat) {
       if (!finished) {
-        retry.retryOr(status, attemptsLeft, again, () -> finish(Optional.empty()));
+        retry.retryOrFail(status, attemptsLeft, repeat, () -> finish(Optional.empty()));
       }
     }
 
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -70,8 +70,7 @@
   public record EndedJobs(Set<String> uids, long askedMicros) {}
 
   /** A lookup of a job whose active record has a known revision. */
-  private record Question(
-      String uid, long revision, int attemptsLeft, Consumer<JobStatus> handler) {
+  private record Lookup(String uid, long revision, int attemptsLeft, Consumer<JobStatus> handler) {
     String key() {
       return RecordKeys.active(uid);
     }
@@ -93,12 +92,12 @@
   private final JobStore layout;
   private final JobFinder finder;
   private final RateLimitRetry retry;
-  private final KnownJobs knownJobs = new KnownJobs();
+  private final JobStateCache jobStates = new JobStateCache();
   private final DependencyRecordCache dependencyRecords;
-  private final QuestionBatch<Question> questions;
+  private final LookupBatch<Lookup> pendingLookups;
 
   /** For each job that was found active, the time at which that read was requested. */
-  private final Map<String, Long> activeAskedMicros = new HashMap<>();
+  private final Map<String, Long> activeReadMicros = new HashMap<>();
 
   /** Creates an empty cache that reads through the given client. */
   public JobRecordCache(Loop loop, StateClient store, JobStore layout, Metrics metrics) {
@@ -108,18 +107,18 @@
     this.layout = layout;
     this.finder = new JobFinder(loop, store);
     this.retry = new RateLimitRetry(loop);
-    this.dependencyRecords = new DependencyRecordCache(loop, store, finder, knownJobs);
-    this.questions =
-        new QuestionBatch<>(
+    this.dependencyRecords = new DependencyRecordCache(loop, store, finder, jobStates);
+    this.pendingLookups =
+        new LookupBatch<>(
             loop,
             () -> PRECONDITIONS_PER_OPERATION * layout.limits().maxOperations(),
-            this::compare);
+            this::checkRevisions);
   }
 
   /** Records that the job was accepted and that its record has this revision. */
   public void jobAccepted(String uid, long revision) {
     if (revision > 0) {
-      knownJobs.activeSeen(uid, revision);
+      jobStates.recordActive(uid, revision);
     }
   }
 
@@ -136,7 +135,7 @@
 
   /** Records that the final state of the job has been stored. */
   public void jobEnded(String uid, JobState endState) {
-    knownJobs.jobEnded(uid, endState);
+    jobStates.recordEnd(uid, endState);
     dependencyRecords.jobEnded(uid, endState);
   }
 
@@ -149,7 +148,7 @@
   public void findNeverAccepted(Collection<String> uids, Consumer<Optional<Set<String>>> handler) {
     Set<String> unknown = new HashSet<>();
     for (String uid : uids) {
-      if (knownJobs.activeRevision(uid).isEmpty() && knownJobs.finalState(uid).isEmpty()) {
+      if (jobStates.activeRevision(uid).isEmpty() && jobStates.finalState(uid).isEmpty()) {
         unknown.add(uid);
       }
     }
@@ -174,7 +173,7 @@
 
   /** Returns the final state of the job if it is cached; sends no request. */
   public Optional<JobState> knownEndState(String uid) {
-    return knownJobs.finalState(uid);
+    return jobStates.finalState(uid);
   }
 
   /**
@@ -185,17 +184,17 @@
    */
   public void findEnded(Collection<String> uids, Consumer<Optional<EndedJobs>> handler) {
     long now = loop.nowMicros();
-    activeAskedMicros.values().removeIf(asked -> now - asked > ACTIVE_VALID_MICROS);
+    activeReadMicros.values().removeIf(readMicros -> now - readMicros > ACTIVE_VALID_MICROS);
     EndedSearch search = new EndedSearch(now, handler);
     for (String uid : uids) {
-      Long asked = activeAskedMicros.get(uid);
-      if (asked != null) {
-        search.activeSince(asked);
+      Long readMicros = activeReadMicros.get(uid);
+      if (readMicros != null) {
+        search.activeAsOf(readMicros);
       } else {
         search.lookUp(uid);
       }
     }
-    search.allAsked();
+    search.allRequested();
   }
 
   /** One call of {@link #findEnded}. */
@@ -208,16 +207,16 @@
     private int pending = 1;
 
     private boolean failed;
-    private long oldestAskedMicros;
+    private long oldestReadMicros;
 
     EndedSearch(long startedMicros, Consumer<Optional<EndedJobs>> handler) {
       this.startedMicros = startedMicros;
       this.handler = handler;
-      this.oldestAskedMicros = startedMicros;
+      this.oldestReadMicros = startedMicros;
     }
 
-    void activeSince(long askedMicros) {
-      oldestAskedMicros = Math.min(oldestAskedMicros, askedMicros);
+    void activeAsOf(long readMicros) {
+      oldestReadMicros = Math.min(oldestReadMicros, readMicros);
     }
 
     void lookUp(String uid) {
@@ -226,23 +225,23 @@
           uid,
           status -> {
             switch (status.presence()) {
-              case ACTIVE -> activeAskedMicros.put(uid, startedMicros);
+              case ACTIVE -> activeReadMicros.put(uid, startedMicros);
               case UNAVAILABLE -> failed = true;
               case ENDED, MISSING -> ended.add(uid);
             }
-            answered();
+            lookupCompleted();
           });
     }
 
-    void allAsked() {
-      answered();
+    void allRequested() {
+      lookupCompleted();
     }
 
-    private void answered() {
+    private void lookupCompleted() {
       pending--;
       if (pending == 0) {
         handler.accept(
-            failed ? Optional.empty() : Optional.of(new EndedJobs(ended, oldestAskedMicros)));
+            failed ? Optional.empty() : Optional.of(new EndedJobs(ended, oldestReadMicros)));
       }
     }
   }
@@ -255,14 +254,14 @@
   }
 
   private void lookUp(String uid, int attemptsLeft, Consumer<JobStatus> handler) {
-    Optional<JobState> endState = knownJobs.finalState(uid);
+    Optional<JobState> endState = jobStates.finalState(uid);
     if (endState.isPresent()) {
       handler.accept(JobStatus.ended(endState.get()));
       return;
     }
-    OptionalLong revision = knownJobs.activeRevision(uid);
+    OptionalLong revision = jobStates.activeRevision(uid);
     if (revision.isPresent()) {
-      questions.add(new Question(uid, revision.getAsLong(), attemptsLeft, handler));
+      pendingLookups.add(new Lookup(uid, revision.getAsLong(), attemptsLeft, handler));
       return;
     }
     // The record of a job with dependencies does not change until the job ends. A job that is
@@ -277,29 +276,29 @@
   }
 
   /** Checks with a single transaction whether any of these records has changed. */
-  private void compare(List<Question> asked) {
+  private void checkRevisions(List<Lookup> batch) {
     Transaction transaction = new Transaction();
     Set<String> keys = new HashSet<>();
-    for (Question question : asked) {
-      if (keys.add(question.key())) {
-        transaction.require(question.key(), question.revision());
+    for (Lookup lookup : batch) {
+      if (keys.add(lookup.key())) {
+        transaction.require(lookup.key(), lookup.revision());
       }
     }
-    metrics.count("reads_coalesced", asked.size());
+    metrics.count("reads_coalesced", batch.size());
     store.transaction(
         transaction,
         StateClient.RequestPriority.ORDINARY,
         result -> {
           switch (result.outcome()) {
             case APPLIED ->
-                asked.forEach(
-                    question -> question.handler().accept(JobStatus.active(question.revision())));
+                batch.forEach(
+                    lookup -> lookup.handler().accept(JobStatus.active(lookup.revision())));
             case CONFLICT -> {
-              Set<String> changed = new HashSet<>(result.failed());
-              asked.forEach(question -> someChanged(question, changed));
+              Set<String> changed = new HashSet<>(result.failedKeys());
+              batch.forEach(lookup -> recordsChanged(lookup, changed));
             }
             case REFUSED, UNKNOWN ->
-                asked.forEach(question -> compareFailed(question, result.status()));
+                batch.forEach(lookup -> revisionCheckFailed(lookup, result.status()));
           }
         });
   }
@@ -310,21 +309,21 @@
    * @param changed the keys of changed records. The state service does not guarantee that the list
    *     is complete, so the lookups of all other records are repeated once.
    */
-  private void someChanged(Question question, Set<String> changed) {
-    if (changed.isEmpty() || changed.contains(question.key()) || question.attemptsLeft() <= 1) {
-      knownJobs.forgetActive(question.uid());
-      readActive(question.uid(), RateLimitRetry.MAX_ATTEMPTS, question.handler());
+  private void recordsChanged(Lookup lookup, Set<String> changed) {
+    if (changed.isEmpty() || changed.contains(lookup.key()) || lookup.attemptsLeft() <= 1) {
+      jobStates.evictActive(lookup.uid());
+      readActive(lookup.uid(), RateLimitRetry.MAX_ATTEMPTS, lookup.handler());
     } else {
-      lookUp(question.uid(), question.attemptsLeft() - 1, question.handler());
+      lookUp(lookup.uid(), lookup.attemptsLeft() - 1, lookup.handler());
     }
   }
 
-  private void compareFailed(Question question, int status) {
-    retry.retryOr(
+  private void revisionCheckFailed(Lookup lookup, int status) {
+    retry.retryOrFail(
         status,
-        question.attemptsLeft(),
-        () -> lookUp(question.uid(), question.attemptsLeft() - 1, question.handler()),
-        () -> question.handler().accept(JobStatus.UNAVAILABLE));
+        lookup.attemptsLeft(),
+        () -> lookUp(lookup.uid(), lookup.attemptsLeft() - 1, lookup.handler()),
+        () -> lookup.handler().accept(JobStatus.UNAVAILABLE));
   }
 
   /**
@@ -340,12 +339,12 @@
           if (result.found() && ActiveRecord.hasDependencies(result.item().data())) {
             resolveDependencies(uid, result.item().revision(), handler);
           } else if (result.found()) {
-            knownJobs.activeSeen(uid, result.item().revision());
+            jobStates.recordActive(uid, result.item().revision());
             handler.accept(JobStatus.active(result.item().revision()));
           } else if (result.missing()) {
             readEnded(uid, attemptsLeft, handler);
           } else {
-            retry.retryOr(
+            retry.retryOrFail(
                 result.status(),
                 attemptsLeft,
                 () -> readActive(uid, attemptsLeft - 1, handler),
@@ -355,7 +354,7 @@
   }
 
   private void readEnded(String uid, int attemptsLeft, Consumer<JobStatus> handler) {
-    Optional<JobState> known = knownJobs.finalState(uid);
+    Optional<JobState> known = jobStates.finalState(uid);
     if (known.isPresent()) {
       handler.accept(JobStatus.ended(known.get()));
       return;
@@ -372,7 +371,7 @@
           } else if (result.missing()) {
             handler.accept(JobStatus.MISSING);
           } else {
-            retry.retryOr(
+            retry.retryOrFail(
                 result.status(),
                 attemptsLeft,
                 () -> readEnded(uid, attemptsLeft - 1, handler),
@@ -386,15 +385,15 @@
    * depends on the final states of its dependencies.
    */
   private void resolveDependencies(String uid, long revision, Consumer<JobStatus> handler) {
-    dependencyRecords.ask(
+    dependencyRecords.lookUp(
         uid,
-        answer -> {
-          switch (answer) {
+        resolution -> {
+          switch (resolution) {
             case WAITING -> handler.accept(JobStatus.active(revision));
             case RELEASED -> {
               // None of its dependencies can be cancelled any more, so from now on the job is
               // handled like a job without dependencies.
-              knownJobs.activeSeen(uid, revision);
+              jobStates.recordActive(uid, revision);
               handler.accept(JobStatus.active(revision));
             }
             case CANCELLED -> cancelWithDependency(uid, revision, handler);
--- a/src/main/java/plumlever/store/KnownJobs.java
+++ b/src/main/java/plumlever/store/JobStateCache.java
@@ -7,7 +7,7 @@
 import plumlever.wire.JobState;
 
 /** A bounded in-memory cache of job states; entries that were evicted are read again. */
-final class KnownJobs {
+final class JobStateCache {
   private static final int MAX_ENDED = 20_000;
   private static final int MAX_ACTIVE = 5_000;
 
@@ -22,18 +22,18 @@
   }
 
   /** Records that the final state of the job has been stored. */
-  void jobEnded(String uid, JobState finalState) {
+  void recordEnd(String uid, JobState finalState) {
     activeRevisions.invalidate(uid);
     finalStates.put(uid, finalState);
   }
 
   /** Records the revision of the active record of the job. */
-  void activeSeen(String uid, long revision) {
+  void recordActive(String uid, long revision) {
     activeRevisions.put(uid, revision);
   }
 
   /** Removes the revision of an active record that has changed or was deleted. */
-  void forgetActive(String uid) {
+  void evictActive(String uid) {
     activeRevisions.invalidate(uid);
   }
 
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -69,16 +69,16 @@
   public static final String DEPENDENCIES = RecordKeys.DEPENDENCIES;
 
   /** The transaction that ends a job puts the ended record and deletes the active record. */
-  private static final int OPERATIONS_OF_END = 2;
+  private static final int OPERATIONS_PER_JOB_END = 2;
 
   private final WriteLimits limits;
-  private final List<String> otherShards;
+  private final List<String> otherShardPrefixes;
 
   /**
    * The value size from the settings. Whether a submission is accepted is checked against this
    * size, so that the outcome does not depend on refusals that have lowered {@link #limits}.
    */
-  private final int statedValueBytes;
+  private final int configuredValueBytes;
 
   /** Creates the layout for a shard that does not belong to a pool. */
   public JobStore(WriteLimits limits) {
@@ -88,13 +88,13 @@
   /**
    * Creates the layout for a shard of a pool.
    *
-   * @param otherShards key prefixes of the other shards of the pool; a job is accepted only if it
-   *     exists under none of them
+   * @param otherShardPrefixes key prefixes of the other shards of the pool; a job is accepted only
+   *     if it exists under none of them
    */
-  public JobStore(WriteLimits limits, List<String> otherShards) {
-    this.otherShards = otherShards;
+  public JobStore(WriteLimits limits, List<String> otherShardPrefixes) {
+    this.otherShardPrefixes = otherShardPrefixes;
     this.limits = limits;
-    this.statedValueBytes = limits.maxValueBytes();
+    this.configuredValueBytes = limits.maxValueBytes();
   }
 
   /** Returns the limits of a single write; they shrink when the state service refuses a write. */
@@ -195,7 +195,7 @@
               DependencyListRecords.prefix(spec.uid(), digest), spec.dependencies(), valueBytes());
       active = ActiveRecord.writeWithList(spec, wallMicros, digest, parts.size());
     }
-    if (bytes(active) > statedValueBytes) {
+    if (bytes(active) > configuredValueBytes) {
       return Optional.empty();
     }
     return Optional.of(new Acceptance(parts, createActive(spec.uid(), active)));
@@ -207,7 +207,7 @@
             .require(activeKey(uid), 0)
             .require(endedKey(uid), 0)
             .put(activeKey(uid), active);
-    for (String prefix : otherShards) {
+    for (String prefix : otherShardPrefixes) {
       transaction
           .require(KeySpace.absolute(prefix, activeKey(uid)), 0)
           .require(KeySpace.absolute(prefix, endedKey(uid)), 0);
@@ -252,16 +252,16 @@
    * active record, and the anchor is unchanged. Parts that remain without an anchor do not count as
    * stored when the list is stored again.
    *
-   * @param conditional the transaction that the removal is added to
+   * @param transaction the transaction that the removal is added to
    * @param anchorRevision the revision of the anchor when it was listed, 0 if it is already removed
    * @param keys the listed parts to delete, anchor first; as many are deleted as fit one
    *     transaction
    */
   public Transaction removeDependencyList(
-      Transaction conditional, DependencyListId list, long anchorRevision, List<String> keys) {
-    conditional.require(activeKey(list.uid()), 0).require(anchorOf(list), anchorRevision);
-    keys.stream().limit(limits.maxOperations()).forEach(conditional::delete);
-    return conditional;
+      Transaction transaction, DependencyListId list, long anchorRevision, List<String> keys) {
+    transaction.require(activeKey(list.uid()), 0).require(anchorOf(list), anchorRevision);
+    keys.stream().limit(limits.maxOperations()).forEach(transaction::delete);
+    return transaction;
   }
 
   /** Returns the jobs named by a part of a dependency list. */
@@ -273,23 +273,23 @@
    * Builds the transaction that stores the final state of a job.
    *
    * @param revision the revision of the active record
-   * @param useless keys of records of this job that are no longer needed; as many are deleted as
-   *     fit the transaction
+   * @param obsoleteKeys keys of records of this job that are no longer needed; as many are deleted
+   *     as fit the transaction
    */
   public Transaction endJob(
-      String uid, long revision, JobState finalState, long wallMicros, List<String> useless) {
+      String uid, long revision, JobState finalState, long wallMicros, List<String> obsoleteKeys) {
     Transaction transaction =
         new Transaction()
             .require(activeKey(uid), revision)
             .put(endedKey(uid), EndedRecord.write(finalState, wallMicros))
             .delete(activeKey(uid));
-    useless.stream().limit(maxDeletesAtEnd()).forEach(transaction::delete);
+    obsoleteKeys.stream().limit(maxDeletesAtEnd()).forEach(transaction::delete);
     return transaction;
   }
 
   /** Returns how many additional records the transaction that ends a job can delete. */
   public int maxDeletesAtEnd() {
-    return Math.max(0, limits.maxOperations() - OPERATIONS_OF_END);
+    return Math.max(0, limits.maxOperations() - OPERATIONS_PER_JOB_END);
   }
 
   /**
--- a/src/main/java/plumlever/store/KeySpace.java
+++ b/src/main/java/plumlever/store/KeySpace.java
@@ -14,7 +14,7 @@
   /** The key space without a prefix. */
   public static final KeySpace ROOT = new KeySpace("");
 
-  private static final String ABSOLUTE = "/";
+  private static final String ABSOLUTE_PREFIX = "/";
 
   private final String prefix;
 
@@ -29,12 +29,12 @@
 
   /** Returns the absolute name of a key in the key space of another prefix. */
   public static String absolute(String prefix, String key) {
-    return ABSOLUTE + prefix + key;
+    return ABSOLUTE_PREFIX + prefix + key;
   }
 
   /** Returns true if the key is absolute. */
   static boolean isAbsolute(String key) {
-    return key.startsWith(ABSOLUTE);
+    return key.startsWith(ABSOLUTE_PREFIX);
   }
 
   /** Returns the key as it is stored. */
@@ -45,10 +45,10 @@
   /**
    * Maps a stored key in a response back to the form used in the request.
    *
-   * @param asked the key or prefix of the request
+   * @param requestedKey the key or prefix of the request
    */
-  String fromStored(String stored, String asked) {
-    return isAbsolute(asked) ? ABSOLUTE + stored : stored.substring(prefix.length());
+  String fromStored(String stored, String requestedKey) {
+    return isAbsolute(requestedKey) ? ABSOLUTE_PREFIX + stored : stored.substring(prefix.length());
   }
 
   /** Maps a stored key back to the form used in a transaction. */
@@ -56,7 +56,7 @@
     if (isRoot()) {
       return stored;
     }
-    return stored.startsWith(prefix) ? stored.substring(prefix.length()) : ABSOLUTE + stored;
+    return stored.startsWith(prefix) ? stored.substring(prefix.length()) : ABSOLUTE_PREFIX + stored;
   }
 
   boolean isRoot() {
--- a/src/main/java/plumlever/store/QuestionBatch.java
+++ b/src/main/java/plumlever/store/LookupBatch.java
@@ -9,41 +9,41 @@
 /**
  * Collects lookups for a short time so that a single request serves all of them.
  *
- * @param <Q> the type of a lookup
+ * @param <L> the type of a lookup
  */
-final class QuestionBatch<Q> {
-  private static final long COLLECT_MICROS = 25_000;
+final class LookupBatch<L> {
+  private static final long COLLECTION_WINDOW_MICROS = 25_000;
 
   private final Loop loop;
   private final IntSupplier maxSize;
-  private final Consumer<List<Q>> request;
-  private List<Q> collected = new ArrayList<>();
+  private final Consumer<List<L>> sendBatch;
+  private List<L> collected = new ArrayList<>();
 
   /**
    * @param maxSize the batch size at which the request is sent without further delay
-   * @param request sends the request for a batch, which is never empty
+   * @param sendBatch sends the request for a batch, which is never empty
    */
-  QuestionBatch(Loop loop, IntSupplier maxSize, Consumer<List<Q>> request) {
+  LookupBatch(Loop loop, IntSupplier maxSize, Consumer<List<L>> sendBatch) {
     this.loop = loop;
     this.maxSize = maxSize;
-    this.request = request;
+    this.sendBatch = sendBatch;
   }
 
-  void add(Q question) {
-    collected.add(question);
+  void add(L lookup) {
+    collected.add(lookup);
     if (collected.size() == 1) {
-      loop.after(COLLECT_MICROS, this::ask);
+      loop.after(COLLECTION_WINDOW_MICROS, this::send);
     } else if (collected.size() >= maxSize.getAsInt()) {
-      ask();
+      send();
     }
   }
 
-  private void ask() {
+  private void send() {
     if (collected.isEmpty()) {
       return;
     }
-    List<Q> questions = collected;
+    List<L> batch = collected;
     collected = new ArrayList<>();
-    request.accept(questions);
+    sendBatch.accept(batch);
   }
 }
--- a/src/main/java/plumlever/store/ProgressRecords.java
+++ b/src/main/java/plumlever/store/ProgressRecords.java
@@ -20,20 +20,20 @@
 final class ProgressRecords {
   private static final String BITS = "b";
   private static final String FIRST_TASK = "f";
-  private static final String SHARED = "p";
-  private static final String FROM = "from-";
+  private static final String SHARED_ENTRIES = "p";
+  private static final String FIRST_TASK_PREFIX = "from-";
 
   /** Base64 encodes every 3 bytes as 4 letters. */
-  private static final int BASE64_LETTERS = 4;
+  private static final int BASE64_GROUP_LETTERS = 4;
 
-  private static final int BASE64_BYTES = 3;
-  private static final int TASKS_IN_LETTERS = BASE64_BYTES * Byte.SIZE;
+  private static final int BASE64_GROUP_BYTES = 3;
+  private static final int TASKS_PER_BASE64_GROUP = BASE64_GROUP_BYTES * Byte.SIZE;
 
   /** The bytes of the JSON around a chunk, a shared chunk, and an entry of a shared chunk. */
-  private static final int CHUNK_BASE_BYTES = 64;
+  private static final int CHUNK_OVERHEAD_BYTES = 64;
 
-  private static final int SHARED_CHUNK_BASE_BYTES = 32;
-  private static final int SHARED_ENTRY_BYTES = 8;
+  private static final int SHARED_CHUNK_OVERHEAD_BYTES = 32;
+  private static final int SHARED_ENTRY_OVERHEAD_BYTES = 8;
 
   /** A job shares a chunk only if at least this many jobs of its size would fit the chunk. */
   private static final int MIN_ENTRIES_OF_SHARED_CHUNK = 8;
@@ -42,12 +42,15 @@
 
   /** Returns the key of the chunk that starts at this task. */
   static String chunkKey(String uid, int firstTask) {
-    return RecordKeys.PROGRESS + uid + "/" + FROM + firstTask;
+    return RecordKeys.PROGRESS + uid + "/" + FIRST_TASK_PREFIX + firstTask;
   }
 
   /** Returns how many tasks one chunk of a large job covers. */
   static int tasksPerChunk(int maxValueBytes) {
-    return (maxValueBytes - CHUNK_BASE_BYTES) / BASE64_LETTERS * BASE64_BYTES * Byte.SIZE;
+    return (maxValueBytes - CHUNK_OVERHEAD_BYTES)
+        / BASE64_GROUP_LETTERS
+        * BASE64_GROUP_BYTES
+        * Byte.SIZE;
   }
 
   /** Builds the chunk of a range of tasks. */
@@ -77,8 +80,8 @@
   private static int firstTask(String name, int formerMaxValueBytes)
       throws InvalidMessageException {
     try {
-      return name.startsWith(FROM)
-          ? Integer.parseInt(name.substring(FROM.length()))
+      return name.startsWith(FIRST_TASK_PREFIX)
+          ? Integer.parseInt(name.substring(FIRST_TASK_PREFIX.length()))
           : Math.multiplyExact(Integer.parseInt(name), tasksPerChunk(formerMaxValueBytes));
     } catch (NumberFormatException | ArithmeticException e) {
       throw unreadable();
@@ -105,13 +108,15 @@
    */
   static int sizeInSharedChunk(JobSpec spec) {
     return spec.uid().length()
-        + SHARED_ENTRY_BYTES
-        + (spec.taskCount() + TASKS_IN_LETTERS - 1) / TASKS_IN_LETTERS * BASE64_LETTERS;
+        + SHARED_ENTRY_OVERHEAD_BYTES
+        + (spec.taskCount() + TASKS_PER_BASE64_GROUP - 1)
+            / TASKS_PER_BASE64_GROUP
+            * BASE64_GROUP_LETTERS;
   }
 
   /** Returns how many bytes the jobs of a shared chunk may take together. */
   static int sharedChunkBytes(int maxValueBytes) {
-    return maxValueBytes - SHARED_CHUNK_BASE_BYTES;
+    return maxValueBytes - SHARED_CHUNK_OVERHEAD_BYTES;
   }
 
   /** Builds the shared chunk of these jobs. */
@@ -119,7 +124,7 @@
     ObjectNode entries = Json.object();
     doneByJob.forEach((uid, done) -> entries.put(uid, base64(done)));
     ObjectNode chunk = Json.object();
-    chunk.set(SHARED, entries);
+    chunk.set(SHARED_ENTRIES, entries);
     return chunk;
   }
 
@@ -127,7 +132,7 @@
   static Map<String, BitSet> readSharedChunk(JsonNode record) {
     Map<String, BitSet> doneByJob = new LinkedHashMap<>();
     record
-        .path(SHARED)
+        .path(SHARED_ENTRIES)
         .properties()
         .forEach(
             entry -> doneByJob.put(entry.getKey(), bits(entry.getValue()).orElseGet(BitSet::new)));
--- a/src/main/java/plumlever/store/RateLimitRetry.java
+++ b/src/main/java/plumlever/store/RateLimitRetry.java
@@ -26,9 +26,9 @@
    * @param status the status of the response
    * @param attemptsLeft the remaining attempts, including the failed one
    */
-  void retryOr(int status, int attemptsLeft, Runnable retry, Runnable fail) {
+  void retryOrFail(int status, int attemptsLeft, Runnable retry, Runnable fail) {
     if (status == HttpStatus.TOO_MANY_REQUESTS) {
-      retryOr(attemptsLeft, retry, fail);
+      retryOrFail(attemptsLeft, retry, fail);
     } else {
       fail.run();
     }
@@ -39,7 +39,7 @@
    *
    * @param attemptsLeft the remaining attempts, including the last one
    */
-  void retryOr(int attemptsLeft, Runnable retry, Runnable fail) {
+  void retryOrFail(int attemptsLeft, Runnable retry, Runnable fail) {
     if (attemptsLeft > 1) {
       loop.after(PAUSE_MICROS, retry);
     } else {
--- a/src/main/java/plumlever/store/RequestBudget.java
+++ b/src/main/java/plumlever/store/RequestBudget.java
@@ -7,13 +7,13 @@
  * one limit for requests and one for puts and deletes.
  */
 final class RequestBudget {
-  private static final double PART = 0.5;
+  private static final double SHARE = 0.5;
 
   /**
    * The leader's share of the writes. The leader writes most: ends of jobs, records of jobs and
    * machines, and progress.
    */
-  private static final double LEADER_WRITES_PART = 0.7;
+  private static final double LEADER_WRITE_SHARE = 0.7;
 
   private final double writesPerSecond;
   private final TokenBucket requests;
@@ -21,13 +21,13 @@
 
   RequestBudget(PlatformConfiguration.StateLimits limits, long nowMicros) {
     this.writesPerSecond = limits.writeRps();
-    this.requests = new TokenBucket(limits.rps() * PART, nowMicros);
-    this.writes = new TokenBucket(writesPerSecond * PART, nowMicros);
+    this.requests = new TokenBucket(limits.rps() * SHARE, nowMicros);
+    this.writes = new TokenBucket(writesPerSecond * SHARE, nowMicros);
   }
 
   /** Sets whether this controller leads, which determines its share of the writes. */
   void setLeading(boolean leading, long nowMicros) {
-    writes.setRate(writesPerSecond * (leading ? LEADER_WRITES_PART : PART), nowMicros);
+    writes.setRate(writesPerSecond * (leading ? LEADER_WRITE_SHARE : SHARE), nowMicros);
   }
 
   /**
@@ -35,7 +35,7 @@
    *
    * @param operations the number of puts and deletes in the request
    */
-  boolean admits(StateClient.RequestPriority priority, int operations, long nowMicros) {
+  boolean tryAdmit(StateClient.RequestPriority priority, int operations, long nowMicros) {
     if (priority == StateClient.RequestPriority.URGENT) {
       requests.acquireOnCredit(1, nowMicros);
       writes.acquireOnCredit(operations, nowMicros);
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -153,18 +153,18 @@
   private static final int PAGE_SIZE = 500;
 
   /** A prefix under which no key is ever stored. */
-  private static final String EMPTY_PREFIX = "nothing/";
+  private static final String UNUSED_PREFIX = "nothing/";
 
   private final Loop loop;
   private final Caller caller;
   private final Endpoint endpoint;
   private final Metrics metrics;
   private final KeySpace keySpace;
-  private final StateAnswerReader answers;
+  private final StateResponseReader responseReader;
   private final RequestBudget budget;
   private final ServiceAvailability availability;
   private final WriteLimits limits;
-  private final UnexpectedAnswers unexpectedAnswers = new UnexpectedAnswers(LOG);
+  private final UnexpectedResponses unexpectedResponses = new UnexpectedResponses(LOG);
 
   /** Creates a client whose keys are at the root of the state service. */
   public StateClient(
@@ -189,7 +189,7 @@
     this.endpoint = endpoint;
     this.metrics = metrics;
     this.keySpace = keySpace;
-    this.answers = new StateAnswerReader(keySpace);
+    this.responseReader = new StateResponseReader(keySpace);
     this.budget = new RequestBudget(limits, loop.nowMicros());
     this.availability = new ServiceAvailability(loop.nowMicros());
     this.limits = new WriteLimits(limits);
@@ -223,7 +223,7 @@
   public void get(String key, RequestPriority priority, Consumer<ReadResult> handler) {
     send(
         Request.get(priority, StateProtocol.KEYS + keySpace.toStored(key), TIMEOUT_MICROS),
-        answer -> handler.accept(answers.readResult(answer, key)));
+        response -> handler.accept(responseReader.readResult(response, key)));
   }
 
   /**
@@ -277,7 +277,7 @@
       String prefix,
       Optional<String> afterStoredKey,
       RequestPriority priority,
-      Consumer<Optional<StateAnswerReader.Page>> handler) {
+      Consumer<Optional<StateResponseReader.Page>> handler) {
     String path =
         StateProtocol.KEYS_BY_PREFIX
             + keySpace.toStored(prefix)
@@ -286,7 +286,7 @@
             + afterStoredKey.map(key -> StateProtocol.AFTER_PARAMETER + key).orElse("");
     send(
         Request.get(priority, path, TIMEOUT_MICROS),
-        answer -> handler.accept(answers.page(answer, prefix)));
+        response -> handler.accept(responseReader.page(response, prefix)));
   }
 
   /**
@@ -296,10 +296,10 @@
    */
   public void storeRevision(Consumer<OptionalLong> handler) {
     String path =
-        StateProtocol.KEYS_BY_PREFIX + EMPTY_PREFIX + StateProtocol.PAGE_SIZE_PARAMETER + 1;
+        StateProtocol.KEYS_BY_PREFIX + UNUSED_PREFIX + StateProtocol.PAGE_SIZE_PARAMETER + 1;
     send(
         Request.get(RequestPriority.ORDINARY, path, TIMEOUT_MICROS),
-        answer -> handler.accept(answers.storeRevision(answer)));
+        response -> handler.accept(responseReader.storeRevision(response)));
   }
 
   /**
@@ -309,16 +309,16 @@
   public void transaction(
       Transaction transaction, RequestPriority priority, Consumer<Transaction.Result> handler) {
     JsonNode body =
-        keySpace.isRoot() && !transaction.namesAbsolute()
+        keySpace.isRoot() && !transaction.hasAbsoluteKey()
             ? transaction.body()
             : keySpace.toStored(transaction.body());
     send(
         Request.post(priority, transaction.operationCount(), StateProtocol.TRANSACTION, body),
-        answer -> {
-          if (tellsOfSize(answer.status(), transaction)) {
-            limits.refused(transaction);
+        response -> {
+          if (indicatesTooLarge(response.status(), transaction)) {
+            limits.lowerAfterRefusal(transaction);
           }
-          handler.accept(answers.transactionResult(answer));
+          handler.accept(responseReader.transactionResult(response));
         });
   }
 
@@ -326,7 +326,7 @@
    * Returns true if the refusal indicates that the write is too large. A transaction that puts a
    * key on a lease is excluded: it is also malformed if the lease has ended.
    */
-  private static boolean tellsOfSize(int status, Transaction transaction) {
+  private static boolean indicatesTooLarge(int status, Transaction transaction) {
     return status == HttpStatus.PAYLOAD_TOO_LARGE
         || (status == HttpStatus.BAD_REQUEST && !transaction.isAttachedToLease());
   }
@@ -341,19 +341,19 @@
     send(
         Request.urgentPost(
             StateProtocol.LEASES, Json.object().put(StateProtocol.TTL_MS, ttlMicros / 1_000)),
-        answer -> handler.accept(answers.leaseId(answer)));
+        response -> handler.accept(responseReader.leaseId(response)));
   }
 
   /** Renews a lease. */
   public void renewLease(long leaseId, Consumer<RenewalResult> handler) {
     send(
         Request.urgentPost(leasePath(leaseId) + StateProtocol.RENEW_SUFFIX, Json.object()),
-        answer -> handler.accept(answers.renewalResult(answer)));
+        response -> handler.accept(responseReader.renewalResult(response)));
   }
 
   /** Revokes a lease immediately; the keys attached to it are deleted. */
   public void revokeLease(long leaseId) {
-    send(Request.urgentDelete(leasePath(leaseId)), answer -> {});
+    send(Request.urgentDelete(leasePath(leaseId)), response -> {});
   }
 
   private static String leasePath(long leaseId) {
@@ -375,13 +375,13 @@
             + waitMicros / 1_000;
     send(
         Request.get(RequestPriority.URGENT, path, waitMicros + TIMEOUT_MICROS),
-        answer -> handler.accept(answers.watchResponse(answer, prefix, since)));
+        response -> handler.accept(responseReader.watchResponse(response, prefix, since)));
   }
 
-  private void send(Request request, Consumer<StateAnswer> handler) {
-    if (!budget.admits(request.priority(), request.operations(), loop.nowMicros())) {
+  private void send(Request request, Consumer<StateResponse> handler) {
+    if (!budget.tryAdmit(request.priority(), request.operations(), loop.nowMicros())) {
       metrics.countRefusal("state", HttpStatus.TOO_MANY_REQUESTS);
-      loop.after(0, () -> handler.accept(StateAnswer.withoutBody(HttpStatus.TOO_MANY_REQUESTS)));
+      loop.after(0, () -> handler.accept(StateResponse.withoutBody(HttpStatus.TOO_MANY_REQUESTS)));
       return;
     }
     byte[] bytes =
@@ -395,23 +395,23 @@
         (status, data) -> {
           metrics.countRefusal("state", status);
           availability.requestEnded(status, loop.nowMicros());
-          handler.accept(answer(request, status, data));
+          handler.accept(toResponse(request, status, data));
         });
   }
 
-  private StateAnswer answer(Request request, int status, byte[] data) {
+  private StateResponse toResponse(Request request, int status, byte[] data) {
     if ((status == HttpStatus.OK || status == HttpStatus.CONFLICT) && data.length > 0) {
       try {
-        return new StateAnswer(status, Optional.of(Json.parseObject(data)));
+        return new StateResponse(status, Optional.of(Json.parseObject(data)));
       } catch (InvalidMessageException e) {
-        unexpectedAnswers.report(request.method(), request.path(), e.getMessage());
-        return StateAnswer.withoutBody(status == HttpStatus.OK ? 0 : status);
+        unexpectedResponses.report(request.method(), request.path(), e.getMessage());
+        return StateResponse.withoutBody(status == HttpStatus.OK ? 0 : status);
       }
     }
     if (status == HttpStatus.BAD_REQUEST) {
-      unexpectedAnswers.report(
+      unexpectedResponses.report(
           request.method(), request.path(), new String(data, StandardCharsets.UTF_8));
     }
-    return StateAnswer.withoutBody(status);
+    return StateResponse.withoutBody(status);
   }
 }
--- a/src/main/java/plumlever/store/StateAnswer.java
+++ b/src/main/java/plumlever/store/StateResponse.java
@@ -10,9 +10,9 @@
  * @param status the HTTP status; 0 if there was no response or the response was unreadable
  * @param body the body of a response with status 200 or 409, if it has one
  */
-record StateAnswer(int status, Optional<ObjectNode> body) {
-  static StateAnswer withoutBody(int status) {
-    return new StateAnswer(status, Optional.empty());
+record StateResponse(int status, Optional<ObjectNode> body) {
+  static StateResponse withoutBody(int status) {
+    return new StateResponse(status, Optional.empty());
   }
 
   /** Returns the body of a response with status 200. */
--- a/src/main/java/plumlever/store/StateAnswerReader.java
+++ b/src/main/java/plumlever/store/StateResponseReader.java
@@ -12,7 +12,7 @@
  * Converts responses of the state service to the result types of {@link StateClient}. A response
  * that lacks a required field is treated like a missing response.
  */
-final class StateAnswerReader {
+final class StateResponseReader {
   /**
    * A page of a listing.
    *
@@ -24,27 +24,27 @@
   private final KeySpace keySpace;
 
   /** Creates a reader for responses about keys of this key space. */
-  StateAnswerReader(KeySpace keySpace) {
+  StateResponseReader(KeySpace keySpace) {
     this.keySpace = keySpace;
   }
 
-  StateClient.ReadResult readResult(StateAnswer answer, String key) {
-    return answer
+  StateClient.ReadResult readResult(StateResponse response, String key) {
+    return response
         .successBody()
         .filter(
             body ->
-                body.hasNonNull(StateProtocol.VALUE) && holdsInteger(body, StateProtocol.REVISION))
+                body.hasNonNull(StateProtocol.VALUE) && hasInteger(body, StateProtocol.REVISION))
         .map(body -> new StateClient.ReadResult(HttpStatus.OK, Optional.of(item(body, key))))
-        .orElseGet(() -> new StateClient.ReadResult(answer.failureStatus(), Optional.empty()));
+        .orElseGet(() -> new StateClient.ReadResult(response.failureStatus(), Optional.empty()));
   }
 
-  Optional<Page> page(StateAnswer answer, String prefix) {
-    return answer
+  Optional<Page> page(StateResponse response, String prefix) {
+    return response
         .successBody()
         .filter(
             body ->
                 body.path(StateProtocol.ITEMS).isArray()
-                    && holdsInteger(body, StateProtocol.STORE_REVISION))
+                    && hasInteger(body, StateProtocol.STORE_REVISION))
         .map(body -> page(body, prefix));
   }
 
@@ -71,41 +71,41 @@
   }
 
   /** Reads the revision of the whole store. */
-  OptionalLong storeRevision(StateAnswer answer) {
-    return integer(answer, StateProtocol.STORE_REVISION);
+  OptionalLong storeRevision(StateResponse response) {
+    return integer(response, StateProtocol.STORE_REVISION);
   }
 
   /** Reads the id of a lease that was created. */
-  OptionalLong leaseId(StateAnswer answer) {
-    return integer(answer, StateProtocol.LEASE_ID);
+  OptionalLong leaseId(StateResponse response) {
+    return integer(response, StateProtocol.LEASE_ID);
   }
 
-  private static OptionalLong integer(StateAnswer answer, String field) {
-    Optional<ObjectNode> body = answer.successBody().filter(found -> holdsInteger(found, field));
+  private static OptionalLong integer(StateResponse response, String field) {
+    Optional<ObjectNode> body = response.successBody().filter(found -> hasInteger(found, field));
     return body.isPresent()
         ? OptionalLong.of(body.get().get(field).longValue())
         : OptionalLong.empty();
   }
 
-  private static boolean holdsInteger(JsonNode node, String field) {
+  private static boolean hasInteger(JsonNode node, String field) {
     return node.path(field).isIntegralNumber();
   }
 
-  Transaction.Result transactionResult(StateAnswer answer) {
+  Transaction.Result transactionResult(StateResponse response) {
     List<String> failedKeys = new ArrayList<>();
     long revision = -1;
-    if (answer.body().isPresent()) {
-      ObjectNode body = answer.body().get();
+    if (response.body().isPresent()) {
+      ObjectNode body = response.body().get();
       body.path(StateProtocol.FAILED_PRECONDITIONS)
           .forEach(key -> failedKeys.add(keySpace.fromStored(key.asText())));
       revision = body.path(StateProtocol.STORE_REVISION).asLong(-1);
     }
     return new Transaction.Result(
-        Transaction.Outcome.ofStatus(answer.status()), answer.status(), revision, failedKeys);
+        Transaction.Outcome.ofStatus(response.status()), response.status(), revision, failedKeys);
   }
 
-  StateClient.RenewalResult renewalResult(StateAnswer answer) {
-    return switch (answer.status()) {
+  StateClient.RenewalResult renewalResult(StateResponse response) {
+    return switch (response.status()) {
       case HttpStatus.OK -> StateClient.RenewalResult.RENEWED;
       case HttpStatus.NOT_FOUND -> StateClient.RenewalResult.ENDED;
       default -> StateClient.RenewalResult.UNKNOWN;
@@ -115,17 +115,17 @@
   /**
    * @param since the revision from which the watch began
    */
-  StateClient.WatchResponse watchResponse(StateAnswer answer, String prefix, long since) {
-    return answer
+  StateClient.WatchResponse watchResponse(StateResponse response, String prefix, long since) {
+    return response
         .successBody()
-        .filter(body -> holdsInteger(body, StateProtocol.STORE_REVISION))
+        .filter(body -> hasInteger(body, StateProtocol.STORE_REVISION))
         .map(
             body ->
                 new StateClient.WatchResponse(
                     HttpStatus.OK,
                     body.get(StateProtocol.STORE_REVISION).longValue(),
                     events(body, prefix)))
-        .orElseGet(() -> new StateClient.WatchResponse(answer.failureStatus(), since, List.of()));
+        .orElseGet(() -> new StateClient.WatchResponse(response.failureStatus(), since, List.of()));
   }
 
   private List<StateClient.KeyEvent> events(ObjectNode body, String prefix) {
--- a/src/main/java/plumlever/store/Transaction.java
+++ b/src/main/java/plumlever/store/Transaction.java
@@ -45,9 +45,9 @@
    *
    * @param status the status of the response; 0 if no response arrived
    * @param revision the revision of the changes if the transaction was applied, otherwise -1
-   * @param failed the keys whose preconditions did not hold; the list may be incomplete
+   * @param failedKeys the keys whose preconditions did not hold; the list may be incomplete
    */
-  public record Result(Outcome outcome, int status, long revision, List<String> failed) {
+  public record Result(Outcome outcome, int status, long revision, List<String> failedKeys) {
     /** Returns true if the transaction is known to have been applied. */
     public boolean applied() {
       return outcome == Outcome.APPLIED;
@@ -58,7 +58,7 @@
   private final ArrayNode preconditions = body.putArray(StateProtocol.PRECONDITIONS);
   private final ArrayNode operations = body.putArray(StateProtocol.OPERATIONS);
   private boolean attachedToLease;
-  private boolean namesAbsolute;
+  private boolean hasAbsoluteKey;
 
   /**
    * Adds a precondition.
@@ -66,14 +66,14 @@
    * @param revision the revision that the key must have; 0 if the key must not exist
    */
   public Transaction require(String key, long revision) {
-    noteKey(key);
+    trackAbsoluteKey(key);
     preconditions.addObject().put(StateProtocol.KEY, key).put(StateProtocol.REVISION, revision);
     return this;
   }
 
   /** Adds an operation that puts a value not attached to a lease. */
   public Transaction put(String key, JsonNode data) {
-    noteKey(key);
+    trackAbsoluteKey(key);
     operations.addObject().put(StateProtocol.PUT, key).set(StateProtocol.VALUE, data);
     return this;
   }
@@ -83,7 +83,7 @@
    * ends.
    */
   public Transaction put(String key, JsonNode data, long leaseId) {
-    noteKey(key);
+    trackAbsoluteKey(key);
     attachedToLease = true;
     operations
         .addObject()
@@ -95,18 +95,18 @@
 
   /** Adds an operation that deletes a key if it exists. */
   public Transaction delete(String key) {
-    noteKey(key);
+    trackAbsoluteKey(key);
     operations.addObject().put(StateProtocol.DELETE, key);
     return this;
   }
 
-  private void noteKey(String key) {
-    namesAbsolute |= KeySpace.isAbsolute(key);
+  private void trackAbsoluteKey(String key) {
+    hasAbsoluteKey |= KeySpace.isAbsolute(key);
   }
 
   /** Returns true if a key of the transaction is absolute, see {@link KeySpace}. */
-  boolean namesAbsolute() {
-    return namesAbsolute;
+  boolean hasAbsoluteKey() {
+    return hasAbsoluteKey;
   }
 
   /**
--- a/src/main/java/plumlever/store/UnexpectedAnswers.java
+++ b/src/main/java/plumlever/store/UnexpectedResponses.java
@@ -5,26 +5,26 @@
 import org.slf4j.Logger;
 
 /** Logs unreadable responses, once per kind of request. */
-final class UnexpectedAnswers {
+final class UnexpectedResponses {
   private final Logger log;
   private final Set<String> loggedKinds = new HashSet<>();
 
-  UnexpectedAnswers(Logger log) {
+  UnexpectedResponses(Logger log) {
     this.log = log;
   }
 
   /**
    * Logs an unreadable response if it is the first for this kind of request.
    *
-   * @param what the error found, or the response itself
+   * @param detail the error found, or the response itself
    */
-  void report(String method, String path, String what) {
+  void report(String method, String path, String detail) {
     String kind = method + " " + firstSegment(path);
     if (loggedKinds.add(kind)) {
       log.warn(
           "unexpected response of the state service to {} (logged once per kind of request): {}",
           kind,
-          what);
+          detail);
     }
   }
 
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -60,7 +60,7 @@
    * Lowers the limits after a transaction was rejected as malformed or too large. The size is the
    * only possible cause, so later transactions are made smaller.
    */
-  void refused(Transaction transaction) {
+  void lowerAfterRefusal(Transaction transaction) {
     int largestValue = largestValueBytes(transaction);
     int fewerOperations = operationsAfterRefusal(transaction.operationCount());
     int smallerValue = valueBytesAfterRefusal(largestValue);
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -36,7 +36,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1024, 2048, 4096, 16384})
-  void chunksHoldTheLargestJob(int valueBytes) throws InvalidMessageException {
+  void chunksOfTheLargestJobFitTheValueLimit(int valueBytes) throws InvalidMessageException {
     JobStore jobStore = layout(valueBytes, 16384);
     BitSet done = new BitSet();
     SplittableRandom random = new SplittableRandom(3);
@@ -44,17 +44,18 @@
       done.set(i, random.nextBoolean());
     }
     done.set(99_999);
-    BitSet back = new BitSet();
+    BitSet restored = new BitSet();
     int chunks = 0;
     for (int first = 0; first < 100_000; first += jobStore.tasksPerChunk()) {
       JsonNode chunk = jobStore.progressChunk(done, first, jobStore.tasksPerChunk());
       assertTrue(Json.write(chunk).length() <= valueBytes);
       String key = JobStore.progressKey("job-1", first);
       // A chunk is read correctly whatever value size it was split by.
-      layout(1024, 4096).readProgressChunk(chunk, key.substring(key.lastIndexOf('/') + 1), back);
+      layout(1024, 4096)
+          .readProgressChunk(chunk, key.substring(key.lastIndexOf('/') + 1), restored);
       chunks++;
     }
-    assertEquals(done, back);
+    assertEquals(done, restored);
     assertEquals((100_000 + jobStore.tasksPerChunk() - 1) / jobStore.tasksPerChunk(), chunks);
   }
 
@@ -68,14 +69,14 @@
     bits.set(5);
     JsonNode record =
         Json.object().put("b", Base64.getEncoder().encodeToString(bits.toByteArray()));
-    BitSet back = new BitSet();
-    layout(2048, 4096).readProgressChunk(record, "2", back);
-    assertEquals(2 * ((4096 - 64) / 4 * 3 * 8) + 5, back.nextSetBit(0));
-    assertEquals(1, back.cardinality());
+    BitSet restored = new BitSet();
+    layout(2048, 4096).readProgressChunk(record, "2", restored);
+    assertEquals(2 * ((4096 - 64) / 4 * 3 * 8) + 5, restored.nextSetBit(0));
+    assertEquals(1, restored.cardinality());
   }
 
   @Test
-  void refusesAChunkThatIsNotWhatItsKeySays() {
+  void rejectsAChunkThatDoesNotMatchItsKey() {
     JsonNode fromSeven = Json.object().put("f", 7).put("b", "");
     assertThrows(
         InvalidMessageException.class,
@@ -87,7 +88,7 @@
    * keys must not parse as a number, so that an earlier version skips them.
    */
   @Test
-  void earlierVersionsTakeNoChunkForOneOfTheirs() {
+  void earlierVersionsSkipPresentChunks() {
     String key = JobStore.progressKey("job-1", 0);
     assertThrows(
         NumberFormatException.class,
@@ -115,7 +116,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1024, 2048, 16384})
-  void dependenciesThatDoNotFitAreStoredInParts(int valueBytes) {
+  void largeDependencyListsAreStoredInParts(int valueBytes) {
     List<String> dependencies = IntStream.range(0, 5_000).mapToObj(i -> "job-" + i * 7L).toList();
 
     JobStore.Acceptance acceptance =
@@ -123,19 +124,19 @@
 
     JsonNode active = activeRecord(acceptance);
     assertTrue(Json.write(active).length() <= valueBytes);
-    List<String> back = new ArrayList<>();
+    List<String> restored = new ArrayList<>();
     for (String key : JobStore.dependenciesKeys("job-99", active)) {
       assertTrue(Json.write(acceptance.parts().get(key)).length() <= valueBytes);
-      back.addAll(JobStore.names(acceptance.parts().get(key)));
+      restored.addAll(JobStore.names(acceptance.parts().get(key)));
     }
-    assertEquals(dependencies, back);
+    assertEquals(dependencies, restored);
     assertEquals(List.of(), ActiveRecord.dependenciesInline(active));
     assertTrue(ActiveRecord.hasDependencies(active));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1024, 2048, 16384})
-  void dependenciesThatFitAreStoredInTheRecord(int valueBytes) {
+  void smallDependencyListsAreStoredInline(int valueBytes) {
     List<String> dependencies = List.of("job-1", "job-2");
 
     JobStore.Acceptance acceptance =
--- a/src/test/java/plumlever/store/RequestBudgetTest.java
+++ b/src/test/java/plumlever/store/RequestBudgetTest.java
@@ -20,32 +20,32 @@
     int admitted = 0;
     for (int i = 0; i < 1_000; i++) {
       admitted +=
-          budget.admits(StateClient.RequestPriority.ORDINARY, operations, nowMicros) ? 1 : 0;
+          budget.tryAdmit(StateClient.RequestPriority.ORDINARY, operations, nowMicros) ? 1 : 0;
     }
     return admitted;
   }
 
   @Test
-  void admitsHalfOfAllRequests() {
+  void admitsHalfOfTheRequestLimit() {
     assertEquals(REQUESTS_PER_S / 2, admitted(0, 0));
   }
 
   @Test
-  void admitsHalfOfAllWrites() {
+  void admitsHalfOfTheWriteLimit() {
     assertEquals(WRITES_PER_S / 2, admitted(1, 0));
   }
 
   @Test
-  void admitsMoreWritesOfALeader() {
+  void admitsMoreWritesForALeader() {
     budget.setLeading(true, 0);
     assertEquals(14, admitted(1, 1_000_000));
   }
 
   @Test
-  void admitsUrgentRequestsWhateverTheRateAndChargesThem() {
+  void alwaysAdmitsAndChargesUrgentRequests() {
     assertEquals(REQUESTS_PER_S / 2, admitted(0, 0));
     for (int i = 0; i < REQUESTS_PER_S / 2; i++) {
-      assertTrue(budget.admits(StateClient.RequestPriority.URGENT, 0, 0));
+      assertTrue(budget.tryAdmit(StateClient.RequestPriority.URGENT, 0, 0));
     }
     assertEquals(
         0, admitted(0, 1_000_000), "the refill of one second only repays the urgent requests");
--- a/src/test/java/plumlever/store/TokenBucketTest.java
+++ b/src/test/java/plumlever/store/TokenBucketTest.java
@@ -13,7 +13,7 @@
    * Returns how many tokens are taken in the second from {@code beginMicros}, with 100 tries of one
    * token each.
    */
-  private static int takenWithinSecond(TokenBucket bucket, long beginMicros) {
+  private static int tokensTakenWithinSecond(TokenBucket bucket, long beginMicros) {
     int taken = 0;
     for (int i = 0; i < 100; i++) {
       taken += bucket.tryAcquire(1, beginMicros + i * 10_000L) ? 1 : 0;
@@ -22,28 +22,28 @@
   }
 
   @Test
-  void aFullBucketGivesABurstAndThenItsRate() {
-    int taken = takenWithinSecond(new TokenBucket(10, 0), 0);
+  void aFullBucketAllowsABurstAndThenItsRate() {
+    int taken = tokensTakenWithinSecond(new TokenBucket(10, 0), 0);
     assertTrue(
         taken >= 18 && taken <= 20,
         "expected a burst of 10 tokens and 8 to 10 refilled ones, got " + taken);
   }
 
   @Test
-  void aHigherRateCountsFromWhenItIsSet() {
+  void aHigherRateAppliesImmediately() {
     TokenBucket bucket = new TokenBucket(10, 0);
-    takenWithinSecond(bucket, 0);
+    tokensTakenWithinSecond(bucket, 0);
     bucket.setRate(20, SECOND_MICROS);
-    int taken = takenWithinSecond(bucket, SECOND_MICROS);
+    int taken = tokensTakenWithinSecond(bucket, SECOND_MICROS);
     assertTrue(
         taken >= 19 && taken <= 21,
         "expected about 20 tokens in one second at the doubled rate, got " + taken);
   }
 
   @Test
-  void whatUrgentRequestsBorrowIsPaidBackFirst() {
+  void tokensTakenOnCreditAreRepaidFirst() {
     TokenBucket bucket = new TokenBucket(20, 0);
-    takenWithinSecond(bucket, 0);
+    tokensTakenWithinSecond(bucket, 0);
     bucket.acquireOnCredit(5, SECOND_MICROS);
     assertFalse(
         bucket.tryAcquire(1, SECOND_MICROS + 100_000),
--- a/src/test/java/plumlever/store/WriteLimitsTest.java
+++ b/src/test/java/plumlever/store/WriteLimitsTest.java
@@ -33,8 +33,8 @@
   }
 
   @Test
-  void aRefusedLargeValueMakesValuesSmaller() {
-    limits.refused(oneLargeValue());
+  void aRefusedLargeValueLowersTheValueLimit() {
+    limits.lowerAfterRefusal(oneLargeValue());
     assertTrue(
         limits.maxValueBytes() < 9_000 && limits.maxValueBytes() >= 4_000,
         "maximum value bytes: " + limits.maxValueBytes());
@@ -45,16 +45,16 @@
   }
 
   @Test
-  void manyRefusedOperationsMakeTransactionsSmaller() {
-    limits.refused(tenDeletes());
+  void manyRefusedOperationsLowerTheOperationLimit() {
+    limits.lowerAfterRefusal(tenDeletes());
     assertEquals(5, limits.maxOperations());
   }
 
   @Test
-  void refusalsMakeNothingSmallerThanTheLeastThatIsOfUse() {
+  void refusalsDoNotLowerLimitsBelowTheMinimum() {
     for (int i = 0; i < 21; i++) {
-      limits.refused(oneLargeValue());
-      limits.refused(tenDeletes());
+      limits.lowerAfterRefusal(oneLargeValue());
+      limits.lowerAfterRefusal(tenDeletes());
     }
     assertTrue(
         limits.maxValueBytes() >= WriteLimits.MIN_VALUE_BYTES
@@ -63,7 +63,7 @@
 
   /** A refused transaction with a lease does not lower the limits: the lease may have ended. */
   @Test
-  void onlyTransactionsWithALeaseAreAttachedToOne() {
+  void onlyPutsWithALeaseAttachTheTransactionToOne() {
     assertTrue(new Transaction().put("a", Json.object(), 7).isAttachedToLease());
     assertFalse(oneLargeValue().isAttachedToLease());
   }
