--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -14,10 +14,10 @@
  */
 final class Candidacy implements AutoCloseable {
   /** Return value of a recurring task that runs again only when it is scheduled explicitly. */
-  private static final long UNTIL_WOKEN = -1;
+  private static final long UNTIL_SCHEDULED = -1;
 
   /** The pause after a lost election, before the new leader is read. */
-  private static final long AFTER_LOSS_MICROS = 50_000;
+  private static final long PAUSE_AFTER_LOSS_MICROS = 50_000;
 
   /** How often the leader is read again after an election whose outcome is unknown. */
   private static final int MAX_RETRIES = 3;
@@ -32,10 +32,10 @@
      *
      * @param sentMicros the send time of the request that created the lease of the term
      */
-    void won(Term term, long sentMicros);
+    void electionWon(Term term, long sentMicros);
 
     /** Called after a failed attempt and a pause, when the new leader can be read. */
-    void lost();
+    void electionLost();
   }
 
   private final Candidate candidate;
@@ -50,7 +50,7 @@
 
   private final Observer observer;
   private final RecurringTask task;
-  private boolean standing;
+  private boolean attemptInProgress;
   private long notBeforeMicros;
 
   Candidacy(
@@ -67,12 +67,12 @@
     this.backoff = backoff;
     this.poolTerms = poolTerms;
     this.observer = observer;
-    this.task = new RecurringTask("election attempt", loop, this::stand);
+    this.task = new RecurringTask("election attempt", loop, this::attemptElection);
   }
 
   /** Returns true while an attempt is in progress. */
-  boolean standing() {
-    return standing;
+  boolean attemptInProgress() {
+    return attemptInProgress;
   }
 
   /** Delays the next attempt by at least this pause. */
@@ -84,59 +84,59 @@
    * Schedules an attempt after a short random pause; it is made only if leadership is still vacant
    * then.
    */
-  void standSoon() {
-    task.runAfter(backoff.beforeCandidacyMicros());
+  void scheduleAttempt() {
+    task.runAfter(backoff.beforeAttemptMicros());
   }
 
   /** Schedules an attempt after a longer random pause, because a request had no response. */
-  void standLater() {
+  void scheduleRetry() {
     task.runAfter(backoff.beforeRetryMicros());
   }
 
-  private long stand() {
+  private long attemptElection() {
     if (observer.leading()
-        || standing
+        || attemptInProgress
         || !records.complete()
         || records.ineligible()
-        || !records.leadershipFree()) {
-      return UNTIL_WOKEN;
+        || !records.leadershipVacant()) {
+      return UNTIL_SCHEDULED;
     }
     long now = loop.nowMicros();
     if (now < notBeforeMicros) {
       return notBeforeMicros - now;
     }
-    standing = true;
+    attemptInProgress = true;
     // The transaction requires the revisions on which this decision is based. Watch events continue
     // to arrive while the lease is created; a precondition on the newest revision could therefore
     // depose a leader elected in the meantime.
     LeadershipRecords.Revisions seen = records.revisions();
     if (poolTerms.isEmpty()) {
-      new Attempt(seen, new PoolTerms.Next(records.term() + 1, 0), now).createLease();
+      new Attempt(seen, new PoolTerms.NextTerm(records.term() + 1, 0), now).createLease();
     } else {
-      poolTerms.get().findNext(records.term(), next -> standInPool(seen, next));
+      poolTerms.get().findNext(records.term(), next -> attemptInPool(seen, next));
     }
-    return UNTIL_WOKEN;
+    return UNTIL_SCHEDULED;
   }
 
-  private void standInPool(LeadershipRecords.Revisions seen, Optional<PoolTerms.Next> next) {
+  private void attemptInPool(LeadershipRecords.Revisions seen, Optional<PoolTerms.NextTerm> next) {
     if (next.isPresent()) {
       new Attempt(seen, next.get(), loop.nowMicros()).createLease();
     } else {
-      standing = false;
-      standLater();
+      attemptInProgress = false;
+      scheduleRetry();
     }
   }
 
   /** One attempt to be elected. */
   private final class Attempt {
     private final LeadershipRecords.Revisions seen;
-    private final PoolTerms.Next next;
+    private final PoolTerms.NextTerm next;
     private final LeaderRecord record;
 
     /** When the first request of the attempt was sent. The lease is counted from this time. */
     private final long sentMicros;
 
-    Attempt(LeadershipRecords.Revisions seen, PoolTerms.Next next, long sentMicros) {
+    Attempt(LeadershipRecords.Revisions seen, PoolTerms.NextTerm next, long sentMicros) {
       this.seen = seen;
       this.next = next;
       this.record = new LeaderRecord(candidate, next.term());
@@ -149,21 +149,21 @@
 
     private void leaseCreated(OptionalLong leaseId) {
       if (leaseId.isPresent()) {
-        takeTerm(leaseId.getAsLong());
+        putLeaderRecord(leaseId.getAsLong());
       } else {
-        standing = false;
-        standLater();
+        attemptInProgress = false;
+        scheduleRetry();
       }
     }
 
-    private void takeTerm(long leaseId) {
+    private void putLeaderRecord(long leaseId) {
       store.transaction(
           transaction(leaseId),
           StateClient.RequestPriority.URGENT,
           result -> {
             switch (result.outcome()) {
               case APPLIED -> won(leaseId, result.revision());
-              case UNKNOWN -> resolve(leaseId, MAX_RETRIES);
+              case UNKNOWN -> resolveOutcome(leaseId, MAX_RETRIES);
               case CONFLICT, REFUSED -> lost(leaseId);
             }
           });
@@ -177,12 +177,12 @@
               .put(LeaderElection.LEADER, record.write(), leaseId)
               .put(LeaderElection.TERM, new TermRecord(next.term()).write());
       return poolTerms.isPresent()
-          ? poolTerms.get().addTo(transaction, next, candidate.label(), leaseId)
+          ? poolTerms.get().addToElection(transaction, next, candidate.label(), leaseId)
           : transaction.delete(LeaderElection.DELEGATION);
     }
 
     /** Reads the leader key after an election whose outcome is unknown. */
-    private void resolve(long leaseId, int retries) {
+    private void resolveOutcome(long leaseId, int retries) {
       store.get(
           LeaderElection.LEADER,
           StateClient.RequestPriority.URGENT,
@@ -193,23 +193,23 @@
             } else if (result.found() || result.missing() || retries == 0) {
               lost(leaseId);
             } else {
-              loop.after(ElectionBackoff.RETRY_MICROS, () -> resolve(leaseId, retries - 1));
+              loop.after(ElectionBackoff.RETRY_MICROS, () -> resolveOutcome(leaseId, retries - 1));
             }
           });
     }
 
     private void won(long leaseId, long revision) {
-      standing = false;
+      attemptInProgress = false;
       backoff.electionWon();
-      observer.won(new Term(loop, next.term(), revision, leaseId), sentMicros);
+      observer.electionWon(new Term(loop, next.term(), revision, leaseId), sentMicros);
     }
 
     private void lost(long leaseId) {
       // Revoking the lease makes the transaction fail if it is executed late.
       store.revokeLease(leaseId);
-      standing = false;
+      attemptInProgress = false;
       backoff.electionLost();
-      loop.after(AFTER_LOSS_MICROS, observer::lost);
+      loop.after(PAUSE_AFTER_LOSS_MICROS, observer::electionLost);
     }
   }
 
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -28,7 +28,7 @@
   public static final long VALID_MICROS = 2_000_000;
 
   /** The interval at which the delegation is read while there is one. */
-  private static final long READ_MICROS = 600_000;
+  private static final long READ_INTERVAL_MICROS = 600_000;
 
   /**
    * The right to renew leases in one zone.
@@ -72,8 +72,8 @@
   }
 
   private long refresh() {
-    if (!election.delegationSeen() || election.leading()) {
-      return READ_MICROS;
+    if (!election.delegationExists() || election.leading()) {
+      return READ_INTERVAL_MICROS;
     }
     long sent = loop.nowMicros();
     store.get(
@@ -87,7 +87,7 @@
             delegation = NO_DELEGATION;
           }
         });
-    return READ_MICROS;
+    return READ_INTERVAL_MICROS;
   }
 
   private void accept(DelegationRecord read, long readRevision, long sentMicros) {
@@ -118,14 +118,14 @@
     if (announcedRevision == revision) {
       return;
     }
-    long used = revision;
-    announcedRevision = used;
+    long announced = revision;
+    announcedRevision = announced;
     store.transaction(
         new Transaction()
-            .put(LeaderElection.RENEWAL_ANNOUNCEMENT, new RenewalAnnouncement(used).write()),
+            .put(LeaderElection.RENEWAL_ANNOUNCEMENT, new RenewalAnnouncement(announced).write()),
         StateClient.RequestPriority.URGENT,
         result -> {
-          if (!result.applied() && announcedRevision == used) {
+          if (!result.applied() && announcedRevision == announced) {
             announcedRevision = RenewalAnnouncement.NONE;
           }
         });
--- a/src/main/java/plumlever/election/ElectionBackoff.java
+++ b/src/main/java/plumlever/election/ElectionBackoff.java
@@ -12,9 +12,9 @@
   static final long RETRY_MICROS = 400_000;
 
   private static final int READ_JITTER_MICROS = 200_000;
-  private static final int ATTEMPT_JITTER_MICROS = 400_000;
-  private static final int CANDIDACY_JITTER_MICROS = 250_000;
-  private static final long PER_LOST_ELECTION_MICROS = 150_000;
+  private static final int RETRY_JITTER_MICROS = 400_000;
+  private static final int ATTEMPT_JITTER_MICROS = 250_000;
+  private static final long BACKOFF_PER_LOST_ELECTION_MICROS = 150_000;
   private static final int MAX_LOST_ELECTIONS = 6;
 
   private final SplittableRandom random;
@@ -34,15 +34,15 @@
    * had no response.
    */
   long beforeRetryMicros() {
-    return RETRY_MICROS + random.nextInt(ATTEMPT_JITTER_MICROS);
+    return RETRY_MICROS + random.nextInt(RETRY_JITTER_MICROS);
   }
 
   /**
    * Returns the pause before an attempt after leadership has become vacant; it grows with each lost
    * election.
    */
-  long beforeCandidacyMicros() {
-    return lostElections * PER_LOST_ELECTION_MICROS + random.nextInt(CANDIDACY_JITTER_MICROS);
+  long beforeAttemptMicros() {
+    return lostElections * BACKOFF_PER_LOST_ELECTION_MICROS + random.nextInt(ATTEMPT_JITTER_MICROS);
   }
 
   void electionLost() {
--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -20,17 +20,17 @@
    * A leader whose controller loop has been stalled for this long resigns. The limit is far above
    * any delay that a leader is expected to recover from.
    */
-  private static final long STALLED_MICROS = 10_000_000;
+  private static final long STALL_TIMEOUT_MICROS = 10_000_000;
 
   /** Return value of a recurring task that runs again only when it is scheduled explicitly. */
-  private static final long UNTIL_WOKEN = -1;
+  private static final long UNTIL_SCHEDULED = -1;
 
   /** Notified on the election loop when a term ends. */
   interface Observer {
     /**
      * Called before a term is resigned: this controller must not attempt an election for this long.
      */
-    void candidacyPaused(long pauseMicros);
+    void attemptsPaused(long pauseMicros);
 
     /** Called when a term has ended. */
     void termEnded();
@@ -49,7 +49,7 @@
   private volatile Term current;
 
   /** When the controller loop last ran; written on that loop. */
-  private volatile long controllerLoopRanMicros;
+  private volatile long controllerLoopLastRanMicros;
 
   HeldTerm(Logger log, ElectionContext context, ElectionListener listener, Observer observer) {
     this.log = log;
@@ -87,7 +87,7 @@
    */
   void begin(Term term, long sentMicros) {
     records.elected(term.number());
-    controllerLoopRanMicros = loop.nowMicros();
+    controllerLoopLastRanMicros = loop.nowMicros();
     term.extendFrom(sentMicros, parameters);
     current = term;
     if (!term.mayAct()) {
@@ -102,20 +102,20 @@
   private long renewLease() {
     Term term = current;
     if (term == null) {
-      return UNTIL_WOKEN;
+      return UNTIL_SCHEDULED;
     }
     long now = loop.nowMicros();
     if (!term.mayAct()) {
       stepDown("the lease was not renewed in time");
-      return UNTIL_WOKEN;
+      return UNTIL_SCHEDULED;
     }
-    if (now - controllerLoopRanMicros > STALLED_MICROS) {
-      giveUp(term, "the controller loop has stalled", STALLED_MICROS);
-      return UNTIL_WOKEN;
+    if (now - controllerLoopLastRanMicros > STALL_TIMEOUT_MICROS) {
+      resign(term, "the controller loop has stalled", STALL_TIMEOUT_MICROS);
+      return UNTIL_SCHEDULED;
     }
-    listener.executeOnControllerLoop(() -> controllerLoopRanMicros = loop.nowMicros());
+    listener.executeOnControllerLoop(() -> controllerLoopLastRanMicros = loop.nowMicros());
     store.renewLease(term.leaseId(), result -> renewalAnswered(term, now, result));
-    return Math.min(parameters.leaseRenewalMicros(), Math.max(1, term.rightUntilMicros() - now));
+    return Math.min(parameters.leaseRenewalMicros(), Math.max(1, term.mayActUntilMicros() - now));
   }
 
   private void renewalAnswered(Term term, long sentMicros, StateClient.RenewalResult result) {
@@ -126,27 +126,27 @@
       case RENEWED -> term.extendFrom(sentMicros, parameters);
       case ENDED -> stepDown("the state service reports that the lease has ended");
       case UNKNOWN -> {
-        long leftMicros = Math.max(1, term.rightUntilMicros() - loop.nowMicros());
+        long leftMicros = Math.max(1, term.mayActUntilMicros() - loop.nowMicros());
         renewal.runAfter(Math.min(ElectionBackoff.RETRY_MICROS, leftMicros));
       }
     }
   }
 
   /** Ends the term and revokes its lease, if the term is still held. */
-  void giveUp(Term term, String why, long pauseMicros) {
-    observer.candidacyPaused(pauseMicros);
+  void resign(Term term, String reason, long pauseMicros) {
+    observer.attemptsPaused(pauseMicros);
     if (current == term) {
-      stepDown(why);
+      stepDown(reason);
       store.revokeLease(term.leaseId());
     }
   }
 
   /** Ends the held term without revoking its lease, which expires on its own. */
-  void stepDown(String why) {
+  void stepDown(String reason) {
     Term term = current;
     term.end();
     current = null;
-    log.info("leadership of term {} ended: {}", term.number(), why);
+    log.info("leadership of term {} ended: {}", term.number(), reason);
     listener.steppedDown(term);
     records.leadershipEnded();
     observer.termEnded();
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -105,8 +105,8 @@
   }
 
   /** Returns true if the last known leadership records include a delegation; a hint to read it. */
-  public boolean delegationSeen() {
-    return records.delegationSeen();
+  public boolean delegationExists() {
+    return records.delegationExists();
   }
 
   /**
@@ -128,23 +128,23 @@
    * while it does not lead.
    */
   public Optional<String> leaderLabel() {
-    boolean fresh =
+    boolean seenRecently =
         loop.nowMicros() - records.leaderSeenMicros()
-            < LeadershipWatch.WAIT_MICROS + 2 * parameters.leaseTtlMicros();
+            < LeadershipWatch.WATCH_TIMEOUT_MICROS + 2 * parameters.leaseTtlMicros();
     return records
         .leaderLabel()
-        .filter(leader -> fresh && !(leader.equals(label) && !heldTerm.leading()));
+        .filter(leader -> seenRecently && !(leader.equals(label) && !heldTerm.leading()));
   }
 
   /**
    * Ends the term immediately and delays the next attempt, so that another controller is elected.
    *
    * @param term the term to end; nothing is resigned if it is no longer held
-   * @param why the reason for the log
+   * @param reason the reason for the log
    */
-  public void resign(Term term, String why, long pauseMicros) {
+  public void resign(Term term, String reason, long pauseMicros) {
     term.end();
-    loop.execute(() -> heldTerm.giveUp(term, why, pauseMicros));
+    loop.execute(() -> heldTerm.resign(term, reason, pauseMicros));
   }
 
   /** Connects the components of the election; used on the election loop only. */
@@ -156,8 +156,8 @@
     }
 
     @Override
-    public boolean standing() {
-      return candidacy.standing();
+    public boolean attemptInProgress() {
+      return candidacy.attemptInProgress();
     }
 
     @Override
@@ -166,28 +166,28 @@
         if (records.ledByAnother()) {
           heldTerm.stepDown("another controller holds the leader key");
         }
-      } else if (!candidacy.standing() && records.leadershipFree()) {
-        candidacy.standSoon();
+      } else if (!candidacy.attemptInProgress() && records.leadershipVacant()) {
+        candidacy.scheduleAttempt();
       }
     }
 
     @Override
     public void refreshFailed() {
-      candidacy.standLater();
+      candidacy.scheduleRetry();
     }
 
     @Override
-    public void won(Term term, long sentMicros) {
+    public void electionWon(Term term, long sentMicros) {
       heldTerm.begin(term, sentMicros);
     }
 
     @Override
-    public void lost() {
+    public void electionLost() {
       watch.refresh();
     }
 
     @Override
-    public void candidacyPaused(long pauseMicros) {
+    public void attemptsPaused(long pauseMicros) {
       candidacy.pause(pauseMicros);
     }
 
@@ -202,7 +202,7 @@
   public void close() {
     loop.execute(
         () -> {
-          heldTerm.current().ifPresent(term -> heldTerm.giveUp(term, "shutting down", 0));
+          heldTerm.current().ifPresent(term -> heldTerm.resign(term, "shutting down", 0));
           scope.close();
         });
   }
--- a/src/main/java/plumlever/election/LeadershipRecords.java
+++ b/src/main/java/plumlever/election/LeadershipRecords.java
@@ -15,10 +15,10 @@
  */
 final class LeadershipRecords {
   /** The revision of a key that does not exist. */
-  private static final long NO_KEY = 0;
+  private static final long ABSENT_KEY_REVISION = 0;
 
   /** The revision of the leader key if nothing is known about that key. */
-  private static final long UNKNOWN = -1;
+  private static final long UNKNOWN_REVISION = -1;
 
   /**
    * The revisions on which the decision to attempt an election is based, and which the election
@@ -35,14 +35,14 @@
   private final boolean inPool;
 
   private boolean complete;
-  private long storeRevision = UNKNOWN;
-  private long leaderRevision = NO_KEY;
+  private long storeRevision = UNKNOWN_REVISION;
+  private long leaderRevision = ABSENT_KEY_REVISION;
   private volatile String leaderLabel;
   private String leaderNonce;
   private volatile long leaderSeenMicros;
-  private long termRevision = NO_KEY;
+  private long termRevision = ABSENT_KEY_REVISION;
   private volatile long term;
-  private volatile boolean delegationSeen;
+  private volatile boolean delegationExists;
   private volatile long announcedDelegation = RenewalAnnouncement.NONE;
 
   /** True if the state service holds a pool but this controller has no sharing settings. */
@@ -64,12 +64,12 @@
    *
    * @param leading true while this controller leads; its own term is newer than the listed term
    */
-  void replaceBy(StateClient.Listing listing, boolean leading) {
-    leaderRevision = NO_KEY;
+  void replaceWith(StateClient.Listing listing, boolean leading) {
+    leaderRevision = ABSENT_KEY_REVISION;
     leaderLabel = null;
-    termRevision = NO_KEY;
-    delegationSeen = holds(listing, LeaderElection.DELEGATION);
-    applyPoolMarker(holds(listing, PoolTerms.MARKER));
+    termRevision = ABSENT_KEY_REVISION;
+    delegationExists = containsKey(listing, LeaderElection.DELEGATION);
+    applyPoolMarker(containsKey(listing, PoolTerms.MARKER));
     long listedTerm = 0;
     for (StateClient.Item item : listing.items()) {
       if (item.key().equals(LeaderElection.LEADER)) {
@@ -86,7 +86,7 @@
     complete = true;
   }
 
-  private static boolean holds(StateClient.Listing listing, String key) {
+  private static boolean containsKey(StateClient.Listing listing, String key) {
     return listing.items().stream().anyMatch(item -> item.key().equals(key));
   }
 
@@ -103,7 +103,7 @@
       }
     }
     if (!leaderFound) {
-      leaderRevision = NO_KEY;
+      leaderRevision = ABSENT_KEY_REVISION;
       leaderLabel = null;
     }
   }
@@ -127,7 +127,7 @@
     switch (event.key()) {
       case LeaderElection.LEADER -> applyLeaderEvent(event);
       case LeaderElection.TERM -> applyTermEvent(event, leading);
-      case LeaderElection.DELEGATION -> delegationSeen = !event.deleted();
+      case LeaderElection.DELEGATION -> delegationExists = !event.deleted();
       case LeaderElection.RENEWAL_ANNOUNCEMENT -> applyAnnouncement(event);
       case PoolTerms.MARKER -> applyPoolMarker(!event.deleted());
       default -> {
@@ -141,7 +141,7 @@
       return;
     }
     if (event.deleted()) {
-      leaderRevision = NO_KEY;
+      leaderRevision = ABSENT_KEY_REVISION;
       leaderLabel = null;
     } else {
       applyLeader(event.data(), event.revision());
@@ -195,9 +195,9 @@
    * that the leader key was deleted or replaced.
    */
   void leadershipEnded() {
-    if (ownLeadership()) {
+    if (isOwnLeaderKey()) {
       leaderLabel = null;
-      leaderRevision = UNKNOWN;
+      leaderRevision = UNKNOWN_REVISION;
     }
   }
 
@@ -221,7 +221,7 @@
    * this controller.
    */
   boolean ledByAnother() {
-    return leaderRevision != NO_KEY && !ownLeadership();
+    return leaderRevision != ABSENT_KEY_REVISION && !isOwnLeaderKey();
   }
 
   /**
@@ -229,11 +229,11 @@
    * with the label of this controller was written by an earlier incarnation of its process. That
    * process has ended, so leadership is vacant.
    */
-  boolean leadershipFree() {
-    return leaderRevision == NO_KEY || candidate.label().equals(leaderLabel);
+  boolean leadershipVacant() {
+    return leaderRevision == ABSENT_KEY_REVISION || candidate.label().equals(leaderLabel);
   }
 
-  private boolean ownLeadership() {
+  private boolean isOwnLeaderKey() {
     return candidate.label().equals(leaderLabel) && candidate.nonce().equals(leaderNonce);
   }
 
@@ -253,8 +253,8 @@
   }
 
   /** Returns true if a delegation exists as far as is known; may be called on any thread. */
-  boolean delegationSeen() {
-    return delegationSeen;
+  boolean delegationExists() {
+    return delegationExists;
   }
 
   /**
--- a/src/main/java/plumlever/election/LeadershipWatch.java
+++ b/src/main/java/plumlever/election/LeadershipWatch.java
@@ -9,7 +9,7 @@
  */
 final class LeadershipWatch implements AutoCloseable {
   /** How long the state service may hold a watch request open. */
-  static final long WAIT_MICROS = 5_000_000;
+  static final long WATCH_TIMEOUT_MICROS = 5_000_000;
 
   /** Notified on the election loop of what was read. */
   interface Observer {
@@ -17,7 +17,7 @@
     boolean leading();
 
     /** Returns true while this controller has an election attempt in progress. */
-    boolean standing();
+    boolean attemptInProgress();
 
     /** Called when the records were read or a watch request was answered. */
     void recordsRead();
@@ -54,7 +54,7 @@
             loop.after(backoff.beforeReadMicros(), this::start);
             return;
           }
-          records.replaceBy(listing.get(), observer.leading());
+          records.replaceWith(listing.get(), observer.leading());
           observer.recordsRead();
           watch();
         });
@@ -64,7 +64,8 @@
     if (closed) {
       return;
     }
-    store.watch(LeaderElection.PREFIX, records.storeRevision(), WAIT_MICROS, this::watched);
+    store.watch(
+        LeaderElection.PREFIX, records.storeRevision(), WATCH_TIMEOUT_MICROS, this::watched);
   }
 
   private void watched(StateClient.WatchResponse changes) {
@@ -89,7 +90,7 @@
         listing -> {
           if (listing.isEmpty()) {
             observer.refreshFailed();
-          } else if (!observer.leading() && !observer.standing()) {
+          } else if (!observer.leading() && !observer.attemptInProgress()) {
             records.refreshLeader(listing.get());
             observer.recordsRead();
           }
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -32,7 +32,7 @@
    * @param counterRevision the revision of the pool's counter from which the term was derived; 0 if
    *     the counter does not exist yet
    */
-  record Next(long term, long counterRevision) {}
+  record NextTerm(long term, long counterRevision) {}
 
   private final StateClient store;
   private final String counterKey;
@@ -53,20 +53,21 @@
   /**
    * Finds the next term, which is above all terms counted in the pool.
    *
-   * @param last the last known term of this shard
+   * @param lastTerm the last known term of this shard
    * @param handler receives the next term, or an empty value if the counter could not be read
    */
-  void findNext(long last, Consumer<Optional<Next>> handler) {
+  void findNext(long lastTerm, Consumer<Optional<NextTerm>> handler) {
     store.get(
         counterKey,
         StateClient.RequestPriority.URGENT,
         result -> {
           if (result.found()) {
-            long counted = TermRecord.read(result.item().data()).number();
+            long countedTerm = TermRecord.read(result.item().data()).number();
             handler.accept(
-                Optional.of(new Next(Math.max(last, counted) + 1, result.item().revision())));
+                Optional.of(
+                    new NextTerm(Math.max(lastTerm, countedTerm) + 1, result.item().revision())));
           } else if (result.missing()) {
-            handler.accept(Optional.of(new Next(last + 1, 0)));
+            handler.accept(Optional.of(new NextTerm(lastTerm + 1, 0)));
           } else {
             handler.accept(Optional.empty());
           }
@@ -74,7 +75,7 @@
   }
 
   /** Adds the updates of the pool's records to the election transaction. */
-  Transaction addTo(Transaction transaction, Next next, String label, long leaseId) {
+  Transaction addToElection(Transaction transaction, NextTerm next, String label, long leaseId) {
     ObjectNode leader = Json.object().put(LABEL, label).put(TERM, next.term());
     transaction
         .require(counterKey, next.counterRevision())
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -18,7 +18,7 @@
   private final long number;
   private final long revision;
   private final long leaseId;
-  private volatile long rightUntilMicros;
+  private volatile long mayActUntilMicros;
   private volatile boolean ended;
 
   Term(Loop loop, long number, long revision, long leaseId) {
@@ -48,7 +48,7 @@
    * and command.
    */
   public boolean mayAct() {
-    return !ended && loop.nowMicros() < rightUntilMicros;
+    return !ended && loop.nowMicros() < mayActUntilMicros;
   }
 
   /**
@@ -60,8 +60,8 @@
   }
 
   /** Returns until when the leader may act, unless the term is ended earlier. */
-  long rightUntilMicros() {
-    return rightUntilMicros;
+  long mayActUntilMicros() {
+    return mayActUntilMicros;
   }
 
   /**
@@ -71,8 +71,8 @@
    */
   void extendFrom(long sentMicros, SchedulerParameters parameters) {
     long validMicros = ClockDrift.shortestMicros(parameters.leaseTtlMicros());
-    rightUntilMicros =
-        Math.max(rightUntilMicros, sentMicros + validMicros - parameters.actMarginMicros());
+    mayActUntilMicros =
+        Math.max(mayActUntilMicros, sentMicros + validMicros - parameters.actMarginMicros());
   }
 
   /** Ends the right to act permanently. */
--- a/src/test/java/plumlever/election/ElectionBackoffTest.java
+++ b/src/test/java/plumlever/election/ElectionBackoffTest.java
@@ -15,45 +15,45 @@
 
   private final ElectionBackoff backoff = new ElectionBackoff(new SplittableRandom(1));
 
-  private long shortestCandidacyPauseMicros() {
+  private long shortestAttemptPauseMicros() {
     long shortest = Long.MAX_VALUE;
     for (int i = 0; i < PAUSES; i++) {
-      shortest = Math.min(shortest, backoff.beforeCandidacyMicros());
+      shortest = Math.min(shortest, backoff.beforeAttemptMicros());
     }
     return shortest;
   }
 
   @Test
-  void theFirstCandidacyHasNoLeastPause() {
-    assertTrue(shortestCandidacyPauseMicros() < 10_000);
+  void theFirstAttemptHasNoMinimumPause() {
+    assertTrue(shortestAttemptPauseMicros() < 10_000);
   }
 
   @Test
-  void lostElectionsLengthenThePauseUpToABound() {
+  void lostElectionsIncreaseThePauseUpToALimit() {
     backoff.electionLost();
-    long afterOne = shortestCandidacyPauseMicros();
+    long afterOne = shortestAttemptPauseMicros();
     for (int i = 0; i < 5; i++) {
       backoff.electionLost();
     }
-    long afterSix = shortestCandidacyPauseMicros();
+    long afterSix = shortestAttemptPauseMicros();
     backoff.electionLost();
-    long afterSeven = shortestCandidacyPauseMicros();
+    long afterSeven = shortestAttemptPauseMicros();
 
     assertTrue(afterOne >= 150_000 && afterSix >= 6 * 150_000);
     assertEquals(afterSix / 1e6, afterSeven / 1e6, 0.01);
   }
 
   @Test
-  void aWonElectionForgetsTheLostOnes() {
+  void aWonElectionResetsTheBackoff() {
     backoff.electionLost();
 
     backoff.electionWon();
 
-    assertTrue(shortestCandidacyPauseMicros() < 10_000);
+    assertTrue(shortestAttemptPauseMicros() < 10_000);
   }
 
   @Test
-  void requestsAreNotRepeatedAtOnce() {
+  void retriesWaitAtLeastTheMinimumPause() {
     for (int i = 0; i < PAUSES; i++) {
       assertTrue(backoff.beforeReadMicros() >= ElectionBackoff.RETRY_MICROS);
       assertTrue(backoff.beforeRetryMicros() >= ElectionBackoff.RETRY_MICROS);
--- a/src/test/java/plumlever/election/HeldTermTest.java
+++ b/src/test/java/plumlever/election/HeldTermTest.java
@@ -74,7 +74,7 @@
 
   private static final class Observer implements HeldTerm.Observer {
     @Override
-    public void candidacyPaused(long pauseMicros) {}
+    public void attemptsPaused(long pauseMicros) {}
 
     @Override
     public void termEnded() {}
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void leadsOnWhileTheLeaseIsRenewed() {
+  void keepsLeadingWhileTheLeaseIsRenewed() {
     Term term = begin();
 
     loop.advance(10 * parameters.leaseTtlMicros());
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void mayNotActAnyMoreBeforeTheLeaseEndsWhereRenewalsHaveNoAnswer() {
+  void stopsActingBeforeTheLeaseEndsWhenRenewalsAreUnanswered() {
     Term term = begin();
     renewalStatus = 0;
 
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void givesUpItsLeaseWhenTheControllersLoopHasStalled() {
+  void revokesTheLeaseWhenTheControllerLoopHasStalled() {
     begin();
     controllerLoopRuns = false;
 
@@ -130,10 +130,10 @@
   }
 
   @Test
-  void aTermThatIsNotHeldIsNotGivenUp() {
+  void resigningATermThatIsNotHeldHasNoEffect() {
     Term term = begin();
 
-    heldTerm.giveUp(new Term(loop, 2, 10, 8), "test: term is not held", 0);
+    heldTerm.resign(new Term(loop, 2, 10, 8), "test: term is not held", 0);
 
     assertEquals(Optional.of(term), heldTerm.current());
     assertEquals(List.of(), revoked);
--- a/src/test/java/plumlever/election/LeadershipRecordsTest.java
+++ b/src/test/java/plumlever/election/LeadershipRecordsTest.java
@@ -17,7 +17,7 @@
 /** The state of leadership that a controller derives from the records it has read or watched. */
 final class LeadershipRecordsTest {
   private static final Candidate SELF = new Candidate("n0", "this incarnation");
-  private static final Candidate EARLIER_SELF = new Candidate("n0", "earlier incarnation");
+  private static final Candidate EARLIER_INCARNATION = new Candidate("n0", "earlier incarnation");
   private static final Candidate OTHER = new Candidate("n1", "other incarnation");
 
   private final ManualLoop loop = new ManualLoop(0);
@@ -35,131 +35,131 @@
     return new StateClient.Listing(List.of(items), 100);
   }
 
-  private static StateClient.Listing ledBy(Candidate leader, long term, long revision) {
+  private static StateClient.Listing listingLedBy(Candidate leader, long term, long revision) {
     return listing(
         item(LeaderElection.LEADER, new LeaderRecord(leader, term).write(), revision),
         item(LeaderElection.TERM, new TermRecord(term).write(), revision));
   }
 
-  private static StateClient.KeyEvent stored(String key, JsonNode data, long revision) {
+  private static StateClient.KeyEvent putEvent(String key, JsonNode data, long revision) {
     return new StateClient.KeyEvent(key, Optional.of(data), revision);
   }
 
-  private static StateClient.KeyEvent deleted(String key, long revision) {
+  private static StateClient.KeyEvent deleteEvent(String key, long revision) {
     return new StateClient.KeyEvent(key, Optional.empty(), revision);
   }
 
-  private void watched(StateClient.KeyEvent... events) {
+  private void watch(StateClient.KeyEvent... events) {
     List<StateClient.KeyEvent> all = new ArrayList<>(List.of(events));
     records.apply(new StateClient.WatchResponse(200, 101, all), false);
   }
 
   @Test
-  void leadershipIsFreeWithoutALeadersKey() {
-    records.replaceBy(listing(), false);
+  void leadershipIsVacantWithoutALeaderKey() {
+    records.replaceWith(listing(), false);
 
     assertTrue(records.complete());
-    assertTrue(records.leadershipFree());
+    assertTrue(records.leadershipVacant());
     assertFalse(records.ledByAnother());
   }
 
   @Test
-  void leadershipOfAnotherControllerIsNotFree() {
-    records.replaceBy(ledBy(OTHER, 4, 7), false);
+  void leadershipHeldByAnotherControllerIsNotVacant() {
+    records.replaceWith(listingLedBy(OTHER, 4, 7), false);
 
-    assertFalse(records.leadershipFree());
+    assertFalse(records.leadershipVacant());
     assertTrue(records.ledByAnother());
     assertEquals(Optional.of("n1"), records.leaderLabel());
     assertEquals(4, records.term());
   }
 
   @Test
-  void aKeyOfAnEarlierLifeOfThisControllerIsFree() {
-    records.replaceBy(ledBy(EARLIER_SELF, 4, 7), false);
+  void leadershipOfAnEarlierIncarnationIsVacant() {
+    records.replaceWith(listingLedBy(EARLIER_INCARNATION, 4, 7), false);
 
-    assertTrue(records.leadershipFree());
+    assertTrue(records.leadershipVacant());
   }
 
   @Test
-  void aKeyOfAnEarlierLifeEndsATermOfThisOne() {
-    records.replaceBy(ledBy(EARLIER_SELF, 4, 7), true);
+  void aLeaderKeyOfAnEarlierIncarnationCountsAsAnotherLeader() {
+    records.replaceWith(listingLedBy(EARLIER_INCARNATION, 4, 7), true);
 
     assertTrue(records.ledByAnother());
   }
 
   @Test
-  void leadershipIsFreeOnceTheLeadersKeyIsDeleted() {
-    records.replaceBy(ledBy(OTHER, 4, 7), false);
+  void leadershipIsVacantAfterTheLeaderKeyIsDeleted() {
+    records.replaceWith(listingLedBy(OTHER, 4, 7), false);
 
-    watched(deleted(LeaderElection.LEADER, 8));
+    watch(deleteEvent(LeaderElection.LEADER, 8));
 
-    assertTrue(records.leadershipFree());
+    assertTrue(records.leadershipVacant());
     assertEquals(Optional.empty(), records.leaderLabel());
   }
 
   @Test
-  void anEventThatIsOlderThanWhatIsKnownChangesNothing() {
-    records.replaceBy(ledBy(OTHER, 4, 7), false);
+  void staleEventsAreIgnored() {
+    records.replaceWith(listingLedBy(OTHER, 4, 7), false);
 
-    watched(
-        deleted(LeaderElection.LEADER, 7),
-        stored(LeaderElection.TERM, new TermRecord(3).write(), 6));
+    watch(
+        deleteEvent(LeaderElection.LEADER, 7),
+        putEvent(LeaderElection.TERM, new TermRecord(3).write(), 6));
 
-    assertFalse(records.leadershipFree());
+    assertFalse(records.leadershipVacant());
     assertEquals(4, records.term());
   }
 
   @Test
-  void whoeverLeadsKnowsItsTermBetterThanTheRecords() {
+  void theTermOfALeaderIsNotReplacedByAListing() {
     records.elected(5);
 
-    records.replaceBy(ledBy(OTHER, 4, 7), true);
+    records.replaceWith(listingLedBy(OTHER, 4, 7), true);
 
     assertEquals(5, records.term());
   }
 
   @Test
-  void theDecisionToStandRestsOnTheRevisionsThatWereRead() {
-    records.replaceBy(ledBy(EARLIER_SELF, 4, 7), false);
+  void revisionsAreThoseThatWereRead() {
+    records.replaceWith(listingLedBy(EARLIER_INCARNATION, 4, 7), false);
 
     assertEquals(new LeadershipRecords.Revisions(7, 7), records.revisions());
   }
 
   @Test
-  void nothingIsKnownOfTheLeaderAfterAnOwnTermHasEnded() {
+  void theLeaderIsUnknownAfterAnOwnTermHasEnded() {
     records.elected(5);
 
     records.leadershipEnded();
 
     assertEquals(Optional.empty(), records.leaderLabel());
     assertFalse(
-        records.leadershipFree(),
+        records.leadershipVacant(),
         "not vacant until this controller's leader key is known to be deleted");
   }
 
   @Test
-  void aDelegationIsSeenUntilItIsDeleted() {
-    watched(stored(LeaderElection.DELEGATION, Json.object(), 3));
-    assertTrue(records.delegationSeen());
+  void aDelegationExistsUntilItIsDeleted() {
+    watch(putEvent(LeaderElection.DELEGATION, Json.object(), 3));
+    assertTrue(records.delegationExists());
 
-    watched(deleted(LeaderElection.DELEGATION, 4));
-    assertFalse(records.delegationSeen());
+    watch(deleteEvent(LeaderElection.DELEGATION, 4));
+    assertFalse(records.delegationExists());
   }
 
   @Test
-  void anAnnouncementNamesItsDelegation() {
-    watched(stored(LeaderElection.RENEWAL_ANNOUNCEMENT, new RenewalAnnouncement(3).write(), 4));
+  void anAnnouncementContainsTheDelegationRevision() {
+    watch(putEvent(LeaderElection.RENEWAL_ANNOUNCEMENT, new RenewalAnnouncement(3).write(), 4));
 
     assertEquals(3, records.announcedDelegation());
   }
 
   @Test
-  void aControllerThatKnowsNothingOfThePoolIsIneligible() {
+  void aControllerWithoutPoolSettingsIsIneligible() {
     StateClient.Listing pool = listing(item(PoolTerms.MARKER, Json.object(), 1));
     LeadershipRecords inPool = recordsOf(true);
 
-    records.replaceBy(pool, false);
-    inPool.replaceBy(pool, false);
+    records.replaceWith(pool, false);
+    inPool.replaceWith(pool, false);
 
     assertTrue(records.ineligible());
     assertFalse(inPool.ineligible());
--- a/src/test/java/plumlever/election/TermTest.java
+++ b/src/test/java/plumlever/election/TermTest.java
@@ -15,36 +15,36 @@
   private final Term term = new Term(loop, 7, 40, 12);
 
   @Test
-  void thereIsNoRightBeforeTheLease() {
+  void mayNotActBeforeTheLeaseIsCreated() {
     assertFalse(term.mayAct());
   }
 
   @Test
-  void theRightEndsBeforeTheLeaseCan() {
+  void theRightToActEndsBeforeTheLeaseCanExpire() {
     long sentMicros = loop.nowMicros();
     term.extendFrom(sentMicros, parameters);
     assertTrue(term.mayAct());
     assertTrue(
-        term.rightUntilMicros() + parameters.actMarginMicros()
+        term.mayActUntilMicros() + parameters.actMarginMicros()
             <= sentMicros + parameters.leaseTtlMicros());
 
-    loop.advance(term.rightUntilMicros() - loop.nowMicros());
+    loop.advance(term.mayActUntilMicros() - loop.nowMicros());
 
     assertFalse(term.mayAct());
   }
 
   @Test
-  void anAnswerThatIsOvertakenDoesNotShortenTheRight() {
+  void aLateRenewalResponseDoesNotShortenTheRightToAct() {
     term.extendFrom(1_000_000, parameters);
-    long untilMicros = term.rightUntilMicros();
+    long untilMicros = term.mayActUntilMicros();
 
     term.extendFrom(900_000, parameters);
 
-    assertEquals(untilMicros, term.rightUntilMicros());
+    assertEquals(untilMicros, term.mayActUntilMicros());
   }
 
   @Test
-  void aTermThatHasEndedNeverComesBack() {
+  void anEndedTermStaysEnded() {
     term.extendFrom(1_000_000, parameters);
     term.end();
 
