--- a/src/main/java/plumlever/ConfirmedCancellations.java
+++ b/src/main/java/plumlever/ConfirmedCancellations.java
@@ -16,7 +16,7 @@
    * How long a cancellation is reported to the peers. The state service may refuse one of them for
    * all of this time.
    */
-  private static final long TOLD_FOR_MICROS = 20_000_000;
+  private static final long REPORT_DURATION_MICROS = 20_000_000;
 
   private final Loop loop;
   private final Leadership leadership;
@@ -30,7 +30,7 @@
   }
 
   /** Records that this controller is confirming the cancellation of the job to a user. */
-  void confirmed(String uid) {
+  void confirmedHere(String uid) {
     confirmedAtMicros.put(uid, loop.nowMicros());
     leadership.leader().ifPresent(leader -> leader.jobCancelled(uid));
   }
@@ -51,7 +51,7 @@
    */
   List<String> recent() {
     long now = loop.nowMicros();
-    confirmedAtMicros.values().removeIf(at -> now - at > TOLD_FOR_MICROS);
+    confirmedAtMicros.values().removeIf(at -> now - at > REPORT_DURATION_MICROS);
     return List.copyOf(confirmedAtMicros.keySet());
   }
 }
--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -102,7 +102,7 @@
     Optional<SharingSettings> sharing = environment.settings().sharing();
     clients = new ServiceClients(environment);
     lateness = new LoopLateness(loop, clients.metrics());
-    leadership = new Leadership(loop, clients.store(), term -> termContexts().of(term));
+    leadership = new Leadership(loop, clients.store(), term -> termContextFactory().create(term));
     election = createElection();
     cancellations = new ConfirmedCancellations(loop, leadership);
     ownStatus = createOwnStatus();
@@ -114,8 +114,8 @@
     poolRequests = sharing.map(pool -> new PoolRequests(leadership::leader, router));
   }
 
-  private TermContexts termContexts() {
-    return new TermContexts(environment, clients, election, lateness, peerReports);
+  private TermContextFactory termContextFactory() {
+    return new TermContextFactory(environment, clients, election, lateness, peerReports);
   }
 
   private LeaderElection createElection() {
@@ -192,7 +192,7 @@
         jobs,
         new SubmissionRules(platform.teams(), clients.prices()),
         health,
-        cancellations::confirmed,
+        cancellations::confirmedHere,
         this::taskCounts,
         otherShards);
   }
@@ -209,7 +209,7 @@
     return new HeartbeatEndpoint(
         new KnownLeader(leadership, election),
         delegated,
-        ownStatus::heartbeatWithoutLeading,
+        ownStatus::recordHeartbeat,
         clients.metrics());
   }
 
--- a/src/main/java/plumlever/ControllerHealth.java
+++ b/src/main/java/plumlever/ControllerHealth.java
@@ -19,8 +19,8 @@
    */
   private static final long REFUSED_ALONE_AFTER_MICROS = 3_000_000;
 
-  private static final long LATE_FROM_MICROS = 500_000;
-  private static final long ON_TIME_BELOW_MICROS = 200_000;
+  private static final long LATE_THRESHOLD_MICROS = 500_000;
+  private static final long ON_TIME_THRESHOLD_MICROS = 200_000;
 
   private final PlatformConfiguration platform;
   private final LeaderElection election;
@@ -61,8 +61,8 @@
     if (store.refusedForMicros() < REFUSED_ALONE_AFTER_MICROS || platform.peers().isEmpty()) {
       return false;
     }
-    List<PeerStatus> heard = peers.recent();
-    return heard.isEmpty() || heard.stream().anyMatch(ControllerHealth::isServed);
+    List<PeerStatus> statuses = peers.recent();
+    return statuses.isEmpty() || statuses.stream().anyMatch(ControllerHealth::isServed);
   }
 
   /**
@@ -71,9 +71,9 @@
    * hundreds of workers.
    */
   private boolean isLateAlone() {
-    return lateness.micros() >= LATE_FROM_MICROS
+    return lateness.micros() >= LATE_THRESHOLD_MICROS
         && peers.recent().stream()
-            .anyMatch(peer -> isServed(peer) && peer.lateMicros() < ON_TIME_BELOW_MICROS);
+            .anyMatch(peer -> isServed(peer) && peer.lateMicros() < ON_TIME_THRESHOLD_MICROS);
   }
 
   private static boolean isServed(PeerStatus peer) {
--- a/src/main/java/plumlever/Leadership.java
+++ b/src/main/java/plumlever/Leadership.java
@@ -16,16 +16,16 @@
 final class Leadership implements ElectionListener {
   private final Loop loop;
   private final StateClient store;
-  private final Function<Term, TermContext> contexts;
+  private final Function<Term, TermContext> contextFactory;
   private Optional<Leader> leader = Optional.empty();
 
   /**
-   * @param contexts creates the context that the leader uses during a term
+   * @param contextFactory creates the context that the leader uses during a term
    */
-  Leadership(Loop loop, StateClient store, Function<Term, TermContext> contexts) {
+  Leadership(Loop loop, StateClient store, Function<Term, TermContext> contextFactory) {
     this.loop = loop;
     this.store = store;
-    this.contexts = contexts;
+    this.contextFactory = contextFactory;
   }
 
   @Override
@@ -51,7 +51,7 @@
     end();
     if (term.mayAct()) {
       store.setLeading(true);
-      Leader elected = new Leader(contexts.apply(term));
+      Leader elected = new Leader(contextFactory.apply(term));
       leader = Optional.of(elected);
       elected.start();
     }
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -21,7 +21,7 @@
       byte[] body,
       long timeoutMicros,
       ResponseHandler handler) {
-    String work = kindOf(to, path);
+    String kind = kindOf(to, path);
     caller.call(
         to,
         method,
@@ -29,9 +29,9 @@
         body,
         timeoutMicros,
         (status, data) -> {
-          long since = loop.nowMicros();
+          long startedMicros = loop.nowMicros();
           handler.handle(status, data);
-          metrics.recordWork(work, loop.nowMicros() - since);
+          metrics.recordWork(kind, loop.nowMicros() - startedMicros);
         });
   }
 
--- a/src/main/java/plumlever/OwnStatus.java
+++ b/src/main/java/plumlever/OwnStatus.java
@@ -10,7 +10,7 @@
 
 /** Builds the status that this controller reports to its peers. */
 final class OwnStatus {
-  private static final long MACHINE_COUNTED_FOR_MICROS = 5_000_000;
+  private static final long HEARTBEAT_WINDOW_MICROS = 5_000_000;
 
   private final String label;
   private final Loop loop;
@@ -44,14 +44,14 @@
   }
 
   /** Records that the machine sent a heartbeat to this controller while it did not lead. */
-  void heartbeatWithoutLeading(String machineId) {
+  void recordHeartbeat(String machineId) {
     heartbeatAtMicros.put(machineId, loop.nowMicros());
   }
 
   /** Returns the current status. */
   PeerStatus current() {
     long now = loop.nowMicros();
-    heartbeatAtMicros.values().removeIf(at -> now - at > MACHINE_COUNTED_FOR_MICROS);
+    heartbeatAtMicros.values().removeIf(at -> now - at > HEARTBEAT_WINDOW_MICROS);
     return new PeerStatus(
         label,
         election.term(),
--- a/src/main/java/plumlever/PeerReports.java
+++ b/src/main/java/plumlever/PeerReports.java
@@ -12,7 +12,7 @@
  * missing.
  */
 final class PeerReports {
-  private static final long VALID_MICROS = 3_500_000;
+  private static final long STATUS_VALID_MICROS = 3_500_000;
 
   /** Task counts are only displayed and may therefore be older. */
   private static final long COUNTS_VALID_MICROS = 5_000_000;
@@ -27,14 +27,14 @@
 
   /** Returns the status of each peer that reported recently. */
   List<PeerStatus> recent() {
-    return peers.heardWithin(VALID_MICROS);
+    return peers.receivedWithin(STATUS_VALID_MICROS);
   }
 
   /**
    * Returns the finished and running tasks of the job if a leader in another process reported them.
    */
   Optional<TaskCounts> taskCounts(String uid) {
-    return peers.heardWithin(COUNTS_VALID_MICROS).stream()
+    return peers.receivedWithin(COUNTS_VALID_MICROS).stream()
         .filter(PeerStatus::leading)
         .flatMap(status -> Optional.ofNullable(status.counts().get(uid)).stream())
         .findFirst();
--- a/src/main/java/plumlever/TermContexts.java
+++ b/src/main/java/plumlever/TermContextFactory.java
@@ -7,13 +7,13 @@
 import plumlever.settings.SchedulerParameters;
 
 /** Creates the context that a leader uses during one term. */
-record TermContexts(
+record TermContextFactory(
     ControllerEnvironment environment,
     ServiceClients clients,
     LeaderElection election,
     LoopLateness lateness,
     PeerReports peers) {
-  TermContext of(Term term) {
+  TermContext create(Term term) {
     PlatformConfiguration platform = environment.platform();
     SchedulerParameters parameters = environment.settings().parameters();
     return new TermContext(
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -19,10 +19,10 @@
  */
 public final class Peers {
   private static final String PATH = "/peer";
-  private static final long INTERVAL_MICROS = 1_000_000;
+  private static final long SEND_INTERVAL_MICROS = 1_000_000;
   private static final long TIMEOUT_MICROS = 2_000_000;
 
-  private record HeardStatus(PeerStatus status, long receivedMicros) {}
+  private record ReceivedStatus(PeerStatus status, long receivedMicros) {}
 
   private final Loop loop;
   private final Caller caller;
@@ -30,7 +30,7 @@
   private final Supplier<PeerStatus> ownStatus;
   private final Consumer<PeerStatus> listener;
   private final PeerStatus.Codec codec = new PeerStatus.Codec();
-  private final Map<String, HeardStatus> heardByLabel = new HashMap<>();
+  private final Map<String, ReceivedStatus> receivedByLabel = new HashMap<>();
 
   /**
    * Creates the links to the other controllers of the platform.
@@ -58,10 +58,10 @@
 
   private long sendStatus() {
     byte[] body = codec.write(ownStatus.get());
-    for (PlatformConfiguration.PeerController seed : platform.peers()) {
-      caller.call(seed.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
+    for (PlatformConfiguration.PeerController peer : platform.peers()) {
+      caller.call(peer.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
     }
-    return INTERVAL_MICROS;
+    return SEND_INTERVAL_MICROS;
   }
 
   /** Handles a request on the listener for peers. */
@@ -75,7 +75,7 @@
       out.error(HttpStatus.BAD_REQUEST, "not a peer's status");
       return;
     }
-    heardByLabel.put(status.get().label(), new HeardStatus(status.get(), loop.nowMicros()));
+    receivedByLabel.put(status.get().label(), new ReceivedStatus(status.get(), loop.nowMicros()));
     listener.accept(status.get());
     out.send(HttpStatus.OK, "{}");
   }
@@ -89,15 +89,15 @@
   }
 
   private boolean isOfPeer(PeerStatus status) {
-    return platform.peers().stream().anyMatch(seed -> seed.label().equals(status.label()));
+    return platform.peers().stream().anyMatch(peer -> peer.label().equals(status.label()));
   }
 
   /** Returns the last status of each controller from which one was received within this time. */
-  public List<PeerStatus> heardWithin(long micros) {
-    long from = loop.nowMicros() - micros;
-    return heardByLabel.values().stream()
-        .filter(heard -> heard.receivedMicros() >= from)
-        .map(HeardStatus::status)
+  public List<PeerStatus> receivedWithin(long micros) {
+    long oldestMicros = loop.nowMicros() - micros;
+    return receivedByLabel.values().stream()
+        .filter(received -> received.receivedMicros() >= oldestMicros)
+        .map(ReceivedStatus::status)
         .toList();
   }
 }
