--- a/src/main/java/plumlever/peer/PeerStatus.java
+++ b/src/main/java/plumlever/peer/PeerStatus.java
@@ -155,7 +155,7 @@
     private static int readSize(Input in, int max) {
       int size = in.readVarInt(true);
       if (size < 0 || size > max) {
-        throw new KryoException("size out of range: " + size);
+        throw new KryoException("entry count " + size + " is not between 0 and " + max);
       }
       return size;
     }
--- a/src/main/java/plumlever/store/ProgressRecords.java
+++ b/src/main/java/plumlever/store/ProgressRecords.java
@@ -68,11 +68,18 @@
    */
   static void readChunk(JsonNode record, String name, int formerMaxValueBytes, BitSet into)
       throws InvalidMessageException {
-    BitSet bits = bits(record.path(BITS)).orElseThrow(ProgressRecords::unreadable);
+    BitSet bits =
+        bits(record.path(BITS))
+            .orElseThrow(
+                () -> new InvalidMessageException("the bitmap is missing or not valid Base64"));
     int firstTask = firstTask(name, formerMaxValueBytes);
     if (firstTask < 0
         || (record.has(FIRST_TASK) && record.get(FIRST_TASK).asInt(-1) != firstTask)) {
-      throw new InvalidMessageException("progress record: first task does not match the key");
+      throw new InvalidMessageException(
+          "first task "
+              + firstTask
+              + " of the key is negative or differs from that of the record: "
+              + record.path(FIRST_TASK));
     }
     bits.stream().forEach(i -> into.set(firstTask + i));
   }
@@ -84,14 +91,11 @@
           ? Integer.parseInt(name.substring(FIRST_TASK_PREFIX.length()))
           : Math.multiplyExact(Integer.parseInt(name), tasksPerChunk(formerMaxValueBytes));
     } catch (NumberFormatException | ArithmeticException e) {
-      throw unreadable();
+      throw new InvalidMessageException(
+          "key segment '" + name + "' has no valid task or chunk number");
     }
   }
 
-  private static InvalidMessageException unreadable() {
-    return new InvalidMessageException("unreadable progress record");
-  }
-
   /**
    * Returns the bytes the job takes in a shared chunk; empty if the job is too large to share one.
    */
