--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -25,7 +25,7 @@
  * record has changed.
  */
 public final class JobRecordCache {
-  /** Whether a job exists, as far as the state service tells. */
+  /** The existence of a job according to the state service. */
   public enum Presence {
     /** The job has been accepted and has not ended. */
     ACTIVE,
@@ -178,7 +178,7 @@
 
   /**
    * Finds the jobs among {@code uids} that have ended. The result may be a few seconds old; {@link
-   * EndedJobs#askedMicros} tells how old.
+   * EndedJobs#askedMicros} is the time of the oldest read used.
    *
    * @param handler receives an empty value if the state of any of the jobs could not be read
    */
