--- a/src/main/java/plumlever/Leadership.java
+++ b/src/main/java/plumlever/Leadership.java
@@ -9,20 +9,23 @@
 import plumlever.leader.context.TermContext;
 import plumlever.store.StateClient;
 
-/** Begins and ends this controller's terms: there is a {@link Leader} while it leads, else none. */
+/**
+ * Starts and ends this controller's terms: creates a {@link Leader} when a term begins and closes
+ * it when the term ends.
+ */
 final class Leadership implements ElectionListener {
   private final Loop loop;
   private final StateClient store;
-  private final Function<Term, TermContext> contexts;
+  private final Function<Term, TermContext> contextFactory;
   private Optional<Leader> leader = Optional.empty();
 
   /**
-   * @param contexts gives what a leader works with in the term
+   * @param contextFactory creates the context that the leader uses during a term
    */
-  Leadership(Loop loop, StateClient store, Function<Term, TermContext> contexts) {
+  Leadership(Loop loop, StateClient store, Function<Term, TermContext> contextFactory) {
     this.loop = loop;
     this.store = store;
-    this.contexts = contexts;
+    this.contextFactory = contextFactory;
   }
 
   @Override
@@ -41,14 +44,14 @@
   }
 
   /**
-   * A term that has ended by the time this thread gets to it is not begun: another may be under way
-   * elsewhere.
+   * Starts the leader of a term. A term that ended before the controller loop ran this action is
+   * not started, because another controller may already lead.
    */
   private void begin(Term term) {
     end();
     if (term.mayAct()) {
       store.setLeading(true);
-      Leader elected = new Leader(contexts.apply(term));
+      Leader elected = new Leader(contextFactory.apply(term));
       leader = Optional.of(elected);
       elected.start();
     }
@@ -63,7 +66,7 @@
     leader = Optional.empty();
   }
 
-  /** The leader in this process, also when its right to act has just ended. */
+  /** Returns the leader in this process, even if its lease no longer allows it to act. */
   Optional<Leader> leader() {
     return leader;
   }
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -7,7 +7,10 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.ProtocolPath;
 
-/** Measures how long this controller works on the answers to its own calls, by kind of call. */
+/**
+ * A caller that measures the time this controller spends on handling responses, by the kind of
+ * service called.
+ */
 record MeteredCaller(Caller caller, Loop loop, Metrics metrics, PlatformConfiguration platform)
     implements Caller {
   @Override
@@ -18,7 +21,7 @@
       byte[] body,
       long timeoutMicros,
       ResponseHandler handler) {
-    String work = kindOf(to, path);
+    String kind = kindOf(to, path);
     caller.call(
         to,
         method,
@@ -26,9 +29,9 @@
         body,
         timeoutMicros,
         (status, data) -> {
-          long since = loop.nowMicros();
+          long startedMicros = loop.nowMicros();
           handler.handle(status, data);
-          metrics.recordWork(work, loop.nowMicros() - since);
+          metrics.recordWork(kind, loop.nowMicros() - startedMicros);
         });
   }
 
--- a/src/main/java/plumlever/OwnStatus.java
+++ b/src/main/java/plumlever/OwnStatus.java
@@ -8,9 +8,9 @@
 import plumlever.peer.PeerStatus;
 import plumlever.store.StateClient;
 
-/** What this controller tells its peers of itself. */
+/** Builds the status that this controller reports to its peers. */
 final class OwnStatus {
-  private static final long MACHINE_COUNTED_FOR_MICROS = 5_000_000;
+  private static final long HEARTBEAT_WINDOW_MICROS = 5_000_000;
 
   private final String label;
   private final Loop loop;
@@ -20,7 +20,10 @@
   private final Leadership leadership;
   private final ConfirmedCancellations cancellations;
 
-  /** When a machine last sent a heartbeat here while this controller did not lead, by its id. */
+  /**
+   * For each machine that sent a heartbeat to this controller while it did not lead, the time of
+   * the last one.
+   */
   private final Map<String, Long> heartbeatAtMicros = new HashMap<>();
 
   OwnStatus(
@@ -40,15 +43,15 @@
     this.cancellations = cancellations;
   }
 
-  /** The machine sent a heartbeat to this controller, which does not lead. */
-  void heartbeatWithoutLeading(String machineId) {
+  /** Records that the machine sent a heartbeat to this controller while it did not lead. */
+  void recordHeartbeat(String machineId) {
     heartbeatAtMicros.put(machineId, loop.nowMicros());
   }
 
-  /** The status as of now. */
+  /** Returns the current status. */
   PeerStatus current() {
     long now = loop.nowMicros();
-    heartbeatAtMicros.values().removeIf(at -> now - at > MACHINE_COUNTED_FOR_MICROS);
+    heartbeatAtMicros.values().removeIf(at -> now - at > HEARTBEAT_WINDOW_MICROS);
     return new PeerStatus(
         label,
         election.term(),
--- a/src/main/java/plumlever/TermContexts.java
+++ b/src/main/java/plumlever/TermContextFactory.java
@@ -6,14 +6,14 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
 
-/** Puts together what a leader works with in one term. */
-record TermContexts(
+/** Creates the context that a leader uses during one term. */
+record TermContextFactory(
     ControllerEnvironment environment,
     ServiceClients clients,
     LeaderElection election,
     LoopLateness lateness,
     PeerReports peers) {
-  TermContext of(Term term) {
+  TermContext create(Term term) {
     PlatformConfiguration platform = environment.platform();
     SchedulerParameters parameters = environment.settings().parameters();
     return new TermContext(
--- a/src/main/java/plumlever/election/ElectionBackoff.java
+++ b/src/main/java/plumlever/election/ElectionBackoff.java
@@ -3,17 +3,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Pauses before requests of the election are repeated. They are random, so that candidates that
- * failed together do not try again together. Used on the election's loop only.
+ * The pauses before election requests are repeated. The pauses contain random jitter so that
+ * candidates that failed at the same time do not retry at the same time. Used on the election loop
+ * only.
  */
 final class ElectionBackoff {
   /** The shortest pause before a request is repeated. */
   static final long RETRY_MICROS = 400_000;
 
   private static final int READ_JITTER_MICROS = 200_000;
-  private static final int ATTEMPT_JITTER_MICROS = 400_000;
-  private static final int CANDIDACY_JITTER_MICROS = 250_000;
-  private static final long PER_LOST_ELECTION_MICROS = 150_000;
+  private static final int RETRY_JITTER_MICROS = 400_000;
+  private static final int ATTEMPT_JITTER_MICROS = 250_000;
+  private static final long BACKOFF_PER_LOST_ELECTION_MICROS = 150_000;
   private static final int MAX_LOST_ELECTIONS = 6;
 
   private final SplittableRandom random;
@@ -23,19 +24,25 @@
     this.random = random;
   }
 
-  /** Before the leadership records are read again. */
+  /** Returns the pause before the leadership records are read again. */
   long beforeReadMicros() {
     return RETRY_MICROS + random.nextInt(READ_JITTER_MICROS);
   }
 
-  /** Before another attempt, where one could not be begun for want of an answer. */
+  /**
+   * Returns the pause before the next attempt if the previous one could not start because a request
+   * had no response.
+   */
   long beforeRetryMicros() {
-    return RETRY_MICROS + random.nextInt(ATTEMPT_JITTER_MICROS);
+    return RETRY_MICROS + random.nextInt(RETRY_JITTER_MICROS);
   }
 
-  /** Before standing for a leadership that has become free: longer after each lost election. */
-  long beforeCandidacyMicros() {
-    return lostElections * PER_LOST_ELECTION_MICROS + random.nextInt(CANDIDACY_JITTER_MICROS);
+  /**
+   * Returns the pause before an attempt after leadership has become vacant; it grows with each lost
+   * election.
+   */
+  long beforeAttemptMicros() {
+    return lostElections * BACKOFF_PER_LOST_ELECTION_MICROS + random.nextInt(ATTEMPT_JITTER_MICROS);
   }
 
   void electionLost() {
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -13,13 +13,16 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.HttpStatus;
 
-/** The links between controllers: each tells the others its status, over HTTP with Kryo bodies. */
+/**
+ * The links between controllers. Each controller sends its status to the others, over HTTP with
+ * Kryo bodies.
+ */
 public final class Peers {
   private static final String PATH = "/peer";
-  private static final long INTERVAL_MICROS = 1_000_000;
+  private static final long SEND_INTERVAL_MICROS = 1_000_000;
   private static final long TIMEOUT_MICROS = 2_000_000;
 
-  private record HeardStatus(PeerStatus status, long receivedMicros) {}
+  private record ReceivedStatus(PeerStatus status, long receivedMicros) {}
 
   private final Loop loop;
   private final Caller caller;
@@ -27,13 +30,13 @@
   private final Supplier<PeerStatus> ownStatus;
   private final Consumer<PeerStatus> listener;
   private final PeerStatus.Codec codec = new PeerStatus.Codec();
-  private final Map<String, HeardStatus> heardByLabel = new HashMap<>();
+  private final Map<String, ReceivedStatus> receivedByLabel = new HashMap<>();
 
   /**
-   * Exchanges status with the platform's other controllers.
+   * Creates the links to the other controllers of the platform.
    *
-   * @param ownStatus what the others are told
-   * @param listener takes each status that another controller sends
+   * @param ownStatus provides the status that is sent
+   * @param listener receives each status that another controller sends
    */
   public Peers(
       Loop loop,
@@ -48,20 +51,20 @@
     this.listener = listener;
   }
 
-  /** Tells the others at a fixed interval. */
+  /** Returns the task that sends the status at a fixed interval. */
   public RecurringTask recurringTask() {
-    return new RecurringTask("peers", loop, this::sendStatus);
+    return new RecurringTask("peer status", loop, this::sendStatus);
   }
 
   private long sendStatus() {
     byte[] body = codec.write(ownStatus.get());
-    for (PlatformConfiguration.PeerController seed : platform.peers()) {
-      caller.call(seed.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
+    for (PlatformConfiguration.PeerController peer : platform.peers()) {
+      caller.call(peer.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
     }
-    return INTERVAL_MICROS;
+    return SEND_INTERVAL_MICROS;
   }
 
-  /** Takes a request on the peers' listener. */
+  /** Handles a request on the listener for peers. */
   public void handle(String method, String path, byte[] body, Responder out) {
     if (!path.equals(PATH) || !method.equals("POST")) {
       out.error(HttpStatus.NOT_FOUND, "no such path");
@@ -72,7 +75,7 @@
       out.error(HttpStatus.BAD_REQUEST, "not a peer's status");
       return;
     }
-    heardByLabel.put(status.get().label(), new HeardStatus(status.get(), loop.nowMicros()));
+    receivedByLabel.put(status.get().label(), new ReceivedStatus(status.get(), loop.nowMicros()));
     listener.accept(status.get());
     out.send(HttpStatus.OK, "{}");
   }
@@ -86,15 +89,15 @@
   }
 
   private boolean isOfPeer(PeerStatus status) {
-    return platform.peers().stream().anyMatch(seed -> seed.label().equals(status.label()));
+    return platform.peers().stream().anyMatch(peer -> peer.label().equals(status.label()));
   }
 
-  /** The last status of each controller that was heard of in so many microseconds. */
-  public List<PeerStatus> heardWithin(long micros) {
-    long from = loop.nowMicros() - micros;
-    return heardByLabel.values().stream()
-        .filter(heard -> heard.receivedMicros() >= from)
-        .map(HeardStatus::status)
+  /** Returns the last status of each controller from which one was received within this time. */
+  public List<PeerStatus> receivedWithin(long micros) {
+    long oldestMicros = loop.nowMicros() - micros;
+    return receivedByLabel.values().stream()
+        .filter(received -> received.receivedMicros() >= oldestMicros)
+        .map(ReceivedStatus::status)
         .toList();
   }
 }
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -11,14 +11,16 @@
 import plumlever.wire.JobState;
 
 /**
- * What the state service says of jobs that depend on others. Their records never change until they
- * end, so they are read once, with those that they name, directly and through others; from then on
- * one question for what has ended since the last one, begun after the users asked, answers all of
- * them. Nothing depends on who leads, nor on a version's knowing of dependencies.
+ * Caches the records of jobs that have dependencies. The record of a job does not change until the
+ * job ends, so each record is read once, together with its direct and transitive dependencies.
+ *
+ * <p>After that, a single request for the jobs that ended since the previous request answers all
+ * pending lookups. That request is sent after the lookups were requested. The results depend
+ * neither on which controller leads nor on whether the leader's version supports dependencies.
  */
 final class DependencyRecordCache {
-  /** What follows for a job from the records, as of a moment after it was asked about. */
-  enum Answer {
+  /** The state of a job as derived from the records; at least as recent as the lookup. */
+  enum Resolution {
     WAITING,
     RELEASED,
     CANCELLED,
@@ -26,156 +28,162 @@
     UNAVAILABLE
   }
 
-  private record Question(String uid, int attemptsLeft, Consumer<Answer> handler) {}
+  private record Lookup(String uid, int attemptsLeft, Consumer<Resolution> handler) {}
 
-  /** Beyond this many the graph is begun anew; jobs are read again as they are asked about. */
+  /** When the graph has more jobs than this, it is discarded; jobs are read again on demand. */
   private static final int MAX_JOBS = 50_000;
 
-  /** In place of the revision up to which ends are in the graph, before there is one. */
-  private static final long UNKNOWN = -1;
+  /** Value of {@link #storeRevision} before the first read. */
+  private static final long UNKNOWN_REVISION = -1;
 
   private final StateClient store;
   private final JobFinder finder;
-  private final KnownJobs knownJobs;
+  private final JobStateCache jobStates;
   private final RateLimitRetry retry;
-  private final QuestionBatch<Question> questions;
+  private final LookupBatch<Lookup> pendingLookups;
 
   private DependencyGraph graph = new DependencyGraph();
 
-  /** Jobs that are in the graph with all that they depend on, directly or through others. */
-  private Set<String> complete = new HashSet<>();
+  /** Jobs that are in the graph together with all direct and transitive dependencies. */
+  private Set<String> completeJobs = new HashSet<>();
 
-  /** Ends up to this revision are in the graph. */
-  private long storeRevision = UNKNOWN;
+  /** The graph contains all ends of jobs up to this revision. */
+  private long storeRevision = UNKNOWN_REVISION;
 
   /**
-   * @param knownJobs told of each end that is read
+   * @param jobStates receives the final state of each ended job that is read
    */
-  DependencyRecordCache(Loop loop, StateClient store, JobFinder finder, KnownJobs knownJobs) {
+  DependencyRecordCache(Loop loop, StateClient store, JobFinder finder, JobStateCache jobStates) {
     this.store = store;
     this.finder = finder;
-    this.knownJobs = knownJobs;
+    this.jobStates = jobStates;
     this.retry = new RateLimitRetry(loop);
-    this.questions = new QuestionBatch<>(loop, () -> Integer.MAX_VALUE, this::answerAll);
+    this.pendingLookups = new LookupBatch<>(loop, () -> Integer.MAX_VALUE, this::resolveAll);
   }
 
-  /** The dependency whose cancellation cancelled this job, if one did. */
+  /** Returns the dependency whose cancellation cancelled this job, if there is one. */
   Optional<String> failedDependencyOf(String uid) {
     return graph.failedDependencyOf(uid);
   }
 
   /**
-   * The revision of a job's record that is in the graph with all that it depends on; 0 for any
-   * other.
+   * Returns the revision of the record if the graph holds the job and all of its dependencies,
+   * otherwise 0.
    */
   long revision(String uid) {
-    return complete.contains(uid) ? graph.revision(uid) : 0;
+    return completeJobs.contains(uid) ? graph.revision(uid) : 0;
   }
 
-  /** The job was accepted here a moment ago: its own record need not be read. */
+  /** Adds a job that this controller has just accepted, so that its record need not be read. */
   void jobAccepted(String uid, long revision, List<String> dependencies) {
     if (storeRevision >= 0) {
       graph.addJob(uid, revision, dependencies);
-      discardNews();
+      discardGraphEvents();
     }
   }
 
-  /** An end that this controller knows of. */
+  /** Records the end of a job that this controller learned of from another source. */
   void jobEnded(String uid, JobState finalState) {
     addEnd(uid, finalState, 0);
-    discardNews();
+    discardGraphEvents();
   }
 
   private void addEnd(String uid, JobState finalState, long endedWallMicros) {
     graph.recordEnd(uid, finalState, endedWallMicros);
-    complete.remove(uid);
+    completeJobs.remove(uid);
   }
 
-  /** The graph's news are for a leader, who acts on them; here jobs are asked about one by one. */
-  private void discardNews() {
+  /**
+   * Discards the lists of released and cancelled jobs. Only a leader acts on them; this cache only
+   * looks up single jobs.
+   */
+  private void discardGraphEvents() {
     graph.drainReleased();
     graph.drainCancelled();
   }
 
-  /** Finds out what follows for a job that depends, or depended, on others. */
-  void ask(String uid, Consumer<Answer> handler) {
-    questions.add(new Question(uid, RateLimitRetry.MAX_ATTEMPTS, handler));
+  /** Determines the state of a job that has, or had, dependencies. */
+  void lookUp(String uid, Consumer<Resolution> handler) {
+    pendingLookups.add(new Lookup(uid, RateLimitRetry.MAX_ATTEMPTS, handler));
   }
 
-  private void answerAll(List<Question> asked) {
+  private void resolveAll(List<Lookup> batch) {
     if (graph.size() > MAX_JOBS) {
       reset();
     }
     if (storeRevision >= 0) {
-      readMissing(asked);
+      readMissing(batch);
       return;
     }
-    // Where to begin: whatever ends after this revision is told by the watch, whatever did before
-    // by the records.
+    // The revision at which observation starts. Jobs that end after this revision are reported by
+    // the watch; for jobs that ended before, the ended records are read.
     store.storeRevision(
         now -> {
           if (now.isEmpty()) {
-            failAll(asked);
+            failAll(batch);
           } else {
             storeRevision = storeRevision < 0 ? now.getAsLong() : storeRevision;
-            readMissing(asked);
+            readMissing(batch);
           }
         });
   }
 
-  /** Reads what is missing of the dependency chains asked about, step by step away from them. */
-  private void readMissing(List<Question> asked) {
+  /**
+   * Reads the requested jobs and their dependencies that are not in the graph yet, then the new
+   * ends.
+   */
+  private void readMissing(List<Lookup> batch) {
     Set<String> incomplete = new LinkedHashSet<>();
-    for (Question question : asked) {
-      if (!complete.contains(question.uid())) {
-        incomplete.add(question.uid());
+    for (Lookup lookup : batch) {
+      if (!completeJobs.contains(lookup.uid())) {
+        incomplete.add(lookup.uid());
       }
     }
-    DependencyGraph readInto = graph;
+    DependencyGraph targetGraph = graph;
     new DependencyReader(
             store,
             finder,
-            knownJobs,
-            readInto,
-            uid -> complete.contains(uid),
+            jobStates,
+            targetGraph,
+            uid -> completeJobs.contains(uid),
             allRead -> {
-              if (!allRead || readInto != graph) {
-                failAll(asked);
+              if (!allRead || targetGraph != graph) {
+                failAll(batch);
                 return;
               }
-              complete.addAll(incomplete);
-              readNewEnds(asked);
+              completeJobs.addAll(incomplete);
+              readNewEnds(batch);
             })
         .read(incomplete);
   }
 
-  /** All that ended since the last question, as of now. */
-  private void readNewEnds(List<Question> asked) {
-    DependencyGraph readInto = graph;
+  /** Requests all ends of jobs since the previous request, then completes the lookups. */
+  private void readNewEnds(List<Lookup> batch) {
+    DependencyGraph targetGraph = graph;
     store.watch(
         RecordKeys.ENDED,
         storeRevision,
         0,
         changes -> {
-          if (readInto != graph) {
-            failAll(asked);
+          if (targetGraph != graph) {
+            failAll(batch);
           } else if (changes.expired()) {
             reset();
-            asked.forEach(
-                question ->
-                    retry.retryOr(
-                        question.attemptsLeft(), () -> askAgain(question), () -> fail(question)));
+            batch.forEach(
+                lookup ->
+                    retry.retryOrFail(
+                        lookup.attemptsLeft(), () -> requeue(lookup), () -> fail(lookup)));
           } else if (!changes.answered()) {
-            asked.forEach(
-                question ->
-                    retry.retryOr(
+            batch.forEach(
+                lookup ->
+                    retry.retryOrFail(
                         changes.status(),
-                        question.attemptsLeft(),
-                        () -> askAgain(question),
-                        () -> fail(question)));
+                        lookup.attemptsLeft(),
+                        () -> requeue(lookup),
+                        () -> fail(lookup)));
           } else {
             addEnds(changes);
-            asked.forEach(question -> question.handler().accept(answerTo(question)));
+            batch.forEach(lookup -> lookup.handler().accept(resolutionOf(lookup)));
           }
         });
   }
@@ -186,44 +194,44 @@
           change.deleted() ? Optional.empty() : EndedRecord.finalState(change.data());
       if (finalState.isPresent()) {
         String uid = RecordKeys.uidOfEnded(change.key());
-        // Also of jobs that are not in the graph: one that was read before it ended may be on its
-        // way into it.
-        knownJobs.jobEnded(uid, finalState.get());
+        // Ends of jobs that are not in the graph are recorded too: a pending read may have fetched
+        // the active record before the job ended and may add that job to the graph later.
+        jobStates.recordEnd(uid, finalState.get());
         addEnd(uid, finalState.get(), EndedRecord.endedWallMicros(change.data()));
       }
     }
     storeRevision = Math.max(storeRevision, changes.storeRevision());
-    discardNews();
+    discardGraphEvents();
   }
 
-  private Answer answerTo(Question question) {
-    if (knownJobs.finalState(question.uid()).isPresent()) {
-      return Answer.ENDED;
+  private Resolution resolutionOf(Lookup lookup) {
+    if (jobStates.finalState(lookup.uid()).isPresent()) {
+      return Resolution.ENDED;
     }
-    return switch (graph.stateOf(question.uid())) {
-      case WAITING -> Answer.WAITING;
-      case RELEASED -> Answer.RELEASED;
-      case CANCELLED -> Answer.CANCELLED;
-      case DONE -> Answer.ENDED;
-      case UNKNOWN -> Answer.UNAVAILABLE;
+    return switch (graph.stateOf(lookup.uid())) {
+      case WAITING -> Resolution.WAITING;
+      case RELEASED -> Resolution.RELEASED;
+      case CANCELLED -> Resolution.CANCELLED;
+      case DONE -> Resolution.ENDED;
+      case UNKNOWN -> Resolution.UNAVAILABLE;
     };
   }
 
-  private void askAgain(Question question) {
-    questions.add(new Question(question.uid(), question.attemptsLeft() - 1, question.handler()));
+  private void requeue(Lookup lookup) {
+    pendingLookups.add(new Lookup(lookup.uid(), lookup.attemptsLeft() - 1, lookup.handler()));
   }
 
-  private static void fail(Question question) {
-    question.handler().accept(Answer.UNAVAILABLE);
+  private static void fail(Lookup lookup) {
+    lookup.handler().accept(Resolution.UNAVAILABLE);
   }
 
-  private static void failAll(List<Question> asked) {
-    asked.forEach(DependencyRecordCache::fail);
+  private static void failAll(List<Lookup> batch) {
+    batch.forEach(DependencyRecordCache::fail);
   }
 
   private void reset() {
     graph = new DependencyGraph();
-    complete = new HashSet<>();
-    storeRevision = UNKNOWN;
+    completeJobs = new HashSet<>();
+    storeRevision = UNKNOWN_REVISION;
   }
 }
--- a/src/test/java/plumlever/election/HeldTermTest.java
+++ b/src/test/java/plumlever/election/HeldTermTest.java
@@ -19,7 +19,7 @@
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.StateClient;
 
-/** When a controller stops leading. */
+/** The conditions under which a controller stops leading. */
 final class HeldTermTest {
   private static final long STALL_MICROS = 11_000_000;
 
@@ -46,7 +46,8 @@
         new StateClient(
             loop, stateService, new Endpoint("state", 1), limits, new Metrics(Logs.SERVICE));
     LeadershipRecords records =
-        new LeadershipRecords(NOPLogger.NOP_LOGGER, loop, new Candidate("n0", "life"), false);
+        new LeadershipRecords(
+            NOPLogger.NOP_LOGGER, loop, new Candidate("n0", "incarnation"), false);
     return new HeldTerm(
         NOPLogger.NOP_LOGGER,
         new ElectionContext(loop, store, parameters, records),
@@ -73,7 +74,7 @@
 
   private static final class Observer implements HeldTerm.Observer {
     @Override
-    public void candidacyPaused(long pauseMicros) {}
+    public void attemptsPaused(long pauseMicros) {}
 
     @Override
     public void termEnded() {}
@@ -86,7 +87,7 @@
   }
 
   @Test
-  void leadsOnWhileTheLeaseIsRenewed() {
+  void keepsLeadingWhileTheLeaseIsRenewed() {
     Term term = begin();
 
     loop.advance(10 * parameters.leaseTtlMicros());
@@ -107,7 +108,7 @@
   }
 
   @Test
-  void mayNotActAnyMoreBeforeTheLeaseEndsWhereRenewalsHaveNoAnswer() {
+  void stopsActingBeforeTheLeaseEndsWhenRenewalsAreUnanswered() {
     Term term = begin();
     renewalStatus = 0;
 
@@ -118,7 +119,7 @@
   }
 
   @Test
-  void givesUpItsLeaseWhenTheControllersLoopHasStalled() {
+  void revokesTheLeaseWhenTheControllerLoopHasStalled() {
     begin();
     controllerLoopRuns = false;
 
@@ -129,10 +130,10 @@
   }
 
   @Test
-  void aTermThatIsNotHeldIsNotGivenUp() {
+  void resigningATermThatIsNotHeldHasNoEffect() {
     Term term = begin();
 
-    heldTerm.giveUp(new Term(loop, 2, 10, 8), "an earlier one", 0);
+    heldTerm.resign(new Term(loop, 2, 10, 8), "test: term is not held", 0);
 
     assertEquals(Optional.of(term), heldTerm.current());
     assertEquals(List.of(), revoked);
--- a/src/test/java/plumlever/store/RequestBudgetTest.java
+++ b/src/test/java/plumlever/store/RequestBudgetTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.settings.PlatformConfiguration;
 
-/** A controller takes its part of the state service's limits, and no more. */
+/** A controller uses only its share of the state service's limits. */
 final class RequestBudgetTest {
   private static final int REQUESTS_PER_S = 100;
   private static final int WRITES_PER_S = 20;
@@ -15,38 +15,39 @@
       new RequestBudget(
           new PlatformConfiguration.StateLimits(REQUESTS_PER_S, WRITES_PER_S, 4096, 8), 0);
 
-  /** How many of a thousand ordinary requests at one time are admitted. */
+  /** Returns how many of 1,000 ordinary requests sent at the same time are admitted. */
   private int admitted(int operations, long nowMicros) {
     int admitted = 0;
     for (int i = 0; i < 1_000; i++) {
       admitted +=
-          budget.admits(StateClient.RequestPriority.ORDINARY, operations, nowMicros) ? 1 : 0;
+          budget.tryAdmit(StateClient.RequestPriority.ORDINARY, operations, nowMicros) ? 1 : 0;
     }
     return admitted;
   }
 
   @Test
-  void admitsHalfOfAllRequests() {
+  void admitsHalfOfTheRequestLimit() {
     assertEquals(REQUESTS_PER_S / 2, admitted(0, 0));
   }
 
   @Test
-  void admitsHalfOfAllWrites() {
+  void admitsHalfOfTheWriteLimit() {
     assertEquals(WRITES_PER_S / 2, admitted(1, 0));
   }
 
   @Test
-  void admitsMoreWritesOfALeader() {
+  void admitsMoreWritesForALeader() {
     budget.setLeading(true, 0);
     assertEquals(14, admitted(1, 1_000_000));
   }
 
   @Test
-  void admitsUrgentRequestsWhateverTheRateAndChargesThem() {
+  void alwaysAdmitsAndChargesUrgentRequests() {
     assertEquals(REQUESTS_PER_S / 2, admitted(0, 0));
     for (int i = 0; i < REQUESTS_PER_S / 2; i++) {
-      assertTrue(budget.admits(StateClient.RequestPriority.URGENT, 0, 0));
+      assertTrue(budget.tryAdmit(StateClient.RequestPriority.URGENT, 0, 0));
     }
-    assertEquals(0, admitted(0, 1_000_000), "a second only pays for the urgent ones");
+    assertEquals(
+        0, admitted(0, 1_000_000), "the refill of one second only repays the urgent requests");
   }
 }
--- a/src/test/java/plumlever/store/WriteLimitsTest.java
+++ b/src/test/java/plumlever/store/WriteLimitsTest.java
@@ -8,7 +8,10 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.Json;
 
-/** Limits that fall without notice are learnt from refusals. */
+/**
+ * The limits are lowered after refused writes, because the state service may lower its limits
+ * without notice.
+ */
 final class WriteLimitsTest {
   private static final int VALUE_BYTES = 16384;
   private static final int OPERATIONS = 12;
@@ -30,34 +33,37 @@
   }
 
   @Test
-  void aRefusedLargeValueMakesValuesSmaller() {
-    limits.refused(oneLargeValue());
+  void aRefusedLargeValueLowersTheValueLimit() {
+    limits.lowerAfterRefusal(oneLargeValue());
     assertTrue(
         limits.maxValueBytes() < 9_000 && limits.maxValueBytes() >= 4_000,
-        "" + limits.maxValueBytes());
-    assertEquals(OPERATIONS, limits.maxOperations(), "one change is not too many");
+        "maximum value bytes: " + limits.maxValueBytes());
+    assertEquals(
+        OPERATIONS,
+        limits.maxOperations(),
+        "a transaction of one operation does not lower the operation limit");
   }
 
   @Test
-  void manyRefusedOperationsMakeTransactionsSmaller() {
-    limits.refused(tenDeletes());
+  void manyRefusedOperationsLowerTheOperationLimit() {
+    limits.lowerAfterRefusal(tenDeletes());
     assertEquals(5, limits.maxOperations());
   }
 
   @Test
-  void refusalsMakeNothingSmallerThanTheLeastThatIsOfUse() {
+  void refusalsDoNotLowerLimitsBelowTheMinimum() {
     for (int i = 0; i < 21; i++) {
-      limits.refused(oneLargeValue());
-      limits.refused(tenDeletes());
+      limits.lowerAfterRefusal(oneLargeValue());
+      limits.lowerAfterRefusal(tenDeletes());
     }
     assertTrue(
         limits.maxValueBytes() >= WriteLimits.MIN_VALUE_BYTES
             && limits.maxOperations() >= WriteLimits.MIN_OPERATIONS);
   }
 
-  /** A lease that has ended tells nothing of sizes. */
+  /** A refused transaction with a lease does not lower the limits: the lease may have ended. */
   @Test
-  void onlyTransactionsWithALeaseAreAttachedToOne() {
+  void onlyPutsWithALeaseAttachTheTransactionToOne() {
     assertTrue(new Transaction().put("a", Json.object(), 7).isAttachedToLease());
     assertFalse(oneLargeValue().isAttachedToLease());
   }
