--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -5,9 +5,10 @@
 import plumlever.wire.TaskName;
 
 /**
- * One attempt to run a task on a machine. It ends only by proof, see {@link Fleet#endAttempt}.
+ * An attempt to run a task on a machine. An attempt only ends when there is proof that it does not
+ * run any more, see {@link Fleet#endAttempt}.
  *
- * <p>Times are in microseconds on this controller's steady clock.
+ * <p>Times are in microseconds of this controller's monotonic clock.
  */
 public final class Attempt {
   private final Job job;
@@ -19,7 +20,7 @@
   private final long directCommandToken;
   private final long sentMicros;
 
-  /** As last reported; null before the first report. */
+  /** The last reported state; null before the first report. */
   private AttemptState state;
 
   private long runningSinceMicros = -1;
@@ -29,7 +30,7 @@
   private double gracePeriodS;
   private long stopRequestedMicros;
 
-  /** An attempt in the machine's present worker incarnation. */
+  /** Creates an attempt in the current worker incarnation of the machine. */
   Attempt(Job job, int task, long id, Machine machine, AttemptOrigin origin, long sentMicros) {
     this.job = job;
     this.task = task;
@@ -41,72 +42,79 @@
     this.sentMicros = sentMicros;
   }
 
-  /** The job whose task it runs. */
   public Job job() {
     return job;
   }
 
-  /** The number of the task within its job. */
+  /** Index of the task within its job. */
   public int task() {
     return task;
   }
 
-  /** The name of the task. */
   public TaskName name() {
     return new TaskName(job.uid(), task);
   }
 
-  /** Its number, which is unique over all terms. */
+  /** The attempt number, unique across all terms. */
   public long id() {
     return id;
   }
 
-  /** The machine that it was started on. */
+  /** The machine on which the attempt was started. */
   public Machine machine() {
     return machine;
   }
 
-  /** The worker incarnation that it was started in. */
+  /** The worker incarnation in which the attempt was started. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** Number of the heartbeat whose answer started it, -1 for any other attempt. */
+  /**
+   * Sequence number of the heartbeat whose response started the attempt, or -1 if the attempt was
+   * started in another way.
+   */
   public long answeredSequenceNumber() {
     return answeredSequenceNumber;
   }
 
-  /** Token of the direct command that started it, -1 for any other attempt. */
+  /**
+   * Fencing token of the direct command that started the attempt, or -1 if the attempt was started
+   * in another way.
+   */
   public long directCommandToken() {
     return directCommandToken;
   }
 
-  /** True for an attempt of an earlier term that its machine reported. */
+  /** True for an attempt of an earlier term that its machine reported to this leader. */
   public boolean adopted() {
     return answeredSequenceNumber == AttemptOrigin.NONE && directCommandToken == AttemptOrigin.NONE;
   }
 
-  /** When it was started, or first reported where an earlier leader started it. */
+  /**
+   * When this leader sent the start command. For an adopted attempt, when the attempt was first
+   * reported to this leader.
+   */
   public long sentMicros() {
     return sentMicros;
   }
 
-  /** True once a report has shown it. */
+  /** True once a report has listed the attempt. */
   public boolean reported() {
     return state != null;
   }
 
-  /** True if it was running when it was last reported. */
+  /** True if the last report shows the attempt as running. */
   public boolean running() {
     return state == AttemptState.RUNNING;
   }
 
-  /** When it was first reported as running, or -1. */
+  /** When the attempt was first reported as running, or -1. */
   public long runningSinceMicros() {
     return runningSinceMicros;
   }
 
-  /** A report shows the attempt in this state. */
+  /** Records the state that a report shows for the attempt. */
   public void recordState(AttemptState reported, long nowMicros) {
     if (reported == AttemptState.RUNNING && runningSinceMicros < 0) {
       runningSinceMicros = nowMicros;
@@ -116,7 +124,7 @@
     state = reported;
   }
 
-  /** True while it was started by a direct command and no report has shown it. */
+  /** True for a live attempt that a direct command started and no report has listed yet. */
   boolean unconfirmed() {
     return directCommandToken != AttemptOrigin.NONE && !reported() && !over;
   }
@@ -127,17 +135,17 @@
     }
   }
 
-  /** True when it surely runs no more. */
+  /** True once the attempt is proven not to run any more. */
   public boolean over() {
     return over;
   }
 
-  /** Why it ended, as reported; null while it runs, or if it ended without a report. */
+  /** The reported cause of the end; null if the attempt has not ended or ended without a report. */
   public ExitCause exitCause() {
     return exitCause;
   }
 
-  /** The attempt is surely over; see {@link Fleet#endAttempt}. */
+  /** Marks the attempt as ended; see {@link Fleet#endAttempt}. */
   void end(ExitCause cause) {
     confirmStart();
     if (!over) {
@@ -147,19 +155,19 @@
     exitCause = cause;
   }
 
-  /** True once it has been told to stop. */
+  /** True once a stop of the attempt has been requested. */
   public boolean stopping() {
     return stopping;
   }
 
-  /** How long it may save its work before it is ended. */
+  /** Seconds that the task may use to save its work before the worker terminates it. */
   public double gracePeriodS() {
     return gracePeriodS;
   }
 
   /**
-   * From now on every answer to its machine says stop, until it is reported as ended. A repeated
-   * request can only shorten the grace period.
+   * Requests a stop of the attempt. Every response to the machine contains the stop command until
+   * the machine reports the attempt as ended. A repeated request can only shorten the grace period.
    */
   public void requestStop(double maxGracePeriodS, long nowMicros) {
     if (stopping) {
@@ -171,7 +179,7 @@
     gracePeriodS = maxGracePeriodS;
   }
 
-  /** When it was first told to stop. */
+  /** When the stop was first requested. */
   public long stopRequestedMicros() {
     return stopRequestedMicros;
   }
--- a/src/main/java/plumlever/fleet/AttemptNumbers.java
+++ b/src/main/java/plumlever/fleet/AttemptNumbers.java
@@ -1,13 +1,13 @@
 package plumlever.fleet;
 
 /**
- * Issues the numbers of a term's attempts. They are unique over all terms without being stored: the
- * term is in the high bits, a counter in the low ones.
+ * Issues the attempt numbers of a term. The high bits hold the term and the low bits a counter, so
+ * the numbers are unique across terms without being stored.
  */
 final class AttemptNumbers {
   private static final int TERM_SHIFT = 24;
 
-  /** Numbers left when a term has to end: more than are issued in a second. */
+  /** Numbers left when a term has to end: more than the leader issues per second. */
   private static final long RESERVE = 1 << 16;
 
   private static final long MAX_COUNTER = (1L << TERM_SHIFT) - RESERVE;
@@ -19,9 +19,7 @@
     this(term, 0);
   }
 
-  /**
-   * @param issued how many numbers of the term count as issued
-   */
+  /** @param issued how many numbers of the term have already been issued */
   AttemptNumbers(long term, long issued) {
     this.term = term;
     this.counter = issued;
@@ -32,7 +30,7 @@
     return (term << TERM_SHIFT) | counter;
   }
 
-  /** True if the numbers are near those of the next term. */
+  /** True if few numbers of the term are left. */
   boolean nearlyExhausted() {
     return counter >= MAX_COUNTER;
   }
--- a/src/main/java/plumlever/fleet/AttemptOrigin.java
+++ b/src/main/java/plumlever/fleet/AttemptOrigin.java
@@ -1,16 +1,18 @@
 package plumlever.fleet;
 
 /**
- * How an attempt came to be on its machine.
+ * How an attempt was started on its machine.
  *
- * @param answeredSequenceNumber of the heartbeat whose answer started it, or {@link #NONE}
- * @param directCommandToken of the direct command that started it, or {@link #NONE}
+ * @param answeredSequenceNumber sequence number of the heartbeat whose response started the
+ *     attempt, or {@link #NONE}
+ * @param directCommandToken fencing token of the direct command that started the attempt, or {@link
+ *     #NONE}
  */
 record AttemptOrigin(long answeredSequenceNumber, long directCommandToken) {
-  /** Stands for a number or token of an origin that has none. */
+  /** Placeholder for a missing sequence number or token. */
   static final long NONE = -1;
 
-  /** An attempt of an earlier term, which its machine reported. */
+  /** The origin of an attempt of an earlier term that its machine reported. */
   static final AttemptOrigin REPORTED = new AttemptOrigin(NONE, NONE);
 
   static AttemptOrigin answerTo(long sequenceNumber) {
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -11,28 +11,30 @@
 import plumlever.wire.JobState;
 
 /**
- * The directed acyclic graph of jobs that depend on others, and what follows from how those end.
- * Pure: it is told what the stored records say and derives what that means, for the controllers
- * that answer users and for the leader alike.
+ * The directed acyclic graph of jobs and their dependencies. The graph derives which jobs are
+ * released, which are cancelled, and which effective goal each job has. The class does no I/O:
+ * callers pass in the stored records. Both the leader and the controllers that serve users use it.
  *
- * <p>A job is released when all of its dependencies are stored as done, and cancelled as soon as a
- * direct or transitive dependency is stored as cancelled, unless it has ended itself. Where only a
- * dependent has a deadline or a high priority, its dependencies inherit their part of that ({@link
- * EffectiveGoal}). Records never change and a job names only such as were accepted before it, so
- * there are no cycles. Each operation costs what it changes and does not recurse.
+ * <p>A job is released when all of its dependencies are stored as done. A job that has not ended is
+ * cancelled as soon as a direct or transitive dependency is stored as cancelled. Dependencies
+ * inherit the deadline and the priority of their dependents ({@link EffectiveGoal}).
+ *
+ * <p>Records are immutable, and a job can only name dependencies that were accepted before it, so
+ * the graph has no cycles. The cost of an operation is proportional to the number of jobs that the
+ * operation changes. No operation recurses, so a long chain of jobs can't overflow the stack.
  */
 public final class DependencyGraph {
-  /** What follows for a job from the records read so far. */
+  /** The state of a job, derived from the records read so far. */
   public enum State {
-    /** No record of it has been read. */
+    /** No record of the job has been read. */
     UNKNOWN,
-    /** Some dependency has not ended, as far as is known. */
+    /** Some dependency is not known to have ended. */
     WAITING,
     /** All dependencies are done. */
     RELEASED,
-    /** It or a dependency is cancelled. */
+    /** The job or one of its dependencies is cancelled. */
     CANCELLED,
-    /** It has completed. */
+    /** The job has completed. */
     DONE
   }
 
@@ -42,10 +44,11 @@
   private final GoalPropagation goals = new GoalPropagation();
 
   /**
-   * The record of a job that has not ended; repeated calls change nothing.
+   * Adds a job that has not ended. Idempotent.
    *
-   * @param revision of the record
-   * @return the dependencies of which nothing was known: their records are to be read and told too
+   * @param revision revision of the job's record
+   * @return the dependencies that the graph does not know; the caller has to read their records and
+   *     add them
    */
   public List<String> addJob(String uid, long revision, Collection<String> dependencies) {
     JobVertex vertex = vertices.computeIfAbsent(uid, JobVertex::new);
@@ -78,10 +81,10 @@
   }
 
   /**
-   * The stored end of a job, whether or not anything is known of it.
+   * Records the stored end of a job. Has no effect on a job that the graph does not hold.
    *
-   * @param how a final state
-   * @param endedMicros when it ended
+   * @param how the final state
+   * @param endedMicros when the job ended
    */
   public void recordEnd(String uid, JobState how, long endedMicros) {
     JobVertex vertex = vertices.get(uid);
@@ -94,7 +97,8 @@
     } else if (!vertex.isCancelled()) {
       cancel(vertex, uid);
     }
-    // An ended job has no further effect; if a later job names it, its record is read again.
+    // The vertex of an ended job is not needed any more. If a later job depends on the ended job,
+    // the record is read again.
     vertices.remove(uid, vertex);
   }
 
@@ -106,7 +110,9 @@
     }
   }
 
-  /** Cancels the job and all that depend on it; each is visited once. */
+  /**
+   * Cancels the job and all jobs that depend on it, directly or transitively. Visits each job once.
+   */
   private void cancel(JobVertex first, String failedDependency) {
     first.markCancelled(failedDependency);
     List<JobVertex> affected = new ArrayList<>();
@@ -124,30 +130,33 @@
     }
   }
 
-  /** What follows for the job from the records read so far. */
+  /** The state of the job, derived from the records read so far. */
   public State stateOf(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex == null ? State.UNKNOWN : vertex.state();
   }
 
-  /** The revision of its record; 0 where nothing is known of it. */
+  /** The revision of the job's record; 0 if the graph does not hold the job. */
   public long revision(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex == null ? 0 : vertex.revision();
   }
 
-  /** The job whose cancellation cancelled this one, if it is cancelled. */
+  /**
+   * The job whose cancellation caused the cancellation of this job; empty if this job is not
+   * cancelled.
+   */
   public Optional<String> failedDependencyOf(String uid) {
     return Optional.ofNullable(vertices.get(uid)).map(JobVertex::failedDependency);
   }
 
-  /** When the last of its dependencies ended; 0 if that is not known or there is none. */
+  /** When the last dependency of the job ended; 0 if unknown or if the job has no dependencies. */
   public long releasedMicros(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex == null ? 0 : vertex.releasedMicros();
   }
 
-  /** Its dependencies that are not done, for the log. */
+  /** The dependencies of the job that are not done, for log lines. */
   public List<String> openDependencies(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex == null
@@ -158,19 +167,22 @@
             .toList();
   }
 
-  /** True if some job that is not over depends on it. */
+  /** True if some job that has not ended depends on this job. */
   public boolean hasLiveDependents(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex != null
         && vertex.dependents().stream().anyMatch(dependent -> !dependent.isOver());
   }
 
-  /** The jobs released since the last call. */
+  /** Returns and clears the jobs released since the last call. */
   public List<String> drainReleased() {
     return drain(released);
   }
 
-  /** The jobs cancelled since the last call, those with a record of their own among them. */
+  /**
+   * Returns and clears the jobs cancelled since the last call, including those that have a
+   * cancellation record of their own.
+   */
   public List<String> drainCancelled() {
     return drain(cancelled);
   }
@@ -181,15 +193,15 @@
     return drained;
   }
 
-  /** How many jobs the graph holds. */
+  /** The number of jobs in the graph. */
   public int size() {
     return vertices.size();
   }
 
   /**
-   * Sets what the job itself asks for; without effect on a job that the graph does not hold.
+   * Sets the job's own goal. Has no effect on a job that the graph does not hold.
    *
-   * @param durationMicros what it takes once it is released
+   * @param durationMicros estimated duration of the job after its release
    */
   public void setGoal(String uid, EffectiveGoal ownGoal, long durationMicros) {
     JobVertex vertex = vertices.get(uid);
@@ -203,9 +215,9 @@
   }
 
   /**
-   * Replaces the durations of all jobs that have a goal and are not over.
+   * Replaces the estimated durations of all jobs that have a goal and have not ended.
    *
-   * @param durationMicros by job id
+   * @param durationMicros estimated duration by job id
    */
   public void updateDurations(ToLongFunction<String> durationMicros) {
     for (JobVertex vertex : vertices.values()) {
@@ -220,15 +232,18 @@
   }
 
   /**
-   * Derives the effective goals that changes since the last call affect.
+   * Recomputes the effective goals that are affected by changes since the last call.
    *
-   * @param changed takes each job whose effective goal has changed
+   * @param changed receives the id of each job whose effective goal has changed
    */
   public void propagateGoals(Consumer<String> changed) {
     goals.propagate(changed);
   }
 
-  /** Its goal with its dependents considered; null before {@link #propagateGoals}. */
+  /**
+   * The job's goal combined with the goals of its dependents; null before the first {@link
+   * #propagateGoals}.
+   */
   public EffectiveGoal effectiveGoal(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex == null ? null : vertex.effectiveGoal();
--- a/src/main/java/plumlever/fleet/EffectiveGoal.java
+++ b/src/main/java/plumlever/fleet/EffectiveGoal.java
@@ -3,15 +3,16 @@
 import plumlever.wire.Priority;
 
 /**
- * The deadline and priority by which a job is scheduled: its own, or what a dependent leaves it.
+ * The deadline and the priority by which a job is scheduled: the job's own, or those inherited from
+ * a dependent.
  *
- * @param submittedMicros when the job with the deadline was submitted
- * @param deadlineMicros its deadline, counted from then on; Long.MAX_VALUE for none
- * @param jobClass its class, whose service-level objectives say by how much the deadline may be
- *     missed
+ * @param submittedMicros when the job that has the deadline was submitted
+ * @param deadlineMicros the deadline, relative to the submission; Long.MAX_VALUE for none
+ * @param jobClass class of the job that has the deadline; the service-level objectives of the class
+ *     define by how much the deadline may be missed
  * @param downstreamPathMicros duration of the longest path of dependents up to and including the
- *     job with the deadline; 0 where it is the job's own
- * @param priority the most urgent of the job and its dependents
+ *     job that has the deadline; 0 if the deadline is the job's own
+ * @param priority the highest priority of the job and its dependents
  */
 public record EffectiveGoal(
     long submittedMicros,
@@ -19,7 +20,7 @@
     String jobClass,
     long downstreamPathMicros,
     Priority priority) {
-  /** By when this job has to end; Long.MAX_VALUE where no deadline applies. */
+  /** The time by which this job has to end; Long.MAX_VALUE if no deadline applies. */
   public long latestEndMicros() {
     return hasDeadline() ? submittedMicros + deadlineMicros - downstreamPathMicros : Long.MAX_VALUE;
   }
@@ -28,7 +29,11 @@
     return deadlineMicros != Long.MAX_VALUE;
   }
 
-  /** What this goal of a job that takes so long leaves its dependencies. */
+  /**
+   * The goal that the dependencies of this job inherit.
+   *
+   * @param durationMicros estimated duration of this job
+   */
   EffectiveGoal forDependency(long durationMicros) {
     return new EffectiveGoal(
         submittedMicros,
@@ -38,7 +43,7 @@
         priority);
   }
 
-  /** The earlier deadline and the more urgent priority of the two. */
+  /** Combines the earlier deadline and the higher priority of the two goals. */
   EffectiveGoal strictest(EffectiveGoal other) {
     EffectiveGoal sooner = other.latestEndMicros() < latestEndMicros() ? other : this;
     Priority moreUrgent = other.priority.compareTo(priority) < 0 ? other.priority : priority;
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -7,19 +7,20 @@
 import plumlever.wire.ExitCause;
 import plumlever.wire.JobSpec;
 
-/** All machines and attempts of a term, with the resources that each team's attempts use. */
+/**
+ * All machines and attempts that the leader of one term knows, and the resources that the attempts
+ * of each team use.
+ */
 public final class Fleet {
-  /** Resources that a team's attempts use. */
+  /** The resources that the attempts of a team use. */
   public static final class TeamUsage {
     private double cores;
     private double accelerators;
 
-    /** Processor cores in use. */
     public double cores() {
       return cores;
     }
 
-    /** Accelerators in use. */
     public double accelerators() {
       return accelerators;
     }
@@ -37,14 +38,14 @@
 
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** Machines of other shards that may hold tasks of this one. */
+  /** Machines of other shards that may run tasks of this shard. */
   private final Map<String, Machine> transferred = new LinkedHashMap<>();
 
   private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
   private final long term;
   private final AttemptNumbers attemptNumbers;
 
-  /** The fleet of a term that has started nothing yet. */
+  /** Creates the fleet of a new term, without machines or attempts. */
   public Fleet(long term) {
     this(term, new AttemptNumbers(term));
   }
@@ -54,46 +55,47 @@
     this.attemptNumbers = attemptNumbers;
   }
 
-  /** The machines of this shard. */
+  /** The machines that belong to this shard. */
   public Collection<Machine> machines() {
     return machines.values();
   }
 
-  /** The machine of this shard with that name, or null. */
+  /** The machine of this shard with this id, or null. */
   public Machine machine(String id) {
     return machines.get(id);
   }
 
-  /** The machine belongs to this shard from now on. */
+  /** Adds a machine that belongs to this shard. */
   public void add(Machine machine) {
     machine.tokens().startTerm(Math.max(term, machine.tokens().term()));
     machines.put(machine.id(), machine);
   }
 
-  /** The lowest fencing token of a term: a leader may raise it for each machine as it needs. */
+  /** The lowest fencing token of a term. A leader raises the token of each machine separately. */
   public static long firstToken(long term) {
     return FencingTokens.firstOf(term);
   }
 
-  /** The term, or the number of a machine's transfer, that a fencing token belongs to. */
+  /** The term, or the number of the machine's transfer, to which a fencing token belongs. */
   public static long termOf(long token) {
     return FencingTokens.termOf(token);
   }
 
-  /** The machine of another shard with that name if it may hold tasks of this one, or null. */
+  /** The machine of another shard with this id if it may run tasks of this shard, or null. */
   public Machine transferredMachine(String id) {
     return transferred.get(id);
   }
 
-  /** All machines of other shards that may hold tasks of this one. */
+  /** The machines of other shards that may run tasks of this shard. */
   public Collection<Machine> transferredMachines() {
     return transferred.values();
   }
 
   /**
-   * The machine belongs to another shard from now on, and may hold tasks of this one.
+   * Moves the machine to another shard. Tasks of this shard may still run on the machine.
    *
-   * @param number of its transfer, whose tokens are higher than any used here
+   * @param number number of the transfer, whose tokens are higher than any token that this shard
+   *     has issued for the machine
    */
   public void transferOut(Machine machine, long number) {
     machines.remove(machine.id(), machine);
@@ -102,18 +104,19 @@
   }
 
   /**
-   * No task of this shard is on the other shard's machine any more, or it belongs to this shard.
+   * Removes a machine of another shard that has no more tasks of this shard, or that has been
+   * transferred back to this shard.
    */
   public void removeTransferred(Machine machine) {
     transferred.remove(machine.id(), machine);
   }
 
-  /** The machine is gone, or another object takes its place. */
+  /** Removes a machine that is gone or that is replaced by another object. */
   public void remove(Machine machine) {
     machines.remove(machine.id(), machine);
   }
 
-  /** Starts an attempt, which from now on may run on the machine. */
+  /** Starts an attempt. From now on the attempt may run on the machine. */
   public Attempt startAttempt(
       Job job, int task, Machine machine, StartChannel channel, long nowMicros) {
     AttemptOrigin origin =
@@ -124,25 +127,28 @@
     return register(new Attempt(job, task, attemptNumbers.next(), machine, origin, nowMicros));
   }
 
-  /** Takes in an attempt of an earlier term that its machine reports. */
+  /** Adopts an attempt of an earlier term that the machine reports. */
   public Attempt adoptAttempt(Job job, int task, long id, Machine machine, long nowMicros) {
     return register(new Attempt(job, task, id, machine, AttemptOrigin.REPORTED, nowMicros));
   }
 
   /**
-   * True when attempt numbers come near those of the next term: with thousands of machines, a term
-   * that lasts for days gets there.
+   * True when the attempt numbers come close to those of the next term, which happens when a term
+   * lasts for days with thousands of machines.
    */
   public boolean attemptNumbersRunOut() {
     return attemptNumbers.nearlyExhausted();
   }
 
-  /** The same of the tokens of one machine, which are raised with each direct command. */
+  /**
+   * True when the machine's fencing tokens come close to those of the next term. Each direct
+   * command raises the token.
+   */
   public boolean tokensRunOut(Machine machine) {
     return machine.tokens().nearlyExhausted();
   }
 
-  /** True for the number of an attempt that a leader of an earlier term started. */
+  /** True if a leader of an earlier term issued this attempt number. */
   public boolean isOfEarlierTerm(long attemptId) {
     return attemptNumbers.isOfEarlierTerm(attemptId);
   }
@@ -156,11 +162,12 @@
   }
 
   /**
-   * The attempt is surely over: reported as ended, missing from a heartbeat that would list it, of
-   * a worker incarnation that has ended, or on a machine that was deleted. Its resources and its
-   * part of the quota are free from now on. Repeated calls change nothing.
+   * Ends an attempt that is proven not to run any more, and frees its resources and its share of
+   * the team's quota. Idempotent. The proof is one of the following: the machine reported the
+   * attempt as ended; a heartbeat that would list the attempt does not list it; the worker
+   * incarnation of the attempt has ended; the machine was deleted.
    *
-   * @param cause as reported, or null without a report
+   * @param cause the reported cause, or null without a report
    */
   public void endAttempt(Attempt attempt, ExitCause cause) {
     if (attempt.over()) {
@@ -172,13 +179,16 @@
     usage(spec.team()).subtract(spec);
   }
 
-  /** The attempt is over, and its machine does not list it any more. */
+  /** Removes an attempt that has ended and that its machine no longer lists. */
   public void removeAttempt(Attempt attempt) {
     endAttempt(attempt, attempt.exitCause());
     attempt.machine().load().remove(attempt);
   }
 
-  /** What the team's attempts use, kept up to date. */
+  /**
+   * The resources that the attempts of the team use. The returned object is updated as attempts
+   * start and end.
+   */
   public TeamUsage usage(String team) {
     return usageByTeam.computeIfAbsent(team, name -> new TeamUsage());
   }
--- a/src/main/java/plumlever/fleet/ForeignLoad.java
+++ b/src/main/java/plumlever/fleet/ForeignLoad.java
@@ -1,14 +1,15 @@
 package plumlever.fleet;
 
 /**
- * What tasks of other shards hold of a machine. This shard neither starts nor ends them.
+ * The resources that foreign tasks (tasks of other shards) use on a machine. This shard neither
+ * starts nor stops foreign tasks.
  *
- * @param tasks how many may be on it
- * @param cores of all of them together
- * @param accelerators of all of them together
- * @param memoryGb of all of them together
+ * @param tasks maximum number of foreign tasks on the machine
+ * @param cores total cores of all foreign tasks
+ * @param accelerators total accelerators of all foreign tasks
+ * @param memoryGb total memory of all foreign tasks in GB
  */
 public record ForeignLoad(int tasks, double cores, double accelerators, double memoryGb) {
-  /** No task. */
+  /** No foreign tasks. */
   public static final ForeignLoad NONE = new ForeignLoad(0, 0, 0, 0);
 }
--- a/src/main/java/plumlever/fleet/GoalPropagation.java
+++ b/src/main/java/plumlever/fleet/GoalPropagation.java
@@ -5,36 +5,41 @@
 import java.util.function.Consumer;
 
 /**
- * Derives the effective goals of jobs from those of their dependents. A change costs what it
- * affects: only jobs that were marked stale are derived again.
+ * Computes the effective goals of jobs from the goals of their dependents. Only jobs that are
+ * marked stale are recomputed, so the cost of a change is proportional to the number of affected
+ * jobs.
  */
 final class GoalPropagation {
-  /** Latest record first, so that a job comes after all of its dependents. */
+  /**
+   * Jobs to recompute, highest record revision first, so that a job is processed after all of its
+   * dependents.
+   */
   private final PriorityQueue<JobVertex> stale =
       new PriorityQueue<>(Comparator.comparingLong(JobVertex::revision).reversed());
 
-  /** The vertex's effective goal is to be derived again. */
+  /** Marks the vertex's effective goal for recomputation. */
   void markStale(JobVertex vertex) {
     if (vertex.ownGoal() != null && !vertex.isOver()) {
       stale.add(vertex);
     }
   }
 
-  /** The effective goals of all dependencies of the vertex are to be derived again. */
+  /** Marks the effective goals of all dependencies of the vertex for recomputation. */
   void markDependenciesStale(JobVertex vertex) {
     vertex.dependencies().forEach(this::markStale);
   }
 
   /**
-   * Derives all stale goals, each once.
+   * Recomputes all stale goals, each once.
    *
-   * @param changed takes each job whose effective goal has changed
+   * @param changed receives the id of each job whose effective goal has changed
    */
   void propagate(Consumer<String> changed) {
     JobVertex previous = null;
     while (!stale.isEmpty()) {
       JobVertex vertex = stale.poll();
-      // A vertex that was marked several times comes several times in a row.
+      // The queue returns the duplicates of a vertex that was marked several times one after the
+      // other.
       if (vertex == previous || vertex.isOver()) {
         continue;
       }
--- a/src/main/java/plumlever/fleet/HeartbeatSource.java
+++ b/src/main/java/plumlever/fleet/HeartbeatSource.java
@@ -1,13 +1,13 @@
 package plumlever.fleet;
 
-/** How a machine's account of itself came. */
+/** The message in which a machine's report arrived. */
 public enum HeartbeatSource {
-  /** The worker sent it by itself and waits for the answer. */
+  /** A heartbeat that the worker sent on its own; the worker waits for the response. */
   WORKER,
 
   /**
-   * It is the body of the reply to a direct call, which proves nothing about an answer that is on
-   * its way to the worker.
+   * The body of the reply to a direct call. It shows nothing about a response that is still on its
+   * way to the worker.
    */
   DIRECT_REPLY
 }
--- a/src/main/java/plumlever/fleet/ImageCache.java
+++ b/src/main/java/plumlever/fleet/ImageCache.java
@@ -5,37 +5,40 @@
 import plumlever.wire.MachineType;
 
 /**
- * The images that a machine has or is fetching, as far as that follows from the tasks that were
- * started on it. Like the machine's own cache it evicts the least recently used image first.
+ * The images that a machine has or is fetching, inferred from the tasks that were started on the
+ * machine. As in the machine's own cache, the least recently used image is evicted first.
  */
 public final class ImageCache {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** A fetch that takes longer counts as given up. */
+  /** A fetch that takes longer is assumed to have been aborted. */
   private static final long MAX_FETCH_MICROS = 300_000_000;
 
-  /** At least this part of a running fetch is expected to remain, since its rate is not known. */
+  /**
+   * The remaining time of a running fetch is at least the full fetch time divided by this number,
+   * because the actual rate of the fetch is not known.
+   */
   private static final int MIN_REMAINING_DIVISOR = 10;
 
   private static final int INITIAL_CAPACITY = 8;
   private static final float LOAD_FACTOR = 0.75f;
 
-  /** By name, the least recently used first. */
+  /** Images by name in access order, least recently used first. */
   private final LinkedHashMap<String, Image> images =
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
   /**
-   * How long a task that needs the image would wait for it, as far as is known.
+   * The estimated time for which a task would have to wait for the image.
    *
    * @param gb size of the image
-   * @param type of the machine
+   * @param type type of the machine
    */
   public long fetchMicros(String name, double gb, MachineType type, long nowMicros) {
     Image image = images.get(name);
     if (image != null && image.ready || type.fetchGbPerS() <= 0) {
       return 0;
     }
-    // Fetches at the same time may share the rate.
+    // Concurrent fetches may share the fetch rate.
     long wholeMicros =
         (long) (gb / type.fetchGbPerS() * MICROS_PER_SECOND) * (1 + otherFetches(name, nowMicros));
     return image == null
@@ -58,11 +61,11 @@
   }
 
   /**
-   * A task that needs the image is started on the machine, which fetches the image if it has not
-   * got it.
+   * Records the start of a task that needs the image. The machine fetches the image if it does not
+   * have it.
    *
    * @param gb size of the image
-   * @param type of the machine
+   * @param type type of the machine
    */
   public void recordUse(String name, double gb, MachineType type, long nowMicros) {
     if (images.get(name) == null) {
@@ -87,7 +90,7 @@
     }
   }
 
-  /** A task that needs the image runs, so the machine has it. */
+  /** Records that a task that needs the image is running, so the machine has the image. */
   public void markReady(String name, double gb) {
     Image image = images.get(name);
     if (image == null) {
@@ -109,7 +112,7 @@
     return ready;
   }
 
-  /** The machine gives up a fetch, since no task waits for the image any more. */
+  /** Records that the machine aborts the fetch because no task is waiting for the image. */
   public void cancelFetch(String name) {
     Image image = images.get(name);
     if (image != null && !image.ready) {
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -7,10 +7,12 @@
 import plumlever.wire.Priority;
 
 /**
- * An accepted job that has not ended, and what is known of its tasks. Until its registration is
- * stored none of its tasks is started, so that a later leader knows which jobs may be on a machine.
+ * An accepted job that has not ended, and the state of its tasks.
  *
- * <p>Times are in microseconds on this controller's steady clock.
+ * <p>No task of the job is started before the job's registration is stored, so that a later leader
+ * can determine which jobs may have tasks on a machine.
+ *
+ * <p>Times are in microseconds of this controller's monotonic clock.
  */
 public final class Job extends Registrable {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -27,18 +29,17 @@
 
   private final boolean inherited;
 
-  /** Tasks that completed. */
   private final BitSet completedTasks = new BitSet();
 
-  /** The part of {@link #completedTasks} that the state service holds. */
+  /** The subset of {@link #completedTasks} that is stored in the state service. */
   private final BitSet storedTasks = new BitSet();
 
-  /** Tasks that are neither completed nor possibly on a machine. */
+  /** Tasks that have not completed and have no live attempt. */
   private final BitSet pending = new BitSet();
 
   private final Int2ObjectHashMap<Attempt> liveAttempts = new Int2ObjectHashMap<>();
 
-  /** Tasks that ran before and are not completed. */
+  /** Tasks that ran before and have not completed. */
   private final BitSet restarted = new BitSet();
 
   private final RetryBackoff backoff = new RetryBackoff();
@@ -50,10 +51,10 @@
   private int ratioCount;
 
   /**
-   * A job of which no task has run, as far as is known.
+   * Creates a job without any known attempt.
    *
-   * @param revision of the record that accepted it
-   * @param inherited true if an earlier leader may have started its tasks
+   * @param revision revision of the record that accepted the job
+   * @param inherited true if an earlier leader may have started tasks of the job
    */
   public Job(JobSpec spec, long revision, long acceptedMicros, boolean inherited) {
     this.spec = spec;
@@ -71,133 +72,145 @@
     pending.set(0, spec.taskCount());
   }
 
-  /** The job as its user submitted it. */
+  /** The job as submitted by the user. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** The id that its user gave it. */
+  /** The job id chosen by the user. */
   public String uid() {
     return spec.uid();
   }
 
-  /** Revision of the record that accepted it; its end is guarded by it. */
+  /**
+   * Revision of the record that accepted the job. The transaction that ends the job is conditional
+   * on this revision.
+   */
   public long revision() {
     return revision;
   }
 
-  /** When it was accepted. */
   public long acceptedMicros() {
     return acceptedMicros;
   }
 
   /**
-   * True while some dependency is not done: none of its tasks may start, and it is no demand for
-   * machines yet.
+   * True while some dependency is not done. Until then no task of the job may start, and the job
+   * does not count as demand for machines.
    */
   public boolean waitsForDependencies() {
     return waitsForDependencies;
   }
 
-  /** Some dependency is not done. */
+  /** Marks the job as waiting for a dependency that is not done. */
   public void blockOnDependencies() {
     waitsForDependencies = true;
   }
 
   /**
-   * True once another controller has said that it is cancelled, which may be before it is known
-   * here from the records.
+   * True once another controller has confirmed the cancellation of the job, possibly before this
+   * controller has read the cancellation from the records.
    */
   public boolean cancellationConfirmed() {
     return cancellationConfirmed;
   }
 
-  /** Another controller says that it is cancelled; final. */
+  /** Records that another controller has confirmed the cancellation. A cancellation is final. */
   public void confirmCancellation() {
     cancellationConfirmed = true;
   }
 
   /**
-   * All dependencies are done.
+   * Releases the job because all of its dependencies are done.
    *
-   * @param endedMicros when the last of them ended
+   * @param endedMicros when the last dependency ended
    */
   public void release(long endedMicros) {
     waitsForDependencies = false;
     releasedMicros = Math.max(acceptedMicros, endedMicros);
   }
 
-  /** From when its waiting counts: when it was accepted, or released where it has dependencies. */
+  /**
+   * Start of the job's waiting time: the release time if the job has dependencies, otherwise the
+   * time of acceptance.
+   */
   public long releasedMicros() {
     return releasedMicros;
   }
 
-  /** Its own deadline and priority, or the stricter ones that its dependents leave it. */
+  /**
+   * The job's own deadline and priority, or the stricter ones that it inherits from its dependents.
+   */
   public EffectiveGoal goal() {
     return goal;
   }
 
-  /** Replaces the goal, since that of a dependent has changed. */
+  /** Replaces the effective goal after the goal of a dependent has changed. */
   public void setGoal(EffectiveGoal newGoal) {
     goal = newGoal;
   }
 
-  /** Its own, or that of a more urgent dependent. */
+  /** The higher of the job's own priority and the priorities of its dependents. */
   public Priority priority() {
     return goal.priority();
   }
 
-  /** True if it or a dependent has a deadline. */
+  /** True if the job or one of its dependents has a deadline. */
   public boolean hasDeadline() {
     return goal.deadlineMicros() != Long.MAX_VALUE;
   }
 
   /**
-   * By when it has to be done, by its own deadline or that of a dependent; Long.MAX_VALUE where
-   * there is none.
+   * The time by which the job has to complete, from its own deadline or from that of a dependent;
+   * Long.MAX_VALUE if neither has a deadline.
    */
   public long deadlineMicros() {
     return goal.latestEndMicros();
   }
 
-  /** True if an earlier leader may have started its tasks on machines not yet accounted for. */
+  /**
+   * True if an earlier leader may have started tasks of the job on machines that are not accounted
+   * for yet.
+   */
   public boolean inherited() {
     return inherited;
   }
 
-  /** The tasks that completed; a view that is not to be changed. */
+  /** The completed tasks, as a live view that callers must not modify. */
   public BitSet completedTasks() {
     return completedTasks;
   }
 
-  /** Completed tasks that the state service holds; whoever stores or reads progress adds to it. */
+  /**
+   * The completed tasks that the state service holds. Code that stores or reads progress records
+   * adds to this set.
+   */
   public BitSet storedTasks() {
     return storedTasks;
   }
 
-  /** How many tasks completed. */
   public int completedCount() {
     return completedCount;
   }
 
-  /** True once all tasks completed. */
+  /** True once all tasks have completed. */
   public boolean complete() {
     return completedCount == spec.taskCount();
   }
 
-  /** How many tasks are neither completed nor possibly on a machine. */
+  /** The number of tasks that have not completed and have no live attempt. */
   public int pendingCount() {
     return pending.cardinality();
   }
 
-  /** True if some task is neither completed nor possibly on a machine. */
+  /** True if some task has not completed and has no live attempt. */
   public boolean hasPending() {
     return !pending.isEmpty();
   }
 
   /**
-   * The pending task to start next, or -1: one that never ran if there is one, since objectives for
-   * starts count the first start of each task.
+   * The pending task to start next, or -1 if no task is pending. Tasks that never ran come first,
+   * because the start-time objectives count the first start of each task.
    */
   public int nextPendingTask() {
     for (int task = pending.nextSetBit(0); task >= 0; task = pending.nextSetBit(task + 1)) {
@@ -208,38 +221,38 @@
     return pending.nextSetBit(0);
   }
 
-  /** True if some pending task never ran. */
+  /** True if some pending task has never run. */
   public boolean hasNeverStartedTask() {
     int task = nextPendingTask();
     return task >= 0 && !restarted.get(task);
   }
 
-  /** The attempts that are not over. */
+  /** The attempts that have not ended. */
   public Iterable<Attempt> liveAttempts() {
     return liveAttempts.values();
   }
 
-  /** How many attempts are not over. */
+  /** The number of attempts that have not ended. */
   public int liveAttemptCount() {
     return liveAttempts.size();
   }
 
-  /** The task's attempt that is not over, or null. */
+  /** The task's attempt that has not ended, or null. */
   public Attempt liveAttempt(int task) {
     return liveAttempts.get(task);
   }
 
-  /** True once the job is done, cancelled or dropped: none of its tasks may start any more. */
+  /** True once the job is done, cancelled or dropped. No task of the job may start after that. */
   public boolean over() {
     return over;
   }
 
-  /** The job is done, cancelled or dropped. */
+  /** Marks the job as done, cancelled or dropped. */
   public void markOver() {
     over = true;
   }
 
-  /** The task has completed; repeated calls change nothing. */
+  /** Marks the task as completed. Idempotent. */
   public void markCompleted(int task) {
     if (task < spec.taskCount() && !completedTasks.get(task)) {
       completedTasks.set(task);
@@ -248,23 +261,26 @@
     }
   }
 
-  /** True once any of its tasks was seen to run. */
+  /** True once a task of the job has been seen running. */
   public boolean hasStarted() {
     return hasStarted || completedCount > 0;
   }
 
-  /** One of its tasks was seen to run. */
+  /** Records that a task of the job has been seen running. */
   public void markStarted() {
     hasStarted = true;
   }
 
-  /** A task may be on a machine from now on. */
+  /** Adds a live attempt. From now on its task may be on a machine. */
   void addAttempt(Attempt attempt) {
     pending.clear(attempt.task());
     liveAttempts.put(attempt.task(), attempt);
   }
 
-  /** The attempt is surely over: its task is pending again unless it completed. */
+  /**
+   * Removes an attempt that has ended. Its task becomes pending again unless the task has
+   * completed.
+   */
   void removeAttempt(Attempt attempt) {
     int task = attempt.task();
     if (liveAttempts.get(task) != attempt) {
@@ -279,12 +295,18 @@
     }
   }
 
-  /** True if the task ran before: its next attempt says nothing of its whole run time. */
+  /**
+   * True if the task ran before. The run time of its next attempt is then not the run time of the
+   * whole task.
+   */
   public boolean restarted(int task) {
     return restarted.get(task);
   }
 
-  /** The zone that a one-zone job is bound to by its live tasks, if it is. */
+  /**
+   * The zone of the live tasks of a one-zone job. Empty for other jobs and for jobs without live
+   * tasks.
+   */
   public Optional<String> boundZone() {
     if (!spec.oneZone() || liveAttempts.isEmpty()) {
       return Optional.empty();
@@ -292,30 +314,30 @@
     return Optional.of(liveAttempts.values().iterator().next().machine().zone());
   }
 
-  /** An attempt failed for a reason that may lie in the job. */
+  /** Records a failed attempt whose cause may be the job itself. */
   public void recordError(long nowMicros) {
     backoff.recordError(nowMicros);
   }
 
-  /** A task completed, so earlier errors do not count any more. */
+  /** Records a completed task, which resets the count of earlier errors. */
   public void recordSuccess() {
     backoff.recordSuccess();
   }
 
-  /** After errors no attempt starts until then; 0 where none need wait. */
+  /** The earliest time at which the next attempt may start after errors; 0 if there is no delay. */
   public long retryNotBeforeMicros() {
     return backoff.retryNotBeforeMicros();
   }
 
-  /** A task ran this many times as long as its owner's estimate. */
+  /** Adds the ratio of a task's run time to the run time that the job's owner estimated. */
   public void observeRunTimeRatio(double ratio) {
     ratioSum += ratio;
     ratioCount++;
   }
 
   /**
-   * How many times as long as their owner's estimate its tasks run: the mean of those observed and
-   * one that stands for the job's class.
+   * The ratio of the actual run time of the job's tasks to the owner's estimate: the mean of the
+   * observed ratios and one sample for the ratio of the job class.
    */
   public double runTimeRatio(double classRatio) {
     return (ratioSum + classRatio) / (ratioCount + 1);
--- a/src/main/java/plumlever/fleet/JobVertex.java
+++ b/src/main/java/plumlever/fleet/JobVertex.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One job of a {@link DependencyGraph}, with the edges to its dependencies and dependents. */
+/** A job in a {@link DependencyGraph}, with the edges to its dependencies and dependents. */
 final class JobVertex {
   private final String uid;
   private final List<JobVertex> dependencies = new ArrayList<>();
@@ -51,27 +51,27 @@
     return state == DependencyGraph.State.CANCELLED;
   }
 
-  /** True once it is done or cancelled. */
+  /** True once the job is done or cancelled. */
   boolean isOver() {
     return isDone() || isCancelled();
   }
 
-  /** Revision of its record: a job has a later one than its dependencies. */
+  /** Revision of the job's record. A job always has a higher revision than its dependencies. */
   long revision() {
     return revision;
   }
 
-  /** The job whose cancellation cancelled this one, or null. */
+  /** The job whose cancellation caused the cancellation of this job, or null. */
   String failedDependency() {
     return failedDependency;
   }
 
-  /** When the last of its dependencies ended; 0 if that is not known or there is none. */
+  /** When the last dependency of this job ended; 0 if unknown or if the job has no dependencies. */
   long releasedMicros() {
     return releasedMicros;
   }
 
-  /** The record of the job, which has not ended, has been read. */
+  /** Records that the record of this job has been read and that the job has not ended. */
   void markAccepted(long recordRevision) {
     state = DependencyGraph.State.WAITING;
     revision = recordRevision;
@@ -87,7 +87,7 @@
     }
   }
 
-  /** True while some dependency is not done, as far as is known. */
+  /** True while some dependency is not known to be done. */
   boolean hasOpenDependencies() {
     return openDependencies > 0;
   }
@@ -106,9 +106,9 @@
   }
 
   /**
-   * A dependency that was open is done.
+   * Records that an open dependency is done.
    *
-   * @return true if no other is open
+   * @return true if no other dependency is open
    */
   boolean closeDependency(long endedMicros) {
     noteDependencyDone(endedMicros);
@@ -120,7 +120,7 @@
     releasedMicros = Math.max(releasedMicros, endedMicros);
   }
 
-  /** What the job itself asks for; null before it is set. */
+  /** The goal of the job itself, without its dependents; null until set. */
   EffectiveGoal ownGoal() {
     return ownGoal;
   }
@@ -129,7 +129,9 @@
     ownGoal = goal;
   }
 
-  /** Its own goal, or the stricter one that its dependents leave it; null before it is derived. */
+  /**
+   * The job's own goal, or the stricter goal inherited from its dependents; null until computed.
+   */
   EffectiveGoal effectiveGoal() {
     return effectiveGoal;
   }
@@ -138,7 +140,7 @@
     effectiveGoal = goal;
   }
 
-  /** What the job takes once it is released. */
+  /** Estimated duration of the job after its release. */
   long durationMicros() {
     return durationMicros;
   }
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -3,11 +3,12 @@
 import plumlever.wire.Heartbeat;
 
 /**
- * One machine as the leader knows it: what it is, how far it has got between rental and return, and
- * the parts that keep its tokens, contact, health and load. Until its registration is stored
- * nothing is started on it.
+ * A machine as the leader knows it: its type, its state between rental and return, and its fencing
+ * tokens, contact, health and load.
  *
- * <p>Times are in microseconds on this controller's steady clock.
+ * <p>Nothing is started on a machine before the machine's registration is stored.
+ *
+ * <p>Times are in microseconds of this controller's monotonic clock.
  */
 public final class Machine extends Registrable {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -34,10 +35,10 @@
   private long idleSinceMicros = -1;
 
   /**
-   * A machine that is known by name and has not reported yet.
+   * Creates a machine that is known by name and has not reported yet.
    *
-   * @param endpoint its address, or null while only its rental is known
-   * @param nowMicros since when it is known
+   * @param endpoint the machine's address, or null while only its rental is known
+   * @param nowMicros the time from which the machine is known
    */
   public Machine(
       String id, String endpoint, String machineType, String zone, boolean spot, long nowMicros) {
@@ -49,69 +50,67 @@
     this.knownSinceMicros = nowMicros;
   }
 
-  /** The name that the cloud gave it. */
+  /** The machine id assigned by the cloud. */
   public String id() {
     return id;
   }
 
-  /** Its address; null while only its rental is known. */
+  /** The machine's address; null while only its rental is known. */
   public String endpoint() {
     return endpoint;
   }
 
-  /** Takes the address unless one is known already. */
+  /** Sets the address unless it is already known. */
   public void learnEndpoint(String address) {
     if (endpoint == null) {
       endpoint = address;
     }
   }
 
-  /** The name of its type. */
+  /** The name of the machine type. */
   public String machineType() {
     return machineType;
   }
 
-  /** The zone that it is in. */
   public String zone() {
     return zone;
   }
 
-  /** True if the cloud may take it back at short notice. */
+  /** True for a spot machine, which the cloud may preempt at short notice. */
   public boolean spot() {
     return spot;
   }
 
-  /** When it was rented, or first heard of. */
+  /** When the machine was rented or first reported. */
   public long knownSinceMicros() {
     return knownSinceMicros;
   }
 
-  /** The fencing tokens that are given out for it. */
+  /** The fencing tokens issued for the machine. */
   public MachineTokens tokens() {
     return tokens;
   }
 
-  /** When the machine and this leader last heard of each other. */
+  /** The communication state between the machine and this leader. */
   public MachineContact contact() {
     return contact;
   }
 
-  /** How well it runs tasks. */
   public MachineHealth health() {
     return health;
   }
 
-  /** What may run on it. */
+  /** The attempts and foreign tasks that may run on the machine. */
   public MachineLoad load() {
     return load;
   }
 
-  /** Images that it should have or is fetching. */
+  /** The images that the machine is expected to have or to be fetching. */
   public ImageCache images() {
     return images;
   }
 
-  /** The machine has reported its state. */
+  /** Records a report of the machine's state. */
   public void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
     contact.recordReport(heartbeat, source, nowMicros);
     preemptedAtMicros =
@@ -120,85 +119,94 @@
             : -1;
   }
 
-  /** A heartbeat was answered so that its lease is renewed. */
+  /** Records a heartbeat response that renews the machine's lease. */
   public void recordRenewal(long nowMicros) {
     contact.recordRenewal(nowMicros);
     tokens.recordRenewal();
   }
 
-  /** True when everything an earlier leader may have started on it is known. */
+  /** True once all attempts that an earlier leader may have started on the machine are known. */
   public boolean accounted() {
     return accounted;
   }
 
-  /** Everything that an earlier leader may have started on it is known. */
+  /** Records that all attempts that an earlier leader may have started on the machine are known. */
   public void markAccounted() {
     accounted = true;
   }
 
-  /** Its owner has changed: what may run on it is unknown. */
+  /** Records a change of the owning shard, after which the tasks on the machine are unknown. */
   public void markUnaccounted() {
     accounted = false;
   }
 
-  /** When the cloud takes it back by its notice, or -1 without a notice. */
+  /**
+   * When the cloud preempts the machine according to its preemption notice, or -1 without a notice.
+   */
   public long preemptedAtMicros() {
     return preemptedAtMicros;
   }
 
-  /** True if nothing more is started on it, because it is faulty or about to be preempted. */
+  /**
+   * True if nothing more is started on the machine, because the machine is faulty or about to be
+   * preempted.
+   */
   public boolean draining() {
     return draining || preemptedAtMicros >= 0;
   }
 
-  /** Nothing more is started on it, since it is faulty. */
+  /** Drains a faulty machine: nothing more is started on it. */
   public void drain() {
     draining = true;
   }
 
-  /** True once it has been decided to return it to the cloud. */
+  /** True once the leader has decided to return the machine to the cloud. */
   public boolean returning() {
     return returning;
   }
 
-  /** Whether it has been decided to return it to the cloud. */
+  /** Sets whether the leader has decided to return the machine to the cloud. */
   public void setReturning(boolean returned) {
     returning = returned;
   }
 
-  /** True while it is being given to another shard: nothing is started on it. */
+  /**
+   * True while the machine is being transferred to another shard. Nothing is started on the machine
+   * during a transfer.
+   */
   public boolean transferring() {
     return transferring;
   }
 
-  /** Whether it is being given to another shard. */
+  /** Sets whether the machine is being transferred to another shard. */
   public void setTransferring(boolean transferred) {
     transferring = transferred;
   }
 
   /**
-   * The cloud lists the machine.
+   * Records that the cloud's machine list contains the machine.
    *
-   * @param asFailed true if as one that stopped by itself
+   * @param asFailed true if the list shows the machine as failed: it stopped without a return
+   *     request
    */
   public void recordListing(boolean asFailed) {
     failed |= asFailed;
   }
 
-  /** True if the cloud has listed it as one that stopped by itself. */
+  /** True if the cloud has ever listed the machine as failed. */
   public boolean failed() {
     return failed;
   }
 
-  /** Since when nothing has run on it, or -1 while something does. */
+  /** The time since which the machine has been idle, or -1 if the machine is in use. */
   public long idleSinceMicros() {
     return idleSinceMicros;
   }
 
   /**
-   * Nothing runs on it.
+   * Sets the start of the machine's idle time.
    *
-   * @param micros since when, or -1 if something runs
+   * @param micros the time since which the machine has been idle, or -1 if the machine is in use
    */
   public void setIdleSince(long micros) {
     idleSinceMicros = micros;
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -3,14 +3,16 @@
 import plumlever.wire.Heartbeat;
 
 /**
- * When a machine and this leader last heard of each other, and in which worker incarnation. Times
- * are in microseconds on this controller's steady clock; -1 stands for never in this term.
+ * The communication state between a machine and this leader: the times of the last messages in both
+ * directions, and the worker incarnation.
+ *
+ * <p>Times are in microseconds of this controller's monotonic clock; -1 means never in this term.
  */
 public final class MachineContact {
-  /** Answers in a row that did not arrive at a machine that counts as unreachable. */
+  /** Number of consecutive lost responses after which a machine counts as unreachable. */
   private static final int LOST_ANSWERS_OF_UNREACHABLE = 2;
 
-  /** Before any time, also after another time is added to or subtracted from it. */
+  /** A time before all others that does not overflow when a duration is added or subtracted. */
   private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 4;
 
   private long incarnation;
@@ -25,30 +27,30 @@
   private int consecutiveLostAnswers;
   private boolean unreachable;
 
-  /** The worker's incarnation by its newest report; 0 before the first. */
+  /** The worker incarnation in the newest report; 0 before the first report. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** Another leader knows the machine in this incarnation. */
+  /** Raises the incarnation to the one that another leader has reported for the machine. */
   public void raiseIncarnation(long known) {
     incarnation = Math.max(incarnation, known);
   }
 
-  /** Sequence number of the newest report in this incarnation. */
+  /** Sequence number of the newest report in the current incarnation. */
   public long sequenceNumber() {
     return sequenceNumber;
   }
 
   /**
-   * Sequence number of the last heartbeat that it sent itself; answers to direct calls may have
-   * larger ones.
+   * Sequence number of the last heartbeat that the worker sent on its own. Replies to direct calls
+   * may have higher sequence numbers.
    */
   public long ownSequenceNumber() {
     return ownSequenceNumber;
   }
 
-  /** The machine has reported its state. */
+  /** Records a report of the machine's state. */
   void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
     if (heartbeat.incarnation() > incarnation) {
       ownSequenceNumber = 0;
@@ -62,13 +64,16 @@
     }
   }
 
-  /** True unless a report as new or newer has been received. */
+  /** True if the report is newer than the last one received, or if none has been received. */
   public boolean isNewerThanLast(Heartbeat heartbeat) {
     boolean hasPrevious = incarnation > 0 || sequenceNumber > 0;
     return !hasPrevious || heartbeat.isNewerThan(incarnation, sequenceNumber);
   }
 
-  /** A heartbeat has arrived after the answer to a direct call that the machine sent later. */
+  /**
+   * Records a heartbeat that arrived after a reply to a direct call, although the machine sent the
+   * heartbeat first.
+   */
   public void recordOvertakenHeartbeat(long heartbeatSequenceNumber, long nowMicros) {
     ownSequenceNumber = heartbeatSequenceNumber;
     lastHeartbeatMicros = nowMicros;
@@ -80,64 +85,71 @@
     return lastHeartbeatMicros >= 0;
   }
 
-  /** When its last heartbeat arrived. */
+  /** When the last heartbeat arrived. */
   public long lastHeartbeatMicros() {
     return lastHeartbeatMicros;
   }
 
-  /** When its last report arrived, by a heartbeat or by the answer to a direct call. */
+  /** When the last report arrived, either as a heartbeat or as the reply to a direct call. */
   public long lastSeenMicros() {
     return lastSeenMicros;
   }
 
-  /** A heartbeat was answered so that its lease is renewed. */
+  /** Records a heartbeat response that renews the machine's lease. */
   void recordRenewal(long nowMicros) {
     lastRenewalMicros = nowMicros;
   }
 
-  /** When this controller last sent an answer that renews its lease. */
+  /** When this controller last sent a response that renews the machine's lease. */
   public long lastRenewalMicros() {
     return lastRenewalMicros;
   }
 
-  /** The latest time at which a former owner may have renewed its lease; long past if none did. */
+  /**
+   * The latest time at which a former owner of the machine may have renewed the machine's lease; a
+   * time in the distant past if no former owner may have renewed the lease.
+   */
   public long renewedElsewhereMicros() {
     return renewedElsewhereMicros;
   }
 
-  /** A former owner may have renewed its lease until then. */
+  /**
+   * Records that a former owner of the machine may have renewed the machine's lease up to this
+   * time.
+   */
   public void recordRenewalElsewhere(long untilMicros) {
     renewedElsewhereMicros = Math.max(renewedElsewhereMicros, untilMicros);
   }
 
-  /** True while a direct call to it is open. */
+  /** True while a direct call to the machine is in flight. */
   public boolean commandInFlight() {
     return commandInFlight;
   }
 
-  /** Whether a direct call to it is open. */
+  /** Sets whether a direct call to the machine is in flight. */
   public void setCommandInFlight(boolean inFlight) {
     commandInFlight = inFlight;
   }
 
   /**
-   * A direct call has ended.
+   * Records the end of a direct call.
    *
-   * @param answered false if it got no answer
+   * @param answered false if the call got no response
    */
   public void recordDirectCall(boolean answered) {
     consecutiveFailedCalls = answered ? 0 : consecutiveFailedCalls + 1;
   }
 
-  /** Direct calls in a row that got no answer. */
+  /** The number of consecutive direct calls without a response. */
   public int consecutiveFailedCalls() {
     return consecutiveFailedCalls;
   }
 
   /**
-   * A heartbeat shows neither a command nor a token that an earlier answer carried. After two such
-   * in a row the machine gets neither work nor lease renewals until it shows the token. Otherwise
-   * each answer would push back the time at which its lease has surely expired.
+   * Records a heartbeat that shows neither a command nor a token that an earlier response carried.
+   * After two consecutive heartbeats of this kind the machine counts as unreachable: it gets
+   * neither work nor lease renewals until a heartbeat shows the token. Otherwise each response
+   * would postpone the time at which the machine's lease is certain to have expired.
    */
   public void recordLostAnswer() {
     consecutiveLostAnswers++;
@@ -146,13 +158,16 @@
     }
   }
 
-  /** A heartbeat shows what the answers before it carried. */
+  /** Records a heartbeat that shows the content of the preceding responses. */
   public void recordDeliveredAnswer() {
     consecutiveLostAnswers = 0;
     unreachable = false;
   }
 
-  /** True while its heartbeats arrive although no answer or command seems to reach it. */
+  /**
+   * True while heartbeats of the machine arrive but neither responses nor commands seem to reach
+   * the machine.
+   */
   public boolean unreachable() {
     return unreachable;
   }
--- a/src/main/java/plumlever/fleet/MachineHealth.java
+++ b/src/main/java/plumlever/fleet/MachineHealth.java
@@ -1,17 +1,20 @@
 package plumlever.fleet;
 
-/** How well a machine runs tasks: its speed against its type, and whether it fails them. */
+/**
+ * The health of a machine: its speed relative to the nominal speed of its type, and its task
+ * failures.
+ */
 public final class MachineHealth {
-  /** A single run may be off by chance: ratios beyond these bounds count as the bound. */
+  /** Ratios are clamped to these bounds, because a single run may be an outlier. */
   private static final double MIN_RATIO = 0.5;
 
   private static final double MAX_RATIO = 6;
   private static final double MIN_SLOWNESS = 0.8;
 
-  /** Weight of the last run in the moving average. */
+  /** Weight of the latest run in the exponential moving average. */
   private static final double LAST_RUN_WEIGHT = 0.3;
 
-  /** A single job that fails may be at fault itself. */
+  /** Failures of a single job may be caused by the job itself. */
   private static final int FAILED_JOBS_OF_FAULTY = 2;
 
   private static final int ERRORS_OF_FAULTY = 3;
@@ -21,21 +24,24 @@
   private String lastErrorJob;
   private int failedJobs;
 
-  /** Moving average of the observed run time over the planned one; 1 for nominal speed. */
+  /**
+   * Exponential moving average of observed run time divided by planned run time; 1 at nominal
+   * speed.
+   */
   public double slowness() {
     return slowness;
   }
 
-  /** A task took this many times the planned run time. */
+  /** Adds the ratio of a task's observed run time to its planned run time. */
   public void observeRunTime(double ratio) {
     double bounded = Math.max(MIN_RATIO, Math.min(MAX_RATIO, ratio));
     slowness = Math.max(MIN_SLOWNESS, (1 - LAST_RUN_WEIGHT) * slowness + LAST_RUN_WEIGHT * bounded);
   }
 
   /**
-   * A task of the job failed on the machine.
+   * Records that a task of the job failed on the machine.
    *
-   * @return true if tasks of several jobs have failed on it, so that the machine is faulty
+   * @return true if the machine is faulty, because tasks of several jobs have failed on it
    */
   public boolean recordError(String job) {
     consecutiveErrors++;
@@ -46,7 +52,7 @@
     return failedJobs >= FAILED_JOBS_OF_FAULTY && consecutiveErrors >= ERRORS_OF_FAULTY;
   }
 
-  /** A task completed on it, so earlier errors do not count any more. */
+  /** Records a completed task, which resets the count of earlier errors. */
   public void recordSuccess() {
     consecutiveErrors = 0;
     failedJobs = 0;
--- a/src/main/java/plumlever/fleet/MachineLoad.java
+++ b/src/main/java/plumlever/fleet/MachineLoad.java
@@ -3,26 +3,25 @@
 import org.agrona.collections.Long2ObjectHashMap;
 
 /**
- * What may run on a machine: attempts of this shard's jobs, and tasks of other shards (foreign
- * tasks).
+ * The tasks that may run on a machine: attempts of this shard's jobs, and tasks of other shards
+ * (foreign tasks).
  */
 public final class MachineLoad {
   private final Long2ObjectHashMap<Attempt> attempts = new Long2ObjectHashMap<>();
 
-  /** Attempts that are not over. */
+  /** Number of attempts that have not ended. */
   private int liveAttempts;
 
-  /** Live attempts that a direct command started and no report has shown. */
+  /** Number of live attempts that a direct command started and no report has listed yet. */
   private int unconfirmedAttempts;
 
   private ForeignLoad foreignTasks = ForeignLoad.NONE;
 
-  /** Attempts that the machine may still list, over or not. */
+  /** The attempts that the machine may still list, including attempts that have ended. */
   public Iterable<Attempt> attempts() {
     return attempts.values();
   }
 
-  /** The attempt with this number, or null. */
   public Attempt attempt(long attemptId) {
     return attempts.get(attemptId);
   }
@@ -33,12 +32,11 @@
     unconfirmedAttempts += attempt.unconfirmed() ? 1 : 0;
   }
 
-  /** An attempt that a direct command started was reported, or it is over. */
+  /** Records that an attempt started by a direct command was reported or has ended. */
   void attemptConfirmed() {
     unconfirmedAttempts--;
   }
 
-  /** An attempt is over. */
   void attemptEnded() {
     liveAttempts--;
   }
@@ -47,32 +45,32 @@
     attempts.remove(attempt.id());
   }
 
-  /** True while a task may be on the machine, also one of another shard. */
+  /** True while a task of this shard or a foreign task may be on the machine. */
   public boolean mayRunTasks() {
     return liveAttempts > 0 || foreignTasks.tasks() > 0;
   }
 
-  /** How many tasks of this shard may be on it. */
+  /** The number of this shard's tasks that may be on the machine. */
   public int liveAttempts() {
     return liveAttempts;
   }
 
-  /** True if the machine lists no attempt, as far as is known. */
+  /** True if the machine is not expected to list any attempt. */
   public boolean hasNoAttempts() {
     return attempts.isEmpty();
   }
 
-  /** True while a direct command may have started an attempt that no report has shown. */
+  /** True while a direct command may have started an attempt that no report has listed yet. */
   public boolean hasUnconfirmedStart() {
     return unconfirmedAttempts > 0;
   }
 
-  /** What tasks of other shards hold of the machine. */
+  /** The resources that foreign tasks use on the machine. */
   public ForeignLoad foreignTasks() {
     return foreignTasks;
   }
 
-  /** Replaces what tasks of other shards hold of the machine. */
+  /** Replaces the resources that foreign tasks use on the machine. */
   public void setForeignTasks(ForeignLoad load) {
     foreignTasks = load;
   }
--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -1,9 +1,9 @@
 package plumlever.fleet;
 
 /**
- * The fencing tokens that are issued for one machine. A machine refuses every command and answer
- * with a token below the highest one that it has seen, so a raised token voids what was sent before
- * it.
+ * The fencing tokens issued for a machine. The machine rejects every command and response with a
+ * token lower than the highest one that it has seen, so a raised token invalidates all earlier
+ * messages.
  */
 public final class MachineTokens {
   private long current;
@@ -12,69 +12,74 @@
   private long lastCommand = -1;
   private long endsKnownAtLastCommandMicros;
 
-  /** The token that answers and commands to the machine carry. */
+  /** The token in responses and commands to the machine. */
   public long current() {
     return current;
   }
 
-  /** Raises the token to at least this one; it never decreases. */
+  /** Raises the token to at least this value. The token never decreases. */
   public void raise(long token) {
     current = Math.max(current, token);
   }
 
-  /** The term, or the number of the machine's transfer, that its tokens belong to. */
+  /** The term, or the number of the machine's transfer, to which the tokens belong. */
   public long term() {
     return term;
   }
 
-  /** From now on the tokens belong to this term or transfer, which is later than any before. */
+  /** Starts a new term or transfer, which has a higher number than all earlier ones. */
   public void startTerm(long number) {
     term = number;
     raise(FencingTokens.firstOf(number));
   }
 
-  /** True if this token is of the present term, so that this leader issued it. */
+  /** True if the token belongs to the current term, so that this leader issued it. */
   public boolean isOfSameTerm(long reportedToken) {
     return FencingTokens.termOf(reportedToken) == term;
   }
 
-  /** True if the tokens of the present term are nearly used up. */
+  /** True if few tokens of the current term are left. */
   boolean nearlyExhausted() {
     return FencingTokens.nearlyExhausted(current, term);
   }
 
   /**
-   * A direct command with the present token is sent; until the token is raised, a copy of it may be
-   * executed late. No other direct command is unanswered at that time.
+   * Records a direct command that carries the current token. A delayed copy of the command may be
+   * executed until the token is raised. At most one direct command is in flight at a time.
    *
-   * @param endsKnownMicros when the last read of ended jobs that has been answered was sent
+   * @param endsKnownMicros when the last successful read of ended jobs was sent
    */
   public void commandSent(long endsKnownMicros) {
     lastCommand = current;
     endsKnownAtLastCommandMicros = endsKnownMicros;
   }
 
-  /** The time that {@link #commandSent} was last given. */
+  /** The {@code endsKnownMicros} of the last {@link #commandSent}. */
   public long endsKnownAtLastCommandMicros() {
     return endsKnownAtLastCommandMicros;
   }
 
-  /** Raises the token so that, once it has arrived, no direct command sent before is executed. */
+  /**
+   * Raises the token above that of the last direct command. Once the new token has reached the
+   * machine, the machine executes no earlier direct command.
+   */
   public void voidDirectCommands() {
     raise(lastCommand + 1);
   }
 
-  /** True unless the token has been raised since the last direct command. */
+  /** True if a direct command has been sent and the token has not been raised since. */
   public boolean hasUnvoidedCommand() {
     return lastCommand >= current;
   }
 
-  /** An answer with the present token renews the machine's lease. */
+  /** Records that a response with the current token renews the machine's lease. */
   void recordRenewal() {
     lastRenewal = current;
   }
 
-  /** The token of the last answer that renewed its lease; 0 before the first. */
+  /**
+   * The token in the last response that renewed the machine's lease; 0 before the first renewal.
+   */
   public long lastRenewal() {
     return lastRenewal;
   }
--- a/src/main/java/plumlever/fleet/Registrable.java
+++ b/src/main/java/plumlever/fleet/Registrable.java
@@ -1,21 +1,20 @@
 package plumlever.fleet;
 
 /**
- * What has to be on record in the state service before anything is started on it or of it, so that
- * a later leader finds it there.
+ * A machine or a job that must be registered in the state service before any task is started on the
+ * machine or for the job, so that a later leader can find the record.
  */
 public abstract class Registrable {
   private RegistrationState registration = RegistrationState.NONE;
 
-  /** Only the package's own items can be registered. */
+  /** Package-private, so that only classes of this package can be registered. */
   Registrable() {}
 
-  /** How far the registration has got. */
+  /** The progress of the registration. */
   public final RegistrationState registration() {
     return registration;
   }
 
-  /** The registration has got this far. */
   public final void setRegistration(RegistrationState state) {
     registration = state;
   }
--- a/src/main/java/plumlever/fleet/RegistrationState.java
+++ b/src/main/java/plumlever/fleet/RegistrationState.java
@@ -1,14 +1,14 @@
 package plumlever.fleet;
 
 /**
- * Whether the state service lists a machine among those that may hold tasks, or a job among those
- * that may be on one.
+ * Whether the state service lists a machine among those that may run tasks, or a job among those
+ * whose tasks may be on a machine.
  */
 public enum RegistrationState {
-  /** No record names it, and none is being written. */
+  /** No record lists the machine or job, and no write is in progress. */
   NONE,
-  /** A record that names it is being written; the outcome is open. */
+  /** A record that lists the machine or job is being written; the outcome is not known yet. */
   WRITING,
-  /** A record that names it is known to be stored. */
+  /** A record that lists the machine or job is stored. */
   STORED
 }
--- a/src/main/java/plumlever/fleet/RetryBackoff.java
+++ b/src/main/java/plumlever/fleet/RetryBackoff.java
@@ -1,11 +1,12 @@
 package plumlever.fleet;
 
 /**
- * The pause after errors before a job's next attempt. A job submitted with a mistake fails on every
- * machine; growing pauses keep it from wearing the fleet out until its user cancels it.
+ * Exponential backoff before the next attempt of a job after errors. A job that is submitted with a
+ * mistake fails on every machine; the backoff keeps the job from occupying the fleet until its user
+ * cancels it.
  */
 final class RetryBackoff {
-  /** Errors in a row before the pauses grow. */
+  /** Consecutive errors up to which the delay does not grow. */
   private static final int ERRORS_WITH_FIRST_PAUSE = 2;
 
   private static final int MAX_DOUBLINGS = 6;
@@ -28,7 +29,7 @@
     retryNotBeforeMicros = 0;
   }
 
-  /** The next attempt has to wait until then; 0 where it need not wait. */
+  /** The earliest time at which the next attempt may start; 0 if there is no delay. */
   long retryNotBeforeMicros() {
     return retryNotBeforeMicros;
   }
--- a/src/main/java/plumlever/fleet/RunTimeEstimates.java
+++ b/src/main/java/plumlever/fleet/RunTimeEstimates.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * How many times as long as their owners' estimates tasks run, by job class, since the estimates of
- * a class tend to be off in the same direction.
+ * The ratio of actual to estimated task run time per job class. The owners' estimates for a class
+ * tend to be wrong in the same direction.
  */
 public final class RunTimeEstimates {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -13,12 +13,12 @@
   private static final double MAX_RATIO = 5;
   private static final long MIN_RUN_MICROS = 100_000;
 
-  /** Weight of the last run in the moving average. */
+  /** Weight of the latest run in the exponential moving average. */
   private static final double LAST_RUN_WEIGHT = 0.08;
 
   private final Map<String, Double> ratios = new HashMap<>();
 
-  /** A task of this class took this many times its owner's estimate. */
+  /** Adds the ratio of a task's run time to the run time that the job's owner estimated. */
   public void observeRatio(String jobClass, double ratio) {
     ratios.merge(
         jobClass,
@@ -26,7 +26,9 @@
         (average, last) -> average * (1 - LAST_RUN_WEIGHT) + last * LAST_RUN_WEIGHT);
   }
 
-  /** Takes the ratio that an earlier leader stored, unless one is known already. */
+  /**
+   * Sets the ratio that an earlier leader stored, unless this leader already has one for the class.
+   */
   public void adoptRatio(String jobClass, double ratio) {
     ratios.putIfAbsent(jobClass, bounded(ratio));
   }
@@ -40,12 +42,12 @@
     return ratios;
   }
 
-  /** The moving average for the class; 1 where nothing is known. */
+  /** The moving average for the class; 1 if no run has been observed. */
   public double ratio(String jobClass) {
     return ratios.getOrDefault(jobClass, 1.0);
   }
 
-  /** Run time to plan with for a task of the job, on a machine of nominal speed. */
+  /** The estimated run time of a task of the job on a machine of nominal speed. */
   public long runMicros(Job job) {
     double ratio = job.runTimeRatio(ratio(job.spec().jobClass()));
     return Math.max(MIN_RUN_MICROS, (long) (job.spec().expectedRunS() * MICROS_PER_SECOND * ratio));
--- a/src/main/java/plumlever/fleet/StartChannel.java
+++ b/src/main/java/plumlever/fleet/StartChannel.java
@@ -1,10 +1,10 @@
 package plumlever.fleet;
 
-/** How the command that starts an attempt gets to its worker. */
+/** The message that carries the start command of an attempt to the worker. */
 public enum StartChannel {
-  /** In the answer to the machine's last heartbeat. */
+  /** The response to the machine's last heartbeat. */
   HEARTBEAT_ANSWER,
 
-  /** In a call that the leader makes, which may be executed late. */
+  /** A call from the leader to the worker, which may be executed late. */
   DIRECT_COMMAND
 }
--- a/src/main/java/plumlever/fleet/package-info.java
+++ b/src/main/java/plumlever/fleet/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The leader's picture of jobs, attempts and machines: what may run where, what each team uses, how
- * long tasks take, and which jobs depend on which.
+ * The leader's in-memory model of jobs, attempts and machines: which tasks may run on which
+ * machine, the resource usage of each team, run time estimates, and the dependency graph of jobs.
  *
- * <p>Pure state: it must know neither I/O nor clock nor leadership. Whoever changes it passes the
- * time, and proves that an attempt is over before saying so.
+ * <p>This package holds state only. It must not depend on I/O, clocks or leadership. Callers pass
+ * in the current time, and must have proof that an attempt has ended before they record the end.
  */
 package plumlever.fleet;
