--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -27,35 +27,38 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * The cloud's client. An answer that is not understood counts as no answer. Each call takes a
- * callback, which runs once, on the loop.
+ * Client of the cloud API. A response that can't be parsed counts as no response. The callback of
+ * each call runs exactly once, on the event loop.
  */
 public final class CloudClient {
-  /** Machines that one rental request may ask for. */
+  /** Maximum number of machines in one rental request. */
   public static final int MAX_MACHINES_PER_RENTAL = 50;
 
-  /** Machines that one return request may name. */
+  /** Maximum number of machines in one return request. */
   public static final int MAX_MACHINES_PER_RETURN = 100;
 
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
   private static final long TIMEOUT_MICROS = 4_000_000;
   private static final int MACHINES_PER_PAGE = 500;
 
-  /** Part of the rate limit that is used. */
+  /** Fraction of the cloud's rate limit that this client uses. */
   private static final double RATE_SHARE = 0.8;
 
   /**
-   * Pause before a page of a list that would exceed the rate: a list of thousands of machines has
-   * more pages than the rate allows at once.
+   * Delay before the next page of a machine list if reading the page now would exceed the rate
+   * limit. A list of thousands of machines has more pages than the rate limit allows at once.
    */
   private static final long PAGE_PAUSE_MICROS = 400_000;
 
-  /** Requests left to rentals and returns while a list is read. */
+  /** Requests of the rate limit that a list read leaves for concurrent rentals and returns. */
   private static final double REQUESTS_LEFT_TO_OTHERS = 2;
 
   private static final String NO_CAPACITY_TEXT = "capacity";
 
-  /** An answer, with its body where that is a JSON object and of use for the status. */
+  /**
+   * A response, with its body if the body is a JSON object and the status is one whose body is
+   * read.
+   */
   private record Response(int status, Optional<ObjectNode> body) {
     private boolean hasMachineIds() {
       return status == HttpStatus.OK
@@ -75,7 +78,7 @@
   private final TokenBucket requests;
   private final Set<String> warnedOf = new HashSet<>();
 
-  /** A client that keeps within the cloud's rate limit. */
+  /** Creates a client that stays within the cloud's rate limit. */
   public CloudClient(
       Loop loop,
       Caller caller,
@@ -90,9 +93,9 @@
   }
 
   /**
-   * Reads the machine types with their prices.
+   * Reads the machine types and their prices.
    *
-   * @param callback takes an empty result where they can't be read now
+   * @param callback receives an empty result if the machine types can't be read now
    */
   public void listMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
     send(
@@ -115,17 +118,15 @@
   }
 
   /**
-   * Reads the list of all machines, page by page.
+   * Reads the complete list of machines, page by page.
    *
-   * @param callback takes an empty result where the list can't be read in full
+   * @param callback receives an empty result if some page of the list can't be read
    */
   public void listMachines(Consumer<Optional<List<ListedMachine>>> callback) {
     readPage("", new ArrayList<>(), callback);
   }
 
-  /**
-   * @param lastId the last machine of the page before; empty for the first page
-   */
+  /** @param lastId id of the last machine on the previous page; empty for the first page */
   private void readPage(
       String lastId,
       List<ListedMachine> machines,
@@ -172,7 +173,10 @@
     }
   }
 
-  /** Rents machines; a request whose outcome is unknown is to be repeated with the same id. */
+  /**
+   * Rents machines. If the outcome is unknown, the caller has to repeat the request with the same
+   * id.
+   */
   public void rentMachines(RentalRequest request, Consumer<RentalResult> callback) {
     ObjectNode body =
         Json.object()
@@ -207,9 +211,9 @@
   }
 
   /**
-   * Returns machines.
+   * Returns machines to the cloud.
    *
-   * @param callback takes whether the machines are surely gone
+   * @param callback receives whether the machines have definitely been returned
    */
   public void returnMachines(List<String> machineIds, Consumer<ReturnOutcome> callback) {
     ObjectNode body = Json.object();
@@ -226,7 +230,10 @@
                     : ReturnOutcome.UNKNOWN));
   }
 
-  /** Sends a request; one that would exceed the rate is answered as the cloud would refuse it. */
+  /**
+   * Sends a request. A request that would exceed the rate limit is not sent; it gets the status 429
+   * that the cloud would return.
+   */
   private void send(String method, String path, JsonNode body, Consumer<Response> callback) {
     if (!requests.tryAcquire(1, loop.nowMicros())) {
       metrics.countRefusal("cloud", HttpStatus.TOO_MANY_REQUESTS);
@@ -264,7 +271,10 @@
 
   private void warnOnce(String subject, String reason) {
     if (warnedOf.add(subject)) {
-      LOG.warn("the cloud's answer to a request for {} is not understood: {}", subject, reason);
+      LOG.warn(
+          "cloud request for {} failed: the response is invalid or the cloud rejected the request: {}",
+          subject,
+          reason);
     }
   }
 }
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -14,11 +14,11 @@
 import plumlever.wire.MachineType;
 
 /**
- * Loads the machine types once: from the cloud, after which they are stored, or from what was last
- * stored while the cloud does not answer.
+ * Loads the machine types once. They are read from the cloud and then stored in the state service.
+ * If the cloud does not respond, the last stored machine types are used.
  */
 public final class MachineTypeRefresh {
-  /** The pause of a recurring task that has nothing more to do. */
+  /** The delay that tells a recurring task not to run again. */
   private static final long FINISHED = -1;
 
   private static final long RETRY_INTERVAL_MICROS = 1_500_000;
@@ -29,7 +29,7 @@
   private final StateClient store;
   private final PriceBook prices;
 
-  /** Fills the price book from the cloud or the state service. */
+  /** Creates a task that loads the price book from the cloud or from the state service. */
   public MachineTypeRefresh(
       Loop loop, CloudClient cloud, StateClient store, PriceBook prices, Logs logs) {
     this.log = logs.of(MachineTypeRefresh.class);
@@ -39,7 +39,7 @@
     this.prices = prices;
   }
 
-  /** Asks until the machine types are known. */
+  /** The recurring task, which retries until the machine types are known. */
   public RecurringTask task() {
     return new RecurringTask("machine types", loop, this::refresh);
   }
@@ -75,9 +75,10 @@
     }
     try {
       prices.update(MachineType.parseCatalog(catalog));
-      log.info("machine types are read from the state service, the cloud does not answer");
+      log.info(
+          "machine types loaded from the state service because the cloud did not provide them");
     } catch (InvalidMessageException e) {
-      log.warn("the stored machine types are invalid: {}", e.getMessage());
+      log.warn("machine types stored in the state service are invalid: {}", e.getMessage());
     }
   }
 
@@ -92,7 +93,10 @@
                     .require(JobStore.CATALOG, 0)
                     .put(JobStore.CATALOG, MachineType.writeCatalog(machineTypes)),
                 StateClient.RequestPriority.ORDINARY,
-                result -> log.debug("machine types stored: {}", result.outcome()));
+                result ->
+                    log.debug(
+                        "storing the machine types in the state service ended with outcome {}",
+                        result.outcome()));
           }
         });
   }
--- a/src/main/java/plumlever/cloud/PriceBook.java
+++ b/src/main/java/plumlever/cloud/PriceBook.java
@@ -8,17 +8,19 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 
-/** The machine types and their current prices; empty until they have been read once. */
+/** The machine types and their current prices; empty until they have been loaded. */
 public final class PriceBook {
   private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
   private final Map<String, Double> ownedHourly;
 
-  /** An empty price book. */
+  /** Creates an empty price book. */
   public PriceBook(SchedulerParameters parameters) {
     this.ownedHourly = parameters.ownedHourly();
   }
 
-  /** Takes in the machine types as listed now; types not listed any more stay known. */
+  /**
+   * Adds or replaces the listed machine types. Machine types that are no longer listed are kept.
+   */
   public void update(List<MachineType> listed) {
     for (MachineType machineType : listed) {
       if (machineType.cores() > 0 && machineType.memoryGb() > 0) {
@@ -27,12 +29,12 @@
     }
   }
 
-  /** True once machine types have been read. */
+  /** True once machine types have been loaded. */
   public boolean isLoaded() {
     return !machineTypes.isEmpty();
   }
 
-  /** The machine type of that name, or null where it is not known. */
+  /** The machine type with this name, or null if unknown. */
   public MachineType machineType(String typeName) {
     return machineTypes.get(typeName);
   }
@@ -42,13 +44,16 @@
     return machineTypes.values();
   }
 
-  /** What an hour of the machine type costs; for owned types, what the operator has set. */
+  /**
+   * The price of the machine type per hour. For machine types that the operator owns, the
+   * configured price.
+   */
   public double hourlyPrice(MachineType machineType, boolean spot) {
     Double owned = ownedHourly.get(machineType.name());
     return owned != null ? owned : machineType.hourlyPrice(spot);
   }
 
-  /** True if some machine type that the job allows can hold one of its tasks. */
+  /** True if some machine type that the job allows can run one of the job's tasks. */
   public boolean canRun(JobSpec job) {
     return machineTypes.values().stream()
         .anyMatch(
--- a/src/main/java/plumlever/cloud/RentalResult.java
+++ b/src/main/java/plumlever/cloud/RentalResult.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * What became of a rental request.
+ * The outcome of a rental request.
  *
- * @param machineIds of the machines rented, which may be fewer than requested; empty unless any
- *     were
+ * @param machineIds ids of the rented machines, which may be fewer than requested; empty if none
+ *     were rented
  */
 public record RentalResult(Outcome outcome, List<String> machineIds) {
-  /** Whether machines were rented, as far as the answer tells. */
+  /** Whether machines were rented, according to the response. */
   public enum Outcome {
-    /** The request was carried out. */
+    /** The cloud executed the request. */
     RENTED,
-    /** Surely nothing was rented: the cloud has no more such machines. */
+    /** Nothing was rented, because the cloud has no more machines of this kind. */
     NO_CAPACITY,
-    /** Surely nothing was rented, for another reason; the request may be repeated later. */
+    /** Nothing was rented, for another reason. The request may be repeated later. */
     REFUSED,
-    /** No answer was understood: machines may have been rented under the request's name. */
+    /** There was no valid response. Machines may have been rented under the request's id. */
     UNKNOWN
   }
 
--- a/src/main/java/plumlever/cloud/ReturnOutcome.java
+++ b/src/main/java/plumlever/cloud/ReturnOutcome.java
@@ -1,9 +1,9 @@
 package plumlever.cloud;
 
-/** What became of a request to return machines. */
+/** The outcome of a request to return machines. */
 public enum ReturnOutcome {
-  /** The machines are surely gone. */
+  /** The machines have been returned. */
   RETURNED,
-  /** Nothing is known of the machines: the request is to be repeated. */
+  /** The state of the machines is not known. The caller has to repeat the request. */
   UNKNOWN
 }
--- a/src/main/java/plumlever/cloud/package-info.java
+++ b/src/main/java/plumlever/cloud/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The cloud's client, and the machine types with their current prices.
+ * Client of the cloud API, and the machine types with their current prices.
  *
- * <p>It keeps the cloud's rate limit and decides nothing about what to rent or return. It must not
- * know who leads.
+ * <p>The package stays within the cloud's rate limit and does not decide what to rent or return. It
+ * must not depend on which controller leads.
  */
 package plumlever.cloud;
--- a/src/main/java/plumlever/http/Caller.java
+++ b/src/main/java/plumlever/http/Caller.java
@@ -2,13 +2,13 @@
 
 import plumlever.settings.Endpoint;
 
-/** Sends requests. The answer is handed over on the loop, exactly once. */
+/** Sends HTTP requests. Each response handler is called exactly once, on the event loop. */
 public interface Caller {
   /**
-   * Sends one request, without repeating it.
+   * Sends one request without retries.
    *
-   * @param body null for none
-   * @param timeoutMicros after which it counts as unanswered
+   * @param body the request body, or null for none
+   * @param timeoutMicros time after which the request ends without a response
    */
   void call(
       Endpoint to,
@@ -18,14 +18,14 @@
       long timeoutMicros,
       ResponseHandler handler);
 
-  /** Takes what came of a request. */
+  /** Handles the outcome of a request. */
   interface ResponseHandler {
     /**
-     * Takes the response.
+     * Handles the response.
      *
-     * @param status 0 when there was no response: the request may have been executed or may still
-     *     be
-     * @param body empty for none
+     * @param status the HTTP status; 0 without a response, in which case the server may have
+     *     executed the request or may still execute it
+     * @param body the response body, empty for none
      */
     void handle(int status, byte[] body);
   }
--- a/src/main/java/plumlever/http/CancellationHandler.java
+++ b/src/main/java/plumlever/http/CancellationHandler.java
@@ -10,7 +10,10 @@
 import plumlever.wire.JobState;
 import plumlever.wire.ProtocolPath;
 
-/** Cancels jobs. The stored state decides between a cancellation and the end of the last task. */
+/**
+ * Cancels jobs. If a cancellation races with the completion of the last task, the stored state
+ * decides.
+ */
 final class CancellationHandler {
   private static final int MAX_ATTEMPTS = 4;
 
@@ -20,7 +23,8 @@
   private final Consumer<String> cancelled;
 
   /**
-   * @param cancelled told the id of each job whose user is told that it is cancelled
+   * @param cancelled receives the id of each job for which a user gets a response that confirms the
+   *     cancellation
    */
   CancellationHandler(
       JobServices jobs,
@@ -83,7 +87,8 @@
               switch (result.outcome()) {
                 case APPLIED -> answerCancelled(uid, request);
                 case REFUSED -> answers.unavailable(request);
-                // The stored state decides, whatever became of this transaction.
+                // The outcome is a conflict or unknown: read the record again, because the stored
+                // state decides.
                 default -> cancel(uid, request, attemptsLeft - 1);
               }
             });
--- a/src/main/java/plumlever/http/ConnectionFactory.java
+++ b/src/main/java/plumlever/http/ConnectionFactory.java
@@ -10,7 +10,7 @@
 import org.xnio.XnioIoThread;
 import plumlever.settings.Endpoint;
 
-/** Opens connections that belong to one I/O thread and share its buffers. */
+/** Opens client connections that run on one I/O thread and share its buffer pool. */
 final class ConnectionFactory {
   private final HttpClientProvider provider = new HttpClientProvider();
   private final XnioIoThread thread;
@@ -27,7 +27,7 @@
         callback, null, URI.create("http://" + to), thread, null, buffers, OptionMap.EMPTY);
   }
 
-  /** A buffer to be closed by its user. */
+  /** Allocates a buffer that the caller has to close. */
   PooledByteBuffer allocateBuffer() {
     return buffers.allocate();
   }
--- a/src/main/java/plumlever/http/ConnectionPool.java
+++ b/src/main/java/plumlever/http/ConnectionPool.java
@@ -8,7 +8,7 @@
 import org.xnio.IoUtils;
 import plumlever.settings.Endpoint;
 
-/** The connections to one address, and the calls that wait for one. */
+/** The connections to one endpoint, and the queue of calls that wait for a connection. */
 final class ConnectionPool {
   private static final int MAX_CONNECTIONS = 12;
   private static final int MAX_WAITING_CALLS = 64;
@@ -20,9 +20,7 @@
   private final Deque<OutgoingCall> waiting = new ArrayDeque<>();
   private int inUse;
 
-  /**
-   * @param unused told when nothing is open, kept or waiting any more
-   */
+  /** @param unused called when the pool has no open call, no idle connection and no waiting call */
   ConnectionPool(Endpoint endpoint, IdleConnections idle, Consumer<ConnectionPool> unused) {
     this.endpoint = endpoint;
     this.idle = idle;
@@ -33,7 +31,10 @@
     return endpoint;
   }
 
-  /** Begins the call, now or when a connection is free; gives it up where too many wait. */
+  /**
+   * Starts the call now or when a connection becomes available. Fails the call if the queue is
+   * full.
+   */
   void submit(OutgoingCall call) {
     if (inUse < MAX_CONNECTIONS) {
       inUse++;
@@ -45,7 +46,7 @@
     }
   }
 
-  /** A kept connection that is still open, for a call that has begun. */
+  /** Takes an idle connection that is still open, for a call that has started. */
   Optional<ClientConnection> takeKept() {
     ClientConnection connection;
     while ((connection = kept.poll()) != null) {
@@ -59,9 +60,9 @@
   }
 
   /**
-   * A call that had begun has ended.
+   * Ends a call that had started.
    *
-   * @param reusable its connection, if it can be used again
+   * @param reusable the call's connection if another call can reuse it
    */
   void release(Optional<ClientConnection> reusable) {
     inUse--;
@@ -85,14 +86,17 @@
     }
   }
 
-  /** Closes a kept connection. */
+  /** Closes an idle connection. */
   void evict(ClientConnection connection) {
     kept.remove(connection);
     IoUtils.safeClose(connection);
     reportIfUnused();
   }
 
-  /** Machines come and go; what was kept for their addresses goes as well. */
+  /**
+   * Machines are rented and returned all the time, so the pools of their endpoints are removed when
+   * unused.
+   */
   private void reportIfUnused() {
     if (inUse == 0 && kept.isEmpty() && waiting.isEmpty()) {
       unused.accept(this);
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -22,10 +22,12 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Answers heartbeats for a leader that can't reach their zone: leases are renewed and tasks of
- * ended jobs stopped, nothing is started. The answer carries the token that the leader stored with
- * the delegation. With the token that the heartbeat shows, a start that the leader had sent before
- * could still be carried out, minutes later and after a cancellation.
+ * Responds to heartbeats on behalf of a leader that can't reach the workers of their zone. A
+ * delegate renews leases and stops tasks of ended jobs, but starts nothing.
+ *
+ * <p>The response carries the fencing token that the leader stored with the delegation. A response
+ * with the token from the heartbeat would not invalidate a start command that the leader had sent
+ * earlier: the worker could still execute the command minutes later, after the job's cancellation.
  */
 public final class DelegatedHeartbeats {
   private static final int MAX_LINES_PER_SECOND = 20;
@@ -39,9 +41,9 @@
   private final LogBudget lines;
 
   /**
-   * Answers under this delegation.
+   * Creates a handler that uses the given delegation.
    *
-   * @param jobs tells which jobs have ended, so that their tasks are stopped
+   * @param jobs provides the ended jobs, whose tasks are stopped
    */
   public DelegatedHeartbeats(
       Loop loop,
@@ -60,18 +62,18 @@
   }
 
   /**
-   * Answers the heartbeat if leases in its zone may be renewed here.
+   * Responds to the heartbeat if this controller may renew leases in the heartbeat's zone.
    *
-   * @return false if they may not, and nothing was answered
+   * @return false if this controller may not renew the lease; no response has been sent
    */
   boolean answer(Heartbeat heartbeat, Responder out) {
     Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
-    // What refuses whatever the jobs are is found out before they are looked up.
+    // Check the conditions that do not depend on the jobs first, which saves the job lookup.
     if (right.isEmpty()
         || renewal
             .refusal(evidence(right.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
             .isPresent()) {
-      right.ifPresent(known -> logRefusal(heartbeat, known, "before the jobs are looked up"));
+      right.ifPresent(known -> logRefusal(heartbeat, known, "before the job lookup"));
       return false;
     }
     jobs.findEnded(jobsOf(heartbeat), ends -> answerKnowingEnds(heartbeat, ends, out));
@@ -80,8 +82,8 @@
 
   private void answerKnowingEnds(
       Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> ends, Responder out) {
-    // The right may have ended while the jobs were looked up. A lease is not renewed for tasks
-    // whose stop can't be given.
+    // The delegation may have expired during the job lookup. The lease must not be renewed if the
+    // delegate can't send the stop commands for tasks of ended jobs.
     Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
     if (right.isEmpty()) {
       refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
@@ -138,7 +140,8 @@
     metrics.count(refusal.counter());
     if (lines.allowsDebug(loop.nowMicros())) {
       log.debug(
-          "the lease of {} incarnation {} is not renewed for the leader, token {}: {}",
+          "lease of machine {} (incarnation {}) not renewed on behalf of the leader, machine's"
+              + " fencing token {}: {}",
           heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
@@ -150,8 +153,8 @@
   private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.Right right, String when) {
     if (lines.allowsDebug(loop.nowMicros())) {
       log.debug(
-          "the lease of {} incarnation {} is not renewed for the leader {}: it shows token {}, the"
-              + " delegation has {}",
+          "lease of machine {} (incarnation {}) not renewed on behalf of the leader, refused {}:"
+              + " machine's fencing token {}, delegation's token {}",
           heartbeat.machineId(),
           heartbeat.incarnation(),
           when,
@@ -160,14 +163,17 @@
     }
   }
 
-  /** An answer without a stop that raises no token is what the worker had before: no line. */
+  /**
+   * Logs a renewal that raises the token or stops tasks. Other renewals change nothing for the
+   * worker and are not logged.
+   */
   private void logRenewal(
       Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stops) {
     boolean raises = evidence.token() > heartbeat.fencingToken();
     if ((raises || !stops.isEmpty()) && lines.allowsDebug(loop.nowMicros())) {
       log.debug(
-          "the lease of {} incarnation {} is renewed for the leader, token {} for {}, ended jobs as"
-              + " of {} ms ago, stops {}",
+          "lease of machine {} (incarnation {}) renewed on behalf of the leader: fencing token {}"
+              + " replaces {}, ended jobs as of {} ms ago, stop commands {}",
           heartbeat.machineId(),
           heartbeat.incarnation(),
           evidence.token(),
--- a/src/main/java/plumlever/http/HeartbeatEndpoint.java
+++ b/src/main/java/plumlever/http/HeartbeatEndpoint.java
@@ -11,8 +11,8 @@
 import plumlever.wire.ProtocolField;
 
 /**
- * Takes workers' heartbeats: the leader answers them, or this controller on a leader's behalf, or
- * the worker is sent to the leader.
+ * The endpoint for heartbeats of workers. The leader in this process responds, or this controller
+ * responds as the leader's delegate, or the worker is redirected to the leader.
  */
 public final class HeartbeatEndpoint {
   private final LeaderLookup leaders;
@@ -21,9 +21,9 @@
   private final Metrics metrics;
 
   /**
-   * Answers workers by what these know.
+   * Creates the endpoint.
    *
-   * @param machineWithoutLeader told the id of each machine that sends a heartbeat while this
+   * @param machineWithoutLeader receives the id of each machine that sends a heartbeat while this
    *     controller does not lead
    */
   public HeartbeatEndpoint(
@@ -37,7 +37,7 @@
     this.metrics = metrics;
   }
 
-  /** Answers the heartbeat with this body, now or once what it depends on has been read. */
+  /** Responds to a heartbeat, immediately or after the required reads. */
   void handle(byte[] body, Responder out) {
     Heartbeat heartbeat;
     try {
@@ -49,7 +49,8 @@
     }
     metrics.count("heartbeats");
     if (out.connectionsScarce()) {
-      // Users come first: a worker can do with a connection for each heartbeat.
+      // User requests have priority for connections: a worker can open a new connection for each
+      // heartbeat.
       metrics.count("heartbeats_closed_crowded");
       out.closeConnection();
     }
--- a/src/main/java/plumlever/http/IdleConnections.java
+++ b/src/main/java/plumlever/http/IdleConnections.java
@@ -5,15 +5,18 @@
 import java.util.Map;
 import org.xnio.IoUtils;
 
-/** The connections that the pools of all addresses keep for later, the one kept longest first. */
+/** The idle connections in the pools of all endpoints, oldest first. */
 final class IdleConnections {
-  /** With a thousand machines to call, more would use up all sockets. */
+  /** Without a limit, the idle connections to a thousand machines would use up all sockets. */
   private static final int MAX_IDLE = 48;
 
   private final LinkedHashMap<ClientConnection, ConnectionPool> poolByConnection =
       new LinkedHashMap<>();
 
-  /** The pool keeps the connection; where that makes too many, the eldest is closed. */
+  /**
+   * Adds an idle connection of the pool. If there are too many idle connections, the oldest is
+   * closed.
+   */
   void add(ClientConnection connection, ConnectionPool pool) {
     poolByConnection.put(connection, pool);
     if (poolByConnection.size() > MAX_IDLE) {
@@ -24,7 +27,7 @@
     }
   }
 
-  /** The connection is in use again, or closed. */
+  /** Removes a connection that is in use again or closed. */
   void remove(ClientConnection connection) {
     poolByConnection.remove(connection);
   }
--- a/src/main/java/plumlever/http/JobAcceptance.java
+++ b/src/main/java/plumlever/http/JobAcceptance.java
@@ -9,14 +9,17 @@
 import plumlever.wire.JobState;
 
 /**
- * Accepts jobs. Accepted means stored: 201 is answered only once the transaction that creates the
- * record has been applied.
+ * Accepts jobs. The response is 201 only after the transaction that creates the job's record has
+ * been applied.
  */
 final class JobAcceptance {
   private static final int MAX_ATTEMPTS = 4;
   private static final long RETRY_PAUSE_MICROS = 150_000;
 
-  /** A state service that answered so lately only refuses what is over its rate. */
+  /**
+   * If the state service responded to this controller this recently, a refusal means that the
+   * request rate was exceeded, so the transaction is retried.
+   */
   private static final long RECENTLY_SERVED_MICROS = 500_000;
 
   private final JobServices jobs;
@@ -29,10 +32,11 @@
     this.lists = new DependencyLists(jobs.loop(), jobs.store(), jobs.layout());
   }
 
-  /** Stores the names that do not fit the job's record, then accepts it. */
+  /** Stores the dependencies that do not fit into the job's record, then accepts the job. */
   void acceptWithList(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
     if (records.hasList()) {
-      // Nothing is stored for the repeat of a known job, whose list may be another or removed.
+      // No list is stored if the submission repeats a known job: the stored list may differ or may
+      // have been removed.
       answers.answerKnown(spec.uid(), request, () -> storeList(spec, records, request));
     } else {
       accept(spec, records.transaction(), request);
@@ -69,8 +73,8 @@
             result -> {
               switch (result.outcome()) {
                 case APPLIED -> answerAccepted(spec, result.revision(), request);
-                // Without an answer it is not known either whether this request or an earlier one
-                // made the record.
+                // If the outcome is unknown, the record may have been created by this request or by
+                // an earlier one.
                 case CONFLICT, UNKNOWN -> answerFromRecord(spec.uid(), request);
                 case REFUSED -> {
                   if (attemptsLeft > 1 && recentlyServed()) {
@@ -111,7 +115,10 @@
             });
   }
 
-  /** The record decides; if it can't be read or is not there yet, the user asks again. */
+  /**
+   * Responds with the state in the job's record. If the record can't be read or does not exist, the
+   * user has to retry.
+   */
   private void answerFromRecord(String uid, UserRequest request) {
     answers.answerKnown(uid, request, () -> answers.unavailable(request));
   }
--- a/src/main/java/plumlever/http/JobAnswers.java
+++ b/src/main/java/plumlever/http/JobAnswers.java
@@ -10,7 +10,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
 
-/** Answers requests from what is stored of a job, here or in another shard. */
+/** Creates responses from the stored state of a job in this shard or in another shard. */
 final class JobAnswers {
   static final String NO_SUCH_JOB = "no such job";
 
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Answers with the job's state if it was ever accepted.
+   * Responds with the state of the job if the job was ever accepted.
    *
-   * @param whenUnknown answers for a job that was not
+   * @param whenUnknown responds if the job was never accepted
    */
   void answerKnown(String uid, UserRequest request, Runnable whenUnknown) {
     records.lookUp(
@@ -53,9 +53,9 @@
   }
 
   /**
-   * Has another shard answer if it has the job, which this shard has not.
+   * Lets another shard respond for a job that this shard does not have.
    *
-   * @param whenUnknown answers for a job that no shard has
+   * @param whenUnknown responds if no shard has the job
    */
   void answerElsewhere(String uid, UserRequest request, Runnable whenUnknown) {
     if (otherShards.isEmpty() || request.isForwarded()) {
@@ -78,8 +78,9 @@
   }
 
   /**
-   * A user's connection stays on its controller: one that alone can't answer must not keep its
-   * users from those that can.
+   * Responds that the state service is unavailable. A user's requests stay on one connection, and
+   * so on one controller. If the state service refuses only this controller, the connection is
+   * closed so that the user can connect to another controller.
    */
   void unavailable(UserRequest request) {
     if (health.isRefusedAlone()) {
@@ -89,7 +90,7 @@
     request.retryLater(HttpStatus.UNAVAILABLE, "the state service can't be reached", RETRY_AFTER_S);
   }
 
-  /** The answer's body for a job that was found. */
+  /** The response body for a job that was found. */
   String describe(String uid, JobRecordCache.JobStatus found) {
     if (found.endState().isPresent()) {
       return body(uid, found.endState().get());
@@ -99,7 +100,7 @@
     return body(uid, running ? JobState.RUNNING : JobState.PENDING, known);
   }
 
-  /** The answer's body for a job in this state, without counts of its tasks. */
+  /** The response body for a job in this state, without task counts. */
   static String body(String uid, JobState state) {
     return body(uid, state, Optional.empty());
   }
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -16,8 +16,9 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Finds jobs in the other shards of a pool, and has a controller of a job's own shard answer for
- * it. That a job is in no shard rests on one read of all of them, begun after the question came in.
+ * Finds jobs in the other shards of a pool, and forwards requests to a controller of the job's
+ * shard. A job is reported as absent only after one transaction, sent after the request arrived,
+ * has checked the keys of all other shards.
  */
 public final class JobForwarder {
   private static final long TIMEOUT_MICROS = 1_500_000;
@@ -25,7 +26,7 @@
   private static final int MAX_ATTEMPTS = 4;
   private static final int RETRY_AFTER_S = 1;
 
-  /** A key under which the shard has the job, if it has it. */
+  /** A key that exists if the shard has the job. */
   private record Candidate(SharingSettings.Shard shard, String key) {}
 
   private final Loop loop;
@@ -34,7 +35,7 @@
   private final PlatformConfiguration platform;
   private final SharingSettings sharing;
 
-  /** Finds jobs in the other shards of this pool. */
+  /** Creates a forwarder for the other shards of this pool. */
   public JobForwarder(
       Loop loop,
       StateClient store,
@@ -48,12 +49,15 @@
     this.sharing = sharing;
   }
 
-  /** Finds out in which other shard the job is. */
+  /** Finds the other shard that has the job. */
   void find(String uid, Consumer<JobLocation> whenFound) {
     find(candidates(uid), MAX_ATTEMPTS, whenFound);
   }
 
-  /** An active job first, then an ended one: the end moves it from one key to the other. */
+  /**
+   * The key of the active job comes before the key of the ended job, because the end of a job moves
+   * its record from the first key to the second.
+   */
   private List<Candidate> candidates(String uid) {
     List<Candidate> candidates = new ArrayList<>();
     for (SharingSettings.Shard shard : sharing.otherShards()) {
@@ -85,7 +89,10 @@
         });
   }
 
-  /** Some shard has it; it never leaves that shard, so their keys are read one after the other. */
+  /**
+   * Some shard has the job, and a job never moves to another shard. The keys can therefore be read
+   * one after the other.
+   */
   private void readFirst(Iterator<Candidate> candidates, Consumer<JobLocation> whenFound) {
     if (!candidates.hasNext()) {
       whenFound.accept(new JobLocation.Unavailable());
@@ -106,7 +113,7 @@
         });
   }
 
-  /** Has a controller of the shard answer the request, the first that can be reached. */
+  /** Forwards the request to the first reachable controller of the shard. */
   void forward(SharingSettings.Shard shard, ForwardedRequest request, Responder out) {
     List<PlatformConfiguration.PeerController> members =
         platform.peers().stream()
--- a/src/main/java/plumlever/http/JobLocation.java
+++ b/src/main/java/plumlever/http/JobLocation.java
@@ -2,14 +2,14 @@
 
 import plumlever.settings.SharingSettings;
 
-/** Where a job was found among the other shards of a pool. */
+/** The result of a search for a job in the other shards of a pool. */
 sealed interface JobLocation {
-  /** The shard has the job, and will have it for ever. */
+  /** The shard has the job. A job never moves to another shard. */
   record InShard(SharingSettings.Shard shard) implements JobLocation {}
 
-  /** No other shard had the job when the question came in. */
+  /** No other shard had the job when the request arrived. */
   record Nowhere() implements JobLocation {}
 
-  /** That can't be found out now. */
+  /** The location can't be determined at the moment. */
   record Unavailable() implements JobLocation {}
 }
--- a/src/main/java/plumlever/http/JobRequestAdmission.java
+++ b/src/main/java/plumlever/http/JobRequestAdmission.java
@@ -7,11 +7,15 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
 
-/** Admits requests about one job, and answers those at once that need no read. */
+/**
+ * Admits requests for a single job. Responds immediately to requests that need no read of the state
+ * service.
+ */
 record JobRequestAdmission(JobRecordCache records, RequestAdmission admission) {
   /**
-   * @param kind names the counters of such requests
-   * @return nothing when it has been answered: no such id, an end that is known, or not admitted
+   * @param kind prefix of the metrics for these requests
+   * @return empty if a response has been sent: the id is invalid, the job's final state is known,
+   *     or the request was not admitted
    */
   Optional<UserRequest> admit(String kind, String uid, ForwardedRequest request, Responder out) {
     if (!JobSpec.validUid(uid)) {
--- a/src/main/java/plumlever/http/JobServices.java
+++ b/src/main/java/plumlever/http/JobServices.java
@@ -7,12 +7,12 @@
 import plumlever.store.StateClient;
 
 /**
- * What users' requests read and change jobs with.
+ * The services with which user requests read and change jobs.
  *
- * @param loop runs all requests, and is their clock
- * @param store the state service
- * @param records what it says of jobs
- * @param layout keys and values of job records
+ * @param loop the event loop that runs all requests, and their clock
+ * @param store the client of the state service
+ * @param records cache of the job records in the state service
+ * @param layout keys and values of the job records
  */
 public record JobServices(
     Loop loop, StateClient store, JobRecordCache records, JobStore layout, Metrics metrics) {}
--- a/src/main/java/plumlever/http/JobStatusHandler.java
+++ b/src/main/java/plumlever/http/JobStatusHandler.java
@@ -4,7 +4,7 @@
 import plumlever.wire.HttpStatus;
 import plumlever.wire.ProtocolPath;
 
-/** Answers how jobs stand. */
+/** Handles status requests for jobs. */
 final class JobStatusHandler {
   private final JobRequestAdmission admission;
   private final JobAnswers answers;
--- a/src/main/java/plumlever/http/LeaderLookup.java
+++ b/src/main/java/plumlever/http/LeaderLookup.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 import plumlever.leader.Leader;
 
-/** Who leads, as far as this controller knows; asked anew for each heartbeat. */
+/** Finds the current leader, as far as this controller knows. Called for each heartbeat. */
 public interface LeaderLookup {
-  /** The leader in this process; empty when this controller may not act. */
+  /** The leader in this process; empty if this controller may not act as leader. */
   Optional<Leader> actingLeader();
 
-  /** The label of the controller that leads, if a live one is known. */
+  /** The label of the leading controller, if a live leader is known. */
   Optional<String> leaderLabel();
 }
--- a/src/main/java/plumlever/http/OutgoingCall.java
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -19,7 +19,7 @@
 import org.xnio.channels.StreamSourceChannel;
 import plumlever.concurrent.Loop;
 
-/** One request with its answer; its handler is called exactly once. */
+/** An outgoing HTTP request and its response. The handler is called exactly once. */
 final class OutgoingCall {
   private static final Logger LOG = LoggerFactory.getLogger(OutgoingCall.class);
   private static final int MAX_BODY_BYTES = 8 << 20;
@@ -37,9 +37,7 @@
   private boolean begun;
   private boolean finished;
 
-  /**
-   * @param body null for none
-   */
+  /** @param body the request body, or null for none */
   OutgoingCall(
       ConnectionFactory connections,
       ConnectionPool pool,
@@ -55,7 +53,10 @@
     this.handler = handler;
   }
 
-  /** The timer is cancelled when the call finishes. */
+  /**
+   * Sets the timer that ends the call after the timeout. The timer is cancelled when the call
+   * finishes.
+   */
   void timeOutWith(Loop.Timer timer) {
     timeout = Optional.of(timer);
   }
@@ -64,7 +65,10 @@
     return finished;
   }
 
-  /** The pool has a connection free for this call. */
+  /**
+   * Starts the call. The pool calls this method when the number of open calls to the endpoint
+   * allows one more.
+   */
   void begin() {
     begun = true;
     Optional<ClientConnection> kept = pool.takeKept();
@@ -76,7 +80,7 @@
           callback(
               this::connected,
               failure -> {
-                LOG.debug("no connection to {}: {}", pool.endpoint(), failure.toString());
+                LOG.debug("connecting to {} failed: {}", pool.endpoint(), failure.toString());
                 giveUp();
               }));
     }
@@ -84,8 +88,8 @@
 
   private void connected(ClientConnection opened) {
     if (finished) {
-      // Given up while connecting; the pool has its place back already, so the connection is
-      // closed.
+      // The call timed out while the connection was being opened. The pool has already released the
+      // call's slot, so the connection can't be returned to the pool.
       IoUtils.safeClose(opened);
     } else {
       send(opened);
@@ -193,18 +197,21 @@
   }
 
   private void fail(IOException failure) {
-    LOG.debug("{} {} at {} got no answer: {}", method, path, pool.endpoint(), failure.toString());
+    LOG.debug(
+        "{} {} to {} failed without a response: {}",
+        method,
+        path,
+        pool.endpoint(),
+        failure.toString());
     giveUp();
   }
 
-  /** There is no answer; whether the request is executed is unknown. */
+  /** Finishes the call without a response. Whether the server executes the request is not known. */
   void giveUp() {
     finish(0, NO_BODY, Optional.empty());
   }
 
-  /**
-   * @param reusable the connection, if it can be used again
-   */
+  /** @param reusable the connection if another call can reuse it */
   private void finish(int status, byte[] data, Optional<ClientConnection> reusable) {
     if (finished) {
       return;
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequests.java
@@ -11,22 +11,24 @@
 import plumlever.wire.Json;
 import plumlever.wire.RelayedHeartbeat;
 
-/** Takes the requests that controllers of different shards of a pool make of each other. */
+/** Handles the requests that controllers of different shards of a pool send to each other. */
 public final class PoolRequests {
-  /** Where heartbeats of machines are passed on to the shards whose tasks are on them. */
+  /**
+   * Path for relayed heartbeats, which a shard sends to the shards whose tasks run on its machines.
+   */
   public static final String RELAY = "/relay";
 
-  /** Where an operator has a machine given to another shard. */
+  /** Path with which an operator transfers a machine to another shard. */
   public static final String TRANSFER = "/transfer";
 
   private final Supplier<Optional<Leader>> leader;
   private final RequestRouter router;
 
   /**
-   * Takes the requests of a pool's other shards.
+   * Creates the handler.
    *
    * @param leader the leader in this process, if there is one
-   * @param router answers the requests of users that another shard's controller passes on
+   * @param router handles user requests that controllers of other shards forward
    */
   public PoolRequests(Supplier<Optional<Leader>> leader, RequestRouter router) {
     this.leader = leader;
@@ -34,9 +36,9 @@
   }
 
   /**
-   * Answers the request if its path is one of a pool's.
+   * Handles the request if its path is a path between shards.
    *
-   * @return false if it is not, and nothing was answered
+   * @return false if the path is another one; no response has been sent
    */
   public boolean handle(String path, byte[] body, Responder out) {
     try {
@@ -54,7 +56,7 @@
     return true;
   }
 
-  /** Another shard's leader passes on a heartbeat. */
+  /** Handles a heartbeat relayed by the leader of another shard. */
   private void relay(byte[] body, Responder out) throws InvalidMessageException {
     Optional<Leader> leading = leader.get();
     if (leading.isPresent()) {
@@ -64,7 +66,7 @@
     }
   }
 
-  /** An operator gives a machine to another shard. */
+  /** Handles an operator's request to transfer a machine to another shard. */
   private void transfer(byte[] body, Responder out) throws InvalidMessageException {
     ObjectNode request = Json.parseObject(body);
     String machine = Json.text(request, "machine");
@@ -76,7 +78,10 @@
     }
   }
 
-  /** Answers a user of another shard's controller; such a request goes no further. */
+  /**
+   * Handles a user request forwarded by a controller of another shard. A forwarded request is not
+   * forwarded again.
+   */
   private void answerForwarded(byte[] body, Responder out) throws InvalidMessageException {
     ForwardedRequest request = ForwardedRequest.parse(body);
     router.handle(
@@ -86,7 +91,7 @@
         new ForwardedResponder(out));
   }
 
-  /** Passes the answer back to the controller that forwarded the request. */
+  /** Sends the response to the controller that forwarded the request. */
   private record ForwardedResponder(Responder out) implements Responder {
     @Override
     public void send(int status, String json, int retryAfterS) {
--- a/src/main/java/plumlever/http/RequestAdmission.java
+++ b/src/main/java/plumlever/http/RequestAdmission.java
@@ -6,7 +6,7 @@
 import plumlever.wire.ForwardedRequest;
 import plumlever.wire.HttpStatus;
 
-/** Bounds the users' requests that are open at once, and measures those that are answered. */
+/** Limits the number of concurrent user requests, and records metrics of completed requests. */
 final class RequestAdmission {
   private static final int MAX_OPEN_REQUESTS = 256;
   private static final int RETRY_AFTER_S = 1;
@@ -23,11 +23,11 @@
   }
 
   /**
-   * Counts a request while it is open.
+   * Admits a request and counts it as open until its response is sent.
    *
-   * @param kind names the counters of such requests
-   * @return nothing if the request has been refused: too many are open, or this controller may not
-   *     answer
+   * @param kind prefix of the metrics for these requests
+   * @return empty if the request has been refused, because too many requests are open or because
+   *     this controller may not respond
    */
   Optional<UserRequest> admit(String kind, ForwardedRequest request, Responder out) {
     if (health.ineligible()) {
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -5,7 +5,9 @@
 import plumlever.wire.HttpStatus;
 import plumlever.wire.ProtocolPath;
 
-/** Routes the requests of users, workers and health checks by path, and checks their method. */
+/**
+ * Routes the requests of users, workers and health checks by path, and checks their HTTP method.
+ */
 public final class RequestRouter implements Server.RequestHandler {
   private static final String JOB_PREFIX = ProtocolPath.SUBMISSIONS + "/";
 
@@ -15,7 +17,7 @@
   private final ServingHealth health;
   private final Metrics metrics;
 
-  /** Routes requests to the parts of this controller. */
+  /** Creates a router to the given handlers. */
   public RequestRouter(
       Loop clock,
       UserApi users,
@@ -64,7 +66,8 @@
   }
 
   /**
-   * @param path what follows the prefix of jobs: an id, with the suffix of a cancellation or not
+   * @param path the path after the job prefix: a job id, optionally followed by the cancellation
+   *     suffix
    */
   private void routeJob(String method, String path, Responder out) {
     if (path.endsWith(ProtocolPath.CANCEL_SUFFIX)) {
--- a/src/main/java/plumlever/http/Responder.java
+++ b/src/main/java/plumlever/http/Responder.java
@@ -2,24 +2,36 @@
 
 import plumlever.wire.Json;
 
-/** Answers one incoming request, once; what is sent after that is dropped. */
+/**
+ * Sends the response to one incoming request. Only the first response is sent; later ones are
+ * dropped.
+ */
 public interface Responder {
   /**
-   * Sends the answer.
+   * Sends the response.
    *
-   * @param retryAfterS when to ask again, as a header; 0 for none
+   * @param retryAfterS value of the Retry-After header in seconds; 0 for no header
    */
   void send(int status, String json, int retryAfterS);
 
-  /** True for a request that another shard's controller passed on: it is answered here or not. */
+  /**
+   * True for a request that a controller of another shard forwarded. A forwarded request must not
+   * be forwarded again.
+   */
   default boolean isForwarded() {
     return false;
   }
 
-  /** The connection ends with the answer, so that its user finds another controller. */
+  /**
+   * Closes the connection after the response, so that the client connects again, possibly to
+   * another controller.
+   */
   default void closeConnection() {}
 
-  /** True when connections are scarce: one that can be done without is better closed. */
+  /**
+   * True if the server is close to its connection limit and connections that are not needed should
+   * be closed.
+   */
   default boolean connectionsScarce() {
     return false;
   }
@@ -28,12 +40,12 @@
     send(status, json, 0);
   }
 
-  /** Refuses the request for good. */
+  /** Responds with an error without a Retry-After header. */
   default void error(int status, String reason) {
     retryLater(status, reason, 0);
   }
 
-  /** Refuses what can't be done now, with the time after which to ask again. */
+  /** Responds with an error and the time after which the client may retry. */
   default void retryLater(int status, String reason, int retryAfterS) {
     send(status, Json.write(Json.object().put("error", reason)), retryAfterS);
   }
--- a/src/main/java/plumlever/http/Server.java
+++ b/src/main/java/plumlever/http/Server.java
@@ -18,27 +18,29 @@
 import plumlever.settings.Endpoint;
 import plumlever.wire.HttpStatus;
 
-/** An Undertow listener that hands whole requests to a handler on the loop. */
+/** An Undertow HTTP listener that passes complete requests to a handler on the event loop. */
 public final class Server implements AutoCloseable {
-  /** Takes requests, on the loop. */
+  /** Handles requests on the event loop. */
   public interface RequestHandler {
     /**
-     * Takes one request, to be answered now or later.
+     * Handles one request. The response may be sent later.
      *
-     * @param path with the query, if there is one
-     * @param body empty for none
+     * @param path the path, including the query string if there is one
+     * @param body the request body, empty for none
      */
     void handle(String method, String path, byte[] body, Responder responder);
   }
 
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** From this share of the connections on they are scarce. */
+  /** Fraction of the connection limit above which connections count as scarce. */
   public static final double SCARCE_CONNECTIONS_SHARE = 0.9;
 
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
-  /** All workers of a controller that ends come over within a second or two. */
+  /**
+   * Large enough for all workers of a failed controller, which reconnect within one or two seconds.
+   */
   private static final int BACKLOG = 8 * 1024;
 
   private static final int PARSE_TIMEOUT_MS = 10_000;
@@ -51,10 +53,10 @@
   private ConnectorStatistics statistics;
 
   /**
-   * A listener that does nothing until it is started.
+   * Creates a listener that accepts no connections until {@link #start}.
    *
-   * @param idleMicros a connection silent for longer is taken for dead: machines that are taken
-   *     away close none
+   * @param idleMicros idle time after which a connection counts as dead and is closed; a machine
+   *     that the cloud takes back does not close its connections
    */
   public Server(
       XnioWorker worker,
@@ -87,18 +89,21 @@
             .build();
   }
 
-  /** Begins to accept connections. */
+  /** Starts to accept connections. */
   public void start() {
     undertow.start();
     statistics = undertow.getListenerInfo().get(0).getConnectorStatistics();
   }
 
-  /** Connections that are open now. */
+  /** The number of open connections. */
   public long connections() {
     return statistics.getActiveConnections();
   }
 
-  /** The port in use, for a listener that was started on port 0. */
+  /**
+   * The port in use, which is chosen by the operating system if the listener was configured with
+   * port 0.
+   */
   public int port() {
     return ((InetSocketAddress) undertow.getListenerInfo().get(0).getAddress()).getPort();
   }
@@ -126,7 +131,11 @@
       handler.handle(
           exchange.getRequestMethod().toString(), pathAndQuery(exchange), body, responder);
     } catch (RuntimeException e) {
-      LOG.error("{} {} failed", exchange.getRequestMethod(), exchange.getRequestPath(), e);
+      LOG.error(
+          "request {} {} failed with an unexpected exception",
+          exchange.getRequestMethod(),
+          exchange.getRequestPath(),
+          e);
       responder.retryLater(HttpStatus.UNAVAILABLE, "internal error", 1);
     }
   }
@@ -144,7 +153,10 @@
     refuse(exchange, status, "the body can't be read");
   }
 
-  /** What is left of the request is not read, so the connection can't be used again. */
+  /**
+   * Sends an error response and closes the connection, because the rest of the request has not been
+   * read.
+   */
   private void refuse(HttpServerExchange exchange, int status, String reason) {
     exchange.setPersistent(false);
     new ExchangeResponder(exchange).error(status, reason);
--- a/src/main/java/plumlever/http/ServingHealth.java
+++ b/src/main/java/plumlever/http/ServingHealth.java
@@ -1,16 +1,16 @@
 package plumlever.http;
 
-/** Whether users' requests are served well by this controller; asked anew for each request. */
+/** Whether this controller can serve user requests. Called for each request. */
 public interface ServingHealth {
-  /** True when users should be sent to this controller. */
+  /** True if this controller can serve user requests. */
   boolean canTakeRequests();
 
   /**
-   * True when the state service serves other controllers but not this one, so that its users are
-   * better off with those.
+   * True if the state service serves other controllers but refuses this one, so that users should
+   * connect to another controller.
    */
   boolean isRefusedAlone();
 
-  /** True when this controller may not answer for the jobs in the state service. */
+  /** True if this controller may not respond for the jobs in the state service. */
   boolean ineligible();
 }
--- a/src/main/java/plumlever/http/SubmissionHandler.java
+++ b/src/main/java/plumlever/http/SubmissionHandler.java
@@ -12,9 +12,9 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * Takes submissions: decides whether a job may be accepted, and has it accepted. A known job is
- * told its state whatever is wrong with the repeat, so a submission is refused only once its job is
- * found unknown.
+ * Handles submissions: validates the job and has it accepted. A repeated submission of a known job
+ * always gets the job's state, even if the repeated submission is invalid. A submission is
+ * therefore refused only after a lookup has shown that the job is unknown.
  */
 final class SubmissionHandler {
   private final JobServices jobs;
@@ -84,9 +84,9 @@
   }
 
   /**
-   * Waits only for what was accepted. That a job was accepted stays true, so nothing need be
-   * guarded for it; and whether one of them is cancelled meanwhile is found out after this one is
-   * stored, from the records of all that it waits on.
+   * Refuses the job unless all of its dependencies were accepted. An accepted job stays accepted,
+   * so the transaction needs no precondition on the dependencies. If a dependency is cancelled
+   * concurrently, the cancellation is found in the dependencies' records after this job is stored.
    */
   private void checkDependencies(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
     if (spec.dependencies().contains(spec.uid())) {
--- a/src/main/java/plumlever/http/SubmissionRefusal.java
+++ b/src/main/java/plumlever/http/SubmissionRefusal.java
@@ -3,24 +3,25 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Why a submission is not accepted.
+ * The reason why a submission is refused.
  *
- * @param retryAfterS when to submit again; 0 if it will never be accepted
+ * @param retryAfterS seconds after which to submit again; 0 if the submission will never be
+ *     accepted
  */
 record SubmissionRefusal(int status, String reason, int retryAfterS) {
   private static final int RETRY_AFTER_S = 1;
 
-  /** The submission breaks the protocol. */
+  /** The submission violates the protocol. */
   static SubmissionRefusal invalid(String reason) {
     return new SubmissionRefusal(HttpStatus.BAD_REQUEST, reason, 0);
   }
 
-  /** The submission is well formed but can never run. */
+  /** The submission is valid but its job can never run. */
   static SubmissionRefusal unprocessable(String reason) {
     return new SubmissionRefusal(HttpStatus.UNPROCESSABLE, reason, 0);
   }
 
-  /** Whether it can run is not known yet. */
+  /** It is not known yet whether the job can run. */
   static SubmissionRefusal undecided(String reason) {
     return new SubmissionRefusal(HttpStatus.UNAVAILABLE, reason, RETRY_AFTER_S);
   }
--- a/src/main/java/plumlever/http/SubmissionRules.java
+++ b/src/main/java/plumlever/http/SubmissionRules.java
@@ -7,18 +7,21 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.ProtocolField;
 
-/** Which jobs can be accepted, by the limits of teams and the machine types that there are. */
+/** Checks submitted jobs against the team limits and the available machine types. */
 public final class SubmissionRules {
   private final List<PlatformConfiguration.Team> teams;
   private final PriceBook prices;
 
-  /** Rules by these teams' limits and these machine types, which need not be known yet. */
+  /**
+   * Creates rules from the team limits and the machine types. The machine types may be loaded
+   * later.
+   */
   public SubmissionRules(List<PlatformConfiguration.Team> teams, PriceBook prices) {
     this.teams = teams;
     this.prices = prices;
   }
 
-  /** Why the job can't be accepted, if it can't. */
+  /** The reason why the job can't be accepted; empty if the job is acceptable. */
   Optional<SubmissionRefusal> refusal(JobSpec spec) {
     Optional<PlatformConfiguration.Team> team =
         teams.stream().filter(known -> known.name().equals(spec.team())).findFirst();
@@ -38,7 +41,7 @@
     return Optional.empty();
   }
 
-  /** A resource without a limit has 0. */
+  /** A limit of 0 means that the resource is unlimited. */
   private static boolean exceedsLimit(JobSpec spec, PlatformConfiguration.Team team) {
     return (team.maxCores() > 0 && spec.cores() > team.maxCores())
         || (team.maxAccelerators() > 0 && spec.accelerators() > team.maxAccelerators());
--- a/src/main/java/plumlever/http/TaskCounts.java
+++ b/src/main/java/plumlever/http/TaskCounts.java
@@ -1,9 +1,10 @@
 package plumlever.http;
 
 /**
- * How far a job's tasks have got, for display to users; nothing is decided by it.
+ * The progress of a job's tasks. The counts are only displayed to users; no decision depends on
+ * them.
  *
- * @param done tasks that are finished
- * @param running tasks that are running
+ * @param done number of completed tasks
+ * @param running number of running tasks
  */
 public record TaskCounts(int done, int running) {}
--- a/src/main/java/plumlever/http/UndertowCaller.java
+++ b/src/main/java/plumlever/http/UndertowCaller.java
@@ -8,9 +8,9 @@
 import plumlever.settings.Endpoint;
 
 /**
- * Outgoing requests over Undertow's client on the loop's own thread: a bounded pool of kept
- * connections for each address, one request at a time on each. A request is never repeated here,
- * because only the caller knows whether it may be.
+ * Sends requests with Undertow's HTTP client on the event loop's I/O thread. Each endpoint has a
+ * bounded pool of persistent connections with one request at a time per connection. Requests are
+ * never retried here, because only the caller knows whether a request is idempotent.
  */
 public final class UndertowCaller implements Caller, AutoCloseable {
   private final Loop loop;
@@ -18,7 +18,7 @@
   private final Map<Endpoint, ConnectionPool> pools = new HashMap<>();
   private final IdleConnections idle = new IdleConnections();
 
-  /** A client whose connections belong to this thread. */
+  /** Creates a client whose connections run on this I/O thread. */
   public UndertowCaller(Loop loop, XnioIoThread thread, ByteBufferPool buffers) {
     this.loop = loop;
     this.connections = new ConnectionFactory(thread, buffers);
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -5,9 +5,9 @@
 import java.util.function.Function;
 
 /**
- * Users' requests. Every answer but a final state rests on a read of the state service begun after
- * the request came in, so any controller can give it; what can't be found out now is refused at
- * once, with the time to come back.
+ * The API for user requests. Every response except for a final state is based on a read of the
+ * state service that was sent after the request arrived, so every controller can respond. If the
+ * state can't be read at the moment, the response is an immediate error with a Retry-After header.
  */
 public final class UserApi {
   private final SubmissionHandler submissions;
@@ -15,12 +15,13 @@
   private final CancellationHandler cancellations;
 
   /**
-   * Answers users from these services.
+   * Creates the API.
    *
-   * @param rules which submissions can be accepted
-   * @param cancelled told the id of each job whose user is told that it is cancelled
-   * @param counts finished and running tasks of a job, where they are known here
-   * @param otherShards where the machines are a pool's: finds jobs of its other shards
+   * @param rules rules for acceptable submissions
+   * @param cancelled receives the id of each job for which a user gets a response that confirms the
+   *     cancellation
+   * @param counts numbers of completed and running tasks of a job, if this controller knows them
+   * @param otherShards finds jobs in the other shards, if the machines belong to a pool
    */
   public UserApi(
       JobServices jobs,
@@ -38,17 +39,20 @@
     this.cancellations = new CancellationHandler(jobs, jobAdmission, answers, cancelled);
   }
 
-  /** Answers a submission: accepted once it is stored, refused, or to be repeated later. */
+  /**
+   * Handles a submission. The job is accepted once stored, refused, or has to be submitted again
+   * later.
+   */
   public void submit(byte[] body, Responder out) {
     submissions.submit(body, out);
   }
 
-  /** Answers how a job stands. */
+  /** Responds with the status of a job. */
   public void poll(String uid, Responder out) {
     statuses.poll(uid, out);
   }
 
-  /** Cancels a job, unless it is done already. */
+  /** Cancels a job that has not ended. */
   public void cancel(String uid, Responder out) {
     cancellations.cancel(uid, out);
   }
--- a/src/main/java/plumlever/http/UserRequest.java
+++ b/src/main/java/plumlever/http/UserRequest.java
@@ -3,22 +3,20 @@
 import java.util.function.IntConsumer;
 import plumlever.wire.ForwardedRequest;
 
-/** A user's request that is being answered, as it came in. */
+/** An open user request, with its original content. */
 final class UserRequest implements Responder {
   private final ForwardedRequest request;
   private final Responder out;
   private final IntConsumer answered;
 
-  /**
-   * @param answered takes the status of the answer, right before it is sent
-   */
+  /** @param answered receives the status code immediately before the response is sent */
   UserRequest(ForwardedRequest request, Responder out, IntConsumer answered) {
     this.request = request;
     this.out = out;
     this.answered = answered;
   }
 
-  /** The request as another shard's controller would be asked it. */
+  /** The request in the form in which it is forwarded to another shard. */
   ForwardedRequest request() {
     return request;
   }
--- a/src/main/java/plumlever/http/XnioLoop.java
+++ b/src/main/java/plumlever/http/XnioLoop.java
@@ -9,15 +9,15 @@
 import plumlever.concurrent.Loop;
 
 /**
- * The loop on an XNIO I/O thread, so that requests, answers and decisions need no hand-over between
- * threads.
+ * The event loop on an XNIO I/O thread. Requests, responses and scheduling decisions run on the
+ * same thread and need no hand-off between threads.
  */
 public final class XnioLoop implements Loop {
   private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
 
   private final XnioIoThread thread;
 
-  /** Runs everything on this thread. */
+  /** Creates an event loop on this I/O thread. */
   public XnioLoop(XnioIoThread thread) {
     this.thread = thread;
   }
@@ -57,12 +57,18 @@
     }
   }
 
-  /** Actions that are due after the process has begun to stop have nobody left to tell. */
+  /**
+   * The I/O thread rejects actions that become due during shutdown. They can be dropped, because no
+   * component waits for them any more.
+   */
   private static void logDropped(RejectedExecutionException rejection) {
-    LOG.debug("dropped, the thread is ending: {}", rejection.toString());
+    LOG.debug("action dropped because the I/O thread is shutting down: {}", rejection.toString());
   }
 
-  /** An action that is due at once, and has no timer that could be removed. */
+  /**
+   * An action that is due immediately. The I/O thread has no timer for the action that could be
+   * removed, so a flag marks the action as cancelled.
+   */
   private static final class CancellableAction implements Runnable, Timer {
     private final Runnable action;
     private boolean cancelled;
--- a/src/main/java/plumlever/http/package-info.java
+++ b/src/main/java/plumlever/http/package-info.java
@@ -1,9 +1,10 @@
 /**
- * HTTP in both directions: the server, the outgoing client, and the answers to users, workers and
- * other shards' controllers.
+ * HTTP server, outgoing HTTP client, and the handlers for requests of users, workers and
+ * controllers of other shards.
  *
- * <p>Answers come from the state service and from the leader, which it is handed for each request;
- * it must keep no decision state, and must not know how the leader decides. No answer but a job's
- * final state may rest on a read that began before its request came in.
+ * <p>Responses are based on the state service and on the leader, which is looked up for each
+ * request. The package must not keep decision state and must not depend on how the leader makes
+ * decisions. Except for a job's final state, no response may be based on a read that was sent
+ * before the request arrived.
  */
 package plumlever.http;
