--- a/src/test/java/plumlever/cloud/CloudClientTest.java
+++ b/src/test/java/plumlever/cloud/CloudClientTest.java
@@ -20,11 +20,11 @@
 import plumlever.wire.ListedMachine;
 import plumlever.wire.MachineType;
 
-/** What the cloud's answers mean, whatever they are. */
+/** Tests how the client interprets valid, invalid and missing responses of the cloud. */
 final class CloudClientTest {
   private static final RentalRequest REQUEST = new RentalRequest("r-1-1", "small", "a", true, 2);
 
-  /** A clock that stands still; delayed actions run at once. */
+  /** An event loop with a stopped clock, which runs delayed actions immediately. */
   private static final Loop LOOP =
       new Loop() {
         @Override
@@ -72,14 +72,14 @@
   private RentalResult rent() {
     List<RentalResult> results = new ArrayList<>();
     client.rentMachines(REQUEST, results::add);
-    assertEquals(1, results.size(), "one result for each request");
+    assertEquals(1, results.size(), "each request must have exactly one result");
     return results.get(0);
   }
 
   private Optional<List<ListedMachine>> list() {
     List<Optional<List<ListedMachine>>> results = new ArrayList<>();
     client.listMachines(results::add);
-    assertEquals(1, results.size(), "one result for each request");
+    assertEquals(1, results.size(), "each request must have exactly one result");
     return results.get(0);
   }
 
@@ -194,6 +194,9 @@
     }
 
     assertEquals(RentalResult.without(RentalResult.Outcome.REFUSED), rent());
-    assertEquals(8, paths.size(), "the client keeps within four fifths of ten a second");
+    assertEquals(
+        8,
+        paths.size(),
+        "the client must use at most 80 % of the rate limit of 10 requests per second");
   }
 }
--- a/src/test/java/plumlever/cloud/package-info.java
+++ b/src/test/java/plumlever/cloud/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the package of the same name, without I/O beyond loopback. */
+/** Unit tests of the cloud client, without I/O. */
 package plumlever.cloud;
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -18,9 +18,12 @@
 import plumlever.wire.JobState;
 import plumlever.wire.Priority;
 
-/** The dependency graph, also beside a slow plain model that derives everything anew each time. */
+/**
+ * Tests of the dependency graph. One test compares the graph with a simple reference model that
+ * recomputes all states and goals after each change.
+ */
 final class DependencyGraphTest {
-  /** The records, as they are. */
+  /** The reference model: the job records as stored, without derived state. */
   private static final class Model {
     final Map<String, List<String>> dependencies = new HashMap<>();
     final Map<String, JobState> ended = new HashMap<>();
@@ -44,7 +47,9 @@
               : released(uid) ? DependencyGraph.State.RELEASED : DependencyGraph.State.WAITING;
     }
 
-    /** By when it has to end, for the sake of itself and all that depend on it. */
+    /**
+     * The earliest time required by the job's own deadline and by the deadlines of its dependents.
+     */
     long latestEnd(String uid) {
       long earliest = ownGoals.get(uid).latestEndMicros();
       for (String dependent : dependencies.keySet()) {
@@ -78,7 +83,7 @@
     return LongStream.range(0, 150);
   }
 
-  /** Jobs come, end and are cancelled in any order, and their records are read late and twice. */
+  /** Adds, completes and cancels jobs in random order. Some records are read late or twice. */
   @ParameterizedTest
   @MethodSource("seeds")
   void agreesWithThePlainModel(long seed) {
@@ -140,11 +145,11 @@
     List<String> unknown = graph.addJob(uid, 1 + all.size(), dependencies);
     for (String name : unknown) {
       JobState how = model.ended.get(name);
-      assertTrue(how != null, name + " has ended, or it would be known");
+      assertTrue(how != null, name + " is not in the graph, so it must have ended");
       graph.recordEnd(name, how, 0);
     }
     graph.setGoal(uid, model.ownGoals.get(uid), model.durations.get(uid));
-    // Told again, it changes nothing.
+    // A repeated addJob must change nothing.
     graph.addJob(uid, 1 + all.size(), List.of());
   }
 
@@ -158,25 +163,27 @@
       DependencyGraph.State now = model.state(uid);
       if (model.ended.get(uid) != null) {
         assertEquals(
-            DependencyGraph.State.UNKNOWN, graph.stateOf(uid), uid + " has ended and is forgotten");
+            DependencyGraph.State.UNKNOWN,
+            graph.stateOf(uid),
+            uid + " has ended, so the graph must not hold it");
         continue;
       }
       assertEquals(now, graph.stateOf(uid), uid);
       assertEquals(
           now == DependencyGraph.State.RELEASED,
           released.contains(uid) && !cancelled.contains(uid),
-          uid + " is reported as released");
+          uid + " must be drained as released, and not as cancelled, exactly if it is released");
       assertEquals(
           now == DependencyGraph.State.CANCELLED,
           cancelled.contains(uid),
-          uid + " is reported as cancelled");
+          uid + " must be drained as cancelled exactly if it is cancelled");
       if (now != DependencyGraph.State.CANCELLED) {
         assertEquals(
             model.latestEnd(uid),
             graph.effectiveGoal(uid).latestEndMicros(),
-            uid + " has its deadline");
+            uid + ": effective deadline");
         assertEquals(
-            model.priority(uid), graph.effectiveGoal(uid).priority(), uid + " has its priority");
+            model.priority(uid), graph.effectiveGoal(uid).priority(), uid + ": effective priority");
       }
     }
   }
@@ -185,12 +192,14 @@
     return new EffectiveGoal(0, deadline, "c", 0, priority);
   }
 
-  /** So many that recursion would overflow the stack. */
+  /** Long enough that a recursive traversal would overflow the stack. */
   private static final int MANY = 10_000;
 
   private static final long LAST_DEADLINE = 1_000_000;
 
-  /** A chain of many jobs, of which only the last has a deadline and a high priority. */
+  /**
+   * A chain of {@link #MANY} jobs in which only the last job has a deadline and a high priority.
+   */
   private static DependencyGraph longChain() {
     DependencyGraph graph = new DependencyGraph();
     for (int i = 0; i < MANY; i++) {
@@ -220,10 +229,10 @@
     List<String> changed = new ArrayList<>();
 
     graph.propagateGoals(changed::add);
-    assertEquals(MANY, changed.size(), "each once");
+    assertEquals(MANY, changed.size(), "each job's goal changes once");
 
     graph.propagateGoals(changed::add);
-    assertEquals(MANY, changed.size(), "nothing changed, nothing is derived");
+    assertEquals(MANY, changed.size(), "without a change no goal is recomputed");
   }
 
   @Test
--- a/src/test/java/plumlever/fleet/FleetNumbersTest.java
+++ b/src/test/java/plumlever/fleet/FleetNumbersTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The numbers of a term are bounded. Guards against a term of a large fleet that lasts for days and
- * gives out numbers of the next one.
+ * Tests the limits on the attempt numbers and fencing tokens of a term. Guards against a term that
+ * lasts for days in a large fleet and issues numbers that belong to the next term.
  */
 final class FleetNumbersTest {
   private static final long TERM = 7;
--- a/src/test/java/plumlever/fleet/ImageCacheTest.java
+++ b/src/test/java/plumlever/fleet/ImageCacheTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.wire.MachineType;
 
-/** The images of one machine, which fetches 1 GB in a second and holds 10 GB. */
+/** Tests the image cache of a machine that fetches 1 GB per second and stores up to 10 GB. */
 final class ImageCacheTest {
   private static final long SECOND = 1_000_000;
   private static final MachineType TYPE =
--- a/src/test/java/plumlever/fleet/MachineContactTest.java
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.wire.Heartbeat;
 
-/** When a machine and its leader last heard of each other. */
+/** Tests the communication state between a machine and its leader. */
 final class MachineContactTest {
   private final MachineContact contact = new MachineContact();
 
@@ -28,7 +28,7 @@
 
   @Test
   void aCopyOfAReportIsNotNewer() {
-    assertTrue(contact.isNewerThanLast(report(0, 0)), "there is none before the first");
+    assertTrue(contact.isNewerThanLast(report(0, 0)), "the first report is newer than no report");
     contact.recordReport(report(2, 5), HeartbeatSource.WORKER, 10);
 
     assertFalse(contact.isNewerThanLast(report(2, 5)));
@@ -73,7 +73,7 @@
 
     assertFalse(contact.unreachable());
     contact.recordLostAnswer();
-    assertFalse(contact.unreachable(), "lost answers are counted from the delivered one");
+    assertFalse(contact.unreachable(), "a delivered response resets the count of lost responses");
   }
 
   @Test
--- a/src/test/java/plumlever/fleet/MachineTokensTest.java
+++ b/src/test/java/plumlever/fleet/MachineTokensTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The fencing tokens of one machine. */
+/** Tests the fencing tokens of a machine. */
 final class MachineTokensTest {
   private static final long TERM = 7;
   private static final long FIRST = Fleet.firstToken(TERM);
--- a/src/test/java/plumlever/fleet/RetryBackoffTest.java
+++ b/src/test/java/plumlever/fleet/RetryBackoffTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The pause before a job's next attempt. */
+/** Tests the backoff before a job's next attempt. */
 final class RetryBackoffTest {
   private static final long NOW = 5_000_000;
 
--- a/src/test/java/plumlever/fleet/package-info.java
+++ b/src/test/java/plumlever/fleet/package-info.java
@@ -1,2 +1,5 @@
-/** Tests of the package of the same name, without I/O beyond loopback. */
+/**
+ * Unit tests of the jobs, attempts, machines and dependency graph of the fleet package, without
+ * I/O.
+ */
 package plumlever.fleet;
--- a/src/test/java/plumlever/http/RequestAdmissionTest.java
+++ b/src/test/java/plumlever/http/RequestAdmissionTest.java
@@ -12,7 +12,10 @@
 import plumlever.metrics.Metrics;
 import plumlever.wire.ForwardedRequest;
 
-/** Users' requests are bounded, and refused at once where they can't be taken. */
+/**
+ * Tests the limit on open user requests and the immediate refusal of requests that can't be
+ * admitted.
+ */
 final class RequestAdmissionTest {
   private static final int MAX_OPEN_REQUESTS = 256;
 
@@ -56,7 +59,7 @@
     assertTrue(admit().isEmpty());
 
     assertEquals(List.of(503), sentStatuses);
-    assertTrue(retryAfterS > 0, "Retry-After");
+    assertTrue(retryAfterS > 0, "a refusal must have a Retry-After value");
     assertEquals(1, metrics.counter("users_turned_away"));
   }
 
@@ -115,7 +118,7 @@
 
     @Override
     public Timer after(long delayMicros, Runnable action) {
-      throw new UnsupportedOperationException("admission starts no timer");
+      throw new UnsupportedOperationException("request admission must not start a timer");
     }
 
     @Override
--- a/src/test/java/plumlever/http/ServerTest.java
+++ b/src/test/java/plumlever/http/ServerTest.java
@@ -22,7 +22,10 @@
 import org.xnio.XnioWorker;
 import plumlever.settings.Endpoint;
 
-/** A real round trip on loopback, through the server and the client the service uses. */
+/**
+ * Tests the server and the outgoing HTTP client together, over real connections on the loopback
+ * interface.
+ */
 final class ServerTest {
   private static final int MAX_CONNECTIONS = 50;
   private static final long IDLE_MICROS = 20_000_000;
@@ -30,7 +33,7 @@
   private static final long SHORT_TIMEOUT_MICROS = 200_000;
   private static final byte[] NO_BODY = new byte[0];
 
-  /** More than a pool has connections, so that some are used again. */
+  /** More requests than a connection pool has connections, so that connections are reused. */
   private static final int MANY_REQUESTS = 20;
 
   private XnioWorker worker;
@@ -64,7 +67,9 @@
     worker.shutdownNow();
   }
 
-  /** Echoes what came; two paths have a meaning of their own. */
+  /**
+   * Echoes the method, the path and the body length, except for two paths with special behavior.
+   */
   private void answer(String method, String path, byte[] body, Responder out) {
     switch (path) {
       case "/unanswered" -> {}
@@ -72,13 +77,13 @@
       default -> {
         int status = path.equals("/unavailable") ? 503 : 200;
         String echo = method + " " + path + " " + body.length;
-        // Answered later, as most requests are.
+        // Respond after a delay, as most request handlers do.
         loop.after(1_000, () -> out.send(status, echo, 1));
       }
     }
   }
 
-  /** The status with the body of the answer. */
+  /** Sends a request and returns the status and the body of the response. */
   private String call(String method, String path, byte[] body, long timeoutMicros)
       throws InterruptedException, ExecutionException, TimeoutException {
     CompletableFuture<String> done = new CompletableFuture<>();
@@ -125,8 +130,8 @@
   }
 
   /**
-   * Near the limit of connections workers are asked to come back on new ones, so that users always
-   * find room.
+   * Near the connection limit, the server closes workers' connections after each heartbeat, so that
+   * user requests always get a connection.
    */
   @Test
   void knowsWhenConnectionsAreShort() throws Exception {
--- a/src/test/java/plumlever/http/package-info.java
+++ b/src/test/java/plumlever/http/package-info.java
@@ -1,2 +1,5 @@
-/** Tests of the package of the same name, without I/O beyond loopback. */
+/**
+ * Unit tests of the HTTP server, client and request handlers, without I/O beyond the loopback
+ * interface.
+ */
 package plumlever.http;
