--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -272,7 +272,7 @@
   private void warnOnce(String subject, String reason) {
     if (warnedOf.add(subject)) {
       LOG.warn(
-          "cloud request for {} failed: the response is invalid or the cloud rejected the request: {}",
+          "cloud request for {} failed: invalid response, or request rejected by the cloud: {}",
           subject,
           reason);
     }
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -13,7 +13,8 @@
 /**
  * The directed acyclic graph of jobs and their dependencies. The graph derives which jobs are
  * released, which are cancelled, and which effective goal each job has. The class does no I/O:
- * callers pass in the stored records. Both the leader and the controllers that serve users use it.
+ * callers pass in the stored records. The leader uses the graph, and so do the controllers that
+ * serve users.
  *
  * <p>A job is released when all of its dependencies are stored as done. A job that has not ended is
  * cancelled as soon as a direct or transitive dependency is stored as cancelled. Dependencies
@@ -97,8 +98,8 @@
     } else if (!vertex.isCancelled()) {
       cancel(vertex, uid);
     }
-    // The vertex of an ended job is not needed any more. If a later job depends on the ended job,
-    // the record is read again.
+    // The graph does not need an ended job any more. If a later job depends on the ended job, the
+    // record of the ended job is read again.
     vertices.remove(uid, vertex);
   }
 
--- a/src/main/java/plumlever/fleet/HeartbeatSource.java
+++ b/src/main/java/plumlever/fleet/HeartbeatSource.java
@@ -6,8 +6,8 @@
   WORKER,
 
   /**
-   * The body of the reply to a direct call. It shows nothing about a response that is still on its
-   * way to the worker.
+   * The body of the reply to a direct call. The reply does not show whether an earlier heartbeat
+   * response has reached the worker.
    */
   DIRECT_REPLY
 }
--- a/src/main/java/plumlever/fleet/ImageCache.java
+++ b/src/main/java/plumlever/fleet/ImageCache.java
@@ -61,8 +61,7 @@
   }
 
   /**
-   * Records the start of a task that needs the image. The machine fetches the image if it does not
-   * have it.
+   * Records the start of a task that needs the image. The machine fetches a missing image.
    *
    * @param gb size of the image
    * @param type type of the machine
