--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -126,7 +126,9 @@
     readPage("", new ArrayList<>(), callback);
   }
 
-  /** @param lastId id of the last machine on the previous page; empty for the first page */
+  /**
+   * @param lastId id of the last machine on the previous page; empty for the first page
+   */
   private void readPage(
       String lastId,
       List<ListedMachine> machines,
--- a/src/main/java/plumlever/fleet/AttemptNumbers.java
+++ b/src/main/java/plumlever/fleet/AttemptNumbers.java
@@ -19,7 +19,9 @@
     this(term, 0);
   }
 
-  /** @param issued how many numbers of the term have already been issued */
+  /**
+   * @param issued how many numbers of the term have already been issued
+   */
   AttemptNumbers(long term, long issued) {
     this.term = term;
     this.counter = issued;
--- a/src/main/java/plumlever/http/ConnectionPool.java
+++ b/src/main/java/plumlever/http/ConnectionPool.java
@@ -20,7 +20,9 @@
   private final Deque<OutgoingCall> waiting = new ArrayDeque<>();
   private int inUse;
 
-  /** @param unused called when the pool has no open call, no idle connection and no waiting call */
+  /**
+   * @param unused called when the pool has no open call, no idle connection and no waiting call
+   */
   ConnectionPool(Endpoint endpoint, IdleConnections idle, Consumer<ConnectionPool> unused) {
     this.endpoint = endpoint;
     this.idle = idle;
--- a/src/main/java/plumlever/http/OutgoingCall.java
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -37,7 +37,9 @@
   private boolean begun;
   private boolean finished;
 
-  /** @param body the request body, or null for none */
+  /**
+   * @param body the request body, or null for none
+   */
   OutgoingCall(
       ConnectionFactory connections,
       ConnectionPool pool,
@@ -211,7 +213,9 @@
     finish(0, NO_BODY, Optional.empty());
   }
 
-  /** @param reusable the connection if another call can reuse it */
+  /**
+   * @param reusable the connection if another call can reuse it
+   */
   private void finish(int status, byte[] data, Optional<ClientConnection> reusable) {
     if (finished) {
       return;
--- a/src/main/java/plumlever/http/UserRequest.java
+++ b/src/main/java/plumlever/http/UserRequest.java
@@ -9,7 +9,9 @@
   private final Responder out;
   private final IntConsumer answered;
 
-  /** @param answered receives the status code immediately before the response is sent */
+  /**
+   * @param answered receives the status code immediately before the response is sent
+   */
   UserRequest(ForwardedRequest request, Responder out, IntConsumer answered) {
     this.request = request;
     this.out = out;
