--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -42,7 +42,7 @@
   private static final int MACHINES_PER_PAGE = 500;
 
   /** Fraction of the cloud's rate limit that this client uses. */
-  private static final double RATE_SHARE = 0.8;
+  private static final double RATE_LIMIT_FRACTION = 0.8;
 
   /**
    * Delay before the next page of a machine list if reading the page now would exceed the rate
@@ -51,7 +51,7 @@
   private static final long PAGE_PAUSE_MICROS = 400_000;
 
   /** Requests of the rate limit that a list read leaves for concurrent rentals and returns. */
-  private static final double REQUESTS_LEFT_TO_OTHERS = 2;
+  private static final double REQUESTS_RESERVED_FOR_CHANGES = 2;
 
   private static final String NO_CAPACITY_TEXT = "capacity";
 
@@ -75,8 +75,8 @@
   private final Caller caller;
   private final Endpoint endpoint;
   private final Metrics metrics;
-  private final TokenBucket requests;
-  private final Set<String> warnedOf = new HashSet<>();
+  private final TokenBucket rateLimiter;
+  private final Set<String> warnedSubjects = new HashSet<>();
 
   /** Creates a client that stays within the cloud's rate limit. */
   public CloudClient(
@@ -89,7 +89,7 @@
     this.loop = loop;
     this.caller = caller;
     this.endpoint = endpoint;
-    this.requests = new TokenBucket(limits.rps() * RATE_SHARE, loop.nowMicros());
+    this.rateLimiter = new TokenBucket(limits.rps() * RATE_LIMIT_FRACTION, loop.nowMicros());
   }
 
   /**
@@ -133,7 +133,8 @@
       String lastId,
       List<ListedMachine> machines,
       Consumer<Optional<List<ListedMachine>>> callback) {
-    if (!lastId.isEmpty() && !requests.canAcquire(1 + REQUESTS_LEFT_TO_OTHERS, loop.nowMicros())) {
+    if (!lastId.isEmpty()
+        && !rateLimiter.canAcquire(1 + REQUESTS_RESERVED_FOR_CHANGES, loop.nowMicros())) {
       loop.after(PAGE_PAUSE_MICROS, () -> readPage(lastId, machines, callback));
       return;
     }
@@ -196,10 +197,10 @@
       response.machineIds().forEach(id -> machineIds.add(id.asText()));
       return RentalResult.rented(machineIds);
     }
-    return RentalResult.without(
+    return RentalResult.withoutMachines(
         switch (response.status()) {
           case HttpStatus.UNAVAILABLE ->
-              tellsOfNoCapacity(response)
+              reportsNoCapacity(response)
                   ? RentalResult.Outcome.NO_CAPACITY
                   : RentalResult.Outcome.REFUSED;
           case HttpStatus.TOO_MANY_REQUESTS, HttpStatus.BAD_REQUEST -> RentalResult.Outcome.REFUSED;
@@ -207,7 +208,7 @@
         });
   }
 
-  private static boolean tellsOfNoCapacity(Response response) {
+  private static boolean reportsNoCapacity(Response response) {
     return response.body().isPresent()
         && response.body().get().path("error").asText().contains(NO_CAPACITY_TEXT);
   }
@@ -237,7 +238,7 @@
    * that the cloud would return.
    */
   private void send(String method, String path, JsonNode body, Consumer<Response> callback) {
-    if (!requests.tryAcquire(1, loop.nowMicros())) {
+    if (!rateLimiter.tryAcquire(1, loop.nowMicros())) {
       metrics.countRefusal("cloud", HttpStatus.TOO_MANY_REQUESTS);
       loop.after(
           0, () -> callback.accept(new Response(HttpStatus.TOO_MANY_REQUESTS, Optional.empty())));
@@ -272,7 +273,7 @@
   }
 
   private void warnOnce(String subject, String reason) {
-    if (warnedOf.add(subject)) {
+    if (warnedSubjects.add(subject)) {
       LOG.warn(
           "cloud request for {} failed: invalid response, or request rejected by the cloud: {}",
           subject,
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -19,7 +19,7 @@
  */
 public final class MachineTypeRefresh {
   /** The delay that tells a recurring task not to run again. */
-  private static final long FINISHED = -1;
+  private static final long NO_NEXT_RUN = -1;
 
   private static final long RETRY_INTERVAL_MICROS = 1_500_000;
 
@@ -46,7 +46,7 @@
 
   private long refresh() {
     if (prices.isLoaded()) {
-      return FINISHED;
+      return NO_NEXT_RUN;
     }
     cloud.listMachineTypes(
         machineTypes -> machineTypes.ifPresentOrElse(this::useCloudTypes, this::readStored));
--- a/src/main/java/plumlever/cloud/RentalResult.java
+++ b/src/main/java/plumlever/cloud/RentalResult.java
@@ -25,7 +25,7 @@
     return new RentalResult(Outcome.RENTED, List.copyOf(machineIds));
   }
 
-  static RentalResult without(Outcome outcome) {
+  static RentalResult withoutMachines(Outcome outcome) {
     return new RentalResult(outcome, List.of());
   }
 }
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -37,7 +37,7 @@
     this.id = id;
     this.machine = machine;
     this.incarnation = machine.contact().incarnation();
-    this.answeredSequenceNumber = origin.answeredSequenceNumber();
+    this.answeredSequenceNumber = origin.heartbeatSequenceNumber();
     this.directCommandToken = origin.directCommandToken();
     this.sentMicros = sentMicros;
   }
@@ -131,7 +131,7 @@
 
   private void confirmStart() {
     if (unconfirmed()) {
-      machine.load().attemptConfirmed();
+      machine.load().recordConfirmedAttempt();
     }
   }
 
@@ -149,7 +149,7 @@
   void end(ExitCause cause) {
     confirmStart();
     if (!over) {
-      machine.load().attemptEnded();
+      machine.load().recordEndedAttempt();
     }
     over = true;
     exitCause = cause;
--- a/src/main/java/plumlever/fleet/AttemptOrigin.java
+++ b/src/main/java/plumlever/fleet/AttemptOrigin.java
@@ -3,19 +3,19 @@
 /**
  * How an attempt was started on its machine.
  *
- * @param answeredSequenceNumber sequence number of the heartbeat whose response started the
+ * @param heartbeatSequenceNumber sequence number of the heartbeat whose response started the
  *     attempt, or {@link #NONE}
  * @param directCommandToken fencing token of the direct command that started the attempt, or {@link
  *     #NONE}
  */
-record AttemptOrigin(long answeredSequenceNumber, long directCommandToken) {
+record AttemptOrigin(long heartbeatSequenceNumber, long directCommandToken) {
   /** Placeholder for a missing sequence number or token. */
   static final long NONE = -1;
 
   /** The origin of an attempt of an earlier term that its machine reported. */
-  static final AttemptOrigin REPORTED = new AttemptOrigin(NONE, NONE);
+  static final AttemptOrigin ADOPTED = new AttemptOrigin(NONE, NONE);
 
-  static AttemptOrigin answerTo(long sequenceNumber) {
+  static AttemptOrigin heartbeatResponse(long sequenceNumber) {
     return new AttemptOrigin(sequenceNumber, NONE);
   }
 
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -42,7 +42,7 @@
   private final Map<String, JobVertex> vertices = new HashMap<>();
   private final List<String> released = new ArrayList<>();
   private final List<String> cancelled = new ArrayList<>();
-  private final GoalPropagation goals = new GoalPropagation();
+  private final GoalPropagation goalPropagation = new GoalPropagation();
 
   /**
    * Adds a job that has not ended. Idempotent.
@@ -84,15 +84,15 @@
   /**
    * Records the stored end of a job. Has no effect on a job that the graph does not hold.
    *
-   * @param how the final state
+   * @param finalState the final state
    * @param endedMicros when the job ended
    */
-  public void recordEnd(String uid, JobState how, long endedMicros) {
+  public void recordEnd(String uid, JobState finalState, long endedMicros) {
     JobVertex vertex = vertices.get(uid);
     if (vertex == null || vertex.isDone()) {
       return;
     }
-    if (how != JobState.CANCELLED) {
+    if (finalState != JobState.CANCELLED) {
       vertex.markDone();
       releaseDependents(vertex, endedMicros);
     } else if (!vertex.isCancelled()) {
@@ -105,7 +105,7 @@
 
   private void releaseDependents(JobVertex done, long endedMicros) {
     for (JobVertex dependent : done.dependents()) {
-      if (dependent.closeDependency(endedMicros) && dependent.state() == State.WAITING) {
+      if (dependent.completeDependency(endedMicros) && dependent.state() == State.WAITING) {
         release(dependent);
       }
     }
@@ -121,7 +121,7 @@
     for (int i = 0; i < affected.size(); i++) {
       JobVertex vertex = affected.get(i);
       cancelled.add(vertex.uid());
-      goals.markDependenciesStale(vertex);
+      goalPropagation.markDependenciesStale(vertex);
       for (JobVertex dependent : vertex.dependents()) {
         if (!dependent.isOver()) {
           dependent.markCancelled(failedDependency);
@@ -211,8 +211,8 @@
     }
     vertex.setOwnGoal(ownGoal);
     vertex.setDurationMicros(durationMicros);
-    goals.markStale(vertex);
-    goals.markDependenciesStale(vertex);
+    goalPropagation.markStale(vertex);
+    goalPropagation.markDependenciesStale(vertex);
   }
 
   /**
@@ -226,7 +226,7 @@
         long duration = durationMicros.applyAsLong(vertex.uid());
         if (duration != vertex.durationMicros()) {
           vertex.setDurationMicros(duration);
-          goals.markDependenciesStale(vertex);
+          goalPropagation.markDependenciesStale(vertex);
         }
       }
     }
@@ -238,7 +238,7 @@
    * @param changed receives the id of each job whose effective goal has changed
    */
   public void propagateGoals(Consumer<String> changed) {
-    goals.propagate(changed);
+    goalPropagation.propagate(changed);
   }
 
   /**
--- a/src/main/java/plumlever/fleet/EffectiveGoal.java
+++ b/src/main/java/plumlever/fleet/EffectiveGoal.java
@@ -45,9 +45,9 @@
 
   /** Combines the earlier deadline and the higher priority of the two goals. */
   EffectiveGoal strictest(EffectiveGoal other) {
-    EffectiveGoal sooner = other.latestEndMicros() < latestEndMicros() ? other : this;
+    EffectiveGoal earlier = other.latestEndMicros() < latestEndMicros() ? other : this;
     Priority moreUrgent = other.priority.compareTo(priority) < 0 ? other.priority : priority;
-    return sooner.priority == moreUrgent ? sooner : sooner.withPriority(moreUrgent);
+    return earlier.priority == moreUrgent ? earlier : earlier.withPriority(moreUrgent);
   }
 
   private EffectiveGoal withPriority(Priority otherPriority) {
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -122,14 +122,15 @@
     AttemptOrigin origin =
         switch (channel) {
           case DIRECT_COMMAND -> AttemptOrigin.directCommand(machine.tokens().current());
-          case HEARTBEAT_ANSWER -> AttemptOrigin.answerTo(machine.contact().ownSequenceNumber());
+          case HEARTBEAT_ANSWER ->
+              AttemptOrigin.heartbeatResponse(machine.contact().ownSequenceNumber());
         };
-    return register(new Attempt(job, task, attemptNumbers.next(), machine, origin, nowMicros));
+    return addAttempt(new Attempt(job, task, attemptNumbers.next(), machine, origin, nowMicros));
   }
 
   /** Adopts an attempt of an earlier term that the machine reports. */
   public Attempt adoptAttempt(Job job, int task, long id, Machine machine, long nowMicros) {
-    return register(new Attempt(job, task, id, machine, AttemptOrigin.REPORTED, nowMicros));
+    return addAttempt(new Attempt(job, task, id, machine, AttemptOrigin.ADOPTED, nowMicros));
   }
 
   /**
@@ -153,7 +154,7 @@
     return attemptNumbers.isOfEarlierTerm(attemptId);
   }
 
-  private Attempt register(Attempt attempt) {
+  private Attempt addAttempt(Attempt attempt) {
     attempt.machine().load().add(attempt);
     attempt.job().addAttempt(attempt);
     JobSpec spec = attempt.job().spec();
--- a/src/main/java/plumlever/fleet/GoalPropagation.java
+++ b/src/main/java/plumlever/fleet/GoalPropagation.java
@@ -44,7 +44,7 @@
         continue;
       }
       previous = vertex;
-      EffectiveGoal goal = derive(vertex);
+      EffectiveGoal goal = computeGoal(vertex);
       if (!goal.equals(vertex.effectiveGoal())) {
         vertex.setEffectiveGoal(goal);
         changed.accept(vertex.uid());
@@ -53,7 +53,7 @@
     }
   }
 
-  private static EffectiveGoal derive(JobVertex vertex) {
+  private static EffectiveGoal computeGoal(JobVertex vertex) {
     EffectiveGoal goal = vertex.ownGoal();
     for (JobVertex dependent : vertex.dependents()) {
       if (!dependent.isOver() && dependent.effectiveGoal() != null) {
--- a/src/main/java/plumlever/fleet/ImageCache.java
+++ b/src/main/java/plumlever/fleet/ImageCache.java
@@ -39,16 +39,17 @@
       return 0;
     }
     // Concurrent fetches may share the fetch rate.
-    long wholeMicros =
-        (long) (gb / type.fetchGbPerS() * MICROS_PER_SECOND) * (1 + otherFetches(name, nowMicros));
+    long fullFetchMicros =
+        (long) (gb / type.fetchGbPerS() * MICROS_PER_SECOND)
+            * (1 + countOtherFetches(name, nowMicros));
     return image == null
-        ? wholeMicros
+        ? fullFetchMicros
         : Math.max(
-            wholeMicros / MIN_REMAINING_DIVISOR,
-            wholeMicros - (nowMicros - image.fetchStartMicros));
+            fullFetchMicros / MIN_REMAINING_DIVISOR,
+            fullFetchMicros - (nowMicros - image.fetchStartMicros));
   }
 
-  private int otherFetches(String name, long nowMicros) {
+  private int countOtherFetches(String name, long nowMicros) {
     int count = 0;
     for (Map.Entry<String, Image> entry : images.entrySet()) {
       if (!entry.getValue().ready
@@ -73,7 +74,7 @@
     evictDownTo(type.cacheGb(), name);
   }
 
-  private void evictDownTo(double cacheGb, String keep) {
+  private void evictDownTo(double cacheGb, String retainedName) {
     double totalGb = 0;
     for (Image image : images.values()) {
       totalGb += image.gb;
@@ -81,7 +82,7 @@
     var entries = images.entrySet().iterator();
     while (totalGb > cacheGb && entries.hasNext()) {
       Map.Entry<String, Image> leastRecent = entries.next();
-      if (leastRecent.getKey().equals(keep)) {
+      if (leastRecent.getKey().equals(retainedName)) {
         return;
       }
       totalGb -= leastRecent.getValue().gb;
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -35,12 +35,12 @@
   private final BitSet storedTasks = new BitSet();
 
   /** Tasks that have not completed and have no live attempt. */
-  private final BitSet pending = new BitSet();
+  private final BitSet pendingTasks = new BitSet();
 
   private final Int2ObjectHashMap<Attempt> liveAttempts = new Int2ObjectHashMap<>();
 
   /** Tasks that ran before and have not completed. */
-  private final BitSet restarted = new BitSet();
+  private final BitSet restartedTasks = new BitSet();
 
   private final RetryBackoff backoff = new RetryBackoff();
 
@@ -69,7 +69,7 @@
             0,
             spec.priority());
     this.inherited = inherited;
-    pending.set(0, spec.taskCount());
+    pendingTasks.set(0, spec.taskCount());
   }
 
   /** The job as submitted by the user. */
@@ -200,12 +200,12 @@
 
   /** The number of tasks that have not completed and have no live attempt. */
   public int pendingCount() {
-    return pending.cardinality();
+    return pendingTasks.cardinality();
   }
 
   /** True if some task has not completed and has no live attempt. */
   public boolean hasPending() {
-    return !pending.isEmpty();
+    return !pendingTasks.isEmpty();
   }
 
   /**
@@ -213,18 +213,20 @@
    * because the start-time objectives count the first start of each task.
    */
   public int nextPendingTask() {
-    for (int task = pending.nextSetBit(0); task >= 0; task = pending.nextSetBit(task + 1)) {
-      if (!restarted.get(task)) {
+    for (int task = pendingTasks.nextSetBit(0);
+        task >= 0;
+        task = pendingTasks.nextSetBit(task + 1)) {
+      if (!restartedTasks.get(task)) {
         return task;
       }
     }
-    return pending.nextSetBit(0);
+    return pendingTasks.nextSetBit(0);
   }
 
   /** True if some pending task has never run. */
   public boolean hasNeverStartedTask() {
     int task = nextPendingTask();
-    return task >= 0 && !restarted.get(task);
+    return task >= 0 && !restartedTasks.get(task);
   }
 
   /** The attempts that have not ended. */
@@ -257,7 +259,7 @@
     if (task < spec.taskCount() && !completedTasks.get(task)) {
       completedTasks.set(task);
       completedCount++;
-      pending.clear(task);
+      pendingTasks.clear(task);
     }
   }
 
@@ -273,7 +275,7 @@
 
   /** Adds a live attempt. From now on its task may be on a machine. */
   void addAttempt(Attempt attempt) {
-    pending.clear(attempt.task());
+    pendingTasks.clear(attempt.task());
     liveAttempts.put(attempt.task(), attempt);
   }
 
@@ -288,9 +290,9 @@
     }
     liveAttempts.remove(task);
     if (!completedTasks.get(task)) {
-      pending.set(task);
+      pendingTasks.set(task);
       if (attempt.runningSinceMicros() >= 0) {
-        restarted.set(task);
+        restartedTasks.set(task);
       }
     }
   }
@@ -300,7 +302,7 @@
    * whole task.
    */
   public boolean restarted(int task) {
-    return restarted.get(task);
+    return restartedTasks.get(task);
   }
 
   /**
--- a/src/main/java/plumlever/fleet/JobVertex.java
+++ b/src/main/java/plumlever/fleet/JobVertex.java
@@ -80,7 +80,7 @@
   void addDependency(JobVertex dependency) {
     dependencies.add(dependency);
     if (dependency.isDone()) {
-      noteDependencyDone(dependency.releasedMicros);
+      updateReleasedMicros(dependency.releasedMicros);
     } else {
       openDependencies++;
       dependency.dependents.add(this);
@@ -110,13 +110,13 @@
    *
    * @return true if no other dependency is open
    */
-  boolean closeDependency(long endedMicros) {
-    noteDependencyDone(endedMicros);
+  boolean completeDependency(long endedMicros) {
+    updateReleasedMicros(endedMicros);
     openDependencies--;
     return openDependencies == 0;
   }
 
-  private void noteDependencyDone(long endedMicros) {
+  private void updateReleasedMicros(long endedMicros) {
     releasedMicros = Math.max(releasedMicros, endedMicros);
   }
 
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -10,7 +10,7 @@
  */
 public final class MachineContact {
   /** Number of consecutive lost responses after which a machine counts as unreachable. */
-  private static final int LOST_ANSWERS_OF_UNREACHABLE = 2;
+  private static final int UNREACHABLE_MIN_LOST_RESPONSES = 2;
 
   /** A time before all others that does not overflow when a duration is added or subtracted. */
   private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 4;
@@ -24,7 +24,7 @@
   private long renewedElsewhereMicros = DISTANT_PAST_MICROS;
   private boolean commandInFlight;
   private int consecutiveFailedCalls;
-  private int consecutiveLostAnswers;
+  private int consecutiveLostResponses;
   private boolean unreachable;
 
   /** The worker incarnation in the newest report; 0 before the first report. */
@@ -152,15 +152,15 @@
    * would postpone the time at which the machine's lease is certain to have expired.
    */
   public void recordLostAnswer() {
-    consecutiveLostAnswers++;
-    if (consecutiveLostAnswers >= LOST_ANSWERS_OF_UNREACHABLE) {
+    consecutiveLostResponses++;
+    if (consecutiveLostResponses >= UNREACHABLE_MIN_LOST_RESPONSES) {
       unreachable = true;
     }
   }
 
   /** Records a heartbeat that shows the content of the preceding responses. */
   public void recordDeliveredAnswer() {
-    consecutiveLostAnswers = 0;
+    consecutiveLostResponses = 0;
     unreachable = false;
   }
 
--- a/src/main/java/plumlever/fleet/MachineHealth.java
+++ b/src/main/java/plumlever/fleet/MachineHealth.java
@@ -15,9 +15,9 @@
   private static final double LAST_RUN_WEIGHT = 0.3;
 
   /** Failures of a single job may be caused by the job itself. */
-  private static final int FAILED_JOBS_OF_FAULTY = 2;
+  private static final int FAULTY_MIN_FAILED_JOBS = 2;
 
-  private static final int ERRORS_OF_FAULTY = 3;
+  private static final int FAULTY_MIN_ERRORS = 3;
 
   private double slowness = 1;
   private int consecutiveErrors;
@@ -49,7 +49,7 @@
       lastErrorJob = job;
       failedJobs++;
     }
-    return failedJobs >= FAILED_JOBS_OF_FAULTY && consecutiveErrors >= ERRORS_OF_FAULTY;
+    return failedJobs >= FAULTY_MIN_FAILED_JOBS && consecutiveErrors >= FAULTY_MIN_ERRORS;
   }
 
   /** Records a completed task, which resets the count of earlier errors. */
--- a/src/main/java/plumlever/fleet/MachineLoad.java
+++ b/src/main/java/plumlever/fleet/MachineLoad.java
@@ -33,11 +33,11 @@
   }
 
   /** Records that an attempt started by a direct command was reported or has ended. */
-  void attemptConfirmed() {
+  void recordConfirmedAttempt() {
     unconfirmedAttempts--;
   }
 
-  void attemptEnded() {
+  void recordEndedAttempt() {
     liveAttempts--;
   }
 
--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -9,7 +9,7 @@
   private long current;
   private long term;
   private long lastRenewal;
-  private long lastCommand = -1;
+  private long lastCommandToken = -1;
   private long endsKnownAtLastCommandMicros;
 
   /** The token in responses and commands to the machine. */
@@ -50,7 +50,7 @@
    * @param endsKnownMicros when the last successful read of ended jobs was sent
    */
   public void commandSent(long endsKnownMicros) {
-    lastCommand = current;
+    lastCommandToken = current;
     endsKnownAtLastCommandMicros = endsKnownMicros;
   }
 
@@ -64,12 +64,12 @@
    * machine, the machine executes no earlier direct command.
    */
   public void voidDirectCommands() {
-    raise(lastCommand + 1);
+    raise(lastCommandToken + 1);
   }
 
   /** True if a direct command has been sent and the token has not been raised since. */
   public boolean hasUnvoidedCommand() {
-    return lastCommand >= current;
+    return lastCommandToken >= current;
   }
 
   /** Records that a response with the current token renews the machine's lease. */
--- a/src/main/java/plumlever/fleet/RetryBackoff.java
+++ b/src/main/java/plumlever/fleet/RetryBackoff.java
@@ -7,21 +7,21 @@
  */
 final class RetryBackoff {
   /** Consecutive errors up to which the delay does not grow. */
-  private static final int ERRORS_WITH_FIRST_PAUSE = 2;
+  private static final int ERRORS_WITH_INITIAL_DELAY = 2;
 
   private static final int MAX_DOUBLINGS = 6;
-  private static final int MAX_COUNTED_ERRORS = ERRORS_WITH_FIRST_PAUSE + MAX_DOUBLINGS;
-  private static final long FIRST_PAUSE_MICROS = 1_000_000;
-  private static final long MAX_PAUSE_MICROS = 60_000_000;
+  private static final int MAX_COUNTED_ERRORS = ERRORS_WITH_INITIAL_DELAY + MAX_DOUBLINGS;
+  private static final long INITIAL_DELAY_MICROS = 1_000_000;
+  private static final long MAX_DELAY_MICROS = 60_000_000;
 
   private int consecutiveErrors;
   private long retryNotBeforeMicros;
 
   void recordError(long nowMicros) {
     consecutiveErrors = Math.min(consecutiveErrors + 1, MAX_COUNTED_ERRORS);
-    int doublings = Math.max(0, consecutiveErrors - ERRORS_WITH_FIRST_PAUSE);
-    long pauseMicros = Math.min(MAX_PAUSE_MICROS, FIRST_PAUSE_MICROS << doublings);
-    retryNotBeforeMicros = Math.max(retryNotBeforeMicros, nowMicros + pauseMicros);
+    int doublings = Math.max(0, consecutiveErrors - ERRORS_WITH_INITIAL_DELAY);
+    long delayMicros = Math.min(MAX_DELAY_MICROS, INITIAL_DELAY_MICROS << doublings);
+    retryNotBeforeMicros = Math.max(retryNotBeforeMicros, nowMicros + delayMicros);
   }
 
   void recordSuccess() {
--- a/src/main/java/plumlever/http/CancellationHandler.java
+++ b/src/main/java/plumlever/http/CancellationHandler.java
@@ -19,22 +19,22 @@
 
   private final JobServices jobs;
   private final JobRequestAdmission admission;
-  private final JobAnswers answers;
-  private final Consumer<String> cancelled;
+  private final JobResponses responses;
+  private final Consumer<String> onCancelled;
 
   /**
-   * @param cancelled receives the id of each job for which a user gets a response that confirms the
-   *     cancellation
+   * @param onCancelled receives the id of each job for which a user gets a response that confirms
+   *     the cancellation
    */
   CancellationHandler(
       JobServices jobs,
       JobRequestAdmission admission,
-      JobAnswers answers,
-      Consumer<String> cancelled) {
+      JobResponses responses,
+      Consumer<String> onCancelled) {
     this.jobs = jobs;
     this.admission = admission;
-    this.answers = answers;
-    this.cancelled = cancelled;
+    this.responses = responses;
+    this.onCancelled = onCancelled;
   }
 
   void cancel(String uid, Responder out) {
@@ -53,31 +53,31 @@
             status -> {
               switch (status.presence()) {
                 case MISSING ->
-                    answers.answerElsewhere(
+                    responses.respondFromOtherShard(
                         uid,
                         request,
-                        () -> request.error(HttpStatus.NOT_FOUND, JobAnswers.NO_SUCH_JOB));
-                case UNAVAILABLE -> answers.unavailable(request);
-                case ENDED -> answerEnded(uid, status, request);
+                        () -> request.error(HttpStatus.NOT_FOUND, JobResponses.NO_SUCH_JOB));
+                case UNAVAILABLE -> responses.respondUnavailable(request);
+                case ENDED -> respondEnded(uid, status, request);
                 case ACTIVE -> {
                   if (attemptsLeft == 0) {
-                    answers.unavailable(request);
+                    responses.respondUnavailable(request);
                   } else {
-                    storeEnd(uid, status.revision(), request, attemptsLeft);
+                    storeCancellation(uid, status.revision(), request, attemptsLeft);
                   }
                 }
               }
             });
   }
 
-  private void answerEnded(String uid, JobRecordCache.JobStatus ended, UserRequest request) {
+  private void respondEnded(String uid, JobRecordCache.JobStatus ended, UserRequest request) {
     if (ended.endState().equals(Optional.of(JobState.CANCELLED))) {
-      cancelled.accept(uid);
+      onCancelled.accept(uid);
     }
-    request.send(HttpStatus.OK, answers.describe(uid, ended));
+    request.send(HttpStatus.OK, responses.statusBody(uid, ended));
   }
 
-  private void storeEnd(String uid, long revision, UserRequest request, int attemptsLeft) {
+  private void storeCancellation(String uid, long revision, UserRequest request, int attemptsLeft) {
     jobs.store()
         .transaction(
             jobs.layout()
@@ -85,8 +85,8 @@
             StateClient.RequestPriority.URGENT,
             result -> {
               switch (result.outcome()) {
-                case APPLIED -> answerCancelled(uid, request);
-                case REFUSED -> answers.unavailable(request);
+                case APPLIED -> respondCancelled(uid, request);
+                case REFUSED -> responses.respondUnavailable(request);
                 // The outcome is a conflict or unknown: read the record again, because the stored
                 // state decides.
                 default -> cancel(uid, request, attemptsLeft - 1);
@@ -94,10 +94,10 @@
             });
   }
 
-  private void answerCancelled(String uid, UserRequest request) {
+  private void respondCancelled(String uid, UserRequest request) {
     jobs.records().jobEnded(uid, JobState.CANCELLED);
     jobs.metrics().count("jobs_cancelled");
-    cancelled.accept(uid);
-    request.send(HttpStatus.OK, JobAnswers.body(uid, JobState.CANCELLED));
+    onCancelled.accept(uid);
+    request.send(HttpStatus.OK, JobResponses.body(uid, JobState.CANCELLED));
   }
 }
--- a/src/main/java/plumlever/http/ConnectionPool.java
+++ b/src/main/java/plumlever/http/ConnectionPool.java
@@ -14,19 +14,20 @@
   private static final int MAX_WAITING_CALLS = 64;
 
   private final Endpoint endpoint;
-  private final IdleConnections idle;
-  private final Consumer<ConnectionPool> unused;
-  private final Deque<ClientConnection> kept = new ArrayDeque<>();
-  private final Deque<OutgoingCall> waiting = new ArrayDeque<>();
-  private int inUse;
+  private final IdleConnections allIdleConnections;
+  private final Consumer<ConnectionPool> onUnused;
+  private final Deque<ClientConnection> idleConnections = new ArrayDeque<>();
+  private final Deque<OutgoingCall> waitingCalls = new ArrayDeque<>();
+  private int startedCalls;
 
   /**
-   * @param unused called when the pool has no open call, no idle connection and no waiting call
+   * @param onUnused called when the pool has no open call, no idle connection and no waiting call
    */
-  ConnectionPool(Endpoint endpoint, IdleConnections idle, Consumer<ConnectionPool> unused) {
+  ConnectionPool(
+      Endpoint endpoint, IdleConnections allIdleConnections, Consumer<ConnectionPool> onUnused) {
     this.endpoint = endpoint;
-    this.idle = idle;
-    this.unused = unused;
+    this.allIdleConnections = allIdleConnections;
+    this.onUnused = onUnused;
   }
 
   Endpoint endpoint() {
@@ -38,21 +39,21 @@
    * full.
    */
   void submit(OutgoingCall call) {
-    if (inUse < MAX_CONNECTIONS) {
-      inUse++;
-      call.begin();
-    } else if (waiting.size() < MAX_WAITING_CALLS) {
-      waiting.add(call);
+    if (startedCalls < MAX_CONNECTIONS) {
+      startedCalls++;
+      call.start();
+    } else if (waitingCalls.size() < MAX_WAITING_CALLS) {
+      waitingCalls.add(call);
     } else {
-      call.giveUp();
+      call.abandon();
     }
   }
 
   /** Takes an idle connection that is still open, for a call that has started. */
-  Optional<ClientConnection> takeKept() {
+  Optional<ClientConnection> takeIdle() {
     ClientConnection connection;
-    while ((connection = kept.poll()) != null) {
-      idle.remove(connection);
+    while ((connection = idleConnections.poll()) != null) {
+      allIdleConnections.remove(connection);
       if (connection.isOpen()) {
         return Optional.of(connection);
       }
@@ -67,30 +68,30 @@
    * @param reusable the call's connection if another call can reuse it
    */
   void release(Optional<ClientConnection> reusable) {
-    inUse--;
-    reusable.filter(ClientConnection::isOpen).ifPresent(this::keep);
-    beginWaiting();
+    startedCalls--;
+    reusable.filter(ClientConnection::isOpen).ifPresent(this::addIdle);
+    startWaitingCalls();
     reportIfUnused();
   }
 
-  private void keep(ClientConnection connection) {
-    kept.push(connection);
-    idle.add(connection, this);
+  private void addIdle(ClientConnection connection) {
+    idleConnections.push(connection);
+    allIdleConnections.add(connection, this);
   }
 
-  private void beginWaiting() {
-    while (!waiting.isEmpty() && inUse < MAX_CONNECTIONS) {
-      OutgoingCall next = waiting.poll();
+  private void startWaitingCalls() {
+    while (!waitingCalls.isEmpty() && startedCalls < MAX_CONNECTIONS) {
+      OutgoingCall next = waitingCalls.poll();
       if (!next.finished()) {
-        inUse++;
-        next.begin();
+        startedCalls++;
+        next.start();
       }
     }
   }
 
   /** Closes an idle connection. */
   void evict(ClientConnection connection) {
-    kept.remove(connection);
+    idleConnections.remove(connection);
     IoUtils.safeClose(connection);
     reportIfUnused();
   }
@@ -100,8 +101,8 @@
    * unused.
    */
   private void reportIfUnused() {
-    if (inUse == 0 && kept.isEmpty() && waiting.isEmpty()) {
-      unused.accept(this);
+    if (startedCalls == 0 && idleConnections.isEmpty() && waitingCalls.isEmpty()) {
+      onUnused.accept(this);
     }
   }
 }
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -30,7 +30,7 @@
  * earlier: the worker could still execute the command minutes later, after the job's cancellation.
  */
 public final class DelegatedHeartbeats {
-  private static final int MAX_LINES_PER_SECOND = 20;
+  private static final int MAX_LOG_LINES_PER_SECOND = 20;
 
   private final Loop loop;
   private final DelegatedRenewal delegation;
@@ -38,7 +38,7 @@
   private final LeaseRenewal renewal;
   private final Metrics metrics;
   private final Logger log;
-  private final LogBudget lines;
+  private final LogBudget logBudget;
 
   /**
    * Creates a handler that uses the given delegation.
@@ -58,7 +58,7 @@
     this.renewal = renewal;
     this.metrics = metrics;
     this.log = logs.of(DelegatedHeartbeats.class);
-    this.lines = new LogBudget(log, MAX_LINES_PER_SECOND);
+    this.logBudget = new LogBudget(log, MAX_LOG_LINES_PER_SECOND);
   }
 
   /**
@@ -66,7 +66,7 @@
    *
    * @return false if this controller may not renew the lease; no response has been sent
    */
-  boolean answer(Heartbeat heartbeat, Responder out) {
+  boolean tryRespond(Heartbeat heartbeat, Responder out) {
     Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
     // Check the conditions that do not depend on the jobs first, which saves the job lookup.
     if (right.isEmpty()
@@ -76,11 +76,11 @@
       right.ifPresent(known -> logRefusal(heartbeat, known, "before the job lookup"));
       return false;
     }
-    jobs.findEnded(jobsOf(heartbeat), ends -> answerKnowingEnds(heartbeat, ends, out));
+    jobs.findEnded(liveJobIds(heartbeat), ends -> respondWithEndedJobs(heartbeat, ends, out));
     return true;
   }
 
-  private void answerKnowingEnds(
+  private void respondWithEndedJobs(
       Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> ends, Responder out) {
     // The delegation may have expired during the job lookup. The lease must not be renewed if the
     // delegate can't send the stop commands for tasks of ended jobs.
@@ -93,11 +93,11 @@
       refuse(heartbeat, RenewalRefusal.ENDED_JOBS_UNKNOWN, out);
       return;
     }
-    List<WorkerCommand> stops = stops(heartbeat, ends.get().uids());
+    List<WorkerCommand> stopCommands = stopCommands(heartbeat, ends.get().uids());
     DelegateEvidence evidence = evidence(right.get(), heartbeat, ends.get().askedMicros());
-    RenewalDecision decision = renewal.answer(evidence, stops, loop.nowMicros());
+    RenewalDecision decision = renewal.answer(evidence, stopCommands, loop.nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
-      logRenewal(heartbeat, evidence, stops);
+      logRenewal(heartbeat, evidence, stopCommands);
       metrics.count("leases_renewed_for_leader");
       delegation.announceRenewal();
       out.send(HttpStatus.OK, renewed.body());
@@ -112,7 +112,7 @@
         right.token(), heartbeat.fencingToken(), right.validUntilMicros(), endsKnownMicros);
   }
 
-  private static Set<String> jobsOf(Heartbeat heartbeat) {
+  private static Set<String> liveJobIds(Heartbeat heartbeat) {
     Set<String> uids = new HashSet<>();
     for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
       if (isLive(attempt)) {
@@ -126,19 +126,19 @@
     return attempt.state() != AttemptState.ENDED;
   }
 
-  private static List<WorkerCommand> stops(Heartbeat heartbeat, Set<String> ended) {
-    List<WorkerCommand> stops = new ArrayList<>();
+  private static List<WorkerCommand> stopCommands(Heartbeat heartbeat, Set<String> ended) {
+    List<WorkerCommand> stopCommands = new ArrayList<>();
     for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
       if (isLive(attempt) && ended.contains(attempt.task().job())) {
-        stops.add(WorkerCommand.stop(attempt.task(), attempt.attempt(), 0));
+        stopCommands.add(WorkerCommand.stop(attempt.task(), attempt.attempt(), 0));
       }
     }
-    return stops;
+    return stopCommands;
   }
 
   private void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     metrics.count(refusal.counter());
-    if (lines.allowsDebug(loop.nowMicros())) {
+    if (logBudget.allowsDebug(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) not renewed on behalf of the leader, machine's"
               + " fencing token {}: {}",
@@ -151,7 +151,7 @@
   }
 
   private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.Right right, String when) {
-    if (lines.allowsDebug(loop.nowMicros())) {
+    if (logBudget.allowsDebug(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) not renewed on behalf of the leader, refused {}:"
               + " machine's fencing token {}, delegation's token {}",
@@ -168,9 +168,9 @@
    * worker and are not logged.
    */
   private void logRenewal(
-      Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stops) {
+      Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stopCommands) {
     boolean raises = evidence.token() > heartbeat.fencingToken();
-    if ((raises || !stops.isEmpty()) && lines.allowsDebug(loop.nowMicros())) {
+    if ((raises || !stopCommands.isEmpty()) && logBudget.allowsDebug(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) renewed on behalf of the leader: fencing token {}"
               + " replaces {}, ended jobs as of {} ms ago, stop commands {}",
@@ -179,7 +179,7 @@
           evidence.token(),
           heartbeat.fencingToken(),
           (loop.nowMicros() - evidence.endsKnownMicros()) / 1_000,
-          stops);
+          stopCommands);
     }
   }
 }
--- a/src/main/java/plumlever/http/HeartbeatEndpoint.java
+++ b/src/main/java/plumlever/http/HeartbeatEndpoint.java
@@ -16,24 +16,24 @@
  */
 public final class HeartbeatEndpoint {
   private final LeaderLookup leaders;
-  private final DelegatedHeartbeats delegated;
-  private final Consumer<String> machineWithoutLeader;
+  private final DelegatedHeartbeats delegatedHeartbeats;
+  private final Consumer<String> onHeartbeatWhileNotLeading;
   private final Metrics metrics;
 
   /**
    * Creates the endpoint.
    *
-   * @param machineWithoutLeader receives the id of each machine that sends a heartbeat while this
-   *     controller does not lead
+   * @param onHeartbeatWhileNotLeading receives the id of each machine that sends a heartbeat while
+   *     this controller does not lead
    */
   public HeartbeatEndpoint(
       LeaderLookup leaders,
-      DelegatedHeartbeats delegated,
-      Consumer<String> machineWithoutLeader,
+      DelegatedHeartbeats delegatedHeartbeats,
+      Consumer<String> onHeartbeatWhileNotLeading,
       Metrics metrics) {
     this.leaders = leaders;
-    this.delegated = delegated;
-    this.machineWithoutLeader = machineWithoutLeader;
+    this.delegatedHeartbeats = delegatedHeartbeats;
+    this.onHeartbeatWhileNotLeading = onHeartbeatWhileNotLeading;
     this.metrics = metrics;
   }
 
@@ -48,7 +48,7 @@
       return;
     }
     metrics.count("heartbeats");
-    if (out.connectionsScarce()) {
+    if (out.nearConnectionLimit()) {
       // User requests have priority for connections: a worker can open a new connection for each
       // heartbeat.
       metrics.count("heartbeats_closed_crowded");
@@ -59,13 +59,13 @@
       leader.get().heartbeat(heartbeat, out);
       return;
     }
-    machineWithoutLeader.accept(heartbeat.machineId());
-    if (!delegated.answer(heartbeat, out)) {
-      sendToLeader(out);
+    onHeartbeatWhileNotLeading.accept(heartbeat.machineId());
+    if (!delegatedHeartbeats.tryRespond(heartbeat, out)) {
+      redirectToLeader(out);
     }
   }
 
-  private void sendToLeader(Responder out) {
+  private void redirectToLeader(Responder out) {
     String body =
         leaders
             .leaderLabel()
--- a/src/main/java/plumlever/http/JobAcceptance.java
+++ b/src/main/java/plumlever/http/JobAcceptance.java
@@ -23,34 +23,35 @@
   private static final long RECENTLY_SERVED_MICROS = 500_000;
 
   private final JobServices jobs;
-  private final JobAnswers answers;
-  private final DependencyLists lists;
+  private final JobResponses responses;
+  private final DependencyLists dependencyLists;
 
-  JobAcceptance(JobServices jobs, JobAnswers answers) {
+  JobAcceptance(JobServices jobs, JobResponses responses) {
     this.jobs = jobs;
-    this.answers = answers;
-    this.lists = new DependencyLists(jobs.loop(), jobs.store(), jobs.layout());
+    this.responses = responses;
+    this.dependencyLists = new DependencyLists(jobs.loop(), jobs.store(), jobs.layout());
   }
 
   /** Stores the dependencies that do not fit into the job's record, then accepts the job. */
-  void acceptWithList(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
+  void acceptWithDependencyList(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
     if (records.hasList()) {
       // No list is stored if the submission repeats a known job: the stored list may differ or may
       // have been removed.
-      answers.answerKnown(spec.uid(), request, () -> storeList(spec, records, request));
+      responses.respondIfKnown(
+          spec.uid(), request, () -> storeDependencyList(spec, records, request));
     } else {
       accept(spec, records.transaction(), request);
     }
   }
 
-  private void storeList(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
-    lists.store(
+  private void storeDependencyList(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
+    dependencyLists.store(
         records,
         anchorRevision -> {
           if (anchorRevision.isPresent()) {
             accept(spec, records.anchoredAt(anchorRevision.getAsLong()), request);
           } else {
-            answers.unavailable(request);
+            responses.respondUnavailable(request);
           }
         });
   }
@@ -72,10 +73,10 @@
             StateClient.RequestPriority.ORDINARY,
             result -> {
               switch (result.outcome()) {
-                case APPLIED -> answerAccepted(spec, result.revision(), request);
+                case APPLIED -> respondAccepted(spec, result.revision(), request);
                 // If the outcome is unknown, the record may have been created by this request or by
                 // an earlier one.
-                case CONFLICT, UNKNOWN -> answerFromRecord(spec.uid(), request);
+                case CONFLICT, UNKNOWN -> respondFromRecord(spec.uid(), request);
                 case REFUSED -> {
                   if (attemptsLeft > 1 && recentlyServed()) {
                     jobs.loop()
@@ -83,7 +84,7 @@
                             RETRY_PAUSE_MICROS,
                             () -> accept(spec, transaction, request, attemptsLeft - 1));
                   } else {
-                    answers.unavailable(request);
+                    responses.respondUnavailable(request);
                   }
                 }
               }
@@ -94,11 +95,11 @@
     return jobs.loop().nowMicros() - jobs.store().lastServedMicros() < RECENTLY_SERVED_MICROS;
   }
 
-  private void answerAccepted(JobSpec spec, long revision, UserRequest request) {
+  private void respondAccepted(JobSpec spec, long revision, UserRequest request) {
     jobs.metrics().count("jobs_accepted");
     if (!spec.hasDependencies()) {
       jobs.records().jobAccepted(spec.uid(), revision);
-      request.send(HttpStatus.CREATED, JobAnswers.body(spec.uid(), JobState.PENDING));
+      request.send(HttpStatus.CREATED, JobResponses.body(spec.uid(), JobState.PENDING));
       return;
     }
     jobs.records()
@@ -108,9 +109,9 @@
             spec.dependencies(),
             status -> {
               if (status.found()) {
-                request.send(HttpStatus.CREATED, answers.describe(spec.uid(), status));
+                request.send(HttpStatus.CREATED, responses.statusBody(spec.uid(), status));
               } else {
-                answers.unavailable(request);
+                responses.respondUnavailable(request);
               }
             });
   }
@@ -119,7 +120,7 @@
    * Responds with the state in the job's record. If the record can't be read or does not exist, the
    * user has to retry.
    */
-  private void answerFromRecord(String uid, UserRequest request) {
-    answers.answerKnown(uid, request, () -> answers.unavailable(request));
+  private void respondFromRecord(String uid, UserRequest request) {
+    responses.respondIfKnown(uid, request, () -> responses.respondUnavailable(request));
   }
 }
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -50,8 +50,8 @@
   }
 
   /** Finds the other shard that has the job. */
-  void find(String uid, Consumer<JobLocation> whenFound) {
-    find(candidates(uid), MAX_ATTEMPTS, whenFound);
+  void find(String uid, Consumer<JobLocation> handler) {
+    find(candidates(uid), MAX_ATTEMPTS, handler);
   }
 
   /**
@@ -68,7 +68,7 @@
     return candidates;
   }
 
-  private void find(List<Candidate> candidates, int attemptsLeft, Consumer<JobLocation> whenFound) {
+  private void find(List<Candidate> candidates, int attemptsLeft, Consumer<JobLocation> handler) {
     Transaction absent = new Transaction();
     candidates.forEach(candidate -> absent.require(candidate.key(), 0));
     store.transaction(
@@ -76,13 +76,13 @@
         StateClient.RequestPriority.ORDINARY,
         result -> {
           switch (result.outcome()) {
-            case APPLIED -> whenFound.accept(new JobLocation.Nowhere());
-            case CONFLICT -> readFirst(candidates.iterator(), whenFound);
+            case APPLIED -> handler.accept(new JobLocation.NotFound());
+            case CONFLICT -> readCandidates(candidates.iterator(), handler);
             default -> {
               if (result.status() == HttpStatus.TOO_MANY_REQUESTS && attemptsLeft > 1) {
-                loop.after(RETRY_PAUSE_MICROS, () -> find(candidates, attemptsLeft - 1, whenFound));
+                loop.after(RETRY_PAUSE_MICROS, () -> find(candidates, attemptsLeft - 1, handler));
               } else {
-                whenFound.accept(new JobLocation.Unavailable());
+                handler.accept(new JobLocation.Unavailable());
               }
             }
           }
@@ -93,9 +93,9 @@
    * Some shard has the job, and a job never moves to another shard. The keys can therefore be read
    * one after the other.
    */
-  private void readFirst(Iterator<Candidate> candidates, Consumer<JobLocation> whenFound) {
+  private void readCandidates(Iterator<Candidate> candidates, Consumer<JobLocation> handler) {
     if (!candidates.hasNext()) {
-      whenFound.accept(new JobLocation.Unavailable());
+      handler.accept(new JobLocation.Unavailable());
       return;
     }
     Candidate candidate = candidates.next();
@@ -104,11 +104,11 @@
         StateClient.RequestPriority.ORDINARY,
         read -> {
           if (read.found()) {
-            whenFound.accept(new JobLocation.InShard(candidate.shard()));
+            handler.accept(new JobLocation.InShard(candidate.shard()));
           } else if (read.missing()) {
-            readFirst(candidates, whenFound);
+            readCandidates(candidates, handler);
           } else {
-            whenFound.accept(new JobLocation.Unavailable());
+            handler.accept(new JobLocation.Unavailable());
           }
         });
   }
@@ -117,7 +117,7 @@
   void forward(SharingSettings.Shard shard, ForwardedRequest request, Responder out) {
     List<PlatformConfiguration.PeerController> members =
         platform.peers().stream()
-            .filter(seed -> shard.controllers().contains(seed.label()))
+            .filter(peer -> shard.controllers().contains(peer.label()))
             .toList();
     forward(members.iterator(), request.write(), out);
   }
--- a/src/main/java/plumlever/http/JobLocation.java
+++ b/src/main/java/plumlever/http/JobLocation.java
@@ -8,7 +8,7 @@
   record InShard(SharingSettings.Shard shard) implements JobLocation {}
 
   /** No other shard had the job when the request arrived. */
-  record Nowhere() implements JobLocation {}
+  record NotFound() implements JobLocation {}
 
   /** The location can't be determined at the moment. */
   record Unavailable() implements JobLocation {}
--- a/src/main/java/plumlever/http/JobRequestAdmission.java
+++ b/src/main/java/plumlever/http/JobRequestAdmission.java
@@ -19,12 +19,12 @@
    */
   Optional<UserRequest> admit(String kind, String uid, ForwardedRequest request, Responder out) {
     if (!JobSpec.validUid(uid)) {
-      out.error(HttpStatus.NOT_FOUND, JobAnswers.NO_SUCH_JOB);
+      out.error(HttpStatus.NOT_FOUND, JobResponses.NO_SUCH_JOB);
       return Optional.empty();
     }
     Optional<JobState> ended = records.knownEndState(uid);
     if (ended.isPresent()) {
-      out.send(HttpStatus.OK, JobAnswers.body(uid, ended.get()));
+      out.send(HttpStatus.OK, JobResponses.body(uid, ended.get()));
       return Optional.empty();
     }
     return admission.admit(kind, request, out);
--- a/src/main/java/plumlever/http/JobAnswers.java
+++ b/src/main/java/plumlever/http/JobResponses.java
@@ -11,7 +11,7 @@
 import plumlever.wire.ProtocolField;
 
 /** Creates responses from the stored state of a job in this shard or in another shard. */
-final class JobAnswers {
+final class JobResponses {
   static final String NO_SUCH_JOB = "no such job";
 
   private static final int RETRY_AFTER_S = 1;
@@ -20,19 +20,19 @@
   private final Metrics metrics;
   private final ServingHealth health;
   private final Function<String, Optional<TaskCounts>> counts;
-  private final Optional<JobForwarder> otherShards;
+  private final Optional<JobForwarder> jobForwarder;
 
-  JobAnswers(
+  JobResponses(
       JobRecordCache records,
       Metrics metrics,
       ServingHealth health,
       Function<String, Optional<TaskCounts>> counts,
-      Optional<JobForwarder> otherShards) {
+      Optional<JobForwarder> jobForwarder) {
     this.records = records;
     this.metrics = metrics;
     this.health = health;
     this.counts = counts;
-    this.otherShards = otherShards;
+    this.jobForwarder = jobForwarder;
   }
 
   /**
@@ -40,14 +40,14 @@
    *
    * @param whenUnknown responds if the job was never accepted
    */
-  void answerKnown(String uid, UserRequest request, Runnable whenUnknown) {
+  void respondIfKnown(String uid, UserRequest request, Runnable whenUnknown) {
     records.lookUp(
         uid,
         status -> {
           switch (status.presence()) {
-            case ACTIVE, ENDED -> request.send(HttpStatus.OK, describe(uid, status));
-            case MISSING -> answerElsewhere(uid, request, whenUnknown);
-            case UNAVAILABLE -> unavailable(request);
+            case ACTIVE, ENDED -> request.send(HttpStatus.OK, statusBody(uid, status));
+            case MISSING -> respondFromOtherShard(uid, request, whenUnknown);
+            case UNAVAILABLE -> respondUnavailable(request);
           }
         });
   }
@@ -57,22 +57,22 @@
    *
    * @param whenUnknown responds if no shard has the job
    */
-  void answerElsewhere(String uid, UserRequest request, Runnable whenUnknown) {
-    if (otherShards.isEmpty() || request.isForwarded()) {
+  void respondFromOtherShard(String uid, UserRequest request, Runnable whenUnknown) {
+    if (jobForwarder.isEmpty() || request.isForwarded()) {
       whenUnknown.run();
       return;
     }
-    JobForwarder forwarder = otherShards.get();
+    JobForwarder forwarder = jobForwarder.get();
     forwarder.find(
         uid,
         location -> {
           if (location instanceof JobLocation.InShard found) {
             metrics.count("users_forwarded");
             forwarder.forward(found.shard(), request.request(), request);
-          } else if (location instanceof JobLocation.Nowhere) {
+          } else if (location instanceof JobLocation.NotFound) {
             whenUnknown.run();
           } else {
-            unavailable(request);
+            respondUnavailable(request);
           }
         });
   }
@@ -82,7 +82,7 @@
    * so on one controller. If the state service refuses only this controller, the connection is
    * closed so that the user can connect to another controller.
    */
-  void unavailable(UserRequest request) {
+  void respondUnavailable(UserRequest request) {
     if (health.isRefusedAlone()) {
       metrics.count("users_sent_away");
       request.closeConnection();
@@ -91,7 +91,7 @@
   }
 
   /** The response body for a job that was found. */
-  String describe(String uid, JobRecordCache.JobStatus found) {
+  String statusBody(String uid, JobRecordCache.JobStatus found) {
     if (found.endState().isPresent()) {
       return body(uid, found.endState().get());
     }
--- a/src/main/java/plumlever/http/JobStatusHandler.java
+++ b/src/main/java/plumlever/http/JobStatusHandler.java
@@ -7,21 +7,21 @@
 /** Handles status requests for jobs. */
 final class JobStatusHandler {
   private final JobRequestAdmission admission;
-  private final JobAnswers answers;
+  private final JobResponses responses;
 
-  JobStatusHandler(JobRequestAdmission admission, JobAnswers answers) {
+  JobStatusHandler(JobRequestAdmission admission, JobResponses responses) {
     this.admission = admission;
-    this.answers = answers;
+    this.responses = responses;
   }
 
   void poll(String uid, Responder out) {
     ForwardedRequest request =
         new ForwardedRequest("GET", ProtocolPath.SUBMISSIONS + "/" + uid, "");
-    admission.admit("poll", uid, request, out).ifPresent(admitted -> answer(uid, admitted));
+    admission.admit("poll", uid, request, out).ifPresent(admitted -> respond(uid, admitted));
   }
 
-  private void answer(String uid, UserRequest request) {
-    answers.answerKnown(
-        uid, request, () -> request.error(HttpStatus.NOT_FOUND, JobAnswers.NO_SUCH_JOB));
+  private void respond(String uid, UserRequest request) {
+    responses.respondIfKnown(
+        uid, request, () -> request.error(HttpStatus.NOT_FOUND, JobResponses.NO_SUCH_JOB));
   }
 }
--- a/src/main/java/plumlever/http/OutgoingCall.java
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -23,8 +23,8 @@
 final class OutgoingCall {
   private static final Logger LOG = LoggerFactory.getLogger(OutgoingCall.class);
   private static final int MAX_BODY_BYTES = 8 << 20;
-  private static final int USUAL_BODY_BYTES = 512;
-  private static final byte[] NO_BODY = new byte[0];
+  private static final int INITIAL_BODY_CAPACITY_BYTES = 512;
+  private static final byte[] EMPTY_BODY = new byte[0];
 
   private final ConnectionFactory connections;
   private final ConnectionPool pool;
@@ -34,7 +34,7 @@
   private final Caller.ResponseHandler handler;
   private Optional<Loop.Timer> timeout = Optional.empty();
   private Optional<ClientConnection> connection = Optional.empty();
-  private boolean begun;
+  private boolean started;
   private boolean finished;
 
   /**
@@ -59,7 +59,7 @@
    * Sets the timer that ends the call after the timeout. The timer is cancelled when the call
    * finishes.
    */
-  void timeOutWith(Loop.Timer timer) {
+  void setTimeoutTimer(Loop.Timer timer) {
     timeout = Optional.of(timer);
   }
 
@@ -71,24 +71,24 @@
    * Starts the call. The pool calls this method when the number of open calls to the endpoint
    * allows one more.
    */
-  void begin() {
-    begun = true;
-    Optional<ClientConnection> kept = pool.takeKept();
-    if (kept.isPresent()) {
-      send(kept.get());
+  void start() {
+    started = true;
+    Optional<ClientConnection> idle = pool.takeIdle();
+    if (idle.isPresent()) {
+      send(idle.get());
     } else {
       connections.connect(
           pool.endpoint(),
           callback(
-              this::connected,
+              this::handleConnection,
               failure -> {
                 LOG.debug("connecting to {} failed: {}", pool.endpoint(), failure.toString());
-                giveUp();
+                abandon();
               }));
     }
   }
 
-  private void connected(ClientConnection opened) {
+  private void handleConnection(ClientConnection opened) {
     if (finished) {
       // The call timed out while the connection was being opened. The pool has already released the
       // call's slot, so the connection can't be returned to the pool.
@@ -98,9 +98,9 @@
     }
   }
 
-  private void send(ClientConnection over) {
-    connection = Optional.of(over);
-    over.sendRequest(request(), callback(this::sent, this::fail));
+  private void send(ClientConnection target) {
+    connection = Optional.of(target);
+    target.sendRequest(request(), callback(this::handleExchange, this::fail));
   }
 
   private ClientRequest request() {
@@ -115,7 +115,7 @@
     return request;
   }
 
-  private void sent(ClientExchange exchange) {
+  private void handleExchange(ClientExchange exchange) {
     exchange.setResponseListener(callback(this::receive, this::fail));
     if (body != null && body.length > 0) {
       write(exchange.getRequestChannel(), ByteBuffer.wrap(body));
@@ -168,7 +168,10 @@
 
   private void receive(ClientExchange exchange) {
     int status = exchange.getResponse().getResponseCode();
-    read(exchange.getResponseChannel(), new ByteArrayOutputStream(USUAL_BODY_BYTES), status);
+    read(
+        exchange.getResponseChannel(),
+        new ByteArrayOutputStream(INITIAL_BODY_CAPACITY_BYTES),
+        status);
   }
 
   private void read(StreamSourceChannel channel, ByteArrayOutputStream received, int status) {
@@ -205,12 +208,12 @@
         path,
         pool.endpoint(),
         failure.toString());
-    giveUp();
+    abandon();
   }
 
   /** Finishes the call without a response. Whether the server executes the request is not known. */
-  void giveUp() {
-    finish(0, NO_BODY, Optional.empty());
+  void abandon() {
+    finish(0, EMPTY_BODY, Optional.empty());
   }
 
   /**
@@ -222,7 +225,7 @@
     }
     finished = true;
     timeout.ifPresent(Loop.Timer::cancel);
-    if (begun) {
+    if (started) {
       if (reusable.isEmpty()) {
         connection.ifPresent(IoUtils::safeClose);
       }
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequests.java
@@ -43,9 +43,9 @@
   public boolean handle(String path, byte[] body, Responder out) {
     try {
       switch (path) {
-        case RELAY -> relay(body, out);
-        case TRANSFER -> transfer(body, out);
-        case ForwardedRequest.PATH -> answerForwarded(body, out);
+        case RELAY -> handleRelayedHeartbeat(body, out);
+        case TRANSFER -> handleTransfer(body, out);
+        case ForwardedRequest.PATH -> handleForwardedRequest(body, out);
         default -> {
           return false;
         }
@@ -57,7 +57,7 @@
   }
 
   /** Handles a heartbeat relayed by the leader of another shard. */
-  private void relay(byte[] body, Responder out) throws InvalidMessageException {
+  private void handleRelayedHeartbeat(byte[] body, Responder out) throws InvalidMessageException {
     Optional<Leader> leading = leader.get();
     if (leading.isPresent()) {
       leading.get().relayedHeartbeat(RelayedHeartbeat.parse(body), out);
@@ -67,7 +67,7 @@
   }
 
   /** Handles an operator's request to transfer a machine to another shard. */
-  private void transfer(byte[] body, Responder out) throws InvalidMessageException {
+  private void handleTransfer(byte[] body, Responder out) throws InvalidMessageException {
     ObjectNode request = Json.parseObject(body);
     String machine = Json.text(request, "machine");
     Optional<Leader> leading = leader.get();
@@ -82,7 +82,7 @@
    * Handles a user request forwarded by a controller of another shard. A forwarded request is not
    * forwarded again.
    */
-  private void answerForwarded(byte[] body, Responder out) throws InvalidMessageException {
+  private void handleForwardedRequest(byte[] body, Responder out) throws InvalidMessageException {
     ForwardedRequest request = ForwardedRequest.parse(body);
     router.handle(
         request.method(),
--- a/src/main/java/plumlever/http/RequestAdmission.java
+++ b/src/main/java/plumlever/http/RequestAdmission.java
@@ -14,7 +14,7 @@
   private final Loop loop;
   private final Metrics metrics;
   private final ServingHealth health;
-  private int open;
+  private int openRequests;
 
   RequestAdmission(Loop loop, Metrics metrics, ServingHealth health) {
     this.loop = loop;
@@ -35,19 +35,19 @@
           HttpStatus.UNAVAILABLE, "this controller lacks the sharing file", RETRY_AFTER_S);
       return Optional.empty();
     }
-    if (open >= MAX_OPEN_REQUESTS) {
+    if (openRequests >= MAX_OPEN_REQUESTS) {
       metrics.count("users_turned_away");
       out.retryLater(HttpStatus.UNAVAILABLE, "too many requests", RETRY_AFTER_S);
       return Optional.empty();
     }
-    open++;
+    openRequests++;
     long admittedMicros = loop.nowMicros();
     return Optional.of(
-        new UserRequest(request, out, status -> answered(kind, admittedMicros, status)));
+        new UserRequest(request, out, status -> recordResponse(kind, admittedMicros, status)));
   }
 
-  private void answered(String kind, long admittedMicros, int status) {
-    open--;
+  private void recordResponse(String kind, long admittedMicros, int status) {
+    openRequests--;
     metrics.recordDuration(kind, loop.nowMicros() - admittedMicros);
     if (status >= HttpStatus.SERVER_ERRORS || status == HttpStatus.TOO_MANY_REQUESTS) {
       metrics.count(kind + "_refused");
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -33,29 +33,29 @@
 
   @Override
   public void handle(String method, String pathAndQuery, byte[] body, Responder out) {
-    long since = clock.nowMicros();
-    route(method, withoutQuery(pathAndQuery), body, out);
+    long startMicros = clock.nowMicros();
+    route(method, removeQuery(pathAndQuery), body, out);
     metrics.recordWork(
         pathAndQuery.equals(ProtocolPath.HEARTBEAT) ? "heartbeats" : "users",
-        clock.nowMicros() - since);
+        clock.nowMicros() - startMicros);
   }
 
-  private static String withoutQuery(String pathAndQuery) {
+  private static String removeQuery(String pathAndQuery) {
     int queryStart = pathAndQuery.indexOf('?');
     return queryStart < 0 ? pathAndQuery : pathAndQuery.substring(0, queryStart);
   }
 
   private void route(String method, String path, byte[] body, Responder out) {
     if (path.equals(ProtocolPath.HEARTBEAT)) {
-      if (allowed(method, "POST", out)) {
+      if (checkMethod(method, "POST", out)) {
         heartbeats.handle(body, out);
       }
     } else if (path.equals(ProtocolPath.HEALTH)) {
-      if (allowed(method, "GET", out)) {
-        answerHealth(out);
+      if (checkMethod(method, "GET", out)) {
+        respondHealth(out);
       }
     } else if (path.equals(ProtocolPath.SUBMISSIONS)) {
-      if (allowed(method, "POST", out)) {
+      if (checkMethod(method, "POST", out)) {
         users.submit(body, out);
       }
     } else if (path.startsWith(JOB_PREFIX)) {
@@ -71,25 +71,25 @@
    */
   private void routeJob(String method, String path, Responder out) {
     if (path.endsWith(ProtocolPath.CANCEL_SUFFIX)) {
-      if (allowed(method, "POST", out)) {
+      if (checkMethod(method, "POST", out)) {
         users.cancel(path.substring(0, path.length() - ProtocolPath.CANCEL_SUFFIX.length()), out);
       }
     } else if (path.indexOf('/') >= 0) {
       out.error(HttpStatus.NOT_FOUND, "no such path");
-    } else if (allowed(method, "GET", out)) {
+    } else if (checkMethod(method, "GET", out)) {
       users.poll(path, out);
     }
   }
 
-  private static boolean allowed(String method, String want, Responder out) {
-    if (method.equals(want)) {
+  private static boolean checkMethod(String method, String expectedMethod, Responder out) {
+    if (method.equals(expectedMethod)) {
       return true;
     }
-    out.error(HttpStatus.METHOD_NOT_ALLOWED, "only " + want + " is served here");
+    out.error(HttpStatus.METHOD_NOT_ALLOWED, "only " + expectedMethod + " is served here");
     return false;
   }
 
-  private void answerHealth(Responder out) {
+  private void respondHealth(Responder out) {
     if (health.canTakeRequests()) {
       out.send(HttpStatus.OK, "{}");
     } else {
--- a/src/main/java/plumlever/http/Responder.java
+++ b/src/main/java/plumlever/http/Responder.java
@@ -32,7 +32,7 @@
    * True if the server is close to its connection limit and connections that are not needed should
    * be closed.
    */
-  default boolean connectionsScarce() {
+  default boolean nearConnectionLimit() {
     return false;
   }
 
--- a/src/main/java/plumlever/http/Server.java
+++ b/src/main/java/plumlever/http/Server.java
@@ -49,7 +49,7 @@
 
   private final Undertow undertow;
   private final RequestHandler handler;
-  private final int scarceFrom;
+  private final int nearConnectionLimitThreshold;
   private ConnectorStatistics statistics;
 
   /**
@@ -60,20 +60,20 @@
    */
   public Server(
       XnioWorker worker,
-      Endpoint at,
+      Endpoint endpoint,
       int maxConnections,
       long idleMicros,
       long maxBodyBytes,
       RequestHandler handler) {
     this.handler = handler;
-    this.scarceFrom = (int) (maxConnections * SCARCE_CONNECTIONS_SHARE);
+    this.nearConnectionLimitThreshold = (int) (maxConnections * SCARCE_CONNECTIONS_SHARE);
     int idleMs = (int) (idleMicros / 1_000);
     this.undertow =
         Undertow.builder()
             .setWorker(worker)
             .setBufferSize(BUFFER_BYTES)
             .setDirectBuffers(false)
-            .addHttpListener(at.port(), at.host())
+            .addHttpListener(endpoint.port(), endpoint.host())
             .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, maxBodyBytes)
             .setServerOption(UndertowOptions.IDLE_TIMEOUT, idleMs)
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMs)
@@ -115,13 +115,13 @@
 
   private void receive(HttpServerExchange exchange) {
     if (exchange.getRequestContentLength() > exchange.getMaxEntitySize()) {
-      refuse(exchange, HttpStatus.PAYLOAD_TOO_LARGE, "the body is too long");
+      reject(exchange, HttpStatus.PAYLOAD_TOO_LARGE, "the body is too long");
       return;
     }
-    exchange.getRequestReceiver().receiveFullBytes(this::received, this::unreadable);
+    exchange.getRequestReceiver().receiveFullBytes(this::handleBody, this::handleBodyFailure);
   }
 
-  private void received(HttpServerExchange exchange, byte[] body) {
+  private void handleBody(HttpServerExchange exchange, byte[] body) {
     exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handle(exchange, body));
   }
 
@@ -145,19 +145,19 @@
     return query.isEmpty() ? exchange.getRequestPath() : exchange.getRequestPath() + "?" + query;
   }
 
-  private void unreadable(HttpServerExchange exchange, IOException failure) {
+  private void handleBodyFailure(HttpServerExchange exchange, IOException failure) {
     int status =
         failure instanceof RequestTooBigException
             ? HttpStatus.PAYLOAD_TOO_LARGE
             : HttpStatus.BAD_REQUEST;
-    refuse(exchange, status, "the body can't be read");
+    reject(exchange, status, "the body can't be read");
   }
 
   /**
    * Sends an error response and closes the connection, because the rest of the request has not been
    * read.
    */
-  private void refuse(HttpServerExchange exchange, int status, String reason) {
+  private void reject(HttpServerExchange exchange, int status, String reason) {
     exchange.setPersistent(false);
     new ExchangeResponder(exchange).error(status, reason);
   }
@@ -171,8 +171,8 @@
     }
 
     @Override
-    public boolean connectionsScarce() {
-      return statistics != null && connections() > scarceFrom;
+    public boolean nearConnectionLimit() {
+      return statistics != null && connections() > nearConnectionLimitThreshold;
     }
 
     @Override
--- a/src/main/java/plumlever/http/SubmissionHandler.java
+++ b/src/main/java/plumlever/http/SubmissionHandler.java
@@ -20,16 +20,16 @@
   private final JobServices jobs;
   private final SubmissionRules rules;
   private final RequestAdmission admission;
-  private final JobAnswers answers;
+  private final JobResponses responses;
   private final JobAcceptance acceptance;
 
   SubmissionHandler(
-      JobServices jobs, SubmissionRules rules, RequestAdmission admission, JobAnswers answers) {
+      JobServices jobs, SubmissionRules rules, RequestAdmission admission, JobResponses responses) {
     this.jobs = jobs;
     this.rules = rules;
     this.admission = admission;
-    this.answers = answers;
-    this.acceptance = new JobAcceptance(jobs, answers);
+    this.responses = responses;
+    this.acceptance = new JobAcceptance(jobs, responses);
   }
 
   void submit(byte[] body, Responder out) {
@@ -39,13 +39,13 @@
       object = Json.parseObject(body);
       uid = readUid(object);
     } catch (InvalidMessageException e) {
-      SubmissionRefusal.invalid(e.getMessage()).answer(out);
+      SubmissionRefusal.invalid(e.getMessage()).respond(out);
       return;
     }
     ForwardedRequest request =
         new ForwardedRequest(
             "POST", ProtocolPath.SUBMISSIONS, new String(body, StandardCharsets.UTF_8));
-    admission.admit("submit", request, out).ifPresent(admitted -> decide(uid, object, admitted));
+    admission.admit("submit", request, out).ifPresent(admitted -> validate(uid, object, admitted));
   }
 
   private static String readUid(ObjectNode object) throws InvalidMessageException {
@@ -56,22 +56,22 @@
     return uid;
   }
 
-  private void decide(String uid, ObjectNode object, UserRequest request) {
+  private void validate(String uid, ObjectNode object, UserRequest request) {
     JobSpec spec;
     try {
       spec = JobSpec.parse(object);
     } catch (InvalidMessageException e) {
-      refuseUnknown(uid, request, SubmissionRefusal.invalid(e.getMessage()));
+      refuseIfUnknown(uid, request, SubmissionRefusal.invalid(e.getMessage()));
       return;
     }
     Optional<SubmissionRefusal> refusal = rules.refusal(spec);
     if (refusal.isPresent()) {
-      refuseUnknown(uid, request, refusal.get());
+      refuseIfUnknown(uid, request, refusal.get());
       return;
     }
     Optional<JobStore.Acceptance> records = jobs.layout().acceptJob(spec, jobs.loop().wallMicros());
     if (records.isEmpty()) {
-      refuseUnknown(uid, request, SubmissionRefusal.invalid("the submission is too long"));
+      refuseIfUnknown(uid, request, SubmissionRefusal.invalid("the submission is too long"));
     } else if (spec.hasDependencies()) {
       checkDependencies(spec, records.get(), request);
     } else {
@@ -79,8 +79,8 @@
     }
   }
 
-  private void refuseUnknown(String uid, UserRequest request, SubmissionRefusal refusal) {
-    answers.answerKnown(uid, request, () -> refusal.answer(request));
+  private void refuseIfUnknown(String uid, UserRequest request, SubmissionRefusal refusal) {
+    responses.respondIfKnown(uid, request, () -> refusal.respond(request));
   }
 
   /**
@@ -90,7 +90,7 @@
    */
   private void checkDependencies(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
     if (spec.dependencies().contains(spec.uid())) {
-      refuseUnknown(
+      refuseIfUnknown(
           spec.uid(),
           request,
           SubmissionRefusal.unprocessable(ProtocolField.DEPENDENCIES + " names the job itself"));
@@ -101,9 +101,9 @@
             spec.dependencies(),
             unknown -> {
               if (unknown.isEmpty()) {
-                answers.unavailable(request);
+                responses.respondUnavailable(request);
               } else if (unknown.get().isEmpty()) {
-                acceptance.acceptWithList(spec, records, request);
+                acceptance.acceptWithDependencyList(spec, records, request);
               } else {
                 refuseUnknownDependency(spec.uid(), unknown.get().iterator().next(), request);
               }
@@ -114,9 +114,9 @@
     SubmissionRefusal refusal =
         SubmissionRefusal.unprocessable(
             ProtocolField.DEPENDENCIES + " names a job that was never accepted: " + dependency);
-    answers.answerKnown(
+    responses.respondIfKnown(
         uid,
         request,
-        () -> answers.answerElsewhere(dependency, request, () -> refusal.answer(request)));
+        () -> responses.respondFromOtherShard(dependency, request, () -> refusal.respond(request)));
   }
 }
--- a/src/main/java/plumlever/http/SubmissionRefusal.java
+++ b/src/main/java/plumlever/http/SubmissionRefusal.java
@@ -26,7 +26,7 @@
     return new SubmissionRefusal(HttpStatus.UNAVAILABLE, reason, RETRY_AFTER_S);
   }
 
-  void answer(Responder out) {
+  void respond(Responder out) {
     out.retryLater(status, reason, retryAfterS);
   }
 }
--- a/src/main/java/plumlever/http/UndertowCaller.java
+++ b/src/main/java/plumlever/http/UndertowCaller.java
@@ -16,7 +16,7 @@
   private final Loop loop;
   private final ConnectionFactory connections;
   private final Map<Endpoint, ConnectionPool> pools = new HashMap<>();
-  private final IdleConnections idle = new IdleConnections();
+  private final IdleConnections idleConnections = new IdleConnections();
 
   /** Creates a client whose connections run on this I/O thread. */
   public UndertowCaller(Loop loop, XnioIoThread thread, ByteBufferPool buffers) {
@@ -34,16 +34,16 @@
       ResponseHandler handler) {
     ConnectionPool pool = pools.computeIfAbsent(to, this::createPool);
     OutgoingCall call = new OutgoingCall(connections, pool, method, path, body, handler);
-    call.timeOutWith(loop.after(timeoutMicros, call::giveUp));
+    call.setTimeoutTimer(loop.after(timeoutMicros, call::abandon));
     pool.submit(call);
   }
 
   private ConnectionPool createPool(Endpoint to) {
-    return new ConnectionPool(to, idle, unused -> pools.remove(to, unused));
+    return new ConnectionPool(to, idleConnections, unused -> pools.remove(to, unused));
   }
 
   @Override
   public void close() {
-    idle.closeAll();
+    idleConnections.closeAll();
   }
 }
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -18,25 +18,25 @@
    * Creates the API.
    *
    * @param rules rules for acceptable submissions
-   * @param cancelled receives the id of each job for which a user gets a response that confirms the
-   *     cancellation
+   * @param onCancelled receives the id of each job for which a user gets a response that confirms
+   *     the cancellation
    * @param counts numbers of completed and running tasks of a job, if this controller knows them
-   * @param otherShards finds jobs in the other shards, if the machines belong to a pool
+   * @param jobForwarder finds jobs in the other shards, if the machines belong to a pool
    */
   public UserApi(
       JobServices jobs,
       SubmissionRules rules,
       ServingHealth health,
-      Consumer<String> cancelled,
+      Consumer<String> onCancelled,
       Function<String, Optional<TaskCounts>> counts,
-      Optional<JobForwarder> otherShards) {
+      Optional<JobForwarder> jobForwarder) {
     RequestAdmission admission = new RequestAdmission(jobs.loop(), jobs.metrics(), health);
-    JobAnswers answers =
-        new JobAnswers(jobs.records(), jobs.metrics(), health, counts, otherShards);
+    JobResponses responses =
+        new JobResponses(jobs.records(), jobs.metrics(), health, counts, jobForwarder);
     JobRequestAdmission jobAdmission = new JobRequestAdmission(jobs.records(), admission);
-    this.submissions = new SubmissionHandler(jobs, rules, admission, answers);
-    this.statuses = new JobStatusHandler(jobAdmission, answers);
-    this.cancellations = new CancellationHandler(jobs, jobAdmission, answers, cancelled);
+    this.submissions = new SubmissionHandler(jobs, rules, admission, responses);
+    this.statuses = new JobStatusHandler(jobAdmission, responses);
+    this.cancellations = new CancellationHandler(jobs, jobAdmission, responses, onCancelled);
   }
 
   /**
--- a/src/main/java/plumlever/http/UserRequest.java
+++ b/src/main/java/plumlever/http/UserRequest.java
@@ -7,15 +7,15 @@
 final class UserRequest implements Responder {
   private final ForwardedRequest request;
   private final Responder out;
-  private final IntConsumer answered;
+  private final IntConsumer onResponse;
 
   /**
-   * @param answered receives the status code immediately before the response is sent
+   * @param onResponse receives the status code immediately before the response is sent
    */
-  UserRequest(ForwardedRequest request, Responder out, IntConsumer answered) {
+  UserRequest(ForwardedRequest request, Responder out, IntConsumer onResponse) {
     this.request = request;
     this.out = out;
-    this.answered = answered;
+    this.onResponse = onResponse;
   }
 
   /** The request in the form in which it is forwarded to another shard. */
@@ -25,7 +25,7 @@
 
   @Override
   public void send(int status, String json, int retryAfterS) {
-    answered.accept(status);
+    onResponse.accept(status);
     out.send(status, json, retryAfterS);
   }
 
--- a/src/test/java/plumlever/cloud/CloudClientTest.java
+++ b/src/test/java/plumlever/cloud/CloudClientTest.java
@@ -49,24 +49,24 @@
         }
       };
 
-  private record Answer(int status, String body) {}
+  private record CannedResponse(int status, String body) {}
 
-  private final Deque<Answer> answers = new ArrayDeque<>();
+  private final Deque<CannedResponse> cannedResponses = new ArrayDeque<>();
   private final List<String> paths = new ArrayList<>();
   private final CloudClient client =
       new CloudClient(
           LOOP,
           (to, method, path, body, timeoutMicros, callback) -> {
             paths.add(method + " " + path);
-            Answer answer = answers.remove();
-            callback.handle(answer.status(), answer.body().getBytes(StandardCharsets.UTF_8));
+            CannedResponse response = cannedResponses.remove();
+            callback.handle(response.status(), response.body().getBytes(StandardCharsets.UTF_8));
           },
           new Endpoint("cloud", 1),
           new PlatformConfiguration.CloudLimits(10, 0),
           new Metrics(Logs.SERVICE));
 
-  private void answer(int status, String body) {
-    answers.add(new Answer(status, body));
+  private void addResponse(int status, String body) {
+    cannedResponses.add(new CannedResponse(status, body));
   }
 
   private RentalResult rent() {
@@ -96,8 +96,8 @@
   }
 
   @Test
-  void rentedMachinesAreNamed() {
-    answer(200, "{\"hosts\":[\"i-1\",\"i-2\"]}");
+  void returnsIdsOfRentedMachines() {
+    addResponse(200, "{\"hosts\":[\"i-1\",\"i-2\"]}");
 
     assertEquals(RentalResult.rented(List.of("i-1", "i-2")), rent());
   }
@@ -117,17 +117,17 @@
         "500 | {} | UNKNOWN",
         "0 | `` | UNKNOWN"
       })
-  void anyOtherAnswerSaysWhetherMachinesMayHaveBeenRented(
+  void otherResponsesShowWhetherMachinesMayHaveBeenRented(
       int status, String body, RentalResult.Outcome outcome) {
-    answer(status, body);
+    addResponse(status, body);
 
-    assertEquals(RentalResult.without(outcome), rent());
+    assertEquals(RentalResult.withoutMachines(outcome), rent());
   }
 
   @Test
-  void aListIsReadPageByPage() {
-    answer(200, page(true, "i-1", "i-2"));
-    answer(200, page(false, "i-3"));
+  void readsListPageByPage() {
+    addResponse(200, page(true, "i-1", "i-2"));
+    addResponse(200, page(false, "i-3"));
 
     assertEquals(
         List.of("i-1", "i-2", "i-3"),
@@ -140,16 +140,16 @@
       delimiter = '|',
       quoteCharacter = '`',
       value = {"503 | {}", "200 | {}", "200 | {\"hosts\":[{\"uid\":7}]}", "0 | ``"})
-  void aListOfWhichAPageIsMissingIsNoResult(int status, String body) {
-    answer(200, page(true, "i-1"));
-    answer(status, body);
+  void listWithUnreadablePageHasNoResult(int status, String body) {
+    addResponse(200, page(true, "i-1"));
+    addResponse(status, body);
 
     assertTrue(list().isEmpty());
   }
 
   @Test
-  void machineTypesAreRead() {
-    answer(
+  void readsMachineTypes() {
+    addResponse(
         200,
         "{\"flavors\":[{\"sku\":\"small\",\"cores\":4,\"accelerators\":0,\"memory_gb\":16,"
             + "\"cache_gb\":8,\"fetch_gb_per_s\":1.0,\"hourly\":0.2,\"startup_s\":12}]}");
@@ -166,8 +166,8 @@
 
   @ParameterizedTest
   @CsvSource({"503", "0", "200"})
-  void machineTypesThatAreNotUnderstoodAreNoResult(int status) {
-    answer(status, "{}");
+  void unreadableMachineTypesHaveNoResult(int status) {
+    addResponse(status, "{}");
     List<Optional<List<MachineType>>> results = new ArrayList<>();
 
     client.listMachineTypes(results::add);
@@ -177,8 +177,8 @@
 
   @ParameterizedTest
   @CsvSource({"200, RETURNED", "503, UNKNOWN", "429, UNKNOWN", "0, UNKNOWN"})
-  void onlyAConfirmedReturnIsOne(int status, ReturnOutcome outcome) {
-    answer(status, "{}");
+  void onlyConfirmedReturnCountsAsReturned(int status, ReturnOutcome outcome) {
+    addResponse(status, "{}");
     List<ReturnOutcome> results = new ArrayList<>();
 
     client.returnMachines(List.of("i-1"), results::add);
@@ -187,13 +187,13 @@
   }
 
   @Test
-  void aRequestBeyondTheRateIsRefusedWithoutACall() {
+  void refusesRequestBeyondRateLimitWithoutCall() {
     for (int i = 0; i < 8; i++) {
-      answer(429, "{}");
+      addResponse(429, "{}");
       rent();
     }
 
-    assertEquals(RentalResult.without(RentalResult.Outcome.REFUSED), rent());
+    assertEquals(RentalResult.withoutMachines(RentalResult.Outcome.REFUSED), rent());
     assertEquals(
         8,
         paths.size(),
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -24,7 +24,7 @@
  */
 final class DependencyGraphTest {
   /** The reference model: the job records as stored, without derived state. */
-  private static final class Model {
+  private static final class ReferenceModel {
     final Map<String, List<String>> dependencies = new HashMap<>();
     final Map<String, JobState> ended = new HashMap<>();
     final Map<String, EffectiveGoal> ownGoals = new HashMap<>();
@@ -56,10 +56,11 @@
         if (dependencies.get(dependent).contains(uid)
             && ended.get(dependent) == null
             && !cancelled(dependent)) {
-          long theirs = latestEnd(dependent);
+          long inherited = latestEnd(dependent);
           earliest =
               Math.min(
-                  earliest, theirs == Long.MAX_VALUE ? theirs : theirs - durations.get(dependent));
+                  earliest,
+                  inherited == Long.MAX_VALUE ? inherited : inherited - durations.get(dependent));
         }
       }
       return earliest;
@@ -71,8 +72,8 @@
         if (dependencies.get(dependent).contains(uid)
             && ended.get(dependent) == null
             && !cancelled(dependent)) {
-          Priority theirs = priority(dependent);
-          mostUrgent = theirs.compareTo(mostUrgent) < 0 ? theirs : mostUrgent;
+          Priority inherited = priority(dependent);
+          mostUrgent = inherited.compareTo(mostUrgent) < 0 ? inherited : mostUrgent;
         }
       }
       return mostUrgent;
@@ -86,9 +87,9 @@
   /** Adds, completes and cancels jobs in random order. Some records are read late or twice. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void agreesWithThePlainModel(long seed) {
+  void agreesWithReferenceModel(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Model model = new Model();
+    ReferenceModel model = new ReferenceModel();
     DependencyGraph graph = new DependencyGraph();
     List<String> all = new ArrayList<>();
     Set<String> released = new HashSet<>();
@@ -123,7 +124,7 @@
   }
 
   private static void accept(
-      SplittableRandom random, Model model, DependencyGraph graph, List<String> all) {
+      SplittableRandom random, ReferenceModel model, DependencyGraph graph, List<String> all) {
     String uid = "job-" + all.size();
     List<String> dependencies = new ArrayList<>();
     for (String earlier : all) {
@@ -144,9 +145,9 @@
             Priority.values()[random.nextInt(4)]));
     List<String> unknown = graph.addJob(uid, 1 + all.size(), dependencies);
     for (String name : unknown) {
-      JobState how = model.ended.get(name);
-      assertTrue(how != null, name + " is not in the graph, so it must have ended");
-      graph.recordEnd(name, how, 0);
+      JobState finalState = model.ended.get(name);
+      assertTrue(finalState != null, name + " is not in the graph, so it must have ended");
+      graph.recordEnd(name, finalState, 0);
     }
     graph.setGoal(uid, model.ownGoals.get(uid), model.durations.get(uid));
     // A repeated addJob must change nothing.
@@ -154,7 +155,7 @@
   }
 
   private static void check(
-      Model model,
+      ReferenceModel model,
       DependencyGraph graph,
       List<String> all,
       Set<String> released,
@@ -193,17 +194,18 @@
   }
 
   /** Long enough that a recursive traversal would overflow the stack. */
-  private static final int MANY = 10_000;
+  private static final int JOB_COUNT = 10_000;
 
   private static final long LAST_DEADLINE = 1_000_000;
 
   /**
-   * A chain of {@link #MANY} jobs in which only the last job has a deadline and a high priority.
+   * A chain of {@link #JOB_COUNT} jobs in which only the last job has a deadline and a high
+   * priority.
    */
   private static DependencyGraph longChain() {
     DependencyGraph graph = new DependencyGraph();
-    for (int i = 0; i < MANY; i++) {
-      boolean last = i == MANY - 1;
+    for (int i = 0; i < JOB_COUNT; i++) {
+      boolean last = i == JOB_COUNT - 1;
       graph.addJob("job-" + i, i + 1, i == 0 ? List.of() : List.of("job-" + (i - 1)));
       graph.setGoal(
           "job-" + i,
@@ -214,63 +216,64 @@
   }
 
   @Test
-  void theGoalOfTheLastJobReachesTheFirstOfALongChain() {
+  void propagatesGoalFromLastToFirstJobOfLongChain() {
     DependencyGraph graph = longChain();
 
     graph.propagateGoals(uid -> {});
 
-    assertEquals(LAST_DEADLINE - 10L * (MANY - 1), graph.effectiveGoal("job-0").latestEndMicros());
+    assertEquals(
+        LAST_DEADLINE - 10L * (JOB_COUNT - 1), graph.effectiveGoal("job-0").latestEndMicros());
     assertEquals(Priority.PROD, graph.effectiveGoal("job-0").priority());
   }
 
   @Test
-  void eachGoalIsDerivedOnceAndOnlyAfterAChange() {
+  void recomputesEachGoalOnceAndOnlyAfterAChange() {
     DependencyGraph graph = longChain();
     List<String> changed = new ArrayList<>();
 
     graph.propagateGoals(changed::add);
-    assertEquals(MANY, changed.size(), "each job's goal changes once");
+    assertEquals(JOB_COUNT, changed.size(), "each job's goal changes once");
 
     graph.propagateGoals(changed::add);
-    assertEquals(MANY, changed.size(), "without a change no goal is recomputed");
+    assertEquals(JOB_COUNT, changed.size(), "without a change no goal is recomputed");
   }
 
   @Test
-  void aCancellationReachesTheLastJobOfALongChain() {
+  void propagatesCancellationToLastJobOfLongChain() {
     DependencyGraph graph = longChain();
     graph.propagateGoals(uid -> {});
     graph.drainReleased();
 
     graph.recordEnd("job-0", JobState.CANCELLED, 0);
 
-    assertEquals(MANY, graph.drainCancelled().size());
-    assertEquals("job-0", graph.failedDependencyOf("job-" + (MANY - 1)).orElseThrow());
+    assertEquals(JOB_COUNT, graph.drainCancelled().size());
+    assertEquals("job-0", graph.failedDependencyOf("job-" + (JOB_COUNT - 1)).orElseThrow());
   }
 
   @Test
-  void aJobWithManyDependenciesIsReleasedByTheLastOfThem() {
+  void releasesJobWhenLastOfManyDependenciesIsDone() {
     DependencyGraph graph = new DependencyGraph();
     graph.addJob("job-0", 1, List.of());
-    List<String> middle = IntStream.rangeClosed(1, MANY).mapToObj(i -> "job-" + i).toList();
-    for (int i = 1; i <= MANY; i++) {
+    List<String> middle = IntStream.rangeClosed(1, JOB_COUNT).mapToObj(i -> "job-" + i).toList();
+    for (int i = 1; i <= JOB_COUNT; i++) {
       graph.addJob("job-" + i, i + 1, List.of("job-0"));
     }
-    graph.addJob("job-last", MANY + 2, middle);
+    graph.addJob("job-last", JOB_COUNT + 2, middle);
     graph.drainReleased();
 
     graph.recordEnd("job-0", JobState.DONE, 5);
-    assertEquals(MANY, graph.drainReleased().size());
+    assertEquals(JOB_COUNT, graph.drainReleased().size());
 
-    for (int i = 1; i <= MANY; i++) {
+    for (int i = 1; i <= JOB_COUNT; i++) {
       assertEquals(DependencyGraph.State.WAITING, graph.stateOf("job-last"));
       graph.recordEnd("job-" + i, JobState.DONE, i);
     }
     assertEquals(List.of("job-last"), graph.drainReleased());
-    assertEquals(MANY, graph.releasedMicros("job-last"));
+    assertEquals(JOB_COUNT, graph.releasedMicros("job-last"));
   }
 
   @Test
-  void aDeadlineOfADependentEndsWithItsCancellation() {
+  void removesInheritedGoalWhenDependentIsCancelled() {
     DependencyGraph graph = new DependencyGraph();
     graph.addJob("job-1", 1, List.of());
     graph.setGoal("job-1", goal(Long.MAX_VALUE, Priority.IDLE), 7);
--- a/src/test/java/plumlever/fleet/FleetNumbersTest.java
+++ b/src/test/java/plumlever/fleet/FleetNumbersTest.java
@@ -14,13 +14,13 @@
   private static final long TERM = 7;
 
   @Test
-  void attemptNumbersRunOutBeforeThoseOfTheNextTerm() {
+  void reportsExhaustionBeforeAttemptNumbersReachNextTerm() {
     assertFalse(new Fleet(TERM, new AttemptNumbers(TERM, 16_000_000)).attemptNumbersRunOut());
     assertTrue(new Fleet(TERM, new AttemptNumbers(TERM, 16_720_000)).attemptNumbersRunOut());
   }
 
   @Test
-  void tokensRunOutBeforeThoseOfTheNextTerm() {
+  void reportsExhaustionBeforeTokensReachNextTerm() {
     Fleet fleet = new Fleet(TERM);
     Machine machine = new Machine("i-000001", "i-000001:9", "small", "a", false, 0);
     fleet.add(machine);
--- a/src/test/java/plumlever/fleet/ImageCacheTest.java
+++ b/src/test/java/plumlever/fleet/ImageCacheTest.java
@@ -16,19 +16,19 @@
   private final ImageCache images = new ImageCache();
 
   @Test
-  void anUnknownImageTakesItsWholeFetch() {
+  void unknownImageNeedsFullFetch() {
     assertEquals(4 * SECOND, images.fetchMicros("a", 4, TYPE, 0));
   }
 
   @Test
-  void aReadyImageTakesNoFetch() {
+  void readyImageNeedsNoFetch() {
     images.markReady("a", 4);
 
     assertEquals(0, images.fetchMicros("a", 4, TYPE, 0));
   }
 
   @Test
-  void aRunningFetchTakesWhatIsLeftAndAtLeastATenth() {
+  void runningFetchTakesRemainingTimeButAtLeastOneTenth() {
     images.recordUse("a", 4, TYPE, 0);
 
     assertEquals(3 * SECOND, images.fetchMicros("a", 4, TYPE, SECOND));
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void otherRunningFetchesShareTheRate() {
+  void concurrentFetchesShareTheRate() {
     images.recordUse("b", 1, TYPE, 0);
     images.recordUse("c", 1, TYPE, 0);
 
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void theLeastRecentlyUsedImageIsEvicted() {
+  void evictsLeastRecentlyUsedImage() {
     for (String name : List.of("a", "b", "a", "c")) {
       images.recordUse(name, 4, TYPE, 0);
       images.markReady(name, 4);
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void aCancelledFetchStartsAgain() {
+  void cancelledFetchRestartsFromTheBeginning() {
     images.recordUse("a", 4, TYPE, 0);
 
     images.cancelFetch("a");
--- a/src/test/java/plumlever/fleet/MachineContactTest.java
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void aCopyOfAReportIsNotNewer() {
+  void duplicateOrOlderReportIsNotNewer() {
     assertTrue(contact.isNewerThanLast(report(0, 0)), "the first report is newer than no report");
     contact.recordReport(report(2, 5), HeartbeatSource.WORKER, 10);
 
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void theAnswerToADirectCallIsNoHeartbeat() {
+  void replyToDirectCallDoesNotCountAsHeartbeat() {
     contact.recordReport(report(1, 5), HeartbeatSource.DIRECT_REPLY, 10);
 
     assertFalse(contact.hasReported());
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aNewIncarnationHasSentNoHeartbeat() {
+  void newIncarnationResetsHeartbeatSequenceNumber() {
     contact.recordReport(report(1, 5), HeartbeatSource.WORKER, 10);
 
     contact.recordReport(report(2, 1), HeartbeatSource.DIRECT_REPLY, 20);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void twoLostAnswersInARowMakeItUnreachable() {
+  void twoConsecutiveLostResponsesMakeMachineUnreachable() {
     contact.recordLostAnswer();
     assertFalse(contact.unreachable());
 
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void aDeliveredAnswerMakesItReachable() {
+  void deliveredResponseMakesMachineReachable() {
     contact.recordLostAnswer();
     contact.recordLostAnswer();
 
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void anAnsweredCallEndsARowOfFailedOnes() {
+  void answeredCallResetsFailureCount() {
     contact.recordDirectCall(false);
     contact.recordDirectCall(false);
     assertEquals(2, contact.consecutiveFailedCalls());
--- a/src/test/java/plumlever/fleet/MachineTokensTest.java
+++ b/src/test/java/plumlever/fleet/MachineTokensTest.java
@@ -20,14 +20,14 @@
   }
 
   @Test
-  void aTermBeginsWithItsFirstToken() {
+  void termStartsWithItsFirstToken() {
     assertEquals(FIRST, tokens.current());
     assertTrue(tokens.isOfSameTerm(FIRST + 5));
     assertFalse(tokens.isOfSameTerm(FIRST - 1));
   }
 
   @Test
-  void theTokenNeverDecreases() {
+  void tokenNeverDecreases() {
     tokens.raise(FIRST + 5);
     tokens.raise(FIRST + 2);
 
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aDirectCommandIsNotVoidedUntilTheTokenIsRaised() {
+  void directCommandStaysValidUntilTokenIsRaised() {
     tokens.commandSent(0);
     assertTrue(tokens.hasUnvoidedCommand());
 
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void voidingWithoutACommandLeavesTheToken() {
+  void voidingWithoutCommandKeepsToken() {
     tokens.voidDirectCommands();
 
     assertEquals(FIRST, tokens.current());
--- a/src/test/java/plumlever/fleet/RetryBackoffTest.java
+++ b/src/test/java/plumlever/fleet/RetryBackoffTest.java
@@ -11,17 +11,17 @@
 
   @ParameterizedTest
   @CsvSource({"1, 1", "2, 1", "3, 2", "4, 4", "7, 32", "8, 60", "9, 60", "100, 60"})
-  void thePauseDoublesAfterTheSecondErrorUpToAMinute(int errors, long pauseS) {
+  void delayDoublesAfterSecondErrorUpToOneMinute(int errors, long delayS) {
     RetryBackoff backoff = new RetryBackoff();
     for (int i = 0; i < errors; i++) {
       backoff.recordError(NOW);
     }
-    assertEquals(NOW + pauseS * 1_000_000, backoff.retryNotBeforeMicros());
+    assertEquals(NOW + delayS * 1_000_000, backoff.retryNotBeforeMicros());
   }
 
   @ParameterizedTest
   @CsvSource({"1", "100"})
-  void aSuccessEndsThePause(int errors) {
+  void successResetsDelay(int errors) {
     RetryBackoff backoff = new RetryBackoff();
     for (int i = 0; i < errors; i++) {
       backoff.recordError(NOW);
--- a/src/test/java/plumlever/http/RequestAdmissionTest.java
+++ b/src/test/java/plumlever/http/RequestAdmissionTest.java
@@ -36,7 +36,7 @@
         });
   }
 
-  private List<UserRequest> admitUpToTheBound() {
+  private List<UserRequest> admitUpToLimit() {
     List<UserRequest> open = new ArrayList<>();
     for (int i = 0; i < MAX_OPEN_REQUESTS; i++) {
       admit().ifPresent(open::add);
@@ -45,16 +45,16 @@
   }
 
   @Test
-  void admitsRequestsUpToTheBound() {
-    List<UserRequest> open = admitUpToTheBound();
+  void admitsRequestsUpToLimit() {
+    List<UserRequest> open = admitUpToLimit();
 
     assertEquals(MAX_OPEN_REQUESTS, open.size());
     assertEquals(List.of(), sentStatuses);
   }
 
   @Test
-  void refusesRequestsBeyondTheBoundWithTheTimeToComeBack() {
-    admitUpToTheBound();
+  void refusesRequestsBeyondLimitWithRetryAfter() {
+    admitUpToLimit();
 
     assertTrue(admit().isEmpty());
 
@@ -65,7 +65,7 @@
 
   @Test
   void admitsARequestOnceAnotherIsAnswered() {
-    List<UserRequest> open = admitUpToTheBound();
+    List<UserRequest> open = admitUpToLimit();
 
     open.get(0).send(200, "{}");
 
--- a/src/test/java/plumlever/http/ServerTest.java
+++ b/src/test/java/plumlever/http/ServerTest.java
@@ -73,7 +73,7 @@
   private void answer(String method, String path, byte[] body, Responder out) {
     switch (path) {
       case "/unanswered" -> {}
-      case "/scarce" -> out.send(200, String.valueOf(out.connectionsScarce()));
+      case "/scarce" -> out.send(200, String.valueOf(out.nearConnectionLimit()));
       default -> {
         int status = path.equals("/unavailable") ? 503 : 200;
         String echo = method + " " + path + " " + body.length;
@@ -134,7 +134,7 @@
    * user requests always get a connection.
    */
   @Test
-  void knowsWhenConnectionsAreShort() throws Exception {
+  void reportsWhenNearConnectionLimit() throws Exception {
     assertEquals("200 false", get("/scarce"));
     List<Socket> open = new ArrayList<>();
     try {
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void givesUpAnUnansweredRequestInTime() throws Exception {
+  void endsUnansweredRequestAfterTimeout() throws Exception {
     assertEquals("0 ", call("GET", "/unanswered", null, SHORT_TIMEOUT_MICROS));
   }
 
