--- a/src/main/java/plumlever/http/OutgoingCall.java
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -193,7 +193,7 @@
         received.write(
             buffer.array(), buffer.arrayOffset() + buffer.position(), buffer.remaining());
         if (received.size() > MAX_BODY_BYTES) {
-          throw new IOException("response is too long");
+          throw new IOException("response body exceeds " + MAX_BODY_BYTES + " bytes");
         }
       }
     } catch (IOException e) {
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -17,7 +17,7 @@
   private final ServingHealth health;
   private final Metrics metrics;
 
-  /** Creates a router to the given handlers. */
+  /** Creates a router for the given handlers. */
   public RequestRouter(
       Loop clock,
       UserApi users,
--- a/src/main/java/plumlever/http/Server.java
+++ b/src/main/java/plumlever/http/Server.java
@@ -33,7 +33,7 @@
 
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Fraction of the connection limit above which connections count as scarce. */
+  /** Fraction of the connection limit above which the server is near the limit. */
   public static final double SCARCE_CONNECTIONS_SHARE = 0.9;
 
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
--- a/src/test/java/plumlever/http/ServerTest.java
+++ b/src/test/java/plumlever/http/ServerTest.java
@@ -73,7 +73,7 @@
   private void answer(String method, String path, byte[] body, Responder out) {
     switch (path) {
       case "/unanswered" -> {}
-      case "/scarce" -> out.send(200, String.valueOf(out.nearConnectionLimit()));
+      case "/near-limit" -> out.send(200, String.valueOf(out.nearConnectionLimit()));
       default -> {
         int status = path.equals("/unavailable") ? 503 : 200;
         String echo = method + " " + path + " " + body.length;
@@ -135,13 +135,13 @@
    */
   @Test
   void reportsWhenNearConnectionLimit() throws Exception {
-    assertEquals("200 false", get("/scarce"));
+    assertEquals("200 false", get("/near-limit"));
     List<Socket> open = new ArrayList<>();
     try {
       for (int i = 0; i < 46; i++) {
         open.add(connectionInUse());
       }
-      assertEquals("200 true", get("/scarce"));
+      assertEquals("200 true", get("/near-limit"));
     } finally {
       for (Socket socket : open) {
         socket.close();
