--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -74,8 +74,8 @@
    * Records a heartbeat that arrived after a reply to a direct call, although the machine sent the
    * heartbeat first.
    */
-  public void recordOvertakenHeartbeat(long heartbeatSequenceNumber, long nowMicros) {
-    ownSequenceNumber = heartbeatSequenceNumber;
+  public void recordOvertakenHeartbeat(long lateSequenceNumber, long nowMicros) {
+    ownSequenceNumber = lateSequenceNumber;
     lastHeartbeatMicros = nowMicros;
     lastSeenMicros = nowMicros;
   }
