--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -27,35 +27,38 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * The cloud's client. An answer that is not understood counts as no answer. Each call takes a
- * callback, which runs once, on the loop.
+ * Client of the cloud API. A response that can't be parsed counts as no response. The callback of
+ * each call runs exactly once, on the event loop.
  */
 public final class CloudClient {
-  /** Machines that one rental request may ask for. */
+  /** Maximum number of machines in one rental request. */
   public static final int MAX_MACHINES_PER_RENTAL = 50;
 
-  /** Machines that one return request may name. */
+  /** Maximum number of machines in one return request. */
   public static final int MAX_MACHINES_PER_RETURN = 100;
 
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
   private static final long TIMEOUT_MICROS = 4_000_000;
   private static final int MACHINES_PER_PAGE = 500;
 
-  /** Part of the rate limit that is used. */
-  private static final double RATE_SHARE = 0.8;
+  /** Fraction of the cloud's rate limit that this client uses. */
+  private static final double RATE_LIMIT_FRACTION = 0.8;
 
   /**
-   * Pause before a page of a list that would exceed the rate: a list of thousands of machines has
-   * more pages than the rate allows at once.
+   * Delay before the next page of a machine list if reading the page now would exceed the rate
+   * limit. A list of thousands of machines has more pages than the rate limit allows at once.
    */
   private static final long PAGE_PAUSE_MICROS = 400_000;
 
-  /** Requests left to rentals and returns while a list is read. */
-  private static final double REQUESTS_LEFT_TO_OTHERS = 2;
+  /** Requests of the rate limit that a list read leaves for concurrent rentals and returns. */
+  private static final double REQUESTS_RESERVED_FOR_CHANGES = 2;
 
   private static final String NO_CAPACITY_TEXT = "capacity";
 
-  /** An answer, with its body where that is a JSON object and of use for the status. */
+  /**
+   * A response, with its body if the body is a JSON object and the status is one whose body is
+   * read.
+   */
   private record Response(int status, Optional<ObjectNode> body) {
     private boolean hasMachineIds() {
       return status == HttpStatus.OK
@@ -72,10 +75,10 @@
   private final Caller caller;
   private final Endpoint endpoint;
   private final Metrics metrics;
-  private final TokenBucket requests;
-  private final Set<String> warnedOf = new HashSet<>();
+  private final TokenBucket rateLimiter;
+  private final Set<String> warnedSubjects = new HashSet<>();
 
-  /** A client that keeps within the cloud's rate limit. */
+  /** Creates a client that stays within the cloud's rate limit. */
   public CloudClient(
       Loop loop,
       Caller caller,
@@ -86,13 +89,13 @@
     this.loop = loop;
     this.caller = caller;
     this.endpoint = endpoint;
-    this.requests = new TokenBucket(limits.rps() * RATE_SHARE, loop.nowMicros());
+    this.rateLimiter = new TokenBucket(limits.rps() * RATE_LIMIT_FRACTION, loop.nowMicros());
   }
 
   /**
-   * Reads the machine types with their prices.
+   * Reads the machine types and their prices.
    *
-   * @param callback takes an empty result where they can't be read now
+   * @param callback receives an empty result if the machine types can't be read now
    */
   public void listMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
     send(
@@ -115,22 +118,23 @@
   }
 
   /**
-   * Reads the list of all machines, page by page.
+   * Reads the complete list of machines, page by page.
    *
-   * @param callback takes an empty result where the list can't be read in full
+   * @param callback receives an empty result if some page of the list can't be read
    */
   public void listMachines(Consumer<Optional<List<ListedMachine>>> callback) {
     readPage("", new ArrayList<>(), callback);
   }
 
   /**
-   * @param lastId the last machine of the page before; empty for the first page
+   * @param lastId id of the last machine on the previous page; empty for the first page
    */
   private void readPage(
       String lastId,
       List<ListedMachine> machines,
       Consumer<Optional<List<ListedMachine>>> callback) {
-    if (!lastId.isEmpty() && !requests.canAcquire(1 + REQUESTS_LEFT_TO_OTHERS, loop.nowMicros())) {
+    if (!lastId.isEmpty()
+        && !rateLimiter.canAcquire(1 + REQUESTS_RESERVED_FOR_CHANGES, loop.nowMicros())) {
       loop.after(PAGE_PAUSE_MICROS, () -> readPage(lastId, machines, callback));
       return;
     }
@@ -172,7 +176,10 @@
     }
   }
 
-  /** Rents machines; a request whose outcome is unknown is to be repeated with the same id. */
+  /**
+   * Rents machines. If the outcome is unknown, the caller has to repeat the request with the same
+   * id.
+   */
   public void rentMachines(RentalRequest request, Consumer<RentalResult> callback) {
     ObjectNode body =
         Json.object()
@@ -190,10 +197,10 @@
       response.machineIds().forEach(id -> machineIds.add(id.asText()));
       return RentalResult.rented(machineIds);
     }
-    return RentalResult.without(
+    return RentalResult.withoutMachines(
         switch (response.status()) {
           case HttpStatus.UNAVAILABLE ->
-              tellsOfNoCapacity(response)
+              reportsNoCapacity(response)
                   ? RentalResult.Outcome.NO_CAPACITY
                   : RentalResult.Outcome.REFUSED;
           case HttpStatus.TOO_MANY_REQUESTS, HttpStatus.BAD_REQUEST -> RentalResult.Outcome.REFUSED;
@@ -201,15 +208,15 @@
         });
   }
 
-  private static boolean tellsOfNoCapacity(Response response) {
+  private static boolean reportsNoCapacity(Response response) {
     return response.body().isPresent()
         && response.body().get().path("error").asText().contains(NO_CAPACITY_TEXT);
   }
 
   /**
-   * Returns machines.
+   * Returns machines to the cloud.
    *
-   * @param callback takes whether the machines are surely gone
+   * @param callback receives whether the machines have definitely been returned
    */
   public void returnMachines(List<String> machineIds, Consumer<ReturnOutcome> callback) {
     ObjectNode body = Json.object();
@@ -226,9 +233,12 @@
                     : ReturnOutcome.UNKNOWN));
   }
 
-  /** Sends a request; one that would exceed the rate is answered as the cloud would refuse it. */
+  /**
+   * Sends a request. A request that would exceed the rate limit is not sent; it gets the status 429
+   * that the cloud would return.
+   */
   private void send(String method, String path, JsonNode body, Consumer<Response> callback) {
-    if (!requests.tryAcquire(1, loop.nowMicros())) {
+    if (!rateLimiter.tryAcquire(1, loop.nowMicros())) {
       metrics.countRefusal("cloud", HttpStatus.TOO_MANY_REQUESTS);
       loop.after(
           0, () -> callback.accept(new Response(HttpStatus.TOO_MANY_REQUESTS, Optional.empty())));
@@ -263,8 +273,11 @@
   }
 
   private void warnOnce(String subject, String reason) {
-    if (warnedOf.add(subject)) {
-      LOG.warn("the cloud's answer to a request for {} is not understood: {}", subject, reason);
+    if (warnedSubjects.add(subject)) {
+      LOG.warn(
+          "cloud request for {} failed: invalid response, or request rejected by the cloud: {}",
+          subject,
+          reason);
     }
   }
 }
--- a/src/main/java/plumlever/http/ConnectionPool.java
+++ b/src/main/java/plumlever/http/ConnectionPool.java
@@ -8,48 +8,52 @@
 import org.xnio.IoUtils;
 import plumlever.settings.Endpoint;
 
-/** The connections to one address, and the calls that wait for one. */
+/** The connections to one endpoint, and the queue of calls that wait for a connection. */
 final class ConnectionPool {
   private static final int MAX_CONNECTIONS = 12;
   private static final int MAX_WAITING_CALLS = 64;
 
   private final Endpoint endpoint;
-  private final IdleConnections idle;
-  private final Consumer<ConnectionPool> unused;
-  private final Deque<ClientConnection> kept = new ArrayDeque<>();
-  private final Deque<OutgoingCall> waiting = new ArrayDeque<>();
-  private int inUse;
+  private final IdleConnections allIdleConnections;
+  private final Consumer<ConnectionPool> onUnused;
+  private final Deque<ClientConnection> idleConnections = new ArrayDeque<>();
+  private final Deque<OutgoingCall> waitingCalls = new ArrayDeque<>();
+  private int startedCalls;
 
   /**
-   * @param unused told when nothing is open, kept or waiting any more
+   * @param onUnused called when the pool has no open call, no idle connection and no waiting call
    */
-  ConnectionPool(Endpoint endpoint, IdleConnections idle, Consumer<ConnectionPool> unused) {
+  ConnectionPool(
+      Endpoint endpoint, IdleConnections allIdleConnections, Consumer<ConnectionPool> onUnused) {
     this.endpoint = endpoint;
-    this.idle = idle;
-    this.unused = unused;
+    this.allIdleConnections = allIdleConnections;
+    this.onUnused = onUnused;
   }
 
   Endpoint endpoint() {
     return endpoint;
   }
 
-  /** Begins the call, now or when a connection is free; gives it up where too many wait. */
+  /**
+   * Starts the call now or when a connection becomes available. Fails the call if the queue is
+   * full.
+   */
   void submit(OutgoingCall call) {
-    if (inUse < MAX_CONNECTIONS) {
-      inUse++;
-      call.begin();
-    } else if (waiting.size() < MAX_WAITING_CALLS) {
-      waiting.add(call);
+    if (startedCalls < MAX_CONNECTIONS) {
+      startedCalls++;
+      call.start();
+    } else if (waitingCalls.size() < MAX_WAITING_CALLS) {
+      waitingCalls.add(call);
     } else {
-      call.giveUp();
+      call.abandon();
     }
   }
 
-  /** A kept connection that is still open, for a call that has begun. */
-  Optional<ClientConnection> takeKept() {
+  /** Takes an idle connection that is still open, for a call that has started. */
+  Optional<ClientConnection> takeIdle() {
     ClientConnection connection;
-    while ((connection = kept.poll()) != null) {
-      idle.remove(connection);
+    while ((connection = idleConnections.poll()) != null) {
+      allIdleConnections.remove(connection);
       if (connection.isOpen()) {
         return Optional.of(connection);
       }
@@ -59,43 +63,46 @@
   }
 
   /**
-   * A call that had begun has ended.
+   * Ends a call that had started.
    *
-   * @param reusable its connection, if it can be used again
+   * @param reusable the call's connection if another call can reuse it
    */
   void release(Optional<ClientConnection> reusable) {
-    inUse--;
-    reusable.filter(ClientConnection::isOpen).ifPresent(this::keep);
-    beginWaiting();
+    startedCalls--;
+    reusable.filter(ClientConnection::isOpen).ifPresent(this::addIdle);
+    startWaitingCalls();
     reportIfUnused();
   }
 
-  private void keep(ClientConnection connection) {
-    kept.push(connection);
-    idle.add(connection, this);
+  private void addIdle(ClientConnection connection) {
+    idleConnections.push(connection);
+    allIdleConnections.add(connection, this);
   }
 
-  private void beginWaiting() {
-    while (!waiting.isEmpty() && inUse < MAX_CONNECTIONS) {
-      OutgoingCall next = waiting.poll();
+  private void startWaitingCalls() {
+    while (!waitingCalls.isEmpty() && startedCalls < MAX_CONNECTIONS) {
+      OutgoingCall next = waitingCalls.poll();
       if (!next.finished()) {
-        inUse++;
-        next.begin();
+        startedCalls++;
+        next.start();
       }
     }
   }
 
-  /** Closes a kept connection. */
+  /** Closes an idle connection. */
   void evict(ClientConnection connection) {
-    kept.remove(connection);
+    idleConnections.remove(connection);
     IoUtils.safeClose(connection);
     reportIfUnused();
   }
 
-  /** Machines come and go; what was kept for their addresses goes as well. */
+  /**
+   * Machines are rented and returned all the time, so the pools of their endpoints are removed when
+   * unused.
+   */
   private void reportIfUnused() {
-    if (inUse == 0 && kept.isEmpty() && waiting.isEmpty()) {
-      unused.accept(this);
+    if (startedCalls == 0 && idleConnections.isEmpty() && waitingCalls.isEmpty()) {
+      onUnused.accept(this);
     }
   }
 }
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -22,13 +22,15 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Answers heartbeats for a leader that can't reach their zone: leases are renewed and tasks of
- * ended jobs stopped, nothing is started. The answer carries the token that the leader stored with
- * the delegation. With the token that the heartbeat shows, a start that the leader had sent before
- * could still be carried out, minutes later and after a cancellation.
+ * Responds to heartbeats on behalf of a leader that can't reach the workers of their zone. A
+ * delegate renews leases and stops tasks of ended jobs, but starts nothing.
+ *
+ * <p>The response carries the fencing token that the leader stored with the delegation. A response
+ * with the token from the heartbeat would not invalidate a start command that the leader had sent
+ * earlier: the worker could still execute the command minutes later, after the job's cancellation.
  */
 public final class DelegatedHeartbeats {
-  private static final int MAX_LINES_PER_SECOND = 20;
+  private static final int MAX_LOG_LINES_PER_SECOND = 20;
 
   private final Loop loop;
   private final DelegatedRenewal delegation;
@@ -36,12 +38,12 @@
   private final LeaseRenewal renewal;
   private final Metrics metrics;
   private final Logger log;
-  private final LogBudget lines;
+  private final LogBudget logBudget;
 
   /**
-   * Answers under this delegation.
+   * Creates a handler that uses the given delegation.
    *
-   * @param jobs tells which jobs have ended, so that their tasks are stopped
+   * @param jobs provides the ended jobs, whose tasks are stopped
    */
   public DelegatedHeartbeats(
       Loop loop,
@@ -56,32 +58,32 @@
     this.renewal = renewal;
     this.metrics = metrics;
     this.log = logs.of(DelegatedHeartbeats.class);
-    this.lines = new LogBudget(log, MAX_LINES_PER_SECOND);
+    this.logBudget = new LogBudget(log, MAX_LOG_LINES_PER_SECOND);
   }
 
   /**
-   * Answers the heartbeat if leases in its zone may be renewed here.
+   * Responds to the heartbeat if this controller may renew leases in the heartbeat's zone.
    *
-   * @return false if they may not, and nothing was answered
+   * @return false if this controller may not renew the lease; no response has been sent
    */
-  boolean answer(Heartbeat heartbeat, Responder out) {
+  boolean tryRespond(Heartbeat heartbeat, Responder out) {
     Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
-    // What refuses whatever the jobs are is found out before they are looked up.
+    // Check the conditions that do not depend on the jobs first, which saves the job lookup.
     if (right.isEmpty()
         || renewal
             .refusal(evidence(right.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
             .isPresent()) {
-      right.ifPresent(known -> logRefusal(heartbeat, known, "before the jobs are looked up"));
+      right.ifPresent(known -> logRefusal(heartbeat, known, "before the job lookup"));
       return false;
     }
-    jobs.findEnded(jobsOf(heartbeat), ends -> answerKnowingEnds(heartbeat, ends, out));
+    jobs.findEnded(liveJobIds(heartbeat), ends -> respondWithEndedJobs(heartbeat, ends, out));
     return true;
   }
 
-  private void answerKnowingEnds(
+  private void respondWithEndedJobs(
       Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> ends, Responder out) {
-    // The right may have ended while the jobs were looked up. A lease is not renewed for tasks
-    // whose stop can't be given.
+    // The delegation may have expired during the job lookup. The lease must not be renewed if the
+    // delegate can't send the stop commands for tasks of ended jobs.
     Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
     if (right.isEmpty()) {
       refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
@@ -91,11 +93,11 @@
       refuse(heartbeat, RenewalRefusal.ENDED_JOBS_UNKNOWN, out);
       return;
     }
-    List<WorkerCommand> stops = stops(heartbeat, ends.get().uids());
+    List<WorkerCommand> stopCommands = stopCommands(heartbeat, ends.get().uids());
     DelegateEvidence evidence = evidence(right.get(), heartbeat, ends.get().askedMicros());
-    RenewalDecision decision = renewal.answer(evidence, stops, loop.nowMicros());
+    RenewalDecision decision = renewal.answer(evidence, stopCommands, loop.nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
-      logRenewal(heartbeat, evidence, stops);
+      logRenewal(heartbeat, evidence, stopCommands);
       metrics.count("leases_renewed_for_leader");
       delegation.announceRenewal();
       out.send(HttpStatus.OK, renewed.body());
@@ -110,7 +112,7 @@
         right.token(), heartbeat.fencingToken(), right.validUntilMicros(), endsKnownMicros);
   }
 
-  private static Set<String> jobsOf(Heartbeat heartbeat) {
+  private static Set<String> liveJobIds(Heartbeat heartbeat) {
     Set<String> uids = new HashSet<>();
     for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
       if (isLive(attempt)) {
@@ -124,21 +126,22 @@
     return attempt.state() != AttemptState.ENDED;
   }
 
-  private static List<WorkerCommand> stops(Heartbeat heartbeat, Set<String> ended) {
-    List<WorkerCommand> stops = new ArrayList<>();
+  private static List<WorkerCommand> stopCommands(Heartbeat heartbeat, Set<String> ended) {
+    List<WorkerCommand> stopCommands = new ArrayList<>();
     for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
       if (isLive(attempt) && ended.contains(attempt.task().job())) {
-        stops.add(WorkerCommand.stop(attempt.task(), attempt.attempt(), 0));
+        stopCommands.add(WorkerCommand.stop(attempt.task(), attempt.attempt(), 0));
       }
     }
-    return stops;
+    return stopCommands;
   }
 
   private void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     metrics.count(refusal.counter());
-    if (lines.allowsDebug(loop.nowMicros())) {
+    if (logBudget.allowsDebug(loop.nowMicros())) {
       log.debug(
-          "the lease of {} incarnation {} is not renewed for the leader, token {}: {}",
+          "lease of machine {} (incarnation {}) not renewed on behalf of the leader, machine's"
+              + " fencing token {}: {}",
           heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
@@ -148,10 +151,10 @@
   }
 
   private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.Right right, String when) {
-    if (lines.allowsDebug(loop.nowMicros())) {
+    if (logBudget.allowsDebug(loop.nowMicros())) {
       log.debug(
-          "the lease of {} incarnation {} is not renewed for the leader {}: it shows token {}, the"
-              + " delegation has {}",
+          "lease of machine {} (incarnation {}) not renewed on behalf of the leader, refused {}:"
+              + " machine's fencing token {}, delegation's token {}",
           heartbeat.machineId(),
           heartbeat.incarnation(),
           when,
@@ -160,20 +163,23 @@
     }
   }
 
-  /** An answer without a stop that raises no token is what the worker had before: no line. */
+  /**
+   * Logs a renewal that raises the token or stops tasks. Other renewals change nothing for the
+   * worker and are not logged.
+   */
   private void logRenewal(
-      Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stops) {
+      Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stopCommands) {
     boolean raises = evidence.token() > heartbeat.fencingToken();
-    if ((raises || !stops.isEmpty()) && lines.allowsDebug(loop.nowMicros())) {
+    if ((raises || !stopCommands.isEmpty()) && logBudget.allowsDebug(loop.nowMicros())) {
       log.debug(
-          "the lease of {} incarnation {} is renewed for the leader, token {} for {}, ended jobs as"
-              + " of {} ms ago, stops {}",
+          "lease of machine {} (incarnation {}) renewed on behalf of the leader: fencing token {}"
+              + " replaces {}, ended jobs as of {} ms ago, stop commands {}",
           heartbeat.machineId(),
           heartbeat.incarnation(),
           evidence.token(),
           heartbeat.fencingToken(),
           (loop.nowMicros() - evidence.endsKnownMicros()) / 1_000,
-          stops);
+          stopCommands);
     }
   }
 }
--- a/src/main/java/plumlever/http/HeartbeatEndpoint.java
+++ b/src/main/java/plumlever/http/HeartbeatEndpoint.java
@@ -11,33 +11,33 @@
 import plumlever.wire.ProtocolField;
 
 /**
- * Takes workers' heartbeats: the leader answers them, or this controller on a leader's behalf, or
- * the worker is sent to the leader.
+ * The endpoint for heartbeats of workers. The leader in this process responds, or this controller
+ * responds as the leader's delegate, or the worker is redirected to the leader.
  */
 public final class HeartbeatEndpoint {
   private final LeaderLookup leaders;
-  private final DelegatedHeartbeats delegated;
-  private final Consumer<String> machineWithoutLeader;
+  private final DelegatedHeartbeats delegatedHeartbeats;
+  private final Consumer<String> onHeartbeatWhileNotLeading;
   private final Metrics metrics;
 
   /**
-   * Answers workers by what these know.
+   * Creates the endpoint.
    *
-   * @param machineWithoutLeader told the id of each machine that sends a heartbeat while this
-   *     controller does not lead
+   * @param onHeartbeatWhileNotLeading receives the id of each machine that sends a heartbeat while
+   *     this controller does not lead
    */
   public HeartbeatEndpoint(
       LeaderLookup leaders,
-      DelegatedHeartbeats delegated,
-      Consumer<String> machineWithoutLeader,
+      DelegatedHeartbeats delegatedHeartbeats,
+      Consumer<String> onHeartbeatWhileNotLeading,
       Metrics metrics) {
     this.leaders = leaders;
-    this.delegated = delegated;
-    this.machineWithoutLeader = machineWithoutLeader;
+    this.delegatedHeartbeats = delegatedHeartbeats;
+    this.onHeartbeatWhileNotLeading = onHeartbeatWhileNotLeading;
     this.metrics = metrics;
   }
 
-  /** Answers the heartbeat with this body, now or once what it depends on has been read. */
+  /** Responds to a heartbeat, immediately or after the required reads. */
   void handle(byte[] body, Responder out) {
     Heartbeat heartbeat;
     try {
@@ -48,8 +48,9 @@
       return;
     }
     metrics.count("heartbeats");
-    if (out.connectionsScarce()) {
-      // Users come first: a worker can do with a connection for each heartbeat.
+    if (out.nearConnectionLimit()) {
+      // User requests have priority for connections: a worker can open a new connection for each
+      // heartbeat.
       metrics.count("heartbeats_closed_crowded");
       out.closeConnection();
     }
@@ -58,13 +59,13 @@
       leader.get().heartbeat(heartbeat, out);
       return;
     }
-    machineWithoutLeader.accept(heartbeat.machineId());
-    if (!delegated.answer(heartbeat, out)) {
-      sendToLeader(out);
+    onHeartbeatWhileNotLeading.accept(heartbeat.machineId());
+    if (!delegatedHeartbeats.tryRespond(heartbeat, out)) {
+      redirectToLeader(out);
     }
   }
 
-  private void sendToLeader(Responder out) {
+  private void redirectToLeader(Responder out) {
     String body =
         leaders
             .leaderLabel()
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -16,8 +16,9 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Finds jobs in the other shards of a pool, and has a controller of a job's own shard answer for
- * it. That a job is in no shard rests on one read of all of them, begun after the question came in.
+ * Finds jobs in the other shards of a pool, and forwards requests to a controller of the job's
+ * shard. A job is reported as absent only after one transaction, sent after the request arrived,
+ * has checked the keys of all other shards.
  */
 public final class JobForwarder {
   private static final long TIMEOUT_MICROS = 1_500_000;
@@ -25,7 +26,7 @@
   private static final int MAX_ATTEMPTS = 4;
   private static final int RETRY_AFTER_S = 1;
 
-  /** A key under which the shard has the job, if it has it. */
+  /** A key that exists if the shard has the job. */
   private record Candidate(SharingSettings.Shard shard, String key) {}
 
   private final Loop loop;
@@ -34,7 +35,7 @@
   private final PlatformConfiguration platform;
   private final SharingSettings sharing;
 
-  /** Finds jobs in the other shards of this pool. */
+  /** Creates a forwarder for the other shards of this pool. */
   public JobForwarder(
       Loop loop,
       StateClient store,
@@ -48,12 +49,15 @@
     this.sharing = sharing;
   }
 
-  /** Finds out in which other shard the job is. */
-  void find(String uid, Consumer<JobLocation> whenFound) {
-    find(candidates(uid), MAX_ATTEMPTS, whenFound);
+  /** Finds the other shard that has the job. */
+  void find(String uid, Consumer<JobLocation> handler) {
+    find(candidates(uid), MAX_ATTEMPTS, handler);
   }
 
-  /** An active job first, then an ended one: the end moves it from one key to the other. */
+  /**
+   * The key of the active job comes before the key of the ended job, because the end of a job moves
+   * its record from the first key to the second.
+   */
   private List<Candidate> candidates(String uid) {
     List<Candidate> candidates = new ArrayList<>();
     for (SharingSettings.Shard shard : sharing.otherShards()) {
@@ -64,7 +68,7 @@
     return candidates;
   }
 
-  private void find(List<Candidate> candidates, int attemptsLeft, Consumer<JobLocation> whenFound) {
+  private void find(List<Candidate> candidates, int attemptsLeft, Consumer<JobLocation> handler) {
     Transaction absent = new Transaction();
     candidates.forEach(candidate -> absent.require(candidate.key(), 0));
     store.transaction(
@@ -72,23 +76,26 @@
         StateClient.RequestPriority.ORDINARY,
         result -> {
           switch (result.outcome()) {
-            case APPLIED -> whenFound.accept(new JobLocation.Nowhere());
-            case CONFLICT -> readFirst(candidates.iterator(), whenFound);
+            case APPLIED -> handler.accept(new JobLocation.NotFound());
+            case CONFLICT -> readCandidates(candidates.iterator(), handler);
             default -> {
               if (result.status() == HttpStatus.TOO_MANY_REQUESTS && attemptsLeft > 1) {
-                loop.after(RETRY_PAUSE_MICROS, () -> find(candidates, attemptsLeft - 1, whenFound));
+                loop.after(RETRY_PAUSE_MICROS, () -> find(candidates, attemptsLeft - 1, handler));
               } else {
-                whenFound.accept(new JobLocation.Unavailable());
+                handler.accept(new JobLocation.Unavailable());
               }
             }
           }
         });
   }
 
-  /** Some shard has it; it never leaves that shard, so their keys are read one after the other. */
-  private void readFirst(Iterator<Candidate> candidates, Consumer<JobLocation> whenFound) {
+  /**
+   * Some shard has the job, and a job never moves to another shard. The keys can therefore be read
+   * one after the other.
+   */
+  private void readCandidates(Iterator<Candidate> candidates, Consumer<JobLocation> handler) {
     if (!candidates.hasNext()) {
-      whenFound.accept(new JobLocation.Unavailable());
+      handler.accept(new JobLocation.Unavailable());
       return;
     }
     Candidate candidate = candidates.next();
@@ -97,20 +104,20 @@
         StateClient.RequestPriority.ORDINARY,
         read -> {
           if (read.found()) {
-            whenFound.accept(new JobLocation.InShard(candidate.shard()));
+            handler.accept(new JobLocation.InShard(candidate.shard()));
           } else if (read.missing()) {
-            readFirst(candidates, whenFound);
+            readCandidates(candidates, handler);
           } else {
-            whenFound.accept(new JobLocation.Unavailable());
+            handler.accept(new JobLocation.Unavailable());
           }
         });
   }
 
-  /** Has a controller of the shard answer the request, the first that can be reached. */
+  /** Forwards the request to the first reachable controller of the shard. */
   void forward(SharingSettings.Shard shard, ForwardedRequest request, Responder out) {
     List<PlatformConfiguration.PeerController> members =
         platform.peers().stream()
-            .filter(seed -> shard.controllers().contains(seed.label()))
+            .filter(peer -> shard.controllers().contains(peer.label()))
             .toList();
     forward(members.iterator(), request.write(), out);
   }
--- a/src/main/java/plumlever/http/JobAnswers.java
+++ b/src/main/java/plumlever/http/JobResponses.java
@@ -10,8 +10,8 @@
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
 
-/** Answers requests from what is stored of a job, here or in another shard. */
-final class JobAnswers {
+/** Creates responses from the stored state of a job in this shard or in another shard. */
+final class JobResponses {
   static final String NO_SUCH_JOB = "no such job";
 
   private static final int RETRY_AFTER_S = 1;
@@ -20,68 +20,69 @@
   private final Metrics metrics;
   private final ServingHealth health;
   private final Function<String, Optional<TaskCounts>> counts;
-  private final Optional<JobForwarder> otherShards;
+  private final Optional<JobForwarder> jobForwarder;
 
-  JobAnswers(
+  JobResponses(
       JobRecordCache records,
       Metrics metrics,
       ServingHealth health,
       Function<String, Optional<TaskCounts>> counts,
-      Optional<JobForwarder> otherShards) {
+      Optional<JobForwarder> jobForwarder) {
     this.records = records;
     this.metrics = metrics;
     this.health = health;
     this.counts = counts;
-    this.otherShards = otherShards;
+    this.jobForwarder = jobForwarder;
   }
 
   /**
-   * Answers with the job's state if it was ever accepted.
+   * Responds with the state of the job if the job was ever accepted.
    *
-   * @param whenUnknown answers for a job that was not
+   * @param whenUnknown responds if the job was never accepted
    */
-  void answerKnown(String uid, UserRequest request, Runnable whenUnknown) {
+  void respondIfKnown(String uid, UserRequest request, Runnable whenUnknown) {
     records.lookUp(
         uid,
         status -> {
           switch (status.presence()) {
-            case ACTIVE, ENDED -> request.send(HttpStatus.OK, describe(uid, status));
-            case MISSING -> answerElsewhere(uid, request, whenUnknown);
-            case UNAVAILABLE -> unavailable(request);
+            case ACTIVE, ENDED -> request.send(HttpStatus.OK, statusBody(uid, status));
+            case MISSING -> respondFromOtherShard(uid, request, whenUnknown);
+            case UNAVAILABLE -> respondUnavailable(request);
           }
         });
   }
 
   /**
-   * Has another shard answer if it has the job, which this shard has not.
+   * Lets another shard respond for a job that this shard does not have.
    *
-   * @param whenUnknown answers for a job that no shard has
+   * @param whenUnknown responds if no shard has the job
    */
-  void answerElsewhere(String uid, UserRequest request, Runnable whenUnknown) {
-    if (otherShards.isEmpty() || request.isForwarded()) {
+  void respondFromOtherShard(String uid, UserRequest request, Runnable whenUnknown) {
+    if (jobForwarder.isEmpty() || request.isForwarded()) {
       whenUnknown.run();
       return;
     }
-    JobForwarder forwarder = otherShards.get();
+    JobForwarder forwarder = jobForwarder.get();
     forwarder.find(
         uid,
         location -> {
           if (location instanceof JobLocation.InShard found) {
             metrics.count("users_forwarded");
             forwarder.forward(found.shard(), request.request(), request);
-          } else if (location instanceof JobLocation.Nowhere) {
+          } else if (location instanceof JobLocation.NotFound) {
             whenUnknown.run();
           } else {
-            unavailable(request);
+            respondUnavailable(request);
           }
         });
   }
 
   /**
-   * A user's connection stays on its controller: one that alone can't answer must not keep its
-   * users from those that can.
+   * Responds that the state service is unavailable. A user's requests stay on one connection, and
+   * so on one controller. If the state service refuses only this controller, the connection is
+   * closed so that the user can connect to another controller.
    */
-  void unavailable(UserRequest request) {
+  void respondUnavailable(UserRequest request) {
     if (health.isRefusedAlone()) {
       metrics.count("users_sent_away");
       request.closeConnection();
@@ -89,8 +90,8 @@
     request.retryLater(HttpStatus.UNAVAILABLE, "the state service can't be reached", RETRY_AFTER_S);
   }
 
-  /** The answer's body for a job that was found. */
-  String describe(String uid, JobRecordCache.JobStatus found) {
+  /** The response body for a job that was found. */
+  String statusBody(String uid, JobRecordCache.JobStatus found) {
     if (found.endState().isPresent()) {
       return body(uid, found.endState().get());
     }
@@ -99,7 +100,7 @@
     return body(uid, running ? JobState.RUNNING : JobState.PENDING, known);
   }
 
-  /** The answer's body for a job in this state, without counts of its tasks. */
+  /** The response body for a job in this state, without task counts. */
   static String body(String uid, JobState state) {
     return body(uid, state, Optional.empty());
   }
--- a/src/main/java/plumlever/http/OutgoingCall.java
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -19,12 +19,12 @@
 import org.xnio.channels.StreamSourceChannel;
 import plumlever.concurrent.Loop;
 
-/** One request with its answer; its handler is called exactly once. */
+/** An outgoing HTTP request and its response. The handler is called exactly once. */
 final class OutgoingCall {
   private static final Logger LOG = LoggerFactory.getLogger(OutgoingCall.class);
   private static final int MAX_BODY_BYTES = 8 << 20;
-  private static final int USUAL_BODY_BYTES = 512;
-  private static final byte[] NO_BODY = new byte[0];
+  private static final int INITIAL_BODY_CAPACITY_BYTES = 512;
+  private static final byte[] EMPTY_BODY = new byte[0];
 
   private final ConnectionFactory connections;
   private final ConnectionPool pool;
@@ -34,11 +34,11 @@
   private final Caller.ResponseHandler handler;
   private Optional<Loop.Timer> timeout = Optional.empty();
   private Optional<ClientConnection> connection = Optional.empty();
-  private boolean begun;
+  private boolean started;
   private boolean finished;
 
   /**
-   * @param body null for none
+   * @param body the request body, or null for none
    */
   OutgoingCall(
       ConnectionFactory connections,
@@ -55,8 +55,11 @@
     this.handler = handler;
   }
 
-  /** The timer is cancelled when the call finishes. */
-  void timeOutWith(Loop.Timer timer) {
+  /**
+   * Sets the timer that ends the call after the timeout. The timer is cancelled when the call
+   * finishes.
+   */
+  void setTimeoutTimer(Loop.Timer timer) {
     timeout = Optional.of(timer);
   }
 
@@ -64,37 +67,40 @@
     return finished;
   }
 
-  /** The pool has a connection free for this call. */
-  void begin() {
-    begun = true;
-    Optional<ClientConnection> kept = pool.takeKept();
-    if (kept.isPresent()) {
-      send(kept.get());
+  /**
+   * Starts the call. The pool calls this method when the number of open calls to the endpoint
+   * allows one more.
+   */
+  void start() {
+    started = true;
+    Optional<ClientConnection> idle = pool.takeIdle();
+    if (idle.isPresent()) {
+      send(idle.get());
     } else {
       connections.connect(
           pool.endpoint(),
           callback(
-              this::connected,
+              this::handleConnection,
               failure -> {
-                LOG.debug("no connection to {}: {}", pool.endpoint(), failure.toString());
-                giveUp();
+                LOG.debug("connecting to {} failed: {}", pool.endpoint(), failure.toString());
+                abandon();
               }));
     }
   }
 
-  private void connected(ClientConnection opened) {
+  private void handleConnection(ClientConnection opened) {
     if (finished) {
-      // Given up while connecting; the pool has its place back already, so the connection is
-      // closed.
+      // The call timed out while the connection was being opened. The pool has already released the
+      // call's slot, so the connection can't be returned to the pool.
       IoUtils.safeClose(opened);
     } else {
       send(opened);
     }
   }
 
-  private void send(ClientConnection over) {
-    connection = Optional.of(over);
-    over.sendRequest(request(), callback(this::sent, this::fail));
+  private void send(ClientConnection target) {
+    connection = Optional.of(target);
+    target.sendRequest(request(), callback(this::handleExchange, this::fail));
   }
 
   private ClientRequest request() {
@@ -109,7 +115,7 @@
     return request;
   }
 
-  private void sent(ClientExchange exchange) {
+  private void handleExchange(ClientExchange exchange) {
     exchange.setResponseListener(callback(this::receive, this::fail));
     if (body != null && body.length > 0) {
       write(exchange.getRequestChannel(), ByteBuffer.wrap(body));
@@ -162,7 +168,10 @@
 
   private void receive(ClientExchange exchange) {
     int status = exchange.getResponse().getResponseCode();
-    read(exchange.getResponseChannel(), new ByteArrayOutputStream(USUAL_BODY_BYTES), status);
+    read(
+        exchange.getResponseChannel(),
+        new ByteArrayOutputStream(INITIAL_BODY_CAPACITY_BYTES),
+        status);
   }
 
   private void read(StreamSourceChannel channel, ByteArrayOutputStream received, int status) {
@@ -184,7 +193,7 @@
         received.write(
             buffer.array(), buffer.arrayOffset() + buffer.position(), buffer.remaining());
         if (received.size() > MAX_BODY_BYTES) {
-          throw new IOException("response is too long");
+          throw new IOException("response body exceeds " + MAX_BODY_BYTES + " bytes");
         }
       }
     } catch (IOException e) {
@@ -193,17 +202,22 @@
   }
 
   private void fail(IOException failure) {
-    LOG.debug("{} {} at {} got no answer: {}", method, path, pool.endpoint(), failure.toString());
-    giveUp();
+    LOG.debug(
+        "{} {} to {} failed without a response: {}",
+        method,
+        path,
+        pool.endpoint(),
+        failure.toString());
+    abandon();
   }
 
-  /** There is no answer; whether the request is executed is unknown. */
-  void giveUp() {
-    finish(0, NO_BODY, Optional.empty());
+  /** Finishes the call without a response. Whether the server executes the request is not known. */
+  void abandon() {
+    finish(0, EMPTY_BODY, Optional.empty());
   }
 
   /**
-   * @param reusable the connection, if it can be used again
+   * @param reusable the connection if another call can reuse it
    */
   private void finish(int status, byte[] data, Optional<ClientConnection> reusable) {
     if (finished) {
@@ -211,7 +225,7 @@
     }
     finished = true;
     timeout.ifPresent(Loop.Timer::cancel);
-    if (begun) {
+    if (started) {
       if (reusable.isEmpty()) {
         connection.ifPresent(IoUtils::safeClose);
       }
--- a/src/main/java/plumlever/http/RequestAdmission.java
+++ b/src/main/java/plumlever/http/RequestAdmission.java
@@ -6,7 +6,7 @@
 import plumlever.wire.ForwardedRequest;
 import plumlever.wire.HttpStatus;
 
-/** Bounds the users' requests that are open at once, and measures those that are answered. */
+/** Limits the number of concurrent user requests, and records metrics of completed requests. */
 final class RequestAdmission {
   private static final int MAX_OPEN_REQUESTS = 256;
   private static final int RETRY_AFTER_S = 1;
@@ -14,7 +14,7 @@
   private final Loop loop;
   private final Metrics metrics;
   private final ServingHealth health;
-  private int open;
+  private int openRequests;
 
   RequestAdmission(Loop loop, Metrics metrics, ServingHealth health) {
     this.loop = loop;
@@ -23,11 +23,11 @@
   }
 
   /**
-   * Counts a request while it is open.
+   * Admits a request and counts it as open until its response is sent.
    *
-   * @param kind names the counters of such requests
-   * @return nothing if the request has been refused: too many are open, or this controller may not
-   *     answer
+   * @param kind prefix of the metrics for these requests
+   * @return empty if the request has been refused, because too many requests are open or because
+   *     this controller may not respond
    */
   Optional<UserRequest> admit(String kind, ForwardedRequest request, Responder out) {
     if (health.ineligible()) {
@@ -35,19 +35,19 @@
           HttpStatus.UNAVAILABLE, "this controller lacks the sharing file", RETRY_AFTER_S);
       return Optional.empty();
     }
-    if (open >= MAX_OPEN_REQUESTS) {
+    if (openRequests >= MAX_OPEN_REQUESTS) {
       metrics.count("users_turned_away");
       out.retryLater(HttpStatus.UNAVAILABLE, "too many requests", RETRY_AFTER_S);
       return Optional.empty();
     }
-    open++;
+    openRequests++;
     long admittedMicros = loop.nowMicros();
     return Optional.of(
-        new UserRequest(request, out, status -> answered(kind, admittedMicros, status)));
+        new UserRequest(request, out, status -> recordResponse(kind, admittedMicros, status)));
   }
 
-  private void answered(String kind, long admittedMicros, int status) {
-    open--;
+  private void recordResponse(String kind, long admittedMicros, int status) {
+    openRequests--;
     metrics.recordDuration(kind, loop.nowMicros() - admittedMicros);
     if (status >= HttpStatus.SERVER_ERRORS || status == HttpStatus.TOO_MANY_REQUESTS) {
       metrics.count(kind + "_refused");
--- a/src/main/java/plumlever/http/UserRequest.java
+++ b/src/main/java/plumlever/http/UserRequest.java
@@ -3,29 +3,29 @@
 import java.util.function.IntConsumer;
 import plumlever.wire.ForwardedRequest;
 
-/** A user's request that is being answered, as it came in. */
+/** An open user request, with its original content. */
 final class UserRequest implements Responder {
   private final ForwardedRequest request;
   private final Responder out;
-  private final IntConsumer answered;
+  private final IntConsumer onResponse;
 
   /**
-   * @param answered takes the status of the answer, right before it is sent
+   * @param onResponse receives the status code immediately before the response is sent
    */
-  UserRequest(ForwardedRequest request, Responder out, IntConsumer answered) {
+  UserRequest(ForwardedRequest request, Responder out, IntConsumer onResponse) {
     this.request = request;
     this.out = out;
-    this.answered = answered;
+    this.onResponse = onResponse;
   }
 
-  /** The request as another shard's controller would be asked it. */
+  /** The request in the form in which it is forwarded to another shard. */
   ForwardedRequest request() {
     return request;
   }
 
   @Override
   public void send(int status, String json, int retryAfterS) {
-    answered.accept(status);
+    onResponse.accept(status);
     out.send(status, json, retryAfterS);
   }
 
--- a/src/test/java/plumlever/fleet/FleetNumbersTest.java
+++ b/src/test/java/plumlever/fleet/FleetNumbersTest.java
@@ -7,20 +7,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The numbers of a term are bounded. Guards against a term of a large fleet that lasts for days and
- * gives out numbers of the next one.
+ * Tests the limits on the attempt numbers and fencing tokens of a term. Guards against a term that
+ * lasts for days in a large fleet and issues numbers that belong to the next term.
  */
 final class FleetNumbersTest {
   private static final long TERM = 7;
 
   @Test
-  void attemptNumbersRunOutBeforeThoseOfTheNextTerm() {
+  void reportsExhaustionBeforeAttemptNumbersReachNextTerm() {
     assertFalse(new Fleet(TERM, new AttemptNumbers(TERM, 16_000_000)).attemptNumbersRunOut());
     assertTrue(new Fleet(TERM, new AttemptNumbers(TERM, 16_720_000)).attemptNumbersRunOut());
   }
 
   @Test
-  void tokensRunOutBeforeThoseOfTheNextTerm() {
+  void reportsExhaustionBeforeTokensReachNextTerm() {
     Fleet fleet = new Fleet(TERM);
     Machine machine = new Machine("i-000001", "i-000001:9", "small", "a", false, 0);
     fleet.add(machine);
--- a/src/test/java/plumlever/fleet/MachineContactTest.java
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.wire.Heartbeat;
 
-/** When a machine and its leader last heard of each other. */
+/** Tests the communication state between a machine and its leader. */
 final class MachineContactTest {
   private final MachineContact contact = new MachineContact();
 
@@ -27,8 +27,8 @@
   }
 
   @Test
-  void aCopyOfAReportIsNotNewer() {
-    assertTrue(contact.isNewerThanLast(report(0, 0)), "there is none before the first");
+  void duplicateOrOlderReportIsNotNewer() {
+    assertTrue(contact.isNewerThanLast(report(0, 0)), "the first report is newer than no report");
     contact.recordReport(report(2, 5), HeartbeatSource.WORKER, 10);
 
     assertFalse(contact.isNewerThanLast(report(2, 5)));
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void theAnswerToADirectCallIsNoHeartbeat() {
+  void replyToDirectCallDoesNotCountAsHeartbeat() {
     contact.recordReport(report(1, 5), HeartbeatSource.DIRECT_REPLY, 10);
 
     assertFalse(contact.hasReported());
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aNewIncarnationHasSentNoHeartbeat() {
+  void newIncarnationResetsHeartbeatSequenceNumber() {
     contact.recordReport(report(1, 5), HeartbeatSource.WORKER, 10);
 
     contact.recordReport(report(2, 1), HeartbeatSource.DIRECT_REPLY, 20);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void twoLostAnswersInARowMakeItUnreachable() {
+  void twoConsecutiveLostResponsesMakeMachineUnreachable() {
     contact.recordLostAnswer();
     assertFalse(contact.unreachable());
 
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void aDeliveredAnswerMakesItReachable() {
+  void deliveredResponseMakesMachineReachable() {
     contact.recordLostAnswer();
     contact.recordLostAnswer();
 
@@ -73,11 +73,11 @@
 
     assertFalse(contact.unreachable());
     contact.recordLostAnswer();
-    assertFalse(contact.unreachable(), "lost answers are counted from the delivered one");
+    assertFalse(contact.unreachable(), "a delivered response resets the count of lost responses");
   }
 
   @Test
-  void anAnsweredCallEndsARowOfFailedOnes() {
+  void answeredCallResetsFailureCount() {
     contact.recordDirectCall(false);
     contact.recordDirectCall(false);
     assertEquals(2, contact.consecutiveFailedCalls());
--- a/src/test/java/plumlever/http/RequestAdmissionTest.java
+++ b/src/test/java/plumlever/http/RequestAdmissionTest.java
@@ -12,7 +12,10 @@
 import plumlever.metrics.Metrics;
 import plumlever.wire.ForwardedRequest;
 
-/** Users' requests are bounded, and refused at once where they can't be taken. */
+/**
+ * Tests the limit on open user requests and the immediate refusal of requests that can't be
+ * admitted.
+ */
 final class RequestAdmissionTest {
   private static final int MAX_OPEN_REQUESTS = 256;
 
@@ -33,7 +36,7 @@
         });
   }
 
-  private List<UserRequest> admitUpToTheBound() {
+  private List<UserRequest> admitUpToLimit() {
     List<UserRequest> open = new ArrayList<>();
     for (int i = 0; i < MAX_OPEN_REQUESTS; i++) {
       admit().ifPresent(open::add);
@@ -42,27 +45,27 @@
   }
 
   @Test
-  void admitsRequestsUpToTheBound() {
-    List<UserRequest> open = admitUpToTheBound();
+  void admitsRequestsUpToLimit() {
+    List<UserRequest> open = admitUpToLimit();
 
     assertEquals(MAX_OPEN_REQUESTS, open.size());
     assertEquals(List.of(), sentStatuses);
   }
 
   @Test
-  void refusesRequestsBeyondTheBoundWithTheTimeToComeBack() {
-    admitUpToTheBound();
+  void refusesRequestsBeyondLimitWithRetryAfter() {
+    admitUpToLimit();
 
     assertTrue(admit().isEmpty());
 
     assertEquals(List.of(503), sentStatuses);
-    assertTrue(retryAfterS > 0, "Retry-After");
+    assertTrue(retryAfterS > 0, "a refusal must have a Retry-After value");
     assertEquals(1, metrics.counter("users_turned_away"));
   }
 
   @Test
   void admitsARequestOnceAnotherIsAnswered() {
-    List<UserRequest> open = admitUpToTheBound();
+    List<UserRequest> open = admitUpToLimit();
 
     open.get(0).send(200, "{}");
 
@@ -115,7 +118,7 @@
 
     @Override
     public Timer after(long delayMicros, Runnable action) {
-      throw new UnsupportedOperationException("admission starts no timer");
+      throw new UnsupportedOperationException("request admission must not start a timer");
     }
 
     @Override
