--- a/src/main/java/plumlever/settings/Endpoint.java
+++ b/src/main/java/plumlever/settings/Endpoint.java
@@ -2,11 +2,11 @@
 
 import java.util.Optional;
 
-/** An address and port. */
+/** A network address: host and port. */
 public record Endpoint(String host, int port) {
   private static final int MAX_PORT = 65_535;
 
-  /** The address and port that the text names; nothing if it is not {@code ADDRESS:PORT}. */
+  /** Parses {@code ADDRESS:PORT}; returns empty if the text has another form. */
   public static Optional<Endpoint> parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
@@ -23,8 +23,8 @@
     }
   }
 
-  // Written out: the generated methods link method handles at their first use, which is slow at a
-  // cold start.
+  // Written by hand: the methods that the compiler generates for a record link method handles at
+  // their first use, which slows down a cold start.
   @Override
   public boolean equals(Object object) {
     return object instanceof Endpoint endpoint
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -13,8 +13,8 @@
 import org.yaml.snakeyaml.error.YAMLException;
 
 /**
- * Reads the operators' own YAML file. Every key is optional; an unknown one is an error, since a
- * misspelt key would otherwise be ignored without notice.
+ * Reads the operators' settings file (YAML). Every key is optional. An unknown key is an error,
+ * because a misspelled key would otherwise be ignored silently.
  */
 public final class OperatorFile {
   private static final String SHARING = "sharing";
@@ -24,7 +24,7 @@
 
   private final String file;
 
-  /** What has not been read yet: in the end, the unknown keys. */
+  /** Keys that have not been read yet; after reading, the unknown keys remain. */
   private final Map<String, Object> unreadKeys;
 
   private OperatorFile(String file, Map<String, Object> values) {
@@ -33,10 +33,11 @@
   }
 
   /**
-   * Reads and checks the file.
+   * Reads and validates the file.
    *
-   * @throws SettingsException if it can't be read, has an unknown key, or a value has a wrong type
-   *     or range
+   * @param platform the platform's settings, which the sharing table is checked against
+   * @throws SettingsException if the file cannot be read, contains an unknown key, or contains a
+   *     value of the wrong type or out of range
    */
   public static OperatorSettings load(Path path, PlatformConfiguration platform)
       throws SettingsException {
@@ -59,7 +60,7 @@
     if (root instanceof Map<?, ?> map) {
       map.forEach((key, value) -> values.put(String.valueOf(key), value));
     } else if (root != null) {
-      throw new SettingsException(path + ": must be a table of keys and values");
+      throw new SettingsException(path + ": must be a mapping of keys to values");
     }
     return values;
   }
@@ -118,13 +119,13 @@
       return Map.of();
     }
     if (!(table instanceof Map<?, ?> map)) {
-      throw error(OWNED_HOURLY + " must be a table of type names and costs");
+      throw error(OWNED_HOURLY + " must be a table of machine type names and hourly costs");
     }
     Map<String, Double> costs = new HashMap<>();
     for (Map.Entry<?, ?> entry : map.entrySet()) {
       if (!(entry.getValue() instanceof Number cost)
           || !(cost.doubleValue() >= 0 && cost.doubleValue() < MAX_OWNED_HOURLY)) {
-        throw error(OWNED_HOURLY + "." + entry.getKey() + " must be a cost of at least 0");
+        throw error(OWNED_HOURLY + "." + entry.getKey() + " must be a cost from 0 to below 1e9");
       }
       costs.put(String.valueOf(entry.getKey()), cost.doubleValue());
     }
--- a/src/main/java/plumlever/settings/OperatorKey.java
+++ b/src/main/java/plumlever/settings/OperatorKey.java
@@ -1,6 +1,6 @@
 package plumlever.settings;
 
-/** Keys of the operators' file that hold one number, with the range that is accepted. */
+/** Numeric keys of the operators' settings file, each with its accepted range. */
 enum OperatorKey {
   PADDING_SHARE("padding_share", 0, 1),
   TIE_SHARE("tie_share", 0, 1),
@@ -29,7 +29,7 @@
     this.max = max;
   }
 
-  /** As the file has it. */
+  /** The key's name in the file. */
   String text() {
     return text;
   }
--- a/src/main/java/plumlever/settings/OperatorSettings.java
+++ b/src/main/java/plumlever/settings/OperatorSettings.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * All that the operators' file holds.
+ * The contents of the operators' settings file.
  *
- * @param sharing how machines are shared among shards; empty where one shard has them all
+ * @param sharing how machines are shared among shards; empty if a single shard owns all machines
  */
 public record OperatorSettings(SchedulerParameters parameters, Optional<SharingSettings> sharing) {
-  /** The settings that hold without a file. */
+  /** The settings used when no file is given. */
   public static OperatorSettings defaults() {
     return new OperatorSettings(SchedulerParameters.defaults(), Optional.empty());
   }
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -9,18 +9,19 @@
 import java.util.List;
 
 /**
- * The settings that the platform hands over. Unknown fields are ignored, since new ones may appear.
+ * The settings that the platform provides. Unknown fields are ignored, because later versions of
+ * the platform may add fields.
  *
  * @param label the name of this controller
- * @param zone that it runs in
- * @param bind where users, workers and health checks reach it
- * @param peerBind where the other controllers reach it
- * @param peers the other controllers
- * @param cloud the cloud's address
- * @param state the state service's address
- * @param teams whose jobs are accepted
+ * @param zone the zone in which this controller runs
+ * @param bind the address on which this controller listens for users, workers and health checks
+ * @param peerBind the address on which this controller listens for other controllers
+ * @param peers the other controllers of the deployment
+ * @param cloud the address of the cloud
+ * @param state the address of the state service
+ * @param teams the teams whose jobs are accepted
  * @param objectives the service-level objectives
- * @param socketLimit how many file descriptors the process may have open
+ * @param socketLimit the maximum number of open file descriptors of the process
  */
 public record PlatformConfiguration(
     String label,
@@ -40,7 +41,7 @@
   /** Another controller of the deployment. */
   public record PeerController(String label, String zone, Endpoint endpoint) {}
 
-  /** A team's guaranteed resources and its limits (quota); 0 means none. */
+  /** A team's guaranteed resources and its resource limits (quota); 0 means none. */
   public record Team(
       String name,
       double guaranteedCores,
@@ -51,11 +52,11 @@
   /**
    * A service-level objective.
    *
-   * @param kind what it is about, such as a deadline or the wait for a start
-   * @param jobClass the jobs that it holds for; null for all
-   * @param withinS the time within which tasks have to start
-   * @param deadlineFactor how many times its deadline a job may take
-   * @param share the part of the jobs that has to meet it
+   * @param kind the measured quantity, such as the deadline or the wait until the start
+   * @param jobClass the class of the jobs that the objective applies to; null for all jobs
+   * @param withinS the time within which tasks must start, in seconds
+   * @param deadlineFactor the maximum duration of a job, as a multiple of the job's deadline
+   * @param share the fraction of the jobs that must meet the objective
    */
   public record Objective(
       String kind, String jobClass, double withinS, double deadlineFactor, double share) {
@@ -73,33 +74,40 @@
     }
   }
 
-  /** Times of the workers: between heartbeats, of a lease, and until a cancellation has effect. */
+  /**
+   * Timing of the workers.
+   *
+   * @param heartbeatMicros the interval between heartbeats
+   * @param leaseMicros the duration of a worker's lease
+   * @param cancelMicros the time until a cancellation takes effect
+   */
   public record Workers(long heartbeatMicros, long leaseMicros, long cancelMicros) {
-    /** Heartbeats are early or late by up to this part of the interval. */
+    /** The jitter of a heartbeat is up to the interval divided by this number. */
     private static final int JITTER_DIVISOR = 4;
 
     private static final long DELIVERY_MARGIN_MICROS = 2_000_000;
 
-    /** A heartbeat that has not arrived after this time has been missed. */
+    /** The time since the last heartbeat after which the next heartbeat counts as missed. */
     public long missedHeartbeatMicros() {
       return heartbeatMicros + heartbeatMicros / JITTER_DIVISOR + DELIVERY_MARGIN_MICROS;
     }
   }
 
   /**
-   * What the state service accepts: the smaller of what holds now and what is announced for later,
-   * which comes into force without notice.
+   * The limits of the state service: for each limit, the smaller of the current value and the value
+   * announced for later, because the announced limits take effect without notice.
    *
-   * @param rps requests a second
-   * @param writeRps changes a second
-   * @param valueBytes size of a value
-   * @param transactionOps changes in a transaction
-   * @param formerValueBytes the largest value now: versions that knew of no later limit laid
-   *     records out by it
+   * @param rps requests per second
+   * @param writeRps write operations per second
+   * @param valueBytes the maximum size of a value
+   * @param transactionOps the maximum number of write operations in a transaction
+   * @param formerValueBytes the current maximum size of a value, regardless of announced limits.
+   *     Earlier versions did not read announced limits and split stored records by this size, so
+   *     this size is needed to read their records.
    */
   public record StateLimits(
       double rps, double writeRps, int valueBytes, int transactionOps, int formerValueBytes) {
-    /** Limits of which none is announced for later. */
+    /** Limits without an announced change. */
     public StateLimits(double rps, double writeRps, int valueBytes, int transactionOps) {
       this(rps, writeRps, valueBytes, transactionOps, valueBytes);
     }
@@ -115,20 +123,20 @@
   }
 
   /**
-   * What the cloud accepts.
+   * The limits of the cloud.
    *
-   * @param rps requests a second
-   * @param listLagMicros by how much its list of machines lags
+   * @param rps requests per second
+   * @param listLagMicros the time by which the cloud's machine list lags behind the actual machines
    */
   public record CloudLimits(double rps, long listLagMicros) {}
 
   /**
-   * Whether to save money where the objectives leave time for it. True where objectives name money;
-   * and, since the platform may leave such objectives out of the file, wherever every objective for
-   * a start leaves time to rent a machine on demand. Otherwise machines must be kept idle, and only
-   * speed matters.
+   * Whether scheduling should minimize cost as far as the objectives leave time for it. True if an
+   * objective is about cost. The platform may omit cost objectives from the file, so the result is
+   * also true if every start-time objective leaves enough time to rent a machine on demand.
+   * Otherwise idle machines must be kept available and only speed matters.
    *
-   * @param rentalMicros what it takes to rent a machine
+   * @param rentalMicros the time from a rental request until the machine is up
    */
   public boolean moneyMatters(long rentalMicros) {
     return objectives.stream().anyMatch(Objective::namesMoney)
@@ -136,10 +144,10 @@
   }
 
   /**
-   * Reads and checks the platform's file.
+   * Reads and validates the platform's settings file.
    *
-   * @throws SettingsException if it can't be read, or a value is missing or has a wrong type or
-   *     range
+   * @throws SettingsException if the file cannot be read, or a value is missing, of the wrong type
+   *     or out of range
    */
   public static PlatformConfiguration load(Path file) throws SettingsException {
     return new PlatformFile(TomlTable.root(file.toString(), parse(file))).read();
--- a/src/main/java/plumlever/settings/PlatformFile.java
+++ b/src/main/java/plumlever/settings/PlatformFile.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads the tables of the platform's file. The first error ends the reading. */
+/** Reads the tables of the platform's settings file; the first error aborts reading. */
 final class PlatformFile {
   private static final double MAX_AMOUNT = 1e9;
   private static final double MAX_DEADLINE_FACTOR = 1e6;
@@ -14,7 +14,7 @@
   private static final double MIN_FILE_DESCRIPTORS = 64;
   private static final double MAX_FILE_DESCRIPTORS = 1e7;
 
-  /** Less would hold neither a job's record nor an election. */
+  /** The smallest value size that can hold a job record and an election record. */
   private static final double MIN_VALUE_KB = 1;
 
   private static final double MIN_TRANSACTION_OPS = 3;
@@ -119,7 +119,7 @@
         cloud.amount(RPS, MIN_CLOUD_RPS, MAX_AMOUNT), cloud.micros("list_lag_s"));
   }
 
-  /** Limits announced for later may name some only; the others stay. */
+  /** Reads the limits. An announced limit that is missing stays at the current value. */
   private static PlatformConfiguration.StateLimits stateLimits(TomlTable state)
       throws SettingsException {
     PlatformConfiguration.StateLimits now =
--- a/src/main/java/plumlever/settings/SchedulerParameters.java
+++ b/src/main/java/plumlever/settings/SchedulerParameters.java
@@ -3,34 +3,37 @@
 import java.util.Map;
 
 /**
- * Everything that an operator may change, with its unit in the name. The defaults hold for any
- * deployment; what a deployment states itself (leases, rates, lags) is in {@link
- * PlatformConfiguration}.
+ * Scheduler parameters that operators can set. The name of a duration ends in its unit. The
+ * defaults suit any deployment; values that the platform specifies per deployment (leases, rates,
+ * lags) are in {@link PlatformConfiguration}.
  *
- * @param paddingShare added to run-time estimates when a deadline is checked
- * @param tieShare scores this close to the lowest are a tie
- * @param startTargetMicros a task without a deadline should start within this
- * @param leaseTtlMicros how long a silent leader stays leader: short enough for a quick successor,
- *     long enough that a controller that exceeds its processor share does not lose leadership
- * @param leaseRenewalMicros pause between renewals of the leader's lease
- * @param actMarginMicros the leader stops acting this long before its lease may end, for timers
- *     that fire late
- * @param progressPauseMicros pause between writes of task progress
- * @param passBudgetMicros the longest that a scheduling pass may take before requests are let
- *     through
- * @param silentMicros a machine that has not reported for this long is called, and if it is alone
- *     in its silence returned
- * @param idleMoneyMicros an idle machine is returned after this where money matters
- * @param idleSpeedMicros the same where only speed matters
- * @param bootFactor a machine is given up when it boots longer than its nominal time by this factor
- * @param rentalMicros about what it takes to rent a machine and have it up
- * @param mustStartMicros a job of which nothing has run after this goes before all others, whatever
- *     its priority
- * @param headroomDeviations idle capacity kept for work that must start sooner than a machine can
- *     be rented, in standard deviations of what is submitted meanwhile; 0 for none
- * @param spotRisk where only speed matters, share by which a spot machine seems more expensive to a
- *     task that can't save its work: one task that is lost delays its whole job
- * @param ownedHourly cost per hour that the operator sets for owned machine types, by type name
+ * @param paddingShare the fraction added to estimated run times when a deadline is checked
+ * @param tieShare the relative distance from the lowest score within which scores count as a tie
+ * @param startTargetMicros the target wait until the start of a task without a deadline
+ * @param leaseTtlMicros the duration of the leader's lease: short enough that a failed leader is
+ *     replaced quickly, long enough that a controller that exceeds its processor share does not
+ *     lose leadership
+ * @param leaseRenewalMicros the interval between renewals of the leader's lease
+ * @param actMarginMicros the leader stops acting this long before its lease can expire, because
+ *     timers may fire late
+ * @param progressPauseMicros the interval between writes of task progress
+ * @param passBudgetMicros the maximum duration of a scheduling pass before pending requests are
+ *     handled
+ * @param silentMicros a machine without a heartbeat for this long is called directly; the machine
+ *     is returned if the rest of its zone still sends heartbeats
+ * @param idleMoneyMicros the idle time after which a machine is returned if cost matters
+ * @param idleSpeedMicros the idle time after which a machine is returned if only speed matters
+ * @param bootFactor the controller gives up a machine that boots for longer than its nominal
+ *     startup time multiplied by this factor
+ * @param rentalMicros the approximate time from a rental request until the machine is up
+ * @param mustStartMicros a job that has waited for this long without any task started is scheduled
+ *     before all other jobs, regardless of priority, to prevent starvation
+ * @param headroomDeviations the idle capacity that is kept for work that must start sooner than a
+ *     machine can be rented, in standard deviations of the work submitted during a rental; 0 for no
+ *     idle capacity
+ * @param spotRisk the fraction added to the cost of a spot machine for a task without checkpoints,
+ *     if only speed matters, because the loss of one task delays the whole job
+ * @param ownedHourly the hourly cost that operators set for owned machine types, by type name
  */
 public record SchedulerParameters(
     double paddingShare,
@@ -68,7 +71,7 @@
   private static final double HEADROOM_DEVIATIONS = 1.0;
   private static final double SPOT_RISK = 0.3;
 
-  /** The values that hold where operators set none. */
+  /** The values of parameters that operators do not set. */
   public static SchedulerParameters defaults() {
     return new SchedulerParameters(
         PADDING_SHARE,
--- a/src/main/java/plumlever/settings/SharingSettings.java
+++ b/src/main/java/plumlever/settings/SharingSettings.java
@@ -5,16 +5,16 @@
 import java.util.Set;
 
 /**
- * How the machines of one pool are shared among shards, from the {@code sharing} table of the
- * operators' file. A shard is a group of controllers with a leader, jobs and keys of its own; all
- * shards of a pool use one state service and one cloud.
+ * How the machines of a pool are shared among shards, from the {@code sharing} table of the
+ * operators' settings file. A shard is a group of controllers with its own leader, jobs and keys;
+ * all shards of a pool use the same state service and the same cloud.
  *
- * @param maxMachines how many machines the pool has at most
- * @param maxTransfers how many transfers one shard may have open at a time
- * @param adoptAfterMicros a shard that has had no leader for so long loses its machines to the
- *     others
+ * @param maxMachines the maximum number of machines in the pool
+ * @param maxTransfers the maximum number of open transfers of one shard
+ * @param adoptAfterMicros the other shards take over the machines of a shard that has had no leader
+ *     for this long
  * @param ownShard the shard of this controller
- * @param digest a hash, which is the same for controllers with the same table
+ * @param digest a hash of the table, with which controllers detect that their tables differ
  */
 public record SharingSettings(
     int maxMachines,
@@ -25,34 +25,34 @@
     String digest) {
 
   /**
-   * One shard.
+   * A shard of the pool.
    *
-   * @param prefix of its keys in the state service
-   * @param controllers the labels of its controllers
-   * @param minMachines how many machines it always keeps
-   * @param weight its part of the machines beyond what the shards always keep, against the others'
-   *     weights
+   * @param prefix the prefix of the shard's keys in the state service
+   * @param controllers the labels of the shard's controllers
+   * @param minMachines the number of machines that the shard always keeps
+   * @param weight the shard's weight in the division of the machines that exceed the sum of {@code
+   *     minMachines}
    */
   public record Shard(
       String name, String prefix, Set<String> controllers, int minMachines, double weight) {}
 
-  /** How many changes a transaction of the state service must allow for a transfer. */
+  /** The number of write operations that a transfer needs in one state service transaction. */
   public static final int MIN_TRANSACTION_OPS = 5;
 
-  /** The shard of that name. */
+  /** The shard with this name. */
   public Shard shard(String name) {
     return shards.stream().filter(shard -> shard.name().equals(name)).findFirst().orElseThrow();
   }
 
-  /** All shards but this controller's. */
+  /** All shards except the shard of this controller. */
   public List<Shard> otherShards() {
     return shards.stream().filter(shard -> !shard.name().equals(ownShard.name())).toList();
   }
 
   /**
-   * Reads the table and checks it against the controllers of the deployment.
+   * Reads the table and validates it against the controllers of the deployment.
    *
-   * @param file to name in errors
+   * @param file the file name for error messages
    */
   static SharingSettings read(String file, Map<?, ?> table, PlatformConfiguration platform)
       throws SettingsException {
--- a/src/main/java/plumlever/settings/SharingTable.java
+++ b/src/main/java/plumlever/settings/SharingTable.java
@@ -14,12 +14,12 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Reads the {@code sharing} table and checks it against the controllers of the deployment. */
+/** Reads the {@code sharing} table and validates it against the deployment's controllers. */
 final class SharingTable {
   private static final Pattern NAME = Pattern.compile("[a-z][a-z0-9-]{0,30}");
   private static final Pattern PREFIX = Pattern.compile("[a-z][a-z0-9-]{0,30}/");
 
-  /** Prefixes that a shard without one of its own uses, and the pool's own. */
+  /** Key prefixes of the pool's records and of a shard whose prefix is empty. */
   private static final List<String> RESERVED_PREFIXES =
       List.of(
           "pool/",
@@ -55,7 +55,7 @@
   private static final double MIN_ADOPT_S = 60;
   private static final double MAX_ADOPT_S = 1e6;
 
-  /** In place of a default: the key must be there. */
+  /** Passed instead of a default value: the key is required. */
   private static final double REQUIRED = -1;
 
   private static final double MICROS_PER_SECOND = 1e6;
@@ -67,11 +67,11 @@
   /** The labels of all controllers of the deployment. */
   private final Set<String> controllers = new HashSet<>();
 
-  /** The name of each controller's shard, as far as shards have been read. */
+  /** The name of the shard of each controller, for the shards read so far. */
   private final Map<String, String> shardOfController = new LinkedHashMap<>();
 
   /**
-   * @param file to name in errors
+   * @param file the file name for error messages
    */
   SharingTable(String file, PlatformConfiguration platform) {
     this.file = file;
@@ -87,14 +87,15 @@
     int minMachines = shards.stream().mapToInt(SharingSettings.Shard::minMachines).sum();
     if (minMachines > maxMachines) {
       throw error(
-          SHARDS, "have floors of " + minMachines + " machines, the pool has " + maxMachines);
+          SHARDS,
+          "have floors of " + minMachines + " machines in total; the pool has " + maxMachines);
     }
     if (platform.stateLimits().transactionOps() < SharingSettings.MIN_TRANSACTION_OPS) {
       throw error(
           SHARDS,
-          "need "
+          "require at least "
               + SharingSettings.MIN_TRANSACTION_OPS
-              + " changes a transaction of the state service");
+              + " operations per transaction of the state service (txn_ops)");
     }
     int maxTransfers =
         (int) number(table, "", MAX_TRANSFERS, 1, TRANSFERS_LIMIT, DEFAULT_TRANSFERS);
@@ -135,7 +136,7 @@
     }
     for (String controller : controllers) {
       if (!shardOfController.containsKey(controller)) {
-        throw error(SHARDS, "name no cell for controller " + controller);
+        throw error(SHARDS, "must list every controller; no cell lists " + controller);
       }
     }
     return List.copyOf(shards);
@@ -144,7 +145,7 @@
   private SharingSettings.Shard shard(Map<?, ?> entry, String prefix) throws SettingsException {
     refuseUnknown(entry, prefix, SHARD_KEYS);
     if (!(entry.get(NAME_KEY) instanceof String name) || !NAME.matcher(name).matches()) {
-      throw error(prefix + NAME_KEY, "must be a name of small letters, digits and hyphens");
+      throw error(prefix + NAME_KEY, "must be a name of lower-case letters, digits and hyphens");
     }
     Set<String> labels = labels(entry, name, prefix + CONTROLLERS);
     Object keyPrefix = entry.get(PREFIX_KEY);
@@ -164,11 +165,11 @@
     for (Object element : list) {
       String label = String.valueOf(element);
       if (!controllers.contains(label)) {
-        throw error(key, "names " + label + ", which this deployment has not");
+        throw error(key, "names " + label + ", which is not in this deployment");
       }
       String earlierShard = shardOfController.putIfAbsent(label, shard);
       if (earlierShard != null) {
-        throw error(key, "names " + label + ", which is in " + earlierShard + " too");
+        throw error(key, "names " + label + ", which cell " + earlierShard + " already lists");
       }
       labels.add(label);
     }
@@ -191,14 +192,14 @@
       SharingSettings.Shard shard, List<SharingSettings.Shard> earlierShards, String key)
       throws SettingsException {
     if (!shard.prefix().isEmpty() && !PREFIX.matcher(shard.prefix()).matches()) {
-      throw error(key, "must be empty, or small letters, digits and hyphens with a slash");
+      throw error(key, "must be empty, or lower-case letters, digits and hyphens and a slash");
     }
     if (RESERVED_PREFIXES.contains(shard.prefix())) {
-      throw error(key, "collides with the service's own keys: " + shard.prefix());
+      throw error(key, "is reserved for keys of the service: " + shard.prefix());
     }
     for (SharingSettings.Shard earlier : earlierShards) {
       if (earlier.prefix().equals(shard.prefix())) {
-        throw error(key, "collides with that of " + earlier.name());
+        throw error(key, "is also the prefix of cell " + earlier.name());
       }
     }
   }
@@ -244,7 +245,7 @@
               .digest(text.toString().getBytes(StandardCharsets.UTF_8));
       return HexFormat.of().formatHex(hash, 0, DIGEST_BYTES);
     } catch (NoSuchAlgorithmException e) {
-      throw new ProviderException("every Java has SHA-256", e);
+      throw new ProviderException("SHA-256 is missing from the Java platform", e);
     }
   }
 }
--- a/src/main/java/plumlever/settings/TomlTable.java
+++ b/src/main/java/plumlever/settings/TomlTable.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A table of a TOML file, with strict access to its keys. Errors name the file and the key. */
+/** A table of a TOML file with type-checked access. Errors name the file and the key. */
 final class TomlTable {
   private static final double MIN_SECONDS = 0.001;
   private static final double MAX_SECONDS = 1e9;
@@ -13,9 +13,7 @@
 
   private final String file;
 
-  /**
-   * What comes before the names of its keys in errors: empty, or the table's own name and a dot.
-   */
+  /** The prefix of key names in errors: empty for the root, else the table's path and a dot. */
   private final String prefix;
 
   private final JsonNode node;
@@ -38,7 +36,7 @@
     return node.has(key);
   }
 
-  /** A table that must be there. */
+  /** A required table. */
   TomlTable table(String key) throws SettingsException {
     JsonNode child = node.get(key);
     if (child == null || !child.isObject()) {
@@ -47,7 +45,7 @@
     return new TomlTable(file, prefix + key + ".", child);
   }
 
-  /** A list of tables; empty if it is missing. */
+  /** A list of tables; empty if the key is missing. */
   List<TomlTable> tables(String key) throws SettingsException {
     JsonNode list = node.get(key);
     if (list == null) {
@@ -66,11 +64,11 @@
     return tables;
   }
 
-  /** A text that must be there. */
+  /** A required text that is not blank. */
   String text(String key) throws SettingsException {
     JsonNode value = node.get(key);
     if (value == null || !value.isTextual() || value.textValue().isBlank()) {
-      throw error(key, value == null ? "is missing" : "must be a text that is not empty");
+      throw error(key, value == null ? "is missing" : "must be a text that is not blank");
     }
     return value.textValue();
   }
@@ -79,7 +77,7 @@
     return node.hasNonNull(key) ? Optional.of(text(key)) : Optional.empty();
   }
 
-  /** A number that must be there and in this range. */
+  /** A required number within the range. */
   double amount(String key, double min, double max) throws SettingsException {
     JsonNode value = node.get(key);
     if (value == null || !value.isNumber()) {
@@ -92,17 +90,17 @@
     return amount;
   }
 
-  /** A number in this range, if it is there. */
+  /** A number within the range; the default value if the key is missing. */
   double amount(String key, double min, double max, double defaultValue) throws SettingsException {
     return node.hasNonNull(key) ? amount(key, min, max) : defaultValue;
   }
 
-  /** A time in seconds that must be there, in microseconds. */
+  /** A required duration, given in seconds and returned in microseconds. */
   long micros(String key) throws SettingsException {
     return Math.round(amount(key, MIN_SECONDS, MAX_SECONDS) * MICROS_PER_SECOND);
   }
 
-  /** An address with a port that must be there. */
+  /** A required address with a port. */
   Endpoint endpoint(String key) throws SettingsException {
     return Endpoint.parse(text(key)).orElseThrow(() -> error(key, "must be ADDRESS:PORT"));
   }
--- a/src/main/java/plumlever/settings/package-info.java
+++ b/src/main/java/plumlever/settings/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The settings: the platform's file (TOML), the operators' file (YAML) with the scheduler's
- * parameters, and how shards share machines.
+ * The settings: the platform's file (TOML), and the operators' file (YAML) with the scheduler
+ * parameters and the sharing of machines among shards.
  *
- * <p>Everything is read and checked once, at the start; errors name the file, the key and the
- * reason. It must not know what the settings are used for.
+ * <p>All settings are read and validated once, at startup. Errors name the file, the key and the
+ * reason. This package must not depend on the code that uses the settings.
  */
 package plumlever.settings;
--- a/src/test/java/plumlever/settings/DeployFilesTest.java
+++ b/src/test/java/plumlever/settings/DeployFilesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The example files under {@code deploy/} are valid. */
+/** Checks that the example files under {@code deploy/} are valid. */
 final class DeployFilesTest {
   @Test
   void theSharingFileFitsADeploymentOfThree() throws Exception {
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings files: what is read, and what errors say. */
+/** Tests the parsing of settings files and the messages for invalid files. */
 final class SettingsTest {
   private static final String PLATFORM =
       """
@@ -124,7 +124,10 @@
         "txn_ops = 8\n", "txn_ops = 8\n[deployment.state.next]\n" + next + "\n");
   }
 
-  /** Of each limit the smaller of now and next holds from the start; what is not named stays. */
+  /**
+   * For each limit, the smaller of the current and the announced value applies from startup. A
+   * limit without an announced value stays at the current value.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -214,15 +217,15 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "[n1] | [n9] | sharing.cells[1].controllers names n9, which this deployment has not",
-        "[n1] | [n0] | sharing.cells[1].controllers names n0, which is in one too",
+        "[n1] | [n9] | sharing.cells[1].controllers names n9, which is not in this deployment",
+        "[n1] | [n0] | sharing.cells[1].controllers names n0, which cell one already lists",
         "controllers: [n1] | controllers: [] | sharing.cells[1].controllers must be a list of",
-        "floor: 3 | floor: 7 | sharing.cells have floors of 11 machines, the pool has 10",
+        "floor: 3 | floor: 7 | sharing.cells have floors of 11 machines in total; the pool has 10",
         "weight: 2 | weight: 0 | sharing.cells[0].weight must be a number above 0",
         "weight: 2 | weight: -1 | sharing.cells[0].weight must be a number above 0",
-        "weight: 2 | prefix: pool/ | sharing.cells[0].prefix collides with the service's own keys",
-        "floor: 3 | prefix: one/ | sharing.cells[1].prefix collides with that of one",
-        "floor: 3 | prefix: A | sharing.cells[1].prefix must be empty, or small letters",
+        "weight: 2 | prefix: pool/ | sharing.cells[0].prefix is reserved for keys of the service",
+        "floor: 3 | prefix: one/ | sharing.cells[1].prefix is also the prefix of cell one",
+        "floor: 3 | prefix: A | sharing.cells[1].prefix must be empty, or lower-case letters",
         "name: two | name: one | sharing.cells[1].name is used twice: one",
         "machines: 10 | machine: 10 | sharing.machine is unknown",
         "floor: 3 | flor: 3 | sharing.cells[1].flor is unknown",
@@ -242,7 +245,7 @@
 
     String error = operatorsError(yaml);
 
-    assertTrue(error.endsWith("sharing.cells name no cell for controller n1"), error);
+    assertTrue(error.endsWith("sharing.cells must list every controller; no cell lists n1"), error);
   }
 
   @Test
--- a/src/test/java/plumlever/settings/package-info.java
+++ b/src/test/java/plumlever/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the package of the same name, without I/O beyond loopback. */
+/** Tests of the settings files; they read local files and use no network. */
 package plumlever.settings;
