--- a/src/main/java/plumlever/wire/AttemptState.java
+++ b/src/main/java/plumlever/wire/AttemptState.java
@@ -1,14 +1,14 @@
 package plumlever.wire;
 
-/** The state of an attempt as its worker reports it. */
+/** The state of an attempt as reported by the worker. */
 public enum AttemptState {
-  /** The machine fetches the image. */
+  /** The machine is fetching the image. */
   FETCHING("pulling"),
-  /** The task runs. */
+  /** The task is running. */
   RUNNING("running"),
-  /** The attempt was told to stop and saves its work. */
+  /** The attempt received a stop command and is saving its work. */
   SAVING("flushing"),
-  /** The attempt is over; the worker keeps it until it is told to remove it. */
+  /** The attempt has ended; the worker reports it until a remove command arrives. */
   ENDED("ended");
 
   private final String wireName;
@@ -17,12 +17,12 @@
     this.wireName = wireName;
   }
 
-  /** Its name in heartbeats. */
+  /** The state's name in heartbeats. */
   public String wireName() {
     return wireName;
   }
 
-  /** The state with that name in heartbeats. */
+  /** The state with this name in heartbeats. */
   public static AttemptState of(String name) throws InvalidMessageException {
     for (AttemptState state : values()) {
       if (state.wireName.equals(name)) {
--- a/src/main/java/plumlever/wire/ExitCause.java
+++ b/src/main/java/plumlever/wire/ExitCause.java
@@ -1,20 +1,20 @@
 package plumlever.wire;
 
-/** Why an attempt ended. In all cases but {@link #DONE} its task is not completed. */
+/** Why an attempt ended. The task is completed only if the cause is {@link #DONE}. */
 public enum ExitCause {
   /** The task completed. */
   DONE("done"),
-  /** It was told to stop. */
+  /** The attempt ended after a stop command. */
   STOPPED("halted"),
   /** The task failed. */
   ERROR("error"),
-  /** The start was refused: not enough free resources on the machine. */
+  /** The worker refused the start: the machine lacks free resources. */
   FULL("full"),
-  /** The start was refused: another attempt of the task is on the machine. */
+  /** The worker refused the start: another attempt of the task is on the machine. */
   IN_USE("in_use"),
-  /** The start was refused: there is no such job or task. */
+  /** The worker refused the start: the job or task does not exist. */
   NO_SUCH("no_such"),
-  /** Any cause that this version does not know. */
+  /** A cause that this version does not know. */
   OTHER("other");
 
   private final String wireName;
@@ -23,12 +23,12 @@
     this.wireName = wireName;
   }
 
-  /** Its name in heartbeats. */
+  /** The cause's name in heartbeats. */
   public String wireName() {
     return wireName;
   }
 
-  /** The cause with that name in heartbeats; {@link #OTHER} if it is not known. */
+  /** The cause with this name in heartbeats; {@link #OTHER} if the name is unknown. */
   public static ExitCause of(String name) {
     for (ExitCause cause : values()) {
       if (cause.wireName.equals(name)) {
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -5,16 +5,15 @@
 import java.util.List;
 
 /**
- * What a worker reports of its machine: the body of a heartbeat, and of the answers to direct
- * calls.
+ * A worker's report on its machine: the body of a heartbeat and of the answer to a direct call.
  *
- * @param spot true if the cloud may take the machine back at short notice
- * @param incarnation grows each time the worker's lease has expired
- * @param sequenceNumber grows with each report of an incarnation
- * @param fencingToken the highest that the worker has seen
- * @param preemptionNoticeS in how many seconds the cloud takes the machine back, or {@link
- *     #NO_NOTICE}
- * @param attempts those on the machine, and those that ended and have not been removed
+ * @param spot true if the cloud may preempt the machine at short notice
+ * @param incarnation a number that increases each time the worker's lease expires
+ * @param sequenceNumber a number that increases with each report of the same incarnation
+ * @param fencingToken the highest fencing token that the worker has seen
+ * @param preemptionNoticeS the time until the cloud preempts the machine, in seconds; {@link
+ *     #NO_NOTICE} if the cloud has not announced a preemption
+ * @param attempts the attempts on the machine, including ended attempts that are not yet removed
  */
 public record Heartbeat(
     String machineId,
@@ -28,31 +27,31 @@
     double preemptionNoticeS,
     List<AttemptStatus> attempts) {
 
-  /** The value of {@code preemptionNoticeS} for a machine without a notice. */
+  /** The value of {@code preemptionNoticeS} for a machine without a preemption notice. */
   public static final double NO_NOTICE = -1;
 
   /**
-   * An attempt on a machine.
+   * The status of an attempt on a machine.
    *
-   * @param attempt its number
-   * @param cause why it ended; null before its end
-   * @param saved true if it was stopped and its progress was saved
+   * @param attempt the number of the attempt
+   * @param cause why the attempt ended; null while the attempt has not ended
+   * @param saved true if the attempt was stopped and its progress was saved
    */
   public record AttemptStatus(
       TaskName task, long attempt, AttemptState state, ExitCause cause, boolean saved) {}
 
   /**
-   * Reads the body of a heartbeat; unknown fields are skipped.
+   * Parses the body of a heartbeat; unknown fields are skipped.
    *
    * @param body JSON in UTF-8
-   * @throws InvalidMessageException if a required field is missing, or any has a wrong type or
-   *     range
+   * @throws InvalidMessageException if a required field is missing, or a field has the wrong type
+   *     or is out of range
    */
   public static Heartbeat parse(byte[] body) throws InvalidMessageException {
     return HeartbeatReader.read(body);
   }
 
-  /** True if any attempt has not ended. */
+  /** True if at least one attempt on the machine has not ended. */
   public boolean holdsTasks() {
     for (AttemptStatus attemptStatus : attempts) {
       if (attemptStatus.state() != AttemptState.ENDED) {
@@ -62,18 +61,21 @@
     return false;
   }
 
-  /** True if the cloud has announced that it takes the machine back. */
+  /** True if the cloud has announced that it will preempt the machine. */
   public boolean hasPreemptionNotice() {
     return preemptionNoticeS >= 0;
   }
 
-  /** True if it is of a later incarnation, or of the same with a larger sequence number. */
+  /**
+   * True if this heartbeat is from a later incarnation than the given one, or from the same
+   * incarnation with a larger sequence number.
+   */
   public boolean isNewerThan(long incarnationThere, long sequenceNumberThere) {
     return incarnation > incarnationThere
         || (incarnation == incarnationThere && sequenceNumber > sequenceNumberThere);
   }
 
-  /** The fields as a worker sends them. */
+  /** The heartbeat in the form that workers send. */
   ObjectNode toJson() {
     ObjectNode object =
         Json.object()
--- a/src/main/java/plumlever/wire/HeartbeatReader.java
+++ b/src/main/java/plumlever/wire/HeartbeatReader.java
@@ -7,11 +7,12 @@
 import java.util.List;
 
 /**
- * Reads one heartbeat field by field, without a tree: a leader receives hundreds a second, and
- * nearly all of the JSON that it reads is in them. Unknown fields are skipped.
+ * Parses a heartbeat field by field without building a tree, because a leader receives hundreds of
+ * heartbeats per second and they make up nearly all of the JSON that a leader parses. Unknown
+ * fields are skipped.
  */
 final class HeartbeatReader {
-  /** Stands for a number that has not been read; all numbers of a heartbeat are at least 0. */
+  /** Marks a number that has not been read yet; all numbers in a heartbeat are at least 0. */
   private static final long MISSING = -1;
 
   private final JsonParser parser;
--- a/src/main/java/plumlever/wire/HttpStatus.java
+++ b/src/main/java/plumlever/wire/HttpStatus.java
@@ -15,7 +15,7 @@
   public static final int TOO_MANY_REQUESTS = 429;
   public static final int UNAVAILABLE = 503;
 
-  /** The lowest status that stands for a failure of the server. */
+  /** The lowest status code of the server errors (5xx). */
   public static final int SERVER_ERRORS = 500;
 
   private HttpStatus() {}
--- a/src/main/java/plumlever/wire/InvalidMessageException.java
+++ b/src/main/java/plumlever/wire/InvalidMessageException.java
@@ -1,14 +1,15 @@
 package plumlever.wire;
 
 /**
- * A message that breaks the protocol; the text names the field. It has neither stack trace nor
- * cause, since it is made for each such message and its text says everything.
+ * Thrown for a message that violates the protocol; the exception message names the field. The
+ * exception has neither stack trace nor cause, because an instance is created for each invalid
+ * message and the exception message is sufficient.
  */
 public final class InvalidMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
   /**
-   * @param reason what is wrong, as the sender is told
+   * @param reason the violation, in the wording that is sent to the sender
    */
   public InvalidMessageException(String reason) {
     super(reason, null, false, false);
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -10,20 +10,25 @@
 import java.util.regex.Pattern;
 
 /**
- * A job as its user submits it: an array of independent tasks.
+ * A job as submitted by a user: an array of independent tasks.
  *
- * @param uid the id that the user gave it
- * @param jobClass the kind of work; estimates and service-level objectives go by it
- * @param cores that each task needs, and so on for accelerators and memory
- * @param machineTypes names of those that tasks may run on; null for all
- * @param zone the only zone in which tasks may run; null for any
- * @param oneZone true if all tasks that run at a time have to be in one zone
- * @param spread true if at most half of the tasks may be in one zone at a time
- * @param expectedRunS its user's estimate of a task's run time
- * @param checkpointIntervalS how often a task saves its work; 0 for never
- * @param checkpointS how long it takes to save
- * @param deadlineS by when it has to be done, from its submission on; {@link #NO_DEADLINE} for none
- * @param dependencies ids of the jobs that have to be done before it may start
+ * @param uid the id that the user gave the job
+ * @param jobClass the class of the job, by which run times are estimated and service-level
+ *     objectives apply
+ * @param cores the cores that each task needs
+ * @param accelerators the accelerators that each task needs
+ * @param memoryGb the memory that each task needs
+ * @param machineTypes the names of the machine types on which tasks may run; null for all types
+ * @param zone the only zone in which tasks may run; null for any zone
+ * @param oneZone true if all tasks that run at the same time must run in the same zone
+ * @param spread true if at most half of the tasks, rounded up, may run in one zone at a time
+ * @param spotAllowed true if tasks may run on spot machines
+ * @param expectedRunS the user's estimate of the run time of a task
+ * @param checkpointIntervalS the interval at which a task saves checkpoints; 0 for no checkpoints
+ * @param checkpointS the time that a task needs to save a checkpoint
+ * @param deadlineS the time from the submission within which the job must be done; {@link
+ *     #NO_DEADLINE} for none
+ * @param dependencies the ids of the jobs that must be done before this job may start
  */
 public record JobSpec(
     String uid,
@@ -47,39 +52,39 @@
     double deadlineS,
     List<String> dependencies) {
 
-  /** The most tasks that a job may have. */
+  /** The maximum number of tasks of a job. */
   public static final int MAX_TASKS = 100_000;
 
   /** The value of {@code deadlineS} for a job without a deadline. */
   public static final double NO_DEADLINE = -1;
 
-  /** The only shape of jobs that this service runs. */
+  /** The only job shape that this service supports: an array of independent tasks. */
   private static final String JOB_ARRAY = "sweep";
 
   private static final int MAX_MACHINE_TYPES = 100;
 
   private static final Pattern UID = Pattern.compile("job-[0-9]{1,18}");
 
-  /** True for the id of a job. */
+  /** True if the text is a valid job id. */
   public static boolean validUid(String uid) {
     return uid != null && UID.matcher(uid).matches();
   }
 
-  /** True if its user has set a deadline. */
+  /** True if the user set a deadline. */
   public boolean hasDeadline() {
     return deadlineS >= 0;
   }
 
-  /** True if its tasks save their work. */
+  /** True if the job's tasks save checkpoints. */
   public boolean savesCheckpoints() {
     return checkpointIntervalS > 0;
   }
 
   /**
-   * Reads a submission, and checks the type and range of every field.
+   * Parses a submission and checks the type and range of every field.
    *
-   * @throws InvalidMessageException naming the first field that is wrong; also for a job of another
-   *     shape than an array
+   * @throws InvalidMessageException if a field is invalid, naming the first invalid field, or if
+   *     the job is not an array of tasks
    */
   public static JobSpec parse(ObjectNode object) throws InvalidMessageException {
     String uid = Json.text(object, ProtocolField.JOB_ID);
@@ -118,7 +123,7 @@
         dependencies(object));
   }
 
-  /** The machine types named, or null where any may be used. */
+  /** The names of the allowed machine types; null if all types are allowed. */
   private static List<String> machineTypes(ObjectNode object) throws InvalidMessageException {
     JsonNode list = object.get(ProtocolField.MACHINE_TYPES);
     if (list == null || list.isNull()) {
@@ -141,7 +146,7 @@
     return List.copyOf(names);
   }
 
-  /** The ids of its dependencies, each once. */
+  /** The ids of the job's dependencies without duplicates. */
   private static List<String> dependencies(ObjectNode object) throws InvalidMessageException {
     JsonNode list = object.get(ProtocolField.DEPENDENCIES);
     if (list == null || list.isNull()) {
@@ -160,7 +165,7 @@
     return List.copyOf(names);
   }
 
-  /** The same job with other dependencies. */
+  /** A copy of the job with these dependencies. */
   public JobSpec withDependencies(List<String> uids) {
     return new JobSpec(
         uid,
@@ -185,12 +190,12 @@
         List.copyOf(uids));
   }
 
-  /** True if other jobs have to be done before it may start. */
+  /** True if other jobs must be done before this job may start. */
   public boolean hasDependencies() {
     return !dependencies.isEmpty();
   }
 
-  /** The fields of the submission, for the state service. */
+  /** The job in the form of a submission, as stored in the state service. */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     object
@@ -229,7 +234,8 @@
   }
 
   /**
-   * True if a task may run on such a machine, by itself: {@code oneZone} and {@code spread} aside.
+   * True if a single task may run on a machine of this type, zone and kind. The rules that concern
+   * several tasks, {@code oneZone} and {@code spread}, are not checked.
    */
   public boolean allows(String machineType, String machineZone, boolean spot) {
     return (machineTypes == null || machineTypes.contains(machineType))
@@ -237,7 +243,7 @@
         && (spotAllowed || !spot);
   }
 
-  /** How many tasks may be in one zone at a time. */
+  /** The maximum number of tasks that may run in one zone at a time. */
   public int maxTasksPerZone() {
     return spread ? (taskCount + 1) / 2 : taskCount;
   }
--- a/src/main/java/plumlever/wire/JobState.java
+++ b/src/main/java/plumlever/wire/JobState.java
@@ -1,14 +1,14 @@
 package plumlever.wire;
 
-/** The state of a job as its user is told. */
+/** The state of a job as reported to the user. */
 public enum JobState {
   /** No task is running. */
   PENDING("pending"),
-  /** Some task is running. */
+  /** At least one task is running. */
   RUNNING("running"),
-  /** All of its tasks have completed; final. */
+  /** All tasks have completed; final. */
   DONE("done"),
-  /** Its user has cancelled it or a dependency; final. */
+  /** The user cancelled the job or one of its dependencies; final. */
   CANCELLED("aborted");
 
   private final String wireName;
@@ -17,7 +17,7 @@
     this.wireName = wireName;
   }
 
-  /** Its name in answers and records. */
+  /** The state's name in answers to users and in stored records. */
   public String wireName() {
     return wireName;
   }
--- a/src/main/java/plumlever/wire/Json.java
+++ b/src/main/java/plumlever/wire/Json.java
@@ -17,12 +17,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads and writes JSON, with strict access to the fields of a message. Most messages are read as
- * trees, frequent ones field by field; binding by reflection would cost more start-up time than the
- * processor share allows.
+ * Reads and writes JSON, with type-checked access to the fields of a message. Most messages are
+ * parsed into trees, frequent messages field by field. Data binding by reflection is not used,
+ * because it would slow startup too much on a small share of a processor.
  */
 public final class Json {
-  /** The longest text that a field may hold, in characters. */
+  /** The maximum length of a text field, in characters. */
   static final int MAX_TEXT_LENGTH = 200;
 
   private static final double MAX_AMOUNT = 1e9;
@@ -44,15 +44,15 @@
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** Reads one JSON object; duplicate fields and anything after it are errors. */
+  /** Parses one JSON object; duplicate fields and trailing content are errors. */
   public static ObjectNode parseObject(String text) throws InvalidMessageException {
     return parseObject(text.getBytes(StandardCharsets.UTF_8));
   }
 
   /**
-   * Reads one JSON object; duplicate fields and anything after it are errors.
+   * Parses one JSON object; duplicate fields and trailing content are errors.
    *
-   * @param text in UTF-8
+   * @param text the JSON text in UTF-8
    */
   public static ObjectNode parseObject(byte[] text) throws InvalidMessageException {
     JsonNode node;
@@ -67,22 +67,22 @@
     return object;
   }
 
-  /** For frequent messages, which are read field by field without a tree. */
+  /** A parser for frequent messages, which are read field by field without a tree. */
   static JsonParser parser(byte[] text) throws IOException {
     return MAPPER.getFactory().createParser(text);
   }
 
-  /** For frequent messages, which are written field by field without a tree. */
+  /** A generator for frequent messages, which are written field by field without a tree. */
   static JsonGenerator generator(Writer to) throws IOException {
     return MAPPER.getFactory().createGenerator(to);
   }
 
-  /** The value as text, on one line. */
+  /** The JSON value as text on one line. */
   public static String write(JsonNode node) {
     try {
       return MAPPER.writeValueAsString(node);
     } catch (JsonProcessingException e) {
-      throw new UncheckedIOException("a tree of plain values could not be written", e);
+      throw new UncheckedIOException("cannot serialize a JSON tree", e);
     }
   }
 
@@ -92,7 +92,7 @@
     return node == null || node.isNull();
   }
 
-  /** A field that must be a text that is neither empty nor too long. */
+  /** The value of a required text field that is neither empty nor too long. */
   public static String text(JsonNode object, String field) throws InvalidMessageException {
     JsonNode node = object.get(field);
     if (node == null
@@ -105,12 +105,12 @@
     return node.textValue();
   }
 
-  /** The same for a field that may be missing or null, which gives null. */
+  /** The value of an optional text field; null if the field is missing or null. */
   public static String textOrNull(JsonNode object, String field) throws InvalidMessageException {
     return absent(object, field) ? null : text(object, field);
   }
 
-  /** A field that must be true or false. */
+  /** The value of a required boolean field. */
   public static boolean flag(JsonNode object, String field) throws InvalidMessageException {
     JsonNode node = object.get(field);
     if (node == null || !node.isBoolean()) {
@@ -119,7 +119,7 @@
     return node.booleanValue();
   }
 
-  /** A field that must be a finite number of at least {@code min}, and not too large. */
+  /** The value of a required numeric field that is finite, at least {@code min} and at most 1e9. */
   public static double amount(JsonNode object, String field, double min)
       throws InvalidMessageException {
     JsonNode node = object.get(field);
@@ -133,12 +133,12 @@
     return value;
   }
 
-  /** True for a finite number of at least {@code min} that is not too large. */
+  /** True if the number is finite, at least {@code min} and at most 1e9. */
   static boolean inRange(double value, double min) {
     return Double.isFinite(value) && value >= min && value <= MAX_AMOUNT;
   }
 
-  /** A field that must be a whole number within these bounds. */
+  /** The value of a required integer field within these bounds, both inclusive. */
   public static long whole(JsonNode object, String field, long min, long max)
       throws InvalidMessageException {
     JsonNode node = object.get(field);
--- a/src/main/java/plumlever/wire/ListedMachine.java
+++ b/src/main/java/plumlever/wire/ListedMachine.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A machine of the cloud's list.
+ * An entry of the cloud's machine list.
  *
- * @param status as the cloud names it
- * @param ageS how long ago it was rented
+ * @param status the machine's status in the cloud's terms
+ * @param ageS the time since the machine was rented, in seconds
  */
 public record ListedMachine(
     String id,
@@ -19,12 +19,12 @@
   private static final String FAILED = "failed";
   private static final String AGE_S = "age_s";
 
-  /** True if the machine has stopped by itself. */
+  /** True if the cloud reports that the machine failed. */
   public boolean failed() {
     return status.equals(FAILED);
   }
 
-  /** Reads one entry of the cloud's list. */
+  /** Parses an entry of the cloud's machine list. */
   public static ListedMachine parse(JsonNode node) throws InvalidMessageException {
     return new ListedMachine(
         Json.text(node, ProtocolField.LISTED_MACHINE_ID),
--- a/src/main/java/plumlever/wire/MachineType.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -7,14 +7,14 @@
 import java.util.List;
 
 /**
- * A machine type of the cloud.
+ * A machine type that the cloud offers.
  *
- * @param cacheGb capacity of the image cache
- * @param fetchGbPerS rate at which a machine fetches images; 0 if fetching takes no time
- * @param hourlyPrice price of an hour
- * @param spotPrice price of an hour as a spot machine
- * @param startupS about how long a machine takes from rental to its first heartbeat
- * @param zones where it can be rented; empty for everywhere
+ * @param cacheGb the capacity of the image cache
+ * @param fetchGbPerS the rate at which a machine fetches images; 0 if fetching takes no time
+ * @param hourlyPrice the price per hour of a regular machine
+ * @param spotPrice the price per hour of a spot machine
+ * @param startupS the approximate time from the rental of a machine to its first heartbeat
+ * @param zones the zones in which the type can be rented; empty for all zones
  */
 public record MachineType(
     String name,
@@ -28,10 +28,10 @@
     double startupS,
     List<String> zones) {
 
-  /** The share of a task that needs accelerators on a machine that has none: it does not fit. */
+  /** The share returned if a task needs accelerators and the machine type has none. */
   private static final double NO_FIT = 2;
 
-  /** Reads the cloud's machine types, or those that {@link #writeCatalog} has written. */
+  /** Parses the cloud's list of machine types, or the output of {@link #writeCatalog}. */
   public static List<MachineType> parseCatalog(ObjectNode body) throws InvalidMessageException {
     JsonNode array = body.get(ProtocolField.MACHINE_TYPES);
     if (array == null || !array.isArray()) {
@@ -70,7 +70,7 @@
     return List.copyOf(zones);
   }
 
-  /** The machine types in the form in which the cloud lists them. */
+  /** Encodes the machine types in the form of the cloud's list. */
   public static ObjectNode writeCatalog(List<MachineType> machineTypes) {
     ObjectNode catalog = Json.object();
     ArrayNode array = catalog.putArray(ProtocolField.MACHINE_TYPES);
@@ -92,12 +92,15 @@
     zones.forEach(array::add);
   }
 
-  /** What an hour costs, as a spot machine or not. */
+  /** The price per hour of a spot machine or of a regular machine. */
   public double hourlyPrice(boolean spot) {
     return spot ? spotPrice : hourlyPrice;
   }
 
-  /** The largest share of any resource of the machine that one task takes; above 1 it can't fit. */
+  /**
+   * The dominant share of a task of the job: the largest fraction of any single resource of the
+   * machine that the task uses. The task does not fit if the dominant share exceeds 1.
+   */
   public double dominantShare(JobSpec job) {
     double share = Math.max(job.cores() / cores, job.memoryGb() / memoryGb);
     if (job.accelerators() > 0) {
--- a/src/main/java/plumlever/wire/Priority.java
+++ b/src/main/java/plumlever/wire/Priority.java
@@ -1,14 +1,14 @@
 package plumlever.wire;
 
-/** Priorities of jobs, in order, the most urgent first. */
+/** Job priorities, declared from highest to lowest. */
 public enum Priority {
   /** Production work. */
   PROD("prod"),
-  /** Urgent work. */
+  /** Work of high priority. */
   HIGH("high"),
-  /** Ordinary work. */
+  /** Work of normal priority. */
   STANDARD("standard"),
-  /** Work for otherwise idle capacity. */
+  /** Work that uses otherwise idle capacity. */
   IDLE("idle");
 
   private final String wireName;
@@ -17,12 +17,12 @@
     this.wireName = wireName;
   }
 
-  /** Its name in submissions. */
+  /** The priority's name in submissions. */
   public String wireName() {
     return wireName;
   }
 
-  /** The priority with that name in submissions. */
+  /** The priority with this name in submissions. */
   public static Priority of(String name) throws InvalidMessageException {
     for (Priority priority : values()) {
       if (priority.wireName.equals(name)) {
--- a/src/main/java/plumlever/wire/ProtocolPath.java
+++ b/src/main/java/plumlever/wire/ProtocolPath.java
@@ -1,32 +1,32 @@
 package plumlever.wire;
 
-/** Paths of the requests of users, workers and the cloud, by the terms that the code uses. */
+/** Request paths in the protocols of users, workers and the cloud, named by the code's terms. */
 public final class ProtocolPath {
-  /** A worker's heartbeat. */
+  /** Path on a controller: receives a worker's heartbeat. */
   public static final String HEARTBEAT = "/hello";
 
-  /** Commands that are sent straight to a worker. */
+  /** Path on a worker: receives commands by a direct call. */
   public static final String COMMANDS = "/orders";
 
-  /** Asks a worker for its heartbeat without a command. */
+  /** Path on a worker: returns the worker's heartbeat without any command. */
   public static final String INSPECT = "/inspect";
 
-  /** Whether a controller takes requests. */
+  /** Path on a controller: health check, tells whether the controller accepts requests. */
   public static final String HEALTH = "/up";
 
-  /** Takes submissions; followed by a job's id, the path of that job. */
+  /** Path on a controller: accepts submissions; with a job id appended, the path of the job. */
   public static final String SUBMISSIONS = "/submissions";
 
-  /** Follows a job's path and cancels the job. */
+  /** Appended to a job's path: cancels the job. */
   public static final String CANCEL_SUFFIX = "/abort";
 
-  /** Machine types and their prices. */
+  /** Path on the cloud: lists machine types and their prices. */
   public static final String MACHINE_TYPES = "/catalog";
 
-  /** Lists the cloud's machines, and rents them. */
+  /** Path on the cloud: lists the rented machines, and rents machines. */
   public static final String MACHINES = "/hosts";
 
-  /** Returns machines to the cloud. */
+  /** Path on the cloud: returns rented machines. */
   public static final String RETURN_MACHINES = "/hosts/return";
 
   private ProtocolPath() {}
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -5,13 +5,14 @@
 import java.util.List;
 
 /**
- * What the owner of a machine relays to a shard whose tasks may be on it: the machine's own
- * heartbeat, with that shard's attempts only.
+ * A heartbeat that the shard that owns a machine relays to the originating shard of foreign tasks
+ * on the machine. The relayed heartbeat contains only the attempts of the originating shard.
  *
  * @param from the shard that owns the machine
- * @param originatingShard the shard whose attempts these are
- * @param number the term or transfer number that the owner's commands to the machine carry
- * @param lapsed the owner has proof that the machine's lease expired after this heartbeat
+ * @param originatingShard the shard that the reported attempts belong to
+ * @param number the term or transfer number in the owning shard's commands to the machine
+ * @param lapsed true if the owning shard has proof that the machine's lease expired after this
+ *     heartbeat
  */
 public record RelayedHeartbeat(
     String from, String originatingShard, long number, boolean lapsed, Heartbeat heartbeat) {
@@ -21,7 +22,7 @@
   private static final String LAPSED = "lapsed";
   private static final String HEARTBEAT = "report";
 
-  /** The body of the request: JSON in UTF-8. */
+  /** Encodes the relayed heartbeat as JSON in UTF-8. */
   public byte[] write() {
     ObjectNode object =
         Json.object()
@@ -34,9 +35,9 @@
   }
 
   /**
-   * Reads the body of such a request.
+   * Decodes a relayed heartbeat.
    *
-   * @param body JSON in UTF-8
+   * @param body the message body: JSON in UTF-8
    */
   public static RelayedHeartbeat parse(byte[] body) throws InvalidMessageException {
     ObjectNode object = Json.parseObject(body);
@@ -51,7 +52,7 @@
         Heartbeat.parse(Json.write(heartbeat).getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** The same heartbeat with other attempts. */
+  /** A copy of the heartbeat with these attempts. */
   public static Heartbeat withAttempts(
       Heartbeat heartbeat, List<Heartbeat.AttemptStatus> attempts) {
     return new Heartbeat(
--- a/src/main/java/plumlever/wire/TaskName.java
+++ b/src/main/java/plumlever/wire/TaskName.java
@@ -3,11 +3,11 @@
 /**
  * The name of a task, such as {@code job-000412/3}.
  *
- * @param job the id of its job
- * @param number of the task within the job, from 0 on
+ * @param job the id of the task's job
+ * @param number the index of the task within the job, starting at 0
  */
 public record TaskName(String job, int number) {
-  /** Reads a name as {@link #wireName} writes it. */
+  /** Parses a name in the form of {@link #wireName}. */
   public static TaskName of(String text) throws InvalidMessageException {
     int slash = text.lastIndexOf('/');
     if (slash <= 0 || slash == text.length() - 1) {
@@ -24,7 +24,7 @@
     }
   }
 
-  /** The name as messages and logs have it. */
+  /** The name in messages and logs. */
   public String wireName() {
     return job + "/" + number;
   }
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -11,20 +11,20 @@
 /**
  * A command to a worker.
  *
- * @param attempt the number of the attempt that it is about
- * @param gracePeriodS how long the attempt may save its work before it is ended; of use for {@link
- *     CommandType#STOP} only
+ * @param attempt the number of the attempt that the command applies to
+ * @param gracePeriodS the time in seconds that the attempt has to save its work before the worker
+ *     ends the attempt; used only by {@link CommandType#STOP}
  */
 public record WorkerCommand(CommandType type, TaskName task, long attempt, double gracePeriodS) {
   private static final int USUAL_LENGTH = 64;
 
-  /** What is to be done with an attempt. */
+  /** The action that the worker performs on an attempt. */
   public enum CommandType {
-    /** Start it. */
+    /** Starts the attempt. */
     RUN("run"),
-    /** Let it save its work for the grace period, then end it. */
+    /** Lets the attempt save its work for up to the grace period, then ends the attempt. */
     STOP("halt"),
-    /** Forget the ended attempt. */
+    /** Removes an ended attempt from the worker's reports. */
     REMOVE("reap");
 
     private final String wireName;
@@ -43,40 +43,43 @@
     }
   }
 
-  /** Starts an attempt. */
+  /** A command that starts an attempt. */
   public static WorkerCommand run(TaskName task, long attempt) {
     return new WorkerCommand(CommandType.RUN, task, attempt, 0);
   }
 
-  /** Stops an attempt after the grace period at the latest. */
+  /** A command that stops an attempt after the grace period at the latest. */
   public static WorkerCommand stop(TaskName task, long attempt, double gracePeriodS) {
     return new WorkerCommand(CommandType.STOP, task, attempt, gracePeriodS);
   }
 
-  /** Removes an attempt that has ended. */
+  /** A command that removes an ended attempt. */
   public static WorkerCommand remove(TaskName task, long attempt) {
     return new WorkerCommand(CommandType.REMOVE, task, attempt, 0);
   }
 
-  /** The body of an answer to a heartbeat that another shard relayed; it goes to no worker. */
+  /**
+   * The body of the answer to a relayed heartbeat. The answer goes to the shard that relayed the
+   * heartbeat and not to a worker, so its fencing token is 0.
+   */
   public static String relayed(List<WorkerCommand> commands) {
     return body(0, 0, commands);
   }
 
-  /** The body of an answer to a heartbeat: it renews the worker's lease. */
+  /** The body of the answer to a heartbeat; the answer renews the worker's lease. */
   public static String answer(long token, List<WorkerCommand> commands) {
     return body(token, 0, commands);
   }
 
-  /** The body of a direct call, for one incarnation of the worker. */
+  /** The body of a direct call, which is valid for one incarnation of the worker. */
   public static String direct(long token, long incarnation, List<WorkerCommand> commands) {
     return body(token, incarnation, commands);
   }
 
   /**
-   * Reads the commands of an answer.
+   * Parses the commands of an answer to a heartbeat.
    *
-   * @param body JSON in UTF-8
+   * @param body the message body: JSON in UTF-8
    */
   public static List<WorkerCommand> parseAnswer(byte[] body) throws InvalidMessageException {
     List<WorkerCommand> commands = new ArrayList<>();
@@ -106,7 +109,7 @@
       generator.writeEndArray();
       generator.writeEndObject();
     } catch (IOException e) {
-      throw new UncheckedIOException("plain values could not be written to memory", e);
+      throw new UncheckedIOException("cannot serialize worker commands", e);
     }
     return out.toString();
   }
--- a/src/main/java/plumlever/wire/package-info.java
+++ b/src/main/java/plumlever/wire/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The messages of the protocol as records: read strictly, and written with the names that the
- * protocol gives them. It owns the mapping between the terms of the code and the protocol's words
- * ({@link plumlever.wire.ProtocolField}, {@link plumlever.wire.ProtocolPath}, and the wire names of
- * the enums).
+ * The messages of the protocols with users, workers, the cloud and other controllers, as records
+ * with strict parsers and with writers. This package maps the terms of the code to the names on the
+ * wire: {@link plumlever.wire.ProtocolField}, {@link plumlever.wire.ProtocolPath}, and the wire
+ * names of the enums.
  *
- * <p>It depends on no other package and does no I/O, so clients could use it. It must not know what
- * a message leads to.
+ * <p>This package depends on no other package and does no I/O, so that clients can use it. It must
+ * not depend on the code that handles the messages.
  */
 package plumlever.wire;
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Messages: what is read and written, and what is refused. */
+/** Tests the parsing and writing of messages, and the rejection of invalid messages. */
 final class WireTest {
   private static final String SUBMISSION =
       "{\"uid\":\"job-000412\",\"jobclass\":\"train\",\"owner\":\"vision\",\"shape\":\"sweep\","
@@ -166,7 +166,10 @@
     assertEquals(machineTypes, MachineType.parseCatalog(MachineType.writeCatalog(machineTypes)));
   }
 
-  /** Heartbeats are read field by field: unknown fields and the order must make no difference. */
+  /**
+   * The heartbeat parser reads field by field and must accept unknown fields and fields in any
+   * order.
+   */
   @Test
   void readsAHeartbeatWithUnknownFields() throws InvalidMessageException {
     assertEquals(
