--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -27,10 +27,11 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * Starts a controller on loopback among emulators and lets it lead for a few seconds, so that the
- * build can archive the classes that a start and a term need. Other classes are loaded, linked and
- * verified when they are needed, which takes seconds with a small share of a processor. Nothing of
- * it reaches beyond this process.
+ * Training run for the class-data archive. Starts a controller on loopback with emulated external
+ * services and lets the controller lead for a few seconds, so that the build can archive the
+ * classes that startup and leadership use. A class that is not in the archive is loaded, linked and
+ * verified at its first use, which takes seconds in total on a small share of a processor. The run
+ * sends no traffic outside this process.
  */
 final class ArchiveTrainingRun {
   private static final String SETTINGS =
@@ -80,7 +81,7 @@
 
   private ArchiveTrainingRun() {}
 
-  /** The exit code. */
+  /** Runs the controller and returns the exit code. */
   static int run() {
     try {
       PlatformConfiguration platform;
@@ -90,7 +91,7 @@
       WarmUp.playAll(platform, SchedulerParameters.defaults());
       return ExitCode.OK;
     } catch (IOException | SettingsException e) {
-      System.err.println("plumlever: the start could not be rehearsed: " + e);
+      System.err.println("plumlever: the training run for the class-data archive failed: " + e);
       return ExitCode.FAILED;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -129,7 +130,7 @@
     post(base + ProtocolPath.SUBMISSIONS + "/job-2" + ProtocolPath.CANCEL_SUFFIX, "");
   }
 
-  /** The state service, the cloud and one machine, served on loopback. */
+  /** Emulates the state service, the cloud and one machine on loopback. */
   private static final class Emulators implements AutoCloseable {
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final int MAX_BUFFERS = 8;
@@ -178,7 +179,7 @@
       }
     }
 
-    /** From now on the machine sends its heartbeats there. */
+    /** Starts the machine's heartbeats to this controller. */
     void sendHeartbeatsTo(Endpoint controller) {
       loop.execute(() -> sendHeartbeat(controller));
     }
@@ -205,7 +206,10 @@
     }
   }
 
-  /** Loads also the classes that only a leader needs, so that an election need not load them. */
+  /**
+   * Loads all classes of the controller. The archive then also holds the classes that only a leader
+   * uses, so a newly elected leader does not have to load them.
+   */
   private static void loadOwnClasses() throws IOException {
     Path jar =
         Path.of(
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -7,13 +7,13 @@
 import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
 
-/** Describes what would run with the settings given, for {@code --check}. */
+/** Builds the report of {@code --check}: what would run with the given settings. */
 final class Check {
   private static final double MICROS_PER_SECOND = 1e6;
 
   private Check() {}
 
-  /** Several lines, without an end of line after the last. */
+  /** The report as several lines, without a line break after the last line. */
   static String describe(PlatformConfiguration platform, OperatorSettings settings) {
     SchedulerParameters parameters = settings.parameters();
     return String.join(
--- a/src/main/java/plumlever/cli/DrillCommand.java
+++ b/src/main/java/plumlever/cli/DrillCommand.java
@@ -12,9 +12,9 @@
 import plumlever.drill.SharingDrill;
 import plumlever.wire.InvalidMessageException;
 
-/** {@code plumlever drill NAME}: plays a drill and prints whether it passed. */
+/** The command {@code plumlever drill NAME}: runs a drill and prints whether the drill passed. */
 final class DrillCommand {
-  /** The first argument. */
+  /** The first argument of the command line. */
   static final String NAME = "drill";
 
   private static final int DEFAULT_SECONDS = 600;
@@ -32,12 +32,12 @@
 
   private DrillCommand() {}
 
-  /** The exit code. */
+  /** Runs the drill and returns the exit code. */
   static int run(String[] arguments) {
     try {
       CommandLine line = new DefaultParser(false).parse(options(), arguments);
       if (!line.getArgList().equals(List.of(NAME, SHARING))) {
-        return wrongUsage("no such drill");
+        return wrongUsage("unknown drill or unexpected argument");
       }
       int seconds = Integer.parseInt(line.getOptionValue(SECONDS, "" + DEFAULT_SECONDS));
       int machines = Integer.parseInt(line.getOptionValue(MACHINES, "" + DEFAULT_MACHINES));
@@ -46,7 +46,7 @@
               ? Long.parseLong(line.getOptionValue(SEED))
               : new SplittableRandom().nextInt(MAX_RANDOM_SEED);
       if (seconds < 1 || machines < 1) {
-        return wrongUsage("seconds and machines must be above 0");
+        return wrongUsage("--seconds and --machines must be at least 1");
       }
       List<SharingDrill.JobShapeFile> shapes =
           line.hasOption(JOBS)
--- a/src/main/java/plumlever/cli/ExitCode.java
+++ b/src/main/java/plumlever/cli/ExitCode.java
@@ -2,16 +2,16 @@
 
 /** The exit codes of the process. */
 final class ExitCode {
-  /** It ended as asked. */
+  /** The command completed successfully. */
   static final int OK = 0;
 
-  /** It could not start, or a drill failed. */
+  /** The controller failed to start, or a drill failed. */
   static final int FAILED = 1;
 
-  /** Arguments or settings are wrong. */
+  /** The arguments or the settings are invalid. */
   static final int WRONG_USAGE = 2;
 
-  /** In place of an exit code: the process runs until it is killed. */
+  /** Returned instead of an exit code: the controller runs until the process is terminated. */
   static final int RUNNING = -1;
 
   private ExitCode() {}
--- a/src/main/java/plumlever/cli/Logging.java
+++ b/src/main/java/plumlever/cli/Logging.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Configures logging; to be called before the first logger is made. */
+/** Configures logging; must be called before the first logger is created. */
 final class Logging {
   private static final String SIMPLE = "org.slf4j.simpleLogger.";
   private static final Set<String> LEVELS = Set.of("error", "info", "debug");
@@ -12,14 +12,14 @@
   private Logging() {}
 
   /**
-   * Logs the service's own lines from this level on, and warnings of libraries.
+   * Sets the level for plumlever's own loggers; libraries log warnings and errors only.
    *
-   * @param level the value of {@code LOG_LEVEL}, or null without one
+   * @param level the value of the environment variable {@code LOG_LEVEL}; null if it is not set
    */
   static void configure(String level) {
     String wanted = level == null ? DEFAULT_LEVEL : level.trim().toLowerCase(Locale.ROOT);
     if (!LEVELS.contains(wanted)) {
-      System.err.println("plumlever: LOG_LEVEL " + level + " is unknown, info is used");
+      System.err.println("plumlever: LOG_LEVEL " + level + " is unknown; using info");
       wanted = DEFAULT_LEVEL;
     }
     System.setProperty(SIMPLE + "defaultLogLevel", "warn");
--- a/src/main/java/plumlever/cli/Main.java
+++ b/src/main/java/plumlever/cli/Main.java
@@ -13,11 +13,11 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SettingsException;
 
-/** The command line. */
+/** Entry point: parses the command line and runs a controller, a check or a drill. */
 public final class Main {
   private static final String NAME = "plumlever";
 
-  /** Not in the help: the build uses it to make the class-data archive. */
+  /** An option that the help omits: the build uses it to create the class-data archive. */
   private static final String TRAINING_RUN = "--rehearse-start";
 
   private static final String CONFIG = "config";
@@ -32,7 +32,7 @@
 
   private Main() {}
 
-  /** Runs the command line; the process ends with its exit code. */
+  /** Runs the command; exits the process with the exit code unless a controller is running. */
   public static void main(String[] args) {
     Logging.configure(System.getenv("LOG_LEVEL"));
     int exitCode;
@@ -48,7 +48,7 @@
     }
   }
 
-  /** The exit code, or {@link ExitCode#RUNNING} once a controller runs. */
+  /** Returns the exit code, or {@link ExitCode#RUNNING} if a controller was started. */
   static int run(String[] args) {
     Options options = options();
     CommandLine line;
@@ -101,26 +101,26 @@
                 .longOpt(CONFIG)
                 .hasArg()
                 .argName("FILE")
-                .desc("settings handed over by the platform (TOML)")
+                .desc("settings provided by the platform (TOML)")
                 .build())
         .addOption(
             Option.builder()
                 .longOpt(SETTINGS)
                 .hasArg()
                 .argName("FILE")
-                .desc("operators' own settings (YAML)")
+                .desc("settings of the operators (YAML)")
                 .build())
         .addOption(
             Option.builder()
                 .longOpt(CHECK)
-                .desc("check the settings, tell what would run, and end")
+                .desc("check the settings, print what would run, and exit")
                 .build())
-        .addOption(Option.builder("V").longOpt(VERSION).desc("print the version and end").build())
-        .addOption(Option.builder("h").longOpt(HELP).desc("print this help and end").build());
+        .addOption(Option.builder("V").longOpt(VERSION).desc("print the version and exit").build())
+        .addOption(Option.builder("h").longOpt(HELP).desc("print this help and exit").build());
   }
 
   private static int wrongUsage(String reason) {
-    System.err.println(NAME + ": " + reason + " (--help tells the options)");
+    System.err.println(NAME + ": " + reason + " (--help lists the options)");
     return ExitCode.WRONG_USAGE;
   }
 
@@ -140,7 +140,7 @@
             options,
             HELP_LEFT_PADDING,
             HELP_DESCRIPTION_PADDING,
-            "Exit codes: 0 ended as asked, 1 could not start, 2 wrong arguments or settings.\n"
+            "Exit codes: 0 success, 1 start or drill failed, 2 invalid arguments or settings.\n"
                 + "LOG_LEVEL (error, info, debug) sets how much is logged to standard error.");
     out.flush();
   }
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -24,8 +24,8 @@
 import plumlever.warmup.WarmUp;
 
 /**
- * A controller with its sockets: one XNIO I/O thread that is the loop, one for leader election, and
- * the two listeners.
+ * A controller process: the controller, its event loop on one XNIO I/O thread, a second I/O thread
+ * for leader election, and the listeners for users and workers and for peer controllers.
  */
 final class Service implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Service.class);
@@ -36,15 +36,15 @@
   private static final int MAX_ELECTION_BUFFERS_PER_THREAD = 1;
   private static final long BYTES_PER_MB = 1024 * 1024;
 
-  /** Time for the last request, which ends the leader's lease, to be sent. */
+  /** Time allowed on shutdown for sending the request that releases the leader's lease. */
   private static final long LAST_REQUEST_MICROS = 100_000;
 
   private static final int MAX_STOP_S = 3;
 
   /**
-   * Sockets kept from users and workers: calls to machines (112) and kept connections (48), up to
-   * 12 each to the state service, the cloud and two peers, the peers' own, and what the process has
-   * open besides.
+   * File descriptors that are not available for connections from users and workers: calls to
+   * machines (112), kept-alive connections (48), up to 12 connections each to the state service,
+   * the cloud and two peers, connections from peers, and other files that the process has open.
    */
   private static final int RESERVED_SOCKETS = 280;
 
@@ -52,7 +52,10 @@
   private static final int PEER_CONNECTIONS = 32;
   private static final long MAX_PEER_BODY_BYTES = 512 * 1024;
 
-  /** A connection is closed when it has been idle for so many heartbeats, and for so long. */
+  /**
+   * A connection is closed after it has been idle for this many heartbeat intervals, but not before
+   * it has been idle for {@link #MIN_IDLE_MICROS}.
+   */
   private static final int IDLE_HEARTBEATS = 3;
 
   private static final long MIN_IDLE_MICROS = 12_000_000;
@@ -71,13 +74,13 @@
     this.settings = settings;
   }
 
-  /** The exit code, or {@link ExitCode#RUNNING} once the controller runs. */
+  /** Starts the controller; returns {@link ExitCode#RUNNING}, or an exit code on failure. */
   int run() {
     try {
       start();
     } catch (RuntimeException | IOException e) {
-      LOG.error("could not start: {}", e.toString());
-      LOG.debug("could not start", e);
+      LOG.error("the controller failed to start: {}", e.toString());
+      LOG.debug("stack trace of the failed start", e);
       close();
       return ExitCode.FAILED;
     }
@@ -85,7 +88,7 @@
     return ExitCode.RUNNING;
   }
 
-  /** Starts the controller; it runs until this is closed. */
+  /** Starts the controller, which runs until {@link #close} is called. */
   void start() throws IOException {
     createController();
     startServers();
@@ -103,7 +106,7 @@
           new RecurringTask("warm-up", loop, warmUp::run).start();
         });
     LOG.info(
-        "{} serves {} and {}; objectives: {}",
+        "controller {} listens on {} (users, workers) and {} (controllers); objectives: {}",
         platform.label(),
         platform.bind(),
         platform.peerBind(),
@@ -181,7 +184,7 @@
     return ProcessHandle.current().info().totalCpuDuration().map(Duration::toMillis).orElse(-1L);
   }
 
-  /** A worker of XNIO with one I/O thread. */
+  /** Creates an XNIO worker with one I/O thread. */
   static XnioWorker worker(String name) throws IOException {
     return Xnio.getInstance()
         .createWorker(
@@ -194,19 +197,20 @@
                 .getMap());
   }
 
-  /** How many connections users and workers share. */
+  /** The maximum number of connections from users and workers together. */
   static int sharedConnections(PlatformConfiguration platform) {
     return Math.max(MIN_SHARED_CONNECTIONS, platform.socketLimit() - RESERVED_SOCKETS);
   }
 
-  /** The port at which users and workers are served. */
+  /** The port on which the controller listens for users and workers. */
   int port() {
     return userServer.port();
   }
 
   /**
-   * Stops in order: no new requests, leadership given up so that a successor need not wait, then
-   * the sockets.
+   * Shuts down in order: stops the controller, which accepts no new requests and releases the
+   * leader's lease so that a successor does not wait for the lease to expire, then closes the
+   * listeners and the I/O threads.
    */
   @Override
   public void close() {
@@ -236,7 +240,7 @@
         });
     try {
       if (!stopped.await(MAX_STOP_S, TimeUnit.SECONDS)) {
-        LOG.warn("the controller did not stop in time");
+        LOG.warn("the controller did not stop before the shutdown timeout; closing its sockets");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/plumlever/cli/package-info.java
+++ b/src/main/java/plumlever/cli/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The command line: arguments, logging, and the process with its sockets and threads.
+ * The command line: arguments, logging setup, and the process with its sockets and threads.
  *
- * <p>It owns the exit codes and what is printed. Nothing else depends on it, and it must not know
- * what a controller decides.
+ * <p>This package defines the exit codes and the printed output. No other package may depend on
+ * this package, and this package must not depend on the controller's scheduling decisions.
  */
 package plumlever.cli;
--- a/src/test/java/plumlever/cli/CheckTest.java
+++ b/src/test/java/plumlever/cli/CheckTest.java
@@ -8,7 +8,7 @@
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
 
-/** What {@code --check} prints. */
+/** Tests the report that {@code --check} prints. */
 final class CheckTest {
   @Test
   void describesWhatWouldRunAndWithinWhichLimits() {
--- a/src/test/java/plumlever/cli/package-info.java
+++ b/src/test/java/plumlever/cli/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the package of the same name, without I/O beyond loopback. */
+/** Tests of the command line; they do no I/O. */
 package plumlever.cli;
