--- a/src/main/java/plumlever/concurrent/Loop.java
+++ b/src/main/java/plumlever/concurrent/Loop.java
@@ -1,26 +1,29 @@
 package plumlever.concurrent;
 
 /**
- * An event loop: the one thread that owns all decision state, with its clock. The service's is an
- * XNIO I/O thread; tests use a simulated one. All methods but {@link #execute} are called on that
- * thread.
+ * An event loop with its clock. A single thread runs the loop and owns all scheduling state, so
+ * this state needs no locks. The service runs the loop on an XNIO I/O thread; tests use a simulated
+ * loop. All methods except {@link #execute} must be called on the loop's thread.
  */
 public interface Loop {
-  /** The steady clock, in microseconds since an arbitrary time. */
+  /** The monotonic clock, in microseconds since an arbitrary origin. */
   long nowMicros();
 
-  /** The time of day, in microseconds since 1970; accurate only within the deployment's bound. */
+  /**
+   * The wall clock, in microseconds since the Unix epoch. The error of the wall clock is limited
+   * only by the deployment's bound.
+   */
   long wallMicros();
 
-  /** Runs the action on the loop after the delay, unless the timer is cancelled before. */
+  /** Schedules the action to run on the loop after the delay, unless the timer is cancelled. */
   Timer after(long delayMicros, Runnable action);
 
-  /** Runs the action on the loop soon; may be called on any thread. */
+  /** Schedules the action to run on the loop as soon as possible; callable from any thread. */
   void execute(Runnable action);
 
-  /** A pending action that can be cancelled. */
+  /** A scheduled action that can be cancelled. */
   interface Timer {
-    /** The action does not run any more; without effect if it has run. */
+    /** Cancels the action; has no effect if the action has already run. */
     void cancel();
   }
 }
--- a/src/main/java/plumlever/concurrent/RecurringTask.java
+++ b/src/main/java/plumlever/concurrent/RecurringTask.java
@@ -3,15 +3,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** An action that runs on the loop again and again until it is closed. */
+/** An action that runs repeatedly on the event loop until the task is closed. */
 public final class RecurringTask implements AutoCloseable {
-  /** What is repeated. */
+  /** The action to repeat. */
   public interface Action {
     /**
-     * Runs once.
+     * Performs one run.
      *
-     * @return the pause until the next run in microseconds; negative to run again only after {@link
-     *     #runAfter}
+     * @return the delay until the next run in microseconds; negative if the next run should wait
+     *     for a call of {@link #runAfter}
      */
     long run();
   }
@@ -27,9 +27,9 @@
   private boolean running;
 
   /**
-   * A task that does nothing until it is started.
+   * Creates a task that does not run until {@link #start} or {@link #runAfter} is called.
    *
-   * @param name for the log
+   * @param name the name of the task in log lines
    */
   public RecurringTask(String name, Loop loop, Action action) {
     this.name = name;
@@ -37,13 +37,16 @@
     this.action = action;
   }
 
-  /** Has the first run come soon. */
+  /** Schedules the first run without delay. */
   public RecurringTask start() {
     runAfter(0);
     return this;
   }
 
-  /** Has the next run come after this pause, whatever was planned; without effect once closed. */
+  /**
+   * Schedules the next run after this delay and cancels a run that was scheduled before; has no
+   * effect after the task is closed.
+   */
   public void runAfter(long micros) {
     if (closed) {
       return;
@@ -64,8 +67,9 @@
     try {
       pauseMicros = action.run();
     } catch (RuntimeException e) {
-      // Without further runs the controller would keep going without one of its parts.
-      LOG.error("recurring task {} failed, tried again in a second", name, e);
+      // The task is retried after an unexpected exception. Otherwise the controller would keep
+      // running without the function that the task performs.
+      LOG.error("recurring task {} failed; retrying in 1 s", name, e);
       pauseMicros = PAUSE_AFTER_FAILURE_MICROS;
     } finally {
       running = false;
--- a/src/main/java/plumlever/concurrent/Scope.java
+++ b/src/main/java/plumlever/concurrent/Scope.java
@@ -5,14 +5,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Owns children and closes them in the reverse order of their adoption. */
+/** Owns closeable children and closes them in the reverse order of their registration. */
 public final class Scope implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Scope.class);
 
   private final Deque<AutoCloseable> children = new ArrayDeque<>();
   private boolean closed;
 
-  /** Closes the child with this scope; at once if the scope is closed already. */
+  /**
+   * Registers the child to be closed when the scope is closed. If the scope is already closed, the
+   * child is closed immediately.
+   */
   public <T extends AutoCloseable> T own(T child) {
     if (closed) {
       closeChild(child);
@@ -22,7 +25,7 @@
     return child;
   }
 
-  /** True once the scope has been closed. */
+  /** True after the scope has been closed. */
   public boolean closed() {
     return closed;
   }
@@ -39,8 +42,8 @@
     try {
       child.close();
     } catch (Exception e) {
-      // Whatever it is, the other children are to be closed too.
-      LOG.warn("a child could not be closed", e);
+      // A child that cannot be closed must not prevent the other children from being closed.
+      LOG.warn("failed to close a child of the scope", e);
     }
   }
 }
--- a/src/main/java/plumlever/concurrent/package-info.java
+++ b/src/main/java/plumlever/concurrent/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The event loop, recurring tasks on it, and scopes that close what they own.
+ * The event loop, recurring tasks on the event loop, and scopes that close the resources they own.
  *
- * <p>It depends on no other package and must not know what runs on the loop.
+ * <p>This package depends on no other package and must not depend on the actions that run on the
+ * loop.
  */
 package plumlever.concurrent;
--- a/src/main/java/plumlever/metrics/LogBudget.java
+++ b/src/main/java/plumlever/metrics/LogBudget.java
@@ -3,13 +3,17 @@
 import org.slf4j.Logger;
 
 /**
- * Bounds how many debug lines of one kind are logged in a second, so that the log stays readable
- * when thousands of machines do the same at once. How many lines were left out is logged.
+ * Limits the number of debug lines of one kind that are logged per second, so that the log stays
+ * readable when the same event occurs on thousands of machines at once. The number of suppressed
+ * lines is logged.
  */
 public final class LogBudget {
   private static final long SECOND_MICROS = 1_000_000;
 
-  /** Before any time, also when it is subtracted from one. */
+  /**
+   * Earlier than any time of the clock. Half of the minimum, so that subtracting this value from a
+   * time does not overflow.
+   */
   private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 2;
 
   private final Logger log;
@@ -18,20 +22,20 @@
   private int lines;
   private long suppressed;
 
-  /** A budget for debug lines of this logger. */
+  /** Creates a limit for debug lines that are logged with this logger. */
   public LogBudget(Logger log, int linesPerSecond) {
     this.log = log;
     this.linesPerSecond = linesPerSecond;
   }
 
-  /** True if a debug line may be logged now; each such answer uses up one line of the budget. */
+  /** True if a debug line may be logged now; counts the line against the limit in this case. */
   public boolean allowsDebug(long nowMicros) {
     if (!log.isDebugEnabled()) {
       return false;
     }
     if (nowMicros - secondStartMicros >= SECOND_MICROS) {
       if (suppressed > 0) {
-        log.debug("{} further lines of this kind were left out", suppressed);
+        log.debug("suppressed {} further lines of this kind", suppressed);
       }
       secondStartMicros = nowMicros;
       lines = 0;
--- a/src/main/java/plumlever/metrics/Logs.java
+++ b/src/main/java/plumlever/metrics/Logs.java
@@ -4,11 +4,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Provides loggers by class, so that the lines of the JVM warm-up can be told from the service's
- * own.
+ * Provides a logger for each class, so that the log lines of the JVM warm-up can be distinguished
+ * from the log lines of the service.
  */
 public interface Logs {
-  /** The service's own lines. */
+  /** The loggers of the service itself. */
   Logs SERVICE = LoggerFactory::getLogger;
 
   /** The logger of the class. */
--- a/src/main/java/plumlever/metrics/Metrics.java
+++ b/src/main/java/plumlever/metrics/Metrics.java
@@ -7,8 +7,8 @@
 import org.slf4j.Logger;
 
 /**
- * Counters and histograms, logged as one summary line a minute. Safe for use by several threads:
- * the loop and that of leader election.
+ * Counters, duration histograms, work totals and gauges, logged as one summary line per minute.
+ * Thread-safe: the main event loop and the event loop of leader election use the same instance.
  */
 public final class Metrics {
   private static final int HTTP_TOO_MANY_REQUESTS = 429;
@@ -19,10 +19,10 @@
   private static final long MAX_DURATION_MICROS = 3_600_000_000L;
   private static final int SIGNIFICANT_DIGITS = 2;
 
-  /** The status of a call without an answer. */
+  /** The status that represents a call without an answer. */
   private static final int NO_ANSWER = 0;
 
-  /** What one kind of work has taken since the last summary. */
+  /** The time spent on one kind of work and the number of runs since the last summary. */
   private static final class WorkTotal {
     private long micros;
     private long runs;
@@ -34,27 +34,27 @@
   private final Map<String, WorkTotal> work = new TreeMap<>();
   private final Map<String, LongSupplier> gauges = new TreeMap<>();
 
-  /** Metrics without any counts. */
+  /** Creates empty metrics. */
   public Metrics(Logs logs) {
     this.log = logs.of(Metrics.class);
   }
 
-  /** Adds one to the counter. */
+  /** Increments the counter by one. */
   public synchronized void count(String name) {
     counters.merge(name, 1L, Long::sum);
   }
 
-  /** Adds to the counter. */
+  /** Increments the counter by the count. */
   public synchronized void count(String name, long count) {
     counters.merge(name, count, Long::sum);
   }
 
-  /** The counter's value since the start; 0 for one that was never counted. */
+  /** The counter's value since startup; 0 for a counter that was never incremented. */
   public synchronized long counter(String name) {
     return counters.getOrDefault(name, 0L);
   }
 
-  /** Records how long one operation took, in a histogram. */
+  /** Records the duration of one operation in a histogram. */
   public synchronized void recordDuration(String name, long micros) {
     durations
         .computeIfAbsent(name, key -> new Histogram(1, MAX_DURATION_MICROS, SIGNIFICANT_DIGITS))
@@ -62,9 +62,10 @@
   }
 
   /**
-   * Adds one run to a kind of work.
+   * Records one run of a kind of work.
    *
-   * @param micros by the clock, since with a small share of a processor that is what others wait
+   * @param micros the elapsed time by the clock, not the processor time: on a small share of a
+   *     processor, other work waits for the elapsed time
    */
   public synchronized void recordWork(String name, long micros) {
     WorkTotal total = work.computeIfAbsent(name, key -> new WorkTotal());
@@ -72,16 +73,16 @@
     total.runs++;
   }
 
-  /** Registers a level that is read for each summary. */
+  /** Registers a gauge whose value is read for each summary. */
   public synchronized void gauge(String name, LongSupplier level) {
     gauges.put(name, level);
   }
 
   /**
-   * Counts an answer of another service if it shows that the service is over its rate, refuses or
-   * is out of reach.
+   * Counts a failed call to another service: no answer, rate limit exceeded (429) or service
+   * unavailable (503). Other statuses are not counted.
    *
-   * @param status of the answer, 0 for none
+   * @param status the HTTP status of the answer; 0 if no answer arrived
    */
   public synchronized void countRefusal(String service, int status) {
     if (status == NO_ANSWER) {
@@ -94,8 +95,8 @@
   }
 
   /**
-   * Logs gauges, counters, and the durations and work since the last summary, as one line. Logs
-   * nothing as long as nothing was counted.
+   * Logs one line with the gauges, the counters, and the durations and work since the last summary.
+   * Logs nothing if no counter and no duration was ever recorded.
    */
   public synchronized void logSummary() {
     if (!log.isInfoEnabled() || (counters.isEmpty() && durations.isEmpty())) {
--- a/src/main/java/plumlever/metrics/package-info.java
+++ b/src/main/java/plumlever/metrics/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Counters, histograms of durations, and the summary line that is logged once a minute.
+ * Counters, duration histograms, work totals and gauges, and the summary line that is logged once
+ * per minute.
  *
- * <p>It depends on no other package and must not know what the counters mean.
+ * <p>This package depends on no other package and must not interpret the counters.
  */
 package plumlever.metrics;
--- a/src/test/java/plumlever/concurrent/ManualLoop.java
+++ b/src/test/java/plumlever/concurrent/ManualLoop.java
@@ -4,12 +4,12 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** A loop whose time passes only when a test says so. */
+/** An event loop whose clock advances only by calls of {@link #advance}. */
 public final class ManualLoop implements Loop {
   private final List<Pending> pending = new ArrayList<>();
   private long nowMicros;
 
-  /** A loop at this time. */
+  /** Creates a loop whose clock starts at this time. */
   public ManualLoop(long nowMicros) {
     this.nowMicros = nowMicros;
   }
@@ -38,7 +38,7 @@
     after(0, action);
   }
 
-  /** Lets this much time pass, with all that becomes due in it. */
+  /** Advances the clock by this duration and runs the actions that become due, in time order. */
   public void advance(long micros) {
     long untilMicros = nowMicros + micros;
     while (pending.stream().anyMatch(next -> next.dueMicros() <= untilMicros)) {
--- a/src/test/java/plumlever/concurrent/package-info.java
+++ b/src/test/java/plumlever/concurrent/package-info.java
@@ -1,2 +1,2 @@
-/** Loops of tests. */
+/** Event loops for tests. */
 package plumlever.concurrent;
