--- a/src/test/java/plumlever/architecture/DocumentedNamesTest.java
+++ b/src/test/java/plumlever/architecture/DocumentedNamesTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Classes and members that the documents name exist, so that a rename reaches the documents. */
+/** Checks that classes and members named in the documents exist, so that renames update them. */
 final class DocumentedNamesTest {
   private static final List<Path> DOCUMENTS =
       List.of(
@@ -36,7 +36,7 @@
   private static final Pattern TYPE =
       Pattern.compile("\\b(?:class|interface|enum|record) ([A-Z]\\w*)");
 
-  /** Text of the files that declare a type, by the type's simple name. */
+  /** The text of the files that declare a type, by the simple name of the type. */
   private final Map<String, String> textByType = new HashMap<>();
 
   private DocumentedNamesTest() throws IOException {
@@ -81,6 +81,6 @@
     assertFalse(exists("NoSuchType"));
     assertFalse(exists("fleet.Machine.noSuchMember"));
     assertTrue(exists("fleet.Machine.tokens"));
-    assertTrue(exists("office/leader"), "other code is not looked at");
+    assertTrue(exists("office/leader"), "code that is not a type name must be ignored");
   }
 }
--- a/src/test/java/plumlever/architecture/PackageDependenciesTest.java
+++ b/src/test/java/plumlever/architecture/PackageDependenciesTest.java
@@ -17,11 +17,11 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Which package may use which other of the project. */
+/** Checks which packages of the project each package uses. */
 final class PackageDependenciesTest {
   private static final String ROOT = "plumlever";
 
-  /** By package, the others that it may use. A line here only gets shorter. */
+  /** The packages that each package may use. Do not add entries to the lists, only remove them. */
   private static final Map<String, List<String>> ALLOWED =
       new TreeMap<>(
           Map.ofEntries(
@@ -227,7 +227,7 @@
               Map.entry("warmup", List.of("", "concurrent", "http", "settings", "wire")),
               Map.entry("wire", List.of())));
 
-  /** Packages that are functions of their arguments: no I/O, no threads, no clock. */
+  /** Packages whose results depend only on arguments: without I/O, threads or a clock. */
   private static final List<String> PURE = List.of("placement", "scaling", "fleet");
 
   private static JavaClasses project() {
@@ -260,7 +260,7 @@
     return name.equals(ROOT) ? "" : name.substring(ROOT.length() + 1);
   }
 
-  /** Each part of the leader can be read without those above it. */
+  /** Without cycles, each package of the leader can be read without the packages that use it. */
   @Test
   void thePartsOfTheLeaderFormNoCycle() {
     slices().matching(ROOT + ".leader.(*)..").should().beFreeOfCycles().check(project());
@@ -288,7 +288,7 @@
     PURE.forEach(name -> pure(name).check(project()));
   }
 
-  /** The check can fail: the leader does I/O. */
+  /** Shows that the purity check can fail: the leader package does I/O. */
   @Test
   void theCheckOfPurityFailsWhereItShould() {
     assertThrows(AssertionError.class, () -> pure("leader").check(project()));
--- a/src/test/java/plumlever/architecture/ProtocolWordsTest.java
+++ b/src/test/java/plumlever/architecture/ProtocolWordsTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The words of the protocol for which the field has terms stand in the codecs only, as names on the
- * wire or in the state service. Everywhere else identifiers, comments, log lines and tests use the
- * terms.
+ * Checks that protocol words for which the field has established terms occur only in codecs, as
+ * names on the wire or in the state service. All other identifiers, comments, log lines and tests
+ * must use the established terms.
  */
 final class ProtocolWordsTest {
   private static final Path SOURCES = Path.of("src");
@@ -30,7 +30,10 @@
           "baton", "bundle", "flavor", "foreman", "grant", "halt", "hello", "loaner", "permit",
           "piece", "reap", "site", "tenure", "touch", "urgency");
 
-  /** Files that map the words to terms, emulate what speaks them, or test what is sent. */
+  /**
+   * Files that may contain protocol words: codecs, emulators of other services and workers, and
+   * tests of encoded messages.
+   */
   private static final Set<String> CODECS =
       Set.of(
           "main/java/plumlever/cli/ArchiveTrainingRun.java",
@@ -59,12 +62,15 @@
           "test/java/plumlever/sim/UsersTest.java",
           "test/java/plumlever/wire/WireTest.java");
 
-  /** Files that are still to be renamed; an entry goes when its file is, and none is added. */
+  /**
+   * Files in which protocol words are not yet replaced. Remove the entry of a file once its words
+   * are replaced; do not add entries.
+   */
   private static final Set<String> TO_DO = Set.of();
 
   private static final Pattern PROTOCOL_WORD = pattern();
 
-  /** A word by itself, in a constant's name, or as a part of a camel-case name. */
+  /** Matches a word by itself, in a constant name, or as part of a camel-case name. */
   private static Pattern pattern() {
     String lower = String.join("|", WORDS);
     String capitalized =
@@ -78,7 +84,7 @@
             + "|(?<![A-Za-z])(?:%s)s?(?=[A-Z])".formatted(lower));
   }
 
-  /** The keyword of sealed types is no protocol word. */
+  /** Ignores the keyword {@code permits} of sealed types. */
   private static boolean holdsProtocolWord(String line) {
     return PROTOCOL_WORD.matcher(line.replaceAll("\\bpermits (?=[A-Z])", "")).find();
   }
--- a/src/test/java/plumlever/architecture/package-info.java
+++ b/src/test/java/plumlever/architecture/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of how the packages depend on each other. */
+/** Tests of package dependencies, of the words used in the code, and of names in the documents. */
 package plumlever.architecture;
--- a/src/test/java/plumlever/knownred/KnownRedEntry.java
+++ b/src/test/java/plumlever/knownred/KnownRedEntry.java
@@ -1,18 +1,18 @@
 package plumlever.knownred;
 
 /**
- * One line of the list.
+ * A line of the list of known failing tests.
  *
- * @param testClass full name of the class
- * @param method name of the test method, without parameters
- * @param command the command with the seed that shows the failure again
- * @param observation what was seen
- * @param issue where the repair is followed
+ * @param testClass the fully qualified name of the test class
+ * @param method the name of the test method, without parameters
+ * @param command the command and the seed that reproduce the failure
+ * @param observation the observed failure
+ * @param issue the issue that tracks the fix
  */
 record KnownRedEntry(
     String testClass, String method, String command, String observation, String issue) {
 
-  /** The line as it stands in the list. */
+  /** The entry in the form of a line of the list. */
   String line() {
     return String.join(" | ", testClass + "#" + method, command, observation, issue);
   }
--- a/src/test/java/plumlever/knownred/KnownRedExtension.java
+++ b/src/test/java/plumlever/knownred/KnownRedExtension.java
@@ -9,14 +9,15 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Passes over listed tests that are red, and prints at the end which listed ones were red and which
- * were green. A list that can't be used fails every test.
+ * JUnit extension that reports a failing test as aborted if the test is listed in {@code
+ * KNOWN-RED.txt}. At the end of the test run, prints which listed tests failed and which passed. If
+ * the list is malformed, every test fails.
  */
 public final class KnownRedExtension implements InvocationInterceptor {
   private static final ExtensionContext.Namespace NAMESPACE =
       ExtensionContext.Namespace.create(KnownRedExtension.class);
 
-  /** What became of the listed tests in this run. */
+  /** The results of the listed tests in this test run. */
   static final class Outcomes implements AutoCloseable {
     private final KnownRedList list = KnownRedList.read(KnownRedList.FILE);
     private final Map<KnownRedEntry, Boolean> redByEntry = new LinkedHashMap<>();
--- a/src/test/java/plumlever/knownred/KnownRedList.java
+++ b/src/test/java/plumlever/knownred/KnownRedList.java
@@ -14,14 +14,17 @@
 import org.junit.platform.commons.support.AnnotationSupport;
 
 /**
- * The list of known red tests, one a line: {@code CLASS#METHOD | COMMAND AND SEED | WHAT WAS SEEN |
- * ISSUE}. Blank lines and lines that begin with {@code #} are ignored.
+ * The list of known failing tests. Each line has the form {@code CLASS#METHOD | COMMAND AND SEED |
+ * WHAT WAS SEEN | ISSUE}. Blank lines and lines that begin with {@code #} are ignored.
  */
 final class KnownRedList {
-  /** Where it stands, relative to the repository's root, which is where tests run. */
+  /** The path of the list, relative to the repository root, in which tests run. */
   static final Path FILE = Path.of("KNOWN-RED.txt");
 
-  /** More known faults than these are mended before anything else lands. */
+  /**
+   * The maximum number of entries. If more tests are known to fail, faults must be fixed before
+   * other changes are merged.
+   */
   static final int MOST = 3;
 
   private static final String FORM = "CLASS#METHOD | COMMAND AND SEED | WHAT WAS SEEN | ISSUE";
@@ -33,7 +36,7 @@
     this.entries = entries;
   }
 
-  /** Reads the file; without one no test is known to be red. */
+  /** Reads the list from the file; the list is empty if the file does not exist. */
   static KnownRedList read(Path file) {
     if (!Files.exists(file)) {
       return new KnownRedList(List.of());
@@ -46,9 +49,10 @@
   }
 
   /**
-   * Reads these lines.
+   * Parses the lines of the list.
    *
-   * @throws MalformedKnownRedException if one is malformed, or there are too many
+   * @throws MalformedKnownRedException if a line is malformed, or there are more than {@link #MOST}
+   *     entries
    */
   static KnownRedList parse(List<String> lines) {
     List<KnownRedEntry> entries = new ArrayList<>();
@@ -59,7 +63,7 @@
     }
     if (entries.size() > MOST) {
       throw new MalformedKnownRedException(
-          FILE + ": " + entries.size() + " tests are listed, at most " + MOST + " may be");
+          FILE + ": " + entries.size() + " tests are listed, but at most " + MOST + " are allowed");
     }
     return new KnownRedList(List.copyOf(entries));
   }
@@ -83,7 +87,7 @@
     return entries;
   }
 
-  /** The entry of the test, if it is listed. */
+  /** The entry of the test; empty if the test is not listed. */
   Optional<KnownRedEntry> of(Class<?> testClass, Method method) {
     return entries.stream()
         .filter(entry -> entry.testClass().equals(testClass.getName()))
@@ -92,9 +96,9 @@
   }
 
   /**
-   * Checks that each entry names a test.
+   * Checks that each entry names an existing test.
    *
-   * @throws MalformedKnownRedException if one does not
+   * @throws MalformedKnownRedException if an entry names no existing test
    */
   void requireThatTestsExist() {
     for (KnownRedEntry entry : entries) {
--- a/src/test/java/plumlever/knownred/KnownRedListTest.java
+++ b/src/test/java/plumlever/knownred/KnownRedListTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The list of known red tests is short, well-formed, and names tests that exist. */
+/** Checks that the list of known failing tests is short, well-formed, and names existing tests. */
 final class KnownRedListTest {
   private static final String OWN = KnownRedListTest.class.getName() + "#theListAsItStands";
   private static final String LINE = OWN + " | mvn test, seed 7 | what was seen | issue 1";
--- a/src/test/java/plumlever/knownred/MalformedKnownRedException.java
+++ b/src/test/java/plumlever/knownred/MalformedKnownRedException.java
@@ -1,6 +1,6 @@
 package plumlever.knownred;
 
-/** The list of known red tests can't be used as it stands. */
+/** Thrown if the list of known failing tests is malformed or names a test that does not exist. */
 final class MalformedKnownRedException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
