--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -19,7 +19,7 @@
     return String.join(
         "\n",
         addresses(platform),
-        settings.sharing().map(Check::shards).orElse("one cell, all machines are its own"),
+        settings.sharing().map(Check::shards).orElse("one cell, which owns all machines"),
         connections(platform),
         limits(platform.stateLimits()),
         "teams: "
@@ -76,38 +76,38 @@
     int shared = Service.sharedConnections(platform);
     return "connections: "
         + shared
-        + " for users and workers; beyond "
+        + " for users and workers; above "
         + (int) (shared * Server.SCARCE_CONNECTIONS_SHARE)
-        + " each worker gets one for each report";
+        + ", a worker's connection is closed after each heartbeat";
   }
 
   private static String limits(PlatformConfiguration.StateLimits limits) {
-    return "writes to the state service, within the limits now and next: values of "
+    return "state service limits, the smaller of current and announced: values of "
         + limits.valueBytes()
-        + " bytes (now "
+        + " bytes (currently "
         + limits.formerValueBytes()
         + "), "
         + limits.transactionOps()
-        + " changes a transaction, "
+        + " operations per transaction, "
         + limits.writeRps()
-        + " changes and "
+        + " writes and "
         + limits.rps()
-        + " requests a second";
+        + " requests per second";
   }
 
   private static String money(PlatformConfiguration platform, SchedulerParameters parameters) {
     return platform.moneyMatters(parameters.rentalMicros())
-        ? "money is saved where the aims leave time: idle machines are returned after "
+        ? "cost is minimized within the objectives: idle machines are returned after "
             + seconds(parameters.idleMoneyMicros())
-        : "machines stand by, since an aim leaves no time to rent one: idle machines are returned"
-            + " after "
+        : "machines are kept ready, as an objective leaves no time to rent: idle machines are"
+            + " returned after "
             + seconds(parameters.idleSpeedMicros());
   }
 
   private static String placement(SchedulerParameters parameters) {
-    return "padding "
+    return "run-time padding "
         + parameters.paddingShare()
-        + ", tie band "
+        + ", tie tolerance "
         + parameters.tieShare()
         + ", start target "
         + seconds(parameters.startTargetMicros());
