--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -73,7 +73,7 @@
       "accelerators":0.0,"memory_gb":1.0,"bundle":"img","image_gb":1.0,"flavors":null,"site":null,"one_zone":false,
       "spread":false,"loaners":true,"expect_s":2.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":60.0}
       """;
-  private static final long TERM_MS = 7_000;
+  private static final long LEADER_RUN_MS = 7_000;
   private static final int CONNECT_TIMEOUT_MS = 3_000;
   private static final int READ_TIMEOUT_MS = 6_000;
   private static final String LOOPBACK = "127.0.0.1";
@@ -86,7 +86,7 @@
     try {
       PlatformConfiguration platform;
       try (Emulators emulators = new Emulators()) {
-        platform = lead(emulators);
+        platform = runLeader(emulators);
       }
       WarmUp.playAll(platform, SchedulerParameters.defaults());
       return ExitCode.OK;
@@ -99,13 +99,13 @@
     }
   }
 
-  private static PlatformConfiguration lead(Emulators emulators)
+  private static PlatformConfiguration runLeader(Emulators emulators)
       throws IOException, SettingsException, InterruptedException {
     Path file = Files.createTempFile("plumlever", ".toml");
     try {
       Files.writeString(file, String.format(SETTINGS, emulators.port()));
       Main.run(new String[] {"--config", file.toString(), "--check"});
-      loadOwnClasses();
+      loadControllerClasses();
       PlatformConfiguration platform = PlatformConfiguration.load(file);
       try (Service service = new Service(platform, OperatorSettings.defaults())) {
         service.start();
@@ -125,7 +125,7 @@
     post(base + ProtocolPath.SUBMISSIONS, "{\"uid\":\"job-1\"}");
     post(base + ProtocolPath.SUBMISSIONS, JOB);
     emulators.sendHeartbeatsTo(new Endpoint(LOOPBACK, port));
-    Thread.sleep(TERM_MS);
+    Thread.sleep(LEADER_RUN_MS);
     get(base + ProtocolPath.SUBMISSIONS + "/job-2");
     post(base + ProtocolPath.SUBMISSIONS + "/job-2" + ProtocolPath.CANCEL_SUFFIX, "");
   }
@@ -135,12 +135,12 @@
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final int MAX_BUFFERS = 8;
     private static final int MAX_CONNECTIONS = 64;
-    private static final long IDLE_MICROS = 60_000_000;
+    private static final long IDLE_TIMEOUT_MICROS = 60_000_000;
     private static final long MAX_BODY_BYTES = 1 << 20;
     private static final long HEARTBEAT_TIMEOUT_MICROS = 2_000_000;
-    private static final long HEARTBEAT_PAUSE_MICROS = 200_000;
+    private static final long HEARTBEAT_INTERVAL_MICROS = 200_000;
 
-    private final XnioWorker worker = Service.worker("emulators");
+    private final XnioWorker worker = Service.createWorker("emulators");
     private final XnioLoop loop = new XnioLoop(worker.getIoThread());
     private final UndertowCaller caller =
         new UndertowCaller(
@@ -157,7 +157,7 @@
               worker,
               new Endpoint(LOOPBACK, 0),
               MAX_CONNECTIONS,
-              IDLE_MICROS,
+              IDLE_TIMEOUT_MICROS,
               MAX_BODY_BYTES,
               this::handle);
       server.start();
@@ -195,7 +195,7 @@
             if (status == HttpStatus.OK) {
               services.command(machine, new String(answer, StandardCharsets.UTF_8));
             }
-            loop.after(HEARTBEAT_PAUSE_MICROS, () -> sendHeartbeatsTo(controller));
+            loop.after(HEARTBEAT_INTERVAL_MICROS, () -> sendHeartbeatsTo(controller));
           });
     }
 
@@ -210,7 +210,7 @@
    * Loads all classes of the controller. The archive then also holds the classes that only a leader
    * uses, so a newly elected leader does not have to load them.
    */
-  private static void loadOwnClasses() throws IOException {
+  private static void loadControllerClasses() throws IOException {
     Path jar =
         Path.of(
             ArchiveTrainingRun.class.getProtectionDomain().getCodeSource().getLocation().getPath());
@@ -219,14 +219,14 @@
     }
     try (JarFile jarFile = new JarFile(jar.toFile())) {
       for (JarEntry entry : Collections.list(jarFile.entries())) {
-        if (isOfController(entry.getName())) {
+        if (isControllerClass(entry.getName())) {
           load(entry.getName());
         }
       }
     }
   }
 
-  private static boolean isOfController(String entryName) {
+  private static boolean isControllerClass(String entryName) {
     return entryName.startsWith("plumlever/")
         && !entryName.startsWith("plumlever/drill/")
         && !entryName.startsWith("plumlever/sharing/")
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -21,13 +21,13 @@
         addresses(platform),
         settings.sharing().map(Check::shards).orElse("one cell, which owns all machines"),
         connections(platform),
-        limits(platform.stateLimits()),
+        stateLimits(platform.stateLimits()),
         "teams: "
             + platform.teams().stream()
                 .map(PlatformConfiguration.Team::name)
                 .collect(Collectors.joining(", ")),
-        money(platform, parameters),
-        placement(parameters));
+        idleMachinePolicy(platform, parameters),
+        placementParameters(parameters));
   }
 
   private static String addresses(PlatformConfiguration platform) {
@@ -81,7 +81,7 @@
         + ", a worker's connection is closed after each heartbeat";
   }
 
-  private static String limits(PlatformConfiguration.StateLimits limits) {
+  private static String stateLimits(PlatformConfiguration.StateLimits limits) {
     return "state service limits, the smaller of current and announced: values of "
         + limits.valueBytes()
         + " bytes (currently "
@@ -95,7 +95,8 @@
         + " requests per second";
   }
 
-  private static String money(PlatformConfiguration platform, SchedulerParameters parameters) {
+  private static String idleMachinePolicy(
+      PlatformConfiguration platform, SchedulerParameters parameters) {
     return platform.moneyMatters(parameters.rentalMicros())
         ? "cost is minimized within the objectives: idle machines are returned after "
             + seconds(parameters.idleMoneyMicros())
@@ -104,7 +105,7 @@
             + seconds(parameters.idleSpeedMicros());
   }
 
-  private static String placement(SchedulerParameters parameters) {
+  private static String placementParameters(SchedulerParameters parameters) {
     return "run-time padding "
         + parameters.paddingShare()
         + ", tie tolerance "
--- a/src/main/java/plumlever/cli/DrillCommand.java
+++ b/src/main/java/plumlever/cli/DrillCommand.java
@@ -37,7 +37,7 @@
     try {
       CommandLine line = new DefaultParser(false).parse(options(), arguments);
       if (!line.getArgList().equals(List.of(NAME, SHARING))) {
-        return wrongUsage("unknown drill or unexpected argument");
+        return usageError("unknown drill or unexpected argument");
       }
       int seconds = Integer.parseInt(line.getOptionValue(SECONDS, "" + DEFAULT_SECONDS));
       int machines = Integer.parseInt(line.getOptionValue(MACHINES, "" + DEFAULT_MACHINES));
@@ -46,18 +46,18 @@
               ? Long.parseLong(line.getOptionValue(SEED))
               : new SplittableRandom().nextInt(MAX_RANDOM_SEED);
       if (seconds < 1 || machines < 1) {
-        return wrongUsage("--seconds and --machines must be at least 1");
+        return usageError("--seconds and --machines must be at least 1");
       }
       List<SharingDrill.JobShapeFile> shapes =
           line.hasOption(JOBS)
               ? List.of(new SharingDrill.JobShapeFile(Path.of(line.getOptionValue(JOBS))))
               : List.of();
       int minTransfers = seconds >= DEFAULT_SECONDS ? MIN_TRANSFERS : 1;
-      return play(
+      return runPlan(
           new SharingDrill.Plan(
               seconds, machines, seed, shapes, !line.hasOption(CALM), minTransfers));
     } catch (ParseException | NumberFormatException e) {
-      return wrongUsage(e.getMessage());
+      return usageError(e.getMessage());
     }
   }
 
@@ -70,22 +70,22 @@
         .addOption(Option.builder().longOpt(CALM).build());
   }
 
-  private static int play(SharingDrill.Plan plan) {
+  private static int runPlan(SharingDrill.Plan plan) {
     try {
       SharingDrill.Outcome outcome = SharingDrill.run(plan);
       outcome.lines().forEach(System.out::println);
       System.out.println(outcome.passed() ? "PASS" : "FAIL");
       return outcome.passed() ? ExitCode.OK : ExitCode.FAILED;
     } catch (IOException | InvalidMessageException e) {
-      return wrongUsage(e.getMessage());
+      return usageError(e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return ExitCode.FAILED;
     }
   }
 
-  private static int wrongUsage(String reason) {
+  private static int usageError(String reason) {
     System.err.println("plumlever: " + reason + " (" + USAGE + ")");
-    return ExitCode.WRONG_USAGE;
+    return ExitCode.USAGE_ERROR;
   }
 }
--- a/src/main/java/plumlever/cli/ExitCode.java
+++ b/src/main/java/plumlever/cli/ExitCode.java
@@ -9,7 +9,7 @@
   static final int FAILED = 1;
 
   /** The arguments or the settings are invalid. */
-  static final int WRONG_USAGE = 2;
+  static final int USAGE_ERROR = 2;
 
   /** Returned instead of an exit code: the controller runs until the process is terminated. */
   static final int RUNNING = -1;
--- a/src/main/java/plumlever/cli/Main.java
+++ b/src/main/java/plumlever/cli/Main.java
@@ -55,7 +55,7 @@
     try {
       line = new DefaultParser(false).parse(options, args);
     } catch (ParseException e) {
-      return wrongUsage(e.getMessage());
+      return usageError(e.getMessage());
     }
     if (line.hasOption(HELP)) {
       printHelp(options);
@@ -66,10 +66,10 @@
       return ExitCode.OK;
     }
     if (!line.getArgList().isEmpty()) {
-      return wrongUsage("Unexpected argument: " + line.getArgList().get(0));
+      return usageError("Unexpected argument: " + line.getArgList().get(0));
     }
     if (!line.hasOption(CONFIG)) {
-      return wrongUsage("Missing required option: --config FILE");
+      return usageError("Missing required option: --config FILE");
     }
     return runWithSettings(line);
   }
@@ -85,7 +85,7 @@
               : OperatorSettings.defaults();
     } catch (SettingsException e) {
       System.err.println(NAME + ": " + e.getMessage());
-      return ExitCode.WRONG_USAGE;
+      return ExitCode.USAGE_ERROR;
     }
     if (line.hasOption(CHECK)) {
       System.out.println(Check.describe(platform, settings));
@@ -119,9 +119,9 @@
         .addOption(Option.builder("h").longOpt(HELP).desc("print this help and exit").build());
   }
 
-  private static int wrongUsage(String reason) {
+  private static int usageError(String reason) {
     System.err.println(NAME + ": " + reason + " (--help lists the options)");
-    return ExitCode.WRONG_USAGE;
+    return ExitCode.USAGE_ERROR;
   }
 
   private static void printVersion() {
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -37,9 +37,9 @@
   private static final long BYTES_PER_MB = 1024 * 1024;
 
   /** Time allowed on shutdown for sending the request that releases the leader's lease. */
-  private static final long LAST_REQUEST_MICROS = 100_000;
+  private static final long LEASE_RELEASE_MICROS = 100_000;
 
-  private static final int MAX_STOP_S = 3;
+  private static final int STOP_TIMEOUT_S = 3;
 
   /**
    * File descriptors that are not available for connections from users and workers: calls to
@@ -54,11 +54,11 @@
 
   /**
    * A connection is closed after it has been idle for this many heartbeat intervals, but not before
-   * it has been idle for {@link #MIN_IDLE_MICROS}.
+   * it has been idle for {@link #MIN_IDLE_TIMEOUT_MICROS}.
    */
-  private static final int IDLE_HEARTBEATS = 3;
+  private static final int IDLE_TIMEOUT_HEARTBEATS = 3;
 
-  private static final long MIN_IDLE_MICROS = 12_000_000;
+  private static final long MIN_IDLE_TIMEOUT_MICROS = 12_000_000;
 
   private final PlatformConfiguration platform;
   private final OperatorSettings settings;
@@ -117,13 +117,14 @@
   }
 
   private void createController() throws IOException {
-    worker = worker("plumlever");
-    electionWorker = worker("election");
+    worker = createWorker("plumlever");
+    electionWorker = createWorker("election");
     loop = new XnioLoop(worker.getIoThread());
-    UndertowCaller caller = caller(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
+    UndertowCaller caller = createCaller(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
     XnioLoop electionLoop = new XnioLoop(electionWorker.getIoThread());
     UndertowCaller electionCaller =
-        caller(electionWorker, electionLoop, MAX_ELECTION_BUFFERS, MAX_ELECTION_BUFFERS_PER_THREAD);
+        createCaller(
+            electionWorker, electionLoop, MAX_ELECTION_BUFFERS, MAX_ELECTION_BUFFERS_PER_THREAD);
     controller =
         new Controller(
             loop,
@@ -136,7 +137,7 @@
             Logs.SERVICE);
   }
 
-  private static UndertowCaller caller(
+  private static UndertowCaller createCaller(
       XnioWorker worker, XnioLoop loop, int maxBuffers, int maxBuffersPerThread) {
     return new UndertowCaller(
         loop,
@@ -146,7 +147,9 @@
 
   private void startServers() {
     long idleMicros =
-        Math.max(MIN_IDLE_MICROS, IDLE_HEARTBEATS * platform.workers().heartbeatMicros());
+        Math.max(
+            MIN_IDLE_TIMEOUT_MICROS,
+            IDLE_TIMEOUT_HEARTBEATS * platform.workers().heartbeatMicros());
     userServer =
         new Server(
             worker,
@@ -185,7 +188,7 @@
   }
 
   /** Creates an XNIO worker with one I/O thread. */
-  static XnioWorker worker(String name) throws IOException {
+  static XnioWorker createWorker(String name) throws IOException {
     return Xnio.getInstance()
         .createWorker(
             OptionMap.builder()
@@ -236,10 +239,10 @@
     loop.execute(
         () -> {
           controller.close();
-          loop.after(LAST_REQUEST_MICROS, stopped::countDown);
+          loop.after(LEASE_RELEASE_MICROS, stopped::countDown);
         });
     try {
-      if (!stopped.await(MAX_STOP_S, TimeUnit.SECONDS)) {
+      if (!stopped.await(STOP_TIMEOUT_S, TimeUnit.SECONDS)) {
         LOG.warn("the controller did not stop before the shutdown timeout; closing its sockets");
       }
     } catch (InterruptedException e) {
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -81,22 +81,22 @@
     SchedulerParameters defaults = SchedulerParameters.defaults();
     SchedulerParameters parameters =
         new SchedulerParameters(
-            number(OperatorKey.PADDING_SHARE, defaults.paddingShare()),
-            number(OperatorKey.TIE_SHARE, defaults.tieShare()),
-            micros(OperatorKey.START_TARGET_S, defaults.startTargetMicros()),
-            micros(OperatorKey.LEASE_TTL_S, defaults.leaseTtlMicros()),
-            micros(OperatorKey.LEASE_RENEWAL_S, defaults.leaseRenewalMicros()),
-            micros(OperatorKey.ACT_MARGIN_S, defaults.actMarginMicros()),
-            micros(OperatorKey.PROGRESS_PAUSE_S, defaults.progressPauseMicros()),
-            micros(OperatorKey.PASS_BUDGET_S, defaults.passBudgetMicros()),
-            micros(OperatorKey.SILENT_S, defaults.silentMicros()),
-            micros(OperatorKey.IDLE_MONEY_S, defaults.idleMoneyMicros()),
-            micros(OperatorKey.IDLE_SPEED_S, defaults.idleSpeedMicros()),
-            number(OperatorKey.BOOT_FACTOR, defaults.bootFactor()),
-            micros(OperatorKey.RENTAL_S, defaults.rentalMicros()),
-            micros(OperatorKey.MUST_START_S, defaults.mustStartMicros()),
+            number(OperatorKey.RUN_TIME_PADDING, defaults.paddingShare()),
+            number(OperatorKey.TIE_TOLERANCE, defaults.tieShare()),
+            durationMicros(OperatorKey.START_TARGET_S, defaults.startTargetMicros()),
+            durationMicros(OperatorKey.LEASE_TTL_S, defaults.leaseTtlMicros()),
+            durationMicros(OperatorKey.LEASE_RENEWAL_INTERVAL_S, defaults.leaseRenewalMicros()),
+            durationMicros(OperatorKey.LEASE_SAFETY_MARGIN_S, defaults.actMarginMicros()),
+            durationMicros(OperatorKey.PROGRESS_WRITE_INTERVAL_S, defaults.progressPauseMicros()),
+            durationMicros(OperatorKey.PASS_BUDGET_S, defaults.passBudgetMicros()),
+            durationMicros(OperatorKey.HEARTBEAT_TIMEOUT_S, defaults.silentMicros()),
+            durationMicros(OperatorKey.IDLE_TIMEOUT_FOR_COST_S, defaults.idleMoneyMicros()),
+            durationMicros(OperatorKey.IDLE_TIMEOUT_FOR_SPEED_S, defaults.idleSpeedMicros()),
+            number(OperatorKey.BOOT_TIMEOUT_FACTOR, defaults.bootFactor()),
+            durationMicros(OperatorKey.PROVISIONING_S, defaults.rentalMicros()),
+            durationMicros(OperatorKey.STARVATION_LIMIT_S, defaults.mustStartMicros()),
             number(OperatorKey.HEADROOM_DEVIATIONS, defaults.headroomDeviations()),
-            number(OperatorKey.SPOT_RISK, defaults.spotRisk()),
+            number(OperatorKey.SPOT_RISK_PREMIUM, defaults.spotRisk()),
             ownedHourly());
     if (!unreadKeys.isEmpty()) {
       throw error(unreadKeys.keySet().iterator().next() + " is unknown");
@@ -106,9 +106,9 @@
       throw error(
           OperatorKey.LEASE_TTL_S.text()
               + " must exceed twice "
-              + OperatorKey.LEASE_RENEWAL_S.text()
+              + OperatorKey.LEASE_RENEWAL_INTERVAL_S.text()
               + " and "
-              + OperatorKey.ACT_MARGIN_S.text());
+              + OperatorKey.LEASE_SAFETY_MARGIN_S.text());
     }
     return parameters;
   }
@@ -146,7 +146,7 @@
     return number.doubleValue();
   }
 
-  private long micros(OperatorKey key, long defaultMicros) throws SettingsException {
+  private long durationMicros(OperatorKey key, long defaultMicros) throws SettingsException {
     return Math.round(number(key, defaultMicros / MICROS_PER_SECOND) * MICROS_PER_SECOND);
   }
 
--- a/src/main/java/plumlever/settings/OperatorKey.java
+++ b/src/main/java/plumlever/settings/OperatorKey.java
@@ -2,22 +2,22 @@
 
 /** Numeric keys of the operators' settings file, each with its accepted range. */
 enum OperatorKey {
-  PADDING_SHARE("padding_share", 0, 1),
-  TIE_SHARE("tie_share", 0, 1),
+  RUN_TIME_PADDING("padding_share", 0, 1),
+  TIE_TOLERANCE("tie_share", 0, 1),
   START_TARGET_S("start_target_s", 0, 1e6),
   LEASE_TTL_S("grant_ttl_s", 1, 600),
-  LEASE_RENEWAL_S("touch_s", 0.1, 100),
-  ACT_MARGIN_S("act_margin_s", 0.05, 10),
-  PROGRESS_PAUSE_S("progress_s", 0.1, 60),
+  LEASE_RENEWAL_INTERVAL_S("touch_s", 0.1, 100),
+  LEASE_SAFETY_MARGIN_S("act_margin_s", 0.05, 10),
+  PROGRESS_WRITE_INTERVAL_S("progress_s", 0.1, 60),
   PASS_BUDGET_S("round_budget_s", 0.001, 1),
-  SILENT_S("silent_s", 1, 600),
-  IDLE_MONEY_S("idle_money_s", 0, 1e6),
-  IDLE_SPEED_S("idle_speed_s", 0, 1e6),
-  BOOT_FACTOR("boot_factor", 1, 100),
-  RENTAL_S("rent_s", 0, 3600),
-  MUST_START_S("begin_s", 1, 1e6),
+  HEARTBEAT_TIMEOUT_S("silent_s", 1, 600),
+  IDLE_TIMEOUT_FOR_COST_S("idle_money_s", 0, 1e6),
+  IDLE_TIMEOUT_FOR_SPEED_S("idle_speed_s", 0, 1e6),
+  BOOT_TIMEOUT_FACTOR("boot_factor", 1, 100),
+  PROVISIONING_S("rent_s", 0, 3600),
+  STARVATION_LIMIT_S("begin_s", 1, 1e6),
   HEADROOM_DEVIATIONS("standby_spreads", 0, 100),
-  SPOT_RISK("spot_risk", 0, 100);
+  SPOT_RISK_PREMIUM("spot_risk", 0, 100);
 
   private final String text;
   private final double min;
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -65,7 +65,7 @@
     private static final String USEFUL = "useful";
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private boolean namesMoney() {
+    private boolean isAboutCost() {
       return kind.equals(PRICE) || kind.equals(USEFUL);
     }
 
@@ -139,7 +139,7 @@
    * @param rentalMicros the time from a rental request until the machine is up
    */
   public boolean moneyMatters(long rentalMicros) {
-    return objectives.stream().anyMatch(Objective::namesMoney)
+    return objectives.stream().anyMatch(Objective::isAboutCost)
         || objectives.stream().allMatch(objective -> objective.leavesTimeFor(rentalMicros));
   }
 
--- a/src/main/java/plumlever/settings/PlatformFile.java
+++ b/src/main/java/plumlever/settings/PlatformFile.java
@@ -7,7 +7,7 @@
 
 /** Reads the tables of the platform's settings file; the first error aborts reading. */
 final class PlatformFile {
-  private static final double MAX_AMOUNT = 1e9;
+  private static final double MAX_NUMBER = 1e9;
   private static final double MAX_DEADLINE_FACTOR = 1e6;
   private static final double MIN_STATE_RPS = 1;
   private static final double MIN_CLOUD_RPS = 0.1;
@@ -18,7 +18,7 @@
   private static final double MIN_VALUE_KB = 1;
 
   private static final double MIN_TRANSACTION_OPS = 3;
-  private static final double MAX_STATE_SIZE = 1e6;
+  private static final double MAX_STATE_LIMIT = 1e6;
   private static final int BYTES_PER_KB = 1024;
 
   private static final String LABEL = "label";
@@ -58,7 +58,7 @@
         workers(workers),
         stateLimits(state),
         cloudLimits(cloud),
-        (int) quota.amount("fd_limit", MIN_FILE_DESCRIPTORS, MAX_FILE_DESCRIPTORS));
+        (int) quota.number("fd_limit", MIN_FILE_DESCRIPTORS, MAX_FILE_DESCRIPTORS));
   }
 
   private List<PlatformConfiguration.PeerController> peers(String ownLabel)
@@ -85,10 +85,10 @@
       teams.add(
           new PlatformConfiguration.Team(
               table.text("name"),
-              table.amount("cpus", 0, MAX_AMOUNT),
-              table.amount("cpus_max", 0, MAX_AMOUNT),
-              table.amount("gpus", 0, MAX_AMOUNT),
-              table.amount("gpus_max", 0, MAX_AMOUNT)));
+              table.number("cpus", 0, MAX_NUMBER),
+              table.number("cpus_max", 0, MAX_NUMBER),
+              table.number("gpus", 0, MAX_NUMBER),
+              table.number("gpus_max", 0, MAX_NUMBER)));
     }
     return List.copyOf(teams);
   }
@@ -101,22 +101,24 @@
           new PlatformConfiguration.Objective(
               table.text("kind"),
               table.optionalText("class").orElse(null),
-              table.amount("within_s", 0, MAX_AMOUNT, 0),
-              table.amount("times", 0, MAX_DEADLINE_FACTOR, 1),
-              table.amount("share", 0, 1, 1)));
+              table.number("within_s", 0, MAX_NUMBER, 0),
+              table.number("times", 0, MAX_DEADLINE_FACTOR, 1),
+              table.number("share", 0, 1, 1)));
     }
     return List.copyOf(objectives);
   }
 
   private static PlatformConfiguration.Workers workers(TomlTable workers) throws SettingsException {
     return new PlatformConfiguration.Workers(
-        workers.micros("report_s"), workers.micros("lease_s"), workers.micros("cancel_s"));
+        workers.durationMicros("report_s"),
+        workers.durationMicros("lease_s"),
+        workers.durationMicros("cancel_s"));
   }
 
   private static PlatformConfiguration.CloudLimits cloudLimits(TomlTable cloud)
       throws SettingsException {
     return new PlatformConfiguration.CloudLimits(
-        cloud.amount(RPS, MIN_CLOUD_RPS, MAX_AMOUNT), cloud.micros("list_lag_s"));
+        cloud.number(RPS, MIN_CLOUD_RPS, MAX_NUMBER), cloud.durationMicros("list_lag_s"));
   }
 
   /** Reads the limits. An announced limit that is missing stays at the current value. */
@@ -138,14 +140,14 @@
   }
 
   private static double rate(TomlTable limits, String key) throws SettingsException {
-    return limits.amount(key, MIN_STATE_RPS, MAX_AMOUNT);
+    return limits.number(key, MIN_STATE_RPS, MAX_NUMBER);
   }
 
   private static int valueBytes(TomlTable limits) throws SettingsException {
-    return (int) (limits.amount(VALUE_KB, MIN_VALUE_KB, MAX_STATE_SIZE) * BYTES_PER_KB);
+    return (int) (limits.number(VALUE_KB, MIN_VALUE_KB, MAX_STATE_LIMIT) * BYTES_PER_KB);
   }
 
   private static int transactionOps(TomlTable limits) throws SettingsException {
-    return (int) limits.amount(TRANSACTION_OPS, MIN_TRANSACTION_OPS, MAX_STATE_SIZE);
+    return (int) limits.number(TRANSACTION_OPS, MIN_TRANSACTION_OPS, MAX_STATE_LIMIT);
   }
 }
--- a/src/main/java/plumlever/settings/SchedulerParameters.java
+++ b/src/main/java/plumlever/settings/SchedulerParameters.java
@@ -54,42 +54,42 @@
     double spotRisk,
     Map<String, Double> ownedHourly) {
 
-  private static final double PADDING_SHARE = 0.05;
-  private static final double TIE_SHARE = 0.02;
+  private static final double RUN_TIME_PADDING = 0.05;
+  private static final double TIE_TOLERANCE = 0.02;
   private static final long START_TARGET_MICROS = 30_000_000;
   private static final long LEASE_TTL_MICROS = 3_500_000;
-  private static final long LEASE_RENEWAL_MICROS = 700_000;
-  private static final long ACT_MARGIN_MICROS = 300_000;
-  private static final long PROGRESS_PAUSE_MICROS = 5_000_000;
+  private static final long LEASE_RENEWAL_INTERVAL_MICROS = 700_000;
+  private static final long LEASE_SAFETY_MARGIN_MICROS = 300_000;
+  private static final long PROGRESS_WRITE_INTERVAL_MICROS = 5_000_000;
   private static final long PASS_BUDGET_MICROS = 20_000;
-  private static final long SILENT_MICROS = 9_000_000;
-  private static final long IDLE_MONEY_MICROS = 20_000_000;
-  private static final long IDLE_SPEED_MICROS = 300_000_000;
-  private static final double BOOT_FACTOR = 4.0;
-  private static final long RENTAL_MICROS = 35_000_000;
-  private static final long MUST_START_MICROS = 120_000_000;
+  private static final long HEARTBEAT_TIMEOUT_MICROS = 9_000_000;
+  private static final long IDLE_TIMEOUT_FOR_COST_MICROS = 20_000_000;
+  private static final long IDLE_TIMEOUT_FOR_SPEED_MICROS = 300_000_000;
+  private static final double BOOT_TIMEOUT_FACTOR = 4.0;
+  private static final long PROVISIONING_MICROS = 35_000_000;
+  private static final long STARVATION_LIMIT_MICROS = 120_000_000;
   private static final double HEADROOM_DEVIATIONS = 1.0;
-  private static final double SPOT_RISK = 0.3;
+  private static final double SPOT_RISK_PREMIUM = 0.3;
 
   /** The values of parameters that operators do not set. */
   public static SchedulerParameters defaults() {
     return new SchedulerParameters(
-        PADDING_SHARE,
-        TIE_SHARE,
+        RUN_TIME_PADDING,
+        TIE_TOLERANCE,
         START_TARGET_MICROS,
         LEASE_TTL_MICROS,
-        LEASE_RENEWAL_MICROS,
-        ACT_MARGIN_MICROS,
-        PROGRESS_PAUSE_MICROS,
+        LEASE_RENEWAL_INTERVAL_MICROS,
+        LEASE_SAFETY_MARGIN_MICROS,
+        PROGRESS_WRITE_INTERVAL_MICROS,
         PASS_BUDGET_MICROS,
-        SILENT_MICROS,
-        IDLE_MONEY_MICROS,
-        IDLE_SPEED_MICROS,
-        BOOT_FACTOR,
-        RENTAL_MICROS,
-        MUST_START_MICROS,
+        HEARTBEAT_TIMEOUT_MICROS,
+        IDLE_TIMEOUT_FOR_COST_MICROS,
+        IDLE_TIMEOUT_FOR_SPEED_MICROS,
+        BOOT_TIMEOUT_FACTOR,
+        PROVISIONING_MICROS,
+        STARVATION_LIMIT_MICROS,
         HEADROOM_DEVIATIONS,
-        SPOT_RISK,
+        SPOT_RISK_PREMIUM,
         Map.of());
   }
 }
--- a/src/main/java/plumlever/settings/SharingTable.java
+++ b/src/main/java/plumlever/settings/SharingTable.java
@@ -81,7 +81,7 @@
   }
 
   SharingSettings read(Map<?, ?> table) throws SettingsException {
-    refuseUnknown(table, "", KEYS);
+    rejectUnknownKeys(table, "", KEYS);
     int maxMachines = (int) number(table, "", MACHINES, 1, MACHINES_LIMIT, REQUIRED);
     List<SharingSettings.Shard> shards = shards(table);
     int minMachines = shards.stream().mapToInt(SharingSettings.Shard::minMachines).sum();
@@ -143,7 +143,7 @@
   }
 
   private SharingSettings.Shard shard(Map<?, ?> entry, String prefix) throws SettingsException {
-    refuseUnknown(entry, prefix, SHARD_KEYS);
+    rejectUnknownKeys(entry, prefix, SHARD_KEYS);
     if (!(entry.get(NAME_KEY) instanceof String name) || !NAME.matcher(name).matches()) {
       throw error(prefix + NAME_KEY, "must be a name of lower-case letters, digits and hyphens");
     }
@@ -204,7 +204,7 @@
     }
   }
 
-  private void refuseUnknown(Map<?, ?> table, String prefix, Set<String> known)
+  private void rejectUnknownKeys(Map<?, ?> table, String prefix, Set<String> known)
       throws SettingsException {
     for (Object key : table.keySet()) {
       if (!known.contains(String.valueOf(key))) {
--- a/src/main/java/plumlever/settings/TomlTable.java
+++ b/src/main/java/plumlever/settings/TomlTable.java
@@ -78,7 +78,7 @@
   }
 
   /** A required number within the range. */
-  double amount(String key, double min, double max) throws SettingsException {
+  double number(String key, double min, double max) throws SettingsException {
     JsonNode value = node.get(key);
     if (value == null || !value.isNumber()) {
       throw error(key, value == null ? "is missing" : "must be a number");
@@ -91,13 +91,13 @@
   }
 
   /** A number within the range; the default value if the key is missing. */
-  double amount(String key, double min, double max, double defaultValue) throws SettingsException {
-    return node.hasNonNull(key) ? amount(key, min, max) : defaultValue;
+  double number(String key, double min, double max, double defaultValue) throws SettingsException {
+    return node.hasNonNull(key) ? number(key, min, max) : defaultValue;
   }
 
   /** A required duration, given in seconds and returned in microseconds. */
-  long micros(String key) throws SettingsException {
-    return Math.round(amount(key, MIN_SECONDS, MAX_SECONDS) * MICROS_PER_SECOND);
+  long durationMicros(String key) throws SettingsException {
+    return Math.round(number(key, MIN_SECONDS, MAX_SECONDS) * MICROS_PER_SECOND);
   }
 
   /** A required address with a port. */
--- a/src/main/java/plumlever/wire/ForwardedRequest.java
+++ b/src/main/java/plumlever/wire/ForwardedRequest.java
@@ -14,13 +14,14 @@
   /** The path at which controllers accept forwarded requests. */
   public static final String PATH = "/forward";
 
-  private static final String METHOD = "method";
-  private static final String TARGET = "path";
-  private static final String BODY = "body";
+  private static final String METHOD_FIELD = "method";
+  private static final String PATH_FIELD = "path";
+  private static final String BODY_FIELD = "body";
 
   /** Encodes the forwarded request as JSON in UTF-8. */
   public byte[] write() {
-    ObjectNode object = Json.object().put(METHOD, method).put(TARGET, path).put(BODY, body);
+    ObjectNode object =
+        Json.object().put(METHOD_FIELD, method).put(PATH_FIELD, path).put(BODY_FIELD, body);
     return Json.write(object).getBytes(StandardCharsets.UTF_8);
   }
 
@@ -31,10 +32,12 @@
    */
   public static ForwardedRequest parse(byte[] sent) throws InvalidMessageException {
     ObjectNode object = Json.parseObject(sent);
-    if (!object.path(BODY).isTextual()) {
-      throw new InvalidMessageException(BODY + " is missing");
+    if (!object.path(BODY_FIELD).isTextual()) {
+      throw new InvalidMessageException(BODY_FIELD + " is missing");
     }
     return new ForwardedRequest(
-        Json.text(object, METHOD), Json.text(object, TARGET), object.get(BODY).textValue());
+        Json.text(object, METHOD_FIELD),
+        Json.text(object, PATH_FIELD),
+        object.get(BODY_FIELD).textValue());
   }
 }
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -70,9 +70,9 @@
    * True if this heartbeat is from a later incarnation than the given one, or from the same
    * incarnation with a larger sequence number.
    */
-  public boolean isNewerThan(long incarnationThere, long sequenceNumberThere) {
-    return incarnation > incarnationThere
-        || (incarnation == incarnationThere && sequenceNumber > sequenceNumberThere);
+  public boolean isNewerThan(long otherIncarnation, long otherSequenceNumber) {
+    return incarnation > otherIncarnation
+        || (incarnation == otherIncarnation && sequenceNumber > otherSequenceNumber);
   }
 
   /** The heartbeat in the form that workers send. */
--- a/src/main/java/plumlever/wire/HeartbeatReader.java
+++ b/src/main/java/plumlever/wire/HeartbeatReader.java
@@ -70,9 +70,9 @@
       case ProtocolField.MACHINE_TYPE -> machineType = text(name);
       case ProtocolField.ZONE -> zone = text(name);
       case ProtocolField.SPOT -> spot = flag(name);
-      case ProtocolField.INCARNATION -> incarnation = whole(name);
-      case ProtocolField.SEQUENCE_NUMBER -> sequenceNumber = whole(name);
-      case ProtocolField.FENCING_TOKEN -> fencingToken = whole(name);
+      case ProtocolField.INCARNATION -> incarnation = wholeNumber(name);
+      case ProtocolField.SEQUENCE_NUMBER -> sequenceNumber = wholeNumber(name);
+      case ProtocolField.FENCING_TOKEN -> fencingToken = wholeNumber(name);
       case ProtocolField.PREEMPTION_NOTICE_S ->
           preemptionNoticeS = token == JsonToken.VALUE_NULL ? Heartbeat.NO_NOTICE : amount(name);
       case ProtocolField.ATTEMPTS ->
@@ -124,7 +124,7 @@
       JsonToken token = parser.nextToken();
       switch (name) {
         case ProtocolField.TASK -> task = TaskName.of(text(name));
-        case ProtocolField.ATTEMPT -> attempt = whole(name);
+        case ProtocolField.ATTEMPT -> attempt = wholeNumber(name);
         case ProtocolField.STATUS -> state = AttemptState.of(text(name));
         case ProtocolField.EXIT_CAUSE -> {
           cause = ExitCause.of(token == JsonToken.VALUE_STRING ? parser.getText() : "");
@@ -158,7 +158,7 @@
     return parser.getBooleanValue();
   }
 
-  private long whole(String name) throws IOException, InvalidMessageException {
+  private long wholeNumber(String name) throws IOException, InvalidMessageException {
     if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT
         || parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
         || parser.getLongValue() < 0) {
@@ -170,7 +170,7 @@
 
   private double amount(String name) throws IOException, InvalidMessageException {
     double amount = parser.currentToken().isNumeric() ? parser.getDoubleValue() : -1;
-    if (!Json.inRange(amount, 0)) {
+    if (!Json.isInRange(amount, 0)) {
       throw new InvalidMessageException(name + " must be an amount from 0");
     }
     return amount;
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -155,14 +155,14 @@
     if (!list.isArray()) {
       throw new InvalidMessageException(ProtocolField.DEPENDENCIES + " must be a list of job ids");
     }
-    Set<String> names = new LinkedHashSet<>();
+    Set<String> uids = new LinkedHashSet<>();
     for (JsonNode element : list) {
       if (!element.isTextual() || !validUid(element.textValue())) {
         throw new InvalidMessageException(ProtocolField.DEPENDENCIES + " must hold job ids");
       }
-      names.add(element.textValue());
+      uids.add(element.textValue());
     }
-    return List.copyOf(names);
+    return List.copyOf(uids);
   }
 
   /** A copy of the job with these dependencies. */
--- a/src/main/java/plumlever/wire/Json.java
+++ b/src/main/java/plumlever/wire/Json.java
@@ -127,14 +127,14 @@
       throw new InvalidMessageException(field + " must be a number");
     }
     double value = node.doubleValue();
-    if (!inRange(value, min)) {
+    if (!isInRange(value, min)) {
       throw new InvalidMessageException(field + " is out of range");
     }
     return value;
   }
 
   /** True if the number is finite, at least {@code min} and at most 1e9. */
-  static boolean inRange(double value, double min) {
+  static boolean isInRange(double value, double min) {
     return Double.isFinite(value) && value >= min && value <= MAX_AMOUNT;
   }
 
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -16,7 +16,7 @@
  *     ends the attempt; used only by {@link CommandType#STOP}
  */
 public record WorkerCommand(CommandType type, TaskName task, long attempt, double gracePeriodS) {
-  private static final int USUAL_LENGTH = 64;
+  private static final int INITIAL_CAPACITY = 64;
 
   /** The action that the worker performs on an attempt. */
   public enum CommandType {
@@ -95,7 +95,7 @@
   }
 
   private static String body(long token, long incarnation, List<WorkerCommand> commands) {
-    StringWriter out = new StringWriter(USUAL_LENGTH);
+    StringWriter out = new StringWriter(INITIAL_CAPACITY);
     try (JsonGenerator generator = Json.generator(out)) {
       generator.writeStartObject();
       generator.writeNumberField(ProtocolField.FENCING_TOKEN, token);
--- a/src/test/java/plumlever/architecture/DocumentedNamesTest.java
+++ b/src/test/java/plumlever/architecture/DocumentedNamesTest.java
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void theCheckSeesANameThatDoesNotExist() {
+  void detectsNamesThatDoNotExist() {
     assertFalse(exists("NoSuchType"));
     assertFalse(exists("fleet.Machine.noSuchMember"));
     assertTrue(exists("fleet.Machine.tokens"));
--- a/src/test/java/plumlever/architecture/PackageDependenciesTest.java
+++ b/src/test/java/plumlever/architecture/PackageDependenciesTest.java
@@ -22,7 +22,7 @@
   private static final String ROOT = "plumlever";
 
   /** The packages that each package may use. Do not add entries to the lists, only remove them. */
-  private static final Map<String, List<String>> ALLOWED =
+  private static final Map<String, List<String>> ALLOWED_DEPENDENCIES =
       new TreeMap<>(
           Map.ofEntries(
               Map.entry(
@@ -228,7 +228,7 @@
               Map.entry("wire", List.of())));
 
   /** Packages whose results depend only on arguments: without I/O, threads or a clock. */
-  private static final List<String> PURE = List.of("placement", "scaling", "fleet");
+  private static final List<String> PURE_PACKAGES = List.of("placement", "scaling", "fleet");
 
   private static JavaClasses project() {
     return new ClassFileImporter()
@@ -237,36 +237,36 @@
   }
 
   @Test
-  void packagesUseOnlyWhatTheyMay() {
-    List<String> broken = new ArrayList<>();
+  void packagesUseOnlyAllowedPackages() {
+    List<String> violations = new ArrayList<>();
     for (JavaClass user : project()) {
-      String from = nameOf(user);
+      String from = packageNameOf(user);
       user.getDirectDependenciesFromSelf().stream()
           .map(dependency -> dependency.getTargetClass().getBaseComponentType())
-          .filter(PackageDependenciesTest::ofProject)
-          .map(PackageDependenciesTest::nameOf)
-          .filter(to -> !to.equals(from) && !ALLOWED.get(from).contains(to))
-          .forEach(to -> broken.add(user.getSimpleName() + " of " + from + " uses " + to));
+          .filter(PackageDependenciesTest::isInProject)
+          .map(PackageDependenciesTest::packageNameOf)
+          .filter(to -> !to.equals(from) && !ALLOWED_DEPENDENCIES.get(from).contains(to))
+          .forEach(to -> violations.add(user.getSimpleName() + " of " + from + " uses " + to));
     }
-    assertEquals(new TreeSet<>(), new TreeSet<>(broken));
+    assertEquals(new TreeSet<>(), new TreeSet<>(violations));
   }
 
-  private static boolean ofProject(JavaClass type) {
+  private static boolean isInProject(JavaClass type) {
     return type.getPackageName().equals(ROOT) || type.getPackageName().startsWith(ROOT + ".");
   }
 
-  private static String nameOf(JavaClass type) {
+  private static String packageNameOf(JavaClass type) {
     String name = type.getPackageName();
     return name.equals(ROOT) ? "" : name.substring(ROOT.length() + 1);
   }
 
   /** Without cycles, each package of the leader can be read without the packages that use it. */
   @Test
-  void thePartsOfTheLeaderFormNoCycle() {
+  void leaderPackagesAreFreeOfCycles() {
     slices().matching(ROOT + ".leader.(*)..").should().beFreeOfCycles().check(project());
   }
 
-  private static ArchRule pure(String name) {
+  private static ArchRule purityRule(String name) {
     return classes()
         .that()
         .resideInAPackage(ROOT + "." + name)
@@ -284,13 +284,13 @@
   }
 
   @Test
-  void decisionsArePure() {
-    PURE.forEach(name -> pure(name).check(project()));
+  void purePackagesUseOnlyPureCode() {
+    PURE_PACKAGES.forEach(name -> purityRule(name).check(project()));
   }
 
   /** Shows that the purity check can fail: the leader package does I/O. */
   @Test
-  void theCheckOfPurityFailsWhereItShould() {
-    assertThrows(AssertionError.class, () -> pure("leader").check(project()));
+  void purityCheckFailsForTheLeaderPackage() {
+    assertThrows(AssertionError.class, () -> purityRule("leader").check(project()));
   }
 }
--- a/src/test/java/plumlever/architecture/ProtocolWordsTest.java
+++ b/src/test/java/plumlever/architecture/ProtocolWordsTest.java
@@ -66,7 +66,7 @@
    * Files in which protocol words are not yet replaced. Remove the entry of a file once its words
    * are replaced; do not add entries.
    */
-  private static final Set<String> TO_DO = Set.of();
+  private static final Set<String> PENDING_FILES = Set.of();
 
   private static final Pattern PROTOCOL_WORD = pattern();
 
@@ -85,7 +85,7 @@
   }
 
   /** Ignores the keyword {@code permits} of sealed types. */
-  private static boolean holdsProtocolWord(String line) {
+  private static boolean containsProtocolWord(String line) {
     return PROTOCOL_WORD.matcher(line.replaceAll("\\bpermits (?=[A-Z])", "")).find();
   }
 
@@ -93,48 +93,48 @@
     try (Stream<Path> files = Files.walk(SOURCES)) {
       return files
           .filter(file -> file.toString().endsWith(".java"))
-          .filter(ProtocolWordsTest::fileHoldsProtocolWord)
+          .filter(ProtocolWordsTest::fileContainsProtocolWord)
           .map(file -> SOURCES.relativize(file).toString().replace('\\', '/'))
           .collect(Collectors.toCollection(TreeSet::new));
     }
   }
 
-  private static boolean fileHoldsProtocolWord(Path file) {
+  private static boolean fileContainsProtocolWord(Path file) {
     try (Stream<String> lines = Files.lines(file)) {
-      return lines.anyMatch(ProtocolWordsTest::holdsProtocolWord);
+      return lines.anyMatch(ProtocolWordsTest::containsProtocolWord);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
   @Test
-  void protocolWordsStandInCodecsOnly() throws IOException {
+  void protocolWordsOccurOnlyInCodecs() throws IOException {
     Set<String> found = filesWithProtocolWords();
     found.removeAll(CODECS);
-    assertEquals(new TreeSet<>(TO_DO), found);
+    assertEquals(new TreeSet<>(PENDING_FILES), found);
   }
 
   @Test
-  void everyCodecStillHoldsOne() throws IOException {
+  void everyListedCodecContainsAProtocolWord() throws IOException {
     Set<String> unneeded = new TreeSet<>(CODECS);
     unneeded.removeAll(filesWithProtocolWords());
     assertEquals(Set.of(), unneeded);
   }
 
   @Test
-  void theCheckSeesWordsInNamesAndText() {
+  void detectsProtocolWordsInNamesAndText() {
     for (String line :
         List.of(
             "long tenure;", "// a flavor", "lastPermit", "MAX_PIECES", "haltAll()", "\"site\"")) {
-      assertTrue(holdsProtocolWord(line), line);
+      assertTrue(containsProtocolWord(line), line);
     }
   }
 
   @Test
-  void theCheckLeavesOtherWordsAlone() {
+  void ignoresOtherWords() {
     for (String line :
         List.of("opposite", "sealed interface A permits B", "granted by nobody", "composite")) {
-      assertFalse(holdsProtocolWord(line), line);
+      assertFalse(containsProtocolWord(line), line);
     }
   }
 }
--- a/src/test/java/plumlever/cli/CheckTest.java
+++ b/src/test/java/plumlever/cli/CheckTest.java
@@ -11,7 +11,7 @@
 /** Tests the report that {@code --check} prints. */
 final class CheckTest {
   @Test
-  void describesWhatWouldRunAndWithinWhichLimits() {
+  void reportListsAddressesLimitsAndParameters() {
     PlatformConfiguration platform =
         new PlatformConfiguration(
             "lever-0",
--- a/src/test/java/plumlever/knownred/KnownRedExtension.java
+++ b/src/test/java/plumlever/knownred/KnownRedExtension.java
@@ -20,16 +20,16 @@
   /** The results of the listed tests in this test run. */
   static final class Outcomes implements AutoCloseable {
     private final KnownRedList list = KnownRedList.read(KnownRedList.FILE);
-    private final Map<KnownRedEntry, Boolean> redByEntry = new LinkedHashMap<>();
+    private final Map<KnownRedEntry, Boolean> failedByEntry = new LinkedHashMap<>();
 
-    private synchronized void note(KnownRedEntry entry, boolean red) {
-      redByEntry.merge(entry, red, Boolean::logicalOr);
+    private synchronized void record(KnownRedEntry entry, boolean failed) {
+      failedByEntry.merge(entry, failed, Boolean::logicalOr);
     }
 
     @Override
     public synchronized void close() {
-      redByEntry.forEach(
-          (entry, red) -> System.out.println((red ? RED : GREEN) + ": " + entry.line()));
+      failedByEntry.forEach(
+          (entry, failed) -> System.out.println((failed ? RED : GREEN) + ": " + entry.line()));
     }
   }
 
@@ -65,18 +65,18 @@
             .getStore(NAMESPACE)
             .getOrComputeIfAbsent(Outcomes.class, key -> new Outcomes(), Outcomes.class);
     KnownRedEntry entry =
-        outcomes.list.of(called.getTargetClass(), called.getExecutable()).orElse(null);
+        outcomes.list.entryOf(called.getTargetClass(), called.getExecutable()).orElse(null);
     if (entry == null) {
       invocation.proceed();
       return;
     }
     try {
       invocation.proceed();
-      outcomes.note(entry, false);
+      outcomes.record(entry, false);
     } catch (TestAbortedException e) {
       throw e;
     } catch (Throwable e) {
-      outcomes.note(entry, true);
+      outcomes.record(entry, true);
       throw new TestAbortedException(RED + ": " + entry.line() + ": " + e.getMessage(), e);
     }
   }
--- a/src/test/java/plumlever/knownred/KnownRedList.java
+++ b/src/test/java/plumlever/knownred/KnownRedList.java
@@ -25,10 +25,11 @@
    * The maximum number of entries. If more tests are known to fail, faults must be fixed before
    * other changes are merged.
    */
-  static final int MOST = 3;
+  static final int MAX_ENTRIES = 3;
 
-  private static final String FORM = "CLASS#METHOD | COMMAND AND SEED | WHAT WAS SEEN | ISSUE";
-  private static final int PARTS = 4;
+  private static final String LINE_FORMAT =
+      "CLASS#METHOD | COMMAND AND SEED | WHAT WAS SEEN | ISSUE";
+  private static final int FIELD_COUNT = 4;
 
   private final List<KnownRedEntry> entries;
 
@@ -51,8 +52,8 @@
   /**
    * Parses the lines of the list.
    *
-   * @throws MalformedKnownRedException if a line is malformed, or there are more than {@link #MOST}
-   *     entries
+   * @throws MalformedKnownRedException if a line is malformed, or there are more than {@link
+   *     #MAX_ENTRIES} entries
    */
   static KnownRedList parse(List<String> lines) {
     List<KnownRedEntry> entries = new ArrayList<>();
@@ -61,9 +62,14 @@
         entries.add(entry(line));
       }
     }
-    if (entries.size() > MOST) {
+    if (entries.size() > MAX_ENTRIES) {
       throw new MalformedKnownRedException(
-          FILE + ": " + entries.size() + " tests are listed, but at most " + MOST + " are allowed");
+          FILE
+              + ": "
+              + entries.size()
+              + " tests are listed, but at most "
+              + MAX_ENTRIES
+              + " are allowed");
     }
     return new KnownRedList(List.copyOf(entries));
   }
@@ -72,12 +78,12 @@
     String[] parts = line.split("\\|", -1);
     String[] test = parts[0].strip().split("#", -1);
     boolean complete =
-        parts.length == PARTS
+        parts.length == FIELD_COUNT
             && test.length == 2
             && Arrays.stream(parts).noneMatch(String::isBlank)
             && Arrays.stream(test).noneMatch(String::isBlank);
     if (!complete) {
-      throw new MalformedKnownRedException(FILE + ": expected " + FORM + ": " + line);
+      throw new MalformedKnownRedException(FILE + ": expected " + LINE_FORMAT + ": " + line);
     }
     return new KnownRedEntry(
         test[0], test[1], parts[1].strip(), parts[2].strip(), parts[3].strip());
@@ -88,7 +94,7 @@
   }
 
   /** The entry of the test; empty if the test is not listed. */
-  Optional<KnownRedEntry> of(Class<?> testClass, Method method) {
+  Optional<KnownRedEntry> entryOf(Class<?> testClass, Method method) {
     return entries.stream()
         .filter(entry -> entry.testClass().equals(testClass.getName()))
         .filter(entry -> entry.method().equals(method.getName()))
@@ -102,13 +108,13 @@
    */
   void requireThatTestsExist() {
     for (KnownRedEntry entry : entries) {
-      if (!names(entry)) {
+      if (!namesExistingTest(entry)) {
         throw new MalformedKnownRedException(FILE + ": no such test: " + entry.line());
       }
     }
   }
 
-  private static boolean names(KnownRedEntry entry) {
+  private static boolean namesExistingTest(KnownRedEntry entry) {
     try {
       Class<?> type = Class.forName(entry.testClass(), false, KnownRedList.class.getClassLoader());
       return Arrays.stream(type.getDeclaredMethods())
--- a/src/test/java/plumlever/knownred/KnownRedListTest.java
+++ b/src/test/java/plumlever/knownred/KnownRedListTest.java
@@ -9,22 +9,22 @@
 
 /** Checks that the list of known failing tests is short, well-formed, and names existing tests. */
 final class KnownRedListTest {
-  private static final String OWN = KnownRedListTest.class.getName() + "#theListAsItStands";
+  private static final String OWN = KnownRedListTest.class.getName() + "#listedTestsExist";
   private static final String LINE = OWN + " | mvn test, seed 7 | what was seen | issue 1";
 
   @Test
-  void theListAsItStands() {
+  void listedTestsExist() {
     KnownRedList.read(KnownRedList.FILE).requireThatTestsExist();
   }
 
   @Test
-  void aLineNamesTestCommandObservationAndIssue() {
+  void parsesTestCommandObservationAndIssue() {
     KnownRedList list = KnownRedList.parse(List.of("# why", "", LINE));
     list.requireThatTestsExist();
     assertEquals(
         new KnownRedEntry(
             KnownRedListTest.class.getName(),
-            "theListAsItStands",
+            "listedTestsExist",
             "mvn test, seed 7",
             "what was seen",
             "issue 1"),
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void aMalformedLineIsRefused() {
+  void rejectsMalformedLine() {
     for (String line :
         List.of(
             OWN,
@@ -48,14 +48,14 @@
   }
 
   @Test
-  void aFourthLineIsRefused() {
-    KnownRedList.parse(Collections.nCopies(KnownRedList.MOST, LINE));
-    List<String> tooMany = Collections.nCopies(KnownRedList.MOST + 1, LINE);
+  void rejectsMoreThanTheMaximumOfEntries() {
+    KnownRedList.parse(Collections.nCopies(KnownRedList.MAX_ENTRIES, LINE));
+    List<String> tooMany = Collections.nCopies(KnownRedList.MAX_ENTRIES + 1, LINE);
     assertThrows(MalformedKnownRedException.class, () -> KnownRedList.parse(tooMany));
   }
 
   @Test
-  void aNameWithoutTestIsRefused() {
+  void rejectsNameOfMissingTest() {
     for (String name : List.of(OWN + "s", "plumlever.NoSuchTest#method")) {
       KnownRedList list = KnownRedList.parse(List.of(name + " | command | seen | issue"));
       assertThrows(MalformedKnownRedException.class, list::requireThatTestsExist, name);
--- a/src/test/java/plumlever/settings/DeployFilesTest.java
+++ b/src/test/java/plumlever/settings/DeployFilesTest.java
@@ -9,7 +9,7 @@
 /** Checks that the example files under {@code deploy/} are valid. */
 final class DeployFilesTest {
   @Test
-  void theSharingFileFitsADeploymentOfThree() throws Exception {
+  void sharingFileIsValidForThreeControllers() throws Exception {
     PlatformConfiguration platform =
         new PlatformConfiguration(
             "lever-1",
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -119,7 +119,7 @@
             .contains("cannot be read"));
   }
 
-  private static String withNext(String next) {
+  private static String withAnnouncedLimits(String next) {
     return PLATFORM.replace(
         "txn_ops = 8\n", "txn_ops = 8\n[deployment.state.next]\n" + next + "\n");
   }
@@ -139,11 +139,11 @@
         "txn_ops = 3; sparkle = true | 100 | 20 | 4096 | 3",
         "'' | 100 | 20 | 4096 | 8"
       })
-  void writesWithinTheSmallerOfNowAndNext(
+  void stateLimitsAreTheSmallerOfCurrentAndAnnounced(
       String next, double rps, double writeRps, int valueBytes, int transactionOps)
       throws Exception {
     PlatformConfiguration.StateLimits limits =
-        platform(withNext(next.replace("; ", "\n"))).stateLimits();
+        platform(withAnnouncedLimits(next.replace("; ", "\n"))).stateLimits();
 
     assertEquals(
         new PlatformConfiguration.StateLimits(rps, writeRps, valueBytes, transactionOps, 4096),
@@ -159,12 +159,12 @@
         "write_rps = 0 | deployment.state.next.write_rps must be from 1.0 to 1.0E9",
         "rps = \"many\" | deployment.state.next.rps must be a number"
       })
-  void limitsThatCannotWorkEndTheStart(String next, String reason) {
-    assertEquals(dir.resolve("s") + ": " + reason, platformError(withNext(next)));
+  void limitsBelowTheMinimumAreErrors(String next, String reason) {
+    assertEquals(dir.resolve("s") + ": " + reason, platformError(withAnnouncedLimits(next)));
   }
 
   @Test
-  void nextMustBeATable() {
+  void announcedLimitsMustBeATable() {
     assertEquals(
         dir.resolve("s") + ": deployment.state.next must be a table",
         platformError(PLATFORM.replace("txn_ops = 8", "txn_ops = 8\nnext = 7")));
@@ -185,7 +185,7 @@
       """;
 
   @Test
-  void sharingNamesTheShardOfThisController() throws Exception {
+  void sharingTableGivesTheShardOfThisController() throws Exception {
     SharingSettings sharing = operators(SHARDS).sharing().orElseThrow();
 
     assertEquals("one", sharing.ownShard().name());
@@ -209,7 +209,7 @@
   }
 
   @Test
-  void withoutASharingTableNothingIsShared() throws Exception {
+  void sharingIsEmptyWithoutASharingTable() throws Exception {
     assertTrue(operators("tie_share: 0.1").sharing().isEmpty());
   }
 
@@ -249,7 +249,7 @@
   }
 
   @Test
-  void theOperatorsFileChangesParametersAndLeavesTheOthers() throws Exception {
+  void operatorsFileOverridesOnlyTheParametersItSets() throws Exception {
     SchedulerParameters parameters =
         operators("padding_share: 0.1\nowned_hourly:\n  rack: 0.02\n").parameters();
 
@@ -259,7 +259,7 @@
   }
 
   @Test
-  void anEmptyOperatorsFileGivesTheDefaults() throws Exception {
+  void emptyOperatorsFileGivesTheDefaults() throws Exception {
     assertEquals(SchedulerParameters.defaults(), operators("").parameters());
   }
 
@@ -285,17 +285,17 @@
       PLATFORM.replace("within_s = 250.0", "within_s = 8.0");
 
   @Test
-  void moneyMattersWhereObjectivesLeaveTimeToRent() throws Exception {
+  void costMattersIfObjectivesLeaveTimeToRent() throws Exception {
     assertTrue(platform(PLATFORM).moneyMatters(RENTAL_MICROS));
   }
 
   @Test
-  void moneyDoesNotMatterWhereAnObjectiveLeavesNoTimeToRent() throws Exception {
+  void costDoesNotMatterIfAnObjectiveLeavesNoTimeToRent() throws Exception {
     assertFalse(platform(NO_TIME_TO_RENT).moneyMatters(RENTAL_MICROS));
   }
 
   @Test
-  void moneyMattersWhereAnObjectiveNamesIt() throws Exception {
+  void costMattersIfAnObjectiveIsAboutCost() throws Exception {
     String text =
         NO_TIME_TO_RENT.replace(
             "[deployment.workers]",
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -44,14 +44,14 @@
   }
 
   @Test
-  void aSubmissionThatIsWrittenAndReadIsTheSame() throws InvalidMessageException {
+  void submissionRoundTrip() throws InvalidMessageException {
     JobSpec job = job(SUBMISSION);
 
     assertEquals(job, JobSpec.parse(job.toJson()));
   }
 
   @Test
-  void halfOfTheTasksOfASpreadJobRoundedUpMayBeInAZone() throws InvalidMessageException {
+  void atMostHalfOfTheTasksOfASpreadJobRoundedUpRunInOneZone() throws InvalidMessageException {
     JobSpec job =
         job(
             SUBMISSION
@@ -84,14 +84,14 @@
         "\"expect_s\":240.0|\"expect_s\":1e400",
         "\"site\":null|\"site\":7"
       })
-  void refusesASubmissionWithABadField(String good, String bad) {
+  void rejectsASubmissionWithAnInvalidField(String good, String bad) {
     String text = SUBMISSION.replace(good, bad == null ? "" : bad);
     assertNotEquals(SUBMISSION, text);
     assertThrows(InvalidMessageException.class, () -> job(text));
   }
 
   @Test
-  void refusesWhatIsNoObject() {
+  void rejectsTextThatIsNotAJsonObject() {
     for (String text : List.of("", "[]", "7", "{", "{}{}", "null")) {
       assertThrows(InvalidMessageException.class, () -> Json.parseObject(text));
     }
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void commandsThatAreWrittenAndReadAreTheSame() throws InvalidMessageException {
+  void commandsRoundTrip() throws InvalidMessageException {
     TaskName task = new TaskName("job-1", 3);
     List<WorkerCommand> commands =
         List.of(
@@ -143,7 +143,7 @@
   }
 
   @Test
-  void refusesAnUnknownCommand() {
+  void rejectsAnUnknownCommand() {
     String body = "{\"baton\":41,\"orders\":[{\"verb\":\"jump\",\"piece\":\"job-1/3\",\"try\":2}]}";
 
     assertThrows(
@@ -152,12 +152,12 @@
   }
 
   @Test
-  void refusesANegativeTaskNumber() {
+  void rejectsANegativeTaskNumber() {
     assertThrows(InvalidMessageException.class, () -> TaskName.of("job-1/-3"));
   }
 
   @Test
-  void machineTypesThatAreWrittenAndReadAreTheSame() throws InvalidMessageException {
+  void machineTypesRoundTrip() throws InvalidMessageException {
     List<MachineType> machineTypes =
         List.of(
             new MachineType("g8", 8, 1, 64, 50, 0.5, 2, 0.7, 30, List.of("a", "b")),
@@ -228,14 +228,14 @@
         "\"pieces\":[|\"pieces\":[7,",
         "\"piece\":\"job-1/3\"|\"piece\":\"job-1\""
       })
-  void refusesAHeartbeatWithABadField(String good, String bad) {
+  void rejectsAHeartbeatWithAnInvalidField(String good, String bad) {
     String text = HEARTBEAT.replace(good, bad == null ? "" : bad);
     assertNotEquals(HEARTBEAT, text);
     assertThrows(InvalidMessageException.class, () -> heartbeat(text));
   }
 
   @Test
-  void refusesWhatIsNoHeartbeat() {
+  void rejectsTextThatIsNotAHeartbeat() {
     for (String text :
         List.of(
             "",
