--- a/src/main/java/plumlever/concurrent/Loop.java
+++ b/src/main/java/plumlever/concurrent/Loop.java
@@ -1,17 +1,18 @@
 package plumlever.concurrent;
 
 /**
- * An event loop with its clock. A single thread runs the loop and owns all scheduling state, so
- * this state needs no locks. The service runs the loop on an XNIO I/O thread; tests use a simulated
- * loop. All methods except {@link #execute} must be called on the loop's thread.
+ * An event loop with its clock: a single thread runs all actions of the loop. The thread of the
+ * main loop owns all scheduling state, so scheduling state needs no locks. The service runs each
+ * loop on an XNIO I/O thread; tests use a simulated loop. All methods except {@link #execute} must
+ * be called on the loop's thread.
  */
 public interface Loop {
   /** The monotonic clock, in microseconds since an arbitrary origin. */
   long nowMicros();
 
   /**
-   * The wall clock, in microseconds since the Unix epoch. The error of the wall clock is limited
-   * only by the deployment's bound.
+   * The wall clock, in microseconds since the Unix epoch. The wall clock may deviate from the true
+   * time by up to the deployment's bound.
    */
   long wallMicros();
 
