--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -238,7 +238,7 @@
     try {
       Class.forName(path.replace('/', '.'));
     } catch (ClassNotFoundException e) {
-      throw new IOException(entryName, e);
+      throw new IOException("cannot load class " + entryName, e);
     }
   }
 
