--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -27,10 +27,11 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * Starts a controller on loopback among emulators and lets it lead for a few seconds, so that the
- * build can archive the classes that a start and a term need. Other classes are loaded, linked and
- * verified when they are needed, which takes seconds with a small share of a processor. Nothing of
- * it reaches beyond this process.
+ * Training run for the class-data archive. Starts a controller on loopback with emulated external
+ * services and lets the controller lead for a few seconds, so that the build can archive the
+ * classes that startup and leadership use. A class that is not in the archive is loaded, linked and
+ * verified at its first use, which takes seconds in total on a small share of a processor. The run
+ * sends no traffic outside this process.
  */
 final class ArchiveTrainingRun {
   private static final String SETTINGS =
@@ -72,7 +73,7 @@
       "accelerators":0.0,"memory_gb":1.0,"bundle":"img","image_gb":1.0,"flavors":null,"site":null,"one_zone":false,
       "spread":false,"loaners":true,"expect_s":2.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":60.0}
       """;
-  private static final long TERM_MS = 7_000;
+  private static final long LEADER_RUN_MS = 7_000;
   private static final int CONNECT_TIMEOUT_MS = 3_000;
   private static final int READ_TIMEOUT_MS = 6_000;
   private static final String LOOPBACK = "127.0.0.1";
@@ -80,17 +81,17 @@
 
   private ArchiveTrainingRun() {}
 
-  /** The exit code. */
+  /** Runs the controller and returns the exit code. */
   static int run() {
     try {
       PlatformConfiguration platform;
       try (Emulators emulators = new Emulators()) {
-        platform = lead(emulators);
+        platform = runLeader(emulators);
       }
       WarmUp.playAll(platform, SchedulerParameters.defaults());
       return ExitCode.OK;
     } catch (IOException | SettingsException e) {
-      System.err.println("plumlever: the start could not be rehearsed: " + e);
+      System.err.println("plumlever: the training run for the class-data archive failed: " + e);
       return ExitCode.FAILED;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -98,13 +99,13 @@
     }
   }
 
-  private static PlatformConfiguration lead(Emulators emulators)
+  private static PlatformConfiguration runLeader(Emulators emulators)
       throws IOException, SettingsException, InterruptedException {
     Path file = Files.createTempFile("plumlever", ".toml");
     try {
       Files.writeString(file, String.format(SETTINGS, emulators.port()));
       Main.run(new String[] {"--config", file.toString(), "--check"});
-      loadOwnClasses();
+      loadControllerClasses();
       PlatformConfiguration platform = PlatformConfiguration.load(file);
       try (Service service = new Service(platform, OperatorSettings.defaults())) {
         service.start();
@@ -124,22 +125,22 @@
     post(base + ProtocolPath.SUBMISSIONS, "{\"uid\":\"job-1\"}");
     post(base + ProtocolPath.SUBMISSIONS, JOB);
     emulators.sendHeartbeatsTo(new Endpoint(LOOPBACK, port));
-    Thread.sleep(TERM_MS);
+    Thread.sleep(LEADER_RUN_MS);
     get(base + ProtocolPath.SUBMISSIONS + "/job-2");
     post(base + ProtocolPath.SUBMISSIONS + "/job-2" + ProtocolPath.CANCEL_SUFFIX, "");
   }
 
-  /** The state service, the cloud and one machine, served on loopback. */
+  /** Emulates the state service, the cloud and one machine on loopback. */
   private static final class Emulators implements AutoCloseable {
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final int MAX_BUFFERS = 8;
     private static final int MAX_CONNECTIONS = 64;
-    private static final long IDLE_MICROS = 60_000_000;
+    private static final long IDLE_TIMEOUT_MICROS = 60_000_000;
     private static final long MAX_BODY_BYTES = 1 << 20;
     private static final long HEARTBEAT_TIMEOUT_MICROS = 2_000_000;
-    private static final long HEARTBEAT_PAUSE_MICROS = 200_000;
+    private static final long HEARTBEAT_INTERVAL_MICROS = 200_000;
 
-    private final XnioWorker worker = Service.worker("emulators");
+    private final XnioWorker worker = Service.createWorker("emulators");
     private final XnioLoop loop = new XnioLoop(worker.getIoThread());
     private final UndertowCaller caller =
         new UndertowCaller(
@@ -156,7 +157,7 @@
               worker,
               new Endpoint(LOOPBACK, 0),
               MAX_CONNECTIONS,
-              IDLE_MICROS,
+              IDLE_TIMEOUT_MICROS,
               MAX_BODY_BYTES,
               this::handle);
       server.start();
@@ -178,7 +179,7 @@
       }
     }
 
-    /** From now on the machine sends its heartbeats there. */
+    /** Starts the machine's heartbeats to this controller. */
     void sendHeartbeatsTo(Endpoint controller) {
       loop.execute(() -> sendHeartbeat(controller));
     }
@@ -194,7 +195,7 @@
             if (status == HttpStatus.OK) {
               services.command(machine, new String(answer, StandardCharsets.UTF_8));
             }
-            loop.after(HEARTBEAT_PAUSE_MICROS, () -> sendHeartbeatsTo(controller));
+            loop.after(HEARTBEAT_INTERVAL_MICROS, () -> sendHeartbeatsTo(controller));
           });
     }
 
@@ -205,8 +206,11 @@
     }
   }
 
-  /** Loads also the classes that only a leader needs, so that an election need not load them. */
-  private static void loadOwnClasses() throws IOException {
+  /**
+   * Loads all classes of the controller. The archive then also holds the classes that only a leader
+   * uses, so a newly elected leader does not have to load them.
+   */
+  private static void loadControllerClasses() throws IOException {
     Path jar =
         Path.of(
             ArchiveTrainingRun.class.getProtectionDomain().getCodeSource().getLocation().getPath());
@@ -215,14 +219,14 @@
     }
     try (JarFile jarFile = new JarFile(jar.toFile())) {
       for (JarEntry entry : Collections.list(jarFile.entries())) {
-        if (isOfController(entry.getName())) {
+        if (isControllerClass(entry.getName())) {
           load(entry.getName());
         }
       }
     }
   }
 
-  private static boolean isOfController(String entryName) {
+  private static boolean isControllerClass(String entryName) {
     return entryName.startsWith("plumlever/")
         && !entryName.startsWith("plumlever/drill/")
         && !entryName.startsWith("plumlever/sharing/")
@@ -234,7 +238,7 @@
     try {
       Class.forName(path.replace('/', '.'));
     } catch (ClassNotFoundException e) {
-      throw new IOException(entryName, e);
+      throw new IOException("cannot load class " + entryName, e);
     }
   }
 
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -7,27 +7,27 @@
 import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
 
-/** Describes what would run with the settings given, for {@code --check}. */
+/** Builds the report of {@code --check}: what would run with the given settings. */
 final class Check {
   private static final double MICROS_PER_SECOND = 1e6;
 
   private Check() {}
 
-  /** Several lines, without an end of line after the last. */
+  /** The report as several lines, without a line break after the last line. */
   static String describe(PlatformConfiguration platform, OperatorSettings settings) {
     SchedulerParameters parameters = settings.parameters();
     return String.join(
         "\n",
         addresses(platform),
-        settings.sharing().map(Check::shards).orElse("one cell, all machines are its own"),
+        settings.sharing().map(Check::shards).orElse("one cell, which owns all machines"),
         connections(platform),
-        limits(platform.stateLimits()),
+        stateLimits(platform.stateLimits()),
         "teams: "
             + platform.teams().stream()
                 .map(PlatformConfiguration.Team::name)
                 .collect(Collectors.joining(", ")),
-        money(platform, parameters),
-        placement(parameters));
+        idleMachinePolicy(platform, parameters),
+        placementParameters(parameters));
   }
 
   private static String addresses(PlatformConfiguration platform) {
@@ -76,38 +76,39 @@
     int shared = Service.sharedConnections(platform);
     return "connections: "
         + shared
-        + " for users and workers; beyond "
+        + " for users and workers; above "
         + (int) (shared * Server.SCARCE_CONNECTIONS_SHARE)
-        + " each worker gets one for each report";
+        + ", a worker's connection is closed after each heartbeat";
   }
 
-  private static String limits(PlatformConfiguration.StateLimits limits) {
-    return "writes to the state service, within the limits now and next: values of "
+  private static String stateLimits(PlatformConfiguration.StateLimits limits) {
+    return "state service limits, the smaller of current and announced: values of "
         + limits.valueBytes()
-        + " bytes (now "
+        + " bytes (currently "
         + limits.formerValueBytes()
         + "), "
         + limits.transactionOps()
-        + " changes a transaction, "
+        + " operations per transaction, "
         + limits.writeRps()
-        + " changes and "
+        + " writes and "
         + limits.rps()
-        + " requests a second";
+        + " requests per second";
   }
 
-  private static String money(PlatformConfiguration platform, SchedulerParameters parameters) {
+  private static String idleMachinePolicy(
+      PlatformConfiguration platform, SchedulerParameters parameters) {
     return platform.moneyMatters(parameters.rentalMicros())
-        ? "money is saved where the aims leave time: idle machines are returned after "
+        ? "cost is minimized within the objectives: idle machines are returned after "
             + seconds(parameters.idleMoneyMicros())
-        : "machines stand by, since an aim leaves no time to rent one: idle machines are returned"
-            + " after "
+        : "machines are kept ready, as an objective leaves no time to rent: idle machines are"
+            + " returned after "
             + seconds(parameters.idleSpeedMicros());
   }
 
-  private static String placement(SchedulerParameters parameters) {
-    return "padding "
+  private static String placementParameters(SchedulerParameters parameters) {
+    return "run-time padding "
         + parameters.paddingShare()
-        + ", tie band "
+        + ", tie tolerance "
         + parameters.tieShare()
         + ", start target "
         + seconds(parameters.startTargetMicros());
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -13,8 +13,8 @@
 import org.yaml.snakeyaml.error.YAMLException;
 
 /**
- * Reads the operators' own YAML file. Every key is optional; an unknown one is an error, since a
- * misspelt key would otherwise be ignored without notice.
+ * Reads the operators' settings file (YAML). Every key is optional. An unknown key is an error,
+ * because a misspelled key would otherwise be ignored silently.
  */
 public final class OperatorFile {
   private static final String SHARING = "sharing";
@@ -24,7 +24,7 @@
 
   private final String file;
 
-  /** What has not been read yet: in the end, the unknown keys. */
+  /** Keys that have not been read yet; after reading, the unknown keys remain. */
   private final Map<String, Object> unreadKeys;
 
   private OperatorFile(String file, Map<String, Object> values) {
@@ -33,10 +33,11 @@
   }
 
   /**
-   * Reads and checks the file.
+   * Reads and validates the file.
    *
-   * @throws SettingsException if it can't be read, has an unknown key, or a value has a wrong type
-   *     or range
+   * @param platform the platform's settings, which the sharing table is checked against
+   * @throws SettingsException if the file cannot be read, contains an unknown key, or contains a
+   *     value of the wrong type or out of range
    */
   public static OperatorSettings load(Path path, PlatformConfiguration platform)
       throws SettingsException {
@@ -59,7 +60,7 @@
     if (root instanceof Map<?, ?> map) {
       map.forEach((key, value) -> values.put(String.valueOf(key), value));
     } else if (root != null) {
-      throw new SettingsException(path + ": must be a table of keys and values");
+      throw new SettingsException(path + ": must be a mapping of keys to values");
     }
     return values;
   }
@@ -80,22 +81,22 @@
     SchedulerParameters defaults = SchedulerParameters.defaults();
     SchedulerParameters parameters =
         new SchedulerParameters(
-            number(OperatorKey.PADDING_SHARE, defaults.paddingShare()),
-            number(OperatorKey.TIE_SHARE, defaults.tieShare()),
-            micros(OperatorKey.START_TARGET_S, defaults.startTargetMicros()),
-            micros(OperatorKey.LEASE_TTL_S, defaults.leaseTtlMicros()),
-            micros(OperatorKey.LEASE_RENEWAL_S, defaults.leaseRenewalMicros()),
-            micros(OperatorKey.ACT_MARGIN_S, defaults.actMarginMicros()),
-            micros(OperatorKey.PROGRESS_PAUSE_S, defaults.progressPauseMicros()),
-            micros(OperatorKey.PASS_BUDGET_S, defaults.passBudgetMicros()),
-            micros(OperatorKey.SILENT_S, defaults.silentMicros()),
-            micros(OperatorKey.IDLE_MONEY_S, defaults.idleMoneyMicros()),
-            micros(OperatorKey.IDLE_SPEED_S, defaults.idleSpeedMicros()),
-            number(OperatorKey.BOOT_FACTOR, defaults.bootFactor()),
-            micros(OperatorKey.RENTAL_S, defaults.rentalMicros()),
-            micros(OperatorKey.MUST_START_S, defaults.mustStartMicros()),
+            number(OperatorKey.RUN_TIME_PADDING, defaults.paddingShare()),
+            number(OperatorKey.TIE_TOLERANCE, defaults.tieShare()),
+            durationMicros(OperatorKey.START_TARGET_S, defaults.startTargetMicros()),
+            durationMicros(OperatorKey.LEASE_TTL_S, defaults.leaseTtlMicros()),
+            durationMicros(OperatorKey.LEASE_RENEWAL_INTERVAL_S, defaults.leaseRenewalMicros()),
+            durationMicros(OperatorKey.LEASE_SAFETY_MARGIN_S, defaults.actMarginMicros()),
+            durationMicros(OperatorKey.PROGRESS_WRITE_INTERVAL_S, defaults.progressPauseMicros()),
+            durationMicros(OperatorKey.PASS_BUDGET_S, defaults.passBudgetMicros()),
+            durationMicros(OperatorKey.HEARTBEAT_TIMEOUT_S, defaults.silentMicros()),
+            durationMicros(OperatorKey.IDLE_TIMEOUT_FOR_COST_S, defaults.idleMoneyMicros()),
+            durationMicros(OperatorKey.IDLE_TIMEOUT_FOR_SPEED_S, defaults.idleSpeedMicros()),
+            number(OperatorKey.BOOT_TIMEOUT_FACTOR, defaults.bootFactor()),
+            durationMicros(OperatorKey.PROVISIONING_S, defaults.rentalMicros()),
+            durationMicros(OperatorKey.STARVATION_LIMIT_S, defaults.mustStartMicros()),
             number(OperatorKey.HEADROOM_DEVIATIONS, defaults.headroomDeviations()),
-            number(OperatorKey.SPOT_RISK, defaults.spotRisk()),
+            number(OperatorKey.SPOT_RISK_PREMIUM, defaults.spotRisk()),
             ownedHourly());
     if (!unreadKeys.isEmpty()) {
       throw error(unreadKeys.keySet().iterator().next() + " is unknown");
@@ -105,9 +106,9 @@
       throw error(
           OperatorKey.LEASE_TTL_S.text()
               + " must exceed twice "
-              + OperatorKey.LEASE_RENEWAL_S.text()
+              + OperatorKey.LEASE_RENEWAL_INTERVAL_S.text()
               + " and "
-              + OperatorKey.ACT_MARGIN_S.text());
+              + OperatorKey.LEASE_SAFETY_MARGIN_S.text());
     }
     return parameters;
   }
@@ -118,13 +119,13 @@
       return Map.of();
     }
     if (!(table instanceof Map<?, ?> map)) {
-      throw error(OWNED_HOURLY + " must be a table of type names and costs");
+      throw error(OWNED_HOURLY + " must be a table of machine type names and hourly costs");
     }
     Map<String, Double> costs = new HashMap<>();
     for (Map.Entry<?, ?> entry : map.entrySet()) {
       if (!(entry.getValue() instanceof Number cost)
           || !(cost.doubleValue() >= 0 && cost.doubleValue() < MAX_OWNED_HOURLY)) {
-        throw error(OWNED_HOURLY + "." + entry.getKey() + " must be a cost of at least 0");
+        throw error(OWNED_HOURLY + "." + entry.getKey() + " must be a cost from 0 to below 1e9");
       }
       costs.put(String.valueOf(entry.getKey()), cost.doubleValue());
     }
@@ -145,7 +146,7 @@
     return number.doubleValue();
   }
 
-  private long micros(OperatorKey key, long defaultMicros) throws SettingsException {
+  private long durationMicros(OperatorKey key, long defaultMicros) throws SettingsException {
     return Math.round(number(key, defaultMicros / MICROS_PER_SECOND) * MICROS_PER_SECOND);
   }
 
--- a/src/test/java/plumlever/architecture/ProtocolWordsTest.java
+++ b/src/test/java/plumlever/architecture/ProtocolWordsTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The words of the protocol for which the field has terms stand in the codecs only, as names on the
- * wire or in the state service. Everywhere else identifiers, comments, log lines and tests use the
- * terms.
+ * Checks that protocol words for which the field has established terms occur only in codecs, as
+ * names on the wire or in the state service. All other identifiers, comments, log lines and tests
+ * must use the established terms.
  */
 final class ProtocolWordsTest {
   private static final Path SOURCES = Path.of("src");
@@ -30,7 +30,10 @@
           "baton", "bundle", "flavor", "foreman", "grant", "halt", "hello", "loaner", "permit",
           "piece", "reap", "site", "tenure", "touch", "urgency");
 
-  /** Files that map the words to terms, emulate what speaks them, or test what is sent. */
+  /**
+   * Files that may contain protocol words: codecs, emulators of other services and workers, and
+   * tests of encoded messages.
+   */
   private static final Set<String> CODECS =
       Set.of(
           "main/java/plumlever/cli/ArchiveTrainingRun.java",
@@ -59,12 +62,15 @@
           "test/java/plumlever/sim/UsersTest.java",
           "test/java/plumlever/wire/WireTest.java");
 
-  /** Files that are still to be renamed; an entry goes when its file is, and none is added. */
-  private static final Set<String> TO_DO = Set.of();
+  /**
+   * Files in which protocol words are not yet replaced. Remove the entry of a file once its words
+   * are replaced; do not add entries.
+   */
+  private static final Set<String> PENDING_FILES = Set.of();
 
   private static final Pattern PROTOCOL_WORD = pattern();
 
-  /** A word by itself, in a constant's name, or as a part of a camel-case name. */
+  /** Matches a word by itself, in a constant name, or as part of a camel-case name. */
   private static Pattern pattern() {
     String lower = String.join("|", WORDS);
     String capitalized =
@@ -78,8 +84,8 @@
             + "|(?<![A-Za-z])(?:%s)s?(?=[A-Z])".formatted(lower));
   }
 
-  /** The keyword of sealed types is no protocol word. */
-  private static boolean holdsProtocolWord(String line) {
+  /** Ignores the keyword {@code permits} of sealed types. */
+  private static boolean containsProtocolWord(String line) {
     return PROTOCOL_WORD.matcher(line.replaceAll("\\bpermits (?=[A-Z])", "")).find();
   }
 
@@ -87,48 +93,48 @@
     try (Stream<Path> files = Files.walk(SOURCES)) {
       return files
           .filter(file -> file.toString().endsWith(".java"))
-          .filter(ProtocolWordsTest::fileHoldsProtocolWord)
+          .filter(ProtocolWordsTest::fileContainsProtocolWord)
           .map(file -> SOURCES.relativize(file).toString().replace('\\', '/'))
           .collect(Collectors.toCollection(TreeSet::new));
     }
   }
 
-  private static boolean fileHoldsProtocolWord(Path file) {
+  private static boolean fileContainsProtocolWord(Path file) {
     try (Stream<String> lines = Files.lines(file)) {
-      return lines.anyMatch(ProtocolWordsTest::holdsProtocolWord);
+      return lines.anyMatch(ProtocolWordsTest::containsProtocolWord);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
   @Test
-  void protocolWordsStandInCodecsOnly() throws IOException {
+  void protocolWordsOccurOnlyInCodecs() throws IOException {
     Set<String> found = filesWithProtocolWords();
     found.removeAll(CODECS);
-    assertEquals(new TreeSet<>(TO_DO), found);
+    assertEquals(new TreeSet<>(PENDING_FILES), found);
   }
 
   @Test
-  void everyCodecStillHoldsOne() throws IOException {
+  void everyListedCodecContainsAProtocolWord() throws IOException {
     Set<String> unneeded = new TreeSet<>(CODECS);
     unneeded.removeAll(filesWithProtocolWords());
     assertEquals(Set.of(), unneeded);
   }
 
   @Test
-  void theCheckSeesWordsInNamesAndText() {
+  void detectsProtocolWordsInNamesAndText() {
     for (String line :
         List.of(
             "long tenure;", "// a flavor", "lastPermit", "MAX_PIECES", "haltAll()", "\"site\"")) {
-      assertTrue(holdsProtocolWord(line), line);
+      assertTrue(containsProtocolWord(line), line);
     }
   }
 
   @Test
-  void theCheckLeavesOtherWordsAlone() {
+  void ignoresOtherWords() {
     for (String line :
         List.of("opposite", "sealed interface A permits B", "granted by nobody", "composite")) {
-      assertFalse(holdsProtocolWord(line), line);
+      assertFalse(containsProtocolWord(line), line);
     }
   }
 }
--- a/src/test/java/plumlever/knownred/KnownRedExtension.java
+++ b/src/test/java/plumlever/knownred/KnownRedExtension.java
@@ -9,26 +9,27 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Passes over listed tests that are red, and prints at the end which listed ones were red and which
- * were green. A list that can't be used fails every test.
+ * JUnit extension that reports a failing test as aborted if the test is listed in {@code
+ * KNOWN-RED.txt}. At the end of the test run, prints which listed tests failed and which passed. If
+ * the list is malformed, every test fails.
  */
 public final class KnownRedExtension implements InvocationInterceptor {
   private static final ExtensionContext.Namespace NAMESPACE =
       ExtensionContext.Namespace.create(KnownRedExtension.class);
 
-  /** What became of the listed tests in this run. */
+  /** The results of the listed tests in this test run. */
   static final class Outcomes implements AutoCloseable {
     private final KnownRedList list = KnownRedList.read(KnownRedList.FILE);
-    private final Map<KnownRedEntry, Boolean> redByEntry = new LinkedHashMap<>();
+    private final Map<KnownRedEntry, Boolean> failedByEntry = new LinkedHashMap<>();
 
-    private synchronized void note(KnownRedEntry entry, boolean red) {
-      redByEntry.merge(entry, red, Boolean::logicalOr);
+    private synchronized void record(KnownRedEntry entry, boolean failed) {
+      failedByEntry.merge(entry, failed, Boolean::logicalOr);
     }
 
     @Override
     public synchronized void close() {
-      redByEntry.forEach(
-          (entry, red) -> System.out.println((red ? RED : GREEN) + ": " + entry.line()));
+      failedByEntry.forEach(
+          (entry, failed) -> System.out.println((failed ? RED : GREEN) + ": " + entry.line()));
     }
   }
 
@@ -64,18 +65,18 @@
             .getStore(NAMESPACE)
             .getOrComputeIfAbsent(Outcomes.class, key -> new Outcomes(), Outcomes.class);
     KnownRedEntry entry =
-        outcomes.list.of(called.getTargetClass(), called.getExecutable()).orElse(null);
+        outcomes.list.entryOf(called.getTargetClass(), called.getExecutable()).orElse(null);
     if (entry == null) {
       invocation.proceed();
       return;
     }
     try {
       invocation.proceed();
-      outcomes.note(entry, false);
+      outcomes.record(entry, false);
     } catch (TestAbortedException e) {
       throw e;
     } catch (Throwable e) {
-      outcomes.note(entry, true);
+      outcomes.record(entry, true);
       throw new TestAbortedException(RED + ": " + entry.line() + ": " + e.getMessage(), e);
     }
   }
--- a/src/test/java/plumlever/knownred/KnownRedList.java
+++ b/src/test/java/plumlever/knownred/KnownRedList.java
@@ -14,18 +14,22 @@
 import org.junit.platform.commons.support.AnnotationSupport;
 
 /**
- * The list of known red tests, one a line: {@code CLASS#METHOD | COMMAND AND SEED | WHAT WAS SEEN |
- * ISSUE}. Blank lines and lines that begin with {@code #} are ignored.
+ * The list of known failing tests. Each line has the form {@code CLASS#METHOD | COMMAND AND SEED |
+ * WHAT WAS SEEN | ISSUE}. Blank lines and lines that begin with {@code #} are ignored.
  */
 final class KnownRedList {
-  /** Where it stands, relative to the repository's root, which is where tests run. */
+  /** The path of the list, relative to the repository root, in which tests run. */
   static final Path FILE = Path.of("KNOWN-RED.txt");
 
-  /** More known faults than these are mended before anything else lands. */
-  static final int MOST = 3;
+  /**
+   * The maximum number of entries. If more tests are known to fail, faults must be fixed before
+   * other changes are merged.
+   */
+  static final int MAX_ENTRIES = 3;
 
-  private static final String FORM = "CLASS#METHOD | COMMAND AND SEED | WHAT WAS SEEN | ISSUE";
-  private static final int PARTS = 4;
+  private static final String LINE_FORMAT =
+      "CLASS#METHOD | COMMAND AND SEED | WHAT WAS SEEN | ISSUE";
+  private static final int FIELD_COUNT = 4;
 
   private final List<KnownRedEntry> entries;
 
@@ -33,7 +37,7 @@
     this.entries = entries;
   }
 
-  /** Reads the file; without one no test is known to be red. */
+  /** Reads the list from the file; the list is empty if the file does not exist. */
   static KnownRedList read(Path file) {
     if (!Files.exists(file)) {
       return new KnownRedList(List.of());
@@ -46,9 +50,10 @@
   }
 
   /**
-   * Reads these lines.
+   * Parses the lines of the list.
    *
-   * @throws MalformedKnownRedException if one is malformed, or there are too many
+   * @throws MalformedKnownRedException if a line is malformed, or there are more than {@link
+   *     #MAX_ENTRIES} entries
    */
   static KnownRedList parse(List<String> lines) {
     List<KnownRedEntry> entries = new ArrayList<>();
@@ -57,9 +62,14 @@
         entries.add(entry(line));
       }
     }
-    if (entries.size() > MOST) {
+    if (entries.size() > MAX_ENTRIES) {
       throw new MalformedKnownRedException(
-          FILE + ": " + entries.size() + " tests are listed, at most " + MOST + " may be");
+          FILE
+              + ": "
+              + entries.size()
+              + " tests are listed, but at most "
+              + MAX_ENTRIES
+              + " are allowed");
     }
     return new KnownRedList(List.copyOf(entries));
   }
@@ -68,12 +78,12 @@
     String[] parts = line.split("\\|", -1);
     String[] test = parts[0].strip().split("#", -1);
     boolean complete =
-        parts.length == PARTS
+        parts.length == FIELD_COUNT
             && test.length == 2
             && Arrays.stream(parts).noneMatch(String::isBlank)
             && Arrays.stream(test).noneMatch(String::isBlank);
     if (!complete) {
-      throw new MalformedKnownRedException(FILE + ": expected " + FORM + ": " + line);
+      throw new MalformedKnownRedException(FILE + ": expected " + LINE_FORMAT + ": " + line);
     }
     return new KnownRedEntry(
         test[0], test[1], parts[1].strip(), parts[2].strip(), parts[3].strip());
@@ -83,8 +93,8 @@
     return entries;
   }
 
-  /** The entry of the test, if it is listed. */
-  Optional<KnownRedEntry> of(Class<?> testClass, Method method) {
+  /** The entry of the test; empty if the test is not listed. */
+  Optional<KnownRedEntry> entryOf(Class<?> testClass, Method method) {
     return entries.stream()
         .filter(entry -> entry.testClass().equals(testClass.getName()))
         .filter(entry -> entry.method().equals(method.getName()))
@@ -92,19 +102,19 @@
   }
 
   /**
-   * Checks that each entry names a test.
+   * Checks that each entry names an existing test.
    *
-   * @throws MalformedKnownRedException if one does not
+   * @throws MalformedKnownRedException if an entry names no existing test
    */
   void requireThatTestsExist() {
     for (KnownRedEntry entry : entries) {
-      if (!names(entry)) {
+      if (!namesExistingTest(entry)) {
         throw new MalformedKnownRedException(FILE + ": no such test: " + entry.line());
       }
     }
   }
 
-  private static boolean names(KnownRedEntry entry) {
+  private static boolean namesExistingTest(KnownRedEntry entry) {
     try {
       Class<?> type = Class.forName(entry.testClass(), false, KnownRedList.class.getClassLoader());
       return Arrays.stream(type.getDeclaredMethods())
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings files: what is read, and what errors say. */
+/** Tests the parsing of settings files and the messages for invalid files. */
 final class SettingsTest {
   private static final String PLATFORM =
       """
@@ -119,12 +119,15 @@
             .contains("cannot be read"));
   }
 
-  private static String withNext(String next) {
+  private static String withAnnouncedLimits(String next) {
     return PLATFORM.replace(
         "txn_ops = 8\n", "txn_ops = 8\n[deployment.state.next]\n" + next + "\n");
   }
 
-  /** Of each limit the smaller of now and next holds from the start; what is not named stays. */
+  /**
+   * For each limit, the smaller of the current and the announced value applies from startup. A
+   * limit without an announced value stays at the current value.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -136,11 +139,11 @@
         "txn_ops = 3; sparkle = true | 100 | 20 | 4096 | 3",
         "'' | 100 | 20 | 4096 | 8"
       })
-  void writesWithinTheSmallerOfNowAndNext(
+  void stateLimitsAreTheSmallerOfCurrentAndAnnounced(
       String next, double rps, double writeRps, int valueBytes, int transactionOps)
       throws Exception {
     PlatformConfiguration.StateLimits limits =
-        platform(withNext(next.replace("; ", "\n"))).stateLimits();
+        platform(withAnnouncedLimits(next.replace("; ", "\n"))).stateLimits();
 
     assertEquals(
         new PlatformConfiguration.StateLimits(rps, writeRps, valueBytes, transactionOps, 4096),
@@ -156,12 +159,12 @@
         "write_rps = 0 | deployment.state.next.write_rps must be from 1.0 to 1.0E9",
         "rps = \"many\" | deployment.state.next.rps must be a number"
       })
-  void limitsThatCannotWorkEndTheStart(String next, String reason) {
-    assertEquals(dir.resolve("s") + ": " + reason, platformError(withNext(next)));
+  void limitsBelowTheMinimumAreErrors(String next, String reason) {
+    assertEquals(dir.resolve("s") + ": " + reason, platformError(withAnnouncedLimits(next)));
   }
 
   @Test
-  void nextMustBeATable() {
+  void announcedLimitsMustBeATable() {
     assertEquals(
         dir.resolve("s") + ": deployment.state.next must be a table",
         platformError(PLATFORM.replace("txn_ops = 8", "txn_ops = 8\nnext = 7")));
@@ -182,7 +185,7 @@
       """;
 
   @Test
-  void sharingNamesTheShardOfThisController() throws Exception {
+  void sharingTableGivesTheShardOfThisController() throws Exception {
     SharingSettings sharing = operators(SHARDS).sharing().orElseThrow();
 
     assertEquals("one", sharing.ownShard().name());
@@ -206,7 +209,7 @@
   }
 
   @Test
-  void withoutASharingTableNothingIsShared() throws Exception {
+  void sharingIsEmptyWithoutASharingTable() throws Exception {
     assertTrue(operators("tie_share: 0.1").sharing().isEmpty());
   }
 
@@ -214,15 +217,15 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "[n1] | [n9] | sharing.cells[1].controllers names n9, which this deployment has not",
-        "[n1] | [n0] | sharing.cells[1].controllers names n0, which is in one too",
+        "[n1] | [n9] | sharing.cells[1].controllers names n9, which is not in this deployment",
+        "[n1] | [n0] | sharing.cells[1].controllers names n0, which cell one already lists",
         "controllers: [n1] | controllers: [] | sharing.cells[1].controllers must be a list of",
-        "floor: 3 | floor: 7 | sharing.cells have floors of 11 machines, the pool has 10",
+        "floor: 3 | floor: 7 | sharing.cells have floors of 11 machines in total; the pool has 10",
         "weight: 2 | weight: 0 | sharing.cells[0].weight must be a number above 0",
         "weight: 2 | weight: -1 | sharing.cells[0].weight must be a number above 0",
-        "weight: 2 | prefix: pool/ | sharing.cells[0].prefix collides with the service's own keys",
-        "floor: 3 | prefix: one/ | sharing.cells[1].prefix collides with that of one",
-        "floor: 3 | prefix: A | sharing.cells[1].prefix must be empty, or small letters",
+        "weight: 2 | prefix: pool/ | sharing.cells[0].prefix is reserved for keys of the service",
+        "floor: 3 | prefix: one/ | sharing.cells[1].prefix is also the prefix of cell one",
+        "floor: 3 | prefix: A | sharing.cells[1].prefix must be empty, or lower-case letters",
         "name: two | name: one | sharing.cells[1].name is used twice: one",
         "machines: 10 | machine: 10 | sharing.machine is unknown",
         "floor: 3 | flor: 3 | sharing.cells[1].flor is unknown",
@@ -242,11 +245,11 @@
 
     String error = operatorsError(yaml);
 
-    assertTrue(error.endsWith("sharing.cells name no cell for controller n1"), error);
+    assertTrue(error.endsWith("sharing.cells must list every controller; no cell lists n1"), error);
   }
 
   @Test
-  void theOperatorsFileChangesParametersAndLeavesTheOthers() throws Exception {
+  void operatorsFileOverridesOnlyTheParametersItSets() throws Exception {
     SchedulerParameters parameters =
         operators("padding_share: 0.1\nowned_hourly:\n  rack: 0.02\n").parameters();
 
@@ -256,7 +259,7 @@
   }
 
   @Test
-  void anEmptyOperatorsFileGivesTheDefaults() throws Exception {
+  void emptyOperatorsFileGivesTheDefaults() throws Exception {
     assertEquals(SchedulerParameters.defaults(), operators("").parameters());
   }
 
@@ -282,17 +285,17 @@
       PLATFORM.replace("within_s = 250.0", "within_s = 8.0");
 
   @Test
-  void moneyMattersWhereObjectivesLeaveTimeToRent() throws Exception {
+  void costMattersIfObjectivesLeaveTimeToRent() throws Exception {
     assertTrue(platform(PLATFORM).moneyMatters(RENTAL_MICROS));
   }
 
   @Test
-  void moneyDoesNotMatterWhereAnObjectiveLeavesNoTimeToRent() throws Exception {
+  void costDoesNotMatterIfAnObjectiveLeavesNoTimeToRent() throws Exception {
     assertFalse(platform(NO_TIME_TO_RENT).moneyMatters(RENTAL_MICROS));
   }
 
   @Test
-  void moneyMattersWhereAnObjectiveNamesIt() throws Exception {
+  void costMattersIfAnObjectiveIsAboutCost() throws Exception {
     String text =
         NO_TIME_TO_RENT.replace(
             "[deployment.workers]",
