--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -19,7 +19,7 @@
     return String.join(
         "\n",
         addresses(platform),
-        settings.sharing().map(Check::shards).orElse("one cell, which owns all machines"),
+        settings.sharing().map(Check::shards).orElse("one cell, all machines are its own"),
         connections(platform),
         stateLimits(platform.stateLimits()),
         "teams: "
@@ -76,39 +76,39 @@
     int shared = Service.sharedConnections(platform);
     return "connections: "
         + shared
-        + " for users and workers; above "
+        + " for users and workers; beyond "
         + (int) (shared * Server.SCARCE_CONNECTIONS_SHARE)
-        + ", a worker's connection is closed after each heartbeat";
+        + " each worker gets one for each report";
   }
 
   private static String stateLimits(PlatformConfiguration.StateLimits limits) {
-    return "state service limits, the smaller of current and announced: values of "
+    return "writes to the state service, within the limits now and next: values of "
         + limits.valueBytes()
-        + " bytes (currently "
+        + " bytes (now "
         + limits.formerValueBytes()
         + "), "
         + limits.transactionOps()
-        + " operations per transaction, "
+        + " changes a transaction, "
         + limits.writeRps()
-        + " writes and "
+        + " changes and "
         + limits.rps()
-        + " requests per second";
+        + " requests a second";
   }
 
   private static String idleMachinePolicy(
       PlatformConfiguration platform, SchedulerParameters parameters) {
     return platform.moneyMatters(parameters.rentalMicros())
-        ? "cost is minimized within the objectives: idle machines are returned after "
+        ? "money is saved where the aims leave time: idle machines are returned after "
             + seconds(parameters.idleMoneyMicros())
-        : "machines are kept ready, as an objective leaves no time to rent: idle machines are"
-            + " returned after "
+        : "machines stand by, since an aim leaves no time to rent one: idle machines are returned"
+            + " after "
             + seconds(parameters.idleSpeedMicros());
   }
 
   private static String placementParameters(SchedulerParameters parameters) {
-    return "run-time padding "
+    return "padding "
         + parameters.paddingShare()
-        + ", tie tolerance "
+        + ", tie band "
         + parameters.tieShare()
         + ", start target "
         + seconds(parameters.startTargetMicros());
