--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -13,7 +13,11 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** The cloud, by its protocol: two types, two zones, a list that lags. */
+/**
+ * Emulates the cloud provider with two machine types and two zones. The list of machines lags
+ * behind the actual state, and requests can be refused because of a rate limit, an outage or
+ * missing capacity.
+ */
 final class FakeCloud implements SimulatedNetwork.Service {
   static final long LAG_MICROS = 3_000_000;
   private static final double RPS = 6;
@@ -56,14 +60,14 @@
   private int counter;
   boolean outage;
 
-  /** Requests beyond the rate are refused, and counted. */
+  /** True if requests beyond the rate limit are refused with 429 and counted. */
   boolean limitsRate;
 
   int refused;
   private double tokens = 2 * RPS;
   private long refilledMicros;
 
-  /** Machines are up within two seconds. */
+  /** True if rented machines boot within two seconds instead of 5 to 20 s. */
   boolean bootsAtOnce;
 
   int most = 14;
@@ -150,7 +154,7 @@
     return out.put("more", more);
   }
 
-  /** Machines that are up before the controllers start. */
+  /** Adds machines that are already running, for deployments that start with machines. */
   void provide(int count) {
     for (int i = 0; i < count; i++) {
       String id = String.format("i-%06d", ++counter);
@@ -204,7 +208,10 @@
     reply.send(200, Json.write(out));
   }
 
-  /** What there is of a kind does not depend on how much of the others is rented. */
+  /**
+   * True if the cloud can rent out another machine of the requested type, zone and spot setting.
+   * The capacity of each such combination is independent of the others.
+   */
   private boolean has(ObjectNode object) {
     long rented =
         machines.values().stream()
@@ -217,7 +224,7 @@
     return rented < Math.max(1, Math.round(most / 8.0));
   }
 
-  /** Workers whose connection is with that controller. */
+  /** Returns the number of workers that send their heartbeats to the controller. */
   int reportingTo(String controller) {
     return (int)
         machines.values().stream()
@@ -225,7 +232,7 @@
             .count();
   }
 
-  /** Gone with all that is on it. */
+  /** Deletes the machine and everything that runs on it. */
   void delete(String id) {
     Vm vm = machines.remove(id);
     if (vm != null && vm.worker != null) {
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -13,7 +13,10 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** The state service, by its protocol. */
+/**
+ * Emulates the state service, a key-value store with leases, watches and conditional transactions,
+ * and injects faults into its answers.
+ */
 final class FakeStore implements SimulatedNetwork.Service {
   private record Entry(JsonNode data, long revision, long leaseId) {}
 
@@ -30,67 +33,72 @@
   boolean outage;
   final Set<String> refused = new HashSet<>();
 
-  /** Nodes whose watches are never answered, while everything else is. */
+  /** Controllers whose watch requests are never answered; other requests are answered. */
   final Set<String> unwatched = new HashSet<>();
 
-  /** What it takes: beyond it a transaction is malformed. */
+  /** Largest accepted value in bytes; a transaction with a larger value is refused with 400. */
   int valueBytes = Integer.MAX_VALUE;
 
   int transactionOps = 8;
   int malformed;
   int requestsSeen;
 
-  /** For tests of the checks: a prefix of which watches tell nothing. */
+  /** Watches of this prefix report no changes; for tests of the invariant checks. */
   String untold;
 
-  /** The only controller that is told nothing; null for all. */
+  /** The only controller whose watches of {@code untold} report no changes; null for all. */
   String untoldController;
 
-  /** For tests of the checks: a field that records of jobs lose. */
+  /** A field removed from each job record that is written; for tests of the invariant checks. */
   String lostField;
 
-  /** Changes remembered for watches; an older one is told to read anew. */
+  /**
+   * How many changes the store keeps for watches. A watch that starts at an older revision is
+   * answered 410 and has to list its keys again.
+   */
   int remembered = 10_000;
 
-  /** The next transaction that puts a key under this prefix is carried out and gets no answer. */
+  /** The next transaction that puts a key under this prefix is applied but not answered. */
   String answerLostOnce;
 
-  /** What happens right before the next transaction that puts a key under this prefix. */
+  /**
+   * {@code intervention} runs right before the next transaction that puts a key under this prefix.
+   */
   String interveneBefore;
 
   Runnable intervention;
 
   /**
-   * Shares of transactions with changes that get no answer: carried out seconds later, or at once.
+   * Share of transactions with changes that are not answered. The store applies them 2 to 12 s
+   * later if it has received a newer transaction of the same controller, and drops them otherwise.
    */
   double lateWrites;
 
+  /** Share of transactions with changes that are applied immediately but not answered. */
   double unansweredWrites;
 
-  /**
-   * How many were carried out after a newer one of the same controller, and how many at once
-   * without an answer.
-   */
+  /** How many transactions were applied after a newer one of the same controller. */
   int carriedOutAfterNewer;
 
+  /** How many transactions were applied immediately but not answered. */
   int appliedUnanswered;
 
-  /** Time that each answer takes longer. */
+  /** Additional delay of each answer. */
   long slowMicros;
 
   private final Map<String, Long> newestOf = new HashMap<>();
   private long sent;
 
-  /** Listings under this prefix are not answered. */
+  /** Listings of keys under this prefix are never answered. */
   String slowPrefix;
 
-  /** How often each controller was answered 503. */
+  /** How many requests of each controller were answered 503. */
   final Map<String, Integer> refusals = new HashMap<>();
 
-  /** For tests of the checks: transactions whose preconditions are not looked at. */
+  /** Transactions are applied without checking preconditions; for tests of the invariant checks. */
   boolean ignorePreconditions;
 
-  /** For tests of the checks: a prefix under which listings find nothing. */
+  /** Listings of this prefix return no keys; for tests of the invariant checks. */
   String hidden;
 
   FakeStore(SimulatedCluster cluster) {
@@ -100,7 +108,7 @@
 
   void endOutage() {
     outage = false;
-    // Every lease has its full time again.
+    // The outage must not expire leases: each lease is extended by its full TTL.
     leaseTtl.forEach((p, ttl) -> leaseEnds.computeIfPresent(p, (k, end) -> cluster.now() + ttl));
   }
 
@@ -142,10 +150,12 @@
     list.forEach(r -> cluster.at(0, r));
   }
 
-  /** Requests, and puts and drops, in the busiest second so far. */
+  /** Highest number of requests in one second so far. */
   int mostRequests;
 
+  /** Highest number of puts and drops in one second so far. */
   int mostChanges;
+
   int largestValue;
   private long second;
   private int requests;
@@ -163,7 +173,7 @@
     mostChanges = Math.max(mostChanges, changes);
   }
 
-  /** Replaces a value behind everybody's back; its revision stays. */
+  /** Replaces all values under the prefix without a new revision and without notifying watches. */
   void forge(String prefix, JsonNode data) {
     keys.replaceAll((k, e) -> k.startsWith(prefix) ? new Entry(data, e.revision, e.leaseId) : e);
   }
@@ -177,7 +187,7 @@
     return entry == null ? 0 : entry.data.path("term").asLong();
   }
 
-  /** Every key under the prefix with its value. */
+  /** Returns all keys under the prefix with their values. */
   Map<String, JsonNode> entries(String prefix) {
     Map<String, JsonNode> out = new java.util.LinkedHashMap<>();
     keys.forEach(
@@ -189,7 +199,7 @@
     return out;
   }
 
-  /** Replaces all keys under the prefix, as one who writes them would. */
+  /** Replaces all keys under the prefix with a new revision and notifies watches. */
   void rewrite(String prefix, Map<String, JsonNode> values) {
     storeRevision++;
     for (String key : entries(prefix).keySet()) {
@@ -211,7 +221,7 @@
         .toList();
   }
 
-  /** How often the key was written; all keys if none is named. */
+  /** Returns the number of changes of the key, or of all keys if the key is empty. */
   int changesOf(String key) {
     return (int) log.stream().filter(change -> key.isEmpty() || change.key.equals(key)).count();
   }
@@ -361,7 +371,10 @@
     cluster.at(since + wait - cluster.now(), again);
   }
 
-  /** A transaction may go unanswered, and be carried out at once or after newer ones. */
+  /**
+   * Applies the transaction, or injects one of the configured faults: the transaction is applied
+   * without an answer, immediately or after a newer transaction of the same controller.
+   */
   private void write(String from, ObjectNode object, SimulatedNetwork.Reply reply) {
     long number = ++sent;
     boolean changes = !object.path("then").isEmpty();
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -13,7 +13,10 @@
 import plumlever.wire.Priority;
 import plumlever.wire.ProtocolField;
 
-/** Users who submit, poll, cancel some, and ask about jobs that nobody submitted. */
+/**
+ * Emulates users: they submit jobs, poll the status of the jobs, cancel some of the jobs, and query
+ * jobs that were never submitted.
+ */
 final class FakeUsers {
   private final SimulatedCluster cluster;
   private final Set<String> accepted = new HashSet<>();
@@ -23,12 +26,12 @@
   private int next;
 
   /**
-   * Users ask at all controllers within milliseconds, and repeat the submission, after each answer
-   * that brings news.
+   * After each answer that shows a new job status, users query every controller within
+   * milliseconds; a third of the queries repeat the submission.
    */
   boolean closeLooks;
 
-  /** Close looks that came to an answer. */
+  /** How many of the queries to all controllers were answered with 200. */
   int looks;
 
   private final Map<String, JobSpec> specs = new HashMap<>();
@@ -40,7 +43,7 @@
     cluster.at(500_000, this::probe);
   }
 
-  /** The next request about the job goes to that controller. */
+  /** Connects the user of the job to the controller, which receives the user's next request. */
   void connect(String uid, String controller) {
     connected.put(uid, new Endpoint(controller, 1));
   }
@@ -55,9 +58,9 @@
   }
 
   /**
-   * A user's connection stays on its controller, whatever that answers, until it ends: by the
-   * controller's own word, by a failure, or when the load balancer has found the controller
-   * unhealthy for five seconds.
+   * Returns the controller that the job's user is connected to. A connection stays with its
+   * controller, independent of the answers, until the controller closes the connection, a request
+   * goes unanswered, or the load balancer has found the controller unhealthy for five seconds.
    */
   private Endpoint controllerOf(String uid) {
     Endpoint at = connected.get(uid);
@@ -113,13 +116,14 @@
         2_000_000,
         a -> {
           if (a.status() == 200) {
-            cluster.invariants.broken.add("invented: job-99" + next);
+            cluster.invariants.broken.add(
+                "invented: a controller answered 200 for a job never submitted: job-99" + next);
           }
           cluster.at(7_000_000, this::askForNothing);
         });
   }
 
-  /** A job like many. */
+  /** Submits a job with random priority, zone and spot settings. */
   JobSpec submit(int taskCount, double cores, double expectedRunS, boolean cancel) {
     boolean oneZone = cluster.random.nextInt(4) == 0;
     boolean spread = !oneZone && cluster.random.nextInt(4) == 0;
@@ -174,14 +178,20 @@
               cluster.at(5_000_000 + cluster.random.nextLong(30_000_000), () -> cancel(job.uid()));
             }
           } else if (code == 400 || code == 422) {
-            cluster.invariants.broken.add("refused: " + job.uid() + " " + a.body());
+            cluster.invariants.broken.add(
+                "refused: a valid submission was refused: " + job.uid() + " " + a.body());
           } else {
             cluster.at(1_000_000, () -> trySubmit(job, cancel));
           }
         });
   }
 
-  /** Cancels jobs at once that run and have long to go; some of their machines hang for as long. */
+  /**
+   * Cancels up to {@code count} jobs that have started and are not complete, within 200 ms. Up to
+   * {@code machines} of the machines that hold their tasks hang for {@code hangS} seconds.
+   *
+   * @return the ids of the cancelled jobs
+   */
   List<String> cancelNow(int count, double hangS, int machines) {
     List<String> out = new ArrayList<>();
     for (String uid : accepted) {
@@ -211,7 +221,10 @@
     return out;
   }
 
-  /** A share of the jobs is cancelled, asked about and repeated at the moment of the end. */
+  /**
+   * Sets the share of jobs that users cancel and query, with repeated submissions among the
+   * queries, within about 1.5 s after the job's last task has completed.
+   */
   void meetEnds(double share) {
     cluster.invariants.whenComplete =
         uid -> {
@@ -223,7 +236,13 @@
         };
   }
 
-  /** What users send by mistake: each has one right answer. */
+  /**
+   * Sends requests that users send by mistake, each of which has one right answer: cancellations of
+   * finished jobs, repeated submissions with changed fields, invalid submissions, and requests
+   * about unknown jobs.
+   *
+   * @return the number of accepted jobs
+   */
   int oddRequests() {
     int sent = 0;
     for (String uid : new ArrayList<>(accepted)) {
@@ -261,8 +280,8 @@
   }
 
   /**
-   * While the state service is out nothing but a refusal for now may take the place of the right
-   * answer.
+   * Sends a request and reports a violation unless the answer has the expected status and text. A
+   * missing answer, 429 and 503 are also allowed, because the state service may be in an outage.
    */
   private void expect(String method, String path, String body, int status, String part) {
     cluster.network.send(
@@ -279,7 +298,7 @@
               && seconds != 429
               && (seconds != status || !(a.body()).contains(part))) {
             cluster.invariants.broken.add(
-                "odd request: " + method + " " + path + " got " + seconds + " " + a.body());
+                "wrong answer to " + method + " " + path + ": got " + seconds + " " + a.body());
           }
         });
   }
@@ -306,7 +325,8 @@
                     } else if (a.status() == 404) {
                       cluster.invariants.toldAnywhere(uid, null, asked);
                     } else if (a.status() == 400 || a.status() == 422 || a.status() == 201) {
-                      cluster.invariants.broken.add("a repeat of " + uid + " got " + a.status());
+                      cluster.invariants.broken.add(
+                          "repeated submission of " + uid + " got status " + a.status());
                     }
                   });
             });
@@ -318,7 +338,7 @@
     try {
       cluster.invariants.toldAnywhere(uid, Json.parseObject(body).path("status").asText(), asked);
     } catch (InvalidMessageException e) {
-      cluster.invariants.broken.add("unreadable: " + body);
+      cluster.invariants.broken.add("invalid status answer: " + body);
     }
   }
 
@@ -338,14 +358,14 @@
             tell(uid, a.body(), asked);
           } else {
             if (a.status() == 404) {
-              cluster.invariants.broken.add("forgotten: " + uid);
+              cluster.invariants.broken.add("forgotten: cancellation got 404 for " + uid);
             }
             cluster.at(1_000_000, () -> cancel(uid));
           }
         });
   }
 
-  /** Users cancel only what was accepted: at once if it is, else as soon as it is. */
+  /** Cancels the job as soon as its submission has been accepted. */
   void cancelOnceAccepted(String uid) {
     if (accepted.contains(uid)) {
       cancel(uid);
@@ -354,12 +374,12 @@
     }
   }
 
-  /** Cancelled by the test itself. */
+  /** Records that the test has cancelled the job without a request of an emulated user. */
   void cancelled(JobSpec job) {
     cancelled.add(job.uid());
   }
 
-  /** Once, at this controller. */
+  /** Sends one cancellation to the controller, without retries, and passes on the status. */
   void cancelAt(Endpoint at, String uid, java.util.function.Consumer<Integer> status) {
     cancelled.add(uid);
     long asked = cluster.now();
@@ -392,13 +412,13 @@
           if (a.status() == 200) {
             tell(uid, a.body(), asked);
           } else if (a.status() == 404) {
-            cluster.invariants.broken.add("forgotten: " + uid);
+            cluster.invariants.broken.add("forgotten: status query got 404 for " + uid);
           }
           cluster.at(5_000_000, () -> poll(uid));
         });
   }
 
-  /** True if its user called it off, or a job that it waits on, directly or through others. */
+  /** True if a user cancelled the job or one of its direct or transitive dependencies. */
   private boolean cancelRequested(String uid) {
     Set<String> seen = new HashSet<>(Set.of(uid));
     java.util.ArrayDeque<String> open = new java.util.ArrayDeque<>(seen);
@@ -415,8 +435,10 @@
   }
 
   /**
-   * The jobs of a pipeline, each submitted as soon as those that it names are accepted; some users
-   * submit the last only when the others are over.
+   * Submits the jobs of a pipeline, each as soon as its dependencies have been accepted.
+   *
+   * @param lastLate true if the last job is submitted only after its dependencies are done or
+   *     cancelled
    */
   void pipeline(List<JobSpec> stages, boolean lastLate) {
     for (int i = 0; i < stages.size(); i++) {
@@ -456,7 +478,7 @@
       cluster.invariants.told(
           uid, Json.parseObject(body).path("status").asText(), cancelRequested(uid));
     } catch (InvalidMessageException e) {
-      cluster.invariants.broken.add("unreadable: " + body);
+      cluster.invariants.broken.add("invalid status answer: " + body);
     }
   }
 }
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -13,11 +13,14 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** A worker, by its protocol. */
+/**
+ * Emulates a worker machine: it sends heartbeats, executes commands, runs tasks, and ends its tasks
+ * when its lease expires.
+ */
 final class FakeWorker implements SimulatedNetwork.Service {
   static final long LEASE_MICROS = 20_000_000;
 
-  /** A task on this machine, in any state. */
+  /** A task attempt on this machine, in any state. */
   static final class Task {
     final String name;
     final long attempt;
@@ -72,7 +75,7 @@
     return !dead && at.equals(controller);
   }
 
-  /** One of its running tasks saves for so long, and goes on. */
+  /** Makes one running task save its progress for some seconds and then continue. */
   void saveOne(double seconds) {
     tasks.values().stream()
         .filter(task -> task.status.equals("running"))
@@ -92,7 +95,7 @@
             });
   }
 
-  /** One of its running tasks ends now. */
+  /** Ends one running task now with the given cause. */
   void endOne(String cause) {
     tasks.values().stream()
         .filter(task -> task.status.equals("running"))
@@ -115,7 +118,8 @@
     if (dead) {
       return;
     }
-    // A hanging machine continues only within its lease, so its tasks count as gone from then on.
+    // A worker ends its tasks when its lease expires. A hung worker does so too: it may continue
+    // only within its lease.
     if (cluster.now() - leaseFrom > LEASE_MICROS) {
       tasks.values().forEach(t -> cluster.invariants.taskLeft(t.name, this));
       tasks.clear();
@@ -219,7 +223,7 @@
       }
       execute(object.path("orders"));
     } catch (InvalidMessageException e) {
-      throw new AssertionError("a controller's answer can't be read: " + body);
+      throw new AssertionError("invalid heartbeat answer of a controller: " + body);
     }
   }
 
@@ -246,15 +250,17 @@
             due = true;
           }
         }
-        default -> throw new AssertionError("unknown command " + command);
+        default ->
+            throw new AssertionError("unknown command in an answer or direct call: " + command);
       }
     }
   }
 
   private void run(String name, long attempt) {
     if (removed.contains(attempt)) {
-      // Not a rule of the protocol, but each command that comes too late like this may break one.
-      cluster.invariants.broken.add("started anew after it was removed: " + name);
+      // The protocol allows a start command for an attempt that was removed, but a start command
+      // that arrives so late can break one of the protocol's rules.
+      cluster.invariants.broken.add("restarted after the attempt was removed: " + name);
     }
     cluster.invariants.commandedToStart(name, this);
     Task task = new Task(name, attempt);
@@ -338,7 +344,7 @@
     return object;
   }
 
-  /** A heartbeat as it would send it now. */
+  /** Returns the heartbeat that the worker would send now. */
   byte[] statusBytes() {
     return Json.write(status()).getBytes(java.nio.charset.StandardCharsets.UTF_8);
   }
