--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -8,7 +8,8 @@
 import plumlever.wire.Priority;
 
 /**
- * Two troubles at a time, as the operators' list names them, with what shows that both took place.
+ * Combinations of two simultaneous faults from the operators' list. Each combination returns a
+ * condition which shows that both faults took effect.
  */
 enum FaultCombination {
   SLOW_ANSWERS_THEN_A_LONG_OUTAGE(
@@ -379,9 +380,13 @@
         return () -> sent[0] > 30;
       });
 
-  /** What happens in one combination. */
+  /** Injects the faults of one combination. */
   interface Play {
-    /** Brings the meeting about; tells whether it took place. */
+    /**
+     * Injects the faults and runs the deployment until all jobs should be served.
+     *
+     * @return whether the faults took effect at the same time, evaluated after the run
+     */
     BooleanSupplier in(FaultDeployment deployment);
   }
 
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -14,9 +14,9 @@
 import plumlever.wire.JobSpec;
 
 /**
- * Two troubles at a time, as the operators' list names them. Each test brings its meeting about,
- * shows that it took place, and then that no rule broke and everybody was served. The longest of
- * them, the gap, has a test of its own ({@link GapTest}).
+ * Tests combinations of simultaneous faults from the operators' list. Each test injects the faults,
+ * shows that the faults took effect, and checks that no rule was broken and all jobs were served.
+ * The longest combination, the gap, has its own test ({@link GapTest}).
  */
 final class FaultCombinationTest {
   @ParameterizedTest
@@ -26,7 +26,7 @@
     BooleanSupplier tookPlace = combination.play.in(deployment);
     deployment.cluster.invariants.checkServed();
     assertEquals(List.of(), deployment.cluster.invariants.broken);
-    assertTrue(tookPlace.getAsBoolean(), "the meeting took place");
+    assertTrue(tookPlace.getAsBoolean(), "the faults of the combination took effect");
     List<String> open = new ArrayList<>();
     for (JobSpec job : deployment.all) {
       String told = deployment.cluster.invariants.lastTold.get(job.uid());
@@ -34,12 +34,12 @@
         open.add(job.uid() + " " + told);
       }
     }
-    assertEquals(List.of(), open, "every job comes to its end");
+    assertEquals(List.of(), open, "jobs neither done nor cancelled at the end");
   }
 
   /**
-   * Two or three meetings at a time, drawn by seed; {@code -Dplumlever.first=F -Dplumlever.seeds=N}
-   * plays others.
+   * Seeds that each draw three fault combinations; {@code -Dplumlever.first=F -Dplumlever.seeds=N}
+   * selects others.
    */
   static Stream<Long> seeds() {
     long first = Long.getLong("plumlever.first", 1);
@@ -56,7 +56,7 @@
           FaultCombination.values()[
               deployment.cluster.random.nextInt(FaultCombination.values().length)];
       combination.play.in(deployment);
-      // Calm is over with the next.
+      // The next combination begins, so the checks for a deployment without faults are off again.
       deployment.cluster.calmSince = Long.MAX_VALUE;
     }
     deployment.endOfTrouble();
@@ -65,7 +65,8 @@
   }
 
   /**
-   * The checks can fail: transactions carried out late, whatever they are guarded by, break rules.
+   * Verifies the invariant checks: if the state service applies late transactions without checking
+   * their preconditions, rules are broken, and the checks must report them.
    */
   @Test
   void withoutPreconditionsLateTransactionsBreakRules() {
@@ -76,17 +77,23 @@
         deployment);
     assertTrue(
         !deployment.cluster.invariants.broken.isEmpty(),
-        "the checks must see the missing preconditions");
+        "the checks must report rules broken without preconditions");
   }
 
-  /** The checks can fail: an answer older than one given before, at another controller, is seen. */
+  /**
+   * Verifies the invariant checks: an answer that is older than an earlier answer of another
+   * controller must be reported.
+   */
   @Test
   void theChecksSeeAnOlderAnswer() {
     FaultDeployment deployment = new FaultDeployment(3_001);
     String uid = deployment.all.get(0).uid();
     deployment.cluster.invariants.toldAnywhere(uid, "aborted", deployment.cluster.now());
     deployment.cluster.invariants.toldAnywhere(uid, "running", deployment.cluster.now() - 1);
-    assertEquals(List.of(), deployment.cluster.invariants.broken, "asked before");
+    assertEquals(
+        List.of(),
+        deployment.cluster.invariants.broken,
+        "a query sent before the final state was reported may get an older answer");
     deployment.cluster.invariants.toldAnywhere(uid, "running", deployment.cluster.now());
     assertTrue(
         deployment.cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("went_back")));
@@ -95,7 +102,10 @@
         deployment.cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("forgotten")));
   }
 
-  /** The checks can fail: a job that waits although there is room is seen. */
+  /**
+   * Verifies the invariant checks: a job that waits although a suitable machine has free capacity
+   * must be reported.
+   */
   @Test
   void theChecksSeeAJobThatWaitsBesideFreeCapacity() {
     FaultDeployment deployment = new FaultDeployment(3_002);
@@ -111,6 +121,6 @@
     assertTrue(
         deployment.cluster.invariants.broken.stream()
             .anyMatch(b -> b.startsWith("waiting") && b.contains(job.uid())),
-        "" + deployment.cluster.invariants.broken);
+        "the waiting job must be reported: " + deployment.cluster.invariants.broken);
   }
 }
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -8,12 +8,12 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
-/** A small deployment with work, some of it long, when the meeting begins. */
+/** A small deployment that already runs jobs, some of them long, when faults are injected. */
 final class FaultDeployment {
   static final double CANCEL_S = InvariantChecker.CANCEL_MICROS / 1e6;
   static final double LEASE_S = FakeWorker.LEASE_MICROS / 1e6;
 
-  /** Cores that the limited team may use. */
+  /** Core limit of team "red"; team "blue" has no limit. */
   static final double LIMIT = 48;
 
   final SimulatedCluster cluster;
@@ -34,7 +34,9 @@
       submit("blue", 5, 2, 30 + 20 * (i % 4), false);
     }
     cluster.play(45);
-    assertTrue(cluster.invariants.starts >= 20, "tasks run: " + cluster.invariants.starts);
+    assertTrue(
+        cluster.invariants.starts >= 20,
+        "tasks started before the faults: " + cluster.invariants.starts);
   }
 
   JobSpec submit(String team, int taskCount, double cores, double runS, boolean cancel) {
@@ -70,14 +72,14 @@
     submit("blue", Priority.STANDARD, taskCount, 2, runS, true, false);
   }
 
-  /** Jobs that go on coming. */
+  /** Schedules the submission of jobs at a fixed interval. */
   void stream(int jobs, double everyS, int taskCount, double runS) {
     for (int i = 0; i < jobs; i++) {
       cluster.at((long) (i * everyS * 1e6), () -> submit("blue", taskCount, 1, runS, false));
     }
   }
 
-  /** Brings a team to its limit, with more of its work waiting. */
+  /** Submits more jobs of the team than its limit allows to run, and waits until they run. */
   void fill(String team) {
     for (int i = 0; i < 6; i++) {
       submit(team, 12, 2, 40, false);
@@ -142,7 +144,10 @@
         .sum();
   }
 
-  /** From here on everything works, and everybody must be served. */
+  /**
+   * Ends all injected faults and runs the deployment until all jobs must have been served. From
+   * then on the checks for a deployment without faults apply.
+   */
   void endOfTrouble() {
     cluster.network.lostAnswerShare = 0;
     cluster.network.executedLateShare = 0;
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -15,8 +15,9 @@
 import plumlever.wire.Priority;
 
 /**
- * The troubles that came with the protocol's addition, each by itself and with the ones that make
- * it worse.
+ * Faults that the addition to the protocol introduced: unreachable machines, duplicated heartbeats
+ * and direct commands, partitions, delegated renewal of leases. Each fault is tested alone and
+ * together with the faults that make it worse.
  */
 final class FaultTest {
   private static final double LIMIT = 48;
@@ -62,7 +63,12 @@
     }
   }
 
-  /** Heartbeats of the machine arrive, nothing reaches it. */
+  /**
+   * Cuts off all messages to one machine with tasks for the given time. The machine's heartbeats
+   * still arrive.
+   *
+   * @return the id of the machine
+   */
   private String makeUnreachable(double seconds) {
     String machineId =
         cluster.cloud.machines.values().stream()
@@ -105,9 +111,9 @@
   }
 
   /**
-   * A leader stands still for longer than its lease lasts, and wakes to heartbeats that came
-   * meanwhile: it must see by the clock that it is none any more before it answers the first of
-   * them.
+   * A leader process freezes for longer than its lease and resumes with queued heartbeats. The
+   * process must check its lease against the clock, and stop acting as leader, before it answers
+   * the first heartbeat.
    */
   @Test
   void aLeaderThatStoodStillAnswersNobody() {
@@ -118,14 +124,15 @@
     cluster.play(11.9);
     assertTrue(
         cluster.controllers.values().stream().anyMatch(m -> m != stands && m.leads()),
-        "another leads by then");
+        "another controller leads before the frozen leader resumes");
     cluster.play(120);
     assertDone(job);
   }
 
   /**
-   * Its heartbeats go on; answered, they would keep it from ever being accounted for, and all that
-   * is inherited waits.
+   * Heartbeats of a machine arrive, but nothing reaches the machine. If a new leader answered the
+   * heartbeats, the failover would never account for the machine, and every inherited job would
+   * wait.
    */
   @Test
   void aMachineThatNothingReachesHoldsUpNoFailoverForLong() {
@@ -133,19 +140,21 @@
     JobSpec waiting = submit(job("red", Priority.STANDARD, 10, 2, 10, false));
     cluster.play(45);
     makeUnreachable(500);
-    // The cloud can't take it back meanwhile.
+    // During the cloud outage the leader can't return the machine, so a deletion can't end the
+    // wait.
     cluster.cloud.outage = true;
     cluster.leader().crash(3);
     cluster.play(75);
     assertTrue(
-        cluster.leader().actingLeader().failoverComplete(), "all machines are accounted for");
+        cluster.leader().actingLeader().failoverComplete(),
+        "the failover has accounted for all machines");
     cluster.play(150);
     assertDone(full, waiting);
   }
 
   /**
-   * Heartbeats come twice, seconds to minutes late, at any controller, through two failover and
-   * after machines were returned.
+   * Half of the heartbeats are delivered a second time, up to a minute late and at any controller,
+   * during two failovers and after machines were deleted. The duplicates must have no effect.
    */
   @Test
   void lateCopiesOfHeartbeatsChangeNothing() {
@@ -171,7 +180,10 @@
     return list.size();
   }
 
-  /** Asked the same again, the controller neither renews a lease nor gives work. */
+  /**
+   * The leader receives the same heartbeat twice. The second heartbeat must not renew the lease nor
+   * be answered with commands.
+   */
   @Test
   void aCopyAtTheLeaderIsNotAnswered() {
     cluster.play(20);
@@ -193,8 +205,9 @@
   }
 
   /**
-   * The leader loses the state service and the other controllers; its workers and its users still
-   * reach it.
+   * The leader loses its connections to the state service and to the other controllers, but its
+   * workers and users still reach it. Another controller must take the lead, and the isolated
+   * controller must report itself unhealthy and close its users' connections.
    */
   @Test
   void aLeaderLeftWithItsWorkersOnlyMakesWayAndSendsItsUsersAway() {
@@ -208,7 +221,7 @@
     }
     cluster.calmSince = cluster.now();
     cluster.play(12);
-    assertNotEquals(isRefusedAlone, cluster.leader().platform.label(), "another leads");
+    assertNotEquals(isRefusedAlone, cluster.leader().platform.label(), "another controller leads");
     int[] up = new int[1];
     boolean[] closed = new boolean[1];
     cluster.network.send(
@@ -228,15 +241,15 @@
         5_000_000,
         a -> closed[0] = a.status() == 503 && a.connectionCloses());
     cluster.play(5);
-    assertEquals(503, up[0], "silence alone makes it unhealthy too");
-    assertTrue(closed[0], "its users' connections end");
+    assertEquals(503, up[0], "a controller without any answers reports itself unhealthy");
+    assertTrue(closed[0], "the isolated controller closes its users' connections");
     cluster.play(250);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
   /**
-   * It reaches the state service and the other controllers, but none of its workers: one that does
-   * must lead.
+   * The leader reaches the state service and the other controllers, but none of its workers. A
+   * controller that reaches the workers must take the lead.
    */
   @Test
   void aLeaderThatLostItsWorkersMakesWay() {
@@ -245,15 +258,15 @@
     String isRefusedAlone = cluster.leader().platform.label();
     cluster.cloud.machines.keySet().forEach(h -> cluster.network.cut(isRefusedAlone, h, true));
     cluster.play(22);
-    assertNotEquals(isRefusedAlone, cluster.leader().platform.label(), "another leads");
+    assertNotEquals(isRefusedAlone, cluster.leader().platform.label(), "another controller leads");
     cluster.play(250);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
   /**
-   * A zone is cut off from the leader for twice a lease, but not from the others nor from the state
-   * service: they renew its leases meanwhile. A job cancelled in that time must be gone from there
-   * all the same.
+   * The leader loses a zone for more than twice the lease time, while the other controllers still
+   * reach the zone and the state service. The other controllers must renew the leases of the zone's
+   * machines as delegates. A job cancelled during the partition must still end in the zone.
    */
   @Test
   void leasesBehindAPartitionAreRenewedByOthers() {
@@ -276,9 +289,11 @@
         cluster.controllers.values().stream()
             .mapToLong(m -> m.controller().metrics().counter("leases_renewed_for_leader"))
             .sum();
-    assertTrue(renewed > 20, "leases were renewed: " + renewed);
+    assertTrue(renewed > 20, "delegates renewed leases, counted " + renewed);
     assertEquals(
-        0, cluster.leader().controller().metrics().counter("attempts_lost"), "no task was lost");
+        0,
+        cluster.leader().controller().metrics().counter("attempts_lost"),
+        "no task attempt was lost");
     assertEquals(leader, cluster.leader().platform.label());
     cluster.play(150);
     assertDone(all.toArray(new JobSpec[0]));
@@ -286,8 +301,8 @@
   }
 
   /**
-   * Where nobody reaches a zone, its tasks are given to others about as soon as without delegated
-   * renewal.
+   * No controller reaches a zone. Delegated renewal must not delay the restart of the zone's tasks
+   * elsewhere by much.
    */
   @Test
   void aZoneThatNobodyReachesIsNotWaitedFor() {
@@ -299,14 +314,14 @@
     cluster.play(48);
     assertTrue(
         cluster.leader().controller().metrics().counter("attempts_lost") > 0,
-        "the tasks there are free again");
+        "tasks in the unreachable zone are released");
     cluster.play(200);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
   /**
-   * The leader dies while others renew leases for it: its successor must not take their machines
-   * for lapsed too soon.
+   * The leader crashes while delegates renew worker leases for it. The successor must wait until
+   * the renewed leases have expired before it considers the machines lost.
    */
   @Test
   void aSuccessorWaitsForDelegates() {
@@ -321,7 +336,7 @@
     behind.forEach(h -> cluster.network.cut(leader, h, true));
     cluster.cloud.outage = true;
     cluster.play(20);
-    // Now the others lose the zone as well.
+    // From now on no controller reaches the zone.
     behind.forEach(h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, true)));
     cluster.leader().crash(1);
     cluster.at(
@@ -335,7 +350,11 @@
     assertDone(all.toArray(new JobSpec[0]));
   }
 
-  /** A common outage, by refusals or by silence, leaves every controller healthy. */
+  /**
+   * The state service does not answer any controller. Controllers must stay healthy in an outage
+   * that affects all of them, because users would find no better controller. {@link UsersTest}
+   * covers an outage in which the state service refuses requests.
+   */
   @Test
   void aCommonOutageMakesNoControllerUnhealthy() {
     cluster.play(10);
@@ -356,8 +375,8 @@
   }
 
   /**
-   * Leader, follower and a worker are back within a fraction of a second, and again while an
-   * election goes on.
+   * The leader and then every controller crash and restart within 0.15 s, also during the election
+   * that follows, and 5% of the calls are executed twice. No task may start twice.
    */
   @Test
   void processesBackAtOnceStartNothingTwice() {
@@ -376,8 +395,8 @@
   }
 
   /**
-   * Direct commands come again, up to a minute after they were carried out: a removed task must not
-   * start anew.
+   * Direct commands are delivered again up to a minute after they were executed. The duplicates
+   * must not restart a task that has been removed from the machine.
    */
   @Test
   void aLateCopyOfADirectCommandStartsNothing() {
@@ -393,7 +412,10 @@
     all.forEach(j -> assertEquals("aborted", cluster.invariants.lastTold.get(j.uid())));
   }
 
-  /** The answers to direct commands are lost, and with them the word whether the tasks run. */
+  /**
+   * Most answers to direct commands are lost, so the leader does not know whether the tasks were
+   * started. The tasks must stay assigned until a raised fencing token voids the commands.
+   */
   @Test
   void anUnansweredDirectCommandHoldsItsTaskUntilTheTokenIsRaised() {
     JobSpec first = submit(job("blue", Priority.STANDARD, 8, 2, 5, false));
@@ -406,7 +428,8 @@
   }
 
   /**
-   * While a command is under way, heartbeats that were sent before it arrived don't list its task.
+   * A heartbeat sent before a direct command arrives does not list the command's task. Such a
+   * heartbeat must not make the leader consider the command lost.
    */
   @Test
   void aHeartbeatThatCrossesADirectCommandProvesNothing() {
@@ -417,12 +440,14 @@
     assertEquals(
         0,
         cluster.leader().controller().metrics().counter("starts_lost"),
-        "no command was taken for lost");
+        "no start command was considered lost");
     assertTrue(cluster.leader().controller().metrics().counter("starts_sent") >= 100);
   }
 
   /**
-   * Nor may it while another command to the same machine is still under way, with the same token.
+   * A start command is duplicated, and the duplicate with the same fencing token is still on its
+   * way when the task ends. If the leader had the ended task removed from the machine, the
+   * duplicate would start the task a second time.
    */
   @Test
   void nothingIsRemovedWhileALateCopyCouldStartItAnew() {
@@ -436,8 +461,8 @@
   }
 
   /**
-   * Age wins in the end: under a lasting stream of urgent work the large, slow, one-zone job of a
-   * full team begins.
+   * Aging prevents starvation: during a continuous stream of production jobs, a large one-zone job
+   * of the lowest priority starts within 245 s, although its team is at its limit.
    */
   @Test
   void theLargestOfTheLeastUrgentBeginsWithinFourMinutes() {
@@ -448,11 +473,14 @@
     cluster.play(30);
     JobSpec large = submit(job("red", Priority.IDLE, 40, 4, 20, true));
     cluster.play(245);
-    assertTrue(cluster.invariants.began(large.uid()), "it has begun");
+    assertTrue(cluster.invariants.began(large.uid()), "the large job has started");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
-  /** The checks can fail: questions left unanswered, and a job that never begins, are seen. */
+  /**
+   * Verifies the invariant checks: they must report status queries that go unanswered and jobs that
+   * are not served.
+   */
   @Test
   void theChecksSeeForgottenAndUnservedJobs() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
@@ -464,9 +492,9 @@
     cluster.invariants.checkServed();
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("forgotten")),
-        "forgotten: " + cluster.invariants.broken);
+        "unanswered queries must be reported: " + cluster.invariants.broken);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("half")),
-        "half: " + job.uid());
+        "an unserved job must be reported: " + job.uid());
   }
 }
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -10,12 +10,17 @@
 import plumlever.wire.JobSpec;
 
 /**
- * The protocol's rules, checked on what really happens on the simulated machines and is told to
- * users.
+ * Checks the protocol's rules against what happens on the simulated machines and what users are
+ * answered. Each violation is recorded under the name of the broken rule.
  */
 final class InvariantChecker {
+  /** Time within which the tasks of a job end after its cancellation was confirmed. */
   static final long CANCEL_MICROS = 40_000_000;
+
+  /** Longest time without an answered query about a job once all faults have ended. */
   static final long FORGOTTEN_MICROS = 75_000_000;
+
+  /** Time within which the largest jobs of a class start once they can. */
   static final long BEGIN_MICROS = 240_000_000;
 
   private final SimulatedCluster cluster;
@@ -28,10 +33,10 @@
   final Map<String, String> lastTold = new HashMap<>();
   private final Map<String, Set<FakeWorker>> on = new HashMap<>();
 
-  /** How many tasks of each job are on machines, a task on two machines counted twice. */
+  /** Number of tasks of each job on machines; a task on two machines counts twice. */
   private final Map<String, Integer> onByJob = new HashMap<>();
 
-  /** Jobs called cancelled to their users that have tasks on machines. */
+  /** Jobs with a confirmed cancellation that still have tasks on machines. */
   private final Set<String> cancelledOn = new HashSet<>();
 
   /** Cores that each team's tasks use now. */
@@ -42,25 +47,26 @@
   int starts;
 
   /**
-   * Starts after the cancellation was confirmed; each is gone again within the time for
-   * cancellations.
+   * Number of task starts after the cancellation of the job was confirmed. The protocol allows
+   * these starts if the tasks end within {@link #CANCEL_MICROS} of the confirmation.
    */
   int startsAfterCancel;
 
-  /** Told the moment a job's last task completes. */
+  /** Receives the id of each job when the job's last task completes. */
   java.util.function.Consumer<String> whenComplete = uid -> {};
 
   private final Map<String, Long> completedAt = new HashMap<>();
 
-  /** Final states by when a user was told them, at whatever controller. */
+  /** When each job's final state was first reported to a user by any controller. */
   private final Map<String, Long> finalAt = new HashMap<>();
 
   private final Map<String, String> finalState = new HashMap<>();
   private final Set<String> acceptedSeen = new HashSet<>();
 
-  /** Since when a job has waited although a machine that fits has room. */
+  /** Since when each job has waited although a suitable machine has free capacity. */
   private final Map<String, Long> waitsSince = new HashMap<>();
 
+  /** Longest time that a job may wait beside free capacity. */
   static final long WAITING_MICROS = 90_000_000;
 
   InvariantChecker(SimulatedCluster cluster, List<PlatformConfiguration.Team> teams) {
@@ -92,14 +98,14 @@
     }
   }
 
-  /** A machine carries out the command to start the task, whether or not it has its image yet. */
+  /** Checks a start command that a machine executes, before the machine fetches the image. */
   void commandedToStart(String task, FakeWorker worker) {
     Long cancelled = cancelledAt.get(job(task));
     if (cancelled != null && cluster.now() > cancelled + CANCEL_MICROS) {
       broke(
           "ran_cancelled",
           task
-              + " is started on "
+              + " was commanded to start on "
               + worker.vm.id
               + " "
               + (cluster.now() - cancelled) / 1e6
@@ -116,7 +122,7 @@
     beganAt.putIfAbsent(otherJob.uid(), cluster.now());
     for (String name : otherJob.dependencies()) {
       if (!allDone(name)) {
-        broke("too_early", task + " starts before " + name + " is done");
+        broke("too_early", task + " starts before its dependency " + name + " is done");
       }
     }
     Set<FakeWorker> at = on.computeIfAbsent(task, k -> new HashSet<>());
@@ -129,7 +135,7 @@
       noteCancelledOn(otherJob.uid());
     }
     if (!otherJob.allows(worker.vm.machineType, worker.vm.zone, worker.vm.spot)) {
-      broke("wrong_place", task + " on " + worker.vm.id);
+      broke("wrong_place", task + " on a machine that its job excludes: " + worker.vm.id);
     }
     int here = 0;
     for (int i = 0; i < otherJob.taskCount(); i++) {
@@ -139,17 +145,21 @@
         } else if (otherJob.oneZone()) {
           broke(
               "wrong_place",
-              task + " in " + worker.vm.zone + " while another is in " + other.vm.zone);
+              task
+                  + " of a one-zone job in "
+                  + worker.vm.zone
+                  + ", another task in "
+                  + other.vm.zone);
         }
       }
     }
     if (here > otherJob.maxTasksPerZone()) {
-      broke("wrong_place", task + " is one too many in " + worker.vm.zone);
+      broke("wrong_place", task + " exceeds the tasks per zone of its job in " + worker.vm.zone);
     }
     double used = held.merge(otherJob.team(), joins ? otherJob.cores() : 0, Double::sum);
     double limit = teams.get(otherJob.team()).maxCores();
     if (limit > 0 && used > limit + 1e-6) {
-      broke("quota", otherJob.team() + " uses " + used);
+      broke("quota", otherJob.team() + " exceeds its limit, cores used: " + used);
     }
   }
 
@@ -179,7 +189,7 @@
   void check() {
     for (String uid : cancelledOn) {
       if (cluster.now() > cancelledAt.get(uid) + CANCEL_MICROS) {
-        broke("ran_cancelled", uid + " with " + onByJob.get(uid) + " tasks on machines");
+        broke("ran_cancelled", uid + " still has " + onByJob.get(uid) + " tasks on machines");
         return;
       }
     }
@@ -193,12 +203,12 @@
     return beganAt.containsKey(uid);
   }
 
-  /** A question about a job was answered. */
+  /** Records that a query about the job was answered. */
   void answered(String uid) {
     answeredAt.put(uid, cluster.now());
   }
 
-  /** Once all troubles are over, no accepted job's questions may go unanswered for long. */
+  /** After all faults have ended, queries about an accepted job must be answered in time. */
   void checkForgotten() {
     if (cluster.calmSince == Long.MAX_VALUE) {
       return;
@@ -206,14 +216,15 @@
     answeredAt.forEach(
         (uid, at) -> {
           if (cluster.now() - Math.max(at, cluster.calmSince) > FORGOTTEN_MICROS) {
-            broke("forgotten", uid + " got no answer since " + at / 1e6);
+            broke("forgotten", uid + " has had no answered query since " + at / 1e6);
           }
         });
   }
 
   /**
-   * Of each class, each team and the largest jobs of each class, at least half must be served; the
-   * largest begin in time.
+   * Checks that at least half of the jobs of each class and of each team, and half of the largest
+   * jobs of each class, are done, and that the largest jobs started in time. Cancelled jobs do not
+   * count.
    */
   void checkServed() {
     Map<String, List<JobSpec>> groups = new HashMap<>();
@@ -243,9 +254,9 @@
                     broke(
                         "half",
                         j.uid()
-                            + ", one of the "
+                            + ", of the "
                             + name
-                            + ", began after "
+                            + ", started after "
                             + (began - from) / 1e6
                             + " s");
                   }
@@ -255,26 +266,27 @@
         (name, all) -> {
           long served = all.stream().filter(j -> "done".equals(lastTold.get(j.uid()))).count();
           if (served * 2 < all.size()) {
-            broke("half", "of " + name + " only " + served + " of " + all.size() + " are served");
+            broke(
+                "half", "of " + name + " only " + served + " of " + all.size() + " jobs are done");
           }
         });
   }
 
   /**
-   * An answer that a user got from any controller, also to questions asked at once at all of them:
-   * one to a question that was asked after some user had been told an end, or that the job is
-   * accepted, must not be older than that.
+   * Checks an answer that a user got from any controller. An answer must not be older than what any
+   * user knew when the query was sent: a final state must not change, and an accepted job must not
+   * be unknown. The check includes queries sent to all controllers at the same time.
    *
-   * @param status null for a 404
+   * @param status the reported job status, or null for a 404
    */
   void toldAnywhere(String uid, String status, long askedMicros) {
     String end = finalState.get(uid);
     if (end != null && askedMicros >= finalAt.get(uid) && !end.equals(status)) {
-      broke("went_back", uid + " was told " + end + " and then " + status);
+      broke("went_back", uid + " was reported " + end + " and then " + status);
     }
     if (status == null) {
       if (acceptedSeen.contains(uid)) {
-        broke("forgotten", uid + " is unknown after it was accepted");
+        broke("forgotten", uid + " got a 404 after it was accepted");
       }
       return;
     }
@@ -286,7 +298,12 @@
     if (cause != null) {
       broke(
           "orphaned",
-          uid + " is called " + status + " after a user was told that " + cause + " is cancelled");
+          uid
+              + " is reported "
+              + status
+              + " after its dependency "
+              + cause
+              + " was reported cancelled");
     }
     if ((status.equals("done") || status.equals("aborted")) && end == null) {
       finalState.put(uid, status);
@@ -295,8 +312,8 @@
   }
 
   /**
-   * A job before it, directly or through others, of which a user had been told by then that it is
-   * cancelled; or null.
+   * Returns a direct or transitive dependency of the job that had been reported cancelled to a user
+   * by the given time, or null.
    */
   private String cancelledBefore(String uid, long askedMicros) {
     Set<String> seen = new HashSet<>();
@@ -315,7 +332,7 @@
     return null;
   }
 
-  /** From when waiting counts: submitted, and all that it waits on done. */
+  /** Returns when the job was submitted and all its dependencies were done, whichever is later. */
   private long waitsFrom(JobSpec job) {
     long from = submittedAt.getOrDefault(job.uid(), 0L);
     for (String name : job.dependencies()) {
@@ -326,8 +343,8 @@
   }
 
   /**
-   * Once all troubles are over no job may wait for long while a machine that fits has room and its
-   * team may use it.
+   * After all faults have ended, no job may wait for long while a suitable machine has free
+   * capacity and the job's team is below its limit.
    */
   void checkWaiting() {
     if (cluster.calmSince == Long.MAX_VALUE) {
@@ -348,7 +365,7 @@
         waitsSince.remove(job == null ? "" : job.uid());
       } else if (cluster.now() - waitsSince.computeIfAbsent(job.uid(), k -> cluster.now())
           > WAITING_MICROS) {
-        broke("waiting", job.uid() + " waits although there is room");
+        broke("waiting", job.uid() + " waits although a suitable machine has free capacity");
         waitsSince.remove(job.uid());
       }
     }
@@ -384,19 +401,19 @@
     return false;
   }
 
-  /** A user was told something of a job. */
+  /** Checks and records a job status that a user received. */
   void told(String uid, String status, boolean userCancelled) {
     String before = lastTold.get(uid);
     if (status.equals("done") && !allDone(uid)) {
       broke("not_done", uid);
     }
     if (status.equals("aborted") && !userCancelled) {
-      broke("went_back", uid + " was never cancelled");
+      broke("went_back", uid + " was reported cancelled without a cancellation");
     }
     if (before != null
         && (before.equals("done") || before.equals("aborted"))
         && !before.equals(status)) {
-      broke("went_back", uid + " from " + before + " to " + status);
+      broke("went_back", uid + " changed from " + before + " to " + status);
     }
     if (status.equals("aborted")) {
       cancelledAt.putIfAbsent(uid, cluster.now());
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -16,8 +16,8 @@
 import plumlever.wire.Json;
 
 /**
- * The whole service in a simulated deployment, with seeded troubles; the rules are checked after
- * each step.
+ * Runs the whole service in a simulated deployment with random faults drawn from a seed, and checks
+ * the protocol's rules after each event.
  */
 final class SimulationTest {
   private static final List<PlatformConfiguration.Team> TEAMS =
@@ -45,7 +45,7 @@
   static void assertAllServed(SimulatedCluster cluster, FakeUsers users, int jobs) {
     cluster.invariants.checkServed();
     assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals(jobs, users.accepted().size(), "every job is accepted in the end");
+    assertEquals(jobs, users.accepted().size(), "number of accepted jobs");
     List<String> open = new ArrayList<>();
     for (String uid : users.accepted()) {
       String told = cluster.invariants.lastTold.get(uid);
@@ -53,8 +53,8 @@
         open.add(uid + " " + told);
       }
     }
-    assertEquals(List.of(), open, "every job comes to its end");
-    assertTrue(cluster.invariants.starts > jobs, "tasks were started");
+    assertEquals(List.of(), open, "jobs neither done nor cancelled at the end");
+    assertTrue(cluster.invariants.starts > jobs, "more tasks were started than jobs submitted");
   }
 
   @Test
@@ -66,18 +66,18 @@
     assertAllServed(cluster, users, 20);
   }
 
-  /** A dozen seeds as a rule; {@code -Dplumlever.first=F -Dplumlever.seeds=N} plays others. */
+  /** Twelve seeds by default; {@code -Dplumlever.first=F -Dplumlever.seeds=N} selects others. */
   static LongStream seeds() {
     long first = Long.getLong("plumlever.first", 2);
     LongStream asked = LongStream.range(first, first + Integer.getInteger("plumlever.seeds", 12));
-    // 395: a heartbeat held back beyond its lease once brought a dead task back, and a one-zone job
-    // into two zones.
+    // Regression, seed 395: a heartbeat delayed beyond the worker's lease restored a lost task, so
+    // that a one-zone job ran in two zones.
     return first == 2 ? LongStream.concat(asked, LongStream.of(395)) : asked;
   }
 
   /**
-   * Crashes of one and all, cuts, outages, refusals, hanging and vanishing machines, late and
-   * repeated requests.
+   * Injects crashes of one or all controllers, network partitions, outages, refused requests, hung
+   * and deleted machines, and late and repeated requests.
    */
   @ParameterizedTest
   @MethodSource("seeds")
@@ -143,7 +143,7 @@
       case 12 -> loseAllButWorkers(cluster, one, time);
       case 14 -> cutFromAllMachines(cluster, leader.platform.label(), time);
       case 13 -> {
-        // Back at once, and once more in the middle of the election that follows.
+        // Restarts the leader at once, then restarts a random controller during the election.
         leader.crash(0.1 + cluster.random.nextDouble() / 10);
         cluster.at(
             500_000 + cluster.random.nextLong(3_000_000),
@@ -188,7 +188,10 @@
         .forEach(v -> hold(cluster, v.id + ">" + leader, leader + ">" + v.id, time));
   }
 
-  /** Its heartbeats arrive; answers and commands to it don't, and come late if at all. */
+  /**
+   * Cuts off answers and commands to the machine, while its heartbeats still arrive. The network
+   * delivers held commands after the cut ends.
+   */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
     cluster.network.cuts.put("*>" + machineId, true);
     cluster.at(time, () -> cluster.network.cuts.remove("*>" + machineId));
@@ -237,8 +240,8 @@
   }
 
   /**
-   * A leader crashes while a machine that runs tasks can't be reached for a while, and there is
-   * room elsewhere.
+   * Crashes the leader while a machine that holds tasks is cut off for 15 s and other machines have
+   * free capacity.
    */
   private static SimulatedCluster failoverWithAHiddenMachine(
       Consumer<SimulatedCluster> beforeTheCrash) {
@@ -265,8 +268,8 @@
   }
 
   /**
-   * The checks can fail: a successor that is told of no job that its predecessor began starts some
-   * twice.
+   * Verifies the invariant checks: a new leader that reads an empty record of started jobs starts
+   * some tasks a second time, and the checks must report them.
    */
   @Test
   void withoutTheRecordOfStartedJobsTasksRunTwice() {
@@ -275,19 +278,19 @@
             v -> v.store.forge("begun/", Json.object().set("jobs", Json.object().arrayNode())));
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
-        "the checks must see the missing record");
+        "the checks must report tasks that run twice without the record of started jobs");
   }
 
   /**
-   * The checks can fail: a successor that is not told which machines may hold tasks starts some
-   * twice.
+   * Verifies the invariant checks: a new leader that cannot read which machines may hold tasks
+   * starts some tasks a second time, and the checks must report them.
    */
   @Test
   void withoutTheRecordOfMachinesTasksRunTwice() {
     SimulatedCluster cluster = failoverWithAHiddenMachine(v -> v.store.hidden = "fleet/");
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
-        "the checks must see the missing record");
+        "the checks must report tasks that run twice without the record of machines");
   }
 
   @Test
@@ -297,8 +300,8 @@
   }
 
   /**
-   * Machines behind a cut go on working within their leases; the leader must not delete them for
-   * their silence.
+   * Machines behind a partition that is shorter than a lease continue to run their tasks. The
+   * leader must not return the machines because of missing heartbeats.
    */
   @Test
   void aShortCutOfAZoneCostsNoMachine() {
@@ -332,8 +335,8 @@
   }
 
   /**
-   * A machine taken right before the leader's crash must not hold up all that its successor
-   * inherits.
+   * The cloud takes a machine right before the leader crashes. The lost machine must not delay the
+   * failover of everything that the new leader inherits.
    */
   @Test
   void aVanishedMachineHoldsUpAFailoverOnlyShortly() {
@@ -366,8 +369,8 @@
   }
 
   /**
-   * While a zone is cut off a failover lasts as long as a lease. What no earlier leader began need
-   * not wait for it, and machines are rented for it.
+   * While a zone is cut off, a failover takes as long as a lease. Jobs that no earlier leader
+   * started must not wait for the failover, and the new leader rents machines for them.
    */
   @Test
   void whatNoLeaderBeganDoesNotWaitForACutZone() {
@@ -393,19 +396,19 @@
     cluster.play(16);
     assertFalse(
         cluster.leader().actingLeader().failoverComplete(),
-        "the cut zone is not accounted for yet");
+        "the failover must still wait for the cut-off zone");
     assertTrue(
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null)
             .flatMap(v -> v.worker.tasks.values().stream())
             .anyMatch(t -> t.on() && t.name.startsWith(late.uid())),
-        "it runs before that");
+        "the new job runs before the failover is complete");
     cluster.play(300);
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals("done", cluster.invariants.lastTold.get(late.uid()));
   }
 
-  /** One survivor of three goes on serving. */
+  /** Two of three controllers end for good; the remaining controller must serve all jobs. */
   @Test
   void oneControllerSuffices() {
     SimulatedCluster cluster = cluster(31);
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.settings.PlatformConfiguration;
 
-/** What users are told, in ordinary and in bad times. */
+/** Tests the answers to users, in normal operation and during outages. */
 final class UsersTest {
   private static final String JOB =
       "{\"uid\":\"job-1\",\"jobclass\":\"c\",\"owner\":\"red\",\"shape\":\"sweep\","
@@ -105,13 +105,19 @@
           {"POST", "/submissions/job-1/abort", ""}
         }) {
       assertEquals(503, ask(received[0], received[1], received[2]));
-      assertTrue(retryAfter > 0, "Retry-After");
-      assertTrue(took < 100_000, "answered at once, not held back: " + took);
+      assertTrue(retryAfter > 0, "Retry-After must be set");
+      assertTrue(took < 100_000, "answered within 100 ms, took (µs): " + took);
     }
-    assertEquals(200, ask("GET", "/up", null), "a common outage makes no node unhealthy");
+    assertEquals(
+        200,
+        ask("GET", "/up", null),
+        "an outage for all controllers makes no controller unhealthy");
   }
 
-  /** The transaction is carried out, its answer is lost: the record decides, never a guess. */
+  /**
+   * The state service applies the transaction that accepts a job, but the answer is lost. The
+   * controller must read the job record to find out whether the job was accepted.
+   */
   @Test
   void anUnansweredAcceptanceIsSettledByReading() {
     cluster.network.cuts.put("state>n0", true);
@@ -123,8 +129,8 @@
   }
 
   /**
-   * A follower that nobody asks anything sends little to the state service, and is healthy all the
-   * same.
+   * A follower without user requests sends few requests to the state service. The low traffic must
+   * not make the follower report itself unhealthy.
    */
   @Test
   void aQuietControllerStaysHealthy() {
@@ -139,7 +145,10 @@
     }
   }
 
-  /** Refused by the state service alone: users should go to another controller. */
+  /**
+   * The state service refuses the requests of only one controller. The controller must report
+   * itself unhealthy, so that users connect to another controller.
+   */
   @Test
   void aControllerThatAloneIsRefusedCallsItselfUnhealthy() {
     cluster.store.refused.add("n0");
