--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -180,10 +180,7 @@
     return list.size();
   }
 
-  /**
-   * The leader receives the same heartbeat twice. The second heartbeat must not renew the lease nor
-   * be answered with commands.
-   */
+  /** The second of two equal heartbeats must not renew the lease nor be answered with commands. */
   @Test
   void aCopyAtTheLeaderIsNotAnswered() {
     cluster.play(20);
