--- a/src/test/java/plumlever/sim/EventQueue.java
+++ b/src/test/java/plumlever/sim/EventQueue.java
@@ -13,7 +13,7 @@
       new PriorityQueue<>(
           Comparator.comparingLong(Event::atMicros).thenComparingLong(Event::number));
 
-  private long entered;
+  private long eventsAdded;
   private long nowMicros = START_MICROS;
 
   long nowMicros() {
@@ -22,7 +22,7 @@
 
   /** Schedules the action after the delay; a negative delay counts as zero. */
   void at(long delayMicros, Runnable action) {
-    events.add(new Event(nowMicros + Math.max(0, delayMicros), entered++, action));
+    events.add(new Event(nowMicros + Math.max(0, delayMicros), eventsAdded++, action));
   }
 
   /** Called after each event with the number of the event. */
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -19,9 +19,9 @@
  * missing capacity.
  */
 final class FakeCloud implements SimulatedNetwork.Service {
-  static final long LAG_MICROS = 3_000_000;
-  private static final double RPS = 6;
-  private static final int PAGE = 500;
+  static final long LIST_LAG_MICROS = 3_000_000;
+  private static final double REQUESTS_PER_S = 6;
+  private static final int PAGE_SIZE = 500;
   private static final Pattern SINCE = Pattern.compile("since=([^&]+)");
   private static final String CATALOG =
       """
@@ -40,44 +40,44 @@
     final String machineType;
     final String zone;
     final boolean spot;
-    final long bornMicros;
+    final long rentedMicros;
     FakeWorker worker;
     boolean dead;
 
-    Vm(String id, String machineType, String zone, boolean spot, long born) {
+    Vm(String id, String machineType, String zone, boolean spot, long rentedMicros) {
       this.id = id;
       this.machineType = machineType;
       this.zone = zone;
       this.spot = spot;
-      this.bornMicros = born;
+      this.rentedMicros = rentedMicros;
     }
   }
 
   private final SimulatedCluster cluster;
   final TreeMap<String, Vm> machines = new TreeMap<>();
-  private final Map<String, List<String>> rentals = new HashMap<>();
-  private final List<Object[]> history = new ArrayList<>();
-  private int counter;
+  private final Map<String, List<String>> machineIdsByRental = new HashMap<>();
+  private final List<Object[]> listSnapshots = new ArrayList<>();
+  private int lastMachineNumber;
   boolean outage;
 
   /** True if requests beyond the rate limit are refused with 429 and counted. */
   boolean limitsRate;
 
   int refused;
-  private double tokens = 2 * RPS;
+  private double tokens = 2 * REQUESTS_PER_S;
   private long refilledMicros;
 
   /** True if rented machines boot within two seconds instead of 5 to 20 s. */
-  boolean bootsAtOnce;
+  boolean fastBoots;
 
   int most = 14;
 
   FakeCloud(SimulatedCluster cluster) {
     this.cluster = cluster;
-    cluster.at(1, this::snapshot);
+    cluster.at(1, this::recordListSnapshot);
   }
 
-  private void snapshot() {
+  private void recordListSnapshot() {
     ArrayNode list = Json.object().putArray("hosts");
     for (Vm vm : machines.values()) {
       list.addObject()
@@ -87,11 +87,11 @@
           .put("site", vm.zone)
           .put("loaners", vm.spot)
           .put("status", vm.worker == null ? "booting" : "running")
-          .put("age_s", (cluster.now() - vm.bornMicros) / 1e6);
+          .put("age_s", (cluster.now() - vm.rentedMicros) / 1e6);
     }
-    history.add(new Object[] {cluster.now(), list});
-    history.removeIf(h -> (Long) h[0] < cluster.now() - 3 * LAG_MICROS);
-    cluster.at(500_000, this::snapshot);
+    listSnapshots.add(new Object[] {cluster.now(), list});
+    listSnapshots.removeIf(h -> (Long) h[0] < cluster.now() - 3 * LIST_LAG_MICROS);
+    cluster.at(500_000, this::recordListSnapshot);
   }
 
   @Override
@@ -103,7 +103,10 @@
     }
     try {
       if (cluster.now() > refilledMicros) {
-        tokens = Math.min(2 * RPS, tokens + (cluster.now() - refilledMicros) * RPS / 1e6);
+        tokens =
+            Math.min(
+                2 * REQUESTS_PER_S,
+                tokens + (cluster.now() - refilledMicros) * REQUESTS_PER_S / 1e6);
         refilledMicros = cluster.now();
       }
       if (limitsRate && tokens < 1) {
@@ -115,11 +118,12 @@
       if (path.equals("/catalog")) {
         reply.send(200, CATALOG);
       } else if (path.startsWith("/hosts?")) {
-        long then = cluster.now() - LAG_MICROS - cluster.random.nextLong(LAG_MICROS);
+        long listedAtMicros =
+            cluster.now() - LIST_LAG_MICROS - cluster.random.nextLong(LIST_LAG_MICROS);
         ArrayNode listed = Json.object().putArray("hosts");
-        for (Object[] machineId : history) {
-          if ((Long) machineId[0] <= then) {
-            listed = (ArrayNode) machineId[1];
+        for (Object[] snapshot : listSnapshots) {
+          if ((Long) snapshot[0] <= listedAtMicros) {
+            listed = (ArrayNode) snapshot[1];
           }
         }
         reply.send(200, Json.write(page(listed, path)));
@@ -140,15 +144,15 @@
     Matcher since = SINCE.matcher(path);
     String from = since.find() ? since.group(1) : "";
     ObjectNode out = Json.object();
-    ArrayNode machineIds = out.putArray("hosts");
+    ArrayNode listedMachines = out.putArray("hosts");
     boolean more = false;
-    for (JsonNode machineId : listed) {
-      if (machineId.path("uid").asText().compareTo(from) > 0) {
-        more = machineIds.size() == PAGE;
+    for (JsonNode machine : listed) {
+      if (machine.path("uid").asText().compareTo(from) > 0) {
+        more = listedMachines.size() == PAGE_SIZE;
         if (more) {
           break;
         }
-        machineIds.add(machineId);
+        listedMachines.add(machine);
       }
     }
     return out.put("more", more);
@@ -157,7 +161,7 @@
   /** Adds machines that are already running, for deployments that start with machines. */
   void provide(int count) {
     for (int i = 0; i < count; i++) {
-      String id = String.format("i-%06d", ++counter);
+      String id = String.format("i-%06d", ++lastMachineNumber);
       Vm vm =
           new Vm(
               id,
@@ -171,22 +175,22 @@
   }
 
   private void rent(ObjectNode object, SimulatedNetwork.Reply reply) {
-    String name = object.path("rental").asText();
-    if (!rentals.containsKey(name)) {
-      List<String> got = new ArrayList<>();
-      for (int i = 0; i < object.path("count").asInt() && has(object); i++) {
+    String rental = object.path("rental").asText();
+    if (!machineIdsByRental.containsKey(rental)) {
+      List<String> machineIds = new ArrayList<>();
+      for (int i = 0; i < object.path("count").asInt() && hasCapacity(object); i++) {
         Vm vm =
             new Vm(
-                String.format("i-%06d", ++counter),
+                String.format("i-%06d", ++lastMachineNumber),
                 object.path("flavor").asText(),
                 object.path("site").asText(),
                 object.path("loaners").asBoolean(),
                 cluster.now());
         machines.put(vm.id, vm);
-        got.add(vm.id);
+        machineIds.add(vm.id);
         if (cluster.random.nextInt(25) > 0) {
           cluster.at(
-              bootsAtOnce
+              fastBoots
                   ? cluster.random.nextLong(2_000_000)
                   : 5_000_000 + cluster.random.nextLong(15_000_000),
               () -> {
@@ -196,15 +200,15 @@
               });
         }
       }
-      if (got.isEmpty()) {
+      if (machineIds.isEmpty()) {
         reply.send(503, "{\"error\":\"no capacity\"}");
         return;
       }
-      rentals.put(name, got);
+      machineIdsByRental.put(rental, machineIds);
     }
     ObjectNode out = Json.object();
     ArrayNode array = out.putArray("hosts");
-    rentals.get(name).forEach(array::add);
+    machineIdsByRental.get(rental).forEach(array::add);
     reply.send(200, Json.write(out));
   }
 
@@ -212,7 +216,7 @@
    * True if the cloud can rent out another machine of the requested type, zone and spot setting.
    * The capacity of each such combination is independent of the others.
    */
-  private boolean has(ObjectNode object) {
+  private boolean hasCapacity(ObjectNode object) {
     long rented =
         machines.values().stream()
             .filter(
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -26,10 +26,10 @@
   private final TreeMap<String, Entry> keys = new TreeMap<>();
   private final Map<Long, Long> leaseEnds = new HashMap<>();
   private final Map<Long, Long> leaseTtl = new HashMap<>();
-  private final List<Change> log = new ArrayList<>();
-  private final List<Runnable> waiting = new ArrayList<>();
+  private final List<Change> changeLog = new ArrayList<>();
+  private final List<Runnable> waitingWatches = new ArrayList<>();
   private long storeRevision = 10;
-  private long leaseIds;
+  private long lastLeaseId;
   boolean outage;
   final Set<String> refused = new HashSet<>();
 
@@ -78,16 +78,16 @@
   double unansweredWrites;
 
   /** How many transactions were applied after a newer one of the same controller. */
-  int carriedOutAfterNewer;
+  int appliedAfterNewer;
 
   /** How many transactions were applied immediately but not answered. */
   int appliedUnanswered;
 
   /** Additional delay of each answer. */
-  long slowMicros;
+  long answerDelayMicros;
 
-  private final Map<String, Long> newestOf = new HashMap<>();
-  private long sent;
+  private final Map<String, Long> newestTransactionByController = new HashMap<>();
+  private long transactionsReceived;
 
   /** Listings of keys under this prefix are never answered. */
   String slowPrefix;
@@ -99,11 +99,11 @@
   boolean ignorePreconditions;
 
   /** Listings of this prefix return no keys; for tests of the invariant checks. */
-  String hidden;
+  String hiddenPrefix;
 
   FakeStore(SimulatedCluster cluster) {
     this.cluster = cluster;
-    cluster.at(50_000, this::expire);
+    cluster.at(50_000, this::expireLeases);
   }
 
   void endOutage() {
@@ -112,41 +112,41 @@
     leaseTtl.forEach((p, ttl) -> leaseEnds.computeIfPresent(p, (k, end) -> cluster.now() + ttl));
   }
 
-  private void expire() {
+  private void expireLeases() {
     if (!outage) {
-      for (Long value : new ArrayList<>(leaseEnds.keySet())) {
-        if (leaseEnds.get(value) <= cluster.now()) {
-          end(value);
+      for (Long leaseId : new ArrayList<>(leaseEnds.keySet())) {
+        if (leaseEnds.get(leaseId) <= cluster.now()) {
+          endLease(leaseId);
         }
       }
     }
-    cluster.at(50_000, this::expire);
+    cluster.at(50_000, this::expireLeases);
   }
 
-  private void end(long leaseId) {
+  private void endLease(long leaseId) {
     leaseEnds.remove(leaseId);
     leaseTtl.remove(leaseId);
-    List<String> gone = new ArrayList<>();
+    List<String> endedKeys = new ArrayList<>();
     keys.forEach(
         (k, e) -> {
           if (e.leaseId == leaseId) {
-            gone.add(k);
+            endedKeys.add(k);
           }
         });
-    if (!gone.isEmpty()) {
+    if (!endedKeys.isEmpty()) {
       storeRevision++;
-      gone.forEach(
+      endedKeys.forEach(
           k -> {
             keys.remove(k);
-            log.add(new Change(storeRevision, k, null));
+            changeLog.add(new Change(storeRevision, k, null));
           });
-      wake();
+      notifyWatches();
     }
   }
 
-  private void wake() {
-    List<Runnable> list = new ArrayList<>(waiting);
-    waiting.clear();
+  private void notifyWatches() {
+    List<Runnable> list = new ArrayList<>(waitingWatches);
+    waitingWatches.clear();
     list.forEach(r -> cluster.at(0, r));
   }
 
@@ -157,20 +157,20 @@
   int mostChanges;
 
   int largestValue;
-  private long second;
-  private int requests;
-  private int changes;
-
-  private void tally(int puts) {
-    if (cluster.now() / 1_000_000 != second) {
-      second = cluster.now() / 1_000_000;
-      requests = 0;
-      changes = 0;
+  private long currentSecond;
+  private int requestsThisSecond;
+  private int changesThisSecond;
+
+  private void countOperations(int puts) {
+    if (cluster.now() / 1_000_000 != currentSecond) {
+      currentSecond = cluster.now() / 1_000_000;
+      requestsThisSecond = 0;
+      changesThisSecond = 0;
     }
-    requests += puts == 0 ? 1 : 0;
-    changes += puts;
-    mostRequests = Math.max(mostRequests, requests);
-    mostChanges = Math.max(mostChanges, changes);
+    requestsThisSecond += puts == 0 ? 1 : 0;
+    changesThisSecond += puts;
+    mostRequests = Math.max(mostRequests, requestsThisSecond);
+    mostChanges = Math.max(mostChanges, changesThisSecond);
   }
 
   /** Replaces all values under the prefix without a new revision and without notifying watches. */
@@ -179,7 +179,7 @@
   }
 
   /** When the last leader was elected. */
-  long termSince;
+  long termStartMicros;
 
   /** The term of the last leader elected. */
   long term() {
@@ -204,14 +204,14 @@
     storeRevision++;
     for (String key : entries(prefix).keySet()) {
       keys.remove(key);
-      log.add(new Change(storeRevision, key, null));
+      changeLog.add(new Change(storeRevision, key, null));
     }
     values.forEach(
         (k, v) -> {
           keys.put(k, new Entry(v, storeRevision, 0));
-          log.add(new Change(storeRevision, k, v));
+          changeLog.add(new Change(storeRevision, k, v));
         });
-    wake();
+    notifyWatches();
   }
 
   List<JsonNode> values(String prefix) {
@@ -223,7 +223,8 @@
 
   /** Returns the number of changes of the key, or of all keys if the key is empty. */
   int changesOf(String key) {
-    return (int) log.stream().filter(change -> key.isEmpty() || change.key.equals(key)).count();
+    return (int)
+        changeLog.stream().filter(change -> key.isEmpty() || change.key.equals(key)).count();
   }
 
   int count(String prefix) {
@@ -233,7 +234,7 @@
   @Override
   public void handle(
       String from, String method, String path, String body, SimulatedNetwork.Reply reply) {
-    tally(0);
+    countOperations(0);
     requestsSeen++;
     if (unwatched.contains(from) && path.startsWith("/follow?")) {
       return;
@@ -246,26 +247,26 @@
       reply.send(503, "{\"error\":\"trouble\"}");
       return;
     }
-    SimulatedNetwork.Reply prompt = reply;
+    SimulatedNetwork.Reply undelayed = reply;
     reply =
-        slowMicros == 0
-            ? prompt
-            : (status, text) -> cluster.at(slowMicros, () -> prompt.send(status, text));
+        answerDelayMicros == 0
+            ? undelayed
+            : (status, text) -> cluster.at(answerDelayMicros, () -> undelayed.send(status, text));
     try {
       if (path.equals("/txn")) {
-        write(from, Json.parseObject(body), reply);
+        applyOrInjectFault(from, Json.parseObject(body), reply);
       } else if (path.equals("/grants")) {
         long ttl = Json.parseObject(body).path("ttl_ms").asLong() * 1_000;
-        leaseEnds.put(++leaseIds, cluster.now() + ttl);
-        leaseTtl.put(leaseIds, ttl);
-        reply.send(200, "{\"permit\":" + leaseIds + "}");
+        leaseEnds.put(++lastLeaseId, cluster.now() + ttl);
+        leaseTtl.put(lastLeaseId, ttl);
+        reply.send(200, "{\"permit\":" + lastLeaseId + "}");
       } else if (path.startsWith("/grants/")) {
         String[] parts = path.split("/");
         long leaseId = Long.parseLong(parts[2]);
         if (!leaseEnds.containsKey(leaseId)) {
           reply.send(404, "{}");
         } else if (method.equals("DELETE")) {
-          end(leaseId);
+          endLease(leaseId);
           reply.send(200, "{}");
         } else {
           leaseEnds.put(leaseId, cluster.now() + leaseTtl.get(leaseId));
@@ -277,7 +278,7 @@
         if (entry == null) {
           reply.send(404, "{\"epoch\":" + storeRevision + "}");
         } else {
-          reply.send(200, Json.write(item(key, entry)));
+          reply.send(200, Json.write(listedEntry(key, entry)));
         }
       } else if (path.startsWith("/keys?")) {
         list(query(path), reply);
@@ -291,31 +292,32 @@
     }
   }
 
-  private static ObjectNode item(String text, Entry entry) {
+  private static ObjectNode listedEntry(String key, Entry entry) {
     ObjectNode object =
-        Json.object().put("k", text).put("stamp", entry.revision).put("permit", entry.leaseId);
+        Json.object().put("k", key).put("stamp", entry.revision).put("permit", entry.leaseId);
     object.set("data", entry.data);
     return object;
   }
 
   private static Map<String, String> query(String path) {
-    Map<String, String> map = new HashMap<>();
+    Map<String, String> parameters = new HashMap<>();
     for (String parameter : path.substring(path.indexOf('?') + 1).split("&")) {
       int eq = parameter.indexOf('=');
-      map.put(parameter.substring(0, eq), parameter.substring(eq + 1));
+      parameters.put(parameter.substring(0, eq), parameter.substring(eq + 1));
     }
-    return map;
+    return parameters;
   }
 
-  private void list(Map<String, String> map, SimulatedNetwork.Reply reply) {
-    String under = map.get("under");
+  private void list(Map<String, String> parameters, SimulatedNetwork.Reply reply) {
+    String under = parameters.get("under");
     ObjectNode out = Json.object().put("epoch", storeRevision);
     ArrayNode items = out.putArray("items");
-    int page = Integer.parseInt(map.getOrDefault("page", "100"));
+    int page = Integer.parseInt(parameters.getOrDefault("page", "100"));
     boolean more = false;
-    if (!under.equals(hidden)) {
+    if (!under.equals(hiddenPrefix)) {
       for (Map.Entry<String, Entry> entry :
-          keys.tailMap(map.getOrDefault("since", under), !map.containsKey("since")).entrySet()) {
+          keys.tailMap(parameters.getOrDefault("since", under), !parameters.containsKey("since"))
+              .entrySet()) {
         if (!entry.getKey().startsWith(under)) {
           break;
         }
@@ -323,7 +325,7 @@
           more = true;
           break;
         }
-        items.add(item(entry.getKey(), entry.getValue()));
+        items.add(listedEntry(entry.getKey(), entry.getValue()));
       }
     }
     out.put("more", more);
@@ -331,22 +333,26 @@
   }
 
   private void watch(
-      String controller, Map<String, String> map, long since, SimulatedNetwork.Reply reply) {
-    String under = map.get("under");
-    long from = Long.parseLong(map.get("since"));
+      String controller,
+      Map<String, String> parameters,
+      long startMicros,
+      SimulatedNetwork.Reply reply) {
+    String under = parameters.get("under");
+    long sinceRevision = Long.parseLong(parameters.get("since"));
     ObjectNode out = Json.object().put("epoch", storeRevision);
-    ArrayNode array = out.putArray("log");
-    if (log.size() > remembered && log.get(log.size() - remembered).revision > from) {
+    ArrayNode changes = out.putArray("log");
+    if (changeLog.size() > remembered
+        && changeLog.get(changeLog.size() - remembered).revision > sinceRevision) {
       reply.send(410, "{}");
       return;
     }
-    for (Change change : log) {
+    for (Change change : changeLog) {
       if (under.equals(untold)
           && (untoldController == null || untoldController.equals(controller))) {
         break;
       }
-      if (change.revision > from && change.key.startsWith(under)) {
-        ObjectNode object = array.addObject().put("stamp", change.revision);
+      if (change.revision > sinceRevision && change.key.startsWith(under)) {
+        ObjectNode object = changes.addObject().put("stamp", change.revision);
         if (change.data == null) {
           object.put("drop", change.key);
         } else {
@@ -354,29 +360,29 @@
         }
       }
     }
-    long wait = Long.parseLong(map.getOrDefault("wait_ms", "0")) * 1_000;
-    if (!array.isEmpty() || cluster.now() >= since + wait) {
+    long wait = Long.parseLong(parameters.getOrDefault("wait_ms", "0")) * 1_000;
+    if (!changes.isEmpty() || cluster.now() >= startMicros + wait) {
       reply.send(200, Json.write(out));
       return;
     }
-    boolean[] woken = new boolean[1];
-    Runnable again =
+    boolean[] retried = new boolean[1];
+    Runnable retry =
         () -> {
-          if (!woken[0]) {
-            woken[0] = true;
-            watch(controller, map, since, reply);
+          if (!retried[0]) {
+            retried[0] = true;
+            watch(controller, parameters, startMicros, reply);
           }
         };
-    waiting.add(again);
-    cluster.at(since + wait - cluster.now(), again);
+    waitingWatches.add(retry);
+    cluster.at(startMicros + wait - cluster.now(), retry);
   }
 
   /**
    * Applies the transaction, or injects one of the configured faults: the transaction is applied
    * without an answer, immediately or after a newer transaction of the same controller.
    */
-  private void write(String from, ObjectNode object, SimulatedNetwork.Reply reply) {
-    long number = ++sent;
+  private void applyOrInjectFault(String from, ObjectNode object, SimulatedNetwork.Reply reply) {
+    long transactionNumber = ++transactionsReceived;
     boolean changes = !object.path("then").isEmpty();
     if (interveneBefore != null && Json.write(object).contains("\"put\":\"" + interveneBefore)) {
       interveneBefore = null;
@@ -385,28 +391,29 @@
     if (answerLostOnce != null && Json.write(object).contains("\"put\":\"" + answerLostOnce)) {
       answerLostOnce = null;
       appliedUnanswered++;
-      transaction(object, (status, text) -> {});
+      applyTransaction(object, (status, text) -> {});
     } else if (changes && cluster.random.nextDouble() < unansweredWrites) {
       appliedUnanswered++;
-      transaction(object, (status, text) -> {});
+      applyTransaction(object, (status, text) -> {});
     } else if (changes && cluster.random.nextDouble() < lateWrites) {
       cluster.at(
           2_000_000 + cluster.random.nextLong(10_000_000),
           () -> {
-            if (!outage && newestOf.getOrDefault(from, 0L) > number) {
-              carriedOutAfterNewer++;
-              transaction(object, (status, text) -> {});
+            if (!outage
+                && newestTransactionByController.getOrDefault(from, 0L) > transactionNumber) {
+              appliedAfterNewer++;
+              applyTransaction(object, (status, text) -> {});
             }
           });
     } else {
       if (changes) {
-        newestOf.put(from, number);
+        newestTransactionByController.put(from, transactionNumber);
       }
-      transaction(object, reply);
+      applyTransaction(object, reply);
     }
   }
 
-  private void transaction(ObjectNode object, SimulatedNetwork.Reply reply) {
+  private void applyTransaction(ObjectNode object, SimulatedNetwork.Reply reply) {
     for (JsonNode precondition : object.path("guards")) {
       Entry entry = keys.get(precondition.path("k").asText());
       if (!ignorePreconditions
@@ -422,7 +429,7 @@
       }
     }
     if (!object.path("then").isEmpty()) {
-      tally(object.path("then").size());
+      countOperations(object.path("then").size());
     }
     boolean tooLarge = false;
     for (JsonNode change : object.path("then")) {
@@ -441,8 +448,8 @@
       if (change.hasNonNull("put")) {
         largestValue = Math.max(largestValue, Json.write(change.path("data")).length());
         if (change.get("put").asText().endsWith("office/term")) {
-          termSince = cluster.now();
-          cluster.network.newTerm();
+          termStartMicros = cluster.now();
+          cluster.network.deliverKeptHeartbeats();
         }
         if (change.get("put").asText().equals("office/mandate")) {
           cluster.network.delegations.stored(change.path("data"));
@@ -453,12 +460,12 @@
         keys.put(
             change.get("put").asText(),
             new Entry(change.path("data"), storeRevision, change.path("permit").asLong(0)));
-        log.add(new Change(storeRevision, change.get("put").asText(), change.path("data")));
+        changeLog.add(new Change(storeRevision, change.get("put").asText(), change.path("data")));
       } else if (keys.remove(change.path("drop").asText()) != null) {
-        log.add(new Change(storeRevision, change.get("drop").asText(), null));
+        changeLog.add(new Change(storeRevision, change.get("drop").asText(), null));
       }
     }
     reply.send(200, "{\"epoch\":" + storeRevision + "}");
-    wake();
+    notifyWatches();
   }
 }
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -21,9 +21,9 @@
   private final SimulatedCluster cluster;
   private final Set<String> accepted = new HashSet<>();
   private final Set<String> cancelled = new HashSet<>();
-  private final Map<String, Endpoint> connected = new HashMap<>();
-  private final Map<String, Long> sickSince = new HashMap<>();
-  private int next;
+  private final Map<String, Endpoint> controllerByJob = new HashMap<>();
+  private final Map<String, Long> unhealthySince = new HashMap<>();
+  private int lastUidNumber;
 
   /**
    * After each answer that shows a new job status, users query every controller within
@@ -34,18 +34,18 @@
   /** How many of the queries to all controllers were answered with 200. */
   int looks;
 
-  private final Map<String, JobSpec> specs = new HashMap<>();
-  private final Set<String> lookedAt = new HashSet<>();
+  private final Map<String, JobSpec> specByUid = new HashMap<>();
+  private final Set<String> queriedStates = new HashSet<>();
 
   FakeUsers(SimulatedCluster cluster) {
     this.cluster = cluster;
-    cluster.at(1_000_000, this::askForNothing);
-    cluster.at(500_000, this::probe);
+    cluster.at(1_000_000, this::queryUnsubmittedJob);
+    cluster.at(500_000, this::probeHealth);
   }
 
   /** Connects the user of the job to the controller, which receives the user's next request. */
   void connect(String uid, String controller) {
-    connected.put(uid, new Endpoint(controller, 1));
+    controllerByJob.put(uid, new Endpoint(controller, 1));
   }
 
   Set<String> accepted() {
@@ -63,24 +63,24 @@
    * goes unanswered, or the load balancer has found the controller unhealthy for five seconds.
    */
   private Endpoint controllerOf(String uid) {
-    Endpoint at = connected.get(uid);
-    if (at == null || unhealthy(at.host())) {
+    Endpoint connection = controllerByJob.get(uid);
+    if (connection == null || unhealthy(connection.host())) {
       List<String> healthy = new ArrayList<>(cluster.controllers.keySet());
       healthy.removeIf(this::unhealthy);
-      at =
+      connection =
           healthy.isEmpty()
               ? anyController()
               : new Endpoint(healthy.get(cluster.random.nextInt(healthy.size())), 1);
-      connected.put(uid, at);
+      controllerByJob.put(uid, connection);
     }
-    return at;
+    return connection;
   }
 
   private boolean unhealthy(String controller) {
-    return cluster.now() - sickSince.getOrDefault(controller, Long.MAX_VALUE / 2) > 5_000_000;
+    return cluster.now() - unhealthySince.getOrDefault(controller, Long.MAX_VALUE / 2) > 5_000_000;
   }
 
-  private void probe() {
+  private void probeHealth() {
     for (String controller : cluster.controllers.keySet()) {
       cluster.network.send(
           "balancer",
@@ -89,37 +89,38 @@
           "/up",
           null,
           1_000_000,
-          a -> {
-            if (a.status() == 200) {
-              sickSince.remove(controller);
+          answer -> {
+            if (answer.status() == 200) {
+              unhealthySince.remove(controller);
             } else {
-              sickSince.putIfAbsent(controller, cluster.now());
+              unhealthySince.putIfAbsent(controller, cluster.now());
             }
           });
     }
-    cluster.at(1_000_000, this::probe);
+    cluster.at(1_000_000, this::probeHealth);
   }
 
-  private void heard(String uid, SimulatedNetwork.Answer answer) {
+  private void noteConnection(String uid, SimulatedNetwork.Answer answer) {
     if (answer.status() == 0 || answer.connectionCloses()) {
-      connected.remove(uid);
+      controllerByJob.remove(uid);
     }
   }
 
-  private void askForNothing() {
+  private void queryUnsubmittedJob() {
     cluster.network.send(
         "user",
         anyController(),
         "GET",
-        "/submissions/job-99" + next,
+        "/submissions/job-99" + lastUidNumber,
         null,
         2_000_000,
-        a -> {
-          if (a.status() == 200) {
+        answer -> {
+          if (answer.status() == 200) {
             cluster.invariants.broken.add(
-                "invented: a controller answered 200 for a job never submitted: job-99" + next);
+                "invented: a controller answered 200 for a job never submitted: job-99"
+                    + lastUidNumber);
           }
-          cluster.at(7_000_000, this::askForNothing);
+          cluster.at(7_000_000, this::queryUnsubmittedJob);
         });
   }
 
@@ -129,13 +130,13 @@
     boolean spread = !oneZone && cluster.random.nextInt(4) == 0;
     JobSpec job =
         TestJob.job(nextUid())
-            .jobClass("c" + next % 3)
-            .team(next % 2 == 0 ? "red" : "blue")
+            .jobClass("c" + lastUidNumber % 3)
+            .team(lastUidNumber % 2 == 0 ? "red" : "blue")
             .priority(Priority.values()[cluster.random.nextInt(4)])
             .tasks(taskCount)
             .cores(cores)
             .memoryGb(2)
-            .image("img-" + next % 4)
+            .image("img-" + lastUidNumber % 4)
             .zone(cluster.random.nextInt(6) == 0 ? "a" : null)
             .oneZone(oneZone)
             .spread(spread)
@@ -154,12 +155,12 @@
   }
 
   String nextUid() {
-    return String.format("job-%06d", ++next);
+    return String.format("job-%06d", ++lastUidNumber);
   }
 
   private void trySubmit(JobSpec job, boolean cancel) {
-    specs.put(job.uid(), job);
-    long asked = cluster.now();
+    specByUid.put(job.uid(), job);
+    long sentMicros = cluster.now();
     cluster.network.send(
         "user",
         controllerOf(job.uid()),
@@ -167,19 +168,19 @@
         "/submissions",
         Json.write(job.toJson()),
         5_000_000,
-        a -> {
-          heard(job.uid(), a);
-          int code = a.status();
-          if (code == 201 || code == 200) {
+        answer -> {
+          noteConnection(job.uid(), answer);
+          int status = answer.status();
+          if (status == 201 || status == 200) {
             accepted.add(job.uid());
-            tell(job.uid(), a.body(), asked);
+            handleStatus(job.uid(), answer.body(), sentMicros);
             poll(job.uid());
             if (cancel) {
               cluster.at(5_000_000 + cluster.random.nextLong(30_000_000), () -> cancel(job.uid()));
             }
-          } else if (code == 400 || code == 422) {
+          } else if (status == 400 || status == 422) {
             cluster.invariants.broken.add(
-                "refused: a valid submission was refused: " + job.uid() + " " + a.body());
+                "refused: a valid submission was refused: " + job.uid() + " " + answer.body());
           } else {
             cluster.at(1_000_000, () -> trySubmit(job, cancel));
           }
@@ -192,7 +193,7 @@
    *
    * @return the ids of the cancelled jobs
    */
-  List<String> cancelNow(int count, double hangS, int machines) {
+  List<String> cancelStartedJobs(int count, double hangS, int machines) {
     List<String> out = new ArrayList<>();
     for (String uid : accepted) {
       if (out.size() < count
@@ -205,16 +206,16 @@
     if (hangS > 0) {
       cluster.cloud.machines.values().stream()
           .filter(
-              v ->
-                  v.worker != null
-                      && v.worker.tasks.values().stream()
+              vm ->
+                  vm.worker != null
+                      && vm.worker.tasks.values().stream()
                           .anyMatch(t -> out.contains(t.name.substring(0, t.name.indexOf('/')))))
           .limit(machines)
           .toList()
           .forEach(
-              v -> {
-                v.worker.hung = true;
-                cluster.at((long) (hangS * 1e6), () -> v.worker.hung = false);
+              vm -> {
+                vm.worker.hung = true;
+                cluster.at((long) (hangS * 1e6), () -> vm.worker.hung = false);
               });
     }
     out.forEach(uid -> cluster.at(cluster.random.nextLong(200_000), () -> cancel(uid)));
@@ -226,12 +227,12 @@
    * queries, within about 1.5 s after the job's last task has completed.
    */
   void meetEnds(double share) {
-    cluster.invariants.whenComplete =
+    cluster.invariants.completionListener =
         uid -> {
-          if (cluster.random.nextDouble() < share && specs.containsKey(uid)) {
+          if (cluster.random.nextDouble() < share && specByUid.containsKey(uid)) {
             long offset = cluster.random.nextLong(1_500_000);
             cluster.at(offset, () -> cancel(uid));
-            cluster.at(offset + cluster.random.nextLong(30_000), () -> lookClosely(uid));
+            cluster.at(offset + cluster.random.nextLong(30_000), () -> queryAllControllers(uid));
           }
         };
   }
@@ -243,39 +244,40 @@
    *
    * @return the number of accepted jobs
    */
-  int oddRequests() {
+  int sendMistakenRequests() {
     int sent = 0;
     for (String uid : new ArrayList<>(accepted)) {
       String last = cluster.invariants.lastTold.get(uid);
-      JobSpec job = specs.get(uid);
+      JobSpec job = specByUid.get(uid);
       if ("done".equals(last)) {
-        expect("POST", "/submissions/" + uid + "/abort", "", 200, "\"done\"");
+        expectAnswer("POST", "/submissions/" + uid + "/abort", "", 200, "\"done\"");
       } else if (last != null) {
-        expect(
+        expectAnswer(
             "POST",
             "/submissions",
             Json.write(job.toJson().put(ProtocolField.TASK_COUNT, 0)),
             200,
             uid);
-        expect("POST", "/submissions", Json.write(job.toJson().put("owner", "nobody")), 200, uid);
+        expectAnswer(
+            "POST", "/submissions", Json.write(job.toJson().put("owner", "nobody")), 200, uid);
       }
       sent++;
     }
-    JobSpec like = specs.values().iterator().next();
-    expect(
+    JobSpec template = specByUid.values().iterator().next();
+    expectAnswer(
         "POST",
         "/submissions",
-        Json.write(like.toJson().put("uid", "job-880001").put("cores", 99.0)),
+        Json.write(template.toJson().put("uid", "job-880001").put("cores", 99.0)),
         422,
         "");
-    expect(
+    expectAnswer(
         "POST",
         "/submissions",
-        Json.write(like.toJson().put("uid", "job-880002").without("cores")),
+        Json.write(template.toJson().put("uid", "job-880002").without("cores")),
         400,
         "");
-    expect("GET", "/submissions/job-880003", "", 404, "");
-    expect("POST", "/submissions/job-880003/abort", "", 404, "");
+    expectAnswer("GET", "/submissions/job-880003", "", 404, "");
+    expectAnswer("POST", "/submissions/job-880003/abort", "", 404, "");
     return sent;
   }
 
@@ -283,7 +285,8 @@
    * Sends a request and reports a violation unless the answer has the expected status and text. A
    * missing answer, 429 and 503 are also allowed, because the state service may be in an outage.
    */
-  private void expect(String method, String path, String body, int status, String part) {
+  private void expectAnswer(
+      String method, String path, String body, int expectedStatus, String expectedText) {
     cluster.network.send(
         "odd",
         anyController(),
@@ -291,42 +294,44 @@
         path,
         body,
         5_000_000,
-        a -> {
-          int seconds = a.status();
-          if (seconds != 0
-              && seconds != 503
-              && seconds != 429
-              && (seconds != status || !(a.body()).contains(part))) {
+        answer -> {
+          int status = answer.status();
+          if (status != 0
+              && status != 503
+              && status != 429
+              && (status != expectedStatus || !(answer.body()).contains(expectedText))) {
             cluster.invariants.broken.add(
-                "wrong answer to " + method + " " + path + ": got " + seconds + " " + a.body());
+                "wrong answer to " + method + " " + path + ": got " + status + " " + answer.body());
           }
         });
   }
 
-  private void lookClosely(String uid) {
+  private void queryAllControllers(String uid) {
     for (String controller : cluster.controllers.keySet()) {
       for (int i = 0; i < 2; i++) {
         cluster.at(
             1_000L + cluster.random.nextLong(20_000),
             () -> {
-              long asked = cluster.now();
+              long sentMicros = cluster.now();
               boolean repeat = cluster.random.nextInt(3) == 0;
               cluster.network.send(
                   "close",
                   new Endpoint(controller, 1),
                   repeat ? "POST" : "GET",
                   repeat ? "/submissions" : "/submissions/" + uid,
-                  repeat ? Json.write(specs.get(uid).toJson()) : null,
+                  repeat ? Json.write(specByUid.get(uid).toJson()) : null,
                   2_000_000,
-                  a -> {
-                    if (a.status() == 200) {
+                  answer -> {
+                    if (answer.status() == 200) {
                       looks++;
-                      toldAnywhere(uid, a.body(), asked);
-                    } else if (a.status() == 404) {
-                      cluster.invariants.toldAnywhere(uid, null, asked);
-                    } else if (a.status() == 400 || a.status() == 422 || a.status() == 201) {
+                      checkAnswer(uid, answer.body(), sentMicros);
+                    } else if (answer.status() == 404) {
+                      cluster.invariants.toldAnywhere(uid, null, sentMicros);
+                    } else if (answer.status() == 400
+                        || answer.status() == 422
+                        || answer.status() == 201) {
                       cluster.invariants.broken.add(
-                          "repeated submission of " + uid + " got status " + a.status());
+                          "repeated submission of " + uid + " got status " + answer.status());
                     }
                   });
             });
@@ -334,9 +339,10 @@
     }
   }
 
-  private void toldAnywhere(String uid, String body, long asked) {
+  private void checkAnswer(String uid, String body, long sentMicros) {
     try {
-      cluster.invariants.toldAnywhere(uid, Json.parseObject(body).path("status").asText(), asked);
+      cluster.invariants.toldAnywhere(
+          uid, Json.parseObject(body).path("status").asText(), sentMicros);
     } catch (InvalidMessageException e) {
       cluster.invariants.broken.add("invalid status answer: " + body);
     }
@@ -344,7 +350,7 @@
 
   void cancel(String uid) {
     cancelled.add(uid);
-    long asked = cluster.now();
+    long sentMicros = cluster.now();
     cluster.network.send(
         "user",
         controllerOf(uid),
@@ -352,12 +358,12 @@
         "/submissions/" + uid + "/abort",
         "",
         5_000_000,
-        a -> {
-          heard(uid, a);
-          if (a.status() == 200) {
-            tell(uid, a.body(), asked);
+        answer -> {
+          noteConnection(uid, answer);
+          if (answer.status() == 200) {
+            handleStatus(uid, answer.body(), sentMicros);
           } else {
-            if (a.status() == 404) {
+            if (answer.status() == 404) {
               cluster.invariants.broken.add("forgotten: cancellation got 404 for " + uid);
             }
             cluster.at(1_000_000, () -> cancel(uid));
@@ -380,26 +386,26 @@
   }
 
   /** Sends one cancellation to the controller, without retries, and passes on the status. */
-  void cancelAt(Endpoint at, String uid, java.util.function.Consumer<Integer> status) {
+  void cancelAt(Endpoint controller, String uid, java.util.function.Consumer<Integer> status) {
     cancelled.add(uid);
-    long asked = cluster.now();
+    long sentMicros = cluster.now();
     cluster.network.send(
         "user",
-        at,
+        controller,
         "POST",
         "/submissions/" + uid + "/abort",
         "",
         5_000_000,
-        a -> {
-          if (a.status() == 200) {
-            tell(uid, a.body(), asked);
+        answer -> {
+          if (answer.status() == 200) {
+            handleStatus(uid, answer.body(), sentMicros);
           }
-          status.accept(a.status());
+          status.accept(answer.status());
         });
   }
 
   private void poll(String uid) {
-    long asked = cluster.now();
+    long sentMicros = cluster.now();
     cluster.network.send(
         "user",
         controllerOf(uid),
@@ -407,11 +413,11 @@
         "/submissions/" + uid,
         null,
         2_000_000,
-        a -> {
-          heard(uid, a);
-          if (a.status() == 200) {
-            tell(uid, a.body(), asked);
-          } else if (a.status() == 404) {
+        answer -> {
+          noteConnection(uid, answer);
+          if (answer.status() == 200) {
+            handleStatus(uid, answer.body(), sentMicros);
+          } else if (answer.status() == 404) {
             cluster.invariants.broken.add("forgotten: status query got 404 for " + uid);
           }
           cluster.at(5_000_000, () -> poll(uid));
@@ -466,12 +472,12 @@
     }
   }
 
-  private void tell(String uid, String body, long asked) {
-    toldAnywhere(uid, body, asked);
+  private void handleStatus(String uid, String body, long sentMicros) {
+    checkAnswer(uid, body, sentMicros);
     if (closeLooks
-        && lookedAt.add(
+        && queriedStates.add(
             uid + body.contains("\"status\":\"done\"") + body.contains("\"aborted\""))) {
-      lookClosely(uid);
+      queryAllControllers(uid);
     }
     try {
       cluster.invariants.answered(uid);
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -40,16 +40,16 @@
   private final SimulatedCluster cluster;
   final FakeCloud.Vm vm;
   final Map<Long, Task> tasks = new LinkedHashMap<>();
-  private final Set<Long> removed = new HashSet<>();
+  private final Set<Long> removedAttempts = new HashSet<>();
   private long incarnation = 1;
   private long sequenceNumber;
   private long fencingToken;
-  private long leaseFrom;
-  private String at;
-  private boolean inFlight;
-  private boolean due;
-  private long lastSent;
-  private long nextTimer;
+  private long leaseStartMicros;
+  private String heartbeatTarget;
+  private boolean heartbeatInFlight;
+  private boolean heartbeatDue;
+  private long lastHeartbeatMicros;
+  private long nextHeartbeatMicros;
   private double notice = -1;
   private boolean dead;
   boolean hung;
@@ -57,22 +57,22 @@
   FakeWorker(SimulatedCluster cluster, FakeCloud.Vm vm) {
     this.cluster = cluster;
     this.vm = vm;
-    this.leaseFrom = cluster.now();
-    this.at = "n" + cluster.random.nextInt(cluster.controllers.size());
+    this.leaseStartMicros = cluster.now();
+    this.heartbeatTarget = "n" + cluster.random.nextInt(cluster.controllers.size());
     cluster.network.services.put(cluster.workerAt.apply(vm.id), this);
     cluster.at(0, this::heartbeat);
-    cluster.at(200_000, this::lease);
+    cluster.at(200_000, this::checkLease);
   }
 
   void die() {
     dead = true;
-    tasks.values().forEach(t -> cluster.invariants.taskLeft(t.name, this));
+    tasks.values().forEach(t -> cluster.invariants.taskEnded(t.name, this));
     tasks.clear();
     cluster.network.services.remove(cluster.workerAt.apply(vm.id));
   }
 
   boolean heartbeatsTo(String controller) {
-    return !dead && at.equals(controller);
+    return !dead && heartbeatTarget.equals(controller);
   }
 
   /** Makes one running task save its progress for some seconds and then continue. */
@@ -83,13 +83,13 @@
         .ifPresent(
             task -> {
               task.status = "flushing";
-              change();
+              requestHeartbeat();
               cluster.at(
                   (long) (seconds * 1e6),
                   () -> {
                     if (task.status.equals("flushing")) {
                       task.status = "running";
-                      change();
+                      requestHeartbeat();
                     }
                   });
             });
@@ -105,67 +105,67 @@
               if (cause.equals("done")) {
                 cluster.invariants.complete(task.name);
               }
-              exit(task, cause);
+              endTask(task, cause);
             });
   }
 
   void notice(double seconds) {
     notice = seconds;
-    change();
+    requestHeartbeat();
   }
 
-  private void lease() {
+  private void checkLease() {
     if (dead) {
       return;
     }
     // A worker ends its tasks when its lease expires. A hung worker does so too: it may continue
     // only within its lease.
-    if (cluster.now() - leaseFrom > LEASE_MICROS) {
-      tasks.values().forEach(t -> cluster.invariants.taskLeft(t.name, this));
+    if (cluster.now() - leaseStartMicros > LEASE_MICROS) {
+      tasks.values().forEach(t -> cluster.invariants.taskEnded(t.name, this));
       tasks.clear();
       incarnation++;
-      leaseFrom = cluster.now();
+      leaseStartMicros = cluster.now();
     }
-    cluster.at(200_000, this::lease);
+    cluster.at(200_000, this::checkLease);
   }
 
-  private void change() {
-    if (inFlight) {
-      due = true;
+  private void requestHeartbeat() {
+    if (heartbeatInFlight) {
+      heartbeatDue = true;
     } else {
-      schedule(Math.max(10_000, lastSent + 500_000 - cluster.now()));
+      scheduleHeartbeat(Math.max(10_000, lastHeartbeatMicros + 500_000 - cluster.now()));
     }
   }
 
-  private void schedule(long delay) {
+  private void scheduleHeartbeat(long delay) {
     long when = cluster.now() + delay;
-    if (nextTimer > cluster.now() && nextTimer <= when) {
+    if (nextHeartbeatMicros > cluster.now() && nextHeartbeatMicros <= when) {
       return;
     }
-    nextTimer = when;
+    nextHeartbeatMicros = when;
     cluster.at(
         delay,
         () -> {
-          if (nextTimer == when) {
+          if (nextHeartbeatMicros == when) {
             heartbeat();
           }
         });
   }
 
   private void heartbeat() {
-    if (dead || inFlight) {
+    if (dead || heartbeatInFlight) {
       return;
     }
     if (hung) {
-      schedule(500_000);
+      scheduleHeartbeat(500_000);
       return;
     }
-    inFlight = true;
-    due = false;
-    lastSent = cluster.now();
-    long sent = lastSent;
+    heartbeatInFlight = true;
+    heartbeatDue = false;
+    lastHeartbeatMicros = cluster.now();
+    long sent = lastHeartbeatMicros;
     long sentIncarnation = incarnation;
-    String controller = at;
+    String controller = heartbeatTarget;
     cluster.network.send(
         vm.id,
         new Endpoint(controller, 1),
@@ -173,39 +173,40 @@
         "/hello",
         Json.write(status()),
         4_000_000,
-        a -> {
-          inFlight = false;
+        answer -> {
+          heartbeatInFlight = false;
           if (dead) {
             return;
           }
-          int code = a.status();
-          if (code == 200) {
-            answered(a.body(), sent, sentIncarnation, controller);
-            schedule(due ? 500_000 : 2_250_000 + cluster.random.nextLong(1_500_000));
+          int status = answer.status();
+          if (status == 200) {
+            handleAnswer(answer.body(), sent, sentIncarnation, controller);
+            scheduleHeartbeat(
+                heartbeatDue ? 500_000 : 2_250_000 + cluster.random.nextLong(1_500_000));
             return;
           }
-          String foreman = null;
-          if (code == 421) {
+          String leader = null;
+          if (status == 421) {
             try {
-              foreman = Json.parseObject(a.body()).path("foreman").asText(null);
+              leader = Json.parseObject(answer.body()).path("foreman").asText(null);
             } catch (InvalidMessageException e) {
-              foreman = null;
+              leader = null;
             }
           }
-          if (foreman != null
-              && !foreman.equals(controller)
-              && cluster.controllers.containsKey(foreman)) {
-            at = foreman;
-            schedule(cluster.random.nextInt(500_000));
+          if (leader != null
+              && !leader.equals(controller)
+              && cluster.controllers.containsKey(leader)) {
+            heartbeatTarget = leader;
+            scheduleHeartbeat(cluster.random.nextInt(500_000));
           } else {
             List<String> all = new ArrayList<>(cluster.controllers.keySet());
-            at = all.get((all.indexOf(controller) + 1) % all.size());
-            schedule(1_000_000);
+            heartbeatTarget = all.get((all.indexOf(controller) + 1) % all.size());
+            scheduleHeartbeat(1_000_000);
           }
         });
   }
 
-  private void answered(String body, long sent, long sentIncarnation, String by) {
+  private void handleAnswer(String body, long sent, long sentIncarnation, String label) {
     try {
       ObjectNode object = Json.parseObject(body);
       long token = object.path("baton").asLong();
@@ -214,10 +215,10 @@
       }
       if (token > fencingToken) {
         fencingToken = token;
-        due = true;
+        heartbeatDue = true;
       }
-      leaseFrom = Math.max(leaseFrom, sent);
-      SimulatedController controller = cluster.controllers.get(by);
+      leaseStartMicros = Math.max(leaseStartMicros, sent);
+      SimulatedController controller = cluster.controllers.get(label);
       if (controller != null && !controller.leads()) {
         cluster.network.delegations.renewedForLeader(vm.id, incarnation, token);
       }
@@ -235,19 +236,19 @@
       switch (command.path("verb").asText()) {
         case "run" -> {
           if (task == null) {
-            run(name, attempt);
+            fetchAndStart(name, attempt);
           }
         }
         case "halt" -> {
           if (task != null && !task.status.equals("ended")) {
-            exit(task, "halted");
+            endTask(task, "halted");
           }
         }
         case "reap" -> {
           if (task != null && task.status.equals("ended")) {
             tasks.remove(attempt);
-            removed.add(attempt);
-            due = true;
+            removedAttempts.add(attempt);
+            heartbeatDue = true;
           }
         }
         default ->
@@ -256,8 +257,8 @@
     }
   }
 
-  private void run(String name, long attempt) {
-    if (removed.contains(attempt)) {
+  private void fetchAndStart(String name, long attempt) {
+    if (removedAttempts.contains(attempt)) {
       // The protocol allows a start command for an attempt that was removed, but a start command
       // that arrives so late can break one of the protocol's rules.
       cluster.invariants.broken.add("restarted after the attempt was removed: " + name);
@@ -265,7 +266,7 @@
     cluster.invariants.commandedToStart(name, this);
     Task task = new Task(name, attempt);
     tasks.put(attempt, task);
-    due = true;
+    heartbeatDue = true;
     for (Task other : tasks.values()) {
       if (other != task && other.name.equals(name) && !other.status.equals("ended")) {
         task.status = "ended";
@@ -273,20 +274,20 @@
         return;
       }
     }
-    cluster.at(300_000 + cluster.random.nextInt(2_000_000), () -> begin(task));
+    cluster.at(300_000 + cluster.random.nextInt(2_000_000), () -> start(task));
   }
 
-  private void begin(Task task) {
+  private void start(Task task) {
     if (dead || tasks.get(task.attempt) != task || !task.status.equals("pulling")) {
       return;
     }
     if (hung) {
-      cluster.at(500_000, () -> begin(task));
+      cluster.at(500_000, () -> start(task));
       return;
     }
     task.status = "running";
     cluster.invariants.started(task.name, this);
-    change();
+    requestHeartbeat();
     finishIn(
         task,
         cluster.invariants.completed(task.name) ? 0 : cluster.invariants.runMicros(task.name));
@@ -304,15 +305,15 @@
             return;
           }
           cluster.invariants.complete(task.name);
-          exit(task, "done");
+          endTask(task, "done");
         });
   }
 
-  private void exit(Task task, String cause) {
+  private void endTask(Task task, String cause) {
     task.status = "ended";
     task.cause = cause;
-    cluster.invariants.taskLeft(task.name, this);
-    change();
+    cluster.invariants.taskEnded(task.name, this);
+    requestHeartbeat();
   }
 
   private ObjectNode status() {
@@ -373,7 +374,7 @@
       }
       if (object.path("baton").asLong() > fencingToken) {
         fencingToken = object.path("baton").asLong();
-        change();
+        requestHeartbeat();
       }
       execute(object.path("orders"));
       reply.send(200, Json.write(status()));
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -21,14 +21,14 @@
 final class FaultCombinationTest {
   @ParameterizedTest
   @EnumSource(FaultCombination.class)
-  void noRuleBreaks(FaultCombination combination) {
+  void noRuleIsBroken(FaultCombination combination) {
     FaultDeployment deployment = new FaultDeployment(900 + combination.ordinal());
-    BooleanSupplier tookPlace = combination.play.in(deployment);
+    BooleanSupplier tookPlace = combination.scenario.run(deployment);
     deployment.cluster.invariants.checkServed();
     assertEquals(List.of(), deployment.cluster.invariants.broken);
     assertTrue(tookPlace.getAsBoolean(), "the faults of the combination took effect");
     List<String> open = new ArrayList<>();
-    for (JobSpec job : deployment.all) {
+    for (JobSpec job : deployment.jobs) {
       String told = deployment.cluster.invariants.lastTold.get(job.uid());
       if (!"done".equals(told) && !"aborted".equals(told)) {
         open.add(job.uid() + " " + told);
@@ -48,18 +48,18 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void severalInARow(long seed) {
+  void severalCombinationsInSequence(long seed) {
     FaultDeployment deployment = new FaultDeployment(2_000 + seed);
     deployment.users.closeLooks = seed % 2 == 0;
     for (int i = 0; i < 3; i++) {
       FaultCombination combination =
           FaultCombination.values()[
               deployment.cluster.random.nextInt(FaultCombination.values().length)];
-      combination.play.in(deployment);
+      combination.scenario.run(deployment);
       // The next combination begins, so the checks for a deployment without faults are off again.
       deployment.cluster.calmSince = Long.MAX_VALUE;
     }
-    deployment.endOfTrouble();
+    deployment.endFaults();
     deployment.cluster.invariants.checkServed();
     assertEquals(List.of(), deployment.cluster.invariants.broken);
   }
@@ -73,7 +73,7 @@
     FaultDeployment deployment = new FaultDeployment(3_003);
     deployment.cluster.store.ignorePreconditions = true;
     deployment.cluster.store.lateWrites = 0.5;
-    FaultCombination.CANCELLATIONS_QUESTIONS_AND_REPEATS_MEET_THE_LAST_TASKS_END.play.in(
+    FaultCombination.CANCELLATIONS_QUERIES_AND_RESUBMISSIONS_AT_JOB_COMPLETION.scenario.run(
         deployment);
     assertTrue(
         !deployment.cluster.invariants.broken.isEmpty(),
@@ -85,9 +85,9 @@
    * controller must be reported.
    */
   @Test
-  void theChecksSeeAnOlderAnswer() {
+  void theCheckerReportsAnOlderAnswer() {
     FaultDeployment deployment = new FaultDeployment(3_001);
-    String uid = deployment.all.get(0).uid();
+    String uid = deployment.jobs.get(0).uid();
     deployment.cluster.invariants.toldAnywhere(uid, "aborted", deployment.cluster.now());
     deployment.cluster.invariants.toldAnywhere(uid, "running", deployment.cluster.now() - 1);
     assertEquals(
@@ -107,7 +107,7 @@
    * must be reported.
    */
   @Test
-  void theChecksSeeAJobThatWaitsBesideFreeCapacity() {
+  void theCheckerReportsAJobThatWaitsBesideFreeCapacity() {
     FaultDeployment deployment = new FaultDeployment(3_002);
     deployment.cluster.play(120);
     deployment.cluster.calmSince = deployment.cluster.now();
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -18,7 +18,7 @@
 
   final SimulatedCluster cluster;
   final FakeUsers users;
-  final List<JobSpec> all = new ArrayList<>();
+  final List<JobSpec> jobs = new ArrayList<>();
 
   FaultDeployment(long seed) {
     cluster =
@@ -59,28 +59,28 @@
             .tasks(taskCount)
             .cores(cores)
             .memoryGb(2)
-            .image("img-" + all.size() % 3)
+            .image("img-" + jobs.size() % 3)
             .oneZone(oneZone)
             .runS(runS)
             .build();
-    all.add(job);
+    jobs.add(job);
     users.submit(job, cancel);
     return job;
   }
 
-  void oneZone(int taskCount, double runS) {
+  void submitOneZone(int taskCount, double runS) {
     submit("blue", Priority.STANDARD, taskCount, 2, runS, true, false);
   }
 
   /** Schedules the submission of jobs at a fixed interval. */
-  void stream(int jobs, double everyS, int taskCount, double runS) {
+  void submitStream(int jobs, double everyS, int taskCount, double runS) {
     for (int i = 0; i < jobs; i++) {
       cluster.at((long) (i * everyS * 1e6), () -> submit("blue", taskCount, 1, runS, false));
     }
   }
 
   /** Submits more jobs of the team than its limit allows to run, and waits until they run. */
-  void fill(String team) {
+  void submitBeyondLimit(String team) {
     for (int i = 0; i < 6; i++) {
       submit(team, 12, 2, 40, false);
     }
@@ -98,7 +98,7 @@
         .toList();
   }
 
-  String busy(String team) {
+  String machineRunning(String team) {
     return cluster.cloud.machines.values().stream()
         .filter(
             v ->
@@ -118,22 +118,22 @@
         .orElseThrow();
   }
 
-  List<String> running(int most) {
-    return all.stream()
+  List<String> startedJobs(int most) {
+    return jobs.stream()
         .map(JobSpec::uid)
         .filter(u -> cluster.invariants.began(u) && !cluster.invariants.allDone(u))
         .limit(most)
         .toList();
   }
 
-  boolean isOn(String uid) {
+  boolean hasActiveTasks(String uid) {
     return cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null)
         .flatMap(v -> v.worker.tasks.values().stream())
         .anyMatch(t -> t.on() && t.name.startsWith(uid + "/"));
   }
 
-  int told(String status) {
+  int countReported(String status) {
     return (int) cluster.invariants.lastTold.values().stream().filter(status::equals).count();
   }
 
@@ -148,15 +148,15 @@
    * Ends all injected faults and runs the deployment until all jobs must have been served. From
    * then on the checks for a deployment without faults apply.
    */
-  void endOfTrouble() {
+  void endFaults() {
     cluster.network.lostAnswerShare = 0;
     cluster.network.executedLateShare = 0;
     cluster.network.copiedHeartbeatShare = 0;
-    cluster.network.heartbeatShareKeptForNextLeader = 0;
+    cluster.network.heartbeatShareKeptForNextTerm = 0;
     cluster.network.extraCommandDelayMicros = 0;
-    cluster.network.machinesWithoutControllers.clear();
+    cluster.network.machinesWithLostHeartbeats.clear();
     cluster.network.cuts.clear();
-    cluster.store.slowMicros = 0;
+    cluster.store.answerDelayMicros = 0;
     cluster.store.lateWrites = 0;
     cluster.store.unansweredWrites = 0;
     cluster.store.refused.clear();
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void aMachineThatNothingReachesLosesItsTasksToOthers() {
+  void tasksOfAnUnreachableMachineRunElsewhere() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 12, 2, 30, false));
     cluster.play(35);
     makeUnreachable(400);
@@ -116,14 +116,14 @@
    * the first heartbeat.
    */
   @Test
-  void aLeaderThatStoodStillAnswersNobody() {
+  void aLeaderFrozenBeyondItsLeaseAnswersNoHeartbeat() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 40, 2, 40, false));
     cluster.play(40);
-    SimulatedController stands = cluster.leader();
-    stands.freeze(12);
+    SimulatedController frozenLeader = cluster.leader();
+    frozenLeader.freeze(12);
     cluster.play(11.9);
     assertTrue(
-        cluster.controllers.values().stream().anyMatch(m -> m != stands && m.leads()),
+        cluster.controllers.values().stream().anyMatch(m -> m != frozenLeader && m.leads()),
         "another controller leads before the frozen leader resumes");
     cluster.play(120);
     assertDone(job);
@@ -135,7 +135,7 @@
    * wait.
    */
   @Test
-  void aMachineThatNothingReachesHoldsUpNoFailoverForLong() {
+  void anUnreachableMachineDelaysAFailoverOnlyBriefly() {
     JobSpec full = submit(job("red", Priority.STANDARD, 24, 2, 60, false));
     JobSpec waiting = submit(job("red", Priority.STANDARD, 10, 2, 10, false));
     cluster.play(45);
@@ -157,13 +157,13 @@
    * during two failovers and after machines were deleted. The duplicates must have no effect.
    */
   @Test
-  void lateCopiesOfHeartbeatsChangeNothing() {
+  void lateDuplicatesOfHeartbeatsChangeNothing() {
     cluster.network.copiedHeartbeatShare = 0.5;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       cluster.at(
           i * 15_000_000L,
-          () -> all.add(submit(job("blue", Priority.STANDARD, 10, 2, 20, i(all) % 2 == 0))));
+          () -> all.add(submit(job("blue", Priority.STANDARD, 10, 2, 20, size(all) % 2 == 0))));
     }
     cluster.play(50);
     cluster.leader().crash(0.2);
@@ -176,13 +176,13 @@
     assertDone(all.toArray(new JobSpec[0]));
   }
 
-  private static int i(List<?> list) {
+  private static int size(List<?> list) {
     return list.size();
   }
 
   /** The second of two equal heartbeats must not renew the lease nor be answered with commands. */
   @Test
-  void aCopyAtTheLeaderIsNotAnswered() {
+  void theLeaderRefusesADuplicateHeartbeat() {
     cluster.play(20);
     byte[] heartbeat =
         ("{\"host\":\"i-900000\",\"endpoint\":\"h:9\",\"flavor\":\"small\",\"site\":\"a\",\"loaners\":false,"
@@ -190,12 +190,12 @@
             .getBytes(StandardCharsets.UTF_8);
     int[] status = new int[2];
     for (int i = 0; i < 2; i++) {
-      int count = i;
+      int request = i;
       cluster
           .leader()
           .controller()
           .router()
-          .handle("POST", "/hello", heartbeat, (s, json, retry) -> status[count] = s);
+          .handle("POST", "/hello", heartbeat, (s, json, retry) -> status[request] = s);
     }
     assertEquals(200, status[0]);
     assertEquals(503, status[1]);
@@ -207,23 +207,23 @@
    * controller must report itself unhealthy and close its users' connections.
    */
   @Test
-  void aLeaderLeftWithItsWorkersOnlyMakesWayAndSendsItsUsersAway() {
+  void aLeaderIsolatedWithItsWorkersIsReplacedAndClosesUserConnections() {
     List<JobSpec> all = submitMany(9, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
     cluster.play(50);
-    String isRefusedAlone = cluster.leader().platform.label();
+    String isolatedLeader = cluster.leader().platform.label();
     for (String other : List.of("state", "n0", "n1", "n2")) {
-      if (!other.equals(isRefusedAlone)) {
-        cluster.network.cut(isRefusedAlone, other, true);
+      if (!other.equals(isolatedLeader)) {
+        cluster.network.cut(isolatedLeader, other, true);
       }
     }
     cluster.calmSince = cluster.now();
     cluster.play(12);
-    assertNotEquals(isRefusedAlone, cluster.leader().platform.label(), "another controller leads");
+    assertNotEquals(isolatedLeader, cluster.leader().platform.label(), "another controller leads");
     int[] up = new int[1];
     boolean[] closed = new boolean[1];
     cluster.network.send(
         "probe",
-        new plumlever.settings.Endpoint(isRefusedAlone, 1),
+        new plumlever.settings.Endpoint(isolatedLeader, 1),
         "GET",
         "/up",
         null,
@@ -231,7 +231,7 @@
         a -> up[0] = a.status());
     cluster.network.send(
         "probe",
-        new plumlever.settings.Endpoint(isRefusedAlone, 1),
+        new plumlever.settings.Endpoint(isolatedLeader, 1),
         "GET",
         "/submissions/job-000001",
         null,
@@ -249,13 +249,13 @@
    * controller that reaches the workers must take the lead.
    */
   @Test
-  void aLeaderThatLostItsWorkersMakesWay() {
+  void aLeaderCutOffFromAllWorkersIsReplaced() {
     List<JobSpec> all = submitMany(6, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
     cluster.play(50);
-    String isRefusedAlone = cluster.leader().platform.label();
-    cluster.cloud.machines.keySet().forEach(h -> cluster.network.cut(isRefusedAlone, h, true));
+    String isolatedLeader = cluster.leader().platform.label();
+    cluster.cloud.machines.keySet().forEach(h -> cluster.network.cut(isolatedLeader, h, true));
     cluster.play(22);
-    assertNotEquals(isRefusedAlone, cluster.leader().platform.label(), "another controller leads");
+    assertNotEquals(isolatedLeader, cluster.leader().platform.label(), "another controller leads");
     cluster.play(250);
     assertDone(all.toArray(new JobSpec[0]));
   }
@@ -266,21 +266,21 @@
    * machines as delegates. A job cancelled during the partition must still end in the zone.
    */
   @Test
-  void leasesBehindAPartitionAreRenewedByOthers() {
+  void delegatesRenewLeasesBehindAPartition() {
     List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 90, false));
     JobSpec cancelled = job("blue", Priority.STANDARD, 12, 2, 200, false);
     users.submit(cancelled, false);
     cluster.play(45);
     String leader = cluster.leader().platform.label();
-    List<String> behind =
+    List<String> zoneMachines =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.zone.equals("a") && v.worker != null)
             .map(v -> v.id)
             .toList();
-    assertTrue(behind.size() >= 4, "the zone has machines");
-    behind.forEach(h -> cluster.network.cut(leader, h, true));
+    assertTrue(zoneMachines.size() >= 4, "the zone has machines");
+    zoneMachines.forEach(h -> cluster.network.cut(leader, h, true));
     cluster.at(5_000_000, () -> users.cancel(cancelled.uid()));
-    cluster.at(45_000_000, () -> behind.forEach(h -> cluster.network.cut(leader, h, false)));
+    cluster.at(45_000_000, () -> zoneMachines.forEach(h -> cluster.network.cut(leader, h, false)));
     cluster.play(60);
     long renewed =
         cluster.controllers.values().stream()
@@ -302,7 +302,7 @@
    * elsewhere by much.
    */
   @Test
-  void aZoneThatNobodyReachesIsNotWaitedFor() {
+  void tasksOfAZoneThatNoControllerReachesAreReleased() {
     List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 60, false));
     cluster.play(45);
     cluster.cloud.machines.values().stream()
@@ -321,25 +321,26 @@
    * the renewed leases have expired before it considers the machines lost.
    */
   @Test
-  void aSuccessorWaitsForDelegates() {
+  void aNewLeaderWaitsForLeasesRenewedByDelegates() {
     List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 60, i % 2 == 0));
     cluster.play(45);
     String leader = cluster.leader().platform.label();
-    List<String> behind =
+    List<String> zoneMachines =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.zone.equals("a") && v.worker != null)
             .map(v -> v.id)
             .toList();
-    behind.forEach(h -> cluster.network.cut(leader, h, true));
+    zoneMachines.forEach(h -> cluster.network.cut(leader, h, true));
     cluster.cloud.outage = true;
     cluster.play(20);
     // From now on no controller reaches the zone.
-    behind.forEach(h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, true)));
+    zoneMachines.forEach(
+        h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, true)));
     cluster.leader().crash(1);
     cluster.at(
         60_000_000,
         () ->
-            behind.forEach(
+            zoneMachines.forEach(
                 h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, false))));
     cluster.play(90);
     cluster.cloud.outage = false;
@@ -353,7 +354,7 @@
    * covers an outage in which the state service refuses requests.
    */
   @Test
-  void aCommonOutageMakesNoControllerUnhealthy() {
+  void aStateServiceOutageMakesNoControllerUnhealthy() {
     cluster.play(10);
     for (String controller : List.of("n0", "n1", "n2")) {
       cluster.network.cut(controller, "state", true);
@@ -376,7 +377,7 @@
    * that follows, and 5% of the calls are executed twice. No task may start twice.
    */
   @Test
-  void processesBackAtOnceStartNothingTwice() {
+  void immediateRestartsStartNoTaskTwice() {
     cluster.network.repeatedShare = 0.05;
     List<JobSpec> all = submitMany(8, i -> job("blue", Priority.STANDARD, 6, 2, 40, i % 2 == 0));
     cluster.play(40);
@@ -396,7 +397,7 @@
    * must not restart a task that has been removed from the machine.
    */
   @Test
-  void aLateCopyOfADirectCommandStartsNothing() {
+  void aLateDuplicateOfADirectCommandStartsNoTask() {
     cluster.network.copiedCommandShare = 1;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
@@ -429,7 +430,7 @@
    * heartbeat must not make the leader consider the command lost.
    */
   @Test
-  void aHeartbeatThatCrossesADirectCommandProvesNothing() {
+  void aHeartbeatThatCrossesADirectCommandDoesNotProveItLost() {
     cluster.network.extraCommandDelayMicros = 1_200_000;
     List<JobSpec> all = submitMany(10, 8, i -> job("blue", Priority.STANDARD, 10, 2, 8, false));
     cluster.play(120);
@@ -447,7 +448,7 @@
    * duplicate would start the task a second time.
    */
   @Test
-  void nothingIsRemovedWhileALateCopyCouldStartItAnew() {
+  void noTaskIsRemovedWhileALateDuplicateCouldRestartIt() {
     cluster.network.extraCommandDelayMicros = 1_200_000;
     cluster.network.copiedCommandShare = 1;
     cluster.cloud.most = 2;
@@ -462,7 +463,7 @@
    * of the lowest priority starts within 245 s, although its team is at its limit.
    */
   @Test
-  void theLargestOfTheLeastUrgentBeginsWithinFourMinutes() {
+  void aLargeJobOfTheLowestPriorityStartsWithinFourMinutes() {
     cluster.cloud.most = 6;
     for (int i = 0; i < 150; i++) {
       cluster.at(i * 2_000_000L, () -> submit(job("red", Priority.PROD, 6, 2, 20, false)));
@@ -479,7 +480,7 @@
    * are not served.
    */
   @Test
-  void theChecksSeeForgottenAndUnservedJobs() {
+  void theCheckerReportsUnansweredQueriesAndUnservedJobs() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
     cluster.play(20);
     assertFalse(cluster.invariants.lastTold.isEmpty());
--- a/src/test/java/plumlever/sim/FormerVersion.java
+++ b/src/test/java/plumlever/sim/FormerVersion.java
@@ -24,9 +24,9 @@
 
   /** Rewrites the records as a leader of the previous version does in its term. */
   void leads() {
-    begun();
-    fleet();
-    sharedChunks();
+    rewriteStartedJobs();
+    rewriteMachines();
+    rewriteSharedChunks();
     Map<String, JsonNode> ended = new LinkedHashMap<>();
     store
         .entries("ended/")
@@ -34,8 +34,8 @@
     store.rewrite("ended/", ended);
   }
 
-  private void begun() {
-    Map<String, JsonNode> out = new LinkedHashMap<>();
+  private void rewriteStartedJobs() {
+    Map<String, JsonNode> records = new LinkedHashMap<>();
     ArrayNode jobs = null;
     int bytes = 0;
     for (JsonNode stored : store.values("begun/")) {
@@ -43,34 +43,34 @@
         if (jobs == null || bytes + uid.asText().length() + 3 > valueBytes) {
           ObjectNode object = Json.object();
           jobs = object.putArray("jobs");
-          out.put("begun/" + out.size(), object);
+          records.put("begun/" + records.size(), object);
           bytes = 32;
         }
         jobs.add(uid.asText());
         bytes += uid.asText().length() + 3;
       }
     }
-    store.rewrite("begun/", out);
+    store.rewrite("begun/", records);
   }
 
-  private void fleet() {
-    Map<String, JsonNode> out = new LinkedHashMap<>();
+  private void rewriteMachines() {
+    Map<String, JsonNode> records = new LinkedHashMap<>();
     ArrayNode kinds = null;
-    ArrayNode machineIds = null;
+    ArrayNode machines = null;
     Map<String, Integer> numbers = new LinkedHashMap<>();
     int bytes = 0;
     for (JsonNode stored : store.values("fleet/")) {
-      for (JsonNode machineId : stored.path("hosts")) {
-        int more = machineId.path(0).asText().length() + machineId.path(1).asText().length() + 11;
-        if (machineIds == null || bytes + more > valueBytes) {
+      for (JsonNode machine : stored.path("hosts")) {
+        int entryBytes = machine.path(0).asText().length() + machine.path(1).asText().length() + 11;
+        if (machines == null || bytes + entryBytes > valueBytes) {
           ObjectNode object = Json.object();
           kinds = object.putArray("kinds");
-          machineIds = object.putArray("hosts");
+          machines = object.putArray("hosts");
           numbers = new LinkedHashMap<>();
-          out.put("fleet/" + out.size(), object);
+          records.put("fleet/" + records.size(), object);
           bytes = 500;
         }
-        JsonNode kind = stored.path("kinds").path(machineId.path(2).asInt());
+        JsonNode kind = stored.path("kinds").path(machine.path(2).asInt());
         ArrayNode into = kinds;
         int number =
             numbers.computeIfAbsent(
@@ -79,11 +79,11 @@
                   into.add(kind);
                   return into.size() - 1;
                 });
-        machineIds.addArray().add(machineId.path(0)).add(machineId.path(1)).add(number);
-        bytes += more;
+        machines.addArray().add(machine.path(0)).add(machine.path(1)).add(number);
+        bytes += entryBytes;
       }
     }
-    store.rewrite("fleet/", out);
+    store.rewrite("fleet/", records);
   }
 
   /**
@@ -91,8 +91,8 @@
    * The shared chunks are filled up to the value limit and numbered from 0. Chunks of single jobs
    * stay unchanged, because the previous version can't read them.
    */
-  private void sharedChunks() {
-    Map<String, JsonNode> out = new LinkedHashMap<>();
+  private void rewriteSharedChunks() {
+    Map<String, JsonNode> records = new LinkedHashMap<>();
     Map<String, JsonNode> chunks = new LinkedHashMap<>();
     ObjectNode sharedChunk = null;
     int bytes = 0;
@@ -101,25 +101,26 @@
         chunks.put(entry.getKey(), entry.getValue());
         continue;
       }
-      for (Map.Entry<String, JsonNode> packed : entry.getValue().path("p").properties()) {
-        int more = packed.getKey().length() + 8 + packed.getValue().asText().length();
-        if (sharedChunk == null || bytes + more > valueBytes - 32) {
+      for (Map.Entry<String, JsonNode> progressOfJob : entry.getValue().path("p").properties()) {
+        int entryBytes =
+            progressOfJob.getKey().length() + 8 + progressOfJob.getValue().asText().length();
+        if (sharedChunk == null || bytes + entryBytes > valueBytes - 32) {
           ObjectNode object = Json.object();
           sharedChunk = object.putObject("p");
-          out.put("progress/pack/" + out.size(), object);
+          records.put("progress/pack/" + records.size(), object);
           bytes = 0;
         }
-        sharedChunk.set(packed.getKey(), packed.getValue());
-        bytes += more;
+        sharedChunk.set(progressOfJob.getKey(), progressOfJob.getValue());
+        bytes += entryBytes;
       }
     }
-    out.putAll(chunks);
-    store.rewrite("progress/", out);
+    records.putAll(chunks);
+    store.rewrite("progress/", records);
   }
 
   /** Returns the finished tasks of each job as the previous version would read them. */
   static Map<String, BitSet> progressItReads(FakeStore store, int valueBytes) {
-    Map<String, BitSet> out = new LinkedHashMap<>();
+    Map<String, BitSet> records = new LinkedHashMap<>();
     int perChunk = (valueBytes - 64) / 4 * 3 * 8;
     store
         .entries("progress/")
@@ -127,16 +128,17 @@
             (k, v) -> {
               try {
                 if (k.startsWith("progress/pack/")) {
-                  for (Map.Entry<String, JsonNode> packed : v.path("p").properties()) {
-                    out.computeIfAbsent(packed.getKey(), u -> new BitSet())
-                        .or(BitSet.valueOf(packed.getValue().binaryValue()));
+                  for (Map.Entry<String, JsonNode> progressOfJob : v.path("p").properties()) {
+                    records
+                        .computeIfAbsent(progressOfJob.getKey(), u -> new BitSet())
+                        .or(BitSet.valueOf(progressOfJob.getValue().binaryValue()));
                   }
                   return;
                 }
                 String rest = k.substring("progress/".length());
                 int slash = rest.lastIndexOf('/');
                 int from = Integer.parseInt(rest.substring(slash + 1)) * perChunk;
-                BitSet into = out.computeIfAbsent(rest.substring(0, slash), u -> new BitSet());
+                BitSet into = records.computeIfAbsent(rest.substring(0, slash), u -> new BitSet());
                 BitSet.valueOf(v.path("b").binaryValue()).stream().forEach(i -> into.set(from + i));
               } catch (NumberFormatException e) {
                 // The previous version logs the malformed key and assumes no progress.
@@ -144,6 +146,6 @@
                 throw new AssertionError(e);
               }
             });
-    return out;
+    return records;
   }
 }
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -18,29 +18,29 @@
   static final long CANCEL_MICROS = 40_000_000;
 
   /** Longest time without an answered query about a job once all faults have ended. */
-  static final long FORGOTTEN_MICROS = 75_000_000;
+  static final long ANSWER_MICROS = 75_000_000;
 
   /** Time within which the largest jobs of a class start once they can. */
-  static final long BEGIN_MICROS = 240_000_000;
+  static final long START_MICROS = 240_000_000;
 
   private final SimulatedCluster cluster;
   private final Map<String, PlatformConfiguration.Team> teams = new HashMap<>();
   final Map<String, JobSpec> submitted = new HashMap<>();
   final Map<String, Long> submittedAt = new HashMap<>();
   private final Map<String, Long> answeredAt = new HashMap<>();
-  private final Map<String, Long> beganAt = new HashMap<>();
+  private final Map<String, Long> startedAt = new HashMap<>();
   final Map<String, Long> cancelledAt = new HashMap<>();
   final Map<String, String> lastTold = new HashMap<>();
-  private final Map<String, Set<FakeWorker>> on = new HashMap<>();
+  private final Map<String, Set<FakeWorker>> workersByTask = new HashMap<>();
 
   /** Number of tasks of each job on machines; a task on two machines counts twice. */
-  private final Map<String, Integer> onByJob = new HashMap<>();
+  private final Map<String, Integer> activeTasksByJob = new HashMap<>();
 
   /** Jobs with a confirmed cancellation that still have tasks on machines. */
-  private final Set<String> cancelledOn = new HashSet<>();
+  private final Set<String> cancelledWithActiveTasks = new HashSet<>();
 
   /** Cores that each team's tasks use now. */
-  private final Map<String, Double> held = new HashMap<>();
+  private final Map<String, Double> coresByTeam = new HashMap<>();
 
   private final Set<String> completed = new HashSet<>();
   final List<String> broken = new ArrayList<>();
@@ -53,18 +53,18 @@
   int startsAfterCancel;
 
   /** Receives the id of each job when the job's last task completes. */
-  java.util.function.Consumer<String> whenComplete = uid -> {};
+  java.util.function.Consumer<String> completionListener = uid -> {};
 
   private final Map<String, Long> completedAt = new HashMap<>();
 
   /** When each job's final state was first reported to a user by any controller. */
-  private final Map<String, Long> finalAt = new HashMap<>();
+  private final Map<String, Long> finalStateAt = new HashMap<>();
 
   private final Map<String, String> finalState = new HashMap<>();
-  private final Set<String> acceptedSeen = new HashSet<>();
+  private final Set<String> acceptedJobs = new HashSet<>();
 
   /** Since when each job has waited although a suitable machine has free capacity. */
-  private final Map<String, Long> waitsSince = new HashMap<>();
+  private final Map<String, Long> waitingSince = new HashMap<>();
 
   /** Longest time that a job may wait beside free capacity. */
   static final long WAITING_MICROS = 90_000_000;
@@ -78,7 +78,7 @@
     return task.substring(0, task.indexOf('/'));
   }
 
-  private void broke(String rule, String what) {
+  private void addViolation(String rule, String what) {
     broken.add(rule + " at " + cluster.now() / 1e6 + ": " + what);
   }
 
@@ -94,7 +94,7 @@
     completed.add(task);
     completedAt.merge(job(task), cluster.now(), Math::max);
     if (allDone(job(task))) {
-      whenComplete.accept(job(task));
+      completionListener.accept(job(task));
     }
   }
 
@@ -102,7 +102,7 @@
   void commandedToStart(String task, FakeWorker worker) {
     Long cancelled = cancelledAt.get(job(task));
     if (cancelled != null && cluster.now() > cancelled + CANCEL_MICROS) {
-      broke(
+      addViolation(
           "ran_cancelled",
           task
               + " was commanded to start on "
@@ -118,32 +118,33 @@
     if (cancelledAt.containsKey(job(task))) {
       startsAfterCancel++;
     }
-    JobSpec otherJob = submitted.get(job(task));
-    beganAt.putIfAbsent(otherJob.uid(), cluster.now());
-    for (String name : otherJob.dependencies()) {
+    JobSpec job = submitted.get(job(task));
+    startedAt.putIfAbsent(job.uid(), cluster.now());
+    for (String name : job.dependencies()) {
       if (!allDone(name)) {
-        broke("too_early", task + " starts before its dependency " + name + " is done");
+        addViolation("too_early", task + " starts before its dependency " + name + " is done");
       }
     }
-    Set<FakeWorker> at = on.computeIfAbsent(task, k -> new HashSet<>());
-    if (!at.isEmpty()) {
-      broke("ran_twice", task + " on " + worker.vm.id + " and " + at.iterator().next().vm.id);
+    Set<FakeWorker> workers = workersByTask.computeIfAbsent(task, k -> new HashSet<>());
+    if (!workers.isEmpty()) {
+      addViolation(
+          "ran_twice", task + " on " + worker.vm.id + " and " + workers.iterator().next().vm.id);
     }
-    boolean joins = at.add(worker);
-    if (joins) {
-      onByJob.merge(otherJob.uid(), 1, Integer::sum);
-      noteCancelledOn(otherJob.uid());
+    boolean added = workers.add(worker);
+    if (added) {
+      activeTasksByJob.merge(job.uid(), 1, Integer::sum);
+      updateCancelledWithActiveTasks(job.uid());
     }
-    if (!otherJob.allows(worker.vm.machineType, worker.vm.zone, worker.vm.spot)) {
-      broke("wrong_place", task + " on a machine that its job excludes: " + worker.vm.id);
+    if (!job.allows(worker.vm.machineType, worker.vm.zone, worker.vm.spot)) {
+      addViolation("wrong_place", task + " on a machine that its job excludes: " + worker.vm.id);
     }
-    int here = 0;
-    for (int i = 0; i < otherJob.taskCount(); i++) {
-      for (FakeWorker other : on.getOrDefault(otherJob.uid() + "/" + i, Set.of())) {
+    int tasksInZone = 0;
+    for (int i = 0; i < job.taskCount(); i++) {
+      for (FakeWorker other : workersByTask.getOrDefault(job.uid() + "/" + i, Set.of())) {
         if (other.vm.zone.equals(worker.vm.zone)) {
-          here++;
-        } else if (otherJob.oneZone()) {
-          broke(
+          tasksInZone++;
+        } else if (job.oneZone()) {
+          addViolation(
               "wrong_place",
               task
                   + " of a one-zone job in "
@@ -153,54 +154,57 @@
         }
       }
     }
-    if (here > otherJob.maxTasksPerZone()) {
-      broke("wrong_place", task + " exceeds the tasks per zone of its job in " + worker.vm.zone);
+    if (tasksInZone > job.maxTasksPerZone()) {
+      addViolation(
+          "wrong_place", task + " exceeds the tasks per zone of its job in " + worker.vm.zone);
     }
-    double used = held.merge(otherJob.team(), joins ? otherJob.cores() : 0, Double::sum);
-    double limit = teams.get(otherJob.team()).maxCores();
+    double used = coresByTeam.merge(job.team(), added ? job.cores() : 0, Double::sum);
+    double limit = teams.get(job.team()).maxCores();
     if (limit > 0 && used > limit + 1e-6) {
-      broke("quota", otherJob.team() + " exceeds its limit, cores used: " + used);
+      addViolation("quota", job.team() + " exceeds its limit, cores used: " + used);
     }
   }
 
-  void taskLeft(String task, FakeWorker worker) {
-    Set<FakeWorker> at = on.get(task);
-    if (at != null) {
-      if (at.remove(worker)) {
-        JobSpec otherJob = submitted.get(job(task));
-        onByJob.merge(otherJob.uid(), -1, Integer::sum);
-        noteCancelledOn(otherJob.uid());
-        held.merge(otherJob.team(), -otherJob.cores(), Double::sum);
+  void taskEnded(String task, FakeWorker worker) {
+    Set<FakeWorker> workers = workersByTask.get(task);
+    if (workers != null) {
+      if (workers.remove(worker)) {
+        JobSpec job = submitted.get(job(task));
+        activeTasksByJob.merge(job.uid(), -1, Integer::sum);
+        updateCancelledWithActiveTasks(job.uid());
+        coresByTeam.merge(job.team(), -job.cores(), Double::sum);
       }
-      if (at.isEmpty()) {
-        on.remove(task);
+      if (workers.isEmpty()) {
+        workersByTask.remove(task);
       }
     }
   }
 
-  private void noteCancelledOn(String uid) {
-    if (cancelledAt.containsKey(uid) && onByJob.getOrDefault(uid, 0) > 0) {
-      cancelledOn.add(uid);
+  private void updateCancelledWithActiveTasks(String uid) {
+    if (cancelledAt.containsKey(uid) && activeTasksByJob.getOrDefault(uid, 0) > 0) {
+      cancelledWithActiveTasks.add(uid);
     } else {
-      cancelledOn.remove(uid);
+      cancelledWithActiveTasks.remove(uid);
     }
   }
 
   void check() {
-    for (String uid : cancelledOn) {
+    for (String uid : cancelledWithActiveTasks) {
       if (cluster.now() > cancelledAt.get(uid) + CANCEL_MICROS) {
-        broke("ran_cancelled", uid + " still has " + onByJob.get(uid) + " tasks on machines");
+        addViolation(
+            "ran_cancelled",
+            uid + " still has " + activeTasksByJob.get(uid) + " tasks on machines");
         return;
       }
     }
   }
 
   double coresOf(String team) {
-    return held.getOrDefault(team, 0.0);
+    return coresByTeam.getOrDefault(team, 0.0);
   }
 
   boolean began(String uid) {
-    return beganAt.containsKey(uid);
+    return startedAt.containsKey(uid);
   }
 
   /** Records that a query about the job was answered. */
@@ -209,14 +213,14 @@
   }
 
   /** After all faults have ended, queries about an accepted job must be answered in time. */
-  void checkForgotten() {
+  void checkAnswered() {
     if (cluster.calmSince == Long.MAX_VALUE) {
       return;
     }
     answeredAt.forEach(
         (uid, at) -> {
-          if (cluster.now() - Math.max(at, cluster.calmSince) > FORGOTTEN_MICROS) {
-            broke("forgotten", uid + " has had no answered query since " + at / 1e6);
+          if (cluster.now() - Math.max(at, cluster.calmSince) > ANSWER_MICROS) {
+            addViolation("forgotten", uid + " has had no answered query since " + at / 1e6);
           }
         });
   }
@@ -238,20 +242,20 @@
     groups.forEach(
         (name, all) -> {
           if (name.startsWith("class ")) {
-            int most = all.stream().mapToInt(JobSpec::taskCount).max().orElse(0);
+            int maxTasks = all.stream().mapToInt(JobSpec::taskCount).max().orElse(0);
             largest.put(
                 "largest of " + name,
-                all.stream().filter(j -> j.taskCount() * 4 >= most * 3).toList());
+                all.stream().filter(j -> j.taskCount() * 4 >= maxTasks * 3).toList());
           }
         });
     largest.forEach(
         (name, all) ->
             all.forEach(
                 j -> {
-                  long began = beganAt.getOrDefault(j.uid(), Long.MAX_VALUE / 2);
-                  long from = waitsFrom(j);
-                  if (began - from > BEGIN_MICROS && cluster.now() - from > BEGIN_MICROS) {
-                    broke(
+                  long began = startedAt.getOrDefault(j.uid(), Long.MAX_VALUE / 2);
+                  long from = waitingStart(j);
+                  if (began - from > START_MICROS && cluster.now() - from > START_MICROS) {
+                    addViolation(
                         "half",
                         j.uid()
                             + ", of the "
@@ -266,7 +270,7 @@
         (name, all) -> {
           long served = all.stream().filter(j -> "done".equals(lastTold.get(j.uid()))).count();
           if (served * 2 < all.size()) {
-            broke(
+            addViolation(
                 "half", "of " + name + " only " + served + " of " + all.size() + " jobs are done");
           }
         });
@@ -281,22 +285,22 @@
    */
   void toldAnywhere(String uid, String status, long askedMicros) {
     String end = finalState.get(uid);
-    if (end != null && askedMicros >= finalAt.get(uid) && !end.equals(status)) {
-      broke("went_back", uid + " was reported " + end + " and then " + status);
+    if (end != null && askedMicros >= finalStateAt.get(uid) && !end.equals(status)) {
+      addViolation("went_back", uid + " was reported " + end + " and then " + status);
     }
     if (status == null) {
-      if (acceptedSeen.contains(uid)) {
-        broke("forgotten", uid + " got a 404 after it was accepted");
+      if (acceptedJobs.contains(uid)) {
+        addViolation("forgotten", uid + " got a 404 after it was accepted");
       }
       return;
     }
-    acceptedSeen.add(uid);
+    acceptedJobs.add(uid);
     String cause =
         status.equals("pending") || status.equals("running")
             ? cancelledBefore(uid, askedMicros)
             : null;
     if (cause != null) {
-      broke(
+      addViolation(
           "orphaned",
           uid
               + " is reported "
@@ -307,7 +311,7 @@
     }
     if ((status.equals("done") || status.equals("aborted")) && end == null) {
       finalState.put(uid, status);
-      finalAt.put(uid, cluster.now());
+      finalStateAt.put(uid, cluster.now());
     }
   }
 
@@ -321,7 +325,7 @@
     while (!open.isEmpty()) {
       JobSpec job = submitted.get(open.poll());
       for (String name : job == null ? List.<String>of() : job.dependencies()) {
-        if ("aborted".equals(finalState.get(name)) && finalAt.get(name) <= askedMicros) {
+        if ("aborted".equals(finalState.get(name)) && finalStateAt.get(name) <= askedMicros) {
           return name;
         }
         if (seen.add(name)) {
@@ -333,7 +337,7 @@
   }
 
   /** Returns when the job was submitted and all its dependencies were done, whichever is later. */
-  private long waitsFrom(JobSpec job) {
+  private long waitingStart(JobSpec job) {
     long from = submittedAt.getOrDefault(job.uid(), 0L);
     for (String name : job.dependencies()) {
       from =
@@ -353,27 +357,27 @@
     for (JobSpec job : submitted.values()) {
       boolean waits =
           job != null
-              && acceptedSeen.contains(job.uid())
+              && acceptedJobs.contains(job.uid())
               && !finalState.containsKey(job.uid())
               && !cancelledAt.containsKey(job.uid())
               && !allDone(job.uid())
-              && waitsFrom(job) <= cluster.now()
-              && nothingOn(job)
+              && waitingStart(job) <= cluster.now()
+              && hasNoActiveTask(job)
               && teamHasRoom(job)
               && machineHasRoom(job);
       if (!waits) {
-        waitsSince.remove(job == null ? "" : job.uid());
-      } else if (cluster.now() - waitsSince.computeIfAbsent(job.uid(), k -> cluster.now())
+        waitingSince.remove(job == null ? "" : job.uid());
+      } else if (cluster.now() - waitingSince.computeIfAbsent(job.uid(), k -> cluster.now())
           > WAITING_MICROS) {
-        broke("waiting", job.uid() + " waits although a suitable machine has free capacity");
-        waitsSince.remove(job.uid());
+        addViolation("waiting", job.uid() + " waits although a suitable machine has free capacity");
+        waitingSince.remove(job.uid());
       }
     }
   }
 
-  private boolean nothingOn(JobSpec job) {
+  private boolean hasNoActiveTask(JobSpec job) {
     for (int i = 0; i < job.taskCount(); i++) {
-      if (on.containsKey(job.uid() + "/" + i)) {
+      if (workersByTask.containsKey(job.uid() + "/" + i)) {
         return false;
       }
     }
@@ -382,19 +386,19 @@
 
   private boolean teamHasRoom(JobSpec job) {
     double limit = teams.get(job.team()).maxCores();
-    return limit <= 0 || held.getOrDefault(job.team(), 0.0) + job.cores() <= limit + 1e-6;
+    return limit <= 0 || coresByTeam.getOrDefault(job.team(), 0.0) + job.cores() <= limit + 1e-6;
   }
 
-  private boolean machineHasRoom(JobSpec otherJob) {
+  private boolean machineHasRoom(JobSpec job) {
     for (FakeCloud.Vm vm : cluster.cloud.machines.values()) {
-      if (vm.worker == null || !otherJob.allows(vm.machineType, vm.zone, vm.spot)) {
+      if (vm.worker == null || !job.allows(vm.machineType, vm.zone, vm.spot)) {
         continue;
       }
       double cores = FakeCloud.coresOf(vm.machineType);
       for (FakeWorker.Task task : vm.worker.tasks.values()) {
         cores -= task.status.equals("ended") ? 0 : submitted.get(job(task.name)).cores();
       }
-      if (cores + 1e-6 >= otherJob.cores()) {
+      if (cores + 1e-6 >= job.cores()) {
         return true;
       }
     }
@@ -405,19 +409,19 @@
   void told(String uid, String status, boolean userCancelled) {
     String before = lastTold.get(uid);
     if (status.equals("done") && !allDone(uid)) {
-      broke("not_done", uid);
+      addViolation("not_done", uid);
     }
     if (status.equals("aborted") && !userCancelled) {
-      broke("went_back", uid + " was reported cancelled without a cancellation");
+      addViolation("went_back", uid + " was reported cancelled without a cancellation");
     }
     if (before != null
         && (before.equals("done") || before.equals("aborted"))
         && !before.equals(status)) {
-      broke("went_back", uid + " changed from " + before + " to " + status);
+      addViolation("went_back", uid + " changed from " + before + " to " + status);
     }
     if (status.equals("aborted")) {
       cancelledAt.putIfAbsent(uid, cluster.now());
-      noteCancelledOn(uid);
+      updateCancelledWithActiveTasks(uid);
     }
     lastTold.put(uid, status);
   }
--- a/src/test/java/plumlever/sim/Processor.java
+++ b/src/test/java/plumlever/sim/Processor.java
@@ -22,7 +22,7 @@
    * simulated machines, see docs/limits.md.
    *
    * @param startMicros time from the start of the process until the first work item runs
-   * @param coldTimes cost factor of the first work items
+   * @param coldFactor cost factor of the first work items
    * @param warmAfterMicros amount of work after which items have their normal cost; the factor
    *     decreases linearly until then
    */
@@ -33,7 +33,7 @@
       long timerMicros,
       double candidateMicros,
       long startMicros,
-      double coldTimes,
+      double coldFactor,
       long warmAfterMicros) {
     static Costs little() {
       return new Costs(1_500, 3_000, 2_000, 100, 4, 3_000_000, 20, 12_000_000);
@@ -44,11 +44,11 @@
 
   private final SimulatedCluster cluster;
   private final Costs costs;
-  private double slower;
+  private double slowdown;
   private final LongSupplier candidates;
-  private final ArrayDeque<Item> line = new ArrayDeque<>();
-  private long freeAt;
-  private long worked;
+  private final ArrayDeque<Item> queue = new ArrayDeque<>();
+  private long freeAtMicros;
+  private long workedMicros;
   private long candidatesBefore;
   private boolean running;
 
@@ -61,36 +61,36 @@
   Processor(SimulatedCluster cluster, Costs costs, double slower, LongSupplier candidates) {
     this.cluster = cluster;
     this.costs = costs;
-    this.slower = slower;
+    this.slowdown = slower;
     this.candidates = candidates;
-    this.freeAt = costs == null ? 0 : cluster.now() + costs.startMicros;
+    this.freeAtMicros = costs == null ? 0 : cluster.now() + costs.startMicros;
   }
 
-  void slower(double times) {
-    slower = times;
+  void setSlowdown(double factor) {
+    slowdown = factor;
   }
 
-  void take(Work work, Runnable action) {
+  void submit(Work work, Runnable action) {
     if (costs == null) {
       action.run();
       return;
     }
-    line.add(new Item(work, action));
+    queue.add(new Item(work, action));
     if (!running) {
       running = true;
-      cluster.at(freeAt - cluster.now(), this::next);
+      cluster.at(freeAtMicros - cluster.now(), this::runNext);
     }
   }
 
-  private void next() {
-    Item item = line.poll();
+  private void runNext() {
+    Item item = queue.poll();
     if (item == null) {
       running = false;
       return;
     }
     item.action.run();
     long candidatesNow = candidates.getAsLong();
-    double plain =
+    double baseMicros =
         switch (item.work) {
               case HEARTBEAT -> costs.heartbeatMicros;
               case REQUEST -> costs.requestMicros;
@@ -99,13 +99,13 @@
             }
             + Math.max(0, candidatesNow - candidatesBefore) * costs.candidateMicros;
     candidatesBefore = candidatesNow;
-    double cold =
-        worked >= costs.warmAfterMicros
+    double coldFactor =
+        workedMicros >= costs.warmAfterMicros
             ? 1
-            : costs.coldTimes - (costs.coldTimes - 1) * worked / costs.warmAfterMicros;
-    long took = (long) (plain * cold * slower);
-    worked += took;
-    freeAt = cluster.now() + took;
-    cluster.at(took, this::next);
+            : costs.coldFactor - (costs.coldFactor - 1) * workedMicros / costs.warmAfterMicros;
+    long tookMicros = (long) (baseMicros * coldFactor * slowdown);
+    workedMicros += tookMicros;
+    freeAtMicros = cluster.now() + tookMicros;
+    cluster.at(tookMicros, this::runNext);
   }
 }
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -77,8 +77,11 @@
   private final EventQueue events = new EventQueue();
 
   public SimulatedCluster(
-      long seed, int controllerCount, List<PlatformConfiguration.Team> teams, boolean money) {
-    this(seed, controllerCount, teams, money, InvariantChecker.CANCEL_MICROS);
+      long seed,
+      int controllerCount,
+      List<PlatformConfiguration.Team> teams,
+      boolean minimizesPrice) {
+    this(seed, controllerCount, teams, minimizesPrice, InvariantChecker.CANCEL_MICROS);
   }
 
   /**
@@ -89,9 +92,9 @@
       long seed,
       int controllerCount,
       List<PlatformConfiguration.Team> teams,
-      boolean money,
+      boolean minimizesPrice,
       long cancelMicros) {
-    this(seed, controllerCount, teams, money, cancelMicros, STATE_LIMITS);
+    this(seed, controllerCount, teams, minimizesPrice, cancelMicros, STATE_LIMITS);
   }
 
   /**
@@ -101,10 +104,10 @@
       long seed,
       int controllerCount,
       List<PlatformConfiguration.Team> teams,
-      boolean money,
+      boolean minimizesPrice,
       long cancelMicros,
       PlatformConfiguration.StateLimits limits) {
-    this(seed, controllerCount, teams, money, cancelMicros, limits, List.of());
+    this(seed, controllerCount, teams, minimizesPrice, cancelMicros, limits, List.of());
   }
 
   /**
@@ -114,14 +117,14 @@
       long seed,
       int controllerCount,
       List<PlatformConfiguration.Team> teams,
-      boolean money,
+      boolean minimizesPrice,
       long cancelMicros,
       PlatformConfiguration.StateLimits limits,
       List<SharingSettings.Shard> shards) {
     this(seed, teams, shards);
     for (int index = 0; index < controllerCount; index++) {
       PlatformConfiguration platform =
-          platform(index, controllerCount, teams, money, cancelMicros, limits);
+          platform(index, controllerCount, teams, minimizesPrice, cancelMicros, limits);
       controllers.put(platform.label(), new SimulatedController(this, platform));
     }
   }
@@ -154,7 +157,7 @@
       int index,
       int controllerCount,
       List<PlatformConfiguration.Team> teams,
-      boolean money,
+      boolean minimizesPrice,
       long cancelMicros,
       PlatformConfiguration.StateLimits limits) {
     List<PlatformConfiguration.PeerController> peers = new ArrayList<>();
@@ -166,7 +169,7 @@
       }
     }
     List<PlatformConfiguration.Objective> objectives =
-        money
+        minimizesPrice
             ? List.of(new PlatformConfiguration.Objective("price", null, 0, 1, 1))
             : List.of(new PlatformConfiguration.Objective("wait", "c0", 5, 1, 0.9));
     return new PlatformConfiguration(
@@ -181,7 +184,7 @@
         objectives,
         new PlatformConfiguration.Workers(HEARTBEAT_MICROS, FakeWorker.LEASE_MICROS, cancelMicros),
         limits,
-        new PlatformConfiguration.CloudLimits(CLOUD_REQUESTS_PER_S, FakeCloud.LAG_MICROS),
+        new PlatformConfiguration.CloudLimits(CLOUD_REQUESTS_PER_S, FakeCloud.LIST_LAG_MICROS),
         SOCKET_LIMIT);
   }
 
@@ -195,7 +198,7 @@
 
   /** Advances the clock by the given time and checks the rules after every event. */
   public void play(double seconds) {
-    events.runUntil(now() + (long) (seconds * 1e6), this::checkAfter);
+    events.runUntil(now() + (long) (seconds * 1e6), this::checkAfterEvent);
   }
 
   /** Runs all events that are due by the given time, without the checks after every event. */
@@ -203,10 +206,10 @@
     events.runUntil(micros, number -> {});
   }
 
-  private void checkAfter(long eventNumber) {
+  private void checkAfterEvent(long eventNumber) {
     invariants.check();
     if (eventNumber % EVENTS_BETWEEN_JOB_CHECKS == 0) {
-      invariants.checkForgotten();
+      invariants.checkAnswered();
       invariants.checkWaiting();
     }
     checkOneLeader();
@@ -237,7 +240,7 @@
     try {
       long term = Fleet.termOf(Json.parseObject(answer).path(ProtocolField.FENCING_TOKEN).asLong());
       if (term < store.term()
-          && (asLeader || now() - store.termSince > DelegatedRenewal.VALID_MICROS)) {
+          && (asLeader || now() - store.termStartMicros > DelegatedRenewal.VALID_MICROS)) {
         invariants.broken.add(
             "a worker lease was renewed in term "
                 + term
@@ -252,7 +255,7 @@
     }
   }
 
-  void noteSockets(int inUse) {
+  void recordSockets(int inUse) {
     mostSockets = Math.max(mostSockets, inUse);
   }
 
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -33,16 +33,16 @@
    * Number of process starts and ends. Actions and answers that belong to an earlier process are
    * dropped.
    */
-  private int life;
+  private int processNumber;
 
   private long frozenUntil;
   private long stalledUntil;
-  private int openCalls;
+  private int openDirectCalls;
 
   /** The thread that makes all decisions except those of the election. */
-  private Processor decisions;
+  private Processor decisionThread;
 
-  private Processor election;
+  private Processor electionThread;
 
   SimulatedController(SimulatedCluster cluster, PlatformConfiguration platform) {
     this.cluster = cluster;
@@ -66,46 +66,47 @@
 
   /** Starts a new process. */
   void start() {
-    int ownLife = ++life;
+    int ownProcessNumber = ++processNumber;
     // The election thread makes progress while the decision thread is busy. Both threads share one
     // processor, so the election thread runs at half speed.
-    decisions =
+    decisionThread =
         new Processor(
             cluster,
             cluster.costs,
             1,
             () -> controller == null ? 0 : controller.metrics().counter("candidates_evaluated"));
-    election = electionApart ? new Processor(cluster, cluster.costs, 2, () -> 0L) : decisions;
-    Loop loop = loop(ownLife, decisions);
-    Loop electionLoop = loop(ownLife, election);
+    electionThread =
+        electionApart ? new Processor(cluster, cluster.costs, 2, () -> 0L) : decisionThread;
+    Loop loop = loop(ownProcessNumber, decisionThread);
+    Loop electionLoop = loop(ownProcessNumber, electionThread);
     controller =
         new Controller(
             loop,
-            caller(ownLife, decisions),
+            caller(ownProcessNumber, decisionThread),
             electionLoop,
-            caller(ownLife, election),
+            caller(ownProcessNumber, electionThread),
             platform,
             new OperatorSettings(SchedulerParameters.defaults(), cluster.sharing(platform.label())),
             cluster.random.nextLong(),
             Logs.SERVICE);
-    serve(ownLife, controller);
+    serve(ownProcessNumber, controller);
     Controller started = controller;
     cluster.at(
         0,
         () -> {
-          if (life == ownLife) {
+          if (processNumber == ownProcessNumber) {
             started.start();
           }
         });
   }
 
-  private void serve(int ownLife, Controller served) {
+  private void serve(int ownProcessNumber, Controller served) {
     cluster.network.services.put(
         platform.bind(),
         (from, method, path, body, reply) ->
-            awake(
-                ownLife,
-                decisions,
+            runInProcess(
+                ownProcessNumber,
+                decisionThread,
                 path.equals(ProtocolPath.HEARTBEAT)
                     ? Processor.Work.HEARTBEAT
                     : Processor.Work.REQUEST,
@@ -116,13 +117,13 @@
                             method,
                             path,
                             bytes(body),
-                            new ReplyOfLife(ownLife, served, path, reply))));
+                            new ProcessResponder(ownProcessNumber, served, path, reply))));
     cluster.network.services.put(
         platform.peerBind(),
         (from, method, path, body, reply) ->
-            awake(
-                ownLife,
-                decisions,
+            runInProcess(
+                ownProcessNumber,
+                decisionThread,
                 Processor.Work.ANSWER,
                 () ->
                     served.peer(
@@ -133,15 +134,16 @@
   }
 
   /** Sends an answer unless the process that computed the answer has ended. */
-  private final class ReplyOfLife implements Responder {
-    private final int ownLife;
+  private final class ProcessResponder implements Responder {
+    private final int ownProcessNumber;
     private final Controller served;
     private final String path;
     private final SimulatedNetwork.Reply reply;
     private boolean closing;
 
-    ReplyOfLife(int ownLife, Controller served, String path, SimulatedNetwork.Reply reply) {
-      this.ownLife = ownLife;
+    ProcessResponder(
+        int ownProcessNumber, Controller served, String path, SimulatedNetwork.Reply reply) {
+      this.ownProcessNumber = ownProcessNumber;
       this.served = served;
       this.path = path;
       this.reply = reply;
@@ -157,15 +159,15 @@
       if (status == HttpStatus.OK && path.equals(ProtocolPath.HEARTBEAT) && cluster.hasOneShard()) {
         cluster.checkRenewal(json, served.leader().isPresent());
       }
-      if (life == ownLife && closing) {
+      if (processNumber == ownProcessNumber && closing) {
         reply.sendClosing(status, json);
-      } else if (life == ownLife) {
+      } else if (processNumber == ownProcessNumber) {
         reply.send(status, json);
       }
     }
   }
 
-  private Loop loop(int ownLife, Processor thread) {
+  private Loop loop(int ownProcessNumber, Processor thread) {
     return new Loop() {
       @Override
       public long nowMicros() {
@@ -180,7 +182,9 @@
       @Override
       public Timer after(long delayMicros, Runnable action) {
         CancellableAction cancellable = new CancellableAction(action);
-        cluster.at(delayMicros, () -> awake(ownLife, thread, Processor.Work.TIMER, cancellable));
+        cluster.at(
+            delayMicros,
+            () -> runInProcess(ownProcessNumber, thread, Processor.Work.TIMER, cancellable));
         return cancellable::cancel;
       }
 
@@ -211,12 +215,12 @@
     }
   }
 
-  private Caller caller(int ownLife, Processor thread) {
+  private Caller caller(int ownProcessNumber, Processor thread) {
     return (to, method, path, body, timeoutMicros, answer) -> {
       boolean direct = path.equals(ProtocolPath.COMMANDS);
       if (direct) {
-        openCalls++;
-        cluster.noteSockets(openCalls + cluster.cloud.reportingTo(platform.label()));
+        openDirectCalls++;
+        cluster.recordSockets(openDirectCalls + cluster.cloud.reportingTo(platform.label()));
       }
       cluster.network.send(
           platform.label(),
@@ -226,12 +230,12 @@
           body == null ? null : new String(body, StandardCharsets.ISO_8859_1),
           timeoutMicros,
           received ->
-              awake(
-                  ownLife,
+              runInProcess(
+                  ownProcessNumber,
                   thread,
                   Processor.Work.ANSWER,
                   () -> {
-                    openCalls -= direct ? 1 : 0;
+                    openDirectCalls -= direct ? 1 : 0;
                     answer.handle(received.status(), bytes(received.body()));
                   }));
     };
@@ -241,18 +245,20 @@
    * Runs the action on the thread unless the action's process has ended. While the process is
    * frozen or the thread stalls, the action is deferred.
    */
-  private void awake(int ofLife, Processor thread, Processor.Work work, Runnable action) {
-    if (life != ofLife) {
+  private void runInProcess(
+      int ofProcessNumber, Processor thread, Processor.Work work, Runnable action) {
+    if (processNumber != ofProcessNumber) {
       return;
     }
-    long heldUntil = thread == decisions ? Math.max(frozenUntil, stalledUntil) : frozenUntil;
+    long heldUntil = thread == decisionThread ? Math.max(frozenUntil, stalledUntil) : frozenUntil;
     if (cluster.now() < heldUntil) {
-      cluster.at(heldUntil - cluster.now(), () -> awake(ofLife, thread, work, action));
+      cluster.at(
+          heldUntil - cluster.now(), () -> runInProcess(ofProcessNumber, thread, work, action));
     } else {
-      thread.take(
+      thread.submit(
           work,
           () -> {
-            if (life == ofLife) {
+            if (processNumber == ofProcessNumber) {
               action.run();
             }
           });
@@ -261,7 +267,7 @@
 
   /** Sets the cost factor of the decision thread. */
   void slowDown(double times) {
-    decisions.slower(times);
+    decisionThread.setSlowdown(times);
   }
 
   /** Blocks the decision thread; the election thread continues. */
@@ -276,10 +282,10 @@
 
   /** Ends the process immediately. */
   void kill() {
-    life++;
+    processNumber++;
     frozenUntil = 0;
     stalledUntil = 0;
-    openCalls = 0;
+    openDirectCalls = 0;
     controller = null;
     cluster.network.services.remove(platform.bind());
     cluster.network.services.remove(platform.peerBind());
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -46,14 +46,14 @@
   static final Endpoint CLOUD = new Endpoint("cloud", 1);
 
   /** Longest delay of a duplicated heartbeat, well over the lease time. */
-  static final long LATEST_COPY_MICROS = 3 * FakeWorker.LEASE_MICROS;
+  static final long MAX_DUPLICATE_DELAY_MICROS = 3 * FakeWorker.LEASE_MICROS;
 
   private static final int JITTER_MICROS = 2_000;
 
   /** Interval at which delivery over a cut link is retried. */
   private static final long CUT_RETRY_MICROS = 500_000;
 
-  private static final Reply NOBODY = (status, body) -> {};
+  private static final Reply NO_REPLY = (status, body) -> {};
 
   final Map<Endpoint, Service> services = new HashMap<>();
 
@@ -93,13 +93,13 @@
    * Share of heartbeats of which a copy is kept and delivered to every controller when a new term
    * begins.
    */
-  double heartbeatShareKeptForNextLeader;
+  double heartbeatShareKeptForNextTerm;
 
   /** Number of kept heartbeats sent to controllers at the beginning of a term. */
-  int copiesSentToNewLeaders;
+  int keptHeartbeatsDelivered;
 
   /** Machines whose heartbeats reach no controller, while direct commands reach the machines. */
-  final Set<String> machinesWithoutControllers = new HashSet<>();
+  final Set<String> machinesWithLostHeartbeats = new HashSet<>();
 
   final DelegationChecker delegations;
 
@@ -107,7 +107,7 @@
   private final SplittableRandom random;
   private final Set<String> controllers;
   private final boolean checkDelegations;
-  private final List<String> heartbeatsForNextLeader = new ArrayList<>();
+  private final List<String> heartbeatsKeptForNextTerm = new ArrayList<>();
 
   /**
    * @param controllers live view of the labels, to which controllers may be added later
@@ -138,15 +138,15 @@
   }
 
   /** Called when a new term begins: delivers the kept heartbeats to every controller. */
-  void newTerm() {
-    List<String> copies = new ArrayList<>(heartbeatsForNextLeader);
-    heartbeatsForNextLeader.clear();
+  void deliverKeptHeartbeats() {
+    List<String> copies = new ArrayList<>(heartbeatsKeptForNextTerm);
+    heartbeatsKeptForNextTerm.clear();
     for (String body : copies) {
       for (String controller : controllers) {
-        copiesSentToNewLeaders++;
+        keptHeartbeatsDelivered++;
         deliver(
             new Message("copy", new Endpoint(controller, 1), "POST", ProtocolPath.HEARTBEAT, body),
-            NOBODY,
+            NO_REPLY,
             random.nextLong(1_500_000L));
       }
     }
@@ -175,8 +175,8 @@
       long timeoutMicros,
       Consumer<Answer> answer) {
     Message message = new Message(from, to, method, path, body);
-    OneAnswer oneAnswer = new OneAnswer(answer);
-    events.at(timeoutMicros, () -> oneAnswer.take(Answer.NONE));
+    FirstAnswer firstAnswer = new FirstAnswer(answer);
+    events.at(timeoutMicros, () -> firstAnswer.take(Answer.NONE));
     if (message.isCommand() && checkDelegations) {
       delegations.sent(to.host(), body);
     }
@@ -184,20 +184,20 @@
         random.nextDouble() < lostAnswerShare
             || (message.isCommand() && random.nextDouble() < lostCommandAnswerShare);
     long delayMicros = delayMicros(message);
-    Reply reply = new NetworkReply(message, answerIsLost, oneAnswer);
+    Reply reply = new NetworkReply(message, answerIsLost, firstAnswer);
     if (message.isCommand() && random.nextDouble() < copiedCommandShare) {
-      deliver(message, NOBODY, 4_000_000L + random.nextLong(16_000_000L));
-      deliver(message, NOBODY, 500_000L + random.nextLong(LATEST_COPY_MICROS));
+      deliver(message, NO_REPLY, 4_000_000L + random.nextLong(16_000_000L));
+      deliver(message, NO_REPLY, 500_000L + random.nextLong(MAX_DUPLICATE_DELAY_MICROS));
     }
-    if (message.isHeartbeat() && machinesWithoutControllers.contains(from)) {
+    if (message.isHeartbeat() && machinesWithLostHeartbeats.contains(from)) {
       return;
     }
     if (message.isHeartbeat()) {
-      copyHeartbeat(message);
+      duplicateHeartbeat(message);
     }
     deliver(message, reply, delayMicros);
     if (random.nextDouble() < repeatedShare) {
-      deliver(message, NOBODY, delayMicros + 500_000L + random.nextLong(20_000_000L));
+      deliver(message, NO_REPLY, delayMicros + 500_000L + random.nextLong(20_000_000L));
     }
   }
 
@@ -215,17 +215,17 @@
     return delayMicros;
   }
 
-  private void copyHeartbeat(Message message) {
-    if (random.nextDouble() < heartbeatShareKeptForNextLeader) {
-      heartbeatsForNextLeader.add(message.body);
+  private void duplicateHeartbeat(Message message) {
+    if (random.nextDouble() < heartbeatShareKeptForNextTerm) {
+      heartbeatsKeptForNextTerm.add(message.body);
     }
     if (random.nextDouble() < copiedHeartbeatShare) {
       Endpoint any = new Endpoint("n" + random.nextInt(controllers.size()), 1);
       Endpoint to = random.nextBoolean() ? message.to : any;
       deliver(
           new Message(message.from, to, message.method, message.path, message.body),
-          NOBODY,
-          1_000_000L + random.nextLong(LATEST_COPY_MICROS));
+          NO_REPLY,
+          1_000_000L + random.nextLong(MAX_DUPLICATE_DELAY_MICROS));
     }
   }
 
@@ -245,18 +245,18 @@
   }
 
   /** Passes on only the first outcome of a request, which may be the timeout. */
-  private static final class OneAnswer {
-    private final Consumer<Answer> taker;
-    private boolean taken;
+  private static final class FirstAnswer {
+    private final Consumer<Answer> handler;
+    private boolean answered;
 
-    OneAnswer(Consumer<Answer> taker) {
-      this.taker = taker;
+    FirstAnswer(Consumer<Answer> taker) {
+      this.handler = taker;
     }
 
     void take(Answer answer) {
-      if (!taken) {
-        taken = true;
-        taker.accept(answer);
+      if (!answered) {
+        answered = true;
+        handler.accept(answer);
       }
     }
   }
@@ -265,9 +265,9 @@
   private final class NetworkReply implements Reply {
     private final Message message;
     private final boolean isLost;
-    private final OneAnswer answer;
+    private final FirstAnswer answer;
 
-    NetworkReply(Message message, boolean isLost, OneAnswer answer) {
+    NetworkReply(Message message, boolean isLost, FirstAnswer answer) {
       this.message = message;
       this.isLost = isLost;
       this.answer = answer;
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void quietDay() {
+  void runWithoutFaults() {
     SimulatedCluster cluster = cluster(1);
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 20, 3);
@@ -81,7 +81,7 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void troubledDay(long seed) {
+  void runWithRandomFaults(long seed) {
     SimulatedCluster cluster = cluster(seed);
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 40, 5);
@@ -118,9 +118,10 @@
         cluster.store.refused.add(leader.platform.label());
         cluster.at(time, () -> cluster.store.refused.remove(leader.platform.label()));
       }
-      case 4 -> hold(cluster, leader.platform.label() + ">*", "*>" + leader.platform.label(), time);
+      case 4 ->
+          cutLinks(cluster, leader.platform.label() + ">*", "*>" + leader.platform.label(), time);
       case 5 ->
-          hold(
+          cutLinks(
               cluster,
               leader.platform.label() + ">state",
               "state>" + leader.platform.label(),
@@ -179,13 +180,13 @@
         .cloud
         .machines
         .keySet()
-        .forEach(h -> hold(cluster, h + ">" + leader, leader + ">" + h, time));
+        .forEach(h -> cutLinks(cluster, h + ">" + leader, leader + ">" + h, time));
   }
 
   private static void cutFromZoneA(SimulatedCluster cluster, String leader, long time) {
     cluster.cloud.machines.values().stream()
         .filter(v -> v.zone.equals("a"))
-        .forEach(v -> hold(cluster, v.id + ">" + leader, leader + ">" + v.id, time));
+        .forEach(v -> cutLinks(cluster, v.id + ">" + leader, leader + ">" + v.id, time));
   }
 
   /**
@@ -200,13 +201,13 @@
   private static void loseAllButWorkers(
       SimulatedCluster cluster, SimulatedController controller, long time) {
     String label = controller.platform.label();
-    hold(cluster, label + ">state", "state>" + label, time);
+    cutLinks(cluster, label + ">state", "state>" + label, time);
     cluster.controllers.keySet().stream()
         .filter(o -> !o.equals(label))
-        .forEach(o -> hold(cluster, label + ">" + o, o + ">" + label, time));
+        .forEach(o -> cutLinks(cluster, label + ">" + o, o + ">" + label, time));
   }
 
-  private static void hold(SimulatedCluster cluster, String there, String back, long time) {
+  private static void cutLinks(SimulatedCluster cluster, String there, String back, long time) {
     cluster.network.cuts.put(there, true);
     cluster.network.cuts.put(back, true);
     cluster.at(
@@ -243,7 +244,7 @@
    * Crashes the leader while a machine that holds tasks is cut off for 15 s and other machines have
    * free capacity.
    */
-  private static SimulatedCluster failoverWithAHiddenMachine(
+  private static SimulatedCluster failoverWithAnUnreachableMachine(
       Consumer<SimulatedCluster> beforeTheCrash) {
     SimulatedCluster cluster = cluster(21);
     FakeUsers users = new FakeUsers(cluster);
@@ -257,7 +258,7 @@
     cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
         .limit(1)
-        .forEach(v -> hold(cluster, v.id + ">*", "*>" + v.id, 15_000_000));
+        .forEach(v -> cutLinks(cluster, v.id + ">*", "*>" + v.id, 15_000_000));
     cluster.controllers.values().stream()
         .filter(SimulatedController::leads)
         .findFirst()
@@ -274,7 +275,7 @@
   @Test
   void withoutTheRecordOfStartedJobsTasksRunTwice() {
     SimulatedCluster cluster =
-        failoverWithAHiddenMachine(
+        failoverWithAnUnreachableMachine(
             v -> v.store.forge("begun/", Json.object().set("jobs", Json.object().arrayNode())));
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
@@ -287,7 +288,8 @@
    */
   @Test
   void withoutTheRecordOfMachinesTasksRunTwice() {
-    SimulatedCluster cluster = failoverWithAHiddenMachine(v -> v.store.hidden = "fleet/");
+    SimulatedCluster cluster =
+        failoverWithAnUnreachableMachine(v -> v.store.hiddenPrefix = "fleet/");
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
         "the checks must report tasks that run twice without the record of machines");
@@ -295,7 +297,7 @@
 
   @Test
   void withTheRecordOfMachinesNoTaskRunsTwice() {
-    SimulatedCluster cluster = failoverWithAHiddenMachine(v -> {});
+    SimulatedCluster cluster = failoverWithAnUnreachableMachine(v -> {});
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
@@ -304,7 +306,7 @@
    * leader must not return the machines because of missing heartbeats.
    */
   @Test
-  void aShortCutOfAZoneCostsNoMachine() {
+  void aShortPartitionOfAZoneLosesNoMachine() {
     SimulatedCluster cluster = cluster(41);
     FakeUsers users = new FakeUsers(cluster);
     for (int i = 0; i < 8; i++) {
@@ -316,21 +318,22 @@
             .filter(SimulatedController::leads)
             .findFirst()
             .orElseThrow();
-    List<String> behind =
+    List<String> zoneMachines =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.zone.equals("a") && v.worker != null && !v.worker.tasks.isEmpty())
             .map(v -> v.id)
             .toList();
-    assertTrue(behind.size() >= 3, "the zone has machines");
-    behind.forEach(
+    assertTrue(zoneMachines.size() >= 3, "the zone has machines");
+    zoneMachines.forEach(
         h ->
-            hold(
+            cutLinks(
                 cluster,
                 h + ">" + leader.platform.label(),
                 leader.platform.label() + ">" + h,
                 16_000_000));
     cluster.play(30);
-    assertTrue(cluster.cloud.machines.keySet().containsAll(behind), "no machine was returned");
+    assertTrue(
+        cluster.cloud.machines.keySet().containsAll(zoneMachines), "no machine was returned");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
@@ -339,7 +342,7 @@
    * failover of everything that the new leader inherits.
    */
   @Test
-  void aVanishedMachineHoldsUpAFailoverOnlyShortly() {
+  void aDeletedMachineDelaysAFailoverOnlyBriefly() {
     SimulatedCluster cluster = cluster(43);
     FakeUsers users = new FakeUsers(cluster);
     for (int i = 0; i < 8; i++) {
@@ -373,7 +376,7 @@
    * started must not wait for the failover, and the new leader rents machines for them.
    */
   @Test
-  void whatNoLeaderBeganDoesNotWaitForACutZone() {
+  void newJobsDoNotWaitForAFailoverDelayedByACutOffZone() {
     SimulatedCluster cluster = cluster(51);
     FakeUsers users = new FakeUsers(cluster);
     for (int i = 0; i < 8; i++) {
@@ -381,12 +384,12 @@
     }
     cluster.at(40_000_000, () -> users.submit(6, 1, 200, false));
     cluster.play(60);
-    for (String text :
+    for (String machineId :
         cluster.cloud.machines.values().stream()
             .filter(v -> v.zone.equals("a"))
             .map(v -> v.id)
             .toList()) {
-      hold(cluster, text + ">*", "*>" + text, 60_000_000);
+      cutLinks(cluster, machineId + ">*", "*>" + machineId, 60_000_000);
     }
     cluster.leader().crash(60);
     cluster.play(2);
--- a/src/test/java/plumlever/sim/TestJob.java
+++ b/src/test/java/plumlever/sim/TestJob.java
@@ -49,8 +49,8 @@
     return this;
   }
 
-  public TestJob priority(Priority now) {
-    priority = now;
+  public TestJob priority(Priority value) {
+    priority = value;
     return this;
   }
 
@@ -59,18 +59,18 @@
     return this;
   }
 
-  public TestJob cores(double each) {
-    cores = each;
+  public TestJob cores(double perTask) {
+    cores = perTask;
     return this;
   }
 
-  public TestJob accelerators(double each) {
-    accelerators = each;
+  public TestJob accelerators(double perTask) {
+    accelerators = perTask;
     return this;
   }
 
-  public TestJob memoryGb(double each) {
-    memoryGb = each;
+  public TestJob memoryGb(double perTask) {
+    memoryGb = perTask;
     return this;
   }
 
@@ -94,18 +94,18 @@
     return this;
   }
 
-  public TestJob oneZone(boolean now) {
-    oneZone = now;
+  public TestJob oneZone(boolean value) {
+    oneZone = value;
     return this;
   }
 
-  public TestJob spread(boolean now) {
-    spread = now;
+  public TestJob spread(boolean value) {
+    spread = value;
     return this;
   }
 
-  public TestJob spotAllowed(boolean now) {
-    spotAllowed = now;
+  public TestJob spotAllowed(boolean value) {
+    spotAllowed = value;
     return this;
   }
 
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -21,17 +21,17 @@
   private int status;
   private String body;
   private int retryAfter;
-  private long took;
+  private long tookMicros;
 
   @BeforeEach
-  void begin() {
+  void startCluster() {
     cluster =
         new SimulatedCluster(
             1, 3, List.of(new PlatformConfiguration.Team("red", 4, 8, 0, 0)), true);
     cluster.play(5);
   }
 
-  private int ask(String method, String path, String text) {
+  private int send(String method, String path, String text) {
     status = 0;
     long from = cluster.now();
     cluster
@@ -47,7 +47,7 @@
               status = s;
               body = json;
               retryAfter = retry;
-              took = cluster.now() - from;
+              tookMicros = cluster.now() - from;
             });
     for (int i = 0; i < 100 && status == 0; i++) {
       cluster.play(0.1);
@@ -56,61 +56,63 @@
   }
 
   @Test
-  void acceptsOnceAndKnowsRepeatsWhateverTheySay() {
-    assertEquals(201, ask("POST", "/submissions", JOB));
-    assertEquals(200, ask("POST", "/submissions", JOB));
-    assertEquals(200, ask("POST", "/submissions", JOB.replace("\"pieces\":2", "\"pieces\":0")));
+  void acceptsAJobOnceAndRecognizesRepeatedSubmissions() {
+    assertEquals(201, send("POST", "/submissions", JOB));
+    assertEquals(200, send("POST", "/submissions", JOB));
+    assertEquals(200, send("POST", "/submissions", JOB.replace("\"pieces\":2", "\"pieces\":0")));
     assertEquals(
-        200, ask("POST", "/submissions", JOB.replace("\"owner\":\"red\"", "\"owner\":\"nobody\"")));
-    assertEquals(200, ask("GET", "/submissions/job-1", null));
+        200,
+        send("POST", "/submissions", JOB.replace("\"owner\":\"red\"", "\"owner\":\"nobody\"")));
+    assertEquals(200, send("GET", "/submissions/job-1", null));
     assertTrue(body.contains("\"status\":\"pending\""), body);
   }
 
   @Test
-  void refusesWhatIsWrongAndWhatCanNeverRun() {
-    assertEquals(400, ask("POST", "/submissions", "{"));
-    assertEquals(400, ask("POST", "/submissions", JOB.replace("\"pieces\":2", "\"pieces\":0")));
+  void refusesInvalidRequestsAndJobsThatCanNeverRun() {
+    assertEquals(400, send("POST", "/submissions", "{"));
+    assertEquals(400, send("POST", "/submissions", JOB.replace("\"pieces\":2", "\"pieces\":0")));
     assertEquals(
-        422, ask("POST", "/submissions", JOB.replace("\"owner\":\"red\"", "\"owner\":\"nobody\"")));
-    assertEquals(422, ask("POST", "/submissions", JOB.replace("\"cores\":1.0", "\"cores\":9.0")));
+        422,
+        send("POST", "/submissions", JOB.replace("\"owner\":\"red\"", "\"owner\":\"nobody\"")));
+    assertEquals(422, send("POST", "/submissions", JOB.replace("\"cores\":1.0", "\"cores\":9.0")));
     assertEquals(
-        422, ask("POST", "/submissions", JOB.replace("\"memory_gb\":1.0", "\"memory_gb\":900.0")));
-    assertEquals(404, ask("GET", "/submissions/job-1", null));
-    assertEquals(404, ask("POST", "/submissions/job-1/abort", ""));
-    assertEquals(404, ask("GET", "/nothing", null));
-    assertEquals(405, ask("GET", "/submissions", null));
-    assertEquals(200, ask("GET", "/up", null));
+        422, send("POST", "/submissions", JOB.replace("\"memory_gb\":1.0", "\"memory_gb\":900.0")));
+    assertEquals(404, send("GET", "/submissions/job-1", null));
+    assertEquals(404, send("POST", "/submissions/job-1/abort", ""));
+    assertEquals(404, send("GET", "/nothing", null));
+    assertEquals(405, send("GET", "/submissions", null));
+    assertEquals(200, send("GET", "/up", null));
   }
 
   @Test
   void aCancellationIsFinal() {
     cluster.invariants.submitted.put("job-1", null);
-    ask("POST", "/submissions", JOB);
-    assertEquals(200, ask("POST", "/submissions/job-1/abort", ""));
+    send("POST", "/submissions", JOB);
+    assertEquals(200, send("POST", "/submissions/job-1/abort", ""));
     assertTrue(body.contains("aborted"), body);
-    assertEquals(200, ask("POST", "/submissions", JOB));
+    assertEquals(200, send("POST", "/submissions", JOB));
     assertTrue(body.contains("aborted"), body);
     cluster.play(30);
-    assertEquals(200, ask("GET", "/submissions/job-1", null));
+    assertEquals(200, send("GET", "/submissions/job-1", null));
     assertTrue(body.contains("aborted"), body);
   }
 
   @Test
-  void anOutageIsToldAtOnceWithTheTimeToComeBack() {
+  void anOutageIsAnsweredAtOnceWithARetryTime() {
     cluster.store.outage = true;
-    for (String[] received :
+    for (String[] request :
         new String[][] {
           {"POST", "/submissions", JOB},
           {"GET", "/submissions/job-1", null},
           {"POST", "/submissions/job-1/abort", ""}
         }) {
-      assertEquals(503, ask(received[0], received[1], received[2]));
+      assertEquals(503, send(request[0], request[1], request[2]));
       assertTrue(retryAfter > 0, "Retry-After must be set");
-      assertTrue(took < 100_000, "answered within 100 ms, took (µs): " + took);
+      assertTrue(tookMicros < 100_000, "answered within 100 ms, took (µs): " + tookMicros);
     }
     assertEquals(
         200,
-        ask("GET", "/up", null),
+        send("GET", "/up", null),
         "an outage for all controllers makes no controller unhealthy");
   }
 
@@ -119,13 +121,13 @@
    * controller must read the job record to find out whether the job was accepted.
    */
   @Test
-  void anUnansweredAcceptanceIsSettledByReading() {
+  void anUnansweredAcceptanceIsResolvedByReadingTheJobRecord() {
     cluster.network.cuts.put("state>n0", true);
-    assertEquals(503, ask("POST", "/submissions", JOB));
+    assertEquals(503, send("POST", "/submissions", JOB));
     cluster.network.cuts.clear();
     cluster.play(3);
-    assertEquals(200, ask("GET", "/submissions/job-1", null));
-    assertEquals(200, ask("POST", "/submissions", JOB));
+    assertEquals(200, send("GET", "/submissions/job-1", null));
+    assertEquals(200, send("POST", "/submissions", JOB));
   }
 
   /**
@@ -133,7 +135,7 @@
    * not make the follower report itself unhealthy.
    */
   @Test
-  void aQuietControllerStaysHealthy() {
+  void aControllerWithoutRequestsStaysHealthy() {
     for (int i = 0; i < 100; i++) {
       for (SimulatedController controller : cluster.controllers.values()) {
         controller
@@ -150,12 +152,12 @@
    * itself unhealthy, so that users connect to another controller.
    */
   @Test
-  void aControllerThatAloneIsRefusedCallsItselfUnhealthy() {
+  void aControllerRefusedAloneIsUnhealthy() {
     cluster.store.refused.add("n0");
     cluster.play(5);
-    assertEquals(503, ask("GET", "/up", null));
+    assertEquals(503, send("GET", "/up", null));
     cluster.store.refused.clear();
     cluster.play(3);
-    assertEquals(200, ask("GET", "/up", null));
+    assertEquals(200, send("GET", "/up", null));
   }
 }
