--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -19,10 +19,10 @@
         d.cluster.at(4_000_000, () -> d.users.cancelStartedJobs(3, 0, 0));
         d.cluster.at(6_000_000, () -> d.cluster.store.outage = true);
         d.cluster.play(8);
-        int told = d.countReported("aborted");
+        int cancelledJobs = d.countReported("aborted");
         d.cluster.play(FaultDeployment.CANCEL_S + 6);
         d.endFaults();
-        return () -> told > 0 && d.cluster.store.refusals.size() == 3;
+        return () -> cancelledJobs > 0 && d.cluster.store.refusals.size() == 3;
       }),
   ZONE_WITH_THE_LEADER_CUT_OFF_BEYOND_A_LEASE(
       d -> {
@@ -116,11 +116,12 @@
         int reporting = d.cluster.cloud.reportingTo(cutOff);
         d.cluster.play(5);
         String next = d.leaderLabel();
-        List<Integer> told = new ArrayList<>();
-        d.startedJobs(3).forEach(uid -> d.users.cancelAt(new Endpoint(next, 1), uid, told::add));
+        List<Integer> statusCodes = new ArrayList<>();
+        d.startedJobs(3)
+            .forEach(uid -> d.users.cancelAt(new Endpoint(next, 1), uid, statusCodes::add));
         d.cluster.play(FaultDeployment.LEASE_S + 10);
         d.endFaults();
-        return () -> reporting > 0 && !next.equals(cutOff) && told.contains(200);
+        return () -> reporting > 0 && !next.equals(cutOff) && statusCodes.contains(200);
       }),
   HEARTBEATS_LOST_WHILE_DIRECT_COMMANDS_ARRIVE(
       d -> {
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -29,9 +29,9 @@
     assertTrue(tookPlace.getAsBoolean(), "the faults of the combination took effect");
     List<String> open = new ArrayList<>();
     for (JobSpec job : deployment.jobs) {
-      String told = deployment.cluster.invariants.lastTold.get(job.uid());
-      if (!"done".equals(told) && !"aborted".equals(told)) {
-        open.add(job.uid() + " " + told);
+      String status = deployment.cluster.invariants.lastTold.get(job.uid());
+      if (!"done".equals(status) && !"aborted".equals(status)) {
+        open.add(job.uid() + " " + status);
       }
     }
     assertEquals(List.of(), open, "jobs neither done nor cancelled at the end");
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -78,8 +78,8 @@
     return task.substring(0, task.indexOf('/'));
   }
 
-  private void addViolation(String rule, String what) {
-    broken.add(rule + " at " + cluster.now() / 1e6 + ": " + what);
+  private void addViolation(String rule, String details) {
+    broken.add(rule + " at " + cluster.now() / 1e6 + ": " + details);
   }
 
   long runMicros(String task) {
@@ -252,16 +252,16 @@
         (name, all) ->
             all.forEach(
                 j -> {
-                  long began = startedAt.getOrDefault(j.uid(), Long.MAX_VALUE / 2);
+                  long startMicros = startedAt.getOrDefault(j.uid(), Long.MAX_VALUE / 2);
                   long from = waitingStart(j);
-                  if (began - from > START_MICROS && cluster.now() - from > START_MICROS) {
+                  if (startMicros - from > START_MICROS && cluster.now() - from > START_MICROS) {
                     addViolation(
                         "half",
                         j.uid()
                             + ", of the "
                             + name
                             + ", started after "
-                            + (began - from) / 1e6
+                            + (startMicros - from) / 1e6
                             + " s");
                   }
                 }));
@@ -283,9 +283,9 @@
    *
    * @param status the reported job status, or null for a 404
    */
-  void toldAnywhere(String uid, String status, long askedMicros) {
+  void toldAnywhere(String uid, String status, long sentMicros) {
     String end = finalState.get(uid);
-    if (end != null && askedMicros >= finalStateAt.get(uid) && !end.equals(status)) {
+    if (end != null && sentMicros >= finalStateAt.get(uid) && !end.equals(status)) {
       addViolation("went_back", uid + " was reported " + end + " and then " + status);
     }
     if (status == null) {
@@ -297,7 +297,7 @@
     acceptedJobs.add(uid);
     String cause =
         status.equals("pending") || status.equals("running")
-            ? cancelledBefore(uid, askedMicros)
+            ? cancelledBefore(uid, sentMicros)
             : null;
     if (cause != null) {
       addViolation(
@@ -319,13 +319,13 @@
    * Returns a direct or transitive dependency of the job that had been reported cancelled to a user
    * by the given time, or null.
    */
-  private String cancelledBefore(String uid, long askedMicros) {
+  private String cancelledBefore(String uid, long sentMicros) {
     Set<String> seen = new HashSet<>();
     java.util.ArrayDeque<String> open = new java.util.ArrayDeque<>(List.of(uid));
     while (!open.isEmpty()) {
       JobSpec job = submitted.get(open.poll());
       for (String name : job == null ? List.<String>of() : job.dependencies()) {
-        if ("aborted".equals(finalState.get(name)) && finalStateAt.get(name) <= askedMicros) {
+        if ("aborted".equals(finalState.get(name)) && finalStateAt.get(name) <= sentMicros) {
           return name;
         }
         if (seen.add(name)) {
--- a/src/test/java/plumlever/sim/Processor.java
+++ b/src/test/java/plumlever/sim/Processor.java
@@ -54,14 +54,14 @@
 
   /**
    * @param costs null if work costs no time
-   * @param slower cost factor of this thread
+   * @param slowdown cost factor of this thread
    * @param candidates returns the number of placement candidates evaluated so far, each of which
    *     adds to the cost of the work item that evaluated it
    */
-  Processor(SimulatedCluster cluster, Costs costs, double slower, LongSupplier candidates) {
+  Processor(SimulatedCluster cluster, Costs costs, double slowdown, LongSupplier candidates) {
     this.cluster = cluster;
     this.costs = costs;
-    this.slowdown = slower;
+    this.slowdown = slowdown;
     this.candidates = candidates;
     this.freeAtMicros = costs == null ? 0 : cluster.now() + costs.startMicros;
   }
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -48,9 +48,9 @@
     assertEquals(jobs, users.accepted().size(), "number of accepted jobs");
     List<String> open = new ArrayList<>();
     for (String uid : users.accepted()) {
-      String told = cluster.invariants.lastTold.get(uid);
-      if (!told.equals("done") && !told.equals("aborted")) {
-        open.add(uid + " " + told);
+      String status = cluster.invariants.lastTold.get(uid);
+      if (!status.equals("done") && !status.equals("aborted")) {
+        open.add(uid + " " + status);
       }
     }
     assertEquals(List.of(), open, "jobs neither done nor cancelled at the end");
