--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -15,7 +15,7 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 
-/** Three shards of two controllers each, with tasks of one shard running on its machines. */
+/** A simulated pool of three shards with two controllers each, and operations on it for tests. */
 final class PoolScenario {
   static final String GIVER = "east";
   static final String TAKER = "north";
@@ -34,15 +34,15 @@
   final List<JobSpec> jobs = new ArrayList<>();
 
   /**
-   * @param redLimit processors that the first team may use; 0 for no limit
-   * @param machines up at the start; the cloud has hardly any more
+   * @param redLimit processors that the team {@code red} may use; 0 for no limit
+   * @param machines number of machines that run at the start; the cloud offers hardly any more
    */
   PoolScenario(long seed, double redLimit, int machines) {
     this(seed, redLimit, machines, InvariantChecker.CANCEL_MICROS);
   }
 
   /**
-   * @param cancelMicros what the controllers believe to have for a cancellation
+   * @param cancelMicros time limit of a cancellation that the controllers assume
    */
   PoolScenario(long seed, double redLimit, int machines, long cancelMicros) {
     cluster =
@@ -62,7 +62,7 @@
     cluster.play(CLAIMED_S);
   }
 
-  /** A job of the shard of that controller, one processor a task. */
+  /** Submits a job with one processor per task through a controller of the job's shard. */
   JobSpec submit(String controller, int tasks, double seconds) {
     return submit(controller, jobs.size() % 2 == 0 ? "red" : "blue", tasks, seconds);
   }
@@ -84,7 +84,7 @@
     return job;
   }
 
-  /** Who owns the machine by the records in the state service. */
+  /** Returns the owner of the machine according to the owner records, or an empty string. */
   String ownerOf(String machine) {
     for (Map.Entry<String, com.fasterxml.jackson.databind.JsonNode> entry :
         cluster.store.entries("pool/owners/").entrySet()) {
@@ -99,7 +99,7 @@
     return "";
   }
 
-  /** Machines of the shard on which tasks run, by how many. */
+  /** Returns the shard's machines with running tasks, the machine with the most tasks first. */
   List<String> busy(String shard) {
     return cluster.cloud.machines.values().stream()
         .filter(vm -> vm.worker != null && running(vm.id) > 0 && ownerOf(vm.id).equals(shard))
@@ -122,10 +122,10 @@
   void give(String from, String machine, String to) {
     assertTrue(
         cluster.leader(from).actingLeader().transfer(machine, to),
-        machine + " can be given by " + from);
+        machine + " cannot be transferred by " + from);
   }
 
-  /** Gives it as soon as that is possible. */
+  /** Transfers the machine as soon as a leader of the source shard accepts the request. */
   void giveSoon(String from, String machine, String to) {
     cluster.at(
         0,
@@ -140,7 +140,7 @@
         });
   }
 
-  /** What happens right before the transaction of a transfer that is the n-th from now. */
+  /** Runs the action immediately before the n-th transaction on transfer records from now on. */
   void beforeStep(int number, Runnable action) {
     cluster.store.interveneBefore = "pool/transfers/";
     cluster.store.intervention =
@@ -151,7 +151,11 @@
     users.cancelAt(new Endpoint(controller, 1), job.uid(), status);
   }
 
-  /** All jobs but those cancelled are done, nothing broke, and no transfer is left open. */
+  /**
+   * Ends all faults, runs the simulation, and asserts that every job has ended, no invariant was
+   * violated, and no transfer record remains. Cancelled jobs must be reported as cancelled, all
+   * others as done.
+   */
   void endsWell(double seconds) {
     cluster.network.cuts.clear();
     cluster.store.refused.clear();
@@ -163,12 +167,13 @@
       String expected = cluster.invariants.cancelledAt.containsKey(job.uid()) ? "aborted" : "done";
       assertEquals(expected, cluster.invariants.lastTold.get(job.uid()), job.uid());
     }
-    assertEquals(Map.of(), cluster.store.entries("pool/transfers/"), "all transfers are settled");
+    assertEquals(
+        Map.of(), cluster.store.entries("pool/transfers/"), "transfer records that remain");
   }
 
-  /** No task was started a second time. */
+  /** Asserts that every task was started exactly once. */
   void nothingWasStartedAnew() {
     int tasks = jobs.stream().mapToInt(JobSpec::taskCount).sum();
-    assertEquals(tasks, cluster.invariants.starts, "starts");
+    assertEquals(tasks, cluster.invariants.starts, "number of task starts");
   }
 }
--- a/src/test/java/plumlever/sim/SharingDaysTest.java
+++ b/src/test/java/plumlever/sim/SharingDaysTest.java
@@ -13,15 +13,16 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * Days of three shards by seed: machines are given away with their tasks every few seconds, through
- * all the troubles that a single shard is played with. The checks watch each task over shards.
+ * Simulations of three shards with random faults, one per seed. Machines with running tasks are
+ * transferred between the shards every few seconds, under the same faults as in {@link
+ * SimulationTest}. The invariant checks follow each task across shards.
  */
 final class SharingDaysTest {
   private static final List<String> SHARDS =
       List.of(PoolScenario.GIVER, PoolScenario.TAKER, PoolScenario.THIRD);
   private static final int JOBS = 40;
 
-  /** {@code -Dplumlever.pool.first=F -Dplumlever.pool.seeds=N} plays others. */
+  /** Seeds; {@code -Dplumlever.pool.first=F -Dplumlever.pool.seeds=N} selects others. */
   static LongStream seeds() {
     long first = Long.getLong("plumlever.pool.first", 1);
     return LongStream.range(first, first + Integer.getInteger("plumlever.pool.seeds", 8));
@@ -44,7 +45,7 @@
     return cluster;
   }
 
-  /** Some machine of some shard is given to another, with whatever runs on it. */
+  /** Transfers a machine with tasks from a random shard to another random shard, if possible. */
   private static void move(SimulatedCluster cluster) {
     String from = SHARDS.get(cluster.random.nextInt(SHARDS.size()));
     String to = SHARDS.get(cluster.random.nextInt(SHARDS.size()));
@@ -89,9 +90,9 @@
     cluster.play(300);
     SimulationTest.calm(cluster);
     cluster.play(400);
-    assertTrue(taken(cluster) >= 5, "moves: " + taken(cluster));
+    assertTrue(taken(cluster) >= 5, "machine transfers: " + taken(cluster));
     SimulationTest.assertAllServed(cluster, users, JOBS);
-    assertEquals(0, cluster.store.count("pool/transfers/"), "all transfers are settled");
+    assertEquals(0, cluster.store.count("pool/transfers/"), "transfer records that remain");
     Map<String, Integer> parts = new TreeMap<>();
     cluster
         .store
@@ -103,10 +104,13 @@
                     .properties()
                     .forEach(
                         part -> parts.merge("all", part.getValue().path(0).asInt(), Integer::sum)));
-    assertEquals(Map.of("all", 48), parts, "parts of the only limit");
+    assertEquals(Map.of("all", 48), parts, "sum of the shares of the only team limit");
   }
 
-  /** As the changes of owners show it: counters of a controller end with it. */
+  /**
+   * Counts machine transfers by the writes of the pool's counter in the state service, because the
+   * metrics of a controller are lost when the controller restarts.
+   */
   private static int taken(SimulatedCluster cluster) {
     return cluster.store.changesOf("pool/term");
   }
--- a/src/test/java/plumlever/sim/SharingHardCasesTest.java
+++ b/src/test/java/plumlever/sim/SharingHardCasesTest.java
@@ -18,13 +18,16 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.ProtocolPath;
 
-/** What may befall a machine that moves with its tasks, each case by itself. */
+/** Transfers of machines with running tasks between shards, each combined with one fault. */
 final class SharingHardCasesTest {
   private PoolScenario pool;
   private SimulatedCluster cluster;
   private String machine;
 
-  /** Tasks of the giving shard run, some of them on the machine that is to be given away. */
+  /**
+   * Creates a pool in which tasks of the source shard run, and selects one of the machines with
+   * running tasks for the transfer.
+   */
   private void tasksRun(long seed, double seconds) {
     pool = new PoolScenario(seed, 0, 9);
     cluster = pool.cluster;
@@ -32,14 +35,14 @@
     pool.submit("n0", 10, seconds);
     cluster.play(9);
     machine = pool.busy(GIVER).get(0);
-    assertTrue(pool.running(machine) > 0, "tasks run on " + machine);
+    assertTrue(pool.running(machine) > 0, "no task runs on " + machine);
   }
 
   private void moved() {
-    assertEquals(TAKER, pool.ownerOf(machine), "the owner on record");
+    assertEquals(TAKER, pool.ownerOf(machine), "owner of the machine in the state service");
   }
 
-  /** What a task is doing as its machine is given away. */
+  /** An event of a task while its machine is transferred. */
   enum Moment {
     SAVES((pool, machine) -> pool.worker(machine).saveOne(4)),
     ENDS((pool, machine) -> pool.worker(machine).endOne("done")),
@@ -76,13 +79,13 @@
     pool.give(GIVER, machine, TAKER);
     cluster.play(2);
     moved();
-    assertEquals(before, pool.running(machine), "its tasks run on");
+    assertEquals(before, pool.running(machine), "running tasks after the transfer");
     JobSpec other = pool.submit("n2", 30, 10);
     cluster.play(10);
     boolean mixed =
         pool.worker(machine).tasks.values().stream()
             .anyMatch(task -> task.name.startsWith(other.uid()));
-    assertTrue(mixed || pool.running(machine) == before, "the taker may use its free room");
+    assertTrue(mixed || pool.running(machine) == before, "tasks after the transfer");
     pool.endsWell(150);
     pool.nothingWasStartedAnew();
   }
@@ -114,7 +117,7 @@
     pool.giveSoon(THIRD, machine, TAKER);
     cluster.play(4);
     moved();
-    assertTrue(pool.running(machine) > 0, "its tasks run on");
+    assertTrue(pool.running(machine) > 0, "no task runs after the transfers");
     pool.endsWell(150);
     pool.nothingWasStartedAnew();
   }
@@ -144,7 +147,7 @@
       pool.give(GIVER, machine, TAKER);
       cluster.play(20);
       String owner = pool.ownerOf(machine);
-      assertTrue(owner.equals(GIVER) || owner.equals(TAKER), "one of both owns it: " + owner);
+      assertTrue(owner.equals(GIVER) || owner.equals(TAKER), "unexpected owner: " + owner);
       pool.endsWell(200);
       pool.nothingWasStartedAnew();
     }
@@ -163,7 +166,7 @@
     }
   }
 
-  /** A link of a shard that is lost. */
+  /** A network link of a shard that is cut. */
   enum Link {
     STATE_SERVICE,
     PEERS,
@@ -274,8 +277,12 @@
   }
 
   /**
-   * A cancellation is confirmed by the originating shard while the owner renews, and then nobody
-   * can read the state service for longer than a cancellation has.
+   * The originating shard confirms a cancellation while the leader of the owning shard, which does
+   * not learn of the cancellation, renews the machine's lease. The watches of the owning leader are
+   * not answered, and the originating shard cannot reach it, for longer than the time limit of a
+   * cancellation.
+   *
+   * @param believedCancelMicros time limit of a cancellation that the controllers assume
    */
   private void cancelledBeforeALongOutage(long believedCancelMicros) {
     pool = new PoolScenario(79, 0, 9, believedCancelMicros);
@@ -291,7 +298,7 @@
     cluster
         .shard(GIVER)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), owner, true));
-    // Watches that are open already come to their end first.
+    // Waits until the watches that were already open have ended.
     cluster.play(11);
     List<Integer> told = new ArrayList<>();
     pool.cancel("n1", job, told::add);
@@ -316,21 +323,27 @@
     pool.endsWell(150);
   }
 
-  /** The check can fail: with an hour for a cancellation the owner goes on renewing. */
+  /**
+   * Verifies that the invariant check detects a missing bound: with an assumed limit of one hour
+   * for a cancellation, the owning leader keeps renewing the lease.
+   */
   @Test
   void withoutTheBoundForeignTasksOutliveTheirCancellation() {
     cancelledBeforeALongOutage(3_600_000_000L);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(rule -> rule.startsWith("ran_cancelled")),
-        "the checks must see the missing bound");
+        "the invariant check did not detect the missing bound");
   }
 
-  /** The giver's watches are not answered, so it does not hear that its offer was taken. */
+  /**
+   * The watches of the source leader are not answered, so the source leader does not learn that the
+   * target shard accepted the offered machine.
+   */
   @Test
   void aGiverThatHearsNothingOfThePoolStopsAnsweringTheMachine() {
     tasksRun(80, 60);
     SimulatedController giver = cluster.leader(GIVER);
-    // The watch that is open is answered with the offer; the next one never is.
+    // The open watch is answered with the offer; later watches of this leader are never answered.
     cluster.store.unwatched.add(giver.platform.label());
     cluster
         .shard(TAKER)
@@ -338,7 +351,7 @@
     pool.give(GIVER, machine, TAKER);
     cluster.play(12);
     moved();
-    assertTrue(giver.leads(), "its lease is renewed all the time");
+    assertTrue(giver.leads(), "the source leader lost leadership");
     long[] status = new long[1];
     giver
         .controller()
@@ -348,7 +361,7 @@
             ProtocolPath.HEARTBEAT,
             pool.worker(machine).statusBytes(),
             (code, json, retry) -> status[0] = code);
-    assertEquals(503, status[0], "the machine may have another owner by now");
+    assertEquals(503, status[0], "heartbeat of a machine that may have a new owner");
     cluster
         .shard(TAKER)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, false));
@@ -359,13 +372,13 @@
   void machinesOfACellWithoutControllersAreAdoptedAndItsJobsAreKept() {
     tasksRun(81, 20);
     cluster.adoptAfterMicros = 60_000_000;
-    // The others have to be started with the shorter time.
+    // The other shards must be restarted to apply the shorter adoption timeout.
     cluster.shard(TAKER).forEach(controller -> controller.crash(0.5));
     cluster.shard(THIRD).forEach(controller -> controller.crash(0.5));
     List<SimulatedController> gone = cluster.shard(GIVER);
     gone.forEach(SimulatedController::kill);
     cluster.play(130);
-    assertFalse(pool.ownerOf(machine).equals(GIVER), "it was adopted");
+    assertFalse(pool.ownerOf(machine).equals(GIVER), "the machine was not adopted");
     pool.submit("n2", 30, 10);
     cluster.play(40);
     gone.forEach(SimulatedController::start);
@@ -380,13 +393,14 @@
     cluster.play(10);
     pool.give(GIVER, machine, TAKER);
     cluster.play(20);
-    assertEquals(GIVER, pool.ownerOf(machine), "the offer was not taken and is withdrawn");
+    assertEquals(GIVER, pool.ownerOf(machine), "owner after the offer was withdrawn");
     pool.endsWell(150);
     pool.nothingWasStartedAnew();
   }
 
   /**
-   * Both of the owner's controllers come back without a sharing file while foreign tasks run there.
+   * Both controllers of the owning shard restart without a sharing file while foreign tasks run on
+   * the shard's machines.
    */
   @Test
   void controllersWithoutTheSharingFileNeitherLeadNorAnswer() {
@@ -398,7 +412,7 @@
     cluster.digests.put(TAKER, "none");
     without.forEach(controller -> controller.crash(0.5));
     cluster.play(20);
-    assertTrue(without.stream().noneMatch(SimulatedController::leads), "nobody leads there");
+    assertTrue(without.stream().noneMatch(SimulatedController::leads), "a controller leads");
     int[] status = new int[1];
     without
         .get(0)
@@ -409,7 +423,7 @@
             "/submissions/" + pool.jobs.get(0).uid(),
             new byte[0],
             (code, json, retry) -> status[0] = code);
-    assertEquals(503, status[0], "a job that it can't know is not called unknown");
+    assertEquals(503, status[0], "status query for a job of another shard");
     cluster.digests.clear();
     without.forEach(controller -> controller.crash(0.5));
     pool.endsWell(250);
@@ -430,11 +444,15 @@
                     controller -> controller.controller().metrics().counter("limit_parts_given"))
                 .sum()
             > 0,
-        "parts were moved");
+        "no limit share was transferred between shards");
     pool.endsWell(200);
   }
 
-  /** A part counts as given from before the transaction is sent, while nothing is heard of it. */
+  /**
+   * A leader stops using a share of a team limit before it sends the transaction that transfers the
+   * share. The share stays unused if the leader receives neither the answer to the transaction nor
+   * the change through its watch.
+   */
   @Test
   void aPartThatIsGivenUnheardIsNotUsedAnyMore() {
     pool = new PoolScenario(86, 24, 12);
@@ -445,7 +463,7 @@
     cluster.store.interveneBefore = "pool/limits/";
     cluster.store.intervention =
         () -> {
-          // Only the giver does not hear that its part is the other's now.
+          // Only the source leader does not learn that its share belongs to another shard now.
           cluster.store.answerLostOnce = "pool/limits/";
           cluster.store.untold = "pool/";
           cluster.store.untoldController = cluster.leader(GIVER).platform.label();
@@ -453,7 +471,7 @@
           cluster.at(4_000_000, () -> cluster.store.untold = null);
         };
     cluster.play(60);
-    assertTrue(cluster.store.appliedUnanswered > 0, "a part was given unheard");
+    assertTrue(cluster.store.appliedUnanswered > 0, "no unanswered transfer");
     pool.endsWell(250);
   }
 
@@ -466,8 +484,8 @@
     List<Integer> told = new ArrayList<>();
     pool.cancel("n2", job, told::add);
     cluster.play(2);
-    assertEquals(List.of(200), told, "cancelled through another cell's controller");
+    assertEquals(List.of(200), told, "cancelled through a controller of another shard");
     pool.endsWell(120);
-    assertTrue(pool.users.looks > 0, "users looked at all controllers");
+    assertTrue(pool.users.looks > 0, "no status query of the users was answered");
   }
 }
--- a/src/test/java/plumlever/sim/SharingMeasurement.java
+++ b/src/test/java/plumlever/sim/SharingMeasurement.java
@@ -16,12 +16,13 @@
 import plumlever.wire.Json;
 
 /**
- * Measures sharing on simulated machines: load that goes from shard to shard, on shared machines,
- * on three fixed shares, and in one shard that has all machines. No test: docs/sharing.md says what
- * came of it.
+ * Benchmark of machine sharing on simulated machines, not a test. The load moves from shard to
+ * shard. The benchmark runs with three shards that share machines ({@code shared}), with three
+ * shards that keep their machines ({@code fixed}), or with one shard that owns all machines ({@code
+ * one}). See docs/sharing.md for results.
  *
- * <p>Arguments: how many machines, {@code shared}, {@code fixed} or {@code one}, and the most
- * transfers that a shard may have under way.
+ * <p>Arguments: number of machines, mode ({@code shared}, {@code fixed} or {@code one}), and
+ * optionally the limit of concurrent transfers per shard.
  */
 final class SharingMeasurement {
   private static final int PHASES = 3;
@@ -30,7 +31,7 @@
   private static final int TASKS_PER_JOB = 400;
   private static final double CORES_PER_MACHINE = 7;
 
-  /** Part of all processors that one shard asks for in its phase. */
+  /** Processors that one shard requests in its phase, as a fraction of all processors. */
   private static final double LOAD = 1.5;
 
   private final SimulatedCluster cluster;
@@ -56,7 +57,7 @@
     users = new FakeUsers(cluster);
   }
 
-  /** With files that differ nobody gives anything. */
+  /** Prevents transfers: shards with different sharing files do not transfer machines. */
   private void fixShares() {
     for (SharingSettings.Shard shard : PoolScenario.SHARDS) {
       cluster.digests.put(shard.name(), shard.name());
@@ -106,8 +107,8 @@
       ledger += Json.write(value).length();
     }
     System.out.printf(
-        "%d machines, %s: %s; tasks %d, starts %d, moves %d, changes %d, requests %d, ledger bytes"
-            + " %d, broken %s%n",
+        "%d machines, %s: %s; tasks %d, starts %d, transfers %d, writes %d, requests %d, owner"
+            + " record bytes %d, violations %s%n",
         machines,
         mode,
         phases,
@@ -146,7 +147,7 @@
         allDone = cluster.now() - began;
       }
     }
-    return "first move %s, first start on a moved machine %s, all tasks done %s, %d moves"
+    return "first transfer %s, first start on a moved machine %s, all tasks done %s, %d transfers"
         .formatted(
             seconds(firstMove),
             seconds(firstStart),
@@ -154,7 +155,7 @@
             counted("machines_taken") - taken);
   }
 
-  /** The shard of each machine by its index, from the records. */
+  /** Returns the index of the owning shard for each machine, from the owner records. */
   private Map<String, Integer> owners() {
     Map<String, OwnerRecord> records = new HashMap<>();
     cluster
@@ -195,7 +196,7 @@
     return micros < 0 ? "none" : micros / 1e6 + " s";
   }
 
-  /** Runs one measurement. */
+  /** Runs the benchmark once. */
   public static void main(String[] arguments) {
     int machines = Integer.parseInt(arguments[0]);
     int mostMoving = arguments.length > 2 ? Integer.parseInt(arguments[2]) : 8;
--- a/src/test/java/plumlever/sim/SharingTest.java
+++ b/src/test/java/plumlever/sim/SharingTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Three shards share machines by their policy: what one lacks comes from the others. */
+/** The sharing policy transfers machines to the shard that needs them. */
 final class SharingTest {
   @Test
   void machinesMoveWithTheirTasksToTheShardThatLacksThem() {
@@ -20,7 +20,7 @@
         pool.cluster.controllers.values().stream()
             .mapToLong(controller -> controller.controller().metrics().counter("machines_taken"))
             .sum();
-    assertTrue(taken >= 12, "moves: " + taken);
+    assertTrue(taken >= 12, "machine transfers: " + taken);
     pool.nothingWasStartedAnew();
   }
 }
