--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -34,10 +34,10 @@
 import plumlever.wire.Priority;
 
 /**
- * What former versions stored and sent, written by those versions themselves: {@code production/}
- * by the version that deploy/service.toml names, {@code first-with-dependencies/} by the first that
- * landed with jobs that depend on others. A rename or a move of code that changes a format fails
- * here.
+ * Compatibility with records and messages that former versions wrote. The samples in {@code
+ * production/} were written by the version that deploy/service.toml names, those in {@code
+ * first-with-dependencies/} by the first version with job dependencies. The tests fail if a rename
+ * or another refactoring changes a stored or sent format.
  */
 final class FormatSamplesTest {
   private static final String PRODUCTION = "production";
@@ -77,7 +77,7 @@
         new PlatformConfiguration.StateLimits(200, 25, NEXT_BYTES, 4, NOW_BYTES));
   }
 
-  /** The samples hold every kind of record that the version writes. */
+  /** The samples of each version contain every kind of record that the version writes. */
   @Test
   void samplesOfEveryKindAreThere() throws InvalidMessageException {
     Set<String> common =
@@ -135,15 +135,15 @@
   }
 
   /**
-   * A new leader goes on with dependency chains that the former version left, a long list among
-   * them.
+   * A new leader resumes dependency chains that a former version stored. One of the chains has a
+   * dependency list that spans several records.
    */
   @Test
   void chainsOfTheFormerVersionGoOn() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(21);
     Map<String, JsonNode> records = records(FIRST_WITH_DEPENDENCIES);
     records.remove("office/leader");
-    // The sample keeps a tenth of the ended jobs that the long list names; all had ended.
+    // All jobs in the long list had ended, but the sample contains only a tenth of their records.
     for (String key : List.copyOf(records.keySet())) {
       if (key.startsWith("waits/")) {
         JobStore.names(records.get(key))
@@ -160,24 +160,26 @@
     Job large = job(cluster, "job-000006");
     Job many = job(cluster, "job-000007");
     assertFalse(slow.waitsForDependencies());
-    assertTrue(slow.inherited() && large.inherited(), "on record as started");
+    assertTrue(slow.inherited() && large.inherited(), "not restored as started");
     assertTrue(
         next.waitsForDependencies() && last.waitsForDependencies() && many.waitsForDependencies());
-    assertEquals(Priority.HIGH, slow.priority(), "its last job's priority reaches back to it");
-    assertTrue(large.completedCount() > 10, "progress " + large.completedCount());
+    assertEquals(
+        Priority.HIGH, slow.priority(), "priority inherited from the last job of the chain");
+    assertTrue(large.completedCount() > 10, "completed tasks: " + large.completedCount());
     assertTrue(answer(cluster, "job-000005").contains("\"aborted\""));
     assertTrue(answer(cluster, "job-000004").contains("\"pending\""));
     end(cluster, "job-000002");
     cluster.play(4);
     assertFalse(
         next.waitsForDependencies() || many.waitsForDependencies(),
-        "released by the end of the last one");
+        "not released by the end of the last dependency");
     assertTrue(last.waitsForDependencies());
   }
 
   /**
-   * The production version cut the progress of large jobs up by the limit of its time: read by
-   * another, what it wrote of the later tasks would be taken for other tasks.
+   * The production version splits the progress of a large job into chunks whose size follows from
+   * its value limit. With another chunk size, the bits of later chunks would be read as other
+   * tasks.
    */
   @Test
   void progressInSeveralPartsIsReadByTheLimitItWasCutUpBy() throws InvalidMessageException {
@@ -188,7 +190,8 @@
     cluster.play(4);
     BitSet done = job(cluster, "job-000001").completedTasks();
     assertEquals(FormerVersion.progressItReads(cluster.store, NOW_BYTES).get("job-000001"), done);
-    assertTrue(done.length() > 24_192, "in the second part, too: " + done.length());
+    assertTrue(
+        done.length() > 24_192, "highest completed task in the first chunk only: " + done.length());
   }
 
   private static Job job(SimulatedCluster cluster, String uid) {
@@ -244,9 +247,10 @@
   }
 
   /**
-   * A former version's delegation holds no token: a lease renewed under it could prolong a
-   * incarnation in which a cancelled start is still to come, so none is. And a former version finds
-   * no zone in what is written now. Leases that lapse are the safe outcome of both.
+   * The delegation record of a former version contains no fencing token. A lease renewed under that
+   * record could prolong an incarnation in which a cancelled start command may still arrive, so no
+   * lease is renewed under the record. A former version finds no zones in the present record and
+   * renews no lease either. In both cases the leases lapse, which is safe.
    */
   @ParameterizedTest
   @ValueSource(strings = {PRODUCTION, FIRST_WITH_DEPENDENCIES})
@@ -273,18 +277,23 @@
     assertEquals(
         fields(samples.get("office/stand-in")),
         fields(cluster.store.entries("office/stand-in").get("office/stand-in")),
-        "the form of the announcement");
+        "fields of the announcement record");
     JsonNode written = cluster.store.entries("office/mandate").get("office/mandate");
     assertEquals(List.of("term", "zones"), fields(written));
     assertEquals(List.of("zone", "token"), fields(written.path("zones").path(0)));
-    assertTrue(samples.get("office/mandate").path("sites").size() > 0, "where it looks for zones");
-    assertTrue(written.path("sites").isMissingNode(), "a former version is given no right");
-    assertTrue(renewed(cluster) > 5, "renewed under the present form: " + renewed(cluster));
+    assertTrue(
+        samples.get("office/mandate").path("sites").size() > 0,
+        "no zones in the field that the former version reads");
+    assertTrue(
+        written.path("sites").isMissingNode(),
+        "the present record contains the field that the former version reads");
+    assertTrue(
+        renewed(cluster) > 5, "leases renewed under the present record: " + renewed(cluster));
     cluster.store.forge("office/mandate", samples.get("office/mandate"));
     cluster.play(4);
     long before = renewed(cluster);
     cluster.play(15);
-    assertEquals(before, renewed(cluster), "renewed under the former version's record");
+    assertEquals(before, renewed(cluster), "leases renewed under the former version's record");
   }
 
   private static List<String> fields(JsonNode record) {
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -33,7 +33,10 @@
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 
-/** The production version and this one side by side, by samples that the former wrote itself. */
+/**
+ * Compatibility of this version with the production version: with records and messages that the
+ * production version wrote, and with both versions leading in turn.
+ */
 final class UpgradeTest {
   private static final int NOW_BYTES = 4096;
   private static final int NEXT_BYTES = 2048;
@@ -75,12 +78,15 @@
         assertEquals(
             entry.getValue().path("job"),
             Json.parseObject(Json.write(spec.toJson())),
-            "nothing is read otherwise than it was written");
+            "specification as stored and as read");
         assertTrue(JobStore.acceptedWallMicros(entry.getValue()) > 0);
         assertEquals(List.of(), spec.dependencies());
       } else if (entry.getKey().startsWith(JobStore.ENDED)) {
         assertTrue(JobStore.finalState(entry.getValue()).isPresent());
-        assertEquals(0, JobStore.endedWallMicros(entry.getValue()), "when it ended is not told");
+        assertEquals(
+            0,
+            JobStore.endedWallMicros(entry.getValue()),
+            "end time, which the production version does not store");
       }
     }
     assertEquals(
@@ -88,8 +94,8 @@
   }
 
   /**
-   * A new leader of this version takes over what that one left: jobs, progress, machines, what was
-   * begun.
+   * A new leader of this version takes over the records of the production version: jobs, progress,
+   * machines, and the list of started jobs.
    */
   @Test
   void takesOverWhatItLeft() throws InvalidMessageException {
@@ -120,7 +126,7 @@
     assertEquals(
         FormerVersion.progressItReads(cluster.store, NOW_BYTES).get("job-900001"),
         large.completedTasks(),
-        "by its own size of chunks");
+        "progress read with the chunk size of the production version");
     assertTrue(large.completedCount() > 1000 && large.inherited());
     int machines = records.get("fleet/0").path("hosts").size();
     assertTrue(machines > 5);
@@ -175,7 +181,7 @@
     assertArrayEquals(
         theirs,
         Arrays.copyOf(ours, theirs.length),
-        "it reads as far as its own fields, and finds them unchanged");
+        "the fields known to the production version must keep their encoding");
     assertEquals(news.confirmedCancellations(), codec.read(ours).confirmedCancellations());
   }
 
@@ -184,9 +190,10 @@
   }
 
   /**
-   * Old and new lead in turns, the old one filling values up to the present limit, and the limits
-   * fall at some moment. Nothing is lost or started twice, and what this version writes keeps
-   * within the limits to come from the start.
+   * Leaders of the production version and of this version alternate. The production version fills
+   * values up to the current size limit. The limits of the state service are lowered at a time that
+   * depends on the seed. No task may be lost or started twice, and this version must keep within
+   * the announced lower limits from the start.
    */
   @ParameterizedTest
   @MethodSource("seeds")
@@ -221,7 +228,7 @@
     }
     cluster.calmSince = cluster.now();
     cluster.play(400);
-    assertTrue(largest <= NEXT_BYTES, "written by this version: " + largest);
+    assertTrue(largest <= NEXT_BYTES, "largest value written by this version: " + largest);
     assertEquals(0, cluster.store.malformed);
     assertEquals(List.of(), cluster.invariants.broken);
     for (JobSpec job : all) {
@@ -230,7 +237,7 @@
     for (JsonNode stored : cluster.store.values("fleet/")) {
       assertTrue(
           Json.write(stored).length() <= NEXT_BYTES,
-          "rewritten in parts: " + Json.write(stored).length());
+          "size of a machine record that was not split: " + Json.write(stored).length());
     }
   }
 
@@ -265,7 +272,7 @@
     return all;
   }
 
-  /** What the old version would take for done is done. */
+  /** Asserts that every task which the production version would read as completed is completed. */
   private static void noProgressIsMistaken(SimulatedCluster cluster) {
     FormerVersion.progressItReads(cluster.store, NOW_BYTES)
         .forEach(
@@ -275,12 +282,16 @@
                         t ->
                             assertTrue(
                                 cluster.invariants.completed(uid + "/" + t),
-                                "it would take " + uid + "/" + t + " for done")));
+                                "the production version would read "
+                                    + uid
+                                    + "/"
+                                    + t
+                                    + " as completed")));
   }
 
   /**
-   * A value larger than may be written now is rewritten in parts, and at no moment is an entry of
-   * it in none.
+   * A stored value that exceeds the current size limit is split into several records. Every entry
+   * of the value must be in at least one record at any time.
    */
   @Test
   void aSharedRecordThatDoesNotFitLosesNothing() {
@@ -292,13 +303,13 @@
     }
     cluster.play(60);
     Set<String> machineIds = machineIds(cluster);
-    assertTrue(machineIds.size() > 60, "machines on record: " + machineIds.size());
+    assertTrue(machineIds.size() > 60, "recorded machines: " + machineIds.size());
     cluster.leader().crash(1);
     cluster.play(0.05);
     new FormerVersion(cluster.store, NOW_BYTES).leads();
     assertTrue(
         cluster.store.values("fleet/").stream().anyMatch(v -> Json.write(v).length() > NEXT_BYTES),
-        "too large to be written now");
+        "no machine record exceeds the lower size limit");
     cluster.store.valueBytes = NEXT_BYTES;
     cluster.store.transactionOps = 4;
     int[] looks = new int[1];
@@ -309,13 +320,13 @@
             Set<String> now = machineIds(cluster);
             for (String machineId : machineIds) {
               if (!now.contains(machineId) && cluster.cloud.machines.containsKey(machineId)) {
-                cluster.invariants.broken.add(machineId + " is on no record");
+                cluster.invariants.broken.add(machineId + " is in no machine record");
               }
             }
             looks[0]++;
           });
     }
-    // The new leader ends while it is at it, so that the next goes on with what it left.
+    // The new leader crashes during the rewrite; its successor must finish the rewrite.
     cluster.at(4_300_000, () -> cluster.leader().crash(1));
     cluster.play(26);
     assertEquals(1_200, looks[0]);
@@ -323,7 +334,7 @@
     assertEquals(0, cluster.store.malformed);
     assertTrue(
         cluster.store.values("fleet/").stream().allMatch(v -> Json.write(v).length() <= NEXT_BYTES),
-        "all in parts by now");
+        "a machine record still exceeds the lower size limit");
   }
 
   private static Set<String> machineIds(SimulatedCluster cluster) {
@@ -336,8 +347,8 @@
   }
 
   /**
-   * Limits that fall on a day on which nothing announced it: what is refused for its size comes
-   * smaller.
+   * The limits of the state service are lowered without an announcement in the settings. A leader
+   * must retry a refused transaction with smaller values and stay below the new limits afterwards.
    */
   @Test
   void limitsThatFallUnannouncedAreKeptAfterTheFirstRefusals() {
@@ -361,23 +372,23 @@
     assertTrue(cluster.store.largestValue > NEXT_BYTES);
     cluster.store.valueBytes = NEXT_BYTES;
     cluster.store.transactionOps = 4;
-    // A machine that goes has the record that it shares with dozens written anew.
+    // The deletion of a machine rewrites the record that this machine shares with dozens of others.
     cluster.cloud.machines.keySet().stream().limit(4).toList().forEach(cluster.cloud::delete);
     cluster.play(60);
     int refused = cluster.store.malformed;
-    assertTrue(refused > 0 && refused < 40, "told by refusals: " + refused);
+    assertTrue(refused > 0 && refused < 40, "refused transactions: " + refused);
     cluster.leader().crash(2);
     cluster.play(250);
     assertTrue(
         cluster.store.malformed - refused < 40,
-        "and again by a new leader: " + (cluster.store.malformed - refused));
+        "refused transactions of the new leader: " + (cluster.store.malformed - refused));
     assertEquals(List.of(), cluster.invariants.broken);
     all.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
   }
 
   /**
-   * When an old version stored a predecessor's end, which tells no time, what waits on it is
-   * released all the same.
+   * A job is released although the production version stored the end of its dependency. The records
+   * of that version hold no end time.
    */
   @Test
   void anEndStoredByTheOldVersionReleases() {
