--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -17,7 +17,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 
-/** What the users' page asks of jobs that depend on others, sentence by sentence. */
+/** The documented requirements for jobs with dependencies, one test for each requirement. */
 final class DependencyAcceptanceTest extends DependencyScenario {
   private static final List<String> CONTROLLERS = List.of("n0", "n1", "n2");
   private static final double REMOVED_WITHIN_S = 1_600;
@@ -34,7 +34,10 @@
         .withDependencies(List.of(names).stream().map(JobSpec::uid).toList());
   }
 
-  /** A job with so many names that they do not fit its record: most of them have ended. */
+  /**
+   * Returns a job with so many dependencies that the list does not fit into the job record. All
+   * dependencies but {@code running} have ended.
+   */
   private JobSpec withLongList(JobSpec running) {
     Map<String, JsonNode> ended = new TreeMap<>(cluster.store.entries("ended/"));
     List<String> names = new ArrayList<>();
@@ -70,7 +73,7 @@
     JobSpec dependent = ofTeam("blue", Priority.HIGH, 1, 2, done, cancelled, running);
     assertEquals(201, submitAt("n2", after).status());
     Answer answer = submitAt("n0", dependent);
-    assertEquals(201, answer.status(), "accepted all the same");
+    assertEquals(201, answer.status(), "submission with a cancelled dependency");
     assertTrue(answer.body().contains("\"aborted\""), answer.body());
     cluster.play(100);
     assertTrue(ask("n1", "GET", "/submissions/" + after.uid(), null).body().contains("\"done\""));
@@ -89,9 +92,9 @@
   }
 
   /**
-   * Minutes of waiting count for nothing: no machine is rented for it, nobody takes it for
-   * neglected, and once it is released it starts like a job that has just come, also under a new
-   * leader.
+   * The time that a job waits for its dependencies does not count towards its age. While the job
+   * waits, no machine is rented for the job, and the job is not prioritized as starved. After its
+   * release the job is scheduled like a new job, also by a new leader.
    */
   @Test
   void aJobThatWaitsForMinutesCountsFromItsRelease() {
@@ -100,19 +103,21 @@
     submit(first, last);
     cluster.play(60);
     int machines = cluster.cloud.machines.size();
-    assertTrue(machines <= 2, "for one task: " + machines);
+    assertTrue(machines <= 2, "machines rented for one task: " + machines);
     cluster.play(200);
     Job waiting = cluster.leader().actingLeader().job(last.uid()).orElseThrow();
     assertTrue(waiting.waitsForDependencies());
     assertEquals("pending", told(last));
-    assertTrue(cluster.cloud.machines.size() <= machines, "none for a job that waits");
+    assertTrue(
+        cluster.cloud.machines.size() <= machines,
+        "a machine was rented for a job that waits for dependencies");
     cluster.leader().crash(1);
     cluster.play(20);
     JobSpec urgent = ofTeam("red", Priority.HIGH, 40, 30);
     submit(urgent);
     cluster.play(30);
     assertTrue(
-        cluster.invariants.began(urgent.uid()), "its age takes no precedence while it waits");
+        cluster.invariants.began(urgent.uid()), "a waiting job delays a job of higher priority");
     long released = 0;
     for (int i = 0; i < 1_300 && released == 0; i++) {
       cluster.play(0.1);
@@ -125,12 +130,15 @@
               .map(Job::releasedMicros)
               .orElse(0L);
     }
-    assertTrue(cluster.now() - released < 10_000_000, "its times begin with its release");
+    assertTrue(cluster.now() - released < 10_000_000, "release time of the job is too early");
     cluster.play(60);
     assertTold("done", first, urgent, last);
   }
 
-  /** A leader that takes over a released job knows when that was, not when it was submitted. */
+  /**
+   * A new leader restores the release time of a job that waited for dependencies, and does not
+   * replace the release time with the submission time.
+   */
   @Test
   void aNewLeaderKnowsWhenAJobWasReleased() {
     JobSpec first = idle(1, 60);
@@ -147,7 +155,9 @@
   }
 
   /**
-   * Cancelled in the middle of a diamond, asked in every way at every controller right after that.
+   * Cancels one branch of a diamond of dependencies. Immediately afterwards, status queries,
+   * repeated submissions and cancellations at every controller must return the cancelled state for
+   * the dependents. The other branch must complete.
    */
   @Test
   void whatNeedsACancelledJobIsCancelledAndNothingElse() {
@@ -170,7 +180,9 @@
           ask(controller, "GET", "/submissions/" + joined.uid(), null)
               .body()
               .contains("\"aborted\""));
-      assertTrue(submitAt(controller, last).body().contains("\"aborted\""), "a repeat");
+      assertTrue(
+          submitAt(controller, last).body().contains("\"aborted\""),
+          "repeated submission of a cancelled job");
       assertTrue(
           ask(controller, "POST", "/submissions/" + last.uid() + "/abort", "")
               .body()
@@ -181,7 +193,7 @@
     assertFalse(cluster.invariants.began(joined.uid()) || cluster.invariants.began(last.uid()));
   }
 
-  /** The transaction of the cancellation is carried out and its answer lost. */
+  /** The transaction that stores the cancellation is applied, but its answer is lost. */
   @Test
   void aCancellationWithoutAnAnswerIsSettledAlongTheChain() {
     JobSpec root = idle(1, 400);
@@ -203,7 +215,8 @@
   }
 
   /**
-   * A controller that no longer hears what ends refuses to answer instead of telling what it knew.
+   * A controller whose watch of ended jobs is not answered refuses status queries, because its view
+   * may be stale.
    */
   @Test
   void aControllerWithAnOldViewTellsNothingOlder() {
@@ -224,7 +237,10 @@
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
-  /** A stage that two pipelines need has the sooner deadline, until that pipeline is cancelled. */
+  /**
+   * A stage shared by two pipelines inherits the earlier deadline and the higher priority. After
+   * the cancellation of the urgent pipeline the stage gets those of the other pipeline.
+   */
   @Test
   void aSharedStageServesThePipelineThatIsDueFirst() {
     JobSpec shared = idle(1, 200);
@@ -244,7 +260,10 @@
     assertTold("done", shared, later);
   }
 
-  /** The lists of jobs that have ended go; that of a job which still waits stays. */
+  /**
+   * Stored dependency lists of ended jobs and of abandoned submissions are removed. The list of a
+   * job that still waits is kept.
+   */
   @Test
   void listsThatNoJobUsesAreRemoved() {
     smallValues();
@@ -256,7 +275,7 @@
     JobSpec waits = withLongList(long1);
     assertEquals(201, submitAt("n0", ends).status());
     assertEquals(201, submitAt("n1", waits).status());
-    // What a submission leaves that is given up on before it is accepted, with and without anchor.
+    // Lists left behind by submissions that were never accepted, with and without the anchor part.
     Map<String, JsonNode> lists = new TreeMap<>(cluster.store.entries("waits/"));
     int ofWaiting = cluster.store.count("waits/" + waits.uid() + "/");
     for (int i = 0; i < 9; i++) {
@@ -267,7 +286,10 @@
     cluster.store.rewrite("waits/", lists);
     cluster.play(600);
     assertTrue(ask("n0", "GET", "/submissions/" + ends.uid(), null).body().contains("\"done\""));
-    assertEquals(lists.size(), cluster.store.count("waits/"), "left alone for a while");
+    assertEquals(
+        lists.size(),
+        cluster.store.count("waits/"),
+        "list parts before the grace period has passed");
     cluster.play(REMOVED_WITHIN_S - 600);
     assertEquals(ofWaiting, cluster.store.count("waits/"));
     assertEquals(ofWaiting, cluster.store.count("waits/" + waits.uid() + "/"));
@@ -277,8 +299,8 @@
   }
 
   /**
-   * The list is removed between its storing and the acceptance, which then fails: the record never
-   * refers to a list of which a part is missing.
+   * The stored dependency list is removed before the transaction that accepts the job. That
+   * transaction must fail, so that no job record refers to an incomplete list.
    */
   @Test
   void aListRemovedMeanwhileIsStoredAnew() {
@@ -295,7 +317,7 @@
           cluster.store.rewrite("waits/", Map.of());
         };
     Answer answer = submitAt("n0", job);
-    assertTrue(removed[0] > 2, "removed " + removed[0]);
+    assertTrue(removed[0] > 2, "list parts removed: " + removed[0]);
     assertEquals(503, answer.status(), answer.body());
     assertEquals(404, ask("n1", "GET", "/submissions/" + job.uid(), null).status());
     cluster.play(2);
@@ -305,7 +327,8 @@
   }
 
   /**
-   * Parts that were listed without the anchor may be removed at any moment, and count as missing.
+   * List parts that are found without the anchor part may be removed at any time. A submission must
+   * treat such parts as missing and store the whole list.
    */
   @Test
   void partsSeenWithoutTheAnchorCountForNothing() {
@@ -325,12 +348,12 @@
     cluster.store.interveneBefore = anchor;
     cluster.store.intervention = () -> cluster.store.rewrite("waits/", Map.of());
     assertEquals(201, submitAt("n2", job).status());
-    assertEquals(rest.size() + 1, cluster.store.count("waits/"), "all parts are there");
+    assertEquals(rest.size() + 1, cluster.store.count("waits/"), "stored list parts");
     cluster.play(60);
     assertTrue(ask("n2", "GET", "/submissions/" + job.uid(), null).body().contains("\"done\""));
   }
 
-  /** A repeat of a known job stores nothing, whatever it names. */
+  /** A repeated submission of a known job stores nothing, even if it names other dependencies. */
   @Test
   void aRepeatWithAnotherListStoresNothing() {
     smallValues();
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -16,11 +16,14 @@
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 
-/** Cancelling a job cancels all that depend on it, whoever leads and whatever fails. */
+/**
+ * The cancellation of a job cancels all jobs that depend on it, directly or through other jobs,
+ * also without a leader and during faults.
+ */
 final class DependencyCancellationTest extends DependencyScenario {
   /**
-   * Accepted at one controller, cancelled at another, asked at a third: from the moment one user is
-   * told all say the same.
+   * Jobs are accepted, cancelled and queried at different controllers. Once one controller has
+   * confirmed the cancellation, all controllers must report the dependents as cancelled.
    */
   @Test
   void everyControllerSaysTheSameAtOnce() {
@@ -43,7 +46,7 @@
         Answer answer = ask(controller, "GET", "/submissions/" + job.uid(), null);
         assertTrue(
             answer.status() == 200 && answer.body().contains("\"aborted\""),
-            controller + " says " + answer.body());
+            controller + " answered " + answer.body());
         assertTrue(
             ask(controller, "POST", "/submissions", Json.write(job.toJson()))
                 .body()
@@ -52,7 +55,7 @@
     }
     JobSpec after = idle(1, 5, middle);
     Answer accepted = submitAt("n0", after);
-    assertEquals(201, accepted.status(), "accepted all the same");
+    assertEquals(201, accepted.status(), "submission with a cancelled dependency");
     assertTrue(accepted.body().contains("\"aborted\""), accepted.body());
     cluster.play(30);
     assertEquals(
@@ -60,10 +63,10 @@
         cluster.store.entries("active/").keySet().stream()
             .filter(k -> !k.endsWith(other.uid()))
             .count(),
-        "stored for all of them");
+        "active records of cancelled jobs");
   }
 
-  /** No leader is alive: the controllers left derive and store it all the same. */
+  /** Without a leader the remaining controllers derive and store the cancellation of dependents. */
   @Test
   void aCancellationReachesDependentsWithoutALeader() {
     JobSpec root = idle(1, 400);
@@ -84,12 +87,12 @@
         ask(other, "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
     assertTrue(
         cluster.controllers.values().stream().noneMatch(SimulatedController::leads),
-        "nobody leads yet");
+        "a new leader was elected before the end of the check");
     cluster.play(60);
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
-  /** If the cancellation came too late, what comes after goes on. */
+  /** A cancellation that arrives after the job has completed does not affect its dependents. */
   @Test
   void aCancellationThatIsAnsweredDoneStopsNothing() {
     JobSpec root = idle(1, 3);
@@ -105,8 +108,8 @@
   }
 
   /**
-   * Right after the root's cancellation was confirmed the state service is out for longer than a
-   * cancellation has.
+   * The state service fails immediately after the cancellation of the root job is confirmed, for
+   * longer than the time limit of a cancellation.
    */
   @Test
   void anOutageRightAfterTheRootsCancellation() {
@@ -133,8 +136,8 @@
   }
 
   /**
-   * Cancellations meet the very end of predecessors: one transaction decides, and all that follows
-   * agrees with it.
+   * Cancellations race with the completion of the cancelled jobs. One transaction decides the final
+   * state, and the state of every dependent must agree with it.
    */
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
@@ -159,8 +162,8 @@
   }
 
   /**
-   * The check can fail: controllers that are not told of ends go on calling a job pending after its
-   * root was cancelled.
+   * Verifies that the invariant check detects orphaned jobs: controllers that are not notified of
+   * ended jobs report a job as pending after its root job was cancelled.
    */
   @Test
   void withoutTheChangesJobsAreOrphaned() {
@@ -192,6 +195,6 @@
         last.uid(), answer.body().contains("pending") ? "pending" : "aborted", asked);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("orphaned")),
-        "the checks must see it: " + told(last));
+        "the invariant check did not detect the orphaned job: " + told(last));
   }
 }
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -10,7 +10,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 
-/** A small deployment, and jobs in it that depend on others. */
+/** Base class of tests that run jobs with dependencies in a small simulated deployment. */
 abstract class DependencyScenario {
   SimulatedCluster cluster;
   FakeUsers users;
@@ -58,7 +58,7 @@
         List.of(dependencies).stream().map(JobSpec::uid).toList());
   }
 
-  /** Ingest, some checks, merge, publish: as the users' pipelines are. */
+  /** Returns a typical user pipeline: ingest, two checks, merge, publish. */
   List<JobSpec> pipeline() {
     JobSpec ingest = idle(3, 4);
     JobSpec check = idle(8, 6, ingest);
@@ -83,7 +83,7 @@
     }
   }
 
-  /** What a controller answered to one request. */
+  /** The response of a controller to one request. */
   record Answer(int status, String body, int retryAfterS) {}
 
   Answer ask(String controller, String method, String path, String body) {
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -14,7 +14,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 
-/** What a submission that names dependencies is told. */
+/** Answers to submissions of jobs with dependencies. */
 final class DependencySubmissionTest extends DependencyScenario {
   @Test
   void badInputIsToldAsWhatItIs() {
@@ -35,11 +35,11 @@
     assertEquals(
         422,
         ask("n1", "POST", "/submissions", head + ",\"waits_on\":[\"job-777\"]}").status(),
-        "never accepted");
+        "dependency that was never accepted");
     assertEquals(
         422,
         ask("n1", "POST", "/submissions", head + ",\"waits_on\":[\"" + uid + "\"]}").status(),
-        "itself");
+        "dependency on the job itself");
     assertEquals(
         422,
         ask(
@@ -48,10 +48,10 @@
                 "/submissions",
                 head + ",\"waits_on\":[\"" + known.uid() + "\",\"job-777\"]}")
             .status(),
-        "one of two");
+        "one known and one unknown dependency");
     cluster.store.outage = true;
     Answer out = ask("n1", "POST", "/submissions", head + ",\"waits_on\":[\"job-777\"]}");
-    assertEquals(503, out.status(), "what can't be read is not called unknown");
+    assertEquals(503, out.status(), "unknown dependency during an outage of the state service");
     assertTrue(out.retryAfterS() > 0);
     cluster.store.endOutage();
     cluster.play(3);
@@ -64,17 +64,17 @@
     assertEquals(
         200,
         ask("n2", "POST", "/submissions", head + ",\"waits_on\":[\"job-777\"]}").status(),
-        "known, whatever it names");
+        "repeated submission of a known job with other dependencies");
     assertEquals(
         200,
         ask("n2", "POST", "/submissions", head + ",\"waits_on\":7}").status(),
-        "known, whatever it names");
+        "repeated submission of a known job with other dependencies");
     JobSpec twice = idle(1, 1, known, known);
-    assertEquals(201, submitAt("n2", twice).status(), "a name that is repeated counts once");
+    assertEquals(201, submitAt("n2", twice).status(), "submission that names a dependency twice");
   }
 
   /**
-   * A submission and the cancel of the job that it names, at two controllers within milliseconds.
+   * A submission and the cancellation of its dependency reach two controllers within milliseconds.
    */
   @Test
   void aSubmissionRacesWithTheCancellationOfItsDependency() {
@@ -95,8 +95,8 @@
   }
 
   /**
-   * A list as long as a body holds, against small values, small transactions and few preconditions;
-   * a small one beside it.
+   * Submits a dependency list of the largest size that fits a request body, with low limits for
+   * value sizes and for the operations and preconditions of a transaction.
    */
   @Test
   void anyLegalListIsTaken() {
@@ -111,7 +111,7 @@
       cluster.play(0.3);
     }
     cluster.play(60);
-    // Most have ended, some not; the list names each, and as many more as the body takes.
+    // The list names the ended jobs, one running job, and as many stored ends as the body holds.
     JobSpec running = idle(1, 60);
     users.submit(running, false);
     cluster.play(10);
@@ -126,7 +126,7 @@
     names.add(running.uid());
     JobSpec last = job(1, 3, JobSpec.NO_DEADLINE, Priority.HIGH, names);
     String body = Json.write(last.toJson());
-    assertTrue(body.length() > 60_000 && body.length() <= 65_536, "" + body.length());
+    assertTrue(body.length() > 60_000 && body.length() <= 65_536, "body bytes: " + body.length());
     names.forEach(
         n ->
             cluster.invariants.submitted.computeIfAbsent(
@@ -147,11 +147,12 @@
       cluster.play(1);
     }
     assertEquals(201, answer.status(), answer.body());
-    assertEquals(0, cluster.store.malformed, "nothing too large was written");
+    assertEquals(
+        0, cluster.store.malformed, "transactions that exceed a limit of the state service");
     assertTrue(ask("n2", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     cluster.leader().crash(1);
     cluster.play(15);
-    assertFalse(cluster.invariants.began(last.uid()), "one that it names still runs");
+    assertFalse(cluster.invariants.began(last.uid()), "started although a dependency still runs");
     cluster.play(120);
     assertTrue(ask("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"done\""));
     assertEquals(List.of(), cluster.invariants.broken);
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -16,7 +16,7 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
-/** Jobs that wait for others, through all that may happen meanwhile. */
+/** Pipelines of dependent jobs under failovers, lost answers, stale watches and random faults. */
 final class PipelinesTest extends DependencyScenario {
   @Test
   void stagesRunOneAfterTheOther() {
@@ -32,7 +32,10 @@
     assertTold("done", late.toArray(new JobSpec[0]));
   }
 
-  /** While it waits a job takes nothing of its team's limit, nor does it make machines stand by. */
+  /**
+   * A job that waits for its dependencies uses none of its team's limit, and no machines are kept
+   * on standby for the job.
+   */
   @Test
   void aWaitingJobHoldsNothing() {
     JobSpec first = job(2, 60, JobSpec.NO_DEADLINE, Priority.IDLE, List.of());
@@ -65,7 +68,7 @@
     assertTold("done", large);
   }
 
-  /** The leader changes while some stages wait, and while one ends. */
+  /** The leader changes repeatedly while stages wait and while a stage ends. */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 4})
   void aChainGoesOnAcrossAChangeOfLeader(double backAfterS) {
@@ -82,11 +85,11 @@
       cluster.play(5);
     }
     cluster.play(150);
-    assertTrue(cluster.store.term() - term >= 5, "leaders changed");
+    assertTrue(cluster.store.term() - term >= 5, "too few changes of the leader");
     assertTold("done", all.toArray(new JobSpec[0]));
   }
 
-  /** The transaction that ends a predecessor is carried out, and nobody is told. */
+  /** The transaction that stores the end of a dependency is applied, but its answer is lost. */
   @Test
   void anEndWithoutAnAnswerReleasesAllTheSame() {
     List<JobSpec> list = pipeline();
@@ -97,7 +100,10 @@
     assertTold("done", list.toArray(new JobSpec[0]));
   }
 
-  /** Watches that have fallen too far behind read the dependency chains anew. */
+  /**
+   * The state service retains only three changes. A watch that has fallen behind further reads the
+   * dependency chains again.
+   */
   @Test
   void recordsThatAreTooOldAreReadAnew() {
     cluster.store.remembered = 3;
@@ -111,7 +117,7 @@
     assertTold("done", all.toArray(new JobSpec[0]));
   }
 
-  /** A long chain, asked about at every controller: what a question costs does not grow with it. */
+  /** The cost of a status query does not grow with the length of the dependency chain. */
   @Test
   void questionsAboutALongChainAreFew() {
     List<JobSpec> all = new ArrayList<>();
@@ -128,14 +134,17 @@
     }
     assertTrue(
         cluster.store.requestsSeen < 60,
-        "for ten questions, all else included: " + cluster.store.requestsSeen);
+        "requests to the state service during ten status queries: " + cluster.store.requestsSeen);
     assertTrue(
         ask("n2", "POST", "/submissions/" + all.get(0).uid() + "/abort", "")
             .body()
             .contains("aborted"));
     assertTrue(ask("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
     cluster.play(120);
-    assertEquals(0, cluster.store.count("active/"), "the leader has stored the rest");
+    assertEquals(
+        0,
+        cluster.store.count("active/"),
+        "active records after the cancellation of the first job");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
@@ -145,8 +154,9 @@
   }
 
   /**
-   * Pipelines among other work, a tenth of them cancelled, through all troubles; every second day
-   * with close looks.
+   * Runs pipelines and other jobs under random faults, one simulation per seed. About a fifth of
+   * the pipelines are cancelled. With even seeds, users also query all controllers within
+   * milliseconds of each new answer.
    */
   @ParameterizedTest
   @MethodSource("seeds")
@@ -199,14 +209,18 @@
     cluster.play(300);
     cluster.invariants.checkServed();
     assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals(0, cluster.store.malformed, "nothing too large was written");
+    assertEquals(
+        0, cluster.store.malformed, "transactions that exceed a limit of the state service");
     for (JobSpec job : all) {
       assertTrue(List.of("done", "aborted").contains(told(job)), job.uid() + " " + told(job));
     }
     assertNotEquals(0, all.stream().filter(j -> told(j).equals("done")).count());
   }
 
-  /** The check can fail: records that lose what a job waits on let it start too early. */
+  /**
+   * Verifies that the invariant check detects premature starts: job records that lose their
+   * dependencies make jobs start too early.
+   */
   @Test
   void withoutTheRecordJobsStartTooEarly() {
     cluster.store.lostField = "waits_on";
@@ -214,10 +228,10 @@
     cluster.play(80);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("too_early")),
-        "the checks must see it");
+        "the invariant check did not detect the premature start");
   }
 
-  /** The deadline of the last job reaches the first, also at a new leader. */
+  /** The first job inherits deadline and priority of the last job, also under a new leader. */
   @Test
   void aDeadlineReachesBackAtANewLeader() {
     JobSpec first = idle(1, 300);
@@ -231,7 +245,7 @@
       long remainingMicros = job.deadlineMicros() - job.acceptedMicros();
       assertTrue(
           remainingMicros > 370_000_000L && remainingMicros < 390_000_000L,
-          "400 s less what the last takes: " + remainingMicros);
+          "inherited time to the deadline (400 s less the last job), in us: " + remainingMicros);
       cluster.leader().crash(1);
       cluster.play(15);
     }
@@ -240,11 +254,11 @@
     assertEquals(
         Priority.IDLE,
         cluster.leader().actingLeader().job(first.uid()).orElseThrow().priority(),
-        "undone with the job that had it");
+        "priority after the cancellation of the dependent job");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
-  /** What was accepted before names of it were known may be named by any number. */
+  /** Any number of jobs may depend on a job that was accepted before them. */
   @Test
   void aThousandMayWaitOnOne() {
     JobSpec root = idle(1, 30);
