--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -11,9 +11,9 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * No fixed limit stands below 4,000 machines: all of them are listed within the cloud's rate, kept
- * on record, and taken over by the next leader with the heartbeats that come before it knows its
- * jobs.
+ * Verifies that no fixed limit prevents a fleet of more than 4,000 machines. All machines are
+ * listed within the request rate of the cloud, recorded in the state service, and taken over by the
+ * next leader, which receives heartbeats before it has read the jobs.
  */
 final class FourThousandMachinesTest {
   private static final int MACHINES = 4_200;
@@ -49,11 +49,12 @@
     assertEquals(MACHINES, recorded(cluster).size());
     assertTrue(
         cluster.leader().controller().metrics().counter("machine_lists_read") >= 2,
-        "whole lists were read");
+        "complete machine lists that were read");
     assertEquals(0, cluster.cloud.refused, "requests over the cloud's rate");
     cluster.leader().crash(3);
     cluster.play(12);
-    assertTrue(cluster.leader().actingLeader().failoverComplete(), "taken over in seconds");
+    assertTrue(
+        cluster.leader().actingLeader().failoverComplete(), "failover takes more than seconds");
     cluster.calmSince = cluster.now();
     cluster.play(120);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -16,8 +16,9 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * What a leader does not know: jobs are cancelled through another controller while it can't hear of
- * it, and their tasks must be gone in time all the same (rules 49 and 50 of docs/design.md).
+ * Jobs are cancelled through another controller while the leader cannot learn of the cancellation.
+ * The tasks of these jobs must still end within the time limit of a cancellation (rules 49 and 50
+ * of docs/design.md).
  */
 final class GapTest {
   private SimulatedCluster cluster;
@@ -41,7 +42,7 @@
       users.submit(job, false);
     }
     cluster.play(45);
-    assertTrue(tasksOn() >= 30, "tasks run: " + tasksOn());
+    assertTrue(tasksOn() >= 30, "running tasks: " + tasksOn());
   }
 
   private int tasksOn() {
@@ -57,15 +58,15 @@
     return cluster.controllers.values().stream().filter(m -> m != than).findFirst().orElseThrow();
   }
 
-  /** Cancels through the controller, and notes what the user was told when. */
+  /** Cancels the job through the controller and passes the status code of the answer on. */
   private void cancelAt(SimulatedController controller, JobSpec job, Consumer<Integer> status) {
     users.cancelAt(new Endpoint(controller.platform.label(), 1), job.uid(), status);
   }
 
   /**
-   * The day of the hunt: the state service refuses the leader alone, jobs are cancelled through
-   * another controller, then it is out for everybody for longer than a cancellation has. Workers go
-   * on reporting to the old leader.
+   * The state service refuses requests of the leader only, jobs are cancelled through another
+   * controller, and then the state service fails for all controllers, for longer than the time
+   * limit of a cancellation. Workers keep sending heartbeats to the old leader.
    */
   @ParameterizedTest
   @ValueSource(longs = {71, 72, 73, 74})
@@ -79,22 +80,28 @@
         300_000, () -> jobs.subList(0, 4).forEach(j -> cancelAt(other(leader), j, told::add)));
     cluster.at(1_200_000 + 200_000 * (seed % 4), () -> cluster.store.outage = true);
     cluster.play(2);
-    assertEquals(List.of(200, 200, 200, 200), told, "confirmed before the outage");
-    assertTrue(cluster.store.refusals.getOrDefault(label, 0) > 0, "the leader alone was refused");
+    assertEquals(
+        List.of(200, 200, 200, 200), told, "status codes of the cancellations before the outage");
+    assertTrue(
+        cluster.store.refusals.getOrDefault(label, 0) > 0, "no request of the leader was refused");
     cluster.play(1);
-    assertTrue(cluster.cloud.reportingTo(label) > 0, "workers still report to the old leader");
+    assertTrue(
+        cluster.cloud.reportingTo(label) > 0, "no worker sends heartbeats to the old leader");
     cluster.at(55_000_000, cluster.store::endOutage);
     cluster.at(60_000_000, () -> cluster.store.refused.clear());
     cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 90);
     assertEquals(List.of(), cluster.invariants.broken);
     jobs.subList(0, 4)
         .forEach(j -> assertEquals("aborted", cluster.invariants.lastTold.get(j.uid())));
-    assertNotEquals(0, tasksOn(), "the others run again");
+    assertNotEquals(0, tasksOn(), "running tasks of the jobs that were not cancelled");
   }
 
   /**
-   * The leader keeps its leadership, for its lease is renewed, but its watches are never answered:
-   * nothing tells it of what is cancelled elsewhere. Here the bound is all there is.
+   * The leader keeps leadership, because its leader lease is renewed, but its watches are never
+   * answered and its peers cannot reach it. Only the bound on worker lease renewals can end the
+   * cancelled tasks in time.
+   *
+   * @param believedCancelMicros time limit of a cancellation that the controllers assume
    */
   private void withoutWatches(long believedCancelMicros) {
     deployment(75, believedCancelMicros);
@@ -102,7 +109,7 @@
     cluster.store.unwatched.add(leader.platform.label());
     cluster.play(2);
     List<Integer> told = new ArrayList<>();
-    // Its peers would tell it; here they can't.
+    // Prevents the peers from notifying the leader of the cancellations.
     cluster.controllers.keySet().stream()
         .filter(o -> !o.equals(leader.platform.label()))
         .forEach(o -> cluster.network.cut(leader.platform.label(), o, true));
@@ -110,7 +117,7 @@
     cluster.play(1);
     assertEquals(List.of(200, 200, 200, 200), told);
     cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 5);
-    assertTrue(leader.leads(), "it has kept leadership all the time");
+    assertTrue(leader.leads(), "the leader lost leadership");
   }
 
   @Test
@@ -118,23 +125,25 @@
     withoutWatches(InvariantChecker.CANCEL_MICROS);
     assertEquals(List.of(), cluster.invariants.broken);
     assertTrue(
-        cluster.leader().controller().metrics().counter("renewals_refused") > 0, "by the bound");
+        cluster.leader().controller().metrics().counter("renewals_refused") > 0,
+        "no renewal was refused because of the bound");
   }
 
   /**
-   * The check can fail: a leader that believes to have an hour for a cancellation goes on renewing.
+   * Verifies that the invariant check detects a missing bound: a leader that assumes a limit of one
+   * hour for a cancellation keeps renewing the leases.
    */
   @Test
   void withoutTheBoundCancelledTasksOutliveTheirTime() {
     withoutWatches(3_600_000_000L);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_cancelled")),
-        "the checks must see the missing bound");
+        "the invariant check did not detect the missing bound");
   }
 
   /**
-   * Sooner is better: the controller that confirmed a cancellation tells the leader, which stops
-   * the tasks.
+   * The controller that confirmed a cancellation notifies the leader through a peer message, and
+   * the leader stops the tasks long before their leases end.
    */
   @Test
   void peersTellWhatTheStateServiceDoesNot() {
@@ -157,13 +166,14 @@
                         && jobs.subList(0, 4).stream()
                             .anyMatch(j -> t.name.startsWith(j.uid() + "/")))
             .count();
-    assertEquals(0, on, "stopped long before any lease would have ended");
-    assertTrue(tasksOn() > 0, "the others run on");
+    assertEquals(0, on, "running tasks of cancelled jobs before their leases end");
+    assertTrue(tasksOn() > 0, "no task of the other jobs runs");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
   /**
-   * A new leader renews no lease of a machine with tasks before it has read which jobs have ended.
+   * A new leader renews no lease of a machine with tasks before the leader has read which jobs have
+   * ended.
    */
   @Test
   void aLeaderThatHasNotReadItsJobsRenewsNothing() {
@@ -192,8 +202,9 @@
               answered[0] = cluster.now();
             });
     cluster.play(3.5);
-    assertEquals(503, status[0], "not renewed while the jobs are not read");
-    assertTrue(answered[0] - sent[0] <= 3_000_000, "and told within the time that a worker waits");
+    assertEquals(503, status[0], "heartbeat before the leader has read the jobs");
+    assertTrue(
+        answered[0] - sent[0] <= 3_000_000, "answer after the heartbeat timeout of a worker");
     cluster.store.slowPrefix = null;
     cluster.play(120);
     assertEquals(List.of(), cluster.invariants.broken);
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -13,8 +13,9 @@
 import plumlever.wire.Priority;
 
 /**
- * Hundreds of machines and thousands of tasks, through a crash, a wave and an outage; bounded by
- * counts that repeat.
+ * Deployments with hundreds of machines and thousands of tasks, under controller crashes, mass
+ * preemptions and outages. The bounds are deterministic counts, which do not depend on the speed of
+ * the test machine.
  */
 final class LargeDeploymentTest {
   private static final int JOBS = 90;
@@ -43,7 +44,7 @@
     cluster.play(12);
     assertTrue(
         cluster.leader().actingLeader().failoverComplete(),
-        "a large fleet is taken over in seconds");
+        "failover with a large fleet takes more than seconds");
     cluster.cloud.machines.values().stream()
         .filter(v -> v.spot && v.worker != null)
         .map(v -> v.id)
@@ -62,16 +63,15 @@
     assertEquals(JOBS, all.size());
     all.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
     assertTrue(
-        cluster.invariants.starts >= JOBS * TASKS,
-        "thousands of tasks: " + cluster.invariants.starts);
+        cluster.invariants.starts >= JOBS * TASKS, "task starts: " + cluster.invariants.starts);
     assertStateServiceLimitsKept(cluster);
     long candidates = counted(cluster, "candidates_evaluated");
     assertTrue(candidates > 0 && candidates < 3_000_000, "candidates evaluated: " + candidates);
   }
 
   /**
-   * A full fleet with hundreds of jobs behind it: a scheduling pass must not look for each of them
-   * at every machine.
+   * Hundreds of jobs wait for a fleet without free capacity. A scheduling pass must not evaluate
+   * every machine for every waiting job.
    */
   @Test
   void passesStayShortWhereHundredsOfJobsWait() {
@@ -104,10 +104,11 @@
   }
 
   /**
-   * Half as many machines again as the users have, with all that may befall so many: controllers
-   * restarted one after the other and all at once, dozens of machines dead, dozens hanging past
-   * their lease and going on, a leader standing still while its clocks run on, a zone cut off for
-   * longer than a lease. What is used up doesn't depend on how fast this runs.
+   * Runs 1,600 machines, 1.5 times the fleet of the users, through large-scale failures:
+   * controllers restart in turn and all at once, dozens of machines die, dozens hang past the end
+   * of their lease and resume, the leader freezes while its clocks advance, and one zone is cut off
+   * for longer than a lease. The bounds on resources do not depend on the speed of the test
+   * machine.
    */
   @Test
   void sixteenHundredMachinesThroughFailuresOfMany() {
@@ -129,9 +130,7 @@
           () -> all.add(submit(users, number, number < 70 ? 140 : 40)));
     }
     cluster.play(60);
-    assertTrue(
-        cluster.cloud.machines.size() > 1_300,
-        "a fleet of the size: " + cluster.cloud.machines.size());
+    assertTrue(cluster.cloud.machines.size() > 1_300, "machines: " + cluster.cloud.machines.size());
     restartControllersInTurn(cluster);
     killAFewMachines(cluster);
     List.copyOf(cluster.controllers.values())
@@ -148,7 +147,7 @@
     cluster.play(FakeWorker.LEASE_MICROS / 1e6 + 10);
     assertTrue(
         cluster.leader().actingLeader().failoverComplete(),
-        "a cut zone holds a failover up for no longer than a lease");
+        "a cut zone delays the failover for longer than a lease");
     cluster.network.cuts.clear();
     cluster.calmSince = cluster.now();
     cluster.play(400);
@@ -156,14 +155,14 @@
     assertEquals(List.of(), cluster.invariants.broken);
     all.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
     assertStateServiceLimitsKept(cluster);
-    // One for each worker, and calls that are under way; the users' own zones have room for 300
-    // more.
+    // One socket for each worker, plus calls in flight. The users' own zones have room for 300 more
+    // sockets.
     assertTrue(cluster.mostSockets <= 1_600 + 112, "sockets in use: " + cluster.mostSockets);
     long candidates = counted(cluster, "candidates_evaluated");
     long heartbeats = counted(cluster, "heartbeats");
     assertTrue(
         heartbeats > 10_000 && candidates / heartbeats < 60,
-        "work for each heartbeat: " + candidates / heartbeats);
+        "candidates evaluated per heartbeat: " + candidates / heartbeats);
   }
 
   private static JobSpec submit(FakeUsers users, int number, int tasks) {
@@ -187,11 +186,11 @@
 
   private static void assertALargeFleetIsOnRecord(SimulatedCluster cluster) {
     int machines = cluster.cloud.machines.size();
-    assertTrue(machines > 450, "a large fleet is rented: " + machines);
+    assertTrue(machines > 450, "rented machines: " + machines);
     assertTrue(
-        cluster.store.count("fleet/") <= 14,
-        "machines share records: " + cluster.store.count("fleet/"));
-    // A successor is told of the images on nearly all of them, however many values that takes.
+        cluster.store.count("fleet/") <= 14, "machine records: " + cluster.store.count("fleet/"));
+    // Hints tell a new leader the cached images of nearly all machines, in as many values as
+    // needed.
     Set<String> hinted = new HashSet<>();
     cluster
         .store
@@ -203,13 +202,13 @@
             .count();
     assertTrue(
         working > 300 && hinted.size() > 0.7 * working,
-        hinted.size() + " machines with hints, " + working + " at work");
+        hinted.size() + " machines with hints, " + working + " with tasks");
   }
 
   private static void assertStateServiceLimitsKept(SimulatedCluster cluster) {
     assertTrue(cluster.store.largestValue <= 4_096, "largest value: " + cluster.store.largestValue);
-    // Limits of the simulated state service: 200 requests and 25 changes a second, with a second's
-    // burst.
+    // The simulated state service allows 200 requests and 25 changes a second, with a burst of one
+    // second.
     assertTrue(
         cluster.store.mostRequests <= 250,
         "requests in the busiest second: " + cluster.store.mostRequests);
--- a/src/test/java/plumlever/sim/LittleProcessorTest.java
+++ b/src/test/java/plumlever/sim/LittleProcessorTest.java
@@ -12,8 +12,8 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * The deployment on processors so small that everything takes its time, and far longer in a process
- * that has just started.
+ * Controllers on a small share of a processor: every event takes processing time, and many times
+ * more in a process that has just started.
  */
 final class LittleProcessorTest {
   private static final List<PlatformConfiguration.Team> TEAMS =
@@ -48,7 +48,7 @@
   private static void assertAllDone(SimulatedCluster cluster, FakeUsers users, int jobs) {
     cluster.invariants.checkServed();
     assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals(jobs, users.accepted().size(), "every job is accepted in the end");
+    assertEquals(jobs, users.accepted().size(), "accepted jobs");
     assertEquals(
         List.of(),
         users.accepted().stream()
@@ -57,8 +57,9 @@
   }
 
   /**
-   * All controllers end together, with all workers waiting for the first that is back: how much of
-   * the time after that somebody leads, in parts of a hundred.
+   * Crashes all controllers together, so that all workers reconnect to the first controller that
+   * restarts, and returns the percentage of the following 20 s in which some controller may act as
+   * the leader.
    */
   private static int ledAfterACrashOfAll(SimulatedCluster cluster) {
     cluster.play(100);
@@ -75,9 +76,9 @@
   }
 
   /**
-   * Several hundred workers come to each process that has just started, and everything takes many
-   * times as long there: neither the election nor the renewals may wait behind them. Without a
-   * thread of its own leadership does.
+   * Several hundred workers connect to a process that has just started and processes every event
+   * many times more slowly. Neither the election nor the renewals of the leader lease may queue
+   * behind the heartbeats, so the election runs on a separate thread.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -85,7 +86,7 @@
     SimulatedCluster cluster = cluster(seed, true);
     FakeUsers users = busy(cluster, 60, 2);
     int led = ledAfterACrashOfAll(cluster);
-    assertTrue(led >= 90, "led " + led + "% of the time");
+    assertTrue(led >= 90, "percentage of time with a leader: " + led + "%");
     cluster.calmSince = cluster.now();
     cluster.play(400);
     assertAllDone(cluster, users, 60);
@@ -96,7 +97,9 @@
     SimulatedCluster cluster = cluster(1, false);
     busy(cluster, 60, 2);
     int led = ledAfterACrashOfAll(cluster);
-    assertTrue(led < 90, "with these costs the thread of its own is needed: led " + led + "%");
+    assertTrue(
+        led < 90,
+        "percentage of time with a leader, without a separate election thread: " + led + "%");
   }
 
   private static FakeUsers quiet(SimulatedCluster cluster) {
@@ -115,9 +118,9 @@
   }
 
   /**
-   * A leader that stood still for seconds finds all its workers silent, and hears that they have
-   * been seen elsewhere. It was it that did not listen: it keeps leadership, and returns no
-   * machine.
+   * After a stall of several seconds the leader has no recent heartbeat of any worker, and its
+   * peers report these workers as connected to them. The cause is the leader's own stall, so the
+   * leader must keep leadership and must not return any machine.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -128,10 +131,10 @@
     SimulatedController first = cluster.leader();
     long term = cluster.store.term();
     first.stall(7);
-    // What has come in meanwhile is worked off slowly, the peers' words among the first.
+    // The leader processes the queued events slowly; peer messages are among the first of them.
     first.slowDown(SLOW);
     cluster.play(25);
-    assertEquals(term, cluster.store.term(), "nobody else was elected");
+    assertEquals(term, cluster.store.term(), "term after the stall");
     first.slowDown(1);
     cluster.calmSince = cluster.now();
     cluster.play(400);
@@ -139,7 +142,7 @@
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
-  /** Asks each controller whether it can take requests, and waits for what it says. */
+  /** Queries the health endpoint of each controller and returns the status codes. */
   private static List<Integer> up(SimulatedCluster cluster) {
     List<Integer> out = new ArrayList<>();
     for (String controller : cluster.controllers.keySet()) {
@@ -157,8 +160,9 @@
   }
 
   /**
-   * A leader that is seconds late sends its users to those that are on time; where nobody is, all
-   * go on taking them.
+   * A leader whose event processing is seconds late reports itself unhealthy, so that the load
+   * balancer sends users to the other controllers. If all controllers are late, all keep accepting
+   * users.
    */
   @Test
   void whoIsSecondsLateLeavesUsersToOthers() {
@@ -170,11 +174,12 @@
     cluster.leader().slowDown(SLOW);
     cluster.play(8);
     List<Integer> seen = up(cluster);
-    assertEquals(503, seen.get(leads), "the late one: " + seen);
-    assertEquals(2, seen.stream().filter(s -> s == 200).count(), "the others: " + seen);
+    assertEquals(503, seen.get(leads), "status of the late controller, of all: " + seen);
+    assertEquals(
+        2, seen.stream().filter(s -> s == 200).count(), "healthy controllers, of all: " + seen);
     cluster.controllers.values().forEach(m -> m.slowDown(1));
     cluster.play(12);
-    assertEquals(List.of(200, 200, 200), up(cluster), "and back");
+    assertEquals(List.of(200, 200, 200), up(cluster), "status codes after the recovery");
   }
 
   @Test
@@ -202,8 +207,8 @@
   }
 
   /**
-   * Decisions that stand still for much longer cost leadership, and never act in a later term of
-   * the same controller.
+   * A leader whose decision thread stalls for much longer loses leadership. Decisions of the former
+   * term must not take effect in a later term of the same controller.
    */
   @Test
   void aLeaderWhoseDecisionsStallStepsDown() {
@@ -214,8 +219,8 @@
     long term = cluster.store.term();
     first.stall(40);
     cluster.play(20);
-    assertTrue(cluster.store.term() > term, "another leads");
-    // The others end, so that it may be elected once more before its decisions go on.
+    assertTrue(cluster.store.term() > term, "no other leader was elected");
+    // The other controllers crash, so that the first may be re-elected while its decisions stall.
     cluster.controllers.values().stream().filter(m -> m != first).forEach(m -> m.crash(60));
     cluster.play(240);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/LoadStand.java
+++ b/src/test/java/plumlever/sim/LoadStand.java
@@ -21,13 +21,13 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * Serves the emulators of the tests on loopback, so that a controller can be run as a plain process
- * under a known load and looked at with the JDK's own means. No test: docs/limits.md says how the
- * figures there were got with it.
+ * Serves the test emulators of the state service, the cloud and the workers on loopback addresses,
+ * so that controllers can run as separate processes under a known load and be profiled with the
+ * tools of the JDK. Not a test; see docs/limits.md for the measurements made with this program.
  *
- * <p>Arguments: a folder for the controllers' settings, how many controllers, machines (of four or
- * sixteen cores, the half each), jobs a second of twenty tasks each, for how many seconds, and the
- * first port (several can run side by side).
+ * <p>Arguments: directory for the settings files of the controllers, number of controllers, number
+ * of machines (half with four cores, half with sixteen), jobs per second (of twenty tasks each),
+ * duration in seconds, and first port. Several instances can run side by side on different ports.
  */
 final class LoadStand {
   private static final int STATE = 1;
@@ -232,7 +232,7 @@
     System.out.println(
         "machines "
             + stand.cluster.cloud.machines.size()
-            + ", broken "
+            + ", violations "
             + stand.cluster.invariants.broken);
     System.exit(0);
   }
