--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -22,7 +22,8 @@
   private static final List<String> CONTROLLERS = List.of("n0", "n1", "n2");
   private static final double REMOVED_WITHIN_S = 1_600;
 
-  private JobSpec ofTeam(String team, Priority priority, int tasks, double runS, JobSpec... names) {
+  private JobSpec teamJob(
+      String team, Priority priority, int tasks, double runS, JobSpec... dependencies) {
     return TestJob.job(users.nextUid())
         .jobClass("c1")
         .team(team)
@@ -31,64 +32,66 @@
         .memoryGb(2)
         .runS(runS)
         .build()
-        .withDependencies(List.of(names).stream().map(JobSpec::uid).toList());
+        .withDependencies(List.of(dependencies).stream().map(JobSpec::uid).toList());
   }
 
   /**
    * Returns a job with so many dependencies that the list does not fit into the job record. All
    * dependencies but {@code running} have ended.
    */
-  private JobSpec withLongList(JobSpec running) {
+  private JobSpec jobWithLongList(JobSpec running) {
     Map<String, JsonNode> ended = new TreeMap<>(cluster.store.entries("ended/"));
-    List<String> names = new ArrayList<>();
+    List<String> dependencyUids = new ArrayList<>();
     for (int i = 0; i < 600; i++) {
       String uid = "job-6" + (10_000 + i);
-      names.add(uid);
+      dependencyUids.add(uid);
       ended.put("ended/" + uid, Json.object().put("s", "done"));
-      cluster.invariants.submitted.put(uid, idle(1, 1));
+      cluster.invariants.submitted.put(uid, idleJob(1, 1));
       cluster.invariants.complete(uid + "/0");
     }
     cluster.store.rewrite("ended/", ended);
-    names.add(running.uid());
-    return job(1, 2, JobSpec.NO_DEADLINE, Priority.STANDARD, names);
+    dependencyUids.add(running.uid());
+    return job(1, 2, JobSpec.NO_DEADLINE, Priority.STANDARD, dependencyUids);
   }
 
-  private void smallValues() {
-    deployment(7, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
+  private void deployWithSmallValues() {
+    deploy(7, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = 2048;
     cluster.store.transactionOps = 4;
   }
 
   @Test
-  void namesMayBeInAnyStateAndOfAnotherTeam() {
-    JobSpec done = ofTeam("red", Priority.IDLE, 1, 2);
-    JobSpec cancelled = ofTeam("red", Priority.IDLE, 1, 300);
-    JobSpec running = ofTeam("red", Priority.IDLE, 1, 90);
+  void dependenciesMayBeInAnyStateAndOfAnotherTeam() {
+    JobSpec done = teamJob("red", Priority.IDLE, 1, 2);
+    JobSpec cancelled = teamJob("red", Priority.IDLE, 1, 300);
+    JobSpec running = teamJob("red", Priority.IDLE, 1, 90);
     submit(done, cancelled, running);
     cluster.play(45);
-    assertTold("done", done);
+    assertReportedStatus("done", done);
     users.cancelled(cancelled);
-    assertEquals(200, ask("n1", "POST", "/submissions/" + cancelled.uid() + "/abort", "").status());
-    JobSpec after = ofTeam("blue", Priority.HIGH, 1, 2, done, running);
-    JobSpec dependent = ofTeam("blue", Priority.HIGH, 1, 2, done, cancelled, running);
+    assertEquals(
+        200, request("n1", "POST", "/submissions/" + cancelled.uid() + "/abort", "").status());
+    JobSpec after = teamJob("blue", Priority.HIGH, 1, 2, done, running);
+    JobSpec dependent = teamJob("blue", Priority.HIGH, 1, 2, done, cancelled, running);
     assertEquals(201, submitAt("n2", after).status());
     Answer answer = submitAt("n0", dependent);
     assertEquals(201, answer.status(), "submission with a cancelled dependency");
     assertTrue(answer.body().contains("\"aborted\""), answer.body());
     cluster.play(100);
-    assertTrue(ask("n1", "GET", "/submissions/" + after.uid(), null).body().contains("\"done\""));
-    JobSpec longAfter = ofTeam("blue", Priority.HIGH, 1, 2, cancelled);
-    assertTrue(submitAt("n1", longAfter).body().contains("\"aborted\""));
+    assertTrue(
+        request("n1", "GET", "/submissions/" + after.uid(), null).body().contains("\"done\""));
+    JobSpec lateDependent = teamJob("blue", Priority.HIGH, 1, 2, cancelled);
+    assertTrue(submitAt("n1", lateDependent).body().contains("\"aborted\""));
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
   @Test
   void aJobReleasedAfterItsDeadlineStillRuns() {
-    JobSpec first = idle(1, 90);
+    JobSpec first = idleJob(1, 90);
     JobSpec last = job(2, 3, 20, Priority.HIGH, List.of(first.uid()));
     submit(first, last);
     cluster.play(140);
-    assertTold("done", first, last);
+    assertReportedStatus("done", first, last);
   }
 
   /**
@@ -97,9 +100,9 @@
    * release the job is scheduled like a new job, also by a new leader.
    */
   @Test
-  void aJobThatWaitsForMinutesCountsFromItsRelease() {
-    JobSpec first = ofTeam("blue", Priority.IDLE, 1, 330);
-    JobSpec last = ofTeam("red", Priority.IDLE, 40, 4, first);
+  void ageOfWaitingJobCountsFromItsRelease() {
+    JobSpec first = teamJob("blue", Priority.IDLE, 1, 330);
+    JobSpec last = teamJob("red", Priority.IDLE, 40, 4, first);
     submit(first, last);
     cluster.play(60);
     int machines = cluster.cloud.machines.size();
@@ -107,13 +110,13 @@
     cluster.play(200);
     Job waiting = cluster.leader().actingLeader().job(last.uid()).orElseThrow();
     assertTrue(waiting.waitsForDependencies());
-    assertEquals("pending", told(last));
+    assertEquals("pending", reportedStatus(last));
     assertTrue(
         cluster.cloud.machines.size() <= machines,
         "a machine was rented for a job that waits for dependencies");
     cluster.leader().crash(1);
     cluster.play(20);
-    JobSpec urgent = ofTeam("red", Priority.HIGH, 40, 30);
+    JobSpec urgent = teamJob("red", Priority.HIGH, 40, 30);
     submit(urgent);
     cluster.play(30);
     assertTrue(
@@ -132,7 +135,7 @@
     }
     assertTrue(cluster.now() - released < 10_000_000, "release time of the job is too early");
     cluster.play(60);
-    assertTold("done", first, urgent, last);
+    assertReportedStatus("done", first, urgent, last);
   }
 
   /**
@@ -140,12 +143,12 @@
    * replace the release time with the submission time.
    */
   @Test
-  void aNewLeaderKnowsWhenAJobWasReleased() {
-    JobSpec first = idle(1, 60);
-    JobSpec last = idle(2, 300, first);
+  void newLeaderRestoresReleaseTime() {
+    JobSpec first = idleJob(1, 60);
+    JobSpec last = idleJob(2, 300, first);
     submit(first, last);
     cluster.play(130);
-    assertTold("done", first);
+    assertReportedStatus("done", first);
     long released = cluster.leader().actingLeader().job(last.uid()).orElseThrow().releasedMicros();
     cluster.leader().crash(1);
     cluster.play(20);
@@ -160,54 +163,54 @@
    * the dependents. The other branch must complete.
    */
   @Test
-  void whatNeedsACancelledJobIsCancelledAndNothingElse() {
-    JobSpec root = idle(1, 60);
-    JobSpec left = idle(1, 400, root);
-    JobSpec right = idle(1, 5, root);
-    JobSpec joined = idle(1, 5, left, right);
-    JobSpec last = idle(1, 5, joined);
-    JobSpec beside = idle(1, 5, right);
-    submit(root, left, right, joined, last, beside);
+  void onlyDependentsOfCancelledJobAreCancelled() {
+    JobSpec root = idleJob(1, 60);
+    JobSpec left = idleJob(1, 400, root);
+    JobSpec right = idleJob(1, 5, root);
+    JobSpec joined = idleJob(1, 5, left, right);
+    JobSpec last = idleJob(1, 5, joined);
+    JobSpec unaffected = idleJob(1, 5, right);
+    submit(root, left, right, joined, last, unaffected);
     cluster.play(10);
-    CONTROLLERS.forEach(n -> ask(n, "GET", "/submissions/" + last.uid(), null));
+    CONTROLLERS.forEach(n -> request(n, "GET", "/submissions/" + last.uid(), null));
     users.cancelled(left);
     assertTrue(
-        ask("n2", "POST", "/submissions/" + left.uid() + "/abort", "")
+        request("n2", "POST", "/submissions/" + left.uid() + "/abort", "")
             .body()
             .contains("\"aborted\""));
     for (String controller : CONTROLLERS) {
       assertTrue(
-          ask(controller, "GET", "/submissions/" + joined.uid(), null)
+          request(controller, "GET", "/submissions/" + joined.uid(), null)
               .body()
               .contains("\"aborted\""));
       assertTrue(
           submitAt(controller, last).body().contains("\"aborted\""),
           "repeated submission of a cancelled job");
       assertTrue(
-          ask(controller, "POST", "/submissions/" + last.uid() + "/abort", "")
+          request(controller, "POST", "/submissions/" + last.uid() + "/abort", "")
               .body()
               .contains("\"aborted\""));
     }
     cluster.play(140);
-    assertTold("done", root, right, beside);
+    assertReportedStatus("done", root, right, unaffected);
     assertFalse(cluster.invariants.began(joined.uid()) || cluster.invariants.began(last.uid()));
   }
 
   /** The transaction that stores the cancellation is applied, but its answer is lost. */
   @Test
-  void aCancellationWithoutAnAnswerIsSettledAlongTheChain() {
-    JobSpec root = idle(1, 400);
-    JobSpec last = idle(1, 5, root);
+  void cancellationWithLostAnswerReachesWholeChain() {
+    JobSpec root = idleJob(1, 400);
+    JobSpec last = idleJob(1, 5, root);
     submit(root, last);
     cluster.play(10);
     cluster.store.answerLostOnce = "ended/" + root.uid();
     users.cancelled(root);
-    Answer answer = ask("n1", "POST", "/submissions/" + root.uid() + "/abort", "");
+    Answer answer = request("n1", "POST", "/submissions/" + root.uid() + "/abort", "");
     assertEquals(1, cluster.store.appliedUnanswered);
     assertTrue(answer.body().contains("\"aborted\""), answer.body());
     for (String controller : CONTROLLERS) {
       assertTrue(
-          ask(controller, "GET", "/submissions/" + last.uid(), null)
+          request(controller, "GET", "/submissions/" + last.uid(), null)
               .body()
               .contains("\"aborted\""));
     }
@@ -219,21 +222,22 @@
    * may be stale.
    */
   @Test
-  void aControllerWithAnOldViewTellsNothingOlder() {
-    JobSpec root = idle(1, 400);
-    JobSpec last = idle(1, 5, root);
+  void controllerWithStaleViewRefusesStatusQueries() {
+    JobSpec root = idleJob(1, 400);
+    JobSpec last = idleJob(1, 5, root);
     submit(root, last);
     cluster.play(10);
-    assertTrue(ask("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
+    assertTrue(request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     cluster.store.unwatched.add("n1");
     users.cancelled(root);
-    assertEquals(200, ask("n2", "POST", "/submissions/" + root.uid() + "/abort", "").status());
-    Answer answer = ask("n1", "GET", "/submissions/" + last.uid(), null);
+    assertEquals(200, request("n2", "POST", "/submissions/" + root.uid() + "/abort", "").status());
+    Answer answer = request("n1", "GET", "/submissions/" + last.uid(), null);
     assertNotEquals(200, answer.status(), answer.body());
     assertTrue(answer.retryAfterS() > 0);
     cluster.store.unwatched.clear();
     cluster.play(10);
-    assertTrue(ask("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
+    assertTrue(
+        request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
@@ -242,22 +246,23 @@
    * the cancellation of the urgent pipeline the stage gets those of the other pipeline.
    */
   @Test
-  void aSharedStageServesThePipelineThatIsDueFirst() {
-    JobSpec shared = idle(1, 200);
-    JobSpec soon = job(1, 5, 300, Priority.HIGH, List.of(shared.uid()));
+  void sharedStageInheritsEarliestDeadline() {
+    JobSpec shared = idleJob(1, 200);
+    JobSpec urgent = job(1, 5, 300, Priority.HIGH, List.of(shared.uid()));
     JobSpec later = job(1, 5, 900, Priority.STANDARD, List.of(shared.uid()));
-    submit(shared, later, soon);
+    submit(shared, later, urgent);
     cluster.play(10);
     Job stage = cluster.leader().actingLeader().job(shared.uid()).orElseThrow();
-    long dueForSoon = stage.deadlineMicros();
+    long urgentDeadlineMicros = stage.deadlineMicros();
     assertEquals(Priority.HIGH, stage.priority());
-    users.cancelled(soon);
-    assertEquals(200, ask("n0", "POST", "/submissions/" + soon.uid() + "/abort", "").status());
+    users.cancelled(urgent);
+    assertEquals(
+        200, request("n0", "POST", "/submissions/" + urgent.uid() + "/abort", "").status());
     cluster.play(5);
     assertEquals(Priority.STANDARD, stage.priority());
-    assertTrue(stage.deadlineMicros() - dueForSoon > 500_000_000L);
+    assertTrue(stage.deadlineMicros() - urgentDeadlineMicros > 500_000_000L);
     cluster.play(250);
-    assertTold("done", shared, later);
+    assertReportedStatus("done", shared, later);
   }
 
   /**
@@ -265,36 +270,38 @@
    * job that still waits is kept.
    */
   @Test
-  void listsThatNoJobUsesAreRemoved() {
-    smallValues();
-    JobSpec short1 = idle(1, 20);
-    JobSpec long1 = idle(1, 2_500);
-    submit(short1, long1);
+  void unusedDependencyListsAreRemoved() {
+    deployWithSmallValues();
+    JobSpec shortJob = idleJob(1, 20);
+    JobSpec longJob = idleJob(1, 2_500);
+    submit(shortJob, longJob);
     cluster.play(5);
-    JobSpec ends = withLongList(short1);
-    JobSpec waits = withLongList(long1);
-    assertEquals(201, submitAt("n0", ends).status());
-    assertEquals(201, submitAt("n1", waits).status());
+    JobSpec endingJob = jobWithLongList(shortJob);
+    JobSpec waitingJob = jobWithLongList(longJob);
+    assertEquals(201, submitAt("n0", endingJob).status());
+    assertEquals(201, submitAt("n1", waitingJob).status());
     // Lists left behind by submissions that were never accepted, with and without the anchor part.
     Map<String, JsonNode> lists = new TreeMap<>(cluster.store.entries("waits/"));
-    int ofWaiting = cluster.store.count("waits/" + waits.uid() + "/");
+    int waitingListParts = cluster.store.count("waits/" + waitingJob.uid() + "/");
     for (int i = 0; i < 9; i++) {
       lists.put("waits/job-700001/abc/" + i, Json.object());
       lists.put("waits/job-700002/abc/" + (i + 1), Json.object());
     }
-    assertTrue(ofWaiting > 2 && lists.size() > 20 + ofWaiting);
+    assertTrue(waitingListParts > 2 && lists.size() > 20 + waitingListParts);
     cluster.store.rewrite("waits/", lists);
     cluster.play(600);
-    assertTrue(ask("n0", "GET", "/submissions/" + ends.uid(), null).body().contains("\"done\""));
+    assertTrue(
+        request("n0", "GET", "/submissions/" + endingJob.uid(), null).body().contains("\"done\""));
     assertEquals(
         lists.size(),
         cluster.store.count("waits/"),
         "list parts before the grace period has passed");
     cluster.play(REMOVED_WITHIN_S - 600);
-    assertEquals(ofWaiting, cluster.store.count("waits/"));
-    assertEquals(ofWaiting, cluster.store.count("waits/" + waits.uid() + "/"));
+    assertEquals(waitingListParts, cluster.store.count("waits/"));
+    assertEquals(waitingListParts, cluster.store.count("waits/" + waitingJob.uid() + "/"));
     cluster.play(1_000);
-    assertTrue(ask("n0", "GET", "/submissions/" + waits.uid(), null).body().contains("\"done\""));
+    assertTrue(
+        request("n0", "GET", "/submissions/" + waitingJob.uid(), null).body().contains("\"done\""));
     assertEquals(0, cluster.store.malformed);
   }
 
@@ -303,12 +310,12 @@
    * transaction must fail, so that no job record refers to an incomplete list.
    */
   @Test
-  void aListRemovedMeanwhileIsStoredAnew() {
-    smallValues();
-    JobSpec running = idle(1, 30);
+  void dependencyListRemovedBeforeAcceptanceIsStoredAgain() {
+    deployWithSmallValues();
+    JobSpec running = idleJob(1, 30);
     submit(running);
     cluster.play(5);
-    JobSpec job = withLongList(running);
+    JobSpec job = jobWithLongList(running);
     cluster.store.interveneBefore = "active/" + job.uid();
     int[] removed = new int[1];
     cluster.store.intervention =
@@ -319,11 +326,11 @@
     Answer answer = submitAt("n0", job);
     assertTrue(removed[0] > 2, "list parts removed: " + removed[0]);
     assertEquals(503, answer.status(), answer.body());
-    assertEquals(404, ask("n1", "GET", "/submissions/" + job.uid(), null).status());
+    assertEquals(404, request("n1", "GET", "/submissions/" + job.uid(), null).status());
     cluster.play(2);
     assertEquals(201, submitAt("n1", job).status());
     cluster.play(60);
-    assertTrue(ask("n2", "GET", "/submissions/" + job.uid(), null).body().contains("\"done\""));
+    assertTrue(request("n2", "GET", "/submissions/" + job.uid(), null).body().contains("\"done\""));
   }
 
   /**
@@ -331,40 +338,40 @@
    * treat such parts as missing and store the whole list.
    */
   @Test
-  void partsSeenWithoutTheAnchorCountForNothing() {
-    smallValues();
-    JobSpec running = idle(1, 30);
+  void listPartsWithoutAnchorAreIgnored() {
+    deployWithSmallValues();
+    JobSpec running = idleJob(1, 30);
     submit(running);
     cluster.play(5);
-    JobSpec job = withLongList(running);
+    JobSpec job = jobWithLongList(running);
     assertEquals(201, submitAt("n0", job).status());
-    Map<String, JsonNode> rest = new TreeMap<>(cluster.store.entries("waits/"));
-    String anchor = rest.keySet().iterator().next();
-    rest.remove(anchor);
+    Map<String, JsonNode> partsWithoutAnchor = new TreeMap<>(cluster.store.entries("waits/"));
+    String anchor = partsWithoutAnchor.keySet().iterator().next();
+    partsWithoutAnchor.remove(anchor);
     Map<String, JsonNode> active = new TreeMap<>(cluster.store.entries("active/"));
     active.remove("active/" + job.uid());
     cluster.store.rewrite("active/", active);
-    cluster.store.rewrite("waits/", rest);
+    cluster.store.rewrite("waits/", partsWithoutAnchor);
     cluster.store.interveneBefore = anchor;
     cluster.store.intervention = () -> cluster.store.rewrite("waits/", Map.of());
     assertEquals(201, submitAt("n2", job).status());
-    assertEquals(rest.size() + 1, cluster.store.count("waits/"), "stored list parts");
+    assertEquals(partsWithoutAnchor.size() + 1, cluster.store.count("waits/"), "stored list parts");
     cluster.play(60);
-    assertTrue(ask("n2", "GET", "/submissions/" + job.uid(), null).body().contains("\"done\""));
+    assertTrue(request("n2", "GET", "/submissions/" + job.uid(), null).body().contains("\"done\""));
   }
 
   /** A repeated submission of a known job stores nothing, even if it names other dependencies. */
   @Test
-  void aRepeatWithAnotherListStoresNothing() {
-    smallValues();
-    JobSpec running = idle(1, 30);
+  void repeatedSubmissionWithOtherDependenciesStoresNothing() {
+    deployWithSmallValues();
+    JobSpec running = idleJob(1, 30);
     submit(running);
     cluster.play(5);
-    JobSpec known = idle(1, 200);
+    JobSpec known = idleJob(1, 200);
     assertEquals(201, submitAt("n0", known).status());
-    JobSpec other = withLongList(running);
+    JobSpec other = jobWithLongList(running);
     String body = Json.write(other.toJson()).replace(other.uid(), known.uid());
-    assertEquals(200, ask("n1", "POST", "/submissions", body).status());
+    assertEquals(200, request("n1", "POST", "/submissions", body).status());
     assertEquals(0, cluster.store.count("waits/"));
   }
 }
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -26,10 +26,10 @@
    * confirmed the cancellation, all controllers must report the dependents as cancelled.
    */
   @Test
-  void everyControllerSaysTheSameAtOnce() {
-    JobSpec root = idle(1, 400);
-    JobSpec middle = idle(1, 5, root);
-    JobSpec other = idle(1, 5);
+  void allControllersReportCancellationAtOnce() {
+    JobSpec root = idleJob(1, 400);
+    JobSpec middle = idleJob(1, 5, root);
+    JobSpec other = idleJob(1, 5);
     JobSpec last = job(1, 5, 60, Priority.HIGH, List.of(middle.uid(), other.uid()));
     assertEquals(201, submitAt("n0", root).status());
     assertEquals(201, submitAt("n1", middle).status());
@@ -37,23 +37,27 @@
     assertEquals(201, submitAt("n2", last).status());
     for (String controller : cluster.controllers.keySet()) {
       assertTrue(
-          ask(controller, "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
+          request(controller, "GET", "/submissions/" + last.uid(), null)
+              .body()
+              .contains("pending"));
     }
     assertTrue(
-        ask("n1", "POST", "/submissions/" + root.uid() + "/abort", "").body().contains("aborted"));
+        request("n1", "POST", "/submissions/" + root.uid() + "/abort", "")
+            .body()
+            .contains("aborted"));
     for (String controller : cluster.controllers.keySet()) {
       for (JobSpec job : List.of(middle, last, root)) {
-        Answer answer = ask(controller, "GET", "/submissions/" + job.uid(), null);
+        Answer answer = request(controller, "GET", "/submissions/" + job.uid(), null);
         assertTrue(
             answer.status() == 200 && answer.body().contains("\"aborted\""),
             controller + " answered " + answer.body());
         assertTrue(
-            ask(controller, "POST", "/submissions", Json.write(job.toJson()))
+            request(controller, "POST", "/submissions", Json.write(job.toJson()))
                 .body()
                 .contains("\"aborted\""));
       }
     }
-    JobSpec after = idle(1, 5, middle);
+    JobSpec after = idleJob(1, 5, middle);
     Answer accepted = submitAt("n0", after);
     assertEquals(201, accepted.status(), "submission with a cancelled dependency");
     assertTrue(accepted.body().contains("\"aborted\""), accepted.body());
@@ -68,9 +72,9 @@
 
   /** Without a leader the remaining controllers derive and store the cancellation of dependents. */
   @Test
-  void aCancellationReachesDependentsWithoutALeader() {
-    JobSpec root = idle(1, 400);
-    JobSpec last = idle(1, 5, root);
+  void cancellationReachesDependentsWithoutLeader() {
+    JobSpec root = idleJob(1, 400);
+    JobSpec last = idleJob(1, 5, root);
     submit(root, last);
     cluster.play(10);
     SimulatedController leader = cluster.leader();
@@ -82,9 +86,11 @@
     leader.crash(60);
     users.cancelled(root);
     assertTrue(
-        ask(other, "POST", "/submissions/" + root.uid() + "/abort", "").body().contains("aborted"));
+        request(other, "POST", "/submissions/" + root.uid() + "/abort", "")
+            .body()
+            .contains("aborted"));
     assertTrue(
-        ask(other, "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
+        request(other, "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
     assertTrue(
         cluster.controllers.values().stream().noneMatch(SimulatedController::leads),
         "a new leader was elected before the end of the check");
@@ -94,17 +100,19 @@
 
   /** A cancellation that arrives after the job has completed does not affect its dependents. */
   @Test
-  void aCancellationThatIsAnsweredDoneStopsNothing() {
-    JobSpec root = idle(1, 3);
-    JobSpec last = idle(1, 3, root);
+  void lateCancellationDoesNotAffectDependents() {
+    JobSpec root = idleJob(1, 3);
+    JobSpec last = idleJob(1, 3, root);
     submit(root);
     cluster.play(40);
-    assertTold("done", root);
+    assertReportedStatus("done", root);
     submit(last);
     assertTrue(
-        ask("n2", "POST", "/submissions/" + root.uid() + "/abort", "").body().contains("\"done\""));
+        request("n2", "POST", "/submissions/" + root.uid() + "/abort", "")
+            .body()
+            .contains("\"done\""));
     cluster.play(40);
-    assertTold("done", last);
+    assertReportedStatus("done", last);
   }
 
   /**
@@ -112,9 +120,9 @@
    * longer than the time limit of a cancellation.
    */
   @Test
-  void anOutageRightAfterTheRootsCancellation() {
-    JobSpec root = idle(4, 200);
-    JobSpec next = idle(2, 5, root);
+  void outageAfterCancellationOfRoot() {
+    JobSpec root = idleJob(4, 200);
+    JobSpec next = idleJob(2, 5, root);
     JobSpec last = job(1, 5, 90, Priority.HIGH, List.of(next.uid()));
     submit(root, next, last);
     cluster.play(30);
@@ -132,7 +140,7 @@
     assertTrue(cluster.store.outage);
     cluster.at(InvariantChecker.CANCEL_MICROS + 12_000_000, cluster.store::endOutage);
     cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 40);
-    assertTold("aborted", root, next, last);
+    assertReportedStatus("aborted", root, next, last);
   }
 
   /**
@@ -141,8 +149,8 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
-  void cancellationsAtTheEndOfPredecessors(long seed) {
-    deployment(seed, new PlatformConfiguration.StateLimits(200, 25, 4096, 8));
+  void cancellationsRaceWithCompletion(long seed) {
+    deploy(seed, new PlatformConfiguration.StateLimits(200, 25, 4096, 8));
     users.closeLooks = true;
     users.meetEnds(0.9);
     List<JobSpec> all = new ArrayList<>();
@@ -154,7 +162,7 @@
     cluster.play(240);
     assertEquals(List.of(), cluster.invariants.broken);
     Map<String, Long> ends =
-        all.stream().collect(Collectors.groupingBy(this::told, Collectors.counting()));
+        all.stream().collect(Collectors.groupingBy(this::reportedStatus, Collectors.counting()));
     assertEquals(
         all.size(), ends.getOrDefault("done", 0L) + ends.getOrDefault("aborted", 0L), "" + ends);
     assertTrue(
@@ -166,9 +174,9 @@
    * ended jobs report a job as pending after its root job was cancelled.
    */
   @Test
-  void withoutTheChangesJobsAreOrphaned() {
-    JobSpec root = idle(1, 400);
-    JobSpec last = idle(1, 5, root);
+  void withoutNotificationsDependentsAreOrphaned() {
+    JobSpec root = idleJob(1, 400);
+    JobSpec last = idleJob(1, 5, root);
     submit(root, last);
     cluster.play(10);
     cluster
@@ -177,7 +185,9 @@
         .forEach(
             n ->
                 assertTrue(
-                    ask(n, "GET", "/submissions/" + last.uid(), null).body().contains("pending")));
+                    request(n, "GET", "/submissions/" + last.uid(), null)
+                        .body()
+                        .contains("pending")));
     cluster.store.untold = "ended/";
     List<Integer> status = new ArrayList<>();
     SimulatedController leader = cluster.leader();
@@ -190,11 +200,11 @@
     cluster.play(0.1);
     assertEquals(List.of(200), status);
     long asked = cluster.now();
-    Answer answer = ask(others.get(1), "GET", "/submissions/" + last.uid(), null);
+    Answer answer = request(others.get(1), "GET", "/submissions/" + last.uid(), null);
     cluster.invariants.toldAnywhere(
         last.uid(), answer.body().contains("pending") ? "pending" : "aborted", asked);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("orphaned")),
-        "the invariant check did not detect the orphaned job: " + told(last));
+        "the invariant check did not detect the orphaned job: " + reportedStatus(last));
   }
 }
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -16,11 +16,11 @@
   FakeUsers users;
 
   @BeforeEach
-  void begin() {
-    deployment(5, new PlatformConfiguration.StateLimits(200, 25, 4096, 8));
+  void deployWithDefaultLimits() {
+    deploy(5, new PlatformConfiguration.StateLimits(200, 25, 4096, 8));
   }
 
-  void deployment(long seed, PlatformConfiguration.StateLimits limits) {
+  void deploy(long seed, PlatformConfiguration.StateLimits limits) {
     cluster =
         new SimulatedCluster(
             seed,
@@ -49,7 +49,7 @@
         .withDependencies(dependencies);
   }
 
-  JobSpec idle(int taskCount, double runS, JobSpec... dependencies) {
+  JobSpec idleJob(int taskCount, double runS, JobSpec... dependencies) {
     return job(
         taskCount,
         runS,
@@ -60,34 +60,34 @@
 
   /** Returns a typical user pipeline: ingest, two checks, merge, publish. */
   List<JobSpec> pipeline() {
-    JobSpec ingest = idle(3, 4);
-    JobSpec check = idle(8, 6, ingest);
-    JobSpec checkToo = idle(5, 9, ingest);
-    JobSpec merge = idle(2, 5, check, checkToo);
+    JobSpec ingest = idleJob(3, 4);
+    JobSpec check = idleJob(8, 6, ingest);
+    JobSpec secondCheck = idleJob(5, 9, ingest);
+    JobSpec merge = idleJob(2, 5, check, secondCheck);
     JobSpec publish = job(2, 2, 120, Priority.HIGH, List.of(merge.uid()));
-    return List.of(ingest, check, checkToo, merge, publish);
+    return List.of(ingest, check, secondCheck, merge, publish);
   }
 
   void submit(JobSpec... jobs) {
     users.pipeline(List.of(jobs), false);
   }
 
-  String told(JobSpec job) {
+  String reportedStatus(JobSpec job) {
     return cluster.invariants.lastTold.get(job.uid());
   }
 
-  void assertTold(String status, JobSpec... jobs) {
+  void assertReportedStatus(String status, JobSpec... jobs) {
     assertEquals(List.of(), cluster.invariants.broken);
     for (JobSpec job : jobs) {
-      assertEquals(status, told(job), job.uid());
+      assertEquals(status, reportedStatus(job), job.uid());
     }
   }
 
   /** The response of a controller to one request. */
   record Answer(int status, String body, int retryAfterS) {}
 
-  Answer ask(String controller, String method, String path, String body) {
-    Answer[] got = new Answer[1];
+  Answer request(String controller, String method, String path, String body) {
+    Answer[] answer = new Answer[1];
     cluster
         .controllers
         .get(controller)
@@ -97,16 +97,16 @@
             method,
             path,
             body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8),
-            (s, json, retry) -> got[0] = new Answer(s, json, retry));
-    for (int i = 0; i < 400 && got[0] == null; i++) {
+            (s, json, retry) -> answer[0] = new Answer(s, json, retry));
+    for (int i = 0; i < 400 && answer[0] == null; i++) {
       cluster.play(0.05);
     }
-    return got[0];
+    return answer[0];
   }
 
   Answer submitAt(String controller, JobSpec job) {
     cluster.invariants.submitted.put(job.uid(), job);
     cluster.invariants.submittedAt.put(job.uid(), cluster.now());
-    return ask(controller, "POST", "/submissions", Json.write(job.toJson()));
+    return request(controller, "POST", "/submissions", Json.write(job.toJson()));
   }
 }
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -17,59 +17,61 @@
 /** Answers to submissions of jobs with dependencies. */
 final class DependencySubmissionTest extends DependencyScenario {
   @Test
-  void badInputIsToldAsWhatItIs() {
-    JobSpec known = idle(1, 300);
+  void invalidDependencyListsAreRefused() {
+    JobSpec known = idleJob(1, 300);
     assertEquals(201, submitAt("n0", known).status());
     cluster.play(1);
-    String like = Json.write(idle(1, 5).toJson());
-    String uid = like.substring(like.indexOf("job-"), like.indexOf("job-") + 10);
-    String head = like.substring(0, like.length() - 1);
+    String validBody = Json.write(idleJob(1, 5).toJson());
+    String uid = validBody.substring(validBody.indexOf("job-"), validBody.indexOf("job-") + 10);
+    String openBody = validBody.substring(0, validBody.length() - 1);
     for (String bad :
         List.of(
             "\"job-1\"", "7", "{}", "[7]", "[null]", "[\"job-\"]", "[\"x\"]", "[[\"job-1\"]]")) {
       assertEquals(
           400,
-          ask("n1", "POST", "/submissions", head + ",\"waits_on\":" + bad + "}").status(),
+          request("n1", "POST", "/submissions", openBody + ",\"waits_on\":" + bad + "}").status(),
           bad);
     }
     assertEquals(
         422,
-        ask("n1", "POST", "/submissions", head + ",\"waits_on\":[\"job-777\"]}").status(),
+        request("n1", "POST", "/submissions", openBody + ",\"waits_on\":[\"job-777\"]}").status(),
         "dependency that was never accepted");
     assertEquals(
         422,
-        ask("n1", "POST", "/submissions", head + ",\"waits_on\":[\"" + uid + "\"]}").status(),
+        request("n1", "POST", "/submissions", openBody + ",\"waits_on\":[\"" + uid + "\"]}")
+            .status(),
         "dependency on the job itself");
     assertEquals(
         422,
-        ask(
+        request(
                 "n1",
                 "POST",
                 "/submissions",
-                head + ",\"waits_on\":[\"" + known.uid() + "\",\"job-777\"]}")
+                openBody + ",\"waits_on\":[\"" + known.uid() + "\",\"job-777\"]}")
             .status(),
         "one known and one unknown dependency");
     cluster.store.outage = true;
-    Answer out = ask("n1", "POST", "/submissions", head + ",\"waits_on\":[\"job-777\"]}");
-    assertEquals(503, out.status(), "unknown dependency during an outage of the state service");
-    assertTrue(out.retryAfterS() > 0);
+    Answer answer =
+        request("n1", "POST", "/submissions", openBody + ",\"waits_on\":[\"job-777\"]}");
+    assertEquals(503, answer.status(), "unknown dependency during an outage of the state service");
+    assertTrue(answer.retryAfterS() > 0);
     cluster.store.endOutage();
     cluster.play(3);
-    assertEquals(404, ask("n2", "GET", "/submissions/" + uid, null).status());
+    assertEquals(404, request("n2", "GET", "/submissions/" + uid, null).status());
     for (String none : List.of("null", "[]")) {
       assertEquals(
           none.equals("null") ? 201 : 200,
-          ask("n1", "POST", "/submissions", head + ",\"waits_on\":" + none + "}").status());
+          request("n1", "POST", "/submissions", openBody + ",\"waits_on\":" + none + "}").status());
     }
     assertEquals(
         200,
-        ask("n2", "POST", "/submissions", head + ",\"waits_on\":[\"job-777\"]}").status(),
+        request("n2", "POST", "/submissions", openBody + ",\"waits_on\":[\"job-777\"]}").status(),
         "repeated submission of a known job with other dependencies");
     assertEquals(
         200,
-        ask("n2", "POST", "/submissions", head + ",\"waits_on\":7}").status(),
+        request("n2", "POST", "/submissions", openBody + ",\"waits_on\":7}").status(),
         "repeated submission of a known job with other dependencies");
-    JobSpec twice = idle(1, 1, known, known);
+    JobSpec twice = idleJob(1, 1, known, known);
     assertEquals(201, submitAt("n2", twice).status(), "submission that names a dependency twice");
   }
 
@@ -77,21 +79,21 @@
    * A submission and the cancellation of its dependency reach two controllers within milliseconds.
    */
   @Test
-  void aSubmissionRacesWithTheCancellationOfItsDependency() {
-    List<JobSpec> after = new ArrayList<>();
+  void submissionRacesWithCancellationOfDependency() {
+    List<JobSpec> dependents = new ArrayList<>();
     users.closeLooks = true;
     for (int i = 0; i < 25; i++) {
-      JobSpec root = idle(1, 300);
+      JobSpec root = idleJob(1, 300);
       users.submit(root, false);
       cluster.play(1);
-      JobSpec next = idle(1, 5, root);
-      after.add(next);
+      JobSpec next = idleJob(1, 5, root);
+      dependents.add(next);
       cluster.at(cluster.random.nextInt(20_000), () -> users.cancel(root.uid()));
       cluster.at(cluster.random.nextInt(20_000), () -> users.submit(next, false));
       cluster.play(1);
     }
     cluster.play(20);
-    assertTold("aborted", after.toArray(new JobSpec[0]));
+    assertReportedStatus("aborted", dependents.toArray(new JobSpec[0]));
   }
 
   /**
@@ -99,8 +101,8 @@
    * value sizes and for the operations and preconditions of a transaction.
    */
   @Test
-  void anyLegalListIsTaken() {
-    deployment(6, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
+  void largestDependencyListIsAccepted() {
+    deploy(6, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = 2048;
     cluster.store.transactionOps = 4;
     List<JobSpec> roots = new ArrayList<>();
@@ -112,22 +114,22 @@
     }
     cluster.play(60);
     // The list names the ended jobs, one running job, and as many stored ends as the body holds.
-    JobSpec running = idle(1, 60);
+    JobSpec running = idleJob(1, 60);
     users.submit(running, false);
     cluster.play(10);
-    Map<String, com.fasterxml.jackson.databind.JsonNode> more =
+    Map<String, com.fasterxml.jackson.databind.JsonNode> endedRecords =
         new TreeMap<>(cluster.store.entries("ended/"));
-    List<String> names = new ArrayList<>(roots.stream().map(JobSpec::uid).toList());
+    List<String> dependencyUids = new ArrayList<>(roots.stream().map(JobSpec::uid).toList());
     for (int i = 0; i < 4_800; i++) {
-      names.add("job-5" + (10_000 + i));
-      more.put("ended/job-5" + (10_000 + i), Json.object().put("s", "done"));
+      dependencyUids.add("job-5" + (10_000 + i));
+      endedRecords.put("ended/job-5" + (10_000 + i), Json.object().put("s", "done"));
     }
-    cluster.store.rewrite("ended/", more);
-    names.add(running.uid());
-    JobSpec last = job(1, 3, JobSpec.NO_DEADLINE, Priority.HIGH, names);
+    cluster.store.rewrite("ended/", endedRecords);
+    dependencyUids.add(running.uid());
+    JobSpec last = job(1, 3, JobSpec.NO_DEADLINE, Priority.HIGH, dependencyUids);
     String body = Json.write(last.toJson());
     assertTrue(body.length() > 60_000 && body.length() <= 65_536, "body bytes: " + body.length());
-    names.forEach(
+    dependencyUids.forEach(
         n ->
             cluster.invariants.submitted.computeIfAbsent(
                 n,
@@ -138,7 +140,7 @@
                         .image("i")
                         .runS(1)
                         .build()));
-    names.stream()
+    dependencyUids.stream()
         .filter(n -> n.startsWith("job-5"))
         .forEach(n -> cluster.invariants.complete(n + "/0"));
     Answer answer = null;
@@ -149,12 +151,13 @@
     assertEquals(201, answer.status(), answer.body());
     assertEquals(
         0, cluster.store.malformed, "transactions that exceed a limit of the state service");
-    assertTrue(ask("n2", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
+    assertTrue(request("n2", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     cluster.leader().crash(1);
     cluster.play(15);
     assertFalse(cluster.invariants.began(last.uid()), "started although a dependency still runs");
     cluster.play(120);
-    assertTrue(ask("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"done\""));
+    assertTrue(
+        request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"done\""));
     assertEquals(List.of(), cluster.invariants.broken);
   }
 }
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -42,8 +42,8 @@
 final class FormatSamplesTest {
   private static final String PRODUCTION = "production";
   private static final String FIRST_WITH_DEPENDENCIES = "first-with-dependencies";
-  private static final int NOW_BYTES = 4096;
-  private static final int NEXT_BYTES = 2048;
+  private static final int CURRENT_VALUE_BYTES = 4096;
+  private static final int ANNOUNCED_VALUE_BYTES = 2048;
 
   private static byte[] sample(String version, String name) {
     try (InputStream in = FormatSamplesTest.class.getResourceAsStream("/" + version + "/" + name)) {
@@ -74,12 +74,13 @@
             new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
         false,
         InvariantChecker.CANCEL_MICROS,
-        new PlatformConfiguration.StateLimits(200, 25, NEXT_BYTES, 4, NOW_BYTES));
+        new PlatformConfiguration.StateLimits(
+            200, 25, ANNOUNCED_VALUE_BYTES, 4, CURRENT_VALUE_BYTES));
   }
 
   /** The samples of each version contain every kind of record that the version writes. */
   @Test
-  void samplesOfEveryKindAreThere() throws InvalidMessageException {
+  void samplesContainEveryKindOfRecord() throws InvalidMessageException {
     Set<String> common =
         Set.of(
             "active",
@@ -124,7 +125,7 @@
   }
 
   @Test
-  void endsTellWhenSinceTheFirstVersionWithDependencies() throws InvalidMessageException {
+  void endRecordsHoldTimeSinceFirstVersionWithDependencies() throws InvalidMessageException {
     Map<String, JsonNode> records = records(FIRST_WITH_DEPENDENCIES);
     JsonNode done = records.get("ended/job-000001");
     assertEquals(JobState.DONE, JobStore.finalState(done).orElseThrow());
@@ -139,7 +140,7 @@
    * dependency list that spans several records.
    */
   @Test
-  void chainsOfTheFormerVersionGoOn() throws InvalidMessageException {
+  void dependencyChainsOfFormerVersionResume() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(21);
     Map<String, JsonNode> records = records(FIRST_WITH_DEPENDENCIES);
     records.remove("office/leader");
@@ -168,7 +169,7 @@
     assertTrue(large.completedCount() > 10, "completed tasks: " + large.completedCount());
     assertTrue(answer(cluster, "job-000005").contains("\"aborted\""));
     assertTrue(answer(cluster, "job-000004").contains("\"pending\""));
-    end(cluster, "job-000002");
+    storeEnd(cluster, "job-000002");
     cluster.play(4);
     assertFalse(
         next.waitsForDependencies() || many.waitsForDependencies(),
@@ -182,14 +183,15 @@
    * tasks.
    */
   @Test
-  void progressInSeveralPartsIsReadByTheLimitItWasCutUpBy() throws InvalidMessageException {
+  void progressChunksAreReadWithOriginalChunkSize() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(22);
     Map<String, JsonNode> records = records(PRODUCTION, "large-progress.json");
     cluster.store.rewrite("", records);
     cluster.cloud.outage = true;
     cluster.play(4);
     BitSet done = job(cluster, "job-000001").completedTasks();
-    assertEquals(FormerVersion.progressItReads(cluster.store, NOW_BYTES).get("job-000001"), done);
+    assertEquals(
+        FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES).get("job-000001"), done);
     assertTrue(
         done.length() > 24_192, "highest completed task in the first chunk only: " + done.length());
   }
@@ -200,7 +202,7 @@
     return job.get();
   }
 
-  private static void end(SimulatedCluster cluster, String uid) {
+  private static void storeEnd(SimulatedCluster cluster, String uid) {
     String body =
         """
         {"guards":[],"then":[{"put":"ended/%s","data":{"s":"done"}},{"drop":"active/%s"}]}\
@@ -226,7 +228,7 @@
   }
 
   @Test
-  void peerMessagesAreReadAndWrittenAlike() {
+  void peerMessagesKeepTheirEncoding() {
     byte[] theirs =
         HexFormat.of()
             .parseHex(
@@ -254,8 +256,7 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {PRODUCTION, FIRST_WITH_DEPENDENCIES})
-  void aFormerVersionsDelegationIsNoRightAndGivesItNone(String version)
-      throws InvalidMessageException {
+  void delegationRecordsOfOtherVersionRenewNoLease(String version) throws InvalidMessageException {
     SimulatedCluster cluster = cluster(11);
     FakeUsers users = new FakeUsers(cluster);
     cluster.play(5);
@@ -265,13 +266,13 @@
     }
     cluster.play(45);
     String leader = cluster.leader().platform.label();
-    List<String> behind = new ArrayList<>();
+    List<String> zoneMachines = new ArrayList<>();
     for (FakeCloud.Vm machine : cluster.cloud.machines.values()) {
       if (machine.zone.equals("a") && machine.worker != null) {
-        behind.add(machine.id);
+        zoneMachines.add(machine.id);
       }
     }
-    behind.forEach(machine -> cluster.network.cut(leader, machine, true));
+    zoneMachines.forEach(machine -> cluster.network.cut(leader, machine, true));
     cluster.play(25);
     Map<String, JsonNode> samples = records(version);
     assertEquals(
@@ -288,12 +289,14 @@
         written.path("sites").isMissingNode(),
         "the present record contains the field that the former version reads");
     assertTrue(
-        renewed(cluster) > 5, "leases renewed under the present record: " + renewed(cluster));
+        delegatedRenewals(cluster) > 5,
+        "leases renewed under the present record: " + delegatedRenewals(cluster));
     cluster.store.forge("office/mandate", samples.get("office/mandate"));
     cluster.play(4);
-    long before = renewed(cluster);
+    long before = delegatedRenewals(cluster);
     cluster.play(15);
-    assertEquals(before, renewed(cluster), "leases renewed under the former version's record");
+    assertEquals(
+        before, delegatedRenewals(cluster), "leases renewed under the former version's record");
   }
 
   private static List<String> fields(JsonNode record) {
@@ -302,7 +305,7 @@
     return fields;
   }
 
-  private static long renewed(SimulatedCluster cluster) {
+  private static long delegatedRenewals(SimulatedCluster cluster) {
     return cluster.controllers.values().stream()
         .mapToLong(
             controller -> controller.controller().metrics().counter("leases_renewed_for_leader"))
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -18,7 +18,7 @@
 final class FourThousandMachinesTest {
   private static final int MACHINES = 4_200;
 
-  private static Set<String> recorded(SimulatedCluster cluster) {
+  private static Set<String> recordedMachines(SimulatedCluster cluster) {
     Set<String> names = new HashSet<>();
     cluster
         .store
@@ -46,7 +46,7 @@
       cluster.at(5_000_000L + i * 300_000L, () -> users.submit(400, 2, 40, false));
     }
     cluster.play(30);
-    assertEquals(MACHINES, recorded(cluster).size());
+    assertEquals(MACHINES, recordedMachines(cluster).size());
     assertTrue(
         cluster.leader().controller().metrics().counter("machine_lists_read") >= 2,
         "complete machine lists that were read");
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -25,7 +25,7 @@
   private FakeUsers users;
   private final List<JobSpec> jobs = new ArrayList<>();
 
-  private void deployment(long seed, long believedCancelMicros) {
+  private void deploy(long seed, long assumedCancelMicros) {
     cluster =
         new SimulatedCluster(
             seed,
@@ -34,7 +34,7 @@
                 new PlatformConfiguration.Team("red", 16, 48, 0, 0),
                 new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
             false,
-            believedCancelMicros);
+            assumedCancelMicros);
     users = new FakeUsers(cluster);
     for (int i = 0; i < 6; i++) {
       JobSpec job = TestJob.job(users.nextUid()).tasks(6).cores(2).memoryGb(2).runS(300).build();
@@ -42,10 +42,10 @@
       users.submit(job, false);
     }
     cluster.play(45);
-    assertTrue(tasksOn() >= 30, "running tasks: " + tasksOn());
+    assertTrue(runningTasks() >= 30, "running tasks: " + runningTasks());
   }
 
-  private int tasksOn() {
+  private int runningTasks() {
     return (int)
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null)
@@ -54,8 +54,11 @@
             .count();
   }
 
-  private SimulatedController other(SimulatedController than) {
-    return cluster.controllers.values().stream().filter(m -> m != than).findFirst().orElseThrow();
+  private SimulatedController anyControllerExcept(SimulatedController excluded) {
+    return cluster.controllers.values().stream()
+        .filter(m -> m != excluded)
+        .findFirst()
+        .orElseThrow();
   }
 
   /** Cancels the job through the controller and passes the status code of the answer on. */
@@ -70,18 +73,23 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {71, 72, 73, 74})
-  void cancelledThroughAnotherControllerBeforeALongOutage(long seed) {
-    deployment(seed, InvariantChecker.CANCEL_MICROS);
+  void cancelledThroughAnotherControllerBeforeLongOutage(long seed) {
+    deploy(seed, InvariantChecker.CANCEL_MICROS);
     SimulatedController leader = cluster.leader();
     String label = leader.platform.label();
     cluster.store.refused.add(label);
-    List<Integer> told = new ArrayList<>();
+    List<Integer> statuses = new ArrayList<>();
     cluster.at(
-        300_000, () -> jobs.subList(0, 4).forEach(j -> cancelAt(other(leader), j, told::add)));
+        300_000,
+        () ->
+            jobs.subList(0, 4)
+                .forEach(j -> cancelAt(anyControllerExcept(leader), j, statuses::add)));
     cluster.at(1_200_000 + 200_000 * (seed % 4), () -> cluster.store.outage = true);
     cluster.play(2);
     assertEquals(
-        List.of(200, 200, 200, 200), told, "status codes of the cancellations before the outage");
+        List.of(200, 200, 200, 200),
+        statuses,
+        "status codes of the cancellations before the outage");
     assertTrue(
         cluster.store.refusals.getOrDefault(label, 0) > 0, "no request of the leader was refused");
     cluster.play(1);
@@ -93,7 +101,7 @@
     assertEquals(List.of(), cluster.invariants.broken);
     jobs.subList(0, 4)
         .forEach(j -> assertEquals("aborted", cluster.invariants.lastTold.get(j.uid())));
-    assertNotEquals(0, tasksOn(), "running tasks of the jobs that were not cancelled");
+    assertNotEquals(0, runningTasks(), "running tasks of the jobs that were not cancelled");
   }
 
   /**
@@ -101,28 +109,28 @@
    * answered and its peers cannot reach it. Only the bound on worker lease renewals can end the
    * cancelled tasks in time.
    *
-   * @param believedCancelMicros time limit of a cancellation that the controllers assume
+   * @param assumedCancelMicros time limit of a cancellation that the controllers assume
    */
-  private void withoutWatches(long believedCancelMicros) {
-    deployment(75, believedCancelMicros);
+  private void cancelWithoutWatches(long assumedCancelMicros) {
+    deploy(75, assumedCancelMicros);
     SimulatedController leader = cluster.leader();
     cluster.store.unwatched.add(leader.platform.label());
     cluster.play(2);
-    List<Integer> told = new ArrayList<>();
+    List<Integer> statuses = new ArrayList<>();
     // Prevents the peers from notifying the leader of the cancellations.
     cluster.controllers.keySet().stream()
         .filter(o -> !o.equals(leader.platform.label()))
         .forEach(o -> cluster.network.cut(leader.platform.label(), o, true));
-    jobs.subList(0, 4).forEach(j -> cancelAt(other(leader), j, told::add));
+    jobs.subList(0, 4).forEach(j -> cancelAt(anyControllerExcept(leader), j, statuses::add));
     cluster.play(1);
-    assertEquals(List.of(200, 200, 200, 200), told);
+    assertEquals(List.of(200, 200, 200, 200), statuses);
     cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 5);
     assertTrue(leader.leads(), "the leader lost leadership");
   }
 
   @Test
-  void aLeaderThatHearsOfNoEndsLetsLeasesLapseInTime() {
-    withoutWatches(InvariantChecker.CANCEL_MICROS);
+  void leaderWithoutWatchesLetsLeasesLapseInTime() {
+    cancelWithoutWatches(InvariantChecker.CANCEL_MICROS);
     assertEquals(List.of(), cluster.invariants.broken);
     assertTrue(
         cluster.leader().controller().metrics().counter("renewals_refused") > 0,
@@ -134,8 +142,8 @@
    * hour for a cancellation keeps renewing the leases.
    */
   @Test
-  void withoutTheBoundCancelledTasksOutliveTheirTime() {
-    withoutWatches(3_600_000_000L);
+  void withoutBoundCancelledTasksOutliveTimeLimit() {
+    cancelWithoutWatches(3_600_000_000L);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_cancelled")),
         "the invariant check did not detect the missing bound");
@@ -146,17 +154,17 @@
    * the leader stops the tasks long before their leases end.
    */
   @Test
-  void peersTellWhatTheStateServiceDoesNot() {
-    deployment(77, InvariantChecker.CANCEL_MICROS);
+  void peersNotifyLeaderOfCancellations() {
+    deploy(77, InvariantChecker.CANCEL_MICROS);
     SimulatedController leader = cluster.leader();
     cluster.store.unwatched.add(leader.platform.label());
     cluster.play(2);
-    List<Integer> told = new ArrayList<>();
-    jobs.subList(0, 4).forEach(j -> cancelAt(other(leader), j, told::add));
+    List<Integer> statuses = new ArrayList<>();
+    jobs.subList(0, 4).forEach(j -> cancelAt(anyControllerExcept(leader), j, statuses::add));
     cluster.play(8);
-    assertEquals(List.of(200, 200, 200, 200), told);
+    assertEquals(List.of(200, 200, 200, 200), statuses);
     assertTrue(leader.leads());
-    long on =
+    long cancelledTasksRunning =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null)
             .flatMap(v -> v.worker.tasks.values().stream())
@@ -166,8 +174,9 @@
                         && jobs.subList(0, 4).stream()
                             .anyMatch(j -> t.name.startsWith(j.uid() + "/")))
             .count();
-    assertEquals(0, on, "running tasks of cancelled jobs before their leases end");
-    assertTrue(tasksOn() > 0, "no task of the other jobs runs");
+    assertEquals(
+        0, cancelledTasksRunning, "running tasks of cancelled jobs before their leases end");
+    assertTrue(runningTasks() > 0, "no task of the other jobs runs");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
@@ -176,27 +185,28 @@
    * ended.
    */
   @Test
-  void aLeaderThatHasNotReadItsJobsRenewsNothing() {
-    deployment(76, InvariantChecker.CANCEL_MICROS);
+  void leaderRenewsNothingBeforeReadingJobs() {
+    deploy(76, InvariantChecker.CANCEL_MICROS);
     cluster.store.slowPrefix = "active/";
     cluster.leader().crash(20);
     cluster.play(8);
-    SimulatedController next = cluster.leader();
+    SimulatedController newLeader = cluster.leader();
     long[] sent = new long[1];
     int[] status = new int[1];
-    FakeCloud.Vm busy =
+    FakeCloud.Vm machineWithTasks =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
             .findFirst()
             .orElseThrow();
     sent[0] = cluster.now();
     long[] answered = new long[1];
-    next.controller()
+    newLeader
+        .controller()
         .router()
         .handle(
             "POST",
             ProtocolPath.HEARTBEAT,
-            busy.worker.statusBytes(),
+            machineWithTasks.worker.statusBytes(),
             (s, json, retry) -> {
               status[0] = s;
               answered[0] = cluster.now();
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -33,13 +33,13 @@
             false);
     cluster.cloud.most = 1_000;
     FakeUsers users = new FakeUsers(cluster);
-    List<JobSpec> all = new ArrayList<>();
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
       int number = i;
-      cluster.at(number * 900_000L, () -> all.add(submit(users, number, TASKS)));
+      cluster.at(number * 900_000L, () -> jobs.add(submit(users, number, TASKS)));
     }
     cluster.play(75);
-    assertALargeFleetIsOnRecord(cluster);
+    assertLargeFleetRecorded(cluster);
     cluster.leader().crash(5);
     cluster.play(12);
     assertTrue(
@@ -60,12 +60,12 @@
     cluster.play(360);
     cluster.invariants.checkServed();
     assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals(JOBS, all.size());
-    all.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
+    assertEquals(JOBS, jobs.size());
+    jobs.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
     assertTrue(
         cluster.invariants.starts >= JOBS * TASKS, "task starts: " + cluster.invariants.starts);
     assertStateServiceLimitsKept(cluster);
-    long candidates = counted(cluster, "candidates_evaluated");
+    long candidates = counterTotal(cluster, "candidates_evaluated");
     assertTrue(candidates > 0 && candidates < 3_000_000, "candidates evaluated: " + candidates);
   }
 
@@ -74,7 +74,7 @@
    * every machine for every waiting job.
    */
   @Test
-  void passesStayShortWhereHundredsOfJobsWait() {
+  void schedulingPassesStayShortWithHundredsOfWaitingJobs() {
     SimulatedCluster cluster =
         new SimulatedCluster(
             78,
@@ -93,9 +93,9 @@
     cluster.play(10);
     long candidates =
         cluster.leader().controller().metrics().counter("candidates_evaluated") - before;
-    long rounds = 10_000_000 / 150_000;
+    long passes = 10_000_000 / 150_000;
     assertTrue(
-        candidates > 0 && candidates < rounds * cluster.cloud.machines.size() * 30,
+        candidates > 0 && candidates < passes * cluster.cloud.machines.size() * 30,
         "candidates evaluated: "
             + candidates
             + " for "
@@ -111,7 +111,7 @@
    * machine.
    */
   @Test
-  void sixteenHundredMachinesThroughFailuresOfMany() {
+  void sixteenHundredMachinesThroughMassFailures() {
     SimulatedCluster cluster =
         new SimulatedCluster(
             78,
@@ -122,12 +122,12 @@
             false);
     cluster.cloud.most = 1_600;
     FakeUsers users = new FakeUsers(cluster);
-    List<JobSpec> all = new ArrayList<>();
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 110; i++) {
       int number = i;
       cluster.at(
           number < 70 ? number * 300_000L : 21_000_000L + number * 700_000L,
-          () -> all.add(submit(users, number, number < 70 ? 140 : 40)));
+          () -> jobs.add(submit(users, number, number < 70 ? 140 : 40)));
     }
     cluster.play(60);
     assertTrue(cluster.cloud.machines.size() > 1_300, "machines: " + cluster.cloud.machines.size());
@@ -153,13 +153,13 @@
     cluster.play(400);
     cluster.invariants.checkServed();
     assertEquals(List.of(), cluster.invariants.broken);
-    all.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
+    jobs.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
     assertStateServiceLimitsKept(cluster);
     // One socket for each worker, plus calls in flight. The users' own zones have room for 300 more
     // sockets.
     assertTrue(cluster.mostSockets <= 1_600 + 112, "sockets in use: " + cluster.mostSockets);
-    long candidates = counted(cluster, "candidates_evaluated");
-    long heartbeats = counted(cluster, "heartbeats");
+    long candidates = counterTotal(cluster, "candidates_evaluated");
+    long heartbeats = counterTotal(cluster, "heartbeats");
     assertTrue(
         heartbeats > 10_000 && candidates / heartbeats < 60,
         "candidates evaluated per heartbeat: " + candidates / heartbeats);
@@ -184,7 +184,7 @@
     return job;
   }
 
-  private static void assertALargeFleetIsOnRecord(SimulatedCluster cluster) {
+  private static void assertLargeFleetRecorded(SimulatedCluster cluster) {
     int machines = cluster.cloud.machines.size();
     assertTrue(machines > 450, "rented machines: " + machines);
     assertTrue(
@@ -217,7 +217,7 @@
         "changes in the busiest second: " + cluster.store.mostChanges);
   }
 
-  private static long counted(SimulatedCluster cluster, String counter) {
+  private static long counterTotal(SimulatedCluster cluster, String counter) {
     return cluster.controllers.values().stream()
         .mapToLong(controller -> controller.controller().metrics().counter(counter))
         .sum();
@@ -254,12 +254,12 @@
   }
 
   private static void cutZoneB(SimulatedCluster cluster) {
-    List<String> behind =
+    List<String> zoneMachines =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.zone.equals("b"))
             .map(v -> v.id)
             .toList();
-    behind.forEach(
+    zoneMachines.forEach(
         h -> {
           cluster.network.cuts.put("*>" + h, true);
           cluster.network.cuts.put(h + ">*", true);
--- a/src/test/java/plumlever/sim/LoadStand.java
+++ b/src/test/java/plumlever/sim/LoadTestServer.java
@@ -29,13 +29,13 @@
  * of machines (half with four cores, half with sixteen), jobs per second (of twenty tasks each),
  * duration in seconds, and first port. Several instances can run side by side on different ports.
  */
-final class LoadStand {
-  private static final int STATE = 1;
-  private static final int CLOUD = 2;
-  private static final int WORKERS = 3;
-  private static final int FRONT = 100;
-  private static final int BACK = 200;
-  private static final long TURN_MICROS = 1_000;
+final class LoadTestServer {
+  private static final int STATE_PORT_OFFSET = 1;
+  private static final int CLOUD_PORT_OFFSET = 2;
+  private static final int WORKER_PORT_OFFSET = 3;
+  private static final int USER_PORT_OFFSET = 100;
+  private static final int PEER_PORT_OFFSET = 200;
+  private static final long STEP_MICROS = 1_000;
 
   private final XnioWorker worker;
   private final XnioLoop loop;
@@ -44,12 +44,13 @@
   private final Map<Endpoint, Server> listeners = new HashMap<>();
   private final FakeUsers users;
   private final double jobsPerS;
-  private final int port;
-  private long openedMicros;
+  private final int firstPort;
+  private long startedMicros;
   private double submitted;
 
-  private LoadStand(int controllers, int machines, double jobsPerS, int port) throws IOException {
-    this.port = port;
+  private LoadTestServer(int controllers, int machines, double jobsPerS, int firstPort)
+      throws IOException {
+    this.firstPort = firstPort;
     this.jobsPerS = jobsPerS;
     worker =
         Xnio.getInstance()
@@ -60,9 +61,9 @@
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
     loop = new XnioLoop(worker.getIoThread());
-    Set<String> names = new LinkedHashSet<>();
+    Set<String> labels = new LinkedHashSet<>();
     for (int i = 0; i < controllers; i++) {
-      names.add("n" + i);
+      labels.add("n" + i);
     }
     cluster =
         new SimulatedCluster(
@@ -70,14 +71,15 @@
             List.of(
                 new PlatformConfiguration.Team("red", 0, 0, 0, 0),
                 new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
-            names);
+            labels);
     cluster.cloud.most = machines;
     cluster.workerAt =
         id ->
             new Endpoint(
-                "127.1." + number(id) / 250 + "." + (number(id) % 250 + 1), port + WORKERS);
+                "127.1." + machineNumber(id) / 250 + "." + (machineNumber(id) % 250 + 1),
+                firstPort + WORKER_PORT_OFFSET);
     for (int i = 0; i < controllers; i++) {
-      Endpoint real = new Endpoint("127.0.0.1", port + FRONT + i);
+      Endpoint userEndpoint = new Endpoint("127.0.0.1", firstPort + USER_PORT_OFFSET + i);
       cluster.network.services.put(
           new Endpoint("n" + i, 1),
           (from, method, path, body, reply) ->
@@ -90,7 +92,7 @@
                               worker.getIoThread(),
                               new DefaultByteBufferPool(false, 8192, 64, 4)))
                   .call(
-                      real,
+                      userEndpoint,
                       method,
                       path,
                       body == null ? null : body.getBytes(StandardCharsets.UTF_8),
@@ -104,37 +106,37 @@
     users = new FakeUsers(cluster);
   }
 
-  private static int number(String id) {
+  private static int machineNumber(String id) {
     return Integer.parseInt(id.substring(2));
   }
 
-  private Server listen(Endpoint at, SimulatedNetwork.Service service) {
+  private Server listen(Endpoint endpoint, SimulatedNetwork.Service service) {
     Server server =
         new Server(
             worker,
-            at,
+            endpoint,
             4_096,
             60_000_000,
             8 << 20,
-            (method, path, body, out) ->
+            (method, path, body, response) ->
                 service.handle(
                     "n0",
                     method,
                     path,
                     body.length == 0 ? null : new String(body, StandardCharsets.UTF_8),
-                    (status, text) -> out.send(status, text)));
+                    (status, text) -> response.send(status, text)));
     server.start();
     return server;
   }
 
-  private void turn() {
+  private void step() {
     long now = loop.nowMicros();
-    cluster.turnTo(now - openedMicros + 1_000_000_000L);
-    for (submitted += jobsPerS * TURN_MICROS / 1e6; submitted >= 1; submitted--) {
+    cluster.turnTo(now - startedMicros + 1_000_000_000L);
+    for (submitted += jobsPerS * STEP_MICROS / 1e6; submitted >= 1; submitted--) {
       users.submit(20, 2, 20, false);
     }
     for (Endpoint endpoint : List.copyOf(cluster.network.services.keySet())) {
-      if (endpoint.port() == port + WORKERS && !listeners.containsKey(endpoint)) {
+      if (endpoint.port() == firstPort + WORKER_PORT_OFFSET && !listeners.containsKey(endpoint)) {
         listeners.put(
             endpoint,
             listen(
@@ -147,51 +149,48 @@
                 }));
       }
     }
-    loop.after(TURN_MICROS, this::turn);
+    loop.after(STEP_MICROS, this::step);
   }
 
-  private void open() {
-    openedMicros = loop.nowMicros();
-    listen(new Endpoint("127.0.0.1", port + STATE), cluster.store);
-    listen(new Endpoint("127.0.0.1", port + CLOUD), cluster.cloud);
-    turn();
+  private void start() {
+    startedMicros = loop.nowMicros();
+    listen(new Endpoint("127.0.0.1", firstPort + STATE_PORT_OFFSET), cluster.store);
+    listen(new Endpoint("127.0.0.1", firstPort + CLOUD_PORT_OFFSET), cluster.cloud);
+    step();
   }
 
-  private static String settings(int controller, int controllers, int port) {
-    StringBuilder request =
+  private static String settings(int controller, int controllers, int firstPort) {
+    StringBuilder toml =
         new StringBuilder(
             "label = \"n"
                 + controller
                 + "\"\narea = \"z\"\nbind = \"127.0.0.1:"
-                + (port + FRONT + controller)
+                + (firstPort + USER_PORT_OFFSET + controller)
                 + "\"\nback = \"127.0.0.1:"
-                + (port + BACK + controller)
+                + (firstPort + PEER_PORT_OFFSET + controller)
                 + "\"\n");
     for (int j = 0; j < controllers; j++) {
       if (j != controller) {
-        request
-            .append("[[seeds]]\nlabel = \"n")
+        toml.append("[[seeds]]\nlabel = \"n")
             .append(j)
             .append("\"\narea = \"z\"\nendpoint = \"127.0.0.1:")
-            .append(port + BACK + j)
+            .append(firstPort + PEER_PORT_OFFSET + j)
             .append("\"\n");
       }
     }
-    request
-        .append("[outside]\ncloud = \"127.0.0.1:")
-        .append(port + CLOUD)
+    toml.append("[outside]\ncloud = \"127.0.0.1:")
+        .append(firstPort + CLOUD_PORT_OFFSET)
         .append("\"\nstate = \"127.0.0.1:")
-        .append(port + STATE)
+        .append(firstPort + STATE_PORT_OFFSET)
         .append("\"\n[deployment]\ncount = ")
         .append(controllers)
         .append("\nzones = [\"a\", \"b\"]\nskew_ms = 25.0\n");
     for (String team : List.of("red", "blue")) {
-      request
-          .append("[[deployment.teams]]\nname = \"")
+      toml.append("[[deployment.teams]]\nname = \"")
           .append(team)
           .append("\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n");
     }
-    return request
+    return toml
         + """
         [[deployment.objectives]]
         kind = "wait"
@@ -218,22 +217,23 @@
   }
 
   public static void main(String[] args) throws IOException, InterruptedException {
-    Path folder = Path.of(args[0]);
+    Path directory = Path.of(args[0]);
     int controllers = Integer.parseInt(args[1]);
-    int port = Integer.parseInt(args[5]);
-    Files.createDirectories(folder);
+    int firstPort = Integer.parseInt(args[5]);
+    Files.createDirectories(directory);
     for (int i = 0; i < controllers; i++) {
-      Files.writeString(folder.resolve("n" + i + ".toml"), settings(i, controllers, port));
+      Files.writeString(directory.resolve("n" + i + ".toml"), settings(i, controllers, firstPort));
     }
-    LoadStand stand =
-        new LoadStand(controllers, Integer.parseInt(args[2]), Double.parseDouble(args[3]), port);
-    stand.loop.execute(stand::open);
+    LoadTestServer server =
+        new LoadTestServer(
+            controllers, Integer.parseInt(args[2]), Double.parseDouble(args[3]), firstPort);
+    server.loop.execute(server::start);
     Thread.sleep(Long.parseLong(args[4]) * 1_000);
     System.out.println(
         "machines "
-            + stand.cluster.cloud.machines.size()
+            + server.cluster.cloud.machines.size()
             + ", violations "
-            + stand.cluster.invariants.broken);
+            + server.cluster.invariants.broken);
     System.exit(0);
   }
 }
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -20,16 +20,16 @@
 final class PipelinesTest extends DependencyScenario {
   @Test
   void stagesRunOneAfterTheOther() {
-    List<JobSpec> list = pipeline();
-    users.pipeline(list, false);
+    List<JobSpec> stages = pipeline();
+    users.pipeline(stages, false);
     cluster.play(10);
-    assertEquals("pending", told(list.get(4)));
+    assertEquals("pending", reportedStatus(stages.get(4)));
     cluster.play(120);
-    assertTold("done", list.toArray(new JobSpec[0]));
+    assertReportedStatus("done", stages.toArray(new JobSpec[0]));
     List<JobSpec> late = pipeline();
     users.pipeline(late, true);
     cluster.play(120);
-    assertTold("done", late.toArray(new JobSpec[0]));
+    assertReportedStatus("done", late.toArray(new JobSpec[0]));
   }
 
   /**
@@ -37,7 +37,7 @@
    * on standby for the job.
    */
   @Test
-  void aWaitingJobHoldsNothing() {
+  void waitingJobUsesNoLimitAndNoStandbyMachines() {
     JobSpec first = job(2, 60, JobSpec.NO_DEADLINE, Priority.IDLE, List.of());
     JobSpec large =
         TestJob.job(users.nextUid())
@@ -62,21 +62,21 @@
             .build();
     users.submit(other, false);
     cluster.play(50);
-    assertEquals("pending", told(large));
-    assertTold("done", other);
+    assertEquals("pending", reportedStatus(large));
+    assertReportedStatus("done", other);
     cluster.play(100);
-    assertTold("done", large);
+    assertReportedStatus("done", large);
   }
 
   /** The leader changes repeatedly while stages wait and while a stage ends. */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 4})
-  void aChainGoesOnAcrossAChangeOfLeader(double backAfterS) {
-    List<JobSpec> all = new ArrayList<>();
+  void chainContinuesAcrossLeaderChanges(double backAfterS) {
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      List<JobSpec> list = pipeline();
-      all.addAll(list);
-      users.pipeline(list, i % 2 == 0);
+      List<JobSpec> stages = pipeline();
+      jobs.addAll(stages);
+      users.pipeline(stages, i % 2 == 0);
     }
     long term = cluster.store.term();
     for (int i = 0; i < 5; i++) {
@@ -86,18 +86,18 @@
     }
     cluster.play(150);
     assertTrue(cluster.store.term() - term >= 5, "too few changes of the leader");
-    assertTold("done", all.toArray(new JobSpec[0]));
+    assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 
   /** The transaction that stores the end of a dependency is applied, but its answer is lost. */
   @Test
-  void anEndWithoutAnAnswerReleasesAllTheSame() {
-    List<JobSpec> list = pipeline();
-    cluster.store.answerLostOnce = "ended/" + list.get(0).uid();
-    users.pipeline(list, false);
+  void endWithLostAnswerReleasesDependents() {
+    List<JobSpec> stages = pipeline();
+    cluster.store.answerLostOnce = "ended/" + stages.get(0).uid();
+    users.pipeline(stages, false);
     cluster.play(120);
     assertEquals(1, cluster.store.appliedUnanswered);
-    assertTold("done", list.toArray(new JobSpec[0]));
+    assertReportedStatus("done", stages.toArray(new JobSpec[0]));
   }
 
   /**
@@ -105,41 +105,43 @@
    * dependency chains again.
    */
   @Test
-  void recordsThatAreTooOldAreReadAnew() {
+  void staleWatchesReadChainsAgain() {
     cluster.store.remembered = 3;
-    List<JobSpec> all = new ArrayList<>();
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      List<JobSpec> list = pipeline();
-      all.addAll(list);
-      users.pipeline(list, false);
+      List<JobSpec> stages = pipeline();
+      jobs.addAll(stages);
+      users.pipeline(stages, false);
     }
     cluster.play(200);
-    assertTold("done", all.toArray(new JobSpec[0]));
+    assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 
   /** The cost of a status query does not grow with the length of the dependency chain. */
   @Test
-  void questionsAboutALongChainAreFew() {
-    List<JobSpec> all = new ArrayList<>();
+  void statusQueriesOnLongChainAreCheap() {
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
-      JobSpec job = i == 0 ? idle(1, 900) : idle(1, 5, all.get(i - 1));
-      all.add(job);
+      JobSpec job = i == 0 ? idleJob(1, 900) : idleJob(1, 5, jobs.get(i - 1));
+      jobs.add(job);
       assertEquals(201, submitAt("n0", job).status());
     }
-    JobSpec last = all.get(299);
-    assertEquals(200, ask("n1", "GET", "/submissions/" + last.uid(), null).status());
+    JobSpec last = jobs.get(299);
+    assertEquals(200, request("n1", "GET", "/submissions/" + last.uid(), null).status());
     cluster.store.requestsSeen = 0;
     for (int i = 0; i < 10; i++) {
-      assertTrue(ask("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
+      assertTrue(
+          request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     }
     assertTrue(
         cluster.store.requestsSeen < 60,
         "requests to the state service during ten status queries: " + cluster.store.requestsSeen);
     assertTrue(
-        ask("n2", "POST", "/submissions/" + all.get(0).uid() + "/abort", "")
+        request("n2", "POST", "/submissions/" + jobs.get(0).uid() + "/abort", "")
             .body()
             .contains("aborted"));
-    assertTrue(ask("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
+    assertTrue(
+        request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
     cluster.play(120);
     assertEquals(
         0,
@@ -160,22 +162,22 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void troubledDayWithPipelines(long seed) {
-    deployment(4_000 + seed, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
+  void randomFaultsWithPipelines(long seed) {
+    deploy(4_000 + seed, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = seed % 2 == 0 ? 2048 : 4096;
     cluster.store.transactionOps = seed % 2 == 0 ? 4 : 8;
     users.closeLooks = seed % 2 == 0;
-    List<JobSpec> all = new ArrayList<>();
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 14; i++) {
-      List<JobSpec> list = pipeline();
-      all.addAll(list);
+      List<JobSpec> stages = pipeline();
+      jobs.addAll(stages);
       boolean late = i % 4 == 0;
-      cluster.at(i * 15_000_000L, () -> users.pipeline(list, late));
+      cluster.at(i * 15_000_000L, () -> users.pipeline(stages, late));
       if (i % 5 == 0) {
-        JobSpec off = list.get(cluster.random.nextInt(list.size()));
+        JobSpec jobToCancel = stages.get(cluster.random.nextInt(stages.size()));
         cluster.at(
             i * 15_000_000L + 3_000_000 + cluster.random.nextLong(25_000_000),
-            () -> users.cancelOnceAccepted(off.uid()));
+            () -> users.cancelOnceAccepted(jobToCancel.uid()));
       }
       cluster.at(
           i * 15_000_000L,
@@ -211,10 +213,12 @@
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals(
         0, cluster.store.malformed, "transactions that exceed a limit of the state service");
-    for (JobSpec job : all) {
-      assertTrue(List.of("done", "aborted").contains(told(job)), job.uid() + " " + told(job));
+    for (JobSpec job : jobs) {
+      assertTrue(
+          List.of("done", "aborted").contains(reportedStatus(job)),
+          job.uid() + " " + reportedStatus(job));
     }
-    assertNotEquals(0, all.stream().filter(j -> told(j).equals("done")).count());
+    assertNotEquals(0, jobs.stream().filter(j -> reportedStatus(j).equals("done")).count());
   }
 
   /**
@@ -222,7 +226,7 @@
    * dependencies make jobs start too early.
    */
   @Test
-  void withoutTheRecordJobsStartTooEarly() {
+  void withoutStoredDependenciesJobsStartTooEarly() {
     cluster.store.lostField = "waits_on";
     users.pipeline(pipeline(), false);
     cluster.play(80);
@@ -233,8 +237,8 @@
 
   /** The first job inherits deadline and priority of the last job, also under a new leader. */
   @Test
-  void aDeadlineReachesBackAtANewLeader() {
-    JobSpec first = idle(1, 300);
+  void deadlineIsInheritedUnderNewLeader() {
+    JobSpec first = idleJob(1, 300);
     JobSpec last = job(1, 10, 400, Priority.HIGH, List.of(first.uid()));
     submit(first, last);
     cluster.play(10);
@@ -249,7 +253,7 @@
       cluster.leader().crash(1);
       cluster.play(15);
     }
-    assertEquals(200, ask("n0", "POST", "/submissions/" + last.uid() + "/abort", "").status());
+    assertEquals(200, request("n0", "POST", "/submissions/" + last.uid() + "/abort", "").status());
     cluster.play(2);
     assertEquals(
         Priority.IDLE,
@@ -260,12 +264,12 @@
 
   /** Any number of jobs may depend on a job that was accepted before them. */
   @Test
-  void aThousandMayWaitOnOne() {
-    JobSpec root = idle(1, 30);
+  void manyJobsMayDependOnOne() {
+    JobSpec root = idleJob(1, 30);
     assertEquals(201, submitAt("n0", root).status());
-    List<JobSpec> all = IntStream.range(0, 120).mapToObj(i -> idle(1, 1, root)).toList();
-    all.forEach(j -> users.submit(j, false));
+    List<JobSpec> jobs = IntStream.range(0, 120).mapToObj(i -> idleJob(1, 1, root)).toList();
+    jobs.forEach(j -> users.submit(j, false));
     cluster.play(150);
-    assertTold("done", all.toArray(new JobSpec[0]));
+    assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 }
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -17,17 +17,17 @@
 
 /** A simulated pool of three shards with two controllers each, and operations on it for tests. */
 final class PoolScenario {
-  static final String GIVER = "east";
-  static final String TAKER = "north";
+  static final String SOURCE = "east";
+  static final String TARGET = "north";
   static final String THIRD = "west";
 
   static final List<SharingSettings.Shard> SHARDS =
       List.of(
-          new SharingSettings.Shard(GIVER, "east/", Set.of("n0", "n1"), 0, 1),
-          new SharingSettings.Shard(TAKER, "north/", Set.of("n2", "n3"), 0, 1),
+          new SharingSettings.Shard(SOURCE, "east/", Set.of("n0", "n1"), 0, 1),
+          new SharingSettings.Shard(TARGET, "north/", Set.of("n2", "n3"), 0, 1),
           new SharingSettings.Shard(THIRD, "west/", Set.of("n4", "n5"), 0, 1));
 
-  private static final double CLAIMED_S = 40;
+  private static final double MACHINES_CLAIMED_AFTER_S = 40;
 
   final SimulatedCluster cluster;
   final FakeUsers users;
@@ -59,7 +59,7 @@
     cluster.cloud.most = 1;
     cluster.cloud.provide(machines);
     users = new FakeUsers(cluster);
-    cluster.play(CLAIMED_S);
+    cluster.play(MACHINES_CLAIMED_AFTER_S);
   }
 
   /** Submits a job with one processor per task through a controller of the job's shard. */
@@ -100,15 +100,15 @@
   }
 
   /** Returns the shard's machines with running tasks, the machine with the most tasks first. */
-  List<String> busy(String shard) {
+  List<String> machinesWithTasks(String shard) {
     return cluster.cloud.machines.values().stream()
-        .filter(vm -> vm.worker != null && running(vm.id) > 0 && ownerOf(vm.id).equals(shard))
-        .sorted((one, other) -> Integer.compare(running(other.id), running(one.id)))
+        .filter(vm -> vm.worker != null && runningTasks(vm.id) > 0 && ownerOf(vm.id).equals(shard))
+        .sorted((one, other) -> Integer.compare(runningTasks(other.id), runningTasks(one.id)))
         .map(vm -> vm.id)
         .toList();
   }
 
-  int running(String machine) {
+  int runningTasks(String machine) {
     FakeCloud.Vm vm = cluster.cloud.machines.get(machine);
     return vm == null || vm.worker == null
         ? 0
@@ -119,32 +119,32 @@
     return cluster.cloud.machines.get(machine).worker;
   }
 
-  void give(String from, String machine, String to) {
+  void transfer(String from, String machine, String to) {
     assertTrue(
         cluster.leader(from).actingLeader().transfer(machine, to),
         machine + " cannot be transferred by " + from);
   }
 
   /** Transfers the machine as soon as a leader of the source shard accepts the request. */
-  void giveSoon(String from, String machine, String to) {
+  void transferWhenPossible(String from, String machine, String to) {
     cluster.at(
         0,
         () -> {
-          boolean given =
+          boolean accepted =
               cluster.shard(from).stream()
                   .filter(SimulatedController::leads)
                   .anyMatch(leader -> leader.actingLeader().transfer(machine, to));
-          if (!given) {
-            cluster.at(200_000, () -> giveSoon(from, machine, to));
+          if (!accepted) {
+            cluster.at(200_000, () -> transferWhenPossible(from, machine, to));
           }
         });
   }
 
   /** Runs the action immediately before the n-th transaction on transfer records from now on. */
-  void beforeStep(int number, Runnable action) {
+  void beforeTransferStep(int number, Runnable action) {
     cluster.store.interveneBefore = "pool/transfers/";
     cluster.store.intervention =
-        number == 1 ? action : () -> cluster.at(0, () -> beforeStep(number - 1, action));
+        number == 1 ? action : () -> cluster.at(0, () -> beforeTransferStep(number - 1, action));
   }
 
   void cancel(String controller, JobSpec job, Consumer<Integer> status) {
@@ -156,7 +156,7 @@
    * violated, and no transfer record remains. Cancelled jobs must be reported as cancelled, all
    * others as done.
    */
-  void endsWell(double seconds) {
+  void assertAllJobsEnd(double seconds) {
     cluster.network.cuts.clear();
     cluster.store.refused.clear();
     cluster.store.unwatched.clear();
@@ -172,7 +172,7 @@
   }
 
   /** Asserts that every task was started exactly once. */
-  void nothingWasStartedAnew() {
+  void assertEveryTaskStartedOnce() {
     int tasks = jobs.stream().mapToInt(JobSpec::taskCount).sum();
     assertEquals(tasks, cluster.invariants.starts, "number of task starts");
   }
--- a/src/test/java/plumlever/sim/SharingMeasurement.java
+++ b/src/test/java/plumlever/sim/SharingBenchmark.java
@@ -24,7 +24,7 @@
  * <p>Arguments: number of machines, mode ({@code shared}, {@code fixed} or {@code one}), and
  * optionally the limit of concurrent transfers per shard.
  */
-final class SharingMeasurement {
+final class SharingBenchmark {
   private static final int PHASES = 3;
   private static final double PHASE_S = 90;
   private static final double TASK_S = 20;
@@ -32,14 +32,14 @@
   private static final double CORES_PER_MACHINE = 7;
 
   /** Processors that one shard requests in its phase, as a fraction of all processors. */
-  private static final double LOAD = 1.5;
+  private static final double LOAD_FACTOR = 1.5;
 
   private final SimulatedCluster cluster;
   private final FakeUsers users;
   private final List<JobSpec> jobs = new ArrayList<>();
   private final String mode;
 
-  private SharingMeasurement(int machines, String mode, int mostMoving) {
+  private SharingBenchmark(int machines, String mode, int maxTransfers) {
     this.mode = mode;
     List<SharingSettings.Shard> shards = mode.equals("one") ? List.of() : PoolScenario.SHARDS;
     cluster =
@@ -51,14 +51,14 @@
             InvariantChecker.CANCEL_MICROS,
             new PlatformConfiguration.StateLimits(300, 40, 16_384, 12),
             shards);
-    cluster.mostMoving = mostMoving;
+    cluster.mostMoving = maxTransfers;
     cluster.cloud.most = 1;
     cluster.cloud.provide(machines);
     users = new FakeUsers(cluster);
   }
 
   /** Prevents transfers: shards with different sharing files do not transfer machines. */
-  private void fixShares() {
+  private void disableSharing() {
     for (SharingSettings.Shard shard : PoolScenario.SHARDS) {
       cluster.digests.put(shard.name(), shard.name());
       cluster.shard(shard.name()).forEach(controller -> controller.crash(0.5));
@@ -82,7 +82,7 @@
     users.submit(job, false);
   }
 
-  private long counted(String counter) {
+  private long counterTotal(String counter) {
     return cluster.controllers.values().stream()
         .mapToLong(controller -> controller.controller().metrics().counter(counter))
         .sum();
@@ -91,68 +91,68 @@
   private void run(int machines) {
     cluster.play(60);
     if (mode.equals("fixed")) {
-      fixShares();
+      disableSharing();
     }
     int changesBefore = cluster.store.changesOf("");
     int requestsBefore = cluster.store.requestsSeen;
-    long takenBefore = counted("machines_taken");
-    List<String> phases = new ArrayList<>();
+    long takenBefore = counterTotal("machines_taken");
+    List<String> phaseReports = new ArrayList<>();
     for (int phase = 0; phase < PHASES; phase++) {
-      phases.add(phase(phase, machines));
+      phaseReports.add(runPhase(phase, machines));
     }
-    long moves = counted("machines_taken") - takenBefore;
+    long transfers = counterTotal("machines_taken") - takenBefore;
     cluster.play(120);
-    int ledger = 0;
+    int ownerRecordBytes = 0;
     for (JsonNode value : cluster.store.values("pool/owners/")) {
-      ledger += Json.write(value).length();
+      ownerRecordBytes += Json.write(value).length();
     }
     System.out.printf(
         "%d machines, %s: %s; tasks %d, starts %d, transfers %d, writes %d, requests %d, owner"
             + " record bytes %d, violations %s%n",
         machines,
         mode,
-        phases,
+        phaseReports,
         jobs.stream().mapToInt(JobSpec::taskCount).sum(),
         cluster.invariants.starts,
-        moves,
+        transfers,
         cluster.store.changesOf("") - changesBefore,
         cluster.store.requestsSeen - requestsBefore,
-        ledger,
+        ownerRecordBytes,
         cluster.invariants.broken);
   }
 
-  private String phase(int phase, int machines) {
-    long began = cluster.now();
-    long taken = counted("machines_taken");
+  private String runPhase(int phase, int machines) {
+    long startMicros = cluster.now();
+    long takenBefore = counterTotal("machines_taken");
     int first = jobs.size();
-    double tasks = LOAD * CORES_PER_MACHINE * machines;
+    double tasks = LOAD_FACTOR * CORES_PER_MACHINE * machines;
     for (int i = 0; i * TASKS_PER_JOB < tasks; i++) {
       submit(phase);
     }
-    Map<String, Integer> ownedBefore = owners();
-    long firstMove = -1;
+    Map<String, Integer> ownersBefore = owners();
+    long firstTransfer = -1;
     long firstStart = -1;
     long allDone = -1;
-    while (cluster.now() - began < PHASE_S * 1e6) {
+    while (cluster.now() - startMicros < PHASE_S * 1e6) {
       cluster.play(0.5);
-      if (firstMove < 0 && counted("machines_taken") > taken) {
-        firstMove = cluster.now() - began;
+      if (firstTransfer < 0 && counterTotal("machines_taken") > takenBefore) {
+        firstTransfer = cluster.now() - startMicros;
       }
-      if (firstStart < 0 && startedOnMoved(first, phase, ownedBefore)) {
-        firstStart = cluster.now() - began;
+      if (firstStart < 0 && taskRunsOnTransferredMachine(first, phase, ownersBefore)) {
+        firstStart = cluster.now() - startMicros;
       }
       if (allDone < 0
           && jobs.subList(first, jobs.size()).stream()
               .allMatch(job -> cluster.invariants.allDone(job.uid()))) {
-        allDone = cluster.now() - began;
+        allDone = cluster.now() - startMicros;
       }
     }
     return "first transfer %s, first start on a moved machine %s, all tasks done %s, %d transfers"
         .formatted(
-            seconds(firstMove),
+            seconds(firstTransfer),
             seconds(firstStart),
             seconds(allDone),
-            counted("machines_taken") - taken);
+            counterTotal("machines_taken") - takenBefore);
   }
 
   /** Returns the index of the owning shard for each machine, from the owner records. */
@@ -181,12 +181,13 @@
     return owners;
   }
 
-  private boolean startedOnMoved(int firstJob, int shard, Map<String, Integer> ownedBefore) {
+  private boolean taskRunsOnTransferredMachine(
+      int firstJob, int shard, Map<String, Integer> ownersBefore) {
     Set<String> uids = new HashSet<>();
     jobs.subList(firstJob, jobs.size()).forEach(job -> uids.add(job.uid()));
     return cluster.cloud.machines.values().stream()
         .filter(vm -> vm.worker != null)
-        .filter(vm -> ownedBefore.getOrDefault(vm.id, shard) != shard)
+        .filter(vm -> ownersBefore.getOrDefault(vm.id, shard) != shard)
         .flatMap(vm -> vm.worker.tasks.values().stream())
         .anyMatch(
             task -> task.on() && uids.contains(task.name.substring(0, task.name.indexOf('/'))));
@@ -199,7 +200,7 @@
   /** Runs the benchmark once. */
   public static void main(String[] arguments) {
     int machines = Integer.parseInt(arguments[0]);
-    int mostMoving = arguments.length > 2 ? Integer.parseInt(arguments[2]) : 8;
-    new SharingMeasurement(machines, arguments[1], mostMoving).run(machines);
+    int maxTransfers = arguments.length > 2 ? Integer.parseInt(arguments[2]) : 8;
+    new SharingBenchmark(machines, arguments[1], maxTransfers).run(machines);
   }
 }
--- a/src/test/java/plumlever/sim/SharingHardCasesTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static plumlever.sim.PoolScenario.GIVER;
-import static plumlever.sim.PoolScenario.TAKER;
+import static plumlever.sim.PoolScenario.SOURCE;
+import static plumlever.sim.PoolScenario.TARGET;
 import static plumlever.sim.PoolScenario.THIRD;
 
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
 import plumlever.wire.ProtocolPath;
 
 /** Transfers of machines with running tasks between shards, each combined with one fault. */
-final class SharingHardCasesTest {
+final class SharingFaultsTest {
   private PoolScenario pool;
   private SimulatedCluster cluster;
   private String machine;
@@ -28,98 +28,98 @@
    * Creates a pool in which tasks of the source shard run, and selects one of the machines with
    * running tasks for the transfer.
    */
-  private void tasksRun(long seed, double seconds) {
+  private void startWithRunningTasks(long seed, double seconds) {
     pool = new PoolScenario(seed, 0, 9);
     cluster = pool.cluster;
     pool.submit("n0", 10, seconds);
     pool.submit("n0", 10, seconds);
     cluster.play(9);
-    machine = pool.busy(GIVER).get(0);
-    assertTrue(pool.running(machine) > 0, "no task runs on " + machine);
+    machine = pool.machinesWithTasks(SOURCE).get(0);
+    assertTrue(pool.runningTasks(machine) > 0, "no task runs on " + machine);
   }
 
-  private void moved() {
-    assertEquals(TAKER, pool.ownerOf(machine), "owner of the machine in the state service");
+  private void assertOwnedByTarget() {
+    assertEquals(TARGET, pool.ownerOf(machine), "owner of the machine in the state service");
   }
 
   /** An event of a task while its machine is transferred. */
-  enum Moment {
-    SAVES((pool, machine) -> pool.worker(machine).saveOne(4)),
-    ENDS((pool, machine) -> pool.worker(machine).endOne("done")),
+  enum TaskEvent {
+    SAVES_CHECKPOINT((pool, machine) -> pool.worker(machine).saveOne(4)),
+    COMPLETES((pool, machine) -> pool.worker(machine).endOne("done")),
     FAILS((pool, machine) -> pool.worker(machine).endOne("error")),
     IS_CANCELLED((pool, machine) -> pool.cancel("n1", pool.jobs.get(0), status -> {}));
 
-    private final BiConsumer<PoolScenario, String> what;
+    private final BiConsumer<PoolScenario, String> action;
 
-    Moment(BiConsumer<PoolScenario, String> what) {
-      this.what = what;
+    TaskEvent(BiConsumer<PoolScenario, String> action) {
+      this.action = action;
     }
   }
 
   @ParameterizedTest
-  @EnumSource(Moment.class)
-  void givenWhileATask(Moment moment) {
+  @EnumSource(TaskEvent.class)
+  void machineIsTransferredDuringTaskEvent(TaskEvent event) {
     for (int offset = 0; offset < 3; offset++) {
-      tasksRun(30 + offset, 25);
-      pool.beforeStep(1 + offset % 2, () -> moment.what.accept(pool, machine));
-      pool.give(GIVER, machine, TAKER);
+      startWithRunningTasks(30 + offset, 25);
+      pool.beforeTransferStep(1 + offset % 2, () -> event.action.accept(pool, machine));
+      pool.transfer(SOURCE, machine, TARGET);
       cluster.play(3);
-      moved();
-      pool.endsWell(150);
-      if (moment == Moment.SAVES) {
-        pool.nothingWasStartedAnew();
+      assertOwnedByTarget();
+      pool.assertAllJobsEnd(150);
+      if (event == TaskEvent.SAVES_CHECKPOINT) {
+        pool.assertEveryTaskStartedOnce();
       }
     }
   }
 
   @Test
-  void aMoveStopsAndRestartsNothingAndItsFreeRoomIsUsed() {
-    tasksRun(1, 40);
-    int before = pool.running(machine);
-    pool.give(GIVER, machine, TAKER);
+  void transferKeepsTasksRunningAndFreeCapacityUsable() {
+    startWithRunningTasks(1, 40);
+    int before = pool.runningTasks(machine);
+    pool.transfer(SOURCE, machine, TARGET);
     cluster.play(2);
-    moved();
-    assertEquals(before, pool.running(machine), "running tasks after the transfer");
+    assertOwnedByTarget();
+    assertEquals(before, pool.runningTasks(machine), "running tasks after the transfer");
     JobSpec other = pool.submit("n2", 30, 10);
     cluster.play(10);
     boolean mixed =
         pool.worker(machine).tasks.values().stream()
             .anyMatch(task -> task.name.startsWith(other.uid()));
-    assertTrue(mixed || pool.running(machine) == before, "tasks after the transfer");
-    pool.endsWell(150);
-    pool.nothingWasStartedAnew();
+    assertTrue(mixed || pool.runningTasks(machine) == before, "tasks after the transfer");
+    pool.assertAllJobsEnd(150);
+    pool.assertEveryTaskStartedOnce();
   }
 
   @Test
-  void twoTransfersOfTwoMachinesCross() {
-    tasksRun(2, 30);
+  void transfersInOppositeDirectionsOverlap() {
+    startWithRunningTasks(2, 30);
     pool.submit("n2", 20, 30);
     cluster.play(9);
-    String other = pool.busy(TAKER).get(0);
-    pool.give(GIVER, machine, TAKER);
-    pool.give(TAKER, other, GIVER);
+    String other = pool.machinesWithTasks(TARGET).get(0);
+    pool.transfer(SOURCE, machine, TARGET);
+    pool.transfer(TARGET, other, SOURCE);
     cluster.play(3);
-    moved();
-    assertEquals(GIVER, pool.ownerOf(other));
-    pool.endsWell(150);
-    pool.nothingWasStartedAnew();
+    assertOwnedByTarget();
+    assertEquals(SOURCE, pool.ownerOf(other));
+    pool.assertAllJobsEnd(150);
+    pool.assertEveryTaskStartedOnce();
   }
 
   @Test
-  void oneMachineGoesThereAndBackAndOnWhileItsTasksRun() {
-    tasksRun(3, 45);
-    pool.give(GIVER, machine, TAKER);
-    pool.giveSoon(TAKER, machine, GIVER);
+  void machineWithRunningTasksIsTransferredSeveralTimes() {
+    startWithRunningTasks(3, 45);
+    pool.transfer(SOURCE, machine, TARGET);
+    pool.transferWhenPossible(TARGET, machine, SOURCE);
     cluster.play(4);
-    assertEquals(GIVER, pool.ownerOf(machine));
-    pool.giveSoon(GIVER, machine, THIRD);
+    assertEquals(SOURCE, pool.ownerOf(machine));
+    pool.transferWhenPossible(SOURCE, machine, THIRD);
     cluster.play(4);
-    pool.giveSoon(THIRD, machine, TAKER);
+    pool.transferWhenPossible(THIRD, machine, TARGET);
     cluster.play(4);
-    moved();
-    assertTrue(pool.running(machine) > 0, "no task runs after the transfers");
-    pool.endsWell(150);
-    pool.nothingWasStartedAnew();
+    assertOwnedByTarget();
+    assertTrue(pool.runningTasks(machine) > 0, "no task runs after the transfers");
+    pool.assertAllJobsEnd(150);
+    pool.assertEveryTaskStartedOnce();
   }
 
   @ParameterizedTest
@@ -131,38 +131,38 @@
     "2,false,true",
     "2,true,true"
   })
-  void leadersEndAtAStep(int step, boolean giverEnds, boolean takerEnds) {
-    for (double back : new double[] {0.2, 8}) {
-      tasksRun(40 + step, 35);
-      pool.beforeStep(
+  void leadersCrashAtTransferStep(int step, boolean sourceCrashes, boolean targetCrashes) {
+    for (double backAfterS : new double[] {0.2, 8}) {
+      startWithRunningTasks(40 + step, 35);
+      pool.beforeTransferStep(
           step,
           () -> {
-            if (giverEnds) {
-              cluster.leader(GIVER).crash(back);
+            if (sourceCrashes) {
+              cluster.leader(SOURCE).crash(backAfterS);
             }
-            if (takerEnds) {
-              cluster.leader(TAKER).crash(back);
+            if (targetCrashes) {
+              cluster.leader(TARGET).crash(backAfterS);
             }
           });
-      pool.give(GIVER, machine, TAKER);
+      pool.transfer(SOURCE, machine, TARGET);
       cluster.play(20);
       String owner = pool.ownerOf(machine);
-      assertTrue(owner.equals(GIVER) || owner.equals(TAKER), "unexpected owner: " + owner);
-      pool.endsWell(200);
-      pool.nothingWasStartedAnew();
+      assertTrue(owner.equals(SOURCE) || owner.equals(TARGET), "unexpected owner: " + owner);
+      pool.assertAllJobsEnd(200);
+      pool.assertEveryTaskStartedOnce();
     }
   }
 
   @ParameterizedTest
   @CsvSource({"1,east", "1,north", "2,east", "2,north"})
-  void aLeaderStandsStillAtAStepAndWakes(int step, String shard) {
+  void leaderFreezesAtTransferStepAndResumes(int step, String shard) {
     for (double seconds : new double[] {2, 15, 40}) {
-      tasksRun(50 + step, 30);
-      pool.beforeStep(step, () -> cluster.leader(shard).freeze(seconds));
-      pool.give(GIVER, machine, TAKER);
+      startWithRunningTasks(50 + step, 30);
+      pool.beforeTransferStep(step, () -> cluster.leader(shard).freeze(seconds));
+      pool.transfer(SOURCE, machine, TARGET);
       cluster.play(seconds + 10);
-      pool.endsWell(200);
-      pool.nothingWasStartedAnew();
+      pool.assertAllJobsEnd(200);
+      pool.assertEveryTaskStartedOnce();
     }
   }
 
@@ -196,19 +196,19 @@
     "MACHINE,east",
     "MACHINE,north"
   })
-  void aShardLosesALinkWhileAMachineMoves(Link link, String shard) {
+  void shardLosesLinkDuringTransfer(Link link, String shard) {
     for (int step = 1; step <= 2; step++) {
-      tasksRun(60 + step, 30);
-      pool.beforeStep(step, () -> cut(shard, link, true));
-      pool.give(GIVER, machine, TAKER);
+      startWithRunningTasks(60 + step, 30);
+      pool.beforeTransferStep(step, () -> cut(shard, link, true));
+      pool.transfer(SOURCE, machine, TARGET);
       cluster.play(15);
       cut(shard, link, false);
-      pool.endsWell(250);
+      pool.assertAllJobsEnd(250);
     }
   }
 
   @Test
-  void commandsOfTheFormerOwnerCarriedOutMinutesLateStartNothing() {
+  void lateCommandsOfFormerOwnerStartNothing() {
     for (int seed = 70; seed < 74; seed++) {
       pool = new PoolScenario(seed, 0, 9);
       cluster = pool.cluster;
@@ -216,64 +216,64 @@
       pool.submit("n0", 10, 12);
       pool.submit("n0", 10, 12);
       cluster.play(9);
-      machine = pool.busy(GIVER).get(0);
-      pool.giveSoon(GIVER, machine, TAKER);
+      machine = pool.machinesWithTasks(SOURCE).get(0);
+      pool.transferWhenPossible(SOURCE, machine, TARGET);
       cluster.play(20);
-      moved();
+      assertOwnedByTarget();
       pool.submit("n2", 20, 12);
-      pool.endsWell(200);
-      pool.nothingWasStartedAnew();
+      pool.assertAllJobsEnd(200);
+      pool.assertEveryTaskStartedOnce();
     }
   }
 
   @Test
-  void oldHeartbeatsReachTheFormerOwner() {
-    tasksRun(75, 25);
+  void delayedHeartbeatsReachFormerOwner() {
+    startWithRunningTasks(75, 25);
     cluster.network.copiedHeartbeatShare = 1;
-    pool.give(GIVER, machine, TAKER);
+    pool.transfer(SOURCE, machine, TARGET);
     cluster.play(60);
     pool.submit("n0", 20, 10);
     pool.submit("n2", 20, 10);
     cluster.play(30);
     cluster.network.copiedHeartbeatShare = 0;
-    pool.endsWell(200);
-    pool.nothingWasStartedAnew();
+    pool.assertAllJobsEnd(200);
+    pool.assertEveryTaskStartedOnce();
   }
 
   @Test
-  void theMachineHangsBeyondItsLeaseAsItMoves() {
-    tasksRun(76, 25);
+  void machineHangsBeyondLeaseDuringTransfer() {
+    startWithRunningTasks(76, 25);
     FakeWorker worker = pool.worker(machine);
-    pool.beforeStep(2, () -> worker.hung = true);
-    pool.give(GIVER, machine, TAKER);
+    pool.beforeTransferStep(2, () -> worker.hung = true);
+    pool.transfer(SOURCE, machine, TARGET);
     cluster.at(2 * FakeWorker.LEASE_MICROS, () -> worker.hung = false);
     cluster.play(60);
-    pool.endsWell(250);
+    pool.assertAllJobsEnd(250);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2})
-  void theMachineDiesAsItMoves(int step) {
-    tasksRun(77, 25);
-    pool.beforeStep(step, () -> pool.worker(machine).die());
-    pool.give(GIVER, machine, TAKER);
+  void machineDiesDuringTransfer(int step) {
+    startWithRunningTasks(77, 25);
+    pool.beforeTransferStep(step, () -> pool.worker(machine).die());
+    pool.transfer(SOURCE, machine, TARGET);
     cluster.play(60);
-    pool.endsWell(250);
+    pool.assertAllJobsEnd(250);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2})
-  void theMachineIsPreemptedAsItMoves(int step) {
-    tasksRun(78, 25);
-    pool.beforeStep(
+  void machineIsPreemptedDuringTransfer(int step) {
+    startWithRunningTasks(78, 25);
+    pool.beforeTransferStep(
         step,
         () -> {
           pool.worker(machine).notice(6);
           cluster.at(6_000_000, () -> cluster.cloud.delete(machine));
         });
-    pool.give(GIVER, machine, TAKER);
+    pool.transfer(SOURCE, machine, TARGET);
     cluster.play(60);
-    pool.endsWell(250);
+    pool.assertAllJobsEnd(250);
   }
 
   /**
@@ -282,34 +282,34 @@
    * not answered, and the originating shard cannot reach it, for longer than the time limit of a
    * cancellation.
    *
-   * @param believedCancelMicros time limit of a cancellation that the controllers assume
+   * @param assumedCancelMicros time limit of a cancellation that the controllers assume
    */
-  private void cancelledBeforeALongOutage(long believedCancelMicros) {
-    pool = new PoolScenario(79, 0, 9, believedCancelMicros);
+  private void cancelBeforeLongPartition(long assumedCancelMicros) {
+    pool = new PoolScenario(79, 0, 9, assumedCancelMicros);
     cluster = pool.cluster;
     JobSpec job = pool.submit("n0", 12, 300);
     cluster.play(9);
-    machine = pool.busy(GIVER).get(0);
-    pool.give(GIVER, machine, TAKER);
+    machine = pool.machinesWithTasks(SOURCE).get(0);
+    pool.transfer(SOURCE, machine, TARGET);
     cluster.play(6);
-    moved();
-    String owner = cluster.leader(TAKER).platform.label();
+    assertOwnedByTarget();
+    String owner = cluster.leader(TARGET).platform.label();
     cluster.store.unwatched.add(owner);
     cluster
-        .shard(GIVER)
+        .shard(SOURCE)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), owner, true));
     // Waits until the watches that were already open have ended.
     cluster.play(11);
-    List<Integer> told = new ArrayList<>();
-    pool.cancel("n1", job, told::add);
+    List<Integer> statuses = new ArrayList<>();
+    pool.cancel("n1", job, statuses::add);
     cluster.play(1);
-    assertEquals(List.of(200), told);
+    assertEquals(List.of(200), statuses);
     cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 10);
   }
 
   @Test
-  void aCancellationConfirmedByTheOriginatingShardIsNotOutlivedAtTheOwner() {
-    cancelledBeforeALongOutage(InvariantChecker.CANCEL_MICROS);
+  void foreignTasksEndInTimeAfterCancellation() {
+    cancelBeforeLongPartition(InvariantChecker.CANCEL_MICROS);
     assertEquals(List.of(), cluster.invariants.broken);
     cluster
         .controllers
@@ -320,7 +320,7 @@
                     .controllers
                     .keySet()
                     .forEach(other -> cluster.network.cut(one, other, false)));
-    pool.endsWell(150);
+    pool.assertAllJobsEnd(150);
   }
 
   /**
@@ -328,8 +328,8 @@
    * for a cancellation, the owning leader keeps renewing the lease.
    */
   @Test
-  void withoutTheBoundForeignTasksOutliveTheirCancellation() {
-    cancelledBeforeALongOutage(3_600_000_000L);
+  void withoutBoundForeignTasksOutliveCancellation() {
+    cancelBeforeLongPartition(3_600_000_000L);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(rule -> rule.startsWith("ran_cancelled")),
         "the invariant check did not detect the missing bound");
@@ -340,20 +340,20 @@
    * target shard accepted the offered machine.
    */
   @Test
-  void aGiverThatHearsNothingOfThePoolStopsAnsweringTheMachine() {
-    tasksRun(80, 60);
-    SimulatedController giver = cluster.leader(GIVER);
+  void sourceLeaderWithoutPoolUpdatesRefusesHeartbeats() {
+    startWithRunningTasks(80, 60);
+    SimulatedController sourceLeader = cluster.leader(SOURCE);
     // The open watch is answered with the offer; later watches of this leader are never answered.
-    cluster.store.unwatched.add(giver.platform.label());
+    cluster.store.unwatched.add(sourceLeader.platform.label());
     cluster
-        .shard(TAKER)
+        .shard(TARGET)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, true));
-    pool.give(GIVER, machine, TAKER);
+    pool.transfer(SOURCE, machine, TARGET);
     cluster.play(12);
-    moved();
-    assertTrue(giver.leads(), "the source leader lost leadership");
+    assertOwnedByTarget();
+    assertTrue(sourceLeader.leads(), "the source leader lost leadership");
     long[] status = new long[1];
-    giver
+    sourceLeader
         .controller()
         .router()
         .handle(
@@ -363,39 +363,39 @@
             (code, json, retry) -> status[0] = code);
     assertEquals(503, status[0], "heartbeat of a machine that may have a new owner");
     cluster
-        .shard(TAKER)
+        .shard(TARGET)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, false));
-    pool.endsWell(250);
+    pool.assertAllJobsEnd(250);
   }
 
   @Test
-  void machinesOfACellWithoutControllersAreAdoptedAndItsJobsAreKept() {
-    tasksRun(81, 20);
+  void machinesOfShardWithoutControllersAreAdoptedAndItsJobsKept() {
+    startWithRunningTasks(81, 20);
     cluster.adoptAfterMicros = 60_000_000;
     // The other shards must be restarted to apply the shorter adoption timeout.
-    cluster.shard(TAKER).forEach(controller -> controller.crash(0.5));
+    cluster.shard(TARGET).forEach(controller -> controller.crash(0.5));
     cluster.shard(THIRD).forEach(controller -> controller.crash(0.5));
-    List<SimulatedController> gone = cluster.shard(GIVER);
-    gone.forEach(SimulatedController::kill);
+    List<SimulatedController> stopped = cluster.shard(SOURCE);
+    stopped.forEach(SimulatedController::kill);
     cluster.play(130);
-    assertFalse(pool.ownerOf(machine).equals(GIVER), "the machine was not adopted");
+    assertFalse(pool.ownerOf(machine).equals(SOURCE), "the machine was not adopted");
     pool.submit("n2", 30, 10);
     cluster.play(40);
-    gone.forEach(SimulatedController::start);
-    pool.endsWell(300);
+    stopped.forEach(SimulatedController::start);
+    pool.assertAllJobsEnd(300);
   }
 
   @Test
-  void shardsWithDifferentSharingFilesGiveEachOtherNothing() {
-    tasksRun(82, 20);
-    cluster.digests.put(TAKER, "another");
-    cluster.shard(TAKER).forEach(controller -> controller.crash(0.5));
+  void shardsWithDifferentSharingFilesDoNotTransferMachines() {
+    startWithRunningTasks(82, 20);
+    cluster.digests.put(TARGET, "another");
+    cluster.shard(TARGET).forEach(controller -> controller.crash(0.5));
     cluster.play(10);
-    pool.give(GIVER, machine, TAKER);
+    pool.transfer(SOURCE, machine, TARGET);
     cluster.play(20);
-    assertEquals(GIVER, pool.ownerOf(machine), "owner after the offer was withdrawn");
-    pool.endsWell(150);
-    pool.nothingWasStartedAnew();
+    assertEquals(SOURCE, pool.ownerOf(machine), "owner after the offer was withdrawn");
+    pool.assertAllJobsEnd(150);
+    pool.assertEveryTaskStartedOnce();
   }
 
   /**
@@ -403,18 +403,18 @@
    * the shard's machines.
    */
   @Test
-  void controllersWithoutTheSharingFileNeitherLeadNorAnswer() {
-    tasksRun(83, 60);
-    pool.give(GIVER, machine, TAKER);
+  void controllersWithoutSharingFileNeitherLeadNorAnswer() {
+    startWithRunningTasks(83, 60);
+    pool.transfer(SOURCE, machine, TARGET);
     cluster.play(3);
-    moved();
-    List<SimulatedController> without = cluster.shard(TAKER);
-    cluster.digests.put(TAKER, "none");
-    without.forEach(controller -> controller.crash(0.5));
+    assertOwnedByTarget();
+    List<SimulatedController> restarted = cluster.shard(TARGET);
+    cluster.digests.put(TARGET, "none");
+    restarted.forEach(controller -> controller.crash(0.5));
     cluster.play(20);
-    assertTrue(without.stream().noneMatch(SimulatedController::leads), "a controller leads");
+    assertTrue(restarted.stream().noneMatch(SimulatedController::leads), "a controller leads");
     int[] status = new int[1];
-    without
+    restarted
         .get(0)
         .controller()
         .router()
@@ -425,12 +425,12 @@
             (code, json, retry) -> status[0] = code);
     assertEquals(503, status[0], "status query for a job of another shard");
     cluster.digests.clear();
-    without.forEach(controller -> controller.crash(0.5));
-    pool.endsWell(250);
+    restarted.forEach(controller -> controller.crash(0.5));
+    pool.assertAllJobsEnd(250);
   }
 
   @Test
-  void teamLimitsHoldOverThePoolWhileTheirPartsMove() {
+  void teamLimitsHoldAcrossPoolWhileLimitSharesMove() {
     pool = new PoolScenario(84, 24, 12);
     cluster = pool.cluster;
     for (String controller : List.of("n0", "n2", "n4")) {
@@ -445,7 +445,7 @@
                 .sum()
             > 0,
         "no limit share was transferred between shards");
-    pool.endsWell(200);
+    pool.assertAllJobsEnd(200);
   }
 
   /**
@@ -454,7 +454,7 @@
    * the change through its watch.
    */
   @Test
-  void aPartThatIsGivenUnheardIsNotUsedAnyMore() {
+  void limitShareTransferredWithoutAnswerIsNotUsed() {
     pool = new PoolScenario(86, 24, 12);
     cluster = pool.cluster;
     cluster.play(20);
@@ -466,26 +466,26 @@
           // Only the source leader does not learn that its share belongs to another shard now.
           cluster.store.answerLostOnce = "pool/limits/";
           cluster.store.untold = "pool/";
-          cluster.store.untoldController = cluster.leader(GIVER).platform.label();
+          cluster.store.untoldController = cluster.leader(SOURCE).platform.label();
           pool.submit("n0", "red", 8, 20);
           cluster.at(4_000_000, () -> cluster.store.untold = null);
         };
     cluster.play(60);
     assertTrue(cluster.store.appliedUnanswered > 0, "no unanswered transfer");
-    pool.endsWell(250);
+    pool.assertAllJobsEnd(250);
   }
 
   @Test
   void anyControllerAnswersForAnyJob() {
-    tasksRun(85, 15);
+    startWithRunningTasks(85, 15);
     pool.users.closeLooks = true;
     JobSpec job = pool.submit("n4", 6, 5);
     cluster.play(6);
-    List<Integer> told = new ArrayList<>();
-    pool.cancel("n2", job, told::add);
+    List<Integer> statuses = new ArrayList<>();
+    pool.cancel("n2", job, statuses::add);
     cluster.play(2);
-    assertEquals(List.of(200), told, "cancelled through a controller of another shard");
-    pool.endsWell(120);
+    assertEquals(List.of(200), statuses, "cancelled through a controller of another shard");
+    pool.assertAllJobsEnd(120);
     assertTrue(pool.users.looks > 0, "no status query of the users was answered");
   }
 }
--- a/src/test/java/plumlever/sim/SharingDaysTest.java
+++ b/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
@@ -17,9 +17,9 @@
  * transferred between the shards every few seconds, under the same faults as in {@link
  * SimulationTest}. The invariant checks follow each task across shards.
  */
-final class SharingDaysTest {
+final class SharingRandomFaultsTest {
   private static final List<String> SHARDS =
-      List.of(PoolScenario.GIVER, PoolScenario.TAKER, PoolScenario.THIRD);
+      List.of(PoolScenario.SOURCE, PoolScenario.TARGET, PoolScenario.THIRD);
   private static final int JOBS = 40;
 
   /** Seeds; {@code -Dplumlever.pool.first=F -Dplumlever.pool.seeds=N} selects others. */
@@ -28,7 +28,7 @@
     return LongStream.range(first, first + Integer.getInteger("plumlever.pool.seeds", 8));
   }
 
-  private static SimulatedCluster pool(long seed) {
+  private static SimulatedCluster cluster(long seed) {
     SimulatedCluster cluster =
         new SimulatedCluster(
             seed,
@@ -46,14 +46,14 @@
   }
 
   /** Transfers a machine with tasks from a random shard to another random shard, if possible. */
-  private static void move(SimulatedCluster cluster) {
+  private static void transferRandomMachine(SimulatedCluster cluster) {
     String from = SHARDS.get(cluster.random.nextInt(SHARDS.size()));
     String to = SHARDS.get(cluster.random.nextInt(SHARDS.size()));
-    List<String> busy = new ArrayList<>();
+    List<String> machinesWithTasks = new ArrayList<>();
     cluster.cloud.machines.forEach(
         (id, vm) -> {
           if (vm.worker != null && !vm.worker.tasks.isEmpty()) {
-            busy.add(id);
+            machinesWithTasks.add(id);
           }
         });
     cluster.shard(from).stream()
@@ -61,7 +61,7 @@
         .findFirst()
         .ifPresent(
             leader -> {
-              for (String machine : busy) {
+              for (String machine : machinesWithTasks) {
                 if (!from.equals(to) && leader.actingLeader().transfer(machine, to)) {
                   return;
                 }
@@ -71,8 +71,8 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void troubledDayOfAPool(long seed) {
-    SimulatedCluster cluster = pool(seed);
+  void randomFaultsInPool(long seed) {
+    SimulatedCluster cluster = cluster(seed);
     FakeUsers users = new FakeUsers(cluster);
     SimulationTest.submitOverTime(cluster, users, JOBS, 5);
     cluster.network.lostAnswerShare = 0.01;
@@ -85,15 +85,15 @@
           () -> SimulationTest.trouble(cluster));
     }
     for (int i = 0; i < 90; i++) {
-      cluster.at(15_000_000L + i * 3_000_000L, () -> move(cluster));
+      cluster.at(15_000_000L + i * 3_000_000L, () -> transferRandomMachine(cluster));
     }
     cluster.play(300);
     SimulationTest.calm(cluster);
     cluster.play(400);
-    assertTrue(taken(cluster) >= 5, "machine transfers: " + taken(cluster));
+    assertTrue(transferCount(cluster) >= 5, "machine transfers: " + transferCount(cluster));
     SimulationTest.assertAllServed(cluster, users, JOBS);
     assertEquals(0, cluster.store.count("pool/transfers/"), "transfer records that remain");
-    Map<String, Integer> parts = new TreeMap<>();
+    Map<String, Integer> limitShareSums = new TreeMap<>();
     cluster
         .store
         .values("pool/limits/")
@@ -103,15 +103,17 @@
                     .path("parts")
                     .properties()
                     .forEach(
-                        part -> parts.merge("all", part.getValue().path(0).asInt(), Integer::sum)));
-    assertEquals(Map.of("all", 48), parts, "sum of the shares of the only team limit");
+                        share ->
+                            limitShareSums.merge(
+                                "all", share.getValue().path(0).asInt(), Integer::sum)));
+    assertEquals(Map.of("all", 48), limitShareSums, "sum of the shares of the only team limit");
   }
 
   /**
    * Counts machine transfers by the writes of the pool's counter in the state service, because the
    * metrics of a controller are lost when the controller restarts.
    */
-  private static int taken(SimulatedCluster cluster) {
+  private static int transferCount(SimulatedCluster cluster) {
     return cluster.store.changesOf("pool/term");
   }
 }
--- a/src/test/java/plumlever/sim/SharingTest.java
+++ b/src/test/java/plumlever/sim/SharingTest.java
@@ -7,7 +7,7 @@
 /** The sharing policy transfers machines to the shard that needs them. */
 final class SharingTest {
   @Test
-  void machinesMoveWithTheirTasksToTheShardThatLacksThem() {
+  void policyTransfersMachinesToShardWithDemand() {
     PoolScenario pool = new PoolScenario(1, 0, 24);
     for (int round = 0; round < 3; round++) {
       for (int i = 0; i < 8; i++) {
@@ -15,12 +15,12 @@
       }
       pool.cluster.play(40);
     }
-    pool.endsWell(200);
+    pool.assertAllJobsEnd(200);
     long taken =
         pool.cluster.controllers.values().stream()
             .mapToLong(controller -> controller.controller().metrics().counter("machines_taken"))
             .sum();
     assertTrue(taken >= 12, "machine transfers: " + taken);
-    pool.nothingWasStartedAnew();
+    pool.assertEveryTaskStartedOnce();
   }
 }
--- a/src/test/java/plumlever/sim/LittleProcessorTest.java
+++ b/src/test/java/plumlever/sim/SlowProcessorTest.java
@@ -15,31 +15,31 @@
  * Controllers on a small share of a processor: every event takes processing time, and many times
  * more in a process that has just started.
  */
-final class LittleProcessorTest {
+final class SlowProcessorTest {
   private static final List<PlatformConfiguration.Team> TEAMS =
       List.of(
           new PlatformConfiguration.Team("red", 0, 0, 0, 0),
           new PlatformConfiguration.Team("blue", 0, 0, 0, 0));
   private static final int MACHINES = 600;
-  private static final double SLOW = 3;
+  private static final double SLOWDOWN = 3;
 
-  private static SimulatedCluster cluster(long seed, boolean electionApart) {
+  private static SimulatedCluster cluster(long seed, boolean separateElectionThread) {
     SimulatedCluster cluster = new SimulatedCluster(seed, 3, TEAMS, false);
     cluster.costs = Processor.Costs.little();
     cluster.cloud.most = MACHINES;
     for (SimulatedController controller : cluster.controllers.values()) {
-      controller.electionApart = electionApart;
+      controller.electionApart = separateElectionThread;
       controller.kill();
       controller.start();
     }
     return cluster;
   }
 
-  private static FakeUsers busy(SimulatedCluster cluster, int jobs, double everyS) {
+  private static FakeUsers submitLargeJobs(SimulatedCluster cluster, int jobs, double intervalS) {
     FakeUsers users = new FakeUsers(cluster);
     for (int i = 0; i < jobs; i++) {
       cluster.at(
-          (long) (i * everyS * 1e6),
+          (long) (i * intervalS * 1e6),
           () -> users.submit(90, 2, 10 + cluster.random.nextInt(30), false));
     }
     return users;
@@ -61,18 +61,19 @@
    * restarts, and returns the percentage of the following 20 s in which some controller may act as
    * the leader.
    */
-  private static int ledAfterACrashOfAll(SimulatedCluster cluster) {
+  private static int leadershipPercentAfterCrashOfAll(SimulatedCluster cluster) {
     cluster.play(100);
     assertTrue(
         cluster.cloud.machines.size() > MACHINES / 3, "machines: " + cluster.cloud.machines.size());
     cluster.controllers.values().forEach(m -> m.crash(6));
     cluster.play(10);
-    int led = 0;
+    int samplesWithLeader = 0;
     for (int i = 0; i < 200; i++) {
       cluster.play(0.1);
-      led += cluster.controllers.values().stream().anyMatch(m -> m.controller().mayAct()) ? 1 : 0;
+      samplesWithLeader +=
+          cluster.controllers.values().stream().anyMatch(m -> m.controller().mayAct()) ? 1 : 0;
     }
-    return led / 2;
+    return samplesWithLeader / 2;
   }
 
   /**
@@ -82,27 +83,29 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aCrowdAtAColdProcessCostsNoControllerItsLeadership(long seed) {
+  void reconnectingWorkersDoNotCostLeadership(long seed) {
     SimulatedCluster cluster = cluster(seed, true);
-    FakeUsers users = busy(cluster, 60, 2);
-    int led = ledAfterACrashOfAll(cluster);
-    assertTrue(led >= 90, "percentage of time with a leader: " + led + "%");
+    FakeUsers users = submitLargeJobs(cluster, 60, 2);
+    int leaderPercent = leadershipPercentAfterCrashOfAll(cluster);
+    assertTrue(leaderPercent >= 90, "percentage of time with a leader: " + leaderPercent + "%");
     cluster.calmSince = cluster.now();
     cluster.play(400);
     assertAllDone(cluster, users, 60);
   }
 
   @Test
-  void withoutAThreadOfItsOwnTheElectionWaitsBehindTheCrowd() {
+  void withoutSeparateThreadElectionWaitsBehindHeartbeats() {
     SimulatedCluster cluster = cluster(1, false);
-    busy(cluster, 60, 2);
-    int led = ledAfterACrashOfAll(cluster);
+    submitLargeJobs(cluster, 60, 2);
+    int leaderPercent = leadershipPercentAfterCrashOfAll(cluster);
     assertTrue(
-        led < 90,
-        "percentage of time with a leader, without a separate election thread: " + led + "%");
+        leaderPercent < 90,
+        "percentage of time with a leader, without a separate election thread: "
+            + leaderPercent
+            + "%");
   }
 
-  private static FakeUsers quiet(SimulatedCluster cluster) {
+  private static FakeUsers submitSmallJobs(SimulatedCluster cluster) {
     FakeUsers users = new FakeUsers(cluster);
     for (int i = 0; i < 40; i++) {
       cluster.at(
@@ -124,15 +127,15 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void whoStoodStillDoesNotTakeItsWorkersForLost(long seed) {
+  void stalledLeaderDoesNotTreatWorkersAsLost(long seed) {
     SimulatedCluster cluster = cluster(seed, true);
-    busy(cluster, 60, 2);
+    submitLargeJobs(cluster, 60, 2);
     cluster.play(60);
     SimulatedController first = cluster.leader();
     long term = cluster.store.term();
     first.stall(7);
     // The leader processes the queued events slowly; peer messages are among the first of them.
-    first.slowDown(SLOW);
+    first.slowDown(SLOWDOWN);
     cluster.play(25);
     assertEquals(term, cluster.store.term(), "term after the stall");
     first.slowDown(1);
@@ -143,8 +146,8 @@
   }
 
   /** Queries the health endpoint of each controller and returns the status codes. */
-  private static List<Integer> up(SimulatedCluster cluster) {
-    List<Integer> out = new ArrayList<>();
+  private static List<Integer> healthStatuses(SimulatedCluster cluster) {
+    List<Integer> statuses = new ArrayList<>();
     for (String controller : cluster.controllers.keySet()) {
       cluster.network.send(
           "balancer",
@@ -153,10 +156,10 @@
           "/up",
           null,
           6_000_000,
-          a -> out.add(a.status()));
+          a -> statuses.add(a.status()));
       cluster.play(6.1);
     }
-    return out;
+    return statuses;
   }
 
   /**
@@ -165,27 +168,31 @@
    * users.
    */
   @Test
-  void whoIsSecondsLateLeavesUsersToOthers() {
+  void lateControllerReportsUnhealthy() {
     SimulatedCluster cluster = cluster(2, true);
-    busy(cluster, 60, 2);
+    submitLargeJobs(cluster, 60, 2);
     cluster.play(60);
-    int leads = List.copyOf(cluster.controllers.values()).indexOf(cluster.leader());
-    assertEquals(List.of(200, 200, 200), up(cluster));
-    cluster.leader().slowDown(SLOW);
+    int leaderIndex = List.copyOf(cluster.controllers.values()).indexOf(cluster.leader());
+    assertEquals(List.of(200, 200, 200), healthStatuses(cluster));
+    cluster.leader().slowDown(SLOWDOWN);
     cluster.play(8);
-    List<Integer> seen = up(cluster);
-    assertEquals(503, seen.get(leads), "status of the late controller, of all: " + seen);
+    List<Integer> statuses = healthStatuses(cluster);
     assertEquals(
-        2, seen.stream().filter(s -> s == 200).count(), "healthy controllers, of all: " + seen);
+        503, statuses.get(leaderIndex), "status of the late controller, of all: " + statuses);
+    assertEquals(
+        2,
+        statuses.stream().filter(s -> s == 200).count(),
+        "healthy controllers, of all: " + statuses);
     cluster.controllers.values().forEach(m -> m.slowDown(1));
     cluster.play(12);
-    assertEquals(List.of(200, 200, 200), up(cluster), "status codes after the recovery");
+    assertEquals(
+        List.of(200, 200, 200), healthStatuses(cluster), "status codes after the recovery");
   }
 
   @Test
-  void aLateControllerThatIsAloneGoesOnTakingUsers() {
+  void lateControllerWithoutPeersStaysHealthy() {
     SimulatedCluster cluster = cluster(2, true);
-    busy(cluster, 60, 2);
+    submitLargeJobs(cluster, 60, 2);
     cluster.play(60);
     SimulatedController leader = cluster.leader();
     cluster.controllers.values().stream()
@@ -193,7 +200,7 @@
         .forEach(SimulatedController::kill);
     leader.slowDown(3);
     cluster.play(8);
-    boolean[] took = new boolean[1];
+    boolean[] accepted = new boolean[1];
     cluster.network.send(
         "balancer",
         leader.platform.bind(),
@@ -201,9 +208,9 @@
         "/up",
         null,
         30_000_000,
-        a -> took[0] = a.status() == 200);
+        a -> accepted[0] = a.status() == 200);
     cluster.play(31);
-    assertTrue(took[0]);
+    assertTrue(accepted[0]);
   }
 
   /**
@@ -211,9 +218,9 @@
    * term must not take effect in a later term of the same controller.
    */
   @Test
-  void aLeaderWhoseDecisionsStallStepsDown() {
+  void leaderWithStalledDecisionsStepsDown() {
     SimulatedCluster cluster = new SimulatedCluster(5, 3, TEAMS, false);
-    quiet(cluster);
+    submitSmallJobs(cluster);
     cluster.play(40);
     SimulatedController first = cluster.leader();
     long term = cluster.store.term();
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -38,8 +38,8 @@
  * production version wrote, and with both versions leading in turn.
  */
 final class UpgradeTest {
-  private static final int NOW_BYTES = 4096;
-  private static final int NEXT_BYTES = 2048;
+  private static final int CURRENT_VALUE_BYTES = 4096;
+  private static final int ANNOUNCED_VALUE_BYTES = 2048;
 
   private static byte[] sample(String name) {
     try (InputStream in = UpgradeTest.class.getResourceAsStream("/production/" + name)) {
@@ -50,10 +50,10 @@
   }
 
   private static Map<String, JsonNode> records() throws InvalidMessageException {
-    Map<String, JsonNode> out = new LinkedHashMap<>();
+    Map<String, JsonNode> result = new LinkedHashMap<>();
     ObjectNode all = Json.parseObject(sample("records.json"));
-    all.fieldNames().forEachRemaining(k -> out.put(k, all.get(k).path("data")));
-    return out;
+    all.fieldNames().forEachRemaining(k -> result.put(k, all.get(k).path("data")));
+    return result;
   }
 
   private static SimulatedCluster cluster(long seed) {
@@ -65,11 +65,12 @@
             new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
         false,
         InvariantChecker.CANCEL_MICROS,
-        new PlatformConfiguration.StateLimits(200, 25, NEXT_BYTES, 4, NOW_BYTES));
+        new PlatformConfiguration.StateLimits(
+            200, 25, ANNOUNCED_VALUE_BYTES, 4, CURRENT_VALUE_BYTES));
   }
 
   @Test
-  void readsItsRecordsOfEveryKind() throws InvalidMessageException {
+  void readsRecordsOfEveryKind() throws InvalidMessageException {
     Set<String> kinds = new HashSet<>();
     for (Map.Entry<String, JsonNode> entry : records().entrySet()) {
       kinds.add(entry.getKey().substring(0, Math.max(0, entry.getKey().indexOf('/'))));
@@ -98,7 +99,7 @@
    * machines, and the list of started jobs.
    */
   @Test
-  void takesOverWhatItLeft() throws InvalidMessageException {
+  void takesOverRecordsOfProductionVersion() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(1);
     Map<String, JsonNode> records = records();
     records.keySet().removeIf(k -> k.startsWith("office/leader"));
@@ -124,7 +125,7 @@
         .ifPresent(small -> assertEquals(packed, small.completedTasks()));
     Job large = cluster.leader().actingLeader().job("job-900001").orElseThrow();
     assertEquals(
-        FormerVersion.progressItReads(cluster.store, NOW_BYTES).get("job-900001"),
+        FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES).get("job-900001"),
         large.completedTasks(),
         "progress read with the chunk size of the production version");
     assertTrue(large.completedCount() > 1000 && large.inherited());
@@ -133,7 +134,7 @@
     assertEquals(200, status(cluster, "job-000003", "aborted"));
   }
 
-  private static int status(SimulatedCluster cluster, String uid, String part) {
+  private static int status(SimulatedCluster cluster, String uid, String expectedBody) {
     int[] status = new int[1];
     cluster
         .controllers
@@ -146,7 +147,7 @@
             new byte[0],
             (s, json, retry) -> {
               status[0] = s;
-              assertTrue(json.contains(part), json);
+              assertTrue(json.contains(expectedBody), json);
             });
     cluster.play(1);
     return status[0];
@@ -167,7 +168,7 @@
     assertEquals(610, read.workers());
     assertEquals(new TaskCounts(0, 70_000), read.counts().get("job-7"));
     assertEquals(List.of(), read.confirmedCancellations());
-    PeerStatus news =
+    PeerStatus extended =
         new PeerStatus(
             read.label(),
             read.term(),
@@ -177,12 +178,12 @@
             read.workers(),
             read.counts(),
             List.of("job-000412", "job-5"));
-    byte[] ours = codec.write(news);
+    byte[] ours = codec.write(extended);
     assertArrayEquals(
         theirs,
         Arrays.copyOf(ours, theirs.length),
         "the fields known to the production version must keep their encoding");
-    assertEquals(news.confirmedCancellations(), codec.read(ours).confirmedCancellations());
+    assertEquals(extended.confirmedCancellations(), codec.read(ours).confirmedCancellations());
   }
 
   static LongStream seeds() {
@@ -197,23 +198,23 @@
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void leadsInTurnsWithIt(long seed) {
+  void alternatesLeadershipWithProductionVersion(long seed) {
     SimulatedCluster cluster = cluster(300 + seed);
     FakeUsers users = new FakeUsers(cluster);
-    FormerVersion former = new FormerVersion(cluster.store, NOW_BYTES);
+    FormerVersion former = new FormerVersion(cluster.store, CURRENT_VALUE_BYTES);
     List<JobSpec> all = submitManySmallAndOneLarge(cluster, users);
     int largest = 0;
-    long limitsFall = 60_000_000 + seed * 15_000_000;
+    long limitsLoweredAtMicros = 60_000_000 + seed * 15_000_000;
     cluster.at(
-        limitsFall,
+        limitsLoweredAtMicros,
         () -> {
-          cluster.store.valueBytes = NEXT_BYTES;
+          cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
           cluster.store.transactionOps = 4;
         });
     for (int turn = 0; turn < 8; turn++) {
       cluster.play(18);
       largest = Math.max(largest, cluster.store.largestValue);
-      if (cluster.store.valueBytes > NEXT_BYTES && turn % 2 == (seed & 1)) {
+      if (cluster.store.valueBytes > ANNOUNCED_VALUE_BYTES && turn % 2 == (seed & 1)) {
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
             .forEach(m -> m.crash(2));
@@ -224,11 +225,12 @@
             .filter(SimulatedController::leads)
             .forEach(m -> m.crash(1));
       }
-      noProgressIsMistaken(cluster);
+      assertNoProgressMisread(cluster);
     }
     cluster.calmSince = cluster.now();
     cluster.play(400);
-    assertTrue(largest <= NEXT_BYTES, "largest value written by this version: " + largest);
+    assertTrue(
+        largest <= ANNOUNCED_VALUE_BYTES, "largest value written by this version: " + largest);
     assertEquals(0, cluster.store.malformed);
     assertEquals(List.of(), cluster.invariants.broken);
     for (JobSpec job : all) {
@@ -236,7 +238,7 @@
     }
     for (JsonNode stored : cluster.store.values("fleet/")) {
       assertTrue(
-          Json.write(stored).length() <= NEXT_BYTES,
+          Json.write(stored).length() <= ANNOUNCED_VALUE_BYTES,
           "size of a machine record that was not split: " + Json.write(stored).length());
     }
   }
@@ -273,8 +275,8 @@
   }
 
   /** Asserts that every task which the production version would read as completed is completed. */
-  private static void noProgressIsMistaken(SimulatedCluster cluster) {
-    FormerVersion.progressItReads(cluster.store, NOW_BYTES)
+  private static void assertNoProgressMisread(SimulatedCluster cluster) {
+    FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES)
         .forEach(
             (uid, done) ->
                 done.stream()
@@ -294,7 +296,7 @@
    * of the value must be in at least one record at any time.
    */
   @Test
-  void aSharedRecordThatDoesNotFitLosesNothing() {
+  void oversizedSharedRecordIsSplitWithoutLoss() {
     SimulatedCluster cluster = cluster(77);
     FakeUsers users = new FakeUsers(cluster);
     cluster.cloud.most = 200;
@@ -306,13 +308,14 @@
     assertTrue(machineIds.size() > 60, "recorded machines: " + machineIds.size());
     cluster.leader().crash(1);
     cluster.play(0.05);
-    new FormerVersion(cluster.store, NOW_BYTES).leads();
+    new FormerVersion(cluster.store, CURRENT_VALUE_BYTES).leads();
     assertTrue(
-        cluster.store.values("fleet/").stream().anyMatch(v -> Json.write(v).length() > NEXT_BYTES),
+        cluster.store.values("fleet/").stream()
+            .anyMatch(v -> Json.write(v).length() > ANNOUNCED_VALUE_BYTES),
         "no machine record exceeds the lower size limit");
-    cluster.store.valueBytes = NEXT_BYTES;
+    cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
     cluster.store.transactionOps = 4;
-    int[] looks = new int[1];
+    int[] checks = new int[1];
     for (int i = 0; i < 1_200; i++) {
       cluster.at(
           i * 20_000L,
@@ -323,27 +326,28 @@
                 cluster.invariants.broken.add(machineId + " is in no machine record");
               }
             }
-            looks[0]++;
+            checks[0]++;
           });
     }
     // The new leader crashes during the rewrite; its successor must finish the rewrite.
     cluster.at(4_300_000, () -> cluster.leader().crash(1));
     cluster.play(26);
-    assertEquals(1_200, looks[0]);
+    assertEquals(1_200, checks[0]);
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals(0, cluster.store.malformed);
     assertTrue(
-        cluster.store.values("fleet/").stream().allMatch(v -> Json.write(v).length() <= NEXT_BYTES),
+        cluster.store.values("fleet/").stream()
+            .allMatch(v -> Json.write(v).length() <= ANNOUNCED_VALUE_BYTES),
         "a machine record still exceeds the lower size limit");
   }
 
   private static Set<String> machineIds(SimulatedCluster cluster) {
-    Set<String> out = new HashSet<>();
+    Set<String> result = new HashSet<>();
     cluster
         .store
         .values("fleet/")
-        .forEach(v -> v.path("hosts").forEach(h -> out.add(h.path(0).asText())));
-    return out;
+        .forEach(v -> v.path("hosts").forEach(h -> result.add(h.path(0).asText())));
+    return result;
   }
 
   /**
@@ -351,7 +355,7 @@
    * must retry a refused transaction with smaller values and stay below the new limits afterwards.
    */
   @Test
-  void limitsThatFallUnannouncedAreKeptAfterTheFirstRefusals() {
+  void unannouncedLowerLimitsAreKeptAfterFirstRefusals() {
     SimulatedCluster cluster =
         new SimulatedCluster(
             78,
@@ -359,7 +363,7 @@
             List.of(new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
             false,
             InvariantChecker.CANCEL_MICROS,
-            new PlatformConfiguration.StateLimits(200, 25, NOW_BYTES, 8));
+            new PlatformConfiguration.StateLimits(200, 25, CURRENT_VALUE_BYTES, 8));
     FakeUsers users = new FakeUsers(cluster);
     cluster.cloud.most = 200;
     List<JobSpec> all = new ArrayList<>();
@@ -369,8 +373,8 @@
       cluster.at(i * 900_000L, () -> users.submit(job, false));
     }
     cluster.play(45);
-    assertTrue(cluster.store.largestValue > NEXT_BYTES);
-    cluster.store.valueBytes = NEXT_BYTES;
+    assertTrue(cluster.store.largestValue > ANNOUNCED_VALUE_BYTES);
+    cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
     cluster.store.transactionOps = 4;
     // The deletion of a machine rewrites the record that this machine shares with dozens of others.
     cluster.cloud.machines.keySet().stream().limit(4).toList().forEach(cluster.cloud::delete);
@@ -391,14 +395,14 @@
    * of that version hold no end time.
    */
   @Test
-  void anEndStoredByTheOldVersionReleases() {
+  void endStoredByProductionVersionReleasesDependents() {
     SimulatedCluster cluster = cluster(79);
     FakeUsers users = new FakeUsers(cluster);
     JobSpec first = TestJob.job(users.nextUid()).tasks(2).runS(5).build();
     cluster.play(5);
     users.submit(first, false);
     cluster.play(40);
-    new FormerVersion(cluster.store, NOW_BYTES).leads();
+    new FormerVersion(cluster.store, CURRENT_VALUE_BYTES).leads();
     cluster.leader().crash(1);
     JobSpec next =
         TestJob.job(users.nextUid())
