--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -243,7 +243,8 @@
 
   /**
    * A stage shared by two pipelines inherits the earlier deadline and the higher priority. After
-   * the cancellation of the urgent pipeline the stage gets those of the other pipeline.
+   * the cancellation of the urgent pipeline the stage has deadline and priority of the other
+   * pipeline.
    */
   @Test
   void sharedStageInheritsEarliestDeadline() {
@@ -335,7 +336,7 @@
 
   /**
    * List parts that are found without the anchor part may be removed at any time. A submission must
-   * treat such parts as missing and store the whole list.
+   * treat the found parts as missing and store the whole list.
    */
   @Test
   void listPartsWithoutAnchorAreIgnored() {
@@ -360,7 +361,7 @@
     assertTrue(request("n2", "GET", "/submissions/" + job.uid(), null).body().contains("\"done\""));
   }
 
-  /** A repeated submission of a known job stores nothing, even if it names other dependencies. */
+  /** A repeated submission of a known job stores nothing, even with other dependencies. */
   @Test
   void repeatedSubmissionWithOtherDependenciesStoresNothing() {
     deployWithSmallValues();
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -17,8 +17,8 @@
 import plumlever.wire.Priority;
 
 /**
- * The cancellation of a job cancels all jobs that depend on it, directly or through other jobs,
- * also without a leader and during faults.
+ * The cancellation of a job cancels all its direct and indirect dependents, also without a leader
+ * and during faults.
  */
 final class DependencyCancellationTest extends DependencyScenario {
   /**
@@ -145,7 +145,7 @@
 
   /**
    * Cancellations race with the completion of the cancelled jobs. One transaction decides the final
-   * state, and the state of every dependent must agree with it.
+   * state, and the states of all dependents must agree with that state.
    */
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33})
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -35,9 +35,9 @@
 
 /**
  * Compatibility with records and messages that former versions wrote. The samples in {@code
- * production/} were written by the version that deploy/service.toml names, those in {@code
- * first-with-dependencies/} by the first version with job dependencies. The tests fail if a rename
- * or another refactoring changes a stored or sent format.
+ * production/} were written by the version that deploy/service.toml names; the samples in {@code
+ * first-with-dependencies/} were written by the first version with job dependencies. The tests fail
+ * if a rename or another refactoring changes a stored or sent format.
  */
 final class FormatSamplesTest {
   private static final String PRODUCTION = "production";
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -13,7 +13,7 @@
 /**
  * Verifies that no fixed limit prevents a fleet of more than 4,000 machines. All machines are
  * listed within the request rate of the cloud, recorded in the state service, and taken over by the
- * next leader, which receives heartbeats before it has read the jobs.
+ * next leader, which receives heartbeats before the jobs are read.
  */
 final class FourThousandMachinesTest {
   private static final int MACHINES = 4_200;
@@ -49,7 +49,7 @@
     assertEquals(MACHINES, recordedMachines(cluster).size());
     assertTrue(
         cluster.leader().controller().metrics().counter("machine_lists_read") >= 2,
-        "complete machine lists that were read");
+        "too few complete machine lists were read");
     assertEquals(0, cluster.cloud.refused, "requests over the cloud's rate");
     cluster.leader().crash(3);
     cluster.play(12);
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -17,8 +17,8 @@
 
 /**
  * Jobs are cancelled through another controller while the leader cannot learn of the cancellation.
- * The tasks of these jobs must still end within the time limit of a cancellation (rules 49 and 50
- * of docs/design.md).
+ * The tasks of the cancelled jobs must still end within the time limit of a cancellation (rules 49
+ * and 50 of docs/design.md).
  */
 final class GapTest {
   private SimulatedCluster cluster;
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -262,7 +262,7 @@
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
-  /** Any number of jobs may depend on a job that was accepted before them. */
+  /** Any number of jobs may depend on a previously accepted job. */
   @Test
   void manyJobsMayDependOnOne() {
     JobSpec root = idleJob(1, 30);
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -85,7 +85,7 @@
     boolean mixed =
         pool.worker(machine).tasks.values().stream()
             .anyMatch(task -> task.name.startsWith(other.uid()));
-    assertTrue(mixed || pool.runningTasks(machine) == before, "tasks after the transfer");
+    assertTrue(mixed || pool.runningTasks(machine) == before, "free capacity stays unused");
     pool.assertAllJobsEnd(150);
     pool.assertEveryTaskStartedOnce();
   }
@@ -279,8 +279,8 @@
   /**
    * The originating shard confirms a cancellation while the leader of the owning shard, which does
    * not learn of the cancellation, renews the machine's lease. The watches of the owning leader are
-   * not answered, and the originating shard cannot reach it, for longer than the time limit of a
-   * cancellation.
+   * not answered, and the originating shard cannot reach the owning leader, for longer than the
+   * time limit of a cancellation.
    *
    * @param assumedCancelMicros time limit of a cancellation that the controllers assume
    */
@@ -449,7 +449,7 @@
   }
 
   /**
-   * A leader stops using a share of a team limit before it sends the transaction that transfers the
+   * A leader stops using a share of a team limit before sending the transaction that transfers the
    * share. The share stays unused if the leader receives neither the answer to the transaction nor
    * the change through its watch.
    */
--- a/src/test/java/plumlever/sim/SlowProcessorTest.java
+++ b/src/test/java/plumlever/sim/SlowProcessorTest.java
@@ -122,8 +122,8 @@
 
   /**
    * After a stall of several seconds the leader has no recent heartbeat of any worker, and its
-   * peers report these workers as connected to them. The cause is the leader's own stall, so the
-   * leader must keep leadership and must not return any machine.
+   * peers report that the workers are connected to the peers. The cause is the leader's own stall,
+   * so the leader must keep leadership and must not return any machine.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -134,7 +134,7 @@
     SimulatedController first = cluster.leader();
     long term = cluster.store.term();
     first.stall(7);
-    // The leader processes the queued events slowly; peer messages are among the first of them.
+    // The leader processes the queued events slowly; peer messages are among the first events.
     first.slowDown(SLOWDOWN);
     cluster.play(25);
     assertEquals(term, cluster.store.term(), "term after the stall");
