--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -11,14 +11,14 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * No fixed limit stands below 4,000 machines: all of them are listed within the cloud's rate, kept
- * on record, and taken over by the next leader with the heartbeats that come before it knows its
- * jobs.
+ * Verifies that no fixed limit prevents a fleet of more than 4,000 machines. All machines are
+ * listed within the request rate of the cloud, recorded in the state service, and taken over by the
+ * next leader, which receives heartbeats before the jobs are read.
  */
 final class FourThousandMachinesTest {
   private static final int MACHINES = 4_200;
 
-  private static Set<String> recorded(SimulatedCluster cluster) {
+  private static Set<String> recordedMachines(SimulatedCluster cluster) {
     Set<String> names = new HashSet<>();
     cluster
         .store
@@ -46,14 +46,15 @@
       cluster.at(5_000_000L + i * 300_000L, () -> users.submit(400, 2, 40, false));
     }
     cluster.play(30);
-    assertEquals(MACHINES, recorded(cluster).size());
+    assertEquals(MACHINES, recordedMachines(cluster).size());
     assertTrue(
         cluster.leader().controller().metrics().counter("machine_lists_read") >= 2,
-        "whole lists were read");
+        "too few complete machine lists were read");
     assertEquals(0, cluster.cloud.refused, "requests over the cloud's rate");
     cluster.leader().crash(3);
     cluster.play(12);
-    assertTrue(cluster.leader().actingLeader().failoverComplete(), "taken over in seconds");
+    assertTrue(
+        cluster.leader().actingLeader().failoverComplete(), "failover takes more than seconds");
     cluster.calmSince = cluster.now();
     cluster.play(120);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -16,25 +16,28 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
-/** Jobs that wait for others, through all that may happen meanwhile. */
+/** Pipelines of dependent jobs under failovers, lost answers, stale watches and random faults. */
 final class PipelinesTest extends DependencyScenario {
   @Test
   void stagesRunOneAfterTheOther() {
-    List<JobSpec> list = pipeline();
-    users.pipeline(list, false);
+    List<JobSpec> stages = pipeline();
+    users.pipeline(stages, false);
     cluster.play(10);
-    assertEquals("pending", told(list.get(4)));
+    assertEquals("pending", reportedStatus(stages.get(4)));
     cluster.play(120);
-    assertTold("done", list.toArray(new JobSpec[0]));
+    assertReportedStatus("done", stages.toArray(new JobSpec[0]));
     List<JobSpec> late = pipeline();
     users.pipeline(late, true);
     cluster.play(120);
-    assertTold("done", late.toArray(new JobSpec[0]));
+    assertReportedStatus("done", late.toArray(new JobSpec[0]));
   }
 
-  /** While it waits a job takes nothing of its team's limit, nor does it make machines stand by. */
+  /**
+   * A job that waits for its dependencies uses none of its team's limit, and no machines are kept
+   * on standby for the job.
+   */
   @Test
-  void aWaitingJobHoldsNothing() {
+  void waitingJobUsesNoLimitAndNoStandbyMachines() {
     JobSpec first = job(2, 60, JobSpec.NO_DEADLINE, Priority.IDLE, List.of());
     JobSpec large =
         TestJob.job(users.nextUid())
@@ -59,21 +62,21 @@
             .build();
     users.submit(other, false);
     cluster.play(50);
-    assertEquals("pending", told(large));
-    assertTold("done", other);
+    assertEquals("pending", reportedStatus(large));
+    assertReportedStatus("done", other);
     cluster.play(100);
-    assertTold("done", large);
+    assertReportedStatus("done", large);
   }
 
-  /** The leader changes while some stages wait, and while one ends. */
+  /** The leader changes repeatedly while stages wait and while a stage ends. */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 4})
-  void aChainGoesOnAcrossAChangeOfLeader(double backAfterS) {
-    List<JobSpec> all = new ArrayList<>();
+  void chainContinuesAcrossLeaderChanges(double backAfterS) {
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      List<JobSpec> list = pipeline();
-      all.addAll(list);
-      users.pipeline(list, i % 2 == 0);
+      List<JobSpec> stages = pipeline();
+      jobs.addAll(stages);
+      users.pipeline(stages, i % 2 == 0);
     }
     long term = cluster.store.term();
     for (int i = 0; i < 5; i++) {
@@ -82,60 +85,68 @@
       cluster.play(5);
     }
     cluster.play(150);
-    assertTrue(cluster.store.term() - term >= 5, "leaders changed");
-    assertTold("done", all.toArray(new JobSpec[0]));
+    assertTrue(cluster.store.term() - term >= 5, "too few changes of the leader");
+    assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 
-  /** The transaction that ends a predecessor is carried out, and nobody is told. */
+  /** The transaction that stores the end of a dependency is applied, but its answer is lost. */
   @Test
-  void anEndWithoutAnAnswerReleasesAllTheSame() {
-    List<JobSpec> list = pipeline();
-    cluster.store.answerLostOnce = "ended/" + list.get(0).uid();
-    users.pipeline(list, false);
+  void endWithLostAnswerReleasesDependents() {
+    List<JobSpec> stages = pipeline();
+    cluster.store.answerLostOnce = "ended/" + stages.get(0).uid();
+    users.pipeline(stages, false);
     cluster.play(120);
     assertEquals(1, cluster.store.appliedUnanswered);
-    assertTold("done", list.toArray(new JobSpec[0]));
+    assertReportedStatus("done", stages.toArray(new JobSpec[0]));
   }
 
-  /** Watches that have fallen too far behind read the dependency chains anew. */
+  /**
+   * The state service retains only three changes. A watch that has fallen behind further reads the
+   * dependency chains again.
+   */
   @Test
-  void recordsThatAreTooOldAreReadAnew() {
+  void staleWatchesReadChainsAgain() {
     cluster.store.remembered = 3;
-    List<JobSpec> all = new ArrayList<>();
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      List<JobSpec> list = pipeline();
-      all.addAll(list);
-      users.pipeline(list, false);
+      List<JobSpec> stages = pipeline();
+      jobs.addAll(stages);
+      users.pipeline(stages, false);
     }
     cluster.play(200);
-    assertTold("done", all.toArray(new JobSpec[0]));
+    assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 
-  /** A long chain, asked about at every controller: what a question costs does not grow with it. */
+  /** The cost of a status query does not grow with the length of the dependency chain. */
   @Test
-  void questionsAboutALongChainAreFew() {
-    List<JobSpec> all = new ArrayList<>();
+  void statusQueriesOnLongChainAreCheap() {
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
-      JobSpec job = i == 0 ? idle(1, 900) : idle(1, 5, all.get(i - 1));
-      all.add(job);
+      JobSpec job = i == 0 ? idleJob(1, 900) : idleJob(1, 5, jobs.get(i - 1));
+      jobs.add(job);
       assertEquals(201, submitAt("n0", job).status());
     }
-    JobSpec last = all.get(299);
-    assertEquals(200, ask("n1", "GET", "/submissions/" + last.uid(), null).status());
+    JobSpec last = jobs.get(299);
+    assertEquals(200, request("n1", "GET", "/submissions/" + last.uid(), null).status());
     cluster.store.requestsSeen = 0;
     for (int i = 0; i < 10; i++) {
-      assertTrue(ask("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
+      assertTrue(
+          request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     }
     assertTrue(
         cluster.store.requestsSeen < 60,
-        "for ten questions, all else included: " + cluster.store.requestsSeen);
+        "requests to the state service during ten status queries: " + cluster.store.requestsSeen);
     assertTrue(
-        ask("n2", "POST", "/submissions/" + all.get(0).uid() + "/abort", "")
+        request("n2", "POST", "/submissions/" + jobs.get(0).uid() + "/abort", "")
             .body()
             .contains("aborted"));
-    assertTrue(ask("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
+    assertTrue(
+        request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
     cluster.play(120);
-    assertEquals(0, cluster.store.count("active/"), "the leader has stored the rest");
+    assertEquals(
+        0,
+        cluster.store.count("active/"),
+        "active records after the cancellation of the first job");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
@@ -145,27 +156,28 @@
   }
 
   /**
-   * Pipelines among other work, a tenth of them cancelled, through all troubles; every second day
-   * with close looks.
+   * Runs pipelines and other jobs under random faults, one simulation per seed. About a fifth of
+   * the pipelines are cancelled. With even seeds, users also query all controllers within
+   * milliseconds of each new answer.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void troubledDayWithPipelines(long seed) {
-    deployment(4_000 + seed, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
+  void randomFaultsWithPipelines(long seed) {
+    deploy(4_000 + seed, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = seed % 2 == 0 ? 2048 : 4096;
     cluster.store.transactionOps = seed % 2 == 0 ? 4 : 8;
     users.closeLooks = seed % 2 == 0;
-    List<JobSpec> all = new ArrayList<>();
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 14; i++) {
-      List<JobSpec> list = pipeline();
-      all.addAll(list);
+      List<JobSpec> stages = pipeline();
+      jobs.addAll(stages);
       boolean late = i % 4 == 0;
-      cluster.at(i * 15_000_000L, () -> users.pipeline(list, late));
+      cluster.at(i * 15_000_000L, () -> users.pipeline(stages, late));
       if (i % 5 == 0) {
-        JobSpec off = list.get(cluster.random.nextInt(list.size()));
+        JobSpec jobToCancel = stages.get(cluster.random.nextInt(stages.size()));
         cluster.at(
             i * 15_000_000L + 3_000_000 + cluster.random.nextLong(25_000_000),
-            () -> users.cancelOnceAccepted(off.uid()));
+            () -> users.cancelOnceAccepted(jobToCancel.uid()));
       }
       cluster.at(
           i * 15_000_000L,
@@ -199,28 +211,34 @@
     cluster.play(300);
     cluster.invariants.checkServed();
     assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals(0, cluster.store.malformed, "nothing too large was written");
-    for (JobSpec job : all) {
-      assertTrue(List.of("done", "aborted").contains(told(job)), job.uid() + " " + told(job));
+    assertEquals(
+        0, cluster.store.malformed, "transactions that exceed a limit of the state service");
+    for (JobSpec job : jobs) {
+      assertTrue(
+          List.of("done", "aborted").contains(reportedStatus(job)),
+          job.uid() + " " + reportedStatus(job));
     }
-    assertNotEquals(0, all.stream().filter(j -> told(j).equals("done")).count());
+    assertNotEquals(0, jobs.stream().filter(j -> reportedStatus(j).equals("done")).count());
   }
 
-  /** The check can fail: records that lose what a job waits on let it start too early. */
+  /**
+   * Verifies that the invariant check detects premature starts: job records that lose their
+   * dependencies make jobs start too early.
+   */
   @Test
-  void withoutTheRecordJobsStartTooEarly() {
+  void withoutStoredDependenciesJobsStartTooEarly() {
     cluster.store.lostField = "waits_on";
     users.pipeline(pipeline(), false);
     cluster.play(80);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("too_early")),
-        "the checks must see it");
+        "the invariant check did not detect the premature start");
   }
 
-  /** The deadline of the last job reaches the first, also at a new leader. */
+  /** The first job inherits deadline and priority of the last job, also under a new leader. */
   @Test
-  void aDeadlineReachesBackAtANewLeader() {
-    JobSpec first = idle(1, 300);
+  void deadlineIsInheritedUnderNewLeader() {
+    JobSpec first = idleJob(1, 300);
     JobSpec last = job(1, 10, 400, Priority.HIGH, List.of(first.uid()));
     submit(first, last);
     cluster.play(10);
@@ -231,27 +249,27 @@
       long remainingMicros = job.deadlineMicros() - job.acceptedMicros();
       assertTrue(
           remainingMicros > 370_000_000L && remainingMicros < 390_000_000L,
-          "400 s less what the last takes: " + remainingMicros);
+          "inherited time to the deadline (400 s less the last job), in us: " + remainingMicros);
       cluster.leader().crash(1);
       cluster.play(15);
     }
-    assertEquals(200, ask("n0", "POST", "/submissions/" + last.uid() + "/abort", "").status());
+    assertEquals(200, request("n0", "POST", "/submissions/" + last.uid() + "/abort", "").status());
     cluster.play(2);
     assertEquals(
         Priority.IDLE,
         cluster.leader().actingLeader().job(first.uid()).orElseThrow().priority(),
-        "undone with the job that had it");
+        "priority after the cancellation of the dependent job");
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
-  /** What was accepted before names of it were known may be named by any number. */
+  /** Any number of jobs may depend on a previously accepted job. */
   @Test
-  void aThousandMayWaitOnOne() {
-    JobSpec root = idle(1, 30);
+  void manyJobsMayDependOnOne() {
+    JobSpec root = idleJob(1, 30);
     assertEquals(201, submitAt("n0", root).status());
-    List<JobSpec> all = IntStream.range(0, 120).mapToObj(i -> idle(1, 1, root)).toList();
-    all.forEach(j -> users.submit(j, false));
+    List<JobSpec> jobs = IntStream.range(0, 120).mapToObj(i -> idleJob(1, 1, root)).toList();
+    jobs.forEach(j -> users.submit(j, false));
     cluster.play(150);
-    assertTold("done", all.toArray(new JobSpec[0]));
+    assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 }
--- a/src/test/java/plumlever/sim/LittleProcessorTest.java
+++ b/src/test/java/plumlever/sim/SlowProcessorTest.java
@@ -12,34 +12,34 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * The deployment on processors so small that everything takes its time, and far longer in a process
- * that has just started.
+ * Controllers on a small share of a processor: every event takes processing time, and many times
+ * more in a process that has just started.
  */
-final class LittleProcessorTest {
+final class SlowProcessorTest {
   private static final List<PlatformConfiguration.Team> TEAMS =
       List.of(
           new PlatformConfiguration.Team("red", 0, 0, 0, 0),
           new PlatformConfiguration.Team("blue", 0, 0, 0, 0));
   private static final int MACHINES = 600;
-  private static final double SLOW = 3;
+  private static final double SLOWDOWN = 3;
 
-  private static SimulatedCluster cluster(long seed, boolean electionApart) {
+  private static SimulatedCluster cluster(long seed, boolean separateElectionThread) {
     SimulatedCluster cluster = new SimulatedCluster(seed, 3, TEAMS, false);
     cluster.costs = Processor.Costs.little();
     cluster.cloud.most = MACHINES;
     for (SimulatedController controller : cluster.controllers.values()) {
-      controller.electionApart = electionApart;
+      controller.electionApart = separateElectionThread;
       controller.kill();
       controller.start();
     }
     return cluster;
   }
 
-  private static FakeUsers busy(SimulatedCluster cluster, int jobs, double everyS) {
+  private static FakeUsers submitLargeJobs(SimulatedCluster cluster, int jobs, double intervalS) {
     FakeUsers users = new FakeUsers(cluster);
     for (int i = 0; i < jobs; i++) {
       cluster.at(
-          (long) (i * everyS * 1e6),
+          (long) (i * intervalS * 1e6),
           () -> users.submit(90, 2, 10 + cluster.random.nextInt(30), false));
     }
     return users;
@@ -48,7 +48,7 @@
   private static void assertAllDone(SimulatedCluster cluster, FakeUsers users, int jobs) {
     cluster.invariants.checkServed();
     assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals(jobs, users.accepted().size(), "every job is accepted in the end");
+    assertEquals(jobs, users.accepted().size(), "accepted jobs");
     assertEquals(
         List.of(),
         users.accepted().stream()
@@ -57,49 +57,55 @@
   }
 
   /**
-   * All controllers end together, with all workers waiting for the first that is back: how much of
-   * the time after that somebody leads, in parts of a hundred.
+   * Crashes all controllers together, so that all workers reconnect to the first controller that
+   * restarts, and returns the percentage of the following 20 s in which some controller may act as
+   * the leader.
    */
-  private static int ledAfterACrashOfAll(SimulatedCluster cluster) {
+  private static int leadershipPercentAfterCrashOfAll(SimulatedCluster cluster) {
     cluster.play(100);
     assertTrue(
         cluster.cloud.machines.size() > MACHINES / 3, "machines: " + cluster.cloud.machines.size());
     cluster.controllers.values().forEach(m -> m.crash(6));
     cluster.play(10);
-    int led = 0;
+    int samplesWithLeader = 0;
     for (int i = 0; i < 200; i++) {
       cluster.play(0.1);
-      led += cluster.controllers.values().stream().anyMatch(m -> m.controller().mayAct()) ? 1 : 0;
+      samplesWithLeader +=
+          cluster.controllers.values().stream().anyMatch(m -> m.controller().mayAct()) ? 1 : 0;
     }
-    return led / 2;
+    return samplesWithLeader / 2;
   }
 
   /**
-   * Several hundred workers come to each process that has just started, and everything takes many
-   * times as long there: neither the election nor the renewals may wait behind them. Without a
-   * thread of its own leadership does.
+   * Several hundred workers connect to a process that has just started and processes every event
+   * many times more slowly. Neither the election nor the renewals of the leader lease may queue
+   * behind the heartbeats, so the election runs on a separate thread.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aCrowdAtAColdProcessCostsNoControllerItsLeadership(long seed) {
+  void reconnectingWorkersDoNotCostLeadership(long seed) {
     SimulatedCluster cluster = cluster(seed, true);
-    FakeUsers users = busy(cluster, 60, 2);
-    int led = ledAfterACrashOfAll(cluster);
-    assertTrue(led >= 90, "led " + led + "% of the time");
+    FakeUsers users = submitLargeJobs(cluster, 60, 2);
+    int leaderPercent = leadershipPercentAfterCrashOfAll(cluster);
+    assertTrue(leaderPercent >= 90, "percentage of time with a leader: " + leaderPercent + "%");
     cluster.calmSince = cluster.now();
     cluster.play(400);
     assertAllDone(cluster, users, 60);
   }
 
   @Test
-  void withoutAThreadOfItsOwnTheElectionWaitsBehindTheCrowd() {
+  void withoutSeparateThreadElectionWaitsBehindHeartbeats() {
     SimulatedCluster cluster = cluster(1, false);
-    busy(cluster, 60, 2);
-    int led = ledAfterACrashOfAll(cluster);
-    assertTrue(led < 90, "with these costs the thread of its own is needed: led " + led + "%");
+    submitLargeJobs(cluster, 60, 2);
+    int leaderPercent = leadershipPercentAfterCrashOfAll(cluster);
+    assertTrue(
+        leaderPercent < 90,
+        "percentage of time with a leader, without a separate election thread: "
+            + leaderPercent
+            + "%");
   }
 
-  private static FakeUsers quiet(SimulatedCluster cluster) {
+  private static FakeUsers submitSmallJobs(SimulatedCluster cluster) {
     FakeUsers users = new FakeUsers(cluster);
     for (int i = 0; i < 40; i++) {
       cluster.at(
@@ -115,23 +121,23 @@
   }
 
   /**
-   * A leader that stood still for seconds finds all its workers silent, and hears that they have
-   * been seen elsewhere. It was it that did not listen: it keeps leadership, and returns no
-   * machine.
+   * After a stall of several seconds the leader has no recent heartbeat of any worker, and its
+   * peers report that the workers are connected to the peers. The cause is the leader's own stall,
+   * so the leader must keep leadership and must not return any machine.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void whoStoodStillDoesNotTakeItsWorkersForLost(long seed) {
+  void stalledLeaderDoesNotTreatWorkersAsLost(long seed) {
     SimulatedCluster cluster = cluster(seed, true);
-    busy(cluster, 60, 2);
+    submitLargeJobs(cluster, 60, 2);
     cluster.play(60);
     SimulatedController first = cluster.leader();
     long term = cluster.store.term();
     first.stall(7);
-    // What has come in meanwhile is worked off slowly, the peers' words among the first.
-    first.slowDown(SLOW);
+    // The leader processes the queued events slowly; peer messages are among the first events.
+    first.slowDown(SLOWDOWN);
     cluster.play(25);
-    assertEquals(term, cluster.store.term(), "nobody else was elected");
+    assertEquals(term, cluster.store.term(), "term after the stall");
     first.slowDown(1);
     cluster.calmSince = cluster.now();
     cluster.play(400);
@@ -139,9 +145,9 @@
     assertEquals(List.of(), cluster.invariants.broken);
   }
 
-  /** Asks each controller whether it can take requests, and waits for what it says. */
-  private static List<Integer> up(SimulatedCluster cluster) {
-    List<Integer> out = new ArrayList<>();
+  /** Queries the health endpoint of each controller and returns the status codes. */
+  private static List<Integer> healthStatuses(SimulatedCluster cluster) {
+    List<Integer> statuses = new ArrayList<>();
     for (String controller : cluster.controllers.keySet()) {
       cluster.network.send(
           "balancer",
@@ -150,37 +156,43 @@
           "/up",
           null,
           6_000_000,
-          a -> out.add(a.status()));
+          a -> statuses.add(a.status()));
       cluster.play(6.1);
     }
-    return out;
+    return statuses;
   }
 
   /**
-   * A leader that is seconds late sends its users to those that are on time; where nobody is, all
-   * go on taking them.
+   * A leader whose event processing is seconds late reports itself unhealthy, so that the load
+   * balancer sends users to the other controllers. If all controllers are late, all keep accepting
+   * users.
    */
   @Test
-  void whoIsSecondsLateLeavesUsersToOthers() {
+  void lateControllerReportsUnhealthy() {
     SimulatedCluster cluster = cluster(2, true);
-    busy(cluster, 60, 2);
+    submitLargeJobs(cluster, 60, 2);
     cluster.play(60);
-    int leads = List.copyOf(cluster.controllers.values()).indexOf(cluster.leader());
-    assertEquals(List.of(200, 200, 200), up(cluster));
-    cluster.leader().slowDown(SLOW);
+    int leaderIndex = List.copyOf(cluster.controllers.values()).indexOf(cluster.leader());
+    assertEquals(List.of(200, 200, 200), healthStatuses(cluster));
+    cluster.leader().slowDown(SLOWDOWN);
     cluster.play(8);
-    List<Integer> seen = up(cluster);
-    assertEquals(503, seen.get(leads), "the late one: " + seen);
-    assertEquals(2, seen.stream().filter(s -> s == 200).count(), "the others: " + seen);
+    List<Integer> statuses = healthStatuses(cluster);
+    assertEquals(
+        503, statuses.get(leaderIndex), "status of the late controller, of all: " + statuses);
+    assertEquals(
+        2,
+        statuses.stream().filter(s -> s == 200).count(),
+        "healthy controllers, of all: " + statuses);
     cluster.controllers.values().forEach(m -> m.slowDown(1));
     cluster.play(12);
-    assertEquals(List.of(200, 200, 200), up(cluster), "and back");
+    assertEquals(
+        List.of(200, 200, 200), healthStatuses(cluster), "status codes after the recovery");
   }
 
   @Test
-  void aLateControllerThatIsAloneGoesOnTakingUsers() {
+  void lateControllerWithoutPeersStaysHealthy() {
     SimulatedCluster cluster = cluster(2, true);
-    busy(cluster, 60, 2);
+    submitLargeJobs(cluster, 60, 2);
     cluster.play(60);
     SimulatedController leader = cluster.leader();
     cluster.controllers.values().stream()
@@ -188,7 +200,7 @@
         .forEach(SimulatedController::kill);
     leader.slowDown(3);
     cluster.play(8);
-    boolean[] took = new boolean[1];
+    boolean[] accepted = new boolean[1];
     cluster.network.send(
         "balancer",
         leader.platform.bind(),
@@ -196,26 +208,26 @@
         "/up",
         null,
         30_000_000,
-        a -> took[0] = a.status() == 200);
+        a -> accepted[0] = a.status() == 200);
     cluster.play(31);
-    assertTrue(took[0]);
+    assertTrue(accepted[0]);
   }
 
   /**
-   * Decisions that stand still for much longer cost leadership, and never act in a later term of
-   * the same controller.
+   * A leader whose decision thread stalls for much longer loses leadership. Decisions of the former
+   * term must not take effect in a later term of the same controller.
    */
   @Test
-  void aLeaderWhoseDecisionsStallStepsDown() {
+  void leaderWithStalledDecisionsStepsDown() {
     SimulatedCluster cluster = new SimulatedCluster(5, 3, TEAMS, false);
-    quiet(cluster);
+    submitSmallJobs(cluster);
     cluster.play(40);
     SimulatedController first = cluster.leader();
     long term = cluster.store.term();
     first.stall(40);
     cluster.play(20);
-    assertTrue(cluster.store.term() > term, "another leads");
-    // The others end, so that it may be elected once more before its decisions go on.
+    assertTrue(cluster.store.term() > term, "no other leader was elected");
+    // The other controllers crash, so that the first may be re-elected while its decisions stall.
     cluster.controllers.values().stream().filter(m -> m != first).forEach(m -> m.crash(60));
     cluster.play(240);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -33,10 +33,13 @@
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 
-/** The production version and this one side by side, by samples that the former wrote itself. */
+/**
+ * Compatibility of this version with the production version: with records and messages that the
+ * production version wrote, and with both versions leading in turn.
+ */
 final class UpgradeTest {
-  private static final int NOW_BYTES = 4096;
-  private static final int NEXT_BYTES = 2048;
+  private static final int CURRENT_VALUE_BYTES = 4096;
+  private static final int ANNOUNCED_VALUE_BYTES = 2048;
 
   private static byte[] sample(String name) {
     try (InputStream in = UpgradeTest.class.getResourceAsStream("/production/" + name)) {
@@ -47,10 +50,10 @@
   }
 
   private static Map<String, JsonNode> records() throws InvalidMessageException {
-    Map<String, JsonNode> out = new LinkedHashMap<>();
+    Map<String, JsonNode> result = new LinkedHashMap<>();
     ObjectNode all = Json.parseObject(sample("records.json"));
-    all.fieldNames().forEachRemaining(k -> out.put(k, all.get(k).path("data")));
-    return out;
+    all.fieldNames().forEachRemaining(k -> result.put(k, all.get(k).path("data")));
+    return result;
   }
 
   private static SimulatedCluster cluster(long seed) {
@@ -62,11 +65,12 @@
             new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
         false,
         InvariantChecker.CANCEL_MICROS,
-        new PlatformConfiguration.StateLimits(200, 25, NEXT_BYTES, 4, NOW_BYTES));
+        new PlatformConfiguration.StateLimits(
+            200, 25, ANNOUNCED_VALUE_BYTES, 4, CURRENT_VALUE_BYTES));
   }
 
   @Test
-  void readsItsRecordsOfEveryKind() throws InvalidMessageException {
+  void readsRecordsOfEveryKind() throws InvalidMessageException {
     Set<String> kinds = new HashSet<>();
     for (Map.Entry<String, JsonNode> entry : records().entrySet()) {
       kinds.add(entry.getKey().substring(0, Math.max(0, entry.getKey().indexOf('/'))));
@@ -75,12 +79,15 @@
         assertEquals(
             entry.getValue().path("job"),
             Json.parseObject(Json.write(spec.toJson())),
-            "nothing is read otherwise than it was written");
+            "specification as stored and as read");
         assertTrue(JobStore.acceptedWallMicros(entry.getValue()) > 0);
         assertEquals(List.of(), spec.dependencies());
       } else if (entry.getKey().startsWith(JobStore.ENDED)) {
         assertTrue(JobStore.finalState(entry.getValue()).isPresent());
-        assertEquals(0, JobStore.endedWallMicros(entry.getValue()), "when it ended is not told");
+        assertEquals(
+            0,
+            JobStore.endedWallMicros(entry.getValue()),
+            "end time, which the production version does not store");
       }
     }
     assertEquals(
@@ -88,11 +95,11 @@
   }
 
   /**
-   * A new leader of this version takes over what that one left: jobs, progress, machines, what was
-   * begun.
+   * A new leader of this version takes over the records of the production version: jobs, progress,
+   * machines, and the list of started jobs.
    */
   @Test
-  void takesOverWhatItLeft() throws InvalidMessageException {
+  void takesOverRecordsOfProductionVersion() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(1);
     Map<String, JsonNode> records = records();
     records.keySet().removeIf(k -> k.startsWith("office/leader"));
@@ -118,16 +125,16 @@
         .ifPresent(small -> assertEquals(packed, small.completedTasks()));
     Job large = cluster.leader().actingLeader().job("job-900001").orElseThrow();
     assertEquals(
-        FormerVersion.progressItReads(cluster.store, NOW_BYTES).get("job-900001"),
+        FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES).get("job-900001"),
         large.completedTasks(),
-        "by its own size of chunks");
+        "progress read with the chunk size of the production version");
     assertTrue(large.completedCount() > 1000 && large.inherited());
     int machines = records.get("fleet/0").path("hosts").size();
     assertTrue(machines > 5);
     assertEquals(200, status(cluster, "job-000003", "aborted"));
   }
 
-  private static int status(SimulatedCluster cluster, String uid, String part) {
+  private static int status(SimulatedCluster cluster, String uid, String expectedBody) {
     int[] status = new int[1];
     cluster
         .controllers
@@ -140,7 +147,7 @@
             new byte[0],
             (s, json, retry) -> {
               status[0] = s;
-              assertTrue(json.contains(part), json);
+              assertTrue(json.contains(expectedBody), json);
             });
     cluster.play(1);
     return status[0];
@@ -161,7 +168,7 @@
     assertEquals(610, read.workers());
     assertEquals(new TaskCounts(0, 70_000), read.counts().get("job-7"));
     assertEquals(List.of(), read.confirmedCancellations());
-    PeerStatus news =
+    PeerStatus extended =
         new PeerStatus(
             read.label(),
             read.term(),
@@ -171,12 +178,12 @@
             read.workers(),
             read.counts(),
             List.of("job-000412", "job-5"));
-    byte[] ours = codec.write(news);
+    byte[] ours = codec.write(extended);
     assertArrayEquals(
         theirs,
         Arrays.copyOf(ours, theirs.length),
-        "it reads as far as its own fields, and finds them unchanged");
-    assertEquals(news.confirmedCancellations(), codec.read(ours).confirmedCancellations());
+        "the fields known to the production version must keep their encoding");
+    assertEquals(extended.confirmedCancellations(), codec.read(ours).confirmedCancellations());
   }
 
   static LongStream seeds() {
@@ -184,29 +191,30 @@
   }
 
   /**
-   * Old and new lead in turns, the old one filling values up to the present limit, and the limits
-   * fall at some moment. Nothing is lost or started twice, and what this version writes keeps
-   * within the limits to come from the start.
+   * Leaders of the production version and of this version alternate. The production version fills
+   * values up to the current size limit. The limits of the state service are lowered at a time that
+   * depends on the seed. No task may be lost or started twice, and this version must keep within
+   * the announced lower limits from the start.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void leadsInTurnsWithIt(long seed) {
+  void alternatesLeadershipWithProductionVersion(long seed) {
     SimulatedCluster cluster = cluster(300 + seed);
     FakeUsers users = new FakeUsers(cluster);
-    FormerVersion former = new FormerVersion(cluster.store, NOW_BYTES);
+    FormerVersion former = new FormerVersion(cluster.store, CURRENT_VALUE_BYTES);
     List<JobSpec> all = submitManySmallAndOneLarge(cluster, users);
     int largest = 0;
-    long limitsFall = 60_000_000 + seed * 15_000_000;
+    long limitsLoweredAtMicros = 60_000_000 + seed * 15_000_000;
     cluster.at(
-        limitsFall,
+        limitsLoweredAtMicros,
         () -> {
-          cluster.store.valueBytes = NEXT_BYTES;
+          cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
           cluster.store.transactionOps = 4;
         });
     for (int turn = 0; turn < 8; turn++) {
       cluster.play(18);
       largest = Math.max(largest, cluster.store.largestValue);
-      if (cluster.store.valueBytes > NEXT_BYTES && turn % 2 == (seed & 1)) {
+      if (cluster.store.valueBytes > ANNOUNCED_VALUE_BYTES && turn % 2 == (seed & 1)) {
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
             .forEach(m -> m.crash(2));
@@ -217,11 +225,12 @@
             .filter(SimulatedController::leads)
             .forEach(m -> m.crash(1));
       }
-      noProgressIsMistaken(cluster);
+      assertNoProgressMisread(cluster);
     }
     cluster.calmSince = cluster.now();
     cluster.play(400);
-    assertTrue(largest <= NEXT_BYTES, "written by this version: " + largest);
+    assertTrue(
+        largest <= ANNOUNCED_VALUE_BYTES, "largest value written by this version: " + largest);
     assertEquals(0, cluster.store.malformed);
     assertEquals(List.of(), cluster.invariants.broken);
     for (JobSpec job : all) {
@@ -229,8 +238,8 @@
     }
     for (JsonNode stored : cluster.store.values("fleet/")) {
       assertTrue(
-          Json.write(stored).length() <= NEXT_BYTES,
-          "rewritten in parts: " + Json.write(stored).length());
+          Json.write(stored).length() <= ANNOUNCED_VALUE_BYTES,
+          "size of a machine record that was not split: " + Json.write(stored).length());
     }
   }
 
@@ -265,9 +274,9 @@
     return all;
   }
 
-  /** What the old version would take for done is done. */
-  private static void noProgressIsMistaken(SimulatedCluster cluster) {
-    FormerVersion.progressItReads(cluster.store, NOW_BYTES)
+  /** Asserts that every task which the production version would read as completed is completed. */
+  private static void assertNoProgressMisread(SimulatedCluster cluster) {
+    FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES)
         .forEach(
             (uid, done) ->
                 done.stream()
@@ -275,15 +284,19 @@
                         t ->
                             assertTrue(
                                 cluster.invariants.completed(uid + "/" + t),
-                                "it would take " + uid + "/" + t + " for done")));
+                                "the production version would read "
+                                    + uid
+                                    + "/"
+                                    + t
+                                    + " as completed")));
   }
 
   /**
-   * A value larger than may be written now is rewritten in parts, and at no moment is an entry of
-   * it in none.
+   * A stored value that exceeds the current size limit is split into several records. Every entry
+   * of the value must be in at least one record at any time.
    */
   @Test
-  void aSharedRecordThatDoesNotFitLosesNothing() {
+  void oversizedSharedRecordIsSplitWithoutLoss() {
     SimulatedCluster cluster = cluster(77);
     FakeUsers users = new FakeUsers(cluster);
     cluster.cloud.most = 200;
@@ -292,16 +305,17 @@
     }
     cluster.play(60);
     Set<String> machineIds = machineIds(cluster);
-    assertTrue(machineIds.size() > 60, "machines on record: " + machineIds.size());
+    assertTrue(machineIds.size() > 60, "recorded machines: " + machineIds.size());
     cluster.leader().crash(1);
     cluster.play(0.05);
-    new FormerVersion(cluster.store, NOW_BYTES).leads();
+    new FormerVersion(cluster.store, CURRENT_VALUE_BYTES).leads();
     assertTrue(
-        cluster.store.values("fleet/").stream().anyMatch(v -> Json.write(v).length() > NEXT_BYTES),
-        "too large to be written now");
-    cluster.store.valueBytes = NEXT_BYTES;
+        cluster.store.values("fleet/").stream()
+            .anyMatch(v -> Json.write(v).length() > ANNOUNCED_VALUE_BYTES),
+        "no machine record exceeds the lower size limit");
+    cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
     cluster.store.transactionOps = 4;
-    int[] looks = new int[1];
+    int[] checks = new int[1];
     for (int i = 0; i < 1_200; i++) {
       cluster.at(
           i * 20_000L,
@@ -309,38 +323,39 @@
             Set<String> now = machineIds(cluster);
             for (String machineId : machineIds) {
               if (!now.contains(machineId) && cluster.cloud.machines.containsKey(machineId)) {
-                cluster.invariants.broken.add(machineId + " is on no record");
+                cluster.invariants.broken.add(machineId + " is in no machine record");
               }
             }
-            looks[0]++;
+            checks[0]++;
           });
     }
-    // The new leader ends while it is at it, so that the next goes on with what it left.
+    // The new leader crashes during the rewrite; its successor must finish the rewrite.
     cluster.at(4_300_000, () -> cluster.leader().crash(1));
     cluster.play(26);
-    assertEquals(1_200, looks[0]);
+    assertEquals(1_200, checks[0]);
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals(0, cluster.store.malformed);
     assertTrue(
-        cluster.store.values("fleet/").stream().allMatch(v -> Json.write(v).length() <= NEXT_BYTES),
-        "all in parts by now");
+        cluster.store.values("fleet/").stream()
+            .allMatch(v -> Json.write(v).length() <= ANNOUNCED_VALUE_BYTES),
+        "a machine record still exceeds the lower size limit");
   }
 
   private static Set<String> machineIds(SimulatedCluster cluster) {
-    Set<String> out = new HashSet<>();
+    Set<String> result = new HashSet<>();
     cluster
         .store
         .values("fleet/")
-        .forEach(v -> v.path("hosts").forEach(h -> out.add(h.path(0).asText())));
-    return out;
+        .forEach(v -> v.path("hosts").forEach(h -> result.add(h.path(0).asText())));
+    return result;
   }
 
   /**
-   * Limits that fall on a day on which nothing announced it: what is refused for its size comes
-   * smaller.
+   * The limits of the state service are lowered without an announcement in the settings. A leader
+   * must retry a refused transaction with smaller values and stay below the new limits afterwards.
    */
   @Test
-  void limitsThatFallUnannouncedAreKeptAfterTheFirstRefusals() {
+  void unannouncedLowerLimitsAreKeptAfterFirstRefusals() {
     SimulatedCluster cluster =
         new SimulatedCluster(
             78,
@@ -348,7 +363,7 @@
             List.of(new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
             false,
             InvariantChecker.CANCEL_MICROS,
-            new PlatformConfiguration.StateLimits(200, 25, NOW_BYTES, 8));
+            new PlatformConfiguration.StateLimits(200, 25, CURRENT_VALUE_BYTES, 8));
     FakeUsers users = new FakeUsers(cluster);
     cluster.cloud.most = 200;
     List<JobSpec> all = new ArrayList<>();
@@ -358,36 +373,36 @@
       cluster.at(i * 900_000L, () -> users.submit(job, false));
     }
     cluster.play(45);
-    assertTrue(cluster.store.largestValue > NEXT_BYTES);
-    cluster.store.valueBytes = NEXT_BYTES;
+    assertTrue(cluster.store.largestValue > ANNOUNCED_VALUE_BYTES);
+    cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
     cluster.store.transactionOps = 4;
-    // A machine that goes has the record that it shares with dozens written anew.
+    // The deletion of a machine rewrites the record that this machine shares with dozens of others.
     cluster.cloud.machines.keySet().stream().limit(4).toList().forEach(cluster.cloud::delete);
     cluster.play(60);
     int refused = cluster.store.malformed;
-    assertTrue(refused > 0 && refused < 40, "told by refusals: " + refused);
+    assertTrue(refused > 0 && refused < 40, "refused transactions: " + refused);
     cluster.leader().crash(2);
     cluster.play(250);
     assertTrue(
         cluster.store.malformed - refused < 40,
-        "and again by a new leader: " + (cluster.store.malformed - refused));
+        "refused transactions of the new leader: " + (cluster.store.malformed - refused));
     assertEquals(List.of(), cluster.invariants.broken);
     all.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
   }
 
   /**
-   * When an old version stored a predecessor's end, which tells no time, what waits on it is
-   * released all the same.
+   * A job is released although the production version stored the end of its dependency. The records
+   * of that version hold no end time.
    */
   @Test
-  void anEndStoredByTheOldVersionReleases() {
+  void endStoredByProductionVersionReleasesDependents() {
     SimulatedCluster cluster = cluster(79);
     FakeUsers users = new FakeUsers(cluster);
     JobSpec first = TestJob.job(users.nextUid()).tasks(2).runS(5).build();
     cluster.play(5);
     users.submit(first, false);
     cluster.play(40);
-    new FormerVersion(cluster.store, NOW_BYTES).leads();
+    new FormerVersion(cluster.store, CURRENT_VALUE_BYTES).leads();
     cluster.leader().crash(1);
     JobSpec next =
         TestJob.job(users.nextUid())
