--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -15,15 +15,15 @@
 import plumlever.wire.ListedMachine;
 
 /**
- * Adopts the machines of shards that have had no leader for long. Nobody has renewed their leases
- * meanwhile, so none of that shard's tasks is on them any more; its jobs stay where they are and go
- * on when one of its controllers is back.
+ * Adopts the machines of shards that have had no leader for a long time. Without a leader the
+ * machines' leases have expired, so the workers have killed all tasks on them. The jobs stay with
+ * the dead shard and continue when one of its controllers is back.
  */
 final class DeadShardAdoption {
-  /** Beyond leases: the drift of clocks, and the time that an answer is under way. */
+  /** Added to the lease time: covers clock drift and the time that a response is in transit. */
   private static final long LAPSE_SLACK_MICROS = 10_000_000;
 
-  /** What is known of leaders counts only while it is not older. */
+  /** A shard counts as leaderless only while this leader's view of the pool is at most this old. */
   private static final long FRESH_MICROS = 5_000_000;
 
   private final Logger log;
@@ -34,7 +34,10 @@
   private final TransferSteps steps;
   private final Consumer<TransferRecord> adopted;
 
-  /** What the step under way makes of its machine; steps come one after the other. */
+  /**
+   * Record that the transaction in flight stores for its machine. One field is enough because
+   * transactions run one at a time.
+   */
   private TransferRecord taking;
 
   private final Map<String, Long> leaderlessSince = new HashMap<>();
@@ -59,8 +62,8 @@
   }
 
   /**
-   * The cloud lists a machine of another shard. If that has had no leader for long, all leases
-   * there have lapsed, and the machine is adopted.
+   * Adopts a machine that the cloud lists and that another shard owns, if that shard has had no
+   * leader for so long that all its leases have expired.
    */
   void listed(ListedMachine listedMachine) {
     Optional<String> holder = view.holder(listedMachine.id());
@@ -78,7 +81,7 @@
     }
   }
 
-  /** Watches which shards have a leader; only what is fresh counts. */
+  /** Updates since when each shard has had no leader; a stale view restarts the count. */
   void watchLeaders() {
     boolean fresh = now() - link.knownMicros() < FRESH_MICROS;
     for (SharingSettings.Shard shard : sharing.otherShards()) {
@@ -115,7 +118,7 @@
         () -> {
           if (view.holder(machine).equals(Optional.of(sharing.ownShard().name()))) {
             adopted.accept(taking);
-            log.warn("{} is adopted, {} has had no leader for long", machine, dead.name());
+            log.warn("adopted machine {}: shard {} has no leader", machine, dead.name());
           }
         });
   }
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -11,9 +11,9 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Which jobs of another shard have ended whose tasks are foreign tasks here, read from the state
- * service: the leases of their machines are renewed only while a cancellation confirmed by that
- * shard would be known in time.
+ * Watches the state service for the end of another shard's jobs that have foreign tasks on this
+ * shard's machines. The leases of these machines are renewed only while this leader would learn in
+ * time of a cancellation that the other shard has confirmed.
  */
 final class EndedJobsWatch {
   private static final long RETRY_MICROS = 300_000;
@@ -31,7 +31,7 @@
   private boolean closed;
 
   /**
-   * @param shardPrefix of the other shard's keys
+   * @param shardPrefix prefix of the other shard's keys in the state service
    */
   EndedJobsWatch(TermContext context, String shardPrefix) {
     this.context = context;
@@ -40,7 +40,7 @@
     this.limit = new RenewalLimit(context.platform().workers());
   }
 
-  /** Tasks of the job are foreign tasks here. */
+  /** Starts to watch a job that has foreign tasks on this shard's machines. */
   void watch(String uid) {
     if (!watched.add(uid)) {
       return;
@@ -54,27 +54,30 @@
     }
   }
 
-  /** No task of these jobs is a foreign task any more. */
+  /** Stops watching all jobs except the given ones. */
   void keepOnly(Set<String> uids) {
     watched.retainAll(uids);
     jobsToRead.retainAll(uids);
     ended.retainAll(uids);
   }
 
-  /** True once the record says that the job has ended. */
+  /** Returns true once the state service has shown that the job has ended. */
   boolean hasEnded(String uid) {
     return ended.contains(uid);
   }
 
   /**
-   * When the last read that tells of all watched jobs' ends had been sent; long ago while one of
-   * them has not been read.
+   * Returns the send time of the latest answered read that covers the ends of all watched jobs. The
+   * time lies in the distant past while a watched job has not been read yet.
    */
   long endsKnownMicros() {
     return jobsToRead.isEmpty() ? knownMicros : Long.MIN_VALUE / 4;
   }
 
-  /** The revision is asked for first: what ends after it is followed, what ended before is read. */
+  /**
+   * Reads the current store revision before the jobs: the watch covers jobs that end after that
+   * revision, and the reads of the single jobs cover those that ended earlier.
+   */
   private void readStoreRevision() {
     if (closed) {
       return;
@@ -141,7 +144,7 @@
                 return;
               }
               if (response.status() == HttpStatus.GONE) {
-                log.debug("changes of {} were missed, all guests' jobs are read anew", prefix);
+                log.debug("watch on {} missed changes, rereading all watched jobs", prefix);
                 readStoreRevision();
               } else if (response.status() != HttpStatus.OK) {
                 context.loop().after(RETRY_MICROS, this::watch);
--- a/src/main/java/plumlever/leader/pool/ForeignTasks.java
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -29,13 +29,14 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Tasks of other shards on this shard's machines. Their originating shard alone decides about them:
- * what the machine tells of them is passed on to it, and what it answers is carried out with the
- * next answer to the machine. While the originating shard is silent they run on, and their ends
- * stay with the worker.
+ * Foreign tasks: tasks of other shards on this shard's machines. Only the originating shard decides
+ * about its tasks. This leader relays the machine's heartbeats to the originating shard, and sends
+ * the commands from the response to the machine with its next heartbeat response. While the
+ * originating shard does not answer, its tasks keep running and the worker keeps the ended attempts
+ * in its heartbeats.
  */
 final class ForeignTasks {
-  /** Where controllers take what is passed on to them. */
+  /** Path at which a controller accepts relayed heartbeats. */
   static final String PATH = "/relay";
 
   private static final long TIMEOUT_MICROS = 2_000_000;
@@ -43,9 +44,7 @@
 
   /** The foreign tasks of one originating shard on one machine. */
   private static final class TasksOfShard {
-    /**
-     * All attempts that the originating shard may have on the machine, also those that are over.
-     */
+    /** All attempts that the originating shard may have on the machine, including ended ones. */
     private final Map<Long, ForeignTask> tasks = new LinkedHashMap<>();
 
     private boolean callInFlight;
@@ -83,8 +82,8 @@
   }
 
   /**
-   * The record of a machine of this shard: originating shards come with a transfer and leave when
-   * settled.
+   * Applies the transfer record of a machine that this shard owns. Originating shards are added by
+   * a transfer and removed once they have settled their tasks.
    */
   void update(Machine machine, TransferRecord record) {
     MachineForeignTasks machineForeignTasks =
@@ -108,7 +107,7 @@
     }
   }
 
-  /** The machine has no foreign tasks any more, or is not this shard's. */
+  /** Forgets the machine: it holds no foreign tasks any more, or this shard does not own it. */
   void remove(Machine machine) {
     if (foreignTasksByMachine.remove(machine.id()) != null) {
       machine.load().setForeignTasks(ForeignLoad.NONE);
@@ -148,7 +147,7 @@
             .anyMatch(foreignTasks -> foreignTasks.tasks.containsKey(attempt));
   }
 
-  /** A heartbeat of the machine was taken in. */
+  /** Updates the foreign tasks from a heartbeat of the machine and relays the heartbeat. */
   void reported(Machine machine, Heartbeat heartbeat) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
     if (machineForeignTasks == null) {
@@ -163,7 +162,8 @@
       }
     }
     if (machine.tokens().isOfSameTerm(heartbeat.fencingToken())) {
-      // What a former owner ordered can't come any more: what is not on the machine is over.
+      // The machine has seen this term's fencing token, so it rejects commands of former owners:
+      // an attempt that the heartbeat does not list can't appear later.
       machineForeignTasks
           .byShard
           .values()
@@ -200,8 +200,8 @@
   }
 
   /**
-   * The machine's lease has surely lapsed, so its tasks are dead: their originating shards are
-   * told.
+   * Tells the originating shards that the machine's lease has expired: the worker has killed all of
+   * its tasks.
    */
   void lapsed(Machine machine) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
@@ -291,15 +291,16 @@
       }
     } catch (InvalidMessageException e) {
       log.warn(
-          "a home's answer can't be read: {}: {}",
+          "unreadable response of an originating shard to a relayed heartbeat: {}: {}",
           new String(body, StandardCharsets.UTF_8),
           e.getMessage());
     }
   }
 
   /**
-   * What is known of the jobs whose tasks may be on the machine. Until it shows this owner's token,
-   * that is all that the originating shards handed over, whatever its heartbeat list.
+   * Returns what is known about the jobs whose foreign tasks may be on the machine. Until the
+   * machine reports a fencing token of this owner, all tasks from the transfer record count, even
+   * those that the heartbeats do not list.
    */
   ForeignTaskEvidence evidence(Machine machine) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
@@ -320,7 +321,10 @@
     return new ForeignTaskEvidence(anyRunning, knownMicros);
   }
 
-  /** What the originating shards want, and stops of jobs whose end is on record. */
+  /**
+   * Returns the commands for the machine's foreign tasks: those that the originating shards sent,
+   * and a stop for each running task whose job has ended according to the state service.
+   */
   List<WorkerCommand> commands(Machine machine, Heartbeat heartbeat) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
     if (machineForeignTasks == null) {
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -17,8 +17,9 @@
 import plumlever.sharing.ShardDemand;
 
 /**
- * Holds this shard's part of each team's limit, and gives away what of it nothing uses. A part that
- * is being given counts as given from before the transaction is sent until its outcome is known.
+ * Manages this shard's part of each team's limit and moves unused cores of the part to shards that
+ * need them. Cores that are being moved are subtracted from this shard's part before the
+ * transaction is sent, until its outcome is known.
  */
 final class LimitSharing {
   private final Logger log;
@@ -30,7 +31,7 @@
   private final PoolView view;
   private final PoolWriter writer;
 
-  /** Processors of this shard's parts that are being given away. */
+  /** By team, the cores of this shard's part that a running transaction moves to another shard. */
   private final Map<String, Double> giving = new HashMap<>();
 
   LimitSharing(
@@ -50,7 +51,7 @@
     this.writer = writer;
   }
 
-  /** What this shard may use of the team's limit now; a resource without a limit has 0. */
+  /** Returns this shard's part of the team's limit; 0 for a resource without a limit. */
   LimitParts.Part limit(PlatformConfiguration.Team team) {
     if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
       return LimitParts.Part.NONE;
@@ -63,12 +64,12 @@
         team.maxAccelerators() <= 0 ? 0 : positive(part.accelerators()));
   }
 
-  /** A part of nothing is a limit all the same, not the absence of one. */
+  /** Keeps an empty part distinct from 0, which stands for "no limit". */
   private static double positive(double part) {
     return Math.max(part, Double.MIN_VALUE);
   }
 
-  /** Processors by team that this shard lacks under its parts. */
+  /** Returns by team the cores that this shard needs beyond its part of the team's limit. */
   Map<String, Double> coresWanted() {
     Map<String, Double> wanted = new TreeMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
@@ -90,7 +91,7 @@
     return Math.min(team.maxCores(), failover.coresHeld(team.name()) + waiting);
   }
 
-  /** Cuts limits up that nobody has cut up yet, and gives what is spare. */
+  /** Splits the limits that have no record of parts yet, and moves spare cores to other shards. */
   void run() {
     for (PlatformConfiguration.Team team : context.platform().teams()) {
       if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
@@ -153,8 +154,8 @@
         new PoolWriter.Step() {
           @Override
           public Optional<PoolTransaction> build() {
-            // Once the record has moved on, this was carried out or never will be: a second try
-            // could give twice.
+            // A changed revision means that this transaction was applied or can never be applied:
+            // sending the move again could move the cores twice.
             return view.limit(team.name())
                 .filter(parts -> view.revisionOf(key) == seen)
                 .map(parts -> parts.moved(own, gift.to(), gift.cores(), 0))
@@ -165,7 +166,8 @@
           public void finished() {
             giving.remove(team.name());
             context.metrics().count("limit_parts_given");
-            log.debug("{} processors of {} are given to {}", gift.cores(), team.name(), gift.to());
+            log.debug(
+                "moved {} cores of team {} to shard {}", gift.cores(), team.name(), gift.to());
           }
         });
   }
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -26,17 +26,22 @@
 import plumlever.wire.MachineType;
 
 /**
- * Tells the other shards what this one has and lacks, and offers them the machines that the policy
- * says: idle ones first, then those whose tasks end soonest, none that a deadline here needs.
+ * Publishes this shard's demand to the other shards and offers them the machines that {@link
+ * SharePolicy} assigns to them: idle machines first, then those whose tasks are expected to end
+ * soonest. A machine that waiting work of this shard needs is not offered.
  */
 final class MachineShareBalancer {
   private static final long PUBLISH_INTERVAL_MICROS = 2_000_000;
   private static final long REPUBLISH_INTERVAL_MICROS = 30_000_000;
 
-  /** How long a rental waits for what others can do without. */
+  /** How long rentals are held back while other shards have idle machines to offer. */
   private static final long HOLD_RENTAL_MICROS = 5_000_000;
 
-  /** What was given to a shard since it last told what it lacks. */
+  /**
+   * Machines offered to a shard since it last published its demand.
+   *
+   * @param revision of the demand record
+   */
   private record GivenMachines(long revision, int machines) {}
 
   private final Logger log;
@@ -77,7 +82,7 @@
     this.limits = limits;
   }
 
-  /** One pass over what this shard has, lacks and can give. */
+  /** Publishes this shard's demand and offers machines to shards with a shortage. */
   void run() {
     if (!failover.isComplete() || !context.prices().isLoaded()) {
       return;
@@ -112,8 +117,8 @@
   }
 
   /**
-   * Machines of the usual size that would hold what the last round found no room for, or that are
-   * missing for deadlines over all jobs, whichever is more.
+   * Returns the number of average-sized machines that are missing: for the tasks that the last
+   * scheduling pass could not place, or for all jobs to meet their deadlines, whichever is more.
    */
   private int machinesLacking() {
     Map<String, Double> limitOf = new HashMap<>();
@@ -203,7 +208,10 @@
     }
   }
 
-  /** A shard as it last told of itself; nothing of one that has no leader or another file. */
+  /**
+   * Returns the state that the shard last published, less the machines offered to it since. Empty
+   * if the shard has no leader or a different sharing file.
+   */
   private Optional<SharePolicy.ShardState> stateOf(SharingSettings.Shard shard) {
     Optional<ShardDemand> said = view.demand(shard.name());
     if (said.isEmpty() || view.leader(shard.name()).isEmpty()) {
@@ -213,7 +221,7 @@
     if (!demand.digest().equals(sharing.digest())) {
       if (!digestsDiffer) {
         digestsDiffer = true;
-        log.warn("{} has another sharing file: no machine is given to it", shard.name());
+        log.warn("shard {} has a different sharing file: no machine is offered", shard.name());
       }
       return Optional.empty();
     }
@@ -264,7 +272,10 @@
     return count;
   }
 
-  /** False while others can do without machines, for a few seconds after something is lacking. */
+  /**
+   * Returns false for the first seconds of a shortage while another shard has idle machines to
+   * offer.
+   */
   boolean mayRent() {
     if (lackingSinceMicros < 0
         || context.loop().nowMicros() - lackingSinceMicros > HOLD_RENTAL_MICROS) {
@@ -278,14 +289,17 @@
                     .isPresent());
   }
 
-  /** False while any shard of the pool lacks machines: idle ones are for it, not for the cloud. */
+  /**
+   * Returns false while any shard of the pool has a shortage: idle machines are then offered to
+   * that shard instead of being returned to the cloud.
+   */
   boolean mayReturnIdle() {
     return lackingSinceMicros < 0
         && sharing.otherShards().stream()
             .noneMatch(shard -> stateOf(shard).filter(state -> state.wanted() > 0).isPresent());
   }
 
-  /** Machines that are offered to this shard. */
+  /** Returns the machines that other shards have offered to this shard. */
   List<RentalPlan.RentalOption> coming() {
     List<RentalPlan.RentalOption> kinds = new ArrayList<>();
     for (PoolView.Versioned<TransferRecord> versioned : view.transfers().values()) {
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -30,17 +30,17 @@
 import plumlever.wire.MachineType;
 
 /**
- * Carries transfers on, from whatever state the records show: offers this shard's machines, takes
- * what others offer, and settles what is left of its tasks on machines that others own. Each state
- * can be taken up by the next leader of either shard.
+ * Reconciles this shard's machines with the transfer records: offers machines to other shards,
+ * accepts offers, and settles this shard's tasks on machines of other shards. Every step starts
+ * from the stored records, so the next leader of either shard can continue from any state.
  */
 final class MachineTransfers {
-  /** An offer that nobody takes is withdrawn after this. */
+  /** An offer that the other shard has not accepted within this time is withdrawn. */
   private static final long OFFER_MICROS = 8_000_000;
 
   /**
-   * A machine on offer is answered only while what is known of its record is not older, so that the
-   * taker knows how long the former owner may have renewed its lease.
+   * The owner answers heartbeats of an offered machine only while its view of the pool is at most
+   * this old. This limits how long a former owner may renew the lease after the transfer.
    */
   static final long OFFER_VIEW_MICROS = 5_000_000;
 
@@ -63,7 +63,7 @@
   private final Consumer<Machine> sendToken;
   private final Map<String, Long> offeredMicros = new HashMap<>();
 
-  /** Machines of other shards that were seen without any task of this one. */
+  /** Machines of other shards that are known to hold no task of this shard any more. */
   private final Set<String> seenWithoutOwnTasks = new HashSet<>();
 
   private boolean digestMismatchLogged;
@@ -102,17 +102,17 @@
     return context.loop().nowMicros();
   }
 
-  /** True while the records show the machine as this shard's. */
+  /** Returns true while the owner record names this shard as the owner of the machine. */
   boolean owns(String machine) {
     return view.holder(machine).equals(Optional.of(own));
   }
 
-  /** Transfers that this shard has offered and nobody has taken yet. */
+  /** Returns the number of machines that this shard has offered and that are not yet accepted. */
   int openOffers() {
     return offeredMicros.size();
   }
 
-  /** Offers to the shard that it has not taken yet. */
+  /** Returns the number of machines offered to the given shard that it has not yet accepted. */
   int offeredTo(String shard) {
     return (int)
         offeredMicros.keySet().stream()
@@ -125,9 +125,7 @@
             .count();
   }
 
-  /**
-   * Brings machines and records in line: run whenever the records have changed, and now and then.
-   */
+  /** Reconciles machines and records; runs periodically and after every change of the records. */
   void reconcile() {
     for (Map.Entry<String, PoolView.Versioned<TransferRecord>> entry :
         List.copyOf(view.transfers().entrySet())) {
@@ -155,7 +153,7 @@
     offerTaker.takeOffers();
   }
 
-  /** It was taken without a task of this shard on it, so no record is left. */
+  /** Releases a machine that left without foreign tasks; its transfer record was deleted. */
   private void releaseWithoutRecord(String id) {
     Machine machine = fleet.machine(id);
     offeredMicros.remove(id);
@@ -165,7 +163,7 @@
     }
   }
 
-  /** A machine of this shard: taken from another, or on offer. */
+  /** Reconciles a machine that this shard owns: acquired from another shard, or offered to one. */
   private void reconcileOwned(TransferRecord record) {
     Machine machine = acquire(record);
     if (record.state() == TransferRecord.State.TAKEN && !steps.isUnderWay(machine.id())) {
@@ -180,14 +178,14 @@
     }
   }
 
-  /** The machine as this shard's, under the number of the record at least. */
+  /** Adds the machine to the fleet if missing, with tokens of at least the record's number. */
   Machine acquire(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine == null) {
       return addAcquired(record);
     }
     if (machine.tokens().term() < record.number()) {
-      // It went and came back before this was seen.
+      // The machine was transferred away and back before this controller read either change.
       machine.tokens().startTerm(record.number());
       machine.markUnaccounted();
       machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
@@ -222,19 +220,19 @@
     sendToken.accept(machine);
     context.metrics().count("machines_taken");
     log.info(
-        "{} is this cell's now, {} cells have tasks on it",
+        "acquired machine {}, {} other shards have tasks on the machine",
         details.id(),
         record.tasksByShard().size());
     return machine;
   }
 
-  /** It is up already, so it is known for at least as long as it takes to boot. */
+  /** Returns the assumed age of an acquired machine: it is up, so at least its boot time. */
   private long bootMicros(String machineType) {
     MachineType known = context.prices().machineType(machineType);
     return known == null ? 0 : (long) (known.startupS() * BOOT_MARGIN * 1e6);
   }
 
-  /** Another shard's machine on which tasks of this one may be. */
+  /** Reconciles a machine of another shard that may hold tasks of this shard. */
   private void reconcileElsewhere(TransferRecord record) {
     Machine machine = fleet.transferredMachine(record.machine().id());
     if (machine == null) {
@@ -249,7 +247,7 @@
     leaveRecordIfOver(machine);
   }
 
-  /** What an earlier leader of this shard left running there. */
+  /** Rebuilds the machine with the attempts that an earlier leader of this shard recorded on it. */
   private Machine machineFromRecord(TransferRecord record) {
     TransferRecord.Details details = record.machine();
     Machine machine =
@@ -285,12 +283,12 @@
     foreignTasks.remove(machine);
     context.metrics().count("machines_given");
     log.info(
-        "{} is another cell's now, {} tasks stay on it",
+        "transferred machine {} to another shard, {} own tasks remain on the machine",
         machine.id(),
         machine.load().liveAttempts());
   }
 
-  /** Another shard's machine without tasks of this one. */
+  /** Drops a machine that another shard now owns and that holds no task of this shard. */
   private void reconcileLost(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine != null && !owns(machine.id())) {
@@ -314,13 +312,13 @@
     }
   }
 
-  /** The owner has passed on a heartbeat of the machine that lists no task of this shard. */
+  /** Handles a heartbeat, relayed by the machine's owner, that lists no task of this shard. */
   void ownTasksGone(Machine machine) {
     seenWithoutOwnTasks.add(machine.id());
     leaveRecordIfOver(machine);
   }
 
-  /** Once none of this shard's tasks can be on the other's machine, the record says so. */
+  /** Removes this shard from the transfer record once none of its tasks can be on the machine. */
   private void leaveRecordIfOver(Machine machine) {
     boolean nothingThere =
         seenWithoutOwnTasks.contains(machine.id())
@@ -367,7 +365,7 @@
         });
   }
 
-  /** True if the machine can be given away as it is. */
+  /** Returns true if the machine is in a state in which it can be offered to another shard. */
   boolean canOffer(Machine machine) {
     return owns(machine.id())
         && machine.contact().hasReported()
@@ -384,14 +382,14 @@
         && !steps.isUnderWay(machine.id());
   }
 
-  /** Gives the machine up to that shard; nothing is started on it from here on. */
+  /** Offers the machine to the shard; from this call on no further task is started on it. */
   void offer(Machine machine, String to) {
     machine.setTransferring(true);
     pass.dropPlan(machine);
     offeredMicros.put(machine.id(), now());
     context.metrics().count("machines_offered");
     log.info(
-        "{} is offered to {}, {} tasks run on it", machine.id(), to, machine.load().liveAttempts());
+        "offering machine {} to {} ({} tasks)", machine.id(), to, machine.load().liveAttempts());
     steps.step(
         machine.id(),
         () -> buildOffer(machine, to),
@@ -430,7 +428,7 @@
             tasksByShard);
     int bytes = Json.write(offer.toJson()).getBytes(StandardCharsets.UTF_8).length;
     if (bytes > context.layout().valueBytes()) {
-      log.info("{} holds too many tasks for one record and is not offered", machine.id());
+      log.info("not offering machine {}: its tasks do not fit into one record", machine.id());
       return Optional.empty();
     }
     return Optional.of(
@@ -454,7 +452,10 @@
     return tasks;
   }
 
-  /** An offer stands: its giver sees to it that it ends, its taker takes it. */
+  /**
+   * Handles an open offer. An offer by this shard is withdrawn after a timeout or if it is of an
+   * earlier term. For an offer to this shard, a differing sharing file is logged.
+   */
   private void offered(TransferRecord record) {
     String machine = record.machine().id();
     TransferRecord.Offer offer = record.offer().orElseThrow();
@@ -468,7 +469,7 @@
       if (!offer.digest().equals(sharing.digest()) && !digestMismatchLogged) {
         digestMismatchLogged = true;
         log.warn(
-            "{} offers machines under another sharing file: none is taken until all are the same",
+            "shard {} has a different sharing file: its offers are not accepted until they match",
             record.owner());
       }
     }
--- a/src/main/java/plumlever/leader/pool/OfferAcceptance.java
+++ b/src/main/java/plumlever/leader/pool/OfferAcceptance.java
@@ -15,7 +15,7 @@
 import plumlever.sharing.TransferRecord;
 import plumlever.store.KeySpace;
 
-/** Takes the machines that other shards offer to this one. */
+/** Accepts the machines that other shards offer to this shard. */
 final class OfferAcceptance {
   private final SharingSettings sharing;
   private final String own;
@@ -23,14 +23,17 @@
   private final TransferSteps steps;
   private final Function<TransferRecord, Machine> acquire;
 
-  /** What the transaction under way makes of its machines; they come one after the other. */
+  /**
+   * Records that the transaction in flight stores for its machines. One field is enough because
+   * transactions run one at a time.
+   */
   private List<TransferRecord> recordsBeingTaken = List.of();
 
-  /** Transactions that are under way or wait for their turn. */
+  /** Number of transactions in flight or queued. */
   private int openTransactions;
 
   /**
-   * @param acquire makes a machine this shard's in memory
+   * @param acquire adds an accepted machine to this shard's fleet in memory
    */
   OfferAcceptance(
       SharingSettings sharing,
@@ -48,9 +51,9 @@
     return view.holder(machine).equals(Optional.of(own));
   }
 
-  /** Takes what is offered, as many machines in one transaction as it holds. */
+  /** Accepts all open offers to this shard, with as many machines per transaction as fit. */
   void takeOffers() {
-    // What is offered while a transaction waits for its turn goes with the next one together.
+    // Offers that arrive while a transaction is queued are accepted together in the next one.
     if (openTransactions > 0) {
       return;
     }
@@ -83,7 +86,11 @@
         && view.holder(record.machine().id()).equals(Optional.of(record.owner()));
   }
 
-  /** The machines must have one owner, and their offers must be of one term of its. */
+  /**
+   * Builds the transaction that accepts the offers. All machines must have the same owner. Only
+   * offers of the same term of the owner's leader are accepted: one precondition on the revision of
+   * the owner's term record covers all of them.
+   */
   private Optional<PoolTransaction> buildTransaction(List<String> machines) {
     List<TransferRecord> offered =
         machines.stream()
@@ -106,7 +113,10 @@
         built.transaction().require(KeySpace.absolute(giver, LeaderElection.TERM), termRevision));
   }
 
-  /** What has foreign tasks is found by its record; what has none is acquired here. */
+  /**
+   * Acquires the machines without foreign tasks. Machines with foreign tasks keep a transfer
+   * record, through which {@link MachineTransfers} acquires them.
+   */
   private void acquireSettled() {
     openTransactions--;
     for (TransferRecord record : recordsBeingTaken) {
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -19,13 +19,14 @@
 import plumlever.store.Transaction;
 
 /**
- * Makes machines this shard's own that nobody owns, and gives up those that are to be returned. A
- * machine to be returned first gets a holder that no shard is: a return that is carried out late
- * can then only meet a machine that nobody uses.
+ * Claims machines without an owner for this shard, and retires machines that are to be returned to
+ * the cloud. Before the return, the owner of the machine is set to a name that no shard has: a
+ * return that the cloud carries out late can then not remove a machine in use.
  */
 final class OwnerClaims {
   /**
-   * A machine that nobody has claimed for so long came from a rental that its shard never heard of.
+   * A machine that stays without an owner for this long comes from a rental whose answer never
+   * reached the renting shard.
    */
   private static final long UNCLAIMED_MICROS = 15_000_000;
 
@@ -52,12 +53,12 @@
     return shard + RETIRED;
   }
 
-  /** True for a machine that this shard, maybe under an earlier leader, is about to return. */
+  /** Returns true for a machine that this shard, or an earlier leader of it, has retired. */
   boolean isRetired(String machine) {
     return view.holder(machine).equals(Optional.of(retired(own)));
   }
 
-  /** Machines that appeared here and are in nobody's record; claimed after a while. */
+  /** Notes a machine that no owner record lists, and claims the machine after a delay. */
   void unownedMachineSeen(String machine) {
     long now = context.loop().nowMicros();
     if (view.holder(machine).isPresent() || claiming.contains(machine)) {
@@ -72,11 +73,15 @@
       unclaimedSince.remove(machine);
       claim(
           List.of(machine),
-          claimed -> log.info("{} was in nobody's record and is this cell's now", claimed));
+          claimed -> log.info("claimed machine {}, which had no owner on record", claimed));
     }
   }
 
-  /** Machines that are to be this shard's; each is handed on if it came to be. */
+  /**
+   * Records this shard as the owner of those machines that have none.
+   *
+   * @param claimed called for each of the machines that this shard owns afterwards
+   */
   void claim(List<String> machines, Consumer<String> claimed) {
     groupByRecord(machines)
         .values()
@@ -103,7 +108,11 @@
             });
   }
 
-  /** These machines are to be returned; runs once that is on record of all of them. */
+  /**
+   * Retires the machines before their return.
+   *
+   * @param recorded runs once the transactions of all machines have finished
+   */
   void retire(List<Machine> machines, Runnable recorded) {
     List<String> names =
         machines.stream().map(Machine::id).filter(name -> !retiring.contains(name)).toList();
@@ -138,8 +147,8 @@
   }
 
   /**
-   * The machines do not exist any more: nobody owns them, and originating shards of tasks on them
-   * are told.
+   * Removes returned machines from the owner records, and marks their transfer records as gone so
+   * that the originating shards of foreign tasks learn of the return.
    */
   void returned(List<Machine> machines) {
     for (List<String> group : groupByRecord(machines.stream().map(Machine::id).toList()).values()) {
@@ -185,7 +194,7 @@
 
       @Override
       public void finished() {
-        log.debug("{} is gone, its homes are told", machine);
+        log.debug("machine {} is gone, originating shards notified", machine);
       }
     };
   }
@@ -195,7 +204,7 @@
   }
 
   /**
-   * @param holder null for none
+   * @param holder new owner of the machines, null to remove them from the record
    */
   private Optional<PoolTransaction> buildChange(List<String> machines, String holder) {
     if (machines.isEmpty()) {
--- a/src/main/java/plumlever/leader/pool/PoolLink.java
+++ b/src/main/java/plumlever/leader/pool/PoolLink.java
@@ -10,7 +10,7 @@
 import plumlever.store.StateClient;
 import plumlever.wire.InvalidMessageException;
 
-/** Keeps the view of the pool's records up with the state service, by watching them. */
+/** Keeps the view of the pool's records up to date with a watch on the state service. */
 final class PoolLink {
   private static final long WATCH_MICROS = 2_000_000;
   private static final long RETRY_MICROS = 300_000;
@@ -21,7 +21,7 @@
   private long knownMicros = Long.MIN_VALUE / 4;
 
   /**
-   * @param changed runs when records have changed
+   * @param changed runs after records have changed
    */
   PoolLink(TermContext context, Runnable changed) {
     this.log = context.logs().of(PoolLink.class);
@@ -55,12 +55,16 @@
     return view;
   }
 
-  /** When the last read that was answered had been sent. */
+  /** Returns the send time of the latest answered read: the view is at least that recent. */
   long knownMicros() {
     return knownMicros;
   }
 
-  /** Takes in what was read after the term had been taken, and goes on watching. */
+  /**
+   * Loads the records read at the start of the term, and watches for changes from there.
+   *
+   * @param askedMicros when the read was sent
+   */
   void load(StateClient.Listing listing, long askedMicros) {
     applyListing(listing);
     knownMicros = askedMicros;
@@ -76,30 +80,32 @@
     try {
       view.retain(keys, listing.storeRevision());
     } catch (InvalidMessageException e) {
-      throw new IllegalStateException("a drop can't be malformed", e);
+      throw new IllegalStateException("deletions of pool records carry no value to parse", e);
     }
   }
 
-  /** A record has changed, by this controller's own transaction or by another's. */
+  /** Applies a change of a record, made by this controller's own transaction or by another's. */
   void apply(StateClient.KeyEvent change) {
     try {
       view.apply(change.key(), change.value().orElse(null), change.revision());
     } catch (InvalidMessageException e) {
-      // Nothing is guessed of it: the machine stays with whoever the records named before.
-      log.error("{} can't be read and is left alone: {}", change.key(), e.getMessage());
+      // The view keeps the previous content of the record, so the owner of a machine stays the
+      // same.
+      log.error("unreadable pool record {}, ignoring the change: {}", change.key(), e.getMessage());
     }
   }
 
   /**
-   * A read has shown that there is no such record.
+   * Applies a read that found no record under the key.
    *
-   * @param revisionBefore what was known when the read was sent: a record stored since stays
+   * @param revisionBefore known revision of the key when the read was sent: a record that was
+   *     stored after that is kept
    */
   void absent(String key, long revisionBefore) {
     try {
       view.absent(key, revisionBefore);
     } catch (InvalidMessageException e) {
-      throw new IllegalStateException("a drop can't be malformed", e);
+      throw new IllegalStateException("deletions of pool records carry no value to parse", e);
     }
   }
 
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -34,7 +34,7 @@
 import plumlever.wire.RelayedHeartbeat;
 import plumlever.wire.WorkerCommand;
 
-/** One shard's part in a pool, for one term of its leader. */
+/** Shares machines and team limits with the other shards of a pool, for one term of a leader. */
 public final class PoolSharing implements MachineSharing {
   private static final long TURN_MICROS = 500_000;
 
@@ -57,7 +57,7 @@
   private final MachineShareBalancer share;
   private boolean poolRecordsRead;
 
-  /** The sharing of one term; nothing is answered before the records of the pool are loaded. */
+  /** Creates the sharing of one term; heartbeats are refused until the pool's records are read. */
   public PoolSharing(
       TermContext context,
       SharingSettings sharing,
@@ -125,7 +125,8 @@
     }
     transfers.reconcile();
     if (!unclaimed.isEmpty()) {
-      claims.claim(unclaimed, claimed -> log.info("{} is claimed, it was on record here", claimed));
+      claims.claim(
+          unclaimed, claimed -> log.info("claimed machine {}, found in own records", claimed));
     }
     scope.own(writer::close);
     scope.own(link::close);
@@ -193,7 +194,8 @@
   private boolean answeredOwn(Heartbeat heartbeat, Responder out) {
     Machine machine = fleet.machine(heartbeat.machineId());
     if (machine != null && Fleet.termOf(heartbeat.fencingToken()) > machine.tokens().term()) {
-      // The machine has seen a newer owner or leader than this one knows of.
+      // The machine has seen the token of a later owner or leader that this controller has not yet
+      // read from the pool's records.
       out.retryLater(HttpStatus.UNAVAILABLE, "a newer owner is known to the machine", 1);
       return true;
     }
--- a/src/main/java/plumlever/leader/pool/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/pool/PoolTransaction.java
@@ -9,8 +9,8 @@
 import plumlever.store.Transaction;
 
 /**
- * A transaction on records of the pool. Each record that it changes is guarded by the revision that
- * the view shows of it, so one that is carried out late can't undo a newer one.
+ * A transaction on records of the pool. Every changed record has a precondition on the revision in
+ * the view, so a transaction that is applied late can't overwrite a newer change.
  */
 final class PoolTransaction {
   private final PoolView view;
@@ -19,7 +19,7 @@
   private final Map<String, JsonNode> changes = new LinkedHashMap<>();
 
   /**
-   * @param base preconditions leadership of whoever sends it
+   * @param base transaction that already requires the sender's leadership
    */
   PoolTransaction(PoolView view, Transaction base) {
     this.view = view;
@@ -33,7 +33,7 @@
     return this;
   }
 
-  /** Guards a key that is not the pool's. */
+  /** Adds a precondition on a key outside the pool's records. */
   PoolTransaction require(String key, long revision) {
     transaction.require(key, revision);
     return this;
@@ -53,12 +53,12 @@
     return this;
   }
 
-  /** What it changes; a dropped key has no value. */
+  /** Returns the changed values by key; null for a deleted key. */
   Map<String, JsonNode> changes() {
     return changes;
   }
 
-  /** The keys of the pool that it rests on. */
+  /** Returns the keys of the pool's records that have a precondition. */
   Set<String> required() {
     return required;
   }
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -10,19 +10,17 @@
 import plumlever.store.Transaction;
 
 /**
- * Changes records of the pool, one transaction at a time. A step that lost its precondition, or had
- * no answer, is built anew from what a read then shows; it says itself whether there is still
- * anything to do.
+ * Writes records of the pool, one transaction at a time. After a failed precondition or an unknown
+ * outcome, the writer rereads the records and asks the step to build its transaction again. The
+ * step then decides from the current records whether a change is still needed.
  */
 final class PoolWriter {
-  /** A change that is wanted. */
+  /** A requested change of the pool's records. */
   interface Step {
-    /**
-     * The transaction that is due by the present view; nothing when the step has come to its end.
-     */
+    /** Builds the transaction from the current view; empty if the step is finished. */
     Optional<PoolTransaction> build();
 
-    /** It has come to its end: carried out, or of no use any more. */
+    /** Called when the step has ended: its transaction was applied or is not needed any more. */
     void finished();
   }
 
@@ -44,7 +42,7 @@
     this.changed = changed;
   }
 
-  /** False when too many wait already; whoever wants it asks again. */
+  /** Queues the step. Returns false if the queue is full; the caller retries later. */
   boolean submit(Step step) {
     if (waiting.size() >= MOST_WAITING) {
       return false;
@@ -73,8 +71,8 @@
       return;
     }
     if (!context.term().mayAct()) {
-      // Nothing more is begun in this term; the next leader finds each record in a state that says
-      // what is left to do.
+      // This leader may not act now. If the term is over, no step is started any more: the next
+      // leader continues from the stored records, whose state shows the remaining work.
       context.loop().after(RETRY_MICROS, () -> run(step));
       return;
     }
@@ -111,9 +109,9 @@
             });
   }
 
-  /** What became of it is settled by reading the records that it rests on. */
+  /** Rereads the records that the transaction depends on, to find out whether it was applied. */
   private void reread(Step step, PoolTransaction transaction, Transaction.Outcome outcome) {
-    log.debug("a change of the pool's records: {}, preconditions are read anew", outcome);
+    log.debug("transaction on pool records ended as {}, rereading its preconditions", outcome);
     List<String> keys = new ArrayList<>(transaction.required());
     read(keys, 0, () -> run(step));
   }
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -12,23 +12,26 @@
 import plumlever.sharing.TransferRecord;
 import plumlever.wire.Json;
 
-/** Sends the transactions of transfers, for each machine one after the other. */
+/** Sends the transactions of transfers, with at most one in flight or queued per machine. */
 final class TransferSteps {
-  /** What builds the next transaction of a machine; nothing when there is none to send. */
+  /** Builds the next transaction of a machine; empty if there is none to send. */
   interface Builder {
     Optional<PoolTransaction> build();
   }
 
-  /** Puts of a transaction that are the same for all its machines. */
+  /** Operations of an acquiring transaction for all machines together: counter and owner record. */
   private static final int SHARED_PUTS = 2;
 
-  /** Of the 64 KiB that a transaction may take, what its records of transfers may. */
+  /**
+   * Limit for the transfer records of one transaction, of the 64 KiB that a transaction may have.
+   */
   private static final int MOST_BYTES = 40 * 1024;
 
   /**
-   * A transaction that makes machines this shard's.
+   * A transaction that makes this shard the owner of machines.
    *
-   * @param taken their records from then on; of those without foreign tasks none is stored
+   * @param taken transfer records of the machines after the transaction; records without foreign
+   *     tasks are not stored
    */
   record Taking(PoolTransaction transaction, List<TransferRecord> taken) {}
 
@@ -39,7 +42,7 @@
   private final Set<String> underWay = new HashSet<>();
 
   /**
-   * @param own name of this shard
+   * @param own this shard's name
    */
   TransferSteps(TermContext context, String own, PoolView view, PoolWriter writer) {
     this.context = context;
@@ -48,37 +51,38 @@
     this.writer = writer;
   }
 
-  /** True while a transaction of the machine is under way. */
+  /** Returns true while a transaction of the machine is queued or in flight. */
   boolean isUnderWay(String machine) {
     return underWay.contains(machine);
   }
 
-  /** Where the machine's transfer stands, as far as is known. */
+  /** Returns the machine's transfer record in the view, if there is one. */
   Optional<TransferRecord> record(String machine) {
     return view.transfer(machine).map(PoolView.Versioned::value);
   }
 
-  /** A transaction of this leader, which fails once another has taken over. */
+  /** Returns an empty transaction that fails if this leader's term is over. */
   PoolTransaction transaction() {
     return new PoolTransaction(view, context.term().requireTerm());
   }
 
-  /** The machine's record becomes this one, or is dropped if that says nothing more. */
+  /** Returns a transaction that stores the record, or deletes the stored one if it is settled. */
   PoolTransaction replaced(String machine, TransferRecord record) {
     String key = TransferRecord.keyOf(machine);
     return record.isSettled() ? transaction().drop(key) : transaction().put(key, record.toJson());
   }
 
-  /** How many machines one transaction can make this shard's. */
+  /** Returns the number of machines that one transaction can acquire. */
   int mostOwnedAtOnce() {
     return context.layout().limits().maxOperations() - SHARED_PUTS;
   }
 
   /**
-   * These machines are this shard's, under a number newer than any other; as many of them as one
-   * transaction holds.
+   * Builds a transaction that makes this shard the owner of the machines, under a new number from
+   * the pool's counter. If the records exceed the size limit of one transaction, only the first
+   * machines are included.
    *
-   * @param records of machines whose owners are in one record
+   * @param records transfer records of machines that share one owner record
    */
   Taking take(List<TransferRecord> records) {
     long number = view.counter() + 1;
@@ -108,15 +112,16 @@
   }
 
   /**
-   * Whoever wants another step of a machine that has one under way asks again.
+   * Queues a step for the machine.
    *
-   * @return false if this one will not be
+   * @return false if the machine already has a step in progress or the queue is full; the caller
+   *     retries later
    */
   boolean step(String machine, Builder builder, Runnable finished) {
     return step(List.of(machine), builder, finished);
   }
 
-  /** The same for several machines; those that have a step under way must not be among them. */
+  /** Queues one step for several machines; returns false if any of them has one in progress. */
   boolean step(List<String> machines, Builder builder, Runnable finished) {
     if (machines.isEmpty() || machines.stream().anyMatch(underWay::contains)) {
       return false;
