--- a/src/main/java/plumlever/sharing/CoreDemand.java
+++ b/src/main/java/plumlever/sharing/CoreDemand.java
@@ -4,24 +4,26 @@
 import java.util.List;
 import java.util.Map;
 
-/** How many processors a shard needs for its jobs to be in time. */
+/** Computes the cores that a shard needs for its jobs to meet their deadlines. */
 public final class CoreDemand {
   /**
-   * What is left of one job.
+   * The remaining work of one job.
    *
-   * @param tasks that run or wait
-   * @param runMicros what one takes, padded, with its image
-   * @param leftMicros until the job should be done
+   * @param tasks number of running and waiting tasks
+   * @param cores cores of one task
+   * @param runMicros expected duration of one task with padding, including the image fetch
+   * @param leftMicros time left until the job should be done
    */
   public record Work(String team, int tasks, double cores, long runMicros, long leftMicros) {}
 
   private CoreDemand() {}
 
   /**
-   * Processors that have to work all the time from now on. Tasks that can watch each other until
-   * the deadline share theirs; with less time left than one takes, all have to run at once.
+   * Returns the number of cores that must be in use all the time from now on. Tasks of a job that
+   * can run one after the other before the deadline share cores. If less time is left than one task
+   * takes, all tasks must run at once.
    *
-   * @param limits of teams that have one
+   * @param limits core limits by team, for teams that have one
    */
   public static double coresNeeded(List<Work> works, Map<String, Double> limits) {
     Map<String, Double> byTeam = new HashMap<>();
--- a/src/main/java/plumlever/sharing/ForeignTask.java
+++ b/src/main/java/plumlever/sharing/ForeignTask.java
@@ -6,10 +6,10 @@
 import plumlever.wire.TaskName;
 
 /**
- * An attempt of one shard on a machine that another owns.
+ * An attempt of one shard on a machine that another shard owns.
  *
- * @param attempt its number, unique in the pool
- * @param cores what it takes of the machine
+ * @param attempt number of the attempt, unique in the pool
+ * @param cores cores that the attempt uses on the machine
  */
 public record ForeignTask(
     TaskName task, long attempt, double cores, double accelerators, double memoryGb) {
@@ -25,7 +25,7 @@
 
   static ForeignTask parse(JsonNode node) throws InvalidMessageException {
     if (!node.path(TASK).isTextual() || !node.path(ATTEMPT).isIntegralNumber()) {
-      throw new InvalidMessageException("no guest task");
+      throw new InvalidMessageException("foreign task lacks its task name or its attempt number");
     }
     return new ForeignTask(
         TaskName.of(node.path(TASK).asText()),
--- a/src/main/java/plumlever/sharing/LimitParts.java
+++ b/src/main/java/plumlever/sharing/LimitParts.java
@@ -7,21 +7,21 @@
 import plumlever.wire.Json;
 
 /**
- * One team's limit, held in parts by the shards: no shard may use more than its part, and the parts
- * together never exceed the limit. Immutable.
+ * One team's limit, split into one part per shard. No shard may use more than its part, and the sum
+ * of the parts never exceeds the limit. Immutable.
  *
- * @param byShard what each shard may use
+ * @param byShard the part of each shard
  */
 public record LimitParts(Map<String, Part> byShard) {
-  /** What one shard may use. */
+  /** The cores and accelerators that one shard may use. */
   public record Part(double cores, double accelerators) {
-    /** Nothing. */
+    /** A part without cores and accelerators. */
     public static final Part NONE = new Part(0, 0);
   }
 
   private static final String PREFIX = "/pool/limits/";
 
-  /** The key of the team's record. */
+  /** Returns the key of the team's record. */
   public static String keyOf(String team) {
     return PREFIX + team;
   }
@@ -34,7 +34,10 @@
     return key.substring(PREFIX.length());
   }
 
-  /** The limit cut up by the shards' weights, in whole processors; the first shard has the rest. */
+  /**
+   * Splits a limit by the shards' weights into whole cores and accelerators. The first shard
+   * receives the remainder.
+   */
   public static LimitParts split(
       double cores, double accelerators, Map<String, Double> weightByShard) {
     double all = weightByShard.values().stream().mapToDouble(Double::doubleValue).sum();
@@ -56,17 +59,18 @@
     return new LimitParts(parts);
   }
 
-  /** The shard's part. */
+  /** Returns the shard's part. */
   public Part of(String shard) {
     return byShard.getOrDefault(shard, Part.NONE);
   }
 
-  /** The parts after one shard has given some of its own to another. */
+  /** Returns the parts after moving cores and accelerators from one shard to another. */
   public LimitParts moved(String from, String to, double cores, double accelerators) {
     Part giver = of(from);
     Part taker = of(to);
     if (cores > giver.cores() || accelerators > giver.accelerators()) {
-      throw new IllegalArgumentException(from + " can't give more than its part");
+      throw new IllegalArgumentException(
+          from + " can't move more cores or accelerators than its part of the limit");
     }
     Map<String, Part> parts = new TreeMap<>(byShard);
     parts.put(from, new Part(giver.cores() - cores, giver.accelerators() - accelerators));
@@ -74,7 +78,7 @@
     return new LimitParts(parts);
   }
 
-  /** The record as it is stored. */
+  /** Returns the stored form of the record. */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     ObjectNode parts = object.putObject("parts");
@@ -83,7 +87,7 @@
     return object;
   }
 
-  /** Reads a stored record. */
+  /** Parses a stored record. */
   static LimitParts parse(JsonNode data) {
     Map<String, Part> parts = new TreeMap<>();
     data.path("parts")
--- a/src/main/java/plumlever/sharing/LimitPolicy.java
+++ b/src/main/java/plumlever/sharing/LimitPolicy.java
@@ -3,18 +3,19 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** How much of its part of a team's limit a shard gives to which other. */
+/** Decides how many cores of its part of a team's limit a shard moves to which other shard. */
 public final class LimitPolicy {
-  /** So many processors of the part are to go to that shard. */
+  /** A number of cores of a team's limit that is to move to another shard. */
   public record Gift(String to, double cores) {}
 
   private LimitPolicy() {}
 
   /**
-   * What a shard gives now: to the one that lacks most, by name where they lack the same.
+   * Returns the cores that a shard should move now. The shard that can receive the most cores is
+   * chosen; ties are broken by name.
    *
-   * @param spare processors of its part that nothing of its own uses or waits for
-   * @param wantedByShard what the other shards lack
+   * @param spare cores of the shard's part that none of its jobs uses or waits for
+   * @param wantedByShard cores that the other shards need beyond their parts
    */
   public static Optional<Gift> gift(double spare, Map<String, Double> wantedByShard) {
     Gift best = null;
--- a/src/main/java/plumlever/sharing/MachineId.java
+++ b/src/main/java/plumlever/sharing/MachineId.java
@@ -1,15 +1,16 @@
 package plumlever.sharing;
 
 /**
- * A machine's name, split so that machines with consecutive names have consecutive numbers.
+ * A machine's name, split into a series and a number, so that machines with consecutive names have
+ * consecutive numbers.
  *
- * @param series all of the name but its last digits, and how many of these there are
- * @param number the last digits
+ * @param series the name without its trailing digits, and the count of these digits
+ * @param number the value of the trailing digits
  */
 public record MachineId(String series, int number) {
   private static final int MOST_DIGITS = 9;
 
-  /** The parts of a name; one without digits has the number 0. */
+  /** Splits a name; a name without trailing digits has the number 0. */
   public static MachineId of(String name) {
     int start = name.length();
     while (start > 0
--- a/src/main/java/plumlever/sharing/OwnerRecord.java
+++ b/src/main/java/plumlever/sharing/OwnerRecord.java
@@ -13,14 +13,17 @@
 import plumlever.wire.Json;
 
 /**
- * Who owns the machines of one range of numbers: for each holder a set of numbers, stored in the
- * portable format of Roaring bitmaps. Immutable.
+ * The owners of the machines in one range of machine numbers: a set of numbers for each holder,
+ * stored in the portable format of Roaring bitmaps. Immutable.
  */
 public final class OwnerRecord {
-  /** A record without any machine. */
+  /** A record without machines. */
   public static final OwnerRecord EMPTY = new OwnerRecord(new TreeMap<>());
 
-  /** Numbers in one range: at worst they take half of the smallest value that may be stored. */
+  /**
+   * Size of a range. In the worst case the record takes half of the smallest value limit that a
+   * state service may have.
+   */
   private static final int RANGE = 256;
 
   private static final String PREFIX = "/pool/owners/";
@@ -32,21 +35,21 @@
     this.sets = sets;
   }
 
-  /** The key of the record that tells who owns the machine. */
+  /** Returns the key of the record whose range includes the machine. */
   public static String keyOf(String machine) {
     MachineId id = MachineId.of(machine);
     return PREFIX + id.series() + "/" + id.number() / RANGE;
   }
 
-  /** True for the key of such a record. */
+  /** Returns true for the key of an owner record. */
   static boolean isKey(String key) {
     return key.startsWith(PREFIX);
   }
 
-  /** Reads a stored record; whatever it does not know is refused. */
+  /** Parses a stored record; an unknown format is rejected. */
   public static OwnerRecord parse(JsonNode data) throws InvalidMessageException {
     if (!(data.get(SETS) instanceof ObjectNode stored)) {
-      throw new InvalidMessageException("no record of owners");
+      throw new InvalidMessageException("owner record lacks its sets of machines");
     }
     Map<String, RoaringBitmap> sets = new TreeMap<>();
     for (Map.Entry<String, JsonNode> entry : stored.properties()) {
@@ -54,15 +57,17 @@
       try {
         set.deserialize(ByteBuffer.wrap(Base64.getDecoder().decode(entry.getValue().asText())));
       } catch (IOException | RuntimeException e) {
-        // The format's reader tells of broken bytes by whatever its arrays throw.
-        throw new InvalidMessageException("the machines of " + entry.getKey() + " can't be read");
+        // For malformed bytes, deserialize throws various runtime exceptions, such as those of
+        // array accesses.
+        throw new InvalidMessageException(
+            "unreadable set of machines of holder " + entry.getKey() + " in an owner record");
       }
       sets.put(entry.getKey(), set);
     }
     return new OwnerRecord(sets);
   }
 
-  /** The record as it is stored. */
+  /** Returns the stored form of the record. */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     ObjectNode stored = object.putObject(SETS);
@@ -77,7 +82,7 @@
     return object;
   }
 
-  /** Who owns the machine; nobody where it is in no set. */
+  /** Returns the owner of the machine; empty if no set includes the machine. */
   public Optional<String> holder(String machine) {
     int number = MachineId.of(machine).number();
     return sets.entrySet().stream()
@@ -86,7 +91,7 @@
         .findFirst();
   }
 
-  /** The record with the machine owned by that holder and no other. */
+  /** Returns the record with the holder as the only owner of the machine. */
   public OwnerRecord with(String machine, String holder) {
     Map<String, RoaringBitmap> changed = without(machine).copy();
     changed
@@ -95,7 +100,7 @@
     return new OwnerRecord(changed);
   }
 
-  /** The record with the machine owned by nobody. */
+  /** Returns the record without an owner of the machine. */
   public OwnerRecord without(String machine) {
     Map<String, RoaringBitmap> changed = copy();
     changed.values().forEach(set -> set.remove(MachineId.of(machine).number()));
@@ -109,12 +114,12 @@
     return copy;
   }
 
-  /** True if nobody owns any machine of the range. */
+  /** Returns true if no machine of the range has an owner. */
   public boolean isEmpty() {
     return sets.isEmpty();
   }
 
-  /** How many machines of the range the holder owns. */
+  /** Returns the number of machines of the range that the holder owns. */
   public int count(String holder) {
     RoaringBitmap set = sets.get(holder);
     return set == null ? 0 : set.getCardinality();
--- a/src/main/java/plumlever/sharing/PoolView.java
+++ b/src/main/java/plumlever/sharing/PoolView.java
@@ -11,28 +11,28 @@
 import plumlever.wire.InvalidMessageException;
 
 /**
- * What the records of the pool say together, as of the last change applied. Changes may come more
- * than once and out of order: the newer revision of each key stays.
+ * An in-memory view of the pool's records, as of the last applied change. Changes may be applied
+ * repeatedly and out of order: the view keeps the newest revision of each key.
  */
 public final class PoolView {
-  /** All records of the pool are under it. */
+  /** Key prefix of all records of the pool. */
   public static final String PREFIX = "/pool/";
 
-  /** The pool's counter of terms and transfers. */
+  /** Key of the pool's counter, which numbers the terms of all shards and the transfers. */
   public static final String COUNTER = PREFIX + "term";
 
   private static final String LEADERS = PREFIX + "leaders/";
   private static final String NUMBER = "term";
 
-  /** A record with its revision. */
+  /** A record and its revision in the state service. */
   public record Versioned<T>(T value, long revision) {}
 
-  /** Dropped keys remembered, far more than change while one transaction is under way. */
+  /** Limit of remembered deletions; far more than keys change while a transaction is in flight. */
   private static final int MOST_DROPPED = 2_000;
 
   private final Map<String, Long> revisions = new HashMap<>();
 
-  /** Revisions of drops: an older put of the key that comes later must not bring it back. */
+  /** Revisions of deletions: an older put that is applied later must not restore the key. */
   private final Map<String, Long> dropped = new HashMap<>();
 
   private final Map<String, OwnerRecord> owners = new HashMap<>();
@@ -42,12 +42,12 @@
   private final Map<String, LimitParts> limits = new TreeMap<>();
   private long counter;
 
-  /** The key that tells who leads the shard; it hangs on the leader's lease. */
+  /** Returns the key of the shard's leader record, which is bound to the leader's lease. */
   public static String leaderKey(String shard) {
     return LEADERS + shard;
   }
 
-  /** A record is stored, or was dropped if {@code data} is null. */
+  /** Applies a change: the stored value of the key, or its deletion if {@code data} is null. */
   public void apply(String key, JsonNode data, long revision) throws InvalidMessageException {
     if (revision <= revisions.getOrDefault(key, 0L)) {
       return;
@@ -93,9 +93,10 @@
   }
 
   /**
-   * A read has shown that there is no such record.
+   * Applies a read that found no record under the key.
    *
-   * @param revisionBefore what was known when the read was sent: a record stored since stays
+   * @param revisionBefore known revision of the key when the read was sent: a record that was
+   *     stored after that is kept
    */
   public void absent(String key, long revisionBefore) throws InvalidMessageException {
     if (revisionBefore != 0 && revisionOf(key) == revisionBefore) {
@@ -103,7 +104,11 @@
     }
   }
 
-  /** Everything was read anew: what is not among these keys is gone. */
+  /**
+   * Applies the end of a full listing: deletes all records whose keys were not listed.
+   *
+   * @param storeRevision store revision of the listing
+   */
   public void retain(Collection<String> keys, long storeRevision) throws InvalidMessageException {
     for (String key : List.copyOf(revisions.keySet())) {
       if (!keys.contains(key) && !dropped.containsKey(key)) {
@@ -112,52 +117,52 @@
     }
   }
 
-  /** The revision of a key to precondition a transaction with; 0 while there is none. */
+  /** Returns the revision of the key for use in a precondition; 0 if there is no record. */
   public long revisionOf(String key) {
     return dropped.containsKey(key) ? 0 : revisions.getOrDefault(key, 0L);
   }
 
-  /** Who owns the machine. */
+  /** Returns the owner of the machine, if it has one. */
   public Optional<String> holder(String machine) {
     return owners(machine).holder(machine);
   }
 
-  /** The record that tells who owns the machine. */
+  /** Returns the owner record whose range includes the machine. */
   public OwnerRecord owners(String machine) {
     return owners.getOrDefault(OwnerRecord.keyOf(machine), OwnerRecord.EMPTY);
   }
 
-  /** How many machines the holder owns. */
+  /** Returns the number of machines that the holder owns. */
   public int count(String holder) {
     return owners.values().stream().mapToInt(owned -> owned.count(holder)).sum();
   }
 
-  /** Where the machine's transfer stands. */
+  /** Returns the machine's transfer record, if there is one. */
   public Optional<Versioned<TransferRecord>> transfer(String machine) {
     return Optional.ofNullable(transfers.get(machine));
   }
 
-  /** All machines with a transfer that is not settled. */
+  /** Returns the transfer records of all machines that have one, by machine. */
   public Map<String, Versioned<TransferRecord>> transfers() {
     return Collections.unmodifiableMap(transfers);
   }
 
-  /** Label of the shard's leader, if it has one. */
+  /** Returns the label of the shard's leader, if it has one. */
   public Optional<String> leader(String shard) {
     return Optional.ofNullable(leaders.get(shard));
   }
 
-  /** What the shard last told of its share. */
+  /** Returns the demand that the shard last published, if any. */
   public Optional<ShardDemand> demand(String shard) {
     return Optional.ofNullable(demands.get(shard));
   }
 
-  /** The parts of the team's limit, once they have been cut up. */
+  /** Returns the parts of the team's limit, if the limit has been split. */
   public Optional<LimitParts> limit(String team) {
     return Optional.ofNullable(limits.get(team));
   }
 
-  /** The last number given out. */
+  /** Returns the last number that was assigned from the pool's counter. */
   public long counter() {
     return counter;
   }
--- a/src/main/java/plumlever/sharing/ShardDemand.java
+++ b/src/main/java/plumlever/sharing/ShardDemand.java
@@ -7,19 +7,20 @@
 import plumlever.wire.Json;
 
 /**
- * What a shard's leader tells the others of its share: advice, on which no rule rests.
+ * The demand that a shard's leader publishes to the other shards. The record is advisory: no
+ * correctness depends on it.
  *
- * @param machines that it owns, up or booting
- * @param idle of these, machines that it can do without
- * @param wanted machines that it lacks for what waits
- * @param digest of its sharing file
- * @param coresWanted by team, room under its part of the team's limit that it lacks
+ * @param machines number of machines that the shard owns, up or booting
+ * @param idle number of these machines that are idle
+ * @param wanted number of machines that the shard is short of
+ * @param digest digest of the shard's sharing file
+ * @param coresWanted by team, the cores that the shard needs beyond its part of the team's limit
  */
 public record ShardDemand(
     int machines, int idle, int wanted, String digest, Map<String, Double> coresWanted) {
   private static final String PREFIX = "/pool/demand/";
 
-  /** The key of the shard's record. */
+  /** Returns the key of the shard's record. */
   public static String keyOf(String shard) {
     return PREFIX + shard;
   }
@@ -32,7 +33,7 @@
     return key.substring(PREFIX.length());
   }
 
-  /** The record as it is stored. */
+  /** Returns the stored form of the record. */
   public ObjectNode toJson() {
     ObjectNode object =
         Json.object()
@@ -45,7 +46,7 @@
     return object;
   }
 
-  /** Reads a stored record; what is missing counts as nothing. */
+  /** Parses a stored record; missing fields are read as 0 or empty. */
   static ShardDemand parse(JsonNode data) {
     Map<String, Double> teams = new TreeMap<>();
     data.path("cores_wanted")
--- a/src/main/java/plumlever/sharing/SharePolicy.java
+++ b/src/main/java/plumlever/sharing/SharePolicy.java
@@ -5,33 +5,35 @@
 import java.util.List;
 
 /**
- * How many machines move from which shard to which. A shard that lacks machines is first given what
- * others can do without; where that is not enough, and it has less than its share by weight, those
- * above their share give further ones with their tasks running. Nobody goes below its floor, and
- * nobody gives what it lacks itself below its share.
+ * Decides how many machines move between which shards. A shard with a shortage first receives idle
+ * machines of other shards. If these are not enough and the shard owns less than its share by
+ * weight, shards above their share also give machines in use, together with the running tasks. No
+ * shard gives machines below its floor, or machines in use below its share.
  *
- * <p>The same input gives the same decision, whoever works it out.
+ * <p>The decision is deterministic: all shards compute the same plan from the same input.
  */
 public final class SharePolicy {
   /**
-   * A shard as the policy sees it.
+   * The state of one shard as input of the policy.
    *
-   * @param machines that it owns
-   * @param idle of these, machines that it can do without
-   * @param wanted machines that it lacks
+   * @param floor number of machines below which the shard gives none
+   * @param weight weight for the share of the machines above all floors
+   * @param machines number of machines that the shard owns
+   * @param idle number of these machines that are idle
+   * @param wanted number of machines that the shard is short of
    */
   public record ShardState(
       String name, int floor, double weight, int machines, int idle, int wanted) {}
 
-  /** So many machines are to go from one shard to another. */
+  /** A number of machines that one shard is to give to another. */
   public record Move(String from, String to, int machines) {}
 
-  /** Part of its share by which a shard must be above it before it gives machines in use. */
+  /** A shard gives machines in use only while it exceeds its share by more than this fraction. */
   private static final double HYSTERESIS = 0.1;
 
   private SharePolicy() {}
 
-  /** Machines of the pool that the shard's floor and weight entitle it to. */
+  /** Returns the shard's share: its floor, plus its part by weight of the machines above floors. */
   static double shareOf(ShardState shard, List<ShardState> shards) {
     int all = shards.stream().mapToInt(ShardState::machines).sum();
     int floors = shards.stream().mapToInt(ShardState::floor).sum();
@@ -39,7 +41,7 @@
     return shard.floor() + Math.max(0, all - floors) * shard.weight() / weights;
   }
 
-  /** A shard with what the decisions so far leave it. */
+  /** The state of a shard after the moves decided so far. */
   private static final class Open {
     private final ShardState shard;
     private final double share;
@@ -70,9 +72,9 @@
   }
 
   /**
-   * The moves that are due now.
+   * Returns the moves that are due now.
    *
-   * @param most machines that one shard gives at a time
+   * @param most largest number of machines in one move
    */
   public static List<Move> plan(List<ShardState> shards, int most) {
     List<Open> open = new ArrayList<>();
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -12,25 +12,26 @@
 import plumlever.wire.Json;
 
 /**
- * The state of one machine that changes its owner, or that holds tasks of others than its owner. It
- * goes through these states, each step one transaction with preconditions:
+ * The transfer record of one machine that changes its owner or that holds foreign tasks. Each
+ * change of the state is one transaction with preconditions:
  *
  * <ul>
- *   <li>{@link State#OFFERED}: the owner gives it up; it starts nothing on it from before the
- *       transaction is sent.
- *   <li>{@link State#TAKEN}: the taker owns it, and uses a number that is newer than any that the
- *       former owner could have used. Tasks by shard are those that may still be on it.
- *   <li>{@link State#GONE}: the machine does not exist any more; its originating shards have still
- *       to see that their tasks are over.
+ *   <li>{@link State#OFFERED}: the owner offers the machine to another shard. The owner stops
+ *       starting tasks on the machine before the transaction is sent.
+ *   <li>{@link State#TAKEN}: the new owner has acquired the machine, under a number that is newer
+ *       than any that the former owner could have used. The tasks by shard are those that may still
+ *       be on the machine.
+ *   <li>{@link State#GONE}: the machine does not exist any more. The originating shards have yet to
+ *       end their attempts on the machine.
  * </ul>
  *
- * <p>Each originating shard leaves the record once none of its tasks can be on the machine. A
- * record without originating shards is dropped, and what the machine was is in the record of owners
- * only.
+ * <p>Each originating shard removes itself from the record once none of its tasks can be on the
+ * machine. A record without originating shards and without an offer is deleted; only the owner
+ * record then lists the machine.
  *
- * @param incarnation of the worker when it was offered
- * @param number from the pool's counter, by which the present owner's commands are ordered
- * @param originatingShards foreign task tasks by shard
+ * @param incarnation incarnation of the worker when the machine was offered
+ * @param number number from the pool's counter, the term in the current owner's fencing tokens
+ * @param tasksByShard foreign tasks by originating shard
  */
 public record TransferRecord(
     State state,
@@ -40,22 +41,24 @@
     long number,
     Optional<Offer> offer,
     Map<String, List<ForeignTask>> tasksByShard) {
-  /** Where the transfer stands. */
+  /** State of the transfer. */
   public enum State {
     OFFERED,
     TAKEN,
     GONE
   }
 
-  /** What a machine is, for an owner that has never heard of it. */
+  /** The properties of a machine that a new owner needs to manage the machine. */
   public record Details(
       String id, String endpoint, String machineType, String zone, boolean spot) {}
 
   /**
-   * To whom a machine is offered.
+   * An offer of a machine to another shard.
    *
-   * @param termRevision revision of the offering shard's term: the offer holds as long as it does
-   * @param digest of the sharing file of the offering controller
+   * @param to shard that may accept the offer
+   * @param termRevision revision of the offering shard's term record: the offer is valid only while
+   *     that revision is unchanged
+   * @param digest digest of the offering controller's sharing file
    */
   public record Offer(String to, long termRevision, String digest) {}
 
@@ -75,7 +78,7 @@
   private static final String DIGEST = "digest";
   private static final String ORIGINATING_SHARDS = "homes";
 
-  /** The key of the machine's record. */
+  /** Returns the key of the machine's record. */
   public static String keyOf(String machine) {
     return PREFIX + machine;
   }
@@ -88,14 +91,12 @@
     return key.substring(PREFIX.length());
   }
 
-  /** True if tasks of the shard may be on the machine, which is not its own. */
+  /** Returns true if the machine may hold foreign tasks of the shard. */
   public boolean hasTasksOf(String shard) {
     return tasksByShard.containsKey(shard) && !(state != State.GONE && owner.equals(shard));
   }
 
-  /**
-   * The first record of a machine that its owner offers, or the next of one that has foreign tasks.
-   */
+  /** Returns the record of a machine that its owner offers to another shard. */
   public static TransferRecord offered(
       Details machine,
       long incarnation,
@@ -107,7 +108,10 @@
         State.OFFERED, machine, incarnation, owner, number, Optional.of(offer), tasksByShard);
   }
 
-  /** The taker owns it from here on; its own tasks there are foreign tasks no more. */
+  /**
+   * Returns the record after the taker has acquired the machine. The taker's tasks on the machine
+   * are removed from the record: they are not foreign tasks any more.
+   */
   public TransferRecord taken(String taker, long newNumber) {
     Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
     remainingTasks.remove(taker);
@@ -115,7 +119,7 @@
         State.TAKEN, machine, incarnation, taker, newNumber, Optional.empty(), remainingTasks);
   }
 
-  /** The offer is taken back; the owner's own tasks need not be listed any more. */
+  /** Returns the record after the owner has withdrawn the offer, without the owner's tasks. */
   public TransferRecord withdrawn() {
     Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
     remainingTasks.remove(owner);
@@ -123,25 +127,25 @@
         State.TAKEN, machine, incarnation, owner, number, Optional.empty(), remainingTasks);
   }
 
-  /** The machine does not exist any more. */
+  /** Returns the record after the machine was returned to the cloud. */
   public TransferRecord gone() {
     return new TransferRecord(
         State.GONE, machine, incarnation, owner, number, Optional.empty(), tasksByShard);
   }
 
-  /** None of the shard's tasks can be on it any more. */
+  /** Returns the record without the shard's tasks, once none of them can be on the machine. */
   public TransferRecord withoutTasksOf(String shard) {
     Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
     remainingTasks.remove(shard);
     return new TransferRecord(state, machine, incarnation, owner, number, offer, remainingTasks);
   }
 
-  /** True when nothing is left to be settled. */
+  /** Returns true if the record has neither foreign tasks nor an offer and can be deleted. */
   public boolean isSettled() {
     return tasksByShard.isEmpty() && offer.isEmpty();
   }
 
-  /** The record as it is stored. */
+  /** Returns the stored form of the record. */
   public ObjectNode toJson() {
     ObjectNode object =
         Json.object()
@@ -169,14 +173,13 @@
     return object;
   }
 
-  /** Reads a stored record. */
+  /** Parses a stored record. */
   public static TransferRecord parse(String machine, JsonNode data) throws InvalidMessageException {
     State state;
     try {
       state = State.valueOf(data.path(STATE).asText());
     } catch (IllegalArgumentException e) {
-      throw new InvalidMessageException(
-          "the transfer of " + machine + " is in a state that is unknown");
+      throw new InvalidMessageException("transfer record of " + machine + " has an unknown state");
     }
     Details details =
         new Details(
@@ -195,7 +198,8 @@
                   Json.text(made, DIGEST)));
     }
     if (!(data.path(ORIGINATING_SHARDS) instanceof ObjectNode stored)) {
-      throw new InvalidMessageException("the transfer of " + machine + " names no homes");
+      throw new InvalidMessageException(
+          "transfer record of " + machine + " lacks the originating shards");
     }
     Map<String, List<ForeignTask>> tasksByShard = new TreeMap<>();
     for (Map.Entry<String, JsonNode> entry : stored.properties()) {
--- a/src/main/java/plumlever/sharing/package-info.java
+++ b/src/main/java/plumlever/sharing/package-info.java
@@ -1,8 +1,8 @@
 /**
- * How the machines of a pool are shared among shards: the records of owners and transfers, what
- * they say together, and the policies that decide which machines and parts of team limits move.
+ * Data model and policies for sharing machines between the shards of a pool: owner and transfer
+ * records, an in-memory view of all records, and the policies that decide which machines and parts
+ * of team limits move.
  *
- * <p>Knows neither clock nor network: everything is a function of records and of what shards tell
- * of themselves.
+ * <p>The package uses neither a clock nor the network: all results are functions of the records.
  */
 package plumlever.sharing;
--- a/src/test/java/plumlever/sharing/PoolRecordsTest.java
+++ b/src/test/java/plumlever/sharing/PoolRecordsTest.java
@@ -13,7 +13,10 @@
 import plumlever.wire.Json;
 import plumlever.wire.TaskName;
 
-/** The pool's records: what is written is read, what is not known is refused, old news is none. */
+/**
+ * Tests the pool's records: stored records parse to equal records, unknown formats are rejected,
+ * and an older change does not overwrite a newer one.
+ */
 final class PoolRecordsTest {
   private static String name(int number) {
     return String.format("i-%06d", number);
@@ -33,7 +36,9 @@
     assertEquals(Optional.of("cell-1"), read.with(name(0), "cell-1").holder(name(0)));
     assertEquals(Optional.empty(), read.without(name(0)).holder(name(0)));
     assertEquals(
-        256, read.count("cell-0") + read.count("cell-1") + read.count("cell-2"), "one owner each");
+        256,
+        read.count("cell-0") + read.count("cell-1") + read.count("cell-2"),
+        "each machine has exactly one owner");
   }
 
   @Test
@@ -59,13 +64,15 @@
             Map.of("a", List.of(foreignTask)));
     TransferRecord read = TransferRecord.parse("i-000001", offered.toJson());
     assertEquals(offered, read);
-    assertFalse(read.hasTasksOf("a"), "it is the owner");
+    assertFalse(read.hasTasksOf("a"), "tasks of the owner are not foreign tasks");
     TransferRecord taken = TransferRecord.parse("i-000001", read.taken("b", 6).toJson());
     assertTrue(taken.hasTasksOf("a"));
     assertEquals(List.of(foreignTask), taken.tasksByShard().get("a"));
     assertFalse(taken.isSettled());
     assertTrue(taken.withoutTasksOf("a").isSettled());
-    assertTrue(taken.taken("a", 7).tasksByShard().isEmpty(), "its own tasks are guests no more");
+    assertTrue(
+        taken.taken("a", 7).tasksByShard().isEmpty(),
+        "tasks of the new owner are not foreign tasks");
     assertTrue(offered.withdrawn().isSettled());
     assertTrue(taken.gone().hasTasksOf("a"));
   }
@@ -96,10 +103,11 @@
     view.apply(key, null, 13);
     view.apply(key, OwnerRecord.EMPTY.with("i-000001", "b").toJson(), 12);
     assertEquals(Optional.empty(), view.holder("i-000001"));
-    assertEquals(0, view.revisionOf(key), "absent keys are guarded by 0");
+    assertEquals(0, view.revisionOf(key), "precondition revision of an absent key");
     view.apply(key, OwnerRecord.EMPTY.with("i-000001", "c").toJson(), 14);
     view.absent(key, 12);
-    assertEquals(Optional.of("c"), view.holder("i-000001"), "stored since that read was sent");
+    assertEquals(
+        Optional.of("c"), view.holder("i-000001"), "the record was stored after the read was sent");
     view.absent(key, 14);
     assertEquals(Optional.empty(), view.holder("i-000001"));
   }
--- a/src/test/java/plumlever/sharing/SharePolicyTest.java
+++ b/src/test/java/plumlever/sharing/SharePolicyTest.java
@@ -14,7 +14,7 @@
 import plumlever.sharing.SharePolicy.Move;
 import plumlever.sharing.SharePolicy.ShardState;
 
-/** The policy held against a slow plain model, and against what it promises. */
+/** Compares the policy with a simple reference implementation and checks its guarantees. */
 final class SharePolicyTest {
   private static ShardState random(String name, SplittableRandom random) {
     int machines = random.nextInt(40);
@@ -28,7 +28,7 @@
         wanted);
   }
 
-  /** One machine at a time, with everything worked out anew for each. */
+  /** Reference implementation: moves one machine at a time and recomputes all conditions. */
   private static List<Move> plain(List<ShardState> shards, int most) {
     Map<String, ShardState> state = new HashMap<>();
     List<String> names = new ArrayList<>();
--- a/src/test/java/plumlever/sharing/package-info.java
+++ b/src/test/java/plumlever/sharing/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the pool's records and policies. */
+/** Tests of the pool's records and of the sharing policies. */
 package plumlever.sharing;
