--- a/src/main/java/plumlever/drill/CloudEmulator.java
+++ b/src/main/java/plumlever/drill/CloudEmulator.java
@@ -10,9 +10,12 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** A cloud by its protocol that has no more machines than those that are up. */
+/**
+ * Emulates the cloud by its protocol. All machines are rented from the start, and further rentals
+ * are refused for lack of capacity.
+ */
 final class CloudEmulator {
-  /** The only type of machine. */
+  /** The only machine type. */
   static final String TYPE = "plain-4";
 
   private static final String CATALOG =
@@ -31,7 +34,7 @@
   private int returned;
 
   /**
-   * @param onReturn told of each machine that is returned
+   * @param onReturn called with each machine that is returned
    */
   CloudEmulator(Consumer<String> onReturn) {
     this.onReturn = onReturn;
@@ -41,7 +44,7 @@
     machinesById.put(machine, new RentedMachine(endpoint, zone));
   }
 
-  /** Machines that were returned. */
+  /** Returns the number of returned machines. */
   int returned() {
     return returned;
   }
--- a/src/main/java/plumlever/drill/ControllerProcess.java
+++ b/src/main/java/plumlever/drill/ControllerProcess.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import plumlever.settings.Endpoint;
 
-/** One controller as a process of its own, which can be killed, paused and started again. */
+/** A controller in a separate process that can be killed, paused and restarted. */
 final class ControllerProcess {
   private static final String MAIN = "plumlever.cli.Main";
   private static final long END_S = 5;
@@ -19,7 +19,7 @@
   private Process process;
 
   /**
-   * @param directory holds its settings, and gets its log
+   * @param directory directory of the settings files and the log file
    */
   ControllerProcess(String label, Endpoint users, Endpoint peers, Path directory) {
     this.label = label;
@@ -76,12 +76,12 @@
     return process != null && process.isAlive();
   }
 
-  /** Ends it without a signal that it could act on. */
+  /** Kills the process with a signal that it can't handle (SIGKILL). */
   void kill() {
     process.destroyForcibly();
   }
 
-  /** It stands still while its clocks run on. */
+  /** Pauses the process (SIGSTOP); its clocks keep running. */
   void pause() throws IOException {
     signal("-STOP");
   }
@@ -94,7 +94,7 @@
     new ProcessBuilder("kill", signal, Long.toString(process.pid())).start();
   }
 
-  /** Ends it for good. */
+  /** Kills the process and waits for its end. */
   void end() throws InterruptedException {
     if (process != null) {
       process.destroyForcibly();
--- a/src/main/java/plumlever/drill/DrillFiles.java
+++ b/src/main/java/plumlever/drill/DrillFiles.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The settings files of a drill's controllers. */
+/** Generates the settings files of a drill's controllers. */
 final class DrillFiles {
   private static final double MICROS_PER_S = 1e6;
 
-  /** One in so many machines belongs to a floor. */
+  /** The floors of all shards together are this fraction (1/4) of the machines. */
   private static final int FLOOR_PART = 4;
 
   private static final String PLATFORM =
@@ -91,7 +91,7 @@
         leaseMicros / MICROS_PER_S);
   }
 
-  /** One shard for each controller; machines are never returned for being idle. */
+  /** Returns a sharing file with one shard per controller that never returns idle machines. */
   static String sharing(List<String> shards, List<ControllerProcess> controllers, int machines) {
     int floor = machines / (FLOOR_PART * shards.size());
     StringBuilder text =
--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -13,14 +13,17 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** Users who submit at one controller, repeat until accepted, and ask at any until it is done. */
+/**
+ * Emulates the users of a drill. Each job is submitted to one controller until that accepts the
+ * job, then random controllers are polled until the job is done.
+ */
 final class DrillUsers {
   private static final long RETRY_MICROS = 1_000_000;
   private static final long POLL_MICROS = 2_000_000;
   private static final long SUBMIT_TIMEOUT_MICROS = 5_000_000;
   private static final long POLL_TIMEOUT_MICROS = 2_000_000;
 
-  /** How a job stands, as its user was told. */
+  /** The last state of a job that a controller has reported to the user. */
   private enum Told {
     SUBMITTED,
     ACCEPTED,
@@ -48,7 +51,7 @@
     this.random = random;
   }
 
-  /** A job of that shape, first submitted at that controller. */
+  /** Submits a job of the given shape to the given controller. */
   void submit(JobShape shape, Endpoint at) {
     String uid = String.format("job-%06d", jobs.size() + 1);
     jobs.put(uid, Told.SUBMITTED);
@@ -73,7 +76,7 @@
             jobs.put(uid, Told.ACCEPTED);
             loop.after(POLL_MICROS, () -> poll(uid));
           } else if (status == HttpStatus.BAD_REQUEST || status == HttpStatus.UNPROCESSABLE) {
-            results.broke(uid + " was refused: " + new String(answer, StandardCharsets.UTF_8));
+            results.broke(uid + " was rejected: " + new String(answer, StandardCharsets.UTF_8));
           } else {
             loop.after(RETRY_MICROS, () -> submit(uid, body, at));
           }
@@ -89,7 +92,7 @@
         POLL_TIMEOUT_MICROS,
         (status, answer) -> {
           if (status == HttpStatus.NOT_FOUND) {
-            results.broke(uid + " was accepted and is unknown");
+            results.broke(uid + " was accepted but a controller does not know the job");
           }
           if (status == HttpStatus.OK && statusOf(answer).equals("done")) {
             jobs.put(uid, Told.DONE);
@@ -115,7 +118,7 @@
     return tasks;
   }
 
-  /** Jobs whose users have not been told that they are done. */
+  /** Returns the jobs that no controller has reported as done to the user. */
   List<String> open() {
     List<String> open = new ArrayList<>();
     jobs.forEach(
--- a/src/main/java/plumlever/drill/JobShape.java
+++ b/src/main/java/plumlever/drill/JobShape.java
@@ -11,9 +11,10 @@
 import plumlever.wire.Json;
 
 /**
- * A kind of job that a drill submits, from a file with one submission a line; its id is replaced.
+ * A template for the jobs that a drill submits. A file of shapes has one submission per line; the
+ * id in the submission is replaced for each job.
  *
- * @param submission as a user would send it
+ * @param submission the submission in the form that a user sends
  */
 record JobShape(ObjectNode submission) {
   private static final String ARRAY =
@@ -29,16 +30,16 @@
       "one_zone":false,"spread":false,"loaners":true,"expect_s":25.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":120.0}
       """;
 
-  /** Wide arrays of short tasks, and plans of a few long ones. */
+  /** Returns the built-in shapes: arrays of many short tasks, and plans of a few long tasks. */
   static List<JobShape> builtIn() {
     try {
       return List.of(read(ARRAY), read(PLAN));
     } catch (InvalidMessageException e) {
-      throw new IllegalStateException("the built-in shapes are well formed", e);
+      throw new IllegalStateException("invalid built-in job shape", e);
     }
   }
 
-  /** Reads a file of shapes; each must be a submission that a controller would take. */
+  /** Reads a file of shapes; each line must be a valid submission. */
   static List<JobShape> load(Path file) throws IOException, InvalidMessageException {
     List<JobShape> shapes = new ArrayList<>();
     int line = 0;
@@ -53,7 +54,7 @@
       }
     }
     if (shapes.isEmpty()) {
-      throw new InvalidMessageException(file + ": holds no job");
+      throw new InvalidMessageException(file + ": contains no job shape");
     }
     return shapes;
   }
--- a/src/main/java/plumlever/drill/Query.java
+++ b/src/main/java/plumlever/drill/Query.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The parameters of a request's target. */
+/** The query parameters of a request target. */
 record Query(Map<String, String> parameters) {
   static Query of(String target) {
     Map<String, String> parameters = new HashMap<>();
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -28,19 +28,25 @@
 import plumlever.wire.Json;
 
 /**
- * Three controllers of three shards as processes of their own, with emulators for all that is round
- * them. Load goes from shard to shard, so that shares move; machines with tasks are given away
- * besides, and controllers are killed and paused right after. It passes if every job is done, each
- * result was produced once, no two copies of a task ever ran, and no move had a task started anew.
+ * An end-to-end drill of machine sharing. Three controllers of three shards run as separate
+ * processes against emulators of the state service, the cloud, the workers and the users. The load
+ * shifts from shard to shard, so that machines move between the shards. In addition the drill
+ * transfers machines with running tasks, and kills or pauses controllers during such transfers.
+ *
+ * <p>The drill passes if every job is done, each result was produced exactly once, no two attempts
+ * of a task ran at the same time, no transfer caused a restart of a task, and all transfers are
+ * settled.
  */
 public final class SharingDrill {
   /**
-   * What a drill is to do.
+   * The parameters of a drill.
    *
-   * @param seconds for which load comes
-   * @param shapes of the jobs
+   * @param seconds duration of the load in seconds
+   * @param machines number of machines in the pool
+   * @param seed seed of all random choices
+   * @param shapes files with shapes of jobs; empty for the built-in shapes
    * @param failures whether controllers are killed and paused
-   * @param leastTransfers fewer than these make it fail
+   * @param leastTransfers minimum number of transfers for the drill to pass
    */
   public record Plan(
       int seconds,
@@ -50,10 +56,10 @@
       boolean failures,
       int leastTransfers) {}
 
-  /** Where job shapes come from; no path for the built-in ones. */
+  /** A file with shapes of jobs. */
   public record JobShapeFile(Path path) {}
 
-  /** What came of it. */
+  /** The result of a drill, with the lines of its report. */
   public record Outcome(boolean passed, List<String> lines) {}
 
   private static final List<String> SHARDS = List.of("east", "north", "west");
@@ -124,7 +130,7 @@
     this.cloud = new CloudEmulator(machine -> workers.get(machine).remove());
   }
 
-  /** Plays the drill; it takes about as long as its plan says, and a minute or two more. */
+  /** Runs the drill. The call takes the duration of the load and one or two minutes more. */
   public static Outcome run(Plan plan)
       throws IOException, InvalidMessageException, InterruptedException {
     List<JobShape> shapes = new ArrayList<>();
@@ -197,7 +203,7 @@
     }
   }
 
-  /** Runs on the loop, as all that follows. */
+  /** Starts users and workers. This method and all methods below run on the event loop. */
   private void begin() {
     Map<String, Endpoint> byLabel = new HashMap<>();
     List<Endpoint> front = new ArrayList<>();
@@ -252,12 +258,12 @@
         fail();
       }
     } catch (IOException e) {
-      results.broke("a process could not be steered: " + e);
+      results.broke("could not signal or start a controller process: " + e);
     }
     loop.after(TICK_MICROS, this::tick);
   }
 
-  /** One shard at a time has more to do than its share of machines can hold. */
+  /** Submits jobs to one shard at a time, more than its share of machines can run. */
   private void submit(long now) {
     int shard = (int) ((now - beganMicros) / PHASE_MICROS % SHARDS.size());
     double cores = LOAD * CORES * plan.machines() * SUBMIT_EVERY_MICROS / PHASE_MICROS;
@@ -268,7 +274,7 @@
     }
   }
 
-  /** The machine on which most tasks run goes to another shard. */
+  /** Transfers the machine with the most running tasks to another shard. */
   private void moveBusy() {
     workers.entrySet().stream()
         .max(Comparator.comparingInt(entry -> entry.getValue().running()))
@@ -291,7 +297,7 @@
         CALL_MICROS,
         (status, answer) -> {
           if (status != HttpStatus.OK) {
-            events.add(machine + " could not be given to " + SHARDS.get(to) + ": " + status);
+            events.add(machine + " was not transferred to " + SHARDS.get(to) + ": HTTP " + status);
           }
         });
   }
@@ -306,13 +312,13 @@
               .orElse(-1);
         }
       } catch (InvalidMessageException e) {
-        results.broke("a record of owners can't be read: " + e.getMessage());
+        results.broke("unreadable owner record: " + e.getMessage());
       }
     }
     return -1;
   }
 
-  /** A controller is killed or paused in the middle of a move of one of its machines. */
+  /** Starts a transfer and kills or pauses a random controller while it is in progress. */
   private void fail() throws IOException {
     ControllerProcess controller = controllers.get(random.nextInt(controllers.size()));
     moveBusy();
@@ -334,7 +340,7 @@
     try {
       controller.start();
     } catch (IOException e) {
-      results.broke(controller.label() + " could not be started again: " + e);
+      results.broke(controller.label() + " could not be restarted: " + e);
     }
   }
 
@@ -342,7 +348,7 @@
     try {
       controller.goOn();
     } catch (IOException e) {
-      results.broke(controller.label() + " could not be woken: " + e);
+      results.broke(controller.label() + " could not be resumed: " + e);
     }
   }
 
@@ -360,16 +366,16 @@
     List<String> wrong = new ArrayList<>(results.broken());
     users.open().forEach(uid -> wrong.add(uid + " is not done"));
     if (results.completedTasks() != users.submittedTasks()) {
-      wrong.add(results.completedTasks() + " results of " + users.submittedTasks() + " tasks");
+      wrong.add(results.completedTasks() + " results for " + users.submittedTasks() + " tasks");
     }
     if (results.completedTwice() > 0) {
-      wrong.add(results.completedTwice() + " results were produced twice");
+      wrong.add(results.completedTwice() + " results were produced more than once");
     }
     if (results.startedAnew() > 0 && results.lapsedLeases() == 0) {
-      wrong.add(results.startedAnew() + " tasks were started anew");
+      wrong.add(results.startedAnew() + " tasks were restarted although no lease expired");
     }
     if (transfers.count() < plan.leastTransfers()) {
-      wrong.add(transfers.count() + " transfers, " + plan.leastTransfers() + " are asked for");
+      wrong.add(transfers.count() + " transfers, " + plan.leastTransfers() + " are required");
     }
     if (!settled) {
       wrong.add("transfers are not settled: " + state.under("pool/transfers/").keySet());
@@ -384,34 +390,34 @@
             + results.completedTasks()
             + " results, "
             + results.completedTwice()
-            + " twice, "
+            + " duplicate results, "
             + results.startedAnew()
-            + " tasks started anew, "
+            + " tasks restarted, "
             + results.lapsedLeases()
-            + " leases lapsed");
+            + " leases expired");
     lines.add(
         transfers.count()
             + " transfers, "
             + transfers.withTasks()
             + " of machines with tasks ("
             + transfers.tasksMoved()
-            + " tasks), from offer to owner "
+            + " tasks), from offer to new owner "
             + transfers.medianMicros() / MILLIS
-            + " ms in the middle, "
+            + " ms median, "
             + transfers.longestMicros() / MILLIS
-            + " ms at most");
+            + " ms max");
     lines.add(
         "state service: "
             + (state.requests() - requestsBefore)
             + " requests, "
             + state.changesMade()
-            + " changes, ledger of "
+            + " changes, "
             + state.bytesUnder("pool/owners/")
-            + " bytes; "
+            + " bytes of owner records; "
             + cloud.returned()
             + " machines returned");
     lines.addAll(events);
-    wrong.forEach(reason -> lines.add("wrong: " + reason));
+    wrong.forEach(reason -> lines.add("failed: " + reason));
     return new Outcome(wrong.isEmpty(), lines);
   }
 }
--- a/src/main/java/plumlever/drill/StateServiceEmulator.java
+++ b/src/main/java/plumlever/drill/StateServiceEmulator.java
@@ -17,7 +17,7 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** A state service by its protocol, in memory. */
+/** An in-memory state service that implements the protocol of the real one. */
 final class StateServiceEmulator {
   private static final int REMEMBERED = 10_000;
   private static final int MOST_ITEMS = 1_000;
@@ -29,10 +29,10 @@
 
   private record Change(long revision, String key, JsonNode data) {}
 
-  /** A lease: when it ends, unless it is renewed. */
+  /** A lease, which expires at {@code endsMicros} unless it is renewed. */
   private record Lease(long ttlMicros, long endsMicros) {}
 
-  /** A watch that has found nothing yet. */
+  /** A pending watch request without matching changes so far. */
   private record Watch(String prefix, long since, long untilMicros, Responder out) {}
 
   private final Loop loop;
@@ -47,7 +47,7 @@
   private long puts;
 
   /**
-   * @param onPut told of each value that is put
+   * @param onPut called with the key and the value of each put
    */
   StateServiceEmulator(Loop loop, BiConsumer<String, JsonNode> onPut) {
     this.onPut = onPut;
@@ -55,17 +55,17 @@
     loop.after(EXPIRE_MICROS, this::expire);
   }
 
-  /** Requests so far. */
+  /** Returns the number of requests so far. */
   long requests() {
     return requests;
   }
 
-  /** Puts and drops so far. */
+  /** Returns the number of puts and deletions so far. */
   long changesMade() {
     return puts;
   }
 
-  /** Bytes of all values under the prefix. */
+  /** Returns the total size in bytes of the values under the prefix. */
   long bytesUnder(String prefix) {
     return entries.tailMap(prefix, true).entrySet().stream()
         .takeWhile(entry -> entry.getKey().startsWith(prefix))
@@ -73,7 +73,7 @@
         .sum();
   }
 
-  /** The values under the prefix by key. */
+  /** Returns the values under the prefix by key. */
   Map<String, JsonNode> under(String prefix) {
     Map<String, JsonNode> found = new TreeMap<>();
     entries
--- a/src/main/java/plumlever/drill/TaskResults.java
+++ b/src/main/java/plumlever/drill/TaskResults.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * What really happened to tasks, as seen at the workers: how often each was started and completed,
- * and whether two copies of one ran at a time.
+ * The task history as observed at the emulated workers: how often each task was started and
+ * completed, and violations such as two attempts of a task running at the same time.
  */
 final class TaskResults {
   private final Map<String, Integer> starts = new HashMap<>();
@@ -21,13 +21,15 @@
     return task.substring(0, task.indexOf('/'));
   }
 
-  /** How long each task of the job takes. */
+  /** Records a submitted job and the duration of each of its tasks. */
   void submitted(String uid, long runMicros) {
     runMicrosByJob.put(uid, runMicros);
   }
 
   /**
-   * @return how long the task takes: nothing if it has completed before, for its result is kept
+   * Records the start of a task on a machine.
+   *
+   * @return duration of the task; 0 if the task has completed before, because its result is stored
    */
   long started(String task, String machine) {
     starts.merge(task, 1, Integer::sum);
@@ -36,7 +38,7 @@
       broke(task + " runs on " + other + " and " + machine);
     }
     if (!runMicrosByJob.containsKey(jobOf(task))) {
-      broke(task + " was never submitted");
+      broke(task + " was started but its job was never submitted");
     }
     return completions.containsKey(task) ? 0 : runMicrosByJob.getOrDefault(jobOf(task), 0L);
   }
@@ -45,7 +47,7 @@
     completions.merge(task, 1, Integer::sum);
   }
 
-  /** The task is on the machine no more. */
+  /** Records that the task is not on the machine any more. */
   void taskLeft(String task, String machine) {
     machineOf.remove(task, machine);
   }
@@ -70,12 +72,12 @@
     return completions.size();
   }
 
-  /** Tasks that were started more than once. */
+  /** Returns the number of tasks that were started more than once. */
   long startedAnew() {
     return starts.values().stream().filter(count -> count > 1).count();
   }
 
-  /** Tasks whose result was produced more than once. */
+  /** Returns the number of tasks that were completed more than once. */
   long completedTwice() {
     return completions.values().stream().filter(count -> count > 1).count();
   }
--- a/src/main/java/plumlever/drill/TransferLog.java
+++ b/src/main/java/plumlever/drill/TransferLog.java
@@ -8,7 +8,10 @@
 import org.HdrHistogram.Histogram;
 import plumlever.concurrent.Loop;
 
-/** Transfers as the records of the pool show them: how many, how long, with how many tasks. */
+/**
+ * Collects statistics of transfers from the pool's records: their number, their durations, and the
+ * number of tasks on the machines.
+ */
 final class TransferLog {
   private static final String PREFIX = "pool/transfers/";
   private static final String TAKEN = "TAKEN";
@@ -27,7 +30,7 @@
     this.loop = loop;
   }
 
-  /** A value was put in the state service. */
+  /** Evaluates a value that was put into the state service. */
   void put(String key, JsonNode value) {
     if (!key.startsWith(PREFIX)) {
       return;
@@ -71,7 +74,7 @@
     return lines.size();
   }
 
-  /** Transfers of machines on which tasks ran. */
+  /** Returns the number of transfers of machines with tasks. */
   int withTasks() {
     return withTasks;
   }
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -17,7 +17,10 @@
 import plumlever.wire.Json;
 import plumlever.wire.WorkerCommand;
 
-/** The worker of one machine, by its protocol; tasks take the time that the results tell. */
+/**
+ * Emulates the worker of one machine by its protocol. {@link TaskResults} determines how long the
+ * tasks run.
+ */
 final class WorkerEmulator {
   private static final long LEAST_PAUSE_MICROS = 500_000;
   private static final long NEXT_NODE_MICROS = 1_000_000;
@@ -25,7 +28,7 @@
   private static final long FETCH_MICROS = 300_000;
   private static final long LEASE_CHECK_MICROS = 200_000;
 
-  /** A task on this machine, in any state. */
+  /** An attempt of a task on this machine, in any state. */
   private static final class Task {
     private final String name;
     private final long attempt;
@@ -38,7 +41,7 @@
     }
   }
 
-  /** What all workers of a drill share. */
+  /** The dependencies and settings that all workers of a drill share. */
   record Environment(
       Loop loop,
       Caller caller,
@@ -80,13 +83,13 @@
     loop.after(LEASE_CHECK_MICROS, this::checkLease);
   }
 
-  /** Running tasks now. */
+  /** Returns the number of tasks that are running. */
   int running() {
     return (int)
         tasks.values().stream().filter(task -> task.status == AttemptState.RUNNING).count();
   }
 
-  /** The machine does not exist any more. */
+  /** Ends the worker because the machine was returned to the cloud. */
   void remove() {
     gone = true;
     tasks.values().forEach(task -> environment.results().taskLeft(task.name, machine));
@@ -180,11 +183,11 @@
       leaseFromMicros = Math.max(leaseFromMicros, sentMicros);
       WorkerCommand.parseAnswer(body).forEach(this::execute);
     } catch (InvalidMessageException e) {
-      environment.results().broke("an answer to " + machine + " can't be read: " + e.getMessage());
+      environment.results().broke("unreadable response to " + machine + ": " + e.getMessage());
     }
   }
 
-  /** A direct call. */
+  /** Handles a direct call of a controller. */
   void handle(String method, String path, byte[] body, Responder out) {
     if (path.equals("/orders") && method.equals("POST")) {
       try {
@@ -225,7 +228,7 @@
           tasks.remove(command.attempt());
         }
       }
-      default -> throw new IllegalStateException("no such command: " + command.type());
+      default -> throw new IllegalStateException("unexpected command type: " + command.type());
     }
   }
 
--- a/src/main/java/plumlever/drill/package-info.java
+++ b/src/main/java/plumlever/drill/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The rehearsal kit: emulators for the state service, the cloud and workers over HTTP on loopback,
- * controllers as processes of their own, and drills that bring failures about and end with a clear
- * pass or fail.
+ * Failure drills: controllers in separate processes run against emulators of the state service, the
+ * cloud and the workers over loopback HTTP. A drill injects failures and ends with pass or fail.
  */
 package plumlever.drill;
--- a/src/main/java/plumlever/warmup/InMemoryMachines.java
+++ b/src/main/java/plumlever/warmup/InMemoryMachines.java
@@ -12,7 +12,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
 
-/** Machines that carry out every command, and whose tasks all take the same time. */
+/** In-memory machines that execute every command; all tasks take the same time. */
 final class InMemoryMachines {
   private static final long FETCH_MICROS = 800_000;
   private static final long RUN_MICROS = 4_000_000;
@@ -65,7 +65,7 @@
     return List.copyOf(machinesById.keySet());
   }
 
-  /** The id of the machine that takes direct calls there. */
+  /** Returns the id of the machine with the given endpoint. */
   String at(String endpoint) {
     return machinesById.values().stream()
         .filter(machine -> machine.endpoint.equals(endpoint))
@@ -74,7 +74,7 @@
         .id;
   }
 
-  /** What the cloud lists. */
+  /** Returns the cloud's listing of all machines. */
   String listing() {
     ObjectNode listing = Json.object().put("more", false);
     ArrayNode array = listing.putArray(ProtocolField.MACHINE_IDS);
@@ -142,7 +142,7 @@
     try {
       commands = Json.parseObject(answer);
     } catch (InvalidMessageException e) {
-      throw new IllegalStateException("the controller's own answer can't be read: " + answer, e);
+      throw new IllegalStateException("unreadable response of the controller: " + answer, e);
     }
     machine.fencingToken =
         Math.max(machine.fencingToken, commands.path(ProtocolField.FENCING_TOKEN).asLong());
--- a/src/main/java/plumlever/warmup/InMemoryStateService.java
+++ b/src/main/java/plumlever/warmup/InMemoryStateService.java
@@ -11,7 +11,7 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** A state service for one controller: transactions, listings and watches, without limits. */
+/** An in-memory state service for one controller: transactions, listings, watches; no limits. */
 final class InMemoryStateService {
   private record Entry(JsonNode value, long revision, long leaseId) {}
 
@@ -47,9 +47,9 @@
   }
 
   /**
-   * Answers the request.
+   * Answers a request to the state service.
    *
-   * @return false if it is none to a state service
+   * @return false if the path does not belong to the state service
    */
   boolean handle(String method, String path, byte[] body, WarmUpServices.Reply reply)
       throws InvalidMessageException {
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -9,21 +9,22 @@
 import plumlever.settings.SchedulerParameters;
 
 /**
- * Lets a controller that does not lead run the code of a leader, in small slices while it has
- * nothing better to do: a successor whose code has never run takes several times as long to take
- * over. It ends when all is played, or at once when the controller is elected.
+ * Runs the code of a leader in a controller that does not lead, in short time slices while its
+ * event loop is idle. Without the warm-up, a failover takes several times as long because the new
+ * leader's code has not been compiled. The warm-up ends when all terms have been simulated, or
+ * immediately when the controller is elected.
  */
 public final class WarmUp {
   private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
 
-  /** The first seconds belong to those who wait for the process to be up. */
+  /** The warm-up starts this long after the process, so that it does not delay the start-up. */
   private static final long AFTER_MICROS = 4_000_000;
 
   private static final long SLICE_MICROS = 15_000;
   private static final long PAUSE_MICROS = 30_000;
   private static final long BUSY_PAUSE_MICROS = 500_000;
 
-  /** A loop that comes this late has no time to spare. */
+  /** The warm-up pauses while the event loop runs its tasks later than this. */
   private static final long LATE_MICROS = 60_000;
 
   private final Loop loop;
@@ -36,7 +37,8 @@
   private boolean over;
 
   /**
-   * @param latenessMicros how late the loop was lately
+   * @param latenessMicros recent lateness of the event loop
+   * @param leads whether the controller is the leader
    */
   public WarmUp(
       Loop loop,
@@ -52,7 +54,7 @@
     this.parameters = parameters;
   }
 
-  /** All of it at once. */
+  /** Runs the whole warm-up without pauses. */
   public static void playAll(PlatformConfiguration platform, SchedulerParameters parameters) {
     WarmUpTerms terms = new WarmUpTerms(platform, parameters, 0);
     boolean more = true;
@@ -61,7 +63,7 @@
     }
   }
 
-  /** One turn of the recurring task. */
+  /** Runs one slice of the warm-up; returns the delay to the next slice, or -1 at the end. */
   public long run() {
     long start = loop.nowMicros();
     if (over || leads.getAsBoolean()) {
@@ -78,7 +80,7 @@
       more = terms.step();
     }
     if (!more) {
-      LOG.info("warm after {} ms", (loop.nowMicros() - beganMicros) / 1_000);
+      LOG.info("warm-up finished after {} ms", (loop.nowMicros() - beganMicros) / 1_000);
       return end();
     }
     return Math.max(PAUSE_MICROS, loop.nowMicros() - start);
--- a/src/main/java/plumlever/warmup/WarmUpJobs.java
+++ b/src/main/java/plumlever/warmup/WarmUpJobs.java
@@ -4,7 +4,7 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
-/** Jobs of all kinds, so that the code for each kind runs while a controller warms up. */
+/** Generates jobs of all kinds, so that the code for each kind runs during the warm-up. */
 final class WarmUpJobs {
   private static final int JOB_CLASSES = 3;
   private static final int IMAGES = 5;
@@ -16,9 +16,10 @@
   private static final double CHECKPOINT_S = 1;
   private static final double DEADLINE_S = 60;
 
-  /** Every so many jobs one is bound to one zone, and one is spread over zones. */
+  /** One in this many jobs is bound to a single zone. */
   private static final int ONE_ZONE_EVERY = 7;
 
+  /** One in this many jobs is spread over zones. */
   private static final int SPREAD_EVERY = 8;
 
   private WarmUpJobs() {}
--- a/src/main/java/plumlever/warmup/WarmUpLoop.java
+++ b/src/main/java/plumlever/warmup/WarmUpLoop.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import plumlever.concurrent.Loop;
 
-/** A clock that is turned by hand: what is due next is played, whatever time it is. */
+/** An event loop with a simulated clock: each step advances the clock to the next event. */
 final class WarmUpLoop implements Loop {
   private record Event(long at, long seq, Runnable action) {}
 
@@ -18,7 +18,7 @@
     this.wallFromMicros = wallFromMicros;
   }
 
-  /** Plays the next thing that is due before then; false when there is none. */
+  /** Runs the next event that is due by the given time; returns false if there is none. */
   boolean step(long untilMicros) {
     Event event = events.peek();
     if (event == null || event.at > untilMicros) {
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -7,12 +7,12 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * What a controller deals with while it warms up: a state service, a cloud and machines that do as
- * they are told, in memory. They keep to the forms of the protocol but to few of its rules, since
- * one controller alone uses them and nothing depends on the outcome.
+ * The in-memory state service, cloud and machines that a controller uses during the warm-up. They
+ * use the message formats of the protocols but enforce few of the rules, because only one
+ * controller uses them and nothing depends on the results.
  */
 public final class WarmUpServices {
-  /** Takes the answer to one request. */
+  /** Receives the response to one request. */
   public interface Reply {
     void send(int status, String body);
   }
@@ -31,35 +31,35 @@
   private final InMemoryMachines machines;
 
   /**
-   * @param endpoint where the machines take direct calls; a place for the machine's number in it
-   *     makes them differ
+   * @param endpoint endpoint of the machines for direct calls; a format specifier in it is replaced
+   *     by the machine's number
    */
   public WarmUpServices(Loop loop, int machineCount, String endpoint) {
     this.state = new InMemoryStateService(loop);
     this.machines = new InMemoryMachines(loop, machineCount, endpoint);
   }
 
-  /** Ids of all machines. */
+  /** Returns the ids of all machines. */
   public List<String> machines() {
     return machines.ids();
   }
 
-  /** Which machine takes direct calls there. */
+  /** Returns the id of the machine with the given endpoint. */
   String machineAt(String endpoint) {
     return machines.at(endpoint);
   }
 
-  /** The machine's heartbeat as it stands now. */
+  /** Returns the machine's next heartbeat. */
   public byte[] heartbeat(String machine) {
     return machines.heartbeat(machine);
   }
 
-  /** The machine carries out what an answer or a direct call says. */
+  /** Executes the commands of a heartbeat response or a direct call on the machine. */
   public void command(String machine, String answer) {
     machines.command(machine, answer);
   }
 
-  /** Answers one request to the state service or the cloud. */
+  /** Answers a request to the state service or the cloud. */
   public void handle(String method, String path, byte[] body, Reply reply) {
     try {
       if (!state.handle(method, path, body, reply)) {
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -18,9 +18,9 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * Two terms of a small deployment in memory, with the service's own code and a clock of their own.
- * Code that has never run is interpreted, some twenty times slower, and on a small processor share
- * the first minute of a term would be lost to that.
+ * Simulates two terms of a leader of a small deployment in memory, with the real controller code
+ * and a simulated clock. The JVM interprets code that has not been compiled yet, about twenty times
+ * slower. With a small CPU share, this would cost a new leader the first minute of its term.
  */
 final class WarmUpTerms {
   private static final int TERMS = 2;
@@ -35,12 +35,12 @@
   private static final Endpoint STATE = new Endpoint("state", 1);
   private static final Endpoint CLOUD = new Endpoint("cloud", 1);
 
-  /** Loggers of these terms begin with this, so that only warnings of them are shown. */
+  /** Prefix of the loggers of the simulated terms; only their warnings are shown. */
   private static final String LOGGER_PREFIX = "warmup.";
 
   private static final String TEAM = "warm-up";
 
-  /** Users are told nothing. */
+  /** Discards the responses to users. */
   private static final Responder NO_USER = (status, json, retry) -> {};
 
   private final WarmUpLoop loop;
@@ -73,7 +73,7 @@
             real.socketLimit());
   }
 
-  /** Plays the next event; false when both terms have been played. */
+  /** Runs the next event. Returns false once both terms are over. */
   boolean step() {
     if (controller == null) {
       if (terms == TERMS) {
@@ -82,7 +82,7 @@
       startTerm();
     }
     if (!loop.step(termEndsMicros)) {
-      // Its machines and jobs stay for the next term to take over.
+      // The machines and jobs of this term remain for the failover at the start of the next term.
       controller.close();
       controller = null;
     }
@@ -119,7 +119,7 @@
     return term != terms || controller == null;
   }
 
-  /** Calls of a term that is over are lost, as those of a process that has ended. */
+  /** Returns a caller that discards calls once the term is over, like a process that has ended. */
   private Caller caller(int term) {
     return (to, method, path, body, timeout, answer) ->
         loop.after(
--- a/src/test/java/plumlever/drill/SharingDrillTest.java
+++ b/src/test/java/plumlever/drill/SharingDrillTest.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Seconds in place of minutes: controllers as processes, one of them killed or paused. */
+/**
+ * Runs a short sharing drill: three controller processes, one of which is killed or paused. Guards
+ * against lost and duplicate task results when machines are transferred between processes.
+ */
 final class SharingDrillTest {
   private static final int SECONDS = 50;
   private static final int MACHINES = 6;
--- a/src/test/java/plumlever/drill/package-info.java
+++ b/src/test/java/plumlever/drill/package-info.java
@@ -1,2 +1,2 @@
-/** Short forms of the drills. */
+/** Short runs of the failure drills. */
 package plumlever.drill;
