--- a/src/main/java/plumlever/drill/CloudEmulator.java
+++ b/src/main/java/plumlever/drill/CloudEmulator.java
@@ -25,7 +25,7 @@
       """;
 
   private static final double AGE_S = 600;
-  private static final int MOST_MACHINES = 500;
+  private static final int MAX_PAGE_SIZE = 500;
 
   private record RentedMachine(String endpoint, String zone) {}
 
@@ -57,13 +57,13 @@
     } else if (target.equals("/hosts")) {
       out.send(HttpStatus.UNAVAILABLE, "{\"error\":\"no capacity\"}");
     } else if (target.equals("/hosts/return")) {
-      giveBack(body, out);
+      handleReturn(body, out);
     } else {
       out.error(HttpStatus.NOT_FOUND, "no such path");
     }
   }
 
-  private void giveBack(byte[] body, Responder out) {
+  private void handleReturn(byte[] body, Responder out) {
     try {
       for (JsonNode machine : Json.parseObject(body).path("hosts")) {
         if (machinesById.remove(machine.asText()) != null) {
@@ -82,7 +82,7 @@
     ArrayNode listed = answer.putArray("hosts");
     boolean more = false;
     for (var entry : machinesById.tailMap(query.text("since"), false).entrySet()) {
-      more = listed.size() == query.number("page", MOST_MACHINES);
+      more = listed.size() == query.number("page", MAX_PAGE_SIZE);
       if (more) {
         break;
       }
--- a/src/main/java/plumlever/drill/ControllerProcess.java
+++ b/src/main/java/plumlever/drill/ControllerProcess.java
@@ -10,11 +10,11 @@
 /** A controller in a separate process that can be killed, paused and restarted. */
 final class ControllerProcess {
   private static final String MAIN = "plumlever.cli.Main";
-  private static final long END_S = 5;
+  private static final long EXIT_TIMEOUT_S = 5;
 
   private final String label;
-  private final Endpoint users;
-  private final Endpoint peers;
+  private final Endpoint userEndpoint;
+  private final Endpoint peerEndpoint;
   private final Path directory;
   private Process process;
 
@@ -23,8 +23,8 @@
    */
   ControllerProcess(String label, Endpoint users, Endpoint peers, Path directory) {
     this.label = label;
-    this.users = users;
-    this.peers = peers;
+    this.userEndpoint = users;
+    this.peerEndpoint = peers;
     this.directory = directory;
   }
 
@@ -32,12 +32,12 @@
     return label;
   }
 
-  Endpoint users() {
-    return users;
+  Endpoint userEndpoint() {
+    return userEndpoint;
   }
 
-  Endpoint peers() {
-    return peers;
+  Endpoint peerEndpoint() {
+    return peerEndpoint;
   }
 
   Path platformFile() {
@@ -72,7 +72,7 @@
     process = builder.start();
   }
 
-  boolean runs() {
+  boolean isAlive() {
     return process != null && process.isAlive();
   }
 
@@ -86,7 +86,7 @@
     signal("-STOP");
   }
 
-  void goOn() throws IOException {
+  void resume() throws IOException {
     signal("-CONT");
   }
 
@@ -95,10 +95,10 @@
   }
 
   /** Kills the process and waits for its end. */
-  void end() throws InterruptedException {
+  void terminate() throws InterruptedException {
     if (process != null) {
       process.destroyForcibly();
-      process.waitFor(END_S, TimeUnit.SECONDS);
+      process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
     }
   }
 }
--- a/src/main/java/plumlever/drill/DrillFiles.java
+++ b/src/main/java/plumlever/drill/DrillFiles.java
@@ -8,7 +8,7 @@
   private static final double MICROS_PER_S = 1e6;
 
   /** The floors of all shards together are this fraction (1/4) of the machines. */
-  private static final int FLOOR_PART = 4;
+  private static final int FLOOR_DIVISOR = 4;
 
   private static final String PLATFORM =
       """
@@ -60,7 +60,7 @@
             .map(
                 other ->
                     "[[seeds]]\nlabel = \"%s\"\narea = \"a\"\nendpoint = \"%s\"\n"
-                        .formatted(other.label(), other.peers()))
+                        .formatted(other.label(), other.peerEndpoint()))
             .collect(Collectors.joining());
     String teams =
         shapes.stream()
@@ -80,8 +80,8 @@
             .collect(Collectors.joining());
     return PLATFORM.formatted(
         controller.label(),
-        controller.users(),
-        controller.peers(),
+        controller.userEndpoint(),
+        controller.peerEndpoint(),
         seeds,
         cloudPort,
         statePort,
@@ -93,7 +93,7 @@
 
   /** Returns a sharing file with one shard per controller that never returns idle machines. */
   static String sharing(List<String> shards, List<ControllerProcess> controllers, int machines) {
-    int floor = machines / (FLOOR_PART * shards.size());
+    int floor = machines / (FLOOR_DIVISOR * shards.size());
     StringBuilder text =
         new StringBuilder("idle_speed_s: 1000000\nsharing:\n  machines: " + machines + "\n");
     text.append("  cells:\n");
--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -24,7 +24,7 @@
   private static final long POLL_TIMEOUT_MICROS = 2_000_000;
 
   /** The last state of a job that a controller has reported to the user. */
-  private enum Told {
+  private enum ReportedState {
     SUBMITTED,
     ACCEPTED,
     DONE
@@ -35,7 +35,7 @@
   private final List<Endpoint> controllers;
   private final TaskResults results;
   private final SplittableRandom random;
-  private final Map<String, Told> jobs = new LinkedHashMap<>();
+  private final Map<String, ReportedState> jobs = new LinkedHashMap<>();
   private int tasks;
 
   DrillUsers(
@@ -54,13 +54,13 @@
   /** Submits a job of the given shape to the given controller. */
   void submit(JobShape shape, Endpoint at) {
     String uid = String.format("job-%06d", jobs.size() + 1);
-    jobs.put(uid, Told.SUBMITTED);
+    jobs.put(uid, ReportedState.SUBMITTED);
     tasks += shape.tasks();
     results.submitted(uid, shape.runMicros());
-    submit(uid, shape.text(uid), at);
+    submit(uid, shape.toSubmission(uid), at);
   }
 
-  private Endpoint any() {
+  private Endpoint randomController() {
     return controllers.get(random.nextInt(controllers.size()));
   }
 
@@ -73,10 +73,11 @@
         SUBMIT_TIMEOUT_MICROS,
         (status, answer) -> {
           if (status == HttpStatus.CREATED || status == HttpStatus.OK) {
-            jobs.put(uid, Told.ACCEPTED);
+            jobs.put(uid, ReportedState.ACCEPTED);
             loop.after(POLL_MICROS, () -> poll(uid));
           } else if (status == HttpStatus.BAD_REQUEST || status == HttpStatus.UNPROCESSABLE) {
-            results.broke(uid + " was rejected: " + new String(answer, StandardCharsets.UTF_8));
+            results.reportViolation(
+                uid + " was rejected: " + new String(answer, StandardCharsets.UTF_8));
           } else {
             loop.after(RETRY_MICROS, () -> submit(uid, body, at));
           }
@@ -85,17 +86,17 @@
 
   private void poll(String uid) {
     caller.call(
-        any(),
+        randomController(),
         "GET",
         "/submissions/" + uid,
         null,
         POLL_TIMEOUT_MICROS,
         (status, answer) -> {
           if (status == HttpStatus.NOT_FOUND) {
-            results.broke(uid + " was accepted but a controller does not know the job");
+            results.reportViolation(uid + " was accepted but a controller does not know the job");
           }
           if (status == HttpStatus.OK && statusOf(answer).equals("done")) {
-            jobs.put(uid, Told.DONE);
+            jobs.put(uid, ReportedState.DONE);
           } else {
             loop.after(POLL_MICROS, () -> poll(uid));
           }
@@ -119,11 +120,11 @@
   }
 
   /** Returns the jobs that no controller has reported as done to the user. */
-  List<String> open() {
+  List<String> unfinishedJobs() {
     List<String> open = new ArrayList<>();
     jobs.forEach(
         (uid, told) -> {
-          if (told != Told.DONE) {
+          if (told != ReportedState.DONE) {
             open.add(uid);
           }
         });
--- a/src/main/java/plumlever/drill/JobShape.java
+++ b/src/main/java/plumlever/drill/JobShape.java
@@ -65,7 +65,7 @@
     return new JobShape(submission);
   }
 
-  String text(String uid) {
+  String toSubmission(String uid) {
     return Json.write(submission.deepCopy().put("uid", uid));
   }
 
@@ -73,7 +73,7 @@
     return submission.path("pieces").asInt();
   }
 
-  double cores() {
+  double totalCores() {
     return tasks() * submission.path("cores").asDouble();
   }
 
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -46,7 +46,7 @@
    * @param seed seed of all random choices
    * @param shapes files with shapes of jobs; empty for the built-in shapes
    * @param failures whether controllers are killed and paused
-   * @param leastTransfers minimum number of transfers for the drill to pass
+   * @param minTransfers minimum number of transfers for the drill to pass
    */
   public record Plan(
       int seconds,
@@ -54,7 +54,7 @@
       long seed,
       List<JobShapeFile> shapes,
       boolean failures,
-      int leastTransfers) {}
+      int minTransfers) {}
 
   /** A file with shapes of jobs. */
   public record JobShapeFile(Path path) {}
@@ -69,19 +69,19 @@
   private static final long IDLE_MICROS = 60_000_000;
   private static final long HEARTBEAT_MICROS = 1_500_000;
   private static final long LEASE_MICROS = 20_000_000;
-  private static final long START_MICROS = 30_000_000;
+  private static final long START_UP_MICROS = 30_000_000;
   private static final long TICK_MICROS = 500_000;
   private static final long PHASE_MICROS = 25_000_000;
-  private static final long SUBMIT_EVERY_MICROS = 4_000_000;
-  private static final long FAILURE_EVERY_MICROS = 40_000_000;
-  private static final long MOVES_PER_RUN = 14;
-  private static final long LEAST_MOVE_MICROS = 8_000_000;
+  private static final long SUBMIT_INTERVAL_MICROS = 4_000_000;
+  private static final long FAILURE_INTERVAL_MICROS = 40_000_000;
+  private static final long TRANSFERS_PER_RUN = 14;
+  private static final long MIN_TRANSFER_INTERVAL_MICROS = 8_000_000;
   private static final long PAUSE_MICROS = 4_000_000;
-  private static final long RESTART_MICROS = 2_000_000;
-  private static final long CALL_MICROS = 2_000_000;
-  private static final double LOAD = 1.1;
-  private static final double CORES = 4;
-  private static final int FINISH_S = 150;
+  private static final long RESTART_DELAY_MICROS = 2_000_000;
+  private static final long CALL_TIMEOUT_MICROS = 2_000_000;
+  private static final double LOAD_FACTOR = 1.1;
+  private static final double CORES_PER_MACHINE = 4;
+  private static final int SETTLE_TIMEOUT_S = 150;
   private static final int MILLIS = 1_000;
 
   private final Plan plan;
@@ -92,7 +92,7 @@
   private final XnioLoop loop;
   private final UndertowCaller caller;
   private final TaskResults results = new TaskResults();
-  private final TransferLog transfers;
+  private final TransferStatistics transfers;
   private final StateServiceEmulator state;
   private final CloudEmulator cloud;
   private final List<Server> servers = new ArrayList<>();
@@ -101,9 +101,9 @@
   private final CompletableFuture<Outcome> outcome = new CompletableFuture<>();
   private final List<String> events = new ArrayList<>();
   private DrillUsers users;
-  private long beganMicros;
+  private long loadStartMicros;
   private long nextSubmitMicros;
-  private long nextMoveMicros;
+  private long nextTransferMicros;
   private long nextFailureMicros;
   private long requestsBefore;
 
@@ -125,7 +125,7 @@
     this.caller =
         new UndertowCaller(
             loop, worker.getIoThread(), new DefaultByteBufferPool(false, BUFFER_BYTES, BUFFERS, 4));
-    this.transfers = new TransferLog(loop);
+    this.transfers = new TransferStatistics(loop);
     this.state = new StateServiceEmulator(loop, transfers::put);
     this.cloud = new CloudEmulator(machine -> workers.get(machine).remove());
   }
@@ -141,8 +141,8 @@
     SharingDrill drill =
         new SharingDrill(plan, shapes.isEmpty() ? JobShape.builtIn() : shapes, directory);
     try {
-      drill.build();
-      drill.loop.execute(drill::begin);
+      drill.setUp();
+      drill.loop.execute(drill::start);
       return drill.outcome.join();
     } finally {
       drill.close();
@@ -151,7 +151,7 @@
 
   private void close() throws InterruptedException {
     for (ControllerProcess controller : controllers) {
-      controller.end();
+      controller.terminate();
     }
     servers.forEach(Server::close);
     worker.shutdownNow();
@@ -177,7 +177,7 @@
     }
   }
 
-  private void build() throws IOException {
+  private void setUp() throws IOException {
     Server stateServer = serve(state::handle);
     Server cloudServer = serve(cloud::handle);
     for (int i = 0; i < SHARDS.size(); i++) {
@@ -204,12 +204,12 @@
   }
 
   /** Starts users and workers. This method and all methods below run on the event loop. */
-  private void begin() {
+  private void start() {
     Map<String, Endpoint> byLabel = new HashMap<>();
     List<Endpoint> front = new ArrayList<>();
     for (ControllerProcess controller : controllers) {
-      byLabel.put(controller.label(), controller.users());
-      front.add(controller.users());
+      byLabel.put(controller.label(), controller.userEndpoint());
+      front.add(controller.userEndpoint());
     }
     users = new DrillUsers(loop, caller, front, results, random);
     WorkerEmulator.Environment environment =
@@ -226,13 +226,13 @@
           machine,
           new WorkerEmulator(environment, machine, zone, endpoint, i % controllers.size()));
     }
-    loop.after(START_MICROS, this::beginLoad);
+    loop.after(START_UP_MICROS, this::startLoad);
   }
 
-  private void beginLoad() {
-    beganMicros = loop.nowMicros();
-    nextMoveMicros = beganMicros + PHASE_MICROS / 2;
-    nextFailureMicros = beganMicros + FAILURE_EVERY_MICROS;
+  private void startLoad() {
+    loadStartMicros = loop.nowMicros();
+    nextTransferMicros = loadStartMicros + PHASE_MICROS / 2;
+    nextFailureMicros = loadStartMicros + FAILURE_INTERVAL_MICROS;
     requestsBefore = state.requests();
     tick();
   }
@@ -240,49 +240,52 @@
   private void tick() {
     long now = loop.nowMicros();
     try {
-      if (now - beganMicros >= plan.seconds() * 1_000_000L) {
-        finish(now);
+      if (now - loadStartMicros >= plan.seconds() * 1_000_000L) {
+        finishIfSettled(now);
         return;
       }
       if (now >= nextSubmitMicros) {
-        nextSubmitMicros = now + SUBMIT_EVERY_MICROS;
+        nextSubmitMicros = now + SUBMIT_INTERVAL_MICROS;
         submit(now);
       }
-      if (now >= nextMoveMicros) {
-        nextMoveMicros =
-            now + Math.max(LEAST_MOVE_MICROS, plan.seconds() * 1_000_000L / MOVES_PER_RUN);
-        moveBusy();
+      if (now >= nextTransferMicros) {
+        nextTransferMicros =
+            now
+                + Math.max(
+                    MIN_TRANSFER_INTERVAL_MICROS, plan.seconds() * 1_000_000L / TRANSFERS_PER_RUN);
+        transferBusiestMachine();
       }
       if (plan.failures() && now >= nextFailureMicros) {
-        nextFailureMicros = now + FAILURE_EVERY_MICROS;
-        fail();
+        nextFailureMicros = now + FAILURE_INTERVAL_MICROS;
+        injectFailure();
       }
     } catch (IOException e) {
-      results.broke("could not signal or start a controller process: " + e);
+      results.reportViolation("could not signal or start a controller process: " + e);
     }
     loop.after(TICK_MICROS, this::tick);
   }
 
   /** Submits jobs to one shard at a time, more than its share of machines can run. */
   private void submit(long now) {
-    int shard = (int) ((now - beganMicros) / PHASE_MICROS % SHARDS.size());
-    double cores = LOAD * CORES * plan.machines() * SUBMIT_EVERY_MICROS / PHASE_MICROS;
+    int shard = (int) ((now - loadStartMicros) / PHASE_MICROS % SHARDS.size());
+    double cores =
+        LOAD_FACTOR * CORES_PER_MACHINE * plan.machines() * SUBMIT_INTERVAL_MICROS / PHASE_MICROS;
     while (cores > 0) {
       JobShape shape = shapes.get(random.nextInt(shapes.size()));
-      users.submit(shape, controllers.get(shard).users());
-      cores -= shape.cores();
+      users.submit(shape, controllers.get(shard).userEndpoint());
+      cores -= shape.totalCores();
     }
   }
 
   /** Transfers the machine with the most running tasks to another shard. */
-  private void moveBusy() {
+  private void transferBusiestMachine() {
     workers.entrySet().stream()
         .max(Comparator.comparingInt(entry -> entry.getValue().running()))
         .map(Map.Entry::getKey)
-        .ifPresent(this::move);
+        .ifPresent(this::requestTransfer);
   }
 
-  private void move(String machine) {
+  private void requestTransfer(String machine) {
     int owner = ownerOf(machine);
     if (owner < 0) {
       return;
@@ -290,11 +293,11 @@
     int to = (owner + 1 + random.nextInt(SHARDS.size() - 1)) % SHARDS.size();
     String body = Json.write(Json.object().put("machine", machine).put("to", SHARDS.get(to)));
     caller.call(
-        controllers.get(owner).peers(),
+        controllers.get(owner).peerEndpoint(),
         "POST",
         "/transfer",
         body.getBytes(StandardCharsets.UTF_8),
-        CALL_MICROS,
+        CALL_TIMEOUT_MICROS,
         (status, answer) -> {
           if (status != HttpStatus.OK) {
             events.add(machine + " was not transferred to " + SHARDS.get(to) + ": HTTP " + status);
@@ -312,70 +315,70 @@
               .orElse(-1);
         }
       } catch (InvalidMessageException e) {
-        results.broke("unreadable owner record: " + e.getMessage());
+        results.reportViolation("unreadable owner record: " + e.getMessage());
       }
     }
     return -1;
   }
 
   /** Starts a transfer and kills or pauses a random controller while it is in progress. */
-  private void fail() throws IOException {
+  private void injectFailure() throws IOException {
     ControllerProcess controller = controllers.get(random.nextInt(controllers.size()));
-    moveBusy();
-    if (!controller.runs()) {
+    transferBusiestMachine();
+    if (!controller.isAlive()) {
       return;
     }
     if (random.nextBoolean()) {
       controller.kill();
       events.add(controller.label() + " was killed");
-      loop.after(RESTART_MICROS, () -> startAgain(controller));
+      loop.after(RESTART_DELAY_MICROS, () -> restart(controller));
     } else {
       controller.pause();
       events.add(controller.label() + " was paused for " + PAUSE_MICROS / 1_000 + " ms");
-      loop.after(PAUSE_MICROS, () -> wake(controller));
+      loop.after(PAUSE_MICROS, () -> resume(controller));
     }
   }
 
-  private void startAgain(ControllerProcess controller) {
+  private void restart(ControllerProcess controller) {
     try {
       controller.start();
     } catch (IOException e) {
-      results.broke(controller.label() + " could not be restarted: " + e);
+      results.reportViolation(controller.label() + " could not be restarted: " + e);
     }
   }
 
-  private void wake(ControllerProcess controller) {
+  private void resume(ControllerProcess controller) {
     try {
-      controller.goOn();
+      controller.resume();
     } catch (IOException e) {
-      results.broke(controller.label() + " could not be resumed: " + e);
+      results.reportViolation(controller.label() + " could not be resumed: " + e);
     }
   }
 
-  private void finish(long now) {
+  private void finishIfSettled(long now) {
     boolean settled = state.under("pool/transfers/").isEmpty();
-    boolean late = now - beganMicros > (plan.seconds() + FINISH_S) * 1_000_000L;
-    if (late || (users.open().isEmpty() && settled)) {
-      outcome.complete(judge(settled));
+    boolean late = now - loadStartMicros > (plan.seconds() + SETTLE_TIMEOUT_S) * 1_000_000L;
+    if (late || (users.unfinishedJobs().isEmpty() && settled)) {
+      outcome.complete(evaluate(settled));
     } else {
       loop.after(TICK_MICROS, this::tick);
     }
   }
 
-  private Outcome judge(boolean settled) {
-    List<String> wrong = new ArrayList<>(results.broken());
-    users.open().forEach(uid -> wrong.add(uid + " is not done"));
+  private Outcome evaluate(boolean settled) {
+    List<String> wrong = new ArrayList<>(results.violations());
+    users.unfinishedJobs().forEach(uid -> wrong.add(uid + " is not done"));
     if (results.completedTasks() != users.submittedTasks()) {
       wrong.add(results.completedTasks() + " results for " + users.submittedTasks() + " tasks");
     }
-    if (results.completedTwice() > 0) {
-      wrong.add(results.completedTwice() + " results were produced more than once");
+    if (results.duplicateResults() > 0) {
+      wrong.add(results.duplicateResults() + " results were produced more than once");
     }
-    if (results.startedAnew() > 0 && results.lapsedLeases() == 0) {
-      wrong.add(results.startedAnew() + " tasks were restarted although no lease expired");
+    if (results.restartedTasks() > 0 && results.expiredLeases() == 0) {
+      wrong.add(results.restartedTasks() + " tasks were restarted although no lease expired");
     }
-    if (transfers.count() < plan.leastTransfers()) {
-      wrong.add(transfers.count() + " transfers, " + plan.leastTransfers() + " are required");
+    if (transfers.count() < plan.minTransfers()) {
+      wrong.add(transfers.count() + " transfers, " + plan.minTransfers() + " are required");
     }
     if (!settled) {
       wrong.add("transfers are not settled: " + state.under("pool/transfers/").keySet());
@@ -389,11 +392,11 @@
             + " tasks, "
             + results.completedTasks()
             + " results, "
-            + results.completedTwice()
+            + results.duplicateResults()
             + " duplicate results, "
-            + results.startedAnew()
+            + results.restartedTasks()
             + " tasks restarted, "
-            + results.lapsedLeases()
+            + results.expiredLeases()
             + " leases expired");
     lines.add(
         transfers.count()
@@ -404,7 +407,7 @@
             + " tasks), from offer to new owner "
             + transfers.medianMicros() / MILLIS
             + " ms median, "
-            + transfers.longestMicros() / MILLIS
+            + transfers.maxMicros() / MILLIS
             + " ms max");
     lines.add(
         "state service: "
--- a/src/main/java/plumlever/drill/StateServiceEmulator.java
+++ b/src/main/java/plumlever/drill/StateServiceEmulator.java
@@ -19,11 +19,11 @@
 
 /** An in-memory state service that implements the protocol of the real one. */
 final class StateServiceEmulator {
-  private static final int REMEMBERED = 10_000;
-  private static final int MOST_ITEMS = 1_000;
-  private static final long LEAST_TTL_MS = 100;
-  private static final long MOST_TTL_MS = 600_000;
-  private static final long EXPIRE_MICROS = 50_000;
+  private static final int MAX_HISTORY = 10_000;
+  private static final int MAX_ITEMS = 1_000;
+  private static final long MIN_TTL_MS = 100;
+  private static final long MAX_TTL_MS = 600_000;
+  private static final long EXPIRY_CHECK_MICROS = 50_000;
 
   private record Entry(JsonNode data, long revision, long leaseId) {}
 
@@ -44,7 +44,7 @@
   private long revision = 1;
   private long lastLeaseId;
   private long requests;
-  private long puts;
+  private long changesMade;
 
   /**
    * @param onPut called with the key and the value of each put
@@ -52,7 +52,7 @@
   StateServiceEmulator(Loop loop, BiConsumer<String, JsonNode> onPut) {
     this.onPut = onPut;
     this.loop = loop;
-    loop.after(EXPIRE_MICROS, this::expire);
+    loop.after(EXPIRY_CHECK_MICROS, this::expire);
   }
 
   /** Returns the number of requests so far. */
@@ -62,7 +62,7 @@
 
   /** Returns the number of puts and deletions so far. */
   long changesMade() {
-    return puts;
+    return changesMade;
   }
 
   /** Returns the total size in bytes of the values under the prefix. */
@@ -127,7 +127,7 @@
   private void list(Query query, Responder out) {
     String prefix = query.text("under");
     String since = query.text("since");
-    long page = Math.min(MOST_ITEMS, query.number("page", MOST_ITEMS));
+    long page = Math.min(MAX_ITEMS, query.number("page", MAX_ITEMS));
     ObjectNode answer = Json.object();
     ArrayNode items = answer.putArray("items");
     boolean more = false;
@@ -168,30 +168,30 @@
     revision++;
     transaction.path("then").forEach(this::apply);
     out.send(HttpStatus.OK, Json.write(Json.object().put("epoch", revision)));
-    wake();
+    answerWatches();
   }
 
   private void apply(JsonNode change) {
-    puts++;
+    changesMade++;
     if (change.hasNonNull("put")) {
       String key = change.get("put").asText();
       entries.put(key, new Entry(change.path("data"), revision, change.path("permit").asLong(0)));
-      remember(key, change.path("data"));
+      addToHistory(key, change.path("data"));
       onPut.accept(key, change.path("data"));
     } else {
-      drop(change.path("drop").asText());
+      delete(change.path("drop").asText());
     }
   }
 
-  private void drop(String key) {
+  private void delete(String key) {
     if (entries.remove(key) != null) {
-      remember(key, null);
+      addToHistory(key, null);
     }
   }
 
-  private void remember(String key, JsonNode data) {
+  private void addToHistory(String key, JsonNode data) {
     changes.add(new Change(revision, key, data));
-    if (changes.size() > REMEMBERED) {
+    if (changes.size() > MAX_HISTORY) {
       changes.poll();
     }
   }
@@ -199,8 +199,7 @@
   private void lease(String method, String target, byte[] body, Responder out)
       throws InvalidMessageException {
     if (target.equals("/grants")) {
-      long ttlMicros =
-          Json.whole(Json.parseObject(body), "ttl_ms", LEAST_TTL_MS, MOST_TTL_MS) * 1_000;
+      long ttlMicros = Json.whole(Json.parseObject(body), "ttl_ms", MIN_TTL_MS, MAX_TTL_MS) * 1_000;
       leases.put(++lastLeaseId, new Lease(ttlMicros, loop.nowMicros() + ttlMicros));
       out.send(HttpStatus.OK, Json.write(Json.object().put("permit", lastLeaseId)));
       return;
@@ -210,7 +209,7 @@
     if (lease == null) {
       out.error(HttpStatus.NOT_FOUND, "no such lease");
     } else if (method.equals("DELETE")) {
-      end(leaseId);
+      endLease(leaseId);
       out.send(HttpStatus.OK, "{}");
     } else {
       leases.put(leaseId, new Lease(lease.ttlMicros(), loop.nowMicros() + lease.ttlMicros()));
@@ -218,7 +217,7 @@
     }
   }
 
-  private void end(long leaseId) {
+  private void endLease(long leaseId) {
     leases.remove(leaseId);
     List<String> keys = new ArrayList<>();
     entries.forEach(
@@ -229,8 +228,8 @@
         });
     if (!keys.isEmpty()) {
       revision++;
-      keys.forEach(this::drop);
-      wake();
+      keys.forEach(this::delete);
+      answerWatches();
     }
   }
 
@@ -240,7 +239,7 @@
         .filter(entry -> entry.getValue().endsMicros() <= now)
         .map(Map.Entry::getKey)
         .toList()
-        .forEach(this::end);
+        .forEach(this::endLease);
     for (Iterator<Watch> open = watches.iterator(); open.hasNext(); ) {
       Watch watch = open.next();
       if (watch.untilMicros() <= now) {
@@ -248,25 +247,25 @@
         answer(watch);
       }
     }
-    loop.after(EXPIRE_MICROS, this::expire);
+    loop.after(EXPIRY_CHECK_MICROS, this::expire);
   }
 
   private void watch(Query query, Responder out) {
     long since = query.number("since", 0);
-    if (changes.size() == REMEMBERED && changes.peek().revision() > since) {
+    if (changes.size() == MAX_HISTORY && changes.peek().revision() > since) {
       out.error(HttpStatus.GONE, "too old");
       return;
     }
     long untilMicros = loop.nowMicros() + query.number("wait_ms", 0) * 1_000;
     Watch watch = new Watch(query.text("under"), since, untilMicros, out);
-    if (found(watch).isEmpty()) {
+    if (matchingChanges(watch).isEmpty()) {
       watches.add(watch);
     } else {
       answer(watch);
     }
   }
 
-  private List<Change> found(Watch watch) {
+  private List<Change> matchingChanges(Watch watch) {
     return changes.stream()
         .filter(change -> change.revision() > watch.since())
         .filter(change -> change.key().startsWith(watch.prefix()))
@@ -276,7 +275,7 @@
   private void answer(Watch watch) {
     ObjectNode answer = Json.object().put("epoch", revision);
     ArrayNode log = answer.putArray("log");
-    for (Change change : found(watch)) {
+    for (Change change : matchingChanges(watch)) {
       ObjectNode node = log.addObject().put("stamp", change.revision());
       if (change.data() == null) {
         node.put("drop", change.key());
@@ -287,10 +286,10 @@
     watch.out().send(HttpStatus.OK, Json.write(answer));
   }
 
-  private void wake() {
+  private void answerWatches() {
     for (Iterator<Watch> open = watches.iterator(); open.hasNext(); ) {
       Watch watch = open.next();
-      if (!found(watch).isEmpty()) {
+      if (!matchingChanges(watch).isEmpty()) {
         open.remove();
         answer(watch);
       }
--- a/src/main/java/plumlever/drill/TaskResults.java
+++ b/src/main/java/plumlever/drill/TaskResults.java
@@ -14,8 +14,8 @@
   private final Map<String, Integer> completions = new HashMap<>();
   private final Map<String, String> machineOf = new HashMap<>();
   private final Map<String, Long> runMicrosByJob = new HashMap<>();
-  private final List<String> broken = new ArrayList<>();
-  private int lapsedLeases;
+  private final List<String> violations = new ArrayList<>();
+  private int expiredLeases;
 
   private static String jobOf(String task) {
     return task.substring(0, task.indexOf('/'));
@@ -35,10 +35,10 @@
     starts.merge(task, 1, Integer::sum);
     String other = machineOf.put(task, machine);
     if (other != null) {
-      broke(task + " runs on " + other + " and " + machine);
+      reportViolation(task + " runs on " + other + " and " + machine);
     }
     if (!runMicrosByJob.containsKey(jobOf(task))) {
-      broke(task + " was started but its job was never submitted");
+      reportViolation(task + " was started but its job was never submitted");
     }
     return completions.containsKey(task) ? 0 : runMicrosByJob.getOrDefault(jobOf(task), 0L);
   }
@@ -48,24 +48,24 @@
   }
 
   /** Records that the task is not on the machine any more. */
-  void taskLeft(String task, String machine) {
+  void taskRemoved(String task, String machine) {
     machineOf.remove(task, machine);
   }
 
-  void leaseLapsed() {
-    lapsedLeases++;
+  void leaseExpired() {
+    expiredLeases++;
   }
 
-  void broke(String what) {
-    broken.add(what);
+  void reportViolation(String what) {
+    violations.add(what);
   }
 
-  List<String> broken() {
-    return broken;
+  List<String> violations() {
+    return violations;
   }
 
-  int lapsedLeases() {
-    return lapsedLeases;
+  int expiredLeases() {
+    return expiredLeases;
   }
 
   int completedTasks() {
@@ -73,12 +73,12 @@
   }
 
   /** Returns the number of tasks that were started more than once. */
-  long startedAnew() {
+  long restartedTasks() {
     return starts.values().stream().filter(count -> count > 1).count();
   }
 
   /** Returns the number of tasks that were completed more than once. */
-  long completedTwice() {
+  long duplicateResults() {
     return completions.values().stream().filter(count -> count > 1).count();
   }
 }
--- a/src/main/java/plumlever/drill/TransferLog.java
+++ b/src/main/java/plumlever/drill/TransferStatistics.java
@@ -12,7 +12,7 @@
  * Collects statistics of transfers from the pool's records: their number, their durations, and the
  * number of tasks on the machines.
  */
-final class TransferLog {
+final class TransferStatistics {
   private static final String PREFIX = "pool/transfers/";
   private static final String TAKEN = "TAKEN";
   private static final double MEDIAN = 50;
@@ -21,12 +21,12 @@
   private final Loop loop;
   private final Map<String, String> ownerOf = new HashMap<>();
   private final Map<String, Long> offeredMicros = new HashMap<>();
-  private final Histogram took = new Histogram(3);
+  private final Histogram durations = new Histogram(3);
   private final List<String> lines = new ArrayList<>();
   private int tasksMoved;
   private int withTasks;
 
-  TransferLog(Loop loop) {
+  TransferStatistics(Loop loop) {
     this.loop = loop;
   }
 
@@ -43,17 +43,17 @@
     } else if (value.path("state").asText().equals(TAKEN)
         && ownerOf.containsKey(machine)
         && !owner.equals(ownerOf.get(machine))) {
-      taken(machine, owner, value);
+      recordTransfer(machine, owner, value);
     }
   }
 
-  private void taken(String machine, String owner, JsonNode value) {
+  private void recordTransfer(String machine, String owner, JsonNode value) {
     int tasks = 0;
     for (JsonNode foreignTasks : value.path("homes")) {
       tasks += foreignTasks.size();
     }
     long micros = loop.nowMicros() - offeredMicros.get(machine);
-    took.recordValue(micros);
+    durations.recordValue(micros);
     tasksMoved += tasks;
     withTasks += tasks > 0 ? 1 : 0;
     lines.add(
@@ -88,10 +88,10 @@
   }
 
   long medianMicros() {
-    return took.getValueAtPercentile(MEDIAN);
+    return durations.getValueAtPercentile(MEDIAN);
   }
 
-  long longestMicros() {
-    return took.getMaxValue();
+  long maxMicros() {
+    return durations.getMaxValue();
   }
 }
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -22,8 +22,8 @@
  * tasks run.
  */
 final class WorkerEmulator {
-  private static final long LEAST_PAUSE_MICROS = 500_000;
-  private static final long NEXT_NODE_MICROS = 1_000_000;
+  private static final long MIN_HEARTBEAT_INTERVAL_MICROS = 500_000;
+  private static final long NEXT_CONTROLLER_DELAY_MICROS = 1_000_000;
   private static final long TIMEOUT_MICROS = 4_000_000;
   private static final long FETCH_MICROS = 300_000;
   private static final long LEASE_CHECK_MICROS = 200_000;
@@ -57,17 +57,17 @@
   private final String zone;
   private final String endpoint;
   private final Map<Long, Task> tasks = new LinkedHashMap<>();
-  private int node;
-  private Endpoint at;
+  private int controllerIndex;
+  private Endpoint controller;
   private long incarnation = 1;
   private long sequence;
   private long token;
   private long leaseFromMicros;
-  private boolean reporting;
+  private boolean heartbeatInFlight;
   private boolean changed;
   private long lastSentMicros;
   private Loop.Timer timer;
-  private boolean gone;
+  private boolean removed;
 
   WorkerEmulator(
       Environment environment, String machine, String zone, String endpoint, int firstNode) {
@@ -76,8 +76,8 @@
     this.machine = machine;
     this.zone = zone;
     this.endpoint = endpoint;
-    this.node = firstNode;
-    this.at = environment.controllers().get(firstNode);
+    this.controllerIndex = firstNode;
+    this.controller = environment.controllers().get(firstNode);
     this.leaseFromMicros = loop.nowMicros();
     schedule(0);
     loop.after(LEASE_CHECK_MICROS, this::checkLease);
@@ -91,21 +91,21 @@
 
   /** Ends the worker because the machine was returned to the cloud. */
   void remove() {
-    gone = true;
-    tasks.values().forEach(task -> environment.results().taskLeft(task.name, machine));
+    removed = true;
+    tasks.values().forEach(task -> environment.results().taskRemoved(task.name, machine));
     tasks.clear();
   }
 
   private void checkLease() {
-    if (gone) {
+    if (removed) {
       return;
     }
     if (loop.nowMicros() - leaseFromMicros > environment.leaseMicros()) {
-      tasks.values().forEach(task -> environment.results().taskLeft(task.name, machine));
+      tasks.values().forEach(task -> environment.results().taskRemoved(task.name, machine));
       tasks.clear();
       incarnation++;
       leaseFromMicros = loop.nowMicros();
-      environment.results().leaseLapsed();
+      environment.results().leaseExpired();
     }
     loop.after(LEASE_CHECK_MICROS, this::checkLease);
   }
@@ -119,16 +119,16 @@
 
   private void noteChange() {
     changed = true;
-    if (!reporting) {
-      schedule(lastSentMicros + LEAST_PAUSE_MICROS - loop.nowMicros());
+    if (!heartbeatInFlight) {
+      schedule(lastSentMicros + MIN_HEARTBEAT_INTERVAL_MICROS - loop.nowMicros());
     }
   }
 
   private void heartbeat() {
-    if (reporting || gone) {
+    if (heartbeatInFlight || removed) {
       return;
     }
-    reporting = true;
+    heartbeatInFlight = true;
     changed = false;
     lastSentMicros = loop.nowMicros();
     long sentMicros = lastSentMicros;
@@ -136,23 +136,23 @@
     environment
         .caller()
         .call(
-            at,
+            controller,
             "POST",
             "/hello",
-            state(),
+            heartbeatBody(),
             TIMEOUT_MICROS,
             (status, body) -> {
-              reporting = false;
+              heartbeatInFlight = false;
               if (status == HttpStatus.OK) {
-                answered(body, sentMicros, sentIncarnation);
-                schedule(changed ? LEAST_PAUSE_MICROS : environment.heartbeatMicros());
+                handleResponse(body, sentMicros, sentIncarnation);
+                schedule(changed ? MIN_HEARTBEAT_INTERVAL_MICROS : environment.heartbeatMicros());
               } else {
-                goOn(status, body);
+                selectController(status, body);
               }
             });
   }
 
-  private void goOn(int status, byte[] body) {
+  private void selectController(int status, byte[] body) {
     Endpoint named = null;
     if (status == HttpStatus.MISDIRECTED_REQUEST) {
       try {
@@ -161,17 +161,17 @@
         named = null;
       }
     }
-    if (named != null && !named.equals(at)) {
-      at = named;
-      schedule(LEAST_PAUSE_MICROS / 2);
+    if (named != null && !named.equals(controller)) {
+      controller = named;
+      schedule(MIN_HEARTBEAT_INTERVAL_MICROS / 2);
     } else {
-      node = (node + 1) % environment.controllers().size();
-      at = environment.controllers().get(node);
-      schedule(NEXT_NODE_MICROS);
+      controllerIndex = (controllerIndex + 1) % environment.controllers().size();
+      controller = environment.controllers().get(controllerIndex);
+      schedule(NEXT_CONTROLLER_DELAY_MICROS);
     }
   }
 
-  private void answered(byte[] body, long sentMicros, long sentIncarnation) {
+  private void handleResponse(byte[] body, long sentMicros, long sentIncarnation) {
     try {
       ObjectNode answer = Json.parseObject(body);
       long given = answer.path("baton").asLong();
@@ -183,7 +183,9 @@
       leaseFromMicros = Math.max(leaseFromMicros, sentMicros);
       WorkerCommand.parseAnswer(body).forEach(this::execute);
     } catch (InvalidMessageException e) {
-      environment.results().broke("unreadable response to " + machine + ": " + e.getMessage());
+      environment
+          .results()
+          .reportViolation("unreadable response to " + machine + ": " + e.getMessage());
     }
   }
 
@@ -194,7 +196,7 @@
         ObjectNode request = Json.parseObject(body);
         long given = request.path("baton").asLong();
         if (given < token || request.path("tenure").asLong() != incarnation) {
-          out.send(HttpStatus.CONFLICT, new String(state(), StandardCharsets.UTF_8));
+          out.send(HttpStatus.CONFLICT, new String(heartbeatBody(), StandardCharsets.UTF_8));
           return;
         }
         if (given > token) {
@@ -207,7 +209,7 @@
         return;
       }
     }
-    out.send(HttpStatus.OK, new String(state(), StandardCharsets.UTF_8));
+    out.send(HttpStatus.OK, new String(heartbeatBody(), StandardCharsets.UTF_8));
   }
 
   private void execute(WorkerCommand command) {
@@ -242,17 +244,17 @@
       task.status = AttemptState.ENDED;
       task.cause = ExitCause.IN_USE;
     } else {
-      loop.after(FETCH_MICROS, () -> begin(task));
+      loop.after(FETCH_MICROS, () -> startRunning(task));
     }
     noteChange();
   }
 
-  private boolean lives(Task task, AttemptState status) {
+  private boolean isInState(Task task, AttemptState status) {
     return tasks.get(task.attempt) == task && task.status == status;
   }
 
-  private void begin(Task task) {
-    if (lives(task, AttemptState.FETCHING)) {
+  private void startRunning(Task task) {
+    if (isInState(task, AttemptState.FETCHING)) {
       task.status = AttemptState.RUNNING;
       long runMicros = environment.results().started(task.name, machine);
       loop.after(runMicros, () -> complete(task));
@@ -261,7 +263,7 @@
   }
 
   private void complete(Task task) {
-    if (lives(task, AttemptState.RUNNING)) {
+    if (isInState(task, AttemptState.RUNNING)) {
       environment.results().completed(task.name);
       end(task, ExitCause.DONE);
     }
@@ -270,11 +272,11 @@
   private void end(Task task, ExitCause cause) {
     task.status = AttemptState.ENDED;
     task.cause = cause;
-    environment.results().taskLeft(task.name, machine);
+    environment.results().taskRemoved(task.name, machine);
     noteChange();
   }
 
-  private byte[] state() {
+  private byte[] heartbeatBody() {
     ObjectNode heartbeat =
         Json.object()
             .put("host", machine)
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -21,34 +21,34 @@
  */
 final class DeadShardAdoption {
   /** Added to the lease time: covers clock drift and the time that a response is in transit. */
-  private static final long LAPSE_SLACK_MICROS = 10_000_000;
+  private static final long LEASE_EXPIRY_MARGIN_MICROS = 10_000_000;
 
   /** A shard counts as leaderless only while this leader's view of the pool is at most this old. */
-  private static final long FRESH_MICROS = 5_000_000;
+  private static final long MAX_VIEW_AGE_MICROS = 5_000_000;
 
   private final Logger log;
   private final TermContext context;
   private final SharingSettings sharing;
-  private final PoolLink link;
+  private final PoolRecordWatch link;
   private final PoolView view;
   private final TransferSteps steps;
-  private final Consumer<TransferRecord> adopted;
+  private final Consumer<TransferRecord> onAdopted;
 
   /**
    * Record that the transaction in flight stores for its machine. One field is enough because
    * transactions run one at a time.
    */
-  private TransferRecord taking;
+  private TransferRecord recordBeingTaken;
 
   private final Map<String, Long> leaderlessSince = new HashMap<>();
 
   DeadShardAdoption(
       TermContext context,
       SharingSettings sharing,
-      PoolLink link,
+      PoolRecordWatch link,
       TransferSteps steps,
       Consumer<TransferRecord> adopted) {
-    this.adopted = adopted;
+    this.onAdopted = adopted;
     this.context = context;
     this.log = context.logs().of(DeadShardAdoption.class);
     this.sharing = sharing;
@@ -65,11 +65,11 @@
    * Adopts a machine that the cloud lists and that another shard owns, if that shard has had no
    * leader for so long that all its leases have expired.
    */
-  void listed(ListedMachine listedMachine) {
+  void machineListed(ListedMachine listedMachine) {
     Optional<String> holder = view.holder(listedMachine.id());
     if (holder.isEmpty()
         || listedMachine.endpoint() == null
-        || steps.isUnderWay(listedMachine.id())) {
+        || steps.isInProgress(listedMachine.id())) {
       return;
     }
     Optional<SharingSettings.Shard> shard =
@@ -83,7 +83,7 @@
 
   /** Updates since when each shard has had no leader; a stale view restarts the count. */
   void watchLeaders() {
-    boolean fresh = now() - link.knownMicros() < FRESH_MICROS;
+    boolean fresh = now() - link.knownMicros() < MAX_VIEW_AGE_MICROS;
     for (SharingSettings.Shard shard : sharing.otherShards()) {
       if (!fresh || view.leader(shard.name()).isPresent()) {
         leaderlessSince.remove(shard.name());
@@ -97,7 +97,7 @@
     long patience =
         Math.max(
             sharing.adoptAfterMicros(),
-            2 * context.platform().workers().leaseMicros() + LAPSE_SLACK_MICROS);
+            2 * context.platform().workers().leaseMicros() + LEASE_EXPIRY_MARGIN_MICROS);
     long since = leaderlessSince.getOrDefault(shard.name(), Long.MAX_VALUE);
     return since != Long.MAX_VALUE && now() - since > patience;
   }
@@ -111,25 +111,27 @@
             return Optional.empty();
           }
           TransferRecord before =
-              steps.record(machine).orElseGet(() -> unmoved(listedMachine, dead));
+              steps.record(machine).orElseGet(() -> initialRecord(listedMachine, dead));
           String leadership = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
-          return Optional.of(taken(before.withoutTasksOf(dead.name())).require(leadership, 0));
+          return Optional.of(
+              buildTransaction(before.withoutTasksOf(dead.name())).require(leadership, 0));
         },
         () -> {
           if (view.holder(machine).equals(Optional.of(sharing.ownShard().name()))) {
-            adopted.accept(taking);
+            onAdopted.accept(recordBeingTaken);
             log.warn("adopted machine {}: shard {} has no leader", machine, dead.name());
           }
         });
   }
 
-  private PoolTransaction taken(TransferRecord before) {
-    TransferSteps.Taking built = steps.take(List.of(before));
-    taking = built.taken().get(0);
+  private PoolTransaction buildTransaction(TransferRecord before) {
+    TransferSteps.Acquisition built = steps.buildAcquisition(List.of(before));
+    recordBeingTaken = built.records().get(0);
     return built.transaction();
   }
 
-  private static TransferRecord unmoved(ListedMachine listedMachine, SharingSettings.Shard owner) {
+  private static TransferRecord initialRecord(
+      ListedMachine listedMachine, SharingSettings.Shard owner) {
     return new TransferRecord(
         TransferRecord.State.TAKEN,
         new TransferRecord.Details(
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -21,7 +21,7 @@
   private final Logger log;
   private final TermContext context;
   private final String prefix;
-  private final RenewalLimit limit;
+  private final RenewalLimit renewalLimit;
   private final Set<String> watched = new HashSet<>();
   private final Set<String> jobsToRead = new HashSet<>();
   private final Set<String> ended = new HashSet<>();
@@ -37,7 +37,7 @@
     this.context = context;
     this.log = context.logs().of(EndedJobsWatch.class);
     this.prefix = KeySpace.absolute(shardPrefix, JobStore.ACTIVE);
-    this.limit = new RenewalLimit(context.platform().workers());
+    this.renewalLimit = new RenewalLimit(context.platform().workers());
   }
 
   /** Starts to watch a job that has foreign tasks on this shard's machines. */
@@ -138,7 +138,7 @@
         .watch(
             prefix,
             storeRevision,
-            limit.watchMicros(),
+            renewalLimit.watchMicros(),
             response -> {
               if (closed) {
                 return;
--- a/src/main/java/plumlever/leader/pool/ForeignTasks.java
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -37,10 +37,10 @@
  */
 final class ForeignTasks {
   /** Path at which a controller accepts relayed heartbeats. */
-  static final String PATH = "/relay";
+  static final String RELAY_PATH = "/relay";
 
-  private static final long TIMEOUT_MICROS = 2_000_000;
-  private static final long LEAST_PAUSE_MICROS = 900_000;
+  private static final long RELAY_TIMEOUT_MICROS = 2_000_000;
+  private static final long MIN_RELAY_INTERVAL_MICROS = 900_000;
 
   /** The foreign tasks of one originating shard on one machine. */
   private static final class TasksOfShard {
@@ -48,9 +48,9 @@
     private final Map<Long, ForeignTask> tasks = new LinkedHashMap<>();
 
     private boolean callInFlight;
-    private long calledMicros = Long.MIN_VALUE / 4;
+    private long lastRelayMicros = Long.MIN_VALUE / 4;
     private Heartbeat lastHeartbeat;
-    private boolean lapsed;
+    private boolean leaseExpired;
     private boolean expiryRelayed;
   }
 
@@ -148,7 +148,7 @@
   }
 
   /** Updates the foreign tasks from a heartbeat of the machine and relays the heartbeat. */
-  void reported(Machine machine, Heartbeat heartbeat) {
+  void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
     if (machineForeignTasks == null) {
       return;
@@ -185,7 +185,7 @@
     double memoryGb = 0;
     for (TasksOfShard foreignTasks : machineForeignTasks.byShard.values()) {
       for (ForeignTask task : foreignTasks.tasks.values()) {
-        if (!foreignTasks.lapsed && !machineForeignTasks.ended.contains(task.attempt())) {
+        if (!foreignTasks.leaseExpired && !machineForeignTasks.ended.contains(task.attempt())) {
           count++;
           cores += task.cores();
           accelerators += task.accelerators();
@@ -203,14 +203,14 @@
    * Tells the originating shards that the machine's lease has expired: the worker has killed all of
    * its tasks.
    */
-  void lapsed(Machine machine) {
+  void leaseExpired(Machine machine) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
     if (machineForeignTasks == null) {
       return;
     }
     machineForeignTasks.byShard.forEach(
         (originatingShard, foreignTasks) -> {
-          foreignTasks.lapsed = true;
+          foreignTasks.leaseExpired = true;
           if (foreignTasks.lastHeartbeat != null && !foreignTasks.expiryRelayed) {
             relay(
                 machineForeignTasks,
@@ -231,17 +231,17 @@
       boolean lapsed) {
     long now = context.loop().nowMicros();
     foreignTasks.lastHeartbeat = heartbeat;
-    foreignTasks.lapsed = lapsed;
+    foreignTasks.leaseExpired = lapsed;
     Optional<Endpoint> leader = leaderOf(originatingShard);
     if (closed
         || foreignTasks.callInFlight
         || leader.isEmpty()
-        || now - foreignTasks.calledMicros < LEAST_PAUSE_MICROS
+        || now - foreignTasks.lastRelayMicros < MIN_RELAY_INTERVAL_MICROS
         || !context.term().mayAct()) {
       return;
     }
     foreignTasks.callInFlight = true;
-    foreignTasks.calledMicros = now;
+    foreignTasks.lastRelayMicros = now;
     List<Heartbeat.AttemptStatus> attempts =
         heartbeat.attempts().stream()
             .filter(reported -> foreignTasks.tasks.containsKey(reported.attempt()))
@@ -258,14 +258,14 @@
         .call(
             leader.get(),
             "POST",
-            PATH,
+            RELAY_PATH,
             message.write(),
-            TIMEOUT_MICROS,
+            RELAY_TIMEOUT_MICROS,
             (status, body) -> {
               foreignTasks.callInFlight = false;
               if (!closed && status == HttpStatus.OK) {
                 foreignTasks.expiryRelayed = lapsed;
-                takeCommands(machineForeignTasks, foreignTasks, body);
+                storeCommands(machineForeignTasks, foreignTasks, body);
               }
             });
   }
@@ -280,7 +280,7 @@
         .map(PlatformConfiguration.PeerController::endpoint);
   }
 
-  private void takeCommands(
+  private void storeCommands(
       MachineForeignTasks machineForeignTasks, TasksOfShard foreignTasks, byte[] body) {
     try {
       for (WorkerCommand command : WorkerCommand.parseAnswer(body)) {
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -25,14 +25,14 @@
   private final Logger log;
   private final TermContext context;
   private final SharingSettings sharing;
-  private final String own;
+  private final String ownShard;
   private final ActiveJobs jobs;
   private final Failover failover;
   private final PoolView view;
   private final PoolWriter writer;
 
   /** By team, the cores of this shard's part that a running transaction moves to another shard. */
-  private final Map<String, Double> giving = new HashMap<>();
+  private final Map<String, Double> coresBeingMoved = new HashMap<>();
 
   LimitSharing(
       TermContext context,
@@ -44,7 +44,7 @@
     this.context = context;
     this.log = context.logs().of(LimitSharing.class);
     this.sharing = sharing;
-    this.own = sharing.ownShard().name();
+    this.ownShard = sharing.ownShard().name();
     this.jobs = jobs;
     this.failover = failover;
     this.view = view;
@@ -57,15 +57,15 @@
       return LimitParts.Part.NONE;
     }
     LimitParts.Part part =
-        view.limit(team.name()).map(parts -> parts.of(own)).orElse(LimitParts.Part.NONE);
-    double cores = part.cores() - giving.getOrDefault(team.name(), 0.0);
+        view.limit(team.name()).map(parts -> parts.of(ownShard)).orElse(LimitParts.Part.NONE);
+    double cores = part.cores() - coresBeingMoved.getOrDefault(team.name(), 0.0);
     return new LimitParts.Part(
-        team.maxCores() <= 0 ? 0 : positive(cores),
-        team.maxAccelerators() <= 0 ? 0 : positive(part.accelerators()));
+        team.maxCores() <= 0 ? 0 : nonZero(cores),
+        team.maxAccelerators() <= 0 ? 0 : nonZero(part.accelerators()));
   }
 
   /** Keeps an empty part distinct from 0, which stands for "no limit". */
-  private static double positive(double part) {
+  private static double nonZero(double part) {
     return Math.max(part, Double.MIN_VALUE);
   }
 
@@ -99,14 +99,14 @@
       }
       if (view.limit(team.name()).isEmpty()) {
         split(team);
-      } else if (team.maxCores() > 0 && !giving.containsKey(team.name())) {
-        giveSpare(team);
+      } else if (team.maxCores() > 0 && !coresBeingMoved.containsKey(team.name())) {
+        moveSpareCores(team);
       }
     }
   }
 
   private void split(PlatformConfiguration.Team team) {
-    if (giving.putIfAbsent(team.name(), 0.0) != null) {
+    if (coresBeingMoved.putIfAbsent(team.name(), 0.0) != null) {
       return;
     }
     Map<String, Double> weights = new TreeMap<>();
@@ -124,7 +124,7 @@
 
           @Override
           public void finished() {
-            giving.remove(team.name());
+            coresBeingMoved.remove(team.name());
           }
         });
   }
@@ -133,7 +133,7 @@
     return new PoolTransaction(view, context.term().requireTerm());
   }
 
-  private void giveSpare(PlatformConfiguration.Team team) {
+  private void moveSpareCores(PlatformConfiguration.Team team) {
     double spare = limit(team).cores() - coresNeeded(team);
     Map<String, Double> wanted = new TreeMap<>();
     for (SharingSettings.Shard shard : sharing.otherShards()) {
@@ -143,11 +143,11 @@
           .map(byTeam -> byTeam.get(team.name()))
           .ifPresent(cores -> wanted.put(shard.name(), cores));
     }
-    LimitPolicy.gift(spare, wanted).ifPresent(gift -> giveSpare(team, gift));
+    LimitPolicy.plan(spare, wanted).ifPresent(gift -> moveSpareCores(team, gift));
   }
 
-  private void giveSpare(PlatformConfiguration.Team team, LimitPolicy.Gift gift) {
-    giving.put(team.name(), gift.cores());
+  private void moveSpareCores(PlatformConfiguration.Team team, LimitPolicy.CoreMove gift) {
+    coresBeingMoved.put(team.name(), gift.cores());
     String key = LimitParts.keyOf(team.name());
     long seen = view.revisionOf(key);
     writer.submit(
@@ -158,13 +158,13 @@
             // sending the move again could move the cores twice.
             return view.limit(team.name())
                 .filter(parts -> view.revisionOf(key) == seen)
-                .map(parts -> parts.moved(own, gift.to(), gift.cores(), 0))
+                .map(parts -> parts.moved(ownShard, gift.to(), gift.cores(), 0))
                 .map(parts -> transaction().put(key, parts.toJson()));
           }
 
           @Override
           public void finished() {
-            giving.remove(team.name());
+            coresBeingMoved.remove(team.name());
             context.metrics().count("limit_parts_given");
             log.debug(
                 "moved {} cores of team {} to shard {}", gift.cores(), team.name(), gift.to());
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -35,29 +35,29 @@
   private static final long REPUBLISH_INTERVAL_MICROS = 30_000_000;
 
   /** How long rentals are held back while other shards have idle machines to offer. */
-  private static final long HOLD_RENTAL_MICROS = 5_000_000;
+  private static final long RENTAL_HOLD_MICROS = 5_000_000;
 
   /**
    * Machines offered to a shard since it last published its demand.
    *
    * @param revision of the demand record
    */
-  private record GivenMachines(long revision, int machines) {}
+  private record OfferedMachines(long revision, int machines) {}
 
   private final Logger log;
   private final TermContext context;
   private final SharingSettings sharing;
-  private final String own;
+  private final String ownShard;
   private final Fleet fleet;
   private final SchedulingPass pass;
   private final Failover failover;
   private final PoolView view;
   private final MachineTransfers transfers;
   private final LimitSharing limits;
-  private final Map<String, GivenMachines> givenSinceDemand = new HashMap<>();
+  private final Map<String, OfferedMachines> offersSinceDemand = new HashMap<>();
   private ShardDemand publishedDemand;
   private long publishedMicros = Long.MIN_VALUE / 4;
-  private long lackingSinceMicros = -1;
+  private long shortageSinceMicros = -1;
   private boolean publishing;
   private boolean digestsDiffer;
 
@@ -73,7 +73,7 @@
     this.context = context;
     this.log = context.logs().of(MachineShareBalancer.class);
     this.sharing = sharing;
-    this.own = sharing.ownShard().name();
+    this.ownShard = sharing.ownShard().name();
     this.fleet = fleet;
     this.pass = pass;
     this.failover = failover;
@@ -90,9 +90,9 @@
     long now = context.loop().nowMicros();
     ShardDemand demand = demand();
     if (demand.wanted() == 0) {
-      lackingSinceMicros = -1;
-    } else if (lackingSinceMicros < 0) {
-      lackingSinceMicros = now;
+      shortageSinceMicros = -1;
+    } else if (shortageSinceMicros < 0) {
+      shortageSinceMicros = now;
     }
     publishDemand(demand, now);
     offer(demand);
@@ -107,7 +107,7 @@
         idle += isIdle(machine) ? 1 : 0;
       }
     }
-    int wanted = machinesLacking();
+    int wanted = machineShortage();
     return new ShardDemand(
         machines, wanted > 0 ? 0 : idle, wanted, sharing.digest(), limits.coresWanted());
   }
@@ -120,7 +120,7 @@
    * Returns the number of average-sized machines that are missing: for the tasks that the last
    * scheduling pass could not place, or for all jobs to meet their deadlines, whichever is more.
    */
-  private int machinesLacking() {
+  private int machineShortage() {
     Map<String, Double> limitOf = new HashMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
       if (team.maxCores() > 0) {
@@ -129,7 +129,7 @@
     }
     double late = CoreDemand.coresNeeded(pass.remainingWork(), limitOf) - coresOwned();
     double cores = Math.max(pass.waitingCores(), late);
-    return (int) Math.min(sharing.maxMachines(), Math.ceil(Math.max(0, cores) / usualCores()));
+    return (int) Math.min(sharing.maxMachines(), Math.ceil(Math.max(0, cores) / averageCores()));
   }
 
   private double coresOwned() {
@@ -143,7 +143,7 @@
     return cores;
   }
 
-  private double usualCores() {
+  private double averageCores() {
     double cores = 0;
     int count = 0;
     for (Machine machine : fleet.machines()) {
@@ -172,7 +172,7 @@
     }
     publishing = true;
     publishedMicros = now;
-    String key = ShardDemand.keyOf(own);
+    String key = ShardDemand.keyOf(ownShard);
     context
         .store()
         .transaction(
@@ -192,7 +192,7 @@
     List<SharePolicy.ShardState> shards = new ArrayList<>();
     shards.add(
         new SharePolicy.ShardState(
-            own,
+            ownShard,
             sharing.ownShard().minMachines(),
             sharing.ownShard().weight(),
             demand.machines(),
@@ -202,7 +202,7 @@
       stateOf(shard).ifPresent(shards::add);
     }
     for (SharePolicy.Move move : SharePolicy.plan(shards, sharing.maxTransfers())) {
-      if (move.from().equals(own) && free > 0) {
+      if (move.from().equals(ownShard) && free > 0) {
         free -= offerMachines(move.to(), Math.min(free, move.machines()));
       }
     }
@@ -226,7 +226,7 @@
       return Optional.empty();
     }
     long revision = view.revisionOf(ShardDemand.keyOf(shard.name()));
-    GivenMachines before = givenSinceDemand.get(shard.name());
+    OfferedMachines before = offersSinceDemand.get(shard.name());
     int already = before != null && before.revision() == revision ? before.machines() : 0;
     int wanted = Math.max(0, demand.wanted() - already - transfers.offeredTo(shard.name()));
     return Optional.of(
@@ -265,9 +265,9 @@
     }
     if (count > 0) {
       long revision = view.revisionOf(ShardDemand.keyOf(to));
-      GivenMachines before = givenSinceDemand.get(to);
+      OfferedMachines before = offersSinceDemand.get(to);
       int already = before != null && before.revision() == revision ? before.machines() : 0;
-      givenSinceDemand.put(to, new GivenMachines(revision, already + count));
+      offersSinceDemand.put(to, new OfferedMachines(revision, already + count));
     }
     return count;
   }
@@ -277,8 +277,8 @@
    * offer.
    */
   boolean mayRent() {
-    if (lackingSinceMicros < 0
-        || context.loop().nowMicros() - lackingSinceMicros > HOLD_RENTAL_MICROS) {
+    if (shortageSinceMicros < 0
+        || context.loop().nowMicros() - shortageSinceMicros > RENTAL_HOLD_MICROS) {
       return true;
     }
     return sharing.otherShards().stream()
@@ -294,17 +294,17 @@
    * that shard instead of being returned to the cloud.
    */
   boolean mayReturnIdle() {
-    return lackingSinceMicros < 0
+    return shortageSinceMicros < 0
         && sharing.otherShards().stream()
             .noneMatch(shard -> stateOf(shard).filter(state -> state.wanted() > 0).isPresent());
   }
 
   /** Returns the machines that other shards have offered to this shard. */
-  List<RentalPlan.RentalOption> coming() {
+  List<RentalPlan.RentalOption> incomingMachines() {
     List<RentalPlan.RentalOption> kinds = new ArrayList<>();
     for (PoolView.Versioned<TransferRecord> versioned : view.transfers().values()) {
       TransferRecord record = versioned.value();
-      if (record.offer().filter(offer -> offer.to().equals(own)).isPresent()) {
+      if (record.offer().filter(offer -> offer.to().equals(ownShard)).isPresent()) {
         TransferRecord.Details details = record.machine();
         kinds.add(
             new RentalPlan.RentalOption(details.machineType(), details.zone(), details.spot()));
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -36,20 +36,20 @@
  */
 final class MachineTransfers {
   /** An offer that the other shard has not accepted within this time is withdrawn. */
-  private static final long OFFER_MICROS = 8_000_000;
+  private static final long OFFER_TIMEOUT_MICROS = 8_000_000;
 
   /**
    * The owner answers heartbeats of an offered machine only while its view of the pool is at most
    * this old. This limits how long a former owner may renew the lease after the transfer.
    */
-  static final long OFFER_VIEW_MICROS = 5_000_000;
+  static final long MAX_VIEW_AGE_MICROS = 5_000_000;
 
   private static final double BOOT_MARGIN = 1.3;
 
   private final Logger log;
   private final TermContext context;
   private final SharingSettings sharing;
-  private final String own;
+  private final String ownShard;
   private final Fleet fleet;
   private final ActiveJobs jobs;
   private final HeartbeatHandler heartbeats;
@@ -57,14 +57,14 @@
   private final SchedulingPass pass;
   private final PoolView view;
   private final TransferSteps steps;
-  private final OfferAcceptance offerTaker;
+  private final OfferAcceptance offerAcceptance;
   private final ForeignTasks foreignTasks;
   private final Failover failover;
   private final Consumer<Machine> sendToken;
   private final Map<String, Long> offeredMicros = new HashMap<>();
 
   /** Machines of other shards that are known to hold no task of this shard any more. */
-  private final Set<String> seenWithoutOwnTasks = new HashSet<>();
+  private final Set<String> machinesWithoutOwnTasks = new HashSet<>();
 
   private boolean digestMismatchLogged;
 
@@ -85,7 +85,7 @@
     this.context = context;
     this.log = context.logs().of(MachineTransfers.class);
     this.sharing = sharing;
-    this.own = sharing.ownShard().name();
+    this.ownShard = sharing.ownShard().name();
     this.fleet = fleet;
     this.jobs = jobs;
     this.heartbeats = heartbeats;
@@ -93,7 +93,7 @@
     this.pass = pass;
     this.view = view;
     this.steps = steps;
-    this.offerTaker = new OfferAcceptance(sharing, view, steps, this::acquire);
+    this.offerAcceptance = new OfferAcceptance(sharing, view, steps, this::acquire);
     this.foreignTasks = foreignTasks;
     this.failover = failover;
   }
@@ -104,7 +104,7 @@
 
   /** Returns true while the owner record names this shard as the owner of the machine. */
   boolean owns(String machine) {
-    return view.holder(machine).equals(Optional.of(own));
+    return view.holder(machine).equals(Optional.of(ownShard));
   }
 
   /** Returns the number of machines that this shard has offered and that are not yet accepted. */
@@ -132,25 +132,25 @@
       TransferRecord record = entry.getValue().value();
       if (record.state() == TransferRecord.State.GONE) {
         reconcileGone(record);
-      } else if (record.owner().equals(own)) {
+      } else if (record.owner().equals(ownShard)) {
         if (owns(entry.getKey())) {
           reconcileOwned(record);
         }
-      } else if (record.hasTasksOf(own)) {
-        reconcileElsewhere(record);
+      } else if (record.hasTasksOf(ownShard)) {
+        reconcileTransferredOut(record);
       } else {
-        reconcileLost(record);
+        releaseIfNotOwned(record);
       }
       if (record.state() == TransferRecord.State.OFFERED) {
-        offered(record);
+        handleOffer(record);
       }
     }
     for (String machine : List.copyOf(offeredMicros.keySet())) {
-      if (view.transfer(machine).isEmpty() && !owns(machine) && !steps.isUnderWay(machine)) {
+      if (view.transfer(machine).isEmpty() && !owns(machine) && !steps.isInProgress(machine)) {
         releaseWithoutRecord(machine);
       }
     }
-    offerTaker.takeOffers();
+    offerAcceptance.acceptOffers();
   }
 
   /** Releases a machine that left without foreign tasks; its transfer record was deleted. */
@@ -166,7 +166,7 @@
   /** Reconciles a machine that this shard owns: acquired from another shard, or offered to one. */
   private void reconcileOwned(TransferRecord record) {
     Machine machine = acquire(record);
-    if (record.state() == TransferRecord.State.TAKEN && !steps.isUnderWay(machine.id())) {
+    if (record.state() == TransferRecord.State.TAKEN && !steps.isInProgress(machine.id())) {
       machine.setTransferring(false);
       offeredMicros.remove(machine.id());
     } else {
@@ -174,7 +174,7 @@
     }
     foreignTasks.update(machine, record);
     if (record.isSettled()) {
-      dropSettledRecord(record.machine().id());
+      deleteSettledRecord(record.machine().id());
     }
   }
 
@@ -188,10 +188,10 @@
       // The machine was transferred away and back before this controller read either change.
       machine.tokens().startTerm(record.number());
       machine.markUnaccounted();
-      machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
+      machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
       sendToken.accept(machine);
     } else if (!machine.accounted() && machine.contact().renewedElsewhereMicros() < 0) {
-      machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
+      machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
     }
     return machine;
   }
@@ -199,7 +199,7 @@
   private Machine addAcquired(TransferRecord record) {
     TransferRecord.Details details = record.machine();
     Machine machine = fleet.transferredMachine(details.id());
-    seenWithoutOwnTasks.remove(details.id());
+    machinesWithoutOwnTasks.remove(details.id());
     if (machine != null) {
       fleet.removeTransferred(machine);
       machine.markUnaccounted();
@@ -214,7 +214,7 @@
               now() - bootMicros(details.machineType()));
     }
     machine.tokens().startTerm(record.number());
-    machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
+    machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
     fleet.add(machine);
     registry.register(machine);
     sendToken.accept(machine);
@@ -233,7 +233,7 @@
   }
 
   /** Reconciles a machine of another shard that may hold tasks of this shard. */
-  private void reconcileElsewhere(TransferRecord record) {
+  private void reconcileTransferredOut(TransferRecord record) {
     Machine machine = fleet.transferredMachine(record.machine().id());
     if (machine == null) {
       Machine former = fleet.machine(record.machine().id());
@@ -244,7 +244,7 @@
       fleet.transferOut(machine, record.number());
     }
     machine.tokens().startTerm(record.number());
-    leaveRecordIfOver(machine);
+    removeOwnShardIfSettled(machine);
   }
 
   /** Rebuilds the machine with the attempts that an earlier leader of this shard recorded on it. */
@@ -260,7 +260,7 @@
             now());
     machine.contact().raiseIncarnation(record.incarnation());
     machine.markAccounted();
-    for (ForeignTask foreignTask : record.tasksByShard().get(own)) {
+    for (ForeignTask foreignTask : record.tasksByShard().get(ownShard)) {
       Job job = jobs.get(foreignTask.task().job());
       int task = foreignTask.task().number();
       boolean open =
@@ -289,7 +289,7 @@
   }
 
   /** Drops a machine that another shard now owns and that holds no task of this shard. */
-  private void reconcileLost(TransferRecord record) {
+  private void releaseIfNotOwned(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine != null && !owns(machine.id())) {
       release(machine);
@@ -301,62 +301,62 @@
     Machine machine = fleet.transferredMachine(record.machine().id());
     if (machine != null) {
       heartbeats.endAllAttempts(machine);
-      seenWithoutOwnTasks.add(machine.id());
+      machinesWithoutOwnTasks.add(machine.id());
     }
-    if (record.hasTasksOf(own)) {
+    if (record.hasTasksOf(ownShard)) {
       if (machine == null) {
-        leaveRecord(record.machine().id());
+        removeOwnShardFromRecord(record.machine().id());
       } else {
-        leaveRecordIfOver(machine);
+        removeOwnShardIfSettled(machine);
       }
     }
   }
 
   /** Handles a heartbeat, relayed by the machine's owner, that lists no task of this shard. */
   void ownTasksGone(Machine machine) {
-    seenWithoutOwnTasks.add(machine.id());
-    leaveRecordIfOver(machine);
+    machinesWithoutOwnTasks.add(machine.id());
+    removeOwnShardIfSettled(machine);
   }
 
   /** Removes this shard from the transfer record once none of its tasks can be on the machine. */
-  private void leaveRecordIfOver(Machine machine) {
+  private void removeOwnShardIfSettled(Machine machine) {
     boolean nothingThere =
-        seenWithoutOwnTasks.contains(machine.id())
+        machinesWithoutOwnTasks.contains(machine.id())
             || steps
                 .record(machine.id())
-                .filter(record -> record.tasksByShard().getOrDefault(own, List.of()).isEmpty())
+                .filter(record -> record.tasksByShard().getOrDefault(ownShard, List.of()).isEmpty())
                 .isPresent();
     if (nothingThere && machine.load().hasNoAttempts()) {
-      leaveRecord(machine.id());
+      removeOwnShardFromRecord(machine.id());
     }
   }
 
-  private void leaveRecord(String machine) {
+  private void removeOwnShardFromRecord(String machine) {
     steps.step(
         machine,
         () ->
             steps
                 .record(machine)
-                .filter(record -> record.hasTasksOf(own))
-                .map(record -> steps.replaced(machine, record.withoutTasksOf(own))),
+                .filter(record -> record.hasTasksOf(ownShard))
+                .map(record -> steps.replaceRecord(machine, record.withoutTasksOf(ownShard))),
         () -> {
           Machine reconcileElsewhere = fleet.transferredMachine(machine);
           if (reconcileElsewhere != null
-              && steps.record(machine).filter(record -> record.hasTasksOf(own)).isEmpty()) {
+              && steps.record(machine).filter(record -> record.hasTasksOf(ownShard)).isEmpty()) {
             fleet.removeTransferred(reconcileElsewhere);
-            seenWithoutOwnTasks.remove(machine);
+            machinesWithoutOwnTasks.remove(machine);
           }
         });
   }
 
-  private void dropSettledRecord(String machine) {
+  private void deleteSettledRecord(String machine) {
     steps.step(
         machine,
         () ->
             steps
                 .record(machine)
-                .filter(record -> record.owner().equals(own) && record.isSettled())
-                .map(record -> steps.transaction().drop(TransferRecord.keyOf(machine))),
+                .filter(record -> record.owner().equals(ownShard) && record.isSettled())
+                .map(record -> steps.transaction().delete(TransferRecord.keyOf(machine))),
         () -> {
           Machine settled = fleet.machine(machine);
           if (settled != null && view.transfer(machine).isEmpty()) {
@@ -379,7 +379,7 @@
         && !machine.contact().commandInFlight()
         && !machine.load().hasUnconfirmedStart()
         && !failover.runsUntracked(machine)
-        && !steps.isUnderWay(machine.id());
+        && !steps.isInProgress(machine.id());
   }
 
   /** Offers the machine to the shard; from this call on no further task is started on it. */
@@ -411,7 +411,7 @@
     Map<String, List<ForeignTask>> tasksByShard =
         new TreeMap<>(before.map(TransferRecord::tasksByShard).orElse(Map.of()));
     if (!machine.load().hasNoAttempts()) {
-      tasksByShard.put(own, foreignTasksOf(machine));
+      tasksByShard.put(ownShard, foreignTasksOf(machine));
     }
     TransferRecord offer =
         TransferRecord.offered(
@@ -422,7 +422,7 @@
                 machine.zone(),
                 machine.spot()),
             machine.contact().incarnation(),
-            own,
+            ownShard,
             Math.max(machine.tokens().term(), before.map(TransferRecord::number).orElse(0L)),
             new TransferRecord.Offer(to, context.term().revision(), sharing.digest()),
             tasksByShard);
@@ -456,16 +456,16 @@
    * Handles an open offer. An offer by this shard is withdrawn after a timeout or if it is of an
    * earlier term. For an offer to this shard, a differing sharing file is logged.
    */
-  private void offered(TransferRecord record) {
+  private void handleOffer(TransferRecord record) {
     String machine = record.machine().id();
     TransferRecord.Offer offer = record.offer().orElseThrow();
-    if (record.owner().equals(own)) {
+    if (record.owner().equals(ownShard)) {
       long since = offeredMicros.getOrDefault(machine, Long.MIN_VALUE / 2);
       boolean ofThisTerm = offer.termRevision() == context.term().revision();
-      if (!ofThisTerm || now() - since > OFFER_MICROS) {
-        withdraw(machine);
+      if (!ofThisTerm || now() - since > OFFER_TIMEOUT_MICROS) {
+        withdrawOffer(machine);
       }
-    } else if (offer.to().equals(own)) {
+    } else if (offer.to().equals(ownShard)) {
       if (!offer.digest().equals(sharing.digest()) && !digestMismatchLogged) {
         digestMismatchLogged = true;
         log.warn(
@@ -475,14 +475,14 @@
     }
   }
 
-  private void withdraw(String machine) {
+  private void withdrawOffer(String machine) {
     steps.step(
         machine,
         () ->
             steps
                 .record(machine)
-                .filter(record -> record.owner().equals(own) && record.offer().isPresent())
-                .map(record -> steps.replaced(machine, record.withdrawn())),
+                .filter(record -> record.owner().equals(ownShard) && record.offer().isPresent())
+                .map(record -> steps.replaceRecord(machine, record.withdrawn())),
         () -> {
           Machine kept = fleet.machine(machine);
           if (kept != null && steps.record(machine).flatMap(TransferRecord::offer).isEmpty()) {
--- a/src/main/java/plumlever/leader/pool/OfferAcceptance.java
+++ b/src/main/java/plumlever/leader/pool/OfferAcceptance.java
@@ -18,7 +18,7 @@
 /** Accepts the machines that other shards offer to this shard. */
 final class OfferAcceptance {
   private final SharingSettings sharing;
-  private final String own;
+  private final String ownShard;
   private final PoolView view;
   private final TransferSteps steps;
   private final Function<TransferRecord, Machine> acquire;
@@ -41,18 +41,18 @@
       TransferSteps steps,
       Function<TransferRecord, Machine> acquire) {
     this.sharing = sharing;
-    this.own = sharing.ownShard().name();
+    this.ownShard = sharing.ownShard().name();
     this.view = view;
     this.steps = steps;
     this.acquire = acquire;
   }
 
   private boolean owns(String machine) {
-    return view.holder(machine).equals(Optional.of(own));
+    return view.holder(machine).equals(Optional.of(ownShard));
   }
 
   /** Accepts all open offers to this shard, with as many machines per transaction as fit. */
-  void takeOffers() {
+  void acceptOffers() {
     // Offers that arrive while a transaction is queued are accepted together in the next one.
     if (openTransactions > 0) {
       return;
@@ -61,7 +61,7 @@
     for (Map.Entry<String, PoolView.Versioned<TransferRecord>> entry :
         view.transfers().entrySet()) {
       String machine = entry.getKey();
-      if (isOffered(entry.getValue().value()) && !steps.isUnderWay(machine)) {
+      if (isOffered(entry.getValue().value()) && !steps.isInProgress(machine)) {
         String owner = entry.getValue().value().owner();
         groups
             .computeIfAbsent(owner + OwnerRecord.keyOf(machine), key -> new ArrayList<>())
@@ -69,9 +69,9 @@
       }
     }
     for (List<String> group : groups.values()) {
-      for (List<String> part : Lists.partition(group, steps.mostOwnedAtOnce())) {
+      for (List<String> part : Lists.partition(group, steps.maxMachinesPerTransaction())) {
         openTransactions++;
-        if (!steps.step(part, () -> buildTransaction(part), this::acquireSettled)) {
+        if (!steps.step(part, () -> buildTransaction(part), this::acquireWithoutForeignTasks)) {
           openTransactions--;
         }
       }
@@ -81,7 +81,7 @@
   private boolean isOffered(TransferRecord record) {
     return record
             .offer()
-            .filter(offer -> offer.to().equals(own) && offer.digest().equals(sharing.digest()))
+            .filter(offer -> offer.to().equals(ownShard) && offer.digest().equals(sharing.digest()))
             .isPresent()
         && view.holder(record.machine().id()).equals(Optional.of(record.owner()));
   }
@@ -107,8 +107,8 @@
             .filter(record -> record.offer().orElseThrow().termRevision() == termRevision)
             .toList();
     String giver = sharing.shard(offered.get(0).owner()).prefix();
-    TransferSteps.Taking built = steps.take(ofOneTerm);
-    recordsBeingTaken = built.taken();
+    TransferSteps.Acquisition built = steps.buildAcquisition(ofOneTerm);
+    recordsBeingTaken = built.records();
     return Optional.of(
         built.transaction().require(KeySpace.absolute(giver, LeaderElection.TERM), termRevision));
   }
@@ -117,7 +117,7 @@
    * Acquires the machines without foreign tasks. Machines with foreign tasks keep a transfer
    * record, through which {@link MachineTransfers} acquires them.
    */
-  private void acquireSettled() {
+  private void acquireWithoutForeignTasks() {
     openTransactions--;
     for (TransferRecord record : recordsBeingTaken) {
       String machine = record.machine().id();
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -30,11 +30,11 @@
    */
   private static final long UNCLAIMED_MICROS = 15_000_000;
 
-  private static final String RETIRED = "!";
+  private static final String RETIRED_SUFFIX = "!";
 
   private final Logger log;
   private final TermContext context;
-  private final String own;
+  private final String ownShard;
   private final PoolView view;
   private final PoolWriter writer;
   private final Map<String, Long> unclaimedSince = new HashMap<>();
@@ -44,22 +44,22 @@
   OwnerClaims(TermContext context, SharingSettings sharing, PoolView view, PoolWriter writer) {
     this.context = context;
     this.log = context.logs().of(OwnerClaims.class);
-    this.own = sharing.ownShard().name();
+    this.ownShard = sharing.ownShard().name();
     this.view = view;
     this.writer = writer;
   }
 
-  private static String retired(String shard) {
-    return shard + RETIRED;
+  private static String retiredHolder(String shard) {
+    return shard + RETIRED_SUFFIX;
   }
 
   /** Returns true for a machine that this shard, or an earlier leader of it, has retired. */
   boolean isRetired(String machine) {
-    return view.holder(machine).equals(Optional.of(retired(own)));
+    return view.holder(machine).equals(Optional.of(retiredHolder(ownShard)));
   }
 
   /** Notes a machine that no owner record lists, and claims the machine after a delay. */
-  void unownedMachineSeen(String machine) {
+  void noteUnownedMachine(String machine) {
     long now = context.loop().nowMicros();
     if (view.holder(machine).isPresent() || claiming.contains(machine)) {
       unclaimedSince.remove(machine);
@@ -94,14 +94,14 @@
                     public Optional<PoolTransaction> build() {
                       List<String> free =
                           group.stream().filter(name -> view.holder(name).isEmpty()).toList();
-                      return buildChange(free, own);
+                      return buildChange(free, ownShard);
                     }
 
                     @Override
                     public void finished() {
                       claiming.removeAll(group);
                       group.stream()
-                          .filter(name -> view.holder(name).equals(Optional.of(own)))
+                          .filter(name -> view.holder(name).equals(Optional.of(ownShard)))
                           .forEach(claimed);
                     }
                   });
@@ -130,9 +130,9 @@
             public Optional<PoolTransaction> build() {
               List<String> mine =
                   group.stream()
-                      .filter(name -> view.holder(name).equals(Optional.of(own)))
+                      .filter(name -> view.holder(name).equals(Optional.of(ownShard)))
                       .toList();
-              return buildChange(mine, retired(own));
+              return buildChange(mine, retiredHolder(ownShard));
             }
 
             @Override
@@ -158,7 +158,8 @@
             public Optional<PoolTransaction> build() {
               List<String> remaining =
                   group.stream()
-                      .filter(name -> view.holder(name).equals(Optional.of(retired(own))))
+                      .filter(
+                          name -> view.holder(name).equals(Optional.of(retiredHolder(ownShard))))
                       .toList();
               return buildChange(remaining, null);
             }
@@ -179,16 +180,16 @@
         Optional<TransferRecord> record =
             view.transfer(machine)
                 .map(PoolView.Versioned::value)
-                .filter(OwnerClaims.this::isOwnAndExists);
+                .filter(OwnerClaims.this::isOwnedAndExists);
         if (record.isEmpty()) {
           return Optional.empty();
         }
         String key = TransferRecord.keyOf(machine);
-        TransferRecord recordGone = record.get().withoutTasksOf(own).gone();
+        TransferRecord recordGone = record.get().withoutTasksOf(ownShard).gone();
         PoolTransaction transaction = new PoolTransaction(view, context.term().requireTerm());
         return Optional.of(
             recordGone.isSettled()
-                ? transaction.drop(key)
+                ? transaction.delete(key)
                 : transaction.put(key, recordGone.toJson()));
       }
 
@@ -199,8 +200,8 @@
     };
   }
 
-  private boolean isOwnAndExists(TransferRecord record) {
-    return record.owner().equals(own) && record.state() != TransferRecord.State.GONE;
+  private boolean isOwnedAndExists(TransferRecord record) {
+    return record.owner().equals(ownShard) && record.state() != TransferRecord.State.GONE;
   }
 
   /**
@@ -218,7 +219,7 @@
     Transaction base = context.term().requireTerm();
     PoolTransaction transaction = new PoolTransaction(view, base);
     return Optional.of(
-        record.isEmpty() ? transaction.drop(key) : transaction.put(key, record.toJson()));
+        record.isEmpty() ? transaction.delete(key) : transaction.put(key, record.toJson()));
   }
 
   private static Map<String, List<String>> groupByRecord(List<String> machines) {
--- a/src/main/java/plumlever/leader/pool/PoolLink.java
+++ b/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
@@ -11,7 +11,7 @@
 import plumlever.wire.InvalidMessageException;
 
 /** Keeps the view of the pool's records up to date with a watch on the state service. */
-final class PoolLink {
+final class PoolRecordWatch {
   private static final long WATCH_MICROS = 2_000_000;
   private static final long RETRY_MICROS = 300_000;
 
@@ -23,8 +23,8 @@
   /**
    * @param changed runs after records have changed
    */
-  PoolLink(TermContext context, Runnable changed) {
-    this.log = context.logs().of(PoolLink.class);
+  PoolRecordWatch(TermContext context, Runnable changed) {
+    this.log = context.logs().of(PoolRecordWatch.class);
     this.watch =
         new PrefixWatch(
             context.loop(),
@@ -43,7 +43,7 @@
               @Override
               public void changed(List<StateClient.KeyEvent> changes, long sentMicros) {
                 knownMicros = sentMicros;
-                changes.forEach(PoolLink.this::apply);
+                changes.forEach(PoolRecordWatch.this::apply);
                 if (!changes.isEmpty()) {
                   changed.run();
                 }
@@ -101,9 +101,9 @@
    * @param revisionBefore known revision of the key when the read was sent: a record that was
    *     stored after that is kept
    */
-  void absent(String key, long revisionBefore) {
+  void markAbsent(String key, long revisionBefore) {
     try {
-      view.absent(key, revisionBefore);
+      view.markAbsent(key, revisionBefore);
     } catch (InvalidMessageException e) {
       throw new IllegalStateException("deletions of pool records carry no value to parse", e);
     }
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -36,7 +36,7 @@
 
 /** Shares machines and team limits with the other shards of a pool, for one term of a leader. */
 public final class PoolSharing implements MachineSharing {
-  private static final long TURN_MICROS = 500_000;
+  private static final long RUN_INTERVAL_MICROS = 500_000;
 
   private final Logger log;
   private final TermContext context;
@@ -44,17 +44,17 @@
   private final Fleet fleet;
   private final MachineRegistry registry;
   private final HeartbeatHandler heartbeats;
-  private final Runnable changed;
+  private final Runnable onChange;
   private final Scope scope = new Scope();
-  private final PoolLink link;
+  private final PoolRecordWatch link;
   private final PoolView view;
   private final PoolWriter writer;
   private final OwnerClaims claims;
   private final ForeignTasks foreignTasks;
   private final MachineTransfers transfers;
   private final DeadShardAdoption adoption;
-  private final LimitSharing limits;
-  private final MachineShareBalancer share;
+  private final LimitSharing limitSharing;
+  private final MachineShareBalancer balancer;
   private boolean poolRecordsRead;
 
   /** Creates the sharing of one term; heartbeats are refused until the pool's records are read. */
@@ -75,8 +75,8 @@
     this.fleet = fleet;
     this.registry = registry;
     this.heartbeats = heartbeats;
-    this.changed = changed;
-    this.link = new PoolLink(context, this::recordsChanged);
+    this.onChange = changed;
+    this.link = new PoolRecordWatch(context, this::recordsChanged);
     this.view = link.view();
     this.writer = new PoolWriter(context, link, this::recordsChanged);
     this.claims = new OwnerClaims(context, sharing, view, writer);
@@ -97,9 +97,10 @@
             failover,
             commands::sendToken);
     this.adoption = new DeadShardAdoption(context, sharing, link, steps, transfers::acquire);
-    this.limits = new LimitSharing(context, sharing, jobs, failover, view, writer);
-    this.share =
-        new MachineShareBalancer(context, sharing, fleet, pass, failover, view, transfers, limits);
+    this.limitSharing = new LimitSharing(context, sharing, jobs, failover, view, writer);
+    this.balancer =
+        new MachineShareBalancer(
+            context, sharing, fleet, pass, failover, view, transfers, limitSharing);
   }
 
   @Override
@@ -137,7 +138,7 @@
   private void recordsChanged() {
     if (poolRecordsRead) {
       transfers.reconcile();
-      changed.run();
+      onChange.run();
     }
   }
 
@@ -145,10 +146,10 @@
     if (context.term().mayAct()) {
       adoption.watchLeaders();
       transfers.reconcile();
-      limits.run();
-      share.run();
+      limitSharing.run();
+      balancer.run();
     }
-    return TURN_MICROS;
+    return RUN_INTERVAL_MICROS;
   }
 
   @Override
@@ -156,8 +157,8 @@
     if (transfers.owns(listed.id()) || claims.isRetired(listed.id())) {
       return true;
     }
-    claims.unownedMachineSeen(listed.id());
-    adoption.listed(listed);
+    claims.noteUnownedMachine(listed.id());
+    adoption.machineListed(listed);
     return false;
   }
 
@@ -174,11 +175,11 @@
       return true;
     }
     if (transfers.owns(machine)) {
-      return answeredOwn(heartbeat, out);
+      return refuseIfStale(heartbeat, out);
     }
     Optional<String> holder = view.holder(machine);
     if (holder.isEmpty()) {
-      claims.unownedMachineSeen(machine);
+      claims.noteUnownedMachine(machine);
     }
     Optional<String> leader = holder.flatMap(view::leader);
     if (leader.isPresent() && !leader.get().equals(context.platform().label())) {
@@ -191,7 +192,7 @@
     return true;
   }
 
-  private boolean answeredOwn(Heartbeat heartbeat, Responder out) {
+  private boolean refuseIfStale(Heartbeat heartbeat, Responder out) {
     Machine machine = fleet.machine(heartbeat.machineId());
     if (machine != null && Fleet.termOf(heartbeat.fencingToken()) > machine.tokens().term()) {
       // The machine has seen the token of a later owner or leader that this controller has not yet
@@ -200,7 +201,7 @@
       return true;
     }
     boolean viewIsOld =
-        context.loop().nowMicros() - link.knownMicros() > MachineTransfers.OFFER_VIEW_MICROS;
+        context.loop().nowMicros() - link.knownMicros() > MachineTransfers.MAX_VIEW_AGE_MICROS;
     if (machine != null && machine.transferring() && viewIsOld) {
       out.retryLater(HttpStatus.UNAVAILABLE, "the machine may have another owner by now", 1);
       return true;
@@ -231,7 +232,7 @@
 
   @Override
   public void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
-    foreignTasks.reported(machine, heartbeat);
+    foreignTasks.heartbeatApplied(machine, heartbeat);
   }
 
   @Override
@@ -246,7 +247,7 @@
 
   @Override
   public void leaseExpired(Machine machine) {
-    foreignTasks.lapsed(machine);
+    foreignTasks.leaseExpired(machine);
   }
 
   @Override
@@ -282,7 +283,7 @@
             ? List.of()
             : heartbeats.stopAndRemoveCommands(machine, relayed.heartbeat());
     if (heartbeats.getAndClearChanged()) {
-      changed.run();
+      onChange.run();
     }
     out.send(HttpStatus.OK, WorkerCommand.relayed(commands));
   }
@@ -300,22 +301,22 @@
 
   @Override
   public boolean mayRent() {
-    return share.mayRent();
+    return balancer.mayRent();
   }
 
   @Override
   public boolean mayReturnIdle() {
-    return share.mayReturnIdle();
+    return balancer.mayReturnIdle();
   }
 
   @Override
   public List<RentalPlan.RentalOption> incomingMachines() {
-    return share.coming();
+    return balancer.incomingMachines();
   }
 
   @Override
   public LimitParts.Part teamLimit(PlatformConfiguration.Team team) {
-    return limits.limit(team);
+    return limitSharing.limit(team);
   }
 
   @Override
--- a/src/main/java/plumlever/leader/pool/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/pool/PoolTransaction.java
@@ -46,7 +46,7 @@
     return this;
   }
 
-  PoolTransaction drop(String key) {
+  PoolTransaction delete(String key) {
     require(key);
     changes.put(key, null);
     transaction.delete(key);
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -25,43 +25,43 @@
   }
 
   private static final long RETRY_MICROS = 250_000;
-  private static final int MOST_WAITING = 4_096;
+  private static final int MAX_QUEUED_STEPS = 4_096;
 
   private final Logger log;
   private final TermContext context;
-  private final PoolLink link;
-  private final Runnable changed;
-  private final ArrayDeque<Step> waiting = new ArrayDeque<>();
-  private boolean busy;
+  private final PoolRecordWatch link;
+  private final Runnable onChange;
+  private final ArrayDeque<Step> queue = new ArrayDeque<>();
+  private boolean stepInProgress;
   private boolean closed;
 
-  PoolWriter(TermContext context, PoolLink link, Runnable changed) {
+  PoolWriter(TermContext context, PoolRecordWatch link, Runnable changed) {
     this.context = context;
     this.log = context.logs().of(PoolWriter.class);
     this.link = link;
-    this.changed = changed;
+    this.onChange = changed;
   }
 
   /** Queues the step. Returns false if the queue is full; the caller retries later. */
   boolean submit(Step step) {
-    if (waiting.size() >= MOST_WAITING) {
+    if (queue.size() >= MAX_QUEUED_STEPS) {
       return false;
     }
-    waiting.add(step);
+    queue.add(step);
     runNext();
     return true;
   }
 
   private void runNext() {
-    if (busy || closed || waiting.isEmpty()) {
+    if (stepInProgress || closed || queue.isEmpty()) {
       return;
     }
-    busy = true;
-    run(waiting.poll());
+    stepInProgress = true;
+    run(queue.poll());
   }
 
   private void finish(Step step) {
-    busy = false;
+    stepInProgress = false;
     step.finished();
     runNext();
   }
@@ -101,7 +101,7 @@
                                   new StateClient.KeyEvent(
                                       key, Optional.ofNullable(data), result.revision())));
                   finish(step);
-                  changed.run();
+                  onChange.run();
                 }
                 case REFUSED -> context.loop().after(RETRY_MICROS, () -> run(step));
                 default -> reread(step, transaction, result.outcome());
@@ -121,7 +121,7 @@
       return;
     }
     if (index == keys.size()) {
-      changed.run();
+      onChange.run();
       then.run();
       return;
     }
@@ -142,7 +142,7 @@
                         key, Optional.of(result.item().data()), result.item().revision()));
                 read(keys, index + 1, then);
               } else if (result.missing()) {
-                link.absent(key, revisionBefore);
+                link.markAbsent(key, revisionBefore);
                 read(keys, index + 1, then);
               } else {
                 context.loop().after(RETRY_MICROS, () -> read(keys, index, then));
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -20,40 +20,40 @@
   }
 
   /** Operations of an acquiring transaction for all machines together: counter and owner record. */
-  private static final int SHARED_PUTS = 2;
+  private static final int SHARED_OPERATIONS = 2;
 
   /**
    * Limit for the transfer records of one transaction, of the 64 KiB that a transaction may have.
    */
-  private static final int MOST_BYTES = 40 * 1024;
+  private static final int MAX_RECORD_BYTES = 40 * 1024;
 
   /**
    * A transaction that makes this shard the owner of machines.
    *
-   * @param taken transfer records of the machines after the transaction; records without foreign
+   * @param records transfer records of the machines after the transaction; records without foreign
    *     tasks are not stored
    */
-  record Taking(PoolTransaction transaction, List<TransferRecord> taken) {}
+  record Acquisition(PoolTransaction transaction, List<TransferRecord> records) {}
 
   private final TermContext context;
-  private final String own;
+  private final String ownShard;
   private final PoolView view;
   private final PoolWriter writer;
-  private final Set<String> underWay = new HashSet<>();
+  private final Set<String> inProgress = new HashSet<>();
 
   /**
    * @param own this shard's name
    */
   TransferSteps(TermContext context, String own, PoolView view, PoolWriter writer) {
     this.context = context;
-    this.own = own;
+    this.ownShard = own;
     this.view = view;
     this.writer = writer;
   }
 
   /** Returns true while a transaction of the machine is queued or in flight. */
-  boolean isUnderWay(String machine) {
-    return underWay.contains(machine);
+  boolean isInProgress(String machine) {
+    return inProgress.contains(machine);
   }
 
   /** Returns the machine's transfer record in the view, if there is one. */
@@ -67,14 +67,14 @@
   }
 
   /** Returns a transaction that stores the record, or deletes the stored one if it is settled. */
-  PoolTransaction replaced(String machine, TransferRecord record) {
+  PoolTransaction replaceRecord(String machine, TransferRecord record) {
     String key = TransferRecord.keyOf(machine);
-    return record.isSettled() ? transaction().drop(key) : transaction().put(key, record.toJson());
+    return record.isSettled() ? transaction().delete(key) : transaction().put(key, record.toJson());
   }
 
   /** Returns the number of machines that one transaction can acquire. */
-  int mostOwnedAtOnce() {
-    return context.layout().limits().maxOperations() - SHARED_PUTS;
+  int maxMachinesPerTransaction() {
+    return context.layout().limits().maxOperations() - SHARED_OPERATIONS;
   }
 
   /**
@@ -84,7 +84,7 @@
    *
    * @param records transfer records of machines that share one owner record
    */
-  Taking take(List<TransferRecord> records) {
+  Acquisition buildAcquisition(List<TransferRecord> records) {
     long number = view.counter() + 1;
     String first = records.get(0).machine().id();
     OwnerRecord owners = view.owners(first);
@@ -93,22 +93,22 @@
     int bytes = 0;
     List<TransferRecord> all = new ArrayList<>();
     for (TransferRecord record : records) {
-      TransferRecord taken = record.taken(own, number);
+      TransferRecord taken = record.taken(ownShard, number);
       ObjectNode json = taken.toJson();
       bytes += Json.write(json).length();
-      if (bytes > MOST_BYTES && !all.isEmpty()) {
+      if (bytes > MAX_RECORD_BYTES && !all.isEmpty()) {
         break;
       }
       all.add(taken);
       String machine = record.machine().id();
-      owners = owners.with(machine, own);
+      owners = owners.with(machine, ownShard);
       if (taken.isSettled()) {
-        transaction.drop(TransferRecord.keyOf(machine));
+        transaction.delete(TransferRecord.keyOf(machine));
       } else {
         transaction.put(TransferRecord.keyOf(machine), json);
       }
     }
-    return new Taking(transaction.put(OwnerRecord.keyOf(first), owners.toJson()), all);
+    return new Acquisition(transaction.put(OwnerRecord.keyOf(first), owners.toJson()), all);
   }
 
   /**
@@ -123,10 +123,10 @@
 
   /** Queues one step for several machines; returns false if any of them has one in progress. */
   boolean step(List<String> machines, Builder builder, Runnable finished) {
-    if (machines.isEmpty() || machines.stream().anyMatch(underWay::contains)) {
+    if (machines.isEmpty() || machines.stream().anyMatch(inProgress::contains)) {
       return false;
     }
-    underWay.addAll(machines);
+    inProgress.addAll(machines);
     boolean taken =
         writer.submit(
             new PoolWriter.Step() {
@@ -137,12 +137,12 @@
 
               @Override
               public void finished() {
-                machines.forEach(underWay::remove);
+                machines.forEach(inProgress::remove);
                 finished.run();
               }
             });
     if (!taken) {
-      machines.forEach(underWay::remove);
+      machines.forEach(inProgress::remove);
     }
     return taken;
   }
--- a/src/main/java/plumlever/sharing/LimitPolicy.java
+++ b/src/main/java/plumlever/sharing/LimitPolicy.java
@@ -6,7 +6,7 @@
 /** Decides how many cores of its part of a team's limit a shard moves to which other shard. */
 public final class LimitPolicy {
   /** A number of cores of a team's limit that is to move to another shard. */
-  public record Gift(String to, double cores) {}
+  public record CoreMove(String to, double cores) {}
 
   private LimitPolicy() {}
 
@@ -17,8 +17,8 @@
    * @param spare cores of the shard's part that none of its jobs uses or waits for
    * @param wantedByShard cores that the other shards need beyond their parts
    */
-  public static Optional<Gift> gift(double spare, Map<String, Double> wantedByShard) {
-    Gift best = null;
+  public static Optional<CoreMove> plan(double spare, Map<String, Double> wantedByShard) {
+    CoreMove best = null;
     for (Map.Entry<String, Double> entry : wantedByShard.entrySet()) {
       double cores = Math.floor(Math.min(spare, Math.ceil(entry.getValue())));
       boolean more =
@@ -26,7 +26,7 @@
               || cores > best.cores()
               || (cores == best.cores() && entry.getKey().compareTo(best.to()) < 0);
       if (cores >= 1 && more) {
-        best = new Gift(entry.getKey(), cores);
+        best = new CoreMove(entry.getKey(), cores);
       }
     }
     return Optional.ofNullable(best);
--- a/src/main/java/plumlever/sharing/MachineId.java
+++ b/src/main/java/plumlever/sharing/MachineId.java
@@ -8,13 +8,13 @@
  * @param number the value of the trailing digits
  */
 public record MachineId(String series, int number) {
-  private static final int MOST_DIGITS = 9;
+  private static final int MAX_DIGITS = 9;
 
   /** Splits a name; a name without trailing digits has the number 0. */
   public static MachineId of(String name) {
     int start = name.length();
     while (start > 0
-        && name.length() - start < MOST_DIGITS
+        && name.length() - start < MAX_DIGITS
         && Character.isDigit(name.charAt(start - 1))) {
       start--;
     }
--- a/src/main/java/plumlever/sharing/PoolView.java
+++ b/src/main/java/plumlever/sharing/PoolView.java
@@ -28,12 +28,12 @@
   public record Versioned<T>(T value, long revision) {}
 
   /** Limit of remembered deletions; far more than keys change while a transaction is in flight. */
-  private static final int MOST_DROPPED = 2_000;
+  private static final int MAX_DELETED_KEYS = 2_000;
 
   private final Map<String, Long> revisions = new HashMap<>();
 
   /** Revisions of deletions: an older put that is applied later must not restore the key. */
-  private final Map<String, Long> dropped = new HashMap<>();
+  private final Map<String, Long> deletedRevisions = new HashMap<>();
 
   private final Map<String, OwnerRecord> owners = new HashMap<>();
   private final Map<String, Versioned<TransferRecord>> transfers = new TreeMap<>();
@@ -74,13 +74,13 @@
       counter = data.path(NUMBER).asLong();
     }
     if (data != null) {
-      dropped.remove(key);
+      deletedRevisions.remove(key);
       return;
     }
-    dropped.put(key, revision);
-    if (dropped.size() > MOST_DROPPED) {
-      revisions.keySet().removeAll(dropped.keySet());
-      dropped.clear();
+    deletedRevisions.put(key, revision);
+    if (deletedRevisions.size() > MAX_DELETED_KEYS) {
+      revisions.keySet().removeAll(deletedRevisions.keySet());
+      deletedRevisions.clear();
     }
   }
 
@@ -98,7 +98,7 @@
    * @param revisionBefore known revision of the key when the read was sent: a record that was
    *     stored after that is kept
    */
-  public void absent(String key, long revisionBefore) throws InvalidMessageException {
+  public void markAbsent(String key, long revisionBefore) throws InvalidMessageException {
     if (revisionBefore != 0 && revisionOf(key) == revisionBefore) {
       apply(key, null, revisionBefore + 1);
     }
@@ -111,7 +111,7 @@
    */
   public void retain(Collection<String> keys, long storeRevision) throws InvalidMessageException {
     for (String key : List.copyOf(revisions.keySet())) {
-      if (!keys.contains(key) && !dropped.containsKey(key)) {
+      if (!keys.contains(key) && !deletedRevisions.containsKey(key)) {
         apply(key, null, storeRevision);
       }
     }
@@ -119,7 +119,7 @@
 
   /** Returns the revision of the key for use in a precondition; 0 if there is no record. */
   public long revisionOf(String key) {
-    return dropped.containsKey(key) ? 0 : revisions.getOrDefault(key, 0L);
+    return deletedRevisions.containsKey(key) ? 0 : revisions.getOrDefault(key, 0L);
   }
 
   /** Returns the owner of the machine, if it has one. */
--- a/src/main/java/plumlever/sharing/SharePolicy.java
+++ b/src/main/java/plumlever/sharing/SharePolicy.java
@@ -42,14 +42,14 @@
   }
 
   /** The state of a shard after the moves decided so far. */
-  private static final class Open {
+  private static final class ShardBalance {
     private final ShardState shard;
     private final double share;
     private int machines;
     private int idle;
     private int wanted;
 
-    Open(ShardState shard, List<ShardState> shards) {
+    ShardBalance(ShardState shard, List<ShardState> shards) {
       this.shard = shard;
       this.share = shareOf(shard, shards);
       this.machines = shard.machines();
@@ -57,15 +57,15 @@
       this.wanted = shard.wanted();
     }
 
-    double shortOfShare() {
+    double shareDeficit() {
       return share - machines;
     }
 
-    boolean mayGiveIdle() {
+    boolean canGiveIdle() {
       return idle > 0 && machines > shard.floor();
     }
 
-    boolean mayGiveUsed() {
+    boolean canGiveUsed() {
       return machines - 1 >= Math.max(shard.floor(), share)
           && machines - share > HYSTERESIS * share;
     }
@@ -77,20 +77,20 @@
    * @param most largest number of machines in one move
    */
   public static List<Move> plan(List<ShardState> shards, int most) {
-    List<Open> open = new ArrayList<>();
+    List<ShardBalance> open = new ArrayList<>();
     shards.stream()
         .sorted(Comparator.comparing(ShardState::name))
-        .forEach(shard -> open.add(new Open(shard, shards)));
-    List<Open> takers = new ArrayList<>(open);
+        .forEach(shard -> open.add(new ShardBalance(shard, shards)));
+    List<ShardBalance> takers = new ArrayList<>(open);
     takers.sort(
-        Comparator.comparingDouble(Open::shortOfShare)
+        Comparator.comparingDouble(ShardBalance::shareDeficit)
             .reversed()
             .thenComparing(taker -> taker.shard.name()));
     List<Move> moves = new ArrayList<>();
-    for (Open taker : takers) {
-      for (Open giver : open) {
+    for (ShardBalance taker : takers) {
+      for (ShardBalance giver : open) {
         if (giver != taker) {
-          int count = give(giver, taker, most);
+          int count = moveMachines(giver, taker, most);
           if (count > 0) {
             moves.add(new Move(giver.shard.name(), taker.shard.name(), count));
           }
@@ -100,12 +100,12 @@
     return moves;
   }
 
-  private static int give(Open giver, Open taker, int most) {
+  private static int moveMachines(ShardBalance giver, ShardBalance taker, int most) {
     int count = 0;
     while (count < most && taker.wanted > 0) {
-      if (giver.mayGiveIdle()) {
+      if (giver.canGiveIdle()) {
         giver.idle--;
-      } else if (!(taker.machines < taker.share && giver.mayGiveUsed())) {
+      } else if (!(taker.machines < taker.share && giver.canGiveUsed())) {
         break;
       }
       giver.machines--;
--- a/src/main/java/plumlever/warmup/InMemoryMachines.java
+++ b/src/main/java/plumlever/warmup/InMemoryMachines.java
@@ -66,7 +66,7 @@
   }
 
   /** Returns the id of the machine with the given endpoint. */
-  String at(String endpoint) {
+  String machineAt(String endpoint) {
     return machinesById.values().stream()
         .filter(machine -> machine.endpoint.equals(endpoint))
         .findFirst()
@@ -136,7 +136,7 @@
     return ageMicros > FETCH_MICROS ? "running" : "pulling";
   }
 
-  void command(String machineId, String answer) {
+  void executeCommands(String machineId, String answer) {
     InMemoryMachine machine = machinesById.get(machineId);
     ObjectNode commands;
     try {
@@ -146,10 +146,10 @@
     }
     machine.fencingToken =
         Math.max(machine.fencingToken, commands.path(ProtocolField.FENCING_TOKEN).asLong());
-    commands.path(ProtocolField.COMMANDS).forEach(command -> carryOut(machine, command));
+    commands.path(ProtocolField.COMMANDS).forEach(command -> execute(machine, command));
   }
 
-  private void carryOut(InMemoryMachine machine, JsonNode command) {
+  private void execute(InMemoryMachine machine, JsonNode command) {
     long attempt = command.path(ProtocolField.ATTEMPT).asLong();
     switch (command.path(ProtocolField.COMMAND_TYPE).asText()) {
       case "run" -> {
--- a/src/main/java/plumlever/warmup/InMemoryStateService.java
+++ b/src/main/java/plumlever/warmup/InMemoryStateService.java
@@ -22,7 +22,7 @@
    */
   private record Event(long revision, String key, JsonNode value) {}
 
-  private static final long LONGEST_WAIT_MICROS = 300_000;
+  private static final long MAX_WAIT_MICROS = 300_000;
   private static final String TRANSACTION_PATH = "/txn";
   private static final String LEASES_PATH = "/grants";
   private static final String KEY_PATH = "/keys/";
@@ -57,7 +57,7 @@
       transact(Json.parseObject(body), reply);
     } else if (path.startsWith(LEASES_PATH)) {
       boolean creates = method.equals("POST") && path.equals(LEASES_PATH);
-      reply.send(HttpStatus.OK, creates ? newLease() : "{}");
+      reply.send(HttpStatus.OK, creates ? createLease() : "{}");
     } else if (path.startsWith(KEY_PATH)) {
       read(path.substring(KEY_PATH.length()), reply);
     } else if (path.startsWith(LIST_PATH)) {
@@ -76,7 +76,7 @@
     return to < 0 ? path.substring(from) : path.substring(from, to);
   }
 
-  private String newLease() {
+  private String createLease() {
     lastLeaseId++;
     return Json.write(Json.object().put(LEASE_ID, lastLeaseId));
   }
@@ -151,7 +151,7 @@
       }
     }
     if (found.isEmpty() && mayWait) {
-      loop.after(LONGEST_WAIT_MICROS, () -> watch(prefix, since, false, reply));
+      loop.after(MAX_WAIT_MICROS, () -> watch(prefix, since, false, reply));
     } else {
       reply.send(HttpStatus.OK, Json.write(answer));
     }
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -18,23 +18,23 @@
   private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
 
   /** The warm-up starts this long after the process, so that it does not delay the start-up. */
-  private static final long AFTER_MICROS = 4_000_000;
+  private static final long START_DELAY_MICROS = 4_000_000;
 
   private static final long SLICE_MICROS = 15_000;
-  private static final long PAUSE_MICROS = 30_000;
+  private static final long MIN_PAUSE_MICROS = 30_000;
   private static final long BUSY_PAUSE_MICROS = 500_000;
 
   /** The warm-up pauses while the event loop runs its tasks later than this. */
-  private static final long LATE_MICROS = 60_000;
+  private static final long MAX_LATENESS_MICROS = 60_000;
 
   private final Loop loop;
   private final LongSupplier latenessMicros;
   private final BooleanSupplier leads;
-  private final long beganMicros;
+  private final long createdMicros;
   private final PlatformConfiguration platform;
   private final SchedulerParameters parameters;
   private WarmUpTerms terms;
-  private boolean over;
+  private boolean finished;
 
   /**
    * @param latenessMicros recent lateness of the event loop
@@ -49,7 +49,7 @@
     this.loop = loop;
     this.latenessMicros = latenessMicros;
     this.leads = leads;
-    this.beganMicros = loop.nowMicros();
+    this.createdMicros = loop.nowMicros();
     this.platform = platform;
     this.parameters = parameters;
   }
@@ -66,10 +66,11 @@
   /** Runs one slice of the warm-up; returns the delay to the next slice, or -1 at the end. */
   public long run() {
     long start = loop.nowMicros();
-    if (over || leads.getAsBoolean()) {
-      return end();
+    if (finished || leads.getAsBoolean()) {
+      return finish();
     }
-    if (start - beganMicros < AFTER_MICROS || latenessMicros.getAsLong() > LATE_MICROS) {
+    if (start - createdMicros < START_DELAY_MICROS
+        || latenessMicros.getAsLong() > MAX_LATENESS_MICROS) {
       return BUSY_PAUSE_MICROS;
     }
     if (terms == null) {
@@ -80,14 +81,14 @@
       more = terms.step();
     }
     if (!more) {
-      LOG.info("warm-up finished after {} ms", (loop.nowMicros() - beganMicros) / 1_000);
-      return end();
+      LOG.info("warm-up finished after {} ms", (loop.nowMicros() - createdMicros) / 1_000);
+      return finish();
     }
-    return Math.max(PAUSE_MICROS, loop.nowMicros() - start);
+    return Math.max(MIN_PAUSE_MICROS, loop.nowMicros() - start);
   }
 
-  private long end() {
-    over = true;
+  private long finish() {
+    finished = true;
     terms = null;
     return -1;
   }
--- a/src/main/java/plumlever/warmup/WarmUpLoop.java
+++ b/src/main/java/plumlever/warmup/WarmUpLoop.java
@@ -10,12 +10,12 @@
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::seq));
-  private final long wallFromMicros;
+  private final long wallStartMicros;
   private long now;
   private long seq;
 
   WarmUpLoop(long wallFromMicros) {
-    this.wallFromMicros = wallFromMicros;
+    this.wallStartMicros = wallFromMicros;
   }
 
   /** Runs the next event that is due by the given time; returns false if there is none. */
@@ -37,7 +37,7 @@
 
   @Override
   public long wallMicros() {
-    return wallFromMicros + now;
+    return wallStartMicros + now;
   }
 
   @Override
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -46,7 +46,7 @@
 
   /** Returns the id of the machine with the given endpoint. */
   String machineAt(String endpoint) {
-    return machines.at(endpoint);
+    return machines.machineAt(endpoint);
   }
 
   /** Returns the machine's next heartbeat. */
@@ -56,7 +56,7 @@
 
   /** Executes the commands of a heartbeat response or a direct call on the machine. */
   public void command(String machine, String answer) {
-    machines.command(machine, answer);
+    machines.executeCommands(machine, answer);
   }
 
   /** Answers a request to the state service or the cloud. */
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -30,8 +30,8 @@
   private static final long HEARTBEAT_MICROS = 1_000_000;
   private static final long LATENCY_MICROS = 5_000;
   private static final long FIRST_JOB_MICROS = 500_000;
-  private static final long JOB_PAUSE_MICROS = 1_500_000;
-  private static final long POLL_PAUSE_MICROS = 2_000_000;
+  private static final long SUBMIT_INTERVAL_MICROS = 1_500_000;
+  private static final long POLL_INTERVAL_MICROS = 2_000_000;
   private static final Endpoint STATE = new Endpoint("state", 1);
   private static final Endpoint CLOUD = new Endpoint("cloud", 1);
 
@@ -41,7 +41,7 @@
   private static final String TEAM = "warm-up";
 
   /** Discards the responses to users. */
-  private static final Responder NO_USER = (status, json, retry) -> {};
+  private static final Responder DISCARD_RESPONSE = (status, json, retry) -> {};
 
   private final WarmUpLoop loop;
   private final WarmUpServices services;
@@ -110,7 +110,7 @@
       delay += stagger;
     }
     for (int job = 0; job < JOBS; job++) {
-      loop.after(FIRST_JOB_MICROS + job * JOB_PAUSE_MICROS, () -> submit(term));
+      loop.after(FIRST_JOB_MICROS + job * SUBMIT_INTERVAL_MICROS, () -> submit(term));
     }
     loop.after(TERM_MICROS / 2, () -> cancelJobBeforeLast(term));
   }
@@ -172,26 +172,26 @@
     submitted++;
     JobSpec job = WarmUpJobs.job(submitted, TEAM, priority);
     byte[] body = Json.write(job.toJson()).getBytes(StandardCharsets.UTF_8);
-    ask(term, "POST", ProtocolPath.SUBMISSIONS, body);
+    request(term, "POST", ProtocolPath.SUBMISSIONS, body);
     poll(term, job.uid());
   }
 
   private void poll(int term, String uid) {
     if (!isOver(term)) {
-      ask(term, "GET", ProtocolPath.SUBMISSIONS + "/" + uid, null);
-      loop.after(POLL_PAUSE_MICROS, () -> poll(term, uid));
+      request(term, "GET", ProtocolPath.SUBMISSIONS + "/" + uid, null);
+      loop.after(POLL_INTERVAL_MICROS, () -> poll(term, uid));
     }
   }
 
   private void cancelJobBeforeLast(int term) {
     String uid = WarmUpJobs.uid(submitted - 1);
     String path = ProtocolPath.SUBMISSIONS + "/" + uid + ProtocolPath.CANCEL_SUFFIX;
-    ask(term, "POST", path, null);
+    request(term, "POST", path, null);
   }
 
-  private void ask(int term, String method, String path, byte[] body) {
+  private void request(int term, String method, String path, byte[] body) {
     if (!isOver(term)) {
-      controller.router().handle(method, path, body, NO_USER);
+      controller.router().handle(method, path, body, DISCARD_RESPONSE);
     }
   }
 }
--- a/src/test/java/plumlever/sharing/PoolRecordsTest.java
+++ b/src/test/java/plumlever/sharing/PoolRecordsTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void ownersOfAWorstCaseRangeFitTheSmallestValue() throws Exception {
+  void worstCaseOwnerRecordFitsSmallestValueLimit() throws Exception {
     OwnerRecord record = OwnerRecord.EMPTY;
     for (int number = 0; number < 256; number++) {
       assertEquals(OwnerRecord.keyOf(name(0)), OwnerRecord.keyOf(name(number)));
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void namesOfOtherSeriesHaveOtherRecords() {
+  void differentSeriesUseDifferentRecords() {
     assertFalse(OwnerRecord.keyOf("i-000001").equals(OwnerRecord.keyOf("j-000001")));
     assertFalse(OwnerRecord.keyOf("i-1").equals(OwnerRecord.keyOf("i-000001")));
     assertEquals(new MachineId("rack~0", 0), MachineId.of("rack"));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aTransferGoesThroughItsStates() throws Exception {
+  void transferRecordStateTransitions() throws Exception {
     ForeignTask foreignTask = new ForeignTask(new TaskName("job-000001", 3), 77, 2, 0, 4);
     TransferRecord.Details machine =
         new TransferRecord.Details("i-000001", "10.0.0.1:9", "small", "a", true);
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void whatIsNotKnownIsRefused() {
+  void unknownFormatsAreRejected() {
     assertThrows(
         InvalidMessageException.class, () -> OwnerRecord.parse(Json.object().put("sets", 7)));
     assertThrows(
@@ -105,10 +105,10 @@
     assertEquals(Optional.empty(), view.holder("i-000001"));
     assertEquals(0, view.revisionOf(key), "precondition revision of an absent key");
     view.apply(key, OwnerRecord.EMPTY.with("i-000001", "c").toJson(), 14);
-    view.absent(key, 12);
+    view.markAbsent(key, 12);
     assertEquals(
         Optional.of("c"), view.holder("i-000001"), "the record was stored after the read was sent");
-    view.absent(key, 14);
+    view.markAbsent(key, 14);
     assertEquals(Optional.empty(), view.holder("i-000001"));
   }
 }
--- a/src/test/java/plumlever/sharing/SharePolicyTest.java
+++ b/src/test/java/plumlever/sharing/SharePolicyTest.java
@@ -29,7 +29,7 @@
   }
 
   /** Reference implementation: moves one machine at a time and recomputes all conditions. */
-  private static List<Move> plain(List<ShardState> shards, int most) {
+  private static List<Move> referencePlan(List<ShardState> shards, int most) {
     Map<String, ShardState> state = new HashMap<>();
     List<String> names = new ArrayList<>();
     shards.forEach(shard -> state.put(shard.name(), shard));
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void decidesLikeThePlainModelWhateverTheOrderOfShards() {
+  void matchesReferenceForAnyOrderOfShards() {
     SplittableRandom random = new SplittableRandom(7);
     int moving = 0;
     for (int round = 0; round < 3_000; round++) {
@@ -92,7 +92,7 @@
       }
       int most = 1 + random.nextInt(10);
       List<Move> planned = SharePolicy.plan(shards, most);
-      assertEquals(plain(shards, most), planned, shards.toString());
+      assertEquals(referencePlan(shards, most), planned, shards.toString());
       Collections.shuffle(shards, new Random(round));
       assertEquals(planned, SharePolicy.plan(shards, most), shards.toString());
       moving += planned.isEmpty() ? 0 : 1;
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void nobodyGoesBelowItsFloorOrGetsMoreThanItLacks() {
+  void noShardDropsBelowItsFloorOrReceivesMoreThanItWants() {
     SplittableRandom random = new SplittableRandom(8);
     for (int round = 0; round < 3_000; round++) {
       List<ShardState> shards =
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void coresAreNeededForWhatCannotFollowInTime() {
+  void coresNeededCountsTasksThatCannotRunSequentiallyInTime() {
     CoreDemand.Work urgent = new CoreDemand.Work("t", 10, 2, 30, 20);
     CoreDemand.Work relaxed = new CoreDemand.Work("t", 12, 1, 10, 49);
     assertEquals(20, CoreDemand.coresNeeded(List.of(urgent), Map.of()));
@@ -152,9 +152,9 @@
     assertEquals(parts.of("b").cores() - 10, moved.of("b").cores());
     assertEquals(parts.of("a").cores() + 10, moved.of("a").cores());
     assertEquals(
-        new LimitPolicy.Gift("c", 6),
-        LimitPolicy.gift(6.5, Map.of("a", 2.0, "c", 9.0)).orElseThrow());
-    assertTrue(LimitPolicy.gift(0.5, Map.of("a", 2.0)).isEmpty());
-    assertTrue(LimitPolicy.gift(8, Map.of()).isEmpty());
+        new LimitPolicy.CoreMove("c", 6),
+        LimitPolicy.plan(6.5, Map.of("a", 2.0, "c", 9.0)).orElseThrow());
+    assertTrue(LimitPolicy.plan(0.5, Map.of("a", 2.0)).isEmpty());
+    assertTrue(LimitPolicy.plan(8, Map.of()).isEmpty());
   }
 }
