--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -52,21 +52,21 @@
   }
 
   /** Submits a job of the given shape to the given controller. */
-  void submit(JobShape shape, Endpoint at) {
+  void submit(JobShape shape, Endpoint controller) {
     String uid = String.format("job-%06d", jobs.size() + 1);
     jobs.put(uid, ReportedState.SUBMITTED);
     tasks += shape.tasks();
     results.submitted(uid, shape.runMicros());
-    submit(uid, shape.toSubmission(uid), at);
+    submit(uid, shape.toSubmission(uid), controller);
   }
 
   private Endpoint randomController() {
     return controllers.get(random.nextInt(controllers.size()));
   }
 
-  private void submit(String uid, String body, Endpoint at) {
+  private void submit(String uid, String body, Endpoint controller) {
     caller.call(
-        at,
+        controller,
         "POST",
         "/submissions",
         body.getBytes(StandardCharsets.UTF_8),
@@ -79,7 +79,7 @@
             results.reportViolation(
                 uid + " was rejected: " + new String(answer, StandardCharsets.UTF_8));
           } else {
-            loop.after(RETRY_MICROS, () -> submit(uid, body, at));
+            loop.after(RETRY_MICROS, () -> submit(uid, body, controller));
           }
         });
   }
@@ -121,13 +121,13 @@
 
   /** Returns the jobs that no controller has reported as done to the user. */
   List<String> unfinishedJobs() {
-    List<String> open = new ArrayList<>();
+    List<String> unfinished = new ArrayList<>();
     jobs.forEach(
-        (uid, told) -> {
-          if (told != ReportedState.DONE) {
-            open.add(uid);
+        (uid, state) -> {
+          if (state != ReportedState.DONE) {
+            unfinished.add(uid);
           }
         });
-    return open;
+    return unfinished;
   }
 }
--- a/src/main/java/plumlever/drill/Query.java
+++ b/src/main/java/plumlever/drill/Query.java
@@ -20,8 +20,8 @@
     return parameters.getOrDefault(name, "");
   }
 
-  long number(String name, long otherwise) {
+  long number(String name, long defaultValue) {
     String text = text(name);
-    return text.isEmpty() ? otherwise : Long.parseLong(text);
+    return text.isEmpty() ? defaultValue : Long.parseLong(text);
   }
 }
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -366,22 +366,22 @@
   }
 
   private Outcome evaluate(boolean settled) {
-    List<String> wrong = new ArrayList<>(results.violations());
-    users.unfinishedJobs().forEach(uid -> wrong.add(uid + " is not done"));
+    List<String> failures = new ArrayList<>(results.violations());
+    users.unfinishedJobs().forEach(uid -> failures.add(uid + " is not done"));
     if (results.completedTasks() != users.submittedTasks()) {
-      wrong.add(results.completedTasks() + " results for " + users.submittedTasks() + " tasks");
+      failures.add(results.completedTasks() + " results for " + users.submittedTasks() + " tasks");
     }
     if (results.duplicateResults() > 0) {
-      wrong.add(results.duplicateResults() + " results were produced more than once");
+      failures.add(results.duplicateResults() + " results were produced more than once");
     }
     if (results.restartedTasks() > 0 && results.expiredLeases() == 0) {
-      wrong.add(results.restartedTasks() + " tasks were restarted although no lease expired");
+      failures.add(results.restartedTasks() + " tasks were restarted although no lease expired");
     }
     if (transfers.count() < plan.minTransfers()) {
-      wrong.add(transfers.count() + " transfers, " + plan.minTransfers() + " are required");
+      failures.add(transfers.count() + " transfers, " + plan.minTransfers() + " are required");
     }
     if (!settled) {
-      wrong.add("transfers are not settled: " + state.under("pool/transfers/").keySet());
+      failures.add("transfers are not settled: " + state.under("pool/transfers/").keySet());
     }
     List<String> lines = new ArrayList<>();
     lines.add("seed " + plan.seed() + ", " + plan.seconds() + " s of load, logs in " + directory);
@@ -420,7 +420,7 @@
             + cloud.returned()
             + " machines returned");
     lines.addAll(events);
-    wrong.forEach(reason -> lines.add("failed: " + reason));
-    return new Outcome(wrong.isEmpty(), lines);
+    failures.forEach(reason -> lines.add("failed: " + reason));
+    return new Outcome(failures.isEmpty(), lines);
   }
 }
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -70,14 +70,14 @@
   private boolean removed;
 
   WorkerEmulator(
-      Environment environment, String machine, String zone, String endpoint, int firstNode) {
+      Environment environment, String machine, String zone, String endpoint, int firstController) {
     this.environment = environment;
     this.loop = environment.loop();
     this.machine = machine;
     this.zone = zone;
     this.endpoint = endpoint;
-    this.controllerIndex = firstNode;
-    this.controller = environment.controllers().get(firstNode);
+    this.controllerIndex = firstController;
+    this.controller = environment.controllers().get(firstController);
     this.leaseFromMicros = loop.nowMicros();
     schedule(0);
     loop.after(LEASE_CHECK_MICROS, this::checkLease);
@@ -174,12 +174,12 @@
   private void handleResponse(byte[] body, long sentMicros, long sentIncarnation) {
     try {
       ObjectNode answer = Json.parseObject(body);
-      long given = answer.path("baton").asLong();
-      if (sentIncarnation != incarnation || given < token) {
+      long receivedToken = answer.path("baton").asLong();
+      if (sentIncarnation != incarnation || receivedToken < token) {
         return;
       }
-      changed |= given > token;
-      token = given;
+      changed |= receivedToken > token;
+      token = receivedToken;
       leaseFromMicros = Math.max(leaseFromMicros, sentMicros);
       WorkerCommand.parseAnswer(body).forEach(this::execute);
     } catch (InvalidMessageException e) {
@@ -194,13 +194,13 @@
     if (path.equals("/orders") && method.equals("POST")) {
       try {
         ObjectNode request = Json.parseObject(body);
-        long given = request.path("baton").asLong();
-        if (given < token || request.path("tenure").asLong() != incarnation) {
+        long receivedToken = request.path("baton").asLong();
+        if (receivedToken < token || request.path("tenure").asLong() != incarnation) {
           out.send(HttpStatus.CONFLICT, new String(heartbeatBody(), StandardCharsets.UTF_8));
           return;
         }
-        if (given > token) {
-          token = given;
+        if (receivedToken > token) {
+          token = receivedToken;
           noteChange();
         }
         WorkerCommand.parseAnswer(body).forEach(this::execute);
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -94,12 +94,12 @@
   }
 
   private boolean isDead(SharingSettings.Shard shard) {
-    long patience =
+    long minLeaderlessMicros =
         Math.max(
             sharing.adoptAfterMicros(),
             2 * context.platform().workers().leaseMicros() + LEASE_EXPIRY_MARGIN_MICROS);
     long since = leaderlessSince.getOrDefault(shard.name(), Long.MAX_VALUE);
-    return since != Long.MAX_VALUE && now() - since > patience;
+    return since != Long.MAX_VALUE && now() - since > minLeaderlessMicros;
   }
 
   private void adopt(ListedMachine listedMachine, SharingSettings.Shard dead) {
@@ -112,9 +112,9 @@
           }
           TransferRecord before =
               steps.record(machine).orElseGet(() -> initialRecord(listedMachine, dead));
-          String leadership = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
+          String leaderKey = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
           return Optional.of(
-              buildTransaction(before.withoutTasksOf(dead.name())).require(leadership, 0));
+              buildTransaction(before.withoutTasksOf(dead.name())).require(leaderKey, 0));
         },
         () -> {
           if (view.holder(machine).equals(Optional.of(sharing.ownShard().name()))) {
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -98,7 +98,7 @@
               knownMicros = sent;
               jobsToRead.addAll(watched);
               Set.copyOf(jobsToRead).forEach(this::readJob);
-              watch();
+              pollWatch();
             });
   }
 
@@ -123,7 +123,7 @@
             });
   }
 
-  private void watch() {
+  private void pollWatch() {
     if (closed) {
       return;
     }
@@ -147,7 +147,7 @@
                 log.debug("watch on {} missed changes, rereading all watched jobs", prefix);
                 readStoreRevision();
               } else if (response.status() != HttpStatus.OK) {
-                context.loop().after(RETRY_MICROS, this::watch);
+                context.loop().after(RETRY_MICROS, this::pollWatch);
               } else {
                 storeRevision = Math.max(storeRevision, response.storeRevision());
                 knownMicros = sent;
@@ -157,7 +157,7 @@
                     ended.add(uid);
                   }
                 }
-                watch();
+                pollWatch();
               }
             });
   }
--- a/src/main/java/plumlever/leader/pool/ForeignTasks.java
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -228,10 +228,10 @@
       String originatingShard,
       TasksOfShard foreignTasks,
       Heartbeat heartbeat,
-      boolean lapsed) {
+      boolean leaseExpired) {
     long now = context.loop().nowMicros();
     foreignTasks.lastHeartbeat = heartbeat;
-    foreignTasks.leaseExpired = lapsed;
+    foreignTasks.leaseExpired = leaseExpired;
     Optional<Endpoint> leader = leaderOf(originatingShard);
     if (closed
         || foreignTasks.callInFlight
@@ -251,8 +251,8 @@
             sharing.ownShard().name(),
             originatingShard,
             machineForeignTasks.machine.tokens().term(),
-            lapsed,
-            RelayedHeartbeat.withAttempts(heartbeat, lapsed ? List.of() : attempts));
+            leaseExpired,
+            RelayedHeartbeat.withAttempts(heartbeat, leaseExpired ? List.of() : attempts));
     context
         .caller()
         .call(
@@ -264,7 +264,7 @@
             (status, body) -> {
               foreignTasks.callInFlight = false;
               if (!closed && status == HttpStatus.OK) {
-                foreignTasks.expiryRelayed = lapsed;
+                foreignTasks.expiryRelayed = leaseExpired;
                 storeCommands(machineForeignTasks, foreignTasks, body);
               }
             });
@@ -331,14 +331,16 @@
       return List.of();
     }
     List<WorkerCommand> commands = new ArrayList<>();
-    boolean current = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
+    boolean ofCurrentTerm = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       WorkerCommand command = machineForeignTasks.commands.get(reported.attempt());
-      boolean over = reported.state() == AttemptState.ENDED;
-      if (!over && jobHasEnded(machineForeignTasks, reported)) {
+      boolean ended = reported.state() == AttemptState.ENDED;
+      if (!ended && jobHasEnded(machineForeignTasks, reported)) {
         commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
       } else if (command != null
-          && (command.type() == WorkerCommand.CommandType.REMOVE ? over && current : !over)) {
+          && (command.type() == WorkerCommand.CommandType.REMOVE
+              ? ended && ofCurrentTerm
+              : !ended)) {
         commands.add(command);
       }
     }
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -143,13 +143,13 @@
           .map(byTeam -> byTeam.get(team.name()))
           .ifPresent(cores -> wanted.put(shard.name(), cores));
     }
-    LimitPolicy.plan(spare, wanted).ifPresent(gift -> moveSpareCores(team, gift));
+    LimitPolicy.plan(spare, wanted).ifPresent(move -> moveSpareCores(team, move));
   }
 
-  private void moveSpareCores(PlatformConfiguration.Team team, LimitPolicy.CoreMove gift) {
-    coresBeingMoved.put(team.name(), gift.cores());
+  private void moveSpareCores(PlatformConfiguration.Team team, LimitPolicy.CoreMove move) {
+    coresBeingMoved.put(team.name(), move.cores());
     String key = LimitParts.keyOf(team.name());
-    long seen = view.revisionOf(key);
+    long knownRevision = view.revisionOf(key);
     writer.submit(
         new PoolWriter.Step() {
           @Override
@@ -157,8 +157,8 @@
             // A changed revision means that this transaction was applied or can never be applied:
             // sending the move again could move the cores twice.
             return view.limit(team.name())
-                .filter(parts -> view.revisionOf(key) == seen)
-                .map(parts -> parts.moved(ownShard, gift.to(), gift.cores(), 0))
+                .filter(parts -> view.revisionOf(key) == knownRevision)
+                .map(parts -> parts.moved(ownShard, move.to(), move.cores(), 0))
                 .map(parts -> transaction().put(key, parts.toJson()));
           }
 
@@ -167,7 +167,7 @@
             coresBeingMoved.remove(team.name());
             context.metrics().count("limit_parts_given");
             log.debug(
-                "moved {} cores of team {} to shard {}", gift.cores(), team.name(), gift.to());
+                "moved {} cores of team {} to shard {}", move.cores(), team.name(), move.to());
           }
         });
   }
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -121,14 +121,15 @@
    * scheduling pass could not place, or for all jobs to meet their deadlines, whichever is more.
    */
   private int machineShortage() {
-    Map<String, Double> limitOf = new HashMap<>();
+    Map<String, Double> limitByTeam = new HashMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
       if (team.maxCores() > 0) {
-        limitOf.put(team.name(), team.maxCores());
+        limitByTeam.put(team.name(), team.maxCores());
       }
     }
-    double late = CoreDemand.coresNeeded(pass.remainingWork(), limitOf) - coresOwned();
-    double cores = Math.max(pass.waitingCores(), late);
+    double missedDeadlineCores =
+        CoreDemand.coresNeeded(pass.remainingWork(), limitByTeam) - coresOwned();
+    double cores = Math.max(pass.waitingCores(), missedDeadlineCores);
     return (int) Math.min(sharing.maxMachines(), Math.ceil(Math.max(0, cores) / averageCores()));
   }
 
@@ -185,8 +186,8 @@
   }
 
   private void offer(ShardDemand demand) {
-    int free = sharing.maxTransfers() - transfers.openOffers();
-    if (free <= 0) {
+    int remainingOffers = sharing.maxTransfers() - transfers.openOffers();
+    if (remainingOffers <= 0) {
       return;
     }
     List<SharePolicy.ShardState> shards = new ArrayList<>();
@@ -202,8 +203,8 @@
       stateOf(shard).ifPresent(shards::add);
     }
     for (SharePolicy.Move move : SharePolicy.plan(shards, sharing.maxTransfers())) {
-      if (move.from().equals(ownShard) && free > 0) {
-        free -= offerMachines(move.to(), Math.min(free, move.machines()));
+      if (move.from().equals(ownShard) && remainingOffers > 0) {
+        remainingOffers -= offerMachines(move.to(), Math.min(remainingOffers, move.machines()));
       }
     }
   }
@@ -213,11 +214,11 @@
    * if the shard has no leader or a different sharing file.
    */
   private Optional<SharePolicy.ShardState> stateOf(SharingSettings.Shard shard) {
-    Optional<ShardDemand> said = view.demand(shard.name());
-    if (said.isEmpty() || view.leader(shard.name()).isEmpty()) {
+    Optional<ShardDemand> published = view.demand(shard.name());
+    if (published.isEmpty() || view.leader(shard.name()).isEmpty()) {
       return Optional.empty();
     }
-    ShardDemand demand = said.get();
+    ShardDemand demand = published.get();
     if (!demand.digest().equals(sharing.digest())) {
       if (!digestsDiffer) {
         digestsDiffer = true;
@@ -226,9 +227,9 @@
       return Optional.empty();
     }
     long revision = view.revisionOf(ShardDemand.keyOf(shard.name()));
-    OfferedMachines before = offersSinceDemand.get(shard.name());
-    int already = before != null && before.revision() == revision ? before.machines() : 0;
-    int wanted = Math.max(0, demand.wanted() - already - transfers.offeredTo(shard.name()));
+    OfferedMachines earlier = offersSinceDemand.get(shard.name());
+    int alreadyOffered = earlier != null && earlier.revision() == revision ? earlier.machines() : 0;
+    int wanted = Math.max(0, demand.wanted() - alreadyOffered - transfers.offeredTo(shard.name()));
     return Optional.of(
         new SharePolicy.ShardState(
             shard.name(),
@@ -239,7 +240,7 @@
             wanted));
   }
 
-  private int offerMachines(String to, int most) {
+  private int offerMachines(String to, int maxOffers) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       if (transfers.canOffer(machine) && !pass.hasPlan(machine)) {
@@ -251,13 +252,13 @@
             .thenComparingLong(pass::expectedIdleMicros)
             .thenComparing(Machine::id));
     int count = 0;
-    Set<Machine> without = new HashSet<>(pass.cordoned());
+    Set<Machine> excluded = new HashSet<>(pass.cordoned());
     for (Machine machine : candidates) {
-      if (count == most) {
+      if (count == maxOffers) {
         break;
       }
-      without.add(machine);
-      if (!pass.servesWaitingWithout(without)) {
+      excluded.add(machine);
+      if (!pass.servesWaitingWithout(excluded)) {
         break;
       }
       transfers.offer(machine, to);
@@ -265,9 +266,10 @@
     }
     if (count > 0) {
       long revision = view.revisionOf(ShardDemand.keyOf(to));
-      OfferedMachines before = offersSinceDemand.get(to);
-      int already = before != null && before.revision() == revision ? before.machines() : 0;
-      offersSinceDemand.put(to, new OfferedMachines(revision, already + count));
+      OfferedMachines earlier = offersSinceDemand.get(to);
+      int alreadyOffered =
+          earlier != null && earlier.revision() == revision ? earlier.machines() : 0;
+      offersSinceDemand.put(to, new OfferedMachines(revision, alreadyOffered + count));
     }
     return count;
   }
@@ -301,15 +303,15 @@
 
   /** Returns the machines that other shards have offered to this shard. */
   List<RentalPlan.RentalOption> incomingMachines() {
-    List<RentalPlan.RentalOption> kinds = new ArrayList<>();
+    List<RentalPlan.RentalOption> options = new ArrayList<>();
     for (PoolView.Versioned<TransferRecord> versioned : view.transfers().values()) {
       TransferRecord record = versioned.value();
       if (record.offer().filter(offer -> offer.to().equals(ownShard)).isPresent()) {
         TransferRecord.Details details = record.machine();
-        kinds.add(
+        options.add(
             new RentalPlan.RentalOption(details.machineType(), details.zone(), details.spot()));
       }
     }
-    return kinds;
+    return options;
   }
 }
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -320,13 +320,13 @@
 
   /** Removes this shard from the transfer record once none of its tasks can be on the machine. */
   private void removeOwnShardIfSettled(Machine machine) {
-    boolean nothingThere =
+    boolean withoutOwnTasks =
         machinesWithoutOwnTasks.contains(machine.id())
             || steps
                 .record(machine.id())
                 .filter(record -> record.tasksByShard().getOrDefault(ownShard, List.of()).isEmpty())
                 .isPresent();
-    if (nothingThere && machine.load().hasNoAttempts()) {
+    if (withoutOwnTasks && machine.load().hasNoAttempts()) {
       removeOwnShardFromRecord(machine.id());
     }
   }
@@ -340,10 +340,10 @@
                 .filter(record -> record.hasTasksOf(ownShard))
                 .map(record -> steps.replaceRecord(machine, record.withoutTasksOf(ownShard))),
         () -> {
-          Machine reconcileElsewhere = fleet.transferredMachine(machine);
-          if (reconcileElsewhere != null
+          Machine transferred = fleet.transferredMachine(machine);
+          if (transferred != null
               && steps.record(machine).filter(record -> record.hasTasksOf(ownShard)).isEmpty()) {
-            fleet.removeTransferred(reconcileElsewhere);
+            fleet.removeTransferred(transferred);
             machinesWithoutOwnTasks.remove(machine);
           }
         });
--- a/src/main/java/plumlever/leader/pool/OfferAcceptance.java
+++ b/src/main/java/plumlever/leader/pool/OfferAcceptance.java
@@ -106,11 +106,13 @@
         offered.stream()
             .filter(record -> record.offer().orElseThrow().termRevision() == termRevision)
             .toList();
-    String giver = sharing.shard(offered.get(0).owner()).prefix();
+    String ownerPrefix = sharing.shard(offered.get(0).owner()).prefix();
     TransferSteps.Acquisition built = steps.buildAcquisition(ofOneTerm);
     recordsBeingTaken = built.records();
     return Optional.of(
-        built.transaction().require(KeySpace.absolute(giver, LeaderElection.TERM), termRevision));
+        built
+            .transaction()
+            .require(KeySpace.absolute(ownerPrefix, LeaderElection.TERM), termRevision));
   }
 
   /**
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -92,9 +92,9 @@
                   new PoolWriter.Step() {
                     @Override
                     public Optional<PoolTransaction> build() {
-                      List<String> free =
+                      List<String> unowned =
                           group.stream().filter(name -> view.holder(name).isEmpty()).toList();
-                      return buildChange(free, ownShard);
+                      return buildChange(unowned, ownShard);
                     }
 
                     @Override
@@ -121,24 +121,24 @@
       recorded.run();
       return;
     }
-    int[] open = {groups.size()};
+    int[] pendingGroups = {groups.size()};
     for (List<String> group : groups.values()) {
       retiring.addAll(group);
       writer.submit(
           new PoolWriter.Step() {
             @Override
             public Optional<PoolTransaction> build() {
-              List<String> mine =
+              List<String> owned =
                   group.stream()
                       .filter(name -> view.holder(name).equals(Optional.of(ownShard)))
                       .toList();
-              return buildChange(mine, retiredHolder(ownShard));
+              return buildChange(owned, retiredHolder(ownShard));
             }
 
             @Override
             public void finished() {
               retiring.removeAll(group);
-              if (--open[0] == 0) {
+              if (--pendingGroups[0] == 0) {
                 recorded.run();
               }
             }
@@ -185,12 +185,12 @@
           return Optional.empty();
         }
         String key = TransferRecord.keyOf(machine);
-        TransferRecord recordGone = record.get().withoutTasksOf(ownShard).gone();
+        TransferRecord goneRecord = record.get().withoutTasksOf(ownShard).gone();
         PoolTransaction transaction = new PoolTransaction(view, context.term().requireTerm());
         return Optional.of(
-            recordGone.isSettled()
+            goneRecord.isSettled()
                 ? transaction.delete(key)
-                : transaction.put(key, recordGone.toJson()));
+                : transaction.put(key, goneRecord.toJson()));
       }
 
       @Override
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -256,26 +256,26 @@
     Optional<TransferRecord> record =
         poolRecordsRead ? view.transfer(id).map(PoolView.Versioned::value) : Optional.empty();
     Machine machine = poolRecordsRead ? fleet.transferredMachine(id) : null;
-    boolean fits =
+    boolean recordMatches =
         record.isPresent()
             && record.get().hasTasksOf(sharing.ownShard().name())
             && record.get().owner().equals(relayed.from())
             && relayed.number() >= record.get().number();
-    if (machine == null || !fits || !context.term().mayAct()) {
+    if (machine == null || !recordMatches || !context.term().mayAct()) {
       out.retryLater(HttpStatus.UNAVAILABLE, "tasks on this machine are not known here now", 1);
       return;
     }
     machine.tokens().startTerm(relayed.number());
-    boolean news;
+    boolean applied;
     if (relayed.lapsed()) {
       heartbeats.endAllAttempts(machine);
-      news = true;
+      applied = true;
     } else {
-      news =
+      applied =
           heartbeats.applyRelayed(machine, relayed.heartbeat())
               == HeartbeatHandler.Freshness.LATEST;
     }
-    if (news && relayed.heartbeat().attempts().isEmpty()) {
+    if (applied && relayed.heartbeat().attempts().isEmpty()) {
       transfers.ownTasksGone(machine);
     }
     List<WorkerCommand> commands =
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -116,13 +116,13 @@
     read(keys, 0, () -> run(step));
   }
 
-  private void read(List<String> keys, int index, Runnable then) {
+  private void read(List<String> keys, int index, Runnable next) {
     if (closed) {
       return;
     }
     if (index == keys.size()) {
       onChange.run();
-      then.run();
+      next.run();
       return;
     }
     String key = keys.get(index);
@@ -140,12 +140,12 @@
                 link.apply(
                     new StateClient.KeyEvent(
                         key, Optional.of(result.item().data()), result.item().revision()));
-                read(keys, index + 1, then);
+                read(keys, index + 1, next);
               } else if (result.missing()) {
                 link.markAbsent(key, revisionBefore);
-                read(keys, index + 1, then);
+                read(keys, index + 1, next);
               } else {
-                context.loop().after(RETRY_MICROS, () -> read(keys, index, then));
+                context.loop().after(RETRY_MICROS, () -> read(keys, index, next));
               }
             });
   }
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -91,15 +91,15 @@
     PoolTransaction transaction =
         transaction().put(PoolView.COUNTER, Json.object().put("term", number));
     int bytes = 0;
-    List<TransferRecord> all = new ArrayList<>();
+    List<TransferRecord> included = new ArrayList<>();
     for (TransferRecord record : records) {
       TransferRecord taken = record.taken(ownShard, number);
       ObjectNode json = taken.toJson();
       bytes += Json.write(json).length();
-      if (bytes > MAX_RECORD_BYTES && !all.isEmpty()) {
+      if (bytes > MAX_RECORD_BYTES && !included.isEmpty()) {
         break;
       }
-      all.add(taken);
+      included.add(taken);
       String machine = record.machine().id();
       owners = owners.with(machine, ownShard);
       if (taken.isSettled()) {
@@ -108,7 +108,7 @@
         transaction.put(TransferRecord.keyOf(machine), json);
       }
     }
-    return new Acquisition(transaction.put(OwnerRecord.keyOf(first), owners.toJson()), all);
+    return new Acquisition(transaction.put(OwnerRecord.keyOf(first), owners.toJson()), included);
   }
 
   /**
@@ -127,7 +127,7 @@
       return false;
     }
     inProgress.addAll(machines);
-    boolean taken =
+    boolean queued =
         writer.submit(
             new PoolWriter.Step() {
               @Override
@@ -141,9 +141,9 @@
                 finished.run();
               }
             });
-    if (!taken) {
+    if (!queued) {
       machines.forEach(inProgress::remove);
     }
-    return taken;
+    return queued;
   }
 }
--- a/src/main/java/plumlever/sharing/CoreDemand.java
+++ b/src/main/java/plumlever/sharing/CoreDemand.java
@@ -28,8 +28,8 @@
   public static double coresNeeded(List<Work> works, Map<String, Double> limits) {
     Map<String, Double> byTeam = new HashMap<>();
     for (Work work : works) {
-      long inARow = Math.max(1, work.leftMicros() / Math.max(1, work.runMicros()));
-      byTeam.merge(work.team(), work.tasks() * work.cores() / inARow, Double::sum);
+      long sequentialRuns = Math.max(1, work.leftMicros() / Math.max(1, work.runMicros()));
+      byTeam.merge(work.team(), work.tasks() * work.cores() / sequentialRuns, Double::sum);
     }
     double needed = 0;
     for (Map.Entry<String, Double> entry : byTeam.entrySet()) {
--- a/src/main/java/plumlever/sharing/SharePolicy.java
+++ b/src/main/java/plumlever/sharing/SharePolicy.java
@@ -74,23 +74,23 @@
   /**
    * Returns the moves that are due now.
    *
-   * @param most largest number of machines in one move
+   * @param maxPerMove largest number of machines in one move
    */
-  public static List<Move> plan(List<ShardState> shards, int most) {
-    List<ShardBalance> open = new ArrayList<>();
+  public static List<Move> plan(List<ShardState> shards, int maxPerMove) {
+    List<ShardBalance> balances = new ArrayList<>();
     shards.stream()
         .sorted(Comparator.comparing(ShardState::name))
-        .forEach(shard -> open.add(new ShardBalance(shard, shards)));
-    List<ShardBalance> takers = new ArrayList<>(open);
+        .forEach(shard -> balances.add(new ShardBalance(shard, shards)));
+    List<ShardBalance> takers = new ArrayList<>(balances);
     takers.sort(
         Comparator.comparingDouble(ShardBalance::shareDeficit)
             .reversed()
             .thenComparing(taker -> taker.shard.name()));
     List<Move> moves = new ArrayList<>();
     for (ShardBalance taker : takers) {
-      for (ShardBalance giver : open) {
+      for (ShardBalance giver : balances) {
         if (giver != taker) {
-          int count = moveMachines(giver, taker, most);
+          int count = moveMachines(giver, taker, maxPerMove);
           if (count > 0) {
             moves.add(new Move(giver.shard.name(), taker.shard.name(), count));
           }
@@ -100,9 +100,9 @@
     return moves;
   }
 
-  private static int moveMachines(ShardBalance giver, ShardBalance taker, int most) {
+  private static int moveMachines(ShardBalance giver, ShardBalance taker, int maxPerMove) {
     int count = 0;
-    while (count < most && taker.wanted > 0) {
+    while (count < maxPerMove && taker.wanted > 0) {
       if (giver.canGiveIdle()) {
         giver.idle--;
       } else if (!(taker.machines < taker.share && giver.canGiveUsed())) {
--- a/src/main/java/plumlever/warmup/WarmUpLoop.java
+++ b/src/main/java/plumlever/warmup/WarmUpLoop.java
@@ -42,17 +42,17 @@
 
   @Override
   public Timer after(long delayMicros, Runnable action) {
-    boolean[] off = new boolean[1];
+    boolean[] cancelled = new boolean[1];
     events.add(
         new Event(
             now + Math.max(0, delayMicros),
             seq++,
             () -> {
-              if (!off[0]) {
+              if (!cancelled[0]) {
                 action.run();
               }
             }));
-    return () -> off[0] = true;
+    return () -> cancelled[0] = true;
   }
 
   @Override
