--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -102,7 +102,7 @@
   private final List<String> events = new ArrayList<>();
   private DrillUsers users;
   private long loadStartMicros;
-  private long nextSubmitMicros;
+  private long nextSubmissionMicros;
   private long nextTransferMicros;
   private long nextFailureMicros;
   private long requestsBefore;
@@ -244,8 +244,8 @@
         finishIfSettled(now);
         return;
       }
-      if (now >= nextSubmitMicros) {
-        nextSubmitMicros = now + SUBMIT_INTERVAL_MICROS;
+      if (now >= nextSubmissionMicros) {
+        nextSubmissionMicros = now + SUBMIT_INTERVAL_MICROS;
         submit(now);
       }
       if (now >= nextTransferMicros) {
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -117,7 +117,7 @@
     timer = loop.after(Math.max(0, delayMicros), this::heartbeat);
   }
 
-  private void noteChange() {
+  private void reportSoon() {
     changed = true;
     if (!heartbeatInFlight) {
       schedule(lastSentMicros + MIN_HEARTBEAT_INTERVAL_MICROS - loop.nowMicros());
@@ -201,7 +201,7 @@
         }
         if (receivedToken > token) {
           token = receivedToken;
-          noteChange();
+          reportSoon();
         }
         WorkerCommand.parseAnswer(body).forEach(this::execute);
       } catch (InvalidMessageException e) {
@@ -246,7 +246,7 @@
     } else {
       loop.after(FETCH_MICROS, () -> startRunning(task));
     }
-    noteChange();
+    reportSoon();
   }
 
   private boolean isInState(Task task, AttemptState status) {
@@ -258,7 +258,7 @@
       task.status = AttemptState.RUNNING;
       long runMicros = environment.results().started(task.name, machine);
       loop.after(runMicros, () -> complete(task));
-      noteChange();
+      reportSoon();
     }
   }
 
@@ -273,7 +273,7 @@
     task.status = AttemptState.ENDED;
     task.cause = cause;
     environment.results().taskRemoved(task.name, machine);
-    noteChange();
+    reportSoon();
   }
 
   private byte[] heartbeatBody() {
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -29,7 +29,7 @@
   private final Logger log;
   private final TermContext context;
   private final SharingSettings sharing;
-  private final PoolRecordWatch link;
+  private final PoolRecordWatch recordWatch;
   private final PoolView view;
   private final TransferSteps steps;
   private final Consumer<TransferRecord> onAdopted;
@@ -45,15 +45,15 @@
   DeadShardAdoption(
       TermContext context,
       SharingSettings sharing,
-      PoolRecordWatch link,
+      PoolRecordWatch recordWatch,
       TransferSteps steps,
       Consumer<TransferRecord> adopted) {
     this.onAdopted = adopted;
     this.context = context;
     this.log = context.logs().of(DeadShardAdoption.class);
     this.sharing = sharing;
-    this.link = link;
-    this.view = link.view();
+    this.recordWatch = recordWatch;
+    this.view = recordWatch.view();
     this.steps = steps;
   }
 
@@ -83,7 +83,7 @@
 
   /** Updates since when each shard has had no leader; a stale view restarts the count. */
   void watchLeaders() {
-    boolean fresh = now() - link.knownMicros() < MAX_VIEW_AGE_MICROS;
+    boolean fresh = now() - recordWatch.knownMicros() < MAX_VIEW_AGE_MICROS;
     for (SharingSettings.Shard shard : sharing.otherShards()) {
       if (!fresh || view.leader(shard.name()).isPresent()) {
         leaderlessSince.remove(shard.name());
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -73,9 +73,9 @@
   Map<String, Double> coresWanted() {
     Map<String, Double> wanted = new TreeMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
-      double lacking = coresNeeded(team) - limit(team).cores();
-      if (team.maxCores() > 0 && lacking > 0) {
-        wanted.put(team.name(), Math.ceil(lacking));
+      double missingCores = coresNeeded(team) - limit(team).cores();
+      if (team.maxCores() > 0 && missingCores > 0) {
+        wanted.put(team.name(), Math.ceil(missingCores));
       }
     }
     return wanted;
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -313,7 +313,7 @@
   }
 
   /** Handles a heartbeat, relayed by the machine's owner, that lists no task of this shard. */
-  void ownTasksGone(Machine machine) {
+  void noOwnTasksReported(Machine machine) {
     machinesWithoutOwnTasks.add(machine.id());
     removeOwnShardIfSettled(machine);
   }
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -46,7 +46,7 @@
   private final HeartbeatHandler heartbeats;
   private final Runnable onChange;
   private final Scope scope = new Scope();
-  private final PoolRecordWatch link;
+  private final PoolRecordWatch recordWatch;
   private final PoolView view;
   private final PoolWriter writer;
   private final OwnerClaims claims;
@@ -76,9 +76,9 @@
     this.registry = registry;
     this.heartbeats = heartbeats;
     this.onChange = changed;
-    this.link = new PoolRecordWatch(context, this::recordsChanged);
-    this.view = link.view();
-    this.writer = new PoolWriter(context, link, this::recordsChanged);
+    this.recordWatch = new PoolRecordWatch(context, this::recordsChanged);
+    this.view = recordWatch.view();
+    this.writer = new PoolWriter(context, recordWatch, this::recordsChanged);
     this.claims = new OwnerClaims(context, sharing, view, writer);
     this.foreignTasks = new ForeignTasks(context, sharing, view);
     TransferSteps steps = new TransferSteps(context, sharing.ownShard().name(), view, writer);
@@ -96,7 +96,7 @@
             foreignTasks,
             failover,
             commands::sendToken);
-    this.adoption = new DeadShardAdoption(context, sharing, link, steps, transfers::acquire);
+    this.adoption = new DeadShardAdoption(context, sharing, recordWatch, steps, transfers::acquire);
     this.limitSharing = new LimitSharing(context, sharing, jobs, failover, view, writer);
     this.balancer =
         new MachineShareBalancer(
@@ -110,7 +110,7 @@
 
   @Override
   public void poolRecordsRead(StateClient.Listing pool, long askedMicros) {
-    link.load(pool, askedMicros);
+    recordWatch.load(pool, askedMicros);
     poolRecordsRead = true;
     List<String> unclaimed = new ArrayList<>();
     for (Machine machine : List.copyOf(fleet.machines())) {
@@ -130,7 +130,7 @@
           unclaimed, claimed -> log.info("claimed machine {}, found in own records", claimed));
     }
     scope.own(writer::close);
-    scope.own(link::close);
+    scope.own(recordWatch::close);
     scope.own(foreignTasks::close);
     scope.own(new RecurringTask("sharing", context.loop(), this::run)).start();
   }
@@ -201,7 +201,8 @@
       return true;
     }
     boolean viewIsOld =
-        context.loop().nowMicros() - link.knownMicros() > MachineTransfers.MAX_VIEW_AGE_MICROS;
+        context.loop().nowMicros() - recordWatch.knownMicros()
+            > MachineTransfers.MAX_VIEW_AGE_MICROS;
     if (machine != null && machine.transferring() && viewIsOld) {
       out.retryLater(HttpStatus.UNAVAILABLE, "the machine may have another owner by now", 1);
       return true;
@@ -210,8 +211,8 @@
   }
 
   @Override
-  public void claimRented(List<String> machines, Consumer<String> own) {
-    claims.claim(machines, own);
+  public void claimRented(List<String> machines, Consumer<String> claimed) {
+    claims.claim(machines, claimed);
   }
 
   @Override
@@ -276,7 +277,7 @@
               == HeartbeatHandler.Freshness.LATEST;
     }
     if (applied && relayed.heartbeat().attempts().isEmpty()) {
-      transfers.ownTasksGone(machine);
+      transfers.noOwnTasksReported(machine);
     }
     List<WorkerCommand> commands =
         relayed.lapsed()
--- a/src/main/java/plumlever/leader/pool/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/pool/PoolTransaction.java
@@ -15,8 +15,8 @@
 final class PoolTransaction {
   private final PoolView view;
   private final Transaction transaction;
-  private final Set<String> required = new LinkedHashSet<>();
-  private final Map<String, JsonNode> changes = new LinkedHashMap<>();
+  private final Set<String> requiredKeys = new LinkedHashSet<>();
+  private final Map<String, JsonNode> changedValues = new LinkedHashMap<>();
 
   /**
    * @param base transaction that already requires the sender's leadership
@@ -27,7 +27,7 @@
   }
 
   PoolTransaction require(String key) {
-    if (required.add(key)) {
+    if (requiredKeys.add(key)) {
       transaction.require(key, view.revisionOf(key));
     }
     return this;
@@ -41,26 +41,26 @@
 
   PoolTransaction put(String key, JsonNode data) {
     require(key);
-    changes.put(key, data);
+    changedValues.put(key, data);
     transaction.put(key, data);
     return this;
   }
 
   PoolTransaction delete(String key) {
     require(key);
-    changes.put(key, null);
+    changedValues.put(key, null);
     transaction.delete(key);
     return this;
   }
 
   /** Returns the changed values by key; null for a deleted key. */
-  Map<String, JsonNode> changes() {
-    return changes;
+  Map<String, JsonNode> changedValues() {
+    return changedValues;
   }
 
   /** Returns the keys of the pool's records that have a precondition. */
-  Set<String> required() {
-    return required;
+  Set<String> requiredKeys() {
+    return requiredKeys;
   }
 
   Transaction transaction() {
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -29,16 +29,16 @@
 
   private final Logger log;
   private final TermContext context;
-  private final PoolRecordWatch link;
+  private final PoolRecordWatch recordWatch;
   private final Runnable onChange;
   private final ArrayDeque<Step> queue = new ArrayDeque<>();
   private boolean stepInProgress;
   private boolean closed;
 
-  PoolWriter(TermContext context, PoolRecordWatch link, Runnable changed) {
+  PoolWriter(TermContext context, PoolRecordWatch recordWatch, Runnable changed) {
     this.context = context;
     this.log = context.logs().of(PoolWriter.class);
-    this.link = link;
+    this.recordWatch = recordWatch;
     this.onChange = changed;
   }
 
@@ -57,7 +57,7 @@
       return;
     }
     stepInProgress = true;
-    run(queue.poll());
+    execute(queue.poll());
   }
 
   private void finish(Step step) {
@@ -66,14 +66,14 @@
     runNext();
   }
 
-  private void run(Step step) {
+  private void execute(Step step) {
     if (closed) {
       return;
     }
     if (!context.term().mayAct()) {
       // This leader may not act now. If the term is over, no step is started any more: the next
       // leader continues from the stored records, whose state shows the remaining work.
-      context.loop().after(RETRY_MICROS, () -> run(step));
+      context.loop().after(RETRY_MICROS, () -> execute(step));
       return;
     }
     Optional<PoolTransaction> built = step.build();
@@ -94,16 +94,16 @@
               switch (result.outcome()) {
                 case APPLIED -> {
                   transaction
-                      .changes()
+                      .changedValues()
                       .forEach(
                           (key, data) ->
-                              link.apply(
+                              recordWatch.apply(
                                   new StateClient.KeyEvent(
                                       key, Optional.ofNullable(data), result.revision())));
                   finish(step);
                   onChange.run();
                 }
-                case REFUSED -> context.loop().after(RETRY_MICROS, () -> run(step));
+                case REFUSED -> context.loop().after(RETRY_MICROS, () -> execute(step));
                 default -> reread(step, transaction, result.outcome());
               }
             });
@@ -112,8 +112,8 @@
   /** Rereads the records that the transaction depends on, to find out whether it was applied. */
   private void reread(Step step, PoolTransaction transaction, Transaction.Outcome outcome) {
     log.debug("transaction on pool records ended as {}, rereading its preconditions", outcome);
-    List<String> keys = new ArrayList<>(transaction.required());
-    read(keys, 0, () -> run(step));
+    List<String> keys = new ArrayList<>(transaction.requiredKeys());
+    read(keys, 0, () -> execute(step));
   }
 
   private void read(List<String> keys, int index, Runnable next) {
@@ -126,7 +126,7 @@
       return;
     }
     String key = keys.get(index);
-    long revisionBefore = link.view().revisionOf(key);
+    long revisionBefore = recordWatch.view().revisionOf(key);
     context
         .store()
         .get(
@@ -137,12 +137,12 @@
                 return;
               }
               if (result.found()) {
-                link.apply(
+                recordWatch.apply(
                     new StateClient.KeyEvent(
                         key, Optional.of(result.item().data()), result.item().revision()));
                 read(keys, index + 1, next);
               } else if (result.missing()) {
-                link.markAbsent(key, revisionBefore);
+                recordWatch.markAbsent(key, revisionBefore);
                 read(keys, index + 1, next);
               } else {
                 context.loop().after(RETRY_MICROS, () -> read(keys, index, next));
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -59,7 +59,7 @@
     WarmUpTerms terms = new WarmUpTerms(platform, parameters, 0);
     boolean more = true;
     while (more) {
-      more = terms.step();
+      more = terms.runNextEvent();
     }
   }
 
@@ -78,7 +78,7 @@
     }
     boolean more = true;
     while (more && loop.nowMicros() - start < SLICE_MICROS) {
-      more = terms.step();
+      more = terms.runNextEvent();
     }
     if (!more) {
       LOG.info("warm-up finished after {} ms", (loop.nowMicros() - createdMicros) / 1_000);
--- a/src/main/java/plumlever/warmup/WarmUpLoop.java
+++ b/src/main/java/plumlever/warmup/WarmUpLoop.java
@@ -19,7 +19,7 @@
   }
 
   /** Runs the next event that is due by the given time; returns false if there is none. */
-  boolean step(long untilMicros) {
+  boolean runNextEvent(long untilMicros) {
     Event event = events.peek();
     if (event == null || event.at > untilMicros) {
       return false;
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -74,14 +74,14 @@
   }
 
   /** Runs the next event. Returns false once both terms are over. */
-  boolean step() {
+  boolean runNextEvent() {
     if (controller == null) {
       if (terms == TERMS) {
         return false;
       }
       startTerm();
     }
-    if (!loop.step(termEndsMicros)) {
+    if (!loop.runNextEvent(termEndsMicros)) {
       // The machines and jobs of this term remain for the failover at the start of the next term.
       controller.close();
       controller = null;
@@ -115,7 +115,7 @@
     loop.after(TERM_MICROS / 2, () -> cancelJobBeforeLast(term));
   }
 
-  private boolean isOver(int term) {
+  private boolean hasEnded(int term) {
     return term != terms || controller == null;
   }
 
@@ -125,7 +125,7 @@
         loop.after(
             LATENCY_MICROS,
             () -> {
-              if (isOver(term)) {
+              if (hasEnded(term)) {
                 return;
               }
               if (path.equals(ProtocolPath.COMMANDS)) {
@@ -150,7 +150,7 @@
   }
 
   private void heartbeat(int term, String machineId) {
-    if (isOver(term)) {
+    if (hasEnded(term)) {
       return;
     }
     controller
@@ -177,7 +177,7 @@
   }
 
   private void poll(int term, String uid) {
-    if (!isOver(term)) {
+    if (!hasEnded(term)) {
       request(term, "GET", ProtocolPath.SUBMISSIONS + "/" + uid, null);
       loop.after(POLL_INTERVAL_MICROS, () -> poll(term, uid));
     }
@@ -190,7 +190,7 @@
   }
 
   private void request(int term, String method, String path, byte[] body) {
-    if (!isOver(term)) {
+    if (!hasEnded(term)) {
       controller.router().handle(method, path, body, DISCARD_RESPONSE);
     }
   }
