--- a/src/main/java/plumlever/drill/DrillFiles.java
+++ b/src/main/java/plumlever/drill/DrillFiles.java
@@ -7,7 +7,7 @@
 final class DrillFiles {
   private static final double MICROS_PER_S = 1e6;
 
-  /** The floors of all shards together are this fraction (1/4) of the machines. */
+  /** The floors of all shards add up to the number of machines divided by this. */
   private static final int FLOOR_DIVISOR = 4;
 
   private static final String PLATFORM =
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -15,9 +15,9 @@
 import plumlever.wire.ListedMachine;
 
 /**
- * Adopts the machines of shards that have had no leader for a long time. Without a leader the
- * machines' leases have expired, so the workers have killed all tasks on them. The jobs stay with
- * the dead shard and continue when one of its controllers is back.
+ * Adopts the machines of shards that have had no leader for a long time. No leader has renewed the
+ * machines' leases in that time, so the workers have killed all tasks of the dead shard. Its jobs
+ * stay with the dead shard and continue when one of its controllers is back.
  */
 final class DeadShardAdoption {
   /** Added to the lease time: covers clock drift and the time that a response is in transit. */
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -51,7 +51,10 @@
     this.writer = writer;
   }
 
-  /** Returns this shard's part of the team's limit; 0 for a resource without a limit. */
+  /**
+   * Returns this shard's part of the team's limit without the cores that are being moved away; 0
+   * for a resource without a limit.
+   */
   LimitParts.Part limit(PlatformConfiguration.Team team) {
     if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
       return LimitParts.Part.NONE;
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -40,7 +40,7 @@
 
   /**
    * The owner answers heartbeats of an offered machine only while its view of the pool is at most
-   * this old. This limits how long a former owner may renew the lease after the transfer.
+   * this old. A new owner thus knows how long the former owner may have renewed the lease.
    */
   static final long MAX_VIEW_AGE_MICROS = 5_000_000;
 
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -34,7 +34,7 @@
 import plumlever.wire.RelayedHeartbeat;
 import plumlever.wire.WorkerCommand;
 
-/** Shares machines and team limits with the other shards of a pool, for one term of a leader. */
+/** Shares machines and team limits with the other shards of a pool during one term of a leader. */
 public final class PoolSharing implements MachineSharing {
   private static final long RUN_INTERVAL_MICROS = 500_000;
 
