--- a/src/main/java/plumlever/drill/CloudEmulator.java
+++ b/src/main/java/plumlever/drill/CloudEmulator.java
@@ -10,9 +10,12 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** A cloud by its protocol that has no more machines than those that are up. */
+/**
+ * Emulates the cloud by its protocol. All machines are rented from the start, and further rentals
+ * are refused for lack of capacity.
+ */
 final class CloudEmulator {
-  /** The only type of machine. */
+  /** The only machine type. */
   static final String TYPE = "plain-4";
 
   private static final String CATALOG =
@@ -22,7 +25,7 @@
       """;
 
   private static final double AGE_S = 600;
-  private static final int MOST_MACHINES = 500;
+  private static final int MAX_PAGE_SIZE = 500;
 
   private record RentedMachine(String endpoint, String zone) {}
 
@@ -31,7 +34,7 @@
   private int returned;
 
   /**
-   * @param onReturn told of each machine that is returned
+   * @param onReturn called with each machine that is returned
    */
   CloudEmulator(Consumer<String> onReturn) {
     this.onReturn = onReturn;
@@ -41,7 +44,7 @@
     machinesById.put(machine, new RentedMachine(endpoint, zone));
   }
 
-  /** Machines that were returned. */
+  /** Returns the number of returned machines. */
   int returned() {
     return returned;
   }
@@ -54,13 +57,13 @@
     } else if (target.equals("/hosts")) {
       out.send(HttpStatus.UNAVAILABLE, "{\"error\":\"no capacity\"}");
     } else if (target.equals("/hosts/return")) {
-      giveBack(body, out);
+      handleReturn(body, out);
     } else {
       out.error(HttpStatus.NOT_FOUND, "no such path");
     }
   }
 
-  private void giveBack(byte[] body, Responder out) {
+  private void handleReturn(byte[] body, Responder out) {
     try {
       for (JsonNode machine : Json.parseObject(body).path("hosts")) {
         if (machinesById.remove(machine.asText()) != null) {
@@ -79,7 +82,7 @@
     ArrayNode listed = answer.putArray("hosts");
     boolean more = false;
     for (var entry : machinesById.tailMap(query.text("since"), false).entrySet()) {
-      more = listed.size() == query.number("page", MOST_MACHINES);
+      more = listed.size() == query.number("page", MAX_PAGE_SIZE);
       if (more) {
         break;
       }
--- a/src/main/java/plumlever/drill/ControllerProcess.java
+++ b/src/main/java/plumlever/drill/ControllerProcess.java
@@ -7,24 +7,24 @@
 import java.util.concurrent.TimeUnit;
 import plumlever.settings.Endpoint;
 
-/** One controller as a process of its own, which can be killed, paused and started again. */
+/** A controller in a separate process that can be killed, paused and restarted. */
 final class ControllerProcess {
   private static final String MAIN = "plumlever.cli.Main";
-  private static final long END_S = 5;
+  private static final long EXIT_TIMEOUT_S = 5;
 
   private final String label;
-  private final Endpoint users;
-  private final Endpoint peers;
+  private final Endpoint userEndpoint;
+  private final Endpoint peerEndpoint;
   private final Path directory;
   private Process process;
 
   /**
-   * @param directory holds its settings, and gets its log
+   * @param directory directory of the settings files and the log file
    */
   ControllerProcess(String label, Endpoint users, Endpoint peers, Path directory) {
     this.label = label;
-    this.users = users;
-    this.peers = peers;
+    this.userEndpoint = users;
+    this.peerEndpoint = peers;
     this.directory = directory;
   }
 
@@ -32,12 +32,12 @@
     return label;
   }
 
-  Endpoint users() {
-    return users;
+  Endpoint userEndpoint() {
+    return userEndpoint;
   }
 
-  Endpoint peers() {
-    return peers;
+  Endpoint peerEndpoint() {
+    return peerEndpoint;
   }
 
   Path platformFile() {
@@ -72,21 +72,21 @@
     process = builder.start();
   }
 
-  boolean runs() {
+  boolean isAlive() {
     return process != null && process.isAlive();
   }
 
-  /** Ends it without a signal that it could act on. */
+  /** Kills the process with a signal that it can't handle (SIGKILL). */
   void kill() {
     process.destroyForcibly();
   }
 
-  /** It stands still while its clocks run on. */
+  /** Pauses the process (SIGSTOP); its clocks keep running. */
   void pause() throws IOException {
     signal("-STOP");
   }
 
-  void goOn() throws IOException {
+  void resume() throws IOException {
     signal("-CONT");
   }
 
@@ -94,11 +94,11 @@
     new ProcessBuilder("kill", signal, Long.toString(process.pid())).start();
   }
 
-  /** Ends it for good. */
-  void end() throws InterruptedException {
+  /** Kills the process and waits for its end. */
+  void terminate() throws InterruptedException {
     if (process != null) {
       process.destroyForcibly();
-      process.waitFor(END_S, TimeUnit.SECONDS);
+      process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
     }
   }
 }
--- a/src/main/java/plumlever/drill/DrillFiles.java
+++ b/src/main/java/plumlever/drill/DrillFiles.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The settings files of a drill's controllers. */
+/** Generates the settings files of a drill's controllers. */
 final class DrillFiles {
   private static final double MICROS_PER_S = 1e6;
 
-  /** One in so many machines belongs to a floor. */
-  private static final int FLOOR_PART = 4;
+  /** The floors of all shards add up to the number of machines divided by this. */
+  private static final int FLOOR_DIVISOR = 4;
 
   private static final String PLATFORM =
       """
@@ -60,7 +60,7 @@
             .map(
                 other ->
                     "[[seeds]]\nlabel = \"%s\"\narea = \"a\"\nendpoint = \"%s\"\n"
-                        .formatted(other.label(), other.peers()))
+                        .formatted(other.label(), other.peerEndpoint()))
             .collect(Collectors.joining());
     String teams =
         shapes.stream()
@@ -80,8 +80,8 @@
             .collect(Collectors.joining());
     return PLATFORM.formatted(
         controller.label(),
-        controller.users(),
-        controller.peers(),
+        controller.userEndpoint(),
+        controller.peerEndpoint(),
         seeds,
         cloudPort,
         statePort,
@@ -91,9 +91,9 @@
         leaseMicros / MICROS_PER_S);
   }
 
-  /** One shard for each controller; machines are never returned for being idle. */
+  /** Returns a sharing file with one shard per controller that never returns idle machines. */
   static String sharing(List<String> shards, List<ControllerProcess> controllers, int machines) {
-    int floor = machines / (FLOOR_PART * shards.size());
+    int floor = machines / (FLOOR_DIVISOR * shards.size());
     StringBuilder text =
         new StringBuilder("idle_speed_s: 1000000\nsharing:\n  machines: " + machines + "\n");
     text.append("  cells:\n");
--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -13,15 +13,18 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** Users who submit at one controller, repeat until accepted, and ask at any until it is done. */
+/**
+ * Emulates the users of a drill. Each job is submitted to one controller until that accepts the
+ * job, then random controllers are polled until the job is done.
+ */
 final class DrillUsers {
   private static final long RETRY_MICROS = 1_000_000;
   private static final long POLL_MICROS = 2_000_000;
   private static final long SUBMIT_TIMEOUT_MICROS = 5_000_000;
   private static final long POLL_TIMEOUT_MICROS = 2_000_000;
 
-  /** How a job stands, as its user was told. */
-  private enum Told {
+  /** The last state of a job that a controller has reported to the user. */
+  private enum ReportedState {
     SUBMITTED,
     ACCEPTED,
     DONE
@@ -32,7 +35,7 @@
   private final List<Endpoint> controllers;
   private final TaskResults results;
   private final SplittableRandom random;
-  private final Map<String, Told> jobs = new LinkedHashMap<>();
+  private final Map<String, ReportedState> jobs = new LinkedHashMap<>();
   private int tasks;
 
   DrillUsers(
@@ -48,51 +51,52 @@
     this.random = random;
   }
 
-  /** A job of that shape, first submitted at that controller. */
-  void submit(JobShape shape, Endpoint at) {
+  /** Submits a job of the given shape to the given controller. */
+  void submit(JobShape shape, Endpoint controller) {
     String uid = String.format("job-%06d", jobs.size() + 1);
-    jobs.put(uid, Told.SUBMITTED);
+    jobs.put(uid, ReportedState.SUBMITTED);
     tasks += shape.tasks();
     results.submitted(uid, shape.runMicros());
-    submit(uid, shape.text(uid), at);
+    submit(uid, shape.toSubmission(uid), controller);
   }
 
-  private Endpoint any() {
+  private Endpoint randomController() {
     return controllers.get(random.nextInt(controllers.size()));
   }
 
-  private void submit(String uid, String body, Endpoint at) {
+  private void submit(String uid, String body, Endpoint controller) {
     caller.call(
-        at,
+        controller,
         "POST",
         "/submissions",
         body.getBytes(StandardCharsets.UTF_8),
         SUBMIT_TIMEOUT_MICROS,
         (status, answer) -> {
           if (status == HttpStatus.CREATED || status == HttpStatus.OK) {
-            jobs.put(uid, Told.ACCEPTED);
+            jobs.put(uid, ReportedState.ACCEPTED);
             loop.after(POLL_MICROS, () -> poll(uid));
           } else if (status == HttpStatus.BAD_REQUEST || status == HttpStatus.UNPROCESSABLE) {
-            results.broke(uid + " was refused: " + new String(answer, StandardCharsets.UTF_8));
+            results.reportViolation(
+                uid + " was rejected: " + new String(answer, StandardCharsets.UTF_8));
           } else {
-            loop.after(RETRY_MICROS, () -> submit(uid, body, at));
+            loop.after(RETRY_MICROS, () -> submit(uid, body, controller));
           }
         });
   }
 
   private void poll(String uid) {
     caller.call(
-        any(),
+        randomController(),
         "GET",
         "/submissions/" + uid,
         null,
         POLL_TIMEOUT_MICROS,
         (status, answer) -> {
           if (status == HttpStatus.NOT_FOUND) {
-            results.broke(uid + " was accepted and is unknown");
+            results.reportViolation(uid + " was accepted but a controller does not know the job");
           }
           if (status == HttpStatus.OK && statusOf(answer).equals("done")) {
-            jobs.put(uid, Told.DONE);
+            jobs.put(uid, ReportedState.DONE);
           } else {
             loop.after(POLL_MICROS, () -> poll(uid));
           }
@@ -115,15 +119,15 @@
     return tasks;
   }
 
-  /** Jobs whose users have not been told that they are done. */
-  List<String> open() {
-    List<String> open = new ArrayList<>();
+  /** Returns the jobs that no controller has reported as done to the user. */
+  List<String> unfinishedJobs() {
+    List<String> unfinished = new ArrayList<>();
     jobs.forEach(
-        (uid, told) -> {
-          if (told != Told.DONE) {
-            open.add(uid);
+        (uid, state) -> {
+          if (state != ReportedState.DONE) {
+            unfinished.add(uid);
           }
         });
-    return open;
+    return unfinished;
   }
 }
--- a/src/main/java/plumlever/drill/Query.java
+++ b/src/main/java/plumlever/drill/Query.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The parameters of a request's target. */
+/** The query parameters of a request target. */
 record Query(Map<String, String> parameters) {
   static Query of(String target) {
     Map<String, String> parameters = new HashMap<>();
@@ -20,8 +20,8 @@
     return parameters.getOrDefault(name, "");
   }
 
-  long number(String name, long otherwise) {
+  long number(String name, long defaultValue) {
     String text = text(name);
-    return text.isEmpty() ? otherwise : Long.parseLong(text);
+    return text.isEmpty() ? defaultValue : Long.parseLong(text);
   }
 }
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -15,42 +15,45 @@
 import plumlever.wire.ListedMachine;
 
 /**
- * Adopts the machines of shards that have had no leader for long. Nobody has renewed their leases
- * meanwhile, so none of that shard's tasks is on them any more; its jobs stay where they are and go
- * on when one of its controllers is back.
+ * Adopts the machines of shards that have had no leader for a long time. No leader has renewed the
+ * machines' leases in that time, so the workers have killed all tasks of the dead shard. Its jobs
+ * stay with the dead shard and continue when one of its controllers is back.
  */
 final class DeadShardAdoption {
-  /** Beyond leases: the drift of clocks, and the time that an answer is under way. */
-  private static final long LAPSE_SLACK_MICROS = 10_000_000;
+  /** Added to the lease time: covers clock drift and the time that a response is in transit. */
+  private static final long LEASE_EXPIRY_MARGIN_MICROS = 10_000_000;
 
-  /** What is known of leaders counts only while it is not older. */
-  private static final long FRESH_MICROS = 5_000_000;
+  /** A shard counts as leaderless only while this leader's view of the pool is at most this old. */
+  private static final long MAX_VIEW_AGE_MICROS = 5_000_000;
 
   private final Logger log;
   private final TermContext context;
   private final SharingSettings sharing;
-  private final PoolLink link;
+  private final PoolRecordWatch recordWatch;
   private final PoolView view;
   private final TransferSteps steps;
-  private final Consumer<TransferRecord> adopted;
+  private final Consumer<TransferRecord> onAdopted;
 
-  /** What the step under way makes of its machine; steps come one after the other. */
-  private TransferRecord taking;
+  /**
+   * Record that the transaction in flight stores for its machine. One field is enough because
+   * transactions run one at a time.
+   */
+  private TransferRecord recordBeingTaken;
 
   private final Map<String, Long> leaderlessSince = new HashMap<>();
 
   DeadShardAdoption(
       TermContext context,
       SharingSettings sharing,
-      PoolLink link,
+      PoolRecordWatch recordWatch,
       TransferSteps steps,
       Consumer<TransferRecord> adopted) {
-    this.adopted = adopted;
+    this.onAdopted = adopted;
     this.context = context;
     this.log = context.logs().of(DeadShardAdoption.class);
     this.sharing = sharing;
-    this.link = link;
-    this.view = link.view();
+    this.recordWatch = recordWatch;
+    this.view = recordWatch.view();
     this.steps = steps;
   }
 
@@ -59,14 +62,14 @@
   }
 
   /**
-   * The cloud lists a machine of another shard. If that has had no leader for long, all leases
-   * there have lapsed, and the machine is adopted.
+   * Adopts a machine that the cloud lists and that another shard owns, if that shard has had no
+   * leader for so long that all its leases have expired.
    */
-  void listed(ListedMachine listedMachine) {
+  void machineListed(ListedMachine listedMachine) {
     Optional<String> holder = view.holder(listedMachine.id());
     if (holder.isEmpty()
         || listedMachine.endpoint() == null
-        || steps.isUnderWay(listedMachine.id())) {
+        || steps.isInProgress(listedMachine.id())) {
       return;
     }
     Optional<SharingSettings.Shard> shard =
@@ -78,9 +81,9 @@
     }
   }
 
-  /** Watches which shards have a leader; only what is fresh counts. */
+  /** Updates since when each shard has had no leader; a stale view restarts the count. */
   void watchLeaders() {
-    boolean fresh = now() - link.knownMicros() < FRESH_MICROS;
+    boolean fresh = now() - recordWatch.knownMicros() < MAX_VIEW_AGE_MICROS;
     for (SharingSettings.Shard shard : sharing.otherShards()) {
       if (!fresh || view.leader(shard.name()).isPresent()) {
         leaderlessSince.remove(shard.name());
@@ -91,12 +94,12 @@
   }
 
   private boolean isDead(SharingSettings.Shard shard) {
-    long patience =
+    long minLeaderlessMicros =
         Math.max(
             sharing.adoptAfterMicros(),
-            2 * context.platform().workers().leaseMicros() + LAPSE_SLACK_MICROS);
+            2 * context.platform().workers().leaseMicros() + LEASE_EXPIRY_MARGIN_MICROS);
     long since = leaderlessSince.getOrDefault(shard.name(), Long.MAX_VALUE);
-    return since != Long.MAX_VALUE && now() - since > patience;
+    return since != Long.MAX_VALUE && now() - since > minLeaderlessMicros;
   }
 
   private void adopt(ListedMachine listedMachine, SharingSettings.Shard dead) {
@@ -108,25 +111,27 @@
             return Optional.empty();
           }
           TransferRecord before =
-              steps.record(machine).orElseGet(() -> unmoved(listedMachine, dead));
-          String leadership = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
-          return Optional.of(taken(before.withoutTasksOf(dead.name())).require(leadership, 0));
+              steps.record(machine).orElseGet(() -> initialRecord(listedMachine, dead));
+          String leaderKey = KeySpace.absolute(dead.prefix(), LeaderElection.LEADER);
+          return Optional.of(
+              buildTransaction(before.withoutTasksOf(dead.name())).require(leaderKey, 0));
         },
         () -> {
           if (view.holder(machine).equals(Optional.of(sharing.ownShard().name()))) {
-            adopted.accept(taking);
-            log.warn("{} is adopted, {} has had no leader for long", machine, dead.name());
+            onAdopted.accept(recordBeingTaken);
+            log.warn("adopted machine {}: shard {} has no leader", machine, dead.name());
           }
         });
   }
 
-  private PoolTransaction taken(TransferRecord before) {
-    TransferSteps.Taking built = steps.take(List.of(before));
-    taking = built.taken().get(0);
+  private PoolTransaction buildTransaction(TransferRecord before) {
+    TransferSteps.Acquisition built = steps.buildAcquisition(List.of(before));
+    recordBeingTaken = built.records().get(0);
     return built.transaction();
   }
 
-  private static TransferRecord unmoved(ListedMachine listedMachine, SharingSettings.Shard owner) {
+  private static TransferRecord initialRecord(
+      ListedMachine listedMachine, SharingSettings.Shard owner) {
     return new TransferRecord(
         TransferRecord.State.TAKEN,
         new TransferRecord.Details(
--- a/src/main/java/plumlever/leader/pool/ForeignTasks.java
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -29,29 +29,28 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Tasks of other shards on this shard's machines. Their originating shard alone decides about them:
- * what the machine tells of them is passed on to it, and what it answers is carried out with the
- * next answer to the machine. While the originating shard is silent they run on, and their ends
- * stay with the worker.
+ * Foreign tasks: tasks of other shards on this shard's machines. Only the originating shard decides
+ * about its tasks. This leader relays the machine's heartbeats to the originating shard, and sends
+ * the commands from the response to the machine with its next heartbeat response. While the
+ * originating shard does not answer, its tasks keep running and the worker keeps the ended attempts
+ * in its heartbeats.
  */
 final class ForeignTasks {
-  /** Where controllers take what is passed on to them. */
-  static final String PATH = "/relay";
+  /** Path at which a controller accepts relayed heartbeats. */
+  static final String RELAY_PATH = "/relay";
 
-  private static final long TIMEOUT_MICROS = 2_000_000;
-  private static final long LEAST_PAUSE_MICROS = 900_000;
+  private static final long RELAY_TIMEOUT_MICROS = 2_000_000;
+  private static final long MIN_RELAY_INTERVAL_MICROS = 900_000;
 
   /** The foreign tasks of one originating shard on one machine. */
   private static final class TasksOfShard {
-    /**
-     * All attempts that the originating shard may have on the machine, also those that are over.
-     */
+    /** All attempts that the originating shard may have on the machine, including ended ones. */
     private final Map<Long, ForeignTask> tasks = new LinkedHashMap<>();
 
     private boolean callInFlight;
-    private long calledMicros = Long.MIN_VALUE / 4;
+    private long lastRelayMicros = Long.MIN_VALUE / 4;
     private Heartbeat lastHeartbeat;
-    private boolean lapsed;
+    private boolean leaseExpired;
     private boolean expiryRelayed;
   }
 
@@ -83,8 +82,8 @@
   }
 
   /**
-   * The record of a machine of this shard: originating shards come with a transfer and leave when
-   * settled.
+   * Applies the transfer record of a machine that this shard owns. Originating shards are added by
+   * a transfer and removed once they have settled their tasks.
    */
   void update(Machine machine, TransferRecord record) {
     MachineForeignTasks machineForeignTasks =
@@ -108,7 +107,7 @@
     }
   }
 
-  /** The machine has no foreign tasks any more, or is not this shard's. */
+  /** Forgets the machine: it holds no foreign tasks any more, or this shard does not own it. */
   void remove(Machine machine) {
     if (foreignTasksByMachine.remove(machine.id()) != null) {
       machine.load().setForeignTasks(ForeignLoad.NONE);
@@ -148,8 +147,8 @@
             .anyMatch(foreignTasks -> foreignTasks.tasks.containsKey(attempt));
   }
 
-  /** A heartbeat of the machine was taken in. */
-  void reported(Machine machine, Heartbeat heartbeat) {
+  /** Updates the foreign tasks from a heartbeat of the machine and relays the heartbeat. */
+  void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
     if (machineForeignTasks == null) {
       return;
@@ -163,7 +162,8 @@
       }
     }
     if (machine.tokens().isOfSameTerm(heartbeat.fencingToken())) {
-      // What a former owner ordered can't come any more: what is not on the machine is over.
+      // The machine has seen this term's fencing token, so it rejects commands of former owners:
+      // an attempt that the heartbeat does not list can't appear later.
       machineForeignTasks
           .byShard
           .values()
@@ -185,7 +185,7 @@
     double memoryGb = 0;
     for (TasksOfShard foreignTasks : machineForeignTasks.byShard.values()) {
       for (ForeignTask task : foreignTasks.tasks.values()) {
-        if (!foreignTasks.lapsed && !machineForeignTasks.ended.contains(task.attempt())) {
+        if (!foreignTasks.leaseExpired && !machineForeignTasks.ended.contains(task.attempt())) {
           count++;
           cores += task.cores();
           accelerators += task.accelerators();
@@ -200,17 +200,17 @@
   }
 
   /**
-   * The machine's lease has surely lapsed, so its tasks are dead: their originating shards are
-   * told.
+   * Tells the originating shards that the machine's lease has expired: the worker has killed all of
+   * its tasks.
    */
-  void lapsed(Machine machine) {
+  void leaseExpired(Machine machine) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
     if (machineForeignTasks == null) {
       return;
     }
     machineForeignTasks.byShard.forEach(
         (originatingShard, foreignTasks) -> {
-          foreignTasks.lapsed = true;
+          foreignTasks.leaseExpired = true;
           if (foreignTasks.lastHeartbeat != null && !foreignTasks.expiryRelayed) {
             relay(
                 machineForeignTasks,
@@ -228,20 +228,20 @@
       String originatingShard,
       TasksOfShard foreignTasks,
       Heartbeat heartbeat,
-      boolean lapsed) {
+      boolean leaseExpired) {
     long now = context.loop().nowMicros();
     foreignTasks.lastHeartbeat = heartbeat;
-    foreignTasks.lapsed = lapsed;
+    foreignTasks.leaseExpired = leaseExpired;
     Optional<Endpoint> leader = leaderOf(originatingShard);
     if (closed
         || foreignTasks.callInFlight
         || leader.isEmpty()
-        || now - foreignTasks.calledMicros < LEAST_PAUSE_MICROS
+        || now - foreignTasks.lastRelayMicros < MIN_RELAY_INTERVAL_MICROS
         || !context.term().mayAct()) {
       return;
     }
     foreignTasks.callInFlight = true;
-    foreignTasks.calledMicros = now;
+    foreignTasks.lastRelayMicros = now;
     List<Heartbeat.AttemptStatus> attempts =
         heartbeat.attempts().stream()
             .filter(reported -> foreignTasks.tasks.containsKey(reported.attempt()))
@@ -251,21 +251,21 @@
             sharing.ownShard().name(),
             originatingShard,
             machineForeignTasks.machine.tokens().term(),
-            lapsed,
-            RelayedHeartbeat.withAttempts(heartbeat, lapsed ? List.of() : attempts));
+            leaseExpired,
+            RelayedHeartbeat.withAttempts(heartbeat, leaseExpired ? List.of() : attempts));
     context
         .caller()
         .call(
             leader.get(),
             "POST",
-            PATH,
+            RELAY_PATH,
             message.write(),
-            TIMEOUT_MICROS,
+            RELAY_TIMEOUT_MICROS,
             (status, body) -> {
               foreignTasks.callInFlight = false;
               if (!closed && status == HttpStatus.OK) {
-                foreignTasks.expiryRelayed = lapsed;
-                takeCommands(machineForeignTasks, foreignTasks, body);
+                foreignTasks.expiryRelayed = leaseExpired;
+                storeCommands(machineForeignTasks, foreignTasks, body);
               }
             });
   }
@@ -280,7 +280,7 @@
         .map(PlatformConfiguration.PeerController::endpoint);
   }
 
-  private void takeCommands(
+  private void storeCommands(
       MachineForeignTasks machineForeignTasks, TasksOfShard foreignTasks, byte[] body) {
     try {
       for (WorkerCommand command : WorkerCommand.parseAnswer(body)) {
@@ -291,15 +291,16 @@
       }
     } catch (InvalidMessageException e) {
       log.warn(
-          "a home's answer can't be read: {}: {}",
+          "unreadable response of an originating shard to a relayed heartbeat: {}: {}",
           new String(body, StandardCharsets.UTF_8),
           e.getMessage());
     }
   }
 
   /**
-   * What is known of the jobs whose tasks may be on the machine. Until it shows this owner's token,
-   * that is all that the originating shards handed over, whatever its heartbeat list.
+   * Returns what is known about the jobs whose foreign tasks may be on the machine. Until the
+   * machine reports a fencing token of this owner, all tasks from the transfer record count, even
+   * those that the heartbeats do not list.
    */
   ForeignTaskEvidence evidence(Machine machine) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
@@ -320,21 +321,26 @@
     return new ForeignTaskEvidence(anyRunning, knownMicros);
   }
 
-  /** What the originating shards want, and stops of jobs whose end is on record. */
+  /**
+   * Returns the commands for the machine's foreign tasks: those that the originating shards sent,
+   * and a stop for each running task whose job has ended according to the state service.
+   */
   List<WorkerCommand> commands(Machine machine, Heartbeat heartbeat) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
     if (machineForeignTasks == null) {
       return List.of();
     }
     List<WorkerCommand> commands = new ArrayList<>();
-    boolean current = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
+    boolean ofCurrentTerm = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       WorkerCommand command = machineForeignTasks.commands.get(reported.attempt());
-      boolean over = reported.state() == AttemptState.ENDED;
-      if (!over && jobHasEnded(machineForeignTasks, reported)) {
+      boolean ended = reported.state() == AttemptState.ENDED;
+      if (!ended && jobHasEnded(machineForeignTasks, reported)) {
         commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
       } else if (command != null
-          && (command.type() == WorkerCommand.CommandType.REMOVE ? over && current : !over)) {
+          && (command.type() == WorkerCommand.CommandType.REMOVE
+              ? ended && ofCurrentTerm
+              : !ended)) {
         commands.add(command);
       }
     }
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -17,21 +17,22 @@
 import plumlever.sharing.ShardDemand;
 
 /**
- * Holds this shard's part of each team's limit, and gives away what of it nothing uses. A part that
- * is being given counts as given from before the transaction is sent until its outcome is known.
+ * Manages this shard's part of each team's limit and moves unused cores of the part to shards that
+ * need them. Cores that are being moved are subtracted from this shard's part before the
+ * transaction is sent, until its outcome is known.
  */
 final class LimitSharing {
   private final Logger log;
   private final TermContext context;
   private final SharingSettings sharing;
-  private final String own;
+  private final String ownShard;
   private final ActiveJobs jobs;
   private final Failover failover;
   private final PoolView view;
   private final PoolWriter writer;
 
-  /** Processors of this shard's parts that are being given away. */
-  private final Map<String, Double> giving = new HashMap<>();
+  /** By team, the cores of this shard's part that a running transaction moves to another shard. */
+  private final Map<String, Double> coresBeingMoved = new HashMap<>();
 
   LimitSharing(
       TermContext context,
@@ -43,38 +44,41 @@
     this.context = context;
     this.log = context.logs().of(LimitSharing.class);
     this.sharing = sharing;
-    this.own = sharing.ownShard().name();
+    this.ownShard = sharing.ownShard().name();
     this.jobs = jobs;
     this.failover = failover;
     this.view = view;
     this.writer = writer;
   }
 
-  /** What this shard may use of the team's limit now; a resource without a limit has 0. */
+  /**
+   * Returns this shard's part of the team's limit without the cores that are being moved away; 0
+   * for a resource without a limit.
+   */
   LimitParts.Part limit(PlatformConfiguration.Team team) {
     if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
       return LimitParts.Part.NONE;
     }
     LimitParts.Part part =
-        view.limit(team.name()).map(parts -> parts.of(own)).orElse(LimitParts.Part.NONE);
-    double cores = part.cores() - giving.getOrDefault(team.name(), 0.0);
+        view.limit(team.name()).map(parts -> parts.of(ownShard)).orElse(LimitParts.Part.NONE);
+    double cores = part.cores() - coresBeingMoved.getOrDefault(team.name(), 0.0);
     return new LimitParts.Part(
-        team.maxCores() <= 0 ? 0 : positive(cores),
-        team.maxAccelerators() <= 0 ? 0 : positive(part.accelerators()));
+        team.maxCores() <= 0 ? 0 : nonZero(cores),
+        team.maxAccelerators() <= 0 ? 0 : nonZero(part.accelerators()));
   }
 
-  /** A part of nothing is a limit all the same, not the absence of one. */
-  private static double positive(double part) {
+  /** Keeps an empty part distinct from 0, which stands for "no limit". */
+  private static double nonZero(double part) {
     return Math.max(part, Double.MIN_VALUE);
   }
 
-  /** Processors by team that this shard lacks under its parts. */
+  /** Returns by team the cores that this shard needs beyond its part of the team's limit. */
   Map<String, Double> coresWanted() {
     Map<String, Double> wanted = new TreeMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
-      double lacking = coresNeeded(team) - limit(team).cores();
-      if (team.maxCores() > 0 && lacking > 0) {
-        wanted.put(team.name(), Math.ceil(lacking));
+      double missingCores = coresNeeded(team) - limit(team).cores();
+      if (team.maxCores() > 0 && missingCores > 0) {
+        wanted.put(team.name(), Math.ceil(missingCores));
       }
     }
     return wanted;
@@ -90,7 +94,7 @@
     return Math.min(team.maxCores(), failover.coresHeld(team.name()) + waiting);
   }
 
-  /** Cuts limits up that nobody has cut up yet, and gives what is spare. */
+  /** Splits the limits that have no record of parts yet, and moves spare cores to other shards. */
   void run() {
     for (PlatformConfiguration.Team team : context.platform().teams()) {
       if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
@@ -98,14 +102,14 @@
       }
       if (view.limit(team.name()).isEmpty()) {
         split(team);
-      } else if (team.maxCores() > 0 && !giving.containsKey(team.name())) {
-        giveSpare(team);
+      } else if (team.maxCores() > 0 && !coresBeingMoved.containsKey(team.name())) {
+        moveSpareCores(team);
       }
     }
   }
 
   private void split(PlatformConfiguration.Team team) {
-    if (giving.putIfAbsent(team.name(), 0.0) != null) {
+    if (coresBeingMoved.putIfAbsent(team.name(), 0.0) != null) {
       return;
     }
     Map<String, Double> weights = new TreeMap<>();
@@ -123,7 +127,7 @@
 
           @Override
           public void finished() {
-            giving.remove(team.name());
+            coresBeingMoved.remove(team.name());
           }
         });
   }
@@ -132,7 +136,7 @@
     return new PoolTransaction(view, context.term().requireTerm());
   }
 
-  private void giveSpare(PlatformConfiguration.Team team) {
+  private void moveSpareCores(PlatformConfiguration.Team team) {
     double spare = limit(team).cores() - coresNeeded(team);
     Map<String, Double> wanted = new TreeMap<>();
     for (SharingSettings.Shard shard : sharing.otherShards()) {
@@ -142,30 +146,31 @@
           .map(byTeam -> byTeam.get(team.name()))
           .ifPresent(cores -> wanted.put(shard.name(), cores));
     }
-    LimitPolicy.gift(spare, wanted).ifPresent(gift -> giveSpare(team, gift));
+    LimitPolicy.plan(spare, wanted).ifPresent(move -> moveSpareCores(team, move));
   }
 
-  private void giveSpare(PlatformConfiguration.Team team, LimitPolicy.Gift gift) {
-    giving.put(team.name(), gift.cores());
+  private void moveSpareCores(PlatformConfiguration.Team team, LimitPolicy.CoreMove move) {
+    coresBeingMoved.put(team.name(), move.cores());
     String key = LimitParts.keyOf(team.name());
-    long seen = view.revisionOf(key);
+    long knownRevision = view.revisionOf(key);
     writer.submit(
         new PoolWriter.Step() {
           @Override
           public Optional<PoolTransaction> build() {
-            // Once the record has moved on, this was carried out or never will be: a second try
-            // could give twice.
+            // A changed revision means that this transaction was applied or can never be applied:
+            // sending the move again could move the cores twice.
             return view.limit(team.name())
-                .filter(parts -> view.revisionOf(key) == seen)
-                .map(parts -> parts.moved(own, gift.to(), gift.cores(), 0))
+                .filter(parts -> view.revisionOf(key) == knownRevision)
+                .map(parts -> parts.moved(ownShard, move.to(), move.cores(), 0))
                 .map(parts -> transaction().put(key, parts.toJson()));
           }
 
           @Override
           public void finished() {
-            giving.remove(team.name());
+            coresBeingMoved.remove(team.name());
             context.metrics().count("limit_parts_given");
-            log.debug("{} processors of {} are given to {}", gift.cores(), team.name(), gift.to());
+            log.debug(
+                "moved {} cores of team {} to shard {}", move.cores(), team.name(), move.to());
           }
         });
   }
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -26,33 +26,38 @@
 import plumlever.wire.MachineType;
 
 /**
- * Tells the other shards what this one has and lacks, and offers them the machines that the policy
- * says: idle ones first, then those whose tasks end soonest, none that a deadline here needs.
+ * Publishes this shard's demand to the other shards and offers them the machines that {@link
+ * SharePolicy} assigns to them: idle machines first, then those whose tasks are expected to end
+ * soonest. A machine that waiting work of this shard needs is not offered.
  */
 final class MachineShareBalancer {
   private static final long PUBLISH_INTERVAL_MICROS = 2_000_000;
   private static final long REPUBLISH_INTERVAL_MICROS = 30_000_000;
 
-  /** How long a rental waits for what others can do without. */
-  private static final long HOLD_RENTAL_MICROS = 5_000_000;
+  /** How long rentals are held back while other shards have idle machines to offer. */
+  private static final long RENTAL_HOLD_MICROS = 5_000_000;
 
-  /** What was given to a shard since it last told what it lacks. */
-  private record GivenMachines(long revision, int machines) {}
+  /**
+   * Machines offered to a shard since it last published its demand.
+   *
+   * @param revision of the demand record
+   */
+  private record OfferedMachines(long revision, int machines) {}
 
   private final Logger log;
   private final TermContext context;
   private final SharingSettings sharing;
-  private final String own;
+  private final String ownShard;
   private final Fleet fleet;
   private final SchedulingPass pass;
   private final Failover failover;
   private final PoolView view;
   private final MachineTransfers transfers;
   private final LimitSharing limits;
-  private final Map<String, GivenMachines> givenSinceDemand = new HashMap<>();
+  private final Map<String, OfferedMachines> offersSinceDemand = new HashMap<>();
   private ShardDemand publishedDemand;
   private long publishedMicros = Long.MIN_VALUE / 4;
-  private long lackingSinceMicros = -1;
+  private long shortageSinceMicros = -1;
   private boolean publishing;
   private boolean digestsDiffer;
 
@@ -68,7 +73,7 @@
     this.context = context;
     this.log = context.logs().of(MachineShareBalancer.class);
     this.sharing = sharing;
-    this.own = sharing.ownShard().name();
+    this.ownShard = sharing.ownShard().name();
     this.fleet = fleet;
     this.pass = pass;
     this.failover = failover;
@@ -77,7 +82,7 @@
     this.limits = limits;
   }
 
-  /** One pass over what this shard has, lacks and can give. */
+  /** Publishes this shard's demand and offers machines to shards with a shortage. */
   void run() {
     if (!failover.isComplete() || !context.prices().isLoaded()) {
       return;
@@ -85,9 +90,9 @@
     long now = context.loop().nowMicros();
     ShardDemand demand = demand();
     if (demand.wanted() == 0) {
-      lackingSinceMicros = -1;
-    } else if (lackingSinceMicros < 0) {
-      lackingSinceMicros = now;
+      shortageSinceMicros = -1;
+    } else if (shortageSinceMicros < 0) {
+      shortageSinceMicros = now;
     }
     publishDemand(demand, now);
     offer(demand);
@@ -102,7 +107,7 @@
         idle += isIdle(machine) ? 1 : 0;
       }
     }
-    int wanted = machinesLacking();
+    int wanted = machineShortage();
     return new ShardDemand(
         machines, wanted > 0 ? 0 : idle, wanted, sharing.digest(), limits.coresWanted());
   }
@@ -112,19 +117,20 @@
   }
 
   /**
-   * Machines of the usual size that would hold what the last round found no room for, or that are
-   * missing for deadlines over all jobs, whichever is more.
+   * Returns the number of average-sized machines that are missing: for the tasks that the last
+   * scheduling pass could not place, or for all jobs to meet their deadlines, whichever is more.
    */
-  private int machinesLacking() {
-    Map<String, Double> limitOf = new HashMap<>();
+  private int machineShortage() {
+    Map<String, Double> limitByTeam = new HashMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
       if (team.maxCores() > 0) {
-        limitOf.put(team.name(), team.maxCores());
+        limitByTeam.put(team.name(), team.maxCores());
       }
     }
-    double late = CoreDemand.coresNeeded(pass.remainingWork(), limitOf) - coresOwned();
-    double cores = Math.max(pass.waitingCores(), late);
-    return (int) Math.min(sharing.maxMachines(), Math.ceil(Math.max(0, cores) / usualCores()));
+    double missedDeadlineCores =
+        CoreDemand.coresNeeded(pass.remainingWork(), limitByTeam) - coresOwned();
+    double cores = Math.max(pass.waitingCores(), missedDeadlineCores);
+    return (int) Math.min(sharing.maxMachines(), Math.ceil(Math.max(0, cores) / averageCores()));
   }
 
   private double coresOwned() {
@@ -138,7 +144,7 @@
     return cores;
   }
 
-  private double usualCores() {
+  private double averageCores() {
     double cores = 0;
     int count = 0;
     for (Machine machine : fleet.machines()) {
@@ -167,7 +173,7 @@
     }
     publishing = true;
     publishedMicros = now;
-    String key = ShardDemand.keyOf(own);
+    String key = ShardDemand.keyOf(ownShard);
     context
         .store()
         .transaction(
@@ -180,14 +186,14 @@
   }
 
   private void offer(ShardDemand demand) {
-    int free = sharing.maxTransfers() - transfers.openOffers();
-    if (free <= 0) {
+    int remainingOffers = sharing.maxTransfers() - transfers.openOffers();
+    if (remainingOffers <= 0) {
       return;
     }
     List<SharePolicy.ShardState> shards = new ArrayList<>();
     shards.add(
         new SharePolicy.ShardState(
-            own,
+            ownShard,
             sharing.ownShard().minMachines(),
             sharing.ownShard().weight(),
             demand.machines(),
@@ -197,30 +203,33 @@
       stateOf(shard).ifPresent(shards::add);
     }
     for (SharePolicy.Move move : SharePolicy.plan(shards, sharing.maxTransfers())) {
-      if (move.from().equals(own) && free > 0) {
-        free -= offerMachines(move.to(), Math.min(free, move.machines()));
+      if (move.from().equals(ownShard) && remainingOffers > 0) {
+        remainingOffers -= offerMachines(move.to(), Math.min(remainingOffers, move.machines()));
       }
     }
   }
 
-  /** A shard as it last told of itself; nothing of one that has no leader or another file. */
+  /**
+   * Returns the state that the shard last published, less the machines offered to it since. Empty
+   * if the shard has no leader or a different sharing file.
+   */
   private Optional<SharePolicy.ShardState> stateOf(SharingSettings.Shard shard) {
-    Optional<ShardDemand> said = view.demand(shard.name());
-    if (said.isEmpty() || view.leader(shard.name()).isEmpty()) {
+    Optional<ShardDemand> published = view.demand(shard.name());
+    if (published.isEmpty() || view.leader(shard.name()).isEmpty()) {
       return Optional.empty();
     }
-    ShardDemand demand = said.get();
+    ShardDemand demand = published.get();
     if (!demand.digest().equals(sharing.digest())) {
       if (!digestsDiffer) {
         digestsDiffer = true;
-        log.warn("{} has another sharing file: no machine is given to it", shard.name());
+        log.warn("shard {} has a different sharing file: no machine is offered", shard.name());
       }
       return Optional.empty();
     }
     long revision = view.revisionOf(ShardDemand.keyOf(shard.name()));
-    GivenMachines before = givenSinceDemand.get(shard.name());
-    int already = before != null && before.revision() == revision ? before.machines() : 0;
-    int wanted = Math.max(0, demand.wanted() - already - transfers.offeredTo(shard.name()));
+    OfferedMachines earlier = offersSinceDemand.get(shard.name());
+    int alreadyOffered = earlier != null && earlier.revision() == revision ? earlier.machines() : 0;
+    int wanted = Math.max(0, demand.wanted() - alreadyOffered - transfers.offeredTo(shard.name()));
     return Optional.of(
         new SharePolicy.ShardState(
             shard.name(),
@@ -231,7 +240,7 @@
             wanted));
   }
 
-  private int offerMachines(String to, int most) {
+  private int offerMachines(String to, int maxOffers) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       if (transfers.canOffer(machine) && !pass.hasPlan(machine)) {
@@ -243,13 +252,13 @@
             .thenComparingLong(pass::expectedIdleMicros)
             .thenComparing(Machine::id));
     int count = 0;
-    Set<Machine> without = new HashSet<>(pass.cordoned());
+    Set<Machine> excluded = new HashSet<>(pass.cordoned());
     for (Machine machine : candidates) {
-      if (count == most) {
+      if (count == maxOffers) {
         break;
       }
-      without.add(machine);
-      if (!pass.servesWaitingWithout(without)) {
+      excluded.add(machine);
+      if (!pass.servesWaitingWithout(excluded)) {
         break;
       }
       transfers.offer(machine, to);
@@ -257,17 +266,21 @@
     }
     if (count > 0) {
       long revision = view.revisionOf(ShardDemand.keyOf(to));
-      GivenMachines before = givenSinceDemand.get(to);
-      int already = before != null && before.revision() == revision ? before.machines() : 0;
-      givenSinceDemand.put(to, new GivenMachines(revision, already + count));
+      OfferedMachines earlier = offersSinceDemand.get(to);
+      int alreadyOffered =
+          earlier != null && earlier.revision() == revision ? earlier.machines() : 0;
+      offersSinceDemand.put(to, new OfferedMachines(revision, alreadyOffered + count));
     }
     return count;
   }
 
-  /** False while others can do without machines, for a few seconds after something is lacking. */
+  /**
+   * Returns false for the first seconds of a shortage while another shard has idle machines to
+   * offer.
+   */
   boolean mayRent() {
-    if (lackingSinceMicros < 0
-        || context.loop().nowMicros() - lackingSinceMicros > HOLD_RENTAL_MICROS) {
+    if (shortageSinceMicros < 0
+        || context.loop().nowMicros() - shortageSinceMicros > RENTAL_HOLD_MICROS) {
       return true;
     }
     return sharing.otherShards().stream()
@@ -278,24 +291,27 @@
                     .isPresent());
   }
 
-  /** False while any shard of the pool lacks machines: idle ones are for it, not for the cloud. */
+  /**
+   * Returns false while any shard of the pool has a shortage: idle machines are then offered to
+   * that shard instead of being returned to the cloud.
+   */
   boolean mayReturnIdle() {
-    return lackingSinceMicros < 0
+    return shortageSinceMicros < 0
         && sharing.otherShards().stream()
             .noneMatch(shard -> stateOf(shard).filter(state -> state.wanted() > 0).isPresent());
   }
 
-  /** Machines that are offered to this shard. */
-  List<RentalPlan.RentalOption> coming() {
-    List<RentalPlan.RentalOption> kinds = new ArrayList<>();
+  /** Returns the machines that other shards have offered to this shard. */
+  List<RentalPlan.RentalOption> incomingMachines() {
+    List<RentalPlan.RentalOption> options = new ArrayList<>();
     for (PoolView.Versioned<TransferRecord> versioned : view.transfers().values()) {
       TransferRecord record = versioned.value();
-      if (record.offer().filter(offer -> offer.to().equals(own)).isPresent()) {
+      if (record.offer().filter(offer -> offer.to().equals(ownShard)).isPresent()) {
         TransferRecord.Details details = record.machine();
-        kinds.add(
+        options.add(
             new RentalPlan.RentalOption(details.machineType(), details.zone(), details.spot()));
       }
     }
-    return kinds;
+    return options;
   }
 }
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -30,26 +30,26 @@
 import plumlever.wire.MachineType;
 
 /**
- * Carries transfers on, from whatever state the records show: offers this shard's machines, takes
- * what others offer, and settles what is left of its tasks on machines that others own. Each state
- * can be taken up by the next leader of either shard.
+ * Reconciles this shard's machines with the transfer records: offers machines to other shards,
+ * accepts offers, and settles this shard's tasks on machines of other shards. Every step starts
+ * from the stored records, so the next leader of either shard can continue from any state.
  */
 final class MachineTransfers {
-  /** An offer that nobody takes is withdrawn after this. */
-  private static final long OFFER_MICROS = 8_000_000;
+  /** An offer that the other shard has not accepted within this time is withdrawn. */
+  private static final long OFFER_TIMEOUT_MICROS = 8_000_000;
 
   /**
-   * A machine on offer is answered only while what is known of its record is not older, so that the
-   * taker knows how long the former owner may have renewed its lease.
+   * The owner answers heartbeats of an offered machine only while its view of the pool is at most
+   * this old. A new owner thus knows how long the former owner may have renewed the lease.
    */
-  static final long OFFER_VIEW_MICROS = 5_000_000;
+  static final long MAX_VIEW_AGE_MICROS = 5_000_000;
 
   private static final double BOOT_MARGIN = 1.3;
 
   private final Logger log;
   private final TermContext context;
   private final SharingSettings sharing;
-  private final String own;
+  private final String ownShard;
   private final Fleet fleet;
   private final ActiveJobs jobs;
   private final HeartbeatHandler heartbeats;
@@ -57,14 +57,14 @@
   private final SchedulingPass pass;
   private final PoolView view;
   private final TransferSteps steps;
-  private final OfferAcceptance offerTaker;
+  private final OfferAcceptance offerAcceptance;
   private final ForeignTasks foreignTasks;
   private final Failover failover;
   private final Consumer<Machine> sendToken;
   private final Map<String, Long> offeredMicros = new HashMap<>();
 
-  /** Machines of other shards that were seen without any task of this one. */
-  private final Set<String> seenWithoutOwnTasks = new HashSet<>();
+  /** Machines of other shards that are known to hold no task of this shard any more. */
+  private final Set<String> machinesWithoutOwnTasks = new HashSet<>();
 
   private boolean digestMismatchLogged;
 
@@ -85,7 +85,7 @@
     this.context = context;
     this.log = context.logs().of(MachineTransfers.class);
     this.sharing = sharing;
-    this.own = sharing.ownShard().name();
+    this.ownShard = sharing.ownShard().name();
     this.fleet = fleet;
     this.jobs = jobs;
     this.heartbeats = heartbeats;
@@ -93,7 +93,7 @@
     this.pass = pass;
     this.view = view;
     this.steps = steps;
-    this.offerTaker = new OfferAcceptance(sharing, view, steps, this::acquire);
+    this.offerAcceptance = new OfferAcceptance(sharing, view, steps, this::acquire);
     this.foreignTasks = foreignTasks;
     this.failover = failover;
   }
@@ -102,17 +102,17 @@
     return context.loop().nowMicros();
   }
 
-  /** True while the records show the machine as this shard's. */
+  /** Returns true while the owner record names this shard as the owner of the machine. */
   boolean owns(String machine) {
-    return view.holder(machine).equals(Optional.of(own));
+    return view.holder(machine).equals(Optional.of(ownShard));
   }
 
-  /** Transfers that this shard has offered and nobody has taken yet. */
+  /** Returns the number of machines that this shard has offered and that are not yet accepted. */
   int openOffers() {
     return offeredMicros.size();
   }
 
-  /** Offers to the shard that it has not taken yet. */
+  /** Returns the number of machines offered to the given shard that it has not yet accepted. */
   int offeredTo(String shard) {
     return (int)
         offeredMicros.keySet().stream()
@@ -125,37 +125,35 @@
             .count();
   }
 
-  /**
-   * Brings machines and records in line: run whenever the records have changed, and now and then.
-   */
+  /** Reconciles machines and records; runs periodically and after every change of the records. */
   void reconcile() {
     for (Map.Entry<String, PoolView.Versioned<TransferRecord>> entry :
         List.copyOf(view.transfers().entrySet())) {
       TransferRecord record = entry.getValue().value();
       if (record.state() == TransferRecord.State.GONE) {
         reconcileGone(record);
-      } else if (record.owner().equals(own)) {
+      } else if (record.owner().equals(ownShard)) {
         if (owns(entry.getKey())) {
           reconcileOwned(record);
         }
-      } else if (record.hasTasksOf(own)) {
-        reconcileElsewhere(record);
+      } else if (record.hasTasksOf(ownShard)) {
+        reconcileTransferredOut(record);
       } else {
-        reconcileLost(record);
+        releaseIfNotOwned(record);
       }
       if (record.state() == TransferRecord.State.OFFERED) {
-        offered(record);
+        handleOffer(record);
       }
     }
     for (String machine : List.copyOf(offeredMicros.keySet())) {
-      if (view.transfer(machine).isEmpty() && !owns(machine) && !steps.isUnderWay(machine)) {
+      if (view.transfer(machine).isEmpty() && !owns(machine) && !steps.isInProgress(machine)) {
         releaseWithoutRecord(machine);
       }
     }
-    offerTaker.takeOffers();
+    offerAcceptance.acceptOffers();
   }
 
-  /** It was taken without a task of this shard on it, so no record is left. */
+  /** Releases a machine that left without foreign tasks; its transfer record was deleted. */
   private void releaseWithoutRecord(String id) {
     Machine machine = fleet.machine(id);
     offeredMicros.remove(id);
@@ -165,10 +163,10 @@
     }
   }
 
-  /** A machine of this shard: taken from another, or on offer. */
+  /** Reconciles a machine that this shard owns: acquired from another shard, or offered to one. */
   private void reconcileOwned(TransferRecord record) {
     Machine machine = acquire(record);
-    if (record.state() == TransferRecord.State.TAKEN && !steps.isUnderWay(machine.id())) {
+    if (record.state() == TransferRecord.State.TAKEN && !steps.isInProgress(machine.id())) {
       machine.setTransferring(false);
       offeredMicros.remove(machine.id());
     } else {
@@ -176,24 +174,24 @@
     }
     foreignTasks.update(machine, record);
     if (record.isSettled()) {
-      dropSettledRecord(record.machine().id());
+      deleteSettledRecord(record.machine().id());
     }
   }
 
-  /** The machine as this shard's, under the number of the record at least. */
+  /** Adds the machine to the fleet if missing, with tokens of at least the record's number. */
   Machine acquire(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine == null) {
       return addAcquired(record);
     }
     if (machine.tokens().term() < record.number()) {
-      // It went and came back before this was seen.
+      // The machine was transferred away and back before this controller read either change.
       machine.tokens().startTerm(record.number());
       machine.markUnaccounted();
-      machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
+      machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
       sendToken.accept(machine);
     } else if (!machine.accounted() && machine.contact().renewedElsewhereMicros() < 0) {
-      machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
+      machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
     }
     return machine;
   }
@@ -201,7 +199,7 @@
   private Machine addAcquired(TransferRecord record) {
     TransferRecord.Details details = record.machine();
     Machine machine = fleet.transferredMachine(details.id());
-    seenWithoutOwnTasks.remove(details.id());
+    machinesWithoutOwnTasks.remove(details.id());
     if (machine != null) {
       fleet.removeTransferred(machine);
       machine.markUnaccounted();
@@ -216,26 +214,26 @@
               now() - bootMicros(details.machineType()));
     }
     machine.tokens().startTerm(record.number());
-    machine.contact().recordRenewalElsewhere(now() + OFFER_VIEW_MICROS);
+    machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
     fleet.add(machine);
     registry.register(machine);
     sendToken.accept(machine);
     context.metrics().count("machines_taken");
     log.info(
-        "{} is this cell's now, {} cells have tasks on it",
+        "acquired machine {}, {} other shards have tasks on the machine",
         details.id(),
         record.tasksByShard().size());
     return machine;
   }
 
-  /** It is up already, so it is known for at least as long as it takes to boot. */
+  /** Returns the assumed age of an acquired machine: it is up, so at least its boot time. */
   private long bootMicros(String machineType) {
     MachineType known = context.prices().machineType(machineType);
     return known == null ? 0 : (long) (known.startupS() * BOOT_MARGIN * 1e6);
   }
 
-  /** Another shard's machine on which tasks of this one may be. */
-  private void reconcileElsewhere(TransferRecord record) {
+  /** Reconciles a machine of another shard that may hold tasks of this shard. */
+  private void reconcileTransferredOut(TransferRecord record) {
     Machine machine = fleet.transferredMachine(record.machine().id());
     if (machine == null) {
       Machine former = fleet.machine(record.machine().id());
@@ -246,10 +244,10 @@
       fleet.transferOut(machine, record.number());
     }
     machine.tokens().startTerm(record.number());
-    leaveRecordIfOver(machine);
+    removeOwnShardIfSettled(machine);
   }
 
-  /** What an earlier leader of this shard left running there. */
+  /** Rebuilds the machine with the attempts that an earlier leader of this shard recorded on it. */
   private Machine machineFromRecord(TransferRecord record) {
     TransferRecord.Details details = record.machine();
     Machine machine =
@@ -262,7 +260,7 @@
             now());
     machine.contact().raiseIncarnation(record.incarnation());
     machine.markAccounted();
-    for (ForeignTask foreignTask : record.tasksByShard().get(own)) {
+    for (ForeignTask foreignTask : record.tasksByShard().get(ownShard)) {
       Job job = jobs.get(foreignTask.task().job());
       int task = foreignTask.task().number();
       boolean open =
@@ -285,13 +283,13 @@
     foreignTasks.remove(machine);
     context.metrics().count("machines_given");
     log.info(
-        "{} is another cell's now, {} tasks stay on it",
+        "transferred machine {} to another shard, {} own tasks remain on the machine",
         machine.id(),
         machine.load().liveAttempts());
   }
 
-  /** Another shard's machine without tasks of this one. */
-  private void reconcileLost(TransferRecord record) {
+  /** Drops a machine that another shard now owns and that holds no task of this shard. */
+  private void releaseIfNotOwned(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine != null && !owns(machine.id())) {
       release(machine);
@@ -303,62 +301,62 @@
     Machine machine = fleet.transferredMachine(record.machine().id());
     if (machine != null) {
       heartbeats.endAllAttempts(machine);
-      seenWithoutOwnTasks.add(machine.id());
+      machinesWithoutOwnTasks.add(machine.id());
     }
-    if (record.hasTasksOf(own)) {
+    if (record.hasTasksOf(ownShard)) {
       if (machine == null) {
-        leaveRecord(record.machine().id());
+        removeOwnShardFromRecord(record.machine().id());
       } else {
-        leaveRecordIfOver(machine);
+        removeOwnShardIfSettled(machine);
       }
     }
   }
 
-  /** The owner has passed on a heartbeat of the machine that lists no task of this shard. */
-  void ownTasksGone(Machine machine) {
-    seenWithoutOwnTasks.add(machine.id());
-    leaveRecordIfOver(machine);
+  /** Handles a heartbeat, relayed by the machine's owner, that lists no task of this shard. */
+  void noOwnTasksReported(Machine machine) {
+    machinesWithoutOwnTasks.add(machine.id());
+    removeOwnShardIfSettled(machine);
   }
 
-  /** Once none of this shard's tasks can be on the other's machine, the record says so. */
-  private void leaveRecordIfOver(Machine machine) {
-    boolean nothingThere =
-        seenWithoutOwnTasks.contains(machine.id())
+  /** Removes this shard from the transfer record once none of its tasks can be on the machine. */
+  private void removeOwnShardIfSettled(Machine machine) {
+    boolean withoutOwnTasks =
+        machinesWithoutOwnTasks.contains(machine.id())
             || steps
                 .record(machine.id())
-                .filter(record -> record.tasksByShard().getOrDefault(own, List.of()).isEmpty())
+                .filter(record -> record.tasksByShard().getOrDefault(ownShard, List.of()).isEmpty())
                 .isPresent();
-    if (nothingThere && machine.load().hasNoAttempts()) {
-      leaveRecord(machine.id());
+    if (withoutOwnTasks && machine.load().hasNoAttempts()) {
+      removeOwnShardFromRecord(machine.id());
     }
   }
 
-  private void leaveRecord(String machine) {
+  private void removeOwnShardFromRecord(String machine) {
     steps.step(
         machine,
         () ->
             steps
                 .record(machine)
-                .filter(record -> record.hasTasksOf(own))
-                .map(record -> steps.replaced(machine, record.withoutTasksOf(own))),
+                .filter(record -> record.hasTasksOf(ownShard))
+                .map(record -> steps.replaceRecord(machine, record.withoutTasksOf(ownShard))),
         () -> {
-          Machine reconcileElsewhere = fleet.transferredMachine(machine);
-          if (reconcileElsewhere != null
-              && steps.record(machine).filter(record -> record.hasTasksOf(own)).isEmpty()) {
-            fleet.removeTransferred(reconcileElsewhere);
-            seenWithoutOwnTasks.remove(machine);
+          Machine transferred = fleet.transferredMachine(machine);
+          if (transferred != null
+              && steps.record(machine).filter(record -> record.hasTasksOf(ownShard)).isEmpty()) {
+            fleet.removeTransferred(transferred);
+            machinesWithoutOwnTasks.remove(machine);
           }
         });
   }
 
-  private void dropSettledRecord(String machine) {
+  private void deleteSettledRecord(String machine) {
     steps.step(
         machine,
         () ->
             steps
                 .record(machine)
-                .filter(record -> record.owner().equals(own) && record.isSettled())
-                .map(record -> steps.transaction().drop(TransferRecord.keyOf(machine))),
+                .filter(record -> record.owner().equals(ownShard) && record.isSettled())
+                .map(record -> steps.transaction().delete(TransferRecord.keyOf(machine))),
         () -> {
           Machine settled = fleet.machine(machine);
           if (settled != null && view.transfer(machine).isEmpty()) {
@@ -367,7 +365,7 @@
         });
   }
 
-  /** True if the machine can be given away as it is. */
+  /** Returns true if the machine is in a state in which it can be offered to another shard. */
   boolean canOffer(Machine machine) {
     return owns(machine.id())
         && machine.contact().hasReported()
@@ -381,17 +379,17 @@
         && !machine.contact().commandInFlight()
         && !machine.load().hasUnconfirmedStart()
         && !failover.runsUntracked(machine)
-        && !steps.isUnderWay(machine.id());
+        && !steps.isInProgress(machine.id());
   }
 
-  /** Gives the machine up to that shard; nothing is started on it from here on. */
+  /** Offers the machine to the shard; from this call on no further task is started on it. */
   void offer(Machine machine, String to) {
     machine.setTransferring(true);
     pass.dropPlan(machine);
     offeredMicros.put(machine.id(), now());
     context.metrics().count("machines_offered");
     log.info(
-        "{} is offered to {}, {} tasks run on it", machine.id(), to, machine.load().liveAttempts());
+        "offering machine {} to {} ({} tasks)", machine.id(), to, machine.load().liveAttempts());
     steps.step(
         machine.id(),
         () -> buildOffer(machine, to),
@@ -413,7 +411,7 @@
     Map<String, List<ForeignTask>> tasksByShard =
         new TreeMap<>(before.map(TransferRecord::tasksByShard).orElse(Map.of()));
     if (!machine.load().hasNoAttempts()) {
-      tasksByShard.put(own, foreignTasksOf(machine));
+      tasksByShard.put(ownShard, foreignTasksOf(machine));
     }
     TransferRecord offer =
         TransferRecord.offered(
@@ -424,13 +422,13 @@
                 machine.zone(),
                 machine.spot()),
             machine.contact().incarnation(),
-            own,
+            ownShard,
             Math.max(machine.tokens().term(), before.map(TransferRecord::number).orElse(0L)),
             new TransferRecord.Offer(to, context.term().revision(), sharing.digest()),
             tasksByShard);
     int bytes = Json.write(offer.toJson()).getBytes(StandardCharsets.UTF_8).length;
     if (bytes > context.layout().valueBytes()) {
-      log.info("{} holds too many tasks for one record and is not offered", machine.id());
+      log.info("not offering machine {}: its tasks do not fit into one record", machine.id());
       return Optional.empty();
     }
     return Optional.of(
@@ -454,34 +452,37 @@
     return tasks;
   }
 
-  /** An offer stands: its giver sees to it that it ends, its taker takes it. */
-  private void offered(TransferRecord record) {
+  /**
+   * Handles an open offer. An offer by this shard is withdrawn after a timeout or if it is of an
+   * earlier term. For an offer to this shard, a differing sharing file is logged.
+   */
+  private void handleOffer(TransferRecord record) {
     String machine = record.machine().id();
     TransferRecord.Offer offer = record.offer().orElseThrow();
-    if (record.owner().equals(own)) {
+    if (record.owner().equals(ownShard)) {
       long since = offeredMicros.getOrDefault(machine, Long.MIN_VALUE / 2);
       boolean ofThisTerm = offer.termRevision() == context.term().revision();
-      if (!ofThisTerm || now() - since > OFFER_MICROS) {
-        withdraw(machine);
+      if (!ofThisTerm || now() - since > OFFER_TIMEOUT_MICROS) {
+        withdrawOffer(machine);
       }
-    } else if (offer.to().equals(own)) {
+    } else if (offer.to().equals(ownShard)) {
       if (!offer.digest().equals(sharing.digest()) && !digestMismatchLogged) {
         digestMismatchLogged = true;
         log.warn(
-            "{} offers machines under another sharing file: none is taken until all are the same",
+            "shard {} has a different sharing file: its offers are not accepted until they match",
             record.owner());
       }
     }
   }
 
-  private void withdraw(String machine) {
+  private void withdrawOffer(String machine) {
     steps.step(
         machine,
         () ->
             steps
                 .record(machine)
-                .filter(record -> record.owner().equals(own) && record.offer().isPresent())
-                .map(record -> steps.replaced(machine, record.withdrawn())),
+                .filter(record -> record.owner().equals(ownShard) && record.offer().isPresent())
+                .map(record -> steps.replaceRecord(machine, record.withdrawn())),
         () -> {
           Machine kept = fleet.machine(machine);
           if (kept != null && steps.record(machine).flatMap(TransferRecord::offer).isEmpty()) {
--- a/src/main/java/plumlever/leader/pool/OfferAcceptance.java
+++ b/src/main/java/plumlever/leader/pool/OfferAcceptance.java
@@ -15,22 +15,25 @@
 import plumlever.sharing.TransferRecord;
 import plumlever.store.KeySpace;
 
-/** Takes the machines that other shards offer to this one. */
+/** Accepts the machines that other shards offer to this shard. */
 final class OfferAcceptance {
   private final SharingSettings sharing;
-  private final String own;
+  private final String ownShard;
   private final PoolView view;
   private final TransferSteps steps;
   private final Function<TransferRecord, Machine> acquire;
 
-  /** What the transaction under way makes of its machines; they come one after the other. */
+  /**
+   * Records that the transaction in flight stores for its machines. One field is enough because
+   * transactions run one at a time.
+   */
   private List<TransferRecord> recordsBeingTaken = List.of();
 
-  /** Transactions that are under way or wait for their turn. */
+  /** Number of transactions in flight or queued. */
   private int openTransactions;
 
   /**
-   * @param acquire makes a machine this shard's in memory
+   * @param acquire adds an accepted machine to this shard's fleet in memory
    */
   OfferAcceptance(
       SharingSettings sharing,
@@ -38,19 +41,19 @@
       TransferSteps steps,
       Function<TransferRecord, Machine> acquire) {
     this.sharing = sharing;
-    this.own = sharing.ownShard().name();
+    this.ownShard = sharing.ownShard().name();
     this.view = view;
     this.steps = steps;
     this.acquire = acquire;
   }
 
   private boolean owns(String machine) {
-    return view.holder(machine).equals(Optional.of(own));
+    return view.holder(machine).equals(Optional.of(ownShard));
   }
 
-  /** Takes what is offered, as many machines in one transaction as it holds. */
-  void takeOffers() {
-    // What is offered while a transaction waits for its turn goes with the next one together.
+  /** Accepts all open offers to this shard, with as many machines per transaction as fit. */
+  void acceptOffers() {
+    // Offers that arrive while a transaction is queued are accepted together in the next one.
     if (openTransactions > 0) {
       return;
     }
@@ -58,7 +61,7 @@
     for (Map.Entry<String, PoolView.Versioned<TransferRecord>> entry :
         view.transfers().entrySet()) {
       String machine = entry.getKey();
-      if (isOffered(entry.getValue().value()) && !steps.isUnderWay(machine)) {
+      if (isOffered(entry.getValue().value()) && !steps.isInProgress(machine)) {
         String owner = entry.getValue().value().owner();
         groups
             .computeIfAbsent(owner + OwnerRecord.keyOf(machine), key -> new ArrayList<>())
@@ -66,9 +69,9 @@
       }
     }
     for (List<String> group : groups.values()) {
-      for (List<String> part : Lists.partition(group, steps.mostOwnedAtOnce())) {
+      for (List<String> part : Lists.partition(group, steps.maxMachinesPerTransaction())) {
         openTransactions++;
-        if (!steps.step(part, () -> buildTransaction(part), this::acquireSettled)) {
+        if (!steps.step(part, () -> buildTransaction(part), this::acquireWithoutForeignTasks)) {
           openTransactions--;
         }
       }
@@ -78,12 +81,16 @@
   private boolean isOffered(TransferRecord record) {
     return record
             .offer()
-            .filter(offer -> offer.to().equals(own) && offer.digest().equals(sharing.digest()))
+            .filter(offer -> offer.to().equals(ownShard) && offer.digest().equals(sharing.digest()))
             .isPresent()
         && view.holder(record.machine().id()).equals(Optional.of(record.owner()));
   }
 
-  /** The machines must have one owner, and their offers must be of one term of its. */
+  /**
+   * Builds the transaction that accepts the offers. All machines must have the same owner. Only
+   * offers of the same term of the owner's leader are accepted: one precondition on the revision of
+   * the owner's term record covers all of them.
+   */
   private Optional<PoolTransaction> buildTransaction(List<String> machines) {
     List<TransferRecord> offered =
         machines.stream()
@@ -99,15 +106,20 @@
         offered.stream()
             .filter(record -> record.offer().orElseThrow().termRevision() == termRevision)
             .toList();
-    String giver = sharing.shard(offered.get(0).owner()).prefix();
-    TransferSteps.Taking built = steps.take(ofOneTerm);
-    recordsBeingTaken = built.taken();
+    String ownerPrefix = sharing.shard(offered.get(0).owner()).prefix();
+    TransferSteps.Acquisition built = steps.buildAcquisition(ofOneTerm);
+    recordsBeingTaken = built.records();
     return Optional.of(
-        built.transaction().require(KeySpace.absolute(giver, LeaderElection.TERM), termRevision));
+        built
+            .transaction()
+            .require(KeySpace.absolute(ownerPrefix, LeaderElection.TERM), termRevision));
   }
 
-  /** What has foreign tasks is found by its record; what has none is acquired here. */
-  private void acquireSettled() {
+  /**
+   * Acquires the machines without foreign tasks. Machines with foreign tasks keep a transfer
+   * record, through which {@link MachineTransfers} acquires them.
+   */
+  private void acquireWithoutForeignTasks() {
     openTransactions--;
     for (TransferRecord record : recordsBeingTaken) {
       String machine = record.machine().id();
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -19,21 +19,22 @@
 import plumlever.store.Transaction;
 
 /**
- * Makes machines this shard's own that nobody owns, and gives up those that are to be returned. A
- * machine to be returned first gets a holder that no shard is: a return that is carried out late
- * can then only meet a machine that nobody uses.
+ * Claims machines without an owner for this shard, and retires machines that are to be returned to
+ * the cloud. Before the return, the owner of the machine is set to a name that no shard has: a
+ * return that the cloud carries out late can then not remove a machine in use.
  */
 final class OwnerClaims {
   /**
-   * A machine that nobody has claimed for so long came from a rental that its shard never heard of.
+   * A machine that stays without an owner for this long comes from a rental whose answer never
+   * reached the renting shard.
    */
   private static final long UNCLAIMED_MICROS = 15_000_000;
 
-  private static final String RETIRED = "!";
+  private static final String RETIRED_SUFFIX = "!";
 
   private final Logger log;
   private final TermContext context;
-  private final String own;
+  private final String ownShard;
   private final PoolView view;
   private final PoolWriter writer;
   private final Map<String, Long> unclaimedSince = new HashMap<>();
@@ -43,22 +44,22 @@
   OwnerClaims(TermContext context, SharingSettings sharing, PoolView view, PoolWriter writer) {
     this.context = context;
     this.log = context.logs().of(OwnerClaims.class);
-    this.own = sharing.ownShard().name();
+    this.ownShard = sharing.ownShard().name();
     this.view = view;
     this.writer = writer;
   }
 
-  private static String retired(String shard) {
-    return shard + RETIRED;
+  private static String retiredHolder(String shard) {
+    return shard + RETIRED_SUFFIX;
   }
 
-  /** True for a machine that this shard, maybe under an earlier leader, is about to return. */
+  /** Returns true for a machine that this shard, or an earlier leader of it, has retired. */
   boolean isRetired(String machine) {
-    return view.holder(machine).equals(Optional.of(retired(own)));
+    return view.holder(machine).equals(Optional.of(retiredHolder(ownShard)));
   }
 
-  /** Machines that appeared here and are in nobody's record; claimed after a while. */
-  void unownedMachineSeen(String machine) {
+  /** Notes a machine that no owner record lists, and claims the machine after a delay. */
+  void noteUnownedMachine(String machine) {
     long now = context.loop().nowMicros();
     if (view.holder(machine).isPresent() || claiming.contains(machine)) {
       unclaimedSince.remove(machine);
@@ -72,11 +73,15 @@
       unclaimedSince.remove(machine);
       claim(
           List.of(machine),
-          claimed -> log.info("{} was in nobody's record and is this cell's now", claimed));
+          claimed -> log.info("claimed machine {}, which had no owner on record", claimed));
     }
   }
 
-  /** Machines that are to be this shard's; each is handed on if it came to be. */
+  /**
+   * Records this shard as the owner of those machines that have none.
+   *
+   * @param claimed called for each of the machines that this shard owns afterwards
+   */
   void claim(List<String> machines, Consumer<String> claimed) {
     groupByRecord(machines)
         .values()
@@ -87,23 +92,27 @@
                   new PoolWriter.Step() {
                     @Override
                     public Optional<PoolTransaction> build() {
-                      List<String> free =
+                      List<String> unowned =
                           group.stream().filter(name -> view.holder(name).isEmpty()).toList();
-                      return buildChange(free, own);
+                      return buildChange(unowned, ownShard);
                     }
 
                     @Override
                     public void finished() {
                       claiming.removeAll(group);
                       group.stream()
-                          .filter(name -> view.holder(name).equals(Optional.of(own)))
+                          .filter(name -> view.holder(name).equals(Optional.of(ownShard)))
                           .forEach(claimed);
                     }
                   });
             });
   }
 
-  /** These machines are to be returned; runs once that is on record of all of them. */
+  /**
+   * Retires the machines before their return.
+   *
+   * @param recorded runs once the transactions of all machines have finished
+   */
   void retire(List<Machine> machines, Runnable recorded) {
     List<String> names =
         machines.stream().map(Machine::id).filter(name -> !retiring.contains(name)).toList();
@@ -112,24 +121,24 @@
       recorded.run();
       return;
     }
-    int[] open = {groups.size()};
+    int[] pendingGroups = {groups.size()};
     for (List<String> group : groups.values()) {
       retiring.addAll(group);
       writer.submit(
           new PoolWriter.Step() {
             @Override
             public Optional<PoolTransaction> build() {
-              List<String> mine =
+              List<String> owned =
                   group.stream()
-                      .filter(name -> view.holder(name).equals(Optional.of(own)))
+                      .filter(name -> view.holder(name).equals(Optional.of(ownShard)))
                       .toList();
-              return buildChange(mine, retired(own));
+              return buildChange(owned, retiredHolder(ownShard));
             }
 
             @Override
             public void finished() {
               retiring.removeAll(group);
-              if (--open[0] == 0) {
+              if (--pendingGroups[0] == 0) {
                 recorded.run();
               }
             }
@@ -138,8 +147,8 @@
   }
 
   /**
-   * The machines do not exist any more: nobody owns them, and originating shards of tasks on them
-   * are told.
+   * Removes returned machines from the owner records, and marks their transfer records as gone so
+   * that the originating shards of foreign tasks learn of the return.
    */
   void returned(List<Machine> machines) {
     for (List<String> group : groupByRecord(machines.stream().map(Machine::id).toList()).values()) {
@@ -149,7 +158,8 @@
             public Optional<PoolTransaction> build() {
               List<String> remaining =
                   group.stream()
-                      .filter(name -> view.holder(name).equals(Optional.of(retired(own))))
+                      .filter(
+                          name -> view.holder(name).equals(Optional.of(retiredHolder(ownShard))))
                       .toList();
               return buildChange(remaining, null);
             }
@@ -170,32 +180,32 @@
         Optional<TransferRecord> record =
             view.transfer(machine)
                 .map(PoolView.Versioned::value)
-                .filter(OwnerClaims.this::isOwnAndExists);
+                .filter(OwnerClaims.this::isOwnedAndExists);
         if (record.isEmpty()) {
           return Optional.empty();
         }
         String key = TransferRecord.keyOf(machine);
-        TransferRecord recordGone = record.get().withoutTasksOf(own).gone();
+        TransferRecord goneRecord = record.get().withoutTasksOf(ownShard).gone();
         PoolTransaction transaction = new PoolTransaction(view, context.term().requireTerm());
         return Optional.of(
-            recordGone.isSettled()
-                ? transaction.drop(key)
-                : transaction.put(key, recordGone.toJson()));
+            goneRecord.isSettled()
+                ? transaction.delete(key)
+                : transaction.put(key, goneRecord.toJson()));
       }
 
       @Override
       public void finished() {
-        log.debug("{} is gone, its homes are told", machine);
+        log.debug("machine {} is gone, originating shards notified", machine);
       }
     };
   }
 
-  private boolean isOwnAndExists(TransferRecord record) {
-    return record.owner().equals(own) && record.state() != TransferRecord.State.GONE;
+  private boolean isOwnedAndExists(TransferRecord record) {
+    return record.owner().equals(ownShard) && record.state() != TransferRecord.State.GONE;
   }
 
   /**
-   * @param holder null for none
+   * @param holder new owner of the machines, null to remove them from the record
    */
   private Optional<PoolTransaction> buildChange(List<String> machines, String holder) {
     if (machines.isEmpty()) {
@@ -209,7 +219,7 @@
     Transaction base = context.term().requireTerm();
     PoolTransaction transaction = new PoolTransaction(view, base);
     return Optional.of(
-        record.isEmpty() ? transaction.drop(key) : transaction.put(key, record.toJson()));
+        record.isEmpty() ? transaction.delete(key) : transaction.put(key, record.toJson()));
   }
 
   private static Map<String, List<String>> groupByRecord(List<String> machines) {
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -34,9 +34,9 @@
 import plumlever.wire.RelayedHeartbeat;
 import plumlever.wire.WorkerCommand;
 
-/** One shard's part in a pool, for one term of its leader. */
+/** Shares machines and team limits with the other shards of a pool during one term of a leader. */
 public final class PoolSharing implements MachineSharing {
-  private static final long TURN_MICROS = 500_000;
+  private static final long RUN_INTERVAL_MICROS = 500_000;
 
   private final Logger log;
   private final TermContext context;
@@ -44,20 +44,20 @@
   private final Fleet fleet;
   private final MachineRegistry registry;
   private final HeartbeatHandler heartbeats;
-  private final Runnable changed;
+  private final Runnable onChange;
   private final Scope scope = new Scope();
-  private final PoolLink link;
+  private final PoolRecordWatch recordWatch;
   private final PoolView view;
   private final PoolWriter writer;
   private final OwnerClaims claims;
   private final ForeignTasks foreignTasks;
   private final MachineTransfers transfers;
   private final DeadShardAdoption adoption;
-  private final LimitSharing limits;
-  private final MachineShareBalancer share;
+  private final LimitSharing limitSharing;
+  private final MachineShareBalancer balancer;
   private boolean poolRecordsRead;
 
-  /** The sharing of one term; nothing is answered before the records of the pool are loaded. */
+  /** Creates the sharing of one term; heartbeats are refused until the pool's records are read. */
   public PoolSharing(
       TermContext context,
       SharingSettings sharing,
@@ -75,10 +75,10 @@
     this.fleet = fleet;
     this.registry = registry;
     this.heartbeats = heartbeats;
-    this.changed = changed;
-    this.link = new PoolLink(context, this::recordsChanged);
-    this.view = link.view();
-    this.writer = new PoolWriter(context, link, this::recordsChanged);
+    this.onChange = changed;
+    this.recordWatch = new PoolRecordWatch(context, this::recordsChanged);
+    this.view = recordWatch.view();
+    this.writer = new PoolWriter(context, recordWatch, this::recordsChanged);
     this.claims = new OwnerClaims(context, sharing, view, writer);
     this.foreignTasks = new ForeignTasks(context, sharing, view);
     TransferSteps steps = new TransferSteps(context, sharing.ownShard().name(), view, writer);
@@ -96,10 +96,11 @@
             foreignTasks,
             failover,
             commands::sendToken);
-    this.adoption = new DeadShardAdoption(context, sharing, link, steps, transfers::acquire);
-    this.limits = new LimitSharing(context, sharing, jobs, failover, view, writer);
-    this.share =
-        new MachineShareBalancer(context, sharing, fleet, pass, failover, view, transfers, limits);
+    this.adoption = new DeadShardAdoption(context, sharing, recordWatch, steps, transfers::acquire);
+    this.limitSharing = new LimitSharing(context, sharing, jobs, failover, view, writer);
+    this.balancer =
+        new MachineShareBalancer(
+            context, sharing, fleet, pass, failover, view, transfers, limitSharing);
   }
 
   @Override
@@ -109,7 +110,7 @@
 
   @Override
   public void poolRecordsRead(StateClient.Listing pool, long askedMicros) {
-    link.load(pool, askedMicros);
+    recordWatch.load(pool, askedMicros);
     poolRecordsRead = true;
     List<String> unclaimed = new ArrayList<>();
     for (Machine machine : List.copyOf(fleet.machines())) {
@@ -125,10 +126,11 @@
     }
     transfers.reconcile();
     if (!unclaimed.isEmpty()) {
-      claims.claim(unclaimed, claimed -> log.info("{} is claimed, it was on record here", claimed));
+      claims.claim(
+          unclaimed, claimed -> log.info("claimed machine {}, found in own records", claimed));
     }
     scope.own(writer::close);
-    scope.own(link::close);
+    scope.own(recordWatch::close);
     scope.own(foreignTasks::close);
     scope.own(new RecurringTask("sharing", context.loop(), this::run)).start();
   }
@@ -136,7 +138,7 @@
   private void recordsChanged() {
     if (poolRecordsRead) {
       transfers.reconcile();
-      changed.run();
+      onChange.run();
     }
   }
 
@@ -144,10 +146,10 @@
     if (context.term().mayAct()) {
       adoption.watchLeaders();
       transfers.reconcile();
-      limits.run();
-      share.run();
+      limitSharing.run();
+      balancer.run();
     }
-    return TURN_MICROS;
+    return RUN_INTERVAL_MICROS;
   }
 
   @Override
@@ -155,8 +157,8 @@
     if (transfers.owns(listed.id()) || claims.isRetired(listed.id())) {
       return true;
     }
-    claims.unownedMachineSeen(listed.id());
-    adoption.listed(listed);
+    claims.noteUnownedMachine(listed.id());
+    adoption.machineListed(listed);
     return false;
   }
 
@@ -173,11 +175,11 @@
       return true;
     }
     if (transfers.owns(machine)) {
-      return answeredOwn(heartbeat, out);
+      return refuseIfStale(heartbeat, out);
     }
     Optional<String> holder = view.holder(machine);
     if (holder.isEmpty()) {
-      claims.unownedMachineSeen(machine);
+      claims.noteUnownedMachine(machine);
     }
     Optional<String> leader = holder.flatMap(view::leader);
     if (leader.isPresent() && !leader.get().equals(context.platform().label())) {
@@ -190,15 +192,17 @@
     return true;
   }
 
-  private boolean answeredOwn(Heartbeat heartbeat, Responder out) {
+  private boolean refuseIfStale(Heartbeat heartbeat, Responder out) {
     Machine machine = fleet.machine(heartbeat.machineId());
     if (machine != null && Fleet.termOf(heartbeat.fencingToken()) > machine.tokens().term()) {
-      // The machine has seen a newer owner or leader than this one knows of.
+      // The machine has seen the token of a later owner or leader that this controller has not yet
+      // read from the pool's records.
       out.retryLater(HttpStatus.UNAVAILABLE, "a newer owner is known to the machine", 1);
       return true;
     }
     boolean viewIsOld =
-        context.loop().nowMicros() - link.knownMicros() > MachineTransfers.OFFER_VIEW_MICROS;
+        context.loop().nowMicros() - recordWatch.knownMicros()
+            > MachineTransfers.MAX_VIEW_AGE_MICROS;
     if (machine != null && machine.transferring() && viewIsOld) {
       out.retryLater(HttpStatus.UNAVAILABLE, "the machine may have another owner by now", 1);
       return true;
@@ -207,8 +211,8 @@
   }
 
   @Override
-  public void claimRented(List<String> machines, Consumer<String> own) {
-    claims.claim(machines, own);
+  public void claimRented(List<String> machines, Consumer<String> claimed) {
+    claims.claim(machines, claimed);
   }
 
   @Override
@@ -229,7 +233,7 @@
 
   @Override
   public void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
-    foreignTasks.reported(machine, heartbeat);
+    foreignTasks.heartbeatApplied(machine, heartbeat);
   }
 
   @Override
@@ -244,7 +248,7 @@
 
   @Override
   public void leaseExpired(Machine machine) {
-    foreignTasks.lapsed(machine);
+    foreignTasks.leaseExpired(machine);
   }
 
   @Override
@@ -253,34 +257,34 @@
     Optional<TransferRecord> record =
         poolRecordsRead ? view.transfer(id).map(PoolView.Versioned::value) : Optional.empty();
     Machine machine = poolRecordsRead ? fleet.transferredMachine(id) : null;
-    boolean fits =
+    boolean recordMatches =
         record.isPresent()
             && record.get().hasTasksOf(sharing.ownShard().name())
             && record.get().owner().equals(relayed.from())
             && relayed.number() >= record.get().number();
-    if (machine == null || !fits || !context.term().mayAct()) {
+    if (machine == null || !recordMatches || !context.term().mayAct()) {
       out.retryLater(HttpStatus.UNAVAILABLE, "tasks on this machine are not known here now", 1);
       return;
     }
     machine.tokens().startTerm(relayed.number());
-    boolean news;
+    boolean applied;
     if (relayed.lapsed()) {
       heartbeats.endAllAttempts(machine);
-      news = true;
+      applied = true;
     } else {
-      news =
+      applied =
           heartbeats.applyRelayed(machine, relayed.heartbeat())
               == HeartbeatHandler.Freshness.LATEST;
     }
-    if (news && relayed.heartbeat().attempts().isEmpty()) {
-      transfers.ownTasksGone(machine);
+    if (applied && relayed.heartbeat().attempts().isEmpty()) {
+      transfers.noOwnTasksReported(machine);
     }
     List<WorkerCommand> commands =
         relayed.lapsed()
             ? List.of()
             : heartbeats.stopAndRemoveCommands(machine, relayed.heartbeat());
     if (heartbeats.getAndClearChanged()) {
-      changed.run();
+      onChange.run();
     }
     out.send(HttpStatus.OK, WorkerCommand.relayed(commands));
   }
@@ -298,22 +302,22 @@
 
   @Override
   public boolean mayRent() {
-    return share.mayRent();
+    return balancer.mayRent();
   }
 
   @Override
   public boolean mayReturnIdle() {
-    return share.mayReturnIdle();
+    return balancer.mayReturnIdle();
   }
 
   @Override
   public List<RentalPlan.RentalOption> incomingMachines() {
-    return share.coming();
+    return balancer.incomingMachines();
   }
 
   @Override
   public LimitParts.Part teamLimit(PlatformConfiguration.Team team) {
-    return limits.limit(team);
+    return limitSharing.limit(team);
   }
 
   @Override
--- a/src/main/java/plumlever/leader/pool/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/pool/PoolTransaction.java
@@ -9,17 +9,17 @@
 import plumlever.store.Transaction;
 
 /**
- * A transaction on records of the pool. Each record that it changes is guarded by the revision that
- * the view shows of it, so one that is carried out late can't undo a newer one.
+ * A transaction on records of the pool. Every changed record has a precondition on the revision in
+ * the view, so a transaction that is applied late can't overwrite a newer change.
  */
 final class PoolTransaction {
   private final PoolView view;
   private final Transaction transaction;
-  private final Set<String> required = new LinkedHashSet<>();
-  private final Map<String, JsonNode> changes = new LinkedHashMap<>();
+  private final Set<String> requiredKeys = new LinkedHashSet<>();
+  private final Map<String, JsonNode> changedValues = new LinkedHashMap<>();
 
   /**
-   * @param base preconditions leadership of whoever sends it
+   * @param base transaction that already requires the sender's leadership
    */
   PoolTransaction(PoolView view, Transaction base) {
     this.view = view;
@@ -27,13 +27,13 @@
   }
 
   PoolTransaction require(String key) {
-    if (required.add(key)) {
+    if (requiredKeys.add(key)) {
       transaction.require(key, view.revisionOf(key));
     }
     return this;
   }
 
-  /** Guards a key that is not the pool's. */
+  /** Adds a precondition on a key outside the pool's records. */
   PoolTransaction require(String key, long revision) {
     transaction.require(key, revision);
     return this;
@@ -41,26 +41,26 @@
 
   PoolTransaction put(String key, JsonNode data) {
     require(key);
-    changes.put(key, data);
+    changedValues.put(key, data);
     transaction.put(key, data);
     return this;
   }
 
-  PoolTransaction drop(String key) {
+  PoolTransaction delete(String key) {
     require(key);
-    changes.put(key, null);
+    changedValues.put(key, null);
     transaction.delete(key);
     return this;
   }
 
-  /** What it changes; a dropped key has no value. */
-  Map<String, JsonNode> changes() {
-    return changes;
+  /** Returns the changed values by key; null for a deleted key. */
+  Map<String, JsonNode> changedValues() {
+    return changedValues;
   }
 
-  /** The keys of the pool that it rests on. */
-  Set<String> required() {
-    return required;
+  /** Returns the keys of the pool's records that have a precondition. */
+  Set<String> requiredKeys() {
+    return requiredKeys;
   }
 
   Transaction transaction() {
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -10,72 +10,70 @@
 import plumlever.store.Transaction;
 
 /**
- * Changes records of the pool, one transaction at a time. A step that lost its precondition, or had
- * no answer, is built anew from what a read then shows; it says itself whether there is still
- * anything to do.
+ * Writes records of the pool, one transaction at a time. After a failed precondition or an unknown
+ * outcome, the writer rereads the records and asks the step to build its transaction again. The
+ * step then decides from the current records whether a change is still needed.
  */
 final class PoolWriter {
-  /** A change that is wanted. */
+  /** A requested change of the pool's records. */
   interface Step {
-    /**
-     * The transaction that is due by the present view; nothing when the step has come to its end.
-     */
+    /** Builds the transaction from the current view; empty if the step is finished. */
     Optional<PoolTransaction> build();
 
-    /** It has come to its end: carried out, or of no use any more. */
+    /** Called when the step has ended: its transaction was applied or is not needed any more. */
     void finished();
   }
 
   private static final long RETRY_MICROS = 250_000;
-  private static final int MOST_WAITING = 4_096;
+  private static final int MAX_QUEUED_STEPS = 4_096;
 
   private final Logger log;
   private final TermContext context;
-  private final PoolLink link;
-  private final Runnable changed;
-  private final ArrayDeque<Step> waiting = new ArrayDeque<>();
-  private boolean busy;
+  private final PoolRecordWatch recordWatch;
+  private final Runnable onChange;
+  private final ArrayDeque<Step> queue = new ArrayDeque<>();
+  private boolean stepInProgress;
   private boolean closed;
 
-  PoolWriter(TermContext context, PoolLink link, Runnable changed) {
+  PoolWriter(TermContext context, PoolRecordWatch recordWatch, Runnable changed) {
     this.context = context;
     this.log = context.logs().of(PoolWriter.class);
-    this.link = link;
-    this.changed = changed;
+    this.recordWatch = recordWatch;
+    this.onChange = changed;
   }
 
-  /** False when too many wait already; whoever wants it asks again. */
+  /** Queues the step. Returns false if the queue is full; the caller retries later. */
   boolean submit(Step step) {
-    if (waiting.size() >= MOST_WAITING) {
+    if (queue.size() >= MAX_QUEUED_STEPS) {
       return false;
     }
-    waiting.add(step);
+    queue.add(step);
     runNext();
     return true;
   }
 
   private void runNext() {
-    if (busy || closed || waiting.isEmpty()) {
+    if (stepInProgress || closed || queue.isEmpty()) {
       return;
     }
-    busy = true;
-    run(waiting.poll());
+    stepInProgress = true;
+    execute(queue.poll());
   }
 
   private void finish(Step step) {
-    busy = false;
+    stepInProgress = false;
     step.finished();
     runNext();
   }
 
-  private void run(Step step) {
+  private void execute(Step step) {
     if (closed) {
       return;
     }
     if (!context.term().mayAct()) {
-      // Nothing more is begun in this term; the next leader finds each record in a state that says
-      // what is left to do.
-      context.loop().after(RETRY_MICROS, () -> run(step));
+      // This leader may not act now. If the term is over, no step is started any more: the next
+      // leader continues from the stored records, whose state shows the remaining work.
+      context.loop().after(RETRY_MICROS, () -> execute(step));
       return;
     }
     Optional<PoolTransaction> built = step.build();
@@ -96,39 +94,39 @@
               switch (result.outcome()) {
                 case APPLIED -> {
                   transaction
-                      .changes()
+                      .changedValues()
                       .forEach(
                           (key, data) ->
-                              link.apply(
+                              recordWatch.apply(
                                   new StateClient.KeyEvent(
                                       key, Optional.ofNullable(data), result.revision())));
                   finish(step);
-                  changed.run();
+                  onChange.run();
                 }
-                case REFUSED -> context.loop().after(RETRY_MICROS, () -> run(step));
+                case REFUSED -> context.loop().after(RETRY_MICROS, () -> execute(step));
                 default -> reread(step, transaction, result.outcome());
               }
             });
   }
 
-  /** What became of it is settled by reading the records that it rests on. */
+  /** Rereads the records that the transaction depends on, to find out whether it was applied. */
   private void reread(Step step, PoolTransaction transaction, Transaction.Outcome outcome) {
-    log.debug("a change of the pool's records: {}, preconditions are read anew", outcome);
-    List<String> keys = new ArrayList<>(transaction.required());
-    read(keys, 0, () -> run(step));
+    log.debug("transaction on pool records ended as {}, rereading its preconditions", outcome);
+    List<String> keys = new ArrayList<>(transaction.requiredKeys());
+    read(keys, 0, () -> execute(step));
   }
 
-  private void read(List<String> keys, int index, Runnable then) {
+  private void read(List<String> keys, int index, Runnable next) {
     if (closed) {
       return;
     }
     if (index == keys.size()) {
-      changed.run();
-      then.run();
+      onChange.run();
+      next.run();
       return;
     }
     String key = keys.get(index);
-    long revisionBefore = link.view().revisionOf(key);
+    long revisionBefore = recordWatch.view().revisionOf(key);
     context
         .store()
         .get(
@@ -139,15 +137,15 @@
                 return;
               }
               if (result.found()) {
-                link.apply(
+                recordWatch.apply(
                     new StateClient.KeyEvent(
                         key, Optional.of(result.item().data()), result.item().revision()));
-                read(keys, index + 1, then);
+                read(keys, index + 1, next);
               } else if (result.missing()) {
-                link.absent(key, revisionBefore);
-                read(keys, index + 1, then);
+                recordWatch.markAbsent(key, revisionBefore);
+                read(keys, index + 1, next);
               } else {
-                context.loop().after(RETRY_MICROS, () -> read(keys, index, then));
+                context.loop().after(RETRY_MICROS, () -> read(keys, index, next));
               }
             });
   }
--- a/src/main/java/plumlever/sharing/LimitPolicy.java
+++ b/src/main/java/plumlever/sharing/LimitPolicy.java
@@ -3,21 +3,22 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** How much of its part of a team's limit a shard gives to which other. */
+/** Decides how many cores of its part of a team's limit a shard moves to which other shard. */
 public final class LimitPolicy {
-  /** So many processors of the part are to go to that shard. */
-  public record Gift(String to, double cores) {}
+  /** A number of cores of a team's limit that is to move to another shard. */
+  public record CoreMove(String to, double cores) {}
 
   private LimitPolicy() {}
 
   /**
-   * What a shard gives now: to the one that lacks most, by name where they lack the same.
+   * Returns the cores that a shard should move now. The shard that can receive the most cores is
+   * chosen; ties are broken by name.
    *
-   * @param spare processors of its part that nothing of its own uses or waits for
-   * @param wantedByShard what the other shards lack
+   * @param spare cores of the shard's part that none of its jobs uses or waits for
+   * @param wantedByShard cores that the other shards need beyond their parts
    */
-  public static Optional<Gift> gift(double spare, Map<String, Double> wantedByShard) {
-    Gift best = null;
+  public static Optional<CoreMove> plan(double spare, Map<String, Double> wantedByShard) {
+    CoreMove best = null;
     for (Map.Entry<String, Double> entry : wantedByShard.entrySet()) {
       double cores = Math.floor(Math.min(spare, Math.ceil(entry.getValue())));
       boolean more =
@@ -25,7 +26,7 @@
               || cores > best.cores()
               || (cores == best.cores() && entry.getKey().compareTo(best.to()) < 0);
       if (cores >= 1 && more) {
-        best = new Gift(entry.getKey(), cores);
+        best = new CoreMove(entry.getKey(), cores);
       }
     }
     return Optional.ofNullable(best);
--- a/src/main/java/plumlever/sharing/SharePolicy.java
+++ b/src/main/java/plumlever/sharing/SharePolicy.java
@@ -5,33 +5,35 @@
 import java.util.List;
 
 /**
- * How many machines move from which shard to which. A shard that lacks machines is first given what
- * others can do without; where that is not enough, and it has less than its share by weight, those
- * above their share give further ones with their tasks running. Nobody goes below its floor, and
- * nobody gives what it lacks itself below its share.
+ * Decides how many machines move between which shards. A shard with a shortage first receives idle
+ * machines of other shards. If these are not enough and the shard owns less than its share by
+ * weight, shards above their share also give machines in use, together with the running tasks. No
+ * shard gives machines below its floor, or machines in use below its share.
  *
- * <p>The same input gives the same decision, whoever works it out.
+ * <p>The decision is deterministic: all shards compute the same plan from the same input.
  */
 public final class SharePolicy {
   /**
-   * A shard as the policy sees it.
+   * The state of one shard as input of the policy.
    *
-   * @param machines that it owns
-   * @param idle of these, machines that it can do without
-   * @param wanted machines that it lacks
+   * @param floor number of machines below which the shard gives none
+   * @param weight weight for the share of the machines above all floors
+   * @param machines number of machines that the shard owns
+   * @param idle number of these machines that are idle
+   * @param wanted number of machines that the shard is short of
    */
   public record ShardState(
       String name, int floor, double weight, int machines, int idle, int wanted) {}
 
-  /** So many machines are to go from one shard to another. */
+  /** A number of machines that one shard is to give to another. */
   public record Move(String from, String to, int machines) {}
 
-  /** Part of its share by which a shard must be above it before it gives machines in use. */
+  /** A shard gives machines in use only while it exceeds its share by more than this fraction. */
   private static final double HYSTERESIS = 0.1;
 
   private SharePolicy() {}
 
-  /** Machines of the pool that the shard's floor and weight entitle it to. */
+  /** Returns the shard's share: its floor, plus its part by weight of the machines above floors. */
   static double shareOf(ShardState shard, List<ShardState> shards) {
     int all = shards.stream().mapToInt(ShardState::machines).sum();
     int floors = shards.stream().mapToInt(ShardState::floor).sum();
@@ -39,15 +41,15 @@
     return shard.floor() + Math.max(0, all - floors) * shard.weight() / weights;
   }
 
-  /** A shard with what the decisions so far leave it. */
-  private static final class Open {
+  /** The state of a shard after the moves decided so far. */
+  private static final class ShardBalance {
     private final ShardState shard;
     private final double share;
     private int machines;
     private int idle;
     private int wanted;
 
-    Open(ShardState shard, List<ShardState> shards) {
+    ShardBalance(ShardState shard, List<ShardState> shards) {
       this.shard = shard;
       this.share = shareOf(shard, shards);
       this.machines = shard.machines();
@@ -55,40 +57,40 @@
       this.wanted = shard.wanted();
     }
 
-    double shortOfShare() {
+    double shareDeficit() {
       return share - machines;
     }
 
-    boolean mayGiveIdle() {
+    boolean canGiveIdle() {
       return idle > 0 && machines > shard.floor();
     }
 
-    boolean mayGiveUsed() {
+    boolean canGiveUsed() {
       return machines - 1 >= Math.max(shard.floor(), share)
           && machines - share > HYSTERESIS * share;
     }
   }
 
   /**
-   * The moves that are due now.
+   * Returns the moves that are due now.
    *
-   * @param most machines that one shard gives at a time
+   * @param maxPerMove largest number of machines in one move
    */
-  public static List<Move> plan(List<ShardState> shards, int most) {
-    List<Open> open = new ArrayList<>();
+  public static List<Move> plan(List<ShardState> shards, int maxPerMove) {
+    List<ShardBalance> balances = new ArrayList<>();
     shards.stream()
         .sorted(Comparator.comparing(ShardState::name))
-        .forEach(shard -> open.add(new Open(shard, shards)));
-    List<Open> takers = new ArrayList<>(open);
+        .forEach(shard -> balances.add(new ShardBalance(shard, shards)));
+    List<ShardBalance> takers = new ArrayList<>(balances);
     takers.sort(
-        Comparator.comparingDouble(Open::shortOfShare)
+        Comparator.comparingDouble(ShardBalance::shareDeficit)
             .reversed()
             .thenComparing(taker -> taker.shard.name()));
     List<Move> moves = new ArrayList<>();
-    for (Open taker : takers) {
-      for (Open giver : open) {
+    for (ShardBalance taker : takers) {
+      for (ShardBalance giver : balances) {
         if (giver != taker) {
-          int count = give(giver, taker, most);
+          int count = moveMachines(giver, taker, maxPerMove);
           if (count > 0) {
             moves.add(new Move(giver.shard.name(), taker.shard.name(), count));
           }
@@ -98,12 +100,12 @@
     return moves;
   }
 
-  private static int give(Open giver, Open taker, int most) {
+  private static int moveMachines(ShardBalance giver, ShardBalance taker, int maxPerMove) {
     int count = 0;
-    while (count < most && taker.wanted > 0) {
-      if (giver.mayGiveIdle()) {
+    while (count < maxPerMove && taker.wanted > 0) {
+      if (giver.canGiveIdle()) {
         giver.idle--;
-      } else if (!(taker.machines < taker.share && giver.mayGiveUsed())) {
+      } else if (!(taker.machines < taker.share && giver.canGiveUsed())) {
         break;
       }
       giver.machines--;
--- a/src/main/java/plumlever/warmup/InMemoryMachines.java
+++ b/src/main/java/plumlever/warmup/InMemoryMachines.java
@@ -12,7 +12,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
 
-/** Machines that carry out every command, and whose tasks all take the same time. */
+/** In-memory machines that execute every command; all tasks take the same time. */
 final class InMemoryMachines {
   private static final long FETCH_MICROS = 800_000;
   private static final long RUN_MICROS = 4_000_000;
@@ -65,8 +65,8 @@
     return List.copyOf(machinesById.keySet());
   }
 
-  /** The id of the machine that takes direct calls there. */
-  String at(String endpoint) {
+  /** Returns the id of the machine with the given endpoint. */
+  String machineAt(String endpoint) {
     return machinesById.values().stream()
         .filter(machine -> machine.endpoint.equals(endpoint))
         .findFirst()
@@ -74,7 +74,7 @@
         .id;
   }
 
-  /** What the cloud lists. */
+  /** Returns the cloud's listing of all machines. */
   String listing() {
     ObjectNode listing = Json.object().put("more", false);
     ArrayNode array = listing.putArray(ProtocolField.MACHINE_IDS);
@@ -136,20 +136,20 @@
     return ageMicros > FETCH_MICROS ? "running" : "pulling";
   }
 
-  void command(String machineId, String answer) {
+  void executeCommands(String machineId, String answer) {
     InMemoryMachine machine = machinesById.get(machineId);
     ObjectNode commands;
     try {
       commands = Json.parseObject(answer);
     } catch (InvalidMessageException e) {
-      throw new IllegalStateException("the controller's own answer can't be read: " + answer, e);
+      throw new IllegalStateException("unreadable response of the controller: " + answer, e);
     }
     machine.fencingToken =
         Math.max(machine.fencingToken, commands.path(ProtocolField.FENCING_TOKEN).asLong());
-    commands.path(ProtocolField.COMMANDS).forEach(command -> carryOut(machine, command));
+    commands.path(ProtocolField.COMMANDS).forEach(command -> execute(machine, command));
   }
 
-  private void carryOut(InMemoryMachine machine, JsonNode command) {
+  private void execute(InMemoryMachine machine, JsonNode command) {
     long attempt = command.path(ProtocolField.ATTEMPT).asLong();
     switch (command.path(ProtocolField.COMMAND_TYPE).asText()) {
       case "run" -> {
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -9,34 +9,36 @@
 import plumlever.settings.SchedulerParameters;
 
 /**
- * Lets a controller that does not lead run the code of a leader, in small slices while it has
- * nothing better to do: a successor whose code has never run takes several times as long to take
- * over. It ends when all is played, or at once when the controller is elected.
+ * Runs the code of a leader in a controller that does not lead, in short time slices while its
+ * event loop is idle. Without the warm-up, a failover takes several times as long because the new
+ * leader's code has not been compiled. The warm-up ends when all terms have been simulated, or
+ * immediately when the controller is elected.
  */
 public final class WarmUp {
   private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
 
-  /** The first seconds belong to those who wait for the process to be up. */
-  private static final long AFTER_MICROS = 4_000_000;
+  /** The warm-up starts this long after the process, so that it does not delay the start-up. */
+  private static final long START_DELAY_MICROS = 4_000_000;
 
   private static final long SLICE_MICROS = 15_000;
-  private static final long PAUSE_MICROS = 30_000;
+  private static final long MIN_PAUSE_MICROS = 30_000;
   private static final long BUSY_PAUSE_MICROS = 500_000;
 
-  /** A loop that comes this late has no time to spare. */
-  private static final long LATE_MICROS = 60_000;
+  /** The warm-up pauses while the event loop runs its tasks later than this. */
+  private static final long MAX_LATENESS_MICROS = 60_000;
 
   private final Loop loop;
   private final LongSupplier latenessMicros;
   private final BooleanSupplier leads;
-  private final long beganMicros;
+  private final long createdMicros;
   private final PlatformConfiguration platform;
   private final SchedulerParameters parameters;
   private WarmUpTerms terms;
-  private boolean over;
+  private boolean finished;
 
   /**
-   * @param latenessMicros how late the loop was lately
+   * @param latenessMicros recent lateness of the event loop
+   * @param leads whether the controller is the leader
    */
   public WarmUp(
       Loop loop,
@@ -47,27 +49,28 @@
     this.loop = loop;
     this.latenessMicros = latenessMicros;
     this.leads = leads;
-    this.beganMicros = loop.nowMicros();
+    this.createdMicros = loop.nowMicros();
     this.platform = platform;
     this.parameters = parameters;
   }
 
-  /** All of it at once. */
+  /** Runs the whole warm-up without pauses. */
   public static void playAll(PlatformConfiguration platform, SchedulerParameters parameters) {
     WarmUpTerms terms = new WarmUpTerms(platform, parameters, 0);
     boolean more = true;
     while (more) {
-      more = terms.step();
+      more = terms.runNextEvent();
     }
   }
 
-  /** One turn of the recurring task. */
+  /** Runs one slice of the warm-up; returns the delay to the next slice, or -1 at the end. */
   public long run() {
     long start = loop.nowMicros();
-    if (over || leads.getAsBoolean()) {
-      return end();
+    if (finished || leads.getAsBoolean()) {
+      return finish();
     }
-    if (start - beganMicros < AFTER_MICROS || latenessMicros.getAsLong() > LATE_MICROS) {
+    if (start - createdMicros < START_DELAY_MICROS
+        || latenessMicros.getAsLong() > MAX_LATENESS_MICROS) {
       return BUSY_PAUSE_MICROS;
     }
     if (terms == null) {
@@ -75,17 +78,17 @@
     }
     boolean more = true;
     while (more && loop.nowMicros() - start < SLICE_MICROS) {
-      more = terms.step();
+      more = terms.runNextEvent();
     }
     if (!more) {
-      LOG.info("warm after {} ms", (loop.nowMicros() - beganMicros) / 1_000);
-      return end();
+      LOG.info("warm-up finished after {} ms", (loop.nowMicros() - createdMicros) / 1_000);
+      return finish();
     }
-    return Math.max(PAUSE_MICROS, loop.nowMicros() - start);
+    return Math.max(MIN_PAUSE_MICROS, loop.nowMicros() - start);
   }
 
-  private long end() {
-    over = true;
+  private long finish() {
+    finished = true;
     terms = null;
     return -1;
   }
--- a/src/main/java/plumlever/warmup/WarmUpLoop.java
+++ b/src/main/java/plumlever/warmup/WarmUpLoop.java
@@ -4,22 +4,22 @@
 import java.util.PriorityQueue;
 import plumlever.concurrent.Loop;
 
-/** A clock that is turned by hand: what is due next is played, whatever time it is. */
+/** An event loop with a simulated clock: each step advances the clock to the next event. */
 final class WarmUpLoop implements Loop {
   private record Event(long at, long seq, Runnable action) {}
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::seq));
-  private final long wallFromMicros;
+  private final long wallStartMicros;
   private long now;
   private long seq;
 
   WarmUpLoop(long wallFromMicros) {
-    this.wallFromMicros = wallFromMicros;
+    this.wallStartMicros = wallFromMicros;
   }
 
-  /** Plays the next thing that is due before then; false when there is none. */
-  boolean step(long untilMicros) {
+  /** Runs the next event that is due by the given time; returns false if there is none. */
+  boolean runNextEvent(long untilMicros) {
     Event event = events.peek();
     if (event == null || event.at > untilMicros) {
       return false;
@@ -37,22 +37,22 @@
 
   @Override
   public long wallMicros() {
-    return wallFromMicros + now;
+    return wallStartMicros + now;
   }
 
   @Override
   public Timer after(long delayMicros, Runnable action) {
-    boolean[] off = new boolean[1];
+    boolean[] cancelled = new boolean[1];
     events.add(
         new Event(
             now + Math.max(0, delayMicros),
             seq++,
             () -> {
-              if (!off[0]) {
+              if (!cancelled[0]) {
                 action.run();
               }
             }));
-    return () -> off[0] = true;
+    return () -> cancelled[0] = true;
   }
 
   @Override
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -18,9 +18,9 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * Two terms of a small deployment in memory, with the service's own code and a clock of their own.
- * Code that has never run is interpreted, some twenty times slower, and on a small processor share
- * the first minute of a term would be lost to that.
+ * Simulates two terms of a leader of a small deployment in memory, with the real controller code
+ * and a simulated clock. The JVM interprets code that has not been compiled yet, about twenty times
+ * slower. With a small CPU share, this would cost a new leader the first minute of its term.
  */
 final class WarmUpTerms {
   private static final int TERMS = 2;
@@ -30,18 +30,18 @@
   private static final long HEARTBEAT_MICROS = 1_000_000;
   private static final long LATENCY_MICROS = 5_000;
   private static final long FIRST_JOB_MICROS = 500_000;
-  private static final long JOB_PAUSE_MICROS = 1_500_000;
-  private static final long POLL_PAUSE_MICROS = 2_000_000;
+  private static final long SUBMIT_INTERVAL_MICROS = 1_500_000;
+  private static final long POLL_INTERVAL_MICROS = 2_000_000;
   private static final Endpoint STATE = new Endpoint("state", 1);
   private static final Endpoint CLOUD = new Endpoint("cloud", 1);
 
-  /** Loggers of these terms begin with this, so that only warnings of them are shown. */
+  /** Prefix of the loggers of the simulated terms; only their warnings are shown. */
   private static final String LOGGER_PREFIX = "warmup.";
 
   private static final String TEAM = "warm-up";
 
-  /** Users are told nothing. */
-  private static final Responder NO_USER = (status, json, retry) -> {};
+  /** Discards the responses to users. */
+  private static final Responder DISCARD_RESPONSE = (status, json, retry) -> {};
 
   private final WarmUpLoop loop;
   private final WarmUpServices services;
@@ -73,16 +73,16 @@
             real.socketLimit());
   }
 
-  /** Plays the next event; false when both terms have been played. */
-  boolean step() {
+  /** Runs the next event. Returns false once both terms are over. */
+  boolean runNextEvent() {
     if (controller == null) {
       if (terms == TERMS) {
         return false;
       }
       startTerm();
     }
-    if (!loop.step(termEndsMicros)) {
-      // Its machines and jobs stay for the next term to take over.
+    if (!loop.runNextEvent(termEndsMicros)) {
+      // The machines and jobs of this term remain for the failover at the start of the next term.
       controller.close();
       controller = null;
     }
@@ -110,22 +110,22 @@
       delay += stagger;
     }
     for (int job = 0; job < JOBS; job++) {
-      loop.after(FIRST_JOB_MICROS + job * JOB_PAUSE_MICROS, () -> submit(term));
+      loop.after(FIRST_JOB_MICROS + job * SUBMIT_INTERVAL_MICROS, () -> submit(term));
     }
     loop.after(TERM_MICROS / 2, () -> cancelJobBeforeLast(term));
   }
 
-  private boolean isOver(int term) {
+  private boolean hasEnded(int term) {
     return term != terms || controller == null;
   }
 
-  /** Calls of a term that is over are lost, as those of a process that has ended. */
+  /** Returns a caller that discards calls once the term is over, like a process that has ended. */
   private Caller caller(int term) {
     return (to, method, path, body, timeout, answer) ->
         loop.after(
             LATENCY_MICROS,
             () -> {
-              if (isOver(term)) {
+              if (hasEnded(term)) {
                 return;
               }
               if (path.equals(ProtocolPath.COMMANDS)) {
@@ -150,7 +150,7 @@
   }
 
   private void heartbeat(int term, String machineId) {
-    if (isOver(term)) {
+    if (hasEnded(term)) {
       return;
     }
     controller
@@ -172,26 +172,26 @@
     submitted++;
     JobSpec job = WarmUpJobs.job(submitted, TEAM, priority);
     byte[] body = Json.write(job.toJson()).getBytes(StandardCharsets.UTF_8);
-    ask(term, "POST", ProtocolPath.SUBMISSIONS, body);
+    request(term, "POST", ProtocolPath.SUBMISSIONS, body);
     poll(term, job.uid());
   }
 
   private void poll(int term, String uid) {
-    if (!isOver(term)) {
-      ask(term, "GET", ProtocolPath.SUBMISSIONS + "/" + uid, null);
-      loop.after(POLL_PAUSE_MICROS, () -> poll(term, uid));
+    if (!hasEnded(term)) {
+      request(term, "GET", ProtocolPath.SUBMISSIONS + "/" + uid, null);
+      loop.after(POLL_INTERVAL_MICROS, () -> poll(term, uid));
     }
   }
 
   private void cancelJobBeforeLast(int term) {
     String uid = WarmUpJobs.uid(submitted - 1);
     String path = ProtocolPath.SUBMISSIONS + "/" + uid + ProtocolPath.CANCEL_SUFFIX;
-    ask(term, "POST", path, null);
+    request(term, "POST", path, null);
   }
 
-  private void ask(int term, String method, String path, byte[] body) {
-    if (!isOver(term)) {
-      controller.router().handle(method, path, body, NO_USER);
+  private void request(int term, String method, String path, byte[] body) {
+    if (!hasEnded(term)) {
+      controller.router().handle(method, path, body, DISCARD_RESPONSE);
     }
   }
 }
--- a/src/test/java/plumlever/sharing/PoolRecordsTest.java
+++ b/src/test/java/plumlever/sharing/PoolRecordsTest.java
@@ -13,14 +13,17 @@
 import plumlever.wire.Json;
 import plumlever.wire.TaskName;
 
-/** The pool's records: what is written is read, what is not known is refused, old news is none. */
+/**
+ * Tests the pool's records: stored records parse to equal records, unknown formats are rejected,
+ * and an older change does not overwrite a newer one.
+ */
 final class PoolRecordsTest {
   private static String name(int number) {
     return String.format("i-%06d", number);
   }
 
   @Test
-  void ownersOfAWorstCaseRangeFitTheSmallestValue() throws Exception {
+  void worstCaseOwnerRecordFitsSmallestValueLimit() throws Exception {
     OwnerRecord record = OwnerRecord.EMPTY;
     for (int number = 0; number < 256; number++) {
       assertEquals(OwnerRecord.keyOf(name(0)), OwnerRecord.keyOf(name(number)));
@@ -33,11 +36,13 @@
     assertEquals(Optional.of("cell-1"), read.with(name(0), "cell-1").holder(name(0)));
     assertEquals(Optional.empty(), read.without(name(0)).holder(name(0)));
     assertEquals(
-        256, read.count("cell-0") + read.count("cell-1") + read.count("cell-2"), "one owner each");
+        256,
+        read.count("cell-0") + read.count("cell-1") + read.count("cell-2"),
+        "each machine has exactly one owner");
   }
 
   @Test
-  void namesOfOtherSeriesHaveOtherRecords() {
+  void differentSeriesUseDifferentRecords() {
     assertFalse(OwnerRecord.keyOf("i-000001").equals(OwnerRecord.keyOf("j-000001")));
     assertFalse(OwnerRecord.keyOf("i-1").equals(OwnerRecord.keyOf("i-000001")));
     assertEquals(new MachineId("rack~0", 0), MachineId.of("rack"));
@@ -45,7 +50,7 @@
   }
 
   @Test
-  void aTransferGoesThroughItsStates() throws Exception {
+  void transferRecordStateTransitions() throws Exception {
     ForeignTask foreignTask = new ForeignTask(new TaskName("job-000001", 3), 77, 2, 0, 4);
     TransferRecord.Details machine =
         new TransferRecord.Details("i-000001", "10.0.0.1:9", "small", "a", true);
@@ -59,19 +64,21 @@
             Map.of("a", List.of(foreignTask)));
     TransferRecord read = TransferRecord.parse("i-000001", offered.toJson());
     assertEquals(offered, read);
-    assertFalse(read.hasTasksOf("a"), "it is the owner");
+    assertFalse(read.hasTasksOf("a"), "tasks of the owner are not foreign tasks");
     TransferRecord taken = TransferRecord.parse("i-000001", read.taken("b", 6).toJson());
     assertTrue(taken.hasTasksOf("a"));
     assertEquals(List.of(foreignTask), taken.tasksByShard().get("a"));
     assertFalse(taken.isSettled());
     assertTrue(taken.withoutTasksOf("a").isSettled());
-    assertTrue(taken.taken("a", 7).tasksByShard().isEmpty(), "its own tasks are guests no more");
+    assertTrue(
+        taken.taken("a", 7).tasksByShard().isEmpty(),
+        "tasks of the new owner are not foreign tasks");
     assertTrue(offered.withdrawn().isSettled());
     assertTrue(taken.gone().hasTasksOf("a"));
   }
 
   @Test
-  void whatIsNotKnownIsRefused() {
+  void unknownFormatsAreRejected() {
     assertThrows(
         InvalidMessageException.class, () -> OwnerRecord.parse(Json.object().put("sets", 7)));
     assertThrows(
@@ -96,11 +103,12 @@
     view.apply(key, null, 13);
     view.apply(key, OwnerRecord.EMPTY.with("i-000001", "b").toJson(), 12);
     assertEquals(Optional.empty(), view.holder("i-000001"));
-    assertEquals(0, view.revisionOf(key), "absent keys are guarded by 0");
+    assertEquals(0, view.revisionOf(key), "precondition revision of an absent key");
     view.apply(key, OwnerRecord.EMPTY.with("i-000001", "c").toJson(), 14);
-    view.absent(key, 12);
-    assertEquals(Optional.of("c"), view.holder("i-000001"), "stored since that read was sent");
-    view.absent(key, 14);
+    view.markAbsent(key, 12);
+    assertEquals(
+        Optional.of("c"), view.holder("i-000001"), "the record was stored after the read was sent");
+    view.markAbsent(key, 14);
     assertEquals(Optional.empty(), view.holder("i-000001"));
   }
 }
