--- a/src/main/java/plumlever/sharing/LimitParts.java
+++ b/src/main/java/plumlever/sharing/LimitParts.java
@@ -40,15 +40,15 @@
    */
   public static LimitParts split(
       double cores, double accelerators, Map<String, Double> weightByShard) {
-    double all = weightByShard.values().stream().mapToDouble(Double::doubleValue).sum();
+    double totalWeight = weightByShard.values().stream().mapToDouble(Double::doubleValue).sum();
     Map<String, Part> parts = new TreeMap<>();
     double coresLeft = cores;
     double acceleratorsLeft = accelerators;
     for (Map.Entry<String, Double> entry : weightByShard.entrySet()) {
       Part part =
           new Part(
-              Math.floor(cores * entry.getValue() / all),
-              Math.floor(accelerators * entry.getValue() / all));
+              Math.floor(cores * entry.getValue() / totalWeight),
+              Math.floor(accelerators * entry.getValue() / totalWeight));
       coresLeft -= part.cores();
       acceleratorsLeft -= part.accelerators();
       parts.put(entry.getKey(), part);
@@ -66,15 +66,15 @@
 
   /** Returns the parts after moving cores and accelerators from one shard to another. */
   public LimitParts moved(String from, String to, double cores, double accelerators) {
-    Part giver = of(from);
-    Part taker = of(to);
-    if (cores > giver.cores() || accelerators > giver.accelerators()) {
+    Part source = of(from);
+    Part target = of(to);
+    if (cores > source.cores() || accelerators > source.accelerators()) {
       throw new IllegalArgumentException(
           from + " can't move more cores or accelerators than its part of the limit");
     }
     Map<String, Part> parts = new TreeMap<>(byShard);
-    parts.put(from, new Part(giver.cores() - cores, giver.accelerators() - accelerators));
-    parts.put(to, new Part(taker.cores() + cores, taker.accelerators() + accelerators));
+    parts.put(from, new Part(source.cores() - cores, source.accelerators() - accelerators));
+    parts.put(to, new Part(target.cores() + cores, target.accelerators() + accelerators));
     return new LimitParts(parts);
   }
 
--- a/src/main/java/plumlever/sharing/SharePolicy.java
+++ b/src/main/java/plumlever/sharing/SharePolicy.java
@@ -81,18 +81,18 @@
     shards.stream()
         .sorted(Comparator.comparing(ShardState::name))
         .forEach(shard -> balances.add(new ShardBalance(shard, shards)));
-    List<ShardBalance> takers = new ArrayList<>(balances);
-    takers.sort(
+    List<ShardBalance> targets = new ArrayList<>(balances);
+    targets.sort(
         Comparator.comparingDouble(ShardBalance::shareDeficit)
             .reversed()
-            .thenComparing(taker -> taker.shard.name()));
+            .thenComparing(target -> target.shard.name()));
     List<Move> moves = new ArrayList<>();
-    for (ShardBalance taker : takers) {
-      for (ShardBalance giver : balances) {
-        if (giver != taker) {
-          int count = moveMachines(giver, taker, maxPerMove);
+    for (ShardBalance target : targets) {
+      for (ShardBalance source : balances) {
+        if (source != target) {
+          int count = moveMachines(source, target, maxPerMove);
           if (count > 0) {
-            moves.add(new Move(giver.shard.name(), taker.shard.name(), count));
+            moves.add(new Move(source.shard.name(), target.shard.name(), count));
           }
         }
       }
@@ -100,17 +100,17 @@
     return moves;
   }
 
-  private static int moveMachines(ShardBalance giver, ShardBalance taker, int maxPerMove) {
+  private static int moveMachines(ShardBalance source, ShardBalance target, int maxPerMove) {
     int count = 0;
-    while (count < maxPerMove && taker.wanted > 0) {
-      if (giver.canGiveIdle()) {
-        giver.idle--;
-      } else if (!(taker.machines < taker.share && giver.canGiveUsed())) {
+    while (count < maxPerMove && target.wanted > 0) {
+      if (source.canGiveIdle()) {
+        source.idle--;
+      } else if (!(target.machines < target.share && source.canGiveUsed())) {
         break;
       }
-      giver.machines--;
-      taker.machines++;
-      taker.wanted--;
+      source.machines--;
+      target.machines++;
+      target.wanted--;
       count++;
     }
     return count;
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -73,7 +73,7 @@
   private static final String OWNER = "owner";
   private static final String NUMBER = "number";
   private static final String OFFER = "offer";
-  private static final String TAKER = "to";
+  private static final String OFFERED_TO = "to";
   private static final String TERM_REVISION = "term_stamp";
   private static final String DIGEST = "digest";
   private static final String ORIGINATING_SHARDS = "homes";
@@ -112,11 +112,11 @@
    * Returns the record after the taker has acquired the machine. The taker's tasks on the machine
    * are removed from the record: they are not foreign tasks any more.
    */
-  public TransferRecord taken(String taker, long newNumber) {
+  public TransferRecord taken(String newOwner, long newNumber) {
     Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
-    remainingTasks.remove(taker);
+    remainingTasks.remove(newOwner);
     return new TransferRecord(
-        State.TAKEN, machine, incarnation, taker, newNumber, Optional.empty(), remainingTasks);
+        State.TAKEN, machine, incarnation, newOwner, newNumber, Optional.empty(), remainingTasks);
   }
 
   /** Returns the record after the owner has withdrawn the offer, without the owner's tasks. */
@@ -161,7 +161,7 @@
         made ->
             object
                 .putObject(OFFER)
-                .put(TAKER, made.to())
+                .put(OFFERED_TO, made.to())
                 .put(TERM_REVISION, made.termRevision())
                 .put(DIGEST, made.digest()));
     ObjectNode stored = object.putObject(ORIGINATING_SHARDS);
@@ -193,7 +193,7 @@
       offer =
           Optional.of(
               new Offer(
-                  Json.text(made, TAKER),
+                  Json.text(made, OFFERED_TO),
                   Json.whole(made, TERM_REVISION, 0, Long.MAX_VALUE),
                   Json.text(made, DIGEST)));
     }
--- a/src/test/java/plumlever/sharing/SharePolicyTest.java
+++ b/src/test/java/plumlever/sharing/SharePolicyTest.java
@@ -29,42 +29,42 @@
   }
 
   /** Reference implementation: moves one machine at a time and recomputes all conditions. */
-  private static List<Move> referencePlan(List<ShardState> shards, int most) {
+  private static List<Move> referencePlan(List<ShardState> shards, int maxPerMove) {
     Map<String, ShardState> state = new HashMap<>();
     List<String> names = new ArrayList<>();
     shards.forEach(shard -> state.put(shard.name(), shard));
     shards.stream().map(ShardState::name).sorted().forEach(names::add);
     Map<String, Double> share = new HashMap<>();
     shards.forEach(shard -> share.put(shard.name(), SharePolicy.shareOf(shard, shards)));
-    List<String> takers = new ArrayList<>(names);
-    takers.sort(
+    List<String> targets = new ArrayList<>(names);
+    targets.sort(
         (one, other) -> {
           double first = share.get(one) - state.get(one).machines();
           double second = share.get(other) - state.get(other).machines();
           return first == second ? one.compareTo(other) : Double.compare(second, first);
         });
     List<Move> moves = new ArrayList<>();
-    for (String taker : takers) {
-      for (String giver : names) {
+    for (String target : targets) {
+      for (String source : names) {
         int count = 0;
-        for (int i = 0; i < most && !giver.equals(taker); i++) {
-          ShardState from = state.get(giver);
-          ShardState to = state.get(taker);
+        for (int i = 0; i < maxPerMove && !source.equals(target); i++) {
+          ShardState from = state.get(source);
+          ShardState to = state.get(target);
           boolean idle = from.idle() > 0 && from.machines() > from.floor();
           boolean used =
-              to.machines() < share.get(taker)
+              to.machines() < share.get(target)
                   && from.machines() > from.floor()
-                  && from.machines() - 1 >= share.get(giver)
-                  && from.machines() > 1.1 * share.get(giver);
+                  && from.machines() - 1 >= share.get(source)
+                  && from.machines() > 1.1 * share.get(source);
           if (to.wanted() == 0 || !(idle || used)) {
             break;
           }
-          state.put(giver, changed(from, -1, idle ? -1 : 0, 0));
-          state.put(taker, changed(to, 1, 0, -1));
+          state.put(source, changed(from, -1, idle ? -1 : 0, 0));
+          state.put(target, changed(to, 1, 0, -1));
           count++;
         }
         if (count > 0) {
-          moves.add(new Move(giver, taker, count));
+          moves.add(new Move(source, target, count));
         }
       }
     }
@@ -84,20 +84,20 @@
   @Test
   void matchesReferenceForAnyOrderOfShards() {
     SplittableRandom random = new SplittableRandom(7);
-    int moving = 0;
+    int roundsWithMoves = 0;
     for (int round = 0; round < 3_000; round++) {
       List<ShardState> shards = new ArrayList<>();
       for (String name : List.of("a", "b", "c", "d").subList(0, 2 + random.nextInt(3))) {
         shards.add(random(name, random));
       }
-      int most = 1 + random.nextInt(10);
-      List<Move> planned = SharePolicy.plan(shards, most);
-      assertEquals(referencePlan(shards, most), planned, shards.toString());
+      int maxPerMove = 1 + random.nextInt(10);
+      List<Move> planned = SharePolicy.plan(shards, maxPerMove);
+      assertEquals(referencePlan(shards, maxPerMove), planned, shards.toString());
       Collections.shuffle(shards, new Random(round));
-      assertEquals(planned, SharePolicy.plan(shards, most), shards.toString());
-      moving += planned.isEmpty() ? 0 : 1;
+      assertEquals(planned, SharePolicy.plan(shards, maxPerMove), shards.toString());
+      roundsWithMoves += planned.isEmpty() ? 0 : 1;
     }
-    assertTrue(moving > 500, "rounds with moves: " + moving);
+    assertTrue(roundsWithMoves > 500, "rounds with moves: " + roundsWithMoves);
   }
 
   @Test
@@ -121,9 +121,9 @@
 
   @Test
   void machinesInUseMoveOnlyFromAboveTheShareByMoreThanTheHysteresis() {
-    ShardState taker = new ShardState("b", 0, 1, 9, 0, 5);
+    ShardState target = new ShardState("b", 0, 1, 9, 0, 5);
     assertEquals(
-        List.of(), SharePolicy.plan(List.of(new ShardState("a", 0, 1, 10, 0, 0), taker), 5));
+        List.of(), SharePolicy.plan(List.of(new ShardState("a", 0, 1, 10, 0, 0), target), 5));
     ShardState small = new ShardState("b", 0, 1, 4, 0, 5);
     assertEquals(
         List.of(new Move("a", "b", 5)),
