--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Returns when the machines were loaded. Lease renewals by later answers are recorded for each
-   * machine; an earlier answer may have renewed the lease of any machine.
+   * Returns when the machines were loaded. Lease renewals by later responses are recorded for each
+   * machine; an earlier response may have renewed the lease of any machine.
    */
   public long loadedMicros() {
     return loadedMicros;
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Sets how many running tasks the machine reports that this leader does not track. */
+  /** Sets the number of tasks running on the machine that this leader does not track. */
   public void setUntrackedTasks(Machine machine, int tasks) {
     if (tasks > 0 ? withUntrackedTasks.add(machine) : withUntrackedTasks.remove(machine)) {
       possiblyOccupiedKnown = false;
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -16,12 +16,15 @@
 /**
  * Stores data that the next leader would otherwise have to learn again: the images cached on each
  * machine, and the observed error of run-time estimates. A large fleet takes several values. The
- * data is advisory only: wrong or missing warm state costs time but violates no rule.
+ * data is advisory only: wrong or missing warm state costs time but causes no violation.
  */
 public final class WarmState {
   private static final long INTERVAL_MICROS = 10_000_000;
 
-  /** The interval is divided by this factor while a full transaction of changes was found. */
+  /**
+   * The interval is divided by this factor after a call that found enough changes to fill a
+   * transaction.
+   */
   private static final int BACKLOG_SPEED_UP = 4;
 
   /** Maximum number of changes per transaction, to avoid delaying submissions. */
--- a/src/main/java/plumlever/leader/failover/WarmStateCodec.java
+++ b/src/main/java/plumlever/leader/failover/WarmStateCodec.java
@@ -105,8 +105,9 @@
     }
 
     /**
-     * Adds the machine with its images, in GB by name.
+     * Adds the machine with its cached images.
      *
+     * @param ready sizes of the images in GB by name
      * @return false if the machine does not fit into the value
      */
     boolean add(Machine machine, Map<String, Double> ready, int maxBytes) {
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -11,12 +11,13 @@
 
 /**
  * Detects silent machines and the cause of the silence: a machine is gone, its zone is partitioned,
- * or this controller has lost its connection to the workers. Silence measured while the controller
- * loop ran late does not count.
+ * or this controller has lost its connection to the workers. Silence measured while the event loop
+ * ran late does not count.
  */
 final class FailureDetector {
   /**
-   * A loop that is later than this has read too few heartbeats to decide which machines are silent.
+   * An event loop that is later than this has read too few heartbeats to decide which machines are
+   * silent.
    */
   private static final long MAX_LATENESS_MICROS = 1_000_000;
 
@@ -27,8 +28,8 @@
   private static final int MIN_SILENT_IN_PARTITIONED_ZONE = 2;
 
   /**
-   * This controller counts as cut off from its workers if at least this percentage of the machines
-   * is silent here...
+   * This controller counts as partitioned from the workers if at least this percentage of the
+   * machines is silent here...
    */
   private static final int MIN_SILENT_PERCENT_IF_CUT_OFF = 70;
 
@@ -45,7 +46,7 @@
     private int machines;
     private int silent;
 
-    /** Machines that are not accounted for in the failover. */
+    /** Machines that may still run unknown tasks of earlier leaders. */
     private int unaccounted;
 
     boolean isPartitioned() {
@@ -76,9 +77,7 @@
     this.failover = failover;
   }
 
-  /**
-   * Checks whether the controller loop runs late; silence counts only from the last late cycle on.
-   */
+  /** Records whether the event loop runs late; silence counts only from the last late cycle on. */
   void recordLateness(long now) {
     if (context.latenessMicros().getAsLong() > MAX_LATENESS_MICROS) {
       lastLateMicros = now;
@@ -115,7 +114,7 @@
 
   /**
    * Returns for how long nothing has been received from the machine. The time is counted at the
-   * earliest from the loading of the machines and from the last late cycle of the controller loop,
+   * earliest from the loading of the machines and from the last late cycle of the event loop,
    * because a late loop has not read all received messages yet.
    */
   long silentMicros(Machine machine, long now) {
@@ -126,8 +125,8 @@
 
   /**
    * Returns true if most machines are silent here while many workers report to other controllers,
-   * so only this controller is cut off from the workers. If it remained leader, all machines would
-   * be left without answers and commands.
+   * so only this controller is partitioned from the workers. If it remained leader, all machines
+   * would be left without responses and commands.
    */
   boolean isCutOffFromWorkers() {
     int all = 0;
@@ -163,7 +162,7 @@
 
   /**
    * Derives the partitioned zones from the last count. A zone counts as partitioned for some time
-   * after the partition has ended, because its machines resume their reports one by one.
+   * after the partition has ended, because its machines resume their heartbeats one by one.
    */
   void updatePartitionedZones(long now) {
     partitionedZones.values().removeIf(until -> until < now);
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -16,8 +16,8 @@
 import plumlever.wire.MachineType;
 
 /**
- * Cordons machines that are not needed to meet the service-level objectives, if money matters, and
- * uncordons machines when tasks wait.
+ * Cordons machines that are not needed to meet the service-level objectives, if cost matters, and
+ * uncordons machines when there is demand for more capacity.
  */
 final class FleetSizing {
   /** Age after which the minimum time that the cloud charges for a machine is used up. */
@@ -64,9 +64,10 @@
   }
 
   /**
-   * Keeps only as many machines in use as are needed. While no tasks wait, the most expensive and
-   * then emptiest machines are cordoned, provided that the remaining machines suffice. While tasks
-   * wait, the cheapest cordoned machines are uncordoned before any machine is rented.
+   * Keeps only as many machines in use as are needed. While there is no rental demand, the most
+   * expensive and then emptiest machines are cordoned, provided that the remaining machines
+   * suffice. While there is rental demand, the cheapest cordoned machines are uncordoned before any
+   * machine is rented.
    */
   void adjust(long now) {
     Set<Machine> cordoned = pass.cordoned();
@@ -120,7 +121,7 @@
     return candidates;
   }
 
-  /** Uncordons the cheapest machines, as many as the waiting tasks need, but at least one. */
+  /** Uncordons the cheapest machines, as many as the rental demand needs, but at least one. */
   private void uncordon(Set<Machine> cordoned, long now) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : cordoned) {
--- a/src/main/java/plumlever/leader/machine/LeaseExpiry.java
+++ b/src/main/java/plumlever/leader/machine/LeaseExpiry.java
@@ -14,7 +14,7 @@
  * the lease for its full duration, whatever the machine may have reported.
  */
 final class LeaseExpiry {
-  /** Safety margin added to a lease, for an answer in transit and a late timer. */
+  /** Safety margin added to a lease, for a response in transit and a late timer. */
   private static final long MARGIN_MICROS = 1_500_000;
 
   /** Bound on the combined drift of the clocks of worker and controller, as a fraction. */
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -12,8 +12,8 @@
 
 /**
  * Manages the machines of one term at short intervals: reads the inventory of the cloud, ends
- * expired leases, returns machines that are gone or not needed, and rents machines that are
- * lacking.
+ * expired leases, returns machines that are gone or not needed, and rents machines for pending
+ * tasks.
  */
 public final class MachineManager {
   private static final long INTERVAL_MICROS = 500_000;
@@ -112,7 +112,7 @@
     } else {
       checkMachines(now);
     }
-    // A callback for a change may have closed this leader in the meantime.
+    // A change callback may have closed this manager in the meantime.
     if (closed) {
       return;
     }
@@ -137,7 +137,7 @@
     }
   }
 
-  /** Takes no further action, including on answers in flight. */
+  /** Takes no further action and ignores responses that arrive later. */
   public void close() {
     closed = true;
     inventory.close();
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -20,7 +20,7 @@
  * The stored record of the machines that may hold tasks. A machine is added to the record before
  * any task is started on it.
  *
- * <p>Format: each value lists machines as arrays of name, address and index into the list of kinds
+ * <p>Format: each value lists machines as arrays of id, endpoint and index into the list of kinds
  * of the value. A kind is an array of machine type, zone and whether the machine is a spot machine.
  */
 public final class MachineRegistry {
@@ -40,10 +40,10 @@
   private static final int KIND_ZONE = 1;
   private static final int KIND_SPOT = 2;
 
-  /** Space reserved for the kinds of a value. */
+  /** Bytes reserved for the list of kinds in a value. */
   private static final int KINDS_BYTES = 500;
 
-  /** Size of an entry besides name and address. */
+  /** Bytes of an entry in addition to the machine's id and endpoint. */
   private static final int ENTRY_BYTES = 11;
 
   private final Logger log;
@@ -96,7 +96,7 @@
   }
 
   /**
-   * Stores the machine if its address is known. No task is started on the machine until the write
+   * Stores the machine if its endpoint is known. No task is started on the machine until the write
    * is acknowledged.
    */
   public void register(Machine machine) {
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -19,7 +19,7 @@
 import plumlever.wire.MachineType;
 
 /**
- * Rents machines for waiting tasks. A request whose outcome is unknown is repeated with the same id
+ * Rents machines for pending tasks. A request whose outcome is unknown is repeated with the same id
  * until the outcome is known, so that no machine is rented twice.
  */
 final class MachineRentals {
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -22,7 +22,7 @@
  */
 final class MachineReturns {
   /**
-   * Number of ids kept. The ids prevent a delayed copy of a heartbeat from adding a returned
+   * Number of ids kept. The ids prevent a delayed duplicate of a heartbeat from adding a returned
    * machine to the fleet again.
    */
   private static final int MAX_RETURNED_IDS = 20_000;
--- a/src/main/java/plumlever/leader/machine/PartitionProbes.java
+++ b/src/main/java/plumlever/leader/machine/PartitionProbes.java
@@ -13,11 +13,11 @@
 /**
  * Calls machines of zones that seem to be partitioned. If this leader cannot reach a zone but
  * another controller can, the other controller may renew the leases of the zone. Some machines of
- * the zone are called continuously, because workers keep reporting to the controller that answers
- * them; the first machine that answers the leader ends the delegation.
+ * the zone are called continuously, because workers keep sending heartbeats to the controller that
+ * responds to them; the first machine that responds to the leader ends the delegation.
  */
 final class PartitionProbes {
-  /** A machine that has reported within this time counts as reachable. */
+  /** A machine that sent a heartbeat or a response within this time counts as reachable. */
   private static final long REACHABLE_MICROS = 1_500_000;
 
   private static final int CALLS_PER_ZONE = 3;
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -10,8 +10,8 @@
 import plumlever.wire.MachineType;
 
 /**
- * Decides which machines are returned to the cloud and why. The requests to the cloud are sent
- * elsewhere ({@link MachineReturns}).
+ * Decides which machines are returned to the cloud and why. {@link MachineReturns} sends the
+ * requests to the cloud.
  */
 final class ReturnPolicy {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -19,7 +19,7 @@
   /** Minimum time that the failover waits for each machine. */
   private static final long FAILOVER_MIN_WAIT_MICROS = 2_000_000;
 
-  /** A machine with fewer failed calls may not have been called early enough to answer. */
+  /** A machine with fewer failed calls may not have been called early enough to respond. */
   private static final int MIN_FAILED_CALLS = 2;
 
   /** Number of lease durations for which machines of a partitioned zone may be silent. */
@@ -57,7 +57,7 @@
    * Returns the reason to return the machine, or empty to keep it. Also updates the time since
    * which the machine has been idle.
    *
-   * @param scarce true if tasks wait although some rental option is unavailable
+   * @param scarce true if there is rental demand while some rental option is unavailable
    */
   Optional<ReturnReason> reasonToReturn(Machine machine, boolean scarce, long now) {
     if (machine.failed()) {
@@ -88,17 +88,18 @@
     double bootS =
         machineType == null ? BOOT_S_OF_UNKNOWN_TYPE : Math.max(machineType.startupS(), MIN_BOOT_S);
     long bootTimeoutMicros = (long) (bootS * MICROS_PER_SECOND * context.parameters().bootFactor());
+    // After a failover, every machine has at least half of the timeout to report to the new leader.
     long sinceMicros =
         Math.max(machine.knownSinceMicros(), failover.startedMicros() - bootTimeoutMicros / 2);
     return now - sinceMicros > bootTimeoutMicros;
   }
 
   /**
-   * Returns true for a machine that neither answers calls nor reports to the new leader while most
-   * of its zone has reported. In most cases the machine was preempted shortly before. All tasks of
-   * inherited jobs wait for such machines, so these machines are returned earlier than other silent
-   * machines. The minimum wait exists because a large fleet takes seconds to report to a new
-   * leader.
+   * Returns true for a machine that neither responds to calls nor reports to the new leader while
+   * most of its zone has reported. In most cases the machine was preempted shortly before. All
+   * pending tasks of inherited jobs wait for such machines, so these machines are returned earlier
+   * than other silent machines. The minimum wait exists because a large fleet takes seconds to
+   * report to a new leader.
    */
   private boolean delaysFailover(Machine machine, long now) {
     return failover.unaccounted().contains(machine)
@@ -135,7 +136,7 @@
 
   /**
    * Returns how long a machine may be idle. If machines are scarce, the time is shorter: an idle
-   * machine that does not suit the waiting tasks may occupy capacity of the cloud that they need.
+   * machine that does not suit the pending tasks may occupy capacity of the cloud that they need.
    */
   private long maxIdleMicros(boolean scarce) {
     return context.moneyMatters() || scarce
--- a/src/main/java/plumlever/leader/machine/ReturnReason.java
+++ b/src/main/java/plumlever/leader/machine/ReturnReason.java
@@ -6,14 +6,14 @@
   FAILED("the cloud lists it as failed"),
   /** The machine has been booting for far longer than its type takes. */
   NOT_BOOTING("it did not boot in time"),
-  /** The machine is one of few in its zone for which inherited tasks still wait. */
+  /** The pending tasks of inherited jobs still wait for this machine and few others in its zone. */
   DELAYS_FAILOVER("it delays the failover"),
   /**
    * The machine has not reported for longer than allowed. The limit is higher while its zone seems
    * to be partitioned.
    */
-  SILENT("it has stopped reporting"),
-  /** The machine is faulty or about to be preempted, and runs no tasks any longer. */
+  SILENT("it has been silent for too long"),
+  /** The machine is faulty or about to be preempted, and no longer runs tasks. */
   DRAINED("it is drained"),
   /** The machine has been idle for so long that it is not worth its price. */
   IDLE("it is idle");
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -24,8 +24,8 @@
  *
  * <p>A direct command may be executed after its call has timed out. Tasks of an unanswered command
  * therefore count as possibly running until the machine reports a higher token or its incarnation
- * has ended. For the same reason, a heartbeat that shows only the token of the start command does
- * not prove that a task started by this command is absent (see {@link
+ * has ended. For the same reason, a task that is missing from a heartbeat may still start if the
+ * heartbeat carries the token of the start command or a lower one (see {@link
  * plumlever.fleet.MachineTokens#voidDirectCommands}).
  */
 public final class CommandSender {
@@ -33,8 +33,8 @@
   private static final long TOKEN_RAISE_TIMEOUT_MICROS = 1_000_000;
 
   /**
-   * Maximum number of concurrent start commands. Leaves sockets and loop time for other calls when
-   * many tasks start at once.
+   * Maximum number of concurrent start commands. The limit leaves sockets and event-loop time for
+   * other calls when many tasks start at once.
    */
   private static final int MAX_STARTS_IN_FLIGHT = 48;
 
@@ -56,7 +56,7 @@
   /**
    * Creates the sender of direct commands for one term.
    *
-   * @param onPlacementChange runs when a worker's reply changes the input of placement
+   * @param onPlacementChange runs when a worker's response changes the input of placement
    */
   public CommandSender(
       TermContext context,
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Sends an empty command with the machine's current fencing token. The worker's reply lists all
-   * tasks that earlier leaders started on the machine.
+   * Sends an empty command with the machine's current fencing token. The worker's response lists
+   * all tasks that earlier leaders started on the machine.
    *
    * <p>Does nothing while another direct call to the machine is in flight, while the maximum number
    * of token raises is in flight, or when the leader may not act. In a delegated zone, where
@@ -192,6 +192,9 @@
             && heartbeat.incarnation() != machine.contact().incarnation();
     heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY);
     if (incarnationChanged && !machine.accounted()) {
+      // The machine refused the command because it named another incarnation. The response
+      // contained
+      // the current incarnation, so the command is sent again.
       sendToken(machine);
     }
     notifyPlacementChange();
@@ -259,7 +262,7 @@
     return tokenRaisesInFlight;
   }
 
-  /** Ends the term: later replies are ignored. */
+  /** Ends the term. Responses that arrive later have no effect on jobs and machines. */
   public void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
+++ b/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
@@ -14,6 +14,7 @@
  * time to rent a machine.
  */
 final class HeadroomDemand {
+  /** Time for which the arrival of a job counts towards the headroom. */
   private static final long ARRIVAL_WINDOW_MICROS = 120_000_000;
 
   private final TermContext context;
@@ -31,14 +32,14 @@
             context.parameters().headroomDeviations());
   }
 
-  /** Drops the arrival marks of all jobs that are not in the given set. */
+  /** Forgets which jobs outside the given set have been recorded. */
   void retainAll(Set<Job> jobs) {
     recordedJobs.retainAll(jobs);
   }
 
   /**
    * Records the arrival of a job whose start objective is shorter than the time to rent a machine.
-   * Each job is recorded at most once.
+   * Each job is considered once. Jobs released before the arrival window are ignored.
    */
   void recordArrival(Job job, long nowMicros) {
     long releasedMicros = job.releasedMicros();
--- a/src/main/java/plumlever/leader/scheduling/JobGoals.java
+++ b/src/main/java/plumlever/leader/scheduling/JobGoals.java
@@ -10,7 +10,7 @@
  */
 final class JobGoals {
   /**
-   * Time for which a job that missed its goal is ordered behind jobs that can still meet theirs.
+   * Time for which a job that missed its goal is scheduled after jobs that can still meet theirs.
    */
   private static final long RECENTLY_MISSED_MICROS = 120_000_000;
 
@@ -63,8 +63,10 @@
   }
 
   /**
-   * Time left until the job's goals for start and end are missed; negative if they are missed
-   * already.
+   * Time left until the job misses its goal for start or end, whichever comes first; negative after
+   * a miss.
+   *
+   * @param costMicros estimated time from the job's release to the end of its tasks
    */
   long remainingMicros(Job job, long costMicros, long nowMicros) {
     long finishByMicros = finishByMicros(job, nowMicros);
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -13,7 +13,7 @@
  * capacity that will be released later, and records rental demand for the remaining tasks.
  */
 final class JobPlacer {
-  /** Maximum number of booked tasks per job and pass; tasks that start at once are not counted. */
+  /** Maximum number of tasks booked per job and pass; tasks that start at once are not counted. */
   private static final int MAX_BOOKED_PER_JOB = 64;
 
   private static final int MAX_PREEMPTIONS_PER_JOB = 48;
@@ -75,8 +75,8 @@
     }
     if (!Placer.hasFreeCapacityNow(request, snapshot.candidates(), zones)
         && ++jobsWithoutCapacity > MAX_SEARCHED_WITHOUT_CAPACITY) {
-      // With this many jobs waiting ahead, no capacity can be booked for the near future. Searching
-      // for hundreds of waiting jobs in a full fleet would take longer than the time until the next
+      // With this many pending jobs ahead, no capacity can be booked for the near future. Searching
+      // for hundreds of pending jobs in a full fleet would take longer than the time until the next
       // urgent job arrives.
       if (!context.moneyMatters()) {
         demands.add(job, tasks, request.runMicros());
@@ -186,9 +186,10 @@
     }
 
     /**
-     * Replaces a start objective that neither the fleet nor a machine rented now can meet by the
-     * next one that a rented machine can meet, and restarts the search. Returns false if there is
-     * no later objective, if the objective was already replaced, or if only speed matters.
+     * Restarts the search with the next start objective that a machine rented now can meet. Called
+     * when the fleet cannot meet the current objective. Returns false if a rented machine can still
+     * meet the current objective, if there is no later objective, if the objective was already
+     * replaced, or if only speed matters.
      */
     private boolean relaxStartGoal() {
       if (startGoalRelaxed || !context.moneyMatters()) {
@@ -211,6 +212,10 @@
       quotas.reserveTask(job);
     }
 
+    /**
+     * Counts a booked task and decides whether a machine should be rented for it. Returns the
+     * number of tasks that remain; 0 once the limit of booked tasks is reached.
+     */
     private int book(Placer.Choice choice, int remaining) {
       boolean needsRental = criteria.needsRental(job, choice, request, nowMicros);
       tasksNeedingRental += needsRental ? 1 : 0;
--- a/src/main/java/plumlever/leader/scheduling/JobQueue.java
+++ b/src/main/java/plumlever/leader/scheduling/JobQueue.java
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Returns the jobs with pending tasks in scheduling order: first jobs past the limit for their
-   * first start, by age; then jobs within their team's guarantee; then by priority; then jobs that
+   * Returns the jobs with pending tasks that may start now, in scheduling order: first starving
+   * jobs, oldest first; then jobs within their team's guarantee; then by priority; then jobs that
    * can still meet their goals before jobs that recently missed them; then by latest start time and
    * age.
    *
--- a/src/main/java/plumlever/leader/scheduling/MachineShapes.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineShapes.java
@@ -8,7 +8,7 @@
 
 /** Caches the machine shapes of one snapshot by machine type and spot flag. */
 final class MachineShapes {
-  /** Memory that counts as much as one core when prices are ignored. */
+  /** Memory that counts as much as one core when only speed matters and prices are ignored. */
   private static final double MEMORY_GB_PER_CORE = 4;
 
   private static final double SECONDS_PER_HOUR = 3600;
--- a/src/main/java/plumlever/leader/scheduling/RentalDemands.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalDemands.java
@@ -48,7 +48,7 @@
     return publishedMicros;
   }
 
-  /** Total cores of the pending tasks that needed machines in the last complete pass. */
+  /** Total cores of the pending tasks for which the last complete pass requested rentals. */
   double waitingCores() {
     double cores = 0;
     for (RentalPlan.Demand demand : published.subList(0, publishedForJobs)) {
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -56,7 +56,7 @@
   private long costsUpdatedMicros;
   private long spentMicros;
 
-  /** Creates the scheduling passes of one term. Nothing is planned before the first run. */
+  /** Creates the scheduler of one term. Nothing is planned before the first {@link #run}. */
   public SchedulingPass(
       TermContext context,
       Fleet fleet,
@@ -165,7 +165,7 @@
     return results.demands().published();
   }
 
-  /** Total cores of the pending tasks that needed machines in the last complete pass. */
+  /** Total cores of the pending tasks for which the last complete pass requested rentals. */
   public double waitingCores() {
     return results.demands().waitingCores();
   }
@@ -227,7 +227,7 @@
     return times.costMicros(job);
   }
 
-  /** Loop time in microseconds at which the last task on the machine is expected to end. */
+  /** Event-loop time in microseconds at which the last task on the machine is expected to end. */
   public long expectedIdleMicros(Machine machine) {
     return times.idleMicros(machine, context.loop().nowMicros());
   }
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -24,7 +24,7 @@
   private final Map<String, TargetTimes> startTargets = new HashMap<>();
   private final Map<String, TargetTimes> finishTargets = new HashMap<>();
 
-  /** Permitted multiples of the deadline by job class, in ascending order. */
+  /** Multiples to which a missed deadline is extended, by job class and in ascending order. */
   private final Map<String, List<Double>> deadlineMultiples = new HashMap<>();
 
   private final long defaultStartMicros;
@@ -113,8 +113,8 @@
   /**
    * Returns the time by which the job should be complete: the earlier of its effective deadline and
    * the finish objective of its class. The effective deadline includes the deadlines of dependent
-   * jobs. After a miss, the deadline is extended to the next permitted multiple. Long.MAX_VALUE if
-   * there is neither.
+   * jobs. After a miss, the deadline is extended to the next multiple that an objective allows.
+   * Long.MAX_VALUE if there is neither.
    */
   long finishByMicros(Job job, long nowMicros) {
     long deadlineMicros =
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -15,7 +15,7 @@
 import plumlever.wire.ProtocolPath;
 import plumlever.wire.WorkerCommand;
 
-/** Sends direct calls to workers and parses the replies. Makes no scheduling decisions. */
+/** Sends direct calls to workers and parses the responses. Makes no scheduling decisions. */
 final class WorkerCalls {
   private final Logger log;
   private final Caller caller;
@@ -28,7 +28,7 @@
   /**
    * Sends commands with the machine's current fencing token and incarnation.
    *
-   * @param onReply receives the result exactly once, on the loop
+   * @param onReply receives the result exactly once, on the event loop
    */
   void sendCommands(
       Machine machine,
@@ -63,7 +63,8 @@
   /**
    * Requests the machine's state without sending a command.
    *
-   * @param onState receives the state exactly once, on the loop; empty if there is no valid reply
+   * @param onState receives the state exactly once, on the event loop; empty if there is no valid
+   *     response
    */
   void inspect(
       Machine machine,
@@ -88,7 +89,7 @@
           .filter(heartbeat -> heartbeat.machineId().equals(machine.id()));
     } catch (InvalidMessageException e) {
       log.warn(
-          "machine {} sent an invalid reply to a direct call: {}", machine.id(), e.getMessage());
+          "machine {} sent an invalid response to a direct call: {}", machine.id(), e.getMessage());
       return Optional.empty();
     }
   }
--- a/src/main/java/plumlever/leader/scheduling/WorkerReply.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerReply.java
@@ -5,7 +5,7 @@
 
 /** Result of a direct call to a worker. */
 sealed interface WorkerReply {
-  /** The worker's heartbeat, if the reply contained a valid one. */
+  /** The worker's heartbeat, if the response contained a valid one. */
   Optional<Heartbeat> heartbeat();
 
   /**
@@ -21,15 +21,15 @@
   }
 
   /**
-   * The worker rejected the commands and will never execute them, because its token or incarnation
-   * is newer.
+   * The worker rejected the commands and will never execute them, because the worker's token or
+   * incarnation is newer.
    *
-   * @param heartbeat the worker's state; empty if the reply contained no valid heartbeat
+   * @param heartbeat the worker's state; empty if the response contained no valid heartbeat
    */
   record Refused(Optional<Heartbeat> heartbeat) implements WorkerReply {}
 
   /**
-   * No valid reply arrived. The worker may have executed the commands or may still execute them.
+   * No valid response arrived. The worker may have executed the commands or may still execute them.
    */
   record Unanswered() implements WorkerReply {
     @Override
--- a/src/main/java/plumlever/placement/CandidateScores.java
+++ b/src/main/java/plumlever/placement/CandidateScores.java
@@ -22,7 +22,7 @@
   private final PlacementParameters parameters;
   private final Zones zones;
 
-  /** Time from free capacity to the task's start by candidate: command delay and image fetch. */
+  /** Time by candidate until a task runs once its capacity is free: command and image fetch. */
   private final long[] preparationMicros;
 
   private final long[] runMicros;
@@ -102,12 +102,12 @@
         : Long.MAX_VALUE;
   }
 
-  /** Returns when a task would run if its capacity becomes free at the given time. */
+  /** Returns the time at which a task would run if its capacity becomes free at the given time. */
   long runsAtMicros(int candidate, long startMicros) {
     return startMicros + preparationMicros[candidate];
   }
 
-  /** True if the candidate is a choice of the given rank for one more task. */
+  /** True if placing one more task on the candidate would be a choice of the given rank. */
   boolean isChoiceOfRank(int index, ChoiceRank rank) {
     PlacementCandidate candidate = candidates.get(index);
     if (!zones.allows(candidate.zone) || candidate.fitsNow(request.resources()) == rank.later) {
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -7,7 +7,8 @@
  * whatever the score. Among these machines, the lowest score wins: price per second times the
  * task's dominant share of the machine times the time that the task occupies the machine. Scores
  * within the tie band count as equal: busy machines are preferred, then the most free memory, then
- * the most free cores.
+ * the most free cores. If the task meets its times on no machine, the machine on which it would run
+ * first is chosen.
  */
 public final class Placer {
   private static final double ROUNDING_TOLERANCE = 1e-9;
--- a/src/main/java/plumlever/placement/TieBand.java
+++ b/src/main/java/plumlever/placement/TieBand.java
@@ -15,12 +15,12 @@
   private int[] heap = new int[INITIAL_CAPACITY];
   private int size;
 
-  /**
-   * Index in the score order of the first candidate that is a choice, and the end of the tie band.
-   */
+  /** Index in the score order of the first candidate that is a choice of the rank. */
   private int first;
 
+  /** Index in the score order after the last candidate of the tie band. */
   private int end;
+
   private ChoiceRank rank;
 
   TieBand(CandidateScores scores, double tieShare, ChoiceRank rank) {
--- a/src/test/java/plumlever/leader/failover/package-info.java
+++ b/src/test/java/plumlever/leader/failover/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the package of the same name, without I/O. */
+/** Tests of the state that a new leader takes over from earlier leaders. No I/O. */
 package plumlever.leader.failover;
--- a/src/test/java/plumlever/placement/PlacerTest.java
+++ b/src/test/java/plumlever/placement/PlacerTest.java
@@ -157,7 +157,7 @@
     }
     assertTrue(
         placedNow > 1_000 && placedLater > 200 && infeasibleLater > 1_000,
-        "too few choices now, later or infeasible: "
+        "too few choices of some kind (now, later, infeasible): "
             + placedNow
             + " "
             + placedLater
