--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -32,7 +32,7 @@
   private static final long OVERDUE_AFTER_MICROS = 7_000_000;
 
   /** Tolerance for rounding errors in sums of fractions. */
-  private static final double ROUNDING = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Logger log;
   private final TermContext context;
@@ -171,13 +171,13 @@
     if (!countPossiblyOccupied()) {
       return 0;
     }
-    Fleet.TeamUsage held = fleet.usage(job.spec().team());
+    Fleet.TeamUsage usage = fleet.usage(job.spec().team());
     LimitParts.Part limit = sharing.get().teamLimit(team);
     return Math.min(
-        headroom(limit.cores(), held.cores() + possiblyOccupiedCores, job.spec().cores()),
+        headroom(limit.cores(), usage.cores() + possiblyOccupiedCores, job.spec().cores()),
         headroom(
             limit.accelerators(),
-            held.accelerators() + possiblyOccupiedAccelerators,
+            usage.accelerators() + possiblyOccupiedAccelerators,
             job.spec().accelerators()));
   }
 
@@ -219,6 +219,8 @@
       return Integer.MAX_VALUE;
     }
     return (int)
-        Math.max(0, Math.min(Integer.MAX_VALUE, Math.floor((limit - used) / perTask + ROUNDING)));
+        Math.max(
+            0,
+            Math.min(Integer.MAX_VALUE, Math.floor((limit - used) / perTask + ROUNDING_TOLERANCE)));
   }
 }
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -31,13 +31,13 @@
    * This controller counts as partitioned from the workers if at least this percentage of the
    * machines is silent here...
    */
-  private static final int MIN_SILENT_PERCENT_IF_CUT_OFF = 70;
+  private static final int MIN_SILENT_PERCENT_IF_PARTITIONED = 70;
 
   /**
    * ... and at least this many workers, as a percentage of the machines known here, report to other
    * controllers.
    */
-  private static final int MIN_ELSEWHERE_PERCENT_IF_CUT_OFF = 40;
+  private static final int MIN_ELSEWHERE_PERCENT_IF_PARTITIONED = 40;
 
   private static final int PERCENT = 100;
 
@@ -128,7 +128,7 @@
    * so only this controller is partitioned from the workers. If it remained leader, all machines
    * would be left without responses and commands.
    */
-  boolean isCutOffFromWorkers() {
+  boolean isPartitionedFromWorkers() {
     int all = 0;
     int silent = 0;
     for (ZoneCount zone : zones.values()) {
@@ -136,9 +136,9 @@
       silent += zone.silent;
     }
     return all > 0
-        && silent * PERCENT >= all * MIN_SILENT_PERCENT_IF_CUT_OFF
+        && silent * PERCENT >= all * MIN_SILENT_PERCENT_IF_PARTITIONED
         && context.workersElsewhere().getAsInt() * PERCENT
-            >= all * MIN_ELSEWHERE_PERCENT_IF_CUT_OFF;
+            >= all * MIN_ELSEWHERE_PERCENT_IF_PARTITIONED;
   }
 
   /** Recounts the machines of each zone. */
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -102,7 +102,7 @@
     failureDetector.recordLateness(now);
     inventory.refresh(now);
     failureDetector.countMachines(now);
-    if (failureDetector.isCutOffFromWorkers()) {
+    if (failureDetector.isPartitionedFromWorkers()) {
       context
           .election()
           .resign(
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -29,7 +29,7 @@
   private static final String KINDS = "kinds";
 
   /** Positions in the array of a machine. */
-  private static final int MACHINE_NAME = 0;
+  private static final int MACHINE_ID = 0;
 
   private static final int MACHINE_ENDPOINT = 1;
   private static final int MACHINE_KIND = 2;
@@ -74,7 +74,7 @@
       }
       List<Machine> entries = new ArrayList<>();
       for (JsonNode node : item.data().path(MACHINES)) {
-        if (fleet.machine(node.path(MACHINE_NAME).asText()) == null) {
+        if (fleet.machine(node.path(MACHINE_ID).asText()) == null) {
           Machine machine = readMachine(node, item.data().path(KINDS));
           fleet.add(machine);
           entries.add(machine);
@@ -87,7 +87,7 @@
   private Machine readMachine(JsonNode node, JsonNode kinds) {
     JsonNode kind = kinds.path(node.path(MACHINE_KIND).asInt());
     return new Machine(
-        node.path(MACHINE_NAME).asText(),
+        node.path(MACHINE_ID).asText(),
         node.path(MACHINE_ENDPOINT).asText(),
         kind.path(KIND_TYPE).asText(),
         kind.path(KIND_ZONE).asText(),
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -128,7 +128,7 @@
         endpoint,
         commands,
         START_TIMEOUT_MICROS,
-        reply -> {
+        response -> {
           startsInFlight--;
           machine.contact().setCommandInFlight(false);
           if (closed) {
@@ -137,13 +137,13 @@
           context
               .metrics()
               .recordDuration("direct_command", context.loop().nowMicros() - sentMicros);
-          reply
+          response
               .heartbeat()
               .ifPresent(
                   heartbeat -> heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY));
-          if (reply instanceof WorkerReply.Refused) {
+          if (response instanceof WorkerResponse.Refused) {
             heartbeats.startsRefused(sent);
-          } else if (reply instanceof WorkerReply.Unanswered) {
+          } else if (response instanceof WorkerResponse.Unanswered) {
             context.metrics().count("direct_commands_unanswered");
             machine.tokens().voidDirectCommands();
             attemptLog.unanswered(machine, incarnation, token, sent);
@@ -175,20 +175,21 @@
         endpoint.get(),
         List.of(),
         TOKEN_RAISE_TIMEOUT_MICROS,
-        reply -> {
+        response -> {
           tokenRaiseEnded(machine);
           if (!closed && context.term().mayAct()) {
-            machine.contact().recordDirectCall(reply.heartbeat().isPresent());
-            reply
+            machine.contact().recordDirectCall(response.heartbeat().isPresent());
+            response
                 .heartbeat()
-                .ifPresent(heartbeat -> handleTokenRaiseReply(machine, reply, heartbeat));
+                .ifPresent(heartbeat -> handleTokenRaiseResponse(machine, response, heartbeat));
           }
         });
   }
 
-  private void handleTokenRaiseReply(Machine machine, WorkerReply reply, Heartbeat heartbeat) {
+  private void handleTokenRaiseResponse(
+      Machine machine, WorkerResponse response, Heartbeat heartbeat) {
     boolean incarnationChanged =
-        reply instanceof WorkerReply.Refused
+        response instanceof WorkerResponse.Refused
             && heartbeat.incarnation() != machine.contact().incarnation();
     heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY);
     if (incarnationChanged && !machine.accounted()) {
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -56,7 +56,7 @@
    * fetch time and dependency delay. Dependencies of the job have to end this long before the job's
    * own latest end.
    */
-  long costMicros(Job job) {
+  long durationMicros(Job job) {
     double fetchMicros = 0;
     int types = 0;
     for (MachineType machineType : context.prices().machineTypes()) {
--- a/src/main/java/plumlever/leader/scheduling/JobGoals.java
+++ b/src/main/java/plumlever/leader/scheduling/JobGoals.java
@@ -66,12 +66,13 @@
    * Time left until the job misses its goal for start or end, whichever comes first; negative after
    * a miss.
    *
-   * @param costMicros estimated time from the job's release to the end of its tasks
+   * @param durationMicros estimated time from the job's release to the end of its tasks
    */
-  long remainingMicros(Job job, long costMicros, long nowMicros) {
+  long remainingMicros(Job job, long durationMicros, long nowMicros) {
     long finishByMicros = finishByMicros(job, nowMicros);
     long startByMicros = startByMicros(job, nowMicros);
-    long endByStart = startByMicros == Long.MAX_VALUE ? startByMicros : startByMicros + costMicros;
+    long endByStart =
+        startByMicros == Long.MAX_VALUE ? startByMicros : startByMicros + durationMicros;
     return Math.min(finishByMicros, endByStart) - nowMicros;
   }
 
@@ -88,7 +89,7 @@
    * job then precedes all others, because a steady stream of more urgent or guaranteed jobs would
    * starve it.
    */
-  boolean mustStart(Job job, long nowMicros) {
+  boolean isStarving(Job job, long nowMicros) {
     return !job.hasStarted()
         && nowMicros - job.releasedMicros() > context.parameters().mustStartMicros();
   }
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -92,7 +92,7 @@
    */
   private int tasksWithinQuota(Job job, long nowMicros) {
     int tasks = quotas.headroomTasks(job);
-    if (tasks < 1 && goals.mustStart(job, nowMicros)) {
+    if (tasks < 1 && goals.isStarving(job, nowMicros)) {
       // Without the reservation, smaller tasks of the same team would take every part of the quota
       // that becomes free, and the starving job would never start.
       quotas.reserveTask(job);
--- a/src/main/java/plumlever/leader/scheduling/JobQueue.java
+++ b/src/main/java/plumlever/leader/scheduling/JobQueue.java
@@ -67,22 +67,22 @@
     byAge.sort(Comparator.comparingLong(Job::releasedMicros));
     guarantees.decide(byAge);
     byAge.forEach(job -> headroom.recordArrival(job, nowMicros));
-    List<Job> waiting = new ArrayList<>();
+    List<Job> pending = new ArrayList<>();
     for (Job job : byAge) {
       if (job.hasPending() && job.retryNotBeforeMicros() <= nowMicros && !failover.blocks(job)) {
-        waiting.add(job);
+        pending.add(job);
       }
     }
-    sort(waiting, nowMicros);
-    return waiting;
+    sort(pending, nowMicros);
+    return pending;
   }
 
-  private void sort(List<Job> waiting, long nowMicros) {
+  private void sort(List<Job> pending, long nowMicros) {
     Map<Job, Long> latestStarts = new HashMap<>();
-    waiting.forEach(job -> latestStarts.put(job, goals.latestStartMicros(job, nowMicros)));
-    waiting.sort(
+    pending.forEach(job -> latestStarts.put(job, goals.latestStartMicros(job, nowMicros)));
+    pending.sort(
         Comparator.<Job>comparingLong(
-                job -> goals.mustStart(job, nowMicros) ? job.releasedMicros() : Long.MAX_VALUE)
+                job -> goals.isStarving(job, nowMicros) ? job.releasedMicros() : Long.MAX_VALUE)
             .thenComparingInt(job -> guarantees.covers(job) ? 0 : 1)
             .thenComparing(Job::priority)
             .thenComparingInt(
--- a/src/main/java/plumlever/leader/scheduling/RentalDemands.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalDemands.java
@@ -8,7 +8,7 @@
 
 /** Demand for rentals: collected during a pass and published when the pass is complete. */
 final class RentalDemands {
-  private List<RentalPlan.Demand> gathered = new ArrayList<>();
+  private List<RentalPlan.Demand> collected = new ArrayList<>();
   private List<RentalPlan.Demand> published = List.of();
 
   /**
@@ -20,21 +20,21 @@
 
   /** Starts a new collection. Published demands are kept. */
   void clear() {
-    gathered = new ArrayList<>();
+    collected = new ArrayList<>();
   }
 
   /** Adds demand for machines for the given number of tasks of the job. */
   void add(Job job, int tasks, long runMicros) {
-    gathered.add(new RentalPlan.Demand(job.spec(), job.boundZone(), tasks, runMicros));
+    collected.add(new RentalPlan.Demand(job.spec(), job.boundZone(), tasks, runMicros));
   }
 
   /**
    * Ends the pass: publishes the collected demands, followed by the demand for missing headroom.
    */
   void publish(Optional<RentalPlan.Demand> headroom, long nowMicros) {
-    publishedForJobs = gathered.size();
-    headroom.ifPresent(gathered::add);
-    published = gathered;
+    publishedForJobs = collected.size();
+    headroom.ifPresent(collected::add);
+    published = collected;
     publishedMicros = nowMicros;
   }
 
@@ -49,7 +49,7 @@
   }
 
   /** Total cores of the pending tasks for which the last complete pass requested rentals. */
-  double waitingCores() {
+  double requestedCores() {
     double cores = 0;
     for (RentalPlan.Demand demand : published.subList(0, publishedForJobs)) {
       cores += demand.tasks() * demand.job().cores();
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -167,7 +167,7 @@
 
   /** Total cores of the pending tasks for which the last complete pass requested rentals. */
   public double waitingCores() {
-    return results.demands().waitingCores();
+    return results.demands().requestedCores();
   }
 
   /** Tasks planned for the machine. The next pass may change them. */
@@ -184,7 +184,7 @@
    * True if a task whose job is stored as started is planned for the machine, so that it may start.
    */
   public boolean hasRecordedPlan(Machine machine) {
-    return results.plannedStarts().hasRecorded(machine);
+    return results.plannedStarts().hasStartable(machine);
   }
 
   /** Discards the plan for the machine. */
@@ -224,7 +224,7 @@
 
   /** Estimated time in microseconds from the job's release to the end of its tasks. */
   public long costMicros(Job job) {
-    return times.costMicros(job);
+    return times.durationMicros(job);
   }
 
   /** Event-loop time in microseconds at which the last task on the machine is expected to end. */
@@ -237,14 +237,14 @@
     long nowMicros = context.loop().nowMicros();
     List<CoreDemand.Work> works = new ArrayList<>();
     for (Job job : queue.unfinished()) {
-      long costMicros = times.costMicros(job);
+      long durationMicros = times.durationMicros(job);
       works.add(
           new CoreDemand.Work(
               job.spec().team(),
               job.pendingCount() + job.liveAttemptCount(),
               job.spec().cores(),
-              costMicros,
-              goals.remainingMicros(job, costMicros, nowMicros)));
+              durationMicros,
+              goals.remainingMicros(job, durationMicros, nowMicros)));
     }
     return works;
   }
--- a/src/main/java/plumlever/leader/scheduling/StartPlan.java
+++ b/src/main/java/plumlever/leader/scheduling/StartPlan.java
@@ -38,7 +38,7 @@
   }
 
   /** True if the machine has a planned task whose job is stored as started. */
-  boolean hasRecorded(Machine machine) {
+  boolean hasStartable(Machine machine) {
     for (PlannedTasks planned : on(machine)) {
       if (planned.job().registration() == RegistrationState.STORED) {
         return true;
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -77,7 +77,7 @@
             .images()
             .recordUse(job.spec().image(), job.spec().imageGb(), machineType, nowMicros);
         commands.add(WorkerCommand.run(attempt.name(), attempt.id()));
-        report(attempt, channel, nowMicros);
+        recordStart(attempt, channel, nowMicros);
       }
     }
     return started;
@@ -100,7 +100,7 @@
         && job.spec().allows(machine.machineType(), machine.zone(), machine.spot());
   }
 
-  private void report(Attempt attempt, StartChannel channel, long nowMicros) {
+  private void recordStart(Attempt attempt, StartChannel channel, long nowMicros) {
     context.metrics().count("starts_sent");
     context.metrics().recordDuration("wait", nowMicros - attempt.job().releasedMicros());
     attemptLog.started(attempt, channel, jobs.endsKnownMicros());
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -28,14 +28,14 @@
   /**
    * Sends commands with the machine's current fencing token and incarnation.
    *
-   * @param onReply receives the result exactly once, on the event loop
+   * @param onResponse receives the result exactly once, on the event loop
    */
   void sendCommands(
       Machine machine,
       Endpoint endpoint,
       List<WorkerCommand> commands,
       long timeoutMicros,
-      Consumer<WorkerReply> onReply) {
+      Consumer<WorkerResponse> onResponse) {
     byte[] body =
         WorkerCommand.direct(
                 machine.tokens().current(), Math.max(1, machine.contact().incarnation()), commands)
@@ -46,17 +46,17 @@
         ProtocolPath.COMMANDS,
         body,
         timeoutMicros,
-        (status, data) -> onReply.accept(parseCommandReply(machine, status, data)));
+        (status, data) -> onResponse.accept(parseCommandResponse(machine, status, data)));
   }
 
-  private WorkerReply parseCommandReply(Machine machine, int status, byte[] data) {
+  private WorkerResponse parseCommandResponse(Machine machine, int status, byte[] data) {
     return switch (status) {
       case HttpStatus.OK ->
           parseHeartbeat(machine, data)
-              .<WorkerReply>map(WorkerReply.Accepted::new)
-              .orElseGet(WorkerReply.Unanswered::new);
-      case HttpStatus.CONFLICT -> new WorkerReply.Refused(parseHeartbeat(machine, data));
-      default -> new WorkerReply.Unanswered();
+              .<WorkerResponse>map(WorkerResponse.Accepted::new)
+              .orElseGet(WorkerResponse.Unanswered::new);
+      case HttpStatus.CONFLICT -> new WorkerResponse.Refused(parseHeartbeat(machine, data));
+      default -> new WorkerResponse.Unanswered();
     };
   }
 
--- a/src/main/java/plumlever/leader/scheduling/WorkerReply.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerResponse.java
@@ -4,7 +4,7 @@
 import plumlever.wire.Heartbeat;
 
 /** Result of a direct call to a worker. */
-sealed interface WorkerReply {
+sealed interface WorkerResponse {
   /** The worker's heartbeat, if the response contained a valid one. */
   Optional<Heartbeat> heartbeat();
 
@@ -13,7 +13,7 @@
    *
    * @param state the worker's state after the commands
    */
-  record Accepted(Heartbeat state) implements WorkerReply {
+  record Accepted(Heartbeat state) implements WorkerResponse {
     @Override
     public Optional<Heartbeat> heartbeat() {
       return Optional.of(state);
@@ -26,12 +26,12 @@
    *
    * @param heartbeat the worker's state; empty if the response contained no valid heartbeat
    */
-  record Refused(Optional<Heartbeat> heartbeat) implements WorkerReply {}
+  record Refused(Optional<Heartbeat> heartbeat) implements WorkerResponse {}
 
   /**
    * No valid response arrived. The worker may have executed the commands or may still execute them.
    */
-  record Unanswered() implements WorkerReply {
+  record Unanswered() implements WorkerResponse {
     @Override
     public Optional<Heartbeat> heartbeat() {
       return Optional.empty();
--- a/src/main/java/plumlever/placement/CandidateScores.java
+++ b/src/main/java/plumlever/placement/CandidateScores.java
@@ -77,7 +77,7 @@
 
   private double riskFactor(PlacementCandidate candidate) {
     return candidate.shape.spot() && !request.constraints().writesCheckpoints()
-        ? 1 + parameters.spotRisk()
+        ? 1 + parameters.spotRiskPremium()
         : 1;
   }
 
@@ -117,7 +117,7 @@
     if (startMicros == Long.MAX_VALUE || (startMicros > nowMicros) != rank.later) {
       return false;
     }
-    double padding = rank.padded ? parameters.padding() : 0;
+    double padding = rank.padded ? parameters.runTimePadding() : 0;
     long runsAtMicros = startMicros + preparationMicros[index];
     // Running tasks may release capacity later than estimated, so time for renting a machine must
     // remain. Capacity of a machine that is coming up does not depend on other tasks.
@@ -134,7 +134,7 @@
     long endMicros =
         choice.startMicros()
             + preparationMicros[index]
-            + (long) (runMicros[index] * (1 + parameters.padding()));
+            + (long) (runMicros[index] * (1 + parameters.runTimePadding()));
     if (choice.startMicros() <= nowMicros) {
       candidate.start(request.resources(), endMicros);
     } else {
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -70,7 +70,7 @@
 
     private Search(CandidateScores scores) {
       this.scores = scores;
-      this.band = new TieBand(scores, parameters.tieShare(), RANKS[rank]);
+      this.band = new TieBand(scores, parameters.tieTolerance(), RANKS[rank]);
     }
 
     /** Returns the choice for the next task without committing it. */
@@ -97,7 +97,7 @@
     public void commit(Choice choice) {
       scores.commit(choice);
       if (rank < RANKS.length) {
-        band.topCapacityReduced();
+        band.onTopCapacityReduced();
       }
     }
   }
--- a/src/main/java/plumlever/placement/TieBand.java
+++ b/src/main/java/plumlever/placement/TieBand.java
@@ -11,7 +11,7 @@
   private static final int INITIAL_CAPACITY = 16;
 
   private final CandidateScores scores;
-  private final double tieShare;
+  private final double tieTolerance;
   private int[] heap = new int[INITIAL_CAPACITY];
   private int size;
 
@@ -23,9 +23,9 @@
 
   private ChoiceRank rank;
 
-  TieBand(CandidateScores scores, double tieShare, ChoiceRank rank) {
+  TieBand(CandidateScores scores, double tieTolerance, ChoiceRank rank) {
     this.scores = scores;
-    this.tieShare = tieShare;
+    this.tieTolerance = tieTolerance;
     reset(rank);
   }
 
@@ -46,7 +46,7 @@
     if (first == byScore.length) {
       return -1;
     }
-    double maxScore = scores.score(byScore[first]) * (1 + tieShare);
+    double maxScore = scores.score(byScore[first]) * (1 + tieTolerance);
     end = Math.max(end, first);
     while (end < byScore.length && scores.score(byScore[end]) <= maxScore) {
       if (scores.isChoiceOfRank(byScore[end], rank)) {
@@ -62,7 +62,7 @@
   }
 
   /** Restores the heap order after the free capacity of the top candidate has decreased. */
-  void topCapacityReduced() {
+  void onTopCapacityReduced() {
     siftDown();
   }
 
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -35,16 +35,16 @@
   private static final int MACHINES_FOR_HALF_SURCHARGE = 30;
 
   private final PriceBook prices;
-  private final boolean moneyMatters;
+  private final boolean costMatters;
 
   /**
    * Creates a planner with the given prices.
    *
-   * @param moneyMatters false if only speed matters: long startup times then raise an option's cost
+   * @param costMatters false if only speed matters: long startup times then raise an option's cost
    */
-  public RentalPlan(PriceBook prices, boolean moneyMatters) {
+  public RentalPlan(PriceBook prices, boolean costMatters) {
     this.prices = prices;
-    this.moneyMatters = moneyMatters;
+    this.costMatters = costMatters;
   }
 
   /**
@@ -131,7 +131,7 @@
       int maxMachines) {
     PlanBuilder builder = new PlanBuilder(incoming, available, maxMachines);
     demands.forEach(builder::serve);
-    return builder.requests();
+    return builder.plannedRentals();
   }
 
   /** State of one planning run. */
@@ -220,7 +220,7 @@
       int tasksPerMachine = (int) (1 / Math.max(share, MIN_SHARE) + ROUNDING_TOLERANCE);
       int tasksServed = Math.max(1, Math.min(tasks, tasksPerMachine));
       double cost = prices.hourlyPrice(machineType, option.spot) / tasksServed;
-      if (!moneyMatters) {
+      if (!costMatters) {
         cost *= 1 + machineType.startupS() / STARTUP_S_DOUBLING_COST;
       }
       return cost * concentrationFactor(option);
@@ -235,10 +235,10 @@
       return 1 + MAX_CONCENTRATION_SURCHARGE * count / (MACHINES_FOR_HALF_SURCHARGE + count);
     }
 
-    List<RentalRequest> requests() {
-      List<RentalRequest> requests = new ArrayList<>();
-      countByOption.forEach((option, count) -> requests.add(new RentalRequest(option, count)));
-      return requests;
+    List<RentalRequest> plannedRentals() {
+      List<RentalRequest> rentals = new ArrayList<>();
+      countByOption.forEach((option, count) -> rentals.add(new RentalRequest(option, count)));
+      return rentals;
     }
   }
 
--- a/src/test/java/plumlever/placement/PlacerTest.java
+++ b/src/test/java/plumlever/placement/PlacerTest.java
@@ -232,7 +232,7 @@
             null,
             true);
     Placer.Search search =
-        new Placer(new PlacementParameters(0, PARAMETERS.tieShare(), 0, 0))
+        new Placer(new PlacementParameters(0, PARAMETERS.tieTolerance(), 0, 0))
             .search(
                 wholeMachine,
                 List.of(candidate),
--- a/src/test/java/plumlever/placement/ReferencePlacementModel.java
+++ b/src/test/java/plumlever/placement/ReferencePlacementModel.java
@@ -87,7 +87,7 @@
 
   /** Chooses the machine for one task of the request. */
   Choice choose(ResourceRequest request) {
-    for (double padding : new double[] {parameters.padding(), 0}) {
+    for (double padding : new double[] {parameters.runTimePadding(), 0}) {
       for (boolean now : new boolean[] {true, false}) {
         List<Integer> inTime = inTime(request, padding, now);
         if (!inTime.isEmpty()) {
@@ -127,7 +127,8 @@
     double leastScore =
         inTime.stream().mapToDouble(i -> score(request, machines.get(i))).min().orElseThrow();
     List<Integer> tied = new ArrayList<>(inTime);
-    tied.removeIf(i -> score(request, machines.get(i)) > leastScore * (1 + parameters.tieShare()));
+    tied.removeIf(
+        i -> score(request, machines.get(i)) > leastScore * (1 + parameters.tieTolerance()));
     int best = tied.get(0);
     for (int i : tied) {
       if (isPreferred(machines.get(i), machines.get(best))) {
@@ -150,7 +151,7 @@
     ResourceRequest.Resources task = request.resources();
     return machine.price
         * (machine.spot && !request.constraints().writesCheckpoints()
-            ? 1 + parameters.spotRisk()
+            ? 1 + parameters.spotRiskPremium()
             : 1)
         * Math.max(task.cores() / machine.totalCores, task.memoryGb() / machine.totalMemoryGb)
         * (machine.commandDelayMicros + machine.fetchMicros + request.timing().runMicros());
