--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -28,14 +28,14 @@
   private static final int MIN_SILENT_IN_PARTITIONED_ZONE = 2;
 
   /**
-   * This controller counts as partitioned from the workers if at least this percentage of the
-   * machines is silent here...
+   * Minimum percentage of silent machines at which this controller counts as partitioned from the
+   * workers, provided that enough workers report to other controllers.
    */
   private static final int MIN_SILENT_PERCENT_IF_PARTITIONED = 70;
 
   /**
-   * ... and at least this many workers, as a percentage of the machines known here, report to other
-   * controllers.
+   * Minimum number of workers that report to other controllers for the same decision, as a
+   * percentage of the machines known here.
    */
   private static final int MIN_ELSEWHERE_PERCENT_IF_PARTITIONED = 40;
 
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -41,7 +41,10 @@
   private final Failover failover;
   private final MachineRentals rentals;
   private final Runnable onChange;
+
+  /** Number of machines to cordon next: doubled after a success, halved after a failure. */
   private int step = 1;
+
   private long adjustedMicros;
 
   /**
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Schedules the return of the machine: no more tasks are started on the machine, and it becomes
-   * part of a later request.
+   * Schedules the return of the machine: no more tasks are started on the machine, and a later
+   * request includes it.
    */
   void schedule(Machine machine, ReturnReason reason) {
     log.info(
--- a/src/main/java/plumlever/leader/scheduling/JobGoals.java
+++ b/src/main/java/plumlever/leader/scheduling/JobGoals.java
@@ -85,9 +85,9 @@
   }
 
   /**
-   * True if the job has waited longer than the operator's limit and none of its tasks has run. The
-   * job then precedes all others, because a steady stream of more urgent or guaranteed jobs would
-   * starve it.
+   * True if the job has waited longer than the operator's starvation limit and none of its tasks
+   * has run. The job then precedes all others, because a steady stream of more urgent or guaranteed
+   * jobs would starve it.
    */
   boolean isStarving(Job job, long nowMicros) {
     return !job.hasStarted()
