--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -32,7 +32,7 @@
   private static final long OVERDUE_AFTER_MICROS = 7_000_000;
 
   /** Tolerance for rounding errors in sums of fractions. */
-  private static final double ROUNDING = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Logger log;
   private final TermContext context;
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Returns when the machines were loaded. Lease renewals by later answers are recorded for each
-   * machine; an earlier answer may have renewed the lease of any machine.
+   * Returns when the machines were loaded. Lease renewals by later responses are recorded for each
+   * machine; an earlier response may have renewed the lease of any machine.
    */
   public long loadedMicros() {
     return loadedMicros;
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Sets how many running tasks the machine reports that this leader does not track. */
+  /** Sets the number of tasks running on the machine that this leader does not track. */
   public void setUntrackedTasks(Machine machine, int tasks) {
     if (tasks > 0 ? withUntrackedTasks.add(machine) : withUntrackedTasks.remove(machine)) {
       possiblyOccupiedKnown = false;
@@ -171,13 +171,13 @@
     if (!countPossiblyOccupied()) {
       return 0;
     }
-    Fleet.TeamUsage held = fleet.usage(job.spec().team());
+    Fleet.TeamUsage usage = fleet.usage(job.spec().team());
     LimitParts.Part limit = sharing.get().teamLimit(team);
     return Math.min(
-        headroom(limit.cores(), held.cores() + possiblyOccupiedCores, job.spec().cores()),
+        headroom(limit.cores(), usage.cores() + possiblyOccupiedCores, job.spec().cores()),
         headroom(
             limit.accelerators(),
-            held.accelerators() + possiblyOccupiedAccelerators,
+            usage.accelerators() + possiblyOccupiedAccelerators,
             job.spec().accelerators()));
   }
 
@@ -219,6 +219,8 @@
       return Integer.MAX_VALUE;
     }
     return (int)
-        Math.max(0, Math.min(Integer.MAX_VALUE, Math.floor((limit - used) / perTask + ROUNDING)));
+        Math.max(
+            0,
+            Math.min(Integer.MAX_VALUE, Math.floor((limit - used) / perTask + ROUNDING_TOLERANCE)));
   }
 }
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -22,7 +22,7 @@
  */
 final class MachineReturns {
   /**
-   * Number of ids kept. The ids prevent a delayed copy of a heartbeat from adding a returned
+   * Number of ids kept. The ids prevent a delayed duplicate of a heartbeat from adding a returned
    * machine to the fleet again.
    */
   private static final int MAX_RETURNED_IDS = 20_000;
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Schedules the return of the machine: no more tasks are started on the machine, and it becomes
-   * part of a later request.
+   * Schedules the return of the machine: no more tasks are started on the machine, and a later
+   * request includes it.
    */
   void schedule(Machine machine, ReturnReason reason) {
     log.info(
--- a/src/main/java/plumlever/leader/scheduling/JobGoals.java
+++ b/src/main/java/plumlever/leader/scheduling/JobGoals.java
@@ -10,7 +10,7 @@
  */
 final class JobGoals {
   /**
-   * Time for which a job that missed its goal is ordered behind jobs that can still meet theirs.
+   * Time for which a job that missed its goal is scheduled after jobs that can still meet theirs.
    */
   private static final long RECENTLY_MISSED_MICROS = 120_000_000;
 
@@ -63,13 +63,16 @@
   }
 
   /**
-   * Time left until the job's goals for start and end are missed; negative if they are missed
-   * already.
+   * Time left until the job misses its goal for start or end, whichever comes first; negative after
+   * a miss.
+   *
+   * @param durationMicros estimated time from the job's release to the end of its tasks
    */
-  long remainingMicros(Job job, long costMicros, long nowMicros) {
+  long remainingMicros(Job job, long durationMicros, long nowMicros) {
     long finishByMicros = finishByMicros(job, nowMicros);
     long startByMicros = startByMicros(job, nowMicros);
-    long endByStart = startByMicros == Long.MAX_VALUE ? startByMicros : startByMicros + costMicros;
+    long endByStart =
+        startByMicros == Long.MAX_VALUE ? startByMicros : startByMicros + durationMicros;
     return Math.min(finishByMicros, endByStart) - nowMicros;
   }
 
@@ -82,11 +85,11 @@
   }
 
   /**
-   * True if the job has waited longer than the operator's limit and none of its tasks has run. The
-   * job then precedes all others, because a steady stream of more urgent or guaranteed jobs would
-   * starve it.
+   * True if the job has waited longer than the operator's starvation limit and none of its tasks
+   * has run. The job then precedes all others, because a steady stream of more urgent or guaranteed
+   * jobs would starve it.
    */
-  boolean mustStart(Job job, long nowMicros) {
+  boolean isStarving(Job job, long nowMicros) {
     return !job.hasStarted()
         && nowMicros - job.releasedMicros() > context.parameters().mustStartMicros();
   }
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -15,7 +15,7 @@
 import plumlever.wire.ProtocolPath;
 import plumlever.wire.WorkerCommand;
 
-/** Sends direct calls to workers and parses the replies. Makes no scheduling decisions. */
+/** Sends direct calls to workers and parses the responses. Makes no scheduling decisions. */
 final class WorkerCalls {
   private final Logger log;
   private final Caller caller;
@@ -28,14 +28,14 @@
   /**
    * Sends commands with the machine's current fencing token and incarnation.
    *
-   * @param onReply receives the result exactly once, on the loop
+   * @param onResponse receives the result exactly once, on the event loop
    */
   void sendCommands(
       Machine machine,
       Endpoint endpoint,
       List<WorkerCommand> commands,
       long timeoutMicros,
-      Consumer<WorkerReply> onReply) {
+      Consumer<WorkerResponse> onResponse) {
     byte[] body =
         WorkerCommand.direct(
                 machine.tokens().current(), Math.max(1, machine.contact().incarnation()), commands)
@@ -46,24 +46,25 @@
         ProtocolPath.COMMANDS,
         body,
         timeoutMicros,
-        (status, data) -> onReply.accept(parseCommandReply(machine, status, data)));
+        (status, data) -> onResponse.accept(parseCommandResponse(machine, status, data)));
   }
 
-  private WorkerReply parseCommandReply(Machine machine, int status, byte[] data) {
+  private WorkerResponse parseCommandResponse(Machine machine, int status, byte[] data) {
     return switch (status) {
       case HttpStatus.OK ->
           parseHeartbeat(machine, data)
-              .<WorkerReply>map(WorkerReply.Accepted::new)
-              .orElseGet(WorkerReply.Unanswered::new);
-      case HttpStatus.CONFLICT -> new WorkerReply.Refused(parseHeartbeat(machine, data));
-      default -> new WorkerReply.Unanswered();
+              .<WorkerResponse>map(WorkerResponse.Accepted::new)
+              .orElseGet(WorkerResponse.Unanswered::new);
+      case HttpStatus.CONFLICT -> new WorkerResponse.Refused(parseHeartbeat(machine, data));
+      default -> new WorkerResponse.Unanswered();
     };
   }
 
   /**
    * Requests the machine's state without sending a command.
    *
-   * @param onState receives the state exactly once, on the loop; empty if there is no valid reply
+   * @param onState receives the state exactly once, on the event loop; empty if there is no valid
+   *     response
    */
   void inspect(
       Machine machine,
@@ -88,7 +89,7 @@
           .filter(heartbeat -> heartbeat.machineId().equals(machine.id()));
     } catch (InvalidMessageException e) {
       log.warn(
-          "machine {} sent an invalid reply to a direct call: {}", machine.id(), e.getMessage());
+          "machine {} sent an invalid response to a direct call: {}", machine.id(), e.getMessage());
       return Optional.empty();
     }
   }
--- a/src/main/java/plumlever/leader/scheduling/WorkerReply.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerResponse.java
@@ -4,8 +4,8 @@
 import plumlever.wire.Heartbeat;
 
 /** Result of a direct call to a worker. */
-sealed interface WorkerReply {
-  /** The worker's heartbeat, if the reply contained a valid one. */
+sealed interface WorkerResponse {
+  /** The worker's heartbeat, if the response contained a valid one. */
   Optional<Heartbeat> heartbeat();
 
   /**
@@ -13,7 +13,7 @@
    *
    * @param state the worker's state after the commands
    */
-  record Accepted(Heartbeat state) implements WorkerReply {
+  record Accepted(Heartbeat state) implements WorkerResponse {
     @Override
     public Optional<Heartbeat> heartbeat() {
       return Optional.of(state);
@@ -21,17 +21,17 @@
   }
 
   /**
-   * The worker rejected the commands and will never execute them, because its token or incarnation
-   * is newer.
+   * The worker rejected the commands and will never execute them, because the worker's token or
+   * incarnation is newer.
    *
-   * @param heartbeat the worker's state; empty if the reply contained no valid heartbeat
+   * @param heartbeat the worker's state; empty if the response contained no valid heartbeat
    */
-  record Refused(Optional<Heartbeat> heartbeat) implements WorkerReply {}
+  record Refused(Optional<Heartbeat> heartbeat) implements WorkerResponse {}
 
   /**
-   * No valid reply arrived. The worker may have executed the commands or may still execute them.
+   * No valid response arrived. The worker may have executed the commands or may still execute them.
    */
-  record Unanswered() implements WorkerReply {
+  record Unanswered() implements WorkerResponse {
     @Override
     public Optional<Heartbeat> heartbeat() {
       return Optional.empty();
--- a/src/main/java/plumlever/placement/CandidateScores.java
+++ b/src/main/java/plumlever/placement/CandidateScores.java
@@ -22,7 +22,7 @@
   private final PlacementParameters parameters;
   private final Zones zones;
 
-  /** Time from free capacity to the task's start by candidate: command delay and image fetch. */
+  /** Time by candidate until a task runs once its capacity is free: command and image fetch. */
   private final long[] preparationMicros;
 
   private final long[] runMicros;
@@ -77,7 +77,7 @@
 
   private double riskFactor(PlacementCandidate candidate) {
     return candidate.shape.spot() && !request.constraints().writesCheckpoints()
-        ? 1 + parameters.spotRisk()
+        ? 1 + parameters.spotRiskPremium()
         : 1;
   }
 
@@ -102,12 +102,12 @@
         : Long.MAX_VALUE;
   }
 
-  /** Returns when a task would run if its capacity becomes free at the given time. */
+  /** Returns the time at which a task would run if its capacity becomes free at the given time. */
   long runsAtMicros(int candidate, long startMicros) {
     return startMicros + preparationMicros[candidate];
   }
 
-  /** True if the candidate is a choice of the given rank for one more task. */
+  /** True if placing one more task on the candidate would be a choice of the given rank. */
   boolean isChoiceOfRank(int index, ChoiceRank rank) {
     PlacementCandidate candidate = candidates.get(index);
     if (!zones.allows(candidate.zone) || candidate.fitsNow(request.resources()) == rank.later) {
@@ -117,7 +117,7 @@
     if (startMicros == Long.MAX_VALUE || (startMicros > nowMicros) != rank.later) {
       return false;
     }
-    double padding = rank.padded ? parameters.padding() : 0;
+    double padding = rank.padded ? parameters.runTimePadding() : 0;
     long runsAtMicros = startMicros + preparationMicros[index];
     // Running tasks may release capacity later than estimated, so time for renting a machine must
     // remain. Capacity of a machine that is coming up does not depend on other tasks.
@@ -134,7 +134,7 @@
     long endMicros =
         choice.startMicros()
             + preparationMicros[index]
-            + (long) (runMicros[index] * (1 + parameters.padding()));
+            + (long) (runMicros[index] * (1 + parameters.runTimePadding()));
     if (choice.startMicros() <= nowMicros) {
       candidate.start(request.resources(), endMicros);
     } else {
--- a/src/test/java/plumlever/placement/PlacerTest.java
+++ b/src/test/java/plumlever/placement/PlacerTest.java
@@ -157,7 +157,7 @@
     }
     assertTrue(
         placedNow > 1_000 && placedLater > 200 && infeasibleLater > 1_000,
-        "too few choices now, later or infeasible: "
+        "too few choices of some kind (now, later, infeasible): "
             + placedNow
             + " "
             + placedLater
@@ -232,7 +232,7 @@
             null,
             true);
     Placer.Search search =
-        new Placer(new PlacementParameters(0, PARAMETERS.tieShare(), 0, 0))
+        new Placer(new PlacementParameters(0, PARAMETERS.tieTolerance(), 0, 0))
             .search(
                 wholeMachine,
                 List.of(candidate),
