--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -234,8 +234,8 @@
   }
 
   /**
-   * Sends a request. A request that would exceed the rate limit is not sent; it gets the status 429
-   * that the cloud would return.
+   * Sends a request. A request that would exceed the rate limit is not sent; its callback receives
+   * the status 429 that the cloud would return.
    */
   private void send(String method, String path, JsonNode body, Consumer<Response> callback) {
     if (!rateLimiter.tryAcquire(1, loop.nowMicros())) {
@@ -275,9 +275,7 @@
   private void warnOnce(String subject, String reason) {
     if (warnedSubjects.add(subject)) {
       LOG.warn(
-          "cloud request for {} failed: invalid response, or request rejected by the cloud: {}",
-          subject,
-          reason);
+          "the cloud rejected the request for {} or sent an invalid response: {}", subject, reason);
     }
   }
 }
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -14,8 +14,9 @@
 import plumlever.wire.MachineType;
 
 /**
- * Loads the machine types once. They are read from the cloud and then stored in the state service.
- * If the cloud does not respond, the last stored machine types are used.
+ * Loads the machine types once, from the cloud. The machine types are then stored in the state
+ * service, unless it already holds machine types. If the cloud does not provide the machine types,
+ * the stored ones are used.
  */
 public final class MachineTypeRefresh {
   /** The delay that tells a recurring task not to run again. */
@@ -29,7 +30,7 @@
   private final StateClient store;
   private final PriceBook prices;
 
-  /** Creates a task that loads the price book from the cloud or from the state service. */
+  /** Creates a loader that fills the catalog from the cloud or from the state service. */
   public MachineTypeRefresh(
       Loop loop, CloudClient cloud, StateClient store, PriceBook prices, Logs logs) {
     this.log = logs.of(MachineTypeRefresh.class);
--- a/src/main/java/plumlever/cloud/PriceBook.java
+++ b/src/main/java/plumlever/cloud/PriceBook.java
@@ -13,7 +13,7 @@
   private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
   private final Map<String, Double> ownedHourly;
 
-  /** Creates an empty price book. */
+  /** Creates an empty catalog. */
   public PriceBook(SchedulerParameters parameters) {
     this.ownedHourly = parameters.ownedHourly();
   }
--- a/src/main/java/plumlever/cloud/RentalResult.java
+++ b/src/main/java/plumlever/cloud/RentalResult.java
@@ -9,7 +9,7 @@
  *     were rented
  */
 public record RentalResult(Outcome outcome, List<String> machineIds) {
-  /** Whether machines were rented, according to the response. */
+  /** What the response tells about whether machines were rented. */
   public enum Outcome {
     /** The cloud executed the request. */
     RENTED,
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -20,7 +20,7 @@
   private final long directCommandToken;
   private final long sentMicros;
 
-  /** The last reported state; null before the first report. */
+  /** The state in the last heartbeat that lists the attempt; null until a heartbeat lists it. */
   private AttemptState state;
 
   private long runningSinceMicros = -1;
@@ -86,7 +86,7 @@
     return directCommandToken;
   }
 
-  /** True for an attempt of an earlier term that its machine reported to this leader. */
+  /** True for an attempt of an earlier term that a heartbeat has listed. */
   public boolean adopted() {
     return answeredSequenceNumber == AttemptOrigin.NONE && directCommandToken == AttemptOrigin.NONE;
   }
@@ -99,12 +99,12 @@
     return sentMicros;
   }
 
-  /** True once a report has listed the attempt. */
+  /** True once a heartbeat has listed the attempt. */
   public boolean reported() {
     return state != null;
   }
 
-  /** True if the last report shows the attempt as running. */
+  /** True if the attempt was running according to the last heartbeat that lists it. */
   public boolean running() {
     return state == AttemptState.RUNNING;
   }
@@ -114,7 +114,7 @@
     return runningSinceMicros;
   }
 
-  /** Records the state that a report shows for the attempt. */
+  /** Records the state that a heartbeat shows for the attempt. */
   public void recordState(AttemptState reported, long nowMicros) {
     if (reported == AttemptState.RUNNING && runningSinceMicros < 0) {
       runningSinceMicros = nowMicros;
@@ -124,7 +124,7 @@
     state = reported;
   }
 
-  /** True for a live attempt that a direct command started and no report has listed yet. */
+  /** True for a live attempt that a direct command started and no heartbeat has listed yet. */
   boolean unconfirmed() {
     return directCommandToken != AttemptOrigin.NONE && !reported() && !over;
   }
@@ -140,7 +140,10 @@
     return over;
   }
 
-  /** The reported cause of the end; null if the attempt has not ended or ended without a report. */
+  /**
+   * The reported cause of the end; null if the attempt has not ended, or if its end was inferred
+   * without a reported cause.
+   */
   public ExitCause exitCause() {
     return exitCause;
   }
@@ -166,8 +169,9 @@
   }
 
   /**
-   * Requests a stop of the attempt. Every response to the machine contains the stop command until
-   * the machine reports the attempt as ended. A repeated request can only shorten the grace period.
+   * Requests a stop of the attempt. Every heartbeat response to the machine contains the stop
+   * command until the machine reports the attempt as ended. A repeated request can only shorten the
+   * grace period.
    */
   public void requestStop(double maxGracePeriodS, long nowMicros) {
     if (stopping) {
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -27,9 +27,9 @@
 public final class DependencyGraph {
   /** The state of a job, derived from the records read so far. */
   public enum State {
-    /** No record of the job has been read. */
+    /** No record of the job has been read, or the job has ended and has left the graph. */
     UNKNOWN,
-    /** Some dependency is not known to have ended. */
+    /** Some dependency is not known to be done. */
     WAITING,
     /** All dependencies are done. */
     RELEASED,
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -92,9 +92,9 @@
   }
 
   /**
-   * Moves the machine to another shard. Tasks of this shard may still run on the machine.
+   * Transfers the machine to another shard. Tasks of this shard may still run on the machine.
    *
-   * @param number number of the transfer, whose tokens are higher than any token that this shard
+   * @param number the number of the transfer; its tokens are higher than any token that this shard
    *     has issued for the machine
    */
   public void transferOut(Machine machine, long number) {
@@ -168,7 +168,7 @@
    * attempt as ended; a heartbeat that would list the attempt does not list it; the worker
    * incarnation of the attempt has ended; the machine was deleted.
    *
-   * @param cause the reported cause, or null without a report
+   * @param cause the reported cause, or null if no cause was reported
    */
   public void endAttempt(Attempt attempt, ExitCause cause) {
     if (attempt.over()) {
@@ -180,7 +180,7 @@
     usage(spec.team()).subtract(spec);
   }
 
-  /** Removes an attempt that has ended and that its machine no longer lists. */
+  /** Removes an attempt that its machine no longer lists, and ends it if it has not ended yet. */
   public void removeAttempt(Attempt attempt) {
     endAttempt(attempt, attempt.exitCause());
     attempt.machine().load().remove(attempt);
--- a/src/main/java/plumlever/fleet/GoalPropagation.java
+++ b/src/main/java/plumlever/fleet/GoalPropagation.java
@@ -38,8 +38,8 @@
     JobVertex previous = null;
     while (!stale.isEmpty()) {
       JobVertex vertex = stale.poll();
-      // The queue returns the duplicates of a vertex that was marked several times one after the
-      // other.
+      // A vertex that was marked several times is in the queue several times, and the queue
+      // returns its entries one after the other.
       if (vertex == previous || vertex.isOver()) {
         continue;
       }
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -244,12 +244,15 @@
     return liveAttempts.get(task);
   }
 
-  /** True once the job is done, cancelled or dropped. No task of the job may start after that. */
+  /**
+   * True once the job is done or cancelled, or its record is no longer listed among those of the
+   * active jobs. No task of the job may start after that.
+   */
   public boolean over() {
     return over;
   }
 
-  /** Marks the job as done, cancelled or dropped. */
+  /** Marks the job as done, cancelled or no longer listed as active. */
   public void markOver() {
     over = true;
   }
@@ -338,8 +341,8 @@
   }
 
   /**
-   * The ratio of the actual run time of the job's tasks to the owner's estimate: the mean of the
-   * observed ratios and one sample for the ratio of the job class.
+   * The expected ratio of the actual run time of the job's tasks to the owner's estimate: the mean
+   * of the ratios observed for this job, with the ratio of the job class as one more sample.
    */
   public double runTimeRatio(double classRatio) {
     return (ratioSum + classRatio) / (ratioCount + 1);
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -35,7 +35,7 @@
   private long idleSinceMicros = -1;
 
   /**
-   * Creates a machine that is known by name and has not reported yet.
+   * Creates a machine that is known by name and has not sent a heartbeat yet.
    *
    * @param endpoint the machine's address, or null while only its rental is known
    * @param nowMicros the time from which the machine is known
@@ -81,7 +81,10 @@
     return spot;
   }
 
-  /** When the machine was rented or first reported. */
+  /**
+   * When the machine was rented; if the rental time is not known, when this leader first learned of
+   * the machine.
+   */
   public long knownSinceMicros() {
     return knownSinceMicros;
   }
@@ -110,7 +113,7 @@
     return images;
   }
 
-  /** Records a report of the machine's state. */
+  /** Records a heartbeat of the machine. */
   public void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
     contact.recordReport(heartbeat, source, nowMicros);
     preemptedAtMicros =
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -27,7 +27,7 @@
   private int consecutiveLostResponses;
   private boolean unreachable;
 
-  /** The worker incarnation in the newest report; 0 before the first report. */
+  /** The worker incarnation in the newest heartbeat; 0 before the first heartbeat. */
   public long incarnation() {
     return incarnation;
   }
@@ -37,20 +37,20 @@
     incarnation = Math.max(incarnation, known);
   }
 
-  /** Sequence number of the newest report in the current incarnation. */
+  /** Sequence number of the newest heartbeat in the current incarnation. */
   public long sequenceNumber() {
     return sequenceNumber;
   }
 
   /**
-   * Sequence number of the last heartbeat that the worker sent on its own. Replies to direct calls
-   * may have higher sequence numbers.
+   * Sequence number of the last heartbeat that the worker sent on its own. Heartbeats in responses
+   * to direct calls may have higher sequence numbers.
    */
   public long ownSequenceNumber() {
     return ownSequenceNumber;
   }
 
-  /** Records a report of the machine's state. */
+  /** Records a heartbeat of the machine. */
   void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
     if (heartbeat.incarnation() > incarnation) {
       ownSequenceNumber = 0;
@@ -64,15 +64,15 @@
     }
   }
 
-  /** True if the report is newer than the last one received, or if none has been received. */
+  /** True if the heartbeat is newer than the newest one received, or if none has been received. */
   public boolean isNewerThanLast(Heartbeat heartbeat) {
     boolean hasPrevious = incarnation > 0 || sequenceNumber > 0;
     return !hasPrevious || heartbeat.isNewerThan(incarnation, sequenceNumber);
   }
 
   /**
-   * Records a heartbeat that arrived after a reply to a direct call, although the machine sent the
-   * heartbeat first.
+   * Records a heartbeat that arrived after the response to a direct call, although the machine sent
+   * the heartbeat first.
    */
   public void recordOvertakenHeartbeat(long lateSequenceNumber, long nowMicros) {
     ownSequenceNumber = lateSequenceNumber;
@@ -80,17 +80,17 @@
     lastSeenMicros = nowMicros;
   }
 
-  /** True once a heartbeat has arrived in this term. */
+  /** True once a heartbeat that the worker sent on its own has arrived in this term. */
   public boolean hasReported() {
     return lastHeartbeatMicros >= 0;
   }
 
-  /** When the last heartbeat arrived. */
+  /** When the last heartbeat that the worker sent on its own arrived. */
   public long lastHeartbeatMicros() {
     return lastHeartbeatMicros;
   }
 
-  /** When the last report arrived, either as a heartbeat or as the reply to a direct call. */
+  /** When the last heartbeat arrived, including heartbeats in responses to direct calls. */
   public long lastSeenMicros() {
     return lastSeenMicros;
   }
@@ -146,10 +146,10 @@
   }
 
   /**
-   * Records a heartbeat that shows neither a command nor a token that an earlier response carried.
-   * After two consecutive heartbeats of this kind the machine counts as unreachable: it gets
-   * neither work nor lease renewals until a heartbeat shows the token. Otherwise each response
-   * would postpone the time at which the machine's lease is certain to have expired.
+   * Records a heartbeat that shows neither the command nor the token of an earlier response. After
+   * two consecutive heartbeats of this kind the machine counts as unreachable: it gets neither work
+   * nor lease renewals until a heartbeat shows the token. Otherwise each response would postpone
+   * the time at which the machine's lease is certain to have expired.
    */
   public void recordLostAnswer() {
     consecutiveLostResponses++;
--- a/src/main/java/plumlever/fleet/MachineLoad.java
+++ b/src/main/java/plumlever/fleet/MachineLoad.java
@@ -12,7 +12,7 @@
   /** Number of attempts that have not ended. */
   private int liveAttempts;
 
-  /** Number of live attempts that a direct command started and no report has listed yet. */
+  /** Number of live attempts that a direct command started and no heartbeat has listed yet. */
   private int unconfirmedAttempts;
 
   private ForeignLoad foreignTasks = ForeignLoad.NONE;
@@ -32,7 +32,9 @@
     unconfirmedAttempts += attempt.unconfirmed() ? 1 : 0;
   }
 
-  /** Records that an attempt started by a direct command was reported or has ended. */
+  /**
+   * Records that a heartbeat has listed an attempt started by a direct command, or that it ended.
+   */
   void recordConfirmedAttempt() {
     unconfirmedAttempts--;
   }
@@ -60,7 +62,7 @@
     return attempts.isEmpty();
   }
 
-  /** True while a direct command may have started an attempt that no report has listed yet. */
+  /** True while a direct command may have started an attempt that no heartbeat has listed yet. */
   public boolean hasUnconfirmedStart() {
     return unconfirmedAttempts > 0;
   }
--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Records a direct command that carries the current token. A delayed copy of the command may be
-   * executed until the token is raised. At most one direct command is in flight at a time.
+   * Records a direct command that carries the current token. A delayed duplicate of the command may
+   * be executed until the token is raised. At most one direct command is in flight at a time.
    *
    * @param endsKnownMicros when the last successful read of ended jobs was sent
    */
@@ -54,7 +54,7 @@
     endsKnownAtLastCommandMicros = endsKnownMicros;
   }
 
-  /** The {@code endsKnownMicros} of the last {@link #commandSent}. */
+  /** When the read of ended jobs that was passed to the last {@link #commandSent} was sent. */
   public long endsKnownAtLastCommandMicros() {
     return endsKnownAtLastCommandMicros;
   }
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -26,8 +26,9 @@
  * delegate renews leases and stops tasks of ended jobs, but starts nothing.
  *
  * <p>The response carries the fencing token that the leader stored with the delegation. A response
- * with the token from the heartbeat would not invalidate a start command that the leader had sent
- * earlier: the worker could still execute the command minutes later, after the job's cancellation.
+ * that only repeated the token of the heartbeat would not invalidate a start command that the
+ * leader had sent earlier: the worker could still execute the command minutes later, after the
+ * job's cancellation.
  */
 public final class DelegatedHeartbeats {
   private static final int MAX_LOG_LINES_PER_SECOND = 20;
@@ -68,7 +69,7 @@
    */
   boolean tryRespond(Heartbeat heartbeat, Responder out) {
     Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
-    // Check the conditions that do not depend on the jobs first, which saves the job lookup.
+    // First check the conditions that do not depend on the jobs: a refusal needs no job lookup.
     if (right.isEmpty()
         || renewal
             .refusal(evidence(right.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
--- a/src/main/java/plumlever/http/HeartbeatEndpoint.java
+++ b/src/main/java/plumlever/http/HeartbeatEndpoint.java
@@ -11,8 +11,9 @@
 import plumlever.wire.ProtocolField;
 
 /**
- * The endpoint for heartbeats of workers. The leader in this process responds, or this controller
- * responds as the leader's delegate, or the worker is redirected to the leader.
+ * The endpoint for heartbeats of workers. If the leader is in this process, the leader responds.
+ * Otherwise this controller responds as the leader's delegate if it may, or redirects the worker to
+ * the leader.
  */
 public final class HeartbeatEndpoint {
   private final LeaderLookup leaders;
--- a/src/main/java/plumlever/http/JobAcceptance.java
+++ b/src/main/java/plumlever/http/JobAcceptance.java
@@ -74,8 +74,9 @@
             result -> {
               switch (result.outcome()) {
                 case APPLIED -> respondAccepted(spec, result.revision(), request);
-                // If the outcome is unknown, the record may have been created by this request or by
-                // an earlier one.
+                // The record may exist, created by an earlier request or, if the outcome is
+                // unknown,
+                // by this one. The response is therefore based on a read of the record.
                 case CONFLICT, UNKNOWN -> respondFromRecord(spec.uid(), request);
                 case REFUSED -> {
                   if (attemptsLeft > 1 && recentlyServed()) {
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Some shard has the job, and a job never moves to another shard. The keys can therefore be read
-   * one after the other.
+   * Reads the keys one after the other. This is safe because some shard has the job and a job is
+   * never transferred to another shard.
    */
   private void readCandidates(Iterator<Candidate> candidates, Consumer<JobLocation> handler) {
     if (!candidates.hasNext()) {
--- a/src/main/java/plumlever/http/JobServices.java
+++ b/src/main/java/plumlever/http/JobServices.java
@@ -9,7 +9,7 @@
 /**
  * The services with which user requests read and change jobs.
  *
- * @param loop the event loop that runs all requests, and their clock
+ * @param loop the event loop that handles all requests and provides the current time
  * @param store the client of the state service
  * @param records cache of the job records in the state service
  * @param layout keys and values of the job records
--- a/src/main/java/plumlever/http/OutgoingCall.java
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Starts the call. The pool calls this method when the number of open calls to the endpoint
-   * allows one more.
+   * Starts the call. The pool calls this method once the endpoint has fewer started calls than the
+   * limit.
    */
   void start() {
     started = true;
--- a/src/main/java/plumlever/http/RequestAdmission.java
+++ b/src/main/java/plumlever/http/RequestAdmission.java
@@ -27,7 +27,7 @@
    *
    * @param kind prefix of the metrics for these requests
    * @return empty if the request has been refused, because too many requests are open or because
-   *     this controller may not respond
+   *     this controller lacks the sharing file
    */
   Optional<UserRequest> admit(String kind, ForwardedRequest request, Responder out) {
     if (health.ineligible()) {
--- a/src/main/java/plumlever/http/Server.java
+++ b/src/main/java/plumlever/http/Server.java
@@ -55,8 +55,8 @@
   /**
    * Creates a listener that accepts no connections until {@link #start}.
    *
-   * @param idleMicros idle time after which a connection counts as dead and is closed; a machine
-   *     that the cloud takes back does not close its connections
+   * @param idleMicros idle time after which a connection counts as dead and is closed, because a
+   *     machine that has been preempted or returned does not close its connections
    */
   public Server(
       XnioWorker worker,
--- a/src/main/java/plumlever/http/ServingHealth.java
+++ b/src/main/java/plumlever/http/ServingHealth.java
@@ -11,6 +11,9 @@
    */
   boolean isRefusedAlone();
 
-  /** True if this controller may not respond for the jobs in the state service. */
+  /**
+   * True if this controller may not respond for the jobs in the state service, because the state
+   * service holds a pool of shards and this controller lacks the sharing file.
+   */
   boolean ineligible();
 }
--- a/src/main/java/plumlever/http/package-info.java
+++ b/src/main/java/plumlever/http/package-info.java
@@ -3,8 +3,8 @@
  * controllers of other shards.
  *
  * <p>Responses are based on the state service and on the leader, which is looked up for each
- * request. The package must not keep decision state and must not depend on how the leader makes
- * decisions. Except for a job's final state, no response may be based on a read that was sent
- * before the request arrived.
+ * request. This package must not keep state on which decisions are based and must not depend on how
+ * the leader makes decisions. Except for a job's final state, no response may be based on a read
+ * that was sent before the request arrived.
  */
 package plumlever.http;
--- a/src/main/java/plumlever/wire/ForwardedRequest.java
+++ b/src/main/java/plumlever/wire/ForwardedRequest.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A user's request that is forwarded to a controller of another shard, which answers the request.
+ * A user's request that is forwarded to a controller of another shard, which responds to it.
  *
  * @param method the HTTP method of the request
  * @param path the path of the request
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -5,11 +5,13 @@
 import java.util.List;
 
 /**
- * A worker's report on its machine: the body of a heartbeat and of the answer to a direct call.
+ * The state of a worker and its machine: the body of a heartbeat request and of the response to a
+ * direct call.
  *
  * @param spot true if the cloud may preempt the machine at short notice
  * @param incarnation a number that increases each time the worker's lease expires
- * @param sequenceNumber a number that increases with each report of the same incarnation
+ * @param sequenceNumber a number that increases with each heartbeat of the same incarnation,
+ *     including heartbeats in responses to direct calls
  * @param fencingToken the highest fencing token that the worker has seen
  * @param preemptionNoticeS the time until the cloud preempts the machine, in seconds; {@link
  *     #NO_NOTICE} if the cloud has not announced a preemption
--- a/src/main/java/plumlever/wire/JobState.java
+++ b/src/main/java/plumlever/wire/JobState.java
@@ -17,7 +17,7 @@
     this.wireName = wireName;
   }
 
-  /** The state's name in answers to users and in stored records. */
+  /** The state's name in responses to users and in stored records. */
   public String wireName() {
     return wireName;
   }
--- a/src/main/java/plumlever/wire/ListedMachine.java
+++ b/src/main/java/plumlever/wire/ListedMachine.java
@@ -19,7 +19,7 @@
   private static final String FAILED = "failed";
   private static final String AGE_S = "age_s";
 
-  /** True if the cloud reports that the machine failed. */
+  /** True if the cloud lists the machine as failed: it stopped without a return request. */
   public boolean failed() {
     return status.equals(FAILED);
   }
--- a/src/main/java/plumlever/wire/MachineType.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -28,7 +28,10 @@
     double startupS,
     List<String> zones) {
 
-  /** The share returned if a task needs accelerators and the machine type has none. */
+  /**
+   * The share returned if a task needs accelerators and the machine type has none. Every share
+   * above 1 means that the task does not fit.
+   */
   private static final double NO_FIT = 2;
 
   /** Parses the cloud's list of machine types, or the output of {@link #writeCatalog}. */
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -9,7 +9,7 @@
  * on the machine. The relayed heartbeat contains only the attempts of the originating shard.
  *
  * @param from the shard that owns the machine
- * @param originatingShard the shard that the reported attempts belong to
+ * @param originatingShard the shard to which the attempts in the heartbeat belong
  * @param number the term or transfer number in the owning shard's commands to the machine
  * @param lapsed true if the owning shard has proof that the machine's lease expired after this
  *     heartbeat
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -24,7 +24,7 @@
     RUN("run"),
     /** Lets the attempt save its work for up to the grace period, then ends the attempt. */
     STOP("halt"),
-    /** Removes an ended attempt from the worker's reports. */
+    /** Removes an ended attempt from the worker's heartbeats. */
     REMOVE("reap");
 
     private final String wireName;
@@ -59,14 +59,14 @@
   }
 
   /**
-   * The body of the answer to a relayed heartbeat. The answer goes to the shard that relayed the
-   * heartbeat and not to a worker, so its fencing token is 0.
+   * The body of the response to a relayed heartbeat. The response goes to the shard that relayed
+   * the heartbeat and not to a worker, so its fencing token is 0.
    */
   public static String relayed(List<WorkerCommand> commands) {
     return body(0, 0, commands);
   }
 
-  /** The body of the answer to a heartbeat; the answer renews the worker's lease. */
+  /** The body of the response to a heartbeat; the response renews the worker's lease. */
   public static String answer(long token, List<WorkerCommand> commands) {
     return body(token, 0, commands);
   }
@@ -77,7 +77,7 @@
   }
 
   /**
-   * Parses the commands of an answer to a heartbeat.
+   * Parses the commands in the response to a heartbeat.
    *
    * @param body the message body: JSON in UTF-8
    */
--- a/src/test/java/plumlever/fleet/MachineContactTest.java
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -28,7 +28,7 @@
 
   @Test
   void duplicateOrOlderReportIsNotNewer() {
-    assertTrue(contact.isNewerThanLast(report(0, 0)), "the first report is newer than no report");
+    assertTrue(contact.isNewerThanLast(report(0, 0)), "the first heartbeat counts as newer");
     contact.recordReport(report(2, 5), HeartbeatSource.WORKER, 10);
 
     assertFalse(contact.isNewerThanLast(report(2, 5)));
--- a/src/test/java/plumlever/http/ServerTest.java
+++ b/src/test/java/plumlever/http/ServerTest.java
@@ -138,6 +138,7 @@
     assertEquals("200 false", get("/near-limit"));
     List<Socket> open = new ArrayList<>();
     try {
+      // One connection more than 90 % of the connection limit.
       for (int i = 0; i < 46; i++) {
         open.add(connectionInUse());
       }
