--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -220,8 +220,8 @@
    */
   public void returnMachines(List<String> machineIds, Consumer<ReturnOutcome> callback) {
     ObjectNode body = Json.object();
-    ArrayNode names = body.putArray(ProtocolField.MACHINE_IDS);
-    machineIds.forEach(names::add);
+    ArrayNode ids = body.putArray(ProtocolField.MACHINE_IDS);
+    machineIds.forEach(ids::add);
     send(
         "POST",
         ProtocolPath.RETURN_MACHINES,
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -28,25 +28,25 @@
   private final Loop loop;
   private final CloudClient cloud;
   private final StateClient store;
-  private final PriceBook prices;
+  private final PriceBook typeCatalog;
 
   /** Creates a loader that fills the catalog from the cloud or from the state service. */
   public MachineTypeRefresh(
-      Loop loop, CloudClient cloud, StateClient store, PriceBook prices, Logs logs) {
+      Loop loop, CloudClient cloud, StateClient store, PriceBook typeCatalog, Logs logs) {
     this.log = logs.of(MachineTypeRefresh.class);
     this.loop = loop;
     this.cloud = cloud;
     this.store = store;
-    this.prices = prices;
+    this.typeCatalog = typeCatalog;
   }
 
   /** The recurring task, which retries until the machine types are known. */
   public RecurringTask task() {
-    return new RecurringTask("machine types", loop, this::refresh);
+    return new RecurringTask("machine types", loop, this::load);
   }
 
-  private long refresh() {
-    if (prices.isLoaded()) {
+  private long load() {
+    if (typeCatalog.isLoaded()) {
       return NO_NEXT_RUN;
     }
     cloud.listMachineTypes(
@@ -55,7 +55,7 @@
   }
 
   private void useCloudTypes(List<MachineType> machineTypes) {
-    prices.update(machineTypes);
+    typeCatalog.update(machineTypes);
     storeIfAbsent(machineTypes);
   }
 
@@ -64,7 +64,7 @@
         JobStore.CATALOG,
         StateClient.RequestPriority.ORDINARY,
         stored -> {
-          if (stored.found() && !prices.isLoaded()) {
+          if (stored.found() && !typeCatalog.isLoaded()) {
             useStoredTypes(stored.item().data());
           }
         });
@@ -75,7 +75,7 @@
       return;
     }
     try {
-      prices.update(MachineType.parseCatalog(catalog));
+      typeCatalog.update(MachineType.parseCatalog(catalog));
       log.info(
           "machine types loaded from the state service because the cloud did not provide them");
     } catch (InvalidMessageException e) {
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -123,7 +123,7 @@
       cancelled.add(vertex.uid());
       goalPropagation.markDependenciesStale(vertex);
       for (JobVertex dependent : vertex.dependents()) {
-        if (!dependent.isOver()) {
+        if (!dependent.hasEnded()) {
           dependent.markCancelled(failedDependency);
           affected.add(dependent);
         }
@@ -172,7 +172,7 @@
   public boolean hasLiveDependents(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex != null
-        && vertex.dependents().stream().anyMatch(dependent -> !dependent.isOver());
+        && vertex.dependents().stream().anyMatch(dependent -> !dependent.hasEnded());
   }
 
   /** Returns and clears the jobs released since the last call. */
@@ -222,7 +222,7 @@
    */
   public void updateDurations(ToLongFunction<String> durationMicros) {
     for (JobVertex vertex : vertices.values()) {
-      if (vertex.ownGoal() != null && !vertex.isOver()) {
+      if (vertex.ownGoal() != null && !vertex.hasEnded()) {
         long duration = durationMicros.applyAsLong(vertex.uid());
         if (duration != vertex.durationMicros()) {
           vertex.setDurationMicros(duration);
--- a/src/main/java/plumlever/fleet/EffectiveGoal.java
+++ b/src/main/java/plumlever/fleet/EffectiveGoal.java
@@ -46,8 +46,8 @@
   /** Combines the earlier deadline and the higher priority of the two goals. */
   EffectiveGoal strictest(EffectiveGoal other) {
     EffectiveGoal earlier = other.latestEndMicros() < latestEndMicros() ? other : this;
-    Priority moreUrgent = other.priority.compareTo(priority) < 0 ? other.priority : priority;
-    return earlier.priority == moreUrgent ? earlier : earlier.withPriority(moreUrgent);
+    Priority highest = other.priority.compareTo(priority) < 0 ? other.priority : priority;
+    return earlier.priority == highest ? earlier : earlier.withPriority(highest);
   }
 
   private EffectiveGoal withPriority(Priority otherPriority) {
--- a/src/main/java/plumlever/fleet/GoalPropagation.java
+++ b/src/main/java/plumlever/fleet/GoalPropagation.java
@@ -19,7 +19,7 @@
 
   /** Marks the vertex's effective goal for recomputation. */
   void markStale(JobVertex vertex) {
-    if (vertex.ownGoal() != null && !vertex.isOver()) {
+    if (vertex.ownGoal() != null && !vertex.hasEnded()) {
       stale.add(vertex);
     }
   }
@@ -40,7 +40,7 @@
       JobVertex vertex = stale.poll();
       // A vertex that was marked several times is in the queue several times, and the queue
       // returns its entries one after the other.
-      if (vertex == previous || vertex.isOver()) {
+      if (vertex == previous || vertex.hasEnded()) {
         continue;
       }
       previous = vertex;
@@ -56,7 +56,7 @@
   private static EffectiveGoal computeGoal(JobVertex vertex) {
     EffectiveGoal goal = vertex.ownGoal();
     for (JobVertex dependent : vertex.dependents()) {
-      if (!dependent.isOver() && dependent.effectiveGoal() != null) {
+      if (!dependent.hasEnded() && dependent.effectiveGoal() != null) {
         goal = goal.strictest(dependent.effectiveGoal().forDependency(dependent.durationMicros()));
       }
     }
--- a/src/main/java/plumlever/fleet/JobVertex.java
+++ b/src/main/java/plumlever/fleet/JobVertex.java
@@ -52,7 +52,7 @@
   }
 
   /** True once the job is done or cancelled. */
-  boolean isOver() {
+  boolean hasEnded() {
     return isDone() || isCancelled();
   }
 
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -115,7 +115,7 @@
 
   /** Records a heartbeat of the machine. */
   public void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
-    contact.recordReport(heartbeat, source, nowMicros);
+    contact.recordHeartbeat(heartbeat, source, nowMicros);
     preemptedAtMicros =
         heartbeat.hasPreemptionNotice()
             ? nowMicros + (long) (heartbeat.preemptionNoticeS() * MICROS_PER_SECOND)
@@ -169,8 +169,8 @@
   }
 
   /** Sets whether the leader has decided to return the machine to the cloud. */
-  public void setReturning(boolean returned) {
-    returning = returned;
+  public void setReturning(boolean isReturning) {
+    returning = isReturning;
   }
 
   /**
@@ -182,8 +182,8 @@
   }
 
   /** Sets whether the machine is being transferred to another shard. */
-  public void setTransferring(boolean transferred) {
-    transferring = transferred;
+  public void setTransferring(boolean isTransferring) {
+    transferring = isTransferring;
   }
 
   /**
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -51,7 +51,7 @@
   }
 
   /** Records a heartbeat of the machine. */
-  void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
+  void recordHeartbeat(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
     if (heartbeat.incarnation() > incarnation) {
       ownSequenceNumber = 0;
     }
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -77,12 +77,13 @@
       right.ifPresent(known -> logRefusal(heartbeat, known, "before the job lookup"));
       return false;
     }
-    jobs.findEnded(liveJobIds(heartbeat), ends -> respondWithEndedJobs(heartbeat, ends, out));
+    jobs.findEnded(
+        liveJobIds(heartbeat), endedJobs -> respondWithEndedJobs(heartbeat, endedJobs, out));
     return true;
   }
 
   private void respondWithEndedJobs(
-      Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> ends, Responder out) {
+      Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> endedJobs, Responder out) {
     // The delegation may have expired during the job lookup. The lease must not be renewed if the
     // delegate can't send the stop commands for tasks of ended jobs.
     Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
@@ -90,12 +91,12 @@
       refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
       return;
     }
-    if (ends.isEmpty()) {
+    if (endedJobs.isEmpty()) {
       refuse(heartbeat, RenewalRefusal.ENDED_JOBS_UNKNOWN, out);
       return;
     }
-    List<WorkerCommand> stopCommands = stopCommands(heartbeat, ends.get().uids());
-    DelegateEvidence evidence = evidence(right.get(), heartbeat, ends.get().askedMicros());
+    List<WorkerCommand> stopCommands = stopCommands(heartbeat, endedJobs.get().uids());
+    DelegateEvidence evidence = evidence(right.get(), heartbeat, endedJobs.get().askedMicros());
     RenewalDecision decision = renewal.answer(evidence, stopCommands, loop.nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
       logRenewal(heartbeat, evidence, stopCommands);
--- a/src/main/java/plumlever/http/IdleConnections.java
+++ b/src/main/java/plumlever/http/IdleConnections.java
@@ -20,10 +20,10 @@
   void add(ClientConnection connection, ConnectionPool pool) {
     poolByConnection.put(connection, pool);
     if (poolByConnection.size() > MAX_IDLE) {
-      Map.Entry<ClientConnection, ConnectionPool> eldest =
+      Map.Entry<ClientConnection, ConnectionPool> oldest =
           poolByConnection.entrySet().iterator().next();
-      poolByConnection.remove(eldest.getKey());
-      eldest.getValue().evict(eldest.getKey());
+      poolByConnection.remove(oldest.getKey());
+      oldest.getValue().evict(oldest.getKey());
     }
   }
 
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -135,12 +135,12 @@
         ForwardedRequest.PATH,
         body,
         TIMEOUT_MICROS,
-        (status, answer) -> {
+        (status, responseBody) -> {
           if (status == 0 || status >= HttpStatus.SERVER_ERRORS) {
             forward(members, body, out);
           } else {
             int retryAfterS = status == HttpStatus.TOO_MANY_REQUESTS ? RETRY_AFTER_S : 0;
-            out.send(status, new String(answer, StandardCharsets.UTF_8), retryAfterS);
+            out.send(status, new String(responseBody, StandardCharsets.UTF_8), retryAfterS);
           }
         });
   }
--- a/src/main/java/plumlever/http/SubmissionRules.java
+++ b/src/main/java/plumlever/http/SubmissionRules.java
@@ -10,15 +10,15 @@
 /** Checks submitted jobs against the team limits and the available machine types. */
 public final class SubmissionRules {
   private final List<PlatformConfiguration.Team> teams;
-  private final PriceBook prices;
+  private final PriceBook typeCatalog;
 
   /**
    * Creates rules from the team limits and the machine types. The machine types may be loaded
    * later.
    */
-  public SubmissionRules(List<PlatformConfiguration.Team> teams, PriceBook prices) {
+  public SubmissionRules(List<PlatformConfiguration.Team> teams, PriceBook typeCatalog) {
     this.teams = teams;
-    this.prices = prices;
+    this.typeCatalog = typeCatalog;
   }
 
   /** The reason why the job can't be accepted; empty if the job is acceptable. */
@@ -32,10 +32,10 @@
       return Optional.of(
           SubmissionRefusal.unprocessable("a task needs more than its team's limit"));
     }
-    if (!prices.isLoaded()) {
+    if (!typeCatalog.isLoaded()) {
       return Optional.of(SubmissionRefusal.undecided("the machine types are not known yet"));
     }
-    if (!prices.canRun(spec)) {
+    if (!typeCatalog.canRun(spec)) {
       return Optional.of(SubmissionRefusal.unprocessable("a task fits no allowed machine type"));
     }
     return Optional.empty();
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -67,16 +67,16 @@
     }
 
     Priority priority(String uid) {
-      Priority mostUrgent = ownGoals.get(uid).priority();
+      Priority highest = ownGoals.get(uid).priority();
       for (String dependent : dependencies.keySet()) {
         if (dependencies.get(dependent).contains(uid)
             && ended.get(dependent) == null
             && !cancelled(dependent)) {
           Priority inherited = priority(dependent);
-          mostUrgent = inherited.compareTo(mostUrgent) < 0 ? inherited : mostUrgent;
+          highest = inherited.compareTo(highest) < 0 ? inherited : highest;
         }
       }
-      return mostUrgent;
+      return highest;
     }
   }
 
--- a/src/test/java/plumlever/fleet/MachineContactTest.java
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -12,7 +12,7 @@
 final class MachineContactTest {
   private final MachineContact contact = new MachineContact();
 
-  private static Heartbeat report(long incarnation, long sequenceNumber) {
+  private static Heartbeat heartbeat(long incarnation, long sequenceNumber) {
     return new Heartbeat(
         "i-1",
         "i-1:9",
@@ -27,19 +27,19 @@
   }
 
   @Test
-  void duplicateOrOlderReportIsNotNewer() {
-    assertTrue(contact.isNewerThanLast(report(0, 0)), "the first heartbeat counts as newer");
-    contact.recordReport(report(2, 5), HeartbeatSource.WORKER, 10);
-
-    assertFalse(contact.isNewerThanLast(report(2, 5)));
-    assertFalse(contact.isNewerThanLast(report(1, 9)));
-    assertTrue(contact.isNewerThanLast(report(2, 6)));
-    assertTrue(contact.isNewerThanLast(report(3, 1)));
+  void duplicateOrOlderHeartbeatIsNotNewer() {
+    assertTrue(contact.isNewerThanLast(heartbeat(0, 0)), "the first heartbeat counts as newer");
+    contact.recordHeartbeat(heartbeat(2, 5), HeartbeatSource.WORKER, 10);
+
+    assertFalse(contact.isNewerThanLast(heartbeat(2, 5)));
+    assertFalse(contact.isNewerThanLast(heartbeat(1, 9)));
+    assertTrue(contact.isNewerThanLast(heartbeat(2, 6)));
+    assertTrue(contact.isNewerThanLast(heartbeat(3, 1)));
   }
 
   @Test
-  void replyToDirectCallDoesNotCountAsHeartbeat() {
-    contact.recordReport(report(1, 5), HeartbeatSource.DIRECT_REPLY, 10);
+  void responseToDirectCallDoesNotCountAsHeartbeatSentByWorker() {
+    contact.recordHeartbeat(heartbeat(1, 5), HeartbeatSource.DIRECT_REPLY, 10);
 
     assertFalse(contact.hasReported());
     assertEquals(0, contact.ownSequenceNumber());
@@ -48,9 +48,9 @@
 
   @Test
   void newIncarnationResetsHeartbeatSequenceNumber() {
-    contact.recordReport(report(1, 5), HeartbeatSource.WORKER, 10);
+    contact.recordHeartbeat(heartbeat(1, 5), HeartbeatSource.WORKER, 10);
 
-    contact.recordReport(report(2, 1), HeartbeatSource.DIRECT_REPLY, 20);
+    contact.recordHeartbeat(heartbeat(2, 1), HeartbeatSource.DIRECT_REPLY, 20);
 
     assertEquals(0, contact.ownSequenceNumber());
   }
--- a/src/test/java/plumlever/fleet/MachineTokensTest.java
+++ b/src/test/java/plumlever/fleet/MachineTokensTest.java
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void voidingWithoutCommandKeepsToken() {
+  void fencingWithoutCommandKeepsToken() {
     tokens.voidDirectCommands();
 
     assertEquals(FIRST, tokens.current());
--- a/src/test/java/plumlever/http/RequestAdmissionTest.java
+++ b/src/test/java/plumlever/http/RequestAdmissionTest.java
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void admitsARequestOnceAnotherIsAnswered() {
+  void admitsRequestOnceAnotherHasItsResponse() {
     List<UserRequest> open = admitUpToLimit();
 
     open.get(0).send(200, "{}");
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void refusesRequestsWhileTheControllerMayNotAnswer() {
+  void refusesRequestsWithoutSharingFile() {
     ineligible = true;
 
     assertTrue(admit().isEmpty());
--- a/src/test/java/plumlever/http/ServerTest.java
+++ b/src/test/java/plumlever/http/ServerTest.java
@@ -57,7 +57,7 @@
             MAX_CONNECTIONS,
             IDLE_MICROS,
             Server.MAX_BODY_BYTES,
-            this::answer);
+            this::respond);
     server.start();
   }
 
@@ -70,7 +70,7 @@
   /**
    * Echoes the method, the path and the body length, except for two paths with special behavior.
    */
-  private void answer(String method, String path, byte[] body, Responder out) {
+  private void respond(String method, String path, byte[] body, Responder out) {
     switch (path) {
       case "/unanswered" -> {}
       case "/near-limit" -> out.send(200, String.valueOf(out.nearConnectionLimit()));
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void carriesTheStatusOfAnAnswer() throws Exception {
+  void carriesTheStatusOfTheResponse() throws Exception {
     assertEquals("503 POST /unavailable 0", post("/unavailable", NO_BODY));
   }
 
@@ -161,12 +161,12 @@
 
   @Test
   void refusesABodyThatIsTooLong() throws Exception {
-    String answer = post("/p", new byte[Server.MAX_BODY_BYTES + 1]);
-    assertTrue(answer.startsWith("413"), answer);
+    String response = post("/p", new byte[Server.MAX_BODY_BYTES + 1]);
+    assertTrue(response.startsWith("413"), response);
   }
 
   @Test
-  void servesRequestsAfterABodyThatWasTooLong() throws Exception {
+  void servesRequestsAfterRefusingATooLongBody() throws Exception {
     post("/p", new byte[Server.MAX_BODY_BYTES + 1]);
     assertEquals("200 GET /a 0", get("/a"));
   }
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void writesTheAnswerToAHeartbeat() {
+  void writesHeartbeatResponse() {
     assertEquals(
         "{\"baton\":41,\"orders\":[{\"verb\":\"halt\",\"piece\":\"job-1/3\",\"try\":2,\"wind_down_s\":10.0}]}",
         WorkerCommand.answer(41, List.of(WorkerCommand.stop(new TaskName("job-1", 3), 2, 10))));
