--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -82,8 +82,8 @@
   }
 
   /**
-   * When the machine was rented; if the rental time is not known, when this leader first learned of
-   * the machine.
+   * When the machine was rented. If the rental time is not known, this is an estimate or the time
+   * at which this leader first learned of the machine.
    */
   public long knownSinceMicros() {
     return knownSinceMicros;
--- a/src/main/java/plumlever/http/IdleConnections.java
+++ b/src/main/java/plumlever/http/IdleConnections.java
@@ -7,7 +7,7 @@
 
 /** The idle connections in the pools of all endpoints, oldest first. */
 final class IdleConnections {
-  /** Without a limit, the idle connections to a thousand machines would use up all sockets. */
+  /** With a thousand machines to call, more idle connections could use up all sockets. */
   private static final int MAX_IDLE = 48;
 
   private final LinkedHashMap<ClientConnection, ConnectionPool> poolByConnection =
--- a/src/main/java/plumlever/http/Responder.java
+++ b/src/main/java/plumlever/http/Responder.java
@@ -40,7 +40,7 @@
     send(status, json, 0);
   }
 
-  /** Responds with an error without a Retry-After header. */
+  /** Responds with a final error, without a Retry-After header. */
   default void error(int status, String reason) {
     retryLater(status, reason, 0);
   }
--- a/src/main/java/plumlever/wire/InvalidMessageException.java
+++ b/src/main/java/plumlever/wire/InvalidMessageException.java
@@ -9,7 +9,7 @@
   private static final long serialVersionUID = 1L;
 
   /**
-   * @param reason the violation, in the wording that is sent to the sender
+   * @param reason the violation, worded as in the response to the sender
    */
   public InvalidMessageException(String reason) {
     super(reason, null, false, false);
