--- a/src/main/java/plumlever/cloud/PriceBook.java
+++ b/src/main/java/plumlever/cloud/PriceBook.java
@@ -8,7 +8,7 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 
-/** The machine types and their current prices; empty until they have been loaded. */
+/** The machine types and their prices; empty until they have been loaded. */
 public final class PriceBook {
   private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
   private final Map<String, Double> ownedHourly;
