--- a/src/main/java/plumlever/cloud/PriceBook.java
+++ b/src/main/java/plumlever/cloud/PriceBook.java
@@ -8,12 +8,12 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 
-/** The machine types and their current prices; empty until they have been loaded. */
+/** The machine types and their prices; empty until they have been loaded. */
 public final class PriceBook {
   private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
   private final Map<String, Double> ownedHourly;
 
-  /** Creates an empty price book. */
+  /** Creates an empty catalog. */
   public PriceBook(SchedulerParameters parameters) {
     this.ownedHourly = parameters.ownedHourly();
   }
--- a/src/main/java/plumlever/fleet/GoalPropagation.java
+++ b/src/main/java/plumlever/fleet/GoalPropagation.java
@@ -19,7 +19,7 @@
 
   /** Marks the vertex's effective goal for recomputation. */
   void markStale(JobVertex vertex) {
-    if (vertex.ownGoal() != null && !vertex.isOver()) {
+    if (vertex.ownGoal() != null && !vertex.hasEnded()) {
       stale.add(vertex);
     }
   }
@@ -38,9 +38,9 @@
     JobVertex previous = null;
     while (!stale.isEmpty()) {
       JobVertex vertex = stale.poll();
-      // The queue returns the duplicates of a vertex that was marked several times one after the
-      // other.
-      if (vertex == previous || vertex.isOver()) {
+      // A vertex that was marked several times is in the queue several times, and the queue
+      // returns its entries one after the other.
+      if (vertex == previous || vertex.hasEnded()) {
         continue;
       }
       previous = vertex;
@@ -56,7 +56,7 @@
   private static EffectiveGoal computeGoal(JobVertex vertex) {
     EffectiveGoal goal = vertex.ownGoal();
     for (JobVertex dependent : vertex.dependents()) {
-      if (!dependent.isOver() && dependent.effectiveGoal() != null) {
+      if (!dependent.hasEnded() && dependent.effectiveGoal() != null) {
         goal = goal.strictest(dependent.effectiveGoal().forDependency(dependent.durationMicros()));
       }
     }
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -35,7 +35,7 @@
   private long idleSinceMicros = -1;
 
   /**
-   * Creates a machine that is known by name and has not reported yet.
+   * Creates a machine that is known by name and has not sent a heartbeat yet.
    *
    * @param endpoint the machine's address, or null while only its rental is known
    * @param nowMicros the time from which the machine is known
@@ -81,7 +81,10 @@
     return spot;
   }
 
-  /** When the machine was rented or first reported. */
+  /**
+   * When the machine was rented. If the rental time is not known, this is an estimate or the time
+   * at which this leader first learned of the machine.
+   */
   public long knownSinceMicros() {
     return knownSinceMicros;
   }
@@ -110,9 +113,9 @@
     return images;
   }
 
-  /** Records a report of the machine's state. */
+  /** Records a heartbeat of the machine. */
   public void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
-    contact.recordReport(heartbeat, source, nowMicros);
+    contact.recordHeartbeat(heartbeat, source, nowMicros);
     preemptedAtMicros =
         heartbeat.hasPreemptionNotice()
             ? nowMicros + (long) (heartbeat.preemptionNoticeS() * MICROS_PER_SECOND)
@@ -166,8 +169,8 @@
   }
 
   /** Sets whether the leader has decided to return the machine to the cloud. */
-  public void setReturning(boolean returned) {
-    returning = returned;
+  public void setReturning(boolean isReturning) {
+    returning = isReturning;
   }
 
   /**
@@ -179,8 +182,8 @@
   }
 
   /** Sets whether the machine is being transferred to another shard. */
-  public void setTransferring(boolean transferred) {
-    transferring = transferred;
+  public void setTransferring(boolean isTransferring) {
+    transferring = isTransferring;
   }
 
   /**
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -26,8 +26,9 @@
  * delegate renews leases and stops tasks of ended jobs, but starts nothing.
  *
  * <p>The response carries the fencing token that the leader stored with the delegation. A response
- * with the token from the heartbeat would not invalidate a start command that the leader had sent
- * earlier: the worker could still execute the command minutes later, after the job's cancellation.
+ * that only repeated the token of the heartbeat would not invalidate a start command that the
+ * leader had sent earlier: the worker could still execute the command minutes later, after the
+ * job's cancellation.
  */
 public final class DelegatedHeartbeats {
   private static final int MAX_LOG_LINES_PER_SECOND = 20;
@@ -68,7 +69,7 @@
    */
   boolean tryRespond(Heartbeat heartbeat, Responder out) {
     Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
-    // Check the conditions that do not depend on the jobs first, which saves the job lookup.
+    // First check the conditions that do not depend on the jobs: a refusal needs no job lookup.
     if (right.isEmpty()
         || renewal
             .refusal(evidence(right.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
@@ -76,12 +77,13 @@
       right.ifPresent(known -> logRefusal(heartbeat, known, "before the job lookup"));
       return false;
     }
-    jobs.findEnded(liveJobIds(heartbeat), ends -> respondWithEndedJobs(heartbeat, ends, out));
+    jobs.findEnded(
+        liveJobIds(heartbeat), endedJobs -> respondWithEndedJobs(heartbeat, endedJobs, out));
     return true;
   }
 
   private void respondWithEndedJobs(
-      Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> ends, Responder out) {
+      Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> endedJobs, Responder out) {
     // The delegation may have expired during the job lookup. The lease must not be renewed if the
     // delegate can't send the stop commands for tasks of ended jobs.
     Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
@@ -89,12 +91,12 @@
       refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
       return;
     }
-    if (ends.isEmpty()) {
+    if (endedJobs.isEmpty()) {
       refuse(heartbeat, RenewalRefusal.ENDED_JOBS_UNKNOWN, out);
       return;
     }
-    List<WorkerCommand> stopCommands = stopCommands(heartbeat, ends.get().uids());
-    DelegateEvidence evidence = evidence(right.get(), heartbeat, ends.get().askedMicros());
+    List<WorkerCommand> stopCommands = stopCommands(heartbeat, endedJobs.get().uids());
+    DelegateEvidence evidence = evidence(right.get(), heartbeat, endedJobs.get().askedMicros());
     RenewalDecision decision = renewal.answer(evidence, stopCommands, loop.nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
       logRenewal(heartbeat, evidence, stopCommands);
--- a/src/main/java/plumlever/http/IdleConnections.java
+++ b/src/main/java/plumlever/http/IdleConnections.java
@@ -7,7 +7,7 @@
 
 /** The idle connections in the pools of all endpoints, oldest first. */
 final class IdleConnections {
-  /** Without a limit, the idle connections to a thousand machines would use up all sockets. */
+  /** With a thousand machines to call, more idle connections could use up all sockets. */
   private static final int MAX_IDLE = 48;
 
   private final LinkedHashMap<ClientConnection, ConnectionPool> poolByConnection =
@@ -20,10 +20,10 @@
   void add(ClientConnection connection, ConnectionPool pool) {
     poolByConnection.put(connection, pool);
     if (poolByConnection.size() > MAX_IDLE) {
-      Map.Entry<ClientConnection, ConnectionPool> eldest =
+      Map.Entry<ClientConnection, ConnectionPool> oldest =
           poolByConnection.entrySet().iterator().next();
-      poolByConnection.remove(eldest.getKey());
-      eldest.getValue().evict(eldest.getKey());
+      poolByConnection.remove(oldest.getKey());
+      oldest.getValue().evict(oldest.getKey());
     }
   }
 
