--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -67,8 +67,8 @@
       context.metrics().count("heartbeat_copies");
       out.retryLater(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
     } else if (machine.contact().unreachable()) {
-      // Each answer would count as a renewal, so the lease would never be considered expired and
-      // the machine's tasks could never be started elsewhere.
+      // Every renewal sent would extend the lease in this leader's view. The lease would never be
+      // considered expired, and the machine's tasks could never be started elsewhere.
       out.retryLater(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
     } else {
       boolean newest = freshness == HeartbeatHandler.Freshness.LATEST;
@@ -101,7 +101,7 @@
 
   /**
    * Registers the machine if it has no record yet. A heartbeat with a token of an earlier term may
-   * be a delayed copy from a machine that no longer exists, and does not register the machine.
+   * be a delayed duplicate from a machine that no longer exists, and does not register the machine.
    */
   private void registerIfUnregistered(Machine machine, Heartbeat heartbeat) {
     if (machine.registration() == RegistrationState.NONE
--- a/src/main/java/plumlever/leader/HeartbeatScreening.java
+++ b/src/main/java/plumlever/leader/HeartbeatScreening.java
@@ -55,7 +55,7 @@
       return true;
     }
     if (showsLaterTerm(heartbeat)) {
-      // A controller has been elected for a later term, so this term is over even if this
+      // A controller has been elected for a later term, so this term has ended even if this
       // controller has not noticed it.
       context.resign(
           "a worker has seen a token of the later term " + Fleet.termOf(heartbeat.fencingToken()),
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Takes another controller's report that these cancellations are confirmed. The report is
-   * advisory and can only cause additional tasks to be stopped.
+   * Called when another controller reports that these cancellations are confirmed. The information
+   * is advisory: it can only cause additional tasks to be stopped.
    */
   public void cancellationsConfirmed(Collection<String> uids) {
     if (loaded) {
--- a/src/main/java/plumlever/leader/LeaseRenewalResponder.java
+++ b/src/main/java/plumlever/leader/LeaseRenewalResponder.java
@@ -40,7 +40,7 @@
   /**
    * Answers a heartbeat that has been applied.
    *
-   * @param newest whether the heartbeat is the newest report of its machine
+   * @param newest whether the heartbeat is the newest of its machine
    */
   void respond(Machine machine, Heartbeat heartbeat, boolean newest, Responder out) {
     boolean holdsTasksOfActiveJobs = heartbeats.holdsTasksOfActiveJobs(heartbeat);
@@ -64,7 +64,7 @@
   private void refuse(Machine machine, Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     answers.refuse(heartbeat, refusal, out);
     if (refusal == RenewalRefusal.UNANSWERED_COMMAND) {
-      // A higher token invalidates the command, so that the next heartbeat can be answered.
+      // A higher token invalidates the command, so that the next heartbeat can renew the lease.
       commands.sendToken(machine);
     }
   }
--- a/src/main/java/plumlever/leader/PlannedStarts.java
+++ b/src/main/java/plumlever/leader/PlannedStarts.java
@@ -7,7 +7,7 @@
 import plumlever.leader.scheduling.TaskStarter;
 import plumlever.wire.WorkerCommand;
 
-/** Adds the starts of the tasks planned for a machine to the answer to its heartbeat. */
+/** Adds the starts of the tasks planned for a machine to the response to its heartbeat. */
 record PlannedStarts(SchedulingPass pass, TaskStarter starter) {
   /**
    * Adds the commands that start the planned tasks. Adds none if the machine or the jobs of the
--- a/src/main/java/plumlever/leader/PreemptionNotices.java
+++ b/src/main/java/plumlever/leader/PreemptionNotices.java
@@ -13,7 +13,9 @@
   /** The next heartbeat is expected within this many heartbeat intervals. */
   private static final double NEXT_HEARTBEAT_INTERVALS = 1.5;
 
+  /** Time that the response to a heartbeat needs to reach the worker. */
   private static final int ANSWER_DELIVERY_S = 1;
+
   private static final int NOTICE_MARGIN_S = 2;
   private static final int GRACE_MARGIN_S = 1;
 
--- a/src/main/java/plumlever/leader/SchedulingPasses.java
+++ b/src/main/java/plumlever/leader/SchedulingPasses.java
@@ -15,7 +15,7 @@
   private static final long MAX_PAUSE_MICROS = 1_500_000;
   private static final int PAUSE_FACTOR = 3;
 
-  /** The pause before a pass that has used up its time budget is resumed. */
+  /** The pause before the resumption of a pass that has used up its time budget. */
   private static final long RESUME_PAUSE_MICROS = 5_000;
 
   private final TermContext context;
--- a/src/main/java/plumlever/leader/TokenRaiser.java
+++ b/src/main/java/plumlever/leader/TokenRaiser.java
@@ -18,7 +18,7 @@
   private static final long FAILOVER_INTERVAL_MICROS = 100_000;
   private static final long UNREACHABLE_INTERVAL_MICROS = 4_000_000;
 
-  /** A machine's next heartbeat shows the token of an answer within this time after the answer. */
+  /** Within this time after a response, the machine's next heartbeat shows the response's token. */
   private static final long ANSWER_SHOWS_TOKEN_MICROS = 2_000_000;
 
   /** The lateness of the loop thread above which the number of calls is limited. */
@@ -42,7 +42,7 @@
 
   private void sendToUnaccounted() {
     long now = context.loop().nowMicros();
-    // Machines that did not answer come last. Otherwise dozens of machines behind a network
+    // Machines that did not respond come last. Otherwise dozens of machines behind a network
     // partition would be called repeatedly and no other machine would be called.
     List<Machine> unaccounted = new ArrayList<>(failover.unaccounted());
     unaccounted.sort(
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -28,7 +28,7 @@
   }
 
   /**
-   * Returns whether a token of a later term proves that this term is over. The shards of a pool
+   * Returns whether a token of a later term proves that this term has ended. The shards of a pool
    * number their terms from one counter, so in a pool the later term may belong to another shard.
    */
   default boolean laterTermEndsThisOne() {
@@ -47,14 +47,14 @@
     return true;
   }
 
-  /** Returns whether a machine of this shard is recorded as to be returned to the cloud. */
+  /** Returns whether a machine of this shard is recorded for return to the cloud. */
   default boolean mustReturn(String machine) {
     return false;
   }
 
   /**
-   * Answers the heartbeat if its machine belongs to another shard, or if this shard may not answer
-   * the machine normally now.
+   * Answers the heartbeat if its machine belongs to another shard, or if this shard may not apply
+   * the heartbeat now.
    *
    * @return true if the heartbeat has been answered
    */
--- a/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
@@ -39,7 +39,7 @@
   /**
    * Ends the attempts that are not on the machine according to the heartbeat.
    *
-   * @param source whether the worker sent the heartbeat or replied to a direct call
+   * @param source whether the worker sent the heartbeat itself or in the response to a direct call
    * @param listed the attempts that the heartbeat lists
    * @return true if the heartbeat shows that a start command was lost
    */
@@ -67,7 +67,7 @@
 
   /**
    * Returns whether a heartbeat that does not list the attempt proves that the attempt neither runs
-   * on the machine nor can still start there. The worker executes or drops a command in an answer
+   * on the machine nor can still start there. The worker executes or drops a command in a response
    * before it sends its next heartbeat. The worker may execute a direct command late, until it has
    * seen a higher token.
    */
--- a/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
+++ b/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
@@ -6,8 +6,8 @@
 import plumlever.wire.Heartbeat;
 
 /**
- * Determines from the heartbeats that a worker sends whether the leader's answers reach the worker.
- * Heartbeats may arrive although no answer gets through in the opposite direction.
+ * Determines from the heartbeats that a worker sends whether the leader's responses reach the
+ * worker. Heartbeats may arrive although no response gets through in the opposite direction.
  */
 final class AnswerDelivery {
   private final Logger log;
@@ -23,9 +23,9 @@
   /**
    * Updates whether the machine counts as unreachable.
    *
-   * @param heartbeat a heartbeat that the worker sent, not the reply to a direct call
+   * @param heartbeat a heartbeat that the worker sent, not the response to a direct call
    * @param contentLost whether the heartbeat shows that a start command was lost or that the
-   *     incarnation changed
+   *     incarnation changed; a new incarnation begins when the worker's lease has expired
    */
   void evaluate(Machine machine, Heartbeat heartbeat, boolean contentLost) {
     boolean wasUnreachable = machine.contact().unreachable();
@@ -33,8 +33,8 @@
       machine.contact().recordLostAnswer();
     } else if (contentLost) {
       machine.contact().recordLostAnswer();
-      // The next answer carries the raised token. The token in the next heartbeat shows whether
-      // that answer arrived.
+      // The next response carries the raised token. The token in the next heartbeat shows whether
+      // that response arrived.
       machine.tokens().raise(machine.tokens().current() + 1);
     } else {
       machine.contact().recordDeliveredAnswer();
@@ -52,6 +52,6 @@
         machine.id(),
         reachable
             ? "is reachable again"
-            : "is unreachable: it sends heartbeats, but the answers do not arrive");
+            : "is unreachable: it sends heartbeats, but the responses do not arrive");
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -11,8 +11,8 @@
 
 /**
  * Logs the lifecycle of each attempt, for searches by job or machine. Lines name the task, the
- * attempt, the machine, the incarnation and, where it matters, the token. Lines are logged at debug
- * level only, with a limit on lines per second.
+ * attempt, the machine, the incarnation and, except for reported states, the token. Lines are
+ * logged at debug level only, with a limit on lines per second.
  */
 public final class AttemptLog {
   private static final int MAX_LINES_PER_SECOND = 200;
@@ -47,7 +47,9 @@
           attempt.id(),
           attempt.machine().id(),
           attempt.incarnation(),
-          channel == StartChannel.DIRECT_COMMAND ? "by direct command," : "in a heartbeat answer,",
+          channel == StartChannel.DIRECT_COMMAND
+              ? "by direct command,"
+              : "in a heartbeat response,",
           attempt.machine().tokens().current(),
           (context.loop().nowMicros() - endsKnownMicros) / 1_000);
     }
@@ -75,7 +77,9 @@
     }
   }
 
-  /** Logs that every answer will stop the attempt: its job has ended or its task has completed. */
+  /**
+   * Logs that every response will stop the attempt: its job has ended or its task has completed.
+   */
   void stopped(Attempt attempt) {
     if (!attempt.stopping() && enabled()) {
       log.debug(
@@ -89,19 +93,19 @@
     }
   }
 
-  /** Logs that a heartbeat proves the attempt not to be on its machine. */
+  /** Logs that a heartbeat proves that the attempt is not on its machine. */
   void absent(Attempt attempt, Heartbeat heartbeat) {
     if (enabled()) {
       log.debug(
-          "task {} attempt {} on machine {} incarnation {} is over: a heartbeat with token {} does"
-              + " not list it, its start was sent {}",
+          "task {} attempt {} on machine {} incarnation {} has ended: a heartbeat with token {}"
+              + " does not list it, its start was sent {}",
           attempt.name().wireName(),
           attempt.id(),
           heartbeat.machineId(),
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
           attempt.directCommandToken() < 0
-              ? "in a heartbeat answer"
+              ? "in a heartbeat response"
               : "by direct command with token " + attempt.directCommandToken());
     }
   }
@@ -111,7 +115,7 @@
     if (enabled()) {
       log.debug(
           "direct command to start {} on machine {} incarnation {} with token {} was not answered:"
-              + " the worker may execute it until it has seen a higher token; the next answer to"
+              + " the worker may execute it until it has seen a higher token; the next response to"
               + " the worker carries token {}",
           starts.stream()
               .map(attempt -> attempt.name().wireName() + " attempt " + attempt.id())
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -40,7 +40,7 @@
     this.placementChange = placementChange;
   }
 
-  /** Applies the reported state to the attempt, unless the attempt is already over. */
+  /** Applies the reported state to the attempt, unless the attempt has already ended. */
   void update(Attempt attempt, Heartbeat.AttemptStatus reported, long now) {
     if (attempt.over()) {
       return;
@@ -156,7 +156,7 @@
 
   /**
    * Marks a task as completed, on whichever machine it ran, and has the completion stored. Does
-   * nothing if the completion is already known or the job is over.
+   * nothing if the completion is already known or the job has ended.
    */
   void markTaskCompleted(Job job, int task) {
     if (job.over() || job.completedTasks().get(task)) {
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -12,11 +12,14 @@
 
 /**
  * Defers the heartbeats of machines with tasks that arrive before a new leader has loaded the jobs.
- * An immediate answer would renew the leases of tasks whose jobs may have been cancelled long ago.
- * The answer is deferred until the jobs are loaded, but not beyond the worker's request timeout.
+ * An immediate response would renew the leases of tasks whose jobs may have been cancelled long
+ * ago. The response is deferred until the jobs are loaded, but not beyond the worker's request
+ * timeout.
  */
 public final class DeferredHeartbeats {
-  /** A worker's request times out after 4 s; the answer needs the remaining time to arrive. */
+  /**
+   * A worker's request times out after 4 s; the remaining time is left for the response to arrive.
+   */
   private static final long MAX_WAIT_MICROS = 2_500_000;
 
   private record Deferred(Heartbeat heartbeat, Responder out, long receivedMicros) {}
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -21,8 +21,8 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Sends the leader's answers to heartbeats. An answer either renews the worker's lease or refuses
- * the renewal, depending on the evidence available when the answer is built.
+ * Sends the leader's responses to heartbeats. A response either renews the worker's lease or
+ * refuses the renewal, depending on the evidence available when the response is built.
  */
 public final class HeartbeatAnswers {
   private static final int MAX_LINES_PER_SECOND = 20;
@@ -35,7 +35,7 @@
   private final LogBudget logBudget;
 
   /**
-   * Creates a sender of answers that takes its evidence from these jobs and this view of a pool.
+   * Creates a sender of responses that takes its evidence from these jobs and this view of a pool.
    */
   public HeartbeatAnswers(TermContext context, ActiveJobs jobs, MachineSharing sharing) {
     this.context = context;
@@ -46,13 +46,13 @@
     this.logBudget = new LogBudget(log, MAX_LINES_PER_SECOND);
   }
 
-  /** Returns why the machine's lease may not be renewed now, or empty if it may be renewed. */
+  /** Returns why the machine's lease must not be renewed now, or empty if it may be renewed. */
   public Optional<RenewalRefusal> refusal(Machine machine, boolean holdsTasksOfActiveJobs) {
     return renewal.refusal(evidence(machine, holdsTasksOfActiveJobs), context.loop().nowMicros());
   }
 
   /**
-   * Sends an answer that renews the lease and carries these commands if the lease may still be
+   * Sends a response that renews the lease and carries these commands if the lease may still be
    * renewed, and a refusal otherwise.
    *
    * @return true if the lease was renewed
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -20,9 +20,9 @@
 
 /**
  * Applies the heartbeats that the leader receives during one term. For each heartbeat, checks
- * whether it is newer than the last report of its machine, and passes the reported attempt states
- * to the components that track attempts. Every state change caused by a heartbeat is made through
- * this class.
+ * whether it is newer than the last heartbeat of its machine, and passes the reported attempt
+ * states to the components that track attempts. Every state change caused by a heartbeat is made
+ * through this class.
  */
 public final class HeartbeatHandler {
   private final Logger log;
@@ -71,27 +71,27 @@
     return placementChange.getAndClear();
   }
 
-  /** The order of a heartbeat relative to the reports received before from its machine. */
+  /** The order of a heartbeat relative to those received before from its machine. */
   public enum Freshness {
-    /** The heartbeat is newer than every earlier report of its machine. */
+    /** The heartbeat is newer than every heartbeat received before from its machine. */
     LATEST,
     /**
-     * The worker still waits for the answer to the heartbeat, but the reply to a direct call, which
-     * arrived first, has newer content.
+     * The worker still waits for the response to the heartbeat, but a response to a direct call,
+     * which arrived first, has newer content.
      */
     SUPERSEDED,
     /**
-     * The heartbeat is a delayed or repeated copy. The worker no longer waits for its answer, and
+     * The heartbeat is a duplicate or was delayed. The worker no longer waits for its response, and
      * its task list is outdated.
      */
     DUPLICATE
   }
 
   /**
-   * Applies a machine's report if it is newer than all earlier reports of the machine.
+   * Applies a machine's heartbeat if it is newer than all heartbeats received before from the
+   * machine.
    *
-   * @param source whether the report is a heartbeat sent by the worker or the reply to a direct
-   *     call
+   * @param source whether the worker sent the heartbeat itself or in the response to a direct call
    */
   public Freshness apply(Machine machine, Heartbeat heartbeat, HeartbeatSource source) {
     long now = context.loop().nowMicros();
@@ -115,16 +115,16 @@
           machine,
           source == HeartbeatSource.WORKER
               ? "its worker sent a heartbeat"
-              : "it replied to a direct call");
+              : "it responded to a direct call");
       placementChange.mark();
     }
     return Freshness.LATEST;
   }
 
   /**
-   * Classifies a report that is not the newest of its machine. Copies of heartbeats arrive seconds
-   * to minutes late. A copy must neither restore removed attempts nor count as a sign that the
-   * machine is alive.
+   * Classifies a heartbeat that is not the newest of its machine. Duplicates of heartbeats arrive
+   * seconds to minutes late. A duplicate must neither restore removed attempts nor count as a sign
+   * that the machine is alive.
    */
   private static Freshness applyOutdated(
       Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
@@ -200,7 +200,7 @@
    * Applies a heartbeat that another shard's leader relays. The machine belongs to that shard, and
    * the heartbeat lists this shard's tasks on it.
    *
-   * @return {@code LATEST}, or {@code DUPLICATE} for an outdated copy, which is ignored
+   * @return {@code LATEST}, or {@code DUPLICATE} for an outdated heartbeat, which is ignored
    */
   public Freshness applyRelayed(Machine machine, Heartbeat heartbeat) {
     if (!machine.contact().isNewerThanLast(heartbeat)) {
@@ -238,7 +238,7 @@
 
   /**
    * Returns whether the heartbeat lists an unfinished task of a job that this leader does not know
-   * to have ended. Tasks of other jobs need no check, because every answer carries their stop
+   * to have ended. Tasks of other jobs need no check, because every response carries their stop
    * commands.
    */
   public boolean holdsTasksOfActiveJobs(Heartbeat heartbeat) {
@@ -251,7 +251,7 @@
   }
 
   /**
-   * Returns the stop and remove commands that every answer to this heartbeat must carry,
+   * Returns the stop and remove commands that every response to this heartbeat must carry,
    * independent of the scheduling plan.
    */
   public List<WorkerCommand> stopAndRemoveCommands(Machine machine, Heartbeat heartbeat) {
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -19,11 +19,11 @@
 import plumlever.store.Transaction;
 
 /**
- * Delegates lease renewal to the other controllers in zones that this leader cannot reach, while it
- * cannot reach them. A delegation may be in use from the time at which it is sent until its
- * revocation is confirmed and the last read of it has expired. During that period no lease in the
- * zone is considered expired by elapsed time, and no direct command is sent to a machine in the
- * zone.
+ * Delegates lease renewal in zones that this leader cannot reach to the other controllers, for as
+ * long as it cannot reach the zones. A delegation may be in use from the time at which it is sent
+ * until its revocation is confirmed and the last read of it has expired. During that period no
+ * lease in the zone is considered expired by elapsed time, and no direct command is sent to a
+ * machine in the zone.
  *
  * <p>Each zone is delegated with a fencing token higher than every token that this leader has sent
  * to the zone. Renewals carry that token and thereby invalidate unanswered start commands. No
@@ -44,7 +44,8 @@
 
   /**
    * How long another controller may use a read of the delegation, measured on this controller's
-   * clock. The other controller's clock may be slower by twice the drift bound, which adds 1/500.
+   * clock. The other controller's clock may be slower. 1/500 is twice the drift that is possible
+   * between two clocks (see {@link plumlever.lease.ClockDrift}).
    */
   private static final long READ_VALID_MICROS =
       DelegatedRenewal.VALID_MICROS + DelegatedRenewal.VALID_MICROS / 500;
@@ -210,8 +211,8 @@
 
   /**
    * Overwrites the record with an empty one, whatever its revision, instead of deleting it. The
-   * write raises the record's revision, so that a delegation whose write was not answered can no
-   * longer be applied.
+   * write raises the record's revision, so that an unanswered write of a delegation can no longer
+   * be applied.
    */
   private void revoke() {
     write(
--- a/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
+++ b/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
@@ -15,9 +15,9 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Builds the commands that every answer to a heartbeat carries, independent of the scheduling plan:
- * stops of tasks that must not continue to run, and removals of ended attempts whose result the
- * leader has processed.
+ * Builds the commands that every response to a heartbeat carries, independent of the scheduling
+ * plan: stops of tasks that must not continue to run, and removals of ended attempts whose result
+ * the leader has processed.
  */
 final class StopAndRemoveCommands {
   private final TermContext context;
@@ -36,7 +36,9 @@
     this.attemptLog = attemptLog;
   }
 
-  /** Returns the commands for an answer to this heartbeat, in a list that the caller may extend. */
+  /**
+   * Returns the commands for a response to this heartbeat, in a list that the caller may extend.
+   */
   List<WorkerCommand> forAnswer(Machine machine, Heartbeat heartbeat) {
     long now = context.loop().nowMicros();
     List<WorkerCommand> commands = new ArrayList<>();
@@ -53,12 +55,12 @@
   }
 
   /**
-   * Raises the machine's token so that the answer invalidates all earlier direct commands, unless a
-   * direct command is still in flight. A worker that has removed an attempt would start the attempt
-   * again on receiving a delayed copy of the direct command. Therefore the leader removes attempts
-   * only with an answer that also invalidates these copies.
+   * Raises the machine's token so that the response invalidates all earlier direct commands, unless
+   * a direct command is still in flight. A worker that has removed an attempt would start the
+   * attempt again on receiving a delayed duplicate of the direct command. Therefore the leader
+   * removes attempts only with a response that also invalidates these duplicates.
    *
-   * @return true if no earlier direct command can be executed once the answer has arrived
+   * @return true if no earlier direct command can be executed once the response has arrived
    */
   private static boolean voidDirectCommands(Machine machine) {
     if (machine.tokens().hasUnvoidedCommand() && !machine.contact().commandInFlight()) {
@@ -102,8 +104,9 @@
       Job job = jobs.get(reported.task().job());
       if (reported.state() != AttemptState.ENDED) {
         // A heartbeat with a token of an earlier term does not account for its machine, so tasks of
-        // active jobs are not stopped. Tasks of ended jobs are stopped by the first answer, because
-        // that answer renews the machine's lease and the machine may not receive another answer.
+        // active jobs are not stopped. Tasks of ended jobs are stopped by the first response: it
+        // renews
+        // the machine's lease, and the machine may not receive another one.
         if (currentTerm || job == null) {
           commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
         }
--- a/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
@@ -12,7 +12,7 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.MachineType;
 
-/** Handles reported attempts that this leader did not start on the machine that reports them. */
+/** Handles attempts that a heartbeat lists and that this leader does not track on the machine. */
 final class UnknownAttempts {
   private final Logger log;
   private final TermContext context;
@@ -36,8 +36,9 @@
   }
 
   /**
-   * Applies the report of an unknown attempt. A completed task counts on whichever machine it ran.
-   * A task that an earlier leader started is adopted if no other attempt of the task is live.
+   * Applies the reported state of an unknown attempt. A completed task counts on whichever machine
+   * it ran. A task that an earlier leader started is adopted if no other attempt of the task is
+   * live.
    */
   void handle(Machine machine, Heartbeat.AttemptStatus reported, long now) {
     Job job = jobs.get(reported.task().job());
@@ -52,8 +53,8 @@
     } else if (mayAdopt(machine, job, reported)) {
       adopt(machine, job, reported, now);
     } else if (job.liveAttempt(task) != null) {
-      // The usual cause is a heartbeat that was delayed in the network. Otherwise the stop command
-      // in the answer reaches the second attempt in time.
+      // The usual cause is a heartbeat that was delayed in the network. Otherwise the response
+      // carries a stop command, which reaches the second attempt in time.
       log.info(
           "task {} is reported by machine {} but runs on machine {}",
           reported.task().wireName(),
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -16,7 +16,8 @@
  *
  * <p>The transactions alone guarantee that a list in use is never removed ({@link
  * plumlever.store.DependencyLists}). The minimum unused time before removal exists for controllers
- * of earlier versions, which accept a job without checking the anchor of its list.
+ * of earlier versions, which accept a job without checking the anchor (the first value) of its
+ * list.
  */
 public final class DependencyListCleanup {
   /** Interval between two clean-ups, and delay before the first clean-up. */
@@ -27,7 +28,10 @@
   private final TermContext context;
   private final ActiveJobs jobs;
 
-  /** When each unused list was first seen. A list whose anchor has changed counts as a new list. */
+  /**
+   * When each unused list was first seen. A list whose anchor, its first value, has changed counts
+   * as a new list.
+   */
   private final Map<UnusedList, Long> firstSeenMicros = new HashMap<>();
 
   private boolean listing;
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -24,12 +24,14 @@
  */
 public final class StartedJobIndex {
   /**
-   * Minimum time between two writes of a record. The time is short, so only few additions share a
-   * write, because the first start of each job waits for the write.
+   * Minimum time between two writes of a record. Short, because the first start of each job waits
+   * for the write. Therefore only few additions share a write.
    */
   private static final long PAUSE_MICROS = 60_000;
 
   private static final String JOBS = "jobs";
+
+  /** An upper bound on the size of a record without jobs. */
   private static final int BASE_BYTES = 32;
 
   /** A record as an earlier leader stored it. */
@@ -129,7 +131,7 @@
 
     @Override
     public int bytes(Job job) {
-      return job.uid().length() + 3;
+      return job.uid().length() + 3; // two quotes and a comma
     }
 
     @Override
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -103,7 +103,7 @@
 
   /**
    * Reads the final state after a conflict. The state was stored by another controller, or by an
-   * earlier write of this leader whose answer was lost.
+   * earlier write of this leader whose response was lost.
    */
   private void readFinalState(Job job) {
     context
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -173,7 +173,7 @@
     return largeJobs.isDirty() || !orphanedKeys.isEmpty() || sharedChunks.isDirty();
   }
 
-  /** Stops all writes. The next leader has to determine any progress that is not stored. */
+  /** Stops all writes. The next leader has to determine again which further tasks have finished. */
   public void close() {
     closed = true;
     revisions.close();
--- a/src/main/java/plumlever/leader/progress/RecordRevisions.java
+++ b/src/main/java/plumlever/leader/progress/RecordRevisions.java
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Reads the revisions again, one record after the other, because a transaction without an answer
-   * may have written the records. If a record cannot be read, the known revision is kept.
+   * Reads the revisions again, one record after the other, because an unanswered transaction may
+   * have written the records. If a record cannot be read, the known revision is kept.
    *
    * @param done runs after all reads
    */
--- a/src/main/java/plumlever/leader/record/RecoveryRead.java
+++ b/src/main/java/plumlever/leader/record/RecoveryRead.java
@@ -13,8 +13,8 @@
 /**
  * Reads the records that earlier leaders stored. All prefixes are requested at once: the writes of
  * earlier leaders are guarded by their terms, so from now on the records change only as jobs are
- * accepted or end. The reads run on the election thread. On the controller loop, each answer would
- * queue behind the heartbeats that all workers send to a new leader.
+ * accepted or end. The reads run on the election thread. On the controller loop, each response
+ * would queue behind the heartbeats that all workers send to a new leader.
  */
 public final class RecoveryRead {
   private static final long RETRY_MICROS = 500_000;
@@ -87,7 +87,7 @@
     return jobsReadSentMicros;
   }
 
-  /** Prevents the completion callback; answers to reads in flight are ignored. */
+  /** Prevents the completion callback; responses to reads in flight are ignored. */
   public void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/lease/DelegateEvidence.java
+++ b/src/main/java/plumlever/lease/DelegateEvidence.java
@@ -7,11 +7,12 @@
  * The evidence of a controller that renews leases on behalf of the leader.
  *
  * @param token the delegation's token; the leader chose it higher than every token that it has sent
- *     or will send to the zone before the delegation ends, so the answer invalidates all commands
+ *     or will send to the zone before the delegation ends, so the response invalidates all commands
  *     in flight
- * @param reportedToken the highest token that the machine has seen
+ * @param reportedToken the highest token that the machine has seen, according to its heartbeat
  * @param validUntilMicros when the last read of the delegation expires
- * @param endsKnownMicros when the oldest of the reads of the jobs of the machine's tasks was sent
+ * @param endsKnownMicros send time of the oldest of the reads that show whether the jobs of the
+ *     machine's tasks have ended
  */
 public record DelegateEvidence(
     long token, long reportedToken, long validUntilMicros, long endsKnownMicros)
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -6,8 +6,8 @@
 /**
  * The evidence of the leader that owns the machine.
  *
- * @param mayAct whether the leader may still act according to the clock; checked when the answer is
- *     built
+ * @param mayAct whether the leader may still act according to the clock; checked when the response
+ *     is built
  * @param token the machine's current token, higher than that of every command that was not answered
  *     within its timeout
  * @param holdsTasksOfActiveJobs true if the heartbeat lists a task of a job that is not known to
--- a/src/main/java/plumlever/lease/LeaseRenewal.java
+++ b/src/main/java/plumlever/lease/LeaseRenewal.java
@@ -5,7 +5,7 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Builds all answers that renew a worker's lease. No other class builds them, so no lease is
+ * Builds all responses that renew a worker's lease. No other class builds them, so no lease is
  * renewed without evidence. A renewed lease extends the incarnation, in which the worker may still
  * execute commands that are in flight. The evidence therefore covers unanswered commands as well as
  * the tasks that the heartbeat lists.
@@ -13,7 +13,7 @@
 public final class LeaseRenewal {
   private final RenewalLimit limit;
 
-  /** Creates a builder of answers that applies this limit. */
+  /** Creates a builder of responses that applies this limit. */
   public LeaseRenewal(RenewalLimit limit) {
     this.limit = limit;
   }
@@ -24,8 +24,8 @@
   }
 
   /**
-   * Returns the answer to a heartbeat, with these commands. The caller must send the answer
-   * immediately or discard it.
+   * Returns the response to a heartbeat, with these commands, if the evidence is sufficient. The
+   * caller must send the response immediately or discard it.
    */
   public RenewalDecision answer(
       RenewalEvidence evidence, List<WorkerCommand> commands, long nowMicros) {
--- a/src/main/java/plumlever/lease/RenewalDecision.java
+++ b/src/main/java/plumlever/lease/RenewalDecision.java
@@ -1,12 +1,12 @@
 package plumlever.lease;
 
-/** The decision whether the answer to a heartbeat renews the worker's lease. */
+/** The decision whether the response to a heartbeat renews the worker's lease. */
 public sealed interface RenewalDecision {
 
   /**
    * The lease is renewed.
    *
-   * @param body the body of the answer that renews the lease
+   * @param body the body of the response that renews the lease
    */
   record Renewed(String body) implements RenewalDecision {}
 
--- a/src/main/java/plumlever/lease/RenewalEvidence.java
+++ b/src/main/java/plumlever/lease/RenewalEvidence.java
@@ -8,7 +8,7 @@
  */
 public sealed interface RenewalEvidence permits LeaderEvidence, DelegateEvidence {
 
-  /** Returns the token of the answer. The token invalidates all commands with lower tokens. */
+  /** Returns the token of the response. The token invalidates all commands with lower tokens. */
   long token();
 
   /**
--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -3,16 +3,16 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * Limits how long a controller may renew a lease without knowing the latest cancellations (rule 49
- * of `docs/design.md`). A task can run for one lease duration after the answered heartbeat was
- * sent. If the machine has tasks, the lease is therefore renewed only while this period ends in
+ * Limits how long a controller may renew a lease without knowledge of the latest cancellations
+ * (rule 49 of `docs/design.md`). A task can run for one lease duration after the answered heartbeat
+ * was sent. If the machine has tasks, the lease is therefore renewed only while this period ends in
  * time for a cancellation confirmed right after the last answered read of ended jobs was
  * <em>sent</em>. The leader's right to act usually ends earlier. The limit does not depend on that
  * right, so that a change that extends the right cannot extend the run time of cancelled tasks.
  */
 public final class RenewalLimit {
   /**
-   * Added to the lease duration before the lease is considered certainly expired. Covers an answer
+   * Added to the lease duration before the lease is considered certainly expired. Covers a response
    * in flight and a late timer of the worker.
    */
   private static final long EXPIRY_MARGIN_MICROS = 1_500_000;
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -89,7 +89,7 @@
         .id();
   }
 
-  /** Starts a task in the answer to the last heartbeat or by direct command. */
+  /** Starts a task in the response to the last heartbeat or by direct command. */
   Attempt start(int task, StartChannel channel) {
     if (channel == StartChannel.DIRECT_COMMAND) {
       machine.tokens().commandSent(contextFixture.nowMicros());
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -18,7 +18,7 @@
 import plumlever.wire.TaskName;
 import plumlever.wire.WorkerCommand;
 
-/** Tests how heartbeats change attempts and machines, and which commands the answers carry. */
+/** Tests how heartbeats change attempts and machines, and which commands the responses carry. */
 final class HeartbeatHandlerTest {
   private static final TaskName TASK = new TaskName(JOB, 0);
 
@@ -89,7 +89,9 @@
     assertTrue(attempt.over());
   }
 
-  /** The reply to a direct call does not show whether an answer in flight will arrive. */
+  /**
+   * The response to a direct call does not show whether a heartbeat response in flight will arrive.
+   */
   @Test
   void aStartInAnAnswerIsNotOverWhenADirectAnswerLacksIt() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -25,10 +25,10 @@
  *
  * <p>Cause: an unanswered command is invalidated only by a higher token or by the end of the
  * incarnation. The leader had raised the token only in its own memory. The renewing controller
- * answered with the token reported by the machine and stopped only the listed tasks, so the machine
- * received no higher token and its incarnation did not end. The late starts therefore carried the
- * term's first token and were accepted in incarnations as old as the partition, while the stops for
- * reachable machines had been sent with the next token.
+ * responded with the token reported by the machine and stopped only the listed tasks, so the
+ * machine received no higher token and its incarnation did not end. The late starts therefore
+ * carried the term's first token and were accepted in incarnations as old as the partition, while
+ * the stops for reachable machines had been sent with the next token.
  */
 final class HeldStartTest {
   private static final double PARTITION_S = 62;
@@ -86,7 +86,7 @@
   }
 
   /**
-   * Cuts or restores the network between two sides: the isolated controller and machines on one
+   * Blocks or restores the network between two sides: the isolated controller and machines on one
    * side, all other controllers and machines on the other.
    */
   private void setPartition(String isolatedController, Set<String> isolatedMachines, boolean on) {
@@ -149,7 +149,7 @@
     String leader = cluster.leader().platform.label();
     assertTrue(
         sumOfCounter("leases_renewed_for_leader") > 20,
-        "expected more than 20 delegated renewals behind the cut");
+        "expected more than 20 delegated renewals behind the partition");
     assertTrue(sumOfCounter("direct_commands_unanswered") > 0, "expected unanswered direct starts");
     assertTrue(
         cluster.network.delegations.invalidatedStarts > 0,
@@ -158,7 +158,7 @@
     assertEquals(List.of(), cluster.invariants.broken);
     assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
     assertEquals(leader, cluster.leader().platform.label());
-    assertEquals(0, sumOfCounter("attempts_lost"), "attempts lost behind the cut");
+    assertEquals(0, sumOfCounter("attempts_lost"), "attempts lost behind the partition");
     cluster.play(120);
     runningJobs.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
   }
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -123,7 +123,9 @@
           .toList();
     }
 
-    /** Cuts the network between two hosts and restores it after this time. */
+    /**
+     * Blocks the network between a controller and another controller or a machine for this time.
+     */
     private void cutTemporarily(String host, String other, long durationMicros) {
       cluster.network.cut(host, other, true);
       cluster.at(durationMicros, () -> cluster.network.cut(host, other, false));
@@ -131,7 +133,7 @@
 
     /**
      * Partitions the network: one controller and the machines of one zone on one side, all other
-     * hosts on the other.
+     * controllers and machines on the other.
      */
     private void partitionZone(long durationMicros) {
       String isolatedController = anyController().platform.label();
@@ -157,7 +159,9 @@
                               cutTemporarily(leader.platform.label(), machine, durationMicros)));
     }
 
-    /** Repeatedly cuts the leader from zone a for 1 to 10 s and reconnects it for 0.2 to 2.7 s. */
+    /**
+     * Repeatedly blocks the leader's links to zone a for 1-10 s and restores them for 0.2-2.7 s.
+     */
     private void flapLeaderLink(long durationMicros) {
       long at = 0;
       while (at < durationMicros) {
