--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -51,7 +51,7 @@
 
   /** Answers the heartbeat, immediately or once the records are loaded. */
   void respond(Heartbeat heartbeat, Responder out) {
-    if (screening.answerOrDefer(heartbeat, out)) {
+    if (screening.respondOrDefer(heartbeat, out)) {
       return;
     }
     Machine machine = findOrAddMachine(heartbeat);
--- a/src/main/java/plumlever/leader/HeartbeatScreening.java
+++ b/src/main/java/plumlever/leader/HeartbeatScreening.java
@@ -19,7 +19,7 @@
   private final MachineManager machines;
   private final MachineSharing sharing;
   private final DeferredHeartbeats deferredHeartbeats;
-  private final HeartbeatAnswers answers;
+  private final HeartbeatAnswers responses;
   private boolean recordsLoaded;
 
   HeartbeatScreening(
@@ -27,12 +27,12 @@
       MachineManager machines,
       MachineSharing sharing,
       DeferredHeartbeats deferredHeartbeats,
-      HeartbeatAnswers answers) {
+      HeartbeatAnswers responses) {
     this.context = context;
     this.machines = machines;
     this.sharing = sharing;
     this.deferredHeartbeats = deferredHeartbeats;
-    this.answers = answers;
+    this.responses = responses;
   }
 
   /** Called once the records of earlier leaders have been loaded. */
@@ -46,7 +46,7 @@
    * @return true if the heartbeat was answered or deferred; the caller must then ignore the
    *     heartbeat
    */
-  boolean answerOrDefer(Heartbeat heartbeat, Responder out) {
+  boolean respondOrDefer(Heartbeat heartbeat, Responder out) {
     if (!context.term().mayAct()) {
       out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1);
       return true;
@@ -73,7 +73,7 @@
     if (heartbeat.holdsTasks()) {
       deferredHeartbeats.defer(heartbeat, out);
     } else {
-      answers.renewIdle(heartbeat, out);
+      responses.renewIdle(heartbeat, out);
     }
     return true;
   }
--- a/src/main/java/plumlever/leader/LeaseRenewalResponder.java
+++ b/src/main/java/plumlever/leader/LeaseRenewalResponder.java
@@ -17,7 +17,7 @@
 final class LeaseRenewalResponder {
   private final TermContext context;
   private final HeartbeatHandler heartbeats;
-  private final HeartbeatAnswers answers;
+  private final HeartbeatAnswers responses;
   private final MachineSharing sharing;
   private final PlannedStarts plannedStarts;
   private final CommandSender commands;
@@ -25,13 +25,13 @@
   LeaseRenewalResponder(
       TermContext context,
       HeartbeatHandler heartbeats,
-      HeartbeatAnswers answers,
+      HeartbeatAnswers responses,
       MachineSharing sharing,
       PlannedStarts plannedStarts,
       CommandSender commands) {
     this.context = context;
     this.heartbeats = heartbeats;
-    this.answers = answers;
+    this.responses = responses;
     this.sharing = sharing;
     this.plannedStarts = plannedStarts;
     this.commands = commands;
@@ -44,7 +44,7 @@
    */
   void respond(Machine machine, Heartbeat heartbeat, boolean newest, Responder out) {
     boolean holdsTasksOfActiveJobs = heartbeats.holdsTasksOfActiveJobs(heartbeat);
-    Optional<RenewalRefusal> refusal = answers.refusal(machine, holdsTasksOfActiveJobs);
+    Optional<RenewalRefusal> refusal = responses.refusal(machine, holdsTasksOfActiveJobs);
     if (refusal.isPresent()) {
       refuse(machine, heartbeat, refusal.get(), out);
       return;
@@ -56,13 +56,13 @@
     }
     // The leader's right to act may have ended since the check above if this thread ran late, so
     // renew() checks the right again.
-    if (answers.renew(machine, heartbeat, holdsTasksOfActiveJobs, due, out)) {
+    if (responses.renew(machine, heartbeat, holdsTasksOfActiveJobs, due, out)) {
       machine.recordRenewal(context.loop().nowMicros());
     }
   }
 
   private void refuse(Machine machine, Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
-    answers.refuse(heartbeat, refusal, out);
+    responses.refuse(heartbeat, refusal, out);
     if (refusal == RenewalRefusal.UNANSWERED_COMMAND) {
       // A higher token invalidates the command, so that the next heartbeat can renew the lease.
       commands.sendToken(machine);
--- a/src/main/java/plumlever/leader/PreemptionNotices.java
+++ b/src/main/java/plumlever/leader/PreemptionNotices.java
@@ -14,7 +14,7 @@
   private static final double NEXT_HEARTBEAT_INTERVALS = 1.5;
 
   /** Time that the response to a heartbeat needs to reach the worker. */
-  private static final int ANSWER_DELIVERY_S = 1;
+  private static final int RESPONSE_DELIVERY_S = 1;
 
   private static final int NOTICE_MARGIN_S = 2;
   private static final int GRACE_MARGIN_S = 1;
@@ -34,13 +34,13 @@
       return;
     }
     long now = context.loop().nowMicros();
-    double untilNextAnswerS =
+    double untilNextResponseS =
         NEXT_HEARTBEAT_INTERVALS * context.platform().workers().heartbeatMicros() / 1e6
-            + ANSWER_DELIVERY_S;
+            + RESPONSE_DELIVERY_S;
     for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over() && attempt.job().spec().savesCheckpoints()) {
         double saveS = attempt.job().spec().checkpointS();
-        if (heartbeat.preemptionNoticeS() <= saveS + untilNextAnswerS + NOTICE_MARGIN_S) {
+        if (heartbeat.preemptionNoticeS() <= saveS + untilNextResponseS + NOTICE_MARGIN_S) {
           attempt.requestStop(saveS + GRACE_MARGIN_S, now);
         }
       }
--- a/src/main/java/plumlever/leader/TermComponents.java
+++ b/src/main/java/plumlever/leader/TermComponents.java
@@ -111,7 +111,7 @@
 
   private HeartbeatResponder createResponder(
       DeferredHeartbeats deferredHeartbeats, TaskStarter starter) {
-    HeartbeatAnswers answers = new HeartbeatAnswers(context, jobs, sharing);
+    HeartbeatAnswers responses = new HeartbeatAnswers(context, jobs, sharing);
     return new HeartbeatResponder(
         context,
         fleet,
@@ -119,9 +119,9 @@
         registry,
         sharing,
         passes,
-        new HeartbeatScreening(context, machines, sharing, deferredHeartbeats, answers),
+        new HeartbeatScreening(context, machines, sharing, deferredHeartbeats, responses),
         new LeaseRenewalResponder(
-            context, heartbeats, answers, sharing, new PlannedStarts(pass, starter), commands));
+            context, heartbeats, responses, sharing, new PlannedStarts(pass, starter), commands));
   }
 
   private void requestPass() {
--- a/src/main/java/plumlever/leader/TokenRaiser.java
+++ b/src/main/java/plumlever/leader/TokenRaiser.java
@@ -19,7 +19,7 @@
   private static final long UNREACHABLE_INTERVAL_MICROS = 4_000_000;
 
   /** Within this time after a response, the machine's next heartbeat shows the response's token. */
-  private static final long ANSWER_SHOWS_TOKEN_MICROS = 2_000_000;
+  private static final long RESPONSE_SHOWS_TOKEN_MICROS = 2_000_000;
 
   /** The lateness of the loop thread above which the number of calls is limited. */
   private static final long LATENESS_THRESHOLD_MICROS = 50_000;
@@ -70,8 +70,8 @@
   }
 
   private static boolean showsTokenSoon(Machine machine, long now) {
-    long lastAnswer = machine.contact().lastRenewalMicros();
-    return lastAnswer >= 0 && now - lastAnswer <= ANSWER_SHOWS_TOKEN_MICROS;
+    long lastRenewal = machine.contact().lastRenewalMicros();
+    return lastRenewal >= 0 && now - lastRenewal <= RESPONSE_SHOWS_TOKEN_MICROS;
   }
 
   private void sendToUnreachable() {
--- a/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
+++ b/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
@@ -24,14 +24,14 @@
    * Updates whether the machine counts as unreachable.
    *
    * @param heartbeat a heartbeat that the worker sent, not the response to a direct call
-   * @param contentLost whether the heartbeat shows that a start command was lost or that the
+   * @param responseLost whether the heartbeat shows that a start command was lost or that the
    *     incarnation changed; a new incarnation begins when the worker's lease has expired
    */
-  void evaluate(Machine machine, Heartbeat heartbeat, boolean contentLost) {
+  void evaluate(Machine machine, Heartbeat heartbeat, boolean responseLost) {
     boolean wasUnreachable = machine.contact().unreachable();
     if (machine.tokens().lastRenewal() > heartbeat.fencingToken()) {
       machine.contact().recordLostAnswer();
-    } else if (contentLost) {
+    } else if (responseLost) {
       machine.contact().recordLostAnswer();
       // The next response carries the raised token. The token in the next heartbeat shows whether
       // that response arrived.
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -36,9 +36,9 @@
    * Logs that the start command of an attempt is sent to its machine.
    *
    * @param channel how the command is sent
-   * @param endsKnownMicros when the latest answered read of ended jobs was sent
+   * @param endedJobsReadMicros when the latest answered read of ended jobs was sent
    */
-  public void started(Attempt attempt, StartChannel channel, long endsKnownMicros) {
+  public void started(Attempt attempt, StartChannel channel, long endedJobsReadMicros) {
     if (enabled()) {
       log.debug(
           "task {} attempt {} is sent to machine {} incarnation {} {} token {}, last read of ended"
@@ -51,7 +51,7 @@
               ? "by direct command,"
               : "in a heartbeat response,",
           attempt.machine().tokens().current(),
-          (context.loop().nowMicros() - endsKnownMicros) / 1_000);
+          (context.loop().nowMicros() - endedJobsReadMicros) / 1_000);
     }
   }
 
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -71,14 +71,14 @@
    * a separate event of the loop, so that requests arriving in the meantime do not wait until all
    * heartbeats are answered.
    */
-  public void release(BiConsumer<Heartbeat, Responder> answer) {
+  public void release(BiConsumer<Heartbeat, Responder> handler) {
     List<Deferred> all = new ArrayList<>(byMachine.values());
     byMachine.clear();
     for (Deferred deferred : all) {
       loop.execute(
           () -> {
             if (loop.nowMicros() - deferred.receivedMicros <= MAX_WAIT_MICROS) {
-              answer.accept(deferred.heartbeat, deferred.out);
+              handler.accept(deferred.heartbeat, deferred.out);
             } else {
               refuse(deferred);
             }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -34,7 +34,7 @@
   private final AttemptUpdates attemptUpdates;
   private final UnknownAttempts unknownAttempts;
   private final AbsentAttempts absentAttempts;
-  private final AnswerDelivery answerDelivery;
+  private final AnswerDelivery responseDelivery;
   private final StopAndRemoveCommands stopAndRemoveCommands;
 
   /**
@@ -62,7 +62,7 @@
     this.unknownAttempts =
         new UnknownAttempts(context, fleet, jobs, attemptUpdates, placementChange);
     this.absentAttempts = new AbsentAttempts(context, fleet, failover, attemptLog, placementChange);
-    this.answerDelivery = new AnswerDelivery(context, placementChange);
+    this.responseDelivery = new AnswerDelivery(context, placementChange);
     this.stopAndRemoveCommands = new StopAndRemoveCommands(context, jobs, sharing, attemptLog);
   }
 
@@ -108,7 +108,7 @@
     LongHashSet listed = applyAttempts(machine, heartbeat, currentTerm, now);
     boolean startLost = absentAttempts.endUnlisted(machine, heartbeat, source, listed);
     if (source == HeartbeatSource.WORKER) {
-      answerDelivery.evaluate(machine, heartbeat, startLost || incarnationChanged);
+      responseDelivery.evaluate(machine, heartbeat, startLost || incarnationChanged);
     }
     if (currentTerm && !machine.accounted()) {
       failover.markAccounted(
@@ -255,6 +255,6 @@
    * independent of the scheduling plan.
    */
   public List<WorkerCommand> stopAndRemoveCommands(Machine machine, Heartbeat heartbeat) {
-    return stopAndRemoveCommands.forAnswer(machine, heartbeat);
+    return stopAndRemoveCommands.forResponse(machine, heartbeat);
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
+++ b/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
@@ -39,14 +39,14 @@
   /**
    * Returns the commands for a response to this heartbeat, in a list that the caller may extend.
    */
-  List<WorkerCommand> forAnswer(Machine machine, Heartbeat heartbeat) {
+  List<WorkerCommand> forResponse(Machine machine, Heartbeat heartbeat) {
     long now = context.loop().nowMicros();
     List<WorkerCommand> commands = new ArrayList<>();
-    boolean mayRemove = voidDirectCommands(machine);
+    boolean mayRemove = fenceDirectCommands(machine);
     for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over()) {
         addStop(attempt, now, commands);
-      } else if (mayRemove && isHandled(attempt)) {
+      } else if (mayRemove && isRemovable(attempt)) {
         commands.add(WorkerCommand.remove(attempt.name(), attempt.id()));
       }
     }
@@ -62,7 +62,7 @@
    *
    * @return true if no earlier direct command can be executed once the response has arrived
    */
-  private static boolean voidDirectCommands(Machine machine) {
+  private static boolean fenceDirectCommands(Machine machine) {
     if (machine.tokens().hasUnvoidedCommand() && !machine.contact().commandInFlight()) {
       machine.tokens().voidDirectCommands();
     }
@@ -73,7 +73,7 @@
    * Returns whether the worker has reported how the attempt ended and no longer needs to keep the
    * result.
    */
-  private static boolean isHandled(Attempt attempt) {
+  private static boolean isRemovable(Attempt attempt) {
     return attempt.exitCause() != null
         && (attempt.exitCause() != ExitCause.DONE
             || attempt.job().over()
@@ -110,18 +110,18 @@
         if (currentTerm || job == null) {
           commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
         }
-      } else if (currentTerm && mayRemove && isHandled(job, reported)) {
+      } else if (currentTerm && mayRemove && isRemovable(job, reported)) {
         commands.add(WorkerCommand.remove(reported.task(), reported.attempt()));
       }
     }
   }
 
   /**
-   * Does the check of {@link #isHandled(Attempt)} for an attempt that this leader does not track.
+   * Does the check of {@link #isRemovable(Attempt)} for an attempt that this leader does not track.
    *
    * @param job the attempt's job, or null if the job is not active
    */
-  private static boolean isHandled(Job job, Heartbeat.AttemptStatus reported) {
+  private static boolean isRemovable(Job job, Heartbeat.AttemptStatus reported) {
     return job == null
         || reported.cause() != ExitCause.DONE
         || job.storedTasks().get(reported.task().number());
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -46,7 +46,7 @@
   }
 
   private boolean ownTasksEndInTime(RenewalLimit limit, long nowMicros) {
-    boolean mayRun = holdsTasksOfActiveJobs || unansweredCommands.pending();
+    boolean mayRun = holdsTasksOfActiveJobs || unansweredCommands.exist();
     return !mayRun || limit.mayRenew(nowMicros, endsKnownMicros);
   }
 
@@ -60,7 +60,7 @@
    * confirmed after the command was sent.
    */
   private boolean unansweredCommandsEndInTime(RenewalLimit limit, long nowMicros) {
-    return !unansweredCommands.pending()
+    return !unansweredCommands.exist()
         || limit.mayRenew(nowMicros, unansweredCommands.endsKnownMicros());
   }
 }
--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -40,10 +40,10 @@
    * Returns whether a heartbeat received by {@code nowMicros} may be answered with status 200,
    * which renews the lease, although its machine has tasks.
    *
-   * @param endsKnownMicros when the last answered read of ended jobs was sent
+   * @param endedJobsReadMicros when the last answered read of ended jobs was sent
    */
-  public boolean mayRenew(long nowMicros, long endsKnownMicros) {
-    return nowMicros - endsKnownMicros <= maxReadAgeMicros;
+  public boolean mayRenew(long nowMicros, long endedJobsReadMicros) {
+    return nowMicros - endedJobsReadMicros <= maxReadAgeMicros;
   }
 
   /**
--- a/src/main/java/plumlever/lease/UnansweredCommands.java
+++ b/src/main/java/plumlever/lease/UnansweredCommands.java
@@ -5,16 +5,16 @@
  * of these commands until it has reported a higher token than the command's or its incarnation has
  * ended, whether or not its heartbeats list the task.
  *
- * @param pending true if there are unanswered commands
+ * @param exist true if there are unanswered commands
  * @param endsKnownMicros the send time of the last read of ended jobs that was answered before the
  *     commands were sent; the commands start no task of a job cancelled before that time
  */
-public record UnansweredCommands(boolean pending, long endsKnownMicros) {
+public record UnansweredCommands(boolean exist, long endsKnownMicros) {
   /** No command to the machine is unanswered. */
   public static final UnansweredCommands NONE = new UnansweredCommands(false, 0);
 
   /** Returns a record of unanswered commands that were sent after this read of ended jobs. */
-  public static UnansweredCommands sentAfter(long endsKnownMicros) {
-    return new UnansweredCommands(true, endsKnownMicros);
+  public static UnansweredCommands sentAfter(long endedJobsReadMicros) {
+    return new UnansweredCommands(true, endedJobsReadMicros);
   }
 }
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -56,9 +56,9 @@
    */
   public ContextFixture(TermContext.RecoveryReader reader) {
     Caller caller =
-        (to, method, path, body, timeoutMicros, answer) -> {
+        (to, method, path, body, timeoutMicros, handler) -> {
           if (refusesWrites) {
-            answer.handle(HttpStatus.BAD_REQUEST, new byte[0]);
+            handler.handle(HttpStatus.BAD_REQUEST, new byte[0]);
           }
         };
     StateClient store = new StateClient(loop, caller, UNUSED_ENDPOINT, LIMITS, metrics);
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aHeartbeatOlderThanADirectAnswerIsSuperseded() {
+  void aHeartbeatOlderThanADirectResponseIsSuperseded() {
     fixture.accounted();
     Heartbeat sentFirst = fixture.heartbeat();
     fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_REPLY);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void aStartInAnAnswerIsOverWhenTheNextHeartbeatLacksIt() {
+  void aStartInAResponseHasEndedWhenTheNextHeartbeatLacksIt() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
 
     apply(fixture.heartbeat());
@@ -93,7 +93,7 @@
    * The response to a direct call does not show whether a heartbeat response in flight will arrive.
    */
   @Test
-  void aStartInAnAnswerIsNotOverWhenADirectAnswerLacksIt() {
+  void aStartInAResponseHasNotEndedWhenADirectResponseLacksIt() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
 
     fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_REPLY);
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void anUnansweredDirectStartIsNotOverWhileItsTokenIsCurrent() {
+  void anUnansweredDirectStartHasNotEndedWhileItsTokenIsCurrent() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
 
     apply(fixture.heartbeat());
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void anUnansweredDirectStartIsOverOnceAHigherTokenIsShown() {
+  void anUnansweredDirectStartHasEndedOnceAHigherTokenIsShown() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
     fixture.machine.tokens().voidDirectCommands();
 
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void aTaskOfACancelledJobIsStoppedByEveryAnswer() {
+  void aTaskOfACancelledJobIsStoppedByEveryResponse() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
     fixture.job.confirmCancellation();
 
@@ -176,7 +176,7 @@
   }
 
   @Test
-  void theAnswerThatRemovesAnAttemptVoidsTheCommandThatStartedIt() {
+  void theResponseThatRemovesAnAttemptInvalidatesTheCommandThatStartedIt() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
     Heartbeat heartbeat = fixture.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
@@ -189,7 +189,7 @@
   }
 
   @Test
-  void aMachineIsUnreachableAfterTwoLostAnswers() {
+  void aMachineIsUnreachableAfterTwoLostResponses() {
     fixture.accounted();
     for (int i = 0; i < 2; i++) {
       fixture.start(i, StartChannel.HEARTBEAT_ANSWER);
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -26,26 +26,28 @@
 
 /** Tests that leases are renewed by one class only, and only with sufficient evidence. */
 final class LeaseRenewalTest {
-  private static final long LEASE = 26_000_000;
-  private static final long CANCEL = 56_000_000;
-  private static final long NOW = 1_000_000_000L;
+  private static final long LEASE_MICROS = 26_000_000;
+  private static final long CANCEL_MICROS = 56_000_000;
+  private static final long NOW_MICROS = 1_000_000_000L;
   private static final long TOKEN = Fleet.firstToken(5) + 3;
 
   private final LeaseRenewal renewal =
       new LeaseRenewal(
-          new RenewalLimit(new PlatformConfiguration.Workers(3_000_000, LEASE, CANCEL)));
+          new RenewalLimit(
+              new PlatformConfiguration.Workers(3_000_000, LEASE_MICROS, CANCEL_MICROS)));
 
-  private static DelegateEvidence delegate(long reported, long validUntil, long known) {
-    return new DelegateEvidence(TOKEN, reported, validUntil, known);
+  private static DelegateEvidence delegate(long reported, long validUntil, long endedJobsRead) {
+    return new DelegateEvidence(TOKEN, reported, validUntil, endedJobsRead);
   }
 
   private Optional<RenewalRefusal> refusal(RenewalEvidence evidence) {
-    return renewal.refusal(evidence, NOW);
+    return renewal.refusal(evidence, NOW_MICROS);
   }
 
   @Test
-  void aDelegatesAnswerCarriesTheDelegationsToken() {
-    RenewalDecision decision = renewal.answer(delegate(TOKEN - 2, NOW + 1, NOW), List.of(), NOW);
+  void aDelegatesResponseCarriesTheDelegationsToken() {
+    RenewalDecision decision =
+        renewal.answer(delegate(TOKEN - 2, NOW_MICROS + 1, NOW_MICROS), List.of(), NOW_MICROS);
     assertEquals(
         WorkerCommand.answer(TOKEN, List.of()),
         assertInstanceOf(RenewalDecision.Renewed.class, decision).body());
@@ -53,10 +55,14 @@
 
   private static Stream<Arguments> insufficientEvidenceOfADelegate() {
     return Stream.of(
-        Arguments.of(RenewalRefusal.DELEGATION_OVER, delegate(TOKEN, NOW, NOW)),
-        Arguments.of(RenewalRefusal.OTHER_TERM, delegate(Fleet.firstToken(4), NOW + 1, NOW)),
-        Arguments.of(RenewalRefusal.TOKEN_NOT_SUFFICIENT, delegate(TOKEN + 1, NOW + 1, NOW)),
-        Arguments.of(RenewalRefusal.ENDED_JOBS_UNKNOWN, delegate(TOKEN, NOW + 1, NOW - CANCEL)));
+        Arguments.of(RenewalRefusal.DELEGATION_OVER, delegate(TOKEN, NOW_MICROS, NOW_MICROS)),
+        Arguments.of(
+            RenewalRefusal.OTHER_TERM, delegate(Fleet.firstToken(4), NOW_MICROS + 1, NOW_MICROS)),
+        Arguments.of(
+            RenewalRefusal.TOKEN_NOT_SUFFICIENT, delegate(TOKEN + 1, NOW_MICROS + 1, NOW_MICROS)),
+        Arguments.of(
+            RenewalRefusal.ENDED_JOBS_UNKNOWN,
+            delegate(TOKEN, NOW_MICROS + 1, NOW_MICROS - CANCEL_MICROS)));
   }
 
   @ParameterizedTest
@@ -68,7 +74,7 @@
 
   @Test
   void aDelegateRenewsWithSufficientEvidence() {
-    assertEquals(Optional.empty(), refusal(delegate(TOKEN, NOW + 1, NOW)));
+    assertEquals(Optional.empty(), refusal(delegate(TOKEN, NOW_MICROS + 1, NOW_MICROS)));
   }
 
   @Test
@@ -85,38 +91,48 @@
 
   /** The worker may still start the command's task although the heartbeat does not list it. */
   @Test
-  void anUnansweredCommandIsEvaluatedAlthoughNoTaskIsListed() {
+  void anUnansweredCommandCanPreventRenewalAlthoughNoTaskIsListed() {
     assertEquals(
         Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN),
-        refusal(leader(false, NOW - CANCEL, UnansweredCommands.sentAfter(NOW))));
+        refusal(
+            leader(false, NOW_MICROS - CANCEL_MICROS, UnansweredCommands.sentAfter(NOW_MICROS))));
     assertEquals(
         Optional.of(RenewalRefusal.UNANSWERED_COMMAND),
-        refusal(leader(false, NOW, UnansweredCommands.sentAfter(NOW - CANCEL + LEASE))));
+        refusal(
+            leader(
+                false,
+                NOW_MICROS,
+                UnansweredCommands.sentAfter(NOW_MICROS - CANCEL_MICROS + LEASE_MICROS))));
   }
 
   @Test
   void anUnansweredCommandSentAfterARecentReadIsNoReasonToRefuse() {
-    assertEquals(Optional.empty(), refusal(leader(false, NOW, UnansweredCommands.sentAfter(NOW))));
+    assertEquals(
+        Optional.empty(),
+        refusal(leader(false, NOW_MICROS, UnansweredCommands.sentAfter(NOW_MICROS))));
   }
 
   @Test
-  void anOldReadIsNoReasonToRefuseWhereNothingMayRun() {
-    assertEquals(Optional.empty(), refusal(leader(false, NOW - CANCEL, UnansweredCommands.NONE)));
+  void anOldReadIsNoReasonToRefuseIfNoTaskMayRun() {
+    assertEquals(
+        Optional.empty(),
+        refusal(leader(false, NOW_MICROS - CANCEL_MICROS, UnansweredCommands.NONE)));
   }
 
   private static LeaderEvidence leader(
-      boolean holdsTasks, long known, UnansweredCommands unanswered) {
+      boolean holdsTasks, long endedJobsRead, UnansweredCommands unanswered) {
     return new LeaderEvidence(
-        () -> true, TOKEN, holdsTasks, known, unanswered, ForeignTaskEvidence.NONE);
+        () -> true, TOKEN, holdsTasks, endedJobsRead, unanswered, ForeignTaskEvidence.NONE);
   }
 
   @Test
   void foreignTasksAreEvaluatedByTheReadsOfTheirOriginatingShards() {
-    ForeignTaskEvidence unknown = new ForeignTaskEvidence(true, NOW - CANCEL);
+    ForeignTaskEvidence unknown = new ForeignTaskEvidence(true, NOW_MICROS - CANCEL_MICROS);
     assertEquals(
         Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN),
         refusal(
-            new LeaderEvidence(() -> true, TOKEN, false, NOW, UnansweredCommands.NONE, unknown)));
+            new LeaderEvidence(
+                () -> true, TOKEN, false, NOW_MICROS, UnansweredCommands.NONE, unknown)));
   }
 
   /**
@@ -130,27 +146,32 @@
     int renewed = 0;
     for (int i = 0; i < 20_000; i++) {
       boolean listed = random.nextBoolean();
-      boolean pending = random.nextBoolean();
+      boolean unanswered = random.nextBoolean();
       boolean foreignTask = random.nextBoolean();
-      long known = NOW - random.nextLong(2 * CANCEL);
-      long sentKnown = NOW - random.nextLong(2 * CANCEL);
-      long foreignTaskKnown = NOW - random.nextLong(2 * CANCEL);
+      long endedJobsRead = NOW_MICROS - random.nextLong(2 * CANCEL_MICROS);
+      long readBeforeCommand = NOW_MICROS - random.nextLong(2 * CANCEL_MICROS);
+      long foreignJobsRead = NOW_MICROS - random.nextLong(2 * CANCEL_MICROS);
       LeaderEvidence evidence =
           new LeaderEvidence(
               () -> true,
               TOKEN,
               listed,
-              known,
-              pending ? UnansweredCommands.sentAfter(sentKnown) : UnansweredCommands.NONE,
+              endedJobsRead,
+              unanswered
+                  ? UnansweredCommands.sentAfter(readBeforeCommand)
+                  : UnansweredCommands.NONE,
               foreignTask
-                  ? new ForeignTaskEvidence(true, foreignTaskKnown)
+                  ? new ForeignTaskEvidence(true, foreignJobsRead)
                   : ForeignTaskEvidence.NONE);
       if (refusal(evidence).isEmpty()) {
         renewed++;
-        long ends = NOW + LEASE;
-        assertTrue(!listed || ends < known + CANCEL);
-        assertTrue(!pending || (ends < known + CANCEL && ends < sentKnown + CANCEL));
-        assertTrue(!foreignTask || ends < foreignTaskKnown + CANCEL);
+        long ends = NOW_MICROS + LEASE_MICROS;
+        assertTrue(!listed || ends < endedJobsRead + CANCEL_MICROS);
+        assertTrue(
+            !unanswered
+                || (ends < endedJobsRead + CANCEL_MICROS
+                    && ends < readBeforeCommand + CANCEL_MICROS));
+        assertTrue(!foreignTask || ends < foreignJobsRead + CANCEL_MICROS);
       }
     }
     assertTrue(
@@ -183,7 +204,7 @@
 
   /** Only LeaseRenewal may build answers that renew a lease. */
   @Test
-  void onlyLeaseRenewalBuildsAnswersThatRenew() {
+  void onlyLeaseRenewalBuildsResponsesThatRenew() {
     JavaClasses project =
         new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -99,7 +99,7 @@
       long durationMicros = 2_000_000L + cluster.random.nextLong(68_000_000L);
       switch (cluster.random.nextInt(8)) {
         case 0, 1, 2 -> partitionZone(durationMicros);
-        case 3 -> cutLeaderFromZoneA(durationMicros);
+        case 3 -> partitionLeaderFromZoneA(durationMicros);
         case 4 -> flapLeaderLink(durationMicros);
         case 5 -> hangWorkers(durationMicros);
         case 6 -> refuseLeaderAtStore(durationMicros / 4);
@@ -126,9 +126,9 @@
     /**
      * Blocks the network between a controller and another controller or a machine for this time.
      */
-    private void cutTemporarily(String host, String other, long durationMicros) {
-      cluster.network.cut(host, other, true);
-      cluster.at(durationMicros, () -> cluster.network.cut(host, other, false));
+    private void blockTemporarily(String controller, String other, long durationMicros) {
+      cluster.network.cut(controller, other, true);
+      cluster.at(durationMicros, () -> cluster.network.cut(controller, other, false));
     }
 
     /**
@@ -140,15 +140,15 @@
       String zone = cluster.random.nextBoolean() ? "a" : "b";
       for (String other : cluster.controllers.keySet()) {
         if (!other.equals(isolatedController)) {
-          cutTemporarily(isolatedController, other, durationMicros);
-          machinesIn(zone).forEach(machine -> cutTemporarily(other, machine, durationMicros));
+          blockTemporarily(isolatedController, other, durationMicros);
+          machinesIn(zone).forEach(machine -> blockTemporarily(other, machine, durationMicros));
         }
       }
       machinesIn(zone.equals("a") ? "b" : "a")
-          .forEach(machine -> cutTemporarily(isolatedController, machine, durationMicros));
+          .forEach(machine -> blockTemporarily(isolatedController, machine, durationMicros));
     }
 
-    private void cutLeaderFromZoneA(long durationMicros) {
+    private void partitionLeaderFromZoneA(long durationMicros) {
       cluster.controllers.values().stream()
           .filter(SimulatedController::leads)
           .forEach(
@@ -156,7 +156,7 @@
                   machinesIn("a")
                       .forEach(
                           machine ->
-                              cutTemporarily(leader.platform.label(), machine, durationMicros)));
+                              blockTemporarily(leader.platform.label(), machine, durationMicros)));
     }
 
     /**
@@ -165,9 +165,9 @@
     private void flapLeaderLink(long durationMicros) {
       long at = 0;
       while (at < durationMicros) {
-        long cutMicros = 1_000_000 + cluster.random.nextLong(9_000_000);
-        cluster.at(at, () -> cutLeaderFromZoneA(cutMicros));
-        at += cutMicros + 200_000 + cluster.random.nextLong(2_500_000);
+        long partitionMicros = 1_000_000 + cluster.random.nextLong(9_000_000);
+        cluster.at(at, () -> partitionLeaderFromZoneA(partitionMicros));
+        at += partitionMicros + 200_000 + cluster.random.nextLong(2_500_000);
       }
     }
 
@@ -209,7 +209,7 @@
   void noTaskRunsBeyondTheCancellationLimit() {
     Map<Long, List<String>> violationsBySeed = new TreeMap<>();
     long renewed = 0;
-    long voided = 0;
+    long invalidated = 0;
     long cancelled = 0;
     long startsAfterCancel = 0;
     for (long seed : seeds().toArray()) {
@@ -219,17 +219,17 @@
         violationsBySeed.put(seed, simulation.cluster.invariants.broken.subList(0, 1));
       }
       renewed += simulation.sumOfCounter("leases_renewed_for_leader");
-      voided += simulation.cluster.network.delegations.invalidatedStarts;
+      invalidated += simulation.cluster.network.delegations.invalidatedStarts;
       cancelled += simulation.cluster.invariants.cancelledAt.size();
       startsAfterCancel += simulation.cluster.invariants.startsAfterCancel;
     }
     System.out.printf(
         "soak: %d delegated renewals, %d starts invalidated by them, %d jobs cancelled, %d tasks"
             + " started after cancellation but within the limit; violations: %s%n",
-        renewed, voided, cancelled, startsAfterCancel, violationsBySeed);
+        renewed, invalidated, cancelled, startsAfterCancel, violationsBySeed);
     assertEquals(Map.of(), violationsBySeed);
     assertTrue(
-        renewed > 0 && voided > 0 && cancelled > 0,
+        renewed > 0 && invalidated > 0 && cancelled > 0,
         "expected renewals, invalidated starts and cancellations in some seed");
   }
 }
