--- a/src/main/java/plumlever/leader/PreemptionNotices.java
+++ b/src/main/java/plumlever/leader/PreemptionNotices.java
@@ -16,7 +16,10 @@
   /** Time that the response to a heartbeat needs to reach the worker. */
   private static final int RESPONSE_DELIVERY_S = 1;
 
+  /** Tasks are stopped this much earlier than their checkpoint requires. */
   private static final int NOTICE_MARGIN_S = 2;
+
+  /** Added to the time of a checkpoint to get the grace period of the stop. */
   private static final int GRACE_MARGIN_S = 1;
 
   private final TermContext context;
--- a/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
@@ -74,8 +74,8 @@
 
   /**
    * Returns whether the reported attempt may be adopted. Only the heartbeat that accounts for a
-   * machine may add attempts of earlier terms: a heartbeat that was delayed until after the lease
-   * had expired lists tasks that have been killed.
+   * machine, the first with a token of this term, may add attempts of earlier terms: a heartbeat
+   * that was delayed until after the lease had expired lists tasks that have been killed.
    */
   private boolean mayAdopt(Machine machine, Job job, Heartbeat.AttemptStatus reported) {
     int task = reported.task().number();
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -26,8 +26,12 @@
  * procedure is interrupted, each entry is in one or two chunks, never in none.
  */
 public final class SharedRecords<E extends Registrable> {
+  /** Minimum time between the last write of a chunk and a write that only cleans it up. */
   private static final long CLEAN_UP_MICROS = 5_000_000;
+
+  /** Number of checks for due clean-ups within {@link #CLEAN_UP_MICROS}. */
   private static final int CHECKS_PER_CLEAN_UP = 4;
+
   private static final long RETRY_MICROS = 300_000;
   private static final long NO_RECORD = 0;
 
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -55,9 +55,9 @@
   }
 
   /**
-   * Returns whether tasks that unanswered commands may start would end in time. The heartbeat does
-   * not list these tasks. Therefore the lease must expire in time for every cancellation that was
-   * confirmed after the command was sent.
+   * Returns whether tasks that unanswered commands may start would end within the cancellation
+   * limit. The heartbeat does not list these tasks. Therefore the lease must expire within the
+   * limit of every cancellation that was confirmed after the command was sent.
    */
   private boolean unansweredCommandsEndInTime(RenewalLimit limit, long nowMicros) {
     return !unansweredCommands.exist()
--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -5,10 +5,11 @@
 /**
  * Limits how long a controller may renew a lease without knowledge of the latest cancellations
  * (rule 49 of `docs/design.md`). A task can run for one lease duration after the answered heartbeat
- * was sent. If the machine has tasks, the lease is therefore renewed only while this period ends in
- * time for a cancellation confirmed right after the last answered read of ended jobs was
- * <em>sent</em>. The leader's right to act usually ends earlier. The limit does not depend on that
- * right, so that a change that extends the right cannot extend the run time of cancelled tasks.
+ * was sent. If the machine has tasks, the lease is therefore renewed only while this period ends
+ * within the cancellation limit of a job whose cancellation was confirmed right after the last
+ * answered read of ended jobs was <em>sent</em>. The leader's right to act usually ends earlier.
+ * The limit does not depend on that right, so that a change that extends the right cannot extend
+ * the run time of cancelled tasks.
  */
 public final class RenewalLimit {
   /**
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -138,7 +138,8 @@
   /**
    * Compares renewals with a reference model. A task that may be on the machine (listed, started by
    * an unanswered command, or foreign) may belong to a job that was cancelled right after the last
-   * read of ended jobs. If the lease is renewed, the task must end in time for that cancellation.
+   * read of ended jobs. If the lease is renewed, the task must end within the limit of that
+   * cancellation.
    */
   @Test
   void aLeadersRenewalAgreesWithTheReferenceModel() {
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -18,10 +18,10 @@
  *
  * <p>Sequence: two zones are partitioned a few milliseconds after the leader has sent direct starts
  * of a job to machines in both zones, and the network holds the commands for the other zone. The
- * job is cancelled 2.5 s later. Another controller renews the leases in the unreachable zone under
- * the leader's delegation until the partition ends after about a minute. Then the held commands
- * arrive. Before the fix, two machines started tasks 57 s after the cancellation, in a deployment
- * with a cancellation limit of 56 s.
+ * job is cancelled 2.6 s later, and the user receives the confirmation. Another controller renews
+ * the leases in the unreachable zone under the leader's delegation until the partition ends after
+ * about a minute. Then the held commands arrive. Before the fix, two machines started tasks 57 s
+ * after the cancellation, in a deployment with a cancellation limit of 56 s.
  *
  * <p>Cause: an unanswered command is invalidated only by a higher token or by the end of the
  * incarnation. The leader had raised the token only in its own memory. The renewing controller
