--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -102,7 +102,7 @@
         machine.contact().incarnation() > 0
             && heartbeat.incarnation() > machine.contact().incarnation();
     endEarlierIncarnations(machine, heartbeat);
-    recordReport(machine, heartbeat, source, now);
+    recordHeartbeat(machine, heartbeat, source, now);
     boolean currentTerm = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
     machine.tokens().raise(currentTerm ? heartbeat.fencingToken() : 0);
     LongHashSet listed = applyAttempts(machine, heartbeat, currentTerm, now);
@@ -143,7 +143,7 @@
     }
   }
 
-  private void recordReport(
+  private void recordHeartbeat(
       Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
     boolean firstHeartbeat = !machine.contact().hasReported();
     boolean newPreemptionNotice =
