--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -18,7 +18,7 @@
  *
  * <p>Sequence: two zones are partitioned a few milliseconds after the leader has sent direct starts
  * of a job to machines in both zones, and the network holds the commands for the other zone. The
- * job is cancelled 2.6 s later, and the user receives the confirmation. Another controller renews
+ * job is cancelled 2.5 s later, and the user receives the confirmation. Another controller renews
  * the leases in the unreachable zone under the leader's delegation until the partition ends after
  * about a minute. Then the held commands arrive. Before the fix, two machines started tasks 57 s
  * after the cancellation, in a deployment with a cancellation limit of 56 s.
