--- a/src/main/java/plumlever/leader/PreemptionNotices.java
+++ b/src/main/java/plumlever/leader/PreemptionNotices.java
@@ -13,8 +13,13 @@
   /** The next heartbeat is expected within this many heartbeat intervals. */
   private static final double NEXT_HEARTBEAT_INTERVALS = 1.5;
 
-  private static final int ANSWER_DELIVERY_S = 1;
+  /** Time that the response to a heartbeat needs to reach the worker. */
+  private static final int RESPONSE_DELIVERY_S = 1;
+
+  /** Tasks are stopped this much earlier than their checkpoint requires. */
   private static final int NOTICE_MARGIN_S = 2;
+
+  /** Added to the time of a checkpoint to get the grace period of the stop. */
   private static final int GRACE_MARGIN_S = 1;
 
   private final TermContext context;
@@ -32,13 +37,13 @@
       return;
     }
     long now = context.loop().nowMicros();
-    double untilNextAnswerS =
+    double untilNextResponseS =
         NEXT_HEARTBEAT_INTERVALS * context.platform().workers().heartbeatMicros() / 1e6
-            + ANSWER_DELIVERY_S;
+            + RESPONSE_DELIVERY_S;
     for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over() && attempt.job().spec().savesCheckpoints()) {
         double saveS = attempt.job().spec().checkpointS();
-        if (heartbeat.preemptionNoticeS() <= saveS + untilNextAnswerS + NOTICE_MARGIN_S) {
+        if (heartbeat.preemptionNoticeS() <= saveS + untilNextResponseS + NOTICE_MARGIN_S) {
           attempt.requestStop(saveS + GRACE_MARGIN_S, now);
         }
       }
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -12,11 +12,14 @@
 
 /**
  * Defers the heartbeats of machines with tasks that arrive before a new leader has loaded the jobs.
- * An immediate answer would renew the leases of tasks whose jobs may have been cancelled long ago.
- * The answer is deferred until the jobs are loaded, but not beyond the worker's request timeout.
+ * An immediate response would renew the leases of tasks whose jobs may have been cancelled long
+ * ago. The response is deferred until the jobs are loaded, but not beyond the worker's request
+ * timeout.
  */
 public final class DeferredHeartbeats {
-  /** A worker's request times out after 4 s; the answer needs the remaining time to arrive. */
+  /**
+   * A worker's request times out after 4 s; the remaining time is left for the response to arrive.
+   */
   private static final long MAX_WAIT_MICROS = 2_500_000;
 
   private record Deferred(Heartbeat heartbeat, Responder out, long receivedMicros) {}
@@ -68,14 +71,14 @@
    * a separate event of the loop, so that requests arriving in the meantime do not wait until all
    * heartbeats are answered.
    */
-  public void release(BiConsumer<Heartbeat, Responder> answer) {
+  public void release(BiConsumer<Heartbeat, Responder> handler) {
     List<Deferred> all = new ArrayList<>(byMachine.values());
     byMachine.clear();
     for (Deferred deferred : all) {
       loop.execute(
           () -> {
             if (loop.nowMicros() - deferred.receivedMicros <= MAX_WAIT_MICROS) {
-              answer.accept(deferred.heartbeat, deferred.out);
+              handler.accept(deferred.heartbeat, deferred.out);
             } else {
               refuse(deferred);
             }
--- a/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
+++ b/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
@@ -15,9 +15,9 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Builds the commands that every answer to a heartbeat carries, independent of the scheduling plan:
- * stops of tasks that must not continue to run, and removals of ended attempts whose result the
- * leader has processed.
+ * Builds the commands that every response to a heartbeat carries, independent of the scheduling
+ * plan: stops of tasks that must not continue to run, and removals of ended attempts whose result
+ * the leader has processed.
  */
 final class StopAndRemoveCommands {
   private final TermContext context;
@@ -36,15 +36,17 @@
     this.attemptLog = attemptLog;
   }
 
-  /** Returns the commands for an answer to this heartbeat, in a list that the caller may extend. */
-  List<WorkerCommand> forAnswer(Machine machine, Heartbeat heartbeat) {
+  /**
+   * Returns the commands for a response to this heartbeat, in a list that the caller may extend.
+   */
+  List<WorkerCommand> forResponse(Machine machine, Heartbeat heartbeat) {
     long now = context.loop().nowMicros();
     List<WorkerCommand> commands = new ArrayList<>();
-    boolean mayRemove = voidDirectCommands(machine);
+    boolean mayRemove = fenceDirectCommands(machine);
     for (Attempt attempt : machine.load().attempts()) {
       if (!attempt.over()) {
         addStop(attempt, now, commands);
-      } else if (mayRemove && isHandled(attempt)) {
+      } else if (mayRemove && isRemovable(attempt)) {
         commands.add(WorkerCommand.remove(attempt.name(), attempt.id()));
       }
     }
@@ -53,14 +55,14 @@
   }
 
   /**
-   * Raises the machine's token so that the answer invalidates all earlier direct commands, unless a
-   * direct command is still in flight. A worker that has removed an attempt would start the attempt
-   * again on receiving a delayed copy of the direct command. Therefore the leader removes attempts
-   * only with an answer that also invalidates these copies.
+   * Raises the machine's token so that the response invalidates all earlier direct commands, unless
+   * a direct command is still in flight. A worker that has removed an attempt would start the
+   * attempt again on receiving a delayed duplicate of the direct command. Therefore the leader
+   * removes attempts only with a response that also invalidates these duplicates.
    *
-   * @return true if no earlier direct command can be executed once the answer has arrived
+   * @return true if no earlier direct command can be executed once the response has arrived
    */
-  private static boolean voidDirectCommands(Machine machine) {
+  private static boolean fenceDirectCommands(Machine machine) {
     if (machine.tokens().hasUnvoidedCommand() && !machine.contact().commandInFlight()) {
       machine.tokens().voidDirectCommands();
     }
@@ -71,7 +73,7 @@
    * Returns whether the worker has reported how the attempt ended and no longer needs to keep the
    * result.
    */
-  private static boolean isHandled(Attempt attempt) {
+  private static boolean isRemovable(Attempt attempt) {
     return attempt.exitCause() != null
         && (attempt.exitCause() != ExitCause.DONE
             || attempt.job().over()
@@ -102,23 +104,24 @@
       Job job = jobs.get(reported.task().job());
       if (reported.state() != AttemptState.ENDED) {
         // A heartbeat with a token of an earlier term does not account for its machine, so tasks of
-        // active jobs are not stopped. Tasks of ended jobs are stopped by the first answer, because
-        // that answer renews the machine's lease and the machine may not receive another answer.
+        // active jobs are not stopped. Tasks of ended jobs are stopped by the first response: it
+        // renews
+        // the machine's lease, and the machine may not receive another one.
         if (currentTerm || job == null) {
           commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
         }
-      } else if (currentTerm && mayRemove && isHandled(job, reported)) {
+      } else if (currentTerm && mayRemove && isRemovable(job, reported)) {
         commands.add(WorkerCommand.remove(reported.task(), reported.attempt()));
       }
     }
   }
 
   /**
-   * Does the check of {@link #isHandled(Attempt)} for an attempt that this leader does not track.
+   * Does the check of {@link #isRemovable(Attempt)} for an attempt that this leader does not track.
    *
    * @param job the attempt's job, or null if the job is not active
    */
-  private static boolean isHandled(Job job, Heartbeat.AttemptStatus reported) {
+  private static boolean isRemovable(Job job, Heartbeat.AttemptStatus reported) {
     return job == null
         || reported.cause() != ExitCause.DONE
         || job.storedTasks().get(reported.task().number());
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -6,8 +6,8 @@
 /**
  * The evidence of the leader that owns the machine.
  *
- * @param mayAct whether the leader may still act according to the clock; checked when the answer is
- *     built
+ * @param mayAct whether the leader may still act according to the clock; checked when the response
+ *     is built
  * @param token the machine's current token, higher than that of every command that was not answered
  *     within its timeout
  * @param holdsTasksOfActiveJobs true if the heartbeat lists a task of a job that is not known to
@@ -46,7 +46,7 @@
   }
 
   private boolean ownTasksEndInTime(RenewalLimit limit, long nowMicros) {
-    boolean mayRun = holdsTasksOfActiveJobs || unansweredCommands.pending();
+    boolean mayRun = holdsTasksOfActiveJobs || unansweredCommands.exist();
     return !mayRun || limit.mayRenew(nowMicros, endsKnownMicros);
   }
 
@@ -55,12 +55,12 @@
   }
 
   /**
-   * Returns whether tasks that unanswered commands may start would end in time. The heartbeat does
-   * not list these tasks. Therefore the lease must expire in time for every cancellation that was
-   * confirmed after the command was sent.
+   * Returns whether tasks that unanswered commands may start would end within the cancellation
+   * limit. The heartbeat does not list these tasks. Therefore the lease must expire within the
+   * limit of every cancellation that was confirmed after the command was sent.
    */
   private boolean unansweredCommandsEndInTime(RenewalLimit limit, long nowMicros) {
-    return !unansweredCommands.pending()
+    return !unansweredCommands.exist()
         || limit.mayRenew(nowMicros, unansweredCommands.endsKnownMicros());
   }
 }
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -18,7 +18,7 @@
 import plumlever.wire.TaskName;
 import plumlever.wire.WorkerCommand;
 
-/** Tests how heartbeats change attempts and machines, and which commands the answers carry. */
+/** Tests how heartbeats change attempts and machines, and which commands the responses carry. */
 final class HeartbeatHandlerTest {
   private static final TaskName TASK = new TaskName(JOB, 0);
 
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aHeartbeatOlderThanADirectAnswerIsSuperseded() {
+  void aHeartbeatOlderThanADirectResponseIsSuperseded() {
     fixture.accounted();
     Heartbeat sentFirst = fixture.heartbeat();
     fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_REPLY);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void aStartInAnAnswerIsOverWhenTheNextHeartbeatLacksIt() {
+  void aStartInAResponseHasEndedWhenTheNextHeartbeatLacksIt() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
 
     apply(fixture.heartbeat());
@@ -89,9 +89,11 @@
     assertTrue(attempt.over());
   }
 
-  /** The reply to a direct call does not show whether an answer in flight will arrive. */
+  /**
+   * The response to a direct call does not show whether a heartbeat response in flight will arrive.
+   */
   @Test
-  void aStartInAnAnswerIsNotOverWhenADirectAnswerLacksIt() {
+  void aStartInAResponseHasNotEndedWhenADirectResponseLacksIt() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
 
     fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_REPLY);
@@ -100,7 +102,7 @@
   }
 
   @Test
-  void anUnansweredDirectStartIsNotOverWhileItsTokenIsCurrent() {
+  void anUnansweredDirectStartHasNotEndedWhileItsTokenIsCurrent() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
 
     apply(fixture.heartbeat());
@@ -109,7 +111,7 @@
   }
 
   @Test
-  void anUnansweredDirectStartIsOverOnceAHigherTokenIsShown() {
+  void anUnansweredDirectStartHasEndedOnceAHigherTokenIsShown() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
     fixture.machine.tokens().voidDirectCommands();
 
@@ -132,7 +134,7 @@
   }
 
   @Test
-  void aTaskOfACancelledJobIsStoppedByEveryAnswer() {
+  void aTaskOfACancelledJobIsStoppedByEveryResponse() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
     fixture.job.confirmCancellation();
 
@@ -174,7 +176,7 @@
   }
 
   @Test
-  void theAnswerThatRemovesAnAttemptVoidsTheCommandThatStartedIt() {
+  void theResponseThatRemovesAnAttemptInvalidatesTheCommandThatStartedIt() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
     Heartbeat heartbeat = fixture.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
@@ -187,7 +189,7 @@
   }
 
   @Test
-  void aMachineIsUnreachableAfterTwoLostAnswers() {
+  void aMachineIsUnreachableAfterTwoLostResponses() {
     fixture.accounted();
     for (int i = 0; i < 2; i++) {
       fixture.start(i, StartChannel.HEARTBEAT_ANSWER);
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -99,7 +99,7 @@
       long durationMicros = 2_000_000L + cluster.random.nextLong(68_000_000L);
       switch (cluster.random.nextInt(8)) {
         case 0, 1, 2 -> partitionZone(durationMicros);
-        case 3 -> cutLeaderFromZoneA(durationMicros);
+        case 3 -> partitionLeaderFromZoneA(durationMicros);
         case 4 -> flapLeaderLink(durationMicros);
         case 5 -> hangWorkers(durationMicros);
         case 6 -> refuseLeaderAtStore(durationMicros / 4);
@@ -123,30 +123,32 @@
           .toList();
     }
 
-    /** Cuts the network between two hosts and restores it after this time. */
-    private void cutTemporarily(String host, String other, long durationMicros) {
-      cluster.network.cut(host, other, true);
-      cluster.at(durationMicros, () -> cluster.network.cut(host, other, false));
+    /**
+     * Blocks the network between a controller and another controller or a machine for this time.
+     */
+    private void blockTemporarily(String controller, String other, long durationMicros) {
+      cluster.network.cut(controller, other, true);
+      cluster.at(durationMicros, () -> cluster.network.cut(controller, other, false));
     }
 
     /**
      * Partitions the network: one controller and the machines of one zone on one side, all other
-     * hosts on the other.
+     * controllers and machines on the other.
      */
     private void partitionZone(long durationMicros) {
       String isolatedController = anyController().platform.label();
       String zone = cluster.random.nextBoolean() ? "a" : "b";
       for (String other : cluster.controllers.keySet()) {
         if (!other.equals(isolatedController)) {
-          cutTemporarily(isolatedController, other, durationMicros);
-          machinesIn(zone).forEach(machine -> cutTemporarily(other, machine, durationMicros));
+          blockTemporarily(isolatedController, other, durationMicros);
+          machinesIn(zone).forEach(machine -> blockTemporarily(other, machine, durationMicros));
         }
       }
       machinesIn(zone.equals("a") ? "b" : "a")
-          .forEach(machine -> cutTemporarily(isolatedController, machine, durationMicros));
+          .forEach(machine -> blockTemporarily(isolatedController, machine, durationMicros));
     }
 
-    private void cutLeaderFromZoneA(long durationMicros) {
+    private void partitionLeaderFromZoneA(long durationMicros) {
       cluster.controllers.values().stream()
           .filter(SimulatedController::leads)
           .forEach(
@@ -154,16 +156,18 @@
                   machinesIn("a")
                       .forEach(
                           machine ->
-                              cutTemporarily(leader.platform.label(), machine, durationMicros)));
+                              blockTemporarily(leader.platform.label(), machine, durationMicros)));
     }
 
-    /** Repeatedly cuts the leader from zone a for 1 to 10 s and reconnects it for 0.2 to 2.7 s. */
+    /**
+     * Repeatedly blocks the leader's links to zone a for 1-10 s and restores them for 0.2-2.7 s.
+     */
     private void flapLeaderLink(long durationMicros) {
       long at = 0;
       while (at < durationMicros) {
-        long cutMicros = 1_000_000 + cluster.random.nextLong(9_000_000);
-        cluster.at(at, () -> cutLeaderFromZoneA(cutMicros));
-        at += cutMicros + 200_000 + cluster.random.nextLong(2_500_000);
+        long partitionMicros = 1_000_000 + cluster.random.nextLong(9_000_000);
+        cluster.at(at, () -> partitionLeaderFromZoneA(partitionMicros));
+        at += partitionMicros + 200_000 + cluster.random.nextLong(2_500_000);
       }
     }
 
@@ -205,7 +209,7 @@
   void noTaskRunsBeyondTheCancellationLimit() {
     Map<Long, List<String>> violationsBySeed = new TreeMap<>();
     long renewed = 0;
-    long voided = 0;
+    long invalidated = 0;
     long cancelled = 0;
     long startsAfterCancel = 0;
     for (long seed : seeds().toArray()) {
@@ -215,17 +219,17 @@
         violationsBySeed.put(seed, simulation.cluster.invariants.broken.subList(0, 1));
       }
       renewed += simulation.sumOfCounter("leases_renewed_for_leader");
-      voided += simulation.cluster.network.delegations.invalidatedStarts;
+      invalidated += simulation.cluster.network.delegations.invalidatedStarts;
       cancelled += simulation.cluster.invariants.cancelledAt.size();
       startsAfterCancel += simulation.cluster.invariants.startsAfterCancel;
     }
     System.out.printf(
         "soak: %d delegated renewals, %d starts invalidated by them, %d jobs cancelled, %d tasks"
             + " started after cancellation but within the limit; violations: %s%n",
-        renewed, voided, cancelled, startsAfterCancel, violationsBySeed);
+        renewed, invalidated, cancelled, startsAfterCancel, violationsBySeed);
     assertEquals(Map.of(), violationsBySeed);
     assertTrue(
-        renewed > 0 && voided > 0 && cancelled > 0,
+        renewed > 0 && invalidated > 0 && cancelled > 0,
         "expected renewals, invalidated starts and cancellations in some seed");
   }
 }
