--- a/src/main/java/plumlever/ConfirmedCancellations.java
+++ b/src/main/java/plumlever/ConfirmedCancellations.java
@@ -13,8 +13,8 @@
  */
 final class ConfirmedCancellations {
   /**
-   * How long a cancellation is reported to the peers. The state service may refuse one of them for
-   * all of this time.
+   * How long a cancellation is reported to the peers, so that a leader learns of it even if the
+   * state service refuses the leader's reads for all of this time.
    */
   private static final long REPORT_DURATION_MICROS = 20_000_000;
 
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Passes the cancellations that another controller confirmed to the leader, if it is in this
-   * process.
+   * Passes the cancellations that another controller confirmed to the leader, if the leader is in
+   * this process.
    */
   void confirmedByPeer(PeerStatus status) {
     leadership
--- a/src/main/java/plumlever/ControllerHealth.java
+++ b/src/main/java/plumlever/ControllerHealth.java
@@ -14,6 +14,7 @@
  */
 final class ControllerHealth implements ServingHealth {
   /**
+   * How long the state service must refuse this controller before it can count as refused alone.
    * Longer than any controller takes to notice an outage that affects all controllers and to report
    * it to its peers.
    */
@@ -53,8 +54,8 @@
 
   /**
    * Returns true if the state service serves other controllers but refuses this one or does not
-   * answer it. A controller that has no recent status of any peer is treated as isolated: it cannot
-   * tell whether the state service serves the others.
+   * respond to it. A controller that has no recent status of any peer is treated as isolated: it
+   * cannot tell whether the state service serves the others.
    */
   @Override
   public boolean isRefusedAlone() {
--- a/src/main/java/plumlever/PeerReports.java
+++ b/src/main/java/plumlever/PeerReports.java
@@ -31,7 +31,8 @@
   }
 
   /**
-   * Returns the finished and running tasks of the job if a leader in another process reported them.
+   * Returns the numbers of finished and running tasks of the job if a leader in another process
+   * reported them.
    */
   Optional<TaskCounts> taskCounts(String uid) {
     return peers.receivedWithin(COUNTS_VALID_MICROS).stream()
--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -179,7 +179,7 @@
       }
     }
 
-    /** Starts the machine's heartbeats to this controller. */
+    /** Starts to send the heartbeats of the machine to this controller. */
     void sendHeartbeatsTo(Endpoint controller) {
       loop.execute(() -> sendHeartbeat(controller));
     }
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -13,13 +13,13 @@
 
   private Check() {}
 
-  /** The report as several lines, without a line break after the last line. */
+  /** Returns the report as several lines, without a line break after the last line. */
   static String describe(PlatformConfiguration platform, OperatorSettings settings) {
     SchedulerParameters parameters = settings.parameters();
     return String.join(
         "\n",
         addresses(platform),
-        settings.sharing().map(Check::shards).orElse("one cell, all machines are its own"),
+        settings.sharing().map(Check::shards).orElse("one cell, which owns all machines"),
         connections(platform),
         stateLimits(platform.stateLimits()),
         "teams: "
@@ -55,7 +55,7 @@
         + sharing.ownShard().name()
         + " of a pool of "
         + sharing.maxMachines()
-        + " machines, with sharing file "
+        + " machines, sharing table digest "
         + sharing.digest()
         + ": "
         + sharing.shards().stream()
@@ -76,39 +76,39 @@
     int shared = Service.sharedConnections(platform);
     return "connections: "
         + shared
-        + " for users and workers; beyond "
+        + " for users and workers; above "
         + (int) (shared * Server.SCARCE_CONNECTIONS_SHARE)
-        + " each worker gets one for each report";
+        + ", a worker's connection is closed after each heartbeat";
   }
 
   private static String stateLimits(PlatformConfiguration.StateLimits limits) {
-    return "writes to the state service, within the limits now and next: values of "
+    return "state service limits, the smaller of current and announced: values of "
         + limits.valueBytes()
-        + " bytes (now "
+        + " bytes (current limit "
         + limits.formerValueBytes()
         + "), "
         + limits.transactionOps()
-        + " changes a transaction, "
+        + " operations per transaction, "
         + limits.writeRps()
-        + " changes and "
+        + " operations and "
         + limits.rps()
-        + " requests a second";
+        + " requests per second";
   }
 
   private static String idleMachinePolicy(
       PlatformConfiguration platform, SchedulerParameters parameters) {
     return platform.moneyMatters(parameters.rentalMicros())
-        ? "money is saved where the aims leave time: idle machines are returned after "
+        ? "cost is minimized where the objectives leave time: idle machines are returned after "
             + seconds(parameters.idleMoneyMicros())
-        : "machines stand by, since an aim leaves no time to rent one: idle machines are returned"
-            + " after "
+        : "idle machines are kept longer, because an objective leaves no time to rent one: they are"
+            + " returned after "
             + seconds(parameters.idleSpeedMicros());
   }
 
   private static String placementParameters(SchedulerParameters parameters) {
-    return "padding "
+    return "run time padding "
         + parameters.paddingShare()
-        + ", tie band "
+        + ", tie tolerance "
         + parameters.tieShare()
         + ", start target "
         + seconds(parameters.startTargetMicros());
--- a/src/main/java/plumlever/cli/Logging.java
+++ b/src/main/java/plumlever/cli/Logging.java
@@ -14,7 +14,8 @@
   /**
    * Sets the level for plumlever's own loggers; libraries log warnings and errors only.
    *
-   * @param level the value of the environment variable {@code LOG_LEVEL}; null if it is not set
+   * @param level the value of the environment variable {@code LOG_LEVEL}; null if the variable is
+   *     not set
    */
   static void configure(String level) {
     String effectiveLevel = level == null ? DEFAULT_LEVEL : level.trim().toLowerCase(Locale.ROOT);
--- a/src/main/java/plumlever/cli/Main.java
+++ b/src/main/java/plumlever/cli/Main.java
@@ -108,7 +108,7 @@
                 .longOpt(SETTINGS)
                 .hasArg()
                 .argName("FILE")
-                .desc("settings of the operators (YAML)")
+                .desc("operators' settings (YAML)")
                 .build())
         .addOption(
             Option.builder()
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -36,7 +36,7 @@
   private static final int MAX_ELECTION_BUFFERS_PER_THREAD = 1;
   private static final long BYTES_PER_MB = 1024 * 1024;
 
-  /** Time allowed on shutdown for sending the request that releases the leader's lease. */
+  /** The time allowed on shutdown for sending the request that revokes the leader's lease. */
   private static final long LEASE_RELEASE_MICROS = 100_000;
 
   private static final int STOP_TIMEOUT_S = 3;
@@ -200,20 +200,20 @@
                 .getMap());
   }
 
-  /** The maximum number of connections from users and workers together. */
+  /** Returns the maximum number of connections from users and workers together. */
   static int sharedConnections(PlatformConfiguration platform) {
     return Math.max(MIN_SHARED_CONNECTIONS, platform.socketLimit() - RESERVED_SOCKETS);
   }
 
-  /** The port on which the controller listens for users and workers. */
+  /** Returns the port on which the controller listens for users and workers. */
   int port() {
     return userServer.port();
   }
 
   /**
-   * Shuts down in order: stops the controller, which accepts no new requests and releases the
+   * Shuts down in order: stops the controller, which accepts no new requests and revokes the
    * leader's lease so that a successor does not wait for the lease to expire, then closes the
-   * listeners and the I/O threads.
+   * listeners and stops the I/O threads.
    */
   @Override
   public void close() {
--- a/src/main/java/plumlever/concurrent/Loop.java
+++ b/src/main/java/plumlever/concurrent/Loop.java
@@ -7,12 +7,12 @@
  * be called on the loop's thread.
  */
 public interface Loop {
-  /** The monotonic clock, in microseconds since an arbitrary origin. */
+  /** Returns the time of the monotonic clock, in microseconds since an arbitrary origin. */
   long nowMicros();
 
   /**
-   * The wall clock, in microseconds since the Unix epoch. The wall clock may deviate from the true
-   * time by up to the deployment's bound.
+   * Returns the time of the wall clock, in microseconds since the Unix epoch. The wall clock may
+   * deviate from the true time by up to the bound that the deployment guarantees.
    */
   long wallMicros();
 
--- a/src/main/java/plumlever/concurrent/RecurringTask.java
+++ b/src/main/java/plumlever/concurrent/RecurringTask.java
@@ -68,7 +68,7 @@
       pauseMicros = action.run();
     } catch (RuntimeException e) {
       // The task is retried after an unexpected exception. Otherwise the controller would keep
-      // running without the function that the task performs.
+      // running without the work that the task does.
       LOG.error("recurring task {} failed; retrying in 1 s", name, e);
       pauseMicros = PAUSE_AFTER_FAILURE_MICROS;
     } finally {
--- a/src/main/java/plumlever/concurrent/Scope.java
+++ b/src/main/java/plumlever/concurrent/Scope.java
@@ -25,7 +25,7 @@
     return child;
   }
 
-  /** True after the scope has been closed. */
+  /** Returns true after the scope has been closed. */
   public boolean closed() {
     return closed;
   }
--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -19,7 +19,9 @@
   /** The pause after a lost election, before the new leader is read. */
   private static final long PAUSE_AFTER_LOSS_MICROS = 50_000;
 
-  /** How often the leader is read again after an election whose outcome is unknown. */
+  /**
+   * How often a failed read of the leader is repeated after an election whose outcome is unknown.
+   */
   private static final int MAX_RETRIES = 3;
 
   /** Notified on the election loop of the outcome of attempts. */
@@ -133,7 +135,9 @@
     private final PoolTerms.NextTerm next;
     private final LeaderRecord record;
 
-    /** When the first request of the attempt was sent. The lease is counted from this time. */
+    /**
+     * When the request that creates the lease was sent. The right to act is counted from this time.
+     */
     private final long sentMicros;
 
     Attempt(LeadershipRecords.Revisions seen, PoolTerms.NextTerm next, long sentMicros) {
@@ -181,7 +185,10 @@
           : transaction.delete(LeaderElection.DELEGATION);
     }
 
-    /** Reads the leader key after an election whose outcome is unknown. */
+    /**
+     * Resolves an unknown outcome by reading the leader key; the outcome is never assumed. If the
+     * key cannot be read, the attempt is abandoned by revoking its lease.
+     */
     private void resolveOutcome(long leaseId, int retries) {
       store.get(
           LeaderElection.LEADER,
@@ -205,7 +212,9 @@
     }
 
     private void lost(long leaseId) {
-      // Revoking the lease makes the transaction fail if it is executed late.
+      // Revoking the lease makes the transaction fail if it is executed late, and deletes the
+      // leader
+      // key if the transaction was applied.
       store.revokeLease(leaseId);
       attemptInProgress = false;
       backoff.electionLost();
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -58,7 +58,10 @@
   /** The revision of the delegation for which a renewal was last announced. */
   private long announcedRevision = RenewalAnnouncement.NONE;
 
-  /** Creates the right of this controller; the delegation is read through the given client. */
+  /**
+   * Creates the delegated renewal of this controller, which reads the delegation through the given
+   * client.
+   */
   public DelegatedRenewal(Loop loop, StateClient store, LeaderElection election, Logs logs) {
     this.log = logs.of(DelegatedRenewal.class);
     this.loop = loop;
@@ -83,7 +86,8 @@
           if (result.found()) {
             accept(DelegationRecord.read(result.item().data()), result.item().revision(), sent);
           } else if (result.missing()) {
-            // Without an explicit 404, the delegation remains usable until it expires.
+            // Only a 404 ends the delegation early. After any other failed read, it remains usable
+            // until it expires.
             delegation = NO_DELEGATION;
           }
         });
@@ -98,8 +102,8 @@
     }
     if (!read.equals(delegation)) {
       log.info(
-          "lease renewal delegated by the leader of term {}: tokens by zone {} (revision {}, read"
-              + " sent {} ms ago)",
+          "lease renewal delegated by the leader of term {}: tokens by zone {} (revision {},"
+              + " requested {} ms ago)",
           read.term(),
           read.tokenByZone(),
           readRevision,
--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -27,9 +27,7 @@
 
   /** Notified on the election loop when a term ends. */
   interface Observer {
-    /**
-     * Called before a term is resigned: this controller must not attempt an election for this long.
-     */
+    /** Called when the controller resigns: it must not attempt an election for this long. */
     void attemptsPaused(long pauseMicros);
 
     /** Called when a term has ended. */
@@ -62,7 +60,7 @@
     this.renewal = new RecurringTask("lease renewal", loop, this::renewLease);
   }
 
-  /** Returns the term in which this controller leads; may be called on any thread. */
+  /** Returns the term in which this controller leads, if any; may be called on any thread. */
   Optional<Term> current() {
     return Optional.ofNullable(current);
   }
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -111,7 +111,7 @@
 
   /**
    * Returns true if the state service holds a pool of shards but this controller has no sharing
-   * file. Such a controller neither takes part in elections nor answers users, because it would
+   * file. Such a controller neither takes part in elections nor serves users, because it would
    * treat the machines of the whole pool as its own.
    */
   public boolean ineligible() {
--- a/src/main/java/plumlever/election/LeadershipRecords.java
+++ b/src/main/java/plumlever/election/LeadershipRecords.java
@@ -17,7 +17,10 @@
   /** The revision of a key that does not exist. */
   private static final long ABSENT_KEY_REVISION = 0;
 
-  /** The revision of the leader key if nothing is known about that key. */
+  /**
+   * The revision of the leader key while nothing is known about that key, and the store revision
+   * before the first read.
+   */
   private static final long UNKNOWN_REVISION = -1;
 
   /**
--- a/src/main/java/plumlever/election/LeadershipWatch.java
+++ b/src/main/java/plumlever/election/LeadershipWatch.java
@@ -19,10 +19,10 @@
     /** Returns true while this controller has an election attempt in progress. */
     boolean attemptInProgress();
 
-    /** Called when the records were read or a watch request was answered. */
+    /** Called when the records were read or a watch response was received. */
     void recordsRead();
 
-    /** Called when the leader could not be read. */
+    /** Called when {@link #refresh} could not read the leader. */
     void refreshFailed();
   }
 
--- a/src/main/java/plumlever/metrics/LogBudget.java
+++ b/src/main/java/plumlever/metrics/LogBudget.java
@@ -28,7 +28,9 @@
     this.linesPerSecond = linesPerSecond;
   }
 
-  /** True if a debug line may be logged now; counts the line against the limit in this case. */
+  /**
+   * Returns true if a debug line may be logged now; counts the line against the limit in this case.
+   */
   public boolean allowsDebug(long nowMicros) {
     if (!log.isDebugEnabled()) {
       return false;
--- a/src/main/java/plumlever/metrics/Logs.java
+++ b/src/main/java/plumlever/metrics/Logs.java
@@ -11,6 +11,6 @@
   /** The loggers of the service itself. */
   Logs SERVICE = LoggerFactory::getLogger;
 
-  /** The logger of the class. */
+  /** Returns the logger of the class. */
   Logger of(Class<?> owner);
 }
--- a/src/main/java/plumlever/metrics/Metrics.java
+++ b/src/main/java/plumlever/metrics/Metrics.java
@@ -19,7 +19,7 @@
   private static final long MAX_DURATION_MICROS = 3_600_000_000L;
   private static final int SIGNIFICANT_DIGITS = 2;
 
-  /** The status that represents a call without an answer. */
+  /** The status that represents a call without a response. */
   private static final int NO_ANSWER = 0;
 
   /** The time spent on one kind of work and the number of runs since the last summary. */
@@ -49,7 +49,7 @@
     counters.merge(name, count, Long::sum);
   }
 
-  /** The counter's value since startup; 0 for a counter that was never incremented. */
+  /** Returns the value of the counter since startup; 0 for a counter that was never incremented. */
   public synchronized long counter(String name) {
     return counters.getOrDefault(name, 0L);
   }
@@ -64,8 +64,8 @@
   /**
    * Records one run of a kind of work.
    *
-   * @param micros the elapsed time by the clock, not the processor time: on a small share of a
-   *     processor, other work waits for the elapsed time
+   * @param micros the elapsed time by the clock, not the processor time, because other work waits
+   *     for the elapsed time, which is longer on a small share of a processor
    */
   public synchronized void recordWork(String name, long micros) {
     WorkTotal total = work.computeIfAbsent(name, key -> new WorkTotal());
@@ -79,10 +79,10 @@
   }
 
   /**
-   * Counts a failed call to another service: no answer, rate limit exceeded (429) or service
+   * Counts a failed call to another service: no response, rate limit exceeded (429) or service
    * unavailable (503). Other statuses are not counted.
    *
-   * @param status the HTTP status of the answer; 0 if no answer arrived
+   * @param status the HTTP status of the response; 0 if no response arrived
    */
   public synchronized void countRefusal(String service, int status) {
     if (status == NO_ANSWER) {
--- a/src/main/java/plumlever/peer/PeerStatus.java
+++ b/src/main/java/plumlever/peer/PeerStatus.java
@@ -17,7 +17,8 @@
  *
  * @param storeRefusedMicros how long the state service has refused the sender; 0 while it is served
  * @param lateMicros how late the sender's controller loop recently ran
- * @param workers the number of workers that recently sent heartbeats to the sender
+ * @param workers the number of workers that recently sent heartbeats to the sender while it did not
+ *     lead
  * @param counts finished and running tasks by job, reported by a leader, for display
  * @param confirmedCancellations jobs whose cancellation the sender recently confirmed to users. The
  *     leader stops their tasks even while the state service refuses the leader's reads.
@@ -39,7 +40,10 @@
   public static final class Codec {
     private static final int MAX_BYTES = 256 * 1024;
     private static final int INITIAL_BUFFER_BYTES = 4 * 1024;
+
+    /** The Kryo type id in the encoding; earlier versions expect the same id. */
     private static final int REGISTRATION = 100;
+
     private final Kryo kryo = new Kryo();
     private final Output output = new Output(INITIAL_BUFFER_BYTES, MAX_BYTES);
 
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -64,7 +64,7 @@
     return SEND_INTERVAL_MICROS;
   }
 
-  /** Handles a request on the listener for peers. */
+  /** Handles a request that arrived at the address for other controllers. */
   public void handle(String method, String path, byte[] body, Responder out) {
     if (!path.equals(PATH) || !method.equals("POST")) {
       out.error(HttpStatus.NOT_FOUND, "no such path");
@@ -92,7 +92,10 @@
     return platform.peers().stream().anyMatch(peer -> peer.label().equals(status.label()));
   }
 
-  /** Returns the last status of each controller from which one was received within this time. */
+  /**
+   * Returns the last status of each controller that sent one within the last {@code micros}
+   * microseconds.
+   */
   public List<PeerStatus> receivedWithin(long micros) {
     long oldestMicros = loop.nowMicros() - micros;
     return receivedByLabel.values().stream()
--- a/src/main/java/plumlever/settings/OperatorKey.java
+++ b/src/main/java/plumlever/settings/OperatorKey.java
@@ -29,7 +29,7 @@
     this.max = max;
   }
 
-  /** The key's name in the file. */
+  /** Returns the name of the key in the file. */
   String text() {
     return text;
   }
@@ -42,6 +42,7 @@
     return max;
   }
 
+  /** Returns true if the value is within the range of the key. */
   boolean accepts(double value) {
     return value >= min && value <= max;
   }
--- a/src/main/java/plumlever/settings/OperatorSettings.java
+++ b/src/main/java/plumlever/settings/OperatorSettings.java
@@ -8,7 +8,7 @@
  * @param sharing how machines are shared among shards; empty if a single shard owns all machines
  */
 public record OperatorSettings(SchedulerParameters parameters, Optional<SharingSettings> sharing) {
-  /** The settings used when no file is given. */
+  /** Returns the settings that are used when no file is given. */
   public static OperatorSettings defaults() {
     return new OperatorSettings(SchedulerParameters.defaults(), Optional.empty());
   }
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -82,12 +82,15 @@
    * @param cancelMicros the time until a cancellation takes effect
    */
   public record Workers(long heartbeatMicros, long leaseMicros, long cancelMicros) {
-    /** The jitter of a heartbeat is up to the interval divided by this number. */
+    /** A heartbeat is sent up to the interval divided by this number early or late. */
     private static final int JITTER_DIVISOR = 4;
 
+    /** The time allowed for the delivery of a heartbeat. */
     private static final long DELIVERY_MARGIN_MICROS = 2_000_000;
 
-    /** The time since the last heartbeat after which the next heartbeat counts as missed. */
+    /**
+     * Returns the time since the last heartbeat after which the next heartbeat counts as missed.
+     */
     public long missedHeartbeatMicros() {
       return heartbeatMicros + heartbeatMicros / JITTER_DIVISOR + DELIVERY_MARGIN_MICROS;
     }
@@ -107,11 +110,12 @@
    */
   public record StateLimits(
       double rps, double writeRps, int valueBytes, int transactionOps, int formerValueBytes) {
-    /** Limits without an announced change. */
+    /** Creates limits for which no change is announced. */
     public StateLimits(double rps, double writeRps, int valueBytes, int transactionOps) {
       this(rps, writeRps, valueBytes, transactionOps, valueBytes);
     }
 
+    /** Returns, for each limit, the smaller of this value and the announced value. */
     StateLimits smallerOf(StateLimits next) {
       return new StateLimits(
           Math.min(rps, next.rps),
@@ -131,10 +135,11 @@
   public record CloudLimits(double rps, long listLagMicros) {}
 
   /**
-   * Whether scheduling should minimize cost as far as the objectives leave time for it. True if an
-   * objective is about cost. The platform may omit cost objectives from the file, so the result is
-   * also true if every start-time objective leaves enough time to rent a machine on demand.
-   * Otherwise idle machines must be kept available and only speed matters.
+   * Returns true if scheduling should minimize cost as far as the objectives leave time for it.
+   * This is the case if an objective is about cost. The platform may omit cost objectives from the
+   * file, so it is also the case if every objective for the wait until the start leaves enough time
+   * to rent a machine on demand. Otherwise idle machines must be kept available and only speed
+   * matters.
    *
    * @param rentalMicros the time from a rental request until the machine is up
    */
--- a/src/main/java/plumlever/settings/PlatformFile.java
+++ b/src/main/java/plumlever/settings/PlatformFile.java
@@ -14,10 +14,14 @@
   private static final double MIN_FILE_DESCRIPTORS = 64;
   private static final double MAX_FILE_DESCRIPTORS = 1e7;
 
-  /** The smallest value size that can hold a job record and an election record. */
+  /** The smallest value size with which all records can be stored. */
   private static final double MIN_VALUE_KB = 1;
 
+  /**
+   * An election needs three operations: it puts the leader and the term and deletes the delegation.
+   */
   private static final double MIN_TRANSACTION_OPS = 3;
+
   private static final double MAX_STATE_LIMIT = 1e6;
   private static final int BYTES_PER_KB = 1024;
 
@@ -121,7 +125,7 @@
         cloud.number(RPS, MIN_CLOUD_RPS, MAX_NUMBER), cloud.durationMicros("list_lag_s"));
   }
 
-  /** Reads the limits. An announced limit that is missing stays at the current value. */
+  /** Reads the limits. A limit without an announced value keeps its current value. */
   private static PlatformConfiguration.StateLimits stateLimits(TomlTable state)
       throws SettingsException {
     PlatformConfiguration.StateLimits now =
--- a/src/main/java/plumlever/settings/SchedulerParameters.java
+++ b/src/main/java/plumlever/settings/SchedulerParameters.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * Scheduler parameters that operators can set. The name of a duration ends in its unit. The
+ * Scheduler parameters that operators can set. The names of durations end in their unit. The
  * defaults suit any deployment; values that the platform specifies per deployment (leases, rates,
  * lags) are in {@link PlatformConfiguration}.
  *
  * @param paddingShare the fraction added to estimated run times when a deadline is checked
  * @param tieShare the relative distance from the lowest score within which scores count as a tie
- * @param startTargetMicros the target wait until the start of a task without a deadline
+ * @param startTargetMicros the time within which a task without a deadline should start
  * @param leaseTtlMicros the duration of the leader's lease: short enough that a failed leader is
  *     replaced quickly, long enough that a controller that exceeds its processor share does not
  *     lose leadership
@@ -71,7 +71,7 @@
   private static final double HEADROOM_DEVIATIONS = 1.0;
   private static final double SPOT_RISK_PREMIUM = 0.3;
 
-  /** The values of parameters that operators do not set. */
+  /** Returns the values of parameters that operators do not set. */
   public static SchedulerParameters defaults() {
     return new SchedulerParameters(
         RUN_TIME_PADDING,
--- a/src/main/java/plumlever/settings/SharingSettings.java
+++ b/src/main/java/plumlever/settings/SharingSettings.java
@@ -39,12 +39,12 @@
   /** The number of write operations that a transfer needs in one state service transaction. */
   public static final int MIN_TRANSACTION_OPS = 5;
 
-  /** The shard with this name. */
+  /** Returns the shard with this name. */
   public Shard shard(String name) {
     return shards.stream().filter(shard -> shard.name().equals(name)).findFirst().orElseThrow();
   }
 
-  /** All shards except the shard of this controller. */
+  /** Returns all shards except the shard of this controller. */
   public List<Shard> otherShards() {
     return shards.stream().filter(shard -> !shard.name().equals(ownShard.name())).toList();
   }
--- a/src/main/java/plumlever/settings/SharingTable.java
+++ b/src/main/java/plumlever/settings/SharingTable.java
@@ -19,7 +19,10 @@
   private static final Pattern NAME = Pattern.compile("[a-z][a-z0-9-]{0,30}");
   private static final Pattern PREFIX = Pattern.compile("[a-z][a-z0-9-]{0,30}/");
 
-  /** Key prefixes of the pool's records and of a shard whose prefix is empty. */
+  /**
+   * Prefixes that no shard may have: those of the pool's records, and those of the records of a
+   * shard whose prefix is empty.
+   */
   private static final List<String> RESERVED_PREFIXES =
       List.of(
           "pool/",
@@ -55,7 +58,7 @@
   private static final double MIN_ADOPT_S = 60;
   private static final double MAX_ADOPT_S = 1e6;
 
-  /** Passed instead of a default value: the key is required. */
+  /** Passed instead of a default value if the key is required. */
   private static final double REQUIRED = -1;
 
   private static final double MICROS_PER_SECOND = 1e6;
@@ -183,7 +186,7 @@
     }
     if (!(weight instanceof Number number)
         || !(number.doubleValue() > 0 && number.doubleValue() < WEIGHT_LIMIT)) {
-      throw error(key, "must be a number above 0");
+      throw error(key, "must be a number above 0 and below 1e6");
     }
     return number.doubleValue();
   }
--- a/src/main/java/plumlever/store/DependencyListRecords.java
+++ b/src/main/java/plumlever/store/DependencyListRecords.java
@@ -18,6 +18,8 @@
  */
 final class DependencyListRecords {
   private static final String UIDS = "names";
+
+  /** The number of hexadecimal digits of the SHA-256 hash that the keys of a list contain. */
   private static final int DIGEST_LENGTH = 24;
 
   /** The bytes of the JSON around the entries of a part. */
@@ -49,7 +51,7 @@
         .substring(0, DIGEST_LENGTH);
   }
 
-  /** Splits a list into parts, by key, anchor first. */
+  /** Splits a list into parts; returns the parts by key, the anchor first. */
   static Map<String, ObjectNode> parts(String prefix, List<String> uids, int maxValueBytes) {
     Map<String, ObjectNode> parts = new LinkedHashMap<>();
     ArrayNode part = null;
@@ -68,7 +70,7 @@
     return parts;
   }
 
-  /** Returns the jobs named by a part. */
+  /** Returns the ids of the jobs that a part of a list contains. */
   static List<String> uids(JsonNode part) {
     List<String> uids = new ArrayList<>();
     part.path(UIDS).forEach(uid -> uids.add(uid.asText()));
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -106,6 +106,7 @@
       send(
           transaction,
           () -> {
+            // Only the revision of the anchor is used, so the others may be 0.
             batch.forEach(key -> stored.put(key, 0L));
             storeRemainingParts(stored);
           });
--- a/src/main/java/plumlever/store/DependencyReader.java
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -34,8 +34,8 @@
   private final Consumer<Boolean> handler;
 
   /**
-   * All active jobs by id, once they were listed because reading single jobs would take more
-   * requests.
+   * All active jobs by id. Empty until they are listed, which is done when reading single jobs
+   * would take more requests.
    */
   private Optional<Map<String, StateClient.Item>> allActive = Optional.empty();
 
@@ -139,8 +139,8 @@
   }
 
   private void addFound(String uid, JobFinder.Found job, List<StateClient.Item> withList) {
-    // A job may have ended during this read; the watch may then have reported the end before this
-    // response arrived.
+    // If a job ends during this read, a watch response may record its final state before the
+    // response of this read arrives.
     Optional<JobState> finalState = job.endState().or(() -> jobStates.finalState(uid));
     if (finalState.isPresent()) {
       jobStates.recordEnd(uid, finalState.get());
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -21,10 +21,18 @@
 final class DependencyRecordCache {
   /** The state of a job as derived from the records; at least as recent as the lookup. */
   enum Resolution {
+    /** Some dependency is not known to have ended. */
     WAITING,
+    /** All dependencies are done. */
     RELEASED,
+    /**
+     * The job or one of its dependencies was cancelled; the final state of the job may not be
+     * stored yet.
+     */
     CANCELLED,
+    /** The job is in a final state. */
     ENDED,
+    /** The records could not be read. */
     UNAVAILABLE
   }
 
@@ -47,7 +55,7 @@
   /** Jobs that are in the graph together with all direct and transitive dependencies. */
   private Set<String> completeJobs = new HashSet<>();
 
-  /** The graph contains all ends of jobs up to this revision. */
+  /** The graph reflects all jobs that ended up to this revision. */
   private long storeRevision = UNKNOWN_REVISION;
 
   /**
@@ -82,7 +90,7 @@
     }
   }
 
-  /** Records the end of a job that this controller learned of from another source. */
+  /** Records the end of a job that was learned outside this cache. */
   void jobEnded(String uid, JobState finalState) {
     addEnd(uid, finalState, 0);
     discardGraphEvents();
@@ -115,8 +123,8 @@
       readMissing(batch);
       return;
     }
-    // The revision at which observation starts. Jobs that end after this revision are reported by
-    // the watch; for jobs that ended before, the ended records are read.
+    // Jobs that end after the current revision are reported by watch requests. For jobs that ended
+    // before it, the ended records are read.
     store.storeRevision(
         now -> {
           if (now.isEmpty()) {
@@ -129,8 +137,8 @@
   }
 
   /**
-   * Reads the requested jobs and their dependencies that are not in the graph yet, then the new
-   * ends.
+   * Reads the requested jobs and their dependencies that are not in the graph yet, then the jobs
+   * that have ended since the previous request.
    */
   private void readMissing(List<Lookup> batch) {
     Set<String> incomplete = new LinkedHashSet<>();
@@ -157,7 +165,7 @@
         .read(incomplete);
   }
 
-  /** Requests all ends of jobs since the previous request, then completes the lookups. */
+  /** Requests all jobs that have ended since the previous request, then completes the lookups. */
   private void readNewEnds(List<Lookup> batch) {
     DependencyGraph targetGraph = graph;
     store.watch(
@@ -194,8 +202,8 @@
           change.deleted() ? Optional.empty() : EndedRecord.finalState(change.data());
       if (finalState.isPresent()) {
         String uid = RecordKeys.uidOfEnded(change.key());
-        // Ends of jobs that are not in the graph are recorded too: a pending read may have fetched
-        // the active record before the job ended and may add that job to the graph later.
+        // Jobs that are not in the graph are recorded too: an outstanding read may have fetched the
+        // active record before the job ended and may add that job to the graph later.
         jobStates.recordEnd(uid, finalState.get());
         addEnd(uid, finalState.get(), EndedRecord.endedWallMicros(change.data()));
       }
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -49,6 +49,7 @@
   /** Above this number of jobs, a listing takes fewer requests than single reads. */
   static final int MAX_SINGLE_READS = 24;
 
+  /** The maximum number of single reads that are outstanding at the same time. */
   private static final int MAX_READS_AT_ONCE = 6;
 
   private final StateClient store;
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -33,7 +33,7 @@
     ENDED,
     /** The job was never accepted. */
     MISSING,
-    /** The state service did not answer; the state of the job is unknown. */
+    /** The state service refused a read or did not respond; the state of the job is unknown. */
     UNAVAILABLE
   }
 
@@ -62,9 +62,9 @@
   }
 
   /**
-   * The jobs of a query that have ended.
+   * The jobs of a query that have ended or were never accepted.
    *
-   * @param askedMicros the send time of the oldest read that showed one of the remaining jobs as
+   * @param askedMicros the start of the oldest read that found one of the other jobs of the query
    *     active
    */
   public record EndedJobs(Set<String> uids, long askedMicros) {}
@@ -96,7 +96,7 @@
   private final DependencyRecordCache dependencyRecords;
   private final LookupBatch<Lookup> pendingLookups;
 
-  /** For each job that was found active, the time at which that read was requested. */
+  /** For each job that a lookup found active, the time at which the lookup was started. */
   private final Map<String, Long> activeReadMicros = new HashMap<>();
 
   /** Creates an empty cache that reads through the given client. */
@@ -177,8 +177,8 @@
   }
 
   /**
-   * Finds the jobs among {@code uids} that have ended. The result may be a few seconds old; {@link
-   * EndedJobs#askedMicros} is the time of the oldest read used.
+   * Finds the jobs among {@code uids} that have ended or were never accepted. The result may be a
+   * few seconds old; {@link EndedJobs#askedMicros} is the start of the oldest read used.
    *
    * @param handler receives an empty value if the state of any of the jobs could not be read
    */
@@ -247,7 +247,8 @@
   }
 
   /**
-   * Reads the state of the job; the handler is called on the loop, possibly before this returns.
+   * Looks up the state of the job. The handler is called on the loop, possibly before this method
+   * returns.
    */
   public void lookUp(String uid, Consumer<JobStatus> handler) {
     lookUp(uid, RateLimitRetry.MAX_ATTEMPTS, handler);
@@ -265,7 +266,8 @@
       return;
     }
     // The record of a job with dependencies does not change until the job ends. A job that is
-    // already in the dependency graph is therefore not read again; one query for ended jobs covers
+    // already in the dependency graph is therefore not read again; one request for ended jobs
+    // covers
     // all of them.
     long dependentRevision = dependencyRecords.revision(uid);
     if (dependentRevision > 0) {
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -26,8 +26,8 @@
  *   <li>{@code progress/ID/from-TASK}: bitmap of the finished tasks of a large job, starting at
  *       task number TASK. {@code progress/pack/N}: bitmaps of many small jobs in one record,
  *       because writes are the scarcest resource of the state service. Earlier versions wrote
- *       {@code progress/ID/CHUNK}, with chunks sized by the largest value in their settings. That
- *       format is still read but no longer written. Earlier versions skip the present format;
+ *       {@code progress/ID/CHUNK}, with chunks split by the maximum value size in their settings.
+ *       That format is still read but no longer written. Earlier versions skip the current format;
  *       otherwise they would assign its bits to the wrong tasks.
  *   <li>{@code waits/ID/DIGEST/N}: the dependencies of a job if they do not fit its active record.
  *       They are written before the active record.
@@ -97,7 +97,7 @@
     this.configuredValueBytes = limits.maxValueBytes();
   }
 
-  /** Returns the limits of a single write; they shrink when the state service refuses a write. */
+  /** Returns the limits of a single write; they shrink when a write is refused as too large. */
   public WriteLimits limits() {
     return limits;
   }
@@ -134,7 +134,7 @@
 
   /**
    * Returns the number after the first slash in the key of a record that several jobs or machines
-   * share, or -1 if there is none.
+   * share, or -1 if the key has no such number.
    */
   public static int sharedRecordNumber(String key) {
     return RecordKeys.sharedRecordNumber(key);
@@ -254,8 +254,8 @@
    *
    * @param transaction the transaction that the removal is added to
    * @param anchorRevision the revision of the anchor when it was listed, 0 if it is already removed
-   * @param keys the listed parts to delete, anchor first; as many are deleted as fit one
-   *     transaction
+   * @param keys the listed parts to delete, anchor first; as many are deleted as one transaction
+   *     can hold
    */
   public Transaction removeDependencyList(
       Transaction transaction, DependencyListId list, long anchorRevision, List<String> keys) {
@@ -264,7 +264,7 @@
     return transaction;
   }
 
-  /** Returns the jobs named by a part of a dependency list. */
+  /** Returns the ids of the jobs that a part of a dependency list contains. */
   public static List<String> names(JsonNode part) {
     return DependencyListRecords.uids(part);
   }
@@ -274,7 +274,7 @@
    *
    * @param revision the revision of the active record
    * @param obsoleteKeys keys of records of this job that are no longer needed; as many are deleted
-   *     as fit the transaction
+   *     as the transaction can hold
    */
   public Transaction endJob(
       String uid, long revision, JobState finalState, long wallMicros, List<String> obsoleteKeys) {
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -6,8 +6,8 @@
 
 /**
  * Watches all keys under a prefix until it is closed. If changes were missed, all keys are listed
- * again. A notification is as recent as the send time of its request, not the arrival of its
- * response. Used on one loop only.
+ * again. A notification shows the state at the time its request was sent or later, but not
+ * necessarily the state when its response arrives. Used on one loop only.
  */
 public final class PrefixWatch implements AutoCloseable {
   /** Receives the keys under the prefix and their changes. */
--- a/src/main/java/plumlever/store/ProgressRecords.java
+++ b/src/main/java/plumlever/store/ProgressRecords.java
@@ -23,19 +23,22 @@
   private static final String SHARED_ENTRIES = "p";
   private static final String FIRST_TASK_PREFIX = "from-";
 
-  /** Base64 encodes every 3 bytes as 4 letters. */
+  /** Base64 encodes every 3 bytes as 4 characters. */
   private static final int BASE64_GROUP_LETTERS = 4;
 
   private static final int BASE64_GROUP_BYTES = 3;
   private static final int TASKS_PER_BASE64_GROUP = BASE64_GROUP_BYTES * Byte.SIZE;
 
-  /** The bytes of the JSON around a chunk, a shared chunk, and an entry of a shared chunk. */
+  /** The bytes of the JSON around the bitmap of a chunk. */
   private static final int CHUNK_OVERHEAD_BYTES = 64;
 
+  /** The bytes of the JSON around the entries of a shared chunk. */
   private static final int SHARED_CHUNK_OVERHEAD_BYTES = 32;
+
+  /** The bytes of the JSON around the job id and the bitmap of an entry. */
   private static final int SHARED_ENTRY_OVERHEAD_BYTES = 8;
 
-  /** A job shares a chunk only if at least this many jobs of its size would fit the chunk. */
+  /** A job shares a chunk only if at least this many jobs of its size would fit into it. */
   private static final int MIN_ENTRIES_OF_SHARED_CHUNK = 8;
 
   private ProgressRecords() {}
@@ -78,7 +81,7 @@
       throw new InvalidMessageException(
           "first task "
               + firstTask
-              + " of the key is negative or differs from that of the record: "
+              + " in the key is negative or differs from the first task in the record: "
               + record.path(FIRST_TASK));
     }
     bits.stream().forEach(i -> into.set(firstTask + i));
--- a/src/main/java/plumlever/store/RateLimitRetry.java
+++ b/src/main/java/plumlever/store/RateLimitRetry.java
@@ -35,9 +35,10 @@
   }
 
   /**
-   * Retries a request if attempts are left; otherwise reports the failure.
+   * Retries a failed request, whatever the cause, if attempts are left; otherwise reports the
+   * failure.
    *
-   * @param attemptsLeft the remaining attempts, including the last one
+   * @param attemptsLeft the remaining attempts, including the failed one
    */
   void retryOrFail(int attemptsLeft, Runnable retry, Runnable fail) {
     if (attemptsLeft > 1) {
--- a/src/main/java/plumlever/store/RecordKeys.java
+++ b/src/main/java/plumlever/store/RecordKeys.java
@@ -42,7 +42,7 @@
 
   /**
    * Returns the number after the first slash in the key of a record that several jobs or machines
-   * share, or -1 if there is none.
+   * share, or -1 if the key has no such number.
    */
   static int sharedRecordNumber(String key) {
     return number(key, key.indexOf('/') + 1);
--- a/src/main/java/plumlever/store/RequestBudget.java
+++ b/src/main/java/plumlever/store/RequestBudget.java
@@ -7,6 +7,7 @@
  * one limit for requests and one for puts and deletes.
  */
 final class RequestBudget {
+  /** The share of each limit that a controller uses, except for the writes of a leader. */
   private static final double SHARE = 0.5;
 
   /**
--- a/src/main/java/plumlever/store/ServiceAvailability.java
+++ b/src/main/java/plumlever/store/ServiceAvailability.java
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Returns when a request was last answered with anything other than a 503. */
+  /** Returns when a response with a status other than 503 last arrived. */
   long lastServedMicros() {
     return lastServedMicros;
   }
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -82,7 +82,8 @@
   /**
    * The result of a watch request.
    *
-   * @param status 200; 410 if the start revision was too old; any other status means unknown
+   * @param status 200; 410 if the start revision was too old; any other status means that the
+   *     changes are unknown
    * @param storeRevision the revision up to which {@code events} are complete
    */
   public record WatchResponse(int status, long storeRevision, List<KeyEvent> events) {
@@ -112,7 +113,10 @@
 
   /** How a request is handled that exceeds this controller's share of the limits. */
   public enum RequestPriority {
-    /** Sent regardless, and charged to later ordinary requests. Used for leadership and leases. */
+    /**
+     * Sent regardless, and charged to later ordinary requests. Used where a refusal would do harm,
+     * as for leadership, leases, watches and final states of jobs.
+     */
     URGENT,
     /** Refused locally and immediately with status 429. */
     ORDINARY
@@ -152,7 +156,9 @@
   private static final long TIMEOUT_MICROS = 1_800_000;
   private static final int PAGE_SIZE = 500;
 
-  /** A prefix under which no key is ever stored. */
+  /**
+   * A prefix under which no key is ever stored: a listing of it returns only the store revision.
+   */
   private static final String UNUSED_PREFIX = "nothing/";
 
   private final Loop loop;
@@ -205,7 +211,7 @@
     budget.setLeading(leading, loop.nowMicros());
   }
 
-  /** Returns when the state service last answered a request with anything other than a 503. */
+  /** Returns when a response with a status other than 503 last arrived. */
   public long lastServedMicros() {
     return availability.lastServedMicros();
   }
@@ -323,8 +329,9 @@
   }
 
   /**
-   * Returns true if the refusal indicates that the write is too large. A transaction that puts a
-   * key on a lease is excluded: it is also malformed if the lease has ended.
+   * Returns true if the refusal indicates that the write is too large. A rejection as malformed
+   * (400) does not count if the transaction attaches a key to a lease: it may also mean that the
+   * lease has ended.
    */
   private static boolean indicatesTooLarge(int status, Transaction transaction) {
     return status == HttpStatus.PAYLOAD_TOO_LARGE
--- a/src/main/java/plumlever/store/StateResponseReader.java
+++ b/src/main/java/plumlever/store/StateResponseReader.java
@@ -113,7 +113,8 @@
   }
 
   /**
-   * @param since the revision from which the watch began
+   * @param since the start revision of the watch, returned as the store revision if the response
+   *     has none
    */
   StateClient.WatchResponse watchResponse(StateResponse response, String prefix, long since) {
     return response
--- a/src/main/java/plumlever/store/TokenBucket.java
+++ b/src/main/java/plumlever/store/TokenBucket.java
@@ -46,7 +46,8 @@
 
   /**
    * Takes tokens even if not enough are available, for requests that must be sent regardless of the
-   * rate. The debt, at most one second's worth, delays later calls of {@link #tryAcquire}.
+   * rate. Until the debt, at most one second's worth of tokens, is repaid by the refill, {@link
+   * #tryAcquire} returns false.
    */
   public void acquireOnCredit(double amount, long nowMicros) {
     refill(nowMicros);
--- a/src/main/java/plumlever/store/UnexpectedResponses.java
+++ b/src/main/java/plumlever/store/UnexpectedResponses.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import org.slf4j.Logger;
 
-/** Logs unreadable responses, once per kind of request. */
+/** Logs unreadable responses and rejections as malformed (400), once per kind of request. */
 final class UnexpectedResponses {
   private final Logger log;
   private final Set<String> loggedKinds = new HashSet<>();
@@ -14,9 +14,9 @@
   }
 
   /**
-   * Logs an unreadable response if it is the first for this kind of request.
+   * Logs the response if it is the first one for this kind of request.
    *
-   * @param detail the error found, or the response itself
+   * @param detail the parse error, or the body of the response
    */
   void report(String method, String path, String detail) {
     String kind = method + " " + firstSegment(path);
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -8,15 +8,14 @@
 import plumlever.wire.Json;
 
 /**
- * The limits of a single write. They start with the smaller of the present and the announced future
- * limits in the settings. They shrink when the state service refuses a write because of its size,
- * because the state service may lower its limits without notice. Used on the loop of its client
- * only.
+ * The limits of a single write. They start with the smaller of the current and the announced limits
+ * in the settings. They shrink when the state service refuses a write because of its size, because
+ * the state service may lower its limits without notice. Used on the loop of its client only.
  */
 public final class WriteLimits {
   /**
-   * The smallest value size in bytes with which all records can be stored; enforced on the
-   * settings.
+   * The smallest value size in bytes with which all records can be stored. Settings with a smaller
+   * size are rejected.
    */
   public static final int MIN_VALUE_BYTES = 1024;
 
@@ -50,7 +49,8 @@
   }
 
   /**
-   * Returns the value size that earlier versions use, which do not support announced future limits.
+   * Returns the current maximum value size, regardless of announced limits and of refusals. Earlier
+   * versions, which do not support announced limits, split their records by this size.
    */
   int formerValueBytes() {
     return formerValueBytes;
--- a/src/test/java/plumlever/cli/CheckTest.java
+++ b/src/test/java/plumlever/cli/CheckTest.java
@@ -36,12 +36,12 @@
         lever-0 in a would serve users and workers at 127.0.0.1:8080 and controllers at 127.0.0.1:8081
         other controllers: lever-1 at 127.0.0.2:8081
         state service at 127.0.0.1:2, cloud at 127.0.0.1:1
-        one cell, all machines are its own
-        connections: 32 for users and workers; beyond 28 each worker gets one for each report
-        writes to the state service, within the limits now and next: values of 2048 bytes (now 4096), 4 changes a transaction, 15.0 changes and 100.0 requests a second
+        one cell, which owns all machines
+        connections: 32 for users and workers; above 28, a worker's connection is closed after each heartbeat
+        state service limits, the smaller of current and announced: values of 2048 bytes (current limit 4096), 4 operations per transaction, 15.0 operations and 100.0 requests per second
         teams: t, u
-        money is saved where the aims leave time: idle machines are returned after 20.0 s
-        padding 0.05, tie band 0.02, start target 30.0 s\
+        cost is minimized where the objectives leave time: idle machines are returned after 20.0 s
+        run time padding 0.05, tie tolerance 0.02, start target 30.0 s\
         """,
         Check.describe(platform, OperatorSettings.defaults()));
   }
--- a/src/test/java/plumlever/election/package-info.java
+++ b/src/test/java/plumlever/election/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of leader election and of the duration of terms. */
+/** Tests of the components of leader election; they do no I/O. */
 package plumlever.election;
--- a/src/test/java/plumlever/knownred/KnownRedEntry.java
+++ b/src/test/java/plumlever/knownred/KnownRedEntry.java
@@ -12,7 +12,7 @@
 record KnownRedEntry(
     String testClass, String method, String command, String observation, String issue) {
 
-  /** The entry in the form of a line of the list. */
+  /** Returns the entry in the form of a line of the list. */
   String line() {
     return String.join(" | ", testClass + "#" + method, command, observation, issue);
   }
--- a/src/test/java/plumlever/knownred/KnownRedList.java
+++ b/src/test/java/plumlever/knownred/KnownRedList.java
@@ -93,7 +93,7 @@
     return entries;
   }
 
-  /** The entry of the test; empty if the test is not listed. */
+  /** Returns the entry of the test; empty if the test is not listed. */
   Optional<KnownRedEntry> entryOf(Class<?> testClass, Method method) {
     return entries.stream()
         .filter(entry -> entry.testClass().equals(testClass.getName()))
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Earlier versions numbered their chunks and split them by the present value limit in their
-   * settings, without regard to the announced future limit.
+   * Earlier versions numbered their chunks and split them by the current value limit in their
+   * settings, regardless of the announced limit.
    */
   @Test
   void readsTheChunksOfEarlierVersions() throws InvalidMessageException {
@@ -84,8 +84,8 @@
   }
 
   /**
-   * An earlier version parses the last segment of a chunk's key as the chunk number. The present
-   * keys must not parse as a number, so that an earlier version skips them.
+   * An earlier version parses the last segment of a chunk's key as the chunk number. That segment
+   * of the current keys must not parse as a number, so that an earlier version skips them.
    */
   @Test
   void earlierVersionsSkipPresentChunks() {
--- a/src/test/java/plumlever/store/RequestBudgetTest.java
+++ b/src/test/java/plumlever/store/RequestBudgetTest.java
@@ -38,6 +38,7 @@
   @Test
   void admitsMoreWritesForALeader() {
     budget.setLeading(true, 0);
+    // The share of a leader is 70% of the write limit of 20 per second.
     assertEquals(14, admitted(1, 1_000_000));
   }
 
--- a/src/test/java/plumlever/store/TokenBucketTest.java
+++ b/src/test/java/plumlever/store/TokenBucketTest.java
@@ -47,7 +47,7 @@
     bucket.acquireOnCredit(5, SECOND_MICROS);
     assertFalse(
         bucket.tryAcquire(1, SECOND_MICROS + 100_000),
-        "2 of 5 borrowed tokens are repaid after 100 ms");
+        "only 2 of 5 borrowed tokens are repaid after 100 ms");
     assertTrue(
         bucket.tryAcquire(1, SECOND_MICROS + 400_000),
         "all 5 borrowed tokens are repaid after 400 ms");
--- a/src/test/java/plumlever/store/WriteLimitsTest.java
+++ b/src/test/java/plumlever/store/WriteLimitsTest.java
@@ -61,7 +61,10 @@
             && limits.maxOperations() >= WriteLimits.MIN_OPERATIONS);
   }
 
-  /** A refused transaction with a lease does not lower the limits: the lease may have ended. */
+  /**
+   * A transaction that is rejected as malformed does not lower the limits if it is attached to a
+   * lease, because the cause may be that the lease has ended.
+   */
   @Test
   void onlyPutsWithALeaseAttachTheTransactionToOne() {
     assertTrue(new Transaction().put("a", Json.object(), 7).isAttachedToLease());
--- a/src/test/java/plumlever/store/package-info.java
+++ b/src/test/java/plumlever/store/package-info.java
@@ -1,2 +1,5 @@
-/** Tests of the package of the same name; they use no I/O other than loopback. */
+/**
+ * Tests of the rate and write limits of the state service client and of the record layout; they do
+ * no I/O.
+ */
 package plumlever.store;
