--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -213,8 +213,7 @@
 
     private void lost(long leaseId) {
       // Revoking the lease makes the transaction fail if it is executed late, and deletes the
-      // leader
-      // key if the transaction was applied.
+      // leader key if the transaction was applied.
       store.revokeLease(leaseId);
       attemptInProgress = false;
       backoff.electionLost();
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -267,8 +267,7 @@
     }
     // The record of a job with dependencies does not change until the job ends. A job that is
     // already in the dependency graph is therefore not read again; one request for ended jobs
-    // covers
-    // all of them.
+    // covers all of them.
     long dependentRevision = dependencyRecords.revision(uid);
     if (dependentRevision > 0) {
       resolveDependencies(uid, dependentRevision, handler);
--- a/src/main/java/plumlever/store/ServiceAvailability.java
+++ b/src/main/java/plumlever/store/ServiceAvailability.java
@@ -27,7 +27,10 @@
     }
   }
 
-  /** Returns when a response with a status other than 503 last arrived. */
+  /**
+   * Returns when a response with a status other than 503 last arrived; the time of creation if none
+   * has arrived.
+   */
   long lastServedMicros() {
     return lastServedMicros;
   }
