--- a/src/main/java/plumlever/ConfirmedCancellations.java
+++ b/src/main/java/plumlever/ConfirmedCancellations.java
@@ -30,7 +30,7 @@
   }
 
   /** Records that this controller is confirming the cancellation of the job to a user. */
-  void confirmedHere(String uid) {
+  void confirmedLocally(String uid) {
     confirmedAtMicros.put(uid, loop.nowMicros());
     leadership.leader().ifPresent(leader -> leader.jobCancelled(uid));
   }
--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -192,7 +192,7 @@
         jobs,
         new SubmissionRules(platform.teams(), clients.prices()),
         health,
-        cancellations::confirmedHere,
+        cancellations::confirmedLocally,
         this::taskCounts,
         otherShards);
   }
@@ -246,8 +246,8 @@
 
   /** Handles a request of another controller. */
   public void peer(String method, String path, byte[] body, Responder out) {
-    boolean answered = poolRequests.isPresent() && poolRequests.get().handle(path, body, out);
-    if (!answered) {
+    boolean handled = poolRequests.isPresent() && poolRequests.get().handle(path, body, out);
+    if (!handled) {
       peers.handle(method, path, body, out);
     }
   }
--- a/src/main/java/plumlever/PeerReports.java
+++ b/src/main/java/plumlever/PeerReports.java
@@ -42,7 +42,7 @@
   }
 
   /** Returns the largest number of workers reported by another controller of this shard. */
-  int workersElsewhere() {
+  int workersAtOtherControllers() {
     return recent().stream()
         .filter(status -> isOfOwnShard(status.label()))
         .mapToInt(PeerStatus::workers)
--- a/src/main/java/plumlever/TermContextFactory.java
+++ b/src/main/java/plumlever/TermContextFactory.java
@@ -28,7 +28,7 @@
         clients.prices(),
         clients.caller(),
         clients.metrics(),
-        peers::workersElsewhere,
+        peers::workersAtOtherControllers,
         new ElectionThreadReader(
             environment.electionLoop(), clients.electionStore(), environment.loop()),
         lateness::micros,
--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -191,9 +191,9 @@
           ProtocolPath.HEARTBEAT,
           services.heartbeat(machine),
           HEARTBEAT_TIMEOUT_MICROS,
-          (status, answer) -> {
+          (status, response) -> {
             if (status == HttpStatus.OK) {
-              services.command(machine, new String(answer, StandardCharsets.UTF_8));
+              services.command(machine, new String(response, StandardCharsets.UTF_8));
             }
             loop.after(HEARTBEAT_INTERVAL_MICROS, () -> sendHeartbeatsTo(controller));
           });
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -37,7 +37,7 @@
   private static final long BYTES_PER_MB = 1024 * 1024;
 
   /** The time allowed on shutdown for sending the request that revokes the leader's lease. */
-  private static final long LEASE_RELEASE_MICROS = 100_000;
+  private static final long LEASE_REVOCATION_MICROS = 100_000;
 
   private static final int STOP_TIMEOUT_S = 3;
 
@@ -239,7 +239,7 @@
     loop.execute(
         () -> {
           controller.close();
-          loop.after(LEASE_RELEASE_MICROS, stopped::countDown);
+          loop.after(LEASE_REVOCATION_MICROS, stopped::countDown);
         });
     try {
       if (!stopped.await(STOP_TIMEOUT_S, TimeUnit.SECONDS)) {
--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -112,11 +112,11 @@
       return UNTIL_SCHEDULED;
     }
     listener.executeOnControllerLoop(() -> controllerLoopLastRanMicros = loop.nowMicros());
-    store.renewLease(term.leaseId(), result -> renewalAnswered(term, now, result));
+    store.renewLease(term.leaseId(), result -> renewalCompleted(term, now, result));
     return Math.min(parameters.leaseRenewalMicros(), Math.max(1, term.mayActUntilMicros() - now));
   }
 
-  private void renewalAnswered(Term term, long sentMicros, StateClient.RenewalResult result) {
+  private void renewalCompleted(Term term, long sentMicros, StateClient.RenewalResult result) {
     if (current != term) {
       return;
     }
--- a/src/main/java/plumlever/election/LeadershipWatch.java
+++ b/src/main/java/plumlever/election/LeadershipWatch.java
@@ -65,13 +65,16 @@
       return;
     }
     store.watch(
-        LeaderElection.PREFIX, records.storeRevision(), WATCH_TIMEOUT_MICROS, this::watched);
+        LeaderElection.PREFIX,
+        records.storeRevision(),
+        WATCH_TIMEOUT_MICROS,
+        this::handleWatchResponse);
   }
 
-  private void watched(StateClient.WatchResponse changes) {
+  private void handleWatchResponse(StateClient.WatchResponse changes) {
     if (changes.expired()) {
       start();
-    } else if (!changes.answered()) {
+    } else if (!changes.succeeded()) {
       // The watch was refused or had no response. The known state may be stale, so all records are
       // read again before any decision is based on them.
       loop.after(backoff.beforeReadMicros(), this::start);
--- a/src/main/java/plumlever/metrics/Metrics.java
+++ b/src/main/java/plumlever/metrics/Metrics.java
@@ -20,7 +20,7 @@
   private static final int SIGNIFICANT_DIGITS = 2;
 
   /** The status that represents a call without a response. */
-  private static final int NO_ANSWER = 0;
+  private static final int NO_RESPONSE = 0;
 
   /** The time spent on one kind of work and the number of runs since the last summary. */
   private static final class WorkTotal {
@@ -85,7 +85,7 @@
    * @param status the HTTP status of the response; 0 if no response arrived
    */
   public synchronized void countRefusal(String service, int status) {
-    if (status == NO_ANSWER) {
+    if (status == NO_RESPONSE) {
       count(service + "_silent");
     } else if (status == HTTP_TOO_MANY_REQUESTS) {
       count(service + "_over_rate");
--- a/src/main/java/plumlever/peer/PeerStatus.java
+++ b/src/main/java/plumlever/peer/PeerStatus.java
@@ -42,7 +42,7 @@
     private static final int INITIAL_BUFFER_BYTES = 4 * 1024;
 
     /** The Kryo type id in the encoding; earlier versions expect the same id. */
-    private static final int REGISTRATION = 100;
+    private static final int REGISTRATION_ID = 100;
 
     private final Kryo kryo = new Kryo();
     private final Output output = new Output(INITIAL_BUFFER_BYTES, MAX_BYTES);
@@ -50,7 +50,7 @@
     /** Creates a codec that is used by one thread only. */
     public Codec() {
       kryo.setRegistrationRequired(true);
-      kryo.register(PeerStatus.class, new StatusSerializer(), REGISTRATION);
+      kryo.register(PeerStatus.class, new StatusSerializer(), REGISTRATION_ID);
     }
 
     /** Encodes a status for sending. */
--- a/src/main/java/plumlever/store/ActiveRecord.java
+++ b/src/main/java/plumlever/store/ActiveRecord.java
@@ -58,7 +58,7 @@
   }
 
   /** Returns the dependencies that the record holds inline. */
-  static List<String> dependenciesInline(JsonNode activeRecord) {
+  static List<String> inlineDependencies(JsonNode activeRecord) {
     List<String> uids = new ArrayList<>();
     dependencies(activeRecord).forEach(uid -> uids.add(uid.asText()));
     return uids;
@@ -69,7 +69,7 @@
   }
 
   /** Returns the keys of the dependency list parts; empty if the dependencies are stored inline. */
-  static List<String> dependenciesKeys(String uid, JsonNode activeRecord) {
+  static List<String> dependencyListKeys(String uid, JsonNode activeRecord) {
     JsonNode list = activeRecord.path(DEPENDENCY_LIST);
     String prefix = DependencyListRecords.prefix(uid, list.path(DIGEST).asText());
     List<String> keys = new ArrayList<>();
--- a/src/main/java/plumlever/store/DependencyReader.java
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -151,8 +151,9 @@
   }
 
   private void addActive(StateClient.Item item, List<StateClient.Item> withList) {
-    if (ActiveRecord.dependenciesKeys(RecordKeys.uidOfActive(item.key()), item.data()).isEmpty()) {
-      addToGraph(item, ActiveRecord.dependenciesInline(item.data()));
+    if (ActiveRecord.dependencyListKeys(RecordKeys.uidOfActive(item.key()), item.data())
+        .isEmpty()) {
+      addToGraph(item, ActiveRecord.inlineDependencies(item.data()));
     } else {
       withList.add(item);
     }
@@ -183,7 +184,7 @@
     }
     StateClient.Item job = jobs.remove(jobs.size() - 1);
     List<String> keys =
-        ActiveRecord.dependenciesKeys(RecordKeys.uidOfActive(job.key()), job.data());
+        ActiveRecord.dependencyListKeys(RecordKeys.uidOfActive(job.key()), job.data());
     store.list(
         DependencyListRecords.prefixOfPart(keys.get(0)),
         StateClient.RequestPriority.ORDINARY,
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -92,11 +92,11 @@
 
   /** Records the end of a job that was learned outside this cache. */
   void jobEnded(String uid, JobState finalState) {
-    addEnd(uid, finalState, 0);
+    addEndedJob(uid, finalState, 0);
     discardGraphEvents();
   }
 
-  private void addEnd(String uid, JobState finalState, long endedWallMicros) {
+  private void addEndedJob(String uid, JobState finalState, long endedWallMicros) {
     graph.recordEnd(uid, finalState, endedWallMicros);
     completeJobs.remove(uid);
   }
@@ -160,13 +160,13 @@
                 return;
               }
               completeJobs.addAll(incomplete);
-              readNewEnds(batch);
+              readNewlyEndedJobs(batch);
             })
         .read(incomplete);
   }
 
   /** Requests all jobs that have ended since the previous request, then completes the lookups. */
-  private void readNewEnds(List<Lookup> batch) {
+  private void readNewlyEndedJobs(List<Lookup> batch) {
     DependencyGraph targetGraph = graph;
     store.watch(
         RecordKeys.ENDED,
@@ -181,7 +181,7 @@
                 lookup ->
                     retry.retryOrFail(
                         lookup.attemptsLeft(), () -> requeue(lookup), () -> fail(lookup)));
-          } else if (!changes.answered()) {
+          } else if (!changes.succeeded()) {
             batch.forEach(
                 lookup ->
                     retry.retryOrFail(
@@ -190,13 +190,13 @@
                         () -> requeue(lookup),
                         () -> fail(lookup)));
           } else {
-            addEnds(changes);
+            addEndedJobs(changes);
             batch.forEach(lookup -> lookup.handler().accept(resolutionOf(lookup)));
           }
         });
   }
 
-  private void addEnds(StateClient.WatchResponse changes) {
+  private void addEndedJobs(StateClient.WatchResponse changes) {
     for (StateClient.KeyEvent change : changes.events()) {
       Optional<JobState> finalState =
           change.deleted() ? Optional.empty() : EndedRecord.finalState(change.data());
@@ -205,7 +205,7 @@
         // Jobs that are not in the graph are recorded too: an outstanding read may have fetched the
         // active record before the job ended and may add that job to the graph later.
         jobStates.recordEnd(uid, finalState.get());
-        addEnd(uid, finalState.get(), EndedRecord.endedWallMicros(change.data()));
+        addEndedJob(uid, finalState.get(), EndedRecord.endedWallMicros(change.data()));
       }
     }
     storeRevision = Math.max(storeRevision, changes.storeRevision());
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -170,7 +170,7 @@
             } else if (result.missing()) {
               readEnded(uid, RateLimitRetry.MAX_ATTEMPTS);
             } else {
-              failed(result.status(), attemptsLeft, () -> readActive(uid, attemptsLeft - 1));
+              retryOrFinish(result.status(), attemptsLeft, () -> readActive(uid, attemptsLeft - 1));
             }
           });
     }
@@ -185,7 +185,7 @@
             } else if (result.missing()) {
               add(uid, Found.NONE);
             } else {
-              failed(result.status(), attemptsLeft, () -> readEnded(uid, attemptsLeft - 1));
+              retryOrFinish(result.status(), attemptsLeft, () -> readEnded(uid, attemptsLeft - 1));
             }
           });
     }
@@ -196,7 +196,7 @@
       sendNext();
     }
 
-    private void failed(int status, int attemptsLeft, Runnable repeat) {
+    private void retryOrFinish(int status, int attemptsLeft, Runnable repeat) {
       if (!finished) {
         retry.retryOrFail(status, attemptsLeft, repeat, () -> finish(Optional.empty()));
       }
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -51,8 +51,8 @@
       return new JobStatus(Presence.ACTIVE, revision, Optional.empty());
     }
 
-    static JobStatus ended(JobState endState) {
-      return new JobStatus(Presence.ENDED, 0, Optional.of(endState));
+    static JobStatus ended(JobState finalState) {
+      return new JobStatus(Presence.ENDED, 0, Optional.of(finalState));
     }
 
     /** Returns true if the job has been accepted, whether or not it has ended. */
@@ -134,9 +134,9 @@
   }
 
   /** Records that the final state of the job has been stored. */
-  public void jobEnded(String uid, JobState endState) {
-    jobStates.recordEnd(uid, endState);
-    dependencyRecords.jobEnded(uid, endState);
+  public void jobEnded(String uid, JobState finalState) {
+    jobStates.recordEnd(uid, finalState);
+    dependencyRecords.jobEnded(uid, finalState);
   }
 
   /**
@@ -166,7 +166,7 @@
           if (!job.accepted()) {
             neverAccepted.add(uid);
           }
-          job.endState().ifPresent(endState -> jobEnded(uid, endState));
+          job.endState().ifPresent(finalState -> jobEnded(uid, finalState));
         });
     return neverAccepted;
   }
@@ -255,9 +255,9 @@
   }
 
   private void lookUp(String uid, int attemptsLeft, Consumer<JobStatus> handler) {
-    Optional<JobState> endState = jobStates.finalState(uid);
-    if (endState.isPresent()) {
-      handler.accept(JobStatus.ended(endState.get()));
+    Optional<JobState> finalState = jobStates.finalState(uid);
+    if (finalState.isPresent()) {
+      handler.accept(JobStatus.ended(finalState.get()));
       return;
     }
     OptionalLong revision = jobStates.activeRevision(uid);
@@ -364,11 +364,11 @@
         RecordKeys.ended(uid),
         StateClient.RequestPriority.ORDINARY,
         result -> {
-          Optional<JobState> endState =
+          Optional<JobState> finalState =
               result.found() ? EndedRecord.finalState(result.item().data()) : Optional.empty();
-          if (endState.isPresent()) {
-            jobEnded(uid, endState.get());
-            handler.accept(JobStatus.ended(endState.get()));
+          if (finalState.isPresent()) {
+            jobEnded(uid, finalState.get());
+            handler.accept(JobStatus.ended(finalState.get()));
           } else if (result.missing()) {
             handler.accept(JobStatus.MISSING);
           } else {
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/JobStore.java
@@ -224,7 +224,7 @@
    * dependencies itself.
    */
   public static List<String> dependenciesKeys(String uid, JsonNode activeRecord) {
-    return ActiveRecord.dependenciesKeys(uid, activeRecord);
+    return ActiveRecord.dependencyListKeys(uid, activeRecord);
   }
 
   /**
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -69,16 +69,20 @@
       return;
     }
     long sent = loop.nowMicros();
-    store.watch(prefix, storeRevision, waitMicros.getAsLong(), response -> watched(response, sent));
+    store.watch(
+        prefix,
+        storeRevision,
+        waitMicros.getAsLong(),
+        response -> handleWatchResponse(response, sent));
   }
 
-  private void watched(StateClient.WatchResponse response, long sentMicros) {
+  private void handleWatchResponse(StateClient.WatchResponse response, long sentMicros) {
     if (closed) {
       return;
     }
     if (response.expired()) {
       relist();
-    } else if (!response.answered()) {
+    } else if (!response.succeeded()) {
       loop.after(retryMicros, this::watch);
     } else {
       storeRevision = Math.max(storeRevision, response.storeRevision());
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -88,7 +88,7 @@
    */
   public record WatchResponse(int status, long storeRevision, List<KeyEvent> events) {
     /** Returns true if the events are complete; there may be none. */
-    public boolean answered() {
+    public boolean succeeded() {
       return status == HttpStatus.OK;
     }
 
--- a/src/test/java/plumlever/election/HeldTermTest.java
+++ b/src/test/java/plumlever/election/HeldTermTest.java
@@ -35,11 +35,11 @@
     PlatformConfiguration.StateLimits limits =
         new PlatformConfiguration.StateLimits(100, 40, 4096, 8);
     Caller stateService =
-        (to, method, path, body, timeoutMicros, answer) -> {
+        (to, method, path, body, timeoutMicros, responseHandler) -> {
           if (method.equals("DELETE")) {
             revoked.add(path);
           } else {
-            answer.handle(renewalStatus, "{}".getBytes(StandardCharsets.UTF_8));
+            responseHandler.handle(renewalStatus, "{}".getBytes(StandardCharsets.UTF_8));
           }
         };
     StateClient store =
--- a/src/test/java/plumlever/knownred/KnownRedListTest.java
+++ b/src/test/java/plumlever/knownred/KnownRedListTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void rejectsMoreThanTheMaximumOfEntries() {
+  void rejectsMoreThanMaxEntries() {
     KnownRedList.parse(Collections.nCopies(KnownRedList.MAX_ENTRIES, LINE));
     List<String> tooMany = Collections.nCopies(KnownRedList.MAX_ENTRIES + 1, LINE);
     assertThrows(MalformedKnownRedException.class, () -> KnownRedList.parse(tooMany));
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -88,7 +88,7 @@
    * of the current keys must not parse as a number, so that an earlier version skips them.
    */
   @Test
-  void earlierVersionsSkipPresentChunks() {
+  void earlierVersionsSkipCurrentChunks() {
     String key = JobStore.progressKey("job-1", 0);
     assertThrows(
         NumberFormatException.class,
@@ -130,7 +130,7 @@
       restored.addAll(JobStore.names(acceptance.parts().get(key)));
     }
     assertEquals(dependencies, restored);
-    assertEquals(List.of(), ActiveRecord.dependenciesInline(active));
+    assertEquals(List.of(), ActiveRecord.inlineDependencies(active));
     assertTrue(ActiveRecord.hasDependencies(active));
   }
 
@@ -143,6 +143,6 @@
         layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000).orElseThrow();
 
     assertEquals(Map.of(), acceptance.parts());
-    assertEquals(dependencies, ActiveRecord.dependenciesInline(activeRecord(acceptance)));
+    assertEquals(dependencies, ActiveRecord.inlineDependencies(activeRecord(acceptance)));
   }
 }
--- a/src/test/java/plumlever/store/WriteLimitsTest.java
+++ b/src/test/java/plumlever/store/WriteLimitsTest.java
@@ -66,7 +66,7 @@
    * lease, because the cause may be that the lease has ended.
    */
   @Test
-  void onlyPutsWithALeaseAttachTheTransactionToOne() {
+  void onlyPutsWithALeaseAttachATransactionToALease() {
     assertTrue(new Transaction().put("a", Json.object(), 7).isAttachedToLease());
     assertFalse(oneLargeValue().isAttachedToLease());
   }
