--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -35,7 +35,7 @@
 
 /**
  * One controller without its sockets: creates, connects, starts and closes the components. All
- * state except that of leader election is owned by the loop passed in, and all methods are called
+ * state except that of leader election is owned by the controller loop, and all methods are called
  * on that loop.
  */
 public final class Controller implements AutoCloseable {
@@ -77,9 +77,9 @@
   /**
    * Creates a controller that runs leader election on a separate loop.
    *
-   * @param loop owns all state except that of leader election
-   * @param electionLoop runs leader election, with its own caller, so that work on {@code loop}
-   *     does not delay elections or lease renewals
+   * @param loop the controller loop, which owns all state except that of leader election
+   * @param electionLoop the election loop, which runs leader election with its own caller, so that
+   *     work on {@code loop} does not delay elections or lease renewals
    * @param seed seeds the random pauses between election attempts
    */
   public Controller(
--- a/src/main/java/plumlever/ControllerEnvironment.java
+++ b/src/main/java/plumlever/ControllerEnvironment.java
@@ -9,10 +9,10 @@
 /**
  * The external dependencies and settings of a controller.
  *
- * @param loop owns all state except that of leader election
+ * @param loop the controller loop, which owns all state except that of leader election
  * @param caller sends the requests of components on {@code loop}
- * @param electionLoop runs leader election, so that work on {@code loop} does not delay elections
- *     or lease renewals
+ * @param electionLoop the election loop, which runs leader election, so that work on {@code loop}
+ *     does not delay elections or lease renewals
  * @param electionCaller sends the requests of components on {@code electionLoop}
  * @param electionSeed seeds the random pauses between election attempts
  */
--- a/src/main/java/plumlever/ElectionThreadReader.java
+++ b/src/main/java/plumlever/ElectionThreadReader.java
@@ -7,7 +7,7 @@
 import plumlever.store.StateClient;
 
 /**
- * Reads the records of earlier leaders on the election thread, so that the reads do not delay the
+ * Reads the records of earlier leaders on the election loop, so that the reads do not delay the
  * controller loop.
  */
 record ElectionThreadReader(Loop electionLoop, StateClient electionStore, Loop loop)
--- a/src/main/java/plumlever/ServiceClients.java
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -81,7 +81,7 @@
     return store;
   }
 
-  /** Returns the state service client for the election thread. */
+  /** Returns the state service client for the election loop. */
   StateClient electionStore() {
     return electionStore;
   }
--- a/src/main/java/plumlever/concurrent/Loop.java
+++ b/src/main/java/plumlever/concurrent/Loop.java
@@ -2,9 +2,10 @@
 
 /**
  * An event loop with its clock: a single thread runs all actions of the loop. The thread of the
- * main loop owns all scheduling state, so scheduling state needs no locks. The service runs each
- * loop on an XNIO I/O thread; tests use a simulated loop. All methods except {@link #execute} must
- * be called on the loop's thread.
+ * controller loop owns all scheduling state, so scheduling state needs no locks. The service runs
+ * each loop on an XNIO I/O thread; tests use a simulated loop. {@link #execute} and the clocks may
+ * be used on any thread; {@link #after} and {@link Timer#cancel} must be called on the thread of
+ * the loop.
  */
 public interface Loop {
   /** Returns the time of the monotonic clock, in microseconds since an arbitrary origin. */
--- a/src/main/java/plumlever/election/ElectionBackoff.java
+++ b/src/main/java/plumlever/election/ElectionBackoff.java
@@ -15,6 +15,8 @@
   private static final int RETRY_JITTER_MICROS = 400_000;
   private static final int ATTEMPT_JITTER_MICROS = 250_000;
   private static final long BACKOFF_PER_LOST_ELECTION_MICROS = 150_000;
+
+  /** Further lost elections do not lengthen the pause. */
   private static final int MAX_LOST_ELECTIONS = 6;
 
   private final SplittableRandom random;
--- a/src/main/java/plumlever/metrics/Metrics.java
+++ b/src/main/java/plumlever/metrics/Metrics.java
@@ -8,7 +8,7 @@
 
 /**
  * Counters, duration histograms, work totals and gauges, logged as one summary line per minute.
- * Thread-safe: the main event loop and the event loop of leader election use the same instance.
+ * Thread-safe, because the controller loop and the election loop use the same instance.
  */
 public final class Metrics {
   private static final int HTTP_TOO_MANY_REQUESTS = 429;
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -23,6 +23,7 @@
  * however late transactions are applied.
  */
 public final class DependencyLists {
+  /** The pause before the list is read again after a failed transaction. */
   private static final long RETRY_MICROS = 150_000;
 
   /** The state service accepts transactions of up to 64 KiB; the rest is left for keys and JSON. */
