--- a/src/main/java/plumlever/ElectionThreadReader.java
+++ b/src/main/java/plumlever/ElectionLoopReader.java
@@ -10,7 +10,7 @@
  * Reads the records of earlier leaders on the election loop, so that the reads do not delay the
  * controller loop.
  */
-record ElectionThreadReader(Loop electionLoop, StateClient electionStore, Loop loop)
+record ElectionLoopReader(Loop electionLoop, StateClient electionStore, Loop loop)
     implements TermContext.RecoveryReader {
   @Override
   public void list(String prefix, Consumer<Optional<StateClient.Listing>> whenRead) {
--- a/src/main/java/plumlever/TermContextFactory.java
+++ b/src/main/java/plumlever/TermContextFactory.java
@@ -29,7 +29,7 @@
         clients.caller(),
         clients.metrics(),
         peers::workersAtOtherControllers,
-        new ElectionThreadReader(
+        new ElectionLoopReader(
             environment.electionLoop(), clients.electionStore(), environment.loop()),
         lateness::micros,
         environment.logs(),
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -100,7 +100,7 @@
         "state = \"127.0.0.1:2\" | `` | outside.state is missing",
         "127.0.0.1:8080 | 8080 | bind must be ADDRESS:PORT"
       })
-  void errorsOfThePlatformsFileNameFileKeyAndReason(String good, String bad, String reason) {
+  void platformFileErrorsNameTheFileTheKeyAndTheReason(String good, String bad, String reason) {
     String text = PLATFORM.replace(good, bad);
 
     assertEquals(dir.resolve("s") + ": " + reason, platformError(text));
@@ -231,7 +231,7 @@
         "floor: 3 | flor: 3 | sharing.cells[1].flor is unknown",
         "'sharing:' | 'sharing: 7 #' | sharing must be a table"
       })
-  void errorsOfTheSharingTableNameKeyAndReason(String part, String instead, String reason) {
+  void sharingTableErrorsNameTheKeyAndTheReason(String part, String instead, String reason) {
     String yaml = instead.startsWith("sharing: 7") ? "sharing: 7" : SHARDS.replace(part, instead);
 
     String error = operatorsError(yaml);
