--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -101,7 +101,7 @@
    * not a proof.
    */
   public long announcedDelegation() {
-    return records.announcedDelegation();
+    return records.announcedDelegationRevision();
   }
 
   /** Returns true if the last known leadership records include a delegation; a hint to read it. */
--- a/src/main/java/plumlever/election/LeadershipRecords.java
+++ b/src/main/java/plumlever/election/LeadershipRecords.java
@@ -46,7 +46,7 @@
   private long termRevision = ABSENT_KEY_REVISION;
   private volatile long term;
   private volatile boolean delegationExists;
-  private volatile long announcedDelegation = RenewalAnnouncement.NONE;
+  private volatile long announcedDelegationRevision = RenewalAnnouncement.NONE;
 
   /** True if the state service holds a pool but this controller has no sharing settings. */
   private volatile boolean ineligible;
@@ -171,7 +171,7 @@
 
   private void applyAnnouncement(StateClient.KeyEvent event) {
     if (!event.deleted()) {
-      announcedDelegation = RenewalAnnouncement.read(event.data()).delegationRevision();
+      announcedDelegationRevision = RenewalAnnouncement.read(event.data()).delegationRevision();
     }
   }
 
@@ -264,8 +264,8 @@
    * Returns the revision of the delegation whose use was last announced; may be called on any
    * thread.
    */
-  long announcedDelegation() {
-    return announcedDelegation;
+  long announcedDelegationRevision() {
+    return announcedDelegationRevision;
   }
 
   /**
--- a/src/test/java/plumlever/election/LeadershipRecordsTest.java
+++ b/src/test/java/plumlever/election/LeadershipRecordsTest.java
@@ -150,7 +150,7 @@
   void anAnnouncementContainsTheDelegationRevision() {
     watch(putEvent(LeaderElection.RENEWAL_ANNOUNCEMENT, new RenewalAnnouncement(3).write(), 4));
 
-    assertEquals(3, records.announcedDelegation());
+    assertEquals(3, records.announcedDelegationRevision());
   }
 
   @Test
