--- a/src/main/java/plumlever/ConfirmedCancellations.java
+++ b/src/main/java/plumlever/ConfirmedCancellations.java
@@ -13,8 +13,8 @@
  */
 final class ConfirmedCancellations {
   /**
-   * How long a cancellation is reported to the peers. The state service may refuse one of them for
-   * all of this time.
+   * How long a cancellation is reported to the peers, so that a leader learns of it even if the
+   * state service refuses the leader's reads for all of this time.
    */
   private static final long REPORT_DURATION_MICROS = 20_000_000;
 
@@ -30,14 +30,14 @@
   }
 
   /** Records that this controller is confirming the cancellation of the job to a user. */
-  void confirmedHere(String uid) {
+  void confirmedLocally(String uid) {
     confirmedAtMicros.put(uid, loop.nowMicros());
     leadership.leader().ifPresent(leader -> leader.jobCancelled(uid));
   }
 
   /**
-   * Passes the cancellations that another controller confirmed to the leader, if it is in this
-   * process.
+   * Passes the cancellations that another controller confirmed to the leader, if the leader is in
+   * this process.
    */
   void confirmedByPeer(PeerStatus status) {
     leadership
--- a/src/main/java/plumlever/TermContextFactory.java
+++ b/src/main/java/plumlever/TermContextFactory.java
@@ -28,8 +28,8 @@
         clients.prices(),
         clients.caller(),
         clients.metrics(),
-        peers::workersElsewhere,
-        new ElectionThreadReader(
+        peers::workersAtOtherControllers,
+        new ElectionLoopReader(
             environment.electionLoop(), clients.electionStore(), environment.loop()),
         lateness::micros,
         environment.logs(),
--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -27,9 +27,7 @@
 
   /** Notified on the election loop when a term ends. */
   interface Observer {
-    /**
-     * Called before a term is resigned: this controller must not attempt an election for this long.
-     */
+    /** Called when the controller resigns: it must not attempt an election for this long. */
     void attemptsPaused(long pauseMicros);
 
     /** Called when a term has ended. */
@@ -62,7 +60,7 @@
     this.renewal = new RecurringTask("lease renewal", loop, this::renewLease);
   }
 
-  /** Returns the term in which this controller leads; may be called on any thread. */
+  /** Returns the term in which this controller leads, if any; may be called on any thread. */
   Optional<Term> current() {
     return Optional.ofNullable(current);
   }
@@ -114,11 +112,11 @@
       return UNTIL_SCHEDULED;
     }
     listener.executeOnControllerLoop(() -> controllerLoopLastRanMicros = loop.nowMicros());
-    store.renewLease(term.leaseId(), result -> renewalAnswered(term, now, result));
+    store.renewLease(term.leaseId(), result -> renewalCompleted(term, now, result));
     return Math.min(parameters.leaseRenewalMicros(), Math.max(1, term.mayActUntilMicros() - now));
   }
 
-  private void renewalAnswered(Term term, long sentMicros, StateClient.RenewalResult result) {
+  private void renewalCompleted(Term term, long sentMicros, StateClient.RenewalResult result) {
     if (current != term) {
       return;
     }
--- a/src/main/java/plumlever/election/LeadershipRecords.java
+++ b/src/main/java/plumlever/election/LeadershipRecords.java
@@ -17,7 +17,10 @@
   /** The revision of a key that does not exist. */
   private static final long ABSENT_KEY_REVISION = 0;
 
-  /** The revision of the leader key if nothing is known about that key. */
+  /**
+   * The revision of the leader key while nothing is known about that key, and the store revision
+   * before the first read.
+   */
   private static final long UNKNOWN_REVISION = -1;
 
   /**
@@ -43,7 +46,7 @@
   private long termRevision = ABSENT_KEY_REVISION;
   private volatile long term;
   private volatile boolean delegationExists;
-  private volatile long announcedDelegation = RenewalAnnouncement.NONE;
+  private volatile long announcedDelegationRevision = RenewalAnnouncement.NONE;
 
   /** True if the state service holds a pool but this controller has no sharing settings. */
   private volatile boolean ineligible;
@@ -168,7 +171,7 @@
 
   private void applyAnnouncement(StateClient.KeyEvent event) {
     if (!event.deleted()) {
-      announcedDelegation = RenewalAnnouncement.read(event.data()).delegationRevision();
+      announcedDelegationRevision = RenewalAnnouncement.read(event.data()).delegationRevision();
     }
   }
 
@@ -261,8 +264,8 @@
    * Returns the revision of the delegation whose use was last announced; may be called on any
    * thread.
    */
-  long announcedDelegation() {
-    return announcedDelegation;
+  long announcedDelegationRevision() {
+    return announcedDelegationRevision;
   }
 
   /**
--- a/src/main/java/plumlever/election/LeadershipWatch.java
+++ b/src/main/java/plumlever/election/LeadershipWatch.java
@@ -19,10 +19,10 @@
     /** Returns true while this controller has an election attempt in progress. */
     boolean attemptInProgress();
 
-    /** Called when the records were read or a watch request was answered. */
+    /** Called when the records were read or a watch response was received. */
     void recordsRead();
 
-    /** Called when the leader could not be read. */
+    /** Called when {@link #refresh} could not read the leader. */
     void refreshFailed();
   }
 
@@ -65,13 +65,16 @@
       return;
     }
     store.watch(
-        LeaderElection.PREFIX, records.storeRevision(), WATCH_TIMEOUT_MICROS, this::watched);
+        LeaderElection.PREFIX,
+        records.storeRevision(),
+        WATCH_TIMEOUT_MICROS,
+        this::handleWatchResponse);
   }
 
-  private void watched(StateClient.WatchResponse changes) {
+  private void handleWatchResponse(StateClient.WatchResponse changes) {
     if (changes.expired()) {
       start();
-    } else if (!changes.answered()) {
+    } else if (!changes.succeeded()) {
       // The watch was refused or had no response. The known state may be stale, so all records are
       // read again before any decision is based on them.
       loop.after(backoff.beforeReadMicros(), this::start);
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -49,6 +49,7 @@
   /** Above this number of jobs, a listing takes fewer requests than single reads. */
   static final int MAX_SINGLE_READS = 24;
 
+  /** The maximum number of single reads that are outstanding at the same time. */
   private static final int MAX_READS_AT_ONCE = 6;
 
   private final StateClient store;
@@ -169,7 +170,7 @@
             } else if (result.missing()) {
               readEnded(uid, RateLimitRetry.MAX_ATTEMPTS);
             } else {
-              failed(result.status(), attemptsLeft, () -> readActive(uid, attemptsLeft - 1));
+              retryOrFinish(result.status(), attemptsLeft, () -> readActive(uid, attemptsLeft - 1));
             }
           });
     }
@@ -184,7 +185,7 @@
             } else if (result.missing()) {
               add(uid, Found.NONE);
             } else {
-              failed(result.status(), attemptsLeft, () -> readEnded(uid, attemptsLeft - 1));
+              retryOrFinish(result.status(), attemptsLeft, () -> readEnded(uid, attemptsLeft - 1));
             }
           });
     }
@@ -195,7 +196,7 @@
       sendNext();
     }
 
-    private void failed(int status, int attemptsLeft, Runnable repeat) {
+    private void retryOrFinish(int status, int attemptsLeft, Runnable repeat) {
       if (!finished) {
         retry.retryOrFail(status, attemptsLeft, repeat, () -> finish(Optional.empty()));
       }
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -33,7 +33,7 @@
     ENDED,
     /** The job was never accepted. */
     MISSING,
-    /** The state service did not answer; the state of the job is unknown. */
+    /** The state service refused a read or did not respond; the state of the job is unknown. */
     UNAVAILABLE
   }
 
@@ -51,8 +51,8 @@
       return new JobStatus(Presence.ACTIVE, revision, Optional.empty());
     }
 
-    static JobStatus ended(JobState endState) {
-      return new JobStatus(Presence.ENDED, 0, Optional.of(endState));
+    static JobStatus ended(JobState finalState) {
+      return new JobStatus(Presence.ENDED, 0, Optional.of(finalState));
     }
 
     /** Returns true if the job has been accepted, whether or not it has ended. */
@@ -62,9 +62,9 @@
   }
 
   /**
-   * The jobs of a query that have ended.
+   * The jobs of a query that have ended or were never accepted.
    *
-   * @param askedMicros the send time of the oldest read that showed one of the remaining jobs as
+   * @param askedMicros the start of the oldest read that found one of the other jobs of the query
    *     active
    */
   public record EndedJobs(Set<String> uids, long askedMicros) {}
@@ -96,7 +96,7 @@
   private final DependencyRecordCache dependencyRecords;
   private final LookupBatch<Lookup> pendingLookups;
 
-  /** For each job that was found active, the time at which that read was requested. */
+  /** For each job that a lookup found active, the time at which the lookup was started. */
   private final Map<String, Long> activeReadMicros = new HashMap<>();
 
   /** Creates an empty cache that reads through the given client. */
@@ -134,9 +134,9 @@
   }
 
   /** Records that the final state of the job has been stored. */
-  public void jobEnded(String uid, JobState endState) {
-    jobStates.recordEnd(uid, endState);
-    dependencyRecords.jobEnded(uid, endState);
+  public void jobEnded(String uid, JobState finalState) {
+    jobStates.recordEnd(uid, finalState);
+    dependencyRecords.jobEnded(uid, finalState);
   }
 
   /**
@@ -166,7 +166,7 @@
           if (!job.accepted()) {
             neverAccepted.add(uid);
           }
-          job.endState().ifPresent(endState -> jobEnded(uid, endState));
+          job.endState().ifPresent(finalState -> jobEnded(uid, finalState));
         });
     return neverAccepted;
   }
@@ -177,8 +177,8 @@
   }
 
   /**
-   * Finds the jobs among {@code uids} that have ended. The result may be a few seconds old; {@link
-   * EndedJobs#askedMicros} is the time of the oldest read used.
+   * Finds the jobs among {@code uids} that have ended or were never accepted. The result may be a
+   * few seconds old; {@link EndedJobs#askedMicros} is the start of the oldest read used.
    *
    * @param handler receives an empty value if the state of any of the jobs could not be read
    */
@@ -247,16 +247,17 @@
   }
 
   /**
-   * Reads the state of the job; the handler is called on the loop, possibly before this returns.
+   * Looks up the state of the job. The handler is called on the loop, possibly before this method
+   * returns.
    */
   public void lookUp(String uid, Consumer<JobStatus> handler) {
     lookUp(uid, RateLimitRetry.MAX_ATTEMPTS, handler);
   }
 
   private void lookUp(String uid, int attemptsLeft, Consumer<JobStatus> handler) {
-    Optional<JobState> endState = jobStates.finalState(uid);
-    if (endState.isPresent()) {
-      handler.accept(JobStatus.ended(endState.get()));
+    Optional<JobState> finalState = jobStates.finalState(uid);
+    if (finalState.isPresent()) {
+      handler.accept(JobStatus.ended(finalState.get()));
       return;
     }
     OptionalLong revision = jobStates.activeRevision(uid);
@@ -265,8 +266,8 @@
       return;
     }
     // The record of a job with dependencies does not change until the job ends. A job that is
-    // already in the dependency graph is therefore not read again; one query for ended jobs covers
-    // all of them.
+    // already in the dependency graph is therefore not read again; one request for ended jobs
+    // covers all of them.
     long dependentRevision = dependencyRecords.revision(uid);
     if (dependentRevision > 0) {
       resolveDependencies(uid, dependentRevision, handler);
@@ -363,11 +364,11 @@
         RecordKeys.ended(uid),
         StateClient.RequestPriority.ORDINARY,
         result -> {
-          Optional<JobState> endState =
+          Optional<JobState> finalState =
               result.found() ? EndedRecord.finalState(result.item().data()) : Optional.empty();
-          if (endState.isPresent()) {
-            jobEnded(uid, endState.get());
-            handler.accept(JobStatus.ended(endState.get()));
+          if (finalState.isPresent()) {
+            jobEnded(uid, finalState.get());
+            handler.accept(JobStatus.ended(finalState.get()));
           } else if (result.missing()) {
             handler.accept(JobStatus.MISSING);
           } else {
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/JobStoreTest.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Earlier versions numbered their chunks and split them by the present value limit in their
-   * settings, without regard to the announced future limit.
+   * Earlier versions numbered their chunks and split them by the current value limit in their
+   * settings, regardless of the announced limit.
    */
   @Test
   void readsTheChunksOfEarlierVersions() throws InvalidMessageException {
@@ -84,11 +84,11 @@
   }
 
   /**
-   * An earlier version parses the last segment of a chunk's key as the chunk number. The present
-   * keys must not parse as a number, so that an earlier version skips them.
+   * An earlier version parses the last segment of a chunk's key as the chunk number. That segment
+   * of the current keys must not parse as a number, so that an earlier version skips them.
    */
   @Test
-  void earlierVersionsSkipPresentChunks() {
+  void earlierVersionsSkipCurrentChunks() {
     String key = JobStore.progressKey("job-1", 0);
     assertThrows(
         NumberFormatException.class,
@@ -130,7 +130,7 @@
       restored.addAll(JobStore.names(acceptance.parts().get(key)));
     }
     assertEquals(dependencies, restored);
-    assertEquals(List.of(), ActiveRecord.dependenciesInline(active));
+    assertEquals(List.of(), ActiveRecord.inlineDependencies(active));
     assertTrue(ActiveRecord.hasDependencies(active));
   }
 
@@ -143,6 +143,6 @@
         layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000).orElseThrow();
 
     assertEquals(Map.of(), acceptance.parts());
-    assertEquals(dependencies, ActiveRecord.dependenciesInline(activeRecord(acceptance)));
+    assertEquals(dependencies, ActiveRecord.inlineDependencies(activeRecord(acceptance)));
   }
 }
