--- a/src/main/java/plumlever/drill/DrillFiles.java
+++ b/src/main/java/plumlever/drill/DrillFiles.java
@@ -7,7 +7,7 @@
 final class DrillFiles {
   private static final double MICROS_PER_S = 1e6;
 
-  /** The floors of all shards add up to the number of machines divided by this. */
+  /** The floors of all shards add up to at most the number of machines divided by this. */
   private static final int FLOOR_DIVISOR = 4;
 
   private static final String PLATFORM =
@@ -91,7 +91,10 @@
         leaseMicros / MICROS_PER_S);
   }
 
-  /** Returns a sharing file with one shard per controller that never returns idle machines. */
+  /**
+   * Returns a sharing file with one shard per controller. The long idle timeout keeps the shards
+   * from returning idle machines to the cloud.
+   */
   static String sharing(List<String> shards, List<ControllerProcess> controllers, int machines) {
     int floor = machines / (FLOOR_DIVISOR * shards.size());
     StringBuilder text =
--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -14,8 +14,8 @@
 import plumlever.wire.Json;
 
 /**
- * Emulates the users of a drill. Each job is submitted to one controller until that accepts the
- * job, then random controllers are polled until the job is done.
+ * Emulates the users of a drill. A user submits each job to one controller until the controller
+ * accepts the job, then polls random controllers until the job is done.
  */
 final class DrillUsers {
   private static final long RETRY_MICROS = 1_000_000;
@@ -23,7 +23,7 @@
   private static final long SUBMIT_TIMEOUT_MICROS = 5_000_000;
   private static final long POLL_TIMEOUT_MICROS = 2_000_000;
 
-  /** The last state of a job that a controller has reported to the user. */
+  /** The state of a job as known to its user. */
   private enum ReportedState {
     SUBMITTED,
     ACCEPTED,
--- a/src/main/java/plumlever/drill/JobShape.java
+++ b/src/main/java/plumlever/drill/JobShape.java
@@ -11,8 +11,8 @@
 import plumlever.wire.Json;
 
 /**
- * A template for the jobs that a drill submits. A file of shapes has one submission per line; the
- * id in the submission is replaced for each job.
+ * A template for the jobs that a drill submits. A file of shapes has one submission per line. Each
+ * job that is submitted from a shape gets an id of its own.
  *
  * @param submission the submission in the form that a user sends
  */
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Reads a file of shapes; each line must be a valid submission. */
+  /** Reads a file of shapes; each line that is not blank must be a valid submission. */
   static List<JobShape> load(Path file) throws IOException, InvalidMessageException {
     List<JobShape> shapes = new ArrayList<>();
     int line = 0;
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -30,12 +30,13 @@
 /**
  * An end-to-end drill of machine sharing. Three controllers of three shards run as separate
  * processes against emulators of the state service, the cloud, the workers and the users. The load
- * shifts from shard to shard, so that machines move between the shards. In addition the drill
- * transfers machines with running tasks, and kills or pauses controllers during such transfers.
+ * shifts from shard to shard, so that the shards transfer machines to each other. In addition the
+ * drill requests transfers of machines with running tasks, and kills or pauses controllers during
+ * such transfers.
  *
  * <p>The drill passes if every job is done, each result was produced exactly once, no two attempts
- * of a task ran at the same time, no transfer caused a restart of a task, and all transfers are
- * settled.
+ * of a task ran at the same time, no task was restarted unless a lease expired, all transfers are
+ * settled, and there were at least as many transfers as the plan requires.
  */
 public final class SharingDrill {
   /**
@@ -265,7 +266,7 @@
     loop.after(TICK_MICROS, this::tick);
   }
 
-  /** Submits jobs to one shard at a time, more than its share of machines can run. */
+  /** Submits jobs to one shard at a time; they need more machines than the share of that shard. */
   private void submit(long now) {
     int shard = (int) ((now - loadStartMicros) / PHASE_MICROS % SHARDS.size());
     double cores =
@@ -321,7 +322,7 @@
     return -1;
   }
 
-  /** Starts a transfer and kills or pauses a random controller while it is in progress. */
+  /** Requests a transfer, and kills or pauses a random controller during the transfer. */
   private void injectFailure() throws IOException {
     ControllerProcess controller = controllers.get(random.nextInt(controllers.size()));
     transferBusiestMachine();
--- a/src/main/java/plumlever/drill/StateServiceEmulator.java
+++ b/src/main/java/plumlever/drill/StateServiceEmulator.java
@@ -32,7 +32,7 @@
   /** A lease, which expires at {@code endsMicros} unless it is renewed. */
   private record Lease(long ttlMicros, long endsMicros) {}
 
-  /** A pending watch request without matching changes so far. */
+  /** A watch request that has no response yet because no matching change has occurred. */
   private record Watch(String prefix, long since, long untilMicros, Responder out) {}
 
   private final Loop loop;
--- a/src/main/java/plumlever/drill/TaskResults.java
+++ b/src/main/java/plumlever/drill/TaskResults.java
@@ -29,7 +29,7 @@
   /**
    * Records the start of a task on a machine.
    *
-   * @return duration of the task; 0 if the task has completed before, because its result is stored
+   * @return duration of the task; 0 if the task has completed before: its result is already stored
    */
   long started(String task, String machine) {
     starts.merge(task, 1, Integer::sum);
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -20,7 +20,9 @@
  * stay with the dead shard and continue when one of its controllers is back.
  */
 final class DeadShardAdoption {
-  /** Added to the lease time: covers clock drift and the time that a response is in transit. */
+  /**
+   * Added to twice the lease time: covers clock drift and the time that a response is in transit.
+   */
   private static final long LEASE_EXPIRY_MARGIN_MICROS = 10_000_000;
 
   /** A shard counts as leaderless only while this leader's view of the pool is at most this old. */
@@ -35,7 +37,7 @@
   private final Consumer<TransferRecord> onAdopted;
 
   /**
-   * Record that the transaction in flight stores for its machine. One field is enough because
+   * The machine's transfer record as of the transaction in flight. One field is enough because
    * transactions run one at a time.
    */
   private TransferRecord recordBeingTaken;
@@ -119,7 +121,10 @@
         () -> {
           if (view.holder(machine).equals(Optional.of(sharing.ownShard().name()))) {
             onAdopted.accept(recordBeingTaken);
-            log.warn("adopted machine {}: shard {} has no leader", machine, dead.name());
+            log.warn(
+                "adopted machine {}: shard {} has had no leader for a long time",
+                machine,
+                dead.name());
           }
         });
   }
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -67,8 +67,9 @@
   }
 
   /**
-   * Returns the send time of the latest answered read that covers the ends of all watched jobs. The
-   * time lies in the distant past while a watched job has not been read yet.
+   * Returns the time of the last read of ended jobs: the send time of the latest answered read that
+   * shows which of the watched jobs have ended. The time lies in the distant past while a watched
+   * job has not been read yet.
    */
   long endsKnownMicros() {
     return jobsToRead.isEmpty() ? knownMicros : Long.MIN_VALUE / 4;
--- a/src/main/java/plumlever/leader/pool/ForeignTasks.java
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -31,9 +31,9 @@
 /**
  * Foreign tasks: tasks of other shards on this shard's machines. Only the originating shard decides
  * about its tasks. This leader relays the machine's heartbeats to the originating shard, and sends
- * the commands from the response to the machine with its next heartbeat response. While the
- * originating shard does not answer, its tasks keep running and the worker keeps the ended attempts
- * in its heartbeats.
+ * the commands from the originating shard's response to the machine with the next heartbeat
+ * response. While the originating shard does not respond, its tasks keep running and the worker
+ * keeps listing the ended attempts in its heartbeats.
  */
 final class ForeignTasks {
   /** Path at which a controller accepts relayed heartbeats. */
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Forgets the machine: it holds no foreign tasks any more, or this shard does not own it. */
+  /** Forgets a machine that holds no foreign tasks any more or that this shard does not own. */
   void remove(Machine machine) {
     if (foreignTasksByMachine.remove(machine.id()) != null) {
       machine.load().setForeignTasks(ForeignLoad.NONE);
@@ -298,9 +298,10 @@
   }
 
   /**
-   * Returns what is known about the jobs whose foreign tasks may be on the machine. Until the
-   * machine reports a fencing token of this owner, all tasks from the transfer record count, even
-   * those that the heartbeats do not list.
+   * Returns whether foreign tasks may be running on the machine, and the oldest time of the last
+   * read of ended jobs among their originating shards. Until the machine reports a fencing token of
+   * this leader's term, all tasks from the transfer record count, even those that the heartbeats do
+   * not list.
    */
   ForeignTaskEvidence evidence(Machine machine) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -31,7 +31,10 @@
   private final PoolView view;
   private final PoolWriter writer;
 
-  /** By team, the cores of this shard's part that a running transaction moves to another shard. */
+  /**
+   * By team, the cores of this shard's part that a transaction in flight or queued moves to another
+   * shard. 0 for a team whose limit is being split.
+   */
   private final Map<String, Double> coresBeingMoved = new HashMap<>();
 
   LimitSharing(
@@ -67,7 +70,7 @@
         team.maxAccelerators() <= 0 ? 0 : nonZero(part.accelerators()));
   }
 
-  /** Keeps an empty part distinct from 0, which stands for "no limit". */
+  /** Replaces 0, which stands for "no limit", by the smallest positive number. */
   private static double nonZero(double part) {
     return Math.max(part, Double.MIN_VALUE);
   }
@@ -84,6 +87,10 @@
     return wanted;
   }
 
+  /**
+   * Returns the cores that the team's tasks may be using and those that its pending tasks request,
+   * at most the team's limit.
+   */
   private double coresNeeded(PlatformConfiguration.Team team) {
     double waiting = 0;
     for (Job job : jobs.all()) {
@@ -158,7 +165,7 @@
           @Override
           public Optional<PoolTransaction> build() {
             // A changed revision means that this transaction was applied or can never be applied:
-            // sending the move again could move the cores twice.
+            // sending the transaction again could move the cores twice.
             return view.limit(team.name())
                 .filter(parts -> view.revisionOf(key) == knownRevision)
                 .map(parts -> parts.moved(ownShard, move.to(), move.cores(), 0))
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -28,10 +28,13 @@
 /**
  * Publishes this shard's demand to the other shards and offers them the machines that {@link
  * SharePolicy} assigns to them: idle machines first, then those whose tasks are expected to end
- * soonest. A machine that waiting work of this shard needs is not offered.
+ * soonest. A machine that this shard needs for its own pending jobs is not offered.
  */
 final class MachineShareBalancer {
+  /** Minimum interval between two publications of the demand. */
   private static final long PUBLISH_INTERVAL_MICROS = 2_000_000;
+
+  /** A demand that has not changed is published again after this time. */
   private static final long REPUBLISH_INTERVAL_MICROS = 30_000_000;
 
   /** How long rentals are held back while other shards have idle machines to offer. */
@@ -117,8 +120,9 @@
   }
 
   /**
-   * Returns the number of average-sized machines that are missing: for the tasks that the last
-   * scheduling pass could not place, or for all jobs to meet their deadlines, whichever is more.
+   * Returns how many more machines of average size this shard needs. The number is the larger of
+   * two: for the tasks that the last scheduling pass could not place, and for all jobs to meet
+   * their deadlines.
    */
   private int machineShortage() {
     Map<String, Double> limitByTeam = new HashMap<>();
@@ -210,8 +214,9 @@
   }
 
   /**
-   * Returns the state that the shard last published, less the machines offered to it since. Empty
-   * if the shard has no leader or a different sharing file.
+   * Returns the state that the shard last published. The machines that this shard has offered to it
+   * since are subtracted from its shortage. Returns empty if the shard has no leader or a different
+   * sharing file.
    */
   private Optional<SharePolicy.ShardState> stateOf(SharingSettings.Shard shard) {
     Optional<ShardDemand> published = view.demand(shard.name());
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -44,6 +44,7 @@
    */
   static final long MAX_VIEW_AGE_MICROS = 5_000_000;
 
+  /** An acquired machine counts as older than the boot time of its type by this factor. */
   private static final double BOOT_MARGIN = 1.3;
 
   private final Logger log;
@@ -153,7 +154,7 @@
     offerAcceptance.acceptOffers();
   }
 
-  /** Releases a machine that left without foreign tasks; its transfer record was deleted. */
+  /** Releases a machine transferred without foreign tasks, for which no transfer record is kept. */
   private void releaseWithoutRecord(String id) {
     Machine machine = fleet.machine(id);
     offeredMicros.remove(id);
@@ -178,7 +179,9 @@
     }
   }
 
-  /** Adds the machine to the fleet if missing, with tokens of at least the record's number. */
+  /**
+   * Adds the machine to the fleet if missing; its fencing tokens get at least the record's term.
+   */
   Machine acquire(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine == null) {
@@ -226,7 +229,7 @@
     return machine;
   }
 
-  /** Returns the assumed age of an acquired machine: it is up, so at least its boot time. */
+  /** Returns the assumed age of an acquired machine: as it is up, more than its boot time. */
   private long bootMicros(String machineType) {
     MachineType known = context.prices().machineType(machineType);
     return known == null ? 0 : (long) (known.startupS() * BOOT_MARGIN * 1e6);
@@ -247,7 +250,7 @@
     removeOwnShardIfSettled(machine);
   }
 
-  /** Rebuilds the machine with the attempts that an earlier leader of this shard recorded on it. */
+  /** Rebuilds the machine with the attempts that an earlier leader of this shard recorded. */
   private Machine machineFromRecord(TransferRecord record) {
     TransferRecord.Details details = record.machine();
     Machine machine =
@@ -389,7 +392,10 @@
     offeredMicros.put(machine.id(), now());
     context.metrics().count("machines_offered");
     log.info(
-        "offering machine {} to {} ({} tasks)", machine.id(), to, machine.load().liveAttempts());
+        "offering machine {} to shard {} ({} tasks)",
+        machine.id(),
+        to,
+        machine.load().liveAttempts());
     steps.step(
         machine.id(),
         () -> buildOffer(machine, to),
--- a/src/main/java/plumlever/leader/pool/OfferAcceptance.java
+++ b/src/main/java/plumlever/leader/pool/OfferAcceptance.java
@@ -24,8 +24,8 @@
   private final Function<TransferRecord, Machine> acquire;
 
   /**
-   * Records that the transaction in flight stores for its machines. One field is enough because
-   * transactions run one at a time.
+   * The transfer records of the machines as of the transaction in flight. One field is enough
+   * because transactions run one at a time.
    */
   private List<TransferRecord> recordsBeingTaken = List.of();
 
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -25,7 +25,7 @@
  */
 final class OwnerClaims {
   /**
-   * A machine that stays without an owner for this long comes from a rental whose answer never
+   * A machine that stays without an owner for this long comes from a rental whose response never
    * reached the renting shard.
    */
   private static final long UNCLAIMED_MICROS = 15_000_000;
@@ -58,7 +58,10 @@
     return view.holder(machine).equals(Optional.of(retiredHolder(ownShard)));
   }
 
-  /** Notes a machine that no owner record lists, and claims the machine after a delay. */
+  /**
+   * Claims the machine once it has been without an owner for {@link #UNCLAIMED_MICROS}. Called each
+   * time that the cloud lists the machine or that the machine sends a heartbeat.
+   */
   void noteUnownedMachine(String machine) {
     long now = context.loop().nowMicros();
     if (view.holder(machine).isPresent() || claiming.contains(machine)) {
@@ -195,7 +198,7 @@
 
       @Override
       public void finished() {
-        log.debug("machine {} is gone, originating shards notified", machine);
+        log.debug("machine {} is gone, also in the transfer records", machine);
       }
     };
   }
@@ -205,7 +208,9 @@
   }
 
   /**
-   * @param holder new owner of the machines, null to remove them from the record
+   * Builds the transaction that changes the holder of machines in one owner record.
+   *
+   * @param holder new holder of the machines, null to remove them from the record
    */
   private Optional<PoolTransaction> buildChange(List<String> machines, String holder) {
     if (machines.isEmpty()) {
--- a/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
+++ b/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
@@ -89,8 +89,7 @@
     try {
       view.apply(change.key(), change.value().orElse(null), change.revision());
     } catch (InvalidMessageException e) {
-      // The view keeps the previous content of the record, so the owner of a machine stays the
-      // same.
+      // The view keeps the previous content of the record, so no machine changes its owner.
       log.error("unreadable pool record {}, ignoring the change: {}", change.key(), e.getMessage());
     }
   }
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -127,7 +127,8 @@
     transfers.reconcile();
     if (!unclaimed.isEmpty()) {
       claims.claim(
-          unclaimed, claimed -> log.info("claimed machine {}, found in own records", claimed));
+          unclaimed,
+          claimed -> log.info("claimed machine {}, which this shard's own records list", claimed));
     }
     scope.own(writer::close);
     scope.own(recordWatch::close);
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -19,18 +19,22 @@
     Optional<PoolTransaction> build();
   }
 
-  /** Operations of an acquiring transaction for all machines together: counter and owner record. */
+  /**
+   * Operations of an acquisition that all its machines share: the changes of the pool's counter and
+   * of the owner record.
+   */
   private static final int SHARED_OPERATIONS = 2;
 
   /**
-   * Limit for the transfer records of one transaction, of the 64 KiB that a transaction may have.
+   * Limit for the total size of the transfer records in one transaction. A whole transaction may
+   * have 64 KiB.
    */
   private static final int MAX_RECORD_BYTES = 40 * 1024;
 
   /**
    * A transaction that makes this shard the owner of machines.
    *
-   * @param records transfer records of the machines after the transaction; records without foreign
+   * @param records the machines' transfer records as of the transaction; records without foreign
    *     tasks are not stored
    */
   record Acquisition(PoolTransaction transaction, List<TransferRecord> records) {}
--- a/src/main/java/plumlever/sharing/CoreDemand.java
+++ b/src/main/java/plumlever/sharing/CoreDemand.java
@@ -9,7 +9,7 @@
   /**
    * The remaining work of one job.
    *
-   * @param tasks number of running and waiting tasks
+   * @param tasks number of running and pending tasks
    * @param cores cores of one task
    * @param runMicros expected duration of one task with padding, including the image fetch
    * @param leftMicros time left until the job should be done
@@ -19,9 +19,10 @@
   private CoreDemand() {}
 
   /**
-   * Returns the number of cores that must be in use all the time from now on. Tasks of a job that
-   * can run one after the other before the deadline share cores. If less time is left than one task
-   * takes, all tasks must run at once.
+   * Returns the number of cores that must be in use all the time from now on for the jobs to meet
+   * their deadlines. Tasks of a job that can run one after the other before the deadline share
+   * cores. If less time is left than one task takes, all tasks of the job must run at once. No team
+   * counts with more cores than its limit.
    *
    * @param limits core limits by team, for teams that have one
    */
--- a/src/main/java/plumlever/sharing/LimitParts.java
+++ b/src/main/java/plumlever/sharing/LimitParts.java
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Splits a limit by the shards' weights into whole cores and accelerators. The first shard
-   * receives the remainder.
+   * Splits a limit by the shards' weights into whole cores and accelerators. The first shard in the
+   * order of the map receives the remainder.
    */
   public static LimitParts split(
       double cores, double accelerators, Map<String, Double> weightByShard) {
--- a/src/main/java/plumlever/sharing/LimitPolicy.java
+++ b/src/main/java/plumlever/sharing/LimitPolicy.java
@@ -5,7 +5,7 @@
 
 /** Decides how many cores of its part of a team's limit a shard moves to which other shard. */
 public final class LimitPolicy {
-  /** A number of cores of a team's limit that is to move to another shard. */
+  /** A number of cores to move from a shard's part of a team's limit to another shard's part. */
   public record CoreMove(String to, double cores) {}
 
   private LimitPolicy() {}
@@ -14,7 +14,7 @@
    * Returns the cores that a shard should move now. The shard that can receive the most cores is
    * chosen; ties are broken by name.
    *
-   * @param spare cores of the shard's part that none of its jobs uses or waits for
+   * @param spare cores of the shard's part that its running and pending tasks do not need
    * @param wantedByShard cores that the other shards need beyond their parts
    */
   public static Optional<CoreMove> plan(double spare, Map<String, Double> wantedByShard) {
--- a/src/main/java/plumlever/sharing/MachineId.java
+++ b/src/main/java/plumlever/sharing/MachineId.java
@@ -8,6 +8,7 @@
  * @param number the value of the trailing digits
  */
 public record MachineId(String series, int number) {
+  /** A number of at most nine digits always fits into an int. */
   private static final int MAX_DIGITS = 9;
 
   /** Splits a name; a name without trailing digits has the number 0. */
--- a/src/main/java/plumlever/sharing/OwnerRecord.java
+++ b/src/main/java/plumlever/sharing/OwnerRecord.java
@@ -14,15 +14,16 @@
 
 /**
  * The owners of the machines in one range of machine numbers: a set of numbers for each holder,
- * stored in the portable format of Roaring bitmaps. Immutable.
+ * stored in the portable format of Roaring bitmaps. A holder is the name of the owning shard, or
+ * the name under which a shard has retired machines before their return. Immutable.
  */
 public final class OwnerRecord {
   /** A record without machines. */
   public static final OwnerRecord EMPTY = new OwnerRecord(new TreeMap<>());
 
   /**
-   * Size of a range. In the worst case the record takes half of the smallest value limit that a
-   * state service may have.
+   * Size of a range. In the worst case the numbers take 512 bytes, half of the smallest value limit
+   * that a state service may have. The other half is left for Base64 and JSON.
    */
   private static final int RANGE = 256;
 
@@ -82,7 +83,7 @@
     return object;
   }
 
-  /** Returns the owner of the machine; empty if no set includes the machine. */
+  /** Returns the holder of the machine; empty if no set includes the machine. */
   public Optional<String> holder(String machine) {
     int number = MachineId.of(machine).number();
     return sets.entrySet().stream()
@@ -91,7 +92,7 @@
         .findFirst();
   }
 
-  /** Returns the record with the holder as the only owner of the machine. */
+  /** Returns the record with the given holder as the only holder of the machine. */
   public OwnerRecord with(String machine, String holder) {
     Map<String, RoaringBitmap> changed = without(machine).copy();
     changed
@@ -100,7 +101,7 @@
     return new OwnerRecord(changed);
   }
 
-  /** Returns the record without an owner of the machine. */
+  /** Returns the record without a holder of the machine. */
   public OwnerRecord without(String machine) {
     Map<String, RoaringBitmap> changed = copy();
     changed.values().forEach(set -> set.remove(MachineId.of(machine).number()));
@@ -114,12 +115,12 @@
     return copy;
   }
 
-  /** Returns true if no machine of the range has an owner. */
+  /** Returns true if no machine of the range has a holder. */
   public boolean isEmpty() {
     return sets.isEmpty();
   }
 
-  /** Returns the number of machines of the range that the holder owns. */
+  /** Returns the number of machines of the range in the set of the holder. */
   public int count(String holder) {
     RoaringBitmap set = sets.get(holder);
     return set == null ? 0 : set.getCardinality();
--- a/src/main/java/plumlever/sharing/PoolView.java
+++ b/src/main/java/plumlever/sharing/PoolView.java
@@ -27,12 +27,12 @@
   /** A record and its revision in the state service. */
   public record Versioned<T>(T value, long revision) {}
 
-  /** Limit of remembered deletions; far more than keys change while a transaction is in flight. */
+  /** Maximum number of deletions kept; far more than happen while a transaction is in flight. */
   private static final int MAX_DELETED_KEYS = 2_000;
 
   private final Map<String, Long> revisions = new HashMap<>();
 
-  /** Revisions of deletions: an older put that is applied later must not restore the key. */
+  /** Revisions of deletions: an older put that arrives later must not restore the key. */
   private final Map<String, Long> deletedRevisions = new HashMap<>();
 
   private final Map<String, OwnerRecord> owners = new HashMap<>();
@@ -122,7 +122,7 @@
     return deletedRevisions.containsKey(key) ? 0 : revisions.getOrDefault(key, 0L);
   }
 
-  /** Returns the owner of the machine, if it has one. */
+  /** Returns the holder of the machine as in {@link OwnerRecord}, if it has one. */
   public Optional<String> holder(String machine) {
     return owners(machine).holder(machine);
   }
--- a/src/main/java/plumlever/sharing/SharePolicy.java
+++ b/src/main/java/plumlever/sharing/SharePolicy.java
@@ -5,10 +5,11 @@
 import java.util.List;
 
 /**
- * Decides how many machines move between which shards. A shard with a shortage first receives idle
- * machines of other shards. If these are not enough and the shard owns less than its share by
- * weight, shards above their share also give machines in use, together with the running tasks. No
- * shard gives machines below its floor, or machines in use below its share.
+ * Decides how many machines are transferred between which shards. A shard with a shortage first
+ * receives idle machines of other shards. If these are not enough and the shard owns less than its
+ * share by weight, shards above their share also transfer machines in use, together with the
+ * running tasks. No shard transfers machines if it would then own fewer than its floor, or machines
+ * in use if it would then own less than its share.
  *
  * <p>The decision is deterministic: all shards compute the same plan from the same input.
  */
@@ -16,7 +17,7 @@
   /**
    * The state of one shard as input of the policy.
    *
-   * @param floor number of machines below which the shard gives none
+   * @param floor number of machines that the shard keeps in any case
    * @param weight weight for the share of the machines above all floors
    * @param machines number of machines that the shard owns
    * @param idle number of these machines that are idle
@@ -25,15 +26,21 @@
   public record ShardState(
       String name, int floor, double weight, int machines, int idle, int wanted) {}
 
-  /** A number of machines that one shard is to give to another. */
+  /** A number of machines that one shard is to transfer to another. */
   public record Move(String from, String to, int machines) {}
 
-  /** A shard gives machines in use only while it exceeds its share by more than this fraction. */
+  /**
+   * A shard transfers machines in use only while it exceeds its share by more than this fraction of
+   * the share.
+   */
   private static final double HYSTERESIS = 0.1;
 
   private SharePolicy() {}
 
-  /** Returns the shard's share: its floor, plus its part by weight of the machines above floors. */
+  /**
+   * Returns the shard's share: its floor, plus its fraction by weight of the pool's machines beyond
+   * the sum of all floors.
+   */
   static double shareOf(ShardState shard, List<ShardState> shards) {
     int all = shards.stream().mapToInt(ShardState::machines).sum();
     int floors = shards.stream().mapToInt(ShardState::floor).sum();
@@ -41,7 +48,7 @@
     return shard.floor() + Math.max(0, all - floors) * shard.weight() / weights;
   }
 
-  /** The state of a shard after the moves decided so far. */
+  /** The state of a shard after the transfers decided so far. */
   private static final class ShardBalance {
     private final ShardState shard;
     private final double share;
@@ -72,9 +79,9 @@
   }
 
   /**
-   * Returns the moves that are due now.
+   * Returns the transfers to start now.
    *
-   * @param maxPerMove largest number of machines in one move
+   * @param maxPerMove largest number of machines that one shard transfers to another
    */
   public static List<Move> plan(List<ShardState> shards, int maxPerMove) {
     List<ShardBalance> balances = new ArrayList<>();
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -48,7 +48,7 @@
     GONE
   }
 
-  /** The properties of a machine that a new owner needs to manage the machine. */
+  /** The properties that a new owner needs in order to manage the machine. */
   public record Details(
       String id, String endpoint, String machineType, String zone, boolean spot) {}
 
@@ -96,7 +96,10 @@
     return tasksByShard.containsKey(shard) && !(state != State.GONE && owner.equals(shard));
   }
 
-  /** Returns the record of a machine that its owner offers to another shard. */
+  /**
+   * Returns the record of a machine that its owner offers to another shard. The record replaces the
+   * machine's earlier one, which exists if the machine already holds foreign tasks.
+   */
   public static TransferRecord offered(
       Details machine,
       long incarnation,
@@ -109,8 +112,8 @@
   }
 
   /**
-   * Returns the record after the taker has acquired the machine. The taker's tasks on the machine
-   * are removed from the record: they are not foreign tasks any more.
+   * Returns the record after the new owner has acquired the machine. The new owner's tasks on the
+   * machine are removed from the record: they are not foreign tasks any more.
    */
   public TransferRecord taken(String newOwner, long newNumber) {
     Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
@@ -119,7 +122,10 @@
         State.TAKEN, machine, incarnation, newOwner, newNumber, Optional.empty(), remainingTasks);
   }
 
-  /** Returns the record after the owner has withdrawn the offer, without the owner's tasks. */
+  /**
+   * Returns the record after the owner has withdrawn the offer. The owner's tasks are removed from
+   * the record: they are not foreign tasks.
+   */
   public TransferRecord withdrawn() {
     Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
     remainingTasks.remove(owner);
--- a/src/main/java/plumlever/warmup/InMemoryMachines.java
+++ b/src/main/java/plumlever/warmup/InMemoryMachines.java
@@ -12,7 +12,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
 
-/** In-memory machines that execute every command; all tasks take the same time. */
+/** In-memory machines that execute every command. All tasks take the same time. */
 final class InMemoryMachines {
   private static final long FETCH_MICROS = 800_000;
   private static final long RUN_MICROS = 4_000_000;
--- a/src/main/java/plumlever/warmup/InMemoryStateService.java
+++ b/src/main/java/plumlever/warmup/InMemoryStateService.java
@@ -11,7 +11,10 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** An in-memory state service for one controller: transactions, listings, watches; no limits. */
+/**
+ * An in-memory state service for one controller. It implements transactions, listings and watches
+ * without limits on sizes or request rates; leases never expire.
+ */
 final class InMemoryStateService {
   private record Entry(JsonNode value, long revision, long leaseId) {}
 
@@ -47,7 +50,7 @@
   }
 
   /**
-   * Answers a request to the state service.
+   * Handles a request to the state service.
    *
    * @return false if the path does not belong to the state service
    */
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -24,7 +24,7 @@
   private static final long MIN_PAUSE_MICROS = 30_000;
   private static final long BUSY_PAUSE_MICROS = 500_000;
 
-  /** The warm-up pauses while the event loop runs its tasks later than this. */
+  /** The warm-up pauses while the event loop runs its tasks later than due by more than this. */
   private static final long MAX_LATENESS_MICROS = 60_000;
 
   private final Loop loop;
@@ -37,7 +37,7 @@
   private boolean finished;
 
   /**
-   * @param latenessMicros recent lateness of the event loop
+   * @param latenessMicros how late the event loop has recently run its tasks
    * @param leads whether the controller is the leader
    */
   public WarmUp(
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -59,7 +59,7 @@
     machines.executeCommands(machine, answer);
   }
 
-  /** Answers a request to the state service or the cloud. */
+  /** Handles a request to the state service or the cloud. */
   public void handle(String method, String path, byte[] body, Reply reply) {
     try {
       if (!state.handle(method, path, body, reply)) {
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -19,8 +19,9 @@
 
 /**
  * Simulates two terms of a leader of a small deployment in memory, with the real controller code
- * and a simulated clock. The JVM interprets code that has not been compiled yet, about twenty times
- * slower. With a small CPU share, this would cost a new leader the first minute of its term.
+ * and a simulated clock. The JVM interprets code that has not been compiled yet, which is about
+ * twenty times slower. With a small CPU share, a new leader would lose the first minute of its term
+ * to this.
  */
 final class WarmUpTerms {
   private static final int TERMS = 2;
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -34,7 +34,7 @@
   final List<JobSpec> jobs = new ArrayList<>();
 
   /**
-   * @param redLimit processors that the team {@code red} may use; 0 for no limit
+   * @param redLimit cores that the team {@code red} may use; 0 for no limit
    * @param machines number of machines that run at the start; the cloud offers hardly any more
    */
   PoolScenario(long seed, double redLimit, int machines) {
@@ -62,7 +62,7 @@
     cluster.play(MACHINES_CLAIMED_AFTER_S);
   }
 
-  /** Submits a job with one processor per task through a controller of the job's shard. */
+  /** Submits a job with one core per task to a controller; its shard becomes the job's shard. */
   JobSpec submit(String controller, int tasks, double seconds) {
     return submit(controller, jobs.size() % 2 == 0 ? "red" : "blue", tasks, seconds);
   }
--- a/src/test/java/plumlever/sim/SharingBenchmark.java
+++ b/src/test/java/plumlever/sim/SharingBenchmark.java
@@ -16,7 +16,7 @@
 import plumlever.wire.Json;
 
 /**
- * Benchmark of machine sharing on simulated machines, not a test. The load moves from shard to
+ * Benchmark of machine sharing on simulated machines, not a test. The load shifts from shard to
  * shard. The benchmark runs with three shards that share machines ({@code shared}), with three
  * shards that keep their machines ({@code fixed}), or with one shard that owns all machines ({@code
  * one}). See docs/sharing.md for results.
@@ -31,7 +31,7 @@
   private static final int TASKS_PER_JOB = 400;
   private static final double CORES_PER_MACHINE = 7;
 
-  /** Processors that one shard requests in its phase, as a fraction of all processors. */
+  /** Cores that one shard requests in its phase, as a fraction of the cores of all machines. */
   private static final double LOAD_FACTOR = 1.5;
 
   private final SimulatedCluster cluster;
@@ -147,7 +147,7 @@
         allDone = cluster.now() - startMicros;
       }
     }
-    return "first transfer %s, first start on a moved machine %s, all tasks done %s, %d transfers"
+    return "first transfer %s, first start on moved machine %s, all tasks done %s, %d transfers"
         .formatted(
             seconds(firstTransfer),
             seconds(firstStart),
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -166,7 +166,7 @@
     }
   }
 
-  /** A network link of a shard that is cut. */
+  /** A network link of a shard that fails. */
   enum Link {
     STATE_SERVICE,
     PEERS,
@@ -277,10 +277,10 @@
   }
 
   /**
-   * The originating shard confirms a cancellation while the leader of the owning shard, which does
-   * not learn of the cancellation, renews the machine's lease. The watches of the owning leader are
-   * not answered, and the originating shard cannot reach the owning leader, for longer than the
-   * time limit of a cancellation.
+   * The originating shard confirms a cancellation that the leader of the owning shard does not
+   * learn of, although this leader keeps renewing the machine's lease. For longer than the time
+   * limit of a cancellation, the watches of the owning leader receive no response, and a partition
+   * separates the owning leader from the originating shard.
    *
    * @param assumedCancelMicros time limit of a cancellation that the controllers assume
    */
@@ -324,8 +324,8 @@
   }
 
   /**
-   * Verifies that the invariant check detects a missing bound: with an assumed limit of one hour
-   * for a cancellation, the owning leader keeps renewing the lease.
+   * Verifies that the invariant check detects a missing bound on lease renewals: with an assumed
+   * time limit of one hour for a cancellation, the owning leader keeps renewing the lease.
    */
   @Test
   void withoutBoundForeignTasksOutliveCancellation() {
@@ -336,14 +336,15 @@
   }
 
   /**
-   * The watches of the source leader are not answered, so the source leader does not learn that the
-   * target shard accepted the offered machine.
+   * The watches of the source leader receive no response, so the source leader does not learn that
+   * the target shard accepted the offered machine. The source leader must not renew the machine's
+   * lease once its view of the pool is too old.
    */
   @Test
   void sourceLeaderWithoutPoolUpdatesRefusesHeartbeats() {
     startWithRunningTasks(80, 60);
     SimulatedController sourceLeader = cluster.leader(SOURCE);
-    // The open watch is answered with the offer; later watches of this leader are never answered.
+    // The open watch receives the offer; later watches of this leader receive no response.
     cluster.store.unwatched.add(sourceLeader.platform.label());
     cluster
         .shard(TARGET)
@@ -400,7 +401,8 @@
 
   /**
    * Both controllers of the owning shard restart without a sharing file while foreign tasks run on
-   * the shard's machines.
+   * the shard's machines. They must not lead. They cannot know the jobs of the other shards, so
+   * they must not report such a job as unknown.
    */
   @Test
   void controllersWithoutSharingFileNeitherLeadNorAnswer() {
@@ -423,7 +425,7 @@
             "/submissions/" + pool.jobs.get(0).uid(),
             new byte[0],
             (code, json, retry) -> status[0] = code);
-    assertEquals(503, status[0], "status query for a job of another shard");
+    assertEquals(503, status[0], "status query for a job that the controller cannot know");
     cluster.digests.clear();
     restarted.forEach(controller -> controller.crash(0.5));
     pool.assertAllJobsEnd(250);
@@ -444,14 +446,14 @@
                     controller -> controller.controller().metrics().counter("limit_parts_given"))
                 .sum()
             > 0,
-        "no limit share was transferred between shards");
+        "no part of a limit was moved between shards");
     pool.assertAllJobsEnd(200);
   }
 
   /**
-   * A leader stops using a share of a team limit before sending the transaction that transfers the
-   * share. The share stays unused if the leader receives neither the answer to the transaction nor
-   * the change through its watch.
+   * A leader stops using cores of its part of a team limit before it sends the transaction that
+   * moves them to another shard. The leader must not use them again if it receives neither the
+   * response to the transaction nor the change through its watch.
    */
   @Test
   void limitShareTransferredWithoutAnswerIsNotUsed() {
@@ -463,7 +465,7 @@
     cluster.store.interveneBefore = "pool/limits/";
     cluster.store.intervention =
         () -> {
-          // Only the source leader does not learn that its share belongs to another shard now.
+          // Only the source leader does not learn that the cores now belong to another shard.
           cluster.store.answerLostOnce = "pool/limits/";
           cluster.store.untold = "pool/";
           cluster.store.untoldController = cluster.leader(SOURCE).platform.label();
@@ -471,7 +473,7 @@
           cluster.at(4_000_000, () -> cluster.store.untold = null);
         };
     cluster.play(60);
-    assertTrue(cluster.store.appliedUnanswered > 0, "no unanswered transfer");
+    assertTrue(cluster.store.appliedUnanswered > 0, "no applied transaction without a response");
     pool.assertAllJobsEnd(250);
   }
 
--- a/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
@@ -90,7 +90,9 @@
     cluster.play(300);
     SimulationTest.calm(cluster);
     cluster.play(400);
-    assertTrue(transferCount(cluster) >= 5, "machine transfers: " + transferCount(cluster));
+    assertTrue(
+        transferCount(cluster) >= 5,
+        "machine transfers and leader terms: " + transferCount(cluster));
     SimulationTest.assertAllServed(cluster, users, JOBS);
     assertEquals(0, cluster.store.count("pool/transfers/"), "transfer records that remain");
     Map<String, Integer> limitShareSums = new TreeMap<>();
@@ -106,12 +108,13 @@
                         share ->
                             limitShareSums.merge(
                                 "all", share.getValue().path(0).asInt(), Integer::sum)));
-    assertEquals(Map.of("all", 48), limitShareSums, "sum of the shares of the only team limit");
+    assertEquals(Map.of("all", 48), limitShareSums, "sum of the parts of the only team limit");
   }
 
   /**
-   * Counts machine transfers by the writes of the pool's counter in the state service, because the
-   * metrics of a controller are lost when the controller restarts.
+   * Returns the number of writes of the pool's counter, which numbers both the machine transfers
+   * and the leaders' terms. The metrics of the controllers can't be used: a controller that
+   * restarts loses its metrics.
    */
   private static int transferCount(SimulatedCluster cluster) {
     return cluster.store.changesOf("pool/term");
