--- a/src/main/java/plumlever/drill/CloudEmulator.java
+++ b/src/main/java/plumlever/drill/CloudEmulator.java
@@ -31,7 +31,7 @@
 
   private final TreeMap<String, RentedMachine> machinesById = new TreeMap<>();
   private final Consumer<String> onReturn;
-  private int returned;
+  private int returnedMachines;
 
   /**
    * @param onReturn called with each machine that is returned
@@ -45,8 +45,8 @@
   }
 
   /** Returns the number of returned machines. */
-  int returned() {
-    return returned;
+  int returnedMachines() {
+    return returnedMachines;
   }
 
   void handle(String method, String target, byte[] body, Responder out) {
@@ -67,7 +67,7 @@
     try {
       for (JsonNode machine : Json.parseObject(body).path("hosts")) {
         if (machinesById.remove(machine.asText()) != null) {
-          returned++;
+          returnedMachines++;
           onReturn.accept(machine.asText());
         }
       }
@@ -78,8 +78,8 @@
   }
 
   private String list(Query query) {
-    ObjectNode answer = Json.object();
-    ArrayNode listed = answer.putArray("hosts");
+    ObjectNode response = Json.object();
+    ArrayNode listed = response.putArray("hosts");
     boolean more = false;
     for (var entry : machinesById.tailMap(query.text("since"), false).entrySet()) {
       more = listed.size() == query.number("page", MAX_PAGE_SIZE);
@@ -96,6 +96,6 @@
           .put("status", "running")
           .put("age_s", AGE_S);
     }
-    return Json.write(answer.put("more", more));
+    return Json.write(response.put("more", more));
   }
 }
--- a/src/main/java/plumlever/drill/ControllerProcess.java
+++ b/src/main/java/plumlever/drill/ControllerProcess.java
@@ -21,10 +21,10 @@
   /**
    * @param directory directory of the settings files and the log file
    */
-  ControllerProcess(String label, Endpoint users, Endpoint peers, Path directory) {
+  ControllerProcess(String label, Endpoint userEndpoint, Endpoint peerEndpoint, Path directory) {
     this.label = label;
-    this.userEndpoint = users;
-    this.peerEndpoint = peers;
+    this.userEndpoint = userEndpoint;
+    this.peerEndpoint = peerEndpoint;
     this.directory = directory;
   }
 
--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -56,7 +56,7 @@
     String uid = String.format("job-%06d", jobs.size() + 1);
     jobs.put(uid, ReportedState.SUBMITTED);
     tasks += shape.tasks();
-    results.submitted(uid, shape.runMicros());
+    results.recordSubmission(uid, shape.runMicros());
     submit(uid, shape.toSubmission(uid), controller);
   }
 
@@ -71,13 +71,13 @@
         "/submissions",
         body.getBytes(StandardCharsets.UTF_8),
         SUBMIT_TIMEOUT_MICROS,
-        (status, answer) -> {
+        (status, response) -> {
           if (status == HttpStatus.CREATED || status == HttpStatus.OK) {
             jobs.put(uid, ReportedState.ACCEPTED);
             loop.after(POLL_MICROS, () -> poll(uid));
           } else if (status == HttpStatus.BAD_REQUEST || status == HttpStatus.UNPROCESSABLE) {
             results.reportViolation(
-                uid + " was rejected: " + new String(answer, StandardCharsets.UTF_8));
+                uid + " was rejected: " + new String(response, StandardCharsets.UTF_8));
           } else {
             loop.after(RETRY_MICROS, () -> submit(uid, body, controller));
           }
@@ -91,11 +91,11 @@
         "/submissions/" + uid,
         null,
         POLL_TIMEOUT_MICROS,
-        (status, answer) -> {
+        (status, response) -> {
           if (status == HttpStatus.NOT_FOUND) {
             results.reportViolation(uid + " was accepted but a controller does not know the job");
           }
-          if (status == HttpStatus.OK && statusOf(answer).equals("done")) {
+          if (status == HttpStatus.OK && statusOf(response).equals("done")) {
             jobs.put(uid, ReportedState.DONE);
           } else {
             loop.after(POLL_MICROS, () -> poll(uid));
@@ -103,9 +103,9 @@
         });
   }
 
-  private static String statusOf(byte[] answer) {
+  private static String statusOf(byte[] response) {
     try {
-      return Json.parseObject(answer).path("status").asText();
+      return Json.parseObject(response).path("status").asText();
     } catch (InvalidMessageException e) {
       return "";
     }
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -127,7 +127,7 @@
         new UndertowCaller(
             loop, worker.getIoThread(), new DefaultByteBufferPool(false, BUFFER_BYTES, BUFFERS, 4));
     this.transfers = new TransferStatistics(loop);
-    this.state = new StateServiceEmulator(loop, transfers::put);
+    this.state = new StateServiceEmulator(loop, transfers::onPut);
     this.cloud = new CloudEmulator(machine -> workers.get(machine).remove());
   }
 
@@ -206,16 +206,16 @@
 
   /** Starts users and workers. This method and all methods below run on the event loop. */
   private void start() {
-    Map<String, Endpoint> byLabel = new HashMap<>();
-    List<Endpoint> front = new ArrayList<>();
+    Map<String, Endpoint> endpointByLabel = new HashMap<>();
+    List<Endpoint> userEndpoints = new ArrayList<>();
     for (ControllerProcess controller : controllers) {
-      byLabel.put(controller.label(), controller.userEndpoint());
-      front.add(controller.userEndpoint());
+      endpointByLabel.put(controller.label(), controller.userEndpoint());
+      userEndpoints.add(controller.userEndpoint());
     }
-    users = new DrillUsers(loop, caller, front, results, random);
+    users = new DrillUsers(loop, caller, userEndpoints, results, random);
     WorkerEmulator.Environment environment =
         new WorkerEmulator.Environment(
-            loop, caller, front, byLabel, results, HEARTBEAT_MICROS, LEASE_MICROS);
+            loop, caller, userEndpoints, endpointByLabel, results, HEARTBEAT_MICROS, LEASE_MICROS);
     for (int i = 1; i <= plan.machines(); i++) {
       String machine = String.format("i-%06d", i);
       Server server =
@@ -299,7 +299,7 @@
         "/transfer",
         body.getBytes(StandardCharsets.UTF_8),
         CALL_TIMEOUT_MICROS,
-        (status, answer) -> {
+        (status, response) -> {
           if (status != HttpStatus.OK) {
             events.add(machine + " was not transferred to " + SHARDS.get(to) + ": HTTP " + status);
           }
@@ -358,8 +358,8 @@
 
   private void finishIfSettled(long now) {
     boolean settled = state.under("pool/transfers/").isEmpty();
-    boolean late = now - loadStartMicros > (plan.seconds() + SETTLE_TIMEOUT_S) * 1_000_000L;
-    if (late || (users.unfinishedJobs().isEmpty() && settled)) {
+    boolean timedOut = now - loadStartMicros > (plan.seconds() + SETTLE_TIMEOUT_S) * 1_000_000L;
+    if (timedOut || (users.unfinishedJobs().isEmpty() && settled)) {
       outcome.complete(evaluate(settled));
     } else {
       loop.after(TICK_MICROS, this::tick);
@@ -404,7 +404,7 @@
             + " transfers, "
             + transfers.withTasks()
             + " of machines with tasks ("
-            + transfers.tasksMoved()
+            + transfers.transferredTasks()
             + " tasks), from offer to new owner "
             + transfers.medianMicros() / MILLIS
             + " ms median, "
@@ -418,7 +418,7 @@
             + " changes, "
             + state.bytesUnder("pool/owners/")
             + " bytes of owner records; "
-            + cloud.returned()
+            + cloud.returnedMachines()
             + " machines returned");
     lines.addAll(events);
     failures.forEach(reason -> lines.add("failed: " + reason));
--- a/src/main/java/plumlever/drill/StateServiceEmulator.java
+++ b/src/main/java/plumlever/drill/StateServiceEmulator.java
@@ -128,8 +128,8 @@
     String prefix = query.text("under");
     String since = query.text("since");
     long page = Math.min(MAX_ITEMS, query.number("page", MAX_ITEMS));
-    ObjectNode answer = Json.object();
-    ArrayNode items = answer.putArray("items");
+    ObjectNode response = Json.object();
+    ArrayNode items = response.putArray("items");
     boolean more = false;
     for (Map.Entry<String, Entry> entry :
         entries.tailMap(since.isEmpty() ? prefix : since, since.isEmpty()).entrySet()) {
@@ -142,7 +142,7 @@
       }
       items.add(item(entry.getKey(), entry.getValue()));
     }
-    out.send(HttpStatus.OK, Json.write(answer.put("more", more).put("epoch", revision)));
+    out.send(HttpStatus.OK, Json.write(response.put("more", more).put("epoch", revision)));
   }
 
   private void transact(ObjectNode transaction, Responder out) {
@@ -168,7 +168,7 @@
     revision++;
     transaction.path("then").forEach(this::apply);
     out.send(HttpStatus.OK, Json.write(Json.object().put("epoch", revision)));
-    answerWatches();
+    respondToWatches();
   }
 
   private void apply(JsonNode change) {
@@ -229,7 +229,7 @@
     if (!keys.isEmpty()) {
       revision++;
       keys.forEach(this::delete);
-      answerWatches();
+      respondToWatches();
     }
   }
 
@@ -244,7 +244,7 @@
       Watch watch = open.next();
       if (watch.untilMicros() <= now) {
         open.remove();
-        answer(watch);
+        respond(watch);
       }
     }
     loop.after(EXPIRY_CHECK_MICROS, this::expire);
@@ -261,7 +261,7 @@
     if (matchingChanges(watch).isEmpty()) {
       watches.add(watch);
     } else {
-      answer(watch);
+      respond(watch);
     }
   }
 
@@ -272,9 +272,9 @@
         .toList();
   }
 
-  private void answer(Watch watch) {
-    ObjectNode answer = Json.object().put("epoch", revision);
-    ArrayNode log = answer.putArray("log");
+  private void respond(Watch watch) {
+    ObjectNode response = Json.object().put("epoch", revision);
+    ArrayNode log = response.putArray("log");
     for (Change change : matchingChanges(watch)) {
       ObjectNode node = log.addObject().put("stamp", change.revision());
       if (change.data() == null) {
@@ -283,15 +283,15 @@
         node.put("put", change.key()).set("data", change.data());
       }
     }
-    watch.out().send(HttpStatus.OK, Json.write(answer));
+    watch.out().send(HttpStatus.OK, Json.write(response));
   }
 
-  private void answerWatches() {
+  private void respondToWatches() {
     for (Iterator<Watch> open = watches.iterator(); open.hasNext(); ) {
       Watch watch = open.next();
       if (!matchingChanges(watch).isEmpty()) {
         open.remove();
-        answer(watch);
+        respond(watch);
       }
     }
   }
--- a/src/main/java/plumlever/drill/TaskResults.java
+++ b/src/main/java/plumlever/drill/TaskResults.java
@@ -12,7 +12,7 @@
 final class TaskResults {
   private final Map<String, Integer> starts = new HashMap<>();
   private final Map<String, Integer> completions = new HashMap<>();
-  private final Map<String, String> machineOf = new HashMap<>();
+  private final Map<String, String> machineByTask = new HashMap<>();
   private final Map<String, Long> runMicrosByJob = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
   private int expiredLeases;
@@ -22,7 +22,7 @@
   }
 
   /** Records a submitted job and the duration of each of its tasks. */
-  void submitted(String uid, long runMicros) {
+  void recordSubmission(String uid, long runMicros) {
     runMicrosByJob.put(uid, runMicros);
   }
 
@@ -31,9 +31,9 @@
    *
    * @return duration of the task; 0 if the task has completed before: its result is already stored
    */
-  long started(String task, String machine) {
+  long recordStart(String task, String machine) {
     starts.merge(task, 1, Integer::sum);
-    String other = machineOf.put(task, machine);
+    String other = machineByTask.put(task, machine);
     if (other != null) {
       reportViolation(task + " runs on " + other + " and " + machine);
     }
@@ -43,16 +43,16 @@
     return completions.containsKey(task) ? 0 : runMicrosByJob.getOrDefault(jobOf(task), 0L);
   }
 
-  void completed(String task) {
+  void recordCompletion(String task) {
     completions.merge(task, 1, Integer::sum);
   }
 
   /** Records that the task is not on the machine any more. */
-  void taskRemoved(String task, String machine) {
-    machineOf.remove(task, machine);
+  void recordRemoval(String task, String machine) {
+    machineByTask.remove(task, machine);
   }
 
-  void leaseExpired() {
+  void recordLeaseExpiry() {
     expiredLeases++;
   }
 
--- a/src/main/java/plumlever/drill/TransferStatistics.java
+++ b/src/main/java/plumlever/drill/TransferStatistics.java
@@ -19,11 +19,11 @@
   private static final String OFFERED = "OFFERED";
 
   private final Loop loop;
-  private final Map<String, String> ownerOf = new HashMap<>();
+  private final Map<String, String> ownerByMachine = new HashMap<>();
   private final Map<String, Long> offeredMicros = new HashMap<>();
   private final Histogram durations = new Histogram(3);
   private final List<String> lines = new ArrayList<>();
-  private int tasksMoved;
+  private int transferredTasks;
   private int withTasks;
 
   TransferStatistics(Loop loop) {
@@ -31,18 +31,18 @@
   }
 
   /** Evaluates a value that was put into the state service. */
-  void put(String key, JsonNode value) {
+  void onPut(String key, JsonNode value) {
     if (!key.startsWith(PREFIX)) {
       return;
     }
     String machine = key.substring(PREFIX.length());
     String owner = value.path("owner").asText();
     if (value.path("state").asText().equals(OFFERED)) {
-      ownerOf.put(machine, owner);
+      ownerByMachine.put(machine, owner);
       offeredMicros.put(machine, loop.nowMicros());
     } else if (value.path("state").asText().equals(TAKEN)
-        && ownerOf.containsKey(machine)
-        && !owner.equals(ownerOf.get(machine))) {
+        && ownerByMachine.containsKey(machine)
+        && !owner.equals(ownerByMachine.get(machine))) {
       recordTransfer(machine, owner, value);
     }
   }
@@ -54,12 +54,12 @@
     }
     long micros = loop.nowMicros() - offeredMicros.get(machine);
     durations.recordValue(micros);
-    tasksMoved += tasks;
+    transferredTasks += tasks;
     withTasks += tasks > 0 ? 1 : 0;
     lines.add(
         machine
             + " from "
-            + ownerOf.get(machine)
+            + ownerByMachine.get(machine)
             + " to "
             + owner
             + " with "
@@ -67,7 +67,7 @@
             + " tasks in "
             + micros / 1_000
             + " ms");
-    ownerOf.put(machine, owner);
+    ownerByMachine.put(machine, owner);
   }
 
   int count() {
@@ -79,8 +79,8 @@
     return withTasks;
   }
 
-  int tasksMoved() {
-    return tasksMoved;
+  int transferredTasks() {
+    return transferredTasks;
   }
 
   List<String> lines() {
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -46,7 +46,7 @@
       Loop loop,
       Caller caller,
       List<Endpoint> controllers,
-      Map<String, Endpoint> byLabel,
+      Map<String, Endpoint> endpointByLabel,
       TaskResults results,
       long heartbeatMicros,
       long leaseMicros) {}
@@ -60,11 +60,11 @@
   private int controllerIndex;
   private Endpoint controller;
   private long incarnation = 1;
-  private long sequence;
-  private long token;
+  private long sequenceNumber;
+  private long fencingToken;
   private long leaseFromMicros;
   private boolean heartbeatInFlight;
-  private boolean changed;
+  private boolean stateChanged;
   private long lastSentMicros;
   private Loop.Timer timer;
   private boolean removed;
@@ -92,7 +92,7 @@
   /** Ends the worker because the machine was returned to the cloud. */
   void remove() {
     removed = true;
-    tasks.values().forEach(task -> environment.results().taskRemoved(task.name, machine));
+    tasks.values().forEach(task -> environment.results().recordRemoval(task.name, machine));
     tasks.clear();
   }
 
@@ -101,11 +101,11 @@
       return;
     }
     if (loop.nowMicros() - leaseFromMicros > environment.leaseMicros()) {
-      tasks.values().forEach(task -> environment.results().taskRemoved(task.name, machine));
+      tasks.values().forEach(task -> environment.results().recordRemoval(task.name, machine));
       tasks.clear();
       incarnation++;
       leaseFromMicros = loop.nowMicros();
-      environment.results().leaseExpired();
+      environment.results().recordLeaseExpiry();
     }
     loop.after(LEASE_CHECK_MICROS, this::checkLease);
   }
@@ -114,22 +114,22 @@
     if (timer != null) {
       timer.cancel();
     }
-    timer = loop.after(Math.max(0, delayMicros), this::heartbeat);
+    timer = loop.after(Math.max(0, delayMicros), this::sendHeartbeat);
   }
 
-  private void reportSoon() {
-    changed = true;
+  private void sendHeartbeatSoon() {
+    stateChanged = true;
     if (!heartbeatInFlight) {
       schedule(lastSentMicros + MIN_HEARTBEAT_INTERVAL_MICROS - loop.nowMicros());
     }
   }
 
-  private void heartbeat() {
+  private void sendHeartbeat() {
     if (heartbeatInFlight || removed) {
       return;
     }
     heartbeatInFlight = true;
-    changed = false;
+    stateChanged = false;
     lastSentMicros = loop.nowMicros();
     long sentMicros = lastSentMicros;
     long sentIncarnation = incarnation;
@@ -145,7 +145,8 @@
               heartbeatInFlight = false;
               if (status == HttpStatus.OK) {
                 handleResponse(body, sentMicros, sentIncarnation);
-                schedule(changed ? MIN_HEARTBEAT_INTERVAL_MICROS : environment.heartbeatMicros());
+                schedule(
+                    stateChanged ? MIN_HEARTBEAT_INTERVAL_MICROS : environment.heartbeatMicros());
               } else {
                 selectController(status, body);
               }
@@ -156,7 +157,7 @@
     Endpoint named = null;
     if (status == HttpStatus.MISDIRECTED_REQUEST) {
       try {
-        named = environment.byLabel().get(Json.parseObject(body).path("foreman").asText());
+        named = environment.endpointByLabel().get(Json.parseObject(body).path("foreman").asText());
       } catch (InvalidMessageException e) {
         named = null;
       }
@@ -173,13 +174,13 @@
 
   private void handleResponse(byte[] body, long sentMicros, long sentIncarnation) {
     try {
-      ObjectNode answer = Json.parseObject(body);
-      long receivedToken = answer.path("baton").asLong();
-      if (sentIncarnation != incarnation || receivedToken < token) {
+      ObjectNode response = Json.parseObject(body);
+      long receivedToken = response.path("baton").asLong();
+      if (sentIncarnation != incarnation || receivedToken < fencingToken) {
         return;
       }
-      changed |= receivedToken > token;
-      token = receivedToken;
+      stateChanged |= receivedToken > fencingToken;
+      fencingToken = receivedToken;
       leaseFromMicros = Math.max(leaseFromMicros, sentMicros);
       WorkerCommand.parseAnswer(body).forEach(this::execute);
     } catch (InvalidMessageException e) {
@@ -195,13 +196,13 @@
       try {
         ObjectNode request = Json.parseObject(body);
         long receivedToken = request.path("baton").asLong();
-        if (receivedToken < token || request.path("tenure").asLong() != incarnation) {
+        if (receivedToken < fencingToken || request.path("tenure").asLong() != incarnation) {
           out.send(HttpStatus.CONFLICT, new String(heartbeatBody(), StandardCharsets.UTF_8));
           return;
         }
-        if (receivedToken > token) {
-          token = receivedToken;
-          reportSoon();
+        if (receivedToken > fencingToken) {
+          fencingToken = receivedToken;
+          sendHeartbeatSoon();
         }
         WorkerCommand.parseAnswer(body).forEach(this::execute);
       } catch (InvalidMessageException e) {
@@ -246,7 +247,7 @@
     } else {
       loop.after(FETCH_MICROS, () -> startRunning(task));
     }
-    reportSoon();
+    sendHeartbeatSoon();
   }
 
   private boolean isInState(Task task, AttemptState status) {
@@ -256,15 +257,15 @@
   private void startRunning(Task task) {
     if (isInState(task, AttemptState.FETCHING)) {
       task.status = AttemptState.RUNNING;
-      long runMicros = environment.results().started(task.name, machine);
+      long runMicros = environment.results().recordStart(task.name, machine);
       loop.after(runMicros, () -> complete(task));
-      reportSoon();
+      sendHeartbeatSoon();
     }
   }
 
   private void complete(Task task) {
     if (isInState(task, AttemptState.RUNNING)) {
-      environment.results().completed(task.name);
+      environment.results().recordCompletion(task.name);
       end(task, ExitCause.DONE);
     }
   }
@@ -272,8 +273,8 @@
   private void end(Task task, ExitCause cause) {
     task.status = AttemptState.ENDED;
     task.cause = cause;
-    environment.results().taskRemoved(task.name, machine);
-    reportSoon();
+    environment.results().recordRemoval(task.name, machine);
+    sendHeartbeatSoon();
   }
 
   private byte[] heartbeatBody() {
@@ -285,8 +286,8 @@
             .put("site", zone)
             .put("loaners", false)
             .put("tenure", incarnation)
-            .put("tick", ++sequence)
-            .put("baton", token);
+            .put("tick", ++sequenceNumber)
+            .put("baton", fencingToken);
     ArrayNode attempts = heartbeat.putArray("pieces");
     for (Task task : tasks.values()) {
       ObjectNode attempt =
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -49,8 +49,8 @@
       SharingSettings sharing,
       PoolRecordWatch recordWatch,
       TransferSteps steps,
-      Consumer<TransferRecord> adopted) {
-    this.onAdopted = adopted;
+      Consumer<TransferRecord> onAdopted) {
+    this.onAdopted = onAdopted;
     this.context = context;
     this.log = context.logs().of(DeadShardAdoption.class);
     this.sharing = sharing;
@@ -85,7 +85,7 @@
 
   /** Updates since when each shard has had no leader; a stale view restarts the count. */
   void watchLeaders() {
-    boolean fresh = now() - recordWatch.knownMicros() < MAX_VIEW_AGE_MICROS;
+    boolean fresh = now() - recordWatch.lastReadMicros() < MAX_VIEW_AGE_MICROS;
     for (SharingSettings.Shard shard : sharing.otherShards()) {
       if (!fresh || view.leader(shard.name()).isPresent()) {
         leaderlessSince.remove(shard.name());
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -26,7 +26,7 @@
   private final Set<String> jobsToRead = new HashSet<>();
   private final Set<String> ended = new HashSet<>();
   private long storeRevision = -1;
-  private long knownMicros = Long.MIN_VALUE / 4;
+  private long lastReadMicros = Long.MIN_VALUE / 4;
   private boolean watching;
   private boolean closed;
 
@@ -71,8 +71,8 @@
    * shows which of the watched jobs have ended. The time lies in the distant past while a watched
    * job has not been read yet.
    */
-  long endsKnownMicros() {
-    return jobsToRead.isEmpty() ? knownMicros : Long.MIN_VALUE / 4;
+  long endedJobsReadMicros() {
+    return jobsToRead.isEmpty() ? lastReadMicros : Long.MIN_VALUE / 4;
   }
 
   /**
@@ -96,7 +96,7 @@
                 return;
               }
               storeRevision = now.getAsLong();
-              knownMicros = sent;
+              lastReadMicros = sent;
               jobsToRead.addAll(watched);
               Set.copyOf(jobsToRead).forEach(this::readJob);
               pollWatch();
@@ -151,7 +151,7 @@
                 context.loop().after(RETRY_MICROS, this::pollWatch);
               } else {
                 storeRevision = Math.max(storeRevision, response.storeRevision());
-                knownMicros = sent;
+                lastReadMicros = sent;
                 for (StateClient.KeyEvent event : response.events()) {
                   String uid = event.key().substring(prefix.length());
                   if (event.deleted() && watched.contains(uid)) {
--- a/src/main/java/plumlever/leader/pool/ForeignTasks.java
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -309,17 +309,18 @@
       return ForeignTaskEvidence.NONE;
     }
     boolean anyRunning = false;
-    long knownMicros = Long.MAX_VALUE;
+    long endedJobsReadMicros = Long.MAX_VALUE;
     for (Map.Entry<String, TasksOfShard> entry : machineForeignTasks.byShard.entrySet()) {
       boolean running =
           entry.getValue().tasks.keySet().stream()
               .anyMatch(attempt -> !machineForeignTasks.ended.contains(attempt));
       if (running) {
         anyRunning = true;
-        knownMicros = Math.min(knownMicros, watch(entry.getKey()).endsKnownMicros());
+        endedJobsReadMicros =
+            Math.min(endedJobsReadMicros, watch(entry.getKey()).endedJobsReadMicros());
       }
     }
-    return new ForeignTaskEvidence(anyRunning, knownMicros);
+    return new ForeignTaskEvidence(anyRunning, endedJobsReadMicros);
   }
 
   /**
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -92,13 +92,13 @@
    * at most the team's limit.
    */
   private double coresNeeded(PlatformConfiguration.Team team) {
-    double waiting = 0;
+    double pendingCores = 0;
     for (Job job : jobs.all()) {
       if (job.spec().team().equals(team.name()) && !job.over() && !job.waitsForDependencies()) {
-        waiting += job.pendingCount() * job.spec().cores();
+        pendingCores += job.pendingCount() * job.spec().cores();
       }
     }
-    return Math.min(team.maxCores(), failover.coresHeld(team.name()) + waiting);
+    return Math.min(team.maxCores(), failover.coresHeld(team.name()) + pendingCores);
   }
 
   /** Splits the limits that have no record of parts yet, and moves spare cores to other shards. */
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -206,9 +206,10 @@
     for (SharingSettings.Shard shard : sharing.otherShards()) {
       stateOf(shard).ifPresent(shards::add);
     }
-    for (SharePolicy.Move move : SharePolicy.plan(shards, sharing.maxTransfers())) {
-      if (move.from().equals(ownShard) && remainingOffers > 0) {
-        remainingOffers -= offerMachines(move.to(), Math.min(remainingOffers, move.machines()));
+    for (SharePolicy.PlannedTransfer transfer : SharePolicy.plan(shards, sharing.maxTransfers())) {
+      if (transfer.from().equals(ownShard) && remainingOffers > 0) {
+        remainingOffers -=
+            offerMachines(transfer.to(), Math.min(remainingOffers, transfer.machines()));
       }
     }
   }
--- a/src/main/java/plumlever/leader/pool/OfferAcceptance.java
+++ b/src/main/java/plumlever/leader/pool/OfferAcceptance.java
@@ -69,9 +69,9 @@
       }
     }
     for (List<String> group : groups.values()) {
-      for (List<String> part : Lists.partition(group, steps.maxMachinesPerTransaction())) {
+      for (List<String> batch : Lists.partition(group, steps.maxMachinesPerTransaction())) {
         openTransactions++;
-        if (!steps.step(part, () -> buildTransaction(part), this::acquireWithoutForeignTasks)) {
+        if (!steps.step(batch, () -> buildTransaction(batch), this::acquireWithoutForeignTasks)) {
           openTransactions--;
         }
       }
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -153,7 +153,7 @@
    * Removes returned machines from the owner records, and marks their transfer records as gone so
    * that the originating shards of foreign tasks learn of the return.
    */
-  void returned(List<Machine> machines) {
+  void recordReturned(List<Machine> machines) {
     for (List<String> group : groupByRecord(machines.stream().map(Machine::id).toList()).values()) {
       writer.submit(
           new PoolWriter.Step() {
--- a/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
+++ b/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
@@ -18,7 +18,7 @@
   private final Logger log;
   private final PrefixWatch watch;
   private final PoolView view = new PoolView();
-  private long knownMicros = Long.MIN_VALUE / 4;
+  private long lastReadMicros = Long.MIN_VALUE / 4;
 
   /**
    * @param changed runs after records have changed
@@ -36,13 +36,13 @@
               @Override
               public void listed(StateClient.Listing listing, long sentMicros) {
                 applyListing(listing);
-                knownMicros = sentMicros;
+                lastReadMicros = sentMicros;
                 changed.run();
               }
 
               @Override
               public void changed(List<StateClient.KeyEvent> changes, long sentMicros) {
-                knownMicros = sentMicros;
+                lastReadMicros = sentMicros;
                 changes.forEach(PoolRecordWatch.this::apply);
                 if (!changes.isEmpty()) {
                   changed.run();
@@ -56,18 +56,18 @@
   }
 
   /** Returns the send time of the latest answered read: the view is at least that recent. */
-  long knownMicros() {
-    return knownMicros;
+  long lastReadMicros() {
+    return lastReadMicros;
   }
 
   /**
    * Loads the records read at the start of the term, and watches for changes from there.
    *
-   * @param askedMicros when the read was sent
+   * @param sentMicros when the read was sent
    */
-  void load(StateClient.Listing listing, long askedMicros) {
+  void load(StateClient.Listing listing, long sentMicros) {
     applyListing(listing);
-    knownMicros = askedMicros;
+    lastReadMicros = sentMicros;
     watch.watchFrom(listing.storeRevision());
   }
 
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -68,14 +68,14 @@
       SchedulingPass pass,
       Failover failover,
       CommandSender commands,
-      Runnable changed) {
+      Runnable onChange) {
     this.context = context;
     this.log = context.logs().of(PoolSharing.class);
     this.sharing = sharing;
     this.fleet = fleet;
     this.registry = registry;
     this.heartbeats = heartbeats;
-    this.onChange = changed;
+    this.onChange = onChange;
     this.recordWatch = new PoolRecordWatch(context, this::recordsChanged);
     this.view = recordWatch.view();
     this.writer = new PoolWriter(context, recordWatch, this::recordsChanged);
@@ -109,8 +109,8 @@
   }
 
   @Override
-  public void poolRecordsRead(StateClient.Listing pool, long askedMicros) {
-    recordWatch.load(pool, askedMicros);
+  public void poolRecordsRead(StateClient.Listing pool, long sentMicros) {
+    recordWatch.load(pool, sentMicros);
     poolRecordsRead = true;
     List<String> unclaimed = new ArrayList<>();
     for (Machine machine : List.copyOf(fleet.machines())) {
@@ -202,7 +202,7 @@
       return true;
     }
     boolean viewIsOld =
-        context.loop().nowMicros() - recordWatch.knownMicros()
+        context.loop().nowMicros() - recordWatch.lastReadMicros()
             > MachineTransfers.MAX_VIEW_AGE_MICROS;
     if (machine != null && machine.transferring() && viewIsOld) {
       out.retryLater(HttpStatus.UNAVAILABLE, "the machine may have another owner by now", 1);
@@ -224,7 +224,7 @@
   @Override
   public void machinesReturned(List<Machine> machines) {
     machines.forEach(foreignTasks::remove);
-    claims.returned(machines);
+    claims.recordReturned(machines);
   }
 
   @Override
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -35,11 +35,11 @@
   private boolean stepInProgress;
   private boolean closed;
 
-  PoolWriter(TermContext context, PoolRecordWatch recordWatch, Runnable changed) {
+  PoolWriter(TermContext context, PoolRecordWatch recordWatch, Runnable onChange) {
     this.context = context;
     this.log = context.logs().of(PoolWriter.class);
     this.recordWatch = recordWatch;
-    this.onChange = changed;
+    this.onChange = onChange;
   }
 
   /** Queues the step. Returns false if the queue is full; the caller retries later. */
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -46,11 +46,11 @@
   private final Set<String> inProgress = new HashSet<>();
 
   /**
-   * @param own this shard's name
+   * @param ownShard this shard's name
    */
-  TransferSteps(TermContext context, String own, PoolView view, PoolWriter writer) {
+  TransferSteps(TermContext context, String ownShard, PoolView view, PoolWriter writer) {
     this.context = context;
-    this.ownShard = own;
+    this.ownShard = ownShard;
     this.view = view;
     this.writer = writer;
   }
--- a/src/main/java/plumlever/sharing/SharePolicy.java
+++ b/src/main/java/plumlever/sharing/SharePolicy.java
@@ -27,7 +27,7 @@
       String name, int floor, double weight, int machines, int idle, int wanted) {}
 
   /** A number of machines that one shard is to transfer to another. */
-  public record Move(String from, String to, int machines) {}
+  public record PlannedTransfer(String from, String to, int machines) {}
 
   /**
    * A shard transfers machines in use only while it exceeds its share by more than this fraction of
@@ -81,9 +81,9 @@
   /**
    * Returns the transfers to start now.
    *
-   * @param maxPerMove largest number of machines that one shard transfers to another
+   * @param maxPerTransfer largest number of machines that one shard transfers to another
    */
-  public static List<Move> plan(List<ShardState> shards, int maxPerMove) {
+  public static List<PlannedTransfer> plan(List<ShardState> shards, int maxPerTransfer) {
     List<ShardBalance> balances = new ArrayList<>();
     shards.stream()
         .sorted(Comparator.comparing(ShardState::name))
@@ -93,23 +93,24 @@
         Comparator.comparingDouble(ShardBalance::shareDeficit)
             .reversed()
             .thenComparing(target -> target.shard.name()));
-    List<Move> moves = new ArrayList<>();
+    List<PlannedTransfer> transfers = new ArrayList<>();
     for (ShardBalance target : targets) {
       for (ShardBalance source : balances) {
         if (source != target) {
-          int count = moveMachines(source, target, maxPerMove);
+          int count = transferMachines(source, target, maxPerTransfer);
           if (count > 0) {
-            moves.add(new Move(source.shard.name(), target.shard.name(), count));
+            transfers.add(new PlannedTransfer(source.shard.name(), target.shard.name(), count));
           }
         }
       }
     }
-    return moves;
+    return transfers;
   }
 
-  private static int moveMachines(ShardBalance source, ShardBalance target, int maxPerMove) {
+  private static int transferMachines(
+      ShardBalance source, ShardBalance target, int maxPerTransfer) {
     int count = 0;
-    while (count < maxPerMove && target.wanted > 0) {
+    while (count < maxPerTransfer && target.wanted > 0) {
       if (source.canGiveIdle()) {
         source.idle--;
       } else if (!(target.machines < target.share && source.canGiveUsed())) {
--- a/src/main/java/plumlever/warmup/InMemoryMachines.java
+++ b/src/main/java/plumlever/warmup/InMemoryMachines.java
@@ -136,13 +136,13 @@
     return ageMicros > FETCH_MICROS ? "running" : "pulling";
   }
 
-  void executeCommands(String machineId, String answer) {
+  void executeCommands(String machineId, String response) {
     InMemoryMachine machine = machinesById.get(machineId);
     ObjectNode commands;
     try {
-      commands = Json.parseObject(answer);
+      commands = Json.parseObject(response);
     } catch (InvalidMessageException e) {
-      throw new IllegalStateException("unreadable response of the controller: " + answer, e);
+      throw new IllegalStateException("unreadable response of the controller: " + response, e);
     }
     machine.fencingToken =
         Math.max(machine.fencingToken, commands.path(ProtocolField.FENCING_TOKEN).asLong());
--- a/src/main/java/plumlever/warmup/InMemoryStateService.java
+++ b/src/main/java/plumlever/warmup/InMemoryStateService.java
@@ -146,8 +146,8 @@
   }
 
   private void watch(String prefix, long since, boolean mayWait, WarmUpServices.Reply reply) {
-    ObjectNode answer = Json.object().put(STORE_REVISION, storeRevision);
-    ArrayNode found = answer.putArray("log");
+    ObjectNode response = Json.object().put(STORE_REVISION, storeRevision);
+    ArrayNode found = response.putArray("log");
     for (Event event : events) {
       if (event.revision > since && event.key.startsWith(prefix)) {
         found.add(json(event));
@@ -156,7 +156,7 @@
     if (found.isEmpty() && mayWait) {
       loop.after(MAX_WAIT_MICROS, () -> watch(prefix, since, false, reply));
     } else {
-      reply.send(HttpStatus.OK, Json.write(answer));
+      reply.send(HttpStatus.OK, Json.write(response));
     }
   }
 
--- a/src/main/java/plumlever/warmup/WarmUpLoop.java
+++ b/src/main/java/plumlever/warmup/WarmUpLoop.java
@@ -6,26 +6,27 @@
 
 /** An event loop with a simulated clock: each step advances the clock to the next event. */
 final class WarmUpLoop implements Loop {
-  private record Event(long at, long seq, Runnable action) {}
+  private record Event(long dueMicros, long sequenceNumber, Runnable action) {}
 
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::seq));
+      new PriorityQueue<>(
+          Comparator.comparingLong(Event::dueMicros).thenComparingLong(Event::sequenceNumber));
   private final long wallStartMicros;
   private long now;
-  private long seq;
+  private long nextSequenceNumber;
 
-  WarmUpLoop(long wallFromMicros) {
-    this.wallStartMicros = wallFromMicros;
+  WarmUpLoop(long wallStartMicros) {
+    this.wallStartMicros = wallStartMicros;
   }
 
   /** Runs the next event that is due by the given time; returns false if there is none. */
   boolean runNextEvent(long untilMicros) {
     Event event = events.peek();
-    if (event == null || event.at > untilMicros) {
+    if (event == null || event.dueMicros > untilMicros) {
       return false;
     }
     events.poll();
-    now = Math.max(now, event.at);
+    now = Math.max(now, event.dueMicros);
     event.action.run();
     return true;
   }
@@ -46,7 +47,7 @@
     events.add(
         new Event(
             now + Math.max(0, delayMicros),
-            seq++,
+            nextSequenceNumber++,
             () -> {
               if (!cancelled[0]) {
                 action.run();
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -55,8 +55,8 @@
   }
 
   /** Executes the commands of a heartbeat response or a direct call on the machine. */
-  public void command(String machine, String answer) {
-    machines.executeCommands(machine, answer);
+  public void command(String machine, String response) {
+    machines.executeCommands(machine, response);
   }
 
   /** Handles a request to the state service or the cloud. */
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -122,7 +122,7 @@
 
   /** Returns a caller that discards calls once the term is over, like a process that has ended. */
   private Caller caller(int term) {
-    return (to, method, path, body, timeout, answer) ->
+    return (to, method, path, body, timeout, handler) ->
         loop.after(
             LATENCY_MICROS,
             () -> {
@@ -132,20 +132,20 @@
               if (path.equals(ProtocolPath.COMMANDS)) {
                 String machineId = services.machineAt(to.toString());
                 services.command(machineId, new String(body, StandardCharsets.UTF_8));
-                answer.handle(HttpStatus.OK, services.heartbeat(machineId));
+                handler.handle(HttpStatus.OK, services.heartbeat(machineId));
               } else {
-                services.handle(method, path, body, replyTo(term, answer));
+                services.handle(method, path, body, replyTo(term, handler));
               }
             });
   }
 
-  private WarmUpServices.Reply replyTo(int term, Caller.ResponseHandler answer) {
+  private WarmUpServices.Reply replyTo(int term, Caller.ResponseHandler handler) {
     return (status, text) ->
         loop.after(
             LATENCY_MICROS,
             () -> {
               if (term == terms) {
-                answer.handle(status, text.getBytes(StandardCharsets.UTF_8));
+                handler.handle(status, text.getBytes(StandardCharsets.UTF_8));
               }
             });
   }
--- a/src/test/java/plumlever/drill/SharingDrillTest.java
+++ b/src/test/java/plumlever/drill/SharingDrillTest.java
@@ -14,7 +14,7 @@
   private static final int MACHINES = 6;
 
   @Test
-  void machinesMoveBetweenProcessesAndNoResultIsLostOrProducedTwice() throws Exception {
+  void machinesAreTransferredAndNoResultIsLostOrProducedTwice() throws Exception {
     SharingDrill.Outcome outcome =
         SharingDrill.run(new SharingDrill.Plan(SECONDS, MACHINES, 3, List.of(), true, 2));
     assertTrue(outcome.passed(), String.join("\n", outcome.lines()));
--- a/src/test/java/plumlever/sharing/PoolRecordsTest.java
+++ b/src/test/java/plumlever/sharing/PoolRecordsTest.java
@@ -84,9 +84,9 @@
     assertThrows(
         InvalidMessageException.class,
         () -> {
-          var broken = Json.object();
-          broken.putObject("sets").put("a", "AAAA");
-          OwnerRecord.parse(broken);
+          var malformed = Json.object();
+          malformed.putObject("sets").put("a", "AAAA");
+          OwnerRecord.parse(malformed);
         });
     assertThrows(
         InvalidMessageException.class,
--- a/src/test/java/plumlever/sharing/SharePolicyTest.java
+++ b/src/test/java/plumlever/sharing/SharePolicyTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import plumlever.sharing.SharePolicy.Move;
+import plumlever.sharing.SharePolicy.PlannedTransfer;
 import plumlever.sharing.SharePolicy.ShardState;
 
 /** Compares the policy with a simple reference implementation and checks its guarantees. */
@@ -28,8 +28,8 @@
         wanted);
   }
 
-  /** Reference implementation: moves one machine at a time and recomputes all conditions. */
-  private static List<Move> referencePlan(List<ShardState> shards, int maxPerMove) {
+  /** Reference implementation: transfers one machine at a time and recomputes all conditions. */
+  private static List<PlannedTransfer> referencePlan(List<ShardState> shards, int maxPerTransfer) {
     Map<String, ShardState> state = new HashMap<>();
     List<String> names = new ArrayList<>();
     shards.forEach(shard -> state.put(shard.name(), shard));
@@ -43,11 +43,11 @@
           double second = share.get(other) - state.get(other).machines();
           return first == second ? one.compareTo(other) : Double.compare(second, first);
         });
-    List<Move> moves = new ArrayList<>();
+    List<PlannedTransfer> transfers = new ArrayList<>();
     for (String target : targets) {
       for (String source : names) {
         int count = 0;
-        for (int i = 0; i < maxPerMove && !source.equals(target); i++) {
+        for (int i = 0; i < maxPerTransfer && !source.equals(target); i++) {
           ShardState from = state.get(source);
           ShardState to = state.get(target);
           boolean idle = from.idle() > 0 && from.machines() > from.floor();
@@ -64,11 +64,11 @@
           count++;
         }
         if (count > 0) {
-          moves.add(new Move(source, target, count));
+          transfers.add(new PlannedTransfer(source, target, count));
         }
       }
     }
-    return moves;
+    return transfers;
   }
 
   private static ShardState changed(ShardState shard, int machines, int idle, int wanted) {
@@ -84,20 +84,20 @@
   @Test
   void matchesReferenceForAnyOrderOfShards() {
     SplittableRandom random = new SplittableRandom(7);
-    int roundsWithMoves = 0;
+    int roundsWithTransfers = 0;
     for (int round = 0; round < 3_000; round++) {
       List<ShardState> shards = new ArrayList<>();
       for (String name : List.of("a", "b", "c", "d").subList(0, 2 + random.nextInt(3))) {
         shards.add(random(name, random));
       }
-      int maxPerMove = 1 + random.nextInt(10);
-      List<Move> planned = SharePolicy.plan(shards, maxPerMove);
-      assertEquals(referencePlan(shards, maxPerMove), planned, shards.toString());
+      int maxPerTransfer = 1 + random.nextInt(10);
+      List<PlannedTransfer> planned = SharePolicy.plan(shards, maxPerTransfer);
+      assertEquals(referencePlan(shards, maxPerTransfer), planned, shards.toString());
       Collections.shuffle(shards, new Random(round));
-      assertEquals(planned, SharePolicy.plan(shards, maxPerMove), shards.toString());
-      roundsWithMoves += planned.isEmpty() ? 0 : 1;
+      assertEquals(planned, SharePolicy.plan(shards, maxPerTransfer), shards.toString());
+      roundsWithTransfers += planned.isEmpty() ? 0 : 1;
     }
-    assertTrue(roundsWithMoves > 500, "rounds with moves: " + roundsWithMoves);
+    assertTrue(roundsWithTransfers > 500, "rounds with transfers: " + roundsWithTransfers);
   }
 
   @Test
@@ -107,26 +107,27 @@
       List<ShardState> shards =
           List.of(random("a", random), random("b", random), random("c", random));
       Map<String, Integer> change = new HashMap<>();
-      for (Move move : SharePolicy.plan(shards, 50)) {
-        change.merge(move.from(), -move.machines(), Integer::sum);
-        change.merge(move.to(), move.machines(), Integer::sum);
+      for (PlannedTransfer transfer : SharePolicy.plan(shards, 50)) {
+        change.merge(transfer.from(), -transfer.machines(), Integer::sum);
+        change.merge(transfer.to(), transfer.machines(), Integer::sum);
       }
       for (ShardState shard : shards) {
-        int moved = change.getOrDefault(shard.name(), 0);
-        assertTrue(moved <= shard.wanted(), shards + " " + change);
-        assertTrue(moved >= 0 || shard.machines() + moved >= shard.floor(), shards + " " + change);
+        int received = change.getOrDefault(shard.name(), 0);
+        assertTrue(received <= shard.wanted(), shards + " " + change);
+        assertTrue(
+            received >= 0 || shard.machines() + received >= shard.floor(), shards + " " + change);
       }
     }
   }
 
   @Test
-  void machinesInUseMoveOnlyFromAboveTheShareByMoreThanTheHysteresis() {
+  void onlyShardsFarAboveTheirShareTransferMachinesInUse() {
     ShardState target = new ShardState("b", 0, 1, 9, 0, 5);
     assertEquals(
         List.of(), SharePolicy.plan(List.of(new ShardState("a", 0, 1, 10, 0, 0), target), 5));
     ShardState small = new ShardState("b", 0, 1, 4, 0, 5);
     assertEquals(
-        List.of(new Move("a", "b", 5)),
+        List.of(new PlannedTransfer("a", "b", 5)),
         SharePolicy.plan(List.of(new ShardState("a", 0, 1, 20, 0, 3), small), 5));
   }
 
@@ -141,7 +142,7 @@
   }
 
   @Test
-  void limitPartsNeverExceedTheLimitAndMoveWhole() {
+  void limitPartsAddUpToTheLimitAndMoveInWholeCores() {
     Map<String, Double> weights = Map.of("a", 1.0, "b", 2.0, "c", 0.5);
     LimitParts parts = LimitParts.split(100, 3, weights);
     double cores = parts.byShard().values().stream().mapToDouble(LimitParts.Part::cores).sum();
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -173,16 +173,16 @@
     MACHINE
   }
 
-  private void cut(String shard, Link link, boolean on) {
+  private void setPartitioned(String shard, Link link, boolean partitioned) {
     for (SimulatedController controller : cluster.shard(shard)) {
       String label = controller.platform.label();
       switch (link) {
-        case STATE_SERVICE -> cluster.network.cut(label, "state", on);
-        case MACHINE -> cluster.network.cut(label, machine, on);
+        case STATE_SERVICE -> cluster.network.cut(label, "state", partitioned);
+        case MACHINE -> cluster.network.cut(label, machine, partitioned);
         case PEERS ->
             cluster.controllers.keySet().stream()
                 .filter(other -> !other.equals(label))
-                .forEach(other -> cluster.network.cut(label, other, on));
+                .forEach(other -> cluster.network.cut(label, other, partitioned));
       }
     }
   }
@@ -199,16 +199,16 @@
   void shardLosesLinkDuringTransfer(Link link, String shard) {
     for (int step = 1; step <= 2; step++) {
       startWithRunningTasks(60 + step, 30);
-      pool.beforeTransferStep(step, () -> cut(shard, link, true));
+      pool.beforeTransferStep(step, () -> setPartitioned(shard, link, true));
       pool.transfer(SOURCE, machine, TARGET);
       cluster.play(15);
-      cut(shard, link, false);
+      setPartitioned(shard, link, false);
       pool.assertAllJobsEnd(250);
     }
   }
 
   @Test
-  void lateCommandsOfFormerOwnerStartNothing() {
+  void lateDuplicateCommandsOfFormerOwnerStartNoTask() {
     for (int seed = 70; seed < 74; seed++) {
       pool = new PoolScenario(seed, 0, 9);
       cluster = pool.cluster;
@@ -227,7 +227,7 @@
   }
 
   @Test
-  void delayedHeartbeatsReachFormerOwner() {
+  void lateDuplicateHeartbeatsReachFormerOwner() {
     startWithRunningTasks(75, 25);
     cluster.network.copiedHeartbeatShare = 1;
     pool.transfer(SOURCE, machine, TARGET);
@@ -241,7 +241,7 @@
   }
 
   @Test
-  void machineHangsBeyondLeaseDuringTransfer() {
+  void workerHangsBeyondLeaseDuringTransfer() {
     startWithRunningTasks(76, 25);
     FakeWorker worker = pool.worker(machine);
     pool.beforeTransferStep(2, () -> worker.hung = true);
@@ -253,7 +253,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2})
-  void machineDiesDuringTransfer(int step) {
+  void machineFailsDuringTransfer(int step) {
     startWithRunningTasks(77, 25);
     pool.beforeTransferStep(step, () -> pool.worker(machine).die());
     pool.transfer(SOURCE, machine, TARGET);
@@ -405,7 +405,7 @@
    * they must not report such a job as unknown.
    */
   @Test
-  void controllersWithoutSharingFileNeitherLeadNorAnswer() {
+  void controllersWithoutSharingFileNeitherLeadNorServeUsers() {
     startWithRunningTasks(83, 60);
     pool.transfer(SOURCE, machine, TARGET);
     cluster.play(3);
@@ -432,7 +432,7 @@
   }
 
   @Test
-  void teamLimitsHoldAcrossPoolWhileLimitSharesMove() {
+  void teamLimitsHoldAcrossPoolWhilePartsOfLimitsMove() {
     pool = new PoolScenario(84, 24, 12);
     cluster = pool.cluster;
     for (String controller : List.of("n0", "n2", "n4")) {
@@ -456,7 +456,7 @@
    * response to the transaction nor the change through its watch.
    */
   @Test
-  void limitShareTransferredWithoutAnswerIsNotUsed() {
+  void coresMovedWithoutResponseAreNotUsed() {
     pool = new PoolScenario(86, 24, 12);
     cluster = pool.cluster;
     cluster.play(20);
@@ -478,7 +478,7 @@
   }
 
   @Test
-  void anyControllerAnswersForAnyJob() {
+  void anyControllerServesRequestsForAnyJob() {
     startWithRunningTasks(85, 15);
     pool.users.closeLooks = true;
     JobSpec job = pool.submit("n4", 6, 5);
--- a/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
@@ -91,11 +91,11 @@
     SimulationTest.calm(cluster);
     cluster.play(400);
     assertTrue(
-        transferCount(cluster) >= 5,
-        "machine transfers and leader terms: " + transferCount(cluster));
+        transferAndTermCount(cluster) >= 5,
+        "machine transfers and leader terms: " + transferAndTermCount(cluster));
     SimulationTest.assertAllServed(cluster, users, JOBS);
     assertEquals(0, cluster.store.count("pool/transfers/"), "transfer records that remain");
-    Map<String, Integer> limitShareSums = new TreeMap<>();
+    Map<String, Integer> limitPartSums = new TreeMap<>();
     cluster
         .store
         .values("pool/limits/")
@@ -105,10 +105,10 @@
                     .path("parts")
                     .properties()
                     .forEach(
-                        share ->
-                            limitShareSums.merge(
-                                "all", share.getValue().path(0).asInt(), Integer::sum)));
-    assertEquals(Map.of("all", 48), limitShareSums, "sum of the parts of the only team limit");
+                        part ->
+                            limitPartSums.merge(
+                                "all", part.getValue().path(0).asInt(), Integer::sum)));
+    assertEquals(Map.of("all", 48), limitPartSums, "sum of the parts of the only team limit");
   }
 
   /**
@@ -116,7 +116,7 @@
    * and the leaders' terms. The metrics of the controllers can't be used: a controller that
    * restarts loses its metrics.
    */
-  private static int transferCount(SimulatedCluster cluster) {
+  private static int transferAndTermCount(SimulatedCluster cluster) {
     return cluster.store.changesOf("pool/term");
   }
 }
