--- a/src/main/java/plumlever/drill/CloudEmulator.java
+++ b/src/main/java/plumlever/drill/CloudEmulator.java
@@ -11,7 +11,7 @@
 import plumlever.wire.Json;
 
 /**
- * Emulates the cloud by its protocol. All machines are rented from the start, and further rentals
+ * Emulates the protocol of the cloud. All machines are rented from the start, and further rentals
  * are refused for lack of capacity.
  */
 final class CloudEmulator {
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -18,7 +18,7 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Emulates the worker of one machine by its protocol. {@link TaskResults} determines how long the
+ * Emulates the protocol of the worker of one machine. {@link TaskResults} determines how long the
  * tasks run.
  */
 final class WorkerEmulator {
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -11,7 +11,7 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Watches the state service for the end of another shard's jobs that have foreign tasks on this
+ * Watches the state service for the ends of another shard's jobs that have foreign tasks on this
  * shard's machines. The leases of these machines are renewed only while this leader would learn in
  * time of a cancellation that the other shard has confirmed.
  */
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -39,7 +39,7 @@
   private static final long OFFER_TIMEOUT_MICROS = 8_000_000;
 
   /**
-   * The owner answers heartbeats of an offered machine only while its view of the pool is at most
+   * The owner accepts heartbeats of an offered machine only while its view of the pool is at most
    * this old. A new owner thus knows how long the former owner may have renewed the lease.
    */
   static final long MAX_VIEW_AGE_MICROS = 5_000_000;
@@ -113,7 +113,7 @@
     return offeredMicros.size();
   }
 
-  /** Returns the number of machines offered to the given shard that it has not yet accepted. */
+  /** Returns the number of machines that are offered to the given shard and not yet accepted. */
   int offeredTo(String shard) {
     return (int)
         offeredMicros.keySet().stream()
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -53,7 +53,7 @@
     return shard + RETIRED_SUFFIX;
   }
 
-  /** Returns true for a machine that this shard, or an earlier leader of it, has retired. */
+  /** Returns true for a machine that this shard has retired, under this or an earlier leader. */
   boolean isRetired(String machine) {
     return view.holder(machine).equals(Optional.of(retiredHolder(ownShard)));
   }
--- a/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
+++ b/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
@@ -97,8 +97,8 @@
   /**
    * Applies a read that found no record under the key.
    *
-   * @param revisionBefore known revision of the key when the read was sent: a record that was
-   *     stored after that is kept
+   * @param revisionBefore known revision of the key when the read was sent; a record with a later
+   *     revision is kept
    */
   void markAbsent(String key, long revisionBefore) {
     try {
--- a/src/main/java/plumlever/sharing/PoolView.java
+++ b/src/main/java/plumlever/sharing/PoolView.java
@@ -95,8 +95,8 @@
   /**
    * Applies a read that found no record under the key.
    *
-   * @param revisionBefore known revision of the key when the read was sent: a record that was
-   *     stored after that is kept
+   * @param revisionBefore known revision of the key when the read was sent; a record with a later
+   *     revision is kept
    */
   public void markAbsent(String key, long revisionBefore) throws InvalidMessageException {
     if (revisionBefore != 0 && revisionOf(key) == revisionBefore) {
--- a/src/main/java/plumlever/sharing/ShardDemand.java
+++ b/src/main/java/plumlever/sharing/ShardDemand.java
@@ -11,7 +11,7 @@
  * correctness depends on it.
  *
  * @param machines number of machines that the shard owns, up or booting
- * @param idle number of these machines that are idle
+ * @param idle number of these machines that are idle; 0 while the shard has a shortage
  * @param wanted number of machines that the shard is short of
  * @param digest digest of the shard's sharing file
  * @param coresWanted by team, the cores that the shard needs beyond its part of the team's limit
--- a/src/main/java/plumlever/sharing/SharePolicy.java
+++ b/src/main/java/plumlever/sharing/SharePolicy.java
@@ -20,7 +20,7 @@
    * @param floor number of machines that the shard keeps in any case
    * @param weight weight for the share of the machines above all floors
    * @param machines number of machines that the shard owns
-   * @param idle number of these machines that are idle
+   * @param idle number of these machines that are idle and can be transferred
    * @param wanted number of machines that the shard is short of
    */
   public record ShardState(
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -30,7 +30,8 @@
  * record then lists the machine.
  *
  * @param incarnation incarnation of the worker when the machine was offered
- * @param number number from the pool's counter, the term in the current owner's fencing tokens
+ * @param number number from the pool's counter; the fencing tokens of the current owner have it as
+ *     their term, or a higher term
  * @param tasksByShard foreign tasks by originating shard
  */
 public record TransferRecord(
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -27,6 +27,7 @@
           new SharingSettings.Shard(TARGET, "north/", Set.of("n2", "n3"), 0, 1),
           new SharingSettings.Shard(THIRD, "west/", Set.of("n4", "n5"), 0, 1));
 
+  /** Simulated time after which the shards have claimed all machines. */
   private static final double MACHINES_CLAIMED_AFTER_S = 40;
 
   final SimulatedCluster cluster;
--- a/src/test/java/plumlever/sim/SharingBenchmark.java
+++ b/src/test/java/plumlever/sim/SharingBenchmark.java
@@ -147,7 +147,7 @@
         allDone = cluster.now() - startMicros;
       }
     }
-    return "first transfer %s, first start on moved machine %s, all tasks done %s, %d transfers"
+    return "first transfer %s, first start on received machine %s, all tasks done %s, %d transfers"
         .formatted(
             seconds(firstTransfer),
             seconds(firstStart),
--- a/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
@@ -22,7 +22,9 @@
       List.of(PoolScenario.SOURCE, PoolScenario.TARGET, PoolScenario.THIRD);
   private static final int JOBS = 40;
 
-  /** Seeds; {@code -Dplumlever.pool.first=F -Dplumlever.pool.seeds=N} selects others. */
+  /**
+   * Returns the seeds; {@code -Dplumlever.pool.first=F -Dplumlever.pool.seeds=N} selects others.
+   */
   static LongStream seeds() {
     long first = Long.getLong("plumlever.pool.first", 1);
     return LongStream.range(first, first + Integer.getInteger("plumlever.pool.seeds", 8));
--- a/src/test/java/plumlever/sim/SharingTest.java
+++ b/src/test/java/plumlever/sim/SharingTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The sharing policy transfers machines to the shard that needs them. */
+/** Tests that the sharing policy transfers machines to the shard that needs them. */
 final class SharingTest {
   @Test
   void policyTransfersMachinesToShardWithDemand() {
