--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -30,12 +30,13 @@
 /**
  * An end-to-end drill of machine sharing. Three controllers of three shards run as separate
  * processes against emulators of the state service, the cloud, the workers and the users. The load
- * shifts from shard to shard, so that machines move between the shards. In addition the drill
- * transfers machines with running tasks, and kills or pauses controllers during such transfers.
+ * shifts from shard to shard, so that the shards transfer machines to each other. In addition the
+ * drill requests transfers of machines with running tasks, and kills or pauses controllers during
+ * such transfers.
  *
  * <p>The drill passes if every job is done, each result was produced exactly once, no two attempts
- * of a task ran at the same time, no transfer caused a restart of a task, and all transfers are
- * settled.
+ * of a task ran at the same time, no task was restarted unless a lease expired, all transfers are
+ * settled, and there were at least as many transfers as the plan requires.
  */
 public final class SharingDrill {
   /**
@@ -126,7 +127,7 @@
         new UndertowCaller(
             loop, worker.getIoThread(), new DefaultByteBufferPool(false, BUFFER_BYTES, BUFFERS, 4));
     this.transfers = new TransferStatistics(loop);
-    this.state = new StateServiceEmulator(loop, transfers::put);
+    this.state = new StateServiceEmulator(loop, transfers::onPut);
     this.cloud = new CloudEmulator(machine -> workers.get(machine).remove());
   }
 
@@ -205,16 +206,16 @@
 
   /** Starts users and workers. This method and all methods below run on the event loop. */
   private void start() {
-    Map<String, Endpoint> byLabel = new HashMap<>();
-    List<Endpoint> front = new ArrayList<>();
+    Map<String, Endpoint> endpointByLabel = new HashMap<>();
+    List<Endpoint> userEndpoints = new ArrayList<>();
     for (ControllerProcess controller : controllers) {
-      byLabel.put(controller.label(), controller.userEndpoint());
-      front.add(controller.userEndpoint());
+      endpointByLabel.put(controller.label(), controller.userEndpoint());
+      userEndpoints.add(controller.userEndpoint());
     }
-    users = new DrillUsers(loop, caller, front, results, random);
+    users = new DrillUsers(loop, caller, userEndpoints, results, random);
     WorkerEmulator.Environment environment =
         new WorkerEmulator.Environment(
-            loop, caller, front, byLabel, results, HEARTBEAT_MICROS, LEASE_MICROS);
+            loop, caller, userEndpoints, endpointByLabel, results, HEARTBEAT_MICROS, LEASE_MICROS);
     for (int i = 1; i <= plan.machines(); i++) {
       String machine = String.format("i-%06d", i);
       Server server =
@@ -265,7 +266,7 @@
     loop.after(TICK_MICROS, this::tick);
   }
 
-  /** Submits jobs to one shard at a time, more than its share of machines can run. */
+  /** Submits jobs to one shard at a time; they need more machines than the share of that shard. */
   private void submit(long now) {
     int shard = (int) ((now - loadStartMicros) / PHASE_MICROS % SHARDS.size());
     double cores =
@@ -298,7 +299,7 @@
         "/transfer",
         body.getBytes(StandardCharsets.UTF_8),
         CALL_TIMEOUT_MICROS,
-        (status, answer) -> {
+        (status, response) -> {
           if (status != HttpStatus.OK) {
             events.add(machine + " was not transferred to " + SHARDS.get(to) + ": HTTP " + status);
           }
@@ -321,7 +322,7 @@
     return -1;
   }
 
-  /** Starts a transfer and kills or pauses a random controller while it is in progress. */
+  /** Requests a transfer, and kills or pauses a random controller during the transfer. */
   private void injectFailure() throws IOException {
     ControllerProcess controller = controllers.get(random.nextInt(controllers.size()));
     transferBusiestMachine();
@@ -357,8 +358,8 @@
 
   private void finishIfSettled(long now) {
     boolean settled = state.under("pool/transfers/").isEmpty();
-    boolean late = now - loadStartMicros > (plan.seconds() + SETTLE_TIMEOUT_S) * 1_000_000L;
-    if (late || (users.unfinishedJobs().isEmpty() && settled)) {
+    boolean timedOut = now - loadStartMicros > (plan.seconds() + SETTLE_TIMEOUT_S) * 1_000_000L;
+    if (timedOut || (users.unfinishedJobs().isEmpty() && settled)) {
       outcome.complete(evaluate(settled));
     } else {
       loop.after(TICK_MICROS, this::tick);
@@ -403,7 +404,7 @@
             + " transfers, "
             + transfers.withTasks()
             + " of machines with tasks ("
-            + transfers.tasksMoved()
+            + transfers.transferredTasks()
             + " tasks), from offer to new owner "
             + transfers.medianMicros() / MILLIS
             + " ms median, "
@@ -417,7 +418,7 @@
             + " changes, "
             + state.bytesUnder("pool/owners/")
             + " bytes of owner records; "
-            + cloud.returned()
+            + cloud.returnedMachines()
             + " machines returned");
     lines.addAll(events);
     failures.forEach(reason -> lines.add("failed: " + reason));
--- a/src/main/java/plumlever/leader/pool/OfferAcceptance.java
+++ b/src/main/java/plumlever/leader/pool/OfferAcceptance.java
@@ -24,8 +24,8 @@
   private final Function<TransferRecord, Machine> acquire;
 
   /**
-   * Records that the transaction in flight stores for its machines. One field is enough because
-   * transactions run one at a time.
+   * The transfer records of the machines as of the transaction in flight. One field is enough
+   * because transactions run one at a time.
    */
   private List<TransferRecord> recordsBeingTaken = List.of();
 
@@ -69,9 +69,9 @@
       }
     }
     for (List<String> group : groups.values()) {
-      for (List<String> part : Lists.partition(group, steps.maxMachinesPerTransaction())) {
+      for (List<String> batch : Lists.partition(group, steps.maxMachinesPerTransaction())) {
         openTransactions++;
-        if (!steps.step(part, () -> buildTransaction(part), this::acquireWithoutForeignTasks)) {
+        if (!steps.step(batch, () -> buildTransaction(batch), this::acquireWithoutForeignTasks)) {
           openTransactions--;
         }
       }
--- a/src/main/java/plumlever/warmup/InMemoryMachines.java
+++ b/src/main/java/plumlever/warmup/InMemoryMachines.java
@@ -12,7 +12,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
 
-/** In-memory machines that execute every command; all tasks take the same time. */
+/** In-memory machines that execute every command. All tasks take the same time. */
 final class InMemoryMachines {
   private static final long FETCH_MICROS = 800_000;
   private static final long RUN_MICROS = 4_000_000;
@@ -136,13 +136,13 @@
     return ageMicros > FETCH_MICROS ? "running" : "pulling";
   }
 
-  void executeCommands(String machineId, String answer) {
+  void executeCommands(String machineId, String response) {
     InMemoryMachine machine = machinesById.get(machineId);
     ObjectNode commands;
     try {
-      commands = Json.parseObject(answer);
+      commands = Json.parseObject(response);
     } catch (InvalidMessageException e) {
-      throw new IllegalStateException("unreadable response of the controller: " + answer, e);
+      throw new IllegalStateException("unreadable response of the controller: " + response, e);
     }
     machine.fencingToken =
         Math.max(machine.fencingToken, commands.path(ProtocolField.FENCING_TOKEN).asLong());
--- a/src/main/java/plumlever/warmup/InMemoryStateService.java
+++ b/src/main/java/plumlever/warmup/InMemoryStateService.java
@@ -11,7 +11,10 @@
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 
-/** An in-memory state service for one controller: transactions, listings, watches; no limits. */
+/**
+ * An in-memory state service for one controller. It implements transactions, listings and watches
+ * without limits on sizes or request rates; leases never expire.
+ */
 final class InMemoryStateService {
   private record Entry(JsonNode value, long revision, long leaseId) {}
 
@@ -47,7 +50,7 @@
   }
 
   /**
-   * Answers a request to the state service.
+   * Handles a request to the state service.
    *
    * @return false if the path does not belong to the state service
    */
@@ -143,8 +146,8 @@
   }
 
   private void watch(String prefix, long since, boolean mayWait, WarmUpServices.Reply reply) {
-    ObjectNode answer = Json.object().put(STORE_REVISION, storeRevision);
-    ArrayNode found = answer.putArray("log");
+    ObjectNode response = Json.object().put(STORE_REVISION, storeRevision);
+    ArrayNode found = response.putArray("log");
     for (Event event : events) {
       if (event.revision > since && event.key.startsWith(prefix)) {
         found.add(json(event));
@@ -153,7 +156,7 @@
     if (found.isEmpty() && mayWait) {
       loop.after(MAX_WAIT_MICROS, () -> watch(prefix, since, false, reply));
     } else {
-      reply.send(HttpStatus.OK, Json.write(answer));
+      reply.send(HttpStatus.OK, Json.write(response));
     }
   }
 
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -55,11 +55,11 @@
   }
 
   /** Executes the commands of a heartbeat response or a direct call on the machine. */
-  public void command(String machine, String answer) {
-    machines.executeCommands(machine, answer);
+  public void command(String machine, String response) {
+    machines.executeCommands(machine, response);
   }
 
-  /** Answers a request to the state service or the cloud. */
+  /** Handles a request to the state service or the cloud. */
   public void handle(String method, String path, byte[] body, Reply reply) {
     try {
       if (!state.handle(method, path, body, reply)) {
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -19,8 +19,9 @@
 
 /**
  * Simulates two terms of a leader of a small deployment in memory, with the real controller code
- * and a simulated clock. The JVM interprets code that has not been compiled yet, about twenty times
- * slower. With a small CPU share, this would cost a new leader the first minute of its term.
+ * and a simulated clock. The JVM interprets code that has not been compiled yet, which is about
+ * twenty times slower. With a small CPU share, a new leader would lose the first minute of its term
+ * to this.
  */
 final class WarmUpTerms {
   private static final int TERMS = 2;
@@ -121,7 +122,7 @@
 
   /** Returns a caller that discards calls once the term is over, like a process that has ended. */
   private Caller caller(int term) {
-    return (to, method, path, body, timeout, answer) ->
+    return (to, method, path, body, timeout, handler) ->
         loop.after(
             LATENCY_MICROS,
             () -> {
@@ -131,20 +132,20 @@
               if (path.equals(ProtocolPath.COMMANDS)) {
                 String machineId = services.machineAt(to.toString());
                 services.command(machineId, new String(body, StandardCharsets.UTF_8));
-                answer.handle(HttpStatus.OK, services.heartbeat(machineId));
+                handler.handle(HttpStatus.OK, services.heartbeat(machineId));
               } else {
-                services.handle(method, path, body, replyTo(term, answer));
+                services.handle(method, path, body, replyTo(term, handler));
               }
             });
   }
 
-  private WarmUpServices.Reply replyTo(int term, Caller.ResponseHandler answer) {
+  private WarmUpServices.Reply replyTo(int term, Caller.ResponseHandler handler) {
     return (status, text) ->
         loop.after(
             LATENCY_MICROS,
             () -> {
               if (term == terms) {
-                answer.handle(status, text.getBytes(StandardCharsets.UTF_8));
+                handler.handle(status, text.getBytes(StandardCharsets.UTF_8));
               }
             });
   }
--- a/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
@@ -22,7 +22,9 @@
       List.of(PoolScenario.SOURCE, PoolScenario.TARGET, PoolScenario.THIRD);
   private static final int JOBS = 40;
 
-  /** Seeds; {@code -Dplumlever.pool.first=F -Dplumlever.pool.seeds=N} selects others. */
+  /**
+   * Returns the seeds; {@code -Dplumlever.pool.first=F -Dplumlever.pool.seeds=N} selects others.
+   */
   static LongStream seeds() {
     long first = Long.getLong("plumlever.pool.first", 1);
     return LongStream.range(first, first + Integer.getInteger("plumlever.pool.seeds", 8));
@@ -90,10 +92,12 @@
     cluster.play(300);
     SimulationTest.calm(cluster);
     cluster.play(400);
-    assertTrue(transferCount(cluster) >= 5, "machine transfers: " + transferCount(cluster));
+    assertTrue(
+        transferAndTermCount(cluster) >= 5,
+        "machine transfers and leader terms: " + transferAndTermCount(cluster));
     SimulationTest.assertAllServed(cluster, users, JOBS);
     assertEquals(0, cluster.store.count("pool/transfers/"), "transfer records that remain");
-    Map<String, Integer> limitShareSums = new TreeMap<>();
+    Map<String, Integer> limitPartSums = new TreeMap<>();
     cluster
         .store
         .values("pool/limits/")
@@ -103,17 +107,18 @@
                     .path("parts")
                     .properties()
                     .forEach(
-                        share ->
-                            limitShareSums.merge(
-                                "all", share.getValue().path(0).asInt(), Integer::sum)));
-    assertEquals(Map.of("all", 48), limitShareSums, "sum of the shares of the only team limit");
+                        part ->
+                            limitPartSums.merge(
+                                "all", part.getValue().path(0).asInt(), Integer::sum)));
+    assertEquals(Map.of("all", 48), limitPartSums, "sum of the parts of the only team limit");
   }
 
   /**
-   * Counts machine transfers by the writes of the pool's counter in the state service, because the
-   * metrics of a controller are lost when the controller restarts.
+   * Returns the number of writes of the pool's counter, which numbers both the machine transfers
+   * and the leaders' terms. The metrics of the controllers can't be used: a controller that
+   * restarts loses its metrics.
    */
-  private static int transferCount(SimulatedCluster cluster) {
+  private static int transferAndTermCount(SimulatedCluster cluster) {
     return cluster.store.changesOf("pool/term");
   }
 }
