--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -20,6 +20,11 @@
 /** The documented requirements for jobs with dependencies, one test for each requirement. */
 final class DependencyAcceptanceTest extends DependencyScenario {
   private static final List<String> CONTROLLERS = List.of("n0", "n1", "n2");
+
+  /**
+   * Time within which unused dependency lists are removed: a list must have been unused for 900 s,
+   * and the clean-up runs every 300 s.
+   */
   private static final double REMOVED_WITHIN_S = 1_600;
 
   private JobSpec teamJob(
@@ -196,7 +201,7 @@
     assertFalse(cluster.invariants.began(joined.uid()) || cluster.invariants.began(last.uid()));
   }
 
-  /** The transaction that stores the cancellation is applied, but its answer is lost. */
+  /** The transaction that stores the cancellation is applied, but its response is lost. */
   @Test
   void cancellationWithLostAnswerReachesWholeChain() {
     JobSpec root = idleJob(1, 400);
@@ -335,8 +340,9 @@
   }
 
   /**
-   * List parts that are found without the anchor part may be removed at any time. A submission must
-   * treat the found parts as missing and store the whole list.
+   * Parts of a stored dependency list that are found without the first part, the anchor, may be
+   * removed at any time. A submission must treat the found parts as missing and store the whole
+   * list.
    */
   @Test
   void listPartsWithoutAnchorAreIgnored() {
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -17,8 +17,8 @@
 import plumlever.wire.Priority;
 
 /**
- * The cancellation of a job cancels all its direct and indirect dependents, also without a leader
- * and during faults.
+ * Tests that the cancellation of a job cancels all its direct and indirect dependents, also without
+ * a leader and during faults.
  */
 final class DependencyCancellationTest extends DependencyScenario {
   /**
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -14,7 +14,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 
-/** Answers to submissions of jobs with dependencies. */
+/** Tests the responses to submissions of jobs with dependencies. */
 final class DependencySubmissionTest extends DependencyScenario {
   @Test
   void invalidDependencyListsAreRefused() {
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -188,6 +188,7 @@
                 cluster.now());
         machines.put(vm.id, vm);
         machineIds.add(vm.id);
+        // One machine in 25 never boots.
         if (cluster.random.nextInt(25) > 0) {
           cluster.at(
               fastBoots
@@ -214,7 +215,7 @@
 
   /**
    * True if the cloud can rent out another machine of the requested type, zone and spot setting.
-   * The capacity of each such combination is independent of the others.
+   * The capacity is split evenly among the eight such combinations.
    */
   private boolean hasCapacity(ObjectNode object) {
     long rented =
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -15,7 +15,7 @@
 
 /**
  * Emulates the state service, a key-value store with leases, watches and conditional transactions,
- * and injects faults into its answers.
+ * and injects faults into its responses.
  */
 final class FakeStore implements SimulatedNetwork.Service {
   private record Entry(JsonNode data, long revision, long leaseId) {}
@@ -53,8 +53,8 @@
   String lostField;
 
   /**
-   * How many changes the store keeps for watches. A watch that starts at an older revision is
-   * answered 410 and has to list its keys again.
+   * Number of changes that the store keeps for watches. A watch that starts at an older revision is
+   * answered 410, and the controller has to list the keys again.
    */
   int remembered = 10_000;
 
@@ -77,13 +77,13 @@
   /** Share of transactions with changes that are applied immediately but not answered. */
   double unansweredWrites;
 
-  /** How many transactions were applied after a newer one of the same controller. */
+  /** Number of transactions applied after a newer one of the same controller. */
   int appliedAfterNewer;
 
-  /** How many transactions were applied immediately but not answered. */
+  /** Number of transactions applied immediately but not answered. */
   int appliedUnanswered;
 
-  /** Additional delay of each answer. */
+  /** Additional delay of each response. */
   long answerDelayMicros;
 
   private final Map<String, Long> newestTransactionByController = new HashMap<>();
@@ -92,7 +92,7 @@
   /** Listings of keys under this prefix are never answered. */
   String slowPrefix;
 
-  /** How many requests of each controller were answered 503. */
+  /** Number of requests of each controller that were answered 503. */
   final Map<String, Integer> refusals = new HashMap<>();
 
   /** Transactions are applied without checking preconditions; for tests of the invariant checks. */
@@ -181,7 +181,7 @@
   /** When the last leader was elected. */
   long termStartMicros;
 
-  /** The term of the last leader elected. */
+  /** Returns the term of the last leader elected. */
   long term() {
     Entry entry = keys.get("office/term");
     return entry == null ? 0 : entry.data.path("term").asLong();
@@ -379,7 +379,7 @@
 
   /**
    * Applies the transaction, or injects one of the configured faults: the transaction is applied
-   * without an answer, immediately or after a newer transaction of the same controller.
+   * without a response, immediately or after a newer transaction of the same controller.
    */
   private void applyOrInjectFault(String from, ObjectNode object, SimulatedNetwork.Reply reply) {
     long transactionNumber = ++transactionsReceived;
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -26,12 +26,12 @@
   private int lastUidNumber;
 
   /**
-   * After each answer that shows a new job status, users query every controller within
+   * After each response that shows a new job status, users query every controller within
    * milliseconds; a third of the queries repeat the submission.
    */
   boolean closeLooks;
 
-  /** How many of the queries to all controllers were answered with 200. */
+  /** Number of the queries to all controllers that were answered with 200. */
   int looks;
 
   private final Map<String, JobSpec> specByUid = new HashMap<>();
@@ -59,7 +59,7 @@
 
   /**
    * Returns the controller that the job's user is connected to. A connection stays with its
-   * controller, independent of the answers, until the controller closes the connection, a request
+   * controller, whatever its responses are, until the controller closes the connection, a request
    * goes unanswered, or the load balancer has found the controller unhealthy for five seconds.
    */
   private Endpoint controllerOf(String uid) {
@@ -189,7 +189,7 @@
 
   /**
    * Cancels up to {@code count} jobs that have started and are not complete, within 200 ms. Up to
-   * {@code machines} of the machines that hold their tasks hang for {@code hangS} seconds.
+   * {@code machines} of the machines with tasks of these jobs hang for {@code hangS} seconds.
    *
    * @return the ids of the cancelled jobs
    */
@@ -238,11 +238,11 @@
   }
 
   /**
-   * Sends requests that users send by mistake, each of which has one right answer: cancellations of
-   * finished jobs, repeated submissions with changed fields, invalid submissions, and requests
-   * about unknown jobs.
+   * Sends requests that users send by mistake, and checks that each gets its only correct response:
+   * cancellations of finished jobs, repeated submissions with changed fields, invalid submissions,
+   * and requests about unknown jobs.
    *
-   * @return the number of accepted jobs
+   * @return the number of accepted jobs at the time of the call
    */
   int sendMistakenRequests() {
     int sent = 0;
@@ -282,8 +282,8 @@
   }
 
   /**
-   * Sends a request and reports a violation unless the answer has the expected status and text. A
-   * missing answer, 429 and 503 are also allowed, because the state service may be in an outage.
+   * Sends a request and records a violation unless the response has the expected status and text. A
+   * missing response, 429 and 503 are also allowed, because the state service may be in an outage.
    */
   private void expectAnswer(
       String method, String path, String body, int expectedStatus, String expectedText) {
@@ -301,7 +301,14 @@
               && status != 429
               && (status != expectedStatus || !(answer.body()).contains(expectedText))) {
             cluster.invariants.broken.add(
-                "wrong answer to " + method + " " + path + ": got " + status + " " + answer.body());
+                "wrong response to "
+                    + method
+                    + " "
+                    + path
+                    + ": got "
+                    + status
+                    + " "
+                    + answer.body());
           }
         });
   }
@@ -344,7 +351,7 @@
       cluster.invariants.toldAnywhere(
           uid, Json.parseObject(body).path("status").asText(), sentMicros);
     } catch (InvalidMessageException e) {
-      cluster.invariants.broken.add("invalid status answer: " + body);
+      cluster.invariants.broken.add("invalid status response: " + body);
     }
   }
 
@@ -385,7 +392,9 @@
     cancelled.add(job.uid());
   }
 
-  /** Sends one cancellation to the controller, without retries, and passes on the status. */
+  /**
+   * Sends one cancellation to the controller, without retries; the consumer gets the status code.
+   */
   void cancelAt(Endpoint controller, String uid, java.util.function.Consumer<Integer> status) {
     cancelled.add(uid);
     long sentMicros = cluster.now();
@@ -484,7 +493,7 @@
       cluster.invariants.told(
           uid, Json.parseObject(body).path("status").asText(), cancelRequested(uid));
     } catch (InvalidMessageException e) {
-      cluster.invariants.broken.add("invalid status answer: " + body);
+      cluster.invariants.broken.add("invalid status response: " + body);
     }
   }
 }
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -224,7 +224,7 @@
       }
       execute(object.path("orders"));
     } catch (InvalidMessageException e) {
-      throw new AssertionError("invalid heartbeat answer of a controller: " + body);
+      throw new AssertionError("invalid heartbeat response of a controller: " + body);
     }
   }
 
@@ -252,15 +252,15 @@
           }
         }
         default ->
-            throw new AssertionError("unknown command in an answer or direct call: " + command);
+            throw new AssertionError("unknown command in a response or direct call: " + command);
       }
     }
   }
 
   private void fetchAndStart(String name, long attempt) {
     if (removedAttempts.contains(attempt)) {
-      // The protocol allows a start command for an attempt that was removed, but a start command
-      // that arrives so late can break one of the protocol's rules.
+      // No rule of the protocol forbids a start command for a removed attempt, but a start command
+      // that arrives so late can lead to the violation of a rule.
       cluster.invariants.broken.add("restarted after the attempt was removed: " + name);
     }
     cluster.invariants.commandedToStart(name, this);
--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -8,8 +8,8 @@
 import plumlever.wire.Priority;
 
 /**
- * Combinations of two simultaneous faults from the operators' list. Each combination returns a
- * condition which shows that both faults took effect.
+ * Combinations of two simultaneous faults from the operators' list. The scenario of each
+ * combination returns a condition that is true if both faults took effect.
  */
 enum FaultCombination {
   SLOW_STATE_SERVICE_THEN_A_LONG_OUTAGE(
@@ -419,7 +419,7 @@
     /**
      * Injects the faults and runs the deployment until all jobs should be served.
      *
-     * @return whether the faults took effect at the same time, evaluated after the run
+     * @return tells, when evaluated after the run, whether the faults took effect together
      */
     BooleanSupplier run(FaultDeployment deployment);
   }
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -15,8 +15,9 @@
 
 /**
  * Tests combinations of simultaneous faults from the operators' list. Each test injects the faults,
- * shows that the faults took effect, and checks that no rule was broken and all jobs were served.
- * The longest combination, the gap, has its own test ({@link GapTest}).
+ * shows that the faults took effect, and checks that no rule was violated and all jobs were served.
+ * The longest combination, cancellations that the leader cannot learn of, has its own test ({@link
+ * GapTest}).
  */
 final class FaultCombinationTest {
   @ParameterizedTest
@@ -66,7 +67,7 @@
 
   /**
    * Verifies the invariant checks: if the state service applies late transactions without checking
-   * their preconditions, rules are broken, and the checks must report them.
+   * their preconditions, rules are violated, and the checks must report the violations.
    */
   @Test
   void withoutPreconditionsLateTransactionsBreakRules() {
@@ -77,11 +78,11 @@
         deployment);
     assertTrue(
         !deployment.cluster.invariants.broken.isEmpty(),
-        "the checks must report rules broken without preconditions");
+        "the checks must report violations without preconditions");
   }
 
   /**
-   * Verifies the invariant checks: an answer that is older than an earlier answer of another
+   * Verifies the invariant checks: a response that is older than an earlier response of another
    * controller must be reported.
    */
   @Test
@@ -93,7 +94,7 @@
     assertEquals(
         List.of(),
         deployment.cluster.invariants.broken,
-        "a query sent before the final state was reported may get an older answer");
+        "a query sent before the final state was reported may get an older response");
     deployment.cluster.invariants.toldAnywhere(uid, "running", deployment.cluster.now());
     assertTrue(
         deployment.cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("went_back")));
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Submits more jobs of the team than its limit allows to run, and waits until they run. */
+  /** Submits more jobs of the team than its limit allows to run at once, and lets 40 s pass. */
   void submitBeyondLimit(String team) {
     for (int i = 0; i < 6; i++) {
       submit(team, 12, 2, 40, false);
@@ -145,8 +145,8 @@
   }
 
   /**
-   * Ends all injected faults and runs the deployment until all jobs must have been served. From
-   * then on the checks for a deployment without faults apply.
+   * Ends all injected faults, turns on the checks for a deployment without faults, and runs the
+   * deployment long enough for all jobs to be served.
    */
   void endFaults() {
     cluster.network.lostAnswerShare = 0;
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -15,9 +15,9 @@
 import plumlever.wire.Priority;
 
 /**
- * Faults that the addition to the protocol introduced: unreachable machines, duplicated heartbeats
- * and direct commands, partitions, delegated renewal of leases. Each fault is tested alone and
- * together with the faults that make it worse.
+ * Tests faults that a later addition to the protocol allows: unreachable machines, duplicated
+ * heartbeats and direct commands, and partitions; and tests the delegated renewal of leases. Each
+ * fault is tested alone and together with the faults that make it worse.
  */
 final class FaultTest {
   private static final double LIMIT = 48;
@@ -238,8 +238,8 @@
         5_000_000,
         a -> closed[0] = a.status() == 503 && a.connectionCloses());
     cluster.play(5);
-    assertEquals(503, up[0], "a controller without any answers reports itself unhealthy");
-    assertTrue(closed[0], "the isolated controller closes its users' connections");
+    assertEquals(503, up[0], "an isolated controller must report itself unhealthy");
+    assertTrue(closed[0], "the isolated controller must close its users' connections");
     cluster.play(250);
     assertDone(all.toArray(new JobSpec[0]));
   }
@@ -351,7 +351,7 @@
   /**
    * The state service does not answer any controller. Controllers must stay healthy in an outage
    * that affects all of them, because users would find no better controller. {@link UsersTest}
-   * covers an outage in which the state service refuses requests.
+   * covers an outage in which the state service refuses all requests.
    */
   @Test
   void aStateServiceOutageMakesNoControllerUnhealthy() {
@@ -411,8 +411,9 @@
   }
 
   /**
-   * Most answers to direct commands are lost, so the leader does not know whether the tasks were
-   * started. The tasks must stay assigned until a raised fencing token voids the commands.
+   * Most responses to direct commands are lost, so the leader does not know whether the tasks were
+   * started. The tasks must stay assigned until the worker has a higher fencing token and would
+   * refuse the commands.
    */
   @Test
   void anUnansweredDirectCommandHoldsItsTaskUntilTheTokenIsRaised() {
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -34,10 +34,10 @@
 import plumlever.wire.Priority;
 
 /**
- * Compatibility with records and messages that former versions wrote. The samples in {@code
- * production/} were written by the version that deploy/service.toml names; the samples in {@code
- * first-with-dependencies/} were written by the first version with job dependencies. The tests fail
- * if a rename or another refactoring changes a stored or sent format.
+ * Tests the compatibility with records and messages that former versions wrote. The samples in
+ * {@code production/} were written by the version that deploy/service.toml names; the samples in
+ * {@code first-with-dependencies/} were written by the first version with job dependencies. The
+ * tests fail if a rename or another refactoring changes a stored or sent format.
  */
 final class FormatSamplesTest {
   private static final String PRODUCTION = "production";
@@ -192,6 +192,7 @@
     BitSet done = job(cluster, "job-000001").completedTasks();
     assertEquals(
         FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES).get("job-000001"), done);
+    // The first chunk holds 24,192 tasks: base64 of one bit for each task, in 4096 - 64 bytes.
     assertTrue(
         done.length() > 24_192, "highest completed task in the first chunk only: " + done.length());
   }
--- a/src/test/java/plumlever/sim/FormerVersion.java
+++ b/src/test/java/plumlever/sim/FormerVersion.java
@@ -121,6 +121,7 @@
   /** Returns the finished tasks of each job as the previous version would read them. */
   static Map<String, BitSet> progressItReads(FakeStore store, int valueBytes) {
     Map<String, BitSet> records = new LinkedHashMap<>();
+    // One bit for each task, stored as base64; 64 bytes are reserved for the rest of the value.
     int perChunk = (valueBytes - 64) / 4 * 3 * 8;
     store
         .entries("progress/")
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -50,11 +50,12 @@
     assertTrue(
         cluster.leader().controller().metrics().counter("machine_lists_read") >= 2,
         "too few complete machine lists were read");
-    assertEquals(0, cluster.cloud.refused, "requests over the cloud's rate");
+    assertEquals(0, cluster.cloud.refused, "requests beyond the cloud's rate limit");
     cluster.leader().crash(3);
     cluster.play(12);
     assertTrue(
-        cluster.leader().actingLeader().failoverComplete(), "failover takes more than seconds");
+        cluster.leader().actingLeader().failoverComplete(),
+        "failover not complete 12 s after the leader's crash");
     cluster.calmSince = cluster.now();
     cluster.play(120);
     cluster.invariants.checkServed();
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -61,7 +61,7 @@
         .orElseThrow();
   }
 
-  /** Cancels the job through the controller and passes the status code of the answer on. */
+  /** Cancels the job through the controller; the consumer gets the status code of the response. */
   private void cancelAt(SimulatedController controller, JobSpec job, Consumer<Integer> status) {
     users.cancelAt(new Endpoint(controller.platform.label(), 1), job.uid(), status);
   }
@@ -214,7 +214,8 @@
     cluster.play(3.5);
     assertEquals(503, status[0], "heartbeat before the leader has read the jobs");
     assertTrue(
-        answered[0] - sent[0] <= 3_000_000, "answer after the heartbeat timeout of a worker");
+        answered[0] - sent[0] <= 3_000_000,
+        "the response must arrive before the worker's request times out");
     cluster.store.slowPrefix = null;
     cluster.play(120);
     assertEquals(List.of(), cluster.invariants.broken);
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -10,17 +10,20 @@
 import plumlever.wire.JobSpec;
 
 /**
- * Checks the protocol's rules against what happens on the simulated machines and what users are
- * answered. Each violation is recorded under the name of the broken rule.
+ * Checks the protocol's rules against the events on the simulated machines and the responses to
+ * users. Each violation is recorded under the name of the violated rule.
  */
 final class InvariantChecker {
-  /** Time within which the tasks of a job end after its cancellation was confirmed. */
+  /** Time within which the tasks of a job must end after its cancellation was confirmed. */
   static final long CANCEL_MICROS = 40_000_000;
 
-  /** Longest time without an answered query about a job once all faults have ended. */
+  /** Longest allowed time without an answered query about a job after all faults have ended. */
   static final long ANSWER_MICROS = 75_000_000;
 
-  /** Time within which the largest jobs of a class start once they can. */
+  /**
+   * Time within which the largest jobs of a class must start after they were submitted and their
+   * dependencies were done.
+   */
   static final long START_MICROS = 240_000_000;
 
   private final SimulatedCluster cluster;
@@ -63,10 +66,10 @@
   private final Map<String, String> finalState = new HashMap<>();
   private final Set<String> acceptedJobs = new HashSet<>();
 
-  /** Since when each job has waited although a suitable machine has free capacity. */
+  /** When each job was first seen to wait although a suitable machine has free capacity. */
   private final Map<String, Long> waitingSince = new HashMap<>();
 
-  /** Longest time that a job may wait beside free capacity. */
+  /** Longest time that a job may wait while a suitable machine has free capacity. */
   static final long WAITING_MICROS = 90_000_000;
 
   InvariantChecker(SimulatedCluster cluster, List<PlatformConfiguration.Team> teams) {
@@ -212,7 +215,7 @@
     answeredAt.put(uid, cluster.now());
   }
 
-  /** After all faults have ended, queries about an accepted job must be answered in time. */
+  /** Checks that queries about accepted jobs are answered in time after all faults have ended. */
   void checkAnswered() {
     if (cluster.calmSince == Long.MAX_VALUE) {
       return;
@@ -277,9 +280,9 @@
   }
 
   /**
-   * Checks an answer that a user got from any controller. An answer must not be older than what any
-   * user knew when the query was sent: a final state must not change, and an accepted job must not
-   * be unknown. The check includes queries sent to all controllers at the same time.
+   * Checks a response that a user got from any controller. A response must not be older than what
+   * any user knew when the query was sent: a final state must not change, and an accepted job must
+   * not be unknown. The check includes queries sent to all controllers at the same time.
    *
    * @param status the reported job status, or null for a 404
    */
@@ -347,8 +350,8 @@
   }
 
   /**
-   * After all faults have ended, no job may wait for long while a suitable machine has free
-   * capacity and the job's team is below its limit.
+   * Checks that, after all faults have ended, no job waits for long while a suitable machine has
+   * free capacity and the job's team is below its limit.
    */
   void checkWaiting() {
     if (cluster.calmSince == Long.MAX_VALUE) {
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -44,7 +44,7 @@
     cluster.play(12);
     assertTrue(
         cluster.leader().actingLeader().failoverComplete(),
-        "failover with a large fleet takes more than seconds");
+        "failover not complete 12 s after the leader's crash");
     cluster.cloud.machines.values().stream()
         .filter(v -> v.spot && v.worker != null)
         .map(v -> v.id)
@@ -93,6 +93,7 @@
     cluster.play(10);
     long candidates =
         cluster.leader().controller().metrics().counter("candidates_evaluated") - before;
+    // Successive passes are at least 150 ms apart.
     long passes = 10_000_000 / 150_000;
     assertTrue(
         candidates > 0 && candidates < passes * cluster.cloud.machines.size() * 30,
@@ -104,7 +105,7 @@
   }
 
   /**
-   * Runs 1,600 machines, 1.5 times the fleet of the users, through large-scale failures:
+   * Runs 1,600 machines, 1.5 times as many as the users have, through large-scale failures:
    * controllers restart in turn and all at once, dozens of machines die, dozens hang past the end
    * of their lease and resume, the leader freezes while its clocks advance, and one zone is cut off
    * for longer than a lease. The bounds on resources do not depend on the speed of the test
@@ -155,8 +156,8 @@
     assertEquals(List.of(), cluster.invariants.broken);
     jobs.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
     assertStateServiceLimitsKept(cluster);
-    // One socket for each worker, plus calls in flight. The users' own zones have room for 300 more
-    // sockets.
+    // One socket for each worker, plus calls in flight. The zones of the users' own deployment have
+    // room for 300 sockets more.
     assertTrue(cluster.mostSockets <= 1_600 + 112, "sockets in use: " + cluster.mostSockets);
     long candidates = counterTotal(cluster, "candidates_evaluated");
     long heartbeats = counterTotal(cluster, "heartbeats");
@@ -189,8 +190,8 @@
     assertTrue(machines > 450, "rented machines: " + machines);
     assertTrue(
         cluster.store.count("fleet/") <= 14, "machine records: " + cluster.store.count("fleet/"));
-    // Hints tell a new leader the cached images of nearly all machines, in as many values as
-    // needed.
+    // The hint records list the cached images of most machines for a new leader, in as many values
+    // as needed.
     Set<String> hinted = new HashSet<>();
     cluster
         .store
--- a/src/test/java/plumlever/sim/LoadTestServer.java
+++ b/src/test/java/plumlever/sim/LoadTestServer.java
@@ -131,6 +131,7 @@
 
   private void step() {
     long now = loop.nowMicros();
+    // The simulated clock starts at 1,000 s.
     cluster.turnTo(now - startedMicros + 1_000_000_000L);
     for (submitted += jobsPerS * STEP_MICROS / 1e6; submitted >= 1; submitted--) {
       users.submit(20, 2, 20, false);
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -16,7 +16,7 @@
 import plumlever.wire.JobSpec;
 import plumlever.wire.Priority;
 
-/** Pipelines of dependent jobs under failovers, lost answers, stale watches and random faults. */
+/** Pipelines of dependent jobs under failovers, lost responses, stale watches and random faults. */
 final class PipelinesTest extends DependencyScenario {
   @Test
   void stagesRunOneAfterTheOther() {
@@ -89,7 +89,7 @@
     assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 
-  /** The transaction that stores the end of a dependency is applied, but its answer is lost. */
+  /** The transaction that stores the end of a dependency is applied, but its response is lost. */
   @Test
   void endWithLostAnswerReleasesDependents() {
     List<JobSpec> stages = pipeline();
@@ -101,8 +101,8 @@
   }
 
   /**
-   * The state service retains only three changes. A watch that has fallen behind further reads the
-   * dependency chains again.
+   * The state service retains only three changes. A controller whose watch has fallen behind
+   * further must read the dependency chains again.
    */
   @Test
   void staleWatchesReadChainsAgain() {
@@ -158,7 +158,7 @@
   /**
    * Runs pipelines and other jobs under random faults, one simulation per seed. About a fifth of
    * the pipelines are cancelled. With even seeds, users also query all controllers within
-   * milliseconds of each new answer.
+   * milliseconds of each response with a new status.
    */
   @ParameterizedTest
   @MethodSource("seeds")
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -55,7 +55,7 @@
 
   /**
    * When all injected faults ended. From then on queries about jobs must be answered in time, and
-   * jobs must not wait beside free capacity.
+   * no job may wait for long while a suitable machine has free capacity.
    */
   long calmSince = Long.MAX_VALUE;
 
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Emulators for controllers that run outside the simulation, as separate processes. The creator
-   * advances the clock, see {@link #turnTo}.
+   * Creates only the emulators, for controllers that run as separate processes. The caller advances
+   * the clock with {@link #turnTo}.
    */
   SimulatedCluster(
       long seed, List<PlatformConfiguration.Team> teams, Set<String> controllersElsewhere) {
@@ -216,8 +216,8 @@
   }
 
   /**
-   * Checks that at most one controller of each shard acts as leader. The protocol does not state
-   * the property, but the proof of its rules rests on the property.
+   * Checks that at most one controller of each shard acts as leader. No rule of the protocol states
+   * this, but the proof of the rules depends on it.
    */
   private void checkOneLeader() {
     Set<String> acting = new HashSet<>();
@@ -233,8 +233,8 @@
   /**
    * Checks that a controller renews a worker lease only in the latest term. A delegate may use an
    * earlier term for {@link DelegatedRenewal#VALID_MICROS} after a new term began, because the
-   * delegation that it read stays valid that long. The protocol does not state the property, but
-   * the proof of its rules rests on the property.
+   * delegation that it read stays valid that long. No rule of the protocol states this, but the
+   * proof of the rules depends on it.
    */
   void checkRenewal(String answer, boolean asLeader) {
     try {
@@ -251,7 +251,7 @@
                 + " began");
       }
     } catch (InvalidMessageException e) {
-      throw new AssertionError("invalid heartbeat answer of a controller: " + answer, e);
+      throw new AssertionError("invalid heartbeat response of a controller: " + answer, e);
     }
   }
 
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -30,7 +30,7 @@
   private Controller controller;
 
   /**
-   * Number of process starts and ends. Actions and answers that belong to an earlier process are
+   * Number of process starts and ends. Actions and responses that belong to an earlier process are
    * dropped.
    */
   private int processNumber;
@@ -59,7 +59,7 @@
     return controller != null && controller.leader().isPresent();
   }
 
-  /** Returns the leader state; the controller must be the leader. */
+  /** Returns the leader object of the current term; the controller must be the leader. */
   Leader actingLeader() {
     return controller.leader().orElseThrow();
   }
@@ -133,7 +133,7 @@
                         (status, json, retry) -> reply.send(status, json))));
   }
 
-  /** Sends an answer unless the process that computed the answer has ended. */
+  /** Sends a response unless the process that computed the response has ended. */
   private final class ProcessResponder implements Responder {
     private final int ownProcessNumber;
     private final Controller served;
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -16,11 +16,11 @@
  * set the shares of messages that are lost, delayed, duplicated or held back.
  */
 final class SimulatedNetwork {
-  /** Sends the answer to a request, immediately or later. */
+  /** Sends the response to a request, immediately or later. */
   interface Reply {
     void send(int status, String body);
 
-    /** Sends the answer and closes the connection. */
+    /** Sends the response and closes the connection. */
     default void sendClosing(int status, String body) {
       send(status, body);
     }
@@ -34,8 +34,8 @@
   /**
    * Outcome of a request.
    *
-   * @param status 0 if no answer arrived within the timeout
-   * @param connectionCloses true if the connection ends with the answer
+   * @param status 0 if no response arrived within the timeout
+   * @param connectionCloses true if the connection closes after the response
    */
   record Answer(int status, String body, boolean connectionCloses) {
     private static final Answer NONE = new Answer(0, "", false);
@@ -59,11 +59,11 @@
 
   /**
    * Cut links as {@code from>to}, where {@code *} stands for any endpoint. Requests over a cut link
-   * are held until the cut ends; answers are dropped.
+   * are held until the cut ends; responses are dropped.
    */
   final Map<String, Boolean> cuts = new HashMap<>();
 
-  /** Share of calls whose answer is lost. */
+  /** Share of calls whose response is lost. */
   double lostAnswerShare;
 
   /** Share of calls that are executed 1 to 61 s late. */
@@ -83,15 +83,15 @@
 
   long heldCommandMicros;
 
-  /** Share of direct commands whose answer is lost. */
+  /** Share of direct commands whose response is lost. */
   double lostCommandAnswerShare;
 
   /** Share of heartbeats of which a late duplicate is delivered to any controller. */
   double copiedHeartbeatShare;
 
   /**
-   * Share of heartbeats of which a copy is kept and delivered to every controller when a new term
-   * begins.
+   * Share of heartbeats of which a duplicate is kept and delivered to every controller when a new
+   * term begins.
    */
   double heartbeatShareKeptForNextTerm;
 
@@ -110,7 +110,7 @@
   private final List<String> heartbeatsKeptForNextTerm = new ArrayList<>();
 
   /**
-   * @param controllers live view of the labels, to which controllers may be added later
+   * @param controllers labels of the controllers; a live view, as controllers may be added later
    */
   SimulatedNetwork(
       EventQueue events,
@@ -163,8 +163,8 @@
   }
 
   /**
-   * Sends a request. A cut link holds the request and delivers it when the cut ends. The answer
-   * handler is called exactly once, with status 0 if no answer arrives within the timeout.
+   * Sends a request. A cut link holds the request and delivers it when the cut ends. The response
+   * handler is called exactly once, with status 0 if no response arrives within the timeout.
    */
   void send(
       String from,
@@ -261,7 +261,7 @@
     }
   }
 
-  /** Carries the answer to a request back to its sender. */
+  /** Carries the response to a request back to its sender. */
   private final class NetworkReply implements Reply {
     private final Message message;
     private final boolean isLost;
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -190,7 +190,7 @@
   }
 
   /**
-   * Cuts off answers and commands to the machine, while its heartbeats still arrive. The network
+   * Cuts off responses and commands to the machine, while its heartbeats still arrive. The network
    * delivers held commands after the cut ends.
    */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
@@ -338,8 +338,8 @@
   }
 
   /**
-   * The cloud takes a machine right before the leader crashes. The lost machine must not delay the
-   * failover of everything that the new leader inherits.
+   * The cloud deletes a machine right before the leader crashes. The missing machine must not delay
+   * the failover of all jobs that the new leader inherits.
    */
   @Test
   void aDeletedMachineDelaysAFailoverOnlyBriefly() {
@@ -411,7 +411,7 @@
     assertEquals("done", cluster.invariants.lastTold.get(late.uid()));
   }
 
-  /** Two of three controllers end for good; the remaining controller must serve all jobs. */
+  /** Two of three controllers are killed and not restarted; the third must serve all jobs. */
   @Test
   void oneControllerSuffices() {
     SimulatedCluster cluster = cluster(31);
--- a/src/test/java/plumlever/sim/SlowProcessorTest.java
+++ b/src/test/java/plumlever/sim/SlowProcessorTest.java
@@ -122,8 +122,8 @@
 
   /**
    * After a stall of several seconds the leader has no recent heartbeat of any worker, and its
-   * peers report that the workers are connected to the peers. The cause is the leader's own stall,
-   * so the leader must keep leadership and must not return any machine.
+   * peers announce that the workers are connected to them. The cause is the leader's own stall, so
+   * the leader must keep leadership and must not return any machine.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -34,8 +34,8 @@
 import plumlever.wire.Priority;
 
 /**
- * Compatibility of this version with the production version: with records and messages that the
- * production version wrote, and with both versions leading in turn.
+ * Tests the compatibility of this version with the production version: with records and messages
+ * that the production version wrote, and with leaders of both versions in turn.
  */
 final class UpgradeTest {
   private static final int CURRENT_VALUE_BYTES = 4096;
@@ -391,8 +391,8 @@
   }
 
   /**
-   * A job is released although the production version stored the end of its dependency. The records
-   * of that version hold no end time.
+   * The production version stores the final state of a job without an end time. Jobs that depend on
+   * such a job must still be released.
    */
   @Test
   void endStoredByProductionVersionReleasesDependents() {
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.settings.PlatformConfiguration;
 
-/** Tests the answers to users, in normal operation and during outages. */
+/** Tests the responses to users, in normal operation and during outages. */
 final class UsersTest {
   private static final String JOB =
       "{\"uid\":\"job-1\",\"jobclass\":\"c\",\"owner\":\"red\",\"shape\":\"sweep\","
@@ -113,11 +113,11 @@
     assertEquals(
         200,
         send("GET", "/up", null),
-        "an outage for all controllers makes no controller unhealthy");
+        "an outage that affects all controllers must make none unhealthy");
   }
 
   /**
-   * The state service applies the transaction that accepts a job, but the answer is lost. The
+   * The state service applies the transaction that accepts a job, but the response is lost. The
    * controller must read the job record to find out whether the job was accepted.
    */
   @Test
