--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -79,9 +79,9 @@
     JobSpec after = teamJob("blue", Priority.HIGH, 1, 2, done, running);
     JobSpec dependent = teamJob("blue", Priority.HIGH, 1, 2, done, cancelled, running);
     assertEquals(201, submitAt("n2", after).status());
-    Answer answer = submitAt("n0", dependent);
-    assertEquals(201, answer.status(), "submission with a cancelled dependency");
-    assertTrue(answer.body().contains("\"aborted\""), answer.body());
+    Response response = submitAt("n0", dependent);
+    assertEquals(201, response.status(), "submission with a cancelled dependency");
+    assertTrue(response.body().contains("\"aborted\""), response.body());
     cluster.play(100);
     assertTrue(
         request("n1", "GET", "/submissions/" + after.uid(), null).body().contains("\"done\""));
@@ -203,16 +203,16 @@
 
   /** The transaction that stores the cancellation is applied, but its response is lost. */
   @Test
-  void cancellationWithLostAnswerReachesWholeChain() {
+  void cancellationWithLostResponseReachesWholeChain() {
     JobSpec root = idleJob(1, 400);
     JobSpec last = idleJob(1, 5, root);
     submit(root, last);
     cluster.play(10);
     cluster.store.answerLostOnce = "ended/" + root.uid();
     users.cancelled(root);
-    Answer answer = request("n1", "POST", "/submissions/" + root.uid() + "/abort", "");
+    Response response = request("n1", "POST", "/submissions/" + root.uid() + "/abort", "");
     assertEquals(1, cluster.store.appliedUnanswered);
-    assertTrue(answer.body().contains("\"aborted\""), answer.body());
+    assertTrue(response.body().contains("\"aborted\""), response.body());
     for (String controller : CONTROLLERS) {
       assertTrue(
           request(controller, "GET", "/submissions/" + last.uid(), null)
@@ -236,9 +236,9 @@
     cluster.store.unwatched.add("n1");
     users.cancelled(root);
     assertEquals(200, request("n2", "POST", "/submissions/" + root.uid() + "/abort", "").status());
-    Answer answer = request("n1", "GET", "/submissions/" + last.uid(), null);
-    assertNotEquals(200, answer.status(), answer.body());
-    assertTrue(answer.retryAfterS() > 0);
+    Response response = request("n1", "GET", "/submissions/" + last.uid(), null);
+    assertNotEquals(200, response.status(), response.body());
+    assertTrue(response.retryAfterS() > 0);
     cluster.store.unwatched.clear();
     cluster.play(10);
     assertTrue(
@@ -329,9 +329,9 @@
           removed[0] = cluster.store.count("waits/");
           cluster.store.rewrite("waits/", Map.of());
         };
-    Answer answer = submitAt("n0", job);
+    Response response = submitAt("n0", job);
     assertTrue(removed[0] > 2, "list parts removed: " + removed[0]);
-    assertEquals(503, answer.status(), answer.body());
+    assertEquals(503, response.status(), response.body());
     assertEquals(404, request("n1", "GET", "/submissions/" + job.uid(), null).status());
     cluster.play(2);
     assertEquals(201, submitAt("n1", job).status());
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -47,10 +47,10 @@
             .contains("aborted"));
     for (String controller : cluster.controllers.keySet()) {
       for (JobSpec job : List.of(middle, last, root)) {
-        Answer answer = request(controller, "GET", "/submissions/" + job.uid(), null);
+        Response response = request(controller, "GET", "/submissions/" + job.uid(), null);
         assertTrue(
-            answer.status() == 200 && answer.body().contains("\"aborted\""),
-            controller + " answered " + answer.body());
+            response.status() == 200 && response.body().contains("\"aborted\""),
+            controller + " answered " + response.body());
         assertTrue(
             request(controller, "POST", "/submissions", Json.write(job.toJson()))
                 .body()
@@ -58,7 +58,7 @@
       }
     }
     JobSpec after = idleJob(1, 5, middle);
-    Answer accepted = submitAt("n0", after);
+    Response accepted = submitAt("n0", after);
     assertEquals(201, accepted.status(), "submission with a cancelled dependency");
     assertTrue(accepted.body().contains("\"aborted\""), accepted.body());
     cluster.play(30);
@@ -199,10 +199,10 @@
     users.cancelAt(new Endpoint(others.get(0), 1), root.uid(), status::add);
     cluster.play(0.1);
     assertEquals(List.of(200), status);
-    long asked = cluster.now();
-    Answer answer = request(others.get(1), "GET", "/submissions/" + last.uid(), null);
+    long sentMicros = cluster.now();
+    Response response = request(others.get(1), "GET", "/submissions/" + last.uid(), null);
     cluster.invariants.toldAnywhere(
-        last.uid(), answer.body().contains("pending") ? "pending" : "aborted", asked);
+        last.uid(), response.body().contains("pending") ? "pending" : "aborted", sentMicros);
     assertTrue(
         cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("orphaned")),
         "the invariant check did not detect the orphaned job: " + reportedStatus(last));
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -84,10 +84,10 @@
   }
 
   /** The response of a controller to one request. */
-  record Answer(int status, String body, int retryAfterS) {}
+  record Response(int status, String body, int retryAfterS) {}
 
-  Answer request(String controller, String method, String path, String body) {
-    Answer[] answer = new Answer[1];
+  Response request(String controller, String method, String path, String body) {
+    Response[] response = new Response[1];
     cluster
         .controllers
         .get(controller)
@@ -97,14 +97,14 @@
             method,
             path,
             body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8),
-            (s, json, retry) -> answer[0] = new Answer(s, json, retry));
-    for (int i = 0; i < 400 && answer[0] == null; i++) {
+            (s, json, retry) -> response[0] = new Response(s, json, retry));
+    for (int i = 0; i < 400 && response[0] == null; i++) {
       cluster.play(0.05);
     }
-    return answer[0];
+    return response[0];
   }
 
-  Answer submitAt(String controller, JobSpec job) {
+  Response submitAt(String controller, JobSpec job) {
     cluster.invariants.submitted.put(job.uid(), job);
     cluster.invariants.submittedAt.put(job.uid(), cluster.now());
     return request(controller, "POST", "/submissions", Json.write(job.toJson()));
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -51,10 +51,11 @@
             .status(),
         "one known and one unknown dependency");
     cluster.store.outage = true;
-    Answer answer =
+    Response response =
         request("n1", "POST", "/submissions", openBody + ",\"waits_on\":[\"job-777\"]}");
-    assertEquals(503, answer.status(), "unknown dependency during an outage of the state service");
-    assertTrue(answer.retryAfterS() > 0);
+    assertEquals(
+        503, response.status(), "unknown dependency during an outage of the state service");
+    assertTrue(response.retryAfterS() > 0);
     cluster.store.endOutage();
     cluster.play(3);
     assertEquals(404, request("n2", "GET", "/submissions/" + uid, null).status());
@@ -143,12 +144,12 @@
     dependencyUids.stream()
         .filter(n -> n.startsWith("job-5"))
         .forEach(n -> cluster.invariants.complete(n + "/0"));
-    Answer answer = null;
-    for (int tries = 0; tries < 12 && (answer == null || answer.status() == 503); tries++) {
-      answer = submitAt("n" + tries % 3, last);
+    Response response = null;
+    for (int tries = 0; tries < 12 && (response == null || response.status() == 503); tries++) {
+      response = submitAt("n" + tries % 3, last);
       cluster.play(1);
     }
-    assertEquals(201, answer.status(), answer.body());
+    assertEquals(201, response.status(), response.body());
     assertEquals(
         0, cluster.store.malformed, "transactions that exceed a limit of the state service");
     assertTrue(request("n2", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -230,7 +230,7 @@
   }
 
   /** Returns the number of workers that send their heartbeats to the controller. */
-  int reportingTo(String controller) {
+  int countWorkersSendingTo(String controller) {
     return (int)
         machines.values().stream()
             .filter(v -> v.worker != null && v.worker.heartbeatsTo(controller))
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -84,7 +84,7 @@
   int appliedUnanswered;
 
   /** Additional delay of each response. */
-  long answerDelayMicros;
+  long responseDelayMicros;
 
   private final Map<String, Long> newestTransactionByController = new HashMap<>();
   private long transactionsReceived;
@@ -249,9 +249,9 @@
     }
     SimulatedNetwork.Reply undelayed = reply;
     reply =
-        answerDelayMicros == 0
+        responseDelayMicros == 0
             ? undelayed
-            : (status, text) -> cluster.at(answerDelayMicros, () -> undelayed.send(status, text));
+            : (status, text) -> cluster.at(responseDelayMicros, () -> undelayed.send(status, text));
     try {
       if (path.equals("/txn")) {
         applyOrInjectFault(from, Json.parseObject(body), reply);
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -89,8 +89,8 @@
           "/up",
           null,
           1_000_000,
-          answer -> {
-            if (answer.status() == 200) {
+          response -> {
+            if (response.status() == 200) {
               unhealthySince.remove(controller);
             } else {
               unhealthySince.putIfAbsent(controller, cluster.now());
@@ -100,8 +100,8 @@
     cluster.at(1_000_000, this::probeHealth);
   }
 
-  private void noteConnection(String uid, SimulatedNetwork.Answer answer) {
-    if (answer.status() == 0 || answer.connectionCloses()) {
+  private void dropClosedConnection(String uid, SimulatedNetwork.Response response) {
+    if (response.status() == 0 || response.connectionCloses()) {
       controllerByJob.remove(uid);
     }
   }
@@ -114,8 +114,8 @@
         "/submissions/job-99" + lastUidNumber,
         null,
         2_000_000,
-        answer -> {
-          if (answer.status() == 200) {
+        response -> {
+          if (response.status() == 200) {
             cluster.invariants.broken.add(
                 "invented: a controller answered 200 for a job never submitted: job-99"
                     + lastUidNumber);
@@ -168,19 +168,19 @@
         "/submissions",
         Json.write(job.toJson()),
         5_000_000,
-        answer -> {
-          noteConnection(job.uid(), answer);
-          int status = answer.status();
+        response -> {
+          dropClosedConnection(job.uid(), response);
+          int status = response.status();
           if (status == 201 || status == 200) {
             accepted.add(job.uid());
-            handleStatus(job.uid(), answer.body(), sentMicros);
+            handleStatus(job.uid(), response.body(), sentMicros);
             poll(job.uid());
             if (cancel) {
               cluster.at(5_000_000 + cluster.random.nextLong(30_000_000), () -> cancel(job.uid()));
             }
           } else if (status == 400 || status == 422) {
             cluster.invariants.broken.add(
-                "refused: a valid submission was refused: " + job.uid() + " " + answer.body());
+                "refused: a valid submission was refused: " + job.uid() + " " + response.body());
           } else {
             cluster.at(1_000_000, () -> trySubmit(job, cancel));
           }
@@ -250,34 +250,34 @@
       String last = cluster.invariants.lastTold.get(uid);
       JobSpec job = specByUid.get(uid);
       if ("done".equals(last)) {
-        expectAnswer("POST", "/submissions/" + uid + "/abort", "", 200, "\"done\"");
+        expectResponse("POST", "/submissions/" + uid + "/abort", "", 200, "\"done\"");
       } else if (last != null) {
-        expectAnswer(
+        expectResponse(
             "POST",
             "/submissions",
             Json.write(job.toJson().put(ProtocolField.TASK_COUNT, 0)),
             200,
             uid);
-        expectAnswer(
+        expectResponse(
             "POST", "/submissions", Json.write(job.toJson().put("owner", "nobody")), 200, uid);
       }
       sent++;
     }
     JobSpec template = specByUid.values().iterator().next();
-    expectAnswer(
+    expectResponse(
         "POST",
         "/submissions",
         Json.write(template.toJson().put("uid", "job-880001").put("cores", 99.0)),
         422,
         "");
-    expectAnswer(
+    expectResponse(
         "POST",
         "/submissions",
         Json.write(template.toJson().put("uid", "job-880002").without("cores")),
         400,
         "");
-    expectAnswer("GET", "/submissions/job-880003", "", 404, "");
-    expectAnswer("POST", "/submissions/job-880003/abort", "", 404, "");
+    expectResponse("GET", "/submissions/job-880003", "", 404, "");
+    expectResponse("POST", "/submissions/job-880003/abort", "", 404, "");
     return sent;
   }
 
@@ -285,7 +285,7 @@
    * Sends a request and records a violation unless the response has the expected status and text. A
    * missing response, 429 and 503 are also allowed, because the state service may be in an outage.
    */
-  private void expectAnswer(
+  private void expectResponse(
       String method, String path, String body, int expectedStatus, String expectedText) {
     cluster.network.send(
         "odd",
@@ -294,12 +294,12 @@
         path,
         body,
         5_000_000,
-        answer -> {
-          int status = answer.status();
+        response -> {
+          int status = response.status();
           if (status != 0
               && status != 503
               && status != 429
-              && (status != expectedStatus || !(answer.body()).contains(expectedText))) {
+              && (status != expectedStatus || !(response.body()).contains(expectedText))) {
             cluster.invariants.broken.add(
                 "wrong response to "
                     + method
@@ -308,7 +308,7 @@
                     + ": got "
                     + status
                     + " "
-                    + answer.body());
+                    + response.body());
           }
         });
   }
@@ -328,17 +328,17 @@
                   repeat ? "/submissions" : "/submissions/" + uid,
                   repeat ? Json.write(specByUid.get(uid).toJson()) : null,
                   2_000_000,
-                  answer -> {
-                    if (answer.status() == 200) {
+                  response -> {
+                    if (response.status() == 200) {
                       looks++;
-                      checkAnswer(uid, answer.body(), sentMicros);
-                    } else if (answer.status() == 404) {
+                      checkResponse(uid, response.body(), sentMicros);
+                    } else if (response.status() == 404) {
                       cluster.invariants.toldAnywhere(uid, null, sentMicros);
-                    } else if (answer.status() == 400
-                        || answer.status() == 422
-                        || answer.status() == 201) {
+                    } else if (response.status() == 400
+                        || response.status() == 422
+                        || response.status() == 201) {
                       cluster.invariants.broken.add(
-                          "repeated submission of " + uid + " got status " + answer.status());
+                          "repeated submission of " + uid + " got status " + response.status());
                     }
                   });
             });
@@ -346,7 +346,7 @@
     }
   }
 
-  private void checkAnswer(String uid, String body, long sentMicros) {
+  private void checkResponse(String uid, String body, long sentMicros) {
     try {
       cluster.invariants.toldAnywhere(
           uid, Json.parseObject(body).path("status").asText(), sentMicros);
@@ -365,12 +365,12 @@
         "/submissions/" + uid + "/abort",
         "",
         5_000_000,
-        answer -> {
-          noteConnection(uid, answer);
-          if (answer.status() == 200) {
-            handleStatus(uid, answer.body(), sentMicros);
+        response -> {
+          dropClosedConnection(uid, response);
+          if (response.status() == 200) {
+            handleStatus(uid, response.body(), sentMicros);
           } else {
-            if (answer.status() == 404) {
+            if (response.status() == 404) {
               cluster.invariants.broken.add("forgotten: cancellation got 404 for " + uid);
             }
             cluster.at(1_000_000, () -> cancel(uid));
@@ -405,11 +405,11 @@
         "/submissions/" + uid + "/abort",
         "",
         5_000_000,
-        answer -> {
-          if (answer.status() == 200) {
-            handleStatus(uid, answer.body(), sentMicros);
+        response -> {
+          if (response.status() == 200) {
+            handleStatus(uid, response.body(), sentMicros);
           }
-          status.accept(answer.status());
+          status.accept(response.status());
         });
   }
 
@@ -422,11 +422,11 @@
         "/submissions/" + uid,
         null,
         2_000_000,
-        answer -> {
-          noteConnection(uid, answer);
-          if (answer.status() == 200) {
-            handleStatus(uid, answer.body(), sentMicros);
-          } else if (answer.status() == 404) {
+        response -> {
+          dropClosedConnection(uid, response);
+          if (response.status() == 200) {
+            handleStatus(uid, response.body(), sentMicros);
+          } else if (response.status() == 404) {
             cluster.invariants.broken.add("forgotten: status query got 404 for " + uid);
           }
           cluster.at(5_000_000, () -> poll(uid));
@@ -482,7 +482,7 @@
   }
 
   private void handleStatus(String uid, String body, long sentMicros) {
-    checkAnswer(uid, body, sentMicros);
+    checkResponse(uid, body, sentMicros);
     if (closeLooks
         && queriedStates.add(
             uid + body.contains("\"status\":\"done\"") + body.contains("\"aborted\""))) {
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -173,14 +173,14 @@
         "/hello",
         Json.write(status()),
         4_000_000,
-        answer -> {
+        response -> {
           heartbeatInFlight = false;
           if (dead) {
             return;
           }
-          int status = answer.status();
+          int status = response.status();
           if (status == 200) {
-            handleAnswer(answer.body(), sent, sentIncarnation, controller);
+            handleResponse(response.body(), sent, sentIncarnation, controller);
             scheduleHeartbeat(
                 heartbeatDue ? 500_000 : 2_250_000 + cluster.random.nextLong(1_500_000));
             return;
@@ -188,7 +188,7 @@
           String leader = null;
           if (status == 421) {
             try {
-              leader = Json.parseObject(answer.body()).path("foreman").asText(null);
+              leader = Json.parseObject(response.body()).path("foreman").asText(null);
             } catch (InvalidMessageException e) {
               leader = null;
             }
@@ -206,7 +206,7 @@
         });
   }
 
-  private void handleAnswer(String body, long sent, long sentIncarnation, String label) {
+  private void handleResponse(String body, long sent, long sentIncarnation, String label) {
     try {
       ObjectNode object = Json.parseObject(body);
       long token = object.path("baton").asLong();
--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -14,7 +14,7 @@
 enum FaultCombination {
   SLOW_STATE_SERVICE_THEN_A_LONG_OUTAGE(
       deployment -> {
-        deployment.cluster.store.answerDelayMicros = 700_000;
+        deployment.cluster.store.responseDelayMicros = 700_000;
         deployment.cluster.at(
             3_000_000, () -> deployment.cluster.store.refused.add(deployment.leaderLabel()));
         deployment.cluster.at(4_000_000, () -> deployment.users.cancelStartedJobs(3, 0, 0));
@@ -120,7 +120,7 @@
         List.of("n0", "n1", "n2", "state").stream()
             .filter(label -> !label.equals(cutOff))
             .forEach(label -> deployment.cluster.network.cut(cutOff, label, true));
-        int reporting = deployment.cluster.cloud.reportingTo(cutOff);
+        int reporting = deployment.cluster.cloud.countWorkersSendingTo(cutOff);
         deployment.cluster.play(5);
         String next = deployment.leaderLabel();
         List<Integer> statusCodes = new ArrayList<>();
@@ -237,7 +237,7 @@
       deployment -> {
         deployment.cluster.cloud.most = 5;
         deployment.cluster.network.extraCommandDelayMicros = 900_000;
-        deployment.cluster.store.answerDelayMicros = 300_000;
+        deployment.cluster.store.responseDelayMicros = 300_000;
         for (int i = 0; i < 30; i++) {
           Priority priority = Priority.values()[i % 4];
           deployment.cluster.at(
@@ -366,7 +366,8 @@
   TEAM_AT_ITS_LIMIT_WITH_CANCELLATIONS_DURING_A_LEADER_CHANGE(
       deployment -> {
         deployment.submitBeyondLimit("red");
-        boolean full = deployment.cluster.invariants.coresOf("red") > FaultDeployment.LIMIT * 0.8;
+        boolean full =
+            deployment.cluster.invariants.coresOf("red") > FaultDeployment.RED_CORE_LIMIT * 0.8;
         String unreachableMachine = deployment.machineRunning("red");
         deployment.cluster.network.cuts.put(unreachableMachine + ">*", true);
         deployment.cluster.network.cuts.put("*>" + unreachableMachine, true);
@@ -379,7 +380,8 @@
   TEAM_AT_ITS_LIMIT_WITH_CANCELLED_JOBS_ON_HUNG_MACHINES(
       deployment -> {
         deployment.submitBeyondLimit("red");
-        boolean full = deployment.cluster.invariants.coresOf("red") > FaultDeployment.LIMIT * 0.8;
+        boolean full =
+            deployment.cluster.invariants.coresOf("red") > FaultDeployment.RED_CORE_LIMIT * 0.8;
         int[] cancelled = new int[1];
         deployment.cluster.at(
             100_000, () -> cancelled[0] = deployment.users.cancelStartedJobs(4, 14, 6).size());
@@ -426,7 +428,7 @@
 
   final Scenario scenario;
 
-  FaultCombination(Scenario play) {
-    this.scenario = play;
+  FaultCombination(Scenario scenario) {
+    this.scenario = scenario;
   }
 }
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -22,7 +22,7 @@
 final class FaultCombinationTest {
   @ParameterizedTest
   @EnumSource(FaultCombination.class)
-  void noRuleIsBroken(FaultCombination combination) {
+  void noRuleIsViolated(FaultCombination combination) {
     FaultDeployment deployment = new FaultDeployment(900 + combination.ordinal());
     BooleanSupplier tookPlace = combination.scenario.run(deployment);
     deployment.cluster.invariants.checkServed();
@@ -70,7 +70,7 @@
    * their preconditions, rules are violated, and the checks must report the violations.
    */
   @Test
-  void withoutPreconditionsLateTransactionsBreakRules() {
+  void withoutPreconditionsLateTransactionsViolateRules() {
     FaultDeployment deployment = new FaultDeployment(3_003);
     deployment.cluster.store.ignorePreconditions = true;
     deployment.cluster.store.lateWrites = 0.5;
@@ -86,7 +86,7 @@
    * controller must be reported.
    */
   @Test
-  void theCheckerReportsAnOlderAnswer() {
+  void theCheckerReportsAnOlderResponse() {
     FaultDeployment deployment = new FaultDeployment(3_001);
     String uid = deployment.jobs.get(0).uid();
     deployment.cluster.invariants.toldAnywhere(uid, "aborted", deployment.cluster.now());
@@ -108,7 +108,7 @@
    * must be reported.
    */
   @Test
-  void theCheckerReportsAJobThatWaitsBesideFreeCapacity() {
+  void theCheckerReportsAJobThatWaitsDespiteFreeCapacity() {
     FaultDeployment deployment = new FaultDeployment(3_002);
     deployment.cluster.play(120);
     deployment.cluster.calmSince = deployment.cluster.now();
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -14,7 +14,7 @@
   static final double LEASE_S = FakeWorker.LEASE_MICROS / 1e6;
 
   /** Core limit of team "red"; team "blue" has no limit. */
-  static final double LIMIT = 48;
+  static final double RED_CORE_LIMIT = 48;
 
   final SimulatedCluster cluster;
   final FakeUsers users;
@@ -26,7 +26,7 @@
             seed,
             3,
             List.of(
-                new PlatformConfiguration.Team("red", 16, LIMIT, 0, 0),
+                new PlatformConfiguration.Team("red", 16, RED_CORE_LIMIT, 0, 0),
                 new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
             seed % 2 == 0);
     users = new FakeUsers(cluster);
@@ -118,11 +118,11 @@
         .orElseThrow();
   }
 
-  List<String> startedJobs(int most) {
+  List<String> startedJobs(int limit) {
     return jobs.stream()
         .map(JobSpec::uid)
         .filter(u -> cluster.invariants.began(u) && !cluster.invariants.allDone(u))
-        .limit(most)
+        .limit(limit)
         .toList();
   }
 
@@ -156,7 +156,7 @@
     cluster.network.extraCommandDelayMicros = 0;
     cluster.network.machinesWithLostHeartbeats.clear();
     cluster.network.cuts.clear();
-    cluster.store.answerDelayMicros = 0;
+    cluster.store.responseDelayMicros = 0;
     cluster.store.lateWrites = 0;
     cluster.store.unansweredWrites = 0;
     cluster.store.refused.clear();
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -20,14 +20,14 @@
  * fault is tested alone and together with the faults that make it worse.
  */
 final class FaultTest {
-  private static final double LIMIT = 48;
+  private static final double RED_CORE_LIMIT = 48;
 
   private final SimulatedCluster cluster =
       new SimulatedCluster(
           61,
           3,
           List.of(
-              new PlatformConfiguration.Team("red", 16, LIMIT, 0, 0),
+              new PlatformConfiguration.Team("red", 16, RED_CORE_LIMIT, 0, 0),
               new PlatformConfiguration.Team("blue", 16, 0, 0, 0)),
           false);
   private final FakeUsers users = new FakeUsers(cluster);
@@ -420,7 +420,7 @@
     JobSpec first = submit(job("blue", Priority.STANDARD, 8, 2, 5, false));
     cluster.play(40);
     assertDone(first);
-    cluster.network.lostCommandAnswerShare = 0.7;
+    cluster.network.lostCommandResponseShare = 0.7;
     List<JobSpec> all = submitMany(6, 10, i -> job("blue", Priority.STANDARD, 10, 2, 8, false));
     cluster.play(120);
     assertDone(all.toArray(new JobSpec[0]));
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -167,9 +167,9 @@
     assertEquals(
         Priority.HIGH, slow.priority(), "priority inherited from the last job of the chain");
     assertTrue(large.completedCount() > 10, "completed tasks: " + large.completedCount());
-    assertTrue(answer(cluster, "job-000005").contains("\"aborted\""));
-    assertTrue(answer(cluster, "job-000004").contains("\"pending\""));
-    storeEnd(cluster, "job-000002");
+    assertTrue(queryStatus(cluster, "job-000005").contains("\"aborted\""));
+    assertTrue(queryStatus(cluster, "job-000004").contains("\"pending\""));
+    storeFinalState(cluster, "job-000002");
     cluster.play(4);
     assertFalse(
         next.waitsForDependencies() || many.waitsForDependencies(),
@@ -203,7 +203,7 @@
     return job.get();
   }
 
-  private static void storeEnd(SimulatedCluster cluster, String uid) {
+  private static void storeFinalState(SimulatedCluster cluster, String uid) {
     String body =
         """
         {"guards":[],"then":[{"put":"ended/%s","data":{"s":"done"}},{"drop":"active/%s"}]}\
@@ -212,8 +212,8 @@
     cluster.store.handle("test", "POST", "/txn", body, (status, text) -> assertEquals(200, status));
   }
 
-  private static String answer(SimulatedCluster cluster, String uid) {
-    StringBuilder answer = new StringBuilder();
+  private static String queryStatus(SimulatedCluster cluster, String uid) {
+    StringBuilder response = new StringBuilder();
     cluster
         .controllers
         .get("n1")
@@ -223,9 +223,9 @@
             "GET",
             "/submissions/" + uid,
             new byte[0],
-            (status, json, retryAfterS) -> answer.append(status).append(json));
+            (status, json, retryAfterS) -> response.append(status).append(json));
     cluster.play(1);
-    return answer.toString();
+    return response.toString();
   }
 
   @Test
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -94,7 +94,8 @@
         cluster.store.refusals.getOrDefault(label, 0) > 0, "no request of the leader was refused");
     cluster.play(1);
     assertTrue(
-        cluster.cloud.reportingTo(label) > 0, "no worker sends heartbeats to the old leader");
+        cluster.cloud.countWorkersSendingTo(label) > 0,
+        "no worker sends heartbeats to the old leader");
     cluster.at(55_000_000, cluster.store::endOutage);
     cluster.at(60_000_000, () -> cluster.store.refused.clear());
     cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 90);
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -256,7 +256,7 @@
             all.forEach(
                 j -> {
                   long startMicros = startedAt.getOrDefault(j.uid(), Long.MAX_VALUE / 2);
-                  long from = waitingStart(j);
+                  long from = readyMicros(j);
                   if (startMicros - from > START_MICROS && cluster.now() - from > START_MICROS) {
                     addViolation(
                         "half",
@@ -300,7 +300,7 @@
     acceptedJobs.add(uid);
     String cause =
         status.equals("pending") || status.equals("running")
-            ? cancelledBefore(uid, sentMicros)
+            ? dependencyCancelledBefore(uid, sentMicros)
             : null;
     if (cause != null) {
       addViolation(
@@ -322,7 +322,7 @@
    * Returns a direct or transitive dependency of the job that had been reported cancelled to a user
    * by the given time, or null.
    */
-  private String cancelledBefore(String uid, long sentMicros) {
+  private String dependencyCancelledBefore(String uid, long sentMicros) {
     Set<String> seen = new HashSet<>();
     java.util.ArrayDeque<String> open = new java.util.ArrayDeque<>(List.of(uid));
     while (!open.isEmpty()) {
@@ -340,7 +340,7 @@
   }
 
   /** Returns when the job was submitted and all its dependencies were done, whichever is later. */
-  private long waitingStart(JobSpec job) {
+  private long readyMicros(JobSpec job) {
     long from = submittedAt.getOrDefault(job.uid(), 0L);
     for (String name : job.dependencies()) {
       from =
@@ -364,10 +364,10 @@
               && !finalState.containsKey(job.uid())
               && !cancelledAt.containsKey(job.uid())
               && !allDone(job.uid())
-              && waitingStart(job) <= cluster.now()
+              && readyMicros(job) <= cluster.now()
               && hasNoActiveTask(job)
-              && teamHasRoom(job)
-              && machineHasRoom(job);
+              && teamHasCapacity(job)
+              && machineHasCapacity(job);
       if (!waits) {
         waitingSince.remove(job == null ? "" : job.uid());
       } else if (cluster.now() - waitingSince.computeIfAbsent(job.uid(), k -> cluster.now())
@@ -387,12 +387,12 @@
     return true;
   }
 
-  private boolean teamHasRoom(JobSpec job) {
+  private boolean teamHasCapacity(JobSpec job) {
     double limit = teams.get(job.team()).maxCores();
     return limit <= 0 || coresByTeam.getOrDefault(job.team(), 0.0) + job.cores() <= limit + 1e-6;
   }
 
-  private boolean machineHasRoom(JobSpec job) {
+  private boolean machineHasCapacity(JobSpec job) {
     for (FakeCloud.Vm vm : cluster.cloud.machines.values()) {
       if (vm.worker == null || !job.allows(vm.machineType, vm.zone, vm.spot)) {
         continue;
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -91,7 +91,7 @@
 
   /** The transaction that stores the end of a dependency is applied, but its response is lost. */
   @Test
-  void endWithLostAnswerReleasesDependents() {
+  void endWithLostResponseReleasesDependents() {
     List<JobSpec> stages = pipeline();
     cluster.store.answerLostOnce = "ended/" + stages.get(0).uid();
     users.pipeline(stages, false);
--- a/src/test/java/plumlever/sim/Processor.java
+++ b/src/test/java/plumlever/sim/Processor.java
@@ -13,7 +13,7 @@
   enum Work {
     HEARTBEAT,
     REQUEST,
-    ANSWER,
+    RESPONSE,
     TIMER
   }
 
@@ -29,7 +29,7 @@
   record Costs(
       long heartbeatMicros,
       long requestMicros,
-      long answerMicros,
+      long responseMicros,
       long timerMicros,
       double candidateMicros,
       long startMicros,
@@ -94,7 +94,7 @@
         switch (item.work) {
               case HEARTBEAT -> costs.heartbeatMicros;
               case REQUEST -> costs.requestMicros;
-              case ANSWER -> costs.answerMicros;
+              case RESPONSE -> costs.responseMicros;
               case TIMER -> costs.timerMicros;
             }
             + Math.max(0, candidatesNow - candidatesBefore) * costs.candidateMicros;
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -236,9 +236,10 @@
    * delegation that it read stays valid that long. No rule of the protocol states this, but the
    * proof of the rules depends on it.
    */
-  void checkRenewal(String answer, boolean asLeader) {
+  void checkRenewal(String response, boolean asLeader) {
     try {
-      long term = Fleet.termOf(Json.parseObject(answer).path(ProtocolField.FENCING_TOKEN).asLong());
+      long term =
+          Fleet.termOf(Json.parseObject(response).path(ProtocolField.FENCING_TOKEN).asLong());
       if (term < store.term()
           && (asLeader || now() - store.termStartMicros > DelegatedRenewal.VALID_MICROS)) {
         invariants.broken.add(
@@ -251,7 +252,7 @@
                 + " began");
       }
     } catch (InvalidMessageException e) {
-      throw new AssertionError("invalid heartbeat response of a controller: " + answer, e);
+      throw new AssertionError("invalid heartbeat response of a controller: " + response, e);
     }
   }
 
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -124,7 +124,7 @@
             runInProcess(
                 ownProcessNumber,
                 decisionThread,
-                Processor.Work.ANSWER,
+                Processor.Work.RESPONSE,
                 () ->
                     served.peer(
                         method,
@@ -216,11 +216,12 @@
   }
 
   private Caller caller(int ownProcessNumber, Processor thread) {
-    return (to, method, path, body, timeoutMicros, answer) -> {
+    return (to, method, path, body, timeoutMicros, response) -> {
       boolean direct = path.equals(ProtocolPath.COMMANDS);
       if (direct) {
         openDirectCalls++;
-        cluster.recordSockets(openDirectCalls + cluster.cloud.reportingTo(platform.label()));
+        cluster.recordSockets(
+            openDirectCalls + cluster.cloud.countWorkersSendingTo(platform.label()));
       }
       cluster.network.send(
           platform.label(),
@@ -233,10 +234,10 @@
               runInProcess(
                   ownProcessNumber,
                   thread,
-                  Processor.Work.ANSWER,
+                  Processor.Work.RESPONSE,
                   () -> {
                     openDirectCalls -= direct ? 1 : 0;
-                    answer.handle(received.status(), bytes(received.body()));
+                    response.handle(received.status(), bytes(received.body()));
                   }));
     };
   }
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -37,8 +37,8 @@
    * @param status 0 if no response arrived within the timeout
    * @param connectionCloses true if the connection closes after the response
    */
-  record Answer(int status, String body, boolean connectionCloses) {
-    private static final Answer NONE = new Answer(0, "", false);
+  record Response(int status, String body, boolean connectionCloses) {
+    private static final Response NONE = new Response(0, "", false);
   }
 
   static final long LATENCY_MICROS = 3_000;
@@ -84,7 +84,7 @@
   long heldCommandMicros;
 
   /** Share of direct commands whose response is lost. */
-  double lostCommandAnswerShare;
+  double lostCommandResponseShare;
 
   /** Share of heartbeats of which a late duplicate is delivered to any controller. */
   double copiedHeartbeatShare;
@@ -139,9 +139,9 @@
 
   /** Called when a new term begins: delivers the kept heartbeats to every controller. */
   void deliverKeptHeartbeats() {
-    List<String> copies = new ArrayList<>(heartbeatsKeptForNextTerm);
+    List<String> heartbeats = new ArrayList<>(heartbeatsKeptForNextTerm);
     heartbeatsKeptForNextTerm.clear();
-    for (String body : copies) {
+    for (String body : heartbeats) {
       for (String controller : controllers) {
         keptHeartbeatsDelivered++;
         deliver(
@@ -173,18 +173,18 @@
       String path,
       String body,
       long timeoutMicros,
-      Consumer<Answer> answer) {
+      Consumer<Response> response) {
     Message message = new Message(from, to, method, path, body);
-    FirstAnswer firstAnswer = new FirstAnswer(answer);
-    events.at(timeoutMicros, () -> firstAnswer.take(Answer.NONE));
+    FirstResponse firstResponse = new FirstResponse(response);
+    events.at(timeoutMicros, () -> firstResponse.take(Response.NONE));
     if (message.isCommand() && checkDelegations) {
       delegations.sent(to.host(), body);
     }
-    boolean answerIsLost =
+    boolean responseIsLost =
         random.nextDouble() < lostAnswerShare
-            || (message.isCommand() && random.nextDouble() < lostCommandAnswerShare);
+            || (message.isCommand() && random.nextDouble() < lostCommandResponseShare);
     long delayMicros = delayMicros(message);
-    Reply reply = new NetworkReply(message, answerIsLost, firstAnswer);
+    Reply reply = new NetworkReply(message, responseIsLost, firstResponse);
     if (message.isCommand() && random.nextDouble() < copiedCommandShare) {
       deliver(message, NO_REPLY, 4_000_000L + random.nextLong(16_000_000L));
       deliver(message, NO_REPLY, 500_000L + random.nextLong(MAX_DUPLICATE_DELAY_MICROS));
@@ -245,18 +245,18 @@
   }
 
   /** Passes on only the first outcome of a request, which may be the timeout. */
-  private static final class FirstAnswer {
-    private final Consumer<Answer> handler;
+  private static final class FirstResponse {
+    private final Consumer<Response> handler;
     private boolean answered;
 
-    FirstAnswer(Consumer<Answer> taker) {
-      this.handler = taker;
+    FirstResponse(Consumer<Response> handler) {
+      this.handler = handler;
     }
 
-    void take(Answer answer) {
+    void take(Response response) {
       if (!answered) {
         answered = true;
-        handler.accept(answer);
+        handler.accept(response);
       }
     }
   }
@@ -265,30 +265,30 @@
   private final class NetworkReply implements Reply {
     private final Message message;
     private final boolean isLost;
-    private final FirstAnswer answer;
+    private final FirstResponse response;
 
-    NetworkReply(Message message, boolean isLost, FirstAnswer answer) {
+    NetworkReply(Message message, boolean isLost, FirstResponse response) {
       this.message = message;
       this.isLost = isLost;
-      this.answer = answer;
+      this.response = response;
     }
 
     @Override
     public void send(int status, String body) {
-      sendBack(new Answer(status, body, false));
+      sendBack(new Response(status, body, false));
     }
 
     @Override
     public void sendClosing(int status, String body) {
-      sendBack(new Answer(status, body, true));
+      sendBack(new Response(status, body, true));
     }
 
-    private void sendBack(Answer sent) {
+    private void sendBack(Response sent) {
       events.at(
           LATENCY_MICROS,
           () -> {
             if (!isLost && !isCut(message.to.host(), message.from)) {
-              answer.take(sent);
+              response.take(sent);
             }
           });
     }
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -69,10 +69,10 @@
   /** Twelve seeds by default; {@code -Dplumlever.first=F -Dplumlever.seeds=N} selects others. */
   static LongStream seeds() {
     long first = Long.getLong("plumlever.first", 2);
-    LongStream asked = LongStream.range(first, first + Integer.getInteger("plumlever.seeds", 12));
+    LongStream range = LongStream.range(first, first + Integer.getInteger("plumlever.seeds", 12));
     // Regression, seed 395: a heartbeat delayed beyond the worker's lease restored a lost task, so
     // that a one-zone job ran in two zones.
-    return first == 2 ? LongStream.concat(asked, LongStream.of(395)) : asked;
+    return first == 2 ? LongStream.concat(range, LongStream.of(395)) : range;
   }
 
   /**
@@ -140,8 +140,8 @@
               .filter(v -> v.worker != null)
               .limit(2)
               .forEach(v -> makeUnreachable(cluster, v.id, 2 * time));
-      case 11 -> loseAllButWorkers(cluster, leader, time);
-      case 12 -> loseAllButWorkers(cluster, one, time);
+      case 11 -> cutFromStateAndPeers(cluster, leader, time);
+      case 12 -> cutFromStateAndPeers(cluster, one, time);
       case 14 -> cutFromAllMachines(cluster, leader.platform.label(), time);
       case 13 -> {
         // Restarts the leader at once, then restarts a random controller during the election.
@@ -198,7 +198,7 @@
     cluster.at(time, () -> cluster.network.cuts.remove("*>" + machineId));
   }
 
-  private static void loseAllButWorkers(
+  private static void cutFromStateAndPeers(
       SimulatedCluster cluster, SimulatedController controller, long time) {
     String label = controller.platform.label();
     cutLinks(cluster, label + ">state", "state>" + label, time);
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -201,7 +201,7 @@
   void alternatesLeadershipWithProductionVersion(long seed) {
     SimulatedCluster cluster = cluster(300 + seed);
     FakeUsers users = new FakeUsers(cluster);
-    FormerVersion former = new FormerVersion(cluster.store, CURRENT_VALUE_BYTES);
+    FormerVersion previousVersion = new FormerVersion(cluster.store, CURRENT_VALUE_BYTES);
     List<JobSpec> all = submitManySmallAndOneLarge(cluster, users);
     int largest = 0;
     long limitsLoweredAtMicros = 60_000_000 + seed * 15_000_000;
@@ -219,7 +219,7 @@
             .filter(SimulatedController::leads)
             .forEach(m -> m.crash(2));
         cluster.play(0.1);
-        former.leads();
+        previousVersion.leads();
       } else {
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
