--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -50,6 +50,7 @@
                 openBody + ",\"waits_on\":[\"" + known.uid() + "\",\"job-777\"]}")
             .status(),
         "one known and one unknown dependency");
+    // A dependency that cannot be read must not be refused as unknown.
     cluster.store.outage = true;
     Response response =
         request("n1", "POST", "/submissions", openBody + ",\"waits_on\":[\"job-777\"]}");
@@ -73,7 +74,10 @@
         request("n2", "POST", "/submissions", openBody + ",\"waits_on\":7}").status(),
         "repeated submission of a known job with other dependencies");
     JobSpec twice = idleJob(1, 1, known, known);
-    assertEquals(201, submitAt("n2", twice).status(), "submission that names a dependency twice");
+    assertEquals(
+        201,
+        submitAt("n2", twice).status(),
+        "submission that names a dependency twice, which counts once");
   }
 
   /**
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -230,8 +230,8 @@
 
   /**
    * Checks that at least half of the jobs of each class and of each team, and half of the largest
-   * jobs of each class, are done, and that the largest jobs started in time. Cancelled jobs do not
-   * count.
+   * jobs of each class, are done, and that the largest jobs started within {@link #START_MICROS}.
+   * Cancelled jobs do not count.
    */
   void checkServed() {
     Map<String, List<JobSpec>> groups = new HashMap<>();
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -148,7 +148,7 @@
     cluster.play(FakeWorker.LEASE_MICROS / 1e6 + 10);
     assertTrue(
         cluster.leader().actingLeader().failoverComplete(),
-        "a cut zone delays the failover for longer than a lease");
+        "failover not complete 10 s after the end of a lease, with one zone cut off");
     cluster.network.cuts.clear();
     cluster.calmSince = cluster.now();
     cluster.play(400);
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -42,8 +42,8 @@
   final Map<String, SimulatedController> controllers = new LinkedHashMap<>();
 
   /**
-   * Highest number of sockets in use at one controller: connections of its workers and open direct
-   * calls.
+   * Highest number of sockets in use at one controller so far: connections of its workers and open
+   * direct calls.
    */
   int mostSockets;
 
