--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -74,10 +74,7 @@
         request("n2", "POST", "/submissions", openBody + ",\"waits_on\":7}").status(),
         "repeated submission of a known job with other dependencies");
     JobSpec twice = idleJob(1, 1, known, known);
-    assertEquals(
-        201,
-        submitAt("n2", twice).status(),
-        "submission that names a dependency twice, which counts once");
+    assertEquals(201, submitAt("n2", twice).status(), "submission that names a dependency twice");
   }
 
   /**
