--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -34,10 +34,10 @@
 import plumlever.wire.Priority;
 
 /**
- * Compatibility with records and messages that former versions wrote. The samples in {@code
- * production/} were written by the version that deploy/service.toml names; the samples in {@code
- * first-with-dependencies/} were written by the first version with job dependencies. The tests fail
- * if a rename or another refactoring changes a stored or sent format.
+ * Tests the compatibility with records and messages that former versions wrote. The samples in
+ * {@code production/} were written by the version that deploy/service.toml names; the samples in
+ * {@code first-with-dependencies/} were written by the first version with job dependencies. The
+ * tests fail if a rename or another refactoring changes a stored or sent format.
  */
 final class FormatSamplesTest {
   private static final String PRODUCTION = "production";
@@ -167,9 +167,9 @@
     assertEquals(
         Priority.HIGH, slow.priority(), "priority inherited from the last job of the chain");
     assertTrue(large.completedCount() > 10, "completed tasks: " + large.completedCount());
-    assertTrue(answer(cluster, "job-000005").contains("\"aborted\""));
-    assertTrue(answer(cluster, "job-000004").contains("\"pending\""));
-    storeEnd(cluster, "job-000002");
+    assertTrue(queryStatus(cluster, "job-000005").contains("\"aborted\""));
+    assertTrue(queryStatus(cluster, "job-000004").contains("\"pending\""));
+    storeFinalState(cluster, "job-000002");
     cluster.play(4);
     assertFalse(
         next.waitsForDependencies() || many.waitsForDependencies(),
@@ -192,6 +192,7 @@
     BitSet done = job(cluster, "job-000001").completedTasks();
     assertEquals(
         FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES).get("job-000001"), done);
+    // The first chunk holds 24,192 tasks: base64 of one bit for each task, in 4096 - 64 bytes.
     assertTrue(
         done.length() > 24_192, "highest completed task in the first chunk only: " + done.length());
   }
@@ -202,7 +203,7 @@
     return job.get();
   }
 
-  private static void storeEnd(SimulatedCluster cluster, String uid) {
+  private static void storeFinalState(SimulatedCluster cluster, String uid) {
     String body =
         """
         {"guards":[],"then":[{"put":"ended/%s","data":{"s":"done"}},{"drop":"active/%s"}]}\
@@ -211,8 +212,8 @@
     cluster.store.handle("test", "POST", "/txn", body, (status, text) -> assertEquals(200, status));
   }
 
-  private static String answer(SimulatedCluster cluster, String uid) {
-    StringBuilder answer = new StringBuilder();
+  private static String queryStatus(SimulatedCluster cluster, String uid) {
+    StringBuilder response = new StringBuilder();
     cluster
         .controllers
         .get("n1")
@@ -222,9 +223,9 @@
             "GET",
             "/submissions/" + uid,
             new byte[0],
-            (status, json, retryAfterS) -> answer.append(status).append(json));
+            (status, json, retryAfterS) -> response.append(status).append(json));
     cluster.play(1);
-    return answer.toString();
+    return response.toString();
   }
 
   @Test
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -10,17 +10,20 @@
 import plumlever.wire.JobSpec;
 
 /**
- * Checks the protocol's rules against what happens on the simulated machines and what users are
- * answered. Each violation is recorded under the name of the broken rule.
+ * Checks the protocol's rules against the events on the simulated machines and the responses to
+ * users. Each violation is recorded under the name of the violated rule.
  */
 final class InvariantChecker {
-  /** Time within which the tasks of a job end after its cancellation was confirmed. */
+  /** Time within which the tasks of a job must end after its cancellation was confirmed. */
   static final long CANCEL_MICROS = 40_000_000;
 
-  /** Longest time without an answered query about a job once all faults have ended. */
+  /** Longest allowed time without an answered query about a job after all faults have ended. */
   static final long ANSWER_MICROS = 75_000_000;
 
-  /** Time within which the largest jobs of a class start once they can. */
+  /**
+   * Time within which the largest jobs of a class must start after they were submitted and their
+   * dependencies were done.
+   */
   static final long START_MICROS = 240_000_000;
 
   private final SimulatedCluster cluster;
@@ -63,10 +66,10 @@
   private final Map<String, String> finalState = new HashMap<>();
   private final Set<String> acceptedJobs = new HashSet<>();
 
-  /** Since when each job has waited although a suitable machine has free capacity. */
+  /** When each job was first seen to wait although a suitable machine has free capacity. */
   private final Map<String, Long> waitingSince = new HashMap<>();
 
-  /** Longest time that a job may wait beside free capacity. */
+  /** Longest time that a job may wait while a suitable machine has free capacity. */
   static final long WAITING_MICROS = 90_000_000;
 
   InvariantChecker(SimulatedCluster cluster, List<PlatformConfiguration.Team> teams) {
@@ -212,7 +215,7 @@
     answeredAt.put(uid, cluster.now());
   }
 
-  /** After all faults have ended, queries about an accepted job must be answered in time. */
+  /** Checks that queries about accepted jobs are answered in time after all faults have ended. */
   void checkAnswered() {
     if (cluster.calmSince == Long.MAX_VALUE) {
       return;
@@ -227,8 +230,8 @@
 
   /**
    * Checks that at least half of the jobs of each class and of each team, and half of the largest
-   * jobs of each class, are done, and that the largest jobs started in time. Cancelled jobs do not
-   * count.
+   * jobs of each class, are done, and that the largest jobs started within {@link #START_MICROS}.
+   * Cancelled jobs do not count.
    */
   void checkServed() {
     Map<String, List<JobSpec>> groups = new HashMap<>();
@@ -253,7 +256,7 @@
             all.forEach(
                 j -> {
                   long startMicros = startedAt.getOrDefault(j.uid(), Long.MAX_VALUE / 2);
-                  long from = waitingStart(j);
+                  long from = readyMicros(j);
                   if (startMicros - from > START_MICROS && cluster.now() - from > START_MICROS) {
                     addViolation(
                         "half",
@@ -277,9 +280,9 @@
   }
 
   /**
-   * Checks an answer that a user got from any controller. An answer must not be older than what any
-   * user knew when the query was sent: a final state must not change, and an accepted job must not
-   * be unknown. The check includes queries sent to all controllers at the same time.
+   * Checks a response that a user got from any controller. A response must not be older than what
+   * any user knew when the query was sent: a final state must not change, and an accepted job must
+   * not be unknown. The check includes queries sent to all controllers at the same time.
    *
    * @param status the reported job status, or null for a 404
    */
@@ -297,7 +300,7 @@
     acceptedJobs.add(uid);
     String cause =
         status.equals("pending") || status.equals("running")
-            ? cancelledBefore(uid, sentMicros)
+            ? dependencyCancelledBefore(uid, sentMicros)
             : null;
     if (cause != null) {
       addViolation(
@@ -319,7 +322,7 @@
    * Returns a direct or transitive dependency of the job that had been reported cancelled to a user
    * by the given time, or null.
    */
-  private String cancelledBefore(String uid, long sentMicros) {
+  private String dependencyCancelledBefore(String uid, long sentMicros) {
     Set<String> seen = new HashSet<>();
     java.util.ArrayDeque<String> open = new java.util.ArrayDeque<>(List.of(uid));
     while (!open.isEmpty()) {
@@ -337,7 +340,7 @@
   }
 
   /** Returns when the job was submitted and all its dependencies were done, whichever is later. */
-  private long waitingStart(JobSpec job) {
+  private long readyMicros(JobSpec job) {
     long from = submittedAt.getOrDefault(job.uid(), 0L);
     for (String name : job.dependencies()) {
       from =
@@ -347,8 +350,8 @@
   }
 
   /**
-   * After all faults have ended, no job may wait for long while a suitable machine has free
-   * capacity and the job's team is below its limit.
+   * Checks that, after all faults have ended, no job waits for long while a suitable machine has
+   * free capacity and the job's team is below its limit.
    */
   void checkWaiting() {
     if (cluster.calmSince == Long.MAX_VALUE) {
@@ -361,10 +364,10 @@
               && !finalState.containsKey(job.uid())
               && !cancelledAt.containsKey(job.uid())
               && !allDone(job.uid())
-              && waitingStart(job) <= cluster.now()
+              && readyMicros(job) <= cluster.now()
               && hasNoActiveTask(job)
-              && teamHasRoom(job)
-              && machineHasRoom(job);
+              && teamHasCapacity(job)
+              && machineHasCapacity(job);
       if (!waits) {
         waitingSince.remove(job == null ? "" : job.uid());
       } else if (cluster.now() - waitingSince.computeIfAbsent(job.uid(), k -> cluster.now())
@@ -384,12 +387,12 @@
     return true;
   }
 
-  private boolean teamHasRoom(JobSpec job) {
+  private boolean teamHasCapacity(JobSpec job) {
     double limit = teams.get(job.team()).maxCores();
     return limit <= 0 || coresByTeam.getOrDefault(job.team(), 0.0) + job.cores() <= limit + 1e-6;
   }
 
-  private boolean machineHasRoom(JobSpec job) {
+  private boolean machineHasCapacity(JobSpec job) {
     for (FakeCloud.Vm vm : cluster.cloud.machines.values()) {
       if (vm.worker == null || !job.allows(vm.machineType, vm.zone, vm.spot)) {
         continue;
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -30,7 +30,7 @@
   private Controller controller;
 
   /**
-   * Number of process starts and ends. Actions and answers that belong to an earlier process are
+   * Number of process starts and ends. Actions and responses that belong to an earlier process are
    * dropped.
    */
   private int processNumber;
@@ -59,7 +59,7 @@
     return controller != null && controller.leader().isPresent();
   }
 
-  /** Returns the leader state; the controller must be the leader. */
+  /** Returns the leader object of the current term; the controller must be the leader. */
   Leader actingLeader() {
     return controller.leader().orElseThrow();
   }
@@ -124,7 +124,7 @@
             runInProcess(
                 ownProcessNumber,
                 decisionThread,
-                Processor.Work.ANSWER,
+                Processor.Work.RESPONSE,
                 () ->
                     served.peer(
                         method,
@@ -133,7 +133,7 @@
                         (status, json, retry) -> reply.send(status, json))));
   }
 
-  /** Sends an answer unless the process that computed the answer has ended. */
+  /** Sends a response unless the process that computed the response has ended. */
   private final class ProcessResponder implements Responder {
     private final int ownProcessNumber;
     private final Controller served;
@@ -216,11 +216,12 @@
   }
 
   private Caller caller(int ownProcessNumber, Processor thread) {
-    return (to, method, path, body, timeoutMicros, answer) -> {
+    return (to, method, path, body, timeoutMicros, response) -> {
       boolean direct = path.equals(ProtocolPath.COMMANDS);
       if (direct) {
         openDirectCalls++;
-        cluster.recordSockets(openDirectCalls + cluster.cloud.reportingTo(platform.label()));
+        cluster.recordSockets(
+            openDirectCalls + cluster.cloud.countWorkersSendingTo(platform.label()));
       }
       cluster.network.send(
           platform.label(),
@@ -233,10 +234,10 @@
               runInProcess(
                   ownProcessNumber,
                   thread,
-                  Processor.Work.ANSWER,
+                  Processor.Work.RESPONSE,
                   () -> {
                     openDirectCalls -= direct ? 1 : 0;
-                    answer.handle(received.status(), bytes(received.body()));
+                    response.handle(received.status(), bytes(received.body()));
                   }));
     };
   }
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -16,11 +16,11 @@
  * set the shares of messages that are lost, delayed, duplicated or held back.
  */
 final class SimulatedNetwork {
-  /** Sends the answer to a request, immediately or later. */
+  /** Sends the response to a request, immediately or later. */
   interface Reply {
     void send(int status, String body);
 
-    /** Sends the answer and closes the connection. */
+    /** Sends the response and closes the connection. */
     default void sendClosing(int status, String body) {
       send(status, body);
     }
@@ -34,11 +34,11 @@
   /**
    * Outcome of a request.
    *
-   * @param status 0 if no answer arrived within the timeout
-   * @param connectionCloses true if the connection ends with the answer
+   * @param status 0 if no response arrived within the timeout
+   * @param connectionCloses true if the connection closes after the response
    */
-  record Answer(int status, String body, boolean connectionCloses) {
-    private static final Answer NONE = new Answer(0, "", false);
+  record Response(int status, String body, boolean connectionCloses) {
+    private static final Response NONE = new Response(0, "", false);
   }
 
   static final long LATENCY_MICROS = 3_000;
@@ -59,11 +59,11 @@
 
   /**
    * Cut links as {@code from>to}, where {@code *} stands for any endpoint. Requests over a cut link
-   * are held until the cut ends; answers are dropped.
+   * are held until the cut ends; responses are dropped.
    */
   final Map<String, Boolean> cuts = new HashMap<>();
 
-  /** Share of calls whose answer is lost. */
+  /** Share of calls whose response is lost. */
   double lostAnswerShare;
 
   /** Share of calls that are executed 1 to 61 s late. */
@@ -83,15 +83,15 @@
 
   long heldCommandMicros;
 
-  /** Share of direct commands whose answer is lost. */
-  double lostCommandAnswerShare;
+  /** Share of direct commands whose response is lost. */
+  double lostCommandResponseShare;
 
   /** Share of heartbeats of which a late duplicate is delivered to any controller. */
   double copiedHeartbeatShare;
 
   /**
-   * Share of heartbeats of which a copy is kept and delivered to every controller when a new term
-   * begins.
+   * Share of heartbeats of which a duplicate is kept and delivered to every controller when a new
+   * term begins.
    */
   double heartbeatShareKeptForNextTerm;
 
@@ -110,7 +110,7 @@
   private final List<String> heartbeatsKeptForNextTerm = new ArrayList<>();
 
   /**
-   * @param controllers live view of the labels, to which controllers may be added later
+   * @param controllers labels of the controllers; a live view, as controllers may be added later
    */
   SimulatedNetwork(
       EventQueue events,
@@ -139,9 +139,9 @@
 
   /** Called when a new term begins: delivers the kept heartbeats to every controller. */
   void deliverKeptHeartbeats() {
-    List<String> copies = new ArrayList<>(heartbeatsKeptForNextTerm);
+    List<String> heartbeats = new ArrayList<>(heartbeatsKeptForNextTerm);
     heartbeatsKeptForNextTerm.clear();
-    for (String body : copies) {
+    for (String body : heartbeats) {
       for (String controller : controllers) {
         keptHeartbeatsDelivered++;
         deliver(
@@ -163,8 +163,8 @@
   }
 
   /**
-   * Sends a request. A cut link holds the request and delivers it when the cut ends. The answer
-   * handler is called exactly once, with status 0 if no answer arrives within the timeout.
+   * Sends a request. A cut link holds the request and delivers it when the cut ends. The response
+   * handler is called exactly once, with status 0 if no response arrives within the timeout.
    */
   void send(
       String from,
@@ -173,18 +173,18 @@
       String path,
       String body,
       long timeoutMicros,
-      Consumer<Answer> answer) {
+      Consumer<Response> response) {
     Message message = new Message(from, to, method, path, body);
-    FirstAnswer firstAnswer = new FirstAnswer(answer);
-    events.at(timeoutMicros, () -> firstAnswer.take(Answer.NONE));
+    FirstResponse firstResponse = new FirstResponse(response);
+    events.at(timeoutMicros, () -> firstResponse.take(Response.NONE));
     if (message.isCommand() && checkDelegations) {
       delegations.sent(to.host(), body);
     }
-    boolean answerIsLost =
+    boolean responseIsLost =
         random.nextDouble() < lostAnswerShare
-            || (message.isCommand() && random.nextDouble() < lostCommandAnswerShare);
+            || (message.isCommand() && random.nextDouble() < lostCommandResponseShare);
     long delayMicros = delayMicros(message);
-    Reply reply = new NetworkReply(message, answerIsLost, firstAnswer);
+    Reply reply = new NetworkReply(message, responseIsLost, firstResponse);
     if (message.isCommand() && random.nextDouble() < copiedCommandShare) {
       deliver(message, NO_REPLY, 4_000_000L + random.nextLong(16_000_000L));
       deliver(message, NO_REPLY, 500_000L + random.nextLong(MAX_DUPLICATE_DELAY_MICROS));
@@ -245,50 +245,50 @@
   }
 
   /** Passes on only the first outcome of a request, which may be the timeout. */
-  private static final class FirstAnswer {
-    private final Consumer<Answer> handler;
+  private static final class FirstResponse {
+    private final Consumer<Response> handler;
     private boolean answered;
 
-    FirstAnswer(Consumer<Answer> taker) {
-      this.handler = taker;
+    FirstResponse(Consumer<Response> handler) {
+      this.handler = handler;
     }
 
-    void take(Answer answer) {
+    void take(Response response) {
       if (!answered) {
         answered = true;
-        handler.accept(answer);
+        handler.accept(response);
       }
     }
   }
 
-  /** Carries the answer to a request back to its sender. */
+  /** Carries the response to a request back to its sender. */
   private final class NetworkReply implements Reply {
     private final Message message;
     private final boolean isLost;
-    private final FirstAnswer answer;
+    private final FirstResponse response;
 
-    NetworkReply(Message message, boolean isLost, FirstAnswer answer) {
+    NetworkReply(Message message, boolean isLost, FirstResponse response) {
       this.message = message;
       this.isLost = isLost;
-      this.answer = answer;
+      this.response = response;
     }
 
     @Override
     public void send(int status, String body) {
-      sendBack(new Answer(status, body, false));
+      sendBack(new Response(status, body, false));
     }
 
     @Override
     public void sendClosing(int status, String body) {
-      sendBack(new Answer(status, body, true));
+      sendBack(new Response(status, body, true));
     }
 
-    private void sendBack(Answer sent) {
+    private void sendBack(Response sent) {
       events.at(
           LATENCY_MICROS,
           () -> {
             if (!isLost && !isCut(message.to.host(), message.from)) {
-              answer.take(sent);
+              response.take(sent);
             }
           });
     }
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -69,10 +69,10 @@
   /** Twelve seeds by default; {@code -Dplumlever.first=F -Dplumlever.seeds=N} selects others. */
   static LongStream seeds() {
     long first = Long.getLong("plumlever.first", 2);
-    LongStream asked = LongStream.range(first, first + Integer.getInteger("plumlever.seeds", 12));
+    LongStream range = LongStream.range(first, first + Integer.getInteger("plumlever.seeds", 12));
     // Regression, seed 395: a heartbeat delayed beyond the worker's lease restored a lost task, so
     // that a one-zone job ran in two zones.
-    return first == 2 ? LongStream.concat(asked, LongStream.of(395)) : asked;
+    return first == 2 ? LongStream.concat(range, LongStream.of(395)) : range;
   }
 
   /**
@@ -140,8 +140,8 @@
               .filter(v -> v.worker != null)
               .limit(2)
               .forEach(v -> makeUnreachable(cluster, v.id, 2 * time));
-      case 11 -> loseAllButWorkers(cluster, leader, time);
-      case 12 -> loseAllButWorkers(cluster, one, time);
+      case 11 -> cutFromStateAndPeers(cluster, leader, time);
+      case 12 -> cutFromStateAndPeers(cluster, one, time);
       case 14 -> cutFromAllMachines(cluster, leader.platform.label(), time);
       case 13 -> {
         // Restarts the leader at once, then restarts a random controller during the election.
@@ -190,7 +190,7 @@
   }
 
   /**
-   * Cuts off answers and commands to the machine, while its heartbeats still arrive. The network
+   * Cuts off responses and commands to the machine, while its heartbeats still arrive. The network
    * delivers held commands after the cut ends.
    */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
@@ -198,7 +198,7 @@
     cluster.at(time, () -> cluster.network.cuts.remove("*>" + machineId));
   }
 
-  private static void loseAllButWorkers(
+  private static void cutFromStateAndPeers(
       SimulatedCluster cluster, SimulatedController controller, long time) {
     String label = controller.platform.label();
     cutLinks(cluster, label + ">state", "state>" + label, time);
@@ -338,8 +338,8 @@
   }
 
   /**
-   * The cloud takes a machine right before the leader crashes. The lost machine must not delay the
-   * failover of everything that the new leader inherits.
+   * The cloud deletes a machine right before the leader crashes. The missing machine must not delay
+   * the failover of all jobs that the new leader inherits.
    */
   @Test
   void aDeletedMachineDelaysAFailoverOnlyBriefly() {
@@ -411,7 +411,7 @@
     assertEquals("done", cluster.invariants.lastTold.get(late.uid()));
   }
 
-  /** Two of three controllers end for good; the remaining controller must serve all jobs. */
+  /** Two of three controllers are killed and not restarted; the third must serve all jobs. */
   @Test
   void oneControllerSuffices() {
     SimulatedCluster cluster = cluster(31);
