--- a/src/main/java/plumlever/leader/PlannedStarts.java
+++ b/src/main/java/plumlever/leader/PlannedStarts.java
@@ -15,7 +15,7 @@
    */
   void addTo(List<WorkerCommand> commands, Machine machine) {
     if (pass.hasPlan(machine)
-        && pass.hasRecordedPlan(machine)
+        && pass.hasStartablePlan(machine)
         && !machine.load().hasUnconfirmedStart()) {
       starter.start(machine, pass.planned(machine), StartChannel.HEARTBEAT_ANSWER, commands);
       pass.dropPlan(machine);
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -92,7 +92,7 @@
     }
     Set<Machine> more = new LinkedHashSet<>(cordoned);
     more.addAll(candidates.subList(0, count));
-    if (pass.canDoWithout(more)) {
+    if (pass.canRemoveMachines(more)) {
       cordoned.addAll(more);
       context.metrics().count("machines_cordoned", count);
       log.debug("cordoned {} more machines: the remaining machines suffice", count);
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -120,13 +120,13 @@
   }
 
   private void rentPlanned(long now) {
-    List<RentalPlan.RentalRequest> rentals =
+    List<RentalPlan.PlannedRental> rentals =
         plan.plan(
             pass.demands(),
             incomingCapacity(),
             option -> isAvailable(option, now),
             MAX_MACHINES_PER_PLAN);
-    for (RentalPlan.RentalRequest rental : rentals) {
+    for (RentalPlan.PlannedRental rental : rentals) {
       if (openRequests.size() >= MAX_OPEN_REQUESTS) {
         return;
       }
@@ -170,7 +170,7 @@
   }
 
   /** Creates a request whose id is unique across all terms. */
-  private RentalRequest newRequest(RentalPlan.RentalRequest rental) {
+  private RentalRequest newRequest(RentalPlan.PlannedRental rental) {
     requestCounter++;
     RentalPlan.RentalOption option = rental.option();
     return new RentalRequest(
--- a/src/main/java/plumlever/leader/machine/PartitionProbes.java
+++ b/src/main/java/plumlever/leader/machine/PartitionProbes.java
@@ -58,7 +58,7 @@
       if (now - machine.contact().lastSeenMicros() < REACHABLE_MICROS) {
         unreachableZones.remove(machine.zone());
       } else if (calls.merge(machine.zone(), 1, Integer::sum) <= CALLS_PER_ZONE) {
-        commands.probe(machine);
+        commands.requestState(machine);
       }
     }
     delegation.updateUnreachableZones(unreachableZones);
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -264,7 +264,7 @@
         break;
       }
       excluded.add(machine);
-      if (!pass.servesWaitingWithout(excluded)) {
+      if (!pass.servesPendingJobsWithout(excluded)) {
         break;
       }
       transfers.offer(machine, to);
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -99,7 +99,7 @@
         || machine.contact().commandInFlight()
         || machine.load().hasUnconfirmedStart()
         || machine.contact().incarnation() == 0
-        || !pass.hasRecordedPlan(machine)) {
+        || !pass.hasStartablePlan(machine)) {
       return;
     }
     if (!delegation.mayCommand(machine.zone())) {
@@ -205,7 +205,7 @@
    * Requests the machine's state without sending a command, which also works in delegated zones.
    * The limits of {@link #sendToken} apply.
    */
-  public void probe(Machine machine) {
+  public void requestState(Machine machine) {
     endpointForTokenRaise(machine).ifPresent(endpoint -> inspect(machine, endpoint));
   }
 
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -183,7 +183,7 @@
   /**
    * True if a task whose job is stored as started is planned for the machine, so that it may start.
    */
-  public boolean hasRecordedPlan(Machine machine) {
+  public boolean hasStartablePlan(Machine machine) {
     return results.plannedStarts().hasStartable(machine);
   }
 
@@ -209,7 +209,7 @@
    * True if the rest of the fleet serves all pending jobs in time and covers the capacity headroom.
    * Does not change the plan.
    */
-  public boolean canDoWithout(Set<Machine> machines) {
+  public boolean canRemoveMachines(Set<Machine> machines) {
     return reduction.canRemoveMachines(machines);
   }
 
@@ -218,7 +218,7 @@
    * because capacity for possible future jobs is less important than pending jobs of another shard.
    * Does not change the plan.
    */
-  public boolean servesWaitingWithout(Set<Machine> machines) {
+  public boolean servesPendingJobsWithout(Set<Machine> machines) {
     return reduction.servesPendingJobsWithout(machines);
   }
 
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -79,7 +79,7 @@
   }
 
   /** Number of machines to rent of one option. */
-  public record RentalRequest(RentalOption option, int count) {}
+  public record PlannedRental(RentalOption option, int count) {}
 
   /** Free resources of a machine that is coming up or planned to be rented. */
   public static final class IncomingMachine {
@@ -124,7 +124,7 @@
    * @param available false for options that the cloud recently had no capacity for
    * @param maxMachines maximum number of machines to rent
    */
-  public List<RentalRequest> plan(
+  public List<PlannedRental> plan(
       List<Demand> demands,
       List<IncomingMachine> incoming,
       Predicate<RentalOption> available,
@@ -235,9 +235,9 @@
       return 1 + MAX_CONCENTRATION_SURCHARGE * count / (MACHINES_FOR_HALF_SURCHARGE + count);
     }
 
-    List<RentalRequest> plannedRentals() {
-      List<RentalRequest> rentals = new ArrayList<>();
-      countByOption.forEach((option, count) -> rentals.add(new RentalRequest(option, count)));
+    List<PlannedRental> plannedRentals() {
+      List<PlannedRental> rentals = new ArrayList<>();
+      countByOption.forEach((option, count) -> rentals.add(new PlannedRental(option, count)));
       return rentals;
     }
   }
