--- a/src/main/java/plumlever/TermContextFactory.java
+++ b/src/main/java/plumlever/TermContextFactory.java
@@ -33,7 +33,7 @@
             environment.electionLoop(), clients.electionStore(), environment.loop()),
         lateness::micros,
         environment.logs(),
-        platform.moneyMatters(parameters.rentalMicros()),
+        platform.costMatters(parameters.rentalMicros()),
         environment.settings().sharing());
   }
 }
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -97,12 +97,12 @@
 
   private static String idleMachinePolicy(
       PlatformConfiguration platform, SchedulerParameters parameters) {
-    return platform.moneyMatters(parameters.rentalMicros())
+    return platform.costMatters(parameters.rentalMicros())
         ? "cost is minimized where the objectives leave time: idle machines are returned after "
-            + seconds(parameters.idleMoneyMicros())
+            + seconds(parameters.idleTimeoutForCostMicros())
         : "idle machines are kept longer, because an objective leaves no time to rent one: they are"
             + " returned after "
-            + seconds(parameters.idleSpeedMicros());
+            + seconds(parameters.idleTimeoutForSpeedMicros());
   }
 
   private static String placementParameters(SchedulerParameters parameters) {
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -41,8 +41,8 @@
  * @param latenessMicros how late the loop thread has run recently, so that deferrable work can be
  *     postponed; used to pace scheduling passes and token raises, and by machines
  * @param logs provides loggers by class
- * @param moneyMatters whether to reduce cost where the objectives leave time; used by scheduling
- *     and machines for each machine of each pass
+ * @param costMatters whether to reduce cost where the objectives leave time; used by scheduling and
+ *     machines for each machine of each pass
  * @param sharing how the machines of a pool are shared, if this leader's shard belongs to a pool;
  *     used by the recovery read, by the delegation of renewals and when the components are created
  */
@@ -62,7 +62,7 @@
     RecoveryReader reader,
     LongSupplier latenessMicros,
     Logs logs,
-    boolean moneyMatters,
+    boolean costMatters,
     Optional<SharingSettings> sharing) {
 
   /** Lists keys on a thread other than the loop thread. */
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -117,7 +117,7 @@
       return;
     }
     returns.sendNext();
-    if (context.moneyMatters()) {
+    if (context.costMatters()) {
       sizing.adjust(now);
     }
     rentals.rent(now);
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -79,7 +79,7 @@
     this.isReturned = isReturned;
     this.isPartitioned = isPartitioned;
     this.onChange = onChange;
-    this.plan = new RentalPlan(context.prices(), context.moneyMatters());
+    this.plan = new RentalPlan(context.prices(), context.costMatters());
   }
 
   /** Returns true while at least one rental option is known to be unavailable. */
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -139,8 +139,8 @@
    * machine that does not suit the pending tasks may occupy capacity of the cloud that they need.
    */
   private long maxIdleMicros(boolean scarce) {
-    return context.moneyMatters() || scarce
-        ? context.parameters().idleMoneyMicros()
-        : context.parameters().idleSpeedMicros();
+    return context.costMatters() || scarce
+        ? context.parameters().idleTimeoutForCostMicros()
+        : context.parameters().idleTimeoutForSpeedMicros();
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
+++ b/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
@@ -27,8 +27,8 @@
             new PlacementParameters(
                 context.parameters().paddingShare(),
                 context.parameters().tieShare(),
-                context.moneyMatters() ? context.parameters().rentalMicros() : 0,
-                context.moneyMatters() ? 0 : context.parameters().spotRisk()));
+                context.costMatters() ? context.parameters().rentalMicros() : 0,
+                context.costMatters() ? 0 : context.parameters().spotRisk()));
   }
 
   /**
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -78,7 +78,7 @@
       // With this many pending jobs ahead, no capacity can be booked for the near future. Searching
       // for hundreds of pending jobs in a full fleet would take longer than the time until the next
       // urgent job arrives.
-      if (!context.moneyMatters()) {
+      if (!context.costMatters()) {
         demands.add(job, tasks, request.runMicros());
       }
       return;
@@ -192,7 +192,7 @@
      * replaced, or if only speed matters.
      */
     private boolean relaxStartGoal() {
-      if (startGoalRelaxed || !context.moneyMatters()) {
+      if (startGoalRelaxed || !context.costMatters()) {
         return false;
       }
       startGoalRelaxed = true;
--- a/src/main/java/plumlever/leader/scheduling/MachineShapes.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineShapes.java
@@ -44,7 +44,7 @@
    * a task holds its share of the machine, including a necessary image fetch.
    */
   private double pricePerSecond(MachineType machineType, boolean spot) {
-    return context.moneyMatters()
+    return context.costMatters()
         ? context.prices().hourlyPrice(machineType, spot) / SECONDS_PER_HOUR
         : Math.max(machineType.cores(), machineType.memoryGb() / MEMORY_GB_PER_CORE);
   }
--- a/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
@@ -24,7 +24,7 @@
   /** True if a machine should be rented for the task instead of waiting for the booked start. */
   boolean needsRental(Job job, Placer.Choice booked, ResourceRequest request, long nowMicros) {
     long waitMicros = booked.startMicros() - nowMicros;
-    if (!context.moneyMatters()) {
+    if (!context.costMatters()) {
       return waitMicros > context.parameters().rentalMicros();
     }
     return !booked.feasible()
@@ -43,7 +43,7 @@
    * machines later.
    */
   boolean canRentStepwise(ResourceRequest request, long nowMicros) {
-    return context.moneyMatters()
+    return context.costMatters()
         && request.startByMicros() != ResourceRequest.ANY_TIME
         && request.startByMicros() - nowMicros > 2 * context.parameters().rentalMicros();
   }
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -90,8 +90,10 @@
             durationMicros(OperatorKey.PROGRESS_WRITE_INTERVAL_S, defaults.progressPauseMicros()),
             durationMicros(OperatorKey.PASS_BUDGET_S, defaults.passBudgetMicros()),
             durationMicros(OperatorKey.HEARTBEAT_TIMEOUT_S, defaults.silentMicros()),
-            durationMicros(OperatorKey.IDLE_TIMEOUT_FOR_COST_S, defaults.idleMoneyMicros()),
-            durationMicros(OperatorKey.IDLE_TIMEOUT_FOR_SPEED_S, defaults.idleSpeedMicros()),
+            durationMicros(
+                OperatorKey.IDLE_TIMEOUT_FOR_COST_S, defaults.idleTimeoutForCostMicros()),
+            durationMicros(
+                OperatorKey.IDLE_TIMEOUT_FOR_SPEED_S, defaults.idleTimeoutForSpeedMicros()),
             number(OperatorKey.BOOT_TIMEOUT_FACTOR, defaults.bootFactor()),
             durationMicros(OperatorKey.PROVISIONING_S, defaults.rentalMicros()),
             durationMicros(OperatorKey.STARVATION_LIMIT_S, defaults.mustStartMicros()),
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -143,7 +143,7 @@
    *
    * @param rentalMicros the time from a rental request until the machine is up
    */
-  public boolean moneyMatters(long rentalMicros) {
+  public boolean costMatters(long rentalMicros) {
     return objectives.stream().anyMatch(Objective::isAboutCost)
         || objectives.stream().allMatch(objective -> objective.leavesTimeFor(rentalMicros));
   }
--- a/src/main/java/plumlever/settings/SchedulerParameters.java
+++ b/src/main/java/plumlever/settings/SchedulerParameters.java
@@ -21,8 +21,9 @@
  *     handled
  * @param silentMicros a machine without a heartbeat for this long is called directly; the machine
  *     is returned if the rest of its zone still sends heartbeats
- * @param idleMoneyMicros the idle time after which a machine is returned if cost matters
- * @param idleSpeedMicros the idle time after which a machine is returned if only speed matters
+ * @param idleTimeoutForCostMicros the idle time after which a machine is returned if cost matters
+ * @param idleTimeoutForSpeedMicros the idle time after which a machine is returned if only speed
+ *     matters
  * @param bootFactor the controller gives up a machine that boots for longer than its nominal
  *     startup time multiplied by this factor
  * @param rentalMicros the approximate time from a rental request until the machine is up
@@ -45,8 +46,8 @@
     long progressPauseMicros,
     long passBudgetMicros,
     long silentMicros,
-    long idleMoneyMicros,
-    long idleSpeedMicros,
+    long idleTimeoutForCostMicros,
+    long idleTimeoutForSpeedMicros,
     double bootFactor,
     long rentalMicros,
     long mustStartMicros,
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -286,12 +286,12 @@
 
   @Test
   void costMattersIfObjectivesLeaveTimeToRent() throws Exception {
-    assertTrue(platform(PLATFORM).moneyMatters(RENTAL_MICROS));
+    assertTrue(platform(PLATFORM).costMatters(RENTAL_MICROS));
   }
 
   @Test
   void costDoesNotMatterIfAnObjectiveLeavesNoTimeToRent() throws Exception {
-    assertFalse(platform(NO_TIME_TO_RENT).moneyMatters(RENTAL_MICROS));
+    assertFalse(platform(NO_TIME_TO_RENT).costMatters(RENTAL_MICROS));
   }
 
   @Test
@@ -301,6 +301,6 @@
             "[deployment.workers]",
             "[[deployment.objectives]]\nkind = \"price\"\n[deployment.workers]");
 
-    assertTrue(platform(text).moneyMatters(RENTAL_MICROS));
+    assertTrue(platform(text).costMatters(RENTAL_MICROS));
   }
 }
