--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -48,7 +48,7 @@
   }
 
   /** Returns whether a machine of this shard is recorded for return to the cloud. */
-  default boolean mustReturn(String machine) {
+  default boolean isRecordedForReturn(String machine) {
     return false;
   }
 
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -29,14 +29,14 @@
  * @param election ends the term early; used by machines and by the delegation of renewals
  * @param term the term of leadership, with its number, token and right to act
  * @param store client of the state service; used by all components that read or write records
- * @param layout keys and values of records; used with {@code store}
+ * @param recordLayout keys and values of records; used with {@code store}
  * @param cloud rents, lists and returns machines; used by machines
  * @param prices the machine types and their prices; used by scheduling, machines, the pool,
  *     failover and heartbeats
  * @param caller sends commands to workers and requests to other shards; used by scheduling and the
  *     pool
- * @param workersElsewhere how many workers send heartbeats to other controllers, as reported by
- *     these controllers; advisory, used by machines
+ * @param workersAtOtherControllers how many workers send heartbeats to other controllers, as
+ *     reported by these controllers; advisory, used by machines
  * @param reader reads the records of earlier leaders on another thread; used by the recovery read
  * @param latenessMicros how late the loop thread has run recently, so that deferrable work can be
  *     postponed; used to pace scheduling passes and token raises, and by machines
@@ -53,12 +53,12 @@
     LeaderElection election,
     Term term,
     StateClient store,
-    JobStore layout,
+    JobStore recordLayout,
     CloudClient cloud,
     PriceBook prices,
     Caller caller,
     Metrics metrics,
-    IntSupplier workersElsewhere,
+    IntSupplier workersAtOtherControllers,
     RecoveryReader reader,
     LongSupplier latenessMicros,
     Logs logs,
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -122,10 +122,10 @@
     if (keys.remove(anchor)) {
       keys.add(0, anchor);
     }
-    int sent = Math.min(keys.size(), context.layout().limits().maxOperations());
+    int sent = Math.min(keys.size(), context.recordLayout().limits().maxOperations());
     Transaction transaction =
         context
-            .layout()
+            .recordLayout()
             .removeDependencyList(context.term().requireTerm(), name, anchorRevision, keys);
     context
         .store()
--- a/src/main/java/plumlever/leader/job/DependentCancellation.java
+++ b/src/main/java/plumlever/leader/job/DependentCancellation.java
@@ -70,7 +70,7 @@
     writing = true;
     Transaction transaction =
         context
-            .layout()
+            .recordLayout()
             .endJob(
                 job.uid(),
                 job.revision(),
--- a/src/main/java/plumlever/leader/job/StoredProgress.java
+++ b/src/main/java/plumlever/leader/job/StoredProgress.java
@@ -92,7 +92,7 @@
         .put(item.key(), item.revision());
     try {
       context
-          .layout()
+          .recordLayout()
           .readProgressChunk(item.data(), jobAndFirstTask.substring(slash + 1), job.storedTasks());
       markStoredDone(job);
     } catch (InvalidMessageException e) {
--- a/src/main/java/plumlever/leader/machine/CloudInventory.java
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -96,7 +96,7 @@
               listed.zone(),
               listed.spot(),
               now - (long) (listed.ageS() * MICROS_PER_SECOND));
-      machine.setReturning(sharing.mustReturn(listed.id()));
+      machine.setReturning(sharing.isRecordedForReturn(listed.id()));
       fleet.add(machine);
     }
     machine.learnEndpoint(listed.endpoint());
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -137,7 +137,7 @@
     }
     return all > 0
         && silent * PERCENT >= all * MIN_SILENT_PERCENT_IF_PARTITIONED
-        && context.workersElsewhere().getAsInt() * PERCENT
+        && context.workersAtOtherControllers().getAsInt() * PERCENT
             >= all * MIN_ELSEWHERE_PERCENT_IF_PARTITIONED;
   }
 
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -164,7 +164,7 @@
   }
 
   @Override
-  public boolean mustReturn(String machine) {
+  public boolean isRecordedForReturn(String machine) {
     return claims.isRetired(machine);
   }
 
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -78,7 +78,7 @@
 
   /** Returns the number of machines that one transaction can acquire. */
   int maxMachinesPerTransaction() {
-    return context.layout().limits().maxOperations() - SHARED_OPERATIONS;
+    return context.recordLayout().limits().maxOperations() - SHARED_OPERATIONS;
   }
 
   /**
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -64,10 +64,10 @@
       return;
     }
     List<String> records = largeJobs.keysOf(job);
-    int deletedCount = Math.min(records.size(), context.layout().maxDeletesAtEnd());
+    int deletedCount = Math.min(records.size(), context.recordLayout().maxDeletesAtEnd());
     Transaction transaction =
         context
-            .layout()
+            .recordLayout()
             .endJob(
                 job.uid(),
                 job.revision(),
--- a/src/main/java/plumlever/leader/progress/LargeJobChunks.java
+++ b/src/main/java/plumlever/leader/progress/LargeJobChunks.java
@@ -36,7 +36,7 @@
 
   LargeJobChunks(TermContext context) {
     this.context = context;
-    this.tasksPerChunk = context.layout().tasksPerChunk();
+    this.tasksPerChunk = context.recordLayout().tasksPerChunk();
   }
 
   /** Adopts the chunks that an earlier leader stored for the job. */
@@ -76,10 +76,10 @@
 
   /** Divides the tasks into smaller chunks if the value size limit has decreased. */
   void enforceValueLimit() {
-    if (context.layout().tasksPerChunk() >= tasksPerChunk) {
+    if (context.recordLayout().tasksPerChunk() >= tasksPerChunk) {
       return;
     }
-    tasksPerChunk = context.layout().tasksPerChunk();
+    tasksPerChunk = context.recordLayout().tasksPerChunk();
     Set<Job> jobs = new LinkedHashSet<>(dirty.keySet());
     jobs.addAll(keysByJob.keySet());
     dirty.clear();
@@ -116,7 +116,8 @@
   private BitSet addTo(ProgressBatch batch, Job job, BitSet firstTasks) {
     int size =
         Math.min(
-            context.layout().valueBytes(), job.spec().taskCount() / TASKS_PER_BYTE + BASE_BYTES);
+            context.recordLayout().valueBytes(),
+            job.spec().taskCount() / TASKS_PER_BYTE + BASE_BYTES);
     BitSet added = new BitSet();
     for (int first = firstTasks.nextSetBit(0);
         first >= 0 && batch.fits(size);
@@ -131,7 +132,9 @@
     String key = JobStore.progressKey(job.uid(), first);
     keysByJob.computeIfAbsent(job, j -> new LinkedHashSet<>()).add(key);
     batch.put(
-        key, size, context.layout().progressChunk(job.completedTasks(), first, tasksPerChunk));
+        key,
+        size,
+        context.recordLayout().progressChunk(job.completedTasks(), first, tasksPerChunk));
     batch.coverCompleted(job, first, tasksPerChunk);
   }
 
--- a/src/main/java/plumlever/leader/progress/ProgressBatch.java
+++ b/src/main/java/plumlever/leader/progress/ProgressBatch.java
@@ -33,7 +33,7 @@
   ProgressBatch(TermContext context, RecordRevisions revisions) {
     this.revisions = revisions;
     this.transaction = context.term().requireTerm();
-    this.operationsLeft = context.layout().limits().maxOperations();
+    this.operationsLeft = context.recordLayout().limits().maxOperations();
   }
 
   /** Returns true if one more record of this size fits. */
--- a/src/main/java/plumlever/leader/progress/SharedChunks.java
+++ b/src/main/java/plumlever/leader/progress/SharedChunks.java
@@ -44,7 +44,7 @@
   }
 
   private int sizeOf(Job job) {
-    return context.layout().bytesInSharedChunk(job.spec());
+    return context.recordLayout().bytesInSharedChunk(job.spec());
   }
 
   /**
@@ -63,7 +63,7 @@
 
   private boolean fits(Chunk chunk, Job job) {
     int bytes = sizeOf(job);
-    return bytes >= 0 && chunk.bytes + bytes <= context.layout().sharedChunkBytes();
+    return bytes >= 0 && chunk.bytes + bytes <= context.recordLayout().sharedChunkBytes();
   }
 
   private void insert(Chunk chunk, Job job) {
@@ -84,7 +84,7 @@
 
   private Chunk chunkWithCapacity(int bytes) {
     for (Chunk chunk : chunks.values()) {
-      if (chunk.bytes + bytes <= context.layout().sharedChunkBytes()) {
+      if (chunk.bytes + bytes <= context.recordLayout().sharedChunkBytes()) {
         return chunk;
       }
     }
@@ -123,7 +123,7 @@
    */
   void splitOversized(Consumer<Job> assign) {
     for (Chunk chunk : List.copyOf(chunks.values())) {
-      if (chunk.bytes > context.layout().sharedChunkBytes()) {
+      if (chunk.bytes > context.recordLayout().sharedChunkBytes()) {
         split(chunk).forEach(assign);
       }
     }
@@ -184,6 +184,6 @@
     batch.put(
         JobStore.sharedChunkKey(chunk.number),
         chunk.bytes,
-        context.layout().sharedChunk(doneByJob));
+        context.recordLayout().sharedChunk(doneByJob));
   }
 }
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -19,7 +19,7 @@
 
 /**
  * A leader's context without election, term and cloud. The clock does not advance, timers never
- * fire, and requests are not answered, except for the writes refused by {@link #refuseValueOf}.
+ * fire, and requests are not answered, except for the writes refused by {@link #refuseValueOfSize}.
  */
 public final class ContextFixture {
   /** The initial limit on the size of a stored value. */
@@ -92,7 +92,7 @@
   }
 
   /** Makes the state service refuse a value of this size, which lowers the limit to half of it. */
-  public void refuseValueOf(int bytes) {
+  public void refuseValueOfSize(int bytes) {
     refusesWrites = true;
     context
         .store()
--- a/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
+++ b/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
@@ -41,9 +41,9 @@
   }
 
   private void lowerValueLimit() {
-    int before = context.layout().valueBytes();
-    services.refuseValueOf(ContextFixture.VALUE_BYTES / 2);
-    assertNotEquals(before, context.layout().valueBytes(), "the limit must have changed");
+    int before = context.recordLayout().valueBytes();
+    services.refuseValueOfSize(ContextFixture.VALUE_BYTES / 2);
+    assertNotEquals(before, context.recordLayout().valueBytes(), "the limit must have changed");
   }
 
   private static int sizeOf(List<Job> jobs) {
@@ -74,7 +74,7 @@
 
     kept.removeAll(removed);
     assertFalse(removed.isEmpty());
-    assertTrue(sizeOf(kept) <= context.layout().sharedChunkBytes());
+    assertTrue(sizeOf(kept) <= context.recordLayout().sharedChunkBytes());
     assertTrue(kept.stream().allMatch(chunks::markDirty), "jobs that fit stay in the chunk");
     assertTrue(removed.stream().noneMatch(chunks::markDirty), "removed jobs are in no chunk");
   }
@@ -92,7 +92,7 @@
     }
 
     assertTrue(adopted.size() < SMALL_JOBS);
-    assertTrue(sizeOf(adopted) <= context.layout().sharedChunkBytes());
+    assertTrue(sizeOf(adopted) <= context.recordLayout().sharedChunkBytes());
   }
 
   @Test
