--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -70,7 +70,7 @@
    * @param sentMicros when the request for the lease was sent
    */
   void extendFrom(long sentMicros, SchedulerParameters parameters) {
-    long validMicros = ClockDrift.shortestMicros(parameters.leaseTtlMicros());
+    long validMicros = ClockDrift.minElapsedMicros(parameters.leaseTtlMicros());
     mayActUntilMicros =
         Math.max(mayActUntilMicros, sentMicros + validMicros - parameters.actMarginMicros());
   }
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -67,7 +67,7 @@
             context.loop(),
             context.store(),
             JobStore.ACTIVE,
-            renewalLimit::watchMicros,
+            renewalLimit::watchTimeoutMicros,
             WATCH_RETRY_MICROS,
             new WatchListener());
   }
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -139,7 +139,7 @@
         .watch(
             prefix,
             storeRevision,
-            renewalLimit.watchMicros(),
+            renewalLimit.watchTimeoutMicros(),
             response -> {
               if (closed) {
                 return;
--- a/src/main/java/plumlever/lease/ClockDrift.java
+++ b/src/main/java/plumlever/lease/ClockDrift.java
@@ -12,12 +12,12 @@
   /**
    * Returns the least time that may have passed on another clock when this time has passed here.
    */
-  public static long shortestMicros(long micros) {
+  public static long minElapsedMicros(long micros) {
     return (long) (micros * (1 - DRIFT_ALLOWANCE));
   }
 
   /** Returns the most time that may pass here until this time has passed on another clock. */
-  public static long longestMicros(long micros) {
+  public static long maxElapsedMicros(long micros) {
     return (long) (micros * (1 + DRIFT_ALLOWANCE));
   }
 }
--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -32,8 +32,8 @@
   /** Computes the limit from these lease and cancellation times. */
   public RenewalLimit(PlatformConfiguration.Workers workers) {
     this.maxReadAgeMicros =
-        ClockDrift.shortestMicros(workers.cancelMicros())
-            - ClockDrift.longestMicros(workers.leaseMicros())
+        ClockDrift.minElapsedMicros(workers.cancelMicros())
+            - ClockDrift.maxElapsedMicros(workers.leaseMicros())
             - EXPIRY_MARGIN_MICROS;
   }
 
@@ -51,7 +51,7 @@
    * Returns how long a watch of ended jobs may stay open. A watch that has not been answered yet
    * does not show which jobs have ended.
    */
-  public long watchMicros() {
+  public long watchTimeoutMicros() {
     return Math.max(
         MIN_WATCH_MICROS, Math.min(MAX_WATCH_MICROS, maxReadAgeMicros / READS_PER_LIMIT));
   }
