--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -10,7 +10,7 @@
   private long term;
   private long lastRenewal;
   private long lastCommandToken = -1;
-  private long endsKnownAtLastCommandMicros;
+  private long endedJobsReadAtLastCommandMicros;
 
   /** The token in responses and commands to the machine. */
   public long current() {
@@ -51,12 +51,12 @@
    */
   public void commandSent(long endsKnownMicros) {
     lastCommandToken = current;
-    endsKnownAtLastCommandMicros = endsKnownMicros;
+    endedJobsReadAtLastCommandMicros = endsKnownMicros;
   }
 
   /** When the read of ended jobs that was passed to the last {@link #commandSent} was sent. */
-  public long endsKnownAtLastCommandMicros() {
-    return endsKnownAtLastCommandMicros;
+  public long endedJobsReadAtLastCommandMicros() {
+    return endedJobsReadAtLastCommandMicros;
   }
 
   /**
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -180,7 +180,7 @@
           heartbeat.incarnation(),
           evidence.token(),
           heartbeat.fencingToken(),
-          (loop.nowMicros() - evidence.endsKnownMicros()) / 1_000,
+          (loop.nowMicros() - evidence.endedJobsReadMicros()) / 1_000,
           stopCommands);
     }
   }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -81,13 +81,13 @@
   private LeaderEvidence evidence(Machine machine, boolean holdsTasksOfActiveJobs) {
     UnansweredCommands unansweredCommands =
         machine.load().hasUnconfirmedStart()
-            ? UnansweredCommands.sentAfter(machine.tokens().endsKnownAtLastCommandMicros())
+            ? UnansweredCommands.sentAfter(machine.tokens().endedJobsReadAtLastCommandMicros())
             : UnansweredCommands.NONE;
     return new LeaderEvidence(
         context.term()::mayAct,
         machine.tokens().current(),
         holdsTasksOfActiveJobs,
-        jobs.endsKnownMicros(),
+        jobs.endedJobsReadMicros(),
         unansweredCommands,
         sharing.foreignTaskEvidence(machine));
   }
@@ -116,7 +116,7 @@
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
           refusal.reason(),
-          (now - jobs.endsKnownMicros()) / 1_000);
+          (now - jobs.endedJobsReadMicros()) / 1_000);
     }
     out.retryLater(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
   }
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -41,7 +41,7 @@
   private final PrefixWatch watch;
 
   /** When the latest answered read that shows which jobs have ended was sent. */
-  private long endsKnownMicros = NEVER_MICROS;
+  private long endedJobsReadMicros = NEVER_MICROS;
 
   /**
    * Creates an empty view for one term; {@link #load} fills it.
@@ -94,12 +94,12 @@
    * machine's lease expires.
    */
   public boolean mayStartOrRenew() {
-    return renewalLimit.mayRenew(context.loop().nowMicros(), endsKnownMicros);
+    return renewalLimit.mayRenew(context.loop().nowMicros(), endedJobsReadMicros);
   }
 
   /** Returns when the latest answered read that shows which jobs have ended was sent. */
-  public long endsKnownMicros() {
-    return endsKnownMicros;
+  public long endedJobsReadMicros() {
+    return endedJobsReadMicros;
   }
 
   /**
@@ -107,7 +107,7 @@
    * read.
    */
   public void load(RecoveryRead found) {
-    endsKnownMicros = found.jobsReadSentMicros();
+    endedJobsReadMicros = found.jobsReadSentMicros();
     StateClient.Listing jobs = found.listing(JobStore.ACTIVE);
     startedJobs.read(found.listing(JobStore.STARTED).items());
     jobs.items().forEach(item -> addJob(item.key(), item.data(), item.revision(), true));
@@ -226,13 +226,13 @@
       ended.removeAll(listed);
       ended.forEach(uid -> removeJob(uid, Optional.empty()));
       dependencies.resolve();
-      endsKnownMicros = sentMicros;
+      endedJobsReadMicros = sentMicros;
       onChange.run();
     }
 
     @Override
     public void changed(List<StateClient.KeyEvent> changes, long sentMicros) {
-      endsKnownMicros = sentMicros;
+      endedJobsReadMicros = sentMicros;
       for (StateClient.KeyEvent change : changes) {
         if (change.deleted()) {
           removeJob(uidOf(change.key()), Optional.empty());
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -117,7 +117,7 @@
 
   private void sendStarts(
       Machine machine, Endpoint endpoint, List<WorkerCommand> commands, List<Attempt> sent) {
-    machine.tokens().commandSent(jobs.endsKnownMicros());
+    machine.tokens().commandSent(jobs.endedJobsReadMicros());
     machine.contact().setCommandInFlight(true);
     startsInFlight++;
     long token = machine.tokens().current();
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -103,6 +103,6 @@
   private void recordStart(Attempt attempt, StartChannel channel, long nowMicros) {
     context.metrics().count("starts_sent");
     context.metrics().recordDuration("wait", nowMicros - attempt.job().releasedMicros());
-    attemptLog.started(attempt, channel, jobs.endsKnownMicros());
+    attemptLog.started(attempt, channel, jobs.endedJobsReadMicros());
   }
 }
--- a/src/main/java/plumlever/lease/DelegateEvidence.java
+++ b/src/main/java/plumlever/lease/DelegateEvidence.java
@@ -11,11 +11,11 @@
  *     in flight
  * @param reportedToken the highest token that the machine has seen, according to its heartbeat
  * @param validUntilMicros when the last read of the delegation expires
- * @param endsKnownMicros send time of the oldest of the reads that show whether the jobs of the
+ * @param endedJobsReadMicros send time of the oldest of the reads that show whether the jobs of the
  *     machine's tasks have ended
  */
 public record DelegateEvidence(
-    long token, long reportedToken, long validUntilMicros, long endsKnownMicros)
+    long token, long reportedToken, long validUntilMicros, long endedJobsReadMicros)
     implements RenewalEvidence {
 
   @Override
@@ -29,7 +29,7 @@
     if (reportedToken > token) {
       return Optional.of(RenewalRefusal.TOKEN_NOT_SUFFICIENT);
     }
-    if (!limit.mayRenew(nowMicros, endsKnownMicros)) {
+    if (!limit.mayRenew(nowMicros, endedJobsReadMicros)) {
       return Optional.of(RenewalRefusal.ENDED_JOBS_UNKNOWN);
     }
     return Optional.empty();
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -12,7 +12,7 @@
  *     within its timeout
  * @param holdsTasksOfActiveJobs true if the heartbeat lists a task of a job that is not known to
  *     have ended
- * @param endsKnownMicros when the last answered read of ended jobs was sent
+ * @param endedJobsReadMicros when the last answered read of ended jobs was sent
  * @param unansweredCommands commands that may start tasks that the heartbeat does not list
  * @param foreignTasks evidence on the foreign tasks on the machine
  */
@@ -20,7 +20,7 @@
     BooleanSupplier mayAct,
     long token,
     boolean holdsTasksOfActiveJobs,
-    long endsKnownMicros,
+    long endedJobsReadMicros,
     UnansweredCommands unansweredCommands,
     ForeignTaskEvidence foreignTasks)
     implements RenewalEvidence {
@@ -47,11 +47,11 @@
 
   private boolean ownTasksEndInTime(RenewalLimit limit, long nowMicros) {
     boolean mayRun = holdsTasksOfActiveJobs || unansweredCommands.exist();
-    return !mayRun || limit.mayRenew(nowMicros, endsKnownMicros);
+    return !mayRun || limit.mayRenew(nowMicros, endedJobsReadMicros);
   }
 
   private boolean foreignTasksEndInTime(RenewalLimit limit, long nowMicros) {
-    return !foreignTasks.running() || limit.mayRenew(nowMicros, foreignTasks.endsKnownMicros());
+    return !foreignTasks.running() || limit.mayRenew(nowMicros, foreignTasks.endedJobsReadMicros());
   }
 
   /**
@@ -61,6 +61,6 @@
    */
   private boolean unansweredCommandsEndInTime(RenewalLimit limit, long nowMicros) {
     return !unansweredCommands.exist()
-        || limit.mayRenew(nowMicros, unansweredCommands.endsKnownMicros());
+        || limit.mayRenew(nowMicros, unansweredCommands.endedJobsReadMicros());
   }
 }
--- a/src/main/java/plumlever/lease/UnansweredCommands.java
+++ b/src/main/java/plumlever/lease/UnansweredCommands.java
@@ -6,10 +6,10 @@
  * ended, whether or not its heartbeats list the task.
  *
  * @param exist true if there are unanswered commands
- * @param endsKnownMicros the send time of the last read of ended jobs that was answered before the
- *     commands were sent; the commands start no task of a job cancelled before that time
+ * @param endedJobsReadMicros the send time of the last read of ended jobs that was answered before
+ *     the commands were sent; the commands start no task of a job cancelled before that time
  */
-public record UnansweredCommands(boolean exist, long endsKnownMicros) {
+public record UnansweredCommands(boolean exist, long endedJobsReadMicros) {
   /** No command to the machine is unanswered. */
   public static final UnansweredCommands NONE = new UnansweredCommands(false, 0);
 
