--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -60,7 +60,7 @@
     }
     HeartbeatHandler.Freshness freshness =
         heartbeats.apply(machine, heartbeat, HeartbeatSource.WORKER);
-    if (heartbeats.getAndClearChanged()) {
+    if (heartbeats.getAndClearPlacementChanged()) {
       passes.request();
     }
     if (freshness == HeartbeatHandler.Freshness.DUPLICATE) {
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -67,7 +67,7 @@
   }
 
   /** Returns whether an input of placement has changed since the last call; resets the flag. */
-  public boolean getAndClearChanged() {
+  public boolean getAndClearPlacementChanged() {
     return placementChange.getAndClear();
   }
 
@@ -227,7 +227,7 @@
    * Ends the attempts of a direct command that the worker refused. The worker has executed none of
    * these starts and never will.
    */
-  public void startsRefused(Iterable<Attempt> refusedStarts) {
+  public void endRefusedStarts(Iterable<Attempt> refusedStarts) {
     absentAttempts.endRefused(refusedStarts);
   }
 
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -284,7 +284,7 @@
         relayed.lapsed()
             ? List.of()
             : heartbeats.stopAndRemoveCommands(machine, relayed.heartbeat());
-    if (heartbeats.getAndClearChanged()) {
+    if (heartbeats.getAndClearPlacementChanged()) {
       onChange.run();
     }
     out.send(HttpStatus.OK, WorkerCommand.relayed(commands));
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -142,7 +142,7 @@
               .ifPresent(
                   heartbeat -> heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY));
           if (response instanceof WorkerResponse.Refused) {
-            heartbeats.startsRefused(sent);
+            heartbeats.endRefusedStarts(sent);
           } else if (response instanceof WorkerResponse.Unanswered) {
             context.metrics().count("direct_commands_unanswered");
             machine.tokens().voidDirectCommands();
@@ -253,7 +253,7 @@
   }
 
   private void notifyPlacementChange() {
-    if (heartbeats.getAndClearChanged()) {
+    if (heartbeats.getAndClearPlacementChanged()) {
       onPlacementChange.run();
     }
   }
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -100,7 +100,7 @@
   /** Makes the machine accounted for by a heartbeat that lists no tasks. */
   HeartbeatFixture accounted() {
     handler.apply(machine, heartbeat(), HeartbeatSource.WORKER);
-    handler.getAndClearChanged();
+    handler.getAndClearPlacementChanged();
     return this;
   }
 
