--- a/src/main/java/plumlever/leader/TermComponents.java
+++ b/src/main/java/plumlever/leader/TermComponents.java
@@ -159,7 +159,7 @@
     }
     responder.recordsLoaded();
     failover.machinesLoaded();
-    progress.takeOverStoredProgress();
+    progress.adoptStoredProgress();
   }
 
   /**
@@ -186,7 +186,7 @@
     scope.own(commands::close);
     scope.own(registry::close);
     scope.own(dependencyListCleanup::close);
-    startTask(scope, "machine records", registry::compact);
+    startTask(scope, "machine records", registry::cleanUp);
     startTask(scope, "started jobs", startedJobs::cleanUp);
     startTask(scope, "progress", progress::write);
     startTask(scope, "machines", machines::runOnce);
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -147,7 +147,7 @@
   }
 
   /** Returns true while the machine runs tasks that this leader does not track. */
-  public boolean runsUntracked(Machine machine) {
+  public boolean runsUntrackedTasks(Machine machine) {
     return withUntrackedTasks.contains(machine);
   }
 
@@ -182,7 +182,7 @@
   }
 
   /** Returns the number of processor cores that the team's tasks may be using on all machines. */
-  public double coresHeld(String team) {
+  public double coresPossiblyInUse(String team) {
     return fleet.usage(team).cores() + (countPossiblyOccupied() ? possiblyOccupiedCores : 0);
   }
 
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -115,7 +115,7 @@
    *
    * @return microseconds until the next call
    */
-  public long compact() {
+  public long cleanUp() {
     return records.cleanUp();
   }
 
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -98,7 +98,7 @@
         pendingCores += job.pendingCount() * job.spec().cores();
       }
     }
-    return Math.min(team.maxCores(), failover.coresHeld(team.name()) + pendingCores);
+    return Math.min(team.maxCores(), failover.coresPossiblyInUse(team.name()) + pendingCores);
   }
 
   /** Splits the limits that have no record of parts yet, and moves spare cores to other shards. */
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -381,7 +381,7 @@
         && !machine.contact().unreachable()
         && !machine.contact().commandInFlight()
         && !machine.load().hasUnconfirmedStart()
-        && !failover.runsUntracked(machine)
+        && !failover.runsUntrackedTasks(machine)
         && !steps.isInProgress(machine.id());
   }
 
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -49,7 +49,7 @@
    * record may no longer hold all of its jobs. The jobs that do not fit are written to other
    * records; the old record stays unchanged until then.
    */
-  public void takeOverStoredProgress() {
+  public void adoptStoredProgress() {
     StoredProgress found = jobs.storedProgress();
     revisions.putAll(found.sharedChunkRevisions());
     found
