--- a/src/main/java/plumlever/ServiceClients.java
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -9,8 +9,8 @@
 import plumlever.metrics.Metrics;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
-import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 
 /**
@@ -22,7 +22,7 @@
   private final Caller caller;
   private final StateClient store;
   private final StateClient electionStore;
-  private final JobStore layout;
+  private final RecordLayout layout;
   private final CloudClient cloud;
   private final PriceBook prices;
   private final MachineTypeRefresh machineTypes;
@@ -50,7 +50,7 @@
             platform.stateLimits(),
             metrics,
             keySpace);
-    this.layout = new JobStore(store.limits(), prefixesOfOtherShards(sharing));
+    this.layout = new RecordLayout(store.limits(), prefixesOfOtherShards(sharing));
     this.cloud =
         new CloudClient(
             environment.loop(), caller, platform.cloud(), platform.cloudLimits(), metrics);
@@ -86,7 +86,7 @@
     return electionStore;
   }
 
-  JobStore layout() {
+  RecordLayout layout() {
     return layout;
   }
 
--- a/src/main/java/plumlever/StateServiceProbe.java
+++ b/src/main/java/plumlever/StateServiceProbe.java
@@ -1,7 +1,7 @@
 package plumlever;
 
 import plumlever.concurrent.Loop;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 
 /**
@@ -22,7 +22,7 @@
   /** Runs as a recurring task; returns the pause until the next probe. */
   long run() {
     if (loop.nowMicros() - store.lastServedMicros() >= INTERVAL_MICROS / 2) {
-      store.get(JobStore.CATALOG, StateClient.RequestPriority.URGENT, ignored -> {});
+      store.get(RecordLayout.CATALOG, StateClient.RequestPriority.URGENT, ignored -> {});
     }
     return INTERVAL_MICROS;
   }
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeRefresh.java
@@ -7,7 +7,7 @@
 import plumlever.concurrent.Loop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.metrics.Logs;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.InvalidMessageException;
@@ -61,7 +61,7 @@
 
   private void readStored() {
     store.get(
-        JobStore.CATALOG,
+        RecordLayout.CATALOG,
         StateClient.RequestPriority.ORDINARY,
         stored -> {
           if (stored.found() && !typeCatalog.isLoaded()) {
@@ -85,14 +85,14 @@
 
   private void storeIfAbsent(List<MachineType> machineTypes) {
     store.get(
-        JobStore.CATALOG,
+        RecordLayout.CATALOG,
         StateClient.RequestPriority.ORDINARY,
         stored -> {
           if (stored.missing()) {
             store.transaction(
                 new Transaction()
-                    .require(JobStore.CATALOG, 0)
-                    .put(JobStore.CATALOG, MachineType.writeCatalog(machineTypes)),
+                    .require(RecordLayout.CATALOG, 0)
+                    .put(RecordLayout.CATALOG, MachineType.writeCatalog(machineTypes)),
                 StateClient.RequestPriority.ORDINARY,
                 result ->
                     log.debug(
--- a/src/main/java/plumlever/http/JobAcceptance.java
+++ b/src/main/java/plumlever/http/JobAcceptance.java
@@ -1,7 +1,7 @@
 package plumlever.http;
 
 import plumlever.store.DependencyLists;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.HttpStatus;
@@ -33,8 +33,9 @@
   }
 
   /** Stores the dependencies that do not fit into the job's record, then accepts the job. */
-  void acceptWithDependencyList(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
-    if (records.hasList()) {
+  void acceptWithDependencyList(
+      JobSpec spec, RecordLayout.Acceptance records, UserRequest request) {
+    if (records.hasDependencyList()) {
       // No list is stored if the submission repeats a known job: the stored list may differ or may
       // have been removed.
       responses.respondIfKnown(
@@ -44,12 +45,13 @@
     }
   }
 
-  private void storeDependencyList(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
+  private void storeDependencyList(
+      JobSpec spec, RecordLayout.Acceptance records, UserRequest request) {
     dependencyLists.store(
         records,
         anchorRevision -> {
           if (anchorRevision.isPresent()) {
-            accept(spec, records.anchoredAt(anchorRevision.getAsLong()), request);
+            accept(spec, records.requireAnchor(anchorRevision.getAsLong()), request);
           } else {
             responses.respondUnavailable(request);
           }
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -8,8 +8,8 @@
 import plumlever.concurrent.Loop;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
-import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.ForwardedRequest;
@@ -61,7 +61,7 @@
   private List<Candidate> candidates(String uid) {
     List<Candidate> candidates = new ArrayList<>();
     for (SharingSettings.Shard shard : sharing.otherShards()) {
-      for (String key : List.of(JobStore.activeKey(uid), JobStore.endedKey(uid))) {
+      for (String key : List.of(RecordLayout.activeKey(uid), RecordLayout.endedKey(uid))) {
         candidates.add(new Candidate(shard, KeySpace.absolute(shard.prefix(), key)));
       }
     }
--- a/src/main/java/plumlever/http/JobServices.java
+++ b/src/main/java/plumlever/http/JobServices.java
@@ -3,7 +3,7 @@
 import plumlever.concurrent.Loop;
 import plumlever.metrics.Metrics;
 import plumlever.store.JobRecordCache;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 
 /**
@@ -15,4 +15,4 @@
  * @param layout keys and values of the job records
  */
 public record JobServices(
-    Loop loop, StateClient store, JobRecordCache records, JobStore layout, Metrics metrics) {}
+    Loop loop, StateClient store, JobRecordCache records, RecordLayout layout, Metrics metrics) {}
--- a/src/main/java/plumlever/http/SubmissionHandler.java
+++ b/src/main/java/plumlever/http/SubmissionHandler.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.wire.ForwardedRequest;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
@@ -69,7 +69,8 @@
       refuseIfUnknown(uid, request, refusal.get());
       return;
     }
-    Optional<JobStore.Acceptance> records = jobs.layout().acceptJob(spec, jobs.loop().wallMicros());
+    Optional<RecordLayout.Acceptance> records =
+        jobs.layout().acceptJob(spec, jobs.loop().wallMicros());
     if (records.isEmpty()) {
       refuseIfUnknown(uid, request, SubmissionRefusal.invalid("the submission is too long"));
     } else if (spec.hasDependencies()) {
@@ -88,7 +89,8 @@
    * so the transaction needs no precondition on the dependencies. If a dependency is cancelled
    * concurrently, the cancellation is found in the dependencies' records after this job is stored.
    */
-  private void checkDependencies(JobSpec spec, JobStore.Acceptance records, UserRequest request) {
+  private void checkDependencies(
+      JobSpec spec, RecordLayout.Acceptance records, UserRequest request) {
     if (spec.dependencies().contains(spec.uid())) {
       refuseIfUnknown(
           spec.uid(),
--- a/src/main/java/plumlever/leader/TermComponents.java
+++ b/src/main/java/plumlever/leader/TermComponents.java
@@ -24,7 +24,7 @@
 import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.leader.scheduling.TaskStarter;
 import plumlever.sharing.PoolView;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 
 /**
  * The components that work for the leader during one term. Creates them, loads the records of
@@ -150,8 +150,8 @@
 
   /** Loads the records of earlier leaders. */
   void load(RecoveryRead recoveryRead) {
-    registry.load(recoveryRead.listing(JobStore.FLEET).items(), fleet);
-    warmState.load(recoveryRead.listing(JobStore.WARM_STATE).items());
+    registry.load(recoveryRead.listing(RecordLayout.FLEET).items(), fleet);
+    warmState.load(recoveryRead.listing(RecordLayout.WARM_STATE).items());
     jobs.load(recoveryRead);
     if (sharing.inPool()) {
       sharing.poolRecordsRead(
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -15,7 +15,7 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 
 /**
@@ -53,7 +53,7 @@
     LeaderElection election,
     Term term,
     StateClient store,
-    JobStore recordLayout,
+    RecordLayout recordLayout,
     CloudClient cloud,
     PriceBook prices,
     Caller caller,
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -9,7 +9,7 @@
 import plumlever.fleet.Fleet;
 import plumlever.fleet.RunTimeEstimates;
 import plumlever.leader.context.TermContext;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 
@@ -52,7 +52,7 @@
   public void load(List<StateClient.Item> items) {
     for (StateClient.Item item : items) {
       codec.read(item.data());
-      raiseStoredCount(JobStore.sharedRecordNumber(item.key()));
+      raiseStoredCount(RecordLayout.sharedRecordNumber(item.key()));
     }
   }
 
@@ -100,7 +100,7 @@
     Transaction transaction = context.term().requireTerm();
     changes.forEach(
         (number, value) -> {
-          String key = JobStore.warmStateKey(number);
+          String key = RecordLayout.warmStateKey(number);
           value.ifPresentOrElse(
               present -> transaction.put(key, present), () -> transaction.delete(key));
         });
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -16,8 +16,8 @@
 import plumlever.leader.context.TermContext;
 import plumlever.leader.record.RecoveryRead;
 import plumlever.lease.RenewalLimit;
-import plumlever.store.JobStore;
 import plumlever.store.PrefixWatch;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobState;
@@ -66,7 +66,7 @@
         new PrefixWatch(
             context.loop(),
             context.store(),
-            JobStore.ACTIVE,
+            RecordLayout.ACTIVE,
             renewalLimit::watchTimeoutMicros,
             WATCH_RETRY_MICROS,
             new WatchListener());
@@ -108,10 +108,10 @@
    */
   public void load(RecoveryRead found) {
     endedJobsReadMicros = found.jobsReadSentMicros();
-    StateClient.Listing jobs = found.listing(JobStore.ACTIVE);
-    startedJobs.read(found.listing(JobStore.STARTED).items());
+    StateClient.Listing jobs = found.listing(RecordLayout.ACTIVE);
+    startedJobs.read(found.listing(RecordLayout.STARTED).items());
     jobs.items().forEach(item -> addJob(item.key(), item.data(), item.revision(), true));
-    found.listing(JobStore.PROGRESS).items().forEach(storedProgress::read);
+    found.listing(RecordLayout.PROGRESS).items().forEach(storedProgress::read);
     startedJobs.loadEntries(this);
     dependencies.jobsLoaded();
     watch.watchFrom(jobs.storeRevision());
@@ -129,10 +129,10 @@
       return;
     }
     try {
-      long ageMicros = context.loop().wallMicros() - JobStore.acceptedWallMicros(data);
+      long ageMicros = context.loop().wallMicros() - RecordLayout.acceptedWallMicros(data);
       Job job =
           new Job(
-              JobStore.spec(data),
+              RecordLayout.spec(data),
               revision,
               context.loop().nowMicros() - Math.max(0, ageMicros),
               existedAtTermStart && startedJobs.mayHaveStarted(uid));
@@ -143,14 +143,14 @@
           job.spec().taskCount(),
           job.spec().jobClass(),
           ageMicros / 1_000);
-      dependencies.add(job, JobStore.dependenciesKeys(uid, data));
+      dependencies.add(job, RecordLayout.dependenciesKeys(uid, data));
     } catch (InvalidMessageException e) {
       log.error("ignoring unreadable job record {}: {}", key, e.getMessage());
     }
   }
 
   private static String uidOf(String key) {
-    return key.substring(JobStore.ACTIVE.length());
+    return key.substring(RecordLayout.ACTIVE.length());
   }
 
   private void removeJob(String uid, Optional<JobState> finalState) {
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import plumlever.leader.context.TermContext;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 
@@ -42,7 +42,7 @@
    *
    * @param anchorRevision revision of the anchor when the list was read; 0 if the anchor is missing
    */
-  private record UnusedList(JobStore.DependencyListId name, long anchorRevision) {}
+  private record UnusedList(RecordLayout.DependencyListId name, long anchorRevision) {}
 
   /** Creates a clean-up that keeps the lists of these active jobs. */
   public DependencyListCleanup(TermContext context, ActiveJobs jobs) {
@@ -61,7 +61,7 @@
       context
           .store()
           .list(
-              JobStore.DEPENDENCIES,
+              RecordLayout.DEPENDENCIES,
               StateClient.RequestPriority.ORDINARY,
               found -> {
                 listing = false;
@@ -86,9 +86,9 @@
   }
 
   private Map<UnusedList, List<String>> unusedLists(StateClient.Listing found) {
-    Map<JobStore.DependencyListId, List<StateClient.Item>> itemsByName = new LinkedHashMap<>();
+    Map<RecordLayout.DependencyListId, List<StateClient.Item>> itemsByName = new LinkedHashMap<>();
     for (StateClient.Item item : found.items()) {
-      JobStore.dependencyListOf(item.key())
+      RecordLayout.dependencyListOf(item.key())
           .filter(name -> jobs.get(name.uid()) == null)
           .ifPresent(name -> itemsByName.computeIfAbsent(name, n -> new ArrayList<>()).add(item));
     }
@@ -101,8 +101,9 @@
     return keysByList;
   }
 
-  private static long anchorRevision(JobStore.DependencyListId name, List<StateClient.Item> items) {
-    String anchor = JobStore.anchorOf(name);
+  private static long anchorRevision(
+      RecordLayout.DependencyListId name, List<StateClient.Item> items) {
+    String anchor = RecordLayout.anchorKey(name);
     return items.stream()
         .filter(item -> item.key().equals(anchor))
         .mapToLong(StateClient.Item::revision)
@@ -114,11 +115,11 @@
    * Removes the list in batches of one transaction each, with the anchor in the first batch. Parts
    * that a failed transaction leaves behind are found by the next clean-up.
    */
-  private void remove(JobStore.DependencyListId name, long anchorRevision, List<String> keys) {
+  private void remove(RecordLayout.DependencyListId name, long anchorRevision, List<String> keys) {
     if (closed || keys.isEmpty()) {
       return;
     }
-    String anchor = JobStore.anchorOf(name);
+    String anchor = RecordLayout.anchorKey(name);
     if (keys.remove(anchor)) {
       keys.add(0, anchor);
     }
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -12,7 +12,7 @@
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
 import plumlever.store.JobFinder;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.wire.JobState;
 
@@ -117,7 +117,7 @@
             StateClient.RequestPriority.ORDINARY,
             result -> {
               if (result.found()) {
-                names.addAll(JobStore.names(result.item().data()));
+                names.addAll(RecordLayout.dependencyIds(result.item().data()));
                 readDependencies(job, listKeys, next + 1, names);
               } else {
                 // All parts are stored before the job record and deleted only after the job has
@@ -185,7 +185,7 @@
 
   private void recordFinalState(String uid, JobFinder.Found found) {
     found
-        .endState()
+        .finalState()
         .ifPresent(
             finalState -> {
               unknownFinalStates.remove(uid);
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -12,7 +12,7 @@
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.record.SharedRecords;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.wire.Json;
 
@@ -60,7 +60,7 @@
     storedRecords.clear();
     storedUids.clear();
     for (StateClient.Item item : items) {
-      int number = JobStore.sharedRecordNumber(item.key());
+      int number = RecordLayout.sharedRecordNumber(item.key());
       if (number < 0) {
         log.error("ignoring key {}: not a record of the started-job index", item.key());
         continue;
@@ -126,7 +126,7 @@
   private static final class Layout implements SharedRecords.Layout<Job> {
     @Override
     public String key(int number) {
-      return JobStore.startedKey(number);
+      return RecordLayout.startedKey(number);
     }
 
     @Override
--- a/src/main/java/plumlever/leader/job/StoredProgress.java
+++ b/src/main/java/plumlever/leader/job/StoredProgress.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.wire.InvalidMessageException;
 
@@ -54,7 +54,7 @@
 
   /** Reads one record; the active jobs must already be loaded. */
   void read(StateClient.Item item) {
-    int sharedChunk = JobStore.sharedChunkOf(item.key());
+    int sharedChunk = RecordLayout.sharedChunkNumber(item.key());
     if (sharedChunk >= 0) {
       readSharedChunk(item, sharedChunk);
     } else {
@@ -64,7 +64,7 @@
 
   private void readSharedChunk(StateClient.Item item, int number) {
     sharedChunkRevisions.put(item.key(), item.revision());
-    JobStore.readSharedChunk(item.data())
+    RecordLayout.readSharedChunk(item.data())
         .forEach(
             (uid, done) -> {
               Job job = activeJobs.get(uid);
@@ -77,7 +77,7 @@
   }
 
   private void readChunk(StateClient.Item item) {
-    String jobAndFirstTask = item.key().substring(JobStore.PROGRESS.length());
+    String jobAndFirstTask = item.key().substring(RecordLayout.PROGRESS.length());
     int slash = jobAndFirstTask.lastIndexOf('/');
     Job job = slash < 0 ? null : activeJobs.get(jobAndFirstTask.substring(0, slash));
     if (job == null) {
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -12,7 +12,7 @@
 import plumlever.fleet.Machine;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.record.SharedRecords;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.wire.Json;
 
@@ -67,7 +67,7 @@
    */
   public void load(List<StateClient.Item> items, Fleet fleet) {
     for (StateClient.Item item : items) {
-      int number = JobStore.sharedRecordNumber(item.key());
+      int number = RecordLayout.sharedRecordNumber(item.key());
       if (number < 0) {
         log.error("ignoring key {}: not a record of the machine registry", item.key());
         continue;
@@ -127,7 +127,7 @@
   private static final class Layout implements SharedRecords.Layout<Machine> {
     @Override
     public String key(int number) {
-      return JobStore.machinesKey(number);
+      return RecordLayout.machinesKey(number);
     }
 
     @Override
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -5,8 +5,8 @@
 import org.slf4j.Logger;
 import plumlever.leader.context.TermContext;
 import plumlever.lease.RenewalLimit;
-import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.wire.HttpStatus;
 
@@ -36,7 +36,7 @@
   EndedJobsWatch(TermContext context, String shardPrefix) {
     this.context = context;
     this.log = context.logs().of(EndedJobsWatch.class);
-    this.prefix = KeySpace.absolute(shardPrefix, JobStore.ACTIVE);
+    this.prefix = KeySpace.absolute(shardPrefix, RecordLayout.ACTIVE);
     this.renewalLimit = new RenewalLimit(context.platform().workers());
   }
 
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -9,7 +9,7 @@
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.job.ActiveJobs;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.JobState;
@@ -109,11 +109,11 @@
     context
         .store()
         .get(
-            JobStore.endedKey(job.uid()),
+            RecordLayout.endedKey(job.uid()),
             StateClient.RequestPriority.URGENT,
             result -> {
               Optional<JobState> finalState =
-                  result.found() ? JobStore.finalState(result.item().data()) : Optional.empty();
+                  result.found() ? RecordLayout.finalState(result.item().data()) : Optional.empty();
               finalState.ifPresentOrElse(state -> finish(job, state), () -> retryLater(job));
             });
   }
--- a/src/main/java/plumlever/leader/progress/LargeJobChunks.java
+++ b/src/main/java/plumlever/leader/progress/LargeJobChunks.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 
 /**
  * The progress records of jobs that are too large to share a record with other jobs. Each of these
@@ -129,7 +129,7 @@
   }
 
   private void put(ProgressBatch batch, Job job, int first, int size) {
-    String key = JobStore.progressKey(job.uid(), first);
+    String key = RecordLayout.progressKey(job.uid(), first);
     keysByJob.computeIfAbsent(job, j -> new LinkedHashSet<>()).add(key);
     batch.put(
         key,
--- a/src/main/java/plumlever/leader/progress/SharedChunks.java
+++ b/src/main/java/plumlever/leader/progress/SharedChunks.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 
 /**
  * The progress records that small jobs share: which chunk holds which job, and which chunks have to
@@ -68,7 +68,7 @@
 
   private void insert(Chunk chunk, Job job) {
     chunk.jobs.add(job);
-    chunk.bytes += JobStore.sizeInSharedChunk(job.spec());
+    chunk.bytes += RecordLayout.sizeInSharedChunk(job.spec());
     chunkByJob.put(job, chunk);
   }
 
@@ -158,7 +158,7 @@
       Job job = jobs.next();
       if (job.over()) {
         jobs.remove();
-        chunk.bytes -= JobStore.sizeInSharedChunk(job.spec());
+        chunk.bytes -= RecordLayout.sizeInSharedChunk(job.spec());
         chunkByJob.remove(job);
       }
     }
@@ -182,7 +182,7 @@
       batch.coverAllCompleted(job);
     }
     batch.put(
-        JobStore.sharedChunkKey(chunk.number),
+        RecordLayout.sharedChunkKey(chunk.number),
         chunk.bytes,
         context.recordLayout().sharedChunk(doneByJob));
   }
--- a/src/main/java/plumlever/leader/record/RecoveryRead.java
+++ b/src/main/java/plumlever/leader/record/RecoveryRead.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import plumlever.leader.context.TermContext;
 import plumlever.sharing.PoolView;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 
 /**
@@ -31,11 +31,11 @@
     this.prefixes =
         new ArrayList<>(
             List.of(
-                JobStore.FLEET,
-                JobStore.WARM_STATE,
-                JobStore.STARTED,
-                JobStore.ACTIVE,
-                JobStore.PROGRESS));
+                RecordLayout.FLEET,
+                RecordLayout.WARM_STATE,
+                RecordLayout.STARTED,
+                RecordLayout.ACTIVE,
+                RecordLayout.PROGRESS));
     if (context.sharing().isPresent()) {
       prefixes.add(PoolView.PREFIX);
     }
@@ -52,7 +52,7 @@
   }
 
   private void read(String prefix, Consumer<RecoveryRead> onComplete) {
-    if (prefix.equals(JobStore.ACTIVE)) {
+    if (prefix.equals(RecordLayout.ACTIVE)) {
       jobsReadSentMicros = context.loop().nowMicros();
     }
     context
--- a/src/main/java/plumlever/store/DependencyListRecords.java
+++ b/src/main/java/plumlever/store/DependencyListRecords.java
@@ -80,13 +80,13 @@
   /**
    * Returns the list that the key belongs to; empty if the key is not part of a dependency list.
    */
-  static Optional<JobStore.DependencyListId> listOf(String key) {
+  static Optional<RecordLayout.DependencyListId> listOf(String key) {
     int uidBegin = RecordKeys.DEPENDENCIES.length();
     int uidEnd = key.indexOf('/', uidBegin);
     if (!key.startsWith(RecordKeys.DEPENDENCIES) || uidEnd < 0 || key.lastIndexOf('/') <= uidEnd) {
       return Optional.empty();
     }
     return Optional.of(
-        new JobStore.DependencyListId(key.substring(uidBegin, uidEnd), prefixOfPart(key)));
+        new RecordLayout.DependencyListId(key.substring(uidBegin, uidEnd), prefixOfPart(key)));
   }
 }
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -18,9 +18,9 @@
  * <p>The first value is the <em>anchor</em> of the list. A value counts as stored only if it was
  * read together with the anchor. Every further value is written on the condition that the anchor
  * exists. The active record is written on the condition that the anchor is unchanged ({@link
- * JobStore.Acceptance#anchoredAt}). The removal of an unused list deletes the anchor first ({@link
- * JobStore#removeDependencyList}). An active record therefore never refers to an incomplete list,
- * however late transactions are applied.
+ * RecordLayout.Acceptance#requireAnchor}). The removal of an unused list deletes the anchor first
+ * ({@link RecordLayout#removeDependencyList}). An active record therefore never refers to an
+ * incomplete list, however late transactions are applied.
  */
 public final class DependencyLists {
   /** The pause before the list is read again after a failed transaction. */
@@ -34,10 +34,10 @@
 
   private final Loop loop;
   private final StateClient store;
-  private final JobStore layout;
+  private final RecordLayout layout;
 
   /** Creates a writer that uses the given client and record layout. */
-  public DependencyLists(Loop loop, StateClient store, JobStore layout) {
+  public DependencyLists(Loop loop, StateClient store, RecordLayout layout) {
     this.loop = loop;
     this.store = store;
     this.layout = layout;
@@ -49,7 +49,7 @@
    * @param handler receives the revision of the anchor once all parts are stored, or an empty value
    *     if the list could not be stored
    */
-  public void store(JobStore.Acceptance acceptance, Consumer<OptionalLong> handler) {
+  public void store(RecordLayout.Acceptance acceptance, Consumer<OptionalLong> handler) {
     new Attempt(acceptance, handler).readStored();
   }
 
@@ -60,7 +60,7 @@
     private final Consumer<OptionalLong> handler;
     private final long startedMicros = loop.nowMicros();
 
-    Attempt(JobStore.Acceptance acceptance, Consumer<OptionalLong> handler) {
+    Attempt(RecordLayout.Acceptance acceptance, Consumer<OptionalLong> handler) {
       this.anchor = acceptance.anchor();
       this.parts = acceptance.parts();
       this.handler = handler;
--- a/src/main/java/plumlever/store/DependencyReader.java
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -141,7 +141,7 @@
   private void addFound(String uid, JobFinder.Found job, List<StateClient.Item> withList) {
     // If a job ends during this read, a watch response may record its final state before the
     // response of this read arrives.
-    Optional<JobState> finalState = job.endState().or(() -> jobStates.finalState(uid));
+    Optional<JobState> finalState = job.finalState().or(() -> jobStates.finalState(uid));
     if (finalState.isPresent()) {
       jobStates.recordEnd(uid, finalState.get());
       graph.recordEnd(uid, finalState.get(), job.endedWallMicros());
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -22,11 +22,11 @@
    * The record of a job.
    *
    * @param active the active record if the job has been accepted and has not ended
-   * @param endState the final state if the job has ended
+   * @param finalState the final state if the job has ended
    * @param endedWallMicros when the job ended, or 0 if that was not stored
    */
   public record Found(
-      Optional<StateClient.Item> active, Optional<JobState> endState, long endedWallMicros) {
+      Optional<StateClient.Item> active, Optional<JobState> finalState, long endedWallMicros) {
     static final Found NONE = new Found(Optional.empty(), Optional.empty(), 0);
 
     static Found active(StateClient.Item item) {
@@ -42,7 +42,7 @@
 
     /** Returns true if the job was ever accepted. */
     public boolean accepted() {
-      return active.isPresent() || endState.isPresent();
+      return active.isPresent() || finalState.isPresent();
     }
   }
 
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -89,7 +89,7 @@
   private final Loop loop;
   private final StateClient store;
   private final Metrics metrics;
-  private final JobStore layout;
+  private final RecordLayout layout;
   private final JobFinder finder;
   private final RateLimitRetry retry;
   private final JobStateCache jobStates = new JobStateCache();
@@ -100,7 +100,7 @@
   private final Map<String, Long> activeReadMicros = new HashMap<>();
 
   /** Creates an empty cache that reads through the given client. */
-  public JobRecordCache(Loop loop, StateClient store, JobStore layout, Metrics metrics) {
+  public JobRecordCache(Loop loop, StateClient store, RecordLayout layout, Metrics metrics) {
     this.loop = loop;
     this.store = store;
     this.metrics = metrics;
@@ -166,7 +166,7 @@
           if (!job.accepted()) {
             neverAccepted.add(uid);
           }
-          job.endState().ifPresent(finalState -> jobEnded(uid, finalState));
+          job.finalState().ifPresent(finalState -> jobEnded(uid, finalState));
         });
     return neverAccepted;
   }
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/RecordLayout.java
@@ -43,7 +43,7 @@
  *       the cloud is unavailable.
  * </ul>
  */
-public final class JobStore {
+public final class RecordLayout {
   /** Prefix of the records of jobs that have not ended. */
   public static final String ACTIVE = RecordKeys.ACTIVE;
 
@@ -81,7 +81,7 @@
   private final int configuredValueBytes;
 
   /** Creates the layout for a shard that does not belong to a pool. */
-  public JobStore(WriteLimits limits) {
+  public RecordLayout(WriteLimits limits) {
     this(limits, List.of());
   }
 
@@ -91,7 +91,7 @@
    * @param otherShardPrefixes key prefixes of the other shards of the pool; a job is accepted only
    *     if it exists under none of them
    */
-  public JobStore(WriteLimits limits, List<String> otherShardPrefixes) {
+  public RecordLayout(WriteLimits limits, List<String> otherShardPrefixes) {
     this.otherShardPrefixes = otherShardPrefixes;
     this.limits = limits;
     this.configuredValueBytes = limits.maxValueBytes();
@@ -151,7 +151,7 @@
   }
 
   /** Returns the number of the shared progress chunk, or -1 for any other key. */
-  public static int sharedChunkOf(String key) {
+  public static int sharedChunkNumber(String key) {
     return RecordKeys.sharedProgressNumber(key);
   }
 
@@ -164,7 +164,7 @@
    */
   public record Acceptance(Map<String, ObjectNode> parts, Transaction transaction) {
     /** Returns true if a dependency list has to be stored before the transaction. */
-    public boolean hasList() {
+    public boolean hasDependencyList() {
       return !parts.isEmpty();
     }
 
@@ -179,7 +179,7 @@
      *
      * @param anchorRevision the revision of the anchor when it was read
      */
-    public Transaction anchoredAt(long anchorRevision) {
+    public Transaction requireAnchor(long anchorRevision) {
       return transaction.require(anchor(), anchorRevision);
     }
   }
@@ -243,7 +243,7 @@
   }
 
   /** Returns the key of the first part of the list. */
-  public static String anchorOf(DependencyListId list) {
+  public static String anchorKey(DependencyListId list) {
     return list.prefix() + 0;
   }
 
@@ -259,13 +259,13 @@
    */
   public Transaction removeDependencyList(
       Transaction transaction, DependencyListId list, long anchorRevision, List<String> keys) {
-    transaction.require(activeKey(list.uid()), 0).require(anchorOf(list), anchorRevision);
+    transaction.require(activeKey(list.uid()), 0).require(anchorKey(list), anchorRevision);
     keys.stream().limit(limits.maxOperations()).forEach(transaction::delete);
     return transaction;
   }
 
   /** Returns the ids of the jobs that a part of a dependency list contains. */
-  public static List<String> names(JsonNode part) {
+  public static List<String> dependencyIds(JsonNode part) {
     return DependencyListRecords.uids(part);
   }
 
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -11,7 +11,7 @@
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.HttpStatus;
@@ -70,7 +70,7 @@
             null,
             null,
             store,
-            new JobStore(store.limits()),
+            new RecordLayout(store.limits()),
             null,
             new PriceBook(SchedulerParameters.defaults()),
             caller,
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -20,7 +20,7 @@
 import plumlever.leader.progress.ProgressWriter;
 import plumlever.leader.record.RecoveryRead;
 import plumlever.sim.TestJob;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
@@ -70,8 +70,8 @@
 
   private static StateClient.Listing listing(String prefix) {
     return new StateClient.Listing(
-        prefix.equals(JobStore.ACTIVE)
-            ? List.of(new StateClient.Item(JobStore.ACTIVE + JOB, jobRecord(), 3, 0))
+        prefix.equals(RecordLayout.ACTIVE)
+            ? List.of(new StateClient.Item(RecordLayout.ACTIVE + JOB, jobRecord(), 3, 0))
             : List.of(),
         5);
   }
--- a/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
+++ b/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
@@ -12,7 +12,7 @@
 import plumlever.leader.context.ContextFixture;
 import plumlever.leader.context.TermContext;
 import plumlever.sim.TestJob;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.wire.JobSpec;
 
 /**
@@ -47,7 +47,7 @@
   }
 
   private static int sizeOf(List<Job> jobs) {
-    return jobs.stream().mapToInt(job -> JobStore.sizeInSharedChunk(job.spec())).sum();
+    return jobs.stream().mapToInt(job -> RecordLayout.sizeInSharedChunk(job.spec())).sum();
   }
 
   @Test
@@ -100,7 +100,7 @@
     LargeJobChunks chunks = new LargeJobChunks(context);
     Job job = job(1, LARGE_JOB_TASKS);
     job.markCompleted(LARGE_JOB_TASKS - 1);
-    chunks.adopt(job, List.of(JobStore.progressKey(job.uid(), 0)));
+    chunks.adopt(job, List.of(RecordLayout.progressKey(job.uid(), 0)));
 
     chunks.enforceValueLimit();
 
@@ -112,7 +112,7 @@
     LargeJobChunks chunks = new LargeJobChunks(context);
     Job job = job(1, LARGE_JOB_TASKS);
     job.markCompleted(LARGE_JOB_TASKS - 1);
-    chunks.adopt(job, List.of(JobStore.progressKey(job.uid(), 0)));
+    chunks.adopt(job, List.of(RecordLayout.progressKey(job.uid(), 0)));
     lowerValueLimit();
 
     chunks.enforceValueLimit();
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -26,7 +26,7 @@
 import plumlever.http.TaskCounts;
 import plumlever.peer.PeerStatus;
 import plumlever.settings.PlatformConfiguration;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
@@ -114,10 +114,10 @@
   void submissionsAreReadAsTheyWereWritten(String version) throws InvalidMessageException {
     int read = 0;
     for (Map.Entry<String, JsonNode> record : records(version).entrySet()) {
-      if (record.getKey().startsWith(JobStore.ACTIVE)) {
-        JobSpec spec = JobStore.spec(record.getValue());
+      if (record.getKey().startsWith(RecordLayout.ACTIVE)) {
+        JobSpec spec = RecordLayout.spec(record.getValue());
         assertEquals(record.getValue().path("job"), Json.parseObject(Json.write(spec.toJson())));
-        assertTrue(JobStore.acceptedWallMicros(record.getValue()) > 0);
+        assertTrue(RecordLayout.acceptedWallMicros(record.getValue()) > 0);
         read++;
       }
     }
@@ -128,11 +128,11 @@
   void endRecordsHoldTimeSinceFirstVersionWithDependencies() throws InvalidMessageException {
     Map<String, JsonNode> records = records(FIRST_WITH_DEPENDENCIES);
     JsonNode done = records.get("ended/job-000001");
-    assertEquals(JobState.DONE, JobStore.finalState(done).orElseThrow());
-    assertEquals(done.path("at_ms").asLong() * 1_000, JobStore.endedWallMicros(done));
-    assertTrue(JobStore.endedWallMicros(done) > 0);
+    assertEquals(JobState.DONE, RecordLayout.finalState(done).orElseThrow());
+    assertEquals(done.path("at_ms").asLong() * 1_000, RecordLayout.endedWallMicros(done));
+    assertTrue(RecordLayout.endedWallMicros(done) > 0);
     assertEquals(
-        JobState.CANCELLED, JobStore.finalState(records.get("ended/job-000005")).orElseThrow());
+        JobState.CANCELLED, RecordLayout.finalState(records.get("ended/job-000005")).orElseThrow());
   }
 
   /**
@@ -147,7 +147,7 @@
     // All jobs in the long list had ended, but the sample contains only a tenth of their records.
     for (String key : List.copyOf(records.keySet())) {
       if (key.startsWith("waits/")) {
-        JobStore.names(records.get(key))
+        RecordLayout.dependencyIds(records.get(key))
             .forEach(name -> records.putIfAbsent("ended/" + name, Json.object().put("s", "done")));
       }
     }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -26,7 +26,7 @@
 import plumlever.http.TaskCounts;
 import plumlever.peer.PeerStatus;
 import plumlever.settings.PlatformConfiguration;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
@@ -74,19 +74,19 @@
     Set<String> kinds = new HashSet<>();
     for (Map.Entry<String, JsonNode> entry : records().entrySet()) {
       kinds.add(entry.getKey().substring(0, Math.max(0, entry.getKey().indexOf('/'))));
-      if (entry.getKey().startsWith(JobStore.ACTIVE)) {
-        JobSpec spec = JobStore.spec(entry.getValue());
+      if (entry.getKey().startsWith(RecordLayout.ACTIVE)) {
+        JobSpec spec = RecordLayout.spec(entry.getValue());
         assertEquals(
             entry.getValue().path("job"),
             Json.parseObject(Json.write(spec.toJson())),
             "specification as stored and as read");
-        assertTrue(JobStore.acceptedWallMicros(entry.getValue()) > 0);
+        assertTrue(RecordLayout.acceptedWallMicros(entry.getValue()) > 0);
         assertEquals(List.of(), spec.dependencies());
-      } else if (entry.getKey().startsWith(JobStore.ENDED)) {
-        assertTrue(JobStore.finalState(entry.getValue()).isPresent());
+      } else if (entry.getKey().startsWith(RecordLayout.ENDED)) {
+        assertTrue(RecordLayout.finalState(entry.getValue()).isPresent());
         assertEquals(
             0,
-            JobStore.endedWallMicros(entry.getValue()),
+            RecordLayout.endedWallMicros(entry.getValue()),
             "end time, which the production version does not store");
       }
     }
@@ -107,17 +107,17 @@
     cluster.cloud.outage = true;
     cluster.play(4);
     for (Map.Entry<String, JsonNode> entry : records.entrySet()) {
-      if (entry.getKey().startsWith(JobStore.ACTIVE)) {
+      if (entry.getKey().startsWith(RecordLayout.ACTIVE)) {
         assertTrue(
             cluster
                 .leader()
                 .actingLeader()
-                .job(entry.getKey().substring(JobStore.ACTIVE.length()))
+                .job(entry.getKey().substring(RecordLayout.ACTIVE.length()))
                 .isPresent(),
             entry.getKey());
       }
     }
-    BitSet packed = JobStore.readSharedChunk(records.get("progress/pack/0")).get("job-000030");
+    BitSet packed = RecordLayout.readSharedChunk(records.get("progress/pack/0")).get("job-000030");
     cluster
         .leader()
         .actingLeader()
--- a/src/test/java/plumlever/store/JobStoreTest.java
+++ b/src/test/java/plumlever/store/RecordLayoutTest.java
@@ -23,9 +23,9 @@
 import plumlever.wire.Priority;
 
 /** Tests of the record layout. */
-final class JobStoreTest {
-  private static JobStore layout(int valueBytes, int formerValueBytes) {
-    return new JobStore(
+final class RecordLayoutTest {
+  private static RecordLayout layout(int valueBytes, int formerValueBytes) {
+    return new RecordLayout(
         new WriteLimits(
             new PlatformConfiguration.StateLimits(100, 20, valueBytes, 4, formerValueBytes)));
   }
@@ -37,7 +37,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1024, 2048, 4096, 16384})
   void chunksOfTheLargestJobFitTheValueLimit(int valueBytes) throws InvalidMessageException {
-    JobStore jobStore = layout(valueBytes, 16384);
+    RecordLayout jobStore = layout(valueBytes, 16384);
     BitSet done = new BitSet();
     SplittableRandom random = new SplittableRandom(3);
     for (int i = 0; i < 100_000; i++) {
@@ -49,7 +49,7 @@
     for (int first = 0; first < 100_000; first += jobStore.tasksPerChunk()) {
       JsonNode chunk = jobStore.progressChunk(done, first, jobStore.tasksPerChunk());
       assertTrue(Json.write(chunk).length() <= valueBytes);
-      String key = JobStore.progressKey("job-1", first);
+      String key = RecordLayout.progressKey("job-1", first);
       // A chunk is read correctly whatever value size it was split by.
       layout(1024, 4096)
           .readProgressChunk(chunk, key.substring(key.lastIndexOf('/') + 1), restored);
@@ -89,7 +89,7 @@
    */
   @Test
   void earlierVersionsSkipCurrentChunks() {
-    String key = JobStore.progressKey("job-1", 0);
+    String key = RecordLayout.progressKey("job-1", 0);
     assertThrows(
         NumberFormatException.class,
         () -> Integer.parseInt(key.substring(key.lastIndexOf('/') + 1)));
@@ -106,7 +106,7 @@
         .withDependencies(dependencies);
   }
 
-  private static JsonNode activeRecord(JobStore.Acceptance acceptance) {
+  private static JsonNode activeRecord(RecordLayout.Acceptance acceptance) {
     return acceptance.transaction().body().path("then").get(0).path("data");
   }
 
@@ -119,15 +119,15 @@
   void largeDependencyListsAreStoredInParts(int valueBytes) {
     List<String> dependencies = IntStream.range(0, 5_000).mapToObj(i -> "job-" + i * 7L).toList();
 
-    JobStore.Acceptance acceptance =
+    RecordLayout.Acceptance acceptance =
         layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000).orElseThrow();
 
     JsonNode active = activeRecord(acceptance);
     assertTrue(Json.write(active).length() <= valueBytes);
     List<String> restored = new ArrayList<>();
-    for (String key : JobStore.dependenciesKeys("job-99", active)) {
+    for (String key : RecordLayout.dependenciesKeys("job-99", active)) {
       assertTrue(Json.write(acceptance.parts().get(key)).length() <= valueBytes);
-      restored.addAll(JobStore.names(acceptance.parts().get(key)));
+      restored.addAll(RecordLayout.dependencyIds(acceptance.parts().get(key)));
     }
     assertEquals(dependencies, restored);
     assertEquals(List.of(), ActiveRecord.inlineDependencies(active));
@@ -139,7 +139,7 @@
   void smallDependencyListsAreStoredInline(int valueBytes) {
     List<String> dependencies = List.of("job-1", "job-2");
 
-    JobStore.Acceptance acceptance =
+    RecordLayout.Acceptance acceptance =
         layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000).orElseThrow();
 
     assertEquals(Map.of(), acceptance.parts());
