--- a/src/main/java/plumlever/ControllerHealth.java
+++ b/src/main/java/plumlever/ControllerHealth.java
@@ -44,7 +44,7 @@
 
   @Override
   public boolean canTakeRequests() {
-    return !ineligible() && !isRefusedAlone() && !isLateAlone();
+    return !ineligible() && !onlyThisControllerRefused() && !isLateAlone();
   }
 
   @Override
@@ -58,7 +58,7 @@
    * cannot tell whether the state service serves the others.
    */
   @Override
-  public boolean isRefusedAlone() {
+  public boolean onlyThisControllerRefused() {
     if (store.refusedForMicros() < REFUSED_ALONE_AFTER_MICROS || platform.peers().isEmpty()) {
       return false;
     }
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -36,7 +36,7 @@
    * @param token the fencing token that renewals carry
    * @param validUntilMicros when the right expires unless the delegation is read again
    */
-  public record Right(long token, long validUntilMicros) {}
+  public record RenewalRight(long token, long validUntilMicros) {}
 
   /** A delegation that covers no zone. */
   private static final DelegationRecord NO_DELEGATION = new DelegationRecord(-1, Map.of());
@@ -139,12 +139,12 @@
    * Returns the right to renew leases in the zone, if there is one. Callers must check it again
    * immediately before each use.
    */
-  public Optional<Right> rightIn(String zone) {
+  public Optional<RenewalRight> renewalRight(String zone) {
     long validUntil = readSentMicros + VALID_MICROS;
     OptionalLong token = delegation.tokenOf(zone);
     if (token.isEmpty() || election.leading() || loop.nowMicros() >= validUntil) {
       return Optional.empty();
     }
-    return Optional.of(new Right(token.getAsLong(), validUntil));
+    return Optional.of(new RenewalRight(token.getAsLong(), validUntil));
   }
 }
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -100,7 +100,7 @@
    * renews leases, or -1 if there was no announcement. The value may be out of date; it is a hint,
    * not a proof.
    */
-  public long announcedDelegation() {
+  public long announcedDelegationRevision() {
     return records.announcedDelegationRevision();
   }
 
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeats.java
@@ -68,7 +68,7 @@
    * @return false if this controller may not renew the lease; no response has been sent
    */
   boolean tryRespond(Heartbeat heartbeat, Responder out) {
-    Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
+    Optional<DelegatedRenewal.RenewalRight> right = delegation.renewalRight(heartbeat.zone());
     // First check the conditions that do not depend on the jobs: a refusal needs no job lookup.
     if (right.isEmpty()
         || renewal
@@ -86,7 +86,7 @@
       Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> endedJobs, Responder out) {
     // The delegation may have expired during the job lookup. The lease must not be renewed if the
     // delegate can't send the stop commands for tasks of ended jobs.
-    Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
+    Optional<DelegatedRenewal.RenewalRight> right = delegation.renewalRight(heartbeat.zone());
     if (right.isEmpty()) {
       refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
       return;
@@ -96,7 +96,8 @@
       return;
     }
     List<WorkerCommand> stopCommands = stopCommands(heartbeat, endedJobs.get().uids());
-    DelegateEvidence evidence = evidence(right.get(), heartbeat, endedJobs.get().askedMicros());
+    DelegateEvidence evidence =
+        evidence(right.get(), heartbeat, endedJobs.get().oldestReadMicros());
     RenewalDecision decision = renewal.answer(evidence, stopCommands, loop.nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
       logRenewal(heartbeat, evidence, stopCommands);
@@ -109,7 +110,7 @@
   }
 
   private static DelegateEvidence evidence(
-      DelegatedRenewal.Right right, Heartbeat heartbeat, long endsKnownMicros) {
+      DelegatedRenewal.RenewalRight right, Heartbeat heartbeat, long endsKnownMicros) {
     return new DelegateEvidence(
         right.token(), heartbeat.fencingToken(), right.validUntilMicros(), endsKnownMicros);
   }
@@ -152,7 +153,7 @@
     out.retryLater(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
   }
 
-  private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.Right right, String when) {
+  private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.RenewalRight right, String when) {
     if (logBudget.allowsDebug(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) not renewed on behalf of the leader, refused {}:"
--- a/src/main/java/plumlever/http/JobRequestAdmission.java
+++ b/src/main/java/plumlever/http/JobRequestAdmission.java
@@ -22,7 +22,7 @@
       out.error(HttpStatus.NOT_FOUND, JobResponses.NO_SUCH_JOB);
       return Optional.empty();
     }
-    Optional<JobState> ended = records.knownEndState(uid);
+    Optional<JobState> ended = records.cachedFinalState(uid);
     if (ended.isPresent()) {
       out.send(HttpStatus.OK, JobResponses.body(uid, ended.get()));
       return Optional.empty();
--- a/src/main/java/plumlever/http/JobResponses.java
+++ b/src/main/java/plumlever/http/JobResponses.java
@@ -83,7 +83,7 @@
    * closed so that the user can connect to another controller.
    */
   void respondUnavailable(UserRequest request) {
-    if (health.isRefusedAlone()) {
+    if (health.onlyThisControllerRefused()) {
       metrics.count("users_sent_away");
       request.closeConnection();
     }
--- a/src/main/java/plumlever/http/ServingHealth.java
+++ b/src/main/java/plumlever/http/ServingHealth.java
@@ -9,7 +9,7 @@
    * True if the state service serves other controllers but refuses this one, so that users should
    * connect to another controller.
    */
-  boolean isRefusedAlone();
+  boolean onlyThisControllerRefused();
 
   /**
    * True if this controller may not respond for the jobs in the state service, because the state
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -162,7 +162,7 @@
     return !delegatedZones.isEmpty()
         && !writing
         && now - delegatedMicros > ANNOUNCEMENT_TIMEOUT_MICROS
-        && context.election().announcedDelegation() != revision;
+        && context.election().announcedDelegationRevision() != revision;
   }
 
   private void delegate(Set<String> zones) {
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -64,10 +64,10 @@
   /**
    * The jobs of a query that have ended or were never accepted.
    *
-   * @param askedMicros the start of the oldest read that found one of the other jobs of the query
-   *     active
+   * @param oldestReadMicros the start of the oldest read that found one of the other jobs of the
+   *     query active
    */
-  public record EndedJobs(Set<String> uids, long askedMicros) {}
+  public record EndedJobs(Set<String> uids, long oldestReadMicros) {}
 
   /** A lookup of a job whose active record has a known revision. */
   private record Lookup(String uid, long revision, int attemptsLeft, Consumer<JobStatus> handler) {
@@ -172,13 +172,13 @@
   }
 
   /** Returns the final state of the job if it is cached; sends no request. */
-  public Optional<JobState> knownEndState(String uid) {
+  public Optional<JobState> cachedFinalState(String uid) {
     return jobStates.finalState(uid);
   }
 
   /**
    * Finds the jobs among {@code uids} that have ended or were never accepted. The result may be a
-   * few seconds old; {@link EndedJobs#askedMicros} is the start of the oldest read used.
+   * few seconds old; {@link EndedJobs#oldestReadMicros} is the start of the oldest read used.
    *
    * @param handler receives an empty value if the state of any of the jobs could not be read
    */
--- a/src/test/java/plumlever/http/RequestAdmissionTest.java
+++ b/src/test/java/plumlever/http/RequestAdmissionTest.java
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public boolean isRefusedAlone() {
+    public boolean onlyThisControllerRefused() {
       return false;
     }
 
