--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -85,7 +85,7 @@
     return "state service limits, the smaller of current and announced: values of "
         + limits.valueBytes()
         + " bytes (current limit "
-        + limits.formerValueBytes()
+        + limits.currentValueBytes()
         + "), "
         + limits.transactionOps()
         + " operations per transaction, "
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -104,12 +104,12 @@
    * @param writeRps write operations per second
    * @param valueBytes the maximum size of a value
    * @param transactionOps the maximum number of write operations in a transaction
-   * @param formerValueBytes the current maximum size of a value, regardless of announced limits.
+   * @param currentValueBytes the current maximum size of a value, regardless of announced limits.
    *     Earlier versions did not read announced limits and split stored records by this size, so
    *     this size is needed to read their records.
    */
   public record StateLimits(
-      double rps, double writeRps, int valueBytes, int transactionOps, int formerValueBytes) {
+      double rps, double writeRps, int valueBytes, int transactionOps, int currentValueBytes) {
     /** Creates limits for which no change is announced. */
     public StateLimits(double rps, double writeRps, int valueBytes, int transactionOps) {
       this(rps, writeRps, valueBytes, transactionOps, valueBytes);
@@ -122,7 +122,7 @@
           Math.min(writeRps, next.writeRps),
           Math.min(valueBytes, next.valueBytes),
           Math.min(transactionOps, next.transactionOps),
-          formerValueBytes);
+          currentValueBytes);
     }
   }
 
--- a/src/main/java/plumlever/store/RecordLayout.java
+++ b/src/main/java/plumlever/store/RecordLayout.java
@@ -360,6 +360,6 @@
    */
   public void readProgressChunk(JsonNode record, String name, BitSet into)
       throws InvalidMessageException {
-    ProgressRecords.readChunk(record, name, limits.formerValueBytes(), into);
+    ProgressRecords.readChunk(record, name, limits.currentValueBytes(), into);
   }
 }
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -24,7 +24,7 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(WriteLimits.class);
 
-  private final int formerValueBytes;
+  private final int currentValueBytes;
   private int maxValueBytes;
   private int maxOperations;
 
@@ -32,7 +32,7 @@
   public WriteLimits(PlatformConfiguration.StateLimits settings) {
     this.maxValueBytes = settings.valueBytes();
     this.maxOperations = settings.transactionOps();
-    this.formerValueBytes = settings.formerValueBytes();
+    this.currentValueBytes = settings.currentValueBytes();
   }
 
   /** Returns the maximum size of a value in bytes. */
@@ -52,8 +52,8 @@
    * Returns the current maximum value size, regardless of announced limits and of refusals. Earlier
    * versions, which do not support announced limits, split their records by this size.
    */
-  int formerValueBytes() {
-    return formerValueBytes;
+  int currentValueBytes() {
+    return currentValueBytes;
   }
 
   /**
