--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -16,15 +16,15 @@
   private final long id;
   private final Machine machine;
   private final long incarnation;
-  private final long answeredSequenceNumber;
+  private final long startHeartbeatSequenceNumber;
   private final long directCommandToken;
-  private final long sentMicros;
+  private final long startSentMicros;
 
   /** The state in the last heartbeat that lists the attempt; null until a heartbeat lists it. */
   private AttemptState state;
 
   private long runningSinceMicros = -1;
-  private boolean over;
+  private boolean hasEnded;
   private ExitCause exitCause;
   private boolean stopping;
   private double gracePeriodS;
@@ -37,9 +37,9 @@
     this.id = id;
     this.machine = machine;
     this.incarnation = machine.contact().incarnation();
-    this.answeredSequenceNumber = origin.heartbeatSequenceNumber();
+    this.startHeartbeatSequenceNumber = origin.heartbeatSequenceNumber();
     this.directCommandToken = origin.directCommandToken();
-    this.sentMicros = sentMicros;
+    this.startSentMicros = sentMicros;
   }
 
   public Job job() {
@@ -74,8 +74,8 @@
    * Sequence number of the heartbeat whose response started the attempt, or -1 if the attempt was
    * started in another way.
    */
-  public long answeredSequenceNumber() {
-    return answeredSequenceNumber;
+  public long startHeartbeatSequenceNumber() {
+    return startHeartbeatSequenceNumber;
   }
 
   /**
@@ -88,15 +88,16 @@
 
   /** True for an attempt of an earlier term that a heartbeat has listed. */
   public boolean adopted() {
-    return answeredSequenceNumber == AttemptOrigin.NONE && directCommandToken == AttemptOrigin.NONE;
+    return startHeartbeatSequenceNumber == AttemptOrigin.NONE
+        && directCommandToken == AttemptOrigin.NONE;
   }
 
   /**
    * When this leader sent the start command. For an adopted attempt, when the attempt was first
    * reported to this leader.
    */
-  public long sentMicros() {
-    return sentMicros;
+  public long startSentMicros() {
+    return startSentMicros;
   }
 
   /** True once a heartbeat has listed the attempt. */
@@ -126,7 +127,7 @@
 
   /** True for a live attempt that a direct command started and no heartbeat has listed yet. */
   boolean unconfirmed() {
-    return directCommandToken != AttemptOrigin.NONE && !reported() && !over;
+    return directCommandToken != AttemptOrigin.NONE && !reported() && !hasEnded;
   }
 
   private void confirmStart() {
@@ -136,8 +137,8 @@
   }
 
   /** True once the attempt is proven not to run any more. */
-  public boolean over() {
-    return over;
+  public boolean hasEnded() {
+    return hasEnded;
   }
 
   /**
@@ -151,10 +152,10 @@
   /** Marks the attempt as ended; see {@link Fleet#endAttempt}. */
   void end(ExitCause cause) {
     confirmStart();
-    if (!over) {
+    if (!hasEnded) {
       machine.load().recordEndedAttempt();
     }
-    over = true;
+    hasEnded = true;
     exitCause = cause;
   }
 
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -122,7 +122,7 @@
     AttemptOrigin origin =
         switch (channel) {
           case DIRECT_COMMAND -> AttemptOrigin.directCommand(machine.tokens().current());
-          case HEARTBEAT_ANSWER ->
+          case HEARTBEAT_RESPONSE ->
               AttemptOrigin.heartbeatResponse(machine.contact().ownSequenceNumber());
         };
     return addAttempt(new Attempt(job, task, attemptNumbers.next(), machine, origin, nowMicros));
@@ -171,7 +171,7 @@
    * @param cause the reported cause, or null if no cause was reported
    */
   public void endAttempt(Attempt attempt, ExitCause cause) {
-    if (attempt.over()) {
+    if (attempt.hasEnded()) {
       return;
     }
     attempt.end(cause);
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -45,7 +45,7 @@
   private final RetryBackoff backoff = new RetryBackoff();
 
   private int completedCount;
-  private boolean over;
+  private boolean hasEnded;
   private boolean hasStarted;
   private double ratioSum;
   private int ratioCount;
@@ -248,13 +248,13 @@
    * True once the job is done or cancelled, or its record is no longer listed among those of the
    * active jobs. No task of the job may start after that.
    */
-  public boolean over() {
-    return over;
+  public boolean hasEnded() {
+    return hasEnded;
   }
 
   /** Marks the job as done, cancelled or no longer listed as active. */
-  public void markOver() {
-    over = true;
+  public void markEnded() {
+    hasEnded = true;
   }
 
   /** Marks the task as completed. Idempotent. */
--- a/src/main/java/plumlever/leader/PlannedStarts.java
+++ b/src/main/java/plumlever/leader/PlannedStarts.java
@@ -17,7 +17,7 @@
     if (pass.hasPlan(machine)
         && pass.hasStartablePlan(machine)
         && !machine.load().hasUnconfirmedStart()) {
-      starter.start(machine, pass.planned(machine), StartChannel.HEARTBEAT_ANSWER, commands);
+      starter.start(machine, pass.planned(machine), StartChannel.HEARTBEAT_RESPONSE, commands);
       pass.dropPlan(machine);
     }
   }
--- a/src/main/java/plumlever/leader/PreemptionNotices.java
+++ b/src/main/java/plumlever/leader/PreemptionNotices.java
@@ -41,7 +41,7 @@
         NEXT_HEARTBEAT_INTERVALS * context.platform().workers().heartbeatMicros() / 1e6
             + RESPONSE_DELIVERY_S;
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over() && attempt.job().spec().savesCheckpoints()) {
+      if (!attempt.hasEnded() && attempt.job().spec().savesCheckpoints()) {
         double saveS = attempt.job().spec().checkpointS();
         if (heartbeat.preemptionNoticeS() <= saveS + untilNextResponseS + NOTICE_MARGIN_S) {
           attempt.requestStop(saveS + GRACE_MARGIN_S, now);
--- a/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
@@ -59,7 +59,7 @@
     }
     boolean startLost = false;
     for (Attempt attempt : absent) {
-      startLost |= !attempt.over() && !attempt.reported();
+      startLost |= !attempt.hasEnded() && !attempt.reported();
       endUnlisted(attempt, heartbeat);
     }
     return startLost;
@@ -76,11 +76,11 @@
     return attempt.directCommandToken() >= 0
         ? heartbeat.fencingToken() > attempt.directCommandToken() || attempt.reported()
         : source == HeartbeatSource.WORKER
-            && attempt.answeredSequenceNumber() < heartbeat.sequenceNumber();
+            && attempt.startHeartbeatSequenceNumber() < heartbeat.sequenceNumber();
   }
 
   private void endUnlisted(Attempt attempt, Heartbeat heartbeat) {
-    if (!attempt.over()) {
+    if (!attempt.hasEnded()) {
       placementChange.mark();
       context.metrics().count(attempt.reported() ? "attempts_vanished" : "starts_lost");
       attemptLog.absent(attempt, heartbeat);
@@ -94,7 +94,7 @@
    */
   void endRefused(Iterable<Attempt> refusedStarts) {
     for (Attempt attempt : refusedStarts) {
-      if (!attempt.over() && !attempt.reported()) {
+      if (!attempt.hasEnded() && !attempt.reported()) {
         placementChange.mark();
         context.metrics().count("starts_refused");
         fleet.removeAttempt(attempt);
@@ -117,7 +117,7 @@
       }
     }
     for (Attempt attempt : ended) {
-      if (!attempt.over()) {
+      if (!attempt.hasEnded()) {
         placementChange.mark();
         context.metrics().count("attempts_lost");
       }
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -42,7 +42,7 @@
 
   /** Applies the reported state to the attempt, unless the attempt has already ended. */
   void update(Attempt attempt, Heartbeat.AttemptStatus reported, long now) {
-    if (attempt.over()) {
+    if (attempt.hasEnded()) {
       return;
     }
     boolean started = reported.state() == AttemptState.RUNNING && !attempt.running();
@@ -64,7 +64,7 @@
     context.metrics().recordDuration("start", now - job.acceptedMicros());
     if (!attempt.adopted()) {
       // The task occupied its cores while the machine fetched the image.
-      countCoreMillis("core_ms_fetching", job, now - attempt.sentMicros());
+      countCoreMillis("core_ms_fetching", job, now - attempt.startSentMicros());
     }
     attemptLog.running(attempt);
   }
@@ -124,7 +124,7 @@
 
   private static boolean needsImage(Machine machine, String image) {
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over() && attempt.job().spec().image().equals(image)) {
+      if (!attempt.hasEnded() && attempt.job().spec().image().equals(image)) {
         return true;
       }
     }
@@ -159,7 +159,7 @@
    * nothing if the completion is already known or the job has ended.
    */
   void markTaskCompleted(Job job, int task) {
-    if (job.over() || job.completedTasks().get(task)) {
+    if (job.hasEnded() || job.completedTasks().get(task)) {
       return;
     }
     job.markCompleted(task);
--- a/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
+++ b/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
@@ -44,7 +44,7 @@
     List<WorkerCommand> commands = new ArrayList<>();
     boolean mayRemove = fenceDirectCommands(machine);
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over()) {
+      if (!attempt.hasEnded()) {
         addStop(attempt, now, commands);
       } else if (mayRemove && isRemovable(attempt)) {
         commands.add(WorkerCommand.remove(attempt.name(), attempt.id()));
@@ -76,12 +76,12 @@
   private static boolean isRemovable(Attempt attempt) {
     return attempt.exitCause() != null
         && (attempt.exitCause() != ExitCause.DONE
-            || attempt.job().over()
+            || attempt.job().hasEnded()
             || attempt.job().storedTasks().get(attempt.task()));
   }
 
   private void addStop(Attempt attempt, long now, List<WorkerCommand> commands) {
-    if (attempt.job().over()
+    if (attempt.job().hasEnded()
         || attempt.job().cancellationConfirmed()
         || attempt.job().completedTasks().get(attempt.task())) {
       attemptLog.stopped(attempt);
--- a/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
@@ -43,7 +43,7 @@
   void handle(Machine machine, Heartbeat.AttemptStatus reported, long now) {
     Job job = jobs.get(reported.task().job());
     int task = reported.task().number();
-    if (job == null || job.over() || task >= job.spec().taskCount()) {
+    if (job == null || job.hasEnded() || task >= job.spec().taskCount()) {
       return;
     }
     if (reported.state() == AttemptState.ENDED) {
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -156,7 +156,7 @@
   private void removeJob(String uid, Optional<JobState> finalState) {
     Job job = active.remove(uid);
     if (job != null) {
-      job.markOver();
+      job.markEnded();
       startedJobs.remove(job);
       log.debug("job {} has ended", uid);
     }
@@ -178,7 +178,7 @@
   public void cancellationsConfirmed(Collection<String> uids) {
     for (String uid : uids) {
       Job job = active.get(uid);
-      if (job != null && !job.over()) {
+      if (job != null && !job.hasEnded()) {
         job.confirmCancellation();
         onChange.run();
       }
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -102,7 +102,7 @@
    * read.
    */
   private void readDependencies(Job job, List<String> listKeys, int next, List<String> names) {
-    if (closed || job.over()) {
+    if (closed || job.hasEnded()) {
       return;
     }
     if (next == listKeys.size()) {
--- a/src/main/java/plumlever/leader/job/DependentCancellation.java
+++ b/src/main/java/plumlever/leader/job/DependentCancellation.java
@@ -58,7 +58,7 @@
     Iterator<Job> jobs = queue.values().iterator();
     while (jobs.hasNext()) {
       Job job = jobs.next();
-      if (!job.over()) {
+      if (!job.hasEnded()) {
         cancel(job);
         return;
       }
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -172,7 +172,7 @@
   private static double coresInUse(Machine machine) {
     double cores = 0;
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over()) {
+      if (!attempt.hasEnded()) {
         cores += attempt.job().spec().cores();
       }
     }
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -94,7 +94,7 @@
   private double coresNeeded(PlatformConfiguration.Team team) {
     double pendingCores = 0;
     for (Job job : jobs.all()) {
-      if (job.spec().team().equals(team.name()) && !job.over() && !job.waitsForDependencies()) {
+      if (job.spec().team().equals(team.name()) && !job.hasEnded() && !job.waitsForDependencies()) {
         pendingCores += job.pendingCount() * job.spec().cores();
       }
     }
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -268,7 +268,7 @@
       int task = foreignTask.task().number();
       boolean open =
           job != null
-              && !job.over()
+              && !job.hasEnded()
               && task < job.spec().taskCount()
               && !job.completedTasks().get(task);
       if (open && job.liveAttempt(task) == null) {
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -59,7 +59,7 @@
   }
 
   private void storeFinalState(Job job) {
-    if (closed || job.over()) {
+    if (closed || job.hasEnded()) {
       inProgress.remove(job);
       return;
     }
--- a/src/main/java/plumlever/leader/progress/LargeJobChunks.java
+++ b/src/main/java/plumlever/leader/progress/LargeJobChunks.java
@@ -83,7 +83,7 @@
     Set<Job> jobs = new LinkedHashSet<>(dirty.keySet());
     jobs.addAll(keysByJob.keySet());
     dirty.clear();
-    jobs.stream().filter(job -> !job.over()).forEach(this::markAllDirty);
+    jobs.stream().filter(job -> !job.hasEnded()).forEach(this::markAllDirty);
   }
 
   /**
@@ -92,15 +92,15 @@
    * @param orphanedKeys receives the keys of their chunks
    */
   void removeEnded(Collection<String> orphanedKeys) {
-    dirty.keySet().removeIf(Job::over);
+    dirty.keySet().removeIf(Job::hasEnded);
     keysByJob
         .entrySet()
         .removeIf(
             entry -> {
-              if (entry.getKey().over()) {
+              if (entry.getKey().hasEnded()) {
                 orphanedKeys.addAll(entry.getValue());
               }
-              return entry.getKey().over();
+              return entry.getKey().hasEnded();
             });
   }
 
--- a/src/main/java/plumlever/leader/progress/SharedChunks.java
+++ b/src/main/java/plumlever/leader/progress/SharedChunks.java
@@ -156,7 +156,7 @@
     Iterator<Job> jobs = chunk.jobs.iterator();
     while (jobs.hasNext()) {
       Job job = jobs.next();
-      if (job.over()) {
+      if (job.hasEnded()) {
         jobs.remove();
         chunk.bytes -= RecordLayout.sizeInSharedChunk(job.spec());
         chunkByJob.remove(job);
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -89,7 +89,7 @@
         machineType.fetchGbPerS() > 0
             ? secondsToMicros(attempt.job().spec().imageGb() / machineType.fetchGbPerS())
             : 0;
-    return Math.max(nowMicros, attempt.sentMicros() + fetchMicros) + runMicros;
+    return Math.max(nowMicros, attempt.startSentMicros() + fetchMicros) + runMicros;
   }
 
   /**
@@ -115,7 +115,7 @@
     long idleMicros =
         machine.load().foreignTasks().tasks() > 0 ? foreignTasksEndMicros(nowMicros) : nowMicros;
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over() && machineType != null) {
+      if (!attempt.hasEnded() && machineType != null) {
         idleMicros = Math.max(idleMicros, endMicros(attempt, machineType, nowMicros));
       }
     }
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
@@ -76,7 +76,7 @@
         new PlacementCandidate(
             machine.id(), machine.zone(), shape, machine.health().slowness(), COMMAND_DELAY_MICROS);
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over()) {
+      if (!attempt.hasEnded()) {
         JobSpec spec = attempt.job().spec();
         candidate.occupy(
             spec.cores(),
--- a/src/main/java/plumlever/leader/scheduling/FreeCapacity.java
+++ b/src/main/java/plumlever/leader/scheduling/FreeCapacity.java
@@ -34,7 +34,7 @@
     free.accelerators -= foreignTasks.accelerators();
     free.memoryGb -= foreignTasks.memoryGb();
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over()) {
+      if (!attempt.hasEnded()) {
         free.reserve(attempt.job().spec());
       }
     }
--- a/src/main/java/plumlever/leader/scheduling/JobQueue.java
+++ b/src/main/java/plumlever/leader/scheduling/JobQueue.java
@@ -37,7 +37,7 @@
    * all its dependencies are done.
    */
   static boolean mayRun(Job job) {
-    return !job.over() && !job.cancellationConfirmed() && !job.waitsForDependencies();
+    return !job.hasEnded() && !job.cancellationConfirmed() && !job.waitsForDependencies();
   }
 
   /** Returns all incomplete jobs whose tasks may run, in no particular order. */
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -185,7 +185,7 @@
       FreeCapacity free = FreeCapacity.ofEmptyMachine(machineType);
       List<Attempt> preemptible = new ArrayList<>();
       for (Attempt attempt : machine.load().attempts()) {
-        if (attempt.over()) {
+        if (attempt.hasEnded()) {
           continue;
         }
         if (attempt.stopping()) {
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -85,7 +85,7 @@
   static long attemptOfEarlierTerm() {
     HeartbeatFixture earlier = new HeartbeatFixture();
     return new Fleet(TERM - 1)
-        .startAttempt(earlier.job, 0, earlier.machine, StartChannel.HEARTBEAT_ANSWER, 0)
+        .startAttempt(earlier.job, 0, earlier.machine, StartChannel.HEARTBEAT_RESPONSE, 0)
         .id();
   }
 
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -82,11 +82,11 @@
 
   @Test
   void aStartInAResponseHasEndedWhenTheNextHeartbeatLacksIt() {
-    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_RESPONSE);
 
     apply(fixture.heartbeat());
 
-    assertTrue(attempt.over());
+    assertTrue(attempt.hasEnded());
   }
 
   /**
@@ -94,11 +94,11 @@
    */
   @Test
   void aStartInAResponseHasNotEndedWhenADirectResponseLacksIt() {
-    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_RESPONSE);
 
     fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_REPLY);
 
-    assertFalse(attempt.over());
+    assertFalse(attempt.hasEnded());
   }
 
   @Test
@@ -107,7 +107,7 @@
 
     apply(fixture.heartbeat());
 
-    assertFalse(attempt.over());
+    assertFalse(attempt.hasEnded());
   }
 
   @Test
@@ -117,25 +117,25 @@
 
     apply(fixture.heartbeat());
 
-    assertTrue(attempt.over());
+    assertTrue(attempt.hasEnded());
   }
 
   /** Direct starts end as well: the worker rejects commands for an earlier incarnation. */
   @Test
   void aNewIncarnationEndsAllAttemptsOfEarlierOnes() {
-    Attempt running = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    Attempt running = fixture.accounted().start(0, StartChannel.HEARTBEAT_RESPONSE);
     apply(fixture.heartbeat(running(0, running.id())));
     Attempt unanswered = fixture.start(1, StartChannel.DIRECT_COMMAND);
 
     apply(fixture.heartbeatOfNextIncarnation());
 
-    assertTrue(running.over());
-    assertTrue(unanswered.over());
+    assertTrue(running.hasEnded());
+    assertTrue(unanswered.hasEnded());
   }
 
   @Test
   void aTaskOfACancelledJobIsStoppedByEveryResponse() {
-    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_RESPONSE);
     fixture.job.confirmCancellation();
 
     for (int i = 0; i < 2; i++) {
@@ -147,7 +147,7 @@
 
   @Test
   void aCompletedAttemptStaysAtTheWorkerUntilItsResultIsStored() {
-    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_RESPONSE);
     Heartbeat heartbeat = fixture.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
 
@@ -156,7 +156,7 @@
 
   @Test
   void aCompletedAttemptIsRemovedOnceItsResultIsStored() {
-    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_ANSWER);
+    Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_RESPONSE);
     Heartbeat heartbeat = fixture.heartbeat(completed(0, attempt.id()));
     apply(heartbeat);
     fixture.job.storedTasks().set(0);
@@ -192,7 +192,7 @@
   void aMachineIsUnreachableAfterTwoLostResponses() {
     fixture.accounted();
     for (int i = 0; i < 2; i++) {
-      fixture.start(i, StartChannel.HEARTBEAT_ANSWER);
+      fixture.start(i, StartChannel.HEARTBEAT_RESPONSE);
       apply(fixture.heartbeat());
     }
 
@@ -203,7 +203,7 @@
   void aMachineThatShowsTheLatestTokenIsReachableAgain() {
     fixture.accounted();
     for (int i = 0; i < 2; i++) {
-      fixture.start(i, StartChannel.HEARTBEAT_ANSWER);
+      fixture.start(i, StartChannel.HEARTBEAT_RESPONSE);
       apply(fixture.heartbeat());
     }
 
