--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -123,7 +123,7 @@
         switch (channel) {
           case DIRECT_COMMAND -> AttemptOrigin.directCommand(machine.tokens().current());
           case HEARTBEAT_RESPONSE ->
-              AttemptOrigin.heartbeatResponse(machine.contact().ownSequenceNumber());
+              AttemptOrigin.heartbeatResponse(machine.contact().heartbeatSequenceNumber());
         };
     return addAttempt(new Attempt(job, task, attemptNumbers.next(), machine, origin, nowMicros));
   }
@@ -137,7 +137,7 @@
    * True when the attempt numbers come close to those of the next term, which happens when a term
    * lasts for days with thousands of machines.
    */
-  public boolean attemptNumbersRunOut() {
+  public boolean attemptNumbersNearlyExhausted() {
     return attemptNumbers.nearlyExhausted();
   }
 
@@ -145,7 +145,7 @@
    * True when the machine's fencing tokens come close to those of the next term. Each direct
    * command raises the token.
    */
-  public boolean tokensRunOut(Machine machine) {
+  public boolean tokensNearlyExhausted(Machine machine) {
     return machine.tokens().nearlyExhausted();
   }
 
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -61,7 +61,7 @@
   }
 
   /** Sets the address unless it is already known. */
-  public void learnEndpoint(String address) {
+  public void setEndpointIfUnknown(String address) {
     if (endpoint == null) {
       endpoint = address;
     }
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -17,11 +17,11 @@
 
   private long incarnation;
   private long sequenceNumber;
-  private long ownSequenceNumber;
+  private long heartbeatSequenceNumber;
   private long lastHeartbeatMicros = -1;
   private long lastSeenMicros = -1;
   private long lastRenewalMicros = -1;
-  private long renewedElsewhereMicros = DISTANT_PAST_MICROS;
+  private long formerOwnerRenewalMicros = DISTANT_PAST_MICROS;
   private boolean commandInFlight;
   private int consecutiveFailedCalls;
   private int consecutiveLostResponses;
@@ -46,20 +46,20 @@
    * Sequence number of the last heartbeat that the worker sent on its own. Heartbeats in responses
    * to direct calls may have higher sequence numbers.
    */
-  public long ownSequenceNumber() {
-    return ownSequenceNumber;
+  public long heartbeatSequenceNumber() {
+    return heartbeatSequenceNumber;
   }
 
   /** Records a heartbeat of the machine. */
   void recordHeartbeat(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
     if (heartbeat.incarnation() > incarnation) {
-      ownSequenceNumber = 0;
+      heartbeatSequenceNumber = 0;
     }
     incarnation = heartbeat.incarnation();
     sequenceNumber = heartbeat.sequenceNumber();
     lastSeenMicros = nowMicros;
     if (source == HeartbeatSource.WORKER) {
-      ownSequenceNumber = heartbeat.sequenceNumber();
+      heartbeatSequenceNumber = heartbeat.sequenceNumber();
       lastHeartbeatMicros = nowMicros;
     }
   }
@@ -74,8 +74,8 @@
    * Records a heartbeat that arrived after the response to a direct call, although the machine sent
    * the heartbeat first.
    */
-  public void recordOvertakenHeartbeat(long lateSequenceNumber, long nowMicros) {
-    ownSequenceNumber = lateSequenceNumber;
+  public void recordOutOfOrderHeartbeat(long lateSequenceNumber, long nowMicros) {
+    heartbeatSequenceNumber = lateSequenceNumber;
     lastHeartbeatMicros = nowMicros;
     lastSeenMicros = nowMicros;
   }
@@ -109,16 +109,16 @@
    * The latest time at which a former owner of the machine may have renewed the machine's lease; a
    * time in the distant past if no former owner may have renewed the lease.
    */
-  public long renewedElsewhereMicros() {
-    return renewedElsewhereMicros;
+  public long formerOwnerRenewalMicros() {
+    return formerOwnerRenewalMicros;
   }
 
   /**
    * Records that a former owner of the machine may have renewed the machine's lease up to this
    * time.
    */
-  public void recordRenewalElsewhere(long untilMicros) {
-    renewedElsewhereMicros = Math.max(renewedElsewhereMicros, untilMicros);
+  public void recordFormerOwnerRenewal(long untilMicros) {
+    formerOwnerRenewalMicros = Math.max(formerOwnerRenewalMicros, untilMicros);
   }
 
   /** True while a direct call to the machine is in flight. */
@@ -151,7 +151,7 @@
    * nor lease renewals until a heartbeat shows the token. Otherwise each response would postpone
    * the time at which the machine's lease is certain to have expired.
    */
-  public void recordLostAnswer() {
+  public void recordLostResponse() {
     consecutiveLostResponses++;
     if (consecutiveLostResponses >= UNREACHABLE_MIN_LOST_RESPONSES) {
       unreachable = true;
@@ -159,7 +159,7 @@
   }
 
   /** Records a heartbeat that shows the content of the preceding responses. */
-  public void recordDeliveredAnswer() {
+  public void recordDeliveredResponse() {
     consecutiveLostResponses = 0;
     unreachable = false;
   }
--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -8,7 +8,7 @@
 public final class MachineTokens {
   private long current;
   private long term;
-  private long lastRenewal;
+  private long lastRenewalToken;
   private long lastCommandToken = -1;
   private long endedJobsReadAtLastCommandMicros;
 
@@ -49,12 +49,14 @@
    *
    * @param endsKnownMicros when the last successful read of ended jobs was sent
    */
-  public void commandSent(long endsKnownMicros) {
+  public void recordDirectCommand(long endsKnownMicros) {
     lastCommandToken = current;
     endedJobsReadAtLastCommandMicros = endsKnownMicros;
   }
 
-  /** When the read of ended jobs that was passed to the last {@link #commandSent} was sent. */
+  /**
+   * When the read of ended jobs that was passed to the last {@link #recordDirectCommand} was sent.
+   */
   public long endedJobsReadAtLastCommandMicros() {
     return endedJobsReadAtLastCommandMicros;
   }
@@ -63,24 +65,24 @@
    * Raises the token above that of the last direct command. Once the new token has reached the
    * machine, the machine executes no earlier direct command.
    */
-  public void voidDirectCommands() {
+  public void fenceDirectCommands() {
     raise(lastCommandToken + 1);
   }
 
   /** True if a direct command has been sent and the token has not been raised since. */
-  public boolean hasUnvoidedCommand() {
+  public boolean hasUnfencedCommand() {
     return lastCommandToken >= current;
   }
 
   /** Records that a response with the current token renews the machine's lease. */
   void recordRenewal() {
-    lastRenewal = current;
+    lastRenewalToken = current;
   }
 
   /**
    * The token in the last response that renewed the machine's lease; 0 before the first renewal.
    */
-  public long lastRenewal() {
-    return lastRenewal;
+  public long lastRenewalToken() {
+    return lastRenewalToken;
   }
 }
--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -55,7 +55,7 @@
       return;
     }
     Machine machine = findOrAddMachine(heartbeat);
-    if (fleet.tokensRunOut(machine)) {
+    if (fleet.tokensNearlyExhausted(machine)) {
       context.resignForExhaustedNumbers();
     }
     HeartbeatHandler.Freshness freshness =
@@ -95,7 +95,7 @@
               context.loop().nowMicros());
       fleet.add(machine);
     }
-    machine.learnEndpoint(heartbeat.endpoint());
+    machine.setEndpointIfUnknown(heartbeat.endpoint());
     return machine;
   }
 
--- a/src/main/java/plumlever/leader/SchedulingPasses.java
+++ b/src/main/java/plumlever/leader/SchedulingPasses.java
@@ -47,7 +47,7 @@
     if (!requested || !context.term().mayAct()) {
       return MIN_PAUSE_MICROS;
     }
-    if (fleet.attemptNumbersRunOut()) {
+    if (fleet.attemptNumbersNearlyExhausted()) {
       context.resignForExhaustedNumbers();
       return MIN_PAUSE_MICROS;
     }
--- a/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
+++ b/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
@@ -29,15 +29,15 @@
    */
   void evaluate(Machine machine, Heartbeat heartbeat, boolean responseLost) {
     boolean wasUnreachable = machine.contact().unreachable();
-    if (machine.tokens().lastRenewal() > heartbeat.fencingToken()) {
-      machine.contact().recordLostAnswer();
+    if (machine.tokens().lastRenewalToken() > heartbeat.fencingToken()) {
+      machine.contact().recordLostResponse();
     } else if (responseLost) {
-      machine.contact().recordLostAnswer();
+      machine.contact().recordLostResponse();
       // The next response carries the raised token. The token in the next heartbeat shows whether
       // that response arrived.
       machine.tokens().raise(machine.tokens().current() + 1);
     } else {
-      machine.contact().recordDeliveredAnswer();
+      machine.contact().recordDeliveredResponse();
     }
     if (machine.contact().unreachable() != wasUnreachable) {
       reachabilityChanged(machine, wasUnreachable);
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -130,8 +130,8 @@
       Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
     if (source == HeartbeatSource.WORKER
         && heartbeat.incarnation() == machine.contact().incarnation()
-        && heartbeat.sequenceNumber() > machine.contact().ownSequenceNumber()) {
-      machine.contact().recordOvertakenHeartbeat(heartbeat.sequenceNumber(), now);
+        && heartbeat.sequenceNumber() > machine.contact().heartbeatSequenceNumber()) {
+      machine.contact().recordOutOfOrderHeartbeat(heartbeat.sequenceNumber(), now);
       return Freshness.SUPERSEDED;
     }
     return Freshness.DUPLICATE;
--- a/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
+++ b/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
@@ -63,10 +63,10 @@
    * @return true if no earlier direct command can be executed once the response has arrived
    */
   private static boolean fenceDirectCommands(Machine machine) {
-    if (machine.tokens().hasUnvoidedCommand() && !machine.contact().commandInFlight()) {
-      machine.tokens().voidDirectCommands();
+    if (machine.tokens().hasUnfencedCommand() && !machine.contact().commandInFlight()) {
+      machine.tokens().fenceDirectCommands();
     }
-    return !machine.tokens().hasUnvoidedCommand();
+    return !machine.tokens().hasUnfencedCommand();
   }
 
   /**
--- a/src/main/java/plumlever/leader/machine/CloudInventory.java
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -99,7 +99,7 @@
       machine.setReturning(sharing.isRecordedForReturn(listed.id()));
       fleet.add(machine);
     }
-    machine.learnEndpoint(listed.endpoint());
+    machine.setEndpointIfUnknown(listed.endpoint());
     machine.recordListing(listed.failed());
   }
 
--- a/src/main/java/plumlever/leader/machine/LeaseExpiry.java
+++ b/src/main/java/plumlever/leader/machine/LeaseExpiry.java
@@ -77,7 +77,7 @@
             + DelegatedRenewal.VALID_MICROS;
     long renewedMicros =
         Math.max(
-            Math.max(renewedByOthersMicros, machine.contact().renewedElsewhereMicros()),
+            Math.max(renewedByOthersMicros, machine.contact().formerOwnerRenewalMicros()),
             machine.contact().lastRenewalMicros());
     return renewedMicros
         + (long) (context.platform().workers().leaseMicros() * (1 + CLOCK_DRIFT))
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -191,10 +191,10 @@
       // The machine was transferred away and back before this controller read either change.
       machine.tokens().startTerm(record.number());
       machine.markUnaccounted();
-      machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
+      machine.contact().recordFormerOwnerRenewal(now() + MAX_VIEW_AGE_MICROS);
       sendToken.accept(machine);
-    } else if (!machine.accounted() && machine.contact().renewedElsewhereMicros() < 0) {
-      machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
+    } else if (!machine.accounted() && machine.contact().formerOwnerRenewalMicros() < 0) {
+      machine.contact().recordFormerOwnerRenewal(now() + MAX_VIEW_AGE_MICROS);
     }
     return machine;
   }
@@ -217,7 +217,7 @@
               now() - bootMicros(details.machineType()));
     }
     machine.tokens().startTerm(record.number());
-    machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
+    machine.contact().recordFormerOwnerRenewal(now() + MAX_VIEW_AGE_MICROS);
     fleet.add(machine);
     registry.register(machine);
     sendToken.accept(machine);
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -26,7 +26,7 @@
  * therefore count as possibly running until the machine reports a higher token or its incarnation
  * has ended. For the same reason, a task that is missing from a heartbeat may still start if the
  * heartbeat carries the token of the start command or a lower one (see {@link
- * plumlever.fleet.MachineTokens#voidDirectCommands}).
+ * plumlever.fleet.MachineTokens#fenceDirectCommands}).
  */
 public final class CommandSender {
   private static final long START_TIMEOUT_MICROS = 1_500_000;
@@ -117,7 +117,7 @@
 
   private void sendStarts(
       Machine machine, Endpoint endpoint, List<WorkerCommand> commands, List<Attempt> sent) {
-    machine.tokens().commandSent(jobs.endedJobsReadMicros());
+    machine.tokens().recordDirectCommand(jobs.endedJobsReadMicros());
     machine.contact().setCommandInFlight(true);
     startsInFlight++;
     long token = machine.tokens().current();
@@ -145,7 +145,7 @@
             heartbeats.endRefusedStarts(sent);
           } else if (response instanceof WorkerResponse.Unanswered) {
             context.metrics().count("direct_commands_unanswered");
-            machine.tokens().voidDirectCommands();
+            machine.tokens().fenceDirectCommands();
             attemptLog.unanswered(machine, incarnation, token, sent);
           }
           notifyPlacementChange();
--- a/src/test/java/plumlever/fleet/FleetNumbersTest.java
+++ b/src/test/java/plumlever/fleet/FleetNumbersTest.java
@@ -15,8 +15,10 @@
 
   @Test
   void reportsExhaustionBeforeAttemptNumbersReachNextTerm() {
-    assertFalse(new Fleet(TERM, new AttemptNumbers(TERM, 16_000_000)).attemptNumbersRunOut());
-    assertTrue(new Fleet(TERM, new AttemptNumbers(TERM, 16_720_000)).attemptNumbersRunOut());
+    assertFalse(
+        new Fleet(TERM, new AttemptNumbers(TERM, 16_000_000)).attemptNumbersNearlyExhausted());
+    assertTrue(
+        new Fleet(TERM, new AttemptNumbers(TERM, 16_720_000)).attemptNumbersNearlyExhausted());
   }
 
   @Test
@@ -24,11 +26,11 @@
     Fleet fleet = new Fleet(TERM);
     Machine machine = new Machine("i-000001", "i-000001:9", "small", "a", false, 0);
     fleet.add(machine);
-    assertFalse(fleet.tokensRunOut(machine));
+    assertFalse(fleet.tokensNearlyExhausted(machine));
 
     machine.tokens().raise(Fleet.firstToken(TERM) + 1_000_000);
 
-    assertTrue(fleet.tokensRunOut(machine));
+    assertTrue(fleet.tokensNearlyExhausted(machine));
     assertEquals(TERM, Fleet.termOf(machine.tokens().current()));
   }
 }
--- a/src/test/java/plumlever/fleet/MachineContactTest.java
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -42,7 +42,7 @@
     contact.recordHeartbeat(heartbeat(1, 5), HeartbeatSource.DIRECT_REPLY, 10);
 
     assertFalse(contact.hasReported());
-    assertEquals(0, contact.ownSequenceNumber());
+    assertEquals(0, contact.heartbeatSequenceNumber());
     assertEquals(10, contact.lastSeenMicros());
   }
 
@@ -52,27 +52,27 @@
 
     contact.recordHeartbeat(heartbeat(2, 1), HeartbeatSource.DIRECT_REPLY, 20);
 
-    assertEquals(0, contact.ownSequenceNumber());
+    assertEquals(0, contact.heartbeatSequenceNumber());
   }
 
   @Test
   void twoConsecutiveLostResponsesMakeMachineUnreachable() {
-    contact.recordLostAnswer();
+    contact.recordLostResponse();
     assertFalse(contact.unreachable());
 
-    contact.recordLostAnswer();
+    contact.recordLostResponse();
     assertTrue(contact.unreachable());
   }
 
   @Test
   void deliveredResponseMakesMachineReachable() {
-    contact.recordLostAnswer();
-    contact.recordLostAnswer();
+    contact.recordLostResponse();
+    contact.recordLostResponse();
 
-    contact.recordDeliveredAnswer();
+    contact.recordDeliveredResponse();
 
     assertFalse(contact.unreachable());
-    contact.recordLostAnswer();
+    contact.recordLostResponse();
     assertFalse(contact.unreachable(), "a delivered response resets the count of lost responses");
   }
 
--- a/src/test/java/plumlever/fleet/MachineTokensTest.java
+++ b/src/test/java/plumlever/fleet/MachineTokensTest.java
@@ -36,18 +36,18 @@
 
   @Test
   void directCommandStaysValidUntilTokenIsRaised() {
-    tokens.commandSent(0);
-    assertTrue(tokens.hasUnvoidedCommand());
+    tokens.recordDirectCommand(0);
+    assertTrue(tokens.hasUnfencedCommand());
 
-    tokens.voidDirectCommands();
+    tokens.fenceDirectCommands();
 
-    assertFalse(tokens.hasUnvoidedCommand());
+    assertFalse(tokens.hasUnfencedCommand());
     assertEquals(FIRST + 1, tokens.current());
   }
 
   @Test
   void fencingWithoutCommandKeepsToken() {
-    tokens.voidDirectCommands();
+    tokens.fenceDirectCommands();
 
     assertEquals(FIRST, tokens.current());
   }
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -92,7 +92,7 @@
   /** Starts a task in the response to the last heartbeat or by direct command. */
   Attempt start(int task, StartChannel channel) {
     if (channel == StartChannel.DIRECT_COMMAND) {
-      machine.tokens().commandSent(contextFixture.nowMicros());
+      machine.tokens().recordDirectCommand(contextFixture.nowMicros());
     }
     return fleet.startAttempt(job, task, machine, channel, contextFixture.nowMicros());
   }
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -113,7 +113,7 @@
   @Test
   void anUnansweredDirectStartHasEndedOnceAHigherTokenIsShown() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.DIRECT_COMMAND);
-    fixture.machine.tokens().voidDirectCommands();
+    fixture.machine.tokens().fenceDirectCommands();
 
     apply(fixture.heartbeat());
 
