--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -8,12 +8,12 @@
 import plumlever.election.ElectionSettings;
 import plumlever.election.LeaderElection;
 import plumlever.election.PoolTerms;
-import plumlever.http.Caller;
-import plumlever.http.DelegatedHeartbeats;
+import plumlever.http.DelegatedHeartbeatHandler;
 import plumlever.http.HeartbeatEndpoint;
+import plumlever.http.HttpClient;
 import plumlever.http.JobForwarder;
 import plumlever.http.JobServices;
-import plumlever.http.PoolRequests;
+import plumlever.http.PoolRequestHandler;
 import plumlever.http.RequestRouter;
 import plumlever.http.Responder;
 import plumlever.http.ServingHealth;
@@ -54,12 +54,12 @@
   private final JobRecordCache jobRecords;
   private final DelegatedRenewal delegatedRenewal;
   private final RequestRouter router;
-  private final Optional<PoolRequests> poolRequests;
+  private final Optional<PoolRequestHandler> poolRequests;
 
   /** Creates a controller that runs leader election on the same loop as everything else. */
   public Controller(
       Loop loop,
-      Caller caller,
+      HttpClient caller,
       PlatformConfiguration platform,
       SchedulerParameters parameters,
       long seed) {
@@ -84,9 +84,9 @@
    */
   public Controller(
       Loop loop,
-      Caller caller,
+      HttpClient caller,
       Loop electionLoop,
-      Caller electionCaller,
+      HttpClient electionCaller,
       PlatformConfiguration platform,
       OperatorSettings settings,
       long seed,
@@ -111,7 +111,7 @@
     jobRecords = new JobRecordCache(loop, clients.store(), clients.layout(), clients.metrics());
     delegatedRenewal = new DelegatedRenewal(loop, clients.store(), election, environment.logs());
     router = createRouter();
-    poolRequests = sharing.map(pool -> new PoolRequests(leadership::leader, router));
+    poolRequests = sharing.map(pool -> new PoolRequestHandler(leadership::leader, router));
   }
 
   private TermContextFactory termContextFactory() {
@@ -198,8 +198,8 @@
   }
 
   private HeartbeatEndpoint createHeartbeatEndpoint() {
-    DelegatedHeartbeats delegated =
-        new DelegatedHeartbeats(
+    DelegatedHeartbeatHandler delegated =
+        new DelegatedHeartbeatHandler(
             environment.loop(),
             delegatedRenewal,
             jobRecords,
--- a/src/main/java/plumlever/ControllerEnvironment.java
+++ b/src/main/java/plumlever/ControllerEnvironment.java
@@ -1,7 +1,7 @@
 package plumlever;
 
 import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Logs;
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
@@ -18,9 +18,9 @@
  */
 record ControllerEnvironment(
     Loop loop,
-    Caller caller,
+    HttpClient caller,
     Loop electionLoop,
-    Caller electionCaller,
+    HttpClient electionCaller,
     PlatformConfiguration platform,
     OperatorSettings settings,
     long electionSeed,
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -1,7 +1,7 @@
 package plumlever;
 
 import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -11,8 +11,8 @@
  * A caller that measures the time this controller spends on handling responses, by the kind of
  * service called.
  */
-record MeteredCaller(Caller caller, Loop loop, Metrics metrics, PlatformConfiguration platform)
-    implements Caller {
+record MeteredCaller(HttpClient caller, Loop loop, Metrics metrics, PlatformConfiguration platform)
+    implements HttpClient {
   @Override
   public void call(
       Endpoint to,
--- a/src/main/java/plumlever/ServiceClients.java
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Optional;
 import plumlever.cloud.CloudClient;
-import plumlever.cloud.MachineTypeRefresh;
-import plumlever.cloud.PriceBook;
-import plumlever.http.Caller;
+import plumlever.cloud.MachineTypeCatalog;
+import plumlever.cloud.MachineTypeLoader;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
@@ -19,13 +19,13 @@
  */
 final class ServiceClients {
   private final Metrics metrics;
-  private final Caller caller;
+  private final HttpClient caller;
   private final StateClient store;
   private final StateClient electionStore;
   private final RecordLayout layout;
   private final CloudClient cloud;
-  private final PriceBook prices;
-  private final MachineTypeRefresh machineTypes;
+  private final MachineTypeCatalog prices;
+  private final MachineTypeLoader machineTypes;
 
   ServiceClients(ControllerEnvironment environment) {
     PlatformConfiguration platform = environment.platform();
@@ -54,9 +54,9 @@
     this.cloud =
         new CloudClient(
             environment.loop(), caller, platform.cloud(), platform.cloudLimits(), metrics);
-    this.prices = new PriceBook(environment.settings().parameters());
+    this.prices = new MachineTypeCatalog(environment.settings().parameters());
     this.machineTypes =
-        new MachineTypeRefresh(environment.loop(), cloud, store, prices, environment.logs());
+        new MachineTypeLoader(environment.loop(), cloud, store, prices, environment.logs());
   }
 
   private static List<String> prefixesOfOtherShards(Optional<SharingSettings> sharing) {
@@ -73,7 +73,7 @@
    * Returns the caller for the controller loop, which measures the time spent on handling
    * responses.
    */
-  Caller caller() {
+  HttpClient caller() {
     return caller;
   }
 
@@ -95,11 +95,11 @@
   }
 
   /** Returns the machine types and prices; empty until {@link #machineTypes()} has read them. */
-  PriceBook prices() {
+  MachineTypeCatalog prices() {
     return prices;
   }
 
-  MachineTypeRefresh machineTypes() {
+  MachineTypeLoader machineTypes() {
     return machineTypes;
   }
 }
--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -14,7 +14,7 @@
 import org.xnio.XnioWorker;
 import plumlever.http.Responder;
 import plumlever.http.Server;
-import plumlever.http.UndertowCaller;
+import plumlever.http.UndertowHttpClient;
 import plumlever.http.XnioLoop;
 import plumlever.settings.Endpoint;
 import plumlever.settings.OperatorSettings;
@@ -142,8 +142,8 @@
 
     private final XnioWorker worker = Service.createWorker("emulators");
     private final XnioLoop loop = new XnioLoop(worker.getIoThread());
-    private final UndertowCaller caller =
-        new UndertowCaller(
+    private final UndertowHttpClient caller =
+        new UndertowHttpClient(
             loop,
             worker.getIoThread(),
             new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_BUFFERS, 1));
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -77,7 +77,7 @@
     return "connections: "
         + shared
         + " for users and workers; above "
-        + (int) (shared * Server.SCARCE_CONNECTIONS_SHARE)
+        + (int) (shared * Server.NEAR_CONNECTION_LIMIT_FRACTION)
         + ", a worker's connection is closed after each heartbeat";
   }
 
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -15,7 +15,7 @@
 import plumlever.Controller;
 import plumlever.concurrent.RecurringTask;
 import plumlever.http.Server;
-import plumlever.http.UndertowCaller;
+import plumlever.http.UndertowHttpClient;
 import plumlever.http.XnioLoop;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
@@ -120,9 +120,9 @@
     worker = createWorker("plumlever");
     electionWorker = createWorker("election");
     loop = new XnioLoop(worker.getIoThread());
-    UndertowCaller caller = createCaller(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
+    UndertowHttpClient caller = createCaller(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
     XnioLoop electionLoop = new XnioLoop(electionWorker.getIoThread());
-    UndertowCaller electionCaller =
+    UndertowHttpClient electionCaller =
         createCaller(
             electionWorker, electionLoop, MAX_ELECTION_BUFFERS, MAX_ELECTION_BUFFERS_PER_THREAD);
     controller =
@@ -137,9 +137,9 @@
             Logs.SERVICE);
   }
 
-  private static UndertowCaller createCaller(
+  private static UndertowHttpClient createCaller(
       XnioWorker worker, XnioLoop loop, int maxBuffers, int maxBuffersPerThread) {
-    return new UndertowCaller(
+    return new UndertowHttpClient(
         loop,
         worker.getIoThread(),
         new DefaultByteBufferPool(false, BUFFER_BYTES, maxBuffers, maxBuffersPerThread));
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -72,7 +72,7 @@
   }
 
   private final Loop loop;
-  private final Caller caller;
+  private final HttpClient caller;
   private final Endpoint endpoint;
   private final Metrics metrics;
   private final TokenBucket rateLimiter;
@@ -81,7 +81,7 @@
   /** Creates a client that stays within the cloud's rate limit. */
   public CloudClient(
       Loop loop,
-      Caller caller,
+      HttpClient caller,
       Endpoint endpoint,
       PlatformConfiguration.CloudLimits limits,
       Metrics metrics) {
--- a/src/main/java/plumlever/cloud/PriceBook.java
+++ b/src/main/java/plumlever/cloud/MachineTypeCatalog.java
@@ -9,12 +9,12 @@
 import plumlever.wire.MachineType;
 
 /** The machine types and their prices; empty until they have been loaded. */
-public final class PriceBook {
+public final class MachineTypeCatalog {
   private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
   private final Map<String, Double> ownedHourly;
 
   /** Creates an empty catalog. */
-  public PriceBook(SchedulerParameters parameters) {
+  public MachineTypeCatalog(SchedulerParameters parameters) {
     this.ownedHourly = parameters.ownedHourly();
   }
 
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeLoader.java
@@ -18,7 +18,7 @@
  * service, unless it already holds machine types. If the cloud does not provide the machine types,
  * the stored ones are used.
  */
-public final class MachineTypeRefresh {
+public final class MachineTypeLoader {
   /** The delay that tells a recurring task not to run again. */
   private static final long NO_NEXT_RUN = -1;
 
@@ -28,12 +28,12 @@
   private final Loop loop;
   private final CloudClient cloud;
   private final StateClient store;
-  private final PriceBook typeCatalog;
+  private final MachineTypeCatalog typeCatalog;
 
   /** Creates a loader that fills the catalog from the cloud or from the state service. */
-  public MachineTypeRefresh(
-      Loop loop, CloudClient cloud, StateClient store, PriceBook typeCatalog, Logs logs) {
-    this.log = logs.of(MachineTypeRefresh.class);
+  public MachineTypeLoader(
+      Loop loop, CloudClient cloud, StateClient store, MachineTypeCatalog typeCatalog, Logs logs) {
+    this.log = logs.of(MachineTypeLoader.class);
     this.loop = loop;
     this.cloud = cloud;
     this.store = store;
--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.settings.Endpoint;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessageException;
@@ -31,7 +31,7 @@
   }
 
   private final Loop loop;
-  private final Caller caller;
+  private final HttpClient caller;
   private final List<Endpoint> controllers;
   private final TaskResults results;
   private final SplittableRandom random;
@@ -40,7 +40,7 @@
 
   DrillUsers(
       Loop loop,
-      Caller caller,
+      HttpClient caller,
       List<Endpoint> controllers,
       TaskResults results,
       SplittableRandom random) {
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -19,7 +19,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import plumlever.http.Server;
-import plumlever.http.UndertowCaller;
+import plumlever.http.UndertowHttpClient;
 import plumlever.http.XnioLoop;
 import plumlever.settings.Endpoint;
 import plumlever.sharing.OwnerRecord;
@@ -91,7 +91,7 @@
   private final Path directory;
   private final XnioWorker worker;
   private final XnioLoop loop;
-  private final UndertowCaller caller;
+  private final UndertowHttpClient caller;
   private final TaskResults results = new TaskResults();
   private final TransferStatistics transfers;
   private final StateServiceEmulator state;
@@ -124,7 +124,7 @@
                     .getMap());
     this.loop = new XnioLoop(worker.getIoThread());
     this.caller =
-        new UndertowCaller(
+        new UndertowHttpClient(
             loop, worker.getIoThread(), new DefaultByteBufferPool(false, BUFFER_BYTES, BUFFERS, 4));
     this.transfers = new TransferStatistics(loop);
     this.state = new StateServiceEmulator(loop, transfers::onPut);
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.settings.Endpoint;
 import plumlever.wire.AttemptState;
@@ -44,7 +44,7 @@
   /** The dependencies and settings that all workers of a drill share. */
   record Environment(
       Loop loop,
-      Caller caller,
+      HttpClient caller,
       List<Endpoint> controllers,
       Map<String, Endpoint> endpointByLabel,
       TaskResults results,
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
@@ -30,7 +30,7 @@
  * leader had sent earlier: the worker could still execute the command minutes later, after the
  * job's cancellation.
  */
-public final class DelegatedHeartbeats {
+public final class DelegatedHeartbeatHandler {
   private static final int MAX_LOG_LINES_PER_SECOND = 20;
 
   private final Loop loop;
@@ -46,7 +46,7 @@
    *
    * @param jobs provides the ended jobs, whose tasks are stopped
    */
-  public DelegatedHeartbeats(
+  public DelegatedHeartbeatHandler(
       Loop loop,
       DelegatedRenewal delegation,
       JobRecordCache jobs,
@@ -58,7 +58,7 @@
     this.jobs = jobs;
     this.renewal = renewal;
     this.metrics = metrics;
-    this.log = logs.of(DelegatedHeartbeats.class);
+    this.log = logs.of(DelegatedHeartbeatHandler.class);
     this.logBudget = new LogBudget(log, MAX_LOG_LINES_PER_SECOND);
   }
 
--- a/src/main/java/plumlever/http/HeartbeatEndpoint.java
+++ b/src/main/java/plumlever/http/HeartbeatEndpoint.java
@@ -17,7 +17,7 @@
  */
 public final class HeartbeatEndpoint {
   private final LeaderLookup leaders;
-  private final DelegatedHeartbeats delegatedHeartbeats;
+  private final DelegatedHeartbeatHandler delegatedHeartbeats;
   private final Consumer<String> onHeartbeatWhileNotLeading;
   private final Metrics metrics;
 
@@ -29,7 +29,7 @@
    */
   public HeartbeatEndpoint(
       LeaderLookup leaders,
-      DelegatedHeartbeats delegatedHeartbeats,
+      DelegatedHeartbeatHandler delegatedHeartbeats,
       Consumer<String> onHeartbeatWhileNotLeading,
       Metrics metrics) {
     this.leaders = leaders;
--- a/src/main/java/plumlever/http/Caller.java
+++ b/src/main/java/plumlever/http/HttpClient.java
@@ -3,7 +3,7 @@
 import plumlever.settings.Endpoint;
 
 /** Sends HTTP requests. Each response handler is called exactly once, on the event loop. */
-public interface Caller {
+public interface HttpClient {
   /**
    * Sends one request without retries.
    *
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -31,7 +31,7 @@
 
   private final Loop loop;
   private final StateClient store;
-  private final Caller caller;
+  private final HttpClient caller;
   private final PlatformConfiguration platform;
   private final SharingSettings sharing;
 
@@ -39,7 +39,7 @@
   public JobForwarder(
       Loop loop,
       StateClient store,
-      Caller caller,
+      HttpClient caller,
       PlatformConfiguration platform,
       SharingSettings sharing) {
     this.loop = loop;
--- a/src/main/java/plumlever/http/OutgoingCall.java
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -31,7 +31,7 @@
   private final String method;
   private final String path;
   private final byte[] body;
-  private final Caller.ResponseHandler handler;
+  private final HttpClient.ResponseHandler handler;
   private Optional<Loop.Timer> timeout = Optional.empty();
   private Optional<ClientConnection> connection = Optional.empty();
   private boolean started;
@@ -46,7 +46,7 @@
       String method,
       String path,
       byte[] body,
-      Caller.ResponseHandler handler) {
+      HttpClient.ResponseHandler handler) {
     this.connections = connections;
     this.pool = pool;
     this.method = method;
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequestHandler.java
@@ -12,7 +12,7 @@
 import plumlever.wire.RelayedHeartbeat;
 
 /** Handles the requests that controllers of different shards of a pool send to each other. */
-public final class PoolRequests {
+public final class PoolRequestHandler {
   /**
    * Path for relayed heartbeats, which a shard sends to the shards whose tasks run on its machines.
    */
@@ -30,7 +30,7 @@
    * @param leader the leader in this process, if there is one
    * @param router handles user requests that controllers of other shards forward
    */
-  public PoolRequests(Supplier<Optional<Leader>> leader, RequestRouter router) {
+  public PoolRequestHandler(Supplier<Optional<Leader>> leader, RequestRouter router) {
     this.leader = leader;
     this.router = router;
   }
--- a/src/main/java/plumlever/http/Server.java
+++ b/src/main/java/plumlever/http/Server.java
@@ -34,7 +34,7 @@
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** Fraction of the connection limit above which the server is near the limit. */
-  public static final double SCARCE_CONNECTIONS_SHARE = 0.9;
+  public static final double NEAR_CONNECTION_LIMIT_FRACTION = 0.9;
 
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
@@ -66,7 +66,7 @@
       long maxBodyBytes,
       RequestHandler handler) {
     this.handler = handler;
-    this.nearConnectionLimitThreshold = (int) (maxConnections * SCARCE_CONNECTIONS_SHARE);
+    this.nearConnectionLimitThreshold = (int) (maxConnections * NEAR_CONNECTION_LIMIT_FRACTION);
     int idleMs = (int) (idleMicros / 1_000);
     this.undertow =
         Undertow.builder()
--- a/src/main/java/plumlever/http/SubmissionRules.java
+++ b/src/main/java/plumlever/http/SubmissionRules.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import plumlever.cloud.PriceBook;
+import plumlever.cloud.MachineTypeCatalog;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.JobSpec;
 import plumlever.wire.ProtocolField;
@@ -10,13 +10,13 @@
 /** Checks submitted jobs against the team limits and the available machine types. */
 public final class SubmissionRules {
   private final List<PlatformConfiguration.Team> teams;
-  private final PriceBook typeCatalog;
+  private final MachineTypeCatalog typeCatalog;
 
   /**
    * Creates rules from the team limits and the machine types. The machine types may be loaded
    * later.
    */
-  public SubmissionRules(List<PlatformConfiguration.Team> teams, PriceBook typeCatalog) {
+  public SubmissionRules(List<PlatformConfiguration.Team> teams, MachineTypeCatalog typeCatalog) {
     this.teams = teams;
     this.typeCatalog = typeCatalog;
   }
--- a/src/main/java/plumlever/http/UndertowCaller.java
+++ b/src/main/java/plumlever/http/UndertowHttpClient.java
@@ -12,14 +12,14 @@
  * bounded pool of persistent connections with one request at a time per connection. Requests are
  * never retried here, because only the caller knows whether a request is idempotent.
  */
-public final class UndertowCaller implements Caller, AutoCloseable {
+public final class UndertowHttpClient implements HttpClient, AutoCloseable {
   private final Loop loop;
   private final ConnectionFactory connections;
   private final Map<Endpoint, ConnectionPool> pools = new HashMap<>();
   private final IdleConnections idleConnections = new IdleConnections();
 
   /** Creates a client whose connections run on this I/O thread. */
-  public UndertowCaller(Loop loop, XnioIoThread thread, ByteBufferPool buffers) {
+  public UndertowHttpClient(Loop loop, XnioIoThread thread, ByteBufferPool buffers) {
     this.loop = loop;
     this.connections = new ConnectionFactory(thread, buffers);
   }
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -5,11 +5,11 @@
 import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
 import plumlever.cloud.CloudClient;
-import plumlever.cloud.PriceBook;
+import plumlever.cloud.MachineTypeCatalog;
 import plumlever.concurrent.Loop;
 import plumlever.election.LeaderElection;
 import plumlever.election.Term;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
 import plumlever.settings.PlatformConfiguration;
@@ -55,8 +55,8 @@
     StateClient store,
     RecordLayout recordLayout,
     CloudClient cloud,
-    PriceBook prices,
-    Caller caller,
+    MachineTypeCatalog prices,
+    HttpClient caller,
     Metrics metrics,
     IntSupplier workersAtOtherControllers,
     RecoveryReader reader,
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshot.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshot.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import plumlever.cloud.PriceBook;
+import plumlever.cloud.MachineTypeCatalog;
 import plumlever.fleet.Machine;
 import plumlever.placement.PlacementCandidate;
 import plumlever.placement.Placer;
@@ -12,14 +12,14 @@
  * tasks. Created by {@link FleetSnapshotFactory}.
  */
 final class FleetSnapshot implements Placer.ImageFetchTimes {
-  private final PriceBook prices;
+  private final MachineTypeCatalog prices;
   private final long nowMicros;
   private final List<PlacementCandidate> candidates = new ArrayList<>();
 
   /** Machines by candidate index. */
   private final List<Machine> machines = new ArrayList<>();
 
-  FleetSnapshot(PriceBook prices, long nowMicros) {
+  FleetSnapshot(MachineTypeCatalog prices, long nowMicros) {
     this.prices = prices;
     this.nowMicros = nowMicros;
   }
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import plumlever.fleet.Machine;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.leader.context.TermContext;
 import plumlever.settings.Endpoint;
 import plumlever.wire.Heartbeat;
@@ -18,7 +18,7 @@
 /** Sends direct calls to workers and parses the responses. Makes no scheduling decisions. */
 final class WorkerCalls {
   private final Logger log;
-  private final Caller caller;
+  private final HttpClient caller;
 
   WorkerCalls(TermContext context) {
     this.log = context.logs().of(WorkerCalls.class);
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 import plumlever.concurrent.Loop;
 import plumlever.concurrent.RecurringTask;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.HttpStatus;
@@ -25,7 +25,7 @@
   private record ReceivedStatus(PeerStatus status, long receivedMicros) {}
 
   private final Loop loop;
-  private final Caller caller;
+  private final HttpClient caller;
   private final PlatformConfiguration platform;
   private final Supplier<PeerStatus> ownStatus;
   private final Consumer<PeerStatus> listener;
@@ -40,7 +40,7 @@
    */
   public Peers(
       Loop loop,
-      Caller caller,
+      HttpClient caller,
       PlatformConfiguration platform,
       Supplier<PeerStatus> ownStatus,
       Consumer<PeerStatus> listener) {
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Predicate;
-import plumlever.cloud.PriceBook;
+import plumlever.cloud.MachineTypeCatalog;
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 
@@ -34,7 +34,7 @@
   /** Number of planned machines of an option at which half of the maximum surcharge applies. */
   private static final int MACHINES_FOR_HALF_SURCHARGE = 30;
 
-  private final PriceBook prices;
+  private final MachineTypeCatalog prices;
   private final boolean costMatters;
 
   /**
@@ -42,7 +42,7 @@
    *
    * @param costMatters false if only speed matters: long startup times then raise an option's cost
    */
-  public RentalPlan(PriceBook prices, boolean costMatters) {
+  public RentalPlan(MachineTypeCatalog prices, boolean costMatters) {
     this.prices = prices;
     this.costMatters = costMatters;
   }
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -162,7 +162,7 @@
   private static final String UNUSED_PREFIX = "nothing/";
 
   private final Loop loop;
-  private final Caller caller;
+  private final HttpClient caller;
   private final Endpoint endpoint;
   private final Metrics metrics;
   private final KeySpace keySpace;
@@ -175,7 +175,7 @@
   /** Creates a client whose keys are at the root of the state service. */
   public StateClient(
       Loop loop,
-      Caller caller,
+      HttpClient caller,
       Endpoint endpoint,
       PlatformConfiguration.StateLimits limits,
       Metrics metrics) {
@@ -185,7 +185,7 @@
   /** Creates a client whose keys are in the given key space. */
   public StateClient(
       Loop loop,
-      Caller caller,
+      HttpClient caller,
       Endpoint endpoint,
       PlatformConfiguration.StateLimits limits,
       Metrics metrics,
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.slf4j.LoggerFactory;
 import plumlever.Controller;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.settings.Endpoint;
 import plumlever.settings.OperatorSettings;
@@ -121,7 +121,7 @@
   }
 
   /** Returns a caller that discards calls once the term is over, like a process that has ended. */
-  private Caller caller(int term) {
+  private HttpClient caller(int term) {
     return (to, method, path, body, timeout, handler) ->
         loop.after(
             LATENCY_MICROS,
@@ -139,7 +139,7 @@
             });
   }
 
-  private WarmUpServices.Reply replyTo(int term, Caller.ResponseHandler handler) {
+  private WarmUpServices.Reply replyTo(int term, HttpClient.ResponseHandler handler) {
     return (status, text) ->
         loop.after(
             LATENCY_MICROS,
--- a/src/test/java/plumlever/election/HeldTermTest.java
+++ b/src/test/java/plumlever/election/HeldTermTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.helpers.NOPLogger;
 import plumlever.concurrent.ManualLoop;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
@@ -34,7 +34,7 @@
   private HeldTerm createHeldTerm() {
     PlatformConfiguration.StateLimits limits =
         new PlatformConfiguration.StateLimits(100, 40, 4096, 8);
-    Caller stateService =
+    HttpClient stateService =
         (to, method, path, body, timeoutMicros, responseHandler) -> {
           if (method.equals("DELETE")) {
             revoked.add(path);
--- a/src/test/java/plumlever/http/ServerTest.java
+++ b/src/test/java/plumlever/http/ServerTest.java
@@ -38,7 +38,7 @@
 
   private XnioWorker worker;
   private XnioLoop loop;
-  private UndertowCaller caller;
+  private UndertowHttpClient caller;
   private Server server;
 
   @BeforeEach
@@ -48,7 +48,7 @@
             .createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1).getMap());
     loop = new XnioLoop(worker.getIoThread());
     caller =
-        new UndertowCaller(
+        new UndertowHttpClient(
             loop, worker.getIoThread(), new DefaultByteBufferPool(false, 8192, 16, 4));
     server =
         new Server(
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.Optional;
-import plumlever.cloud.PriceBook;
+import plumlever.cloud.MachineTypeCatalog;
 import plumlever.concurrent.Loop;
 import plumlever.concurrent.ManualLoop;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
@@ -55,7 +55,7 @@
    * @param reader must call back synchronously
    */
   public ContextFixture(TermContext.RecoveryReader reader) {
-    Caller caller =
+    HttpClient caller =
         (to, method, path, body, timeoutMicros, handler) -> {
           if (refusesWrites) {
             handler.handle(HttpStatus.BAD_REQUEST, new byte[0]);
@@ -72,7 +72,7 @@
             store,
             new RecordLayout(store.limits()),
             null,
-            new PriceBook(SchedulerParameters.defaults()),
+            new MachineTypeCatalog(SchedulerParameters.defaults()),
             caller,
             metrics,
             () -> 0,
--- a/src/test/java/plumlever/sim/LoadTestServer.java
+++ b/src/test/java/plumlever/sim/LoadTestServer.java
@@ -15,7 +15,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import plumlever.http.Server;
-import plumlever.http.UndertowCaller;
+import plumlever.http.UndertowHttpClient;
 import plumlever.http.XnioLoop;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -40,7 +40,7 @@
   private final XnioWorker worker;
   private final XnioLoop loop;
   private final SimulatedCluster cluster;
-  private final Map<String, UndertowCaller> callers = new HashMap<>();
+  private final Map<String, UndertowHttpClient> callers = new HashMap<>();
   private final Map<Endpoint, Server> listeners = new HashMap<>();
   private final FakeUsers users;
   private final double jobsPerS;
@@ -87,7 +87,7 @@
                   .computeIfAbsent(
                       from,
                       k ->
-                          new UndertowCaller(
+                          new UndertowHttpClient(
                               loop,
                               worker.getIoThread(),
                               new DefaultByteBufferPool(false, 8192, 64, 4)))
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import plumlever.Controller;
 import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.leader.Leader;
 import plumlever.metrics.Logs;
@@ -215,7 +215,7 @@
     }
   }
 
-  private Caller caller(int ownProcessNumber, Processor thread) {
+  private HttpClient caller(int ownProcessNumber, Processor thread) {
     return (to, method, path, body, timeoutMicros, response) -> {
       boolean direct = path.equals(ProtocolPath.COMMANDS);
       if (direct) {
