--- a/src/main/java/plumlever/ConfirmedCancellations.java
+++ b/src/main/java/plumlever/ConfirmedCancellations.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.peer.PeerStatus;
 
 /**
@@ -18,13 +18,13 @@
    */
   private static final long REPORT_DURATION_MICROS = 20_000_000;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Leadership leadership;
 
   /** For each job, the time at which its cancellation was last confirmed by this controller. */
   private final Map<String, Long> confirmedAtMicros = new LinkedHashMap<>();
 
-  ConfirmedCancellations(Loop loop, Leadership leadership) {
+  ConfirmedCancellations(EventLoop loop, Leadership leadership) {
     this.loop = loop;
     this.leadership = leadership;
   }
--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -1,7 +1,7 @@
 package plumlever;
 
 import java.util.Optional;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.concurrent.Scope;
 import plumlever.election.DelegatedRenewal;
@@ -58,7 +58,7 @@
 
   /** Creates a controller that runs leader election on the same loop as everything else. */
   public Controller(
-      Loop loop,
+      EventLoop loop,
       HttpClient caller,
       PlatformConfiguration platform,
       SchedulerParameters parameters,
@@ -83,9 +83,9 @@
    * @param seed seeds the random pauses between election attempts
    */
   public Controller(
-      Loop loop,
+      EventLoop loop,
       HttpClient caller,
-      Loop electionLoop,
+      EventLoop electionLoop,
       HttpClient electionCaller,
       PlatformConfiguration platform,
       OperatorSettings settings,
@@ -98,7 +98,7 @@
 
   private Controller(ControllerEnvironment environment) {
     this.environment = environment;
-    Loop loop = environment.loop();
+    EventLoop loop = environment.loop();
     Optional<SharingSettings> sharing = environment.settings().sharing();
     clients = new ServiceClients(environment);
     lateness = new LoopLateness(loop, clients.metrics());
@@ -222,7 +222,7 @@
 
   /** Starts the election, the status exchange with peers, and all recurring tasks. */
   public void start() {
-    Loop loop = environment.loop();
+    EventLoop loop = environment.loop();
     StateServiceProbe probe = new StateServiceProbe(loop, clients.store());
     scope.own(election);
     election.start();
--- a/src/main/java/plumlever/ControllerEnvironment.java
+++ b/src/main/java/plumlever/ControllerEnvironment.java
@@ -1,6 +1,6 @@
 package plumlever;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.http.HttpClient;
 import plumlever.metrics.Logs;
 import plumlever.settings.OperatorSettings;
@@ -17,9 +17,9 @@
  * @param electionSeed seeds the random pauses between election attempts
  */
 record ControllerEnvironment(
-    Loop loop,
+    EventLoop loop,
     HttpClient caller,
-    Loop electionLoop,
+    EventLoop electionLoop,
     HttpClient electionCaller,
     PlatformConfiguration platform,
     OperatorSettings settings,
--- a/src/main/java/plumlever/Leadership.java
+++ b/src/main/java/plumlever/Leadership.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.function.Function;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.election.ElectionListener;
 import plumlever.election.Term;
 import plumlever.leader.Leader;
@@ -14,7 +14,7 @@
  * it when the term ends.
  */
 final class Leadership implements ElectionListener {
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final Function<Term, TermContext> contextFactory;
   private Optional<Leader> leader = Optional.empty();
@@ -22,7 +22,7 @@
   /**
    * @param contextFactory creates the context that the leader uses during a term
    */
-  Leadership(Loop loop, StateClient store, Function<Term, TermContext> contextFactory) {
+  Leadership(EventLoop loop, StateClient store, Function<Term, TermContext> contextFactory) {
     this.loop = loop;
     this.store = store;
     this.contextFactory = contextFactory;
--- a/src/main/java/plumlever/LoopLateness.java
+++ b/src/main/java/plumlever/LoopLateness.java
@@ -1,6 +1,6 @@
 package plumlever;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.metrics.Metrics;
 
 /**
@@ -10,12 +10,12 @@
 final class LoopLateness {
   private static final long TICK_INTERVAL_MICROS = 500_000;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Metrics metrics;
   private long nextTickDueMicros;
   private long lastTickLateMicros;
 
-  LoopLateness(Loop loop, Metrics metrics) {
+  LoopLateness(EventLoop loop, Metrics metrics) {
     this.loop = loop;
     this.metrics = metrics;
   }
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -1,6 +1,6 @@
 package plumlever;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
@@ -11,7 +11,8 @@
  * A caller that measures the time this controller spends on handling responses, by the kind of
  * service called.
  */
-record MeteredCaller(HttpClient caller, Loop loop, Metrics metrics, PlatformConfiguration platform)
+record MeteredCaller(
+    HttpClient caller, EventLoop loop, Metrics metrics, PlatformConfiguration platform)
     implements HttpClient {
   @Override
   public void call(
--- a/src/main/java/plumlever/OwnStatus.java
+++ b/src/main/java/plumlever/OwnStatus.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.election.LeaderElection;
 import plumlever.leader.Leader;
 import plumlever.peer.PeerStatus;
@@ -13,7 +13,7 @@
   private static final long HEARTBEAT_WINDOW_MICROS = 5_000_000;
 
   private final String label;
-  private final Loop loop;
+  private final EventLoop loop;
   private final LeaderElection election;
   private final StateClient store;
   private final LoopLateness lateness;
@@ -28,7 +28,7 @@
 
   OwnStatus(
       String label,
-      Loop loop,
+      EventLoop loop,
       LeaderElection election,
       StateClient store,
       LoopLateness lateness,
--- a/src/main/java/plumlever/StateServiceProbe.java
+++ b/src/main/java/plumlever/StateServiceProbe.java
@@ -1,6 +1,6 @@
 package plumlever;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 
@@ -11,10 +11,10 @@
 final class StateServiceProbe {
   private static final long INTERVAL_MICROS = 1_000_000;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
 
-  StateServiceProbe(Loop loop, StateClient store) {
+  StateServiceProbe(EventLoop loop, StateClient store) {
     this.loop = loop;
     this.store = store;
   }
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
@@ -71,7 +71,7 @@
     }
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final HttpClient caller;
   private final Endpoint endpoint;
   private final Metrics metrics;
@@ -80,7 +80,7 @@
 
   /** Creates a client that stays within the cloud's rate limit. */
   public CloudClient(
-      Loop loop,
+      EventLoop loop,
       HttpClient caller,
       Endpoint endpoint,
       PlatformConfiguration.CloudLimits limits,
--- a/src/main/java/plumlever/cloud/MachineTypeLoader.java
+++ b/src/main/java/plumlever/cloud/MachineTypeLoader.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.metrics.Logs;
 import plumlever.store.RecordLayout;
@@ -25,14 +25,18 @@
   private static final long RETRY_INTERVAL_MICROS = 1_500_000;
 
   private final Logger log;
-  private final Loop loop;
+  private final EventLoop loop;
   private final CloudClient cloud;
   private final StateClient store;
   private final MachineTypeCatalog typeCatalog;
 
   /** Creates a loader that fills the catalog from the cloud or from the state service. */
   public MachineTypeLoader(
-      Loop loop, CloudClient cloud, StateClient store, MachineTypeCatalog typeCatalog, Logs logs) {
+      EventLoop loop,
+      CloudClient cloud,
+      StateClient store,
+      MachineTypeCatalog typeCatalog,
+      Logs logs) {
     this.log = logs.of(MachineTypeLoader.class);
     this.loop = loop;
     this.cloud = cloud;
--- a/src/main/java/plumlever/concurrent/Loop.java
+++ b/src/main/java/plumlever/concurrent/EventLoop.java
@@ -7,7 +7,7 @@
  * be used on any thread; {@link #after} and {@link Timer#cancel} must be called on the thread of
  * the loop.
  */
-public interface Loop {
+public interface EventLoop {
   /** Returns the time of the monotonic clock, in microseconds since an arbitrary origin. */
   long nowMicros();
 
--- a/src/main/java/plumlever/concurrent/RecurringTask.java
+++ b/src/main/java/plumlever/concurrent/RecurringTask.java
@@ -11,7 +11,7 @@
      * Performs one run.
      *
      * @return the delay until the next run in microseconds; negative if the next run should wait
-     *     for a call of {@link #runAfter}
+     *     for a call of {@link #scheduleAfter}
      */
     long run();
   }
@@ -20,18 +20,18 @@
   private static final long PAUSE_AFTER_FAILURE_MICROS = 1_000_000;
 
   private final String name;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Action action;
-  private Loop.Timer timer;
+  private EventLoop.Timer timer;
   private boolean closed;
   private boolean running;
 
   /**
-   * Creates a task that does not run until {@link #start} or {@link #runAfter} is called.
+   * Creates a task that does not run until {@link #start} or {@link #scheduleAfter} is called.
    *
    * @param name the name of the task in log lines
    */
-  public RecurringTask(String name, Loop loop, Action action) {
+  public RecurringTask(String name, EventLoop loop, Action action) {
     this.name = name;
     this.loop = loop;
     this.action = action;
@@ -39,7 +39,7 @@
 
   /** Schedules the first run without delay. */
   public RecurringTask start() {
-    runAfter(0);
+    scheduleAfter(0);
     return this;
   }
 
@@ -47,7 +47,7 @@
    * Schedules the next run after this delay and cancels a run that was scheduled before; has no
    * effect after the task is closed.
    */
-  public void runAfter(long micros) {
+  public void scheduleAfter(long micros) {
     if (closed) {
       return;
     }
@@ -75,7 +75,7 @@
       running = false;
     }
     if (pauseMicros >= 0 && timer == null) {
-      runAfter(pauseMicros);
+      scheduleAfter(pauseMicros);
     }
   }
 
--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.http.HttpClient;
 import plumlever.settings.Endpoint;
 import plumlever.wire.HttpStatus;
@@ -30,7 +30,7 @@
     DONE
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final HttpClient caller;
   private final List<Endpoint> controllers;
   private final TaskResults results;
@@ -39,7 +39,7 @@
   private int tasks;
 
   DrillUsers(
-      Loop loop,
+      EventLoop loop,
       HttpClient caller,
       List<Endpoint> controllers,
       TaskResults results,
--- a/src/main/java/plumlever/drill/StateServiceEmulator.java
+++ b/src/main/java/plumlever/drill/StateServiceEmulator.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.http.Responder;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessageException;
@@ -35,7 +35,7 @@
   /** A watch request that has no response yet because no matching change has occurred. */
   private record Watch(String prefix, long since, long untilMicros, Responder out) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
   private final ArrayDeque<Change> changes = new ArrayDeque<>();
@@ -49,7 +49,7 @@
   /**
    * @param onPut called with the key and the value of each put
    */
-  StateServiceEmulator(Loop loop, BiConsumer<String, JsonNode> onPut) {
+  StateServiceEmulator(EventLoop loop, BiConsumer<String, JsonNode> onPut) {
     this.onPut = onPut;
     this.loop = loop;
     loop.after(EXPIRY_CHECK_MICROS, this::expire);
--- a/src/main/java/plumlever/drill/TransferStatistics.java
+++ b/src/main/java/plumlever/drill/TransferStatistics.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 
 /**
  * Collects statistics of transfers from the pool's records: their number, their durations, and the
@@ -18,7 +18,7 @@
   private static final double MEDIAN = 50;
   private static final String OFFERED = "OFFERED";
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Map<String, String> ownerByMachine = new HashMap<>();
   private final Map<String, Long> offeredMicros = new HashMap<>();
   private final Histogram durations = new Histogram(3);
@@ -26,7 +26,7 @@
   private int transferredTasks;
   private int withTasks;
 
-  TransferStatistics(Loop loop) {
+  TransferStatistics(EventLoop loop) {
     this.loop = loop;
   }
 
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.settings.Endpoint;
@@ -43,7 +43,7 @@
 
   /** The dependencies and settings that all workers of a drill share. */
   record Environment(
-      Loop loop,
+      EventLoop loop,
       HttpClient caller,
       List<Endpoint> controllers,
       Map<String, Endpoint> endpointByLabel,
@@ -52,7 +52,7 @@
       long leaseMicros) {}
 
   private final Environment environment;
-  private final Loop loop;
+  private final EventLoop loop;
   private final String machine;
   private final String zone;
   private final String endpoint;
@@ -66,7 +66,7 @@
   private boolean heartbeatInFlight;
   private boolean stateChanged;
   private long lastSentMicros;
-  private Loop.Timer timer;
+  private EventLoop.Timer timer;
   private boolean removed;
 
   WorkerEmulator(
--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.OptionalLong;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.StateClient;
@@ -41,7 +41,7 @@
   }
 
   private final Candidate candidate;
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final SchedulerParameters parameters;
   private final LeadershipRecords records;
@@ -87,12 +87,12 @@
    * then.
    */
   void scheduleAttempt() {
-    task.runAfter(backoff.beforeAttemptMicros());
+    task.scheduleAfter(backoff.beforeAttemptMicros());
   }
 
   /** Schedules an attempt after a longer random pause, because a request had no response. */
   void scheduleRetry() {
-    task.runAfter(backoff.beforeRetryMicros());
+    task.scheduleAfter(backoff.beforeRetryMicros());
   }
 
   private long attemptElection() {
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.lease.DelegationRecord;
 import plumlever.metrics.Logs;
@@ -44,7 +44,7 @@
   private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
   private final Logger log;
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final LeaderElection election;
   private DelegationRecord delegation = NO_DELEGATION;
@@ -62,7 +62,7 @@
    * Creates the delegated renewal of this controller, which reads the delegation through the given
    * client.
    */
-  public DelegatedRenewal(Loop loop, StateClient store, LeaderElection election, Logs logs) {
+  public DelegatedRenewal(EventLoop loop, StateClient store, LeaderElection election, Logs logs) {
     this.log = logs.of(DelegatedRenewal.class);
     this.loop = loop;
     this.store = store;
--- a/src/main/java/plumlever/election/ElectionContext.java
+++ b/src/main/java/plumlever/election/ElectionContext.java
@@ -1,6 +1,6 @@
 package plumlever.election;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.StateClient;
 
@@ -12,4 +12,4 @@
  * @param records the known state of leadership
  */
 record ElectionContext(
-    Loop loop, StateClient store, SchedulerParameters parameters, LeadershipRecords records) {}
+    EventLoop loop, StateClient store, SchedulerParameters parameters, LeadershipRecords records) {}
--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.StateClient;
@@ -35,7 +35,7 @@
   }
 
   private final Logger log;
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final SchedulerParameters parameters;
   private final LeadershipRecords records;
@@ -93,7 +93,7 @@
       return;
     }
     log.info("elected leader for term {}", term.number());
-    renewal.runAfter(parameters.leaseRenewalMicros());
+    renewal.scheduleAfter(parameters.leaseRenewalMicros());
     listener.elected(term);
   }
 
@@ -125,7 +125,7 @@
       case ENDED -> stepDown("the state service reports that the lease has ended");
       case UNKNOWN -> {
         long leftMicros = Math.max(1, term.mayActUntilMicros() - loop.nowMicros());
-        renewal.runAfter(Math.min(ElectionBackoff.RETRY_MICROS, leftMicros));
+        renewal.scheduleAfter(Math.min(ElectionBackoff.RETRY_MICROS, leftMicros));
       }
     }
   }
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.Scope;
 import plumlever.metrics.Logs;
 import plumlever.settings.SchedulerParameters;
@@ -43,7 +43,7 @@
   public static final String TERM = PREFIX + "term";
 
   private final String label;
-  private final Loop loop;
+  private final EventLoop loop;
   private final SchedulerParameters parameters;
   private final Scope scope = new Scope();
   private final LeadershipRecords records;
@@ -60,7 +60,7 @@
    */
   public LeaderElection(
       ElectionSettings settings,
-      Loop loop,
+      EventLoop loop,
       StateClient store,
       ElectionListener listener,
       Logs logs) {
--- a/src/main/java/plumlever/election/LeadershipRecords.java
+++ b/src/main/java/plumlever/election/LeadershipRecords.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.store.StateClient;
 
 /**
@@ -33,7 +33,7 @@
   record Revisions(long leader, long term) {}
 
   private final Logger log;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Candidate candidate;
   private final boolean inPool;
 
@@ -55,7 +55,7 @@
    * @param candidate this controller
    * @param inPool true if this controller has the settings of the pool that its shard belongs to
    */
-  LeadershipRecords(Logger log, Loop loop, Candidate candidate, boolean inPool) {
+  LeadershipRecords(Logger log, EventLoop loop, Candidate candidate, boolean inPool) {
     this.log = log;
     this.loop = loop;
     this.candidate = candidate;
--- a/src/main/java/plumlever/election/LeadershipWatch.java
+++ b/src/main/java/plumlever/election/LeadershipWatch.java
@@ -1,6 +1,6 @@
 package plumlever.election;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.store.StateClient;
 
 /**
@@ -26,7 +26,7 @@
     void refreshFailed();
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final LeadershipRecords records;
   private final ElectionBackoff backoff;
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -1,6 +1,6 @@
 package plumlever.election;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.lease.ClockDrift;
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.Transaction;
@@ -14,14 +14,14 @@
  * #end} may be called on any thread.
  */
 public final class Term {
-  private final Loop loop;
+  private final EventLoop loop;
   private final long number;
   private final long revision;
   private final long leaseId;
   private volatile long mayActUntilMicros;
   private volatile boolean ended;
 
-  Term(Loop loop, long number, long revision, long leaseId) {
+  Term(EventLoop loop, long number, long revision, long leaseId) {
     this.loop = loop;
     this.number = number;
     this.revision = revision;
--- a/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.election.DelegatedRenewal;
 import plumlever.lease.DelegateEvidence;
 import plumlever.lease.LeaseRenewal;
@@ -33,7 +33,7 @@
 public final class DelegatedHeartbeatHandler {
   private static final int MAX_LOG_LINES_PER_SECOND = 20;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final DelegatedRenewal delegation;
   private final JobRecordCache jobs;
   private final LeaseRenewal renewal;
@@ -47,7 +47,7 @@
    * @param jobs provides the ended jobs, whose tasks are stopped
    */
   public DelegatedHeartbeatHandler(
-      Loop loop,
+      EventLoop loop,
       DelegatedRenewal delegation,
       JobRecordCache jobs,
       LeaseRenewal renewal,
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -5,7 +5,7 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.function.Consumer;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
 import plumlever.store.KeySpace;
@@ -29,7 +29,7 @@
   /** A key that exists if the shard has the job. */
   private record Candidate(SharingSettings.Shard shard, String key) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final HttpClient caller;
   private final PlatformConfiguration platform;
@@ -37,7 +37,7 @@
 
   /** Creates a forwarder for the other shards of this pool. */
   public JobForwarder(
-      Loop loop,
+      EventLoop loop,
       StateClient store,
       HttpClient caller,
       PlatformConfiguration platform,
--- a/src/main/java/plumlever/http/JobServices.java
+++ b/src/main/java/plumlever/http/JobServices.java
@@ -1,6 +1,6 @@
 package plumlever.http;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.metrics.Metrics;
 import plumlever.store.JobRecordCache;
 import plumlever.store.RecordLayout;
@@ -15,4 +15,8 @@
  * @param layout keys and values of the job records
  */
 public record JobServices(
-    Loop loop, StateClient store, JobRecordCache records, RecordLayout layout, Metrics metrics) {}
+    EventLoop loop,
+    StateClient store,
+    JobRecordCache records,
+    RecordLayout layout,
+    Metrics metrics) {}
--- a/src/main/java/plumlever/http/OutgoingCall.java
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -17,7 +17,7 @@
 import org.xnio.IoUtils;
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 
 /** An outgoing HTTP request and its response. The handler is called exactly once. */
 final class OutgoingCall {
@@ -32,7 +32,7 @@
   private final String path;
   private final byte[] body;
   private final HttpClient.ResponseHandler handler;
-  private Optional<Loop.Timer> timeout = Optional.empty();
+  private Optional<EventLoop.Timer> timeout = Optional.empty();
   private Optional<ClientConnection> connection = Optional.empty();
   private boolean started;
   private boolean finished;
@@ -59,7 +59,7 @@
    * Sets the timer that ends the call after the timeout. The timer is cancelled when the call
    * finishes.
    */
-  void setTimeoutTimer(Loop.Timer timer) {
+  void setTimeoutTimer(EventLoop.Timer timer) {
     timeout = Optional.of(timer);
   }
 
@@ -224,7 +224,7 @@
       return;
     }
     finished = true;
-    timeout.ifPresent(Loop.Timer::cancel);
+    timeout.ifPresent(EventLoop.Timer::cancel);
     if (started) {
       if (reusable.isEmpty()) {
         connection.ifPresent(IoUtils::safeClose);
--- a/src/main/java/plumlever/http/RequestAdmission.java
+++ b/src/main/java/plumlever/http/RequestAdmission.java
@@ -1,7 +1,7 @@
 package plumlever.http;
 
 import java.util.Optional;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.metrics.Metrics;
 import plumlever.wire.ForwardedRequest;
 import plumlever.wire.HttpStatus;
@@ -11,12 +11,12 @@
   private static final int MAX_OPEN_REQUESTS = 256;
   private static final int RETRY_AFTER_S = 1;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Metrics metrics;
   private final ServingHealth health;
   private int openRequests;
 
-  RequestAdmission(Loop loop, Metrics metrics, ServingHealth health) {
+  RequestAdmission(EventLoop loop, Metrics metrics, ServingHealth health) {
     this.loop = loop;
     this.metrics = metrics;
     this.health = health;
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -1,6 +1,6 @@
 package plumlever.http;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.metrics.Metrics;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.ProtocolPath;
@@ -11,7 +11,7 @@
 public final class RequestRouter implements Server.RequestHandler {
   private static final String JOB_PREFIX = ProtocolPath.SUBMISSIONS + "/";
 
-  private final Loop clock;
+  private final EventLoop clock;
   private final UserApi users;
   private final HeartbeatEndpoint heartbeats;
   private final ServingHealth health;
@@ -19,7 +19,7 @@
 
   /** Creates a router for the given handlers. */
   public RequestRouter(
-      Loop clock,
+      EventLoop clock,
       UserApi users,
       HeartbeatEndpoint heartbeats,
       ServingHealth health,
--- a/src/main/java/plumlever/http/UndertowHttpClient.java
+++ b/src/main/java/plumlever/http/UndertowHttpClient.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.xnio.XnioIoThread;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.settings.Endpoint;
 
 /**
@@ -13,13 +13,13 @@
  * never retried here, because only the caller knows whether a request is idempotent.
  */
 public final class UndertowHttpClient implements HttpClient, AutoCloseable {
-  private final Loop loop;
+  private final EventLoop loop;
   private final ConnectionFactory connections;
   private final Map<Endpoint, ConnectionPool> pools = new HashMap<>();
   private final IdleConnections idleConnections = new IdleConnections();
 
   /** Creates a client whose connections run on this I/O thread. */
-  public UndertowHttpClient(Loop loop, XnioIoThread thread, ByteBufferPool buffers) {
+  public UndertowHttpClient(EventLoop loop, XnioIoThread thread, ByteBufferPool buffers) {
     this.loop = loop;
     this.connections = new ConnectionFactory(thread, buffers);
   }
--- a/src/main/java/plumlever/http/XnioLoop.java
+++ b/src/main/java/plumlever/http/XnioLoop.java
@@ -6,13 +6,13 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 
 /**
  * The event loop on an XNIO I/O thread. Requests, responses and scheduling decisions run on the
  * same thread and need no hand-off between threads.
  */
-public final class XnioLoop implements Loop {
+public final class XnioLoop implements EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
 
   private final XnioIoThread thread;
--- a/src/main/java/plumlever/leader/TermComponents.java
+++ b/src/main/java/plumlever/leader/TermComponents.java
@@ -194,7 +194,7 @@
     startTask(scope, "token raise", tokenRaiser::run);
     scope
         .own(new RecurringTask("dependency lists", context.loop(), dependencyListCleanup::run))
-        .runAfter(DependencyListCleanup.INTERVAL_MICROS);
+        .scheduleAfter(DependencyListCleanup.INTERVAL_MICROS);
     startTask(scope, "scheduling passes", passes::run);
   }
 
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -6,7 +6,7 @@
 import java.util.function.LongSupplier;
 import plumlever.cloud.CloudClient;
 import plumlever.cloud.MachineTypeCatalog;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.election.LeaderElection;
 import plumlever.election.Term;
 import plumlever.http.HttpClient;
@@ -47,7 +47,7 @@
  *     used by the recovery read, by the delegation of renewals and when the components are created
  */
 public record TermContext(
-    Loop loop,
+    EventLoop loop,
     PlatformConfiguration platform,
     SchedulerParameters parameters,
     LeaderElection election,
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.http.Responder;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
@@ -24,7 +24,7 @@
 
   private record Deferred(Heartbeat heartbeat, Responder out, long receivedMicros) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
 
   /** The most heartbeats deferred at a time; each deferred heartbeat holds a connection open. */
   private final int capacity;
@@ -36,7 +36,7 @@
    *
    * @param socketLimit the most heartbeats that can be deferred at a time
    */
-  public DeferredHeartbeats(Loop loop, int socketLimit) {
+  public DeferredHeartbeats(EventLoop loop, int socketLimit) {
     this.loop = loop;
     this.capacity = socketLimit;
   }
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.http.HttpClient;
 import plumlever.http.Responder;
@@ -24,7 +24,7 @@
 
   private record ReceivedStatus(PeerStatus status, long receivedMicros) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final HttpClient caller;
   private final PlatformConfiguration platform;
   private final Supplier<PeerStatus> ownStatus;
@@ -39,7 +39,7 @@
    * @param listener receives each status that another controller sends
    */
   public Peers(
-      Loop loop,
+      EventLoop loop,
       HttpClient caller,
       PlatformConfiguration platform,
       Supplier<PeerStatus> ownStatus,
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.function.Consumer;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.wire.HttpStatus;
 
 /**
@@ -32,12 +32,12 @@
   /** A user's request times out after 5 s; the next attempt resumes where this one stopped. */
   private static final long MAX_ATTEMPT_MICROS = 4_000_000;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final RecordLayout layout;
 
   /** Creates a writer that uses the given client and record layout. */
-  public DependencyLists(Loop loop, StateClient store, RecordLayout layout) {
+  public DependencyLists(EventLoop loop, StateClient store, RecordLayout layout) {
     this.loop = loop;
     this.store = store;
     this.layout = layout;
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.fleet.DependencyGraph;
 import plumlever.wire.JobState;
 
@@ -61,7 +61,8 @@
   /**
    * @param jobStates receives the final state of each ended job that is read
    */
-  DependencyRecordCache(Loop loop, StateClient store, JobFinder finder, JobStateCache jobStates) {
+  DependencyRecordCache(
+      EventLoop loop, StateClient store, JobFinder finder, JobStateCache jobStates) {
     this.store = store;
     this.finder = finder;
     this.jobStates = jobStates;
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.wire.JobState;
 
 /**
@@ -56,7 +56,7 @@
   private final RateLimitRetry retry;
 
   /** Creates a finder that reads through the given client. */
-  public JobFinder(Loop loop, StateClient store) {
+  public JobFinder(EventLoop loop, StateClient store) {
     this.store = store;
     this.retry = new RateLimitRetry(loop);
   }
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.metrics.Metrics;
 import plumlever.wire.JobState;
 
@@ -86,7 +86,7 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(JobRecordCache.class);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final Metrics metrics;
   private final RecordLayout layout;
@@ -100,7 +100,7 @@
   private final Map<String, Long> activeReadMicros = new HashMap<>();
 
   /** Creates an empty cache that reads through the given client. */
-  public JobRecordCache(Loop loop, StateClient store, RecordLayout layout, Metrics metrics) {
+  public JobRecordCache(EventLoop loop, StateClient store, RecordLayout layout, Metrics metrics) {
     this.loop = loop;
     this.store = store;
     this.metrics = metrics;
--- a/src/main/java/plumlever/store/LookupBatch.java
+++ b/src/main/java/plumlever/store/LookupBatch.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 
 /**
  * Collects lookups for a short time so that a single request serves all of them.
@@ -14,7 +14,7 @@
 final class LookupBatch<L> {
   private static final long COLLECTION_WINDOW_MICROS = 25_000;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final IntSupplier maxSize;
   private final Consumer<List<L>> sendBatch;
   private List<L> collected = new ArrayList<>();
@@ -23,7 +23,7 @@
    * @param maxSize the batch size at which the request is sent without further delay
    * @param sendBatch sends the request for a batch, which is never empty
    */
-  LookupBatch(Loop loop, IntSupplier maxSize, Consumer<List<L>> sendBatch) {
+  LookupBatch(EventLoop loop, IntSupplier maxSize, Consumer<List<L>> sendBatch) {
     this.loop = loop;
     this.maxSize = maxSize;
     this.sendBatch = sendBatch;
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.LongSupplier;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 
 /**
  * Watches all keys under a prefix until it is closed. If changes were missed, all keys are listed
@@ -28,7 +28,7 @@
     void changed(List<StateClient.KeyEvent> changes, long sentMicros);
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final String prefix;
   private final LongSupplier waitMicros;
@@ -44,7 +44,7 @@
    * @param retryMicros the pause after a request that was refused or had no response
    */
   public PrefixWatch(
-      Loop loop,
+      EventLoop loop,
       StateClient store,
       String prefix,
       LongSupplier waitMicros,
--- a/src/main/java/plumlever/store/RateLimitRetry.java
+++ b/src/main/java/plumlever/store/RateLimitRetry.java
@@ -1,6 +1,6 @@
 package plumlever.store;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.wire.HttpStatus;
 
 /**
@@ -13,9 +13,9 @@
 
   private static final long PAUSE_MICROS = 150_000;
 
-  private final Loop loop;
+  private final EventLoop loop;
 
-  RateLimitRetry(Loop loop) {
+  RateLimitRetry(EventLoop loop) {
     this.loop = loop;
   }
 
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
@@ -161,7 +161,7 @@
    */
   private static final String UNUSED_PREFIX = "nothing/";
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final HttpClient caller;
   private final Endpoint endpoint;
   private final Metrics metrics;
@@ -174,7 +174,7 @@
 
   /** Creates a client whose keys are at the root of the state service. */
   public StateClient(
-      Loop loop,
+      EventLoop loop,
       HttpClient caller,
       Endpoint endpoint,
       PlatformConfiguration.StateLimits limits,
@@ -184,7 +184,7 @@
 
   /** Creates a client whose keys are in the given key space. */
   public StateClient(
-      Loop loop,
+      EventLoop loop,
       HttpClient caller,
       Endpoint endpoint,
       PlatformConfiguration.StateLimits limits,
--- a/src/main/java/plumlever/warmup/InMemoryMachines.java
+++ b/src/main/java/plumlever/warmup/InMemoryMachines.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
@@ -50,10 +50,10 @@
     }
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Map<String, InMemoryMachine> machinesById = new LinkedHashMap<>();
 
-  InMemoryMachines(Loop loop, int count, String endpoint) {
+  InMemoryMachines(EventLoop loop, int count, String endpoint) {
     this.loop = loop;
     for (int number = 1; number <= count; number++) {
       InMemoryMachine machine = new InMemoryMachine(number, String.format(endpoint, number));
--- a/src/main/java/plumlever/warmup/InMemoryStateService.java
+++ b/src/main/java/plumlever/warmup/InMemoryStateService.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.Json;
@@ -39,13 +39,13 @@
   private static final String PUT = "put";
   private static final String DELETE = "drop";
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final List<Event> events = new ArrayList<>();
   private long storeRevision = 1;
   private long lastLeaseId;
 
-  InMemoryStateService(Loop loop) {
+  InMemoryStateService(EventLoop loop) {
     this.loop = loop;
   }
 
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -4,7 +4,7 @@
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
 
@@ -27,7 +27,7 @@
   /** The warm-up pauses while the event loop runs its tasks later than due by more than this. */
   private static final long MAX_LATENESS_MICROS = 60_000;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final LongSupplier latenessMicros;
   private final BooleanSupplier leads;
   private final long createdMicros;
@@ -41,7 +41,7 @@
    * @param leads whether the controller is the leader
    */
   public WarmUp(
-      Loop loop,
+      EventLoop loop,
       PlatformConfiguration platform,
       SchedulerParameters parameters,
       LongSupplier latenessMicros,
--- a/src/main/java/plumlever/warmup/WarmUpLoop.java
+++ b/src/main/java/plumlever/warmup/WarmUpLoop.java
@@ -2,10 +2,10 @@
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 
 /** An event loop with a simulated clock: each step advances the clock to the next event. */
-final class WarmUpLoop implements Loop {
+final class WarmUpLoop implements EventLoop {
   private record Event(long dueMicros, long sequenceNumber, Runnable action) {}
 
   private final PriorityQueue<Event> events =
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -1,7 +1,7 @@
 package plumlever.warmup;
 
 import java.util.List;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.ProtocolPath;
@@ -34,7 +34,7 @@
    * @param endpoint endpoint of the machines for direct calls; a format specifier in it is replaced
    *     by the machine's number
    */
-  public WarmUpServices(Loop loop, int machineCount, String endpoint) {
+  public WarmUpServices(EventLoop loop, int machineCount, String endpoint) {
     this.state = new InMemoryStateService(loop);
     this.machines = new InMemoryMachines(loop, machineCount, endpoint);
   }
--- a/src/test/java/plumlever/cloud/CloudClientTest.java
+++ b/src/test/java/plumlever/cloud/CloudClientTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
@@ -25,8 +25,8 @@
   private static final RentalRequest REQUEST = new RentalRequest("r-1-1", "small", "a", true, 2);
 
   /** An event loop with a stopped clock, which runs delayed actions immediately. */
-  private static final Loop LOOP =
-      new Loop() {
+  private static final EventLoop LOOP =
+      new EventLoop() {
         @Override
         public long nowMicros() {
           return 0;
--- a/src/test/java/plumlever/concurrent/ManualLoop.java
+++ b/src/test/java/plumlever/concurrent/ManualEventLoop.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /** An event loop whose clock advances only by calls of {@link #advance}. */
-public final class ManualLoop implements Loop {
+public final class ManualEventLoop implements EventLoop {
   private final List<Pending> pending = new ArrayList<>();
   private long nowMicros;
 
   /** Creates a loop whose clock starts at this time. */
-  public ManualLoop(long nowMicros) {
+  public ManualEventLoop(long nowMicros) {
     this.nowMicros = nowMicros;
   }
 
--- a/src/test/java/plumlever/election/HeldTermTest.java
+++ b/src/test/java/plumlever/election/HeldTermTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.slf4j.helpers.NOPLogger;
-import plumlever.concurrent.ManualLoop;
+import plumlever.concurrent.ManualEventLoop;
 import plumlever.http.HttpClient;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
@@ -24,7 +24,7 @@
   private static final long STALL_MICROS = 11_000_000;
 
   private final SchedulerParameters parameters = SchedulerParameters.defaults();
-  private final ManualLoop loop = new ManualLoop(1_000_000_000);
+  private final ManualEventLoop loop = new ManualEventLoop(1_000_000_000);
   private final List<Term> steppedDown = new ArrayList<>();
   private final List<String> revoked = new ArrayList<>();
   private int renewalStatus = 200;
--- a/src/test/java/plumlever/election/LeadershipRecordsTest.java
+++ b/src/test/java/plumlever/election/LeadershipRecordsTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.slf4j.helpers.NOPLogger;
-import plumlever.concurrent.ManualLoop;
+import plumlever.concurrent.ManualEventLoop;
 import plumlever.store.StateClient;
 import plumlever.wire.Json;
 
@@ -20,7 +20,7 @@
   private static final Candidate EARLIER_INCARNATION = new Candidate("n0", "earlier incarnation");
   private static final Candidate OTHER = new Candidate("n1", "other incarnation");
 
-  private final ManualLoop loop = new ManualLoop(0);
+  private final ManualEventLoop loop = new ManualEventLoop(0);
   private final LeadershipRecords records = recordsOf(false);
 
   private LeadershipRecords recordsOf(boolean inPool) {
--- a/src/test/java/plumlever/election/TermTest.java
+++ b/src/test/java/plumlever/election/TermTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import plumlever.concurrent.ManualLoop;
+import plumlever.concurrent.ManualEventLoop;
 import plumlever.settings.SchedulerParameters;
 
 /** The duration of the right to act in a term. */
 final class TermTest {
   private final SchedulerParameters parameters = SchedulerParameters.defaults();
-  private final ManualLoop loop = new ManualLoop(1_000_000);
+  private final ManualEventLoop loop = new ManualEventLoop(1_000_000);
   private final Term term = new Term(loop, 7, 40, 12);
 
   @Test
--- a/src/test/java/plumlever/http/RequestAdmissionTest.java
+++ b/src/test/java/plumlever/http/RequestAdmissionTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
 import plumlever.wire.ForwardedRequest;
@@ -105,7 +105,7 @@
     }
   }
 
-  private static final class StoppedClock implements Loop {
+  private static final class StoppedClock implements EventLoop {
     @Override
     public long nowMicros() {
       return 0;
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Optional;
 import plumlever.cloud.MachineTypeCatalog;
-import plumlever.concurrent.Loop;
-import plumlever.concurrent.ManualLoop;
+import plumlever.concurrent.EventLoop;
+import plumlever.concurrent.ManualEventLoop;
 import plumlever.http.HttpClient;
 import plumlever.metrics.Logs;
 import plumlever.metrics.Metrics;
@@ -44,7 +44,7 @@
           new PlatformConfiguration.CloudLimits(6, 5_000_000),
           1000);
 
-  private final Loop loop = new ManualLoop(1_000_000_000L);
+  private final EventLoop loop = new ManualEventLoop(1_000_000_000L);
   private final Metrics metrics = new Metrics(Logs.SERVICE);
   private final TermContext context;
   private boolean refusesWrites;
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import plumlever.Controller;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.leader.Leader;
@@ -77,8 +77,8 @@
             () -> controller == null ? 0 : controller.metrics().counter("candidates_evaluated"));
     electionThread =
         electionApart ? new Processor(cluster, cluster.costs, 2, () -> 0L) : decisionThread;
-    Loop loop = loop(ownProcessNumber, decisionThread);
-    Loop electionLoop = loop(ownProcessNumber, electionThread);
+    EventLoop loop = loop(ownProcessNumber, decisionThread);
+    EventLoop electionLoop = loop(ownProcessNumber, electionThread);
     controller =
         new Controller(
             loop,
@@ -167,8 +167,8 @@
     }
   }
 
-  private Loop loop(int ownProcessNumber, Processor thread) {
-    return new Loop() {
+  private EventLoop loop(int ownProcessNumber, Processor thread) {
+    return new EventLoop() {
       @Override
       public long nowMicros() {
         return cluster.now();
