--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -23,7 +23,7 @@
 import plumlever.leader.Leader;
 import plumlever.lease.LeaseRenewal;
 import plumlever.lease.RenewalLimit;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.peer.Peers;
 import plumlever.settings.OperatorSettings;
@@ -71,7 +71,7 @@
         platform,
         new OperatorSettings(parameters, Optional.empty()),
         seed,
-        Logs.SERVICE);
+        LoggerProvider.SERVICE);
   }
 
   /**
@@ -90,7 +90,7 @@
       PlatformConfiguration platform,
       OperatorSettings settings,
       long seed,
-      Logs logs) {
+      LoggerProvider logs) {
     this(
         new ControllerEnvironment(
             loop, caller, electionLoop, electionCaller, platform, settings, seed, logs));
--- a/src/main/java/plumlever/ControllerEnvironment.java
+++ b/src/main/java/plumlever/ControllerEnvironment.java
@@ -2,7 +2,7 @@
 
 import plumlever.concurrent.EventLoop;
 import plumlever.http.HttpClient;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
 
@@ -24,4 +24,4 @@
     PlatformConfiguration platform,
     OperatorSettings settings,
     long electionSeed,
-    Logs logs) {}
+    LoggerProvider logs) {}
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -17,7 +17,7 @@
 import plumlever.http.Server;
 import plumlever.http.UndertowHttpClient;
 import plumlever.http.XnioLoop;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
@@ -134,7 +134,7 @@
             platform,
             settings,
             new SplittableRandom().nextLong(),
-            Logs.SERVICE);
+            LoggerProvider.SERVICE);
   }
 
   private static UndertowHttpClient createCaller(
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -239,7 +239,7 @@
    */
   private void send(String method, String path, JsonNode body, Consumer<Response> callback) {
     if (!rateLimiter.tryAcquire(1, loop.nowMicros())) {
-      metrics.countRefusal("cloud", HttpStatus.TOO_MANY_REQUESTS);
+      metrics.countFailedCall("cloud", HttpStatus.TOO_MANY_REQUESTS);
       loop.after(
           0, () -> callback.accept(new Response(HttpStatus.TOO_MANY_REQUESTS, Optional.empty())));
       return;
@@ -252,7 +252,7 @@
         bytes,
         TIMEOUT_MICROS,
         (status, data) -> {
-          metrics.countRefusal("cloud", status);
+          metrics.countFailedCall("cloud", status);
           if (status == HttpStatus.BAD_REQUEST) {
             warnOnce(path, new String(data, StandardCharsets.UTF_8));
           }
--- a/src/main/java/plumlever/cloud/MachineTypeLoader.java
+++ b/src/main/java/plumlever/cloud/MachineTypeLoader.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
@@ -36,7 +36,7 @@
       CloudClient cloud,
       StateClient store,
       MachineTypeCatalog typeCatalog,
-      Logs logs) {
+      LoggerProvider logs) {
     this.log = logs.of(MachineTypeLoader.class);
     this.loop = loop;
     this.cloud = cloud;
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -7,7 +7,7 @@
 import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.lease.DelegationRecord;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 
@@ -62,7 +62,8 @@
    * Creates the delegated renewal of this controller, which reads the delegation through the given
    * client.
    */
-  public DelegatedRenewal(EventLoop loop, StateClient store, LeaderElection election, Logs logs) {
+  public DelegatedRenewal(
+      EventLoop loop, StateClient store, LeaderElection election, LoggerProvider logs) {
     this.log = logs.of(DelegatedRenewal.class);
     this.loop = loop;
     this.store = store;
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.Scope;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.StateClient;
 
@@ -63,7 +63,7 @@
       EventLoop loop,
       StateClient store,
       ElectionListener listener,
-      Logs logs) {
+      LoggerProvider logs) {
     this.label = settings.label();
     this.loop = loop;
     this.parameters = settings.parameters();
--- a/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
@@ -12,8 +12,8 @@
 import plumlever.lease.LeaseRenewal;
 import plumlever.lease.RenewalDecision;
 import plumlever.lease.RenewalRefusal;
-import plumlever.metrics.LogBudget;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LogRateLimiter;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.store.JobRecordCache;
 import plumlever.wire.AttemptState;
@@ -39,7 +39,7 @@
   private final LeaseRenewal renewal;
   private final Metrics metrics;
   private final Logger log;
-  private final LogBudget logBudget;
+  private final LogRateLimiter logBudget;
 
   /**
    * Creates a handler that uses the given delegation.
@@ -52,14 +52,14 @@
       JobRecordCache jobs,
       LeaseRenewal renewal,
       Metrics metrics,
-      Logs logs) {
+      LoggerProvider logs) {
     this.loop = loop;
     this.delegation = delegation;
     this.jobs = jobs;
     this.renewal = renewal;
     this.metrics = metrics;
     this.log = logs.of(DelegatedHeartbeatHandler.class);
-    this.logBudget = new LogBudget(log, MAX_LOG_LINES_PER_SECOND);
+    this.logBudget = new LogRateLimiter(log, MAX_LOG_LINES_PER_SECOND);
   }
 
   /**
@@ -141,7 +141,7 @@
 
   private void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     metrics.count(refusal.counter());
-    if (logBudget.allowsDebug(loop.nowMicros())) {
+    if (logBudget.tryAcquireDebugLine(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) not renewed on behalf of the leader, machine's"
               + " fencing token {}: {}",
@@ -154,7 +154,7 @@
   }
 
   private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.RenewalRight right, String when) {
-    if (logBudget.allowsDebug(loop.nowMicros())) {
+    if (logBudget.tryAcquireDebugLine(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) not renewed on behalf of the leader, refused {}:"
               + " machine's fencing token {}, delegation's token {}",
@@ -173,7 +173,7 @@
   private void logRenewal(
       Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stopCommands) {
     boolean raises = evidence.token() > heartbeat.fencingToken();
-    if ((raises || !stopCommands.isEmpty()) && logBudget.allowsDebug(loop.nowMicros())) {
+    if ((raises || !stopCommands.isEmpty()) && logBudget.tryAcquireDebugLine(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) renewed on behalf of the leader: fencing token {}"
               + " replaces {}, ended jobs as of {} ms ago, stop commands {}",
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -10,7 +10,7 @@
 import plumlever.election.LeaderElection;
 import plumlever.election.Term;
 import plumlever.http.HttpClient;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
@@ -61,7 +61,7 @@
     IntSupplier workersAtOtherControllers,
     RecoveryReader reader,
     LongSupplier latenessMicros,
-    Logs logs,
+    LoggerProvider logs,
     boolean costMatters,
     Optional<SharingSettings> sharing) {
 
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -6,7 +6,7 @@
 import plumlever.fleet.Machine;
 import plumlever.fleet.StartChannel;
 import plumlever.leader.context.TermContext;
-import plumlever.metrics.LogBudget;
+import plumlever.metrics.LogRateLimiter;
 import plumlever.wire.Heartbeat;
 
 /**
@@ -19,17 +19,17 @@
 
   private final TermContext context;
   private final Logger log;
-  private final LogBudget logBudget;
+  private final LogRateLimiter logBudget;
 
   /** Creates the log of one term's attempts. */
   public AttemptLog(TermContext context) {
     this.context = context;
     this.log = context.logs().of(AttemptLog.class);
-    this.logBudget = new LogBudget(log, MAX_LINES_PER_SECOND);
+    this.logBudget = new LogRateLimiter(log, MAX_LINES_PER_SECOND);
   }
 
   private boolean enabled() {
-    return logBudget.allowsDebug(context.loop().nowMicros());
+    return logBudget.tryAcquireDebugLine(context.loop().nowMicros());
   }
 
   /**
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -15,7 +15,7 @@
 import plumlever.lease.RenewalLimit;
 import plumlever.lease.RenewalRefusal;
 import plumlever.lease.UnansweredCommands;
-import plumlever.metrics.LogBudget;
+import plumlever.metrics.LogRateLimiter;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.WorkerCommand;
@@ -32,7 +32,7 @@
   private final MachineSharing sharing;
   private final LeaseRenewal renewal;
   private final Logger log;
-  private final LogBudget logBudget;
+  private final LogRateLimiter logBudget;
 
   /**
    * Creates a sender of responses that takes its evidence from these jobs and this view of a pool.
@@ -43,7 +43,7 @@
     this.sharing = sharing;
     this.renewal = new LeaseRenewal(new RenewalLimit(context.platform().workers()));
     this.log = context.logs().of(HeartbeatAnswers.class);
-    this.logBudget = new LogBudget(log, MAX_LINES_PER_SECOND);
+    this.logBudget = new LogRateLimiter(log, MAX_LINES_PER_SECOND);
   }
 
   /** Returns why the machine's lease must not be renewed now, or empty if it may be renewed. */
@@ -108,7 +108,7 @@
     context.metrics().count("renewals_refused");
     context.metrics().count(refusal.counter());
     long now = context.loop().nowMicros();
-    if (logBudget.allowsDebug(now)) {
+    if (logBudget.tryAcquireDebugLine(now)) {
       log.debug(
           "lease of machine {} incarnation {} is not renewed, heartbeat token {}: {}; last read of"
               + " ended jobs sent {} ms ago",
--- a/src/main/java/plumlever/metrics/LogBudget.java
+++ b/src/main/java/plumlever/metrics/LogRateLimiter.java
@@ -7,7 +7,7 @@
  * readable when the same event occurs on thousands of machines at once. The number of suppressed
  * lines is logged.
  */
-public final class LogBudget {
+public final class LogRateLimiter {
   private static final long SECOND_MICROS = 1_000_000;
 
   /**
@@ -23,7 +23,7 @@
   private long suppressed;
 
   /** Creates a limit for debug lines that are logged with this logger. */
-  public LogBudget(Logger log, int linesPerSecond) {
+  public LogRateLimiter(Logger log, int linesPerSecond) {
     this.log = log;
     this.linesPerSecond = linesPerSecond;
   }
@@ -31,7 +31,7 @@
   /**
    * Returns true if a debug line may be logged now; counts the line against the limit in this case.
    */
-  public boolean allowsDebug(long nowMicros) {
+  public boolean tryAcquireDebugLine(long nowMicros) {
     if (!log.isDebugEnabled()) {
       return false;
     }
--- a/src/main/java/plumlever/metrics/Logs.java
+++ b/src/main/java/plumlever/metrics/LoggerProvider.java
@@ -7,9 +7,9 @@
  * Provides a logger for each class, so that the log lines of the JVM warm-up can be distinguished
  * from the log lines of the service.
  */
-public interface Logs {
+public interface LoggerProvider {
   /** The loggers of the service itself. */
-  Logs SERVICE = LoggerFactory::getLogger;
+  LoggerProvider SERVICE = LoggerFactory::getLogger;
 
   /** Returns the logger of the class. */
   Logger of(Class<?> owner);
--- a/src/main/java/plumlever/metrics/Metrics.java
+++ b/src/main/java/plumlever/metrics/Metrics.java
@@ -35,7 +35,7 @@
   private final Map<String, LongSupplier> gauges = new TreeMap<>();
 
   /** Creates empty metrics. */
-  public Metrics(Logs logs) {
+  public Metrics(LoggerProvider logs) {
     this.log = logs.of(Metrics.class);
   }
 
@@ -84,7 +84,7 @@
    *
    * @param status the HTTP status of the response; 0 if no response arrived
    */
-  public synchronized void countRefusal(String service, int status) {
+  public synchronized void countFailedCall(String service, int status) {
     if (status == NO_RESPONSE) {
       count(service + "_silent");
     } else if (status == HTTP_TOO_MANY_REQUESTS) {
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -387,7 +387,7 @@
 
   private void send(Request request, Consumer<StateResponse> handler) {
     if (!budget.tryAdmit(request.priority(), request.operations(), loop.nowMicros())) {
-      metrics.countRefusal("state", HttpStatus.TOO_MANY_REQUESTS);
+      metrics.countFailedCall("state", HttpStatus.TOO_MANY_REQUESTS);
       loop.after(0, () -> handler.accept(StateResponse.withoutBody(HttpStatus.TOO_MANY_REQUESTS)));
       return;
     }
@@ -400,7 +400,7 @@
         bytes,
         request.timeoutMicros(),
         (status, data) -> {
-          metrics.countRefusal("state", status);
+          metrics.countFailedCall("state", status);
           availability.requestEnded(status, loop.nowMicros());
           handler.accept(toResponse(request, status, data));
         });
--- a/src/test/java/plumlever/cloud/CloudClientTest.java
+++ b/src/test/java/plumlever/cloud/CloudClientTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import plumlever.concurrent.EventLoop;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -63,7 +63,7 @@
           },
           new Endpoint("cloud", 1),
           new PlatformConfiguration.CloudLimits(10, 0),
-          new Metrics(Logs.SERVICE));
+          new Metrics(LoggerProvider.SERVICE));
 
   private void addResponse(int status, String body) {
     cannedResponses.add(new CannedResponse(status, body));
--- a/src/test/java/plumlever/election/HeldTermTest.java
+++ b/src/test/java/plumlever/election/HeldTermTest.java
@@ -12,7 +12,7 @@
 import org.slf4j.helpers.NOPLogger;
 import plumlever.concurrent.ManualEventLoop;
 import plumlever.http.HttpClient;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -44,7 +44,11 @@
         };
     StateClient store =
         new StateClient(
-            loop, stateService, new Endpoint("state", 1), limits, new Metrics(Logs.SERVICE));
+            loop,
+            stateService,
+            new Endpoint("state", 1),
+            limits,
+            new Metrics(LoggerProvider.SERVICE));
     LeadershipRecords records =
         new LeadershipRecords(
             NOPLogger.NOP_LOGGER, loop, new Candidate("n0", "incarnation"), false);
--- a/src/test/java/plumlever/http/RequestAdmissionTest.java
+++ b/src/test/java/plumlever/http/RequestAdmissionTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import plumlever.concurrent.EventLoop;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.wire.ForwardedRequest;
 
@@ -19,7 +19,7 @@
 final class RequestAdmissionTest {
   private static final int MAX_OPEN_REQUESTS = 256;
 
-  private final Metrics metrics = new Metrics(Logs.SERVICE);
+  private final Metrics metrics = new Metrics(LoggerProvider.SERVICE);
   private boolean ineligible;
   private final RequestAdmission admission =
       new RequestAdmission(new StoppedClock(), metrics, new Health());
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -6,7 +6,7 @@
 import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.ManualEventLoop;
 import plumlever.http.HttpClient;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -45,7 +45,7 @@
           1000);
 
   private final EventLoop loop = new ManualEventLoop(1_000_000_000L);
-  private final Metrics metrics = new Metrics(Logs.SERVICE);
+  private final Metrics metrics = new Metrics(LoggerProvider.SERVICE);
   private final TermContext context;
   private boolean refusesWrites;
 
@@ -78,7 +78,7 @@
             () -> 0,
             reader,
             () -> 0,
-            Logs.SERVICE,
+            LoggerProvider.SERVICE,
             false,
             Optional.empty());
   }
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -6,7 +6,7 @@
 import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.leader.Leader;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
@@ -88,7 +88,7 @@
             platform,
             new OperatorSettings(SchedulerParameters.defaults(), cluster.sharing(platform.label())),
             cluster.random.nextLong(),
-            Logs.SERVICE);
+            LoggerProvider.SERVICE);
     serve(ownProcessNumber, controller);
     Controller started = controller;
     cluster.at(
