--- a/src/main/java/plumlever/TermContextFactory.java
+++ b/src/main/java/plumlever/TermContextFactory.java
@@ -33,7 +33,7 @@
             environment.electionLoop(), clients.electionStore(), environment.loop()),
         lateness::micros,
         environment.logs(),
-        platform.costMatters(parameters.rentalMicros()),
+        platform.costMatters(parameters.provisioningMicros()),
         environment.settings().sharing());
   }
 }
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -97,7 +97,7 @@
 
   private static String idleMachinePolicy(
       PlatformConfiguration platform, SchedulerParameters parameters) {
-    return platform.costMatters(parameters.rentalMicros())
+    return platform.costMatters(parameters.provisioningMicros())
         ? "cost is minimized where the objectives leave time: idle machines are returned after "
             + seconds(parameters.idleTimeoutForCostMicros())
         : "idle machines are kept longer, because an objective leaves no time to rent one: they are"
@@ -107,9 +107,9 @@
 
   private static String placementParameters(SchedulerParameters parameters) {
     return "run time padding "
-        + parameters.paddingShare()
+        + parameters.runTimePadding()
         + ", tie tolerance "
-        + parameters.tieShare()
+        + parameters.tieTolerance()
         + ", start target "
         + seconds(parameters.startTargetMicros());
   }
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -202,7 +202,7 @@
 
   /** Returns the maximum number of connections from users and workers together. */
   static int sharedConnections(PlatformConfiguration platform) {
-    return Math.max(MIN_SHARED_CONNECTIONS, platform.socketLimit() - RESERVED_SOCKETS);
+    return Math.max(MIN_SHARED_CONNECTIONS, platform.maxFileDescriptors() - RESERVED_SOCKETS);
   }
 
   /** Returns the port on which the controller listens for users and workers. */
--- a/src/main/java/plumlever/cloud/MachineTypeCatalog.java
+++ b/src/main/java/plumlever/cloud/MachineTypeCatalog.java
@@ -15,7 +15,7 @@
 
   /** Creates an empty catalog. */
   public MachineTypeCatalog(SchedulerParameters parameters) {
-    this.ownedHourly = parameters.ownedHourly();
+    this.ownedHourly = parameters.ownedHourlyCosts();
   }
 
   /**
--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -93,7 +93,7 @@
       return;
     }
     log.info("elected leader for term {}", term.number());
-    renewal.scheduleAfter(parameters.leaseRenewalMicros());
+    renewal.scheduleAfter(parameters.leaseRenewalIntervalMicros());
     listener.elected(term);
   }
 
@@ -113,7 +113,8 @@
     }
     listener.executeOnControllerLoop(() -> controllerLoopLastRanMicros = loop.nowMicros());
     store.renewLease(term.leaseId(), result -> renewalCompleted(term, now, result));
-    return Math.min(parameters.leaseRenewalMicros(), Math.max(1, term.mayActUntilMicros() - now));
+    return Math.min(
+        parameters.leaseRenewalIntervalMicros(), Math.max(1, term.mayActUntilMicros() - now));
   }
 
   private void renewalCompleted(Term term, long sentMicros, StateClient.RenewalResult result) {
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -72,7 +72,8 @@
   void extendFrom(long sentMicros, SchedulerParameters parameters) {
     long validMicros = ClockDrift.minElapsedMicros(parameters.leaseTtlMicros());
     mayActUntilMicros =
-        Math.max(mayActUntilMicros, sentMicros + validMicros - parameters.actMarginMicros());
+        Math.max(
+            mayActUntilMicros, sentMicros + validMicros - parameters.leaseSafetyMarginMicros());
   }
 
   /** Ends the right to act permanently. */
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -37,7 +37,7 @@
     this.log = context.logs().of(Leader.class);
     this.records = new RecoveryRead(context);
     this.deferredHeartbeats =
-        new DeferredHeartbeats(context.loop(), context.platform().socketLimit());
+        new DeferredHeartbeats(context.loop(), context.platform().maxFileDescriptors());
     this.components = new TermComponents(context, deferredHeartbeats);
   }
 
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -109,7 +109,8 @@
    */
   long thresholdMicros() {
     long heartbeatMicros = context.platform().workers().heartbeatMicros();
-    return Math.max(context.parameters().silentMicros(), 2 * heartbeatMicros + heartbeatMicros / 2);
+    return Math.max(
+        context.parameters().heartbeatTimeoutMicros(), 2 * heartbeatMicros + heartbeatMicros / 2);
   }
 
   /**
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -87,7 +87,8 @@
     MachineType machineType = context.prices().machineType(machine.machineType());
     double bootS =
         machineType == null ? BOOT_S_OF_UNKNOWN_TYPE : Math.max(machineType.startupS(), MIN_BOOT_S);
-    long bootTimeoutMicros = (long) (bootS * MICROS_PER_SECOND * context.parameters().bootFactor());
+    long bootTimeoutMicros =
+        (long) (bootS * MICROS_PER_SECOND * context.parameters().bootTimeoutFactor());
     // After a failover, every machine has at least half of the timeout to report to the new leader.
     long sinceMicros =
         Math.max(machine.knownSinceMicros(), failover.startedMicros() - bootTimeoutMicros / 2);
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -98,7 +98,7 @@
   private boolean isDead(SharingSettings.Shard shard) {
     long minLeaderlessMicros =
         Math.max(
-            sharing.adoptAfterMicros(),
+            sharing.adoptionDelayMicros(),
             2 * context.platform().workers().leaseMicros() + LEASE_EXPIRY_MARGIN_MICROS);
     long since = leaderlessSince.getOrDefault(shard.name(), Long.MAX_VALUE);
     return since != Long.MAX_VALUE && now() - since > minLeaderlessMicros;
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -68,7 +68,7 @@
       unclaimedSince.remove(machine);
       return;
     }
-    if (unclaimedSince.size() > 2 * context.platform().socketLimit()) {
+    if (unclaimedSince.size() > 2 * context.platform().maxFileDescriptors()) {
       unclaimedSince.values().removeIf(since -> now - since > 2 * UNCLAIMED_MICROS);
     }
     long since = unclaimedSince.computeIfAbsent(machine, id -> now);
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -107,7 +107,7 @@
    * @return microseconds until the next call
    */
   public long write() {
-    long pauseMicros = context.parameters().progressPauseMicros();
+    long pauseMicros = context.parameters().progressWriteIntervalMicros();
     removeEnded();
     enforceValueLimits();
     if (writing || closed) {
--- a/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
+++ b/src/main/java/plumlever/leader/scheduling/CandidateSearches.java
@@ -25,10 +25,10 @@
     this.placer =
         new Placer(
             new PlacementParameters(
-                context.parameters().paddingShare(),
-                context.parameters().tieShare(),
-                context.costMatters() ? context.parameters().rentalMicros() : 0,
-                context.costMatters() ? 0 : context.parameters().spotRisk()));
+                context.parameters().runTimePadding(),
+                context.parameters().tieTolerance(),
+                context.costMatters() ? context.parameters().provisioningMicros() : 0,
+                context.costMatters() ? 0 : context.parameters().spotRiskPremium()));
   }
 
   /**
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -123,6 +123,6 @@
   }
 
   private double paddingFactor() {
-    return 1 + context.parameters().paddingShare();
+    return 1 + context.parameters().runTimePadding();
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
+++ b/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
@@ -28,7 +28,7 @@
     this.headroom =
         new CapacityHeadroom(
             ARRIVAL_WINDOW_MICROS,
-            context.parameters().rentalMicros(),
+            context.parameters().provisioningMicros(),
             context.parameters().headroomDeviations());
   }
 
@@ -46,7 +46,7 @@
     if (recordedJobs.add(job)
         && nowMicros - releasedMicros < ARRIVAL_WINDOW_MICROS
         && goals.startByMicros(job, releasedMicros) - releasedMicros
-            < context.parameters().rentalMicros()) {
+            < context.parameters().provisioningMicros()) {
       headroom.recordArrival(nowMicros, job.spec());
     }
   }
--- a/src/main/java/plumlever/leader/scheduling/JobGoals.java
+++ b/src/main/java/plumlever/leader/scheduling/JobGoals.java
@@ -91,7 +91,7 @@
    */
   boolean isStarving(Job job, long nowMicros) {
     return !job.hasStarted()
-        && nowMicros - job.releasedMicros() > context.parameters().mustStartMicros();
+        && nowMicros - job.releasedMicros() > context.parameters().starvationLimitMicros();
   }
 
   /**
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -197,7 +197,7 @@
       }
       startGoalRelaxed = true;
       long nextStartByMicros =
-          goals.startByMicros(job, nowMicros + context.parameters().rentalMicros());
+          goals.startByMicros(job, nowMicros + context.parameters().provisioningMicros());
       if (nextStartByMicros <= request.startByMicros()) {
         return false;
       }
--- a/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
@@ -25,7 +25,7 @@
   boolean needsRental(Job job, Placer.Choice booked, ResourceRequest request, long nowMicros) {
     long waitMicros = booked.startMicros() - nowMicros;
     if (!context.costMatters()) {
-      return waitMicros > context.parameters().rentalMicros();
+      return waitMicros > context.parameters().provisioningMicros();
     }
     return !booked.feasible()
         && (rentalIsInTime(job, request, nowMicros) || waitMicros > LONG_WAIT_MICROS);
@@ -33,7 +33,7 @@
 
   /** True if the task would meet its goals on a machine rented now. */
   boolean rentalIsInTime(Job job, ResourceRequest request, long nowMicros) {
-    long upMicros = nowMicros + context.parameters().rentalMicros();
+    long upMicros = nowMicros + context.parameters().provisioningMicros();
     return upMicros <= goals.startByMicros(job, upMicros)
         && request.meetsDeadline(upMicros, request.runMicros());
   }
@@ -45,6 +45,6 @@
   boolean canRentStepwise(ResourceRequest request, long nowMicros) {
     return context.costMatters()
         && request.startByMicros() != ResourceRequest.ANY_TIME
-        && request.startByMicros() - nowMicros > 2 * context.parameters().rentalMicros();
+        && request.startByMicros() - nowMicros > 2 * context.parameters().provisioningMicros();
   }
 }
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -81,29 +81,31 @@
     SchedulerParameters defaults = SchedulerParameters.defaults();
     SchedulerParameters parameters =
         new SchedulerParameters(
-            number(OperatorKey.RUN_TIME_PADDING, defaults.paddingShare()),
-            number(OperatorKey.TIE_TOLERANCE, defaults.tieShare()),
+            number(OperatorKey.RUN_TIME_PADDING, defaults.runTimePadding()),
+            number(OperatorKey.TIE_TOLERANCE, defaults.tieTolerance()),
             durationMicros(OperatorKey.START_TARGET_S, defaults.startTargetMicros()),
             durationMicros(OperatorKey.LEASE_TTL_S, defaults.leaseTtlMicros()),
-            durationMicros(OperatorKey.LEASE_RENEWAL_INTERVAL_S, defaults.leaseRenewalMicros()),
-            durationMicros(OperatorKey.LEASE_SAFETY_MARGIN_S, defaults.actMarginMicros()),
-            durationMicros(OperatorKey.PROGRESS_WRITE_INTERVAL_S, defaults.progressPauseMicros()),
+            durationMicros(
+                OperatorKey.LEASE_RENEWAL_INTERVAL_S, defaults.leaseRenewalIntervalMicros()),
+            durationMicros(OperatorKey.LEASE_SAFETY_MARGIN_S, defaults.leaseSafetyMarginMicros()),
+            durationMicros(
+                OperatorKey.PROGRESS_WRITE_INTERVAL_S, defaults.progressWriteIntervalMicros()),
             durationMicros(OperatorKey.PASS_BUDGET_S, defaults.passBudgetMicros()),
-            durationMicros(OperatorKey.HEARTBEAT_TIMEOUT_S, defaults.silentMicros()),
+            durationMicros(OperatorKey.HEARTBEAT_TIMEOUT_S, defaults.heartbeatTimeoutMicros()),
             durationMicros(
                 OperatorKey.IDLE_TIMEOUT_FOR_COST_S, defaults.idleTimeoutForCostMicros()),
             durationMicros(
                 OperatorKey.IDLE_TIMEOUT_FOR_SPEED_S, defaults.idleTimeoutForSpeedMicros()),
-            number(OperatorKey.BOOT_TIMEOUT_FACTOR, defaults.bootFactor()),
-            durationMicros(OperatorKey.PROVISIONING_S, defaults.rentalMicros()),
-            durationMicros(OperatorKey.STARVATION_LIMIT_S, defaults.mustStartMicros()),
+            number(OperatorKey.BOOT_TIMEOUT_FACTOR, defaults.bootTimeoutFactor()),
+            durationMicros(OperatorKey.PROVISIONING_S, defaults.provisioningMicros()),
+            durationMicros(OperatorKey.STARVATION_LIMIT_S, defaults.starvationLimitMicros()),
             number(OperatorKey.HEADROOM_DEVIATIONS, defaults.headroomDeviations()),
-            number(OperatorKey.SPOT_RISK_PREMIUM, defaults.spotRisk()),
+            number(OperatorKey.SPOT_RISK_PREMIUM, defaults.spotRiskPremium()),
             ownedHourly());
     if (!unreadKeys.isEmpty()) {
       throw error(unreadKeys.keySet().iterator().next() + " is unknown");
     }
-    if (parameters.leaseRenewalMicros() * 2 + parameters.actMarginMicros()
+    if (parameters.leaseRenewalIntervalMicros() * 2 + parameters.leaseSafetyMarginMicros()
         > parameters.leaseTtlMicros()) {
       throw error(
           OperatorKey.LEASE_TTL_S.text()
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -21,7 +21,7 @@
  * @param state the address of the state service
  * @param teams the teams whose jobs are accepted
  * @param objectives the service-level objectives
- * @param socketLimit the maximum number of open file descriptors of the process
+ * @param maxFileDescriptors the maximum number of open file descriptors of the process
  */
 public record PlatformConfiguration(
     String label,
@@ -36,7 +36,7 @@
     Workers workers,
     StateLimits stateLimits,
     CloudLimits cloudLimits,
-    int socketLimit) {
+    int maxFileDescriptors) {
 
   /** Another controller of the deployment. */
   public record PeerController(String label, String zone, Endpoint endpoint) {}
--- a/src/main/java/plumlever/settings/SchedulerParameters.java
+++ b/src/main/java/plumlever/settings/SchedulerParameters.java
@@ -7,53 +7,54 @@
  * defaults suit any deployment; values that the platform specifies per deployment (leases, rates,
  * lags) are in {@link PlatformConfiguration}.
  *
- * @param paddingShare the fraction added to estimated run times when a deadline is checked
- * @param tieShare the relative distance from the lowest score within which scores count as a tie
+ * @param runTimePadding the fraction added to estimated run times when a deadline is checked
+ * @param tieTolerance the relative distance from the lowest score within which scores count as a
+ *     tie
  * @param startTargetMicros the time within which a task without a deadline should start
  * @param leaseTtlMicros the duration of the leader's lease: short enough that a failed leader is
  *     replaced quickly, long enough that a controller that exceeds its processor share does not
  *     lose leadership
- * @param leaseRenewalMicros the interval between renewals of the leader's lease
- * @param actMarginMicros the leader stops acting this long before its lease can expire, because
- *     timers may fire late
- * @param progressPauseMicros the interval between writes of task progress
+ * @param leaseRenewalIntervalMicros the interval between renewals of the leader's lease
+ * @param leaseSafetyMarginMicros the leader stops acting this long before its lease can expire,
+ *     because timers may fire late
+ * @param progressWriteIntervalMicros the interval between writes of task progress
  * @param passBudgetMicros the maximum duration of a scheduling pass before pending requests are
  *     handled
- * @param silentMicros a machine without a heartbeat for this long is called directly; the machine
- *     is returned if the rest of its zone still sends heartbeats
+ * @param heartbeatTimeoutMicros a machine without a heartbeat for this long is called directly; the
+ *     machine is returned if the rest of its zone still sends heartbeats
  * @param idleTimeoutForCostMicros the idle time after which a machine is returned if cost matters
  * @param idleTimeoutForSpeedMicros the idle time after which a machine is returned if only speed
  *     matters
- * @param bootFactor the controller gives up a machine that boots for longer than its nominal
+ * @param bootTimeoutFactor the controller gives up a machine that boots for longer than its nominal
  *     startup time multiplied by this factor
- * @param rentalMicros the approximate time from a rental request until the machine is up
- * @param mustStartMicros a job that has waited for this long without any task started is scheduled
- *     before all other jobs, regardless of priority, to prevent starvation
+ * @param provisioningMicros the approximate time from a rental request until the machine is up
+ * @param starvationLimitMicros a job that has waited for this long without any task started is
+ *     scheduled before all other jobs, regardless of priority, to prevent starvation
  * @param headroomDeviations the idle capacity that is kept for work that must start sooner than a
  *     machine can be rented, in standard deviations of the work submitted during a rental; 0 for no
  *     idle capacity
- * @param spotRisk the fraction added to the cost of a spot machine for a task without checkpoints,
- *     if only speed matters, because the loss of one task delays the whole job
- * @param ownedHourly the hourly cost that operators set for owned machine types, by type name
+ * @param spotRiskPremium the fraction added to the cost of a spot machine for a task without
+ *     checkpoints, if only speed matters, because the loss of one task delays the whole job
+ * @param ownedHourlyCosts the hourly cost that operators set for owned machine types, by type name
  */
 public record SchedulerParameters(
-    double paddingShare,
-    double tieShare,
+    double runTimePadding,
+    double tieTolerance,
     long startTargetMicros,
     long leaseTtlMicros,
-    long leaseRenewalMicros,
-    long actMarginMicros,
-    long progressPauseMicros,
+    long leaseRenewalIntervalMicros,
+    long leaseSafetyMarginMicros,
+    long progressWriteIntervalMicros,
     long passBudgetMicros,
-    long silentMicros,
+    long heartbeatTimeoutMicros,
     long idleTimeoutForCostMicros,
     long idleTimeoutForSpeedMicros,
-    double bootFactor,
-    long rentalMicros,
-    long mustStartMicros,
+    double bootTimeoutFactor,
+    long provisioningMicros,
+    long starvationLimitMicros,
     double headroomDeviations,
-    double spotRisk,
-    Map<String, Double> ownedHourly) {
+    double spotRiskPremium,
+    Map<String, Double> ownedHourlyCosts) {
 
   private static final double RUN_TIME_PADDING = 0.05;
   private static final double TIE_TOLERANCE = 0.02;
--- a/src/main/java/plumlever/settings/SharingSettings.java
+++ b/src/main/java/plumlever/settings/SharingSettings.java
@@ -11,15 +11,15 @@
  *
  * @param maxMachines the maximum number of machines in the pool
  * @param maxTransfers the maximum number of open transfers of one shard
- * @param adoptAfterMicros the other shards take over the machines of a shard that has had no leader
- *     for this long
+ * @param adoptionDelayMicros the other shards take over the machines of a shard that has had no
+ *     leader for this long
  * @param ownShard the shard of this controller
  * @param digest a hash of the table, with which controllers detect that their tables differ
  */
 public record SharingSettings(
     int maxMachines,
     int maxTransfers,
-    long adoptAfterMicros,
+    long adoptionDelayMicros,
     List<Shard> shards,
     Shard ownShard,
     String digest) {
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -71,7 +71,7 @@
             real.workers(),
             real.stateLimits(),
             real.cloudLimits(),
-            real.socketLimit());
+            real.maxFileDescriptors());
   }
 
   /** Runs the next event. Returns false once both terms are over. */
--- a/src/test/java/plumlever/election/HeldTermTest.java
+++ b/src/test/java/plumlever/election/HeldTermTest.java
@@ -105,7 +105,7 @@
     Term term = begin();
     renewalStatus = 404;
 
-    loop.advance(parameters.leaseRenewalMicros());
+    loop.advance(parameters.leaseRenewalIntervalMicros());
 
     assertFalse(heldTerm.leading());
     assertEquals(List.of(term), steppedDown);
@@ -116,7 +116,7 @@
     Term term = begin();
     renewalStatus = 0;
 
-    loop.advance(parameters.leaseTtlMicros() - parameters.actMarginMicros());
+    loop.advance(parameters.leaseTtlMicros() - parameters.leaseSafetyMarginMicros());
 
     assertFalse(term.mayAct());
     assertFalse(heldTerm.leading());
--- a/src/test/java/plumlever/election/TermTest.java
+++ b/src/test/java/plumlever/election/TermTest.java
@@ -25,7 +25,7 @@
     term.extendFrom(sentMicros, parameters);
     assertTrue(term.mayAct());
     assertTrue(
-        term.mayActUntilMicros() + parameters.actMarginMicros()
+        term.mayActUntilMicros() + parameters.leaseSafetyMarginMicros()
             <= sentMicros + parameters.leaseTtlMicros());
 
     loop.advance(term.mayActUntilMicros() - loop.nowMicros());
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -253,9 +253,9 @@
     SchedulerParameters parameters =
         operators("padding_share: 0.1\nowned_hourly:\n  rack: 0.02\n").parameters();
 
-    assertEquals(0.1, parameters.paddingShare());
-    assertEquals(0.02, parameters.ownedHourly().get("rack"));
-    assertEquals(SchedulerParameters.defaults().tieShare(), parameters.tieShare());
+    assertEquals(0.1, parameters.runTimePadding());
+    assertEquals(0.02, parameters.ownedHourlyCosts().get("rack"));
+    assertEquals(SchedulerParameters.defaults().tieTolerance(), parameters.tieTolerance());
   }
 
   @Test
