--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -199,7 +199,7 @@
     }
     return RentalResult.withoutMachines(
         switch (response.status()) {
-          case HttpStatus.UNAVAILABLE ->
+          case HttpStatus.SERVICE_UNAVAILABLE ->
               reportsNoCapacity(response)
                   ? RentalResult.Outcome.NO_CAPACITY
                   : RentalResult.Outcome.REFUSED;
@@ -261,7 +261,7 @@
   }
 
   private Optional<ObjectNode> parsedBody(String path, int status, byte[] data) {
-    if (data.length == 0 || (status != HttpStatus.OK && status != HttpStatus.UNAVAILABLE)) {
+    if (data.length == 0 || (status != HttpStatus.OK && status != HttpStatus.SERVICE_UNAVAILABLE)) {
       return Optional.empty();
     }
     try {
--- a/src/main/java/plumlever/drill/CloudEmulator.java
+++ b/src/main/java/plumlever/drill/CloudEmulator.java
@@ -55,7 +55,7 @@
     } else if (target.startsWith("/hosts?")) {
       out.send(HttpStatus.OK, list(Query.of(target)));
     } else if (target.equals("/hosts")) {
-      out.send(HttpStatus.UNAVAILABLE, "{\"error\":\"no capacity\"}");
+      out.send(HttpStatus.SERVICE_UNAVAILABLE, "{\"error\":\"no capacity\"}");
     } else if (target.equals("/hosts/return")) {
       handleReturn(body, out);
     } else {
--- a/src/main/java/plumlever/drill/StateServiceEmulator.java
+++ b/src/main/java/plumlever/drill/StateServiceEmulator.java
@@ -199,7 +199,8 @@
   private void lease(String method, String target, byte[] body, Responder out)
       throws InvalidMessageException {
     if (target.equals("/grants")) {
-      long ttlMicros = Json.whole(Json.parseObject(body), "ttl_ms", MIN_TTL_MS, MAX_TTL_MS) * 1_000;
+      long ttlMicros =
+          Json.wholeNumber(Json.parseObject(body), "ttl_ms", MIN_TTL_MS, MAX_TTL_MS) * 1_000;
       leases.put(++lastLeaseId, new Lease(ttlMicros, loop.nowMicros() + ttlMicros));
       out.send(HttpStatus.OK, Json.write(Json.object().put("permit", lastLeaseId)));
       return;
--- a/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
@@ -150,7 +150,7 @@
           heartbeat.fencingToken(),
           refusal.reason());
     }
-    out.retryLater(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
+    out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, refusal.reason(), 1);
   }
 
   private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.RenewalRight right, String when) {
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -126,7 +126,9 @@
       Iterator<PlatformConfiguration.PeerController> members, byte[] body, Responder out) {
     if (!members.hasNext()) {
       out.retryLater(
-          HttpStatus.UNAVAILABLE, "no controller of the job's cell can be reached", RETRY_AFTER_S);
+          HttpStatus.SERVICE_UNAVAILABLE,
+          "no controller of the job's cell can be reached",
+          RETRY_AFTER_S);
       return;
     }
     caller.call(
@@ -136,7 +138,7 @@
         body,
         TIMEOUT_MICROS,
         (status, responseBody) -> {
-          if (status == 0 || status >= HttpStatus.SERVER_ERRORS) {
+          if (status == 0 || status >= HttpStatus.MIN_SERVER_ERROR) {
             forward(members, body, out);
           } else {
             int retryAfterS = status == HttpStatus.TOO_MANY_REQUESTS ? RETRY_AFTER_S : 0;
--- a/src/main/java/plumlever/http/JobResponses.java
+++ b/src/main/java/plumlever/http/JobResponses.java
@@ -87,7 +87,8 @@
       metrics.count("users_sent_away");
       request.closeConnection();
     }
-    request.retryLater(HttpStatus.UNAVAILABLE, "the state service can't be reached", RETRY_AFTER_S);
+    request.retryLater(
+        HttpStatus.SERVICE_UNAVAILABLE, "the state service can't be reached", RETRY_AFTER_S);
   }
 
   /** The response body for a job that was found. */
--- a/src/main/java/plumlever/http/PoolRequestHandler.java
+++ b/src/main/java/plumlever/http/PoolRequestHandler.java
@@ -62,7 +62,7 @@
     if (leading.isPresent()) {
       leading.get().relayedHeartbeat(RelayedHeartbeat.parse(body), out);
     } else {
-      out.retryLater(HttpStatus.UNAVAILABLE, "does not lead", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "does not lead", 1);
     }
   }
 
@@ -74,7 +74,7 @@
     if (leading.isPresent() && leading.get().transfer(machine, Json.text(request, "to"))) {
       out.send(HttpStatus.OK, "{}");
     } else {
-      out.retryLater(HttpStatus.UNAVAILABLE, machine + " can't be given from here now", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, machine + " can't be given from here now", 1);
     }
   }
 
--- a/src/main/java/plumlever/http/RequestAdmission.java
+++ b/src/main/java/plumlever/http/RequestAdmission.java
@@ -32,12 +32,12 @@
   Optional<UserRequest> admit(String kind, ForwardedRequest request, Responder out) {
     if (health.ineligible()) {
       out.retryLater(
-          HttpStatus.UNAVAILABLE, "this controller lacks the sharing file", RETRY_AFTER_S);
+          HttpStatus.SERVICE_UNAVAILABLE, "this controller lacks the sharing file", RETRY_AFTER_S);
       return Optional.empty();
     }
     if (openRequests >= MAX_OPEN_REQUESTS) {
       metrics.count("users_turned_away");
-      out.retryLater(HttpStatus.UNAVAILABLE, "too many requests", RETRY_AFTER_S);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "too many requests", RETRY_AFTER_S);
       return Optional.empty();
     }
     openRequests++;
@@ -49,7 +49,7 @@
   private void recordResponse(String kind, long admittedMicros, int status) {
     openRequests--;
     metrics.recordDuration(kind, loop.nowMicros() - admittedMicros);
-    if (status >= HttpStatus.SERVER_ERRORS || status == HttpStatus.TOO_MANY_REQUESTS) {
+    if (status >= HttpStatus.MIN_SERVER_ERROR || status == HttpStatus.TOO_MANY_REQUESTS) {
       metrics.count(kind + "_refused");
     }
   }
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -93,7 +93,7 @@
     if (health.canTakeRequests()) {
       out.send(HttpStatus.OK, "{}");
     } else {
-      out.retryLater(HttpStatus.UNAVAILABLE, "can't take requests", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "can't take requests", 1);
     }
   }
 }
--- a/src/main/java/plumlever/http/Server.java
+++ b/src/main/java/plumlever/http/Server.java
@@ -136,7 +136,7 @@
           exchange.getRequestMethod(),
           exchange.getRequestPath(),
           e);
-      responder.retryLater(HttpStatus.UNAVAILABLE, "internal error", 1);
+      responder.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "internal error", 1);
     }
   }
 
--- a/src/main/java/plumlever/http/SubmissionRefusal.java
+++ b/src/main/java/plumlever/http/SubmissionRefusal.java
@@ -23,7 +23,7 @@
 
   /** It is not known yet whether the job can run. */
   static SubmissionRefusal undecided(String reason) {
-    return new SubmissionRefusal(HttpStatus.UNAVAILABLE, reason, RETRY_AFTER_S);
+    return new SubmissionRefusal(HttpStatus.SERVICE_UNAVAILABLE, reason, RETRY_AFTER_S);
   }
 
   void respond(Responder out) {
--- a/src/main/java/plumlever/leader/HeartbeatScreening.java
+++ b/src/main/java/plumlever/leader/HeartbeatScreening.java
@@ -48,7 +48,7 @@
    */
   boolean respondOrDefer(Heartbeat heartbeat, Responder out) {
     if (!context.term().mayAct()) {
-      out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "not in office", 1);
       return true;
     }
     if (sharing.answerUnlessOwn(heartbeat, out)) {
@@ -60,17 +60,17 @@
       context.resign(
           "a worker has seen a token of the later term " + Fleet.termOf(heartbeat.fencingToken()),
           LATER_TERM_PAUSE_MICROS);
-      out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "not in office", 1);
       return true;
     }
     if (machines.isReturned(heartbeat.machineId())) {
-      out.retryLater(HttpStatus.UNAVAILABLE, "this machine was returned", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "this machine was returned", 1);
       return true;
     }
     if (recordsLoaded) {
       return false;
     }
-    if (heartbeat.holdsTasks()) {
+    if (heartbeat.hasUnfinishedAttempts()) {
       deferredHeartbeats.defer(heartbeat, out);
     } else {
       responses.renewIdle(heartbeat, out);
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -88,10 +88,11 @@
 
   /** Refuses all deferred heartbeats because this controller no longer leads. */
   public void close() {
-    release((heartbeat, out) -> out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1));
+    release((heartbeat, out) -> out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "not in office", 1));
   }
 
   private static void refuse(Deferred deferred) {
-    deferred.out.retryLater(HttpStatus.UNAVAILABLE, "which jobs have ended is not known yet", 1);
+    deferred.out.retryLater(
+        HttpStatus.SERVICE_UNAVAILABLE, "which jobs have ended is not known yet", 1);
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
@@ -118,6 +118,6 @@
           refusal.reason(),
           (now - jobs.endedJobsReadMicros()) / 1_000);
     }
-    out.retryLater(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
+    out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, refusal.reason(), 1);
   }
 }
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -172,7 +172,7 @@
   public boolean answerUnlessOwn(Heartbeat heartbeat, Responder out) {
     String machine = heartbeat.machineId();
     if (!poolRecordsRead) {
-      out.retryLater(HttpStatus.UNAVAILABLE, "whose machine this is is not known yet", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "whose machine this is is not known yet", 1);
       return true;
     }
     if (transfers.owns(machine)) {
@@ -188,7 +188,7 @@
           HttpStatus.MISDIRECTED_REQUEST,
           Json.write(Json.object().put(ProtocolField.LEADER, leader.get())));
     } else {
-      out.retryLater(HttpStatus.UNAVAILABLE, "nobody answers for this machine now", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "nobody answers for this machine now", 1);
     }
     return true;
   }
@@ -198,14 +198,15 @@
     if (machine != null && Fleet.termOf(heartbeat.fencingToken()) > machine.tokens().term()) {
       // The machine has seen the token of a later owner or leader that this controller has not yet
       // read from the pool's records.
-      out.retryLater(HttpStatus.UNAVAILABLE, "a newer owner is known to the machine", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "a newer owner is known to the machine", 1);
       return true;
     }
     boolean viewIsOld =
         context.loop().nowMicros() - recordWatch.lastReadMicros()
             > MachineTransfers.MAX_VIEW_AGE_MICROS;
     if (machine != null && machine.transferring() && viewIsOld) {
-      out.retryLater(HttpStatus.UNAVAILABLE, "the machine may have another owner by now", 1);
+      out.retryLater(
+          HttpStatus.SERVICE_UNAVAILABLE, "the machine may have another owner by now", 1);
       return true;
     }
     return false;
@@ -261,15 +262,16 @@
     boolean recordMatches =
         record.isPresent()
             && record.get().hasTasksOf(sharing.ownShard().name())
-            && record.get().owner().equals(relayed.from())
-            && relayed.number() >= record.get().number();
+            && record.get().owner().equals(relayed.owningShard())
+            && relayed.ownershipNumber() >= record.get().number();
     if (machine == null || !recordMatches || !context.term().mayAct()) {
-      out.retryLater(HttpStatus.UNAVAILABLE, "tasks on this machine are not known here now", 1);
+      out.retryLater(
+          HttpStatus.SERVICE_UNAVAILABLE, "tasks on this machine are not known here now", 1);
       return;
     }
-    machine.tokens().startTerm(relayed.number());
+    machine.tokens().startTerm(relayed.ownershipNumber());
     boolean applied;
-    if (relayed.lapsed()) {
+    if (relayed.leaseExpired()) {
       heartbeats.endAllAttempts(machine);
       applied = true;
     } else {
@@ -281,13 +283,13 @@
       transfers.noOwnTasksReported(machine);
     }
     List<WorkerCommand> commands =
-        relayed.lapsed()
+        relayed.leaseExpired()
             ? List.of()
             : heartbeats.stopAndRemoveCommands(machine, relayed.heartbeat());
     if (heartbeats.getAndClearPlacementChanged()) {
       onChange.run();
     }
-    out.send(HttpStatus.OK, WorkerCommand.relayed(commands));
+    out.send(HttpStatus.OK, WorkerCommand.relayedResponse(commands));
   }
 
   @Override
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -37,7 +37,7 @@
       long timeoutMicros,
       Consumer<WorkerResponse> onResponse) {
     byte[] body =
-        WorkerCommand.direct(
+        WorkerCommand.directCall(
                 machine.tokens().current(), Math.max(1, machine.contact().incarnation()), commands)
             .getBytes(StandardCharsets.UTF_8);
     caller.call(
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -201,7 +201,7 @@
           Optional.of(
               new Offer(
                   Json.text(made, OFFERED_TO),
-                  Json.whole(made, TERM_REVISION, 0, Long.MAX_VALUE),
+                  Json.wholeNumber(made, TERM_REVISION, 0, Long.MAX_VALUE),
                   Json.text(made, DIGEST)));
     }
     if (!(data.path(ORIGINATING_SHARDS) instanceof ObjectNode stored)) {
@@ -219,9 +219,9 @@
     return new TransferRecord(
         state,
         details,
-        Json.whole(data, INCARNATION, 0, Long.MAX_VALUE),
+        Json.wholeNumber(data, INCARNATION, 0, Long.MAX_VALUE),
         Json.text(data, OWNER),
-        Json.whole(data, NUMBER, 0, Long.MAX_VALUE),
+        Json.wholeNumber(data, NUMBER, 0, Long.MAX_VALUE),
         offer,
         tasksByShard);
   }
--- a/src/main/java/plumlever/store/ServiceAvailability.java
+++ b/src/main/java/plumlever/store/ServiceAvailability.java
@@ -19,7 +19,7 @@
    * @param status the status of the response; 0 if no response arrived
    */
   void requestEnded(int status, long nowMicros) {
-    if (status != 0 && status != HttpStatus.UNAVAILABLE) {
+    if (status != 0 && status != HttpStatus.SERVICE_UNAVAILABLE) {
       lastServedMicros = nowMicros;
       refusedSinceMicros = NOT_REFUSED;
     } else if (refusedSinceMicros < 0) {
--- a/src/main/java/plumlever/store/Transaction.java
+++ b/src/main/java/plumlever/store/Transaction.java
@@ -33,7 +33,7 @@
         case HttpStatus.BAD_REQUEST,
             HttpStatus.PAYLOAD_TOO_LARGE,
             HttpStatus.TOO_MANY_REQUESTS,
-            HttpStatus.UNAVAILABLE ->
+            HttpStatus.SERVICE_UNAVAILABLE ->
             REFUSED;
         default -> UNKNOWN;
       };
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -76,7 +76,7 @@
     } else if (path.startsWith(ProtocolPath.MACHINES + "?")) {
       reply.send(HttpStatus.OK, machines.listing());
     } else if (path.equals(ProtocolPath.MACHINES)) {
-      reply.send(HttpStatus.UNAVAILABLE, NO_CAPACITY);
+      reply.send(HttpStatus.SERVICE_UNAVAILABLE, NO_CAPACITY);
     } else {
       reply.send(HttpStatus.OK, EMPTY);
     }
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -54,7 +54,7 @@
   }
 
   /** True if at least one attempt on the machine has not ended. */
-  public boolean holdsTasks() {
+  public boolean hasUnfinishedAttempts() {
     for (AttemptStatus attemptStatus : attempts) {
       if (attemptStatus.state() != AttemptState.ENDED) {
         return true;
--- a/src/main/java/plumlever/wire/HttpStatus.java
+++ b/src/main/java/plumlever/wire/HttpStatus.java
@@ -13,10 +13,10 @@
   public static final int MISDIRECTED_REQUEST = 421;
   public static final int UNPROCESSABLE = 422;
   public static final int TOO_MANY_REQUESTS = 429;
-  public static final int UNAVAILABLE = 503;
+  public static final int SERVICE_UNAVAILABLE = 503;
 
   /** The lowest status code of the server errors (5xx). */
-  public static final int SERVER_ERRORS = 500;
+  public static final int MIN_SERVER_ERROR = 500;
 
   private HttpStatus() {}
 }
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -103,7 +103,7 @@
         Json.text(object, ProtocolField.JOB_CLASS),
         Json.text(object, ProtocolField.TEAM),
         Priority.of(Json.text(object, ProtocolField.PRIORITY)),
-        (int) Json.whole(object, ProtocolField.TASK_COUNT, 1, MAX_TASKS),
+        (int) Json.wholeNumber(object, ProtocolField.TASK_COUNT, 1, MAX_TASKS),
         cores,
         accelerators,
         memoryGb,
@@ -117,7 +117,7 @@
         Json.amount(object, ProtocolField.EXPECTED_RUN_S, 0),
         Json.amount(object, ProtocolField.CHECKPOINT_INTERVAL_S, 0),
         Json.amount(object, ProtocolField.CHECKPOINT_S, 0),
-        Json.absent(object, ProtocolField.DEADLINE_S)
+        Json.isAbsent(object, ProtocolField.DEADLINE_S)
             ? NO_DEADLINE
             : Json.amount(object, ProtocolField.DEADLINE_S, 0),
         dependencies(object));
--- a/src/main/java/plumlever/wire/Json.java
+++ b/src/main/java/plumlever/wire/Json.java
@@ -87,7 +87,7 @@
   }
 
   /** True if the field is missing or null. */
-  public static boolean absent(JsonNode object, String field) {
+  public static boolean isAbsent(JsonNode object, String field) {
     JsonNode node = object.get(field);
     return node == null || node.isNull();
   }
@@ -107,7 +107,7 @@
 
   /** The value of an optional text field; null if the field is missing or null. */
   public static String textOrNull(JsonNode object, String field) throws InvalidMessageException {
-    return absent(object, field) ? null : text(object, field);
+    return isAbsent(object, field) ? null : text(object, field);
   }
 
   /** The value of a required boolean field. */
@@ -139,7 +139,7 @@
   }
 
   /** The value of a required integer field within these bounds, both inclusive. */
-  public static long whole(JsonNode object, String field, long min, long max)
+  public static long wholeNumber(JsonNode object, String field, long min, long max)
       throws InvalidMessageException {
     JsonNode node = object.get(field);
     if (node == null
--- a/src/main/java/plumlever/wire/ListedMachine.java
+++ b/src/main/java/plumlever/wire/ListedMachine.java
@@ -33,6 +33,6 @@
         Json.text(node, ProtocolField.ZONE),
         Json.flag(node, ProtocolField.SPOT),
         Json.text(node, ProtocolField.STATUS),
-        Json.absent(node, AGE_S) ? 0 : Json.amount(node, AGE_S, 0));
+        Json.isAbsent(node, AGE_S) ? 0 : Json.amount(node, AGE_S, 0));
   }
 }
--- a/src/main/java/plumlever/wire/MachineType.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -57,7 +57,7 @@
         Json.amount(node, ProtocolField.CACHE_GB, 0),
         Json.amount(node, ProtocolField.FETCH_GB_PER_S, 0),
         hourlyPrice,
-        Json.absent(node, ProtocolField.SPOT_PRICE)
+        Json.isAbsent(node, ProtocolField.SPOT_PRICE)
             ? hourlyPrice
             : Json.amount(node, ProtocolField.SPOT_PRICE, 0),
         Json.amount(node, ProtocolField.STARTUP_S, 0),
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -8,14 +8,18 @@
  * A heartbeat that the shard that owns a machine relays to the originating shard of foreign tasks
  * on the machine. The relayed heartbeat contains only the attempts of the originating shard.
  *
- * @param from the shard that owns the machine
+ * @param owningShard the shard that owns the machine
  * @param originatingShard the shard to which the attempts in the heartbeat belong
- * @param number the term or transfer number in the owning shard's commands to the machine
- * @param lapsed true if the owning shard has proof that the machine's lease expired after this
- *     heartbeat
+ * @param ownershipNumber the term or transfer number in the owning shard's commands to the machine
+ * @param leaseExpired true if the owning shard has proof that the machine's lease expired after
+ *     this heartbeat
  */
 public record RelayedHeartbeat(
-    String from, String originatingShard, long number, boolean lapsed, Heartbeat heartbeat) {
+    String owningShard,
+    String originatingShard,
+    long ownershipNumber,
+    boolean leaseExpired,
+    Heartbeat heartbeat) {
   private static final String FROM = "from";
   private static final String ORIGINATING_SHARD = "home";
   private static final String NUMBER = "number";
@@ -26,10 +30,10 @@
   public byte[] write() {
     ObjectNode object =
         Json.object()
-            .put(FROM, from)
+            .put(FROM, owningShard)
             .put(ORIGINATING_SHARD, originatingShard)
-            .put(NUMBER, number)
-            .put(LAPSED, lapsed)
+            .put(NUMBER, ownershipNumber)
+            .put(LAPSED, leaseExpired)
             .set(HEARTBEAT, heartbeat.toJson());
     return Json.write(object).getBytes(StandardCharsets.UTF_8);
   }
@@ -47,7 +51,7 @@
     return new RelayedHeartbeat(
         Json.text(object, FROM),
         Json.text(object, ORIGINATING_SHARD),
-        Json.whole(object, NUMBER, 0, Long.MAX_VALUE),
+        Json.wholeNumber(object, NUMBER, 0, Long.MAX_VALUE),
         Json.flag(object, LAPSED),
         Heartbeat.parse(Json.write(heartbeat).getBytes(StandardCharsets.UTF_8)));
   }
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -62,7 +62,7 @@
    * The body of the response to a relayed heartbeat. The response goes to the shard that relayed
    * the heartbeat and not to a worker, so its fencing token is 0.
    */
-  public static String relayed(List<WorkerCommand> commands) {
+  public static String relayedResponse(List<WorkerCommand> commands) {
     return body(0, 0, commands);
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** The body of a direct call, which is valid for one incarnation of the worker. */
-  public static String direct(long token, long incarnation, List<WorkerCommand> commands) {
+  public static String directCall(long token, long incarnation, List<WorkerCommand> commands) {
     return body(token, incarnation, commands);
   }
 
@@ -85,7 +85,7 @@
     List<WorkerCommand> commands = new ArrayList<>();
     for (JsonNode node : Json.parseObject(body).path(ProtocolField.COMMANDS)) {
       TaskName task = TaskName.of(Json.text(node, ProtocolField.TASK));
-      long attempt = Json.whole(node, ProtocolField.ATTEMPT, 0, Long.MAX_VALUE);
+      long attempt = Json.wholeNumber(node, ProtocolField.ATTEMPT, 0, Long.MAX_VALUE);
       CommandType type = CommandType.of(Json.text(node, ProtocolField.COMMAND_TYPE));
       double gracePeriodS =
           type == CommandType.STOP ? Json.amount(node, ProtocolField.GRACE_PERIOD_S, 0) : 0;
