--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -40,7 +40,7 @@
   }
 
   /** Called when the state service has stored a delegation record. */
-  void stored(JsonNode data) {
+  void onDelegationStored(JsonNode data) {
     DelegationRecord record = DelegationRecord.read(data);
     if (record.term() != term) {
       // An election deletes the previous leader's delegation.
@@ -59,7 +59,7 @@
   }
 
   /** Called when direct commands are sent to a machine. */
-  void sent(String machine, String body) {
+  void onCommandsSent(String machine, String body) {
     if (!body.contains("\"run\"")) {
       return;
     }
@@ -77,12 +77,12 @@
   }
 
   /** Called when direct commands have arrived at the machine, which executes or refuses them. */
-  void arrived(String machine, String body) {
+  void onCommandsArrived(String machine, String body) {
     startsInFlight.removeIf(start -> start.machine.equals(machine) && start.body.equals(body));
   }
 
   /** Called when a worker has accepted a renewal from a controller that does not lead. */
-  void renewedForLeader(String machine, long incarnation, long token) {
+  void onDelegatedRenewal(String machine, long incarnation, long token) {
     for (Start start : startsInFlight) {
       if (start.machine.equals(machine) && start.incarnation == incarnation) {
         if (start.token >= token) {
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -452,7 +452,7 @@
           cluster.network.deliverKeptHeartbeats();
         }
         if (change.get("put").asText().equals("office/mandate")) {
-          cluster.network.delegations.stored(change.path("data"));
+          cluster.network.delegations.onDelegationStored(change.path("data"));
         }
         if (lostField != null && change.path("data").path("job") instanceof ObjectNode job) {
           job.remove(lostField);
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -220,7 +220,7 @@
       leaseStartMicros = Math.max(leaseStartMicros, sent);
       SimulatedController controller = cluster.controllers.get(label);
       if (controller != null && !controller.leads()) {
-        cluster.network.delegations.renewedForLeader(vm.id, incarnation, token);
+        cluster.network.delegations.onDelegatedRenewal(vm.id, incarnation, token);
       }
       execute(object.path("orders"));
     } catch (InvalidMessageException e) {
@@ -364,7 +364,7 @@
       reply.send(200, Json.write(status()));
       return;
     }
-    cluster.network.delegations.arrived(vm.id, body);
+    cluster.network.delegations.onCommandsArrived(vm.id, body);
     try {
       ObjectNode object = Json.parseObject(body);
       if (object.path("baton").asLong() < fencingToken
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -178,7 +178,7 @@
     FirstResponse firstResponse = new FirstResponse(response);
     events.at(timeoutMicros, () -> firstResponse.take(Response.NONE));
     if (message.isCommand() && checkDelegations) {
-      delegations.sent(to.host(), body);
+      delegations.onCommandsSent(to.host(), body);
     }
     boolean responseIsLost =
         random.nextDouble() < lostAnswerShare
