--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -71,7 +71,7 @@
             && Fleet.termOf(start.token) == term
             && cluster.now() < delegatedUntilMicros.getOrDefault(vm.zone, 0L);
     if (mayBeDelegated) {
-      cluster.invariants.broken.add(
+      cluster.invariants.violations.add(
           "a direct start was sent to machine " + machine + " in a delegated zone: " + body);
     }
   }
@@ -86,7 +86,7 @@
     for (Start start : startsInFlight) {
       if (start.machine.equals(machine) && start.incarnation == incarnation) {
         if (start.token >= token) {
-          cluster.invariants.broken.add(
+          cluster.invariants.violations.add(
               "the lease of machine "
                   + machine
                   + " was renewed under a delegation with token "
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -87,7 +87,7 @@
         request("n1", "GET", "/submissions/" + after.uid(), null).body().contains("\"done\""));
     JobSpec lateDependent = teamJob("blue", Priority.HIGH, 1, 2, cancelled);
     assertTrue(submitAt("n1", lateDependent).body().contains("\"aborted\""));
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   @Test
@@ -125,7 +125,8 @@
     submit(urgent);
     cluster.play(30);
     assertTrue(
-        cluster.invariants.began(urgent.uid()), "a waiting job delays a job of higher priority");
+        cluster.invariants.hasStarted(urgent.uid()),
+        "a waiting job delays a job of higher priority");
     long released = 0;
     for (int i = 0; i < 1_300 && released == 0; i++) {
       cluster.play(0.1);
@@ -198,7 +199,8 @@
     }
     cluster.play(140);
     assertReportedStatus("done", root, right, unaffected);
-    assertFalse(cluster.invariants.began(joined.uid()) || cluster.invariants.began(last.uid()));
+    assertFalse(
+        cluster.invariants.hasStarted(joined.uid()) || cluster.invariants.hasStarted(last.uid()));
   }
 
   /** The transaction that stores the cancellation is applied, but its response is lost. */
@@ -219,7 +221,7 @@
               .body()
               .contains("\"aborted\""));
     }
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /**
@@ -243,7 +245,7 @@
     cluster.play(10);
     assertTrue(
         request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /**
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -95,7 +95,7 @@
         cluster.controllers.values().stream().noneMatch(SimulatedController::leads),
         "a new leader was elected before the end of the check");
     cluster.play(60);
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /** A cancellation that arrives after the job has completed does not affect its dependents. */
@@ -126,7 +126,7 @@
     JobSpec last = job(1, 5, 90, Priority.HIGH, List.of(next.uid()));
     submit(root, next, last);
     cluster.play(30);
-    assertTrue(cluster.invariants.began(root.uid()));
+    assertTrue(cluster.invariants.hasStarted(root.uid()));
     List<Integer> status = new ArrayList<>();
     users.cancelAt(
         new Endpoint("n0", 1),
@@ -160,7 +160,7 @@
       cluster.at(i * 5_000_000L, () -> users.pipeline(list, false));
     }
     cluster.play(240);
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     Map<String, Long> ends =
         all.stream().collect(Collectors.groupingBy(this::reportedStatus, Collectors.counting()));
     assertEquals(
@@ -201,10 +201,10 @@
     assertEquals(List.of(200), status);
     long sentMicros = cluster.now();
     Response response = request(others.get(1), "GET", "/submissions/" + last.uid(), null);
-    cluster.invariants.toldAnywhere(
+    cluster.invariants.checkResponse(
         last.uid(), response.body().contains("pending") ? "pending" : "aborted", sentMicros);
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("orphaned")),
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("orphaned")),
         "the invariant check did not detect the orphaned job: " + reportedStatus(last));
   }
 }
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -73,11 +73,11 @@
   }
 
   String reportedStatus(JobSpec job) {
-    return cluster.invariants.lastTold.get(job.uid());
+    return cluster.invariants.lastReportedStatus.get(job.uid());
   }
 
   void assertReportedStatus(String status, JobSpec... jobs) {
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     for (JobSpec job : jobs) {
       assertEquals(status, reportedStatus(job), job.uid());
     }
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -156,10 +156,11 @@
     assertTrue(request("n2", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     cluster.leader().crash(1);
     cluster.play(15);
-    assertFalse(cluster.invariants.began(last.uid()), "started although a dependency still runs");
+    assertFalse(
+        cluster.invariants.hasStarted(last.uid()), "started although a dependency still runs");
     cluster.play(120);
     assertTrue(
         request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"done\""));
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 }
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -116,7 +116,7 @@
         2_000_000,
         response -> {
           if (response.status() == 200) {
-            cluster.invariants.broken.add(
+            cluster.invariants.violations.add(
                 "invented: a controller answered 200 for a job never submitted: job-99"
                     + lastUidNumber);
           }
@@ -179,7 +179,7 @@
               cluster.at(5_000_000 + cluster.random.nextLong(30_000_000), () -> cancel(job.uid()));
             }
           } else if (status == 400 || status == 422) {
-            cluster.invariants.broken.add(
+            cluster.invariants.violations.add(
                 "refused: a valid submission was refused: " + job.uid() + " " + response.body());
           } else {
             cluster.at(1_000_000, () -> trySubmit(job, cancel));
@@ -198,7 +198,7 @@
     for (String uid : accepted) {
       if (out.size() < count
           && !cancelled.contains(uid)
-          && cluster.invariants.began(uid)
+          && cluster.invariants.hasStarted(uid)
           && !cluster.invariants.allDone(uid)) {
         out.add(uid);
       }
@@ -247,7 +247,7 @@
   int sendMistakenRequests() {
     int sent = 0;
     for (String uid : new ArrayList<>(accepted)) {
-      String last = cluster.invariants.lastTold.get(uid);
+      String last = cluster.invariants.lastReportedStatus.get(uid);
       JobSpec job = specByUid.get(uid);
       if ("done".equals(last)) {
         expectResponse("POST", "/submissions/" + uid + "/abort", "", 200, "\"done\"");
@@ -300,7 +300,7 @@
               && status != 503
               && status != 429
               && (status != expectedStatus || !(response.body()).contains(expectedText))) {
-            cluster.invariants.broken.add(
+            cluster.invariants.violations.add(
                 "wrong response to "
                     + method
                     + " "
@@ -333,11 +333,11 @@
                       looks++;
                       checkResponse(uid, response.body(), sentMicros);
                     } else if (response.status() == 404) {
-                      cluster.invariants.toldAnywhere(uid, null, sentMicros);
+                      cluster.invariants.checkResponse(uid, null, sentMicros);
                     } else if (response.status() == 400
                         || response.status() == 422
                         || response.status() == 201) {
-                      cluster.invariants.broken.add(
+                      cluster.invariants.violations.add(
                           "repeated submission of " + uid + " got status " + response.status());
                     }
                   });
@@ -348,10 +348,10 @@
 
   private void checkResponse(String uid, String body, long sentMicros) {
     try {
-      cluster.invariants.toldAnywhere(
+      cluster.invariants.checkResponse(
           uid, Json.parseObject(body).path("status").asText(), sentMicros);
     } catch (InvalidMessageException e) {
-      cluster.invariants.broken.add("invalid status response: " + body);
+      cluster.invariants.violations.add("invalid status response: " + body);
     }
   }
 
@@ -371,7 +371,7 @@
             handleStatus(uid, response.body(), sentMicros);
           } else {
             if (response.status() == 404) {
-              cluster.invariants.broken.add("forgotten: cancellation got 404 for " + uid);
+              cluster.invariants.violations.add("forgotten: cancellation got 404 for " + uid);
             }
             cluster.at(1_000_000, () -> cancel(uid));
           }
@@ -427,7 +427,7 @@
           if (response.status() == 200) {
             handleStatus(uid, response.body(), sentMicros);
           } else if (response.status() == 404) {
-            cluster.invariants.broken.add("forgotten: status query got 404 for " + uid);
+            cluster.invariants.violations.add("forgotten: status query got 404 for " + uid);
           }
           cluster.at(5_000_000, () -> poll(uid));
         });
@@ -469,7 +469,9 @@
                           accepted.contains(n)
                               && (!late
                                   || List.of("done", "aborted")
-                                      .contains(cluster.invariants.lastTold.getOrDefault(n, "")))));
+                                      .contains(
+                                          cluster.invariants.lastReportedStatus.getOrDefault(
+                                              n, "")))));
     }
   }
 
@@ -489,11 +491,11 @@
       queryAllControllers(uid);
     }
     try {
-      cluster.invariants.answered(uid);
-      cluster.invariants.told(
+      cluster.invariants.recordResponse(uid);
+      cluster.invariants.recordStatus(
           uid, Json.parseObject(body).path("status").asText(), cancelRequested(uid));
     } catch (InvalidMessageException e) {
-      cluster.invariants.broken.add("invalid status response: " + body);
+      cluster.invariants.violations.add("invalid status response: " + body);
     }
   }
 }
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -261,7 +261,7 @@
     if (removedAttempts.contains(attempt)) {
       // No rule of the protocol forbids a start command for a removed attempt, but a start command
       // that arrives so late can lead to the violation of a rule.
-      cluster.invariants.broken.add("restarted after the attempt was removed: " + name);
+      cluster.invariants.violations.add("restarted after the attempt was removed: " + name);
     }
     cluster.invariants.commandedToStart(name, this);
     Task task = new Task(name, attempt);
--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -246,7 +246,8 @@
         deployment.cluster.at(20_000_000, () -> deployment.users.cancelStartedJobs(4, 6, 3));
         deployment.cluster.play(50);
         boolean full =
-            deployment.jobs.stream().anyMatch(j -> !deployment.cluster.invariants.began(j.uid()));
+            deployment.jobs.stream()
+                .anyMatch(j -> !deployment.cluster.invariants.hasStarted(j.uid()));
         deployment.endFaults();
         return () -> full;
       }),
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -25,12 +25,12 @@
   void noRuleIsViolated(FaultCombination combination) {
     FaultDeployment deployment = new FaultDeployment(900 + combination.ordinal());
     BooleanSupplier tookPlace = combination.scenario.run(deployment);
-    deployment.cluster.invariants.checkServed();
-    assertEquals(List.of(), deployment.cluster.invariants.broken);
+    deployment.cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), deployment.cluster.invariants.violations);
     assertTrue(tookPlace.getAsBoolean(), "the faults of the combination took effect");
     List<String> open = new ArrayList<>();
     for (JobSpec job : deployment.jobs) {
-      String status = deployment.cluster.invariants.lastTold.get(job.uid());
+      String status = deployment.cluster.invariants.lastReportedStatus.get(job.uid());
       if (!"done".equals(status) && !"aborted".equals(status)) {
         open.add(job.uid() + " " + status);
       }
@@ -61,8 +61,8 @@
       deployment.cluster.calmSince = Long.MAX_VALUE;
     }
     deployment.endFaults();
-    deployment.cluster.invariants.checkServed();
-    assertEquals(List.of(), deployment.cluster.invariants.broken);
+    deployment.cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), deployment.cluster.invariants.violations);
   }
 
   /**
@@ -77,7 +77,7 @@
     FaultCombination.CANCELLATIONS_QUERIES_AND_RESUBMISSIONS_AT_JOB_COMPLETION.scenario.run(
         deployment);
     assertTrue(
-        !deployment.cluster.invariants.broken.isEmpty(),
+        !deployment.cluster.invariants.violations.isEmpty(),
         "the checks must report violations without preconditions");
   }
 
@@ -89,18 +89,18 @@
   void theCheckerReportsAnOlderResponse() {
     FaultDeployment deployment = new FaultDeployment(3_001);
     String uid = deployment.jobs.get(0).uid();
-    deployment.cluster.invariants.toldAnywhere(uid, "aborted", deployment.cluster.now());
-    deployment.cluster.invariants.toldAnywhere(uid, "running", deployment.cluster.now() - 1);
+    deployment.cluster.invariants.checkResponse(uid, "aborted", deployment.cluster.now());
+    deployment.cluster.invariants.checkResponse(uid, "running", deployment.cluster.now() - 1);
     assertEquals(
         List.of(),
-        deployment.cluster.invariants.broken,
+        deployment.cluster.invariants.violations,
         "a query sent before the final state was reported may get an older response");
-    deployment.cluster.invariants.toldAnywhere(uid, "running", deployment.cluster.now());
+    deployment.cluster.invariants.checkResponse(uid, "running", deployment.cluster.now());
     assertTrue(
-        deployment.cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("went_back")));
-    deployment.cluster.invariants.toldAnywhere(uid, null, deployment.cluster.now());
+        deployment.cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("went_back")));
+    deployment.cluster.invariants.checkResponse(uid, null, deployment.cluster.now());
     assertTrue(
-        deployment.cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("forgotten")));
+        deployment.cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("forgotten")));
   }
 
   /**
@@ -114,14 +114,14 @@
     deployment.cluster.calmSince = deployment.cluster.now();
     JobSpec job = TestJob.job(deployment.users.nextUid()).memoryGb(2).runS(5).build();
     deployment.cluster.invariants.submitted.put(job.uid(), job);
-    deployment.cluster.invariants.toldAnywhere(job.uid(), "pending", deployment.cluster.now());
+    deployment.cluster.invariants.checkResponse(job.uid(), "pending", deployment.cluster.now());
     for (int i = 0; i < 20; i++) {
       deployment.submit("blue", 4, 1, 8, false);
       deployment.cluster.play(6);
     }
     assertTrue(
-        deployment.cluster.invariants.broken.stream()
+        deployment.cluster.invariants.violations.stream()
             .anyMatch(b -> b.startsWith("waiting") && b.contains(job.uid())),
-        "the waiting job must be reported: " + deployment.cluster.invariants.broken);
+        "the waiting job must be reported: " + deployment.cluster.invariants.violations);
   }
 }
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -121,7 +121,7 @@
   List<String> startedJobs(int limit) {
     return jobs.stream()
         .map(JobSpec::uid)
-        .filter(u -> cluster.invariants.began(u) && !cluster.invariants.allDone(u))
+        .filter(u -> cluster.invariants.hasStarted(u) && !cluster.invariants.allDone(u))
         .limit(limit)
         .toList();
   }
@@ -134,7 +134,8 @@
   }
 
   int countReported(String status) {
-    return (int) cluster.invariants.lastTold.values().stream().filter(status::equals).count();
+    return (int)
+        cluster.invariants.lastReportedStatus.values().stream().filter(status::equals).count();
   }
 
   long metric(String name) {
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -57,9 +57,9 @@
   }
 
   private void assertDone(JobSpec... jobs) {
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     for (JobSpec job : jobs) {
-      assertEquals("done", cluster.invariants.lastTold.get(job.uid()), job.uid());
+      assertEquals("done", cluster.invariants.lastReportedStatus.get(job.uid()), job.uid());
     }
   }
 
@@ -294,7 +294,7 @@
     assertEquals(leader, cluster.leader().platform.label());
     cluster.play(150);
     assertDone(all.toArray(new JobSpec[0]));
-    assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
+    assertEquals("aborted", cluster.invariants.lastReportedStatus.get(cancelled.uid()));
   }
 
   /**
@@ -406,8 +406,8 @@
       users.submit(job, true);
     }
     cluster.play(240);
-    assertEquals(List.of(), cluster.invariants.broken);
-    all.forEach(j -> assertEquals("aborted", cluster.invariants.lastTold.get(j.uid())));
+    assertEquals(List.of(), cluster.invariants.violations);
+    all.forEach(j -> assertEquals("aborted", cluster.invariants.lastReportedStatus.get(j.uid())));
   }
 
   /**
@@ -472,8 +472,8 @@
     cluster.play(30);
     JobSpec large = submit(job("red", Priority.IDLE, 40, 4, 20, true));
     cluster.play(245);
-    assertTrue(cluster.invariants.began(large.uid()), "the large job has started");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertTrue(cluster.invariants.hasStarted(large.uid()), "the large job has started");
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /**
@@ -484,16 +484,16 @@
   void theCheckerReportsUnansweredQueriesAndUnservedJobs() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
     cluster.play(20);
-    assertFalse(cluster.invariants.lastTold.isEmpty());
+    assertFalse(cluster.invariants.lastReportedStatus.isEmpty());
     cluster.controllers.values().forEach(SimulatedController::kill);
     cluster.calmSince = cluster.now();
     cluster.play(300);
-    cluster.invariants.checkServed();
+    cluster.invariants.checkJobsServed();
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("forgotten")),
-        "unanswered queries must be reported: " + cluster.invariants.broken);
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("forgotten")),
+        "unanswered queries must be reported: " + cluster.invariants.violations);
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("half")),
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("half")),
         "an unserved job must be reported: " + job.uid());
   }
 }
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -58,8 +58,8 @@
         "failover not complete 12 s after the leader's crash");
     cluster.calmSince = cluster.now();
     cluster.play(120);
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), cluster.invariants.violations);
     assertTrue(cluster.invariants.starts >= 12 * 400, "starts: " + cluster.invariants.starts);
     assertFalse(cluster.mostSockets < MACHINES, "sockets: " + cluster.mostSockets);
   }
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -99,9 +99,9 @@
     cluster.at(55_000_000, cluster.store::endOutage);
     cluster.at(60_000_000, () -> cluster.store.refused.clear());
     cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 90);
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     jobs.subList(0, 4)
-        .forEach(j -> assertEquals("aborted", cluster.invariants.lastTold.get(j.uid())));
+        .forEach(j -> assertEquals("aborted", cluster.invariants.lastReportedStatus.get(j.uid())));
     assertNotEquals(0, runningTasks(), "running tasks of the jobs that were not cancelled");
   }
 
@@ -132,7 +132,7 @@
   @Test
   void leaderWithoutWatchesLetsLeasesLapseInTime() {
     cancelWithoutWatches(InvariantChecker.CANCEL_MICROS);
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     assertTrue(
         cluster.leader().controller().metrics().counter("renewals_refused") > 0,
         "no renewal was refused because of the bound");
@@ -146,7 +146,7 @@
   void withoutBoundCancelledTasksOutliveTimeLimit() {
     cancelWithoutWatches(3_600_000_000L);
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_cancelled")),
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("ran_cancelled")),
         "the invariant check did not detect the missing bound");
   }
 
@@ -178,7 +178,7 @@
     assertEquals(
         0, cancelledTasksRunning, "running tasks of cancelled jobs before their leases end");
     assertTrue(runningTasks() > 0, "no task of the other jobs runs");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /**
@@ -219,6 +219,6 @@
         "the response must arrive before the worker's request times out");
     cluster.store.slowPrefix = null;
     cluster.play(120);
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 }
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -110,11 +110,11 @@
     // This job ends just before the partition and leaves free capacity in both zones.
     JobSpec shortJob = submit("blue", 24, 20);
     for (int i = 0;
-        i < 90 && !"done".equals(cluster.invariants.lastTold.get(shortJob.uid()));
+        i < 90 && !"done".equals(cluster.invariants.lastReportedStatus.get(shortJob.uid()));
         i++) {
       cluster.play(1);
     }
-    assertEquals("done", cluster.invariants.lastTold.get(shortJob.uid()));
+    assertEquals("done", cluster.invariants.lastReportedStatus.get(shortJob.uid()));
     String leader = cluster.leader().platform.label();
     String isolatedController =
         cluster.controllers.keySet().stream()
@@ -155,12 +155,13 @@
         cluster.network.delegations.invalidatedStarts > 0,
         "expected delegated renewals to invalidate held starts");
     cluster.play(60);
-    assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
+    assertEquals(List.of(), cluster.invariants.violations);
+    assertEquals("aborted", cluster.invariants.lastReportedStatus.get(cancelled.uid()));
     assertEquals(leader, cluster.leader().platform.label());
     assertEquals(0, sumOfCounter("attempts_lost"), "attempts lost behind the partition");
     cluster.play(120);
-    runningJobs.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
+    runningJobs.forEach(
+        job -> assertEquals("done", cluster.invariants.lastReportedStatus.get(job.uid())));
   }
 
   /**
@@ -172,8 +173,9 @@
     JobSpec cancelled = cancelJobDuringPartition(seed, () -> cluster.leader().crash(20));
     assertTrue(cluster.store.term() > 1, "expected a new term after the leader crashed");
     cluster.play(200);
-    assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
-    runningJobs.forEach(job -> assertEquals("done", cluster.invariants.lastTold.get(job.uid())));
+    assertEquals(List.of(), cluster.invariants.violations);
+    assertEquals("aborted", cluster.invariants.lastReportedStatus.get(cancelled.uid()));
+    runningJobs.forEach(
+        job -> assertEquals("done", cluster.invariants.lastReportedStatus.get(job.uid())));
   }
 }
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -33,7 +33,7 @@
   private final Map<String, Long> answeredAt = new HashMap<>();
   private final Map<String, Long> startedAt = new HashMap<>();
   final Map<String, Long> cancelledAt = new HashMap<>();
-  final Map<String, String> lastTold = new HashMap<>();
+  final Map<String, String> lastReportedStatus = new HashMap<>();
   private final Map<String, Set<FakeWorker>> workersByTask = new HashMap<>();
 
   /** Number of tasks of each job on machines; a task on two machines counts twice. */
@@ -46,7 +46,7 @@
   private final Map<String, Double> coresByTeam = new HashMap<>();
 
   private final Set<String> completed = new HashSet<>();
-  final List<String> broken = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
   int starts;
 
   /**
@@ -82,7 +82,7 @@
   }
 
   private void addViolation(String rule, String details) {
-    broken.add(rule + " at " + cluster.now() / 1e6 + ": " + details);
+    violations.add(rule + " at " + cluster.now() / 1e6 + ": " + details);
   }
 
   long runMicros(String task) {
@@ -206,12 +206,12 @@
     return coresByTeam.getOrDefault(team, 0.0);
   }
 
-  boolean began(String uid) {
+  boolean hasStarted(String uid) {
     return startedAt.containsKey(uid);
   }
 
   /** Records that a query about the job was answered. */
-  void answered(String uid) {
+  void recordResponse(String uid) {
     answeredAt.put(uid, cluster.now());
   }
 
@@ -233,7 +233,7 @@
    * jobs of each class, are done, and that the largest jobs started within {@link #START_MICROS}.
    * Cancelled jobs do not count.
    */
-  void checkServed() {
+  void checkJobsServed() {
     Map<String, List<JobSpec>> groups = new HashMap<>();
     for (JobSpec job : submitted.values()) {
       if (answeredAt.containsKey(job.uid()) && !cancelledAt.containsKey(job.uid())) {
@@ -271,7 +271,8 @@
     groups.putAll(largest);
     groups.forEach(
         (name, all) -> {
-          long served = all.stream().filter(j -> "done".equals(lastTold.get(j.uid()))).count();
+          long served =
+              all.stream().filter(j -> "done".equals(lastReportedStatus.get(j.uid()))).count();
           if (served * 2 < all.size()) {
             addViolation(
                 "half", "of " + name + " only " + served + " of " + all.size() + " jobs are done");
@@ -286,7 +287,7 @@
    *
    * @param status the reported job status, or null for a 404
    */
-  void toldAnywhere(String uid, String status, long sentMicros) {
+  void checkResponse(String uid, String status, long sentMicros) {
     String end = finalState.get(uid);
     if (end != null && sentMicros >= finalStateAt.get(uid) && !end.equals(status)) {
       addViolation("went_back", uid + " was reported " + end + " and then " + status);
@@ -409,8 +410,8 @@
   }
 
   /** Checks and records a job status that a user received. */
-  void told(String uid, String status, boolean userCancelled) {
-    String before = lastTold.get(uid);
+  void recordStatus(String uid, String status, boolean userCancelled) {
+    String before = lastReportedStatus.get(uid);
     if (status.equals("done") && !allDone(uid)) {
       addViolation("not_done", uid);
     }
@@ -426,7 +427,7 @@
       cancelledAt.putIfAbsent(uid, cluster.now());
       updateCancelledWithActiveTasks(uid);
     }
-    lastTold.put(uid, status);
+    lastReportedStatus.put(uid, status);
   }
 
   boolean allDone(String uid) {
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -58,10 +58,11 @@
     cluster.store.endOutage();
     cluster.calmSince = cluster.now();
     cluster.play(360);
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(JOBS, jobs.size());
-    jobs.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
+    jobs.forEach(
+        j -> assertEquals("done", cluster.invariants.lastReportedStatus.get(j.uid()), j.uid()));
     assertTrue(
         cluster.invariants.starts >= JOBS * TASKS, "task starts: " + cluster.invariants.starts);
     assertStateServiceLimitsKept(cluster);
@@ -152,9 +153,10 @@
     cluster.network.cuts.clear();
     cluster.calmSince = cluster.now();
     cluster.play(400);
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
-    jobs.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
+    cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), cluster.invariants.violations);
+    jobs.forEach(
+        j -> assertEquals("done", cluster.invariants.lastReportedStatus.get(j.uid()), j.uid()));
     assertStateServiceLimitsKept(cluster);
     // One socket for each worker, plus calls in flight. The zones of the users' own deployment have
     // room for 300 sockets more.
--- a/src/test/java/plumlever/sim/LoadTestServer.java
+++ b/src/test/java/plumlever/sim/LoadTestServer.java
@@ -234,7 +234,7 @@
         "machines "
             + server.cluster.cloud.machines.size()
             + ", violations "
-            + server.cluster.invariants.broken);
+            + server.cluster.invariants.violations);
     System.exit(0);
   }
 }
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -147,7 +147,7 @@
         0,
         cluster.store.count("active/"),
         "active records after the cancellation of the first job");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   static LongStream seeds() {
@@ -209,8 +209,8 @@
     cluster.store.unansweredWrites = 0;
     SimulationTest.calm(cluster);
     cluster.play(300);
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(
         0, cluster.store.malformed, "transactions that exceed a limit of the state service");
     for (JobSpec job : jobs) {
@@ -231,7 +231,7 @@
     users.pipeline(pipeline(), false);
     cluster.play(80);
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("too_early")),
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("too_early")),
         "the invariant check did not detect the premature start");
   }
 
@@ -259,7 +259,7 @@
         Priority.IDLE,
         cluster.leader().actingLeader().job(first.uid()).orElseThrow().priority(),
         "priority after the cancellation of the dependent job");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /** Any number of jobs may depend on a previously accepted job. */
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -163,10 +163,10 @@
     cluster.store.unwatched.clear();
     cluster.calmSince = cluster.now();
     cluster.play(seconds);
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     for (JobSpec job : jobs) {
       String expected = cluster.invariants.cancelledAt.containsKey(job.uid()) ? "aborted" : "done";
-      assertEquals(expected, cluster.invariants.lastTold.get(job.uid()), job.uid());
+      assertEquals(expected, cluster.invariants.lastReportedStatus.get(job.uid()), job.uid());
     }
     assertEquals(
         Map.of(), cluster.store.entries("pool/transfers/"), "transfer records that remain");
--- a/src/test/java/plumlever/sim/PreemptionTest.java
+++ b/src/test/java/plumlever/sim/PreemptionTest.java
@@ -53,8 +53,8 @@
     JobSpec urgent = submit(Priority.PROD, 1, 10, 0, 60);
     cluster.play(40);
     assertTrue(preempted() > 0, "at least one task is preempted");
-    assertTrue(cluster.invariants.began(urgent.uid()), "the urgent job has started");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertTrue(cluster.invariants.hasStarted(urgent.uid()), "the urgent job has started");
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   @Test
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -215,8 +215,8 @@
     for (long seed : seeds().toArray()) {
       Simulation simulation = new Simulation(seed);
       simulation.run();
-      if (!simulation.cluster.invariants.broken.isEmpty()) {
-        violationsBySeed.put(seed, simulation.cluster.invariants.broken.subList(0, 1));
+      if (!simulation.cluster.invariants.violations.isEmpty()) {
+        violationsBySeed.put(seed, simulation.cluster.invariants.violations.subList(0, 1));
       }
       renewed += simulation.sumOfCounter("leases_renewed_for_leader");
       invalidated += simulation.cluster.network.delegations.invalidatedStarts;
--- a/src/test/java/plumlever/sim/SharingBenchmark.java
+++ b/src/test/java/plumlever/sim/SharingBenchmark.java
@@ -118,7 +118,7 @@
         cluster.store.changesOf("") - changesBefore,
         cluster.store.requestsSeen - requestsBefore,
         ownerRecordBytes,
-        cluster.invariants.broken);
+        cluster.invariants.violations);
   }
 
   private String runPhase(int phase, int machines) {
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -310,7 +310,7 @@
   @Test
   void foreignTasksEndInTimeAfterCancellation() {
     cancelBeforeLongPartition(InvariantChecker.CANCEL_MICROS);
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     cluster
         .controllers
         .keySet()
@@ -331,7 +331,7 @@
   void withoutBoundForeignTasksOutliveCancellation() {
     cancelBeforeLongPartition(3_600_000_000L);
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(rule -> rule.startsWith("ran_cancelled")),
+        cluster.invariants.violations.stream().anyMatch(rule -> rule.startsWith("ran_cancelled")),
         "the invariant check did not detect the missing bound");
   }
 
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -225,7 +225,7 @@
       if (controller.controller() != null
           && controller.controller().mayAct()
           && !acting.add(shardOf(controller))) {
-        invariants.broken.add("two leaders of one shard act at " + now() / 1e6);
+        invariants.violations.add("two leaders of one shard act at " + now() / 1e6);
       }
     }
   }
@@ -242,7 +242,7 @@
           Fleet.termOf(Json.parseObject(response).path(ProtocolField.FENCING_TOKEN).asLong());
       if (term < store.term()
           && (asLeader || now() - store.termStartMicros > DelegatedRenewal.VALID_MICROS)) {
-        invariants.broken.add(
+        invariants.violations.add(
             "a worker lease was renewed in term "
                 + term
                 + " at "
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -43,12 +43,12 @@
   }
 
   static void assertAllServed(SimulatedCluster cluster, FakeUsers users, int jobs) {
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(jobs, users.accepted().size(), "number of accepted jobs");
     List<String> open = new ArrayList<>();
     for (String uid : users.accepted()) {
-      String status = cluster.invariants.lastTold.get(uid);
+      String status = cluster.invariants.lastReportedStatus.get(uid);
       if (!status.equals("done") && !status.equals("aborted")) {
         open.add(uid + " " + status);
       }
@@ -278,7 +278,7 @@
         failoverWithAnUnreachableMachine(
             v -> v.store.forge("begun/", Json.object().set("jobs", Json.object().arrayNode())));
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("ran_twice")),
         "the checks must report tasks that run twice without the record of started jobs");
   }
 
@@ -291,14 +291,14 @@
     SimulatedCluster cluster =
         failoverWithAnUnreachableMachine(v -> v.store.hiddenPrefix = "fleet/");
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("ran_twice")),
         "the checks must report tasks that run twice without the record of machines");
   }
 
   @Test
   void withTheRecordOfMachinesNoTaskRunsTwice() {
     SimulatedCluster cluster = failoverWithAnUnreachableMachine(v -> {});
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /**
@@ -334,7 +334,7 @@
     cluster.play(30);
     assertTrue(
         cluster.cloud.machines.keySet().containsAll(zoneMachines), "no machine was returned");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /**
@@ -368,7 +368,7 @@
             .findFirst()
             .orElseThrow();
     assertTrue(next.actingLeader().failoverComplete(), "the failover is complete");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /**
@@ -407,8 +407,8 @@
             .anyMatch(t -> t.on() && t.name.startsWith(late.uid())),
         "the new job runs before the failover is complete");
     cluster.play(300);
-    assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals("done", cluster.invariants.lastTold.get(late.uid()));
+    assertEquals(List.of(), cluster.invariants.violations);
+    assertEquals("done", cluster.invariants.lastReportedStatus.get(late.uid()));
   }
 
   /** Two of three controllers are killed and not restarted; the third must serve all jobs. */
--- a/src/test/java/plumlever/sim/SlowProcessorTest.java
+++ b/src/test/java/plumlever/sim/SlowProcessorTest.java
@@ -46,13 +46,13 @@
   }
 
   private static void assertAllDone(SimulatedCluster cluster, FakeUsers users, int jobs) {
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(jobs, users.accepted().size(), "accepted jobs");
     assertEquals(
         List.of(),
         users.accepted().stream()
-            .filter(u -> !cluster.invariants.lastTold.get(u).equals("done"))
+            .filter(u -> !cluster.invariants.lastReportedStatus.get(u).equals("done"))
             .toList());
   }
 
@@ -141,8 +141,8 @@
     first.slowDown(1);
     cluster.calmSince = cluster.now();
     cluster.play(400);
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /** Queries the health endpoint of each controller and returns the status codes. */
@@ -230,7 +230,7 @@
     // The other controllers crash, so that the first may be re-elected while its decisions stall.
     cluster.controllers.values().stream().filter(m -> m != first).forEach(m -> m.crash(60));
     cluster.play(240);
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -232,9 +232,9 @@
     assertTrue(
         largest <= ANNOUNCED_VALUE_BYTES, "largest value written by this version: " + largest);
     assertEquals(0, cluster.store.malformed);
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     for (JobSpec job : all) {
-      assertEquals("done", cluster.invariants.lastTold.get(job.uid()), job.uid());
+      assertEquals("done", cluster.invariants.lastReportedStatus.get(job.uid()), job.uid());
     }
     for (JsonNode stored : cluster.store.values("fleet/")) {
       assertTrue(
@@ -323,7 +323,7 @@
             Set<String> now = machineIds(cluster);
             for (String machineId : machineIds) {
               if (!now.contains(machineId) && cluster.cloud.machines.containsKey(machineId)) {
-                cluster.invariants.broken.add(machineId + " is in no machine record");
+                cluster.invariants.violations.add(machineId + " is in no machine record");
               }
             }
             checks[0]++;
@@ -333,7 +333,7 @@
     cluster.at(4_300_000, () -> cluster.leader().crash(1));
     cluster.play(26);
     assertEquals(1_200, checks[0]);
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(0, cluster.store.malformed);
     assertTrue(
         cluster.store.values("fleet/").stream()
@@ -386,8 +386,9 @@
     assertTrue(
         cluster.store.malformed - refused < 40,
         "refused transactions of the new leader: " + (cluster.store.malformed - refused));
-    assertEquals(List.of(), cluster.invariants.broken);
-    all.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
+    assertEquals(List.of(), cluster.invariants.violations);
+    all.forEach(
+        j -> assertEquals("done", cluster.invariants.lastReportedStatus.get(j.uid()), j.uid()));
   }
 
   /**
@@ -412,8 +413,8 @@
             .withDependencies(List.of(first.uid()));
     users.submit(next, false);
     cluster.play(60);
-    assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals("done", cluster.invariants.lastTold.get(next.uid()));
-    assertEquals(JobState.DONE.wireName(), cluster.invariants.lastTold.get(first.uid()));
+    assertEquals(List.of(), cluster.invariants.violations);
+    assertEquals("done", cluster.invariants.lastReportedStatus.get(next.uid()));
+    assertEquals(JobState.DONE.wireName(), cluster.invariants.lastReportedStatus.get(first.uid()));
   }
 }
