--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -73,7 +73,7 @@
     submit(done, cancelled, running);
     cluster.play(45);
     assertReportedStatus("done", done);
-    users.cancelled(cancelled);
+    users.recordCancellation(cancelled);
     assertEquals(
         200, request("n1", "POST", "/submissions/" + cancelled.uid() + "/abort", "").status());
     JobSpec after = teamJob("blue", Priority.HIGH, 1, 2, done, running);
@@ -179,7 +179,7 @@
     submit(root, left, right, joined, last, unaffected);
     cluster.play(10);
     CONTROLLERS.forEach(n -> request(n, "GET", "/submissions/" + last.uid(), null));
-    users.cancelled(left);
+    users.recordCancellation(left);
     assertTrue(
         request("n2", "POST", "/submissions/" + left.uid() + "/abort", "")
             .body()
@@ -211,7 +211,7 @@
     submit(root, last);
     cluster.play(10);
     cluster.store.answerLostOnce = "ended/" + root.uid();
-    users.cancelled(root);
+    users.recordCancellation(root);
     Response response = request("n1", "POST", "/submissions/" + root.uid() + "/abort", "");
     assertEquals(1, cluster.store.appliedUnanswered);
     assertTrue(response.body().contains("\"aborted\""), response.body());
@@ -236,7 +236,7 @@
     cluster.play(10);
     assertTrue(request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     cluster.store.unwatched.add("n1");
-    users.cancelled(root);
+    users.recordCancellation(root);
     assertEquals(200, request("n2", "POST", "/submissions/" + root.uid() + "/abort", "").status());
     Response response = request("n1", "GET", "/submissions/" + last.uid(), null);
     assertNotEquals(200, response.status(), response.body());
@@ -263,7 +263,7 @@
     Job stage = cluster.leader().actingLeader().job(shared.uid()).orElseThrow();
     long urgentDeadlineMicros = stage.deadlineMicros();
     assertEquals(Priority.HIGH, stage.priority());
-    users.cancelled(urgent);
+    users.recordCancellation(urgent);
     assertEquals(
         200, request("n0", "POST", "/submissions/" + urgent.uid() + "/abort", "").status());
     cluster.play(5);
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -84,7 +84,7 @@
             .findFirst()
             .orElseThrow();
     leader.crash(60);
-    users.cancelled(root);
+    users.recordCancellation(root);
     assertTrue(
         request(other, "POST", "/submissions/" + root.uid() + "/abort", "")
             .body()
@@ -151,13 +151,13 @@
   @ValueSource(longs = {31, 32, 33})
   void cancellationsRaceWithCompletion(long seed) {
     deploy(seed, new PlatformConfiguration.StateLimits(200, 25, 4096, 8));
-    users.closeLooks = true;
-    users.meetEnds(0.9);
+    users.queryAllControllersOnChange = true;
+    users.cancelAndQueryAtCompletion(0.9);
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       List<JobSpec> list = pipeline();
       all.addAll(list);
-      cluster.at(i * 5_000_000L, () -> users.pipeline(list, false));
+      cluster.at(i * 5_000_000L, () -> users.submitPipeline(list, false));
     }
     cluster.play(240);
     assertEquals(List.of(), cluster.invariants.violations);
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -69,7 +69,7 @@
   }
 
   void submit(JobSpec... jobs) {
-    users.pipeline(List.of(jobs), false);
+    users.submitPipeline(List.of(jobs), false);
   }
 
   String reportedStatus(JobSpec job) {
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -83,7 +83,7 @@
   @Test
   void submissionRacesWithCancellationOfDependency() {
     List<JobSpec> dependents = new ArrayList<>();
-    users.closeLooks = true;
+    users.queryAllControllersOnChange = true;
     for (int i = 0; i < 25; i++) {
       JobSpec root = idleJob(1, 300);
       users.submit(root, false);
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -20,7 +20,7 @@
 final class FakeUsers {
   private final SimulatedCluster cluster;
   private final Set<String> accepted = new HashSet<>();
-  private final Set<String> cancelled = new HashSet<>();
+  private final Set<String> recordCancellation = new HashSet<>();
   private final Map<String, Endpoint> controllerByJob = new HashMap<>();
   private final Map<String, Long> unhealthySince = new HashMap<>();
   private int lastUidNumber;
@@ -29,10 +29,10 @@
    * After each response that shows a new job status, users query every controller within
    * milliseconds; a third of the queries repeat the submission.
    */
-  boolean closeLooks;
+  boolean queryAllControllersOnChange;
 
   /** Number of the queries to all controllers that were answered with 200. */
-  int looks;
+  int answeredQueries;
 
   private final Map<String, JobSpec> specByUid = new HashMap<>();
   private final Set<String> queriedStates = new HashSet<>();
@@ -197,7 +197,7 @@
     List<String> out = new ArrayList<>();
     for (String uid : accepted) {
       if (out.size() < count
-          && !cancelled.contains(uid)
+          && !recordCancellation.contains(uid)
           && cluster.invariants.hasStarted(uid)
           && !cluster.invariants.allDone(uid)) {
         out.add(uid);
@@ -226,7 +226,7 @@
    * Sets the share of jobs that users cancel and query, with repeated submissions among the
    * queries, within about 1.5 s after the job's last task has completed.
    */
-  void meetEnds(double share) {
+  void cancelAndQueryAtCompletion(double share) {
     cluster.invariants.completionListener =
         uid -> {
           if (cluster.random.nextDouble() < share && specByUid.containsKey(uid)) {
@@ -330,7 +330,7 @@
                   2_000_000,
                   response -> {
                     if (response.status() == 200) {
-                      looks++;
+                      answeredQueries++;
                       checkResponse(uid, response.body(), sentMicros);
                     } else if (response.status() == 404) {
                       cluster.invariants.checkResponse(uid, null, sentMicros);
@@ -356,7 +356,7 @@
   }
 
   void cancel(String uid) {
-    cancelled.add(uid);
+    recordCancellation.add(uid);
     long sentMicros = cluster.now();
     cluster.network.send(
         "user",
@@ -388,15 +388,15 @@
   }
 
   /** Records that the test has cancelled the job without a request of an emulated user. */
-  void cancelled(JobSpec job) {
-    cancelled.add(job.uid());
+  void recordCancellation(JobSpec job) {
+    recordCancellation.add(job.uid());
   }
 
   /**
    * Sends one cancellation to the controller, without retries; the consumer gets the status code.
    */
   void cancelAt(Endpoint controller, String uid, java.util.function.Consumer<Integer> status) {
-    cancelled.add(uid);
+    recordCancellation.add(uid);
     long sentMicros = cluster.now();
     cluster.network.send(
         "user",
@@ -439,7 +439,7 @@
     java.util.ArrayDeque<String> open = new java.util.ArrayDeque<>(seen);
     while (!open.isEmpty()) {
       String next = open.poll();
-      if (cancelled.contains(next)) {
+      if (recordCancellation.contains(next)) {
         return true;
       }
       JobSpec job = cluster.invariants.submitted.get(next);
@@ -455,7 +455,7 @@
    * @param lastLate true if the last job is submitted only after its dependencies are done or
    *     cancelled
    */
-  void pipeline(List<JobSpec> stages, boolean lastLate) {
+  void submitPipeline(List<JobSpec> stages, boolean lastLate) {
     for (int i = 0; i < stages.size(); i++) {
       JobSpec job = stages.get(i);
       cluster.invariants.submitted.put(job.uid(), job);
@@ -485,7 +485,7 @@
 
   private void handleStatus(String uid, String body, long sentMicros) {
     checkResponse(uid, body, sentMicros);
-    if (closeLooks
+    if (queryAllControllersOnChange
         && queriedStates.add(
             uid + body.contains("\"status\":\"done\"") + body.contains("\"aborted\""))) {
       queryAllControllers(uid);
--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -148,12 +148,14 @@
   UNANSWERED_TRANSACTIONS_WITH_CONCURRENT_QUERIES(
       deployment -> {
         deployment.cluster.store.unansweredWrites = 0.4;
-        deployment.users.closeLooks = true;
+        deployment.users.queryAllControllersOnChange = true;
         deployment.submitStream(10, 2, 4, 6);
         deployment.cluster.at(6_000_000, () -> deployment.users.cancelStartedJobs(3, 0, 0));
         deployment.cluster.play(40);
         deployment.endFaults();
-        return () -> deployment.cluster.store.appliedUnanswered > 10 && deployment.users.looks > 20;
+        return () ->
+            deployment.cluster.store.appliedUnanswered > 10
+                && deployment.users.answeredQueries > 20;
       }),
   ONE_ZONE_JOBS_LOSE_MACHINES(
       deployment -> {
@@ -274,7 +276,7 @@
       }),
   QUERIES_TO_ALL_CONTROLLERS_WITH_IMMEDIATE_CANCELLATIONS(
       deployment -> {
-        deployment.users.closeLooks = true;
+        deployment.users.queryAllControllersOnChange = true;
         deployment.cluster.network.lostAnswerShare = 0.05;
         for (int i = 0; i < 20; i++) {
           boolean cancel = i % 3 == 0;
@@ -291,7 +293,8 @@
         deployment.cluster.at(12_000_000, () -> deployment.cluster.leader().crash(0.2));
         deployment.cluster.play(45);
         deployment.endFaults();
-        return () -> deployment.users.looks > 100 && deployment.countReported("aborted") > 3;
+        return () ->
+            deployment.users.answeredQueries > 100 && deployment.countReported("aborted") > 3;
       }),
   TEN_LEADER_CHANGES_IN_TWO_MINUTES_WITH_AN_OUTAGE(
       deployment -> {
@@ -393,15 +396,15 @@
       }),
   CANCELLATIONS_QUERIES_AND_RESUBMISSIONS_AT_JOB_COMPLETION(
       deployment -> {
-        deployment.users.meetEnds(0.8);
-        deployment.users.closeLooks = true;
+        deployment.users.cancelAndQueryAtCompletion(0.8);
+        deployment.users.queryAllControllersOnChange = true;
         deployment.submitStream(25, 1.2, 2, 5);
         deployment.cluster.play(60);
         deployment.endFaults();
         return () ->
             deployment.countReported("aborted") > 0
                 && deployment.countReported("done") > 0
-                && deployment.users.looks > 50;
+                && deployment.users.answeredQueries > 50;
       }),
   MISTAKEN_REQUESTS_DURING_A_LEADER_CHANGE(
       deployment -> {
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -51,7 +51,7 @@
   @MethodSource("seeds")
   void severalCombinationsInSequence(long seed) {
     FaultDeployment deployment = new FaultDeployment(2_000 + seed);
-    deployment.users.closeLooks = seed % 2 == 0;
+    deployment.users.queryAllControllersOnChange = seed % 2 == 0;
     for (int i = 0; i < 3; i++) {
       FaultCombination combination =
           FaultCombination.values()[
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -21,13 +21,13 @@
   @Test
   void stagesRunOneAfterTheOther() {
     List<JobSpec> stages = pipeline();
-    users.pipeline(stages, false);
+    users.submitPipeline(stages, false);
     cluster.play(10);
     assertEquals("pending", reportedStatus(stages.get(4)));
     cluster.play(120);
     assertReportedStatus("done", stages.toArray(new JobSpec[0]));
     List<JobSpec> late = pipeline();
-    users.pipeline(late, true);
+    users.submitPipeline(late, true);
     cluster.play(120);
     assertReportedStatus("done", late.toArray(new JobSpec[0]));
   }
@@ -76,7 +76,7 @@
     for (int i = 0; i < 4; i++) {
       List<JobSpec> stages = pipeline();
       jobs.addAll(stages);
-      users.pipeline(stages, i % 2 == 0);
+      users.submitPipeline(stages, i % 2 == 0);
     }
     long term = cluster.store.term();
     for (int i = 0; i < 5; i++) {
@@ -94,7 +94,7 @@
   void endWithLostResponseReleasesDependents() {
     List<JobSpec> stages = pipeline();
     cluster.store.answerLostOnce = "ended/" + stages.get(0).uid();
-    users.pipeline(stages, false);
+    users.submitPipeline(stages, false);
     cluster.play(120);
     assertEquals(1, cluster.store.appliedUnanswered);
     assertReportedStatus("done", stages.toArray(new JobSpec[0]));
@@ -111,7 +111,7 @@
     for (int i = 0; i < 4; i++) {
       List<JobSpec> stages = pipeline();
       jobs.addAll(stages);
-      users.pipeline(stages, false);
+      users.submitPipeline(stages, false);
     }
     cluster.play(200);
     assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
@@ -166,13 +166,13 @@
     deploy(4_000 + seed, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
     cluster.store.valueBytes = seed % 2 == 0 ? 2048 : 4096;
     cluster.store.transactionOps = seed % 2 == 0 ? 4 : 8;
-    users.closeLooks = seed % 2 == 0;
+    users.queryAllControllersOnChange = seed % 2 == 0;
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 14; i++) {
       List<JobSpec> stages = pipeline();
       jobs.addAll(stages);
       boolean late = i % 4 == 0;
-      cluster.at(i * 15_000_000L, () -> users.pipeline(stages, late));
+      cluster.at(i * 15_000_000L, () -> users.submitPipeline(stages, late));
       if (i % 5 == 0) {
         JobSpec jobToCancel = stages.get(cluster.random.nextInt(stages.size()));
         cluster.at(
@@ -228,7 +228,7 @@
   @Test
   void withoutStoredDependenciesJobsStartTooEarly() {
     cluster.store.lostField = "waits_on";
-    users.pipeline(pipeline(), false);
+    users.submitPipeline(pipeline(), false);
     cluster.play(80);
     assertTrue(
         cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("too_early")),
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -480,7 +480,7 @@
   @Test
   void anyControllerServesRequestsForAnyJob() {
     startWithRunningTasks(85, 15);
-    pool.users.closeLooks = true;
+    pool.users.queryAllControllersOnChange = true;
     JobSpec job = pool.submit("n4", 6, 5);
     cluster.play(6);
     List<Integer> statuses = new ArrayList<>();
@@ -488,6 +488,6 @@
     cluster.play(2);
     assertEquals(List.of(200), statuses, "cancelled through a controller of another shard");
     pool.assertAllJobsEnd(120);
-    assertTrue(pool.users.looks > 0, "no status query of the users was answered");
+    assertTrue(pool.users.answeredQueries > 0, "no status query of the users was answered");
   }
 }
