--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -54,15 +54,15 @@
       cluster.invariants.submitted.put(uid, idleJob(1, 1));
       cluster.invariants.complete(uid + "/0");
     }
-    cluster.store.rewrite("ended/", ended);
+    cluster.store.replaceAll("ended/", ended);
     dependencyUids.add(running.uid());
     return job(1, 2, JobSpec.NO_DEADLINE, Priority.STANDARD, dependencyUids);
   }
 
   private void deployWithSmallValues() {
     deploy(7, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
-    cluster.store.valueBytes = 2048;
-    cluster.store.transactionOps = 4;
+    cluster.store.maxValueBytes = 2048;
+    cluster.store.maxTransactionOps = 4;
   }
 
   @Test
@@ -210,7 +210,7 @@
     JobSpec last = idleJob(1, 5, root);
     submit(root, last);
     cluster.play(10);
-    cluster.store.answerLostOnce = "ended/" + root.uid();
+    cluster.store.unansweredWritePrefix = "ended/" + root.uid();
     users.recordCancellation(root);
     Response response = request("n1", "POST", "/submissions/" + root.uid() + "/abort", "");
     assertEquals(1, cluster.store.appliedUnanswered);
@@ -235,13 +235,13 @@
     submit(root, last);
     cluster.play(10);
     assertTrue(request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
-    cluster.store.unwatched.add("n1");
+    cluster.store.controllersWithoutWatches.add("n1");
     users.recordCancellation(root);
     assertEquals(200, request("n2", "POST", "/submissions/" + root.uid() + "/abort", "").status());
     Response response = request("n1", "GET", "/submissions/" + last.uid(), null);
     assertNotEquals(200, response.status(), response.body());
     assertTrue(response.retryAfterS() > 0);
-    cluster.store.unwatched.clear();
+    cluster.store.controllersWithoutWatches.clear();
     cluster.play(10);
     assertTrue(
         request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
@@ -296,7 +296,7 @@
       lists.put("waits/job-700002/abc/" + (i + 1), Json.object());
     }
     assertTrue(waitingListParts > 2 && lists.size() > 20 + waitingListParts);
-    cluster.store.rewrite("waits/", lists);
+    cluster.store.replaceAll("waits/", lists);
     cluster.play(600);
     assertTrue(
         request("n0", "GET", "/submissions/" + endingJob.uid(), null).body().contains("\"done\""));
@@ -310,7 +310,7 @@
     cluster.play(1_000);
     assertTrue(
         request("n0", "GET", "/submissions/" + waitingJob.uid(), null).body().contains("\"done\""));
-    assertEquals(0, cluster.store.malformed);
+    assertEquals(0, cluster.store.malformedTransactions);
   }
 
   /**
@@ -324,12 +324,12 @@
     submit(running);
     cluster.play(5);
     JobSpec job = jobWithLongList(running);
-    cluster.store.interveneBefore = "active/" + job.uid();
+    cluster.store.interventionPrefix = "active/" + job.uid();
     int[] removed = new int[1];
     cluster.store.intervention =
         () -> {
           removed[0] = cluster.store.count("waits/");
-          cluster.store.rewrite("waits/", Map.of());
+          cluster.store.replaceAll("waits/", Map.of());
         };
     Response response = submitAt("n0", job);
     assertTrue(removed[0] > 2, "list parts removed: " + removed[0]);
@@ -359,10 +359,10 @@
     partsWithoutAnchor.remove(anchor);
     Map<String, JsonNode> active = new TreeMap<>(cluster.store.entries("active/"));
     active.remove("active/" + job.uid());
-    cluster.store.rewrite("active/", active);
-    cluster.store.rewrite("waits/", partsWithoutAnchor);
-    cluster.store.interveneBefore = anchor;
-    cluster.store.intervention = () -> cluster.store.rewrite("waits/", Map.of());
+    cluster.store.replaceAll("active/", active);
+    cluster.store.replaceAll("waits/", partsWithoutAnchor);
+    cluster.store.interventionPrefix = anchor;
+    cluster.store.intervention = () -> cluster.store.replaceAll("waits/", Map.of());
     assertEquals(201, submitAt("n2", job).status());
     assertEquals(partsWithoutAnchor.size() + 1, cluster.store.count("waits/"), "stored list parts");
     cluster.play(60);
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -188,7 +188,7 @@
                     request(n, "GET", "/submissions/" + last.uid(), null)
                         .body()
                         .contains("pending")));
-    cluster.store.untold = "ended/";
+    cluster.store.prefixWithoutChanges = "ended/";
     List<Integer> status = new ArrayList<>();
     SimulatedController leader = cluster.leader();
     leader.stall(60);
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -105,8 +105,8 @@
   @Test
   void largestDependencyListIsAccepted() {
     deploy(6, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
-    cluster.store.valueBytes = 2048;
-    cluster.store.transactionOps = 4;
+    cluster.store.maxValueBytes = 2048;
+    cluster.store.maxTransactionOps = 4;
     List<JobSpec> roots = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       JobSpec job = job(1, 2, JobSpec.NO_DEADLINE, Priority.STANDARD, List.of());
@@ -126,7 +126,7 @@
       dependencyUids.add("job-5" + (10_000 + i));
       endedRecords.put("ended/job-5" + (10_000 + i), Json.object().put("s", "done"));
     }
-    cluster.store.rewrite("ended/", endedRecords);
+    cluster.store.replaceAll("ended/", endedRecords);
     dependencyUids.add(running.uid());
     JobSpec last = job(1, 3, JobSpec.NO_DEADLINE, Priority.HIGH, dependencyUids);
     String body = Json.write(last.toJson());
@@ -152,7 +152,9 @@
     }
     assertEquals(201, response.status(), response.body());
     assertEquals(
-        0, cluster.store.malformed, "transactions that exceed a limit of the state service");
+        0,
+        cluster.store.malformedTransactions,
+        "transactions that exceed a limit of the state service");
     assertTrue(request("n2", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     cluster.leader().crash(1);
     cluster.play(15);
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -31,40 +31,40 @@
   private long storeRevision = 10;
   private long lastLeaseId;
   boolean outage;
-  final Set<String> refused = new HashSet<>();
+  final Set<String> refusedControllers = new HashSet<>();
 
   /** Controllers whose watch requests are never answered; other requests are answered. */
-  final Set<String> unwatched = new HashSet<>();
+  final Set<String> controllersWithoutWatches = new HashSet<>();
 
   /** Largest accepted value in bytes; a transaction with a larger value is refused with 400. */
-  int valueBytes = Integer.MAX_VALUE;
+  int maxValueBytes = Integer.MAX_VALUE;
 
-  int transactionOps = 8;
-  int malformed;
-  int requestsSeen;
+  int maxTransactionOps = 8;
+  int malformedTransactions;
+  int requestCount;
 
   /** Watches of this prefix report no changes; for tests of the invariant checks. */
-  String untold;
+  String prefixWithoutChanges;
 
   /** The only controller whose watches of {@code untold} report no changes; null for all. */
-  String untoldController;
+  String controllerWithoutChanges;
 
   /** A field removed from each job record that is written; for tests of the invariant checks. */
-  String lostField;
+  String removedJobField;
 
   /**
    * Number of changes that the store keeps for watches. A watch that starts at an older revision is
    * answered 410, and the controller has to list the keys again.
    */
-  int remembered = 10_000;
+  int retainedChanges = 10_000;
 
   /** The next transaction that puts a key under this prefix is applied but not answered. */
-  String answerLostOnce;
+  String unansweredWritePrefix;
 
   /**
    * {@code intervention} runs right before the next transaction that puts a key under this prefix.
    */
-  String interveneBefore;
+  String interventionPrefix;
 
   Runnable intervention;
 
@@ -72,10 +72,10 @@
    * Share of transactions with changes that are not answered. The store applies them 2 to 12 s
    * later if it has received a newer transaction of the same controller, and drops them otherwise.
    */
-  double lateWrites;
+  double lateWriteShare;
 
   /** Share of transactions with changes that are applied immediately but not answered. */
-  double unansweredWrites;
+  double unansweredWriteShare;
 
   /** Number of transactions applied after a newer one of the same controller. */
   int appliedAfterNewer;
@@ -90,7 +90,7 @@
   private long transactionsReceived;
 
   /** Listings of keys under this prefix are never answered. */
-  String slowPrefix;
+  String unansweredListingPrefix;
 
   /** Number of requests of each controller that were answered 503. */
   final Map<String, Integer> refusals = new HashMap<>();
@@ -151,12 +151,12 @@
   }
 
   /** Highest number of requests in one second so far. */
-  int mostRequests;
+  int maxRequestsPerSecond;
 
   /** Highest number of puts and drops in one second so far. */
-  int mostChanges;
+  int maxChangesPerSecond;
 
-  int largestValue;
+  int largestValueBytes;
   private long currentSecond;
   private int requestsThisSecond;
   private int changesThisSecond;
@@ -169,12 +169,12 @@
     }
     requestsThisSecond += puts == 0 ? 1 : 0;
     changesThisSecond += puts;
-    mostRequests = Math.max(mostRequests, requestsThisSecond);
-    mostChanges = Math.max(mostChanges, changesThisSecond);
+    maxRequestsPerSecond = Math.max(maxRequestsPerSecond, requestsThisSecond);
+    maxChangesPerSecond = Math.max(maxChangesPerSecond, changesThisSecond);
   }
 
   /** Replaces all values under the prefix without a new revision and without notifying watches. */
-  void forge(String prefix, JsonNode data) {
+  void overwriteSilently(String prefix, JsonNode data) {
     keys.replaceAll((k, e) -> k.startsWith(prefix) ? new Entry(data, e.revision, e.leaseId) : e);
   }
 
@@ -200,7 +200,7 @@
   }
 
   /** Replaces all keys under the prefix with a new revision and notifies watches. */
-  void rewrite(String prefix, Map<String, JsonNode> values) {
+  void replaceAll(String prefix, Map<String, JsonNode> values) {
     storeRevision++;
     for (String key : entries(prefix).keySet()) {
       keys.remove(key);
@@ -235,14 +235,15 @@
   public void handle(
       String from, String method, String path, String body, SimulatedNetwork.Reply reply) {
     countOperations(0);
-    requestsSeen++;
-    if (unwatched.contains(from) && path.startsWith("/follow?")) {
+    requestCount++;
+    if (controllersWithoutWatches.contains(from) && path.startsWith("/follow?")) {
       return;
     }
-    if (slowPrefix != null && path.startsWith("/keys?under=" + slowPrefix)) {
+    if (unansweredListingPrefix != null
+        && path.startsWith("/keys?under=" + unansweredListingPrefix)) {
       return;
     }
-    if (outage || refused.contains(from)) {
+    if (outage || refusedControllers.contains(from)) {
       refusals.merge(from, 1, Integer::sum);
       reply.send(503, "{\"error\":\"trouble\"}");
       return;
@@ -341,14 +342,14 @@
     long sinceRevision = Long.parseLong(parameters.get("since"));
     ObjectNode out = Json.object().put("epoch", storeRevision);
     ArrayNode changes = out.putArray("log");
-    if (changeLog.size() > remembered
-        && changeLog.get(changeLog.size() - remembered).revision > sinceRevision) {
+    if (changeLog.size() > retainedChanges
+        && changeLog.get(changeLog.size() - retainedChanges).revision > sinceRevision) {
       reply.send(410, "{}");
       return;
     }
     for (Change change : changeLog) {
-      if (under.equals(untold)
-          && (untoldController == null || untoldController.equals(controller))) {
+      if (under.equals(prefixWithoutChanges)
+          && (controllerWithoutChanges == null || controllerWithoutChanges.equals(controller))) {
         break;
       }
       if (change.revision > sinceRevision && change.key.startsWith(under)) {
@@ -384,18 +385,20 @@
   private void applyOrInjectFault(String from, ObjectNode object, SimulatedNetwork.Reply reply) {
     long transactionNumber = ++transactionsReceived;
     boolean changes = !object.path("then").isEmpty();
-    if (interveneBefore != null && Json.write(object).contains("\"put\":\"" + interveneBefore)) {
-      interveneBefore = null;
+    if (interventionPrefix != null
+        && Json.write(object).contains("\"put\":\"" + interventionPrefix)) {
+      interventionPrefix = null;
       intervention.run();
     }
-    if (answerLostOnce != null && Json.write(object).contains("\"put\":\"" + answerLostOnce)) {
-      answerLostOnce = null;
+    if (unansweredWritePrefix != null
+        && Json.write(object).contains("\"put\":\"" + unansweredWritePrefix)) {
+      unansweredWritePrefix = null;
       appliedUnanswered++;
       applyTransaction(object, (status, text) -> {});
-    } else if (changes && cluster.random.nextDouble() < unansweredWrites) {
+    } else if (changes && cluster.random.nextDouble() < unansweredWriteShare) {
       appliedUnanswered++;
       applyTransaction(object, (status, text) -> {});
-    } else if (changes && cluster.random.nextDouble() < lateWrites) {
+    } else if (changes && cluster.random.nextDouble() < lateWriteShare) {
       cluster.at(
           2_000_000 + cluster.random.nextLong(10_000_000),
           () -> {
@@ -433,20 +436,20 @@
     }
     boolean tooLarge = false;
     for (JsonNode change : object.path("then")) {
-      tooLarge |= Json.write(change.path("data")).length() > valueBytes;
+      tooLarge |= Json.write(change.path("data")).length() > maxValueBytes;
     }
-    if (object.path("then").size() > transactionOps
-        || object.path("guards").size() > 4 * transactionOps
+    if (object.path("then").size() > maxTransactionOps
+        || object.path("guards").size() > 4 * maxTransactionOps
         || tooLarge
         || Json.write(object).length() > 65_536) {
-      malformed++;
+      malformedTransactions++;
       reply.send(400, "{\"error\":\"too many\"}");
       return;
     }
     storeRevision++;
     for (JsonNode change : object.path("then")) {
       if (change.hasNonNull("put")) {
-        largestValue = Math.max(largestValue, Json.write(change.path("data")).length());
+        largestValueBytes = Math.max(largestValueBytes, Json.write(change.path("data")).length());
         if (change.get("put").asText().endsWith("office/term")) {
           termStartMicros = cluster.now();
           cluster.network.deliverKeptHeartbeats();
@@ -454,8 +457,8 @@
         if (change.get("put").asText().equals("office/mandate")) {
           cluster.network.delegations.onDelegationStored(change.path("data"));
         }
-        if (lostField != null && change.path("data").path("job") instanceof ObjectNode job) {
-          job.remove(lostField);
+        if (removedJobField != null && change.path("data").path("job") instanceof ObjectNode job) {
+          job.remove(removedJobField);
         }
         keys.put(
             change.get("put").asText(),
--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -16,7 +16,8 @@
       deployment -> {
         deployment.cluster.store.responseDelayMicros = 700_000;
         deployment.cluster.at(
-            3_000_000, () -> deployment.cluster.store.refused.add(deployment.leaderLabel()));
+            3_000_000,
+            () -> deployment.cluster.store.refusedControllers.add(deployment.leaderLabel()));
         deployment.cluster.at(4_000_000, () -> deployment.users.cancelStartedJobs(3, 0, 0));
         deployment.cluster.at(6_000_000, () -> deployment.cluster.store.outage = true);
         deployment.cluster.play(8);
@@ -49,7 +50,7 @@
       deployment -> {
         deployment.cluster.cloud.fastBoots = true;
         deployment.cluster.cloud.most = 30;
-        deployment.cluster.store.lateWrites = 0.3;
+        deployment.cluster.store.lateWriteShare = 0.3;
         int before = deployment.cluster.cloud.machines.size();
         deployment.submitStream(10, 0.3, 6, 20);
         deployment.cluster.play(3.5);
@@ -147,7 +148,7 @@
       }),
   UNANSWERED_TRANSACTIONS_WITH_CONCURRENT_QUERIES(
       deployment -> {
-        deployment.cluster.store.unansweredWrites = 0.4;
+        deployment.cluster.store.unansweredWriteShare = 0.4;
         deployment.users.queryAllControllersOnChange = true;
         deployment.submitStream(10, 2, 4, 6);
         deployment.cluster.at(6_000_000, () -> deployment.users.cancelStartedJobs(3, 0, 0));
@@ -338,7 +339,7 @@
       }),
   TRANSACTIONS_APPLIED_AFTER_NEWER_ONES(
       deployment -> {
-        deployment.cluster.store.lateWrites = 0.35;
+        deployment.cluster.store.lateWriteShare = 0.35;
         deployment.submitStream(14, 2, 5, 6);
         deployment.cluster.at(10_000_000, () -> deployment.users.cancelStartedJobs(3, 0, 0));
         deployment.cluster.at(20_000_000, () -> deployment.cluster.leader().crash(1));
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -73,7 +73,7 @@
   void withoutPreconditionsLateTransactionsViolateRules() {
     FaultDeployment deployment = new FaultDeployment(3_003);
     deployment.cluster.store.ignorePreconditions = true;
-    deployment.cluster.store.lateWrites = 0.5;
+    deployment.cluster.store.lateWriteShare = 0.5;
     FaultCombination.CANCELLATIONS_QUERIES_AND_RESUBMISSIONS_AT_JOB_COMPLETION.scenario.run(
         deployment);
     assertTrue(
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -158,9 +158,9 @@
     cluster.network.machinesWithLostHeartbeats.clear();
     cluster.network.cuts.clear();
     cluster.store.responseDelayMicros = 0;
-    cluster.store.lateWrites = 0;
-    cluster.store.unansweredWrites = 0;
-    cluster.store.refused.clear();
+    cluster.store.lateWriteShare = 0;
+    cluster.store.unansweredWriteShare = 0;
+    cluster.store.refusedControllers.clear();
     cluster.store.endOutage();
     cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null)
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -152,7 +152,7 @@
       }
     }
     records.remove("ended/job-000002");
-    cluster.store.rewrite("", records);
+    cluster.store.replaceAll("", records);
     cluster.cloud.outage = true;
     cluster.play(4);
     Job slow = job(cluster, "job-000002");
@@ -186,7 +186,7 @@
   void progressChunksAreReadWithOriginalChunkSize() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(22);
     Map<String, JsonNode> records = records(PRODUCTION, "large-progress.json");
-    cluster.store.rewrite("", records);
+    cluster.store.replaceAll("", records);
     cluster.cloud.outage = true;
     cluster.play(4);
     BitSet done = job(cluster, "job-000001").completedTasks();
@@ -292,7 +292,7 @@
     assertTrue(
         delegatedRenewals(cluster) > 5,
         "leases renewed under the present record: " + delegatedRenewals(cluster));
-    cluster.store.forge("office/mandate", samples.get("office/mandate"));
+    cluster.store.overwriteSilently("office/mandate", samples.get("office/mandate"));
     cluster.play(4);
     long before = delegatedRenewals(cluster);
     cluster.play(15);
--- a/src/test/java/plumlever/sim/FormerVersion.java
+++ b/src/test/java/plumlever/sim/FormerVersion.java
@@ -31,7 +31,7 @@
     store
         .entries("ended/")
         .forEach((k, v) -> ended.put(k, Json.object().put("s", v.path("s").asText())));
-    store.rewrite("ended/", ended);
+    store.replaceAll("ended/", ended);
   }
 
   private void rewriteStartedJobs() {
@@ -50,7 +50,7 @@
         bytes += uid.asText().length() + 3;
       }
     }
-    store.rewrite("begun/", records);
+    store.replaceAll("begun/", records);
   }
 
   private void rewriteMachines() {
@@ -83,7 +83,7 @@
         bytes += entryBytes;
       }
     }
-    store.rewrite("fleet/", records);
+    store.replaceAll("fleet/", records);
   }
 
   /**
@@ -115,7 +115,7 @@
       }
     }
     records.putAll(chunks);
-    store.rewrite("progress/", records);
+    store.replaceAll("progress/", records);
   }
 
   /** Returns the finished tasks of each job as the previous version would read them. */
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/GapTest.java
@@ -77,7 +77,7 @@
     deploy(seed, InvariantChecker.CANCEL_MICROS);
     SimulatedController leader = cluster.leader();
     String label = leader.platform.label();
-    cluster.store.refused.add(label);
+    cluster.store.refusedControllers.add(label);
     List<Integer> statuses = new ArrayList<>();
     cluster.at(
         300_000,
@@ -97,7 +97,7 @@
         cluster.cloud.countWorkersSendingTo(label) > 0,
         "no worker sends heartbeats to the old leader");
     cluster.at(55_000_000, cluster.store::endOutage);
-    cluster.at(60_000_000, () -> cluster.store.refused.clear());
+    cluster.at(60_000_000, () -> cluster.store.refusedControllers.clear());
     cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 90);
     assertEquals(List.of(), cluster.invariants.violations);
     jobs.subList(0, 4)
@@ -115,7 +115,7 @@
   private void cancelWithoutWatches(long assumedCancelMicros) {
     deploy(75, assumedCancelMicros);
     SimulatedController leader = cluster.leader();
-    cluster.store.unwatched.add(leader.platform.label());
+    cluster.store.controllersWithoutWatches.add(leader.platform.label());
     cluster.play(2);
     List<Integer> statuses = new ArrayList<>();
     // Prevents the peers from notifying the leader of the cancellations.
@@ -158,7 +158,7 @@
   void peersNotifyLeaderOfCancellations() {
     deploy(77, InvariantChecker.CANCEL_MICROS);
     SimulatedController leader = cluster.leader();
-    cluster.store.unwatched.add(leader.platform.label());
+    cluster.store.controllersWithoutWatches.add(leader.platform.label());
     cluster.play(2);
     List<Integer> statuses = new ArrayList<>();
     jobs.subList(0, 4).forEach(j -> cancelAt(anyControllerExcept(leader), j, statuses::add));
@@ -188,7 +188,7 @@
   @Test
   void leaderRenewsNothingBeforeReadingJobs() {
     deploy(76, InvariantChecker.CANCEL_MICROS);
-    cluster.store.slowPrefix = "active/";
+    cluster.store.unansweredListingPrefix = "active/";
     cluster.leader().crash(20);
     cluster.play(8);
     SimulatedController newLeader = cluster.leader();
@@ -217,7 +217,7 @@
     assertTrue(
         answered[0] - sent[0] <= 3_000_000,
         "the response must arrive before the worker's request times out");
-    cluster.store.slowPrefix = null;
+    cluster.store.unansweredListingPrefix = null;
     cluster.play(120);
     assertEquals(List.of(), cluster.invariants.violations);
   }
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -209,15 +209,17 @@
   }
 
   private static void assertStateServiceLimitsKept(SimulatedCluster cluster) {
-    assertTrue(cluster.store.largestValue <= 4_096, "largest value: " + cluster.store.largestValue);
+    assertTrue(
+        cluster.store.largestValueBytes <= 4_096,
+        "largest value: " + cluster.store.largestValueBytes);
     // The simulated state service allows 200 requests and 25 changes a second, with a burst of one
     // second.
     assertTrue(
-        cluster.store.mostRequests <= 250,
-        "requests in the busiest second: " + cluster.store.mostRequests);
+        cluster.store.maxRequestsPerSecond <= 250,
+        "requests in the busiest second: " + cluster.store.maxRequestsPerSecond);
     assertTrue(
-        cluster.store.mostChanges <= 60,
-        "changes in the busiest second: " + cluster.store.mostChanges);
+        cluster.store.maxChangesPerSecond <= 60,
+        "changes in the busiest second: " + cluster.store.maxChangesPerSecond);
   }
 
   private static long counterTotal(SimulatedCluster cluster, String counter) {
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -93,7 +93,7 @@
   @Test
   void endWithLostResponseReleasesDependents() {
     List<JobSpec> stages = pipeline();
-    cluster.store.answerLostOnce = "ended/" + stages.get(0).uid();
+    cluster.store.unansweredWritePrefix = "ended/" + stages.get(0).uid();
     users.submitPipeline(stages, false);
     cluster.play(120);
     assertEquals(1, cluster.store.appliedUnanswered);
@@ -106,7 +106,7 @@
    */
   @Test
   void staleWatchesReadChainsAgain() {
-    cluster.store.remembered = 3;
+    cluster.store.retainedChanges = 3;
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       List<JobSpec> stages = pipeline();
@@ -128,14 +128,14 @@
     }
     JobSpec last = jobs.get(299);
     assertEquals(200, request("n1", "GET", "/submissions/" + last.uid(), null).status());
-    cluster.store.requestsSeen = 0;
+    cluster.store.requestCount = 0;
     for (int i = 0; i < 10; i++) {
       assertTrue(
           request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     }
     assertTrue(
-        cluster.store.requestsSeen < 60,
-        "requests to the state service during ten status queries: " + cluster.store.requestsSeen);
+        cluster.store.requestCount < 60,
+        "requests to the state service during ten status queries: " + cluster.store.requestCount);
     assertTrue(
         request("n2", "POST", "/submissions/" + jobs.get(0).uid() + "/abort", "")
             .body()
@@ -164,8 +164,8 @@
   @MethodSource("seeds")
   void randomFaultsWithPipelines(long seed) {
     deploy(4_000 + seed, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
-    cluster.store.valueBytes = seed % 2 == 0 ? 2048 : 4096;
-    cluster.store.transactionOps = seed % 2 == 0 ? 4 : 8;
+    cluster.store.maxValueBytes = seed % 2 == 0 ? 2048 : 4096;
+    cluster.store.maxTransactionOps = seed % 2 == 0 ? 4 : 8;
     users.queryAllControllersOnChange = seed % 2 == 0;
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 14; i++) {
@@ -191,8 +191,8 @@
     cluster.network.lostAnswerShare = 0.01;
     cluster.network.repeatedShare = 0.02;
     cluster.network.copiedHeartbeatShare = 0.02;
-    cluster.store.lateWrites = 0.02;
-    cluster.store.unansweredWrites = 0.02;
+    cluster.store.lateWriteShare = 0.02;
+    cluster.store.unansweredWriteShare = 0.02;
     for (int i = 0; i < 12; i++) {
       cluster.at(
           20_000_000L + cluster.random.nextLong(200_000_000L),
@@ -201,18 +201,20 @@
     cluster.at(
         120_000_000,
         () -> {
-          cluster.store.valueBytes = 2048;
-          cluster.store.transactionOps = 4;
+          cluster.store.maxValueBytes = 2048;
+          cluster.store.maxTransactionOps = 4;
         });
     cluster.play(240);
-    cluster.store.lateWrites = 0;
-    cluster.store.unansweredWrites = 0;
+    cluster.store.lateWriteShare = 0;
+    cluster.store.unansweredWriteShare = 0;
     SimulationTest.calm(cluster);
     cluster.play(300);
     cluster.invariants.checkJobsServed();
     assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(
-        0, cluster.store.malformed, "transactions that exceed a limit of the state service");
+        0,
+        cluster.store.malformedTransactions,
+        "transactions that exceed a limit of the state service");
     for (JobSpec job : jobs) {
       assertTrue(
           List.of("done", "aborted").contains(reportedStatus(job)),
@@ -227,7 +229,7 @@
    */
   @Test
   void withoutStoredDependenciesJobsStartTooEarly() {
-    cluster.store.lostField = "waits_on";
+    cluster.store.removedJobField = "waits_on";
     users.submitPipeline(pipeline(), false);
     cluster.play(80);
     assertTrue(
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -143,7 +143,7 @@
 
   /** Runs the action immediately before the n-th transaction on transfer records from now on. */
   void beforeTransferStep(int number, Runnable action) {
-    cluster.store.interveneBefore = "pool/transfers/";
+    cluster.store.interventionPrefix = "pool/transfers/";
     cluster.store.intervention =
         number == 1 ? action : () -> cluster.at(0, () -> beforeTransferStep(number - 1, action));
   }
@@ -159,8 +159,8 @@
    */
   void assertAllJobsEnd(double seconds) {
     cluster.network.cuts.clear();
-    cluster.store.refused.clear();
-    cluster.store.unwatched.clear();
+    cluster.store.refusedControllers.clear();
+    cluster.store.controllersWithoutWatches.clear();
     cluster.calmSince = cluster.now();
     cluster.play(seconds);
     assertEquals(List.of(), cluster.invariants.violations);
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -57,7 +57,7 @@
       faultsEnabled = false;
       cluster.network.cuts.clear();
       cluster.network.heldCommandShare = 0;
-      cluster.store.refused.clear();
+      cluster.store.refusedControllers.clear();
       cluster.store.endOutage();
       cluster.cloud.machines.values().stream()
           .filter(vm -> vm.worker != null)
@@ -186,9 +186,10 @@
           .filter(SimulatedController::leads)
           .forEach(
               leader -> {
-                cluster.store.refused.add(leader.platform.label());
+                cluster.store.refusedControllers.add(leader.platform.label());
                 cluster.at(
-                    durationMicros, () -> cluster.store.refused.remove(leader.platform.label()));
+                    durationMicros,
+                    () -> cluster.store.refusedControllers.remove(leader.platform.label()));
               });
     }
 
--- a/src/test/java/plumlever/sim/SharingBenchmark.java
+++ b/src/test/java/plumlever/sim/SharingBenchmark.java
@@ -94,7 +94,7 @@
       disableSharing();
     }
     int changesBefore = cluster.store.changesOf("");
-    int requestsBefore = cluster.store.requestsSeen;
+    int requestsBefore = cluster.store.requestCount;
     long takenBefore = counterTotal("machines_taken");
     List<String> phaseReports = new ArrayList<>();
     for (int phase = 0; phase < PHASES; phase++) {
@@ -116,7 +116,7 @@
         cluster.invariants.starts,
         transfers,
         cluster.store.changesOf("") - changesBefore,
-        cluster.store.requestsSeen - requestsBefore,
+        cluster.store.requestCount - requestsBefore,
         ownerRecordBytes,
         cluster.invariants.violations);
   }
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -294,7 +294,7 @@
     cluster.play(6);
     assertOwnedByTarget();
     String owner = cluster.leader(TARGET).platform.label();
-    cluster.store.unwatched.add(owner);
+    cluster.store.controllersWithoutWatches.add(owner);
     cluster
         .shard(SOURCE)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), owner, true));
@@ -345,7 +345,7 @@
     startWithRunningTasks(80, 60);
     SimulatedController sourceLeader = cluster.leader(SOURCE);
     // The open watch receives the offer; later watches of this leader receive no response.
-    cluster.store.unwatched.add(sourceLeader.platform.label());
+    cluster.store.controllersWithoutWatches.add(sourceLeader.platform.label());
     cluster
         .shard(TARGET)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, true));
@@ -462,15 +462,15 @@
     cluster.play(20);
     pool.submit("n2", "red", 24, 40);
     pool.submit("n4", "red", 8, 40);
-    cluster.store.interveneBefore = "pool/limits/";
+    cluster.store.interventionPrefix = "pool/limits/";
     cluster.store.intervention =
         () -> {
           // Only the source leader does not learn that the cores now belong to another shard.
-          cluster.store.answerLostOnce = "pool/limits/";
-          cluster.store.untold = "pool/";
-          cluster.store.untoldController = cluster.leader(SOURCE).platform.label();
+          cluster.store.unansweredWritePrefix = "pool/limits/";
+          cluster.store.prefixWithoutChanges = "pool/";
+          cluster.store.controllerWithoutChanges = cluster.leader(SOURCE).platform.label();
           pool.submit("n0", "red", 8, 20);
-          cluster.at(4_000_000, () -> cluster.store.untold = null);
+          cluster.at(4_000_000, () -> cluster.store.prefixWithoutChanges = null);
         };
     cluster.play(60);
     assertTrue(cluster.store.appliedUnanswered > 0, "no applied transaction without a response");
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -115,8 +115,8 @@
         cluster.at(time / 2, cluster.store::endOutage);
       }
       case 3 -> {
-        cluster.store.refused.add(leader.platform.label());
-        cluster.at(time, () -> cluster.store.refused.remove(leader.platform.label()));
+        cluster.store.refusedControllers.add(leader.platform.label());
+        cluster.at(time, () -> cluster.store.refusedControllers.remove(leader.platform.label()));
       }
       case 4 ->
           cutLinks(cluster, leader.platform.label() + ">*", "*>" + leader.platform.label(), time);
@@ -225,7 +225,7 @@
     cluster.network.copiedHeartbeatShare = 0;
     cluster.calmSince = cluster.now();
     cluster.network.cuts.clear();
-    cluster.store.refused.clear();
+    cluster.store.refusedControllers.clear();
     cluster.cloud.outage = false;
     cluster.store.endOutage();
     cluster
@@ -276,7 +276,9 @@
   void withoutTheRecordOfStartedJobsTasksRunTwice() {
     SimulatedCluster cluster =
         failoverWithAnUnreachableMachine(
-            v -> v.store.forge("begun/", Json.object().set("jobs", Json.object().arrayNode())));
+            v ->
+                v.store.overwriteSilently(
+                    "begun/", Json.object().set("jobs", Json.object().arrayNode())));
     assertTrue(
         cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("ran_twice")),
         "the checks must report tasks that run twice without the record of started jobs");
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -103,7 +103,7 @@
     SimulatedCluster cluster = cluster(1);
     Map<String, JsonNode> records = records();
     records.keySet().removeIf(k -> k.startsWith("office/leader"));
-    cluster.store.rewrite("", records);
+    cluster.store.replaceAll("", records);
     cluster.cloud.outage = true;
     cluster.play(4);
     for (Map.Entry<String, JsonNode> entry : records.entrySet()) {
@@ -208,13 +208,13 @@
     cluster.at(
         limitsLoweredAtMicros,
         () -> {
-          cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
-          cluster.store.transactionOps = 4;
+          cluster.store.maxValueBytes = ANNOUNCED_VALUE_BYTES;
+          cluster.store.maxTransactionOps = 4;
         });
     for (int turn = 0; turn < 8; turn++) {
       cluster.play(18);
-      largest = Math.max(largest, cluster.store.largestValue);
-      if (cluster.store.valueBytes > ANNOUNCED_VALUE_BYTES && turn % 2 == (seed & 1)) {
+      largest = Math.max(largest, cluster.store.largestValueBytes);
+      if (cluster.store.maxValueBytes > ANNOUNCED_VALUE_BYTES && turn % 2 == (seed & 1)) {
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
             .forEach(m -> m.crash(2));
@@ -231,7 +231,7 @@
     cluster.play(400);
     assertTrue(
         largest <= ANNOUNCED_VALUE_BYTES, "largest value written by this version: " + largest);
-    assertEquals(0, cluster.store.malformed);
+    assertEquals(0, cluster.store.malformedTransactions);
     assertEquals(List.of(), cluster.invariants.violations);
     for (JobSpec job : all) {
       assertEquals("done", cluster.invariants.lastReportedStatus.get(job.uid()), job.uid());
@@ -313,8 +313,8 @@
         cluster.store.values("fleet/").stream()
             .anyMatch(v -> Json.write(v).length() > ANNOUNCED_VALUE_BYTES),
         "no machine record exceeds the lower size limit");
-    cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
-    cluster.store.transactionOps = 4;
+    cluster.store.maxValueBytes = ANNOUNCED_VALUE_BYTES;
+    cluster.store.maxTransactionOps = 4;
     int[] checks = new int[1];
     for (int i = 0; i < 1_200; i++) {
       cluster.at(
@@ -334,7 +334,7 @@
     cluster.play(26);
     assertEquals(1_200, checks[0]);
     assertEquals(List.of(), cluster.invariants.violations);
-    assertEquals(0, cluster.store.malformed);
+    assertEquals(0, cluster.store.malformedTransactions);
     assertTrue(
         cluster.store.values("fleet/").stream()
             .allMatch(v -> Json.write(v).length() <= ANNOUNCED_VALUE_BYTES),
@@ -373,19 +373,20 @@
       cluster.at(i * 900_000L, () -> users.submit(job, false));
     }
     cluster.play(45);
-    assertTrue(cluster.store.largestValue > ANNOUNCED_VALUE_BYTES);
-    cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
-    cluster.store.transactionOps = 4;
+    assertTrue(cluster.store.largestValueBytes > ANNOUNCED_VALUE_BYTES);
+    cluster.store.maxValueBytes = ANNOUNCED_VALUE_BYTES;
+    cluster.store.maxTransactionOps = 4;
     // The deletion of a machine rewrites the record that this machine shares with dozens of others.
     cluster.cloud.machines.keySet().stream().limit(4).toList().forEach(cluster.cloud::delete);
     cluster.play(60);
-    int refused = cluster.store.malformed;
+    int refused = cluster.store.malformedTransactions;
     assertTrue(refused > 0 && refused < 40, "refused transactions: " + refused);
     cluster.leader().crash(2);
     cluster.play(250);
     assertTrue(
-        cluster.store.malformed - refused < 40,
-        "refused transactions of the new leader: " + (cluster.store.malformed - refused));
+        cluster.store.malformedTransactions - refused < 40,
+        "refused transactions of the new leader: "
+            + (cluster.store.malformedTransactions - refused));
     assertEquals(List.of(), cluster.invariants.violations);
     all.forEach(
         j -> assertEquals("done", cluster.invariants.lastReportedStatus.get(j.uid()), j.uid()));
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -153,10 +153,10 @@
    */
   @Test
   void aControllerRefusedAloneIsUnhealthy() {
-    cluster.store.refused.add("n0");
+    cluster.store.refusedControllers.add("n0");
     cluster.play(5);
     assertEquals(503, send("GET", "/up", null));
-    cluster.store.refused.clear();
+    cluster.store.refusedControllers.clear();
     cluster.play(3);
     assertEquals(200, send("GET", "/up", null));
   }
