--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -71,7 +71,7 @@
     JobSpec cancelled = teamJob("red", Priority.IDLE, 1, 300);
     JobSpec running = teamJob("red", Priority.IDLE, 1, 90);
     submit(done, cancelled, running);
-    cluster.play(45);
+    cluster.runFor(45);
     assertReportedStatus("done", done);
     users.recordCancellation(cancelled);
     assertEquals(
@@ -82,7 +82,7 @@
     Response response = submitAt("n0", dependent);
     assertEquals(201, response.status(), "submission with a cancelled dependency");
     assertTrue(response.body().contains("\"aborted\""), response.body());
-    cluster.play(100);
+    cluster.runFor(100);
     assertTrue(
         request("n1", "GET", "/submissions/" + after.uid(), null).body().contains("\"done\""));
     JobSpec lateDependent = teamJob("blue", Priority.HIGH, 1, 2, cancelled);
@@ -95,7 +95,7 @@
     JobSpec first = idleJob(1, 90);
     JobSpec last = job(2, 3, 20, Priority.HIGH, List.of(first.uid()));
     submit(first, last);
-    cluster.play(140);
+    cluster.runFor(140);
     assertReportedStatus("done", first, last);
   }
 
@@ -109,10 +109,10 @@
     JobSpec first = teamJob("blue", Priority.IDLE, 1, 330);
     JobSpec last = teamJob("red", Priority.IDLE, 40, 4, first);
     submit(first, last);
-    cluster.play(60);
+    cluster.runFor(60);
     int machines = cluster.cloud.machines.size();
     assertTrue(machines <= 2, "machines rented for one task: " + machines);
-    cluster.play(200);
+    cluster.runFor(200);
     Job waiting = cluster.leader().actingLeader().job(last.uid()).orElseThrow();
     assertTrue(waiting.waitsForDependencies());
     assertEquals("pending", reportedStatus(last));
@@ -120,16 +120,16 @@
         cluster.cloud.machines.size() <= machines,
         "a machine was rented for a job that waits for dependencies");
     cluster.leader().crash(1);
-    cluster.play(20);
+    cluster.runFor(20);
     JobSpec urgent = teamJob("red", Priority.HIGH, 40, 30);
     submit(urgent);
-    cluster.play(30);
+    cluster.runFor(30);
     assertTrue(
         cluster.invariants.hasStarted(urgent.uid()),
         "a waiting job delays a job of higher priority");
     long released = 0;
     for (int i = 0; i < 1_300 && released == 0; i++) {
-      cluster.play(0.1);
+      cluster.runFor(0.1);
       released =
           cluster
               .leader()
@@ -140,7 +140,7 @@
               .orElse(0L);
     }
     assertTrue(cluster.now() - released < 10_000_000, "release time of the job is too early");
-    cluster.play(60);
+    cluster.runFor(60);
     assertReportedStatus("done", first, urgent, last);
   }
 
@@ -153,11 +153,11 @@
     JobSpec first = idleJob(1, 60);
     JobSpec last = idleJob(2, 300, first);
     submit(first, last);
-    cluster.play(130);
+    cluster.runFor(130);
     assertReportedStatus("done", first);
     long released = cluster.leader().actingLeader().job(last.uid()).orElseThrow().releasedMicros();
     cluster.leader().crash(1);
-    cluster.play(20);
+    cluster.runFor(20);
     Job job = cluster.leader().actingLeader().job(last.uid()).orElseThrow();
     assertTrue(released - job.acceptedMicros() > 50_000_000);
     assertEquals(released / 1e6, job.releasedMicros() / 1e6, 2);
@@ -177,7 +177,7 @@
     JobSpec last = idleJob(1, 5, joined);
     JobSpec unaffected = idleJob(1, 5, right);
     submit(root, left, right, joined, last, unaffected);
-    cluster.play(10);
+    cluster.runFor(10);
     CONTROLLERS.forEach(n -> request(n, "GET", "/submissions/" + last.uid(), null));
     users.recordCancellation(left);
     assertTrue(
@@ -197,7 +197,7 @@
               .body()
               .contains("\"aborted\""));
     }
-    cluster.play(140);
+    cluster.runFor(140);
     assertReportedStatus("done", root, right, unaffected);
     assertFalse(
         cluster.invariants.hasStarted(joined.uid()) || cluster.invariants.hasStarted(last.uid()));
@@ -209,7 +209,7 @@
     JobSpec root = idleJob(1, 400);
     JobSpec last = idleJob(1, 5, root);
     submit(root, last);
-    cluster.play(10);
+    cluster.runFor(10);
     cluster.store.unansweredWritePrefix = "ended/" + root.uid();
     users.recordCancellation(root);
     Response response = request("n1", "POST", "/submissions/" + root.uid() + "/abort", "");
@@ -233,7 +233,7 @@
     JobSpec root = idleJob(1, 400);
     JobSpec last = idleJob(1, 5, root);
     submit(root, last);
-    cluster.play(10);
+    cluster.runFor(10);
     assertTrue(request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     cluster.store.controllersWithoutWatches.add("n1");
     users.recordCancellation(root);
@@ -242,7 +242,7 @@
     assertNotEquals(200, response.status(), response.body());
     assertTrue(response.retryAfterS() > 0);
     cluster.store.controllersWithoutWatches.clear();
-    cluster.play(10);
+    cluster.runFor(10);
     assertTrue(
         request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
     assertEquals(List.of(), cluster.invariants.violations);
@@ -259,17 +259,17 @@
     JobSpec urgent = job(1, 5, 300, Priority.HIGH, List.of(shared.uid()));
     JobSpec later = job(1, 5, 900, Priority.STANDARD, List.of(shared.uid()));
     submit(shared, later, urgent);
-    cluster.play(10);
+    cluster.runFor(10);
     Job stage = cluster.leader().actingLeader().job(shared.uid()).orElseThrow();
     long urgentDeadlineMicros = stage.deadlineMicros();
     assertEquals(Priority.HIGH, stage.priority());
     users.recordCancellation(urgent);
     assertEquals(
         200, request("n0", "POST", "/submissions/" + urgent.uid() + "/abort", "").status());
-    cluster.play(5);
+    cluster.runFor(5);
     assertEquals(Priority.STANDARD, stage.priority());
     assertTrue(stage.deadlineMicros() - urgentDeadlineMicros > 500_000_000L);
-    cluster.play(250);
+    cluster.runFor(250);
     assertReportedStatus("done", shared, later);
   }
 
@@ -283,7 +283,7 @@
     JobSpec shortJob = idleJob(1, 20);
     JobSpec longJob = idleJob(1, 2_500);
     submit(shortJob, longJob);
-    cluster.play(5);
+    cluster.runFor(5);
     JobSpec endingJob = jobWithLongList(shortJob);
     JobSpec waitingJob = jobWithLongList(longJob);
     assertEquals(201, submitAt("n0", endingJob).status());
@@ -297,17 +297,17 @@
     }
     assertTrue(waitingListParts > 2 && lists.size() > 20 + waitingListParts);
     cluster.store.replaceAll("waits/", lists);
-    cluster.play(600);
+    cluster.runFor(600);
     assertTrue(
         request("n0", "GET", "/submissions/" + endingJob.uid(), null).body().contains("\"done\""));
     assertEquals(
         lists.size(),
         cluster.store.count("waits/"),
         "list parts before the grace period has passed");
-    cluster.play(REMOVED_WITHIN_S - 600);
+    cluster.runFor(REMOVED_WITHIN_S - 600);
     assertEquals(waitingListParts, cluster.store.count("waits/"));
     assertEquals(waitingListParts, cluster.store.count("waits/" + waitingJob.uid() + "/"));
-    cluster.play(1_000);
+    cluster.runFor(1_000);
     assertTrue(
         request("n0", "GET", "/submissions/" + waitingJob.uid(), null).body().contains("\"done\""));
     assertEquals(0, cluster.store.malformedTransactions);
@@ -322,7 +322,7 @@
     deployWithSmallValues();
     JobSpec running = idleJob(1, 30);
     submit(running);
-    cluster.play(5);
+    cluster.runFor(5);
     JobSpec job = jobWithLongList(running);
     cluster.store.interventionPrefix = "active/" + job.uid();
     int[] removed = new int[1];
@@ -335,9 +335,9 @@
     assertTrue(removed[0] > 2, "list parts removed: " + removed[0]);
     assertEquals(503, response.status(), response.body());
     assertEquals(404, request("n1", "GET", "/submissions/" + job.uid(), null).status());
-    cluster.play(2);
+    cluster.runFor(2);
     assertEquals(201, submitAt("n1", job).status());
-    cluster.play(60);
+    cluster.runFor(60);
     assertTrue(request("n2", "GET", "/submissions/" + job.uid(), null).body().contains("\"done\""));
   }
 
@@ -351,7 +351,7 @@
     deployWithSmallValues();
     JobSpec running = idleJob(1, 30);
     submit(running);
-    cluster.play(5);
+    cluster.runFor(5);
     JobSpec job = jobWithLongList(running);
     assertEquals(201, submitAt("n0", job).status());
     Map<String, JsonNode> partsWithoutAnchor = new TreeMap<>(cluster.store.entries("waits/"));
@@ -365,7 +365,7 @@
     cluster.store.intervention = () -> cluster.store.replaceAll("waits/", Map.of());
     assertEquals(201, submitAt("n2", job).status());
     assertEquals(partsWithoutAnchor.size() + 1, cluster.store.count("waits/"), "stored list parts");
-    cluster.play(60);
+    cluster.runFor(60);
     assertTrue(request("n2", "GET", "/submissions/" + job.uid(), null).body().contains("\"done\""));
   }
 
@@ -375,7 +375,7 @@
     deployWithSmallValues();
     JobSpec running = idleJob(1, 30);
     submit(running);
-    cluster.play(5);
+    cluster.runFor(5);
     JobSpec known = idleJob(1, 200);
     assertEquals(201, submitAt("n0", known).status());
     JobSpec other = jobWithLongList(running);
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -61,7 +61,7 @@
     Response accepted = submitAt("n0", after);
     assertEquals(201, accepted.status(), "submission with a cancelled dependency");
     assertTrue(accepted.body().contains("\"aborted\""), accepted.body());
-    cluster.play(30);
+    cluster.runFor(30);
     assertEquals(
         0,
         cluster.store.entries("active/").keySet().stream()
@@ -76,7 +76,7 @@
     JobSpec root = idleJob(1, 400);
     JobSpec last = idleJob(1, 5, root);
     submit(root, last);
-    cluster.play(10);
+    cluster.runFor(10);
     SimulatedController leader = cluster.leader();
     String other =
         cluster.controllers.keySet().stream()
@@ -94,7 +94,7 @@
     assertTrue(
         cluster.controllers.values().stream().noneMatch(SimulatedController::leads),
         "a new leader was elected before the end of the check");
-    cluster.play(60);
+    cluster.runFor(60);
     assertEquals(List.of(), cluster.invariants.violations);
   }
 
@@ -104,14 +104,14 @@
     JobSpec root = idleJob(1, 3);
     JobSpec last = idleJob(1, 3, root);
     submit(root);
-    cluster.play(40);
+    cluster.runFor(40);
     assertReportedStatus("done", root);
     submit(last);
     assertTrue(
         request("n2", "POST", "/submissions/" + root.uid() + "/abort", "")
             .body()
             .contains("\"done\""));
-    cluster.play(40);
+    cluster.runFor(40);
     assertReportedStatus("done", last);
   }
 
@@ -125,7 +125,7 @@
     JobSpec next = idleJob(2, 5, root);
     JobSpec last = job(1, 5, 90, Priority.HIGH, List.of(next.uid()));
     submit(root, next, last);
-    cluster.play(30);
+    cluster.runFor(30);
     assertTrue(cluster.invariants.hasStarted(root.uid()));
     List<Integer> status = new ArrayList<>();
     users.cancelAt(
@@ -135,11 +135,11 @@
           status.add(s);
           cluster.store.outage = true;
         });
-    cluster.play(1);
+    cluster.runFor(1);
     assertEquals(List.of(200), status);
     assertTrue(cluster.store.outage);
     cluster.at(InvariantChecker.CANCEL_MICROS + 12_000_000, cluster.store::endOutage);
-    cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 40);
+    cluster.runFor(InvariantChecker.CANCEL_MICROS / 1e6 + 40);
     assertReportedStatus("aborted", root, next, last);
   }
 
@@ -159,7 +159,7 @@
       all.addAll(list);
       cluster.at(i * 5_000_000L, () -> users.submitPipeline(list, false));
     }
-    cluster.play(240);
+    cluster.runFor(240);
     assertEquals(List.of(), cluster.invariants.violations);
     Map<String, Long> ends =
         all.stream().collect(Collectors.groupingBy(this::reportedStatus, Collectors.counting()));
@@ -178,7 +178,7 @@
     JobSpec root = idleJob(1, 400);
     JobSpec last = idleJob(1, 5, root);
     submit(root, last);
-    cluster.play(10);
+    cluster.runFor(10);
     cluster
         .controllers
         .keySet()
@@ -191,13 +191,13 @@
     cluster.store.prefixWithoutChanges = "ended/";
     List<Integer> status = new ArrayList<>();
     SimulatedController leader = cluster.leader();
-    leader.stall(60);
+    leader.stallDecisions(60);
     List<String> others =
         cluster.controllers.keySet().stream()
             .filter(n -> !n.equals(leader.platform.label()))
             .toList();
     users.cancelAt(new Endpoint(others.get(0), 1), root.uid(), status::add);
-    cluster.play(0.1);
+    cluster.runFor(0.1);
     assertEquals(List.of(200), status);
     long sentMicros = cluster.now();
     Response response = request(others.get(1), "GET", "/submissions/" + last.uid(), null);
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -32,7 +32,7 @@
             InvariantChecker.CANCEL_MICROS,
             limits);
     users = new FakeUsers(cluster);
-    cluster.play(5);
+    cluster.runFor(5);
   }
 
   JobSpec job(
@@ -99,7 +99,7 @@
             body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8),
             (s, json, retry) -> response[0] = new Response(s, json, retry));
     for (int i = 0; i < 400 && response[0] == null; i++) {
-      cluster.play(0.05);
+      cluster.runFor(0.05);
     }
     return response[0];
   }
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -20,7 +20,7 @@
   void invalidDependencyListsAreRefused() {
     JobSpec known = idleJob(1, 300);
     assertEquals(201, submitAt("n0", known).status());
-    cluster.play(1);
+    cluster.runFor(1);
     String validBody = Json.write(idleJob(1, 5).toJson());
     String uid = validBody.substring(validBody.indexOf("job-"), validBody.indexOf("job-") + 10);
     String openBody = validBody.substring(0, validBody.length() - 1);
@@ -58,7 +58,7 @@
         503, response.status(), "unknown dependency during an outage of the state service");
     assertTrue(response.retryAfterS() > 0);
     cluster.store.endOutage();
-    cluster.play(3);
+    cluster.runFor(3);
     assertEquals(404, request("n2", "GET", "/submissions/" + uid, null).status());
     for (String none : List.of("null", "[]")) {
       assertEquals(
@@ -87,14 +87,14 @@
     for (int i = 0; i < 25; i++) {
       JobSpec root = idleJob(1, 300);
       users.submit(root, false);
-      cluster.play(1);
+      cluster.runFor(1);
       JobSpec next = idleJob(1, 5, root);
       dependents.add(next);
       cluster.at(cluster.random.nextInt(20_000), () -> users.cancel(root.uid()));
       cluster.at(cluster.random.nextInt(20_000), () -> users.submit(next, false));
-      cluster.play(1);
+      cluster.runFor(1);
     }
-    cluster.play(20);
+    cluster.runFor(20);
     assertReportedStatus("aborted", dependents.toArray(new JobSpec[0]));
   }
 
@@ -112,13 +112,13 @@
       JobSpec job = job(1, 2, JobSpec.NO_DEADLINE, Priority.STANDARD, List.of());
       roots.add(job);
       users.submit(job, false);
-      cluster.play(0.3);
+      cluster.runFor(0.3);
     }
-    cluster.play(60);
+    cluster.runFor(60);
     // The list names the ended jobs, one running job, and as many stored ends as the body holds.
     JobSpec running = idleJob(1, 60);
     users.submit(running, false);
-    cluster.play(10);
+    cluster.runFor(10);
     Map<String, com.fasterxml.jackson.databind.JsonNode> endedRecords =
         new TreeMap<>(cluster.store.entries("ended/"));
     List<String> dependencyUids = new ArrayList<>(roots.stream().map(JobSpec::uid).toList());
@@ -148,7 +148,7 @@
     Response response = null;
     for (int tries = 0; tries < 12 && (response == null || response.status() == 503); tries++) {
       response = submitAt("n" + tries % 3, last);
-      cluster.play(1);
+      cluster.runFor(1);
     }
     assertEquals(201, response.status(), response.body());
     assertEquals(
@@ -157,10 +157,10 @@
         "transactions that exceed a limit of the state service");
     assertTrue(request("n2", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     cluster.leader().crash(1);
-    cluster.play(15);
+    cluster.runFor(15);
     assertFalse(
         cluster.invariants.hasStarted(last.uid()), "started although a dependency still runs");
-    cluster.play(120);
+    cluster.runFor(120);
     assertTrue(
         request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"done\""));
     assertEquals(List.of(), cluster.invariants.violations);
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -63,14 +63,14 @@
   /** True if requests beyond the rate limit are refused with 429 and counted. */
   boolean limitsRate;
 
-  int refused;
+  int requestsRefused;
   private double tokens = 2 * REQUESTS_PER_S;
   private long refilledMicros;
 
   /** True if rented machines boot within two seconds instead of 5 to 20 s. */
   boolean fastBoots;
 
-  int most = 14;
+  int capacity = 14;
 
   FakeCloud(SimulatedCluster cluster) {
     this.cluster = cluster;
@@ -82,7 +82,7 @@
     for (Vm vm : machines.values()) {
       list.addObject()
           .put("uid", vm.id)
-          .put("endpoint", cluster.workerAt.apply(vm.id).toString())
+          .put("endpoint", cluster.workerEndpoint.apply(vm.id).toString())
           .put("flavor", vm.machineType)
           .put("site", vm.zone)
           .put("loaners", vm.spot)
@@ -110,7 +110,7 @@
         refilledMicros = cluster.now();
       }
       if (limitsRate && tokens < 1) {
-        refused++;
+        requestsRefused++;
         reply.send(429, "{}");
         return;
       }
@@ -159,7 +159,7 @@
   }
 
   /** Adds machines that are already running, for deployments that start with machines. */
-  void provide(int count) {
+  void addRunningMachines(int count) {
     for (int i = 0; i < count; i++) {
       String id = String.format("i-%06d", ++lastMachineNumber);
       Vm vm =
@@ -226,7 +226,7 @@
                         && v.zone.equals(object.path("site").asText())
                         && v.spot == object.path("loaners").asBoolean())
             .count();
-    return rented < Math.max(1, Math.round(most / 8.0));
+    return rented < Math.max(1, Math.round(capacity / 8.0));
   }
 
   /** Returns the number of workers that send their heartbeats to the controller. */
@@ -241,7 +241,7 @@
   void delete(String id) {
     Vm vm = machines.remove(id);
     if (vm != null && vm.worker != null) {
-      vm.worker.die();
+      vm.worker.terminate();
     }
   }
 }
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -455,7 +455,7 @@
           cluster.network.deliverKeptHeartbeats();
         }
         if (change.get("put").asText().equals("office/mandate")) {
-          cluster.network.delegations.onDelegationStored(change.path("data"));
+          cluster.network.delegationChecker.onDelegationStored(change.path("data"));
         }
         if (removedJobField != null && change.path("data").path("job") instanceof ObjectNode job) {
           job.remove(removedJobField);
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -32,7 +32,7 @@
       this.attempt = attempt;
     }
 
-    boolean on() {
+    boolean isRunningOrFlushing() {
       return status.equals("running") || status.equals("flushing");
     }
   }
@@ -50,7 +50,7 @@
   private boolean heartbeatDue;
   private long lastHeartbeatMicros;
   private long nextHeartbeatMicros;
-  private double notice = -1;
+  private double announcePreemption = -1;
   private boolean dead;
   boolean hung;
 
@@ -59,16 +59,16 @@
     this.vm = vm;
     this.leaseStartMicros = cluster.now();
     this.heartbeatTarget = "n" + cluster.random.nextInt(cluster.controllers.size());
-    cluster.network.services.put(cluster.workerAt.apply(vm.id), this);
+    cluster.network.services.put(cluster.workerEndpoint.apply(vm.id), this);
     cluster.at(0, this::heartbeat);
     cluster.at(200_000, this::checkLease);
   }
 
-  void die() {
+  void terminate() {
     dead = true;
     tasks.values().forEach(t -> cluster.invariants.taskEnded(t.name, this));
     tasks.clear();
-    cluster.network.services.remove(cluster.workerAt.apply(vm.id));
+    cluster.network.services.remove(cluster.workerEndpoint.apply(vm.id));
   }
 
   boolean heartbeatsTo(String controller) {
@@ -76,7 +76,7 @@
   }
 
   /** Makes one running task save its progress for some seconds and then continue. */
-  void saveOne(double seconds) {
+  void checkpointOne(double seconds) {
     tasks.values().stream()
         .filter(task -> task.status.equals("running"))
         .findFirst()
@@ -109,8 +109,8 @@
             });
   }
 
-  void notice(double seconds) {
-    notice = seconds;
+  void announcePreemption(double seconds) {
+    announcePreemption = seconds;
     requestHeartbeat();
   }
 
@@ -220,7 +220,7 @@
       leaseStartMicros = Math.max(leaseStartMicros, sent);
       SimulatedController controller = cluster.controllers.get(label);
       if (controller != null && !controller.leads()) {
-        cluster.network.delegations.onDelegatedRenewal(vm.id, incarnation, token);
+        cluster.network.delegationChecker.onDelegatedRenewal(vm.id, incarnation, token);
       }
       execute(object.path("orders"));
     } catch (InvalidMessageException e) {
@@ -320,15 +320,15 @@
     ObjectNode object =
         Json.object()
             .put("host", vm.id)
-            .put("endpoint", cluster.workerAt.apply(vm.id).toString())
+            .put("endpoint", cluster.workerEndpoint.apply(vm.id).toString())
             .put("flavor", vm.machineType)
             .put("site", vm.zone)
             .put("loaners", vm.spot)
             .put("tenure", incarnation)
             .put("tick", ++sequenceNumber)
             .put("baton", fencingToken);
-    if (notice >= 0) {
-      object.put("reclaim_in_s", notice);
+    if (announcePreemption >= 0) {
+      object.put("reclaim_in_s", announcePreemption);
     }
     ArrayNode array = object.putArray("pieces");
     for (Task task : tasks.values()) {
@@ -364,7 +364,7 @@
       reply.send(200, Json.write(status()));
       return;
     }
-    cluster.network.delegations.onCommandsArrived(vm.id, body);
+    cluster.network.delegationChecker.onCommandsArrived(vm.id, body);
     try {
       ObjectNode object = Json.parseObject(body);
       if (object.path("baton").asLong() < fencingToken
--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -20,9 +20,9 @@
             () -> deployment.cluster.store.refusedControllers.add(deployment.leaderLabel()));
         deployment.cluster.at(4_000_000, () -> deployment.users.cancelStartedJobs(3, 0, 0));
         deployment.cluster.at(6_000_000, () -> deployment.cluster.store.outage = true);
-        deployment.cluster.play(8);
+        deployment.cluster.runFor(8);
         int cancelledJobs = deployment.countReported("aborted");
-        deployment.cluster.play(FaultDeployment.CANCEL_S + 6);
+        deployment.cluster.runFor(FaultDeployment.CANCEL_S + 6);
         deployment.endFaults();
         return () -> cancelledJobs > 0 && deployment.cluster.store.refusals.size() == 3;
       }),
@@ -41,7 +41,7 @@
                     .filter(label -> !label.equals(isolatedLeader))
                     .forEach(label -> deployment.cluster.network.cut(label, machineId, true)));
         deployment.cluster.at(4_000_000, () -> deployment.users.cancelStartedJobs(2, 0, 0));
-        deployment.cluster.play(FaultDeployment.LEASE_S + 12);
+        deployment.cluster.runFor(FaultDeployment.LEASE_S + 12);
         boolean anotherLeads = !deployment.leaderLabel().equals(isolatedLeader);
         deployment.endFaults();
         return () -> anotherLeads && zone.size() >= 2;
@@ -49,14 +49,14 @@
   FAST_BOOTS_WITH_LATE_WRITES_AND_A_LEADER_CRASH(
       deployment -> {
         deployment.cluster.cloud.fastBoots = true;
-        deployment.cluster.cloud.most = 30;
+        deployment.cluster.cloud.capacity = 30;
         deployment.cluster.store.lateWriteShare = 0.3;
         int before = deployment.cluster.cloud.machines.size();
         deployment.submitStream(10, 0.3, 6, 20);
-        deployment.cluster.play(3.5);
+        deployment.cluster.runFor(3.5);
         boolean rented = deployment.cluster.cloud.machines.size() > before;
         deployment.cluster.leader().crash(4);
-        deployment.cluster.play(25);
+        deployment.cluster.runFor(25);
         deployment.endFaults();
         return () -> rented && deployment.cluster.store.appliedAfterNewer > 0;
       }),
@@ -77,7 +77,7 @@
               });
         }
         deployment.cluster.at(40_000_000, () -> deployment.cluster.leader().crash(0.3));
-        deployment.cluster.play(95);
+        deployment.cluster.runFor(95);
         deployment.endFaults();
         return () ->
             deployment.jobs.size() - before == 360 && deployment.countReported("aborted") > 20;
@@ -89,12 +89,12 @@
             .controllers
             .values()
             .forEach(controller -> controller.crash(FaultDeployment.LEASE_S + 4));
-        deployment.cluster.play(FaultDeployment.LEASE_S + 3);
+        deployment.cluster.runFor(FaultDeployment.LEASE_S + 3);
         boolean nothingRuns =
             deployment.cluster.controllers.values().stream()
                     .noneMatch(controller -> controller.controller() != null)
                 && deployment.startedJobs(1).stream().noneMatch(deployment::hasActiveTasks);
-        deployment.cluster.play(10);
+        deployment.cluster.runFor(10);
         deployment.endFaults();
         return () -> nothingRuns;
       }),
@@ -111,7 +111,7 @@
                 });
         deployment.submitStream(8, 1, 6, 8);
         deployment.cluster.at(5_000_000, () -> deployment.users.cancelStartedJobs(3, 0, 0));
-        deployment.cluster.play(25);
+        deployment.cluster.runFor(25);
         deployment.endFaults();
         return () -> deployment.metric("direct_commands_unanswered") > 0;
       }),
@@ -122,14 +122,14 @@
             .filter(label -> !label.equals(cutOff))
             .forEach(label -> deployment.cluster.network.cut(cutOff, label, true));
         int reporting = deployment.cluster.cloud.countWorkersSendingTo(cutOff);
-        deployment.cluster.play(5);
+        deployment.cluster.runFor(5);
         String next = deployment.leaderLabel();
         List<Integer> statusCodes = new ArrayList<>();
         deployment
             .startedJobs(3)
             .forEach(
                 uid -> deployment.users.cancelAt(new Endpoint(next, 1), uid, statusCodes::add));
-        deployment.cluster.play(FaultDeployment.LEASE_S + 10);
+        deployment.cluster.runFor(FaultDeployment.LEASE_S + 10);
         deployment.endFaults();
         return () -> reporting > 0 && !next.equals(cutOff) && statusCodes.contains(200);
       }),
@@ -141,7 +141,7 @@
         deployment.cluster.at(3_000_000, () -> deployment.users.cancelStartedJobs(2, 0, 0));
         deployment.submitStream(6, 2, 4, 10);
         deployment.cluster.at(8_000_000, () -> deployment.cluster.leader().crash(2));
-        deployment.cluster.play(FaultDeployment.LEASE_S + 15);
+        deployment.cluster.runFor(FaultDeployment.LEASE_S + 15);
         boolean heartbeatsLost = !deployment.cluster.network.machinesWithLostHeartbeats.isEmpty();
         deployment.endFaults();
         return () -> heartbeatsLost;
@@ -152,7 +152,7 @@
         deployment.users.queryAllControllersOnChange = true;
         deployment.submitStream(10, 2, 4, 6);
         deployment.cluster.at(6_000_000, () -> deployment.users.cancelStartedJobs(3, 0, 0));
-        deployment.cluster.play(40);
+        deployment.cluster.runFor(40);
         deployment.endFaults();
         return () ->
             deployment.cluster.store.appliedUnanswered > 10
@@ -163,25 +163,25 @@
         for (int i = 0; i < 5; i++) {
           deployment.submitOneZone(8, 25);
         }
-        deployment.cluster.play(14);
+        deployment.cluster.runFor(14);
         List<String> lost =
             deployment.machinesIn("a").subList(0, deployment.machinesIn("a").size() / 2);
         lost.forEach(deployment.cluster.cloud::delete);
-        deployment.cluster.play(4);
+        deployment.cluster.runFor(4);
         deployment.cluster.leader().crash(0.2);
-        deployment.cluster.play(20);
+        deployment.cluster.runFor(20);
         deployment.endFaults();
         return () -> !lost.isEmpty();
       }),
   TASKS_END_FAR_APART_ACROSS_A_LEADER_CHANGE(
       deployment -> {
-        deployment.cluster.cloud.most = 3;
+        deployment.cluster.cloud.capacity = 3;
         for (int i = 0; i < 8; i++) {
           deployment.submit("blue", 2 + i % 2, 4, 25, false);
         }
-        deployment.cluster.play(30);
+        deployment.cluster.runFor(30);
         deployment.cluster.leader().crash(2);
-        deployment.cluster.play(40);
+        deployment.cluster.runFor(40);
         int starts = deployment.cluster.invariants.starts;
         deployment.endFaults();
         return () -> starts > 8;
@@ -190,11 +190,11 @@
       deployment -> {
         deployment.cluster.network.heartbeatShareKeptForNextTerm = 0.3;
         deployment.submitStream(8, 2, 5, 10);
-        deployment.cluster.play(20);
+        deployment.cluster.runFor(20);
         deployment.cluster.leader().crash(1);
-        deployment.cluster.play(15);
+        deployment.cluster.runFor(15);
         deployment.cluster.leader().crash(0.2);
-        deployment.cluster.play(20);
+        deployment.cluster.runFor(20);
         deployment.endFaults();
         return () -> deployment.cluster.network.keptHeartbeatsDelivered > 20;
       }),
@@ -207,7 +207,7 @@
               200_000 + 900_000L * i,
               () -> cancelled[0] += deployment.users.cancelStartedJobs(1, 0, 0).size());
         }
-        deployment.cluster.play(8);
+        deployment.cluster.runFor(8);
         deployment.endFaults();
         return () -> cancelled[0] >= 3;
       }),
@@ -215,13 +215,13 @@
       deployment -> {
         String first = deployment.leaderLabel();
         deployment.cluster.leader().crash(0.4);
-        deployment.cluster.play(6);
+        deployment.cluster.runFor(6);
         deployment.cluster.leader().crash(0.4);
-        deployment.cluster.play(6);
+        deployment.cluster.runFor(6);
         deployment.cluster.controllers.values().forEach(SimulatedController::kill);
         deployment.cluster.at(500_000, () -> deployment.cluster.controllers.get(first).start());
         deployment.cluster.at(900_000, () -> deployment.cluster.controllers.get(first).crash(0.1));
-        deployment.cluster.play(12);
+        deployment.cluster.runFor(12);
         boolean leads = deployment.leaderLabel().equals(first);
         deployment
             .cluster
@@ -238,7 +238,7 @@
       }),
   OVERLOAD_OF_MIXED_PRIORITIES_OVER_SLOW_LINKS(
       deployment -> {
-        deployment.cluster.cloud.most = 5;
+        deployment.cluster.cloud.capacity = 5;
         deployment.cluster.network.extraCommandDelayMicros = 900_000;
         deployment.cluster.store.responseDelayMicros = 300_000;
         for (int i = 0; i < 30; i++) {
@@ -247,7 +247,7 @@
               i * 1_500_000L, () -> deployment.submit("blue", priority, 6, 2, 15, false, false));
         }
         deployment.cluster.at(20_000_000, () -> deployment.users.cancelStartedJobs(4, 6, 3));
-        deployment.cluster.play(50);
+        deployment.cluster.runFor(50);
         boolean full =
             deployment.jobs.stream()
                 .anyMatch(j -> !deployment.cluster.invariants.hasStarted(j.uid()));
@@ -266,10 +266,10 @@
                     held.forEach(
                         machineId ->
                             deployment.cluster.network.cuts.put(machineId + ">" + label, true)));
-        deployment.cluster.play(1.5);
+        deployment.cluster.runFor(1.5);
         deployment.cluster.leader().crash(3);
         deployment.submitStream(5, 1, 4, 10);
-        deployment.cluster.play(12);
+        deployment.cluster.runFor(12);
         boolean acts =
             deployment.cluster.controllers.values().stream().anyMatch(SimulatedController::leads);
         deployment.endFaults();
@@ -292,7 +292,7 @@
               });
         }
         deployment.cluster.at(12_000_000, () -> deployment.cluster.leader().crash(0.2));
-        deployment.cluster.play(45);
+        deployment.cluster.runFor(45);
         deployment.endFaults();
         return () ->
             deployment.users.answeredQueries > 100 && deployment.countReported("aborted") > 3;
@@ -312,7 +312,7 @@
         deployment.cluster.at(50_000_000, () -> deployment.cluster.store.outage = true);
         deployment.cluster.at(62_000_000, deployment.cluster.store::endOutage);
         deployment.submitStream(10, 10, 4, 15);
-        deployment.cluster.play(122);
+        deployment.cluster.runFor(122);
         long records =
             deployment.cluster.store.count("fleet/") + deployment.cluster.store.count("begun/");
         deployment.endFaults();
@@ -333,7 +333,7 @@
                 });
         deployment.cluster.leader().crash(5);
         deployment.cluster.at(6_000_000, () -> deployment.users.cancelStartedJobs(2, 0, 0));
-        deployment.cluster.play(FaultDeployment.LEASE_S + 25);
+        deployment.cluster.runFor(FaultDeployment.LEASE_S + 25);
         deployment.endFaults();
         return () -> zoneMachines.size() >= 2;
       }),
@@ -343,13 +343,13 @@
         deployment.submitStream(14, 2, 5, 6);
         deployment.cluster.at(10_000_000, () -> deployment.users.cancelStartedJobs(3, 0, 0));
         deployment.cluster.at(20_000_000, () -> deployment.cluster.leader().crash(1));
-        deployment.cluster.play(55);
+        deployment.cluster.runFor(55);
         deployment.endFaults();
         return () -> deployment.cluster.store.appliedAfterNewer > 10;
       }),
   OLD_HEARTBEATS_ARRIVE_AFTER_NEWER_ONES_AND_INCARNATIONS(
       deployment -> {
-        deployment.cluster.network.copiedHeartbeatShare = 0.6;
+        deployment.cluster.network.duplicatedHeartbeatShare = 0.6;
         deployment.machinesIn("a").stream()
             .limit(2)
             .forEach(
@@ -364,7 +364,7 @@
                       });
                 });
         deployment.submitStream(8, 4, 4, 8);
-        deployment.cluster.play(60);
+        deployment.cluster.runFor(60);
         deployment.endFaults();
         return () -> deployment.metric("heartbeat_copies") > 20;
       }),
@@ -378,7 +378,7 @@
         deployment.cluster.network.cuts.put("*>" + unreachableMachine, true);
         deployment.cluster.leader().crash(3);
         deployment.cluster.at(1_000_000, () -> deployment.users.cancelStartedJobs(2, 0, 0));
-        deployment.cluster.play(FaultDeployment.LEASE_S);
+        deployment.cluster.runFor(FaultDeployment.LEASE_S);
         deployment.endFaults();
         return () -> full;
       }),
@@ -391,7 +391,7 @@
         deployment.cluster.at(
             100_000, () -> cancelled[0] = deployment.users.cancelStartedJobs(4, 14, 6).size());
         deployment.cluster.at(400_000, () -> deployment.cluster.leader().crash(2));
-        deployment.cluster.play(FaultDeployment.LEASE_S + 10);
+        deployment.cluster.runFor(FaultDeployment.LEASE_S + 10);
         deployment.endFaults();
         return () -> full && cancelled[0] >= 2;
       }),
@@ -400,7 +400,7 @@
         deployment.users.cancelAndQueryAtCompletion(0.8);
         deployment.users.queryAllControllersOnChange = true;
         deployment.submitStream(25, 1.2, 2, 5);
-        deployment.cluster.play(60);
+        deployment.cluster.runFor(60);
         deployment.endFaults();
         return () ->
             deployment.countReported("aborted") > 0
@@ -416,7 +416,7 @@
         }
         deployment.submitStream(5, 3, 2, 5);
         deployment.cluster.at(10_000_000, () -> deployment.cluster.leader().crash(1));
-        deployment.cluster.play(40);
+        deployment.cluster.runFor(40);
         deployment.endFaults();
         return () -> sent[0] > 30;
       });
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -17,7 +17,7 @@
  * Tests combinations of simultaneous faults from the operators' list. Each test injects the faults,
  * shows that the faults took effect, and checks that no rule was violated and all jobs were served.
  * The longest combination, cancellations that the leader cannot learn of, has its own test ({@link
- * GapTest}).
+ * UnseenCancellationTest}).
  */
 final class FaultCombinationTest {
   @ParameterizedTest
@@ -58,7 +58,7 @@
               deployment.cluster.random.nextInt(FaultCombination.values().length)];
       combination.scenario.run(deployment);
       // The next combination begins, so the checks for a deployment without faults are off again.
-      deployment.cluster.calmSince = Long.MAX_VALUE;
+      deployment.cluster.faultsEndedAtMicros = Long.MAX_VALUE;
     }
     deployment.endFaults();
     deployment.cluster.invariants.checkJobsServed();
@@ -110,14 +110,14 @@
   @Test
   void theCheckerReportsAJobThatWaitsDespiteFreeCapacity() {
     FaultDeployment deployment = new FaultDeployment(3_002);
-    deployment.cluster.play(120);
-    deployment.cluster.calmSince = deployment.cluster.now();
+    deployment.cluster.runFor(120);
+    deployment.cluster.faultsEndedAtMicros = deployment.cluster.now();
     JobSpec job = TestJob.job(deployment.users.nextUid()).memoryGb(2).runS(5).build();
     deployment.cluster.invariants.submitted.put(job.uid(), job);
     deployment.cluster.invariants.checkResponse(job.uid(), "pending", deployment.cluster.now());
     for (int i = 0; i < 20; i++) {
       deployment.submit("blue", 4, 1, 8, false);
-      deployment.cluster.play(6);
+      deployment.cluster.runFor(6);
     }
     assertTrue(
         deployment.cluster.invariants.violations.stream()
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -33,7 +33,7 @@
     for (int i = 0; i < 8; i++) {
       submit("blue", 5, 2, 30 + 20 * (i % 4), false);
     }
-    cluster.play(45);
+    cluster.runFor(45);
     assertTrue(
         cluster.invariants.starts >= 20,
         "tasks started before the faults: " + cluster.invariants.starts);
@@ -84,7 +84,7 @@
     for (int i = 0; i < 6; i++) {
       submit(team, 12, 2, 40, false);
     }
-    cluster.play(40);
+    cluster.runFor(40);
   }
 
   String leaderLabel() {
@@ -106,7 +106,7 @@
                     && v.worker.tasks.values().stream()
                         .anyMatch(
                             t ->
-                                t.on()
+                                t.isRunningOrFlushing()
                                     && cluster
                                         .invariants
                                         .submitted
@@ -130,7 +130,7 @@
     return cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null)
         .flatMap(v -> v.worker.tasks.values().stream())
-        .anyMatch(t -> t.on() && t.name.startsWith(uid + "/"));
+        .anyMatch(t -> t.isRunningOrFlushing() && t.name.startsWith(uid + "/"));
   }
 
   int countReported(String status) {
@@ -152,7 +152,7 @@
   void endFaults() {
     cluster.network.lostAnswerShare = 0;
     cluster.network.executedLateShare = 0;
-    cluster.network.copiedHeartbeatShare = 0;
+    cluster.network.duplicatedHeartbeatShare = 0;
     cluster.network.heartbeatShareKeptForNextTerm = 0;
     cluster.network.extraCommandDelayMicros = 0;
     cluster.network.machinesWithLostHeartbeats.clear();
@@ -165,8 +165,8 @@
     cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null)
         .forEach(v -> v.worker.hung = false);
-    cluster.cloud.most = Math.max(cluster.cloud.most, 14);
-    cluster.calmSince = cluster.now();
-    cluster.play(260);
+    cluster.cloud.capacity = Math.max(cluster.cloud.capacity, 14);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(260);
   }
 }
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -93,7 +93,7 @@
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       jobs.add(submit(jobOfIndex.apply(i)));
-      cluster.play(pauseS);
+      cluster.runFor(pauseS);
     }
     return jobs;
   }
@@ -101,12 +101,12 @@
   @Test
   void tasksOfAnUnreachableMachineRunElsewhere() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 12, 2, 30, false));
-    cluster.play(35);
+    cluster.runFor(35);
     makeUnreachable(400);
-    cluster.play(150);
+    cluster.runFor(150);
     assertDone(job);
     JobSpec next = submit(job("blue", Priority.STANDARD, 12, 2, 10, false));
-    cluster.play(60);
+    cluster.runFor(60);
     assertDone(next);
   }
 
@@ -118,14 +118,14 @@
   @Test
   void aLeaderFrozenBeyondItsLeaseAnswersNoHeartbeat() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 40, 2, 40, false));
-    cluster.play(40);
+    cluster.runFor(40);
     SimulatedController frozenLeader = cluster.leader();
     frozenLeader.freeze(12);
-    cluster.play(11.9);
+    cluster.runFor(11.9);
     assertTrue(
         cluster.controllers.values().stream().anyMatch(m -> m != frozenLeader && m.leads()),
         "another controller leads before the frozen leader resumes");
-    cluster.play(120);
+    cluster.runFor(120);
     assertDone(job);
   }
 
@@ -138,17 +138,17 @@
   void anUnreachableMachineDelaysAFailoverOnlyBriefly() {
     JobSpec full = submit(job("red", Priority.STANDARD, 24, 2, 60, false));
     JobSpec waiting = submit(job("red", Priority.STANDARD, 10, 2, 10, false));
-    cluster.play(45);
+    cluster.runFor(45);
     makeUnreachable(500);
     // During the cloud outage the leader can't return the machine, so a deletion can't end the
     // wait.
     cluster.cloud.outage = true;
     cluster.leader().crash(3);
-    cluster.play(75);
+    cluster.runFor(75);
     assertTrue(
         cluster.leader().actingLeader().failoverComplete(),
         "the failover has accounted for all machines");
-    cluster.play(150);
+    cluster.runFor(150);
     assertDone(full, waiting);
   }
 
@@ -158,20 +158,20 @@
    */
   @Test
   void lateDuplicatesOfHeartbeatsChangeNothing() {
-    cluster.network.copiedHeartbeatShare = 0.5;
+    cluster.network.duplicatedHeartbeatShare = 0.5;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       cluster.at(
           i * 15_000_000L,
           () -> all.add(submit(job("blue", Priority.STANDARD, 10, 2, 20, size(all) % 2 == 0))));
     }
-    cluster.play(50);
+    cluster.runFor(50);
     cluster.leader().crash(0.2);
-    cluster.play(20);
+    cluster.runFor(20);
     cluster.cloud.machines.keySet().stream().limit(3).toList().forEach(cluster.cloud::delete);
-    cluster.play(10);
+    cluster.runFor(10);
     cluster.leader().crash(6);
-    cluster.play(250);
+    cluster.runFor(250);
     assertEquals(8, all.size());
     assertDone(all.toArray(new JobSpec[0]));
   }
@@ -183,7 +183,7 @@
   /** The second of two equal heartbeats must not renew the lease nor be answered with commands. */
   @Test
   void theLeaderRefusesADuplicateHeartbeat() {
-    cluster.play(20);
+    cluster.runFor(20);
     byte[] heartbeat =
         ("{\"host\":\"i-900000\",\"endpoint\":\"h:9\",\"flavor\":\"small\",\"site\":\"a\",\"loaners\":false,"
              + "\"tenure\":1,\"tick\":7,\"baton\":0,\"pieces\":[]}")
@@ -209,15 +209,15 @@
   @Test
   void aLeaderIsolatedWithItsWorkersIsReplacedAndClosesUserConnections() {
     List<JobSpec> all = submitMany(9, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
-    cluster.play(50);
+    cluster.runFor(50);
     String isolatedLeader = cluster.leader().platform.label();
     for (String other : List.of("state", "n0", "n1", "n2")) {
       if (!other.equals(isolatedLeader)) {
         cluster.network.cut(isolatedLeader, other, true);
       }
     }
-    cluster.calmSince = cluster.now();
-    cluster.play(12);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(12);
     assertNotEquals(isolatedLeader, cluster.leader().platform.label(), "another controller leads");
     int[] up = new int[1];
     boolean[] closed = new boolean[1];
@@ -237,10 +237,10 @@
         null,
         5_000_000,
         a -> closed[0] = a.status() == 503 && a.connectionCloses());
-    cluster.play(5);
+    cluster.runFor(5);
     assertEquals(503, up[0], "an isolated controller must report itself unhealthy");
     assertTrue(closed[0], "the isolated controller must close its users' connections");
-    cluster.play(250);
+    cluster.runFor(250);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -251,12 +251,12 @@
   @Test
   void aLeaderCutOffFromAllWorkersIsReplaced() {
     List<JobSpec> all = submitMany(6, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
-    cluster.play(50);
+    cluster.runFor(50);
     String isolatedLeader = cluster.leader().platform.label();
     cluster.cloud.machines.keySet().forEach(h -> cluster.network.cut(isolatedLeader, h, true));
-    cluster.play(22);
+    cluster.runFor(22);
     assertNotEquals(isolatedLeader, cluster.leader().platform.label(), "another controller leads");
-    cluster.play(250);
+    cluster.runFor(250);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -270,7 +270,7 @@
     List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 90, false));
     JobSpec cancelled = job("blue", Priority.STANDARD, 12, 2, 200, false);
     users.submit(cancelled, false);
-    cluster.play(45);
+    cluster.runFor(45);
     String leader = cluster.leader().platform.label();
     List<String> zoneMachines =
         cluster.cloud.machines.values().stream()
@@ -281,7 +281,7 @@
     zoneMachines.forEach(h -> cluster.network.cut(leader, h, true));
     cluster.at(5_000_000, () -> users.cancel(cancelled.uid()));
     cluster.at(45_000_000, () -> zoneMachines.forEach(h -> cluster.network.cut(leader, h, false)));
-    cluster.play(60);
+    cluster.runFor(60);
     long renewed =
         cluster.controllers.values().stream()
             .mapToLong(m -> m.controller().metrics().counter("leases_renewed_for_leader"))
@@ -292,7 +292,7 @@
         cluster.leader().controller().metrics().counter("attempts_lost"),
         "no task attempt was lost");
     assertEquals(leader, cluster.leader().platform.label());
-    cluster.play(150);
+    cluster.runFor(150);
     assertDone(all.toArray(new JobSpec[0]));
     assertEquals("aborted", cluster.invariants.lastReportedStatus.get(cancelled.uid()));
   }
@@ -304,15 +304,15 @@
   @Test
   void tasksOfAZoneThatNoControllerReachesAreReleased() {
     List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 60, false));
-    cluster.play(45);
+    cluster.runFor(45);
     cluster.cloud.machines.values().stream()
         .filter(v -> v.zone.equals("a") && v.worker != null)
         .forEach(v -> cluster.network.cuts.put(v.id + ">*", true));
-    cluster.play(48);
+    cluster.runFor(48);
     assertTrue(
         cluster.leader().controller().metrics().counter("attempts_lost") > 0,
         "tasks in the unreachable zone are released");
-    cluster.play(200);
+    cluster.runFor(200);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -323,7 +323,7 @@
   @Test
   void aNewLeaderWaitsForLeasesRenewedByDelegates() {
     List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 60, i % 2 == 0));
-    cluster.play(45);
+    cluster.runFor(45);
     String leader = cluster.leader().platform.label();
     List<String> zoneMachines =
         cluster.cloud.machines.values().stream()
@@ -332,7 +332,7 @@
             .toList();
     zoneMachines.forEach(h -> cluster.network.cut(leader, h, true));
     cluster.cloud.outage = true;
-    cluster.play(20);
+    cluster.runFor(20);
     // From now on no controller reaches the zone.
     zoneMachines.forEach(
         h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, true)));
@@ -342,9 +342,9 @@
         () ->
             zoneMachines.forEach(
                 h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, false))));
-    cluster.play(90);
+    cluster.runFor(90);
     cluster.cloud.outage = false;
-    cluster.play(200);
+    cluster.runFor(200);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -355,7 +355,7 @@
    */
   @Test
   void aStateServiceOutageMakesNoControllerUnhealthy() {
-    cluster.play(10);
+    cluster.runFor(10);
     for (String controller : List.of("n0", "n1", "n2")) {
       cluster.network.cut(controller, "state", true);
     }
@@ -367,7 +367,7 @@
             .router()
             .handle("GET", "/up", new byte[0], (s, json, retry) -> seen.add(s));
       }
-      cluster.play(1);
+      cluster.runFor(1);
     }
     assertEquals(List.of(200), seen.stream().distinct().toList());
   }
@@ -380,15 +380,15 @@
   void immediateRestartsStartNoTaskTwice() {
     cluster.network.repeatedShare = 0.05;
     List<JobSpec> all = submitMany(8, i -> job("blue", Priority.STANDARD, 6, 2, 40, i % 2 == 0));
-    cluster.play(40);
+    cluster.runFor(40);
     for (int round = 0; round < 6; round++) {
       cluster.leader().crash(0.15);
       for (SimulatedController controller : cluster.controllers.values()) {
         cluster.at(300_000L * (round + 1), () -> controller.crash(0.1));
       }
-      cluster.play(20);
+      cluster.runFor(20);
     }
-    cluster.play(200);
+    cluster.runFor(200);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -398,14 +398,14 @@
    */
   @Test
   void aLateDuplicateOfADirectCommandStartsNoTask() {
-    cluster.network.copiedCommandShare = 1;
+    cluster.network.duplicatedCommandShare = 1;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       JobSpec job = job("blue", Priority.STANDARD, 6, 2, 90, false);
       all.add(job);
       users.submit(job, true);
     }
-    cluster.play(240);
+    cluster.runFor(240);
     assertEquals(List.of(), cluster.invariants.violations);
     all.forEach(j -> assertEquals("aborted", cluster.invariants.lastReportedStatus.get(j.uid())));
   }
@@ -418,11 +418,11 @@
   @Test
   void anUnansweredDirectCommandHoldsItsTaskUntilTheTokenIsRaised() {
     JobSpec first = submit(job("blue", Priority.STANDARD, 8, 2, 5, false));
-    cluster.play(40);
+    cluster.runFor(40);
     assertDone(first);
     cluster.network.lostCommandResponseShare = 0.7;
     List<JobSpec> all = submitMany(6, 10, i -> job("blue", Priority.STANDARD, 10, 2, 8, false));
-    cluster.play(120);
+    cluster.runFor(120);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -434,7 +434,7 @@
   void aHeartbeatThatCrossesADirectCommandDoesNotProveItLost() {
     cluster.network.extraCommandDelayMicros = 1_200_000;
     List<JobSpec> all = submitMany(10, 8, i -> job("blue", Priority.STANDARD, 10, 2, 8, false));
-    cluster.play(120);
+    cluster.runFor(120);
     assertDone(all.toArray(new JobSpec[0]));
     assertEquals(
         0,
@@ -451,11 +451,11 @@
   @Test
   void noTaskIsRemovedWhileALateDuplicateCouldRestartIt() {
     cluster.network.extraCommandDelayMicros = 1_200_000;
-    cluster.network.copiedCommandShare = 1;
-    cluster.cloud.most = 2;
+    cluster.network.duplicatedCommandShare = 1;
+    cluster.cloud.capacity = 2;
     List<JobSpec> all =
         submitMany(30, 3, i -> job("blue", Priority.STANDARD, 3 + i % 4, 1, 3 + i % 5, false));
-    cluster.play(120);
+    cluster.runFor(120);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -465,13 +465,13 @@
    */
   @Test
   void aLargeJobOfTheLowestPriorityStartsWithinFourMinutes() {
-    cluster.cloud.most = 6;
+    cluster.cloud.capacity = 6;
     for (int i = 0; i < 150; i++) {
       cluster.at(i * 2_000_000L, () -> submit(job("red", Priority.PROD, 6, 2, 20, false)));
     }
-    cluster.play(30);
+    cluster.runFor(30);
     JobSpec large = submit(job("red", Priority.IDLE, 40, 4, 20, true));
-    cluster.play(245);
+    cluster.runFor(245);
     assertTrue(cluster.invariants.hasStarted(large.uid()), "the large job has started");
     assertEquals(List.of(), cluster.invariants.violations);
   }
@@ -483,11 +483,11 @@
   @Test
   void theCheckerReportsUnansweredQueriesAndUnservedJobs() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
-    cluster.play(20);
+    cluster.runFor(20);
     assertFalse(cluster.invariants.lastReportedStatus.isEmpty());
     cluster.controllers.values().forEach(SimulatedController::kill);
-    cluster.calmSince = cluster.now();
-    cluster.play(300);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(300);
     cluster.invariants.checkJobsServed();
     assertTrue(
         cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("forgotten")),
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -154,7 +154,7 @@
     records.remove("ended/job-000002");
     cluster.store.replaceAll("", records);
     cluster.cloud.outage = true;
-    cluster.play(4);
+    cluster.runFor(4);
     Job slow = job(cluster, "job-000002");
     Job next = job(cluster, "job-000003");
     Job last = job(cluster, "job-000004");
@@ -170,7 +170,7 @@
     assertTrue(queryStatus(cluster, "job-000005").contains("\"aborted\""));
     assertTrue(queryStatus(cluster, "job-000004").contains("\"pending\""));
     storeFinalState(cluster, "job-000002");
-    cluster.play(4);
+    cluster.runFor(4);
     assertFalse(
         next.waitsForDependencies() || many.waitsForDependencies(),
         "not released by the end of the last dependency");
@@ -188,10 +188,10 @@
     Map<String, JsonNode> records = records(PRODUCTION, "large-progress.json");
     cluster.store.replaceAll("", records);
     cluster.cloud.outage = true;
-    cluster.play(4);
+    cluster.runFor(4);
     BitSet done = job(cluster, "job-000001").completedTasks();
     assertEquals(
-        FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES).get("job-000001"), done);
+        PreviousVersion.readProgress(cluster.store, CURRENT_VALUE_BYTES).get("job-000001"), done);
     // The first chunk holds 24,192 tasks: base64 of one bit for each task, in 4096 - 64 bytes.
     assertTrue(
         done.length() > 24_192, "highest completed task in the first chunk only: " + done.length());
@@ -224,7 +224,7 @@
             "/submissions/" + uid,
             new byte[0],
             (status, json, retryAfterS) -> response.append(status).append(json));
-    cluster.play(1);
+    cluster.runFor(1);
     return response.toString();
   }
 
@@ -260,12 +260,12 @@
   void delegationRecordsOfOtherVersionRenewNoLease(String version) throws InvalidMessageException {
     SimulatedCluster cluster = cluster(11);
     FakeUsers users = new FakeUsers(cluster);
-    cluster.play(5);
+    cluster.runFor(5);
     for (int i = 0; i < 10; i++) {
       users.submit(
           TestJob.job(users.nextUid()).tasks(8).cores(2).memoryGb(2).runS(90).build(), false);
     }
-    cluster.play(45);
+    cluster.runFor(45);
     String leader = cluster.leader().platform.label();
     List<String> zoneMachines = new ArrayList<>();
     for (FakeCloud.Vm machine : cluster.cloud.machines.values()) {
@@ -274,7 +274,7 @@
       }
     }
     zoneMachines.forEach(machine -> cluster.network.cut(leader, machine, true));
-    cluster.play(25);
+    cluster.runFor(25);
     Map<String, JsonNode> samples = records(version);
     assertEquals(
         fields(samples.get("office/stand-in")),
@@ -293,9 +293,9 @@
         delegatedRenewals(cluster) > 5,
         "leases renewed under the present record: " + delegatedRenewals(cluster));
     cluster.store.overwriteSilently("office/mandate", samples.get("office/mandate"));
-    cluster.play(4);
+    cluster.runFor(4);
     long before = delegatedRenewals(cluster);
-    cluster.play(15);
+    cluster.runFor(15);
     assertEquals(
         before, delegatedRenewals(cluster), "leases renewed under the former version's record");
   }
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -40,27 +40,27 @@
                 new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
             false);
     cluster.cloud.limitsRate = true;
-    cluster.cloud.provide(MACHINES);
+    cluster.cloud.addRunningMachines(MACHINES);
     FakeUsers users = new FakeUsers(cluster);
     for (int i = 0; i < 12; i++) {
       cluster.at(5_000_000L + i * 300_000L, () -> users.submit(400, 2, 40, false));
     }
-    cluster.play(30);
+    cluster.runFor(30);
     assertEquals(MACHINES, recordedMachines(cluster).size());
     assertTrue(
         cluster.leader().controller().metrics().counter("machine_lists_read") >= 2,
         "too few complete machine lists were read");
-    assertEquals(0, cluster.cloud.refused, "requests beyond the cloud's rate limit");
+    assertEquals(0, cluster.cloud.requestsRefused, "requests beyond the cloud's rate limit");
     cluster.leader().crash(3);
-    cluster.play(12);
+    cluster.runFor(12);
     assertTrue(
         cluster.leader().actingLeader().failoverComplete(),
         "failover not complete 12 s after the leader's crash");
-    cluster.calmSince = cluster.now();
-    cluster.play(120);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(120);
     cluster.invariants.checkJobsServed();
     assertEquals(List.of(), cluster.invariants.violations);
     assertTrue(cluster.invariants.starts >= 12 * 400, "starts: " + cluster.invariants.starts);
-    assertFalse(cluster.mostSockets < MACHINES, "sockets: " + cluster.mostSockets);
+    assertFalse(cluster.maxSocketsInUse < MACHINES, "sockets: " + cluster.maxSocketsInUse);
   }
 }
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -112,7 +112,7 @@
     for (int i = 0;
         i < 90 && !"done".equals(cluster.invariants.lastReportedStatus.get(shortJob.uid()));
         i++) {
-      cluster.play(1);
+      cluster.runFor(1);
     }
     assertEquals("done", cluster.invariants.lastReportedStatus.get(shortJob.uid()));
     String leader = cluster.leader().platform.label();
@@ -129,7 +129,7 @@
     long startsSentBefore = sumOfCounter("starts_sent");
     JobSpec cancelled = submit("blue", 24, 100);
     while (sumOfCounter("starts_sent") == startsSentBefore) {
-      cluster.play(0.01);
+      cluster.runFor(0.01);
     }
     setPartition(isolatedController, isolatedMachines, true);
     cluster.network.extraCommandDelayMicros = 0;
@@ -138,7 +138,7 @@
         (long) (PARTITION_S * 1e6),
         () -> setPartition(isolatedController, isolatedMachines, false));
     cluster.at(LEADER_CHANGE_AFTER_MICROS, duringPartition);
-    cluster.play(PARTITION_S - 1);
+    cluster.runFor(PARTITION_S - 1);
     return cancelled;
   }
 
@@ -152,14 +152,14 @@
         "expected more than 20 delegated renewals behind the partition");
     assertTrue(sumOfCounter("direct_commands_unanswered") > 0, "expected unanswered direct starts");
     assertTrue(
-        cluster.network.delegations.invalidatedStarts > 0,
+        cluster.network.delegationChecker.invalidatedStarts > 0,
         "expected delegated renewals to invalidate held starts");
-    cluster.play(60);
+    cluster.runFor(60);
     assertEquals(List.of(), cluster.invariants.violations);
     assertEquals("aborted", cluster.invariants.lastReportedStatus.get(cancelled.uid()));
     assertEquals(leader, cluster.leader().platform.label());
     assertEquals(0, sumOfCounter("attempts_lost"), "attempts lost behind the partition");
-    cluster.play(120);
+    cluster.runFor(120);
     runningJobs.forEach(
         job -> assertEquals("done", cluster.invariants.lastReportedStatus.get(job.uid())));
   }
@@ -172,7 +172,7 @@
   void aStartHeldByAPartitionIsNotExecutedAfterAChangeOfLeader(long seed) {
     JobSpec cancelled = cancelJobDuringPartition(seed, () -> cluster.leader().crash(20));
     assertTrue(cluster.store.term() > 1, "expected a new term after the leader crashed");
-    cluster.play(200);
+    cluster.runFor(200);
     assertEquals(List.of(), cluster.invariants.violations);
     assertEquals("aborted", cluster.invariants.lastReportedStatus.get(cancelled.uid()));
     runningJobs.forEach(
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -217,12 +217,12 @@
 
   /** Checks that queries about accepted jobs are answered in time after all faults have ended. */
   void checkAnswered() {
-    if (cluster.calmSince == Long.MAX_VALUE) {
+    if (cluster.faultsEndedAtMicros == Long.MAX_VALUE) {
       return;
     }
     answeredAt.forEach(
         (uid, at) -> {
-          if (cluster.now() - Math.max(at, cluster.calmSince) > ANSWER_MICROS) {
+          if (cluster.now() - Math.max(at, cluster.faultsEndedAtMicros) > ANSWER_MICROS) {
             addViolation("forgotten", uid + " has had no answered query since " + at / 1e6);
           }
         });
@@ -355,7 +355,7 @@
    * free capacity and the job's team is below its limit.
    */
   void checkWaiting() {
-    if (cluster.calmSince == Long.MAX_VALUE) {
+    if (cluster.faultsEndedAtMicros == Long.MAX_VALUE) {
       return;
     }
     for (JobSpec job : submitted.values()) {
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -31,17 +31,17 @@
                 new PlatformConfiguration.Team("red", 2000, 9000, 0, 0),
                 new PlatformConfiguration.Team("blue", 2000, 0, 0, 0)),
             false);
-    cluster.cloud.most = 1_000;
+    cluster.cloud.capacity = 1_000;
     FakeUsers users = new FakeUsers(cluster);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
       int number = i;
       cluster.at(number * 900_000L, () -> jobs.add(submit(users, number, TASKS)));
     }
-    cluster.play(75);
+    cluster.runFor(75);
     assertLargeFleetRecorded(cluster);
     cluster.leader().crash(5);
-    cluster.play(12);
+    cluster.runFor(12);
     assertTrue(
         cluster.leader().actingLeader().failoverComplete(),
         "failover not complete 12 s after the leader's crash");
@@ -52,12 +52,12 @@
         .stream()
         .filter(h -> cluster.random.nextBoolean())
         .forEach(cluster.cloud::delete);
-    cluster.play(10);
+    cluster.runFor(10);
     cluster.store.outage = true;
-    cluster.play(12);
+    cluster.runFor(12);
     cluster.store.endOutage();
-    cluster.calmSince = cluster.now();
-    cluster.play(360);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(360);
     cluster.invariants.checkJobsServed();
     assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(JOBS, jobs.size());
@@ -84,14 +84,14 @@
                 new PlatformConfiguration.Team("red", 0, 0, 0, 0),
                 new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
             false);
-    cluster.cloud.most = 80;
+    cluster.cloud.capacity = 80;
     FakeUsers users = new FakeUsers(cluster);
     for (int i = 0; i < 300; i++) {
       cluster.at(i * 50_000L, () -> users.submit(40, 2, 60, false));
     }
-    cluster.play(60);
+    cluster.runFor(60);
     long before = cluster.leader().controller().metrics().counter("candidates_evaluated");
-    cluster.play(10);
+    cluster.runFor(10);
     long candidates =
         cluster.leader().controller().metrics().counter("candidates_evaluated") - before;
     // Successive passes are at least 150 ms apart.
@@ -122,7 +122,7 @@
                 new PlatformConfiguration.Team("red", 4000, 14_000, 0, 0),
                 new PlatformConfiguration.Team("blue", 4000, 0, 0, 0)),
             false);
-    cluster.cloud.most = 1_600;
+    cluster.cloud.capacity = 1_600;
     FakeUsers users = new FakeUsers(cluster);
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 110; i++) {
@@ -131,28 +131,28 @@
           number < 70 ? number * 300_000L : 21_000_000L + number * 700_000L,
           () -> jobs.add(submit(users, number, number < 70 ? 140 : 40)));
     }
-    cluster.play(60);
+    cluster.runFor(60);
     assertTrue(cluster.cloud.machines.size() > 1_300, "machines: " + cluster.cloud.machines.size());
     restartControllersInTurn(cluster);
     killAFewMachines(cluster);
     List.copyOf(cluster.controllers.values())
         .forEach(m -> m.crash(1 + cluster.random.nextDouble()));
-    cluster.play(10);
+    cluster.runFor(10);
     long hangS = 2 * FakeWorker.LEASE_MICROS / 1_000_000;
     hangATenthOfTheMachines(cluster, hangS);
-    cluster.play(5);
+    cluster.runFor(5);
     cluster.leader().freeze(15);
-    cluster.play(hangS);
+    cluster.runFor(hangS);
     cutZoneB(cluster);
-    cluster.play(1);
+    cluster.runFor(1);
     cluster.leader().crash(3);
-    cluster.play(FakeWorker.LEASE_MICROS / 1e6 + 10);
+    cluster.runFor(FakeWorker.LEASE_MICROS / 1e6 + 10);
     assertTrue(
         cluster.leader().actingLeader().failoverComplete(),
         "failover not complete 10 s after the end of a lease, with one zone cut off");
     cluster.network.cuts.clear();
-    cluster.calmSince = cluster.now();
-    cluster.play(400);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(400);
     cluster.invariants.checkJobsServed();
     assertEquals(List.of(), cluster.invariants.violations);
     jobs.forEach(
@@ -160,7 +160,8 @@
     assertStateServiceLimitsKept(cluster);
     // One socket for each worker, plus calls in flight. The zones of the users' own deployment have
     // room for 300 sockets more.
-    assertTrue(cluster.mostSockets <= 1_600 + 112, "sockets in use: " + cluster.mostSockets);
+    assertTrue(
+        cluster.maxSocketsInUse <= 1_600 + 112, "sockets in use: " + cluster.maxSocketsInUse);
     long candidates = counterTotal(cluster, "candidates_evaluated");
     long heartbeats = counterTotal(cluster, "heartbeats");
     assertTrue(
@@ -231,7 +232,7 @@
   private static void restartControllersInTurn(SimulatedCluster cluster) {
     for (SimulatedController controller : List.copyOf(cluster.controllers.values())) {
       controller.crash(2);
-      cluster.play(7);
+      cluster.runFor(7);
     }
   }
 
@@ -243,8 +244,8 @@
             .toList();
     running.stream()
         .filter(h -> cluster.random.nextInt(12) == 0)
-        .forEach(h -> cluster.cloud.machines.get(h).worker.die());
-    cluster.play(4);
+        .forEach(h -> cluster.cloud.machines.get(h).worker.terminate());
+    cluster.runFor(4);
   }
 
   private static void hangATenthOfTheMachines(SimulatedCluster cluster, long hangS) {
--- a/src/test/java/plumlever/sim/LoadTestServer.java
+++ b/src/test/java/plumlever/sim/LoadTestServer.java
@@ -72,8 +72,8 @@
                 new PlatformConfiguration.Team("red", 0, 0, 0, 0),
                 new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
             labels);
-    cluster.cloud.most = machines;
-    cluster.workerAt =
+    cluster.cloud.capacity = machines;
+    cluster.workerEndpoint =
         id ->
             new Endpoint(
                 "127.1." + machineNumber(id) / 250 + "." + (machineNumber(id) % 250 + 1),
@@ -132,7 +132,7 @@
   private void step() {
     long now = loop.nowMicros();
     // The simulated clock starts at 1,000 s.
-    cluster.turnTo(now - startedMicros + 1_000_000_000L);
+    cluster.advanceTo(now - startedMicros + 1_000_000_000L);
     for (submitted += jobsPerS * STEP_MICROS / 1e6; submitted >= 1; submitted--) {
       users.submit(20, 2, 20, false);
     }
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -22,13 +22,13 @@
   void stagesRunOneAfterTheOther() {
     List<JobSpec> stages = pipeline();
     users.submitPipeline(stages, false);
-    cluster.play(10);
+    cluster.runFor(10);
     assertEquals("pending", reportedStatus(stages.get(4)));
-    cluster.play(120);
+    cluster.runFor(120);
     assertReportedStatus("done", stages.toArray(new JobSpec[0]));
     List<JobSpec> late = pipeline();
     users.submitPipeline(late, true);
-    cluster.play(120);
+    cluster.runFor(120);
     assertReportedStatus("done", late.toArray(new JobSpec[0]));
   }
 
@@ -50,7 +50,7 @@
             .build()
             .withDependencies(List.of(first.uid()));
     submit(first, large);
-    cluster.play(15);
+    cluster.runFor(15);
     JobSpec other =
         TestJob.job(users.nextUid())
             .jobClass("c1")
@@ -61,10 +61,10 @@
             .runS(5)
             .build();
     users.submit(other, false);
-    cluster.play(50);
+    cluster.runFor(50);
     assertEquals("pending", reportedStatus(large));
     assertReportedStatus("done", other);
-    cluster.play(100);
+    cluster.runFor(100);
     assertReportedStatus("done", large);
   }
 
@@ -80,11 +80,11 @@
     }
     long term = cluster.store.term();
     for (int i = 0; i < 5; i++) {
-      cluster.play(9);
+      cluster.runFor(9);
       cluster.leader().crash(backAfterS);
-      cluster.play(5);
+      cluster.runFor(5);
     }
-    cluster.play(150);
+    cluster.runFor(150);
     assertTrue(cluster.store.term() - term >= 5, "too few changes of the leader");
     assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
@@ -95,7 +95,7 @@
     List<JobSpec> stages = pipeline();
     cluster.store.unansweredWritePrefix = "ended/" + stages.get(0).uid();
     users.submitPipeline(stages, false);
-    cluster.play(120);
+    cluster.runFor(120);
     assertEquals(1, cluster.store.appliedUnanswered);
     assertReportedStatus("done", stages.toArray(new JobSpec[0]));
   }
@@ -113,7 +113,7 @@
       jobs.addAll(stages);
       users.submitPipeline(stages, false);
     }
-    cluster.play(200);
+    cluster.runFor(200);
     assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 
@@ -142,7 +142,7 @@
             .contains("aborted"));
     assertTrue(
         request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
-    cluster.play(120);
+    cluster.runFor(120);
     assertEquals(
         0,
         cluster.store.count("active/"),
@@ -190,13 +190,13 @@
     }
     cluster.network.lostAnswerShare = 0.01;
     cluster.network.repeatedShare = 0.02;
-    cluster.network.copiedHeartbeatShare = 0.02;
+    cluster.network.duplicatedHeartbeatShare = 0.02;
     cluster.store.lateWriteShare = 0.02;
     cluster.store.unansweredWriteShare = 0.02;
     for (int i = 0; i < 12; i++) {
       cluster.at(
           20_000_000L + cluster.random.nextLong(200_000_000L),
-          () -> SimulationTest.trouble(cluster));
+          () -> SimulationTest.injectRandomFault(cluster));
     }
     cluster.at(
         120_000_000,
@@ -204,11 +204,11 @@
           cluster.store.maxValueBytes = 2048;
           cluster.store.maxTransactionOps = 4;
         });
-    cluster.play(240);
+    cluster.runFor(240);
     cluster.store.lateWriteShare = 0;
     cluster.store.unansweredWriteShare = 0;
-    SimulationTest.calm(cluster);
-    cluster.play(300);
+    SimulationTest.endFaults(cluster);
+    cluster.runFor(300);
     cluster.invariants.checkJobsServed();
     assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(
@@ -231,7 +231,7 @@
   void withoutStoredDependenciesJobsStartTooEarly() {
     cluster.store.removedJobField = "waits_on";
     users.submitPipeline(pipeline(), false);
-    cluster.play(80);
+    cluster.runFor(80);
     assertTrue(
         cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("too_early")),
         "the invariant check did not detect the premature start");
@@ -243,20 +243,20 @@
     JobSpec first = idleJob(1, 300);
     JobSpec last = job(1, 10, 400, Priority.HIGH, List.of(first.uid()));
     submit(first, last);
-    cluster.play(10);
+    cluster.runFor(10);
     for (int i = 0; i < 2; i++) {
       plumlever.fleet.Job job = cluster.leader().actingLeader().job(first.uid()).orElseThrow();
-      cluster.play(1);
+      cluster.runFor(1);
       assertEquals(Priority.HIGH, job.priority());
       long remainingMicros = job.deadlineMicros() - job.acceptedMicros();
       assertTrue(
           remainingMicros > 370_000_000L && remainingMicros < 390_000_000L,
           "inherited time to the deadline (400 s less the last job), in us: " + remainingMicros);
       cluster.leader().crash(1);
-      cluster.play(15);
+      cluster.runFor(15);
     }
     assertEquals(200, request("n0", "POST", "/submissions/" + last.uid() + "/abort", "").status());
-    cluster.play(2);
+    cluster.runFor(2);
     assertEquals(
         Priority.IDLE,
         cluster.leader().actingLeader().job(first.uid()).orElseThrow().priority(),
@@ -271,7 +271,7 @@
     assertEquals(201, submitAt("n0", root).status());
     List<JobSpec> jobs = IntStream.range(0, 120).mapToObj(i -> idleJob(1, 1, root)).toList();
     jobs.forEach(j -> users.submit(j, false));
-    cluster.play(150);
+    cluster.runFor(150);
     assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 }
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -57,10 +57,10 @@
             cancelMicros,
             new PlatformConfiguration.StateLimits(400, 60, 4096, 8),
             SHARDS);
-    cluster.cloud.most = 1;
-    cluster.cloud.provide(machines);
+    cluster.cloud.capacity = 1;
+    cluster.cloud.addRunningMachines(machines);
     users = new FakeUsers(cluster);
-    cluster.play(MACHINES_CLAIMED_AFTER_S);
+    cluster.runFor(MACHINES_CLAIMED_AFTER_S);
   }
 
   /** Submits a job with one core per task to a controller; its shard becomes the job's shard. */
@@ -113,7 +113,8 @@
     FakeCloud.Vm vm = cluster.cloud.machines.get(machine);
     return vm == null || vm.worker == null
         ? 0
-        : (int) vm.worker.tasks.values().stream().filter(FakeWorker.Task::on).count();
+        : (int)
+            vm.worker.tasks.values().stream().filter(FakeWorker.Task::isRunningOrFlushing).count();
   }
 
   FakeWorker worker(String machine) {
@@ -161,8 +162,8 @@
     cluster.network.cuts.clear();
     cluster.store.refusedControllers.clear();
     cluster.store.controllersWithoutWatches.clear();
-    cluster.calmSince = cluster.now();
-    cluster.play(seconds);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(seconds);
     assertEquals(List.of(), cluster.invariants.violations);
     for (JobSpec job : jobs) {
       String expected = cluster.invariants.cancelledAt.containsKey(job.uid()) ? "aborted" : "done";
--- a/src/test/java/plumlever/sim/PreemptionTest.java
+++ b/src/test/java/plumlever/sim/PreemptionTest.java
@@ -23,7 +23,7 @@
 
   @BeforeEach
   void limitFleetSize() {
-    cluster.cloud.most = 2;
+    cluster.cloud.capacity = 2;
   }
 
   private JobSpec submit(
@@ -49,9 +49,9 @@
   @Test
   void checkpointingTaskIsPreemptedForUrgentDeadline() {
     submit(Priority.IDLE, 200, LONG_RUN_S, 10, JobSpec.NO_DEADLINE);
-    cluster.play(150);
+    cluster.runFor(150);
     JobSpec urgent = submit(Priority.PROD, 1, 10, 0, 60);
-    cluster.play(40);
+    cluster.runFor(40);
     assertTrue(preempted() > 0, "at least one task is preempted");
     assertTrue(cluster.invariants.hasStarted(urgent.uid()), "the urgent job has started");
     assertEquals(List.of(), cluster.invariants.violations);
@@ -60,18 +60,18 @@
   @Test
   void taskWithoutCheckpointsIsNotPreempted() {
     submit(Priority.IDLE, 200, LONG_RUN_S, 0, JobSpec.NO_DEADLINE);
-    cluster.play(150);
+    cluster.runFor(150);
     submit(Priority.PROD, 1, 10, 0, 60);
-    cluster.play(40);
+    cluster.runFor(40);
     assertEquals(0, preempted());
   }
 
   @Test
   void taskOfSamePriorityIsNotPreempted() {
     submit(Priority.PROD, 200, LONG_RUN_S, 10, JobSpec.NO_DEADLINE);
-    cluster.play(150);
+    cluster.runFor(150);
     submit(Priority.PROD, 1, 10, 0, 60);
-    cluster.play(40);
+    cluster.runFor(40);
     assertEquals(0, preempted());
   }
 }
--- a/src/test/java/plumlever/sim/FormerVersion.java
+++ b/src/test/java/plumlever/sim/PreviousVersion.java
@@ -13,17 +13,17 @@
  * previous version knows no limits that were added later, fills shared values up to the current
  * size limit, and drops every field that it does not know.
  */
-final class FormerVersion {
+final class PreviousVersion {
   private final FakeStore store;
   private final int valueBytes;
 
-  FormerVersion(FakeStore store, int valueBytes) {
+  PreviousVersion(FakeStore store, int valueBytes) {
     this.store = store;
     this.valueBytes = valueBytes;
   }
 
   /** Rewrites the records as a leader of the previous version does in its term. */
-  void leads() {
+  void rewriteRecords() {
     rewriteStartedJobs();
     rewriteMachines();
     rewriteSharedChunks();
@@ -119,7 +119,7 @@
   }
 
   /** Returns the finished tasks of each job as the previous version would read them. */
-  static Map<String, BitSet> progressItReads(FakeStore store, int valueBytes) {
+  static Map<String, BitSet> readProgress(FakeStore store, int valueBytes) {
     Map<String, BitSet> records = new LinkedHashMap<>();
     // One bit for each task, stored as base64; 64 bytes are reserved for the rest of the value.
     int perChunk = (valueBytes - 64) / 4 * 3 * 8;
--- a/src/test/java/plumlever/sim/Processor.java
+++ b/src/test/java/plumlever/sim/Processor.java
@@ -35,7 +35,7 @@
       long startMicros,
       double coldFactor,
       long warmAfterMicros) {
-    static Costs little() {
+    static Costs smallShare() {
       return new Costs(1_500, 3_000, 2_000, 100, 4, 3_000_000, 20, 12_000_000);
     }
   }
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -48,12 +48,12 @@
 
     void run() {
       cluster.at(0, this::submitNext);
-      cluster.play(40);
+      cluster.runFor(40);
       cluster.network.heldCommandShare = 0.02;
       cluster.network.heldCommandMicros = InvariantChecker.CANCEL_MICROS * 3 / 2;
-      cluster.network.copiedHeartbeatShare = 0.01;
+      cluster.network.duplicatedHeartbeatShare = 0.01;
       cluster.at(0, this::injectNextFault);
-      cluster.play(FAULT_PHASE_S);
+      cluster.runFor(FAULT_PHASE_S);
       faultsEnabled = false;
       cluster.network.cuts.clear();
       cluster.network.heldCommandShare = 0;
@@ -62,8 +62,8 @@
       cluster.cloud.machines.values().stream()
           .filter(vm -> vm.worker != null)
           .forEach(vm -> vm.worker.hung = false);
-      cluster.calmSince = cluster.now();
-      cluster.play(RECOVERY_PHASE_S);
+      cluster.faultsEndedAtMicros = cluster.now();
+      cluster.runFor(RECOVERY_PHASE_S);
     }
 
     private void submitNext() {
@@ -220,7 +220,7 @@
         violationsBySeed.put(seed, simulation.cluster.invariants.violations.subList(0, 1));
       }
       renewed += simulation.sumOfCounter("leases_renewed_for_leader");
-      invalidated += simulation.cluster.network.delegations.invalidatedStarts;
+      invalidated += simulation.cluster.network.delegationChecker.invalidatedStarts;
       cancelled += simulation.cluster.invariants.cancelledAt.size();
       startsAfterCancel += simulation.cluster.invariants.startsAfterCancel;
     }
--- a/src/test/java/plumlever/sim/SharingBenchmark.java
+++ b/src/test/java/plumlever/sim/SharingBenchmark.java
@@ -51,19 +51,19 @@
             InvariantChecker.CANCEL_MICROS,
             new PlatformConfiguration.StateLimits(300, 40, 16_384, 12),
             shards);
-    cluster.mostMoving = maxTransfers;
-    cluster.cloud.most = 1;
-    cluster.cloud.provide(machines);
+    cluster.maxTransfers = maxTransfers;
+    cluster.cloud.capacity = 1;
+    cluster.cloud.addRunningMachines(machines);
     users = new FakeUsers(cluster);
   }
 
   /** Prevents transfers: shards with different sharing files do not transfer machines. */
   private void disableSharing() {
     for (SharingSettings.Shard shard : PoolScenario.SHARDS) {
-      cluster.digests.put(shard.name(), shard.name());
+      cluster.sharingDigestByShard.put(shard.name(), shard.name());
       cluster.shard(shard.name()).forEach(controller -> controller.crash(0.5));
     }
-    cluster.play(30);
+    cluster.runFor(30);
   }
 
   private void submit(int phase) {
@@ -89,7 +89,7 @@
   }
 
   private void run(int machines) {
-    cluster.play(60);
+    cluster.runFor(60);
     if (mode.equals("fixed")) {
       disableSharing();
     }
@@ -101,7 +101,7 @@
       phaseReports.add(runPhase(phase, machines));
     }
     long transfers = counterTotal("machines_taken") - takenBefore;
-    cluster.play(120);
+    cluster.runFor(120);
     int ownerRecordBytes = 0;
     for (JsonNode value : cluster.store.values("pool/owners/")) {
       ownerRecordBytes += Json.write(value).length();
@@ -134,7 +134,7 @@
     long firstStart = -1;
     long allDone = -1;
     while (cluster.now() - startMicros < PHASE_S * 1e6) {
-      cluster.play(0.5);
+      cluster.runFor(0.5);
       if (firstTransfer < 0 && counterTotal("machines_taken") > takenBefore) {
         firstTransfer = cluster.now() - startMicros;
       }
@@ -190,7 +190,9 @@
         .filter(vm -> ownersBefore.getOrDefault(vm.id, shard) != shard)
         .flatMap(vm -> vm.worker.tasks.values().stream())
         .anyMatch(
-            task -> task.on() && uids.contains(task.name.substring(0, task.name.indexOf('/'))));
+            task ->
+                task.isRunningOrFlushing()
+                    && uids.contains(task.name.substring(0, task.name.indexOf('/'))));
   }
 
   private static String seconds(long micros) {
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -33,7 +33,7 @@
     cluster = pool.cluster;
     pool.submit("n0", 10, seconds);
     pool.submit("n0", 10, seconds);
-    cluster.play(9);
+    cluster.runFor(9);
     machine = pool.machinesWithTasks(SOURCE).get(0);
     assertTrue(pool.runningTasks(machine) > 0, "no task runs on " + machine);
   }
@@ -44,7 +44,7 @@
 
   /** An event of a task while its machine is transferred. */
   enum TaskEvent {
-    SAVES_CHECKPOINT((pool, machine) -> pool.worker(machine).saveOne(4)),
+    SAVES_CHECKPOINT((pool, machine) -> pool.worker(machine).checkpointOne(4)),
     COMPLETES((pool, machine) -> pool.worker(machine).endOne("done")),
     FAILS((pool, machine) -> pool.worker(machine).endOne("error")),
     IS_CANCELLED((pool, machine) -> pool.cancel("n1", pool.jobs.get(0), status -> {}));
@@ -63,7 +63,7 @@
       startWithRunningTasks(30 + offset, 25);
       pool.beforeTransferStep(1 + offset % 2, () -> event.action.accept(pool, machine));
       pool.transfer(SOURCE, machine, TARGET);
-      cluster.play(3);
+      cluster.runFor(3);
       assertOwnedByTarget();
       pool.assertAllJobsEnd(150);
       if (event == TaskEvent.SAVES_CHECKPOINT) {
@@ -77,11 +77,11 @@
     startWithRunningTasks(1, 40);
     int before = pool.runningTasks(machine);
     pool.transfer(SOURCE, machine, TARGET);
-    cluster.play(2);
+    cluster.runFor(2);
     assertOwnedByTarget();
     assertEquals(before, pool.runningTasks(machine), "running tasks after the transfer");
     JobSpec other = pool.submit("n2", 30, 10);
-    cluster.play(10);
+    cluster.runFor(10);
     boolean mixed =
         pool.worker(machine).tasks.values().stream()
             .anyMatch(task -> task.name.startsWith(other.uid()));
@@ -94,11 +94,11 @@
   void transfersInOppositeDirectionsOverlap() {
     startWithRunningTasks(2, 30);
     pool.submit("n2", 20, 30);
-    cluster.play(9);
+    cluster.runFor(9);
     String other = pool.machinesWithTasks(TARGET).get(0);
     pool.transfer(SOURCE, machine, TARGET);
     pool.transfer(TARGET, other, SOURCE);
-    cluster.play(3);
+    cluster.runFor(3);
     assertOwnedByTarget();
     assertEquals(SOURCE, pool.ownerOf(other));
     pool.assertAllJobsEnd(150);
@@ -110,12 +110,12 @@
     startWithRunningTasks(3, 45);
     pool.transfer(SOURCE, machine, TARGET);
     pool.transferWhenPossible(TARGET, machine, SOURCE);
-    cluster.play(4);
+    cluster.runFor(4);
     assertEquals(SOURCE, pool.ownerOf(machine));
     pool.transferWhenPossible(SOURCE, machine, THIRD);
-    cluster.play(4);
+    cluster.runFor(4);
     pool.transferWhenPossible(THIRD, machine, TARGET);
-    cluster.play(4);
+    cluster.runFor(4);
     assertOwnedByTarget();
     assertTrue(pool.runningTasks(machine) > 0, "no task runs after the transfers");
     pool.assertAllJobsEnd(150);
@@ -145,7 +145,7 @@
             }
           });
       pool.transfer(SOURCE, machine, TARGET);
-      cluster.play(20);
+      cluster.runFor(20);
       String owner = pool.ownerOf(machine);
       assertTrue(owner.equals(SOURCE) || owner.equals(TARGET), "unexpected owner: " + owner);
       pool.assertAllJobsEnd(200);
@@ -160,7 +160,7 @@
       startWithRunningTasks(50 + step, 30);
       pool.beforeTransferStep(step, () -> cluster.leader(shard).freeze(seconds));
       pool.transfer(SOURCE, machine, TARGET);
-      cluster.play(seconds + 10);
+      cluster.runFor(seconds + 10);
       pool.assertAllJobsEnd(200);
       pool.assertEveryTaskStartedOnce();
     }
@@ -201,7 +201,7 @@
       startWithRunningTasks(60 + step, 30);
       pool.beforeTransferStep(step, () -> setPartitioned(shard, link, true));
       pool.transfer(SOURCE, machine, TARGET);
-      cluster.play(15);
+      cluster.runFor(15);
       setPartitioned(shard, link, false);
       pool.assertAllJobsEnd(250);
     }
@@ -212,13 +212,13 @@
     for (int seed = 70; seed < 74; seed++) {
       pool = new PoolScenario(seed, 0, 9);
       cluster = pool.cluster;
-      cluster.network.copiedCommandShare = 1;
+      cluster.network.duplicatedCommandShare = 1;
       pool.submit("n0", 10, 12);
       pool.submit("n0", 10, 12);
-      cluster.play(9);
+      cluster.runFor(9);
       machine = pool.machinesWithTasks(SOURCE).get(0);
       pool.transferWhenPossible(SOURCE, machine, TARGET);
-      cluster.play(20);
+      cluster.runFor(20);
       assertOwnedByTarget();
       pool.submit("n2", 20, 12);
       pool.assertAllJobsEnd(200);
@@ -229,13 +229,13 @@
   @Test
   void lateDuplicateHeartbeatsReachFormerOwner() {
     startWithRunningTasks(75, 25);
-    cluster.network.copiedHeartbeatShare = 1;
+    cluster.network.duplicatedHeartbeatShare = 1;
     pool.transfer(SOURCE, machine, TARGET);
-    cluster.play(60);
+    cluster.runFor(60);
     pool.submit("n0", 20, 10);
     pool.submit("n2", 20, 10);
-    cluster.play(30);
-    cluster.network.copiedHeartbeatShare = 0;
+    cluster.runFor(30);
+    cluster.network.duplicatedHeartbeatShare = 0;
     pool.assertAllJobsEnd(200);
     pool.assertEveryTaskStartedOnce();
   }
@@ -247,7 +247,7 @@
     pool.beforeTransferStep(2, () -> worker.hung = true);
     pool.transfer(SOURCE, machine, TARGET);
     cluster.at(2 * FakeWorker.LEASE_MICROS, () -> worker.hung = false);
-    cluster.play(60);
+    cluster.runFor(60);
     pool.assertAllJobsEnd(250);
   }
 
@@ -255,9 +255,9 @@
   @ValueSource(ints = {1, 2})
   void machineFailsDuringTransfer(int step) {
     startWithRunningTasks(77, 25);
-    pool.beforeTransferStep(step, () -> pool.worker(machine).die());
+    pool.beforeTransferStep(step, () -> pool.worker(machine).terminate());
     pool.transfer(SOURCE, machine, TARGET);
-    cluster.play(60);
+    cluster.runFor(60);
     pool.assertAllJobsEnd(250);
   }
 
@@ -268,11 +268,11 @@
     pool.beforeTransferStep(
         step,
         () -> {
-          pool.worker(machine).notice(6);
+          pool.worker(machine).announcePreemption(6);
           cluster.at(6_000_000, () -> cluster.cloud.delete(machine));
         });
     pool.transfer(SOURCE, machine, TARGET);
-    cluster.play(60);
+    cluster.runFor(60);
     pool.assertAllJobsEnd(250);
   }
 
@@ -288,10 +288,10 @@
     pool = new PoolScenario(79, 0, 9, assumedCancelMicros);
     cluster = pool.cluster;
     JobSpec job = pool.submit("n0", 12, 300);
-    cluster.play(9);
+    cluster.runFor(9);
     machine = pool.machinesWithTasks(SOURCE).get(0);
     pool.transfer(SOURCE, machine, TARGET);
-    cluster.play(6);
+    cluster.runFor(6);
     assertOwnedByTarget();
     String owner = cluster.leader(TARGET).platform.label();
     cluster.store.controllersWithoutWatches.add(owner);
@@ -299,12 +299,12 @@
         .shard(SOURCE)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), owner, true));
     // Waits until the watches that were already open have ended.
-    cluster.play(11);
+    cluster.runFor(11);
     List<Integer> statuses = new ArrayList<>();
     pool.cancel("n1", job, statuses::add);
-    cluster.play(1);
+    cluster.runFor(1);
     assertEquals(List.of(200), statuses);
-    cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 10);
+    cluster.runFor(InvariantChecker.CANCEL_MICROS / 1e6 + 10);
   }
 
   @Test
@@ -350,7 +350,7 @@
         .shard(TARGET)
         .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, true));
     pool.transfer(SOURCE, machine, TARGET);
-    cluster.play(12);
+    cluster.runFor(12);
     assertOwnedByTarget();
     assertTrue(sourceLeader.leads(), "the source leader lost leadership");
     long[] status = new long[1];
@@ -378,10 +378,10 @@
     cluster.shard(THIRD).forEach(controller -> controller.crash(0.5));
     List<SimulatedController> stopped = cluster.shard(SOURCE);
     stopped.forEach(SimulatedController::kill);
-    cluster.play(130);
+    cluster.runFor(130);
     assertFalse(pool.ownerOf(machine).equals(SOURCE), "the machine was not adopted");
     pool.submit("n2", 30, 10);
-    cluster.play(40);
+    cluster.runFor(40);
     stopped.forEach(SimulatedController::start);
     pool.assertAllJobsEnd(300);
   }
@@ -389,11 +389,11 @@
   @Test
   void shardsWithDifferentSharingFilesDoNotTransferMachines() {
     startWithRunningTasks(82, 20);
-    cluster.digests.put(TARGET, "another");
+    cluster.sharingDigestByShard.put(TARGET, "another");
     cluster.shard(TARGET).forEach(controller -> controller.crash(0.5));
-    cluster.play(10);
+    cluster.runFor(10);
     pool.transfer(SOURCE, machine, TARGET);
-    cluster.play(20);
+    cluster.runFor(20);
     assertEquals(SOURCE, pool.ownerOf(machine), "owner after the offer was withdrawn");
     pool.assertAllJobsEnd(150);
     pool.assertEveryTaskStartedOnce();
@@ -408,12 +408,12 @@
   void controllersWithoutSharingFileNeitherLeadNorServeUsers() {
     startWithRunningTasks(83, 60);
     pool.transfer(SOURCE, machine, TARGET);
-    cluster.play(3);
+    cluster.runFor(3);
     assertOwnedByTarget();
     List<SimulatedController> restarted = cluster.shard(TARGET);
-    cluster.digests.put(TARGET, "none");
+    cluster.sharingDigestByShard.put(TARGET, "none");
     restarted.forEach(controller -> controller.crash(0.5));
-    cluster.play(20);
+    cluster.runFor(20);
     assertTrue(restarted.stream().noneMatch(SimulatedController::leads), "a controller leads");
     int[] status = new int[1];
     restarted
@@ -426,7 +426,7 @@
             new byte[0],
             (code, json, retry) -> status[0] = code);
     assertEquals(503, status[0], "status query for a job that the controller cannot know");
-    cluster.digests.clear();
+    cluster.sharingDigestByShard.clear();
     restarted.forEach(controller -> controller.crash(0.5));
     pool.assertAllJobsEnd(250);
   }
@@ -437,7 +437,7 @@
     cluster = pool.cluster;
     for (String controller : List.of("n0", "n2", "n4")) {
       pool.submit(controller, "red", 40, 6);
-      cluster.play(25);
+      cluster.runFor(25);
     }
     assertTrue(
         cluster.controllers.values().stream()
@@ -459,7 +459,7 @@
   void coresMovedWithoutResponseAreNotUsed() {
     pool = new PoolScenario(86, 24, 12);
     cluster = pool.cluster;
-    cluster.play(20);
+    cluster.runFor(20);
     pool.submit("n2", "red", 24, 40);
     pool.submit("n4", "red", 8, 40);
     cluster.store.interventionPrefix = "pool/limits/";
@@ -472,7 +472,7 @@
           pool.submit("n0", "red", 8, 20);
           cluster.at(4_000_000, () -> cluster.store.prefixWithoutChanges = null);
         };
-    cluster.play(60);
+    cluster.runFor(60);
     assertTrue(cluster.store.appliedUnanswered > 0, "no applied transaction without a response");
     pool.assertAllJobsEnd(250);
   }
@@ -482,10 +482,10 @@
     startWithRunningTasks(85, 15);
     pool.users.queryAllControllersOnChange = true;
     JobSpec job = pool.submit("n4", 6, 5);
-    cluster.play(6);
+    cluster.runFor(6);
     List<Integer> statuses = new ArrayList<>();
     pool.cancel("n2", job, statuses::add);
-    cluster.play(2);
+    cluster.runFor(2);
     assertEquals(List.of(200), statuses, "cancelled through a controller of another shard");
     pool.assertAllJobsEnd(120);
     assertTrue(pool.users.answeredQueries > 0, "no status query of the users was answered");
--- a/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
@@ -42,8 +42,8 @@
             InvariantChecker.CANCEL_MICROS,
             new PlatformConfiguration.StateLimits(400, 60, 4096, 8),
             PoolScenario.SHARDS);
-    cluster.cloud.most = 20;
-    cluster.cloud.provide(6);
+    cluster.cloud.capacity = 20;
+    cluster.cloud.addRunningMachines(6);
     return cluster;
   }
 
@@ -80,18 +80,18 @@
     cluster.network.lostAnswerShare = 0.01;
     cluster.network.executedLateShare = 0.005;
     cluster.network.repeatedShare = 0.02;
-    cluster.network.copiedHeartbeatShare = 0.02;
+    cluster.network.duplicatedHeartbeatShare = 0.02;
     for (int i = 0; i < 16; i++) {
       cluster.at(
           20_000_000L + cluster.random.nextLong(240_000_000L),
-          () -> SimulationTest.trouble(cluster));
+          () -> SimulationTest.injectRandomFault(cluster));
     }
     for (int i = 0; i < 90; i++) {
       cluster.at(15_000_000L + i * 3_000_000L, () -> transferRandomMachine(cluster));
     }
-    cluster.play(300);
-    SimulationTest.calm(cluster);
-    cluster.play(400);
+    cluster.runFor(300);
+    SimulationTest.endFaults(cluster);
+    cluster.runFor(400);
     assertTrue(
         transferAndTermCount(cluster) >= 5,
         "machine transfers and leader terms: " + transferAndTermCount(cluster));
--- a/src/test/java/plumlever/sim/SharingTest.java
+++ b/src/test/java/plumlever/sim/SharingTest.java
@@ -13,7 +13,7 @@
       for (int i = 0; i < 8; i++) {
         pool.submit("n" + 2 * round, 12, 25);
       }
-      pool.cluster.play(40);
+      pool.cluster.runFor(40);
     }
     pool.assertAllJobsEnd(200);
     long taken =
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -45,28 +45,28 @@
    * Highest number of sockets in use at one controller so far: connections of its workers and open
    * direct calls.
    */
-  int mostSockets;
+  int maxSocketsInUse;
 
   /** Processor costs of the controllers' work; null if work costs no time. */
   Processor.Costs costs;
 
   /** Maps a machine id to the endpoint at which the machine's worker receives direct calls. */
-  Function<String, Endpoint> workerAt = id -> new Endpoint(id, 9);
+  Function<String, Endpoint> workerEndpoint = id -> new Endpoint(id, 9);
 
   /**
    * When all injected faults ended. From then on queries about jobs must be answered in time, and
    * no job may wait for long while a suitable machine has free capacity.
    */
-  long calmSince = Long.MAX_VALUE;
+  long faultsEndedAtMicros = Long.MAX_VALUE;
 
   /**
    * Digest of the sharing file by shard, for shards whose controllers start with a different
    * sharing file; the value "none" means without a sharing file.
    */
-  final Map<String, String> digests = new HashMap<>();
+  final Map<String, String> sharingDigestByShard = new HashMap<>();
 
   /** Maximum number of machine transfers in progress per shard. */
-  int mostMoving = 8;
+  int maxTransfers = 8;
 
   /** Time after which other shards adopt the machines of a shard without a leader. */
   long adoptAfterMicros = 600_000_000;
@@ -131,7 +131,7 @@
 
   /**
    * Creates only the emulators, for controllers that run as separate processes. The caller advances
-   * the clock with {@link #turnTo}.
+   * the clock with {@link #advanceTo}.
    */
   SimulatedCluster(
       long seed, List<PlatformConfiguration.Team> teams, Set<String> controllersElsewhere) {
@@ -197,12 +197,12 @@
   }
 
   /** Advances the clock by the given time and checks the rules after every event. */
-  public void play(double seconds) {
+  public void runFor(double seconds) {
     events.runUntil(now() + (long) (seconds * 1e6), this::checkAfterEvent);
   }
 
   /** Runs all events that are due by the given time, without the checks after every event. */
-  void turnTo(long micros) {
+  void advanceTo(long micros) {
     events.runUntil(micros, number -> {});
   }
 
@@ -257,7 +257,7 @@
   }
 
   void recordSockets(int inUse) {
-    mostSockets = Math.max(mostSockets, inUse);
+    maxSocketsInUse = Math.max(maxSocketsInUse, inUse);
   }
 
   boolean hasOneShard() {
@@ -269,16 +269,16 @@
     return shards.stream()
         .filter(shard -> shard.controllers().contains(label))
         .findFirst()
-        .filter(own -> !digests.getOrDefault(own.name(), "").equals("none"))
+        .filter(own -> !sharingDigestByShard.getOrDefault(own.name(), "").equals("none"))
         .map(
             own ->
                 new SharingSettings(
                     1_000_000,
-                    mostMoving,
+                    maxTransfers,
                     adoptAfterMicros,
                     shards,
                     own,
-                    digests.getOrDefault(own.name(), "same")));
+                    sharingDigestByShard.getOrDefault(own.name(), "same")));
   }
 
   private String shardOf(SimulatedController controller) {
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -24,7 +24,7 @@
    * True if the election has its own thread. Tests set the field to false to show the effect of a
    * shared thread.
    */
-  boolean electionApart = true;
+  boolean separateElectionThread = true;
 
   private final SimulatedCluster cluster;
   private Controller controller;
@@ -76,7 +76,9 @@
             1,
             () -> controller == null ? 0 : controller.metrics().counter("candidates_evaluated"));
     electionThread =
-        electionApart ? new Processor(cluster, cluster.costs, 2, () -> 0L) : decisionThread;
+        separateElectionThread
+            ? new Processor(cluster, cluster.costs, 2, () -> 0L)
+            : decisionThread;
     EventLoop loop = loop(ownProcessNumber, decisionThread);
     EventLoop electionLoop = loop(ownProcessNumber, electionThread);
     controller =
@@ -272,7 +274,7 @@
   }
 
   /** Blocks the decision thread; the election thread continues. */
-  void stall(double seconds) {
+  void stallDecisions(double seconds) {
     stalledUntil = cluster.now() + (long) (seconds * 1e6);
   }
 
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -73,7 +73,7 @@
   double repeatedShare;
 
   /** Share of direct commands of which two late duplicates are delivered. */
-  double copiedCommandShare;
+  double duplicatedCommandShare;
 
   /** Additional delivery delay of direct commands. */
   long extraCommandDelayMicros;
@@ -87,7 +87,7 @@
   double lostCommandResponseShare;
 
   /** Share of heartbeats of which a late duplicate is delivered to any controller. */
-  double copiedHeartbeatShare;
+  double duplicatedHeartbeatShare;
 
   /**
    * Share of heartbeats of which a duplicate is kept and delivered to every controller when a new
@@ -101,7 +101,7 @@
   /** Machines whose heartbeats reach no controller, while direct commands reach the machines. */
   final Set<String> machinesWithLostHeartbeats = new HashSet<>();
 
-  final DelegationChecker delegations;
+  final DelegationChecker delegationChecker;
 
   private final EventQueue events;
   private final SplittableRandom random;
@@ -121,7 +121,7 @@
     this.events = events;
     this.random = random;
     this.controllers = controllers;
-    this.delegations = delegations;
+    this.delegationChecker = delegations;
     this.checkDelegations = checkDelegations;
   }
 
@@ -178,14 +178,14 @@
     FirstResponse firstResponse = new FirstResponse(response);
     events.at(timeoutMicros, () -> firstResponse.take(Response.NONE));
     if (message.isCommand() && checkDelegations) {
-      delegations.onCommandsSent(to.host(), body);
+      delegationChecker.onCommandsSent(to.host(), body);
     }
     boolean responseIsLost =
         random.nextDouble() < lostAnswerShare
             || (message.isCommand() && random.nextDouble() < lostCommandResponseShare);
     long delayMicros = delayMicros(message);
     Reply reply = new NetworkReply(message, responseIsLost, firstResponse);
-    if (message.isCommand() && random.nextDouble() < copiedCommandShare) {
+    if (message.isCommand() && random.nextDouble() < duplicatedCommandShare) {
       deliver(message, NO_REPLY, 4_000_000L + random.nextLong(16_000_000L));
       deliver(message, NO_REPLY, 500_000L + random.nextLong(MAX_DUPLICATE_DELAY_MICROS));
     }
@@ -219,7 +219,7 @@
     if (random.nextDouble() < heartbeatShareKeptForNextTerm) {
       heartbeatsKeptForNextTerm.add(message.body);
     }
-    if (random.nextDouble() < copiedHeartbeatShare) {
+    if (random.nextDouble() < duplicatedHeartbeatShare) {
       Endpoint any = new Endpoint("n" + random.nextInt(controllers.size()), 1);
       Endpoint to = random.nextBoolean() ? message.to : any;
       deliver(
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -62,7 +62,7 @@
     SimulatedCluster cluster = cluster(1);
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 20, 3);
-    cluster.play(400);
+    cluster.runFor(400);
     assertAllServed(cluster, users, 20);
   }
 
@@ -88,17 +88,18 @@
     cluster.network.lostAnswerShare = 0.01;
     cluster.network.executedLateShare = 0.005;
     cluster.network.repeatedShare = 0.02;
-    cluster.network.copiedHeartbeatShare = 0.02;
+    cluster.network.duplicatedHeartbeatShare = 0.02;
     for (int i = 0; i < 16; i++) {
-      cluster.at(20_000_000L + cluster.random.nextLong(240_000_000L), () -> trouble(cluster));
+      cluster.at(
+          20_000_000L + cluster.random.nextLong(240_000_000L), () -> injectRandomFault(cluster));
     }
-    cluster.play(300);
-    calm(cluster);
-    cluster.play(400);
+    cluster.runFor(300);
+    endFaults(cluster);
+    cluster.runFor(400);
     assertAllServed(cluster, users, 40);
   }
 
-  static void trouble(SimulatedCluster cluster) {
+  static void injectRandomFault(SimulatedCluster cluster) {
     List<SimulatedController> all = new ArrayList<>(cluster.controllers.values());
     SimulatedController one = all.get(cluster.random.nextInt(all.size()));
     List<SimulatedController> leaders = all.stream().filter(SimulatedController::leads).toList();
@@ -170,7 +171,7 @@
         .filter(v -> v.worker != null && v.spot)
         .forEach(
             v -> {
-              v.worker.notice(8);
+              v.worker.announcePreemption(8);
               cluster.at(8_000_000, () -> cluster.cloud.delete(v.id));
             });
   }
@@ -218,12 +219,12 @@
         });
   }
 
-  static void calm(SimulatedCluster cluster) {
+  static void endFaults(SimulatedCluster cluster) {
     cluster.network.lostAnswerShare = 0;
     cluster.network.executedLateShare = 0;
     cluster.network.repeatedShare = 0;
-    cluster.network.copiedHeartbeatShare = 0;
-    cluster.calmSince = cluster.now();
+    cluster.network.duplicatedHeartbeatShare = 0;
+    cluster.faultsEndedAtMicros = cluster.now();
     cluster.network.cuts.clear();
     cluster.store.refusedControllers.clear();
     cluster.cloud.outage = false;
@@ -253,7 +254,7 @@
     }
     cluster.at(40_000_000, () -> users.submit(6, 1, 120, false));
     cluster.at(40_000_000, () -> users.submit(6, 1, 120, false));
-    cluster.play(70);
+    cluster.runFor(70);
     beforeTheCrash.accept(cluster);
     cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
@@ -264,7 +265,7 @@
         .findFirst()
         .orElseThrow()
         .crash(5);
-    cluster.play(60);
+    cluster.runFor(60);
     return cluster;
   }
 
@@ -314,7 +315,7 @@
     for (int i = 0; i < 8; i++) {
       users.submit(8, 1, 100, false);
     }
-    cluster.play(60);
+    cluster.runFor(60);
     SimulatedController leader =
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
@@ -333,7 +334,7 @@
                 h + ">" + leader.platform.label(),
                 leader.platform.label() + ">" + h,
                 16_000_000));
-    cluster.play(30);
+    cluster.runFor(30);
     assertTrue(
         cluster.cloud.machines.keySet().containsAll(zoneMachines), "no machine was returned");
     assertEquals(List.of(), cluster.invariants.violations);
@@ -350,7 +351,7 @@
     for (int i = 0; i < 8; i++) {
       users.submit(8, 1, 100, false);
     }
-    cluster.play(60);
+    cluster.runFor(60);
     String gone =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
@@ -363,7 +364,7 @@
         .findFirst()
         .orElseThrow()
         .crash(30);
-    cluster.play(8);
+    cluster.runFor(8);
     SimulatedController next =
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
@@ -385,7 +386,7 @@
       users.submit(10, 1, 5, false);
     }
     cluster.at(40_000_000, () -> users.submit(6, 1, 200, false));
-    cluster.play(60);
+    cluster.runFor(60);
     for (String machineId :
         cluster.cloud.machines.values().stream()
             .filter(v -> v.zone.equals("a"))
@@ -394,11 +395,11 @@
       cutLinks(cluster, machineId + ">*", "*>" + machineId, 60_000_000);
     }
     cluster.leader().crash(60);
-    cluster.play(2);
+    cluster.runFor(2);
     JobSpec late =
         TestJob.job(users.nextUid()).jobClass("c1").tasks(6).memoryGb(2).runS(60).build();
     users.submit(late, false);
-    cluster.play(16);
+    cluster.runFor(16);
     assertFalse(
         cluster.leader().actingLeader().failoverComplete(),
         "the failover must still wait for the cut-off zone");
@@ -406,9 +407,9 @@
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null)
             .flatMap(v -> v.worker.tasks.values().stream())
-            .anyMatch(t -> t.on() && t.name.startsWith(late.uid())),
+            .anyMatch(t -> t.isRunningOrFlushing() && t.name.startsWith(late.uid())),
         "the new job runs before the failover is complete");
-    cluster.play(300);
+    cluster.runFor(300);
     assertEquals(List.of(), cluster.invariants.violations);
     assertEquals("done", cluster.invariants.lastReportedStatus.get(late.uid()));
   }
@@ -419,9 +420,9 @@
     SimulatedCluster cluster = cluster(31);
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 15, 4);
-    cluster.play(20);
+    cluster.runFor(20);
     cluster.controllers.values().stream().skip(1).forEach(SimulatedController::kill);
-    cluster.play(400);
+    cluster.runFor(400);
     assertAllServed(cluster, users, 15);
   }
 }
--- a/src/test/java/plumlever/sim/SlowProcessorTest.java
+++ b/src/test/java/plumlever/sim/SlowProcessorTest.java
@@ -25,10 +25,10 @@
 
   private static SimulatedCluster cluster(long seed, boolean separateElectionThread) {
     SimulatedCluster cluster = new SimulatedCluster(seed, 3, TEAMS, false);
-    cluster.costs = Processor.Costs.little();
-    cluster.cloud.most = MACHINES;
+    cluster.costs = Processor.Costs.smallShare();
+    cluster.cloud.capacity = MACHINES;
     for (SimulatedController controller : cluster.controllers.values()) {
-      controller.electionApart = separateElectionThread;
+      controller.separateElectionThread = separateElectionThread;
       controller.kill();
       controller.start();
     }
@@ -62,14 +62,14 @@
    * the leader.
    */
   private static int leadershipPercentAfterCrashOfAll(SimulatedCluster cluster) {
-    cluster.play(100);
+    cluster.runFor(100);
     assertTrue(
         cluster.cloud.machines.size() > MACHINES / 3, "machines: " + cluster.cloud.machines.size());
     cluster.controllers.values().forEach(m -> m.crash(6));
-    cluster.play(10);
+    cluster.runFor(10);
     int samplesWithLeader = 0;
     for (int i = 0; i < 200; i++) {
-      cluster.play(0.1);
+      cluster.runFor(0.1);
       samplesWithLeader +=
           cluster.controllers.values().stream().anyMatch(m -> m.controller().mayAct()) ? 1 : 0;
     }
@@ -88,8 +88,8 @@
     FakeUsers users = submitLargeJobs(cluster, 60, 2);
     int leaderPercent = leadershipPercentAfterCrashOfAll(cluster);
     assertTrue(leaderPercent >= 90, "percentage of time with a leader: " + leaderPercent + "%");
-    cluster.calmSince = cluster.now();
-    cluster.play(400);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(400);
     assertAllDone(cluster, users, 60);
   }
 
@@ -130,17 +130,17 @@
   void stalledLeaderDoesNotTreatWorkersAsLost(long seed) {
     SimulatedCluster cluster = cluster(seed, true);
     submitLargeJobs(cluster, 60, 2);
-    cluster.play(60);
+    cluster.runFor(60);
     SimulatedController first = cluster.leader();
     long term = cluster.store.term();
-    first.stall(7);
+    first.stallDecisions(7);
     // The leader processes the queued events slowly; peer messages are among the first events.
     first.slowDown(SLOWDOWN);
-    cluster.play(25);
+    cluster.runFor(25);
     assertEquals(term, cluster.store.term(), "term after the stall");
     first.slowDown(1);
-    cluster.calmSince = cluster.now();
-    cluster.play(400);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(400);
     cluster.invariants.checkJobsServed();
     assertEquals(List.of(), cluster.invariants.violations);
   }
@@ -157,7 +157,7 @@
           null,
           6_000_000,
           a -> statuses.add(a.status()));
-      cluster.play(6.1);
+      cluster.runFor(6.1);
     }
     return statuses;
   }
@@ -171,11 +171,11 @@
   void lateControllerReportsUnhealthy() {
     SimulatedCluster cluster = cluster(2, true);
     submitLargeJobs(cluster, 60, 2);
-    cluster.play(60);
+    cluster.runFor(60);
     int leaderIndex = List.copyOf(cluster.controllers.values()).indexOf(cluster.leader());
     assertEquals(List.of(200, 200, 200), healthStatuses(cluster));
     cluster.leader().slowDown(SLOWDOWN);
-    cluster.play(8);
+    cluster.runFor(8);
     List<Integer> statuses = healthStatuses(cluster);
     assertEquals(
         503, statuses.get(leaderIndex), "status of the late controller, of all: " + statuses);
@@ -184,7 +184,7 @@
         statuses.stream().filter(s -> s == 200).count(),
         "healthy controllers, of all: " + statuses);
     cluster.controllers.values().forEach(m -> m.slowDown(1));
-    cluster.play(12);
+    cluster.runFor(12);
     assertEquals(
         List.of(200, 200, 200), healthStatuses(cluster), "status codes after the recovery");
   }
@@ -193,13 +193,13 @@
   void lateControllerWithoutPeersStaysHealthy() {
     SimulatedCluster cluster = cluster(2, true);
     submitLargeJobs(cluster, 60, 2);
-    cluster.play(60);
+    cluster.runFor(60);
     SimulatedController leader = cluster.leader();
     cluster.controllers.values().stream()
         .filter(m -> m != leader)
         .forEach(SimulatedController::kill);
     leader.slowDown(3);
-    cluster.play(8);
+    cluster.runFor(8);
     boolean[] accepted = new boolean[1];
     cluster.network.send(
         "balancer",
@@ -209,7 +209,7 @@
         null,
         30_000_000,
         a -> accepted[0] = a.status() == 200);
-    cluster.play(31);
+    cluster.runFor(31);
     assertTrue(accepted[0]);
   }
 
@@ -221,15 +221,15 @@
   void leaderWithStalledDecisionsStepsDown() {
     SimulatedCluster cluster = new SimulatedCluster(5, 3, TEAMS, false);
     submitSmallJobs(cluster);
-    cluster.play(40);
+    cluster.runFor(40);
     SimulatedController first = cluster.leader();
     long term = cluster.store.term();
-    first.stall(40);
-    cluster.play(20);
+    first.stallDecisions(40);
+    cluster.runFor(20);
     assertTrue(cluster.store.term() > term, "no other leader was elected");
     // The other controllers crash, so that the first may be re-elected while its decisions stall.
     cluster.controllers.values().stream().filter(m -> m != first).forEach(m -> m.crash(60));
-    cluster.play(240);
+    cluster.runFor(240);
     cluster.invariants.checkJobsServed();
     assertEquals(List.of(), cluster.invariants.violations);
   }
--- a/src/test/java/plumlever/sim/GapTest.java
+++ b/src/test/java/plumlever/sim/UnseenCancellationTest.java
@@ -20,7 +20,7 @@
  * The tasks of the cancelled jobs must still end within the time limit of a cancellation (rules 49
  * and 50 of docs/design.md).
  */
-final class GapTest {
+final class UnseenCancellationTest {
   private SimulatedCluster cluster;
   private FakeUsers users;
   private final List<JobSpec> jobs = new ArrayList<>();
@@ -41,7 +41,7 @@
       jobs.add(job);
       users.submit(job, false);
     }
-    cluster.play(45);
+    cluster.runFor(45);
     assertTrue(runningTasks() >= 30, "running tasks: " + runningTasks());
   }
 
@@ -50,7 +50,7 @@
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null)
             .flatMap(v -> v.worker.tasks.values().stream())
-            .filter(FakeWorker.Task::on)
+            .filter(FakeWorker.Task::isRunningOrFlushing)
             .count();
   }
 
@@ -85,20 +85,20 @@
             jobs.subList(0, 4)
                 .forEach(j -> cancelAt(anyControllerExcept(leader), j, statuses::add)));
     cluster.at(1_200_000 + 200_000 * (seed % 4), () -> cluster.store.outage = true);
-    cluster.play(2);
+    cluster.runFor(2);
     assertEquals(
         List.of(200, 200, 200, 200),
         statuses,
         "status codes of the cancellations before the outage");
     assertTrue(
         cluster.store.refusals.getOrDefault(label, 0) > 0, "no request of the leader was refused");
-    cluster.play(1);
+    cluster.runFor(1);
     assertTrue(
         cluster.cloud.countWorkersSendingTo(label) > 0,
         "no worker sends heartbeats to the old leader");
     cluster.at(55_000_000, cluster.store::endOutage);
     cluster.at(60_000_000, () -> cluster.store.refusedControllers.clear());
-    cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 90);
+    cluster.runFor(InvariantChecker.CANCEL_MICROS / 1e6 + 90);
     assertEquals(List.of(), cluster.invariants.violations);
     jobs.subList(0, 4)
         .forEach(j -> assertEquals("aborted", cluster.invariants.lastReportedStatus.get(j.uid())));
@@ -116,16 +116,16 @@
     deploy(75, assumedCancelMicros);
     SimulatedController leader = cluster.leader();
     cluster.store.controllersWithoutWatches.add(leader.platform.label());
-    cluster.play(2);
+    cluster.runFor(2);
     List<Integer> statuses = new ArrayList<>();
     // Prevents the peers from notifying the leader of the cancellations.
     cluster.controllers.keySet().stream()
         .filter(o -> !o.equals(leader.platform.label()))
         .forEach(o -> cluster.network.cut(leader.platform.label(), o, true));
     jobs.subList(0, 4).forEach(j -> cancelAt(anyControllerExcept(leader), j, statuses::add));
-    cluster.play(1);
+    cluster.runFor(1);
     assertEquals(List.of(200, 200, 200, 200), statuses);
-    cluster.play(InvariantChecker.CANCEL_MICROS / 1e6 + 5);
+    cluster.runFor(InvariantChecker.CANCEL_MICROS / 1e6 + 5);
     assertTrue(leader.leads(), "the leader lost leadership");
   }
 
@@ -159,10 +159,10 @@
     deploy(77, InvariantChecker.CANCEL_MICROS);
     SimulatedController leader = cluster.leader();
     cluster.store.controllersWithoutWatches.add(leader.platform.label());
-    cluster.play(2);
+    cluster.runFor(2);
     List<Integer> statuses = new ArrayList<>();
     jobs.subList(0, 4).forEach(j -> cancelAt(anyControllerExcept(leader), j, statuses::add));
-    cluster.play(8);
+    cluster.runFor(8);
     assertEquals(List.of(200, 200, 200, 200), statuses);
     assertTrue(leader.leads());
     long cancelledTasksRunning =
@@ -171,7 +171,7 @@
             .flatMap(v -> v.worker.tasks.values().stream())
             .filter(
                 t ->
-                    t.on()
+                    t.isRunningOrFlushing()
                         && jobs.subList(0, 4).stream()
                             .anyMatch(j -> t.name.startsWith(j.uid() + "/")))
             .count();
@@ -190,7 +190,7 @@
     deploy(76, InvariantChecker.CANCEL_MICROS);
     cluster.store.unansweredListingPrefix = "active/";
     cluster.leader().crash(20);
-    cluster.play(8);
+    cluster.runFor(8);
     SimulatedController newLeader = cluster.leader();
     long[] sent = new long[1];
     int[] status = new int[1];
@@ -212,13 +212,13 @@
               status[0] = s;
               answered[0] = cluster.now();
             });
-    cluster.play(3.5);
+    cluster.runFor(3.5);
     assertEquals(503, status[0], "heartbeat before the leader has read the jobs");
     assertTrue(
         answered[0] - sent[0] <= 3_000_000,
         "the response must arrive before the worker's request times out");
     cluster.store.unansweredListingPrefix = null;
-    cluster.play(120);
+    cluster.runFor(120);
     assertEquals(List.of(), cluster.invariants.violations);
   }
 }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -105,7 +105,7 @@
     records.keySet().removeIf(k -> k.startsWith("office/leader"));
     cluster.store.replaceAll("", records);
     cluster.cloud.outage = true;
-    cluster.play(4);
+    cluster.runFor(4);
     for (Map.Entry<String, JsonNode> entry : records.entrySet()) {
       if (entry.getKey().startsWith(RecordLayout.ACTIVE)) {
         assertTrue(
@@ -125,7 +125,7 @@
         .ifPresent(small -> assertEquals(packed, small.completedTasks()));
     Job large = cluster.leader().actingLeader().job("job-900001").orElseThrow();
     assertEquals(
-        FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES).get("job-900001"),
+        PreviousVersion.readProgress(cluster.store, CURRENT_VALUE_BYTES).get("job-900001"),
         large.completedTasks(),
         "progress read with the chunk size of the production version");
     assertTrue(large.completedCount() > 1000 && large.inherited());
@@ -149,7 +149,7 @@
               status[0] = s;
               assertTrue(json.contains(expectedBody), json);
             });
-    cluster.play(1);
+    cluster.runFor(1);
     return status[0];
   }
 
@@ -201,7 +201,7 @@
   void alternatesLeadershipWithProductionVersion(long seed) {
     SimulatedCluster cluster = cluster(300 + seed);
     FakeUsers users = new FakeUsers(cluster);
-    FormerVersion previousVersion = new FormerVersion(cluster.store, CURRENT_VALUE_BYTES);
+    PreviousVersion previousVersion = new PreviousVersion(cluster.store, CURRENT_VALUE_BYTES);
     List<JobSpec> all = submitManySmallAndOneLarge(cluster, users);
     int largest = 0;
     long limitsLoweredAtMicros = 60_000_000 + seed * 15_000_000;
@@ -212,14 +212,14 @@
           cluster.store.maxTransactionOps = 4;
         });
     for (int turn = 0; turn < 8; turn++) {
-      cluster.play(18);
+      cluster.runFor(18);
       largest = Math.max(largest, cluster.store.largestValueBytes);
       if (cluster.store.maxValueBytes > ANNOUNCED_VALUE_BYTES && turn % 2 == (seed & 1)) {
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
             .forEach(m -> m.crash(2));
-        cluster.play(0.1);
-        previousVersion.leads();
+        cluster.runFor(0.1);
+        previousVersion.rewriteRecords();
       } else {
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
@@ -227,8 +227,8 @@
       }
       assertNoProgressMisread(cluster);
     }
-    cluster.calmSince = cluster.now();
-    cluster.play(400);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(400);
     assertTrue(
         largest <= ANNOUNCED_VALUE_BYTES, "largest value written by this version: " + largest);
     assertEquals(0, cluster.store.malformedTransactions);
@@ -246,7 +246,7 @@
   private static List<JobSpec> submitManySmallAndOneLarge(
       SimulatedCluster cluster, FakeUsers users) {
     List<JobSpec> all = new ArrayList<>();
-    cluster.cloud.most = 60;
+    cluster.cloud.capacity = 60;
     for (int i = 0; i < 110; i++) {
       JobSpec job =
           TestJob.job(users.nextUid())
@@ -276,7 +276,7 @@
 
   /** Asserts that every task which the production version would read as completed is completed. */
   private static void assertNoProgressMisread(SimulatedCluster cluster) {
-    FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES)
+    PreviousVersion.readProgress(cluster.store, CURRENT_VALUE_BYTES)
         .forEach(
             (uid, done) ->
                 done.stream()
@@ -299,16 +299,16 @@
   void oversizedSharedRecordIsSplitWithoutLoss() {
     SimulatedCluster cluster = cluster(77);
     FakeUsers users = new FakeUsers(cluster);
-    cluster.cloud.most = 200;
+    cluster.cloud.capacity = 200;
     for (int i = 0; i < 60; i++) {
       users.submit(TestJob.job(users.nextUid()).tasks(14).runS(150).build(), false);
     }
-    cluster.play(60);
+    cluster.runFor(60);
     Set<String> machineIds = machineIds(cluster);
     assertTrue(machineIds.size() > 60, "recorded machines: " + machineIds.size());
     cluster.leader().crash(1);
-    cluster.play(0.05);
-    new FormerVersion(cluster.store, CURRENT_VALUE_BYTES).leads();
+    cluster.runFor(0.05);
+    new PreviousVersion(cluster.store, CURRENT_VALUE_BYTES).rewriteRecords();
     assertTrue(
         cluster.store.values("fleet/").stream()
             .anyMatch(v -> Json.write(v).length() > ANNOUNCED_VALUE_BYTES),
@@ -331,7 +331,7 @@
     }
     // The new leader crashes during the rewrite; its successor must finish the rewrite.
     cluster.at(4_300_000, () -> cluster.leader().crash(1));
-    cluster.play(26);
+    cluster.runFor(26);
     assertEquals(1_200, checks[0]);
     assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(0, cluster.store.malformedTransactions);
@@ -365,24 +365,24 @@
             InvariantChecker.CANCEL_MICROS,
             new PlatformConfiguration.StateLimits(200, 25, CURRENT_VALUE_BYTES, 8));
     FakeUsers users = new FakeUsers(cluster);
-    cluster.cloud.most = 200;
+    cluster.cloud.capacity = 200;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
       JobSpec job = TestJob.job(users.nextUid()).tasks(12).runS(40 + i).build();
       all.add(job);
       cluster.at(i * 900_000L, () -> users.submit(job, false));
     }
-    cluster.play(45);
+    cluster.runFor(45);
     assertTrue(cluster.store.largestValueBytes > ANNOUNCED_VALUE_BYTES);
     cluster.store.maxValueBytes = ANNOUNCED_VALUE_BYTES;
     cluster.store.maxTransactionOps = 4;
     // The deletion of a machine rewrites the record that this machine shares with dozens of others.
     cluster.cloud.machines.keySet().stream().limit(4).toList().forEach(cluster.cloud::delete);
-    cluster.play(60);
+    cluster.runFor(60);
     int refused = cluster.store.malformedTransactions;
     assertTrue(refused > 0 && refused < 40, "refused transactions: " + refused);
     cluster.leader().crash(2);
-    cluster.play(250);
+    cluster.runFor(250);
     assertTrue(
         cluster.store.malformedTransactions - refused < 40,
         "refused transactions of the new leader: "
@@ -401,10 +401,10 @@
     SimulatedCluster cluster = cluster(79);
     FakeUsers users = new FakeUsers(cluster);
     JobSpec first = TestJob.job(users.nextUid()).tasks(2).runS(5).build();
-    cluster.play(5);
+    cluster.runFor(5);
     users.submit(first, false);
-    cluster.play(40);
-    new FormerVersion(cluster.store, CURRENT_VALUE_BYTES).leads();
+    cluster.runFor(40);
+    new PreviousVersion(cluster.store, CURRENT_VALUE_BYTES).rewriteRecords();
     cluster.leader().crash(1);
     JobSpec next =
         TestJob.job(users.nextUid())
@@ -413,7 +413,7 @@
             .build()
             .withDependencies(List.of(first.uid()));
     users.submit(next, false);
-    cluster.play(60);
+    cluster.runFor(60);
     assertEquals(List.of(), cluster.invariants.violations);
     assertEquals("done", cluster.invariants.lastReportedStatus.get(next.uid()));
     assertEquals(JobState.DONE.wireName(), cluster.invariants.lastReportedStatus.get(first.uid()));
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -28,7 +28,7 @@
     cluster =
         new SimulatedCluster(
             1, 3, List.of(new PlatformConfiguration.Team("red", 4, 8, 0, 0)), true);
-    cluster.play(5);
+    cluster.runFor(5);
   }
 
   private int send(String method, String path, String text) {
@@ -50,7 +50,7 @@
               tookMicros = cluster.now() - from;
             });
     for (int i = 0; i < 100 && status == 0; i++) {
-      cluster.play(0.1);
+      cluster.runFor(0.1);
     }
     return status;
   }
@@ -92,7 +92,7 @@
     assertTrue(body.contains("aborted"), body);
     assertEquals(200, send("POST", "/submissions", JOB));
     assertTrue(body.contains("aborted"), body);
-    cluster.play(30);
+    cluster.runFor(30);
     assertEquals(200, send("GET", "/submissions/job-1", null));
     assertTrue(body.contains("aborted"), body);
   }
@@ -125,7 +125,7 @@
     cluster.network.cuts.put("state>n0", true);
     assertEquals(503, send("POST", "/submissions", JOB));
     cluster.network.cuts.clear();
-    cluster.play(3);
+    cluster.runFor(3);
     assertEquals(200, send("GET", "/submissions/job-1", null));
     assertEquals(200, send("POST", "/submissions", JOB));
   }
@@ -143,7 +143,7 @@
             .router()
             .handle("GET", "/up", new byte[0], (s, json, retry) -> assertEquals(200, s));
       }
-      cluster.play(0.3);
+      cluster.runFor(0.3);
     }
   }
 
@@ -154,10 +154,10 @@
   @Test
   void aControllerRefusedAloneIsUnhealthy() {
     cluster.store.refusedControllers.add("n0");
-    cluster.play(5);
+    cluster.runFor(5);
     assertEquals(503, send("GET", "/up", null));
     cluster.store.refusedControllers.clear();
-    cluster.play(3);
+    cluster.runFor(3);
     assertEquals(200, send("GET", "/up", null));
   }
 }
