--- a/src/test/java/plumlever/knownred/KnownRedExtension.java
+++ b/src/test/java/plumlever/knownred/KnownRedExtension.java
@@ -22,7 +22,7 @@
     private final KnownRedList list = KnownRedList.read(KnownRedList.FILE);
     private final Map<KnownRedEntry, Boolean> failedByEntry = new LinkedHashMap<>();
 
-    private synchronized void record(KnownRedEntry entry, boolean failed) {
+    private synchronized void recordOutcome(KnownRedEntry entry, boolean failed) {
       failedByEntry.merge(entry, failed, Boolean::logicalOr);
     }
 
@@ -72,11 +72,11 @@
     }
     try {
       invocation.proceed();
-      outcomes.record(entry, false);
+      outcomes.recordOutcome(entry, false);
     } catch (TestAbortedException e) {
       throw e;
     } catch (Throwable e) {
-      outcomes.record(entry, true);
+      outcomes.recordOutcome(entry, true);
       throw new TestAbortedException(RED + ": " + entry.line() + ": " + e.getMessage(), e);
     }
   }
