--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -182,7 +182,7 @@
       stateChanged |= receivedToken > fencingToken;
       fencingToken = receivedToken;
       leaseFromMicros = Math.max(leaseFromMicros, sentMicros);
-      WorkerCommand.parseAnswer(body).forEach(this::execute);
+      WorkerCommand.parseResponse(body).forEach(this::execute);
     } catch (InvalidMessageException e) {
       environment
           .results()
@@ -204,7 +204,7 @@
           fencingToken = receivedToken;
           sendHeartbeatSoon();
         }
-        WorkerCommand.parseAnswer(body).forEach(this::execute);
+        WorkerCommand.parseResponse(body).forEach(this::execute);
       } catch (InvalidMessageException e) {
         out.error(HttpStatus.BAD_REQUEST, e.getMessage());
         return;
--- a/src/main/java/plumlever/leader/HeartbeatScreening.java
+++ b/src/main/java/plumlever/leader/HeartbeatScreening.java
@@ -5,7 +5,7 @@
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.heartbeat.DeferredHeartbeats;
-import plumlever.leader.heartbeat.HeartbeatAnswers;
+import plumlever.leader.heartbeat.HeartbeatResponses;
 import plumlever.leader.machine.MachineManager;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
@@ -19,7 +19,7 @@
   private final MachineManager machines;
   private final MachineSharing sharing;
   private final DeferredHeartbeats deferredHeartbeats;
-  private final HeartbeatAnswers responses;
+  private final HeartbeatResponses responses;
   private boolean recordsLoaded;
 
   HeartbeatScreening(
@@ -27,7 +27,7 @@
       MachineManager machines,
       MachineSharing sharing,
       DeferredHeartbeats deferredHeartbeats,
-      HeartbeatAnswers responses) {
+      HeartbeatResponses responses) {
     this.context = context;
     this.machines = machines;
     this.sharing = sharing;
@@ -51,7 +51,7 @@
       out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "not in office", 1);
       return true;
     }
-    if (sharing.answerUnlessOwn(heartbeat, out)) {
+    if (sharing.respondUnlessOwn(heartbeat, out)) {
       return true;
     }
     if (showsLaterTerm(heartbeat)) {
--- a/src/main/java/plumlever/leader/LeaseRenewalResponder.java
+++ b/src/main/java/plumlever/leader/LeaseRenewalResponder.java
@@ -6,8 +6,8 @@
 import plumlever.http.Responder;
 import plumlever.leader.context.MachineSharing;
 import plumlever.leader.context.TermContext;
-import plumlever.leader.heartbeat.HeartbeatAnswers;
 import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.heartbeat.HeartbeatResponses;
 import plumlever.leader.scheduling.CommandSender;
 import plumlever.lease.RenewalRefusal;
 import plumlever.wire.Heartbeat;
@@ -17,7 +17,7 @@
 final class LeaseRenewalResponder {
   private final TermContext context;
   private final HeartbeatHandler heartbeats;
-  private final HeartbeatAnswers responses;
+  private final HeartbeatResponses responses;
   private final MachineSharing sharing;
   private final PlannedStarts plannedStarts;
   private final CommandSender commands;
@@ -25,7 +25,7 @@
   LeaseRenewalResponder(
       TermContext context,
       HeartbeatHandler heartbeats,
-      HeartbeatAnswers responses,
+      HeartbeatResponses responses,
       MachineSharing sharing,
       PlannedStarts plannedStarts,
       CommandSender commands) {
--- a/src/main/java/plumlever/leader/TermComponents.java
+++ b/src/main/java/plumlever/leader/TermComponents.java
@@ -9,8 +9,8 @@
 import plumlever.leader.failover.Failover;
 import plumlever.leader.failover.WarmState;
 import plumlever.leader.heartbeat.DeferredHeartbeats;
-import plumlever.leader.heartbeat.HeartbeatAnswers;
 import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.heartbeat.HeartbeatResponses;
 import plumlever.leader.heartbeat.RenewalDelegation;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.leader.job.DependencyListCleanup;
@@ -111,7 +111,7 @@
 
   private HeartbeatResponder createResponder(
       DeferredHeartbeats deferredHeartbeats, TaskStarter starter) {
-    HeartbeatAnswers responses = new HeartbeatAnswers(context, jobs, sharing);
+    HeartbeatResponses responses = new HeartbeatResponses(context, jobs, sharing);
     return new HeartbeatResponder(
         context,
         fleet,
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -58,7 +58,7 @@
    *
    * @return true if the heartbeat has been answered
    */
-  default boolean answerUnlessOwn(Heartbeat heartbeat, Responder out) {
+  default boolean respondUnlessOwn(Heartbeat heartbeat, Responder out) {
     return false;
   }
 
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -34,7 +34,7 @@
   private final AttemptUpdates attemptUpdates;
   private final UnknownAttempts unknownAttempts;
   private final AbsentAttempts absentAttempts;
-  private final AnswerDelivery responseDelivery;
+  private final ResponseDelivery responseDelivery;
   private final StopAndRemoveCommands stopAndRemoveCommands;
 
   /**
@@ -62,7 +62,7 @@
     this.unknownAttempts =
         new UnknownAttempts(context, fleet, jobs, attemptUpdates, placementChange);
     this.absentAttempts = new AbsentAttempts(context, fleet, failover, attemptLog, placementChange);
-    this.responseDelivery = new AnswerDelivery(context, placementChange);
+    this.responseDelivery = new ResponseDelivery(context, placementChange);
     this.stopAndRemoveCommands = new StopAndRemoveCommands(context, jobs, sharing, attemptLog);
   }
 
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
@@ -24,7 +24,7 @@
  * Sends the leader's responses to heartbeats. A response either renews the worker's lease or
  * refuses the renewal, depending on the evidence available when the response is built.
  */
-public final class HeartbeatAnswers {
+public final class HeartbeatResponses {
   private static final int MAX_LINES_PER_SECOND = 20;
 
   private final TermContext context;
@@ -37,12 +37,12 @@
   /**
    * Creates a sender of responses that takes its evidence from these jobs and this view of a pool.
    */
-  public HeartbeatAnswers(TermContext context, ActiveJobs jobs, MachineSharing sharing) {
+  public HeartbeatResponses(TermContext context, ActiveJobs jobs, MachineSharing sharing) {
     this.context = context;
     this.jobs = jobs;
     this.sharing = sharing;
     this.renewal = new LeaseRenewal(new RenewalLimit(context.platform().workers()));
-    this.log = context.logs().of(HeartbeatAnswers.class);
+    this.log = context.logs().of(HeartbeatResponses.class);
     this.logBudget = new LogRateLimiter(log, MAX_LINES_PER_SECOND);
   }
 
--- a/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
+++ b/src/main/java/plumlever/leader/heartbeat/ResponseDelivery.java
@@ -9,14 +9,14 @@
  * Determines from the heartbeats that a worker sends whether the leader's responses reach the
  * worker. Heartbeats may arrive although no response gets through in the opposite direction.
  */
-final class AnswerDelivery {
+final class ResponseDelivery {
   private final Logger log;
   private final TermContext context;
   private final PlacementChange placementChange;
 
-  AnswerDelivery(TermContext context, PlacementChange placementChange) {
+  ResponseDelivery(TermContext context, PlacementChange placementChange) {
     this.context = context;
-    this.log = context.logs().of(AnswerDelivery.class);
+    this.log = context.logs().of(ResponseDelivery.class);
     this.placementChange = placementChange;
   }
 
--- a/src/main/java/plumlever/leader/pool/ForeignTasks.java
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -283,7 +283,7 @@
   private void storeCommands(
       MachineForeignTasks machineForeignTasks, TasksOfShard foreignTasks, byte[] body) {
     try {
-      for (WorkerCommand command : WorkerCommand.parseAnswer(body)) {
+      for (WorkerCommand command : WorkerCommand.parseResponse(body)) {
         if (command.type() != WorkerCommand.CommandType.RUN
             && foreignTasks.tasks.containsKey(command.attempt())) {
           machineForeignTasks.commands.put(command.attempt(), command);
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -169,7 +169,7 @@
   }
 
   @Override
-  public boolean answerUnlessOwn(Heartbeat heartbeat, Responder out) {
+  public boolean respondUnlessOwn(Heartbeat heartbeat, Responder out) {
     String machine = heartbeat.machineId();
     if (!poolRecordsRead) {
       out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "whose machine this is is not known yet", 1);
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -81,7 +81,7 @@
    *
    * @param body the message body: JSON in UTF-8
    */
-  public static List<WorkerCommand> parseAnswer(byte[] body) throws InvalidMessageException {
+  public static List<WorkerCommand> parseResponse(byte[] body) throws InvalidMessageException {
     List<WorkerCommand> commands = new ArrayList<>();
     for (JsonNode node : Json.parseObject(body).path(ProtocolField.COMMANDS)) {
       TaskName task = TaskName.of(Json.text(node, ProtocolField.TASK));
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -138,7 +138,7 @@
 
     assertEquals(
         commands,
-        WorkerCommand.parseAnswer(
+        WorkerCommand.parseResponse(
             WorkerCommand.answer(41, commands).getBytes(StandardCharsets.UTF_8)));
   }
 
@@ -148,7 +148,7 @@
 
     assertThrows(
         InvalidMessageException.class,
-        () -> WorkerCommand.parseAnswer(body.getBytes(StandardCharsets.UTF_8)));
+        () -> WorkerCommand.parseResponse(body.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
