--- a/src/main/java/plumlever/fleet/HeartbeatSource.java
+++ b/src/main/java/plumlever/fleet/HeartbeatSource.java
@@ -9,5 +9,5 @@
    * The response to a direct call. A heartbeat in such a response does not show whether an earlier
    * heartbeat response has reached the worker.
    */
-  DIRECT_REPLY
+  DIRECT_RESPONSE
 }
--- a/src/main/java/plumlever/leader/TermComponents.java
+++ b/src/main/java/plumlever/leader/TermComponents.java
@@ -62,7 +62,7 @@
         new HeartbeatHandler(context, fleet, jobs, estimates, failover, progress, this::sharing);
     TaskStarter starter = new TaskStarter(context, fleet, jobs, failover);
     this.pass = new SchedulingPass(context, fleet, jobs, startedJobs, estimates, failover);
-    jobs.useTaskCosts(pass::costMicros);
+    jobs.useTaskDurations(pass::durationMicros);
     RenewalDelegation delegation = new RenewalDelegation(context, fleet);
     this.commands =
         new CommandSender(context, jobs, pass, heartbeats, starter, delegation, this::requestPass);
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -189,12 +189,12 @@
    * Sets the function that estimates the cost of a task, including the image download. The
    * propagation of deadlines to dependencies uses these estimates.
    */
-  public void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
+  public void useTaskDurations(ToLongFunction<Job> taskCostMicros) {
     dependencies.useTaskCosts(taskCostMicros);
   }
 
   /** Recomputes the task cost estimates that the next call of {@link #propagateGoals} uses. */
-  public void updateTaskCosts() {
+  public void updateTaskDurations() {
     dependencies.updateTaskCosts();
   }
 
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -133,7 +133,7 @@
     }
     double missedDeadlineCores =
         CoreDemand.coresNeeded(pass.remainingWork(), limitByTeam) - coresOwned();
-    double cores = Math.max(pass.waitingCores(), missedDeadlineCores);
+    double cores = Math.max(pass.requestedCores(), missedDeadlineCores);
     return (int) Math.min(sharing.maxMachines(), Math.ceil(Math.max(0, cores) / averageCores()));
   }
 
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -140,7 +140,8 @@
           response
               .heartbeat()
               .ifPresent(
-                  heartbeat -> heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY));
+                  heartbeat ->
+                      heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_RESPONSE));
           if (response instanceof WorkerResponse.Refused) {
             heartbeats.endRefusedStarts(sent);
           } else if (response instanceof WorkerResponse.Unanswered) {
@@ -191,7 +192,7 @@
     boolean incarnationChanged =
         response instanceof WorkerResponse.Refused
             && heartbeat.incarnation() != machine.contact().incarnation();
-    heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY);
+    heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_RESPONSE);
     if (incarnationChanged && !machine.accounted()) {
       // The machine refused the command because it named another incarnation. The response
       // contained
@@ -219,7 +220,7 @@
           tokenRaiseEnded(machine);
           machine.contact().recordDirectCall(state.isPresent());
           if (state.isPresent() && !closed && context.term().mayAct()) {
-            heartbeats.apply(machine, state.get(), HeartbeatSource.DIRECT_REPLY);
+            heartbeats.apply(machine, state.get(), HeartbeatSource.DIRECT_RESPONSE);
             notifyPlacementChange();
           }
         });
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -114,7 +114,7 @@
   private void beginPass(long nowMicros) {
     results.clear();
     if (nowMicros - costsUpdatedMicros > COST_UPDATE_MICROS) {
-      jobs.updateTaskCosts();
+      jobs.updateTaskDurations();
       costsUpdatedMicros = nowMicros;
     }
     jobs.propagateGoals();
@@ -166,7 +166,7 @@
   }
 
   /** Total cores of the pending tasks for which the last complete pass requested rentals. */
-  public double waitingCores() {
+  public double requestedCores() {
     return results.demands().requestedCores();
   }
 
@@ -223,7 +223,7 @@
   }
 
   /** Estimated time in microseconds from the job's release to the end of its tasks. */
-  public long costMicros(Job job) {
+  public long durationMicros(Job job) {
     return times.durationMicros(job);
   }
 
--- a/src/test/java/plumlever/fleet/MachineContactTest.java
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -39,7 +39,7 @@
 
   @Test
   void responseToDirectCallDoesNotCountAsHeartbeatSentByWorker() {
-    contact.recordHeartbeat(heartbeat(1, 5), HeartbeatSource.DIRECT_REPLY, 10);
+    contact.recordHeartbeat(heartbeat(1, 5), HeartbeatSource.DIRECT_RESPONSE, 10);
 
     assertFalse(contact.hasReported());
     assertEquals(0, contact.heartbeatSequenceNumber());
@@ -50,7 +50,7 @@
   void newIncarnationResetsHeartbeatSequenceNumber() {
     contact.recordHeartbeat(heartbeat(1, 5), HeartbeatSource.WORKER, 10);
 
-    contact.recordHeartbeat(heartbeat(2, 1), HeartbeatSource.DIRECT_REPLY, 20);
+    contact.recordHeartbeat(heartbeat(2, 1), HeartbeatSource.DIRECT_RESPONSE, 20);
 
     assertEquals(0, contact.heartbeatSequenceNumber());
   }
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -44,7 +44,7 @@
   void aHeartbeatOlderThanADirectResponseIsSuperseded() {
     fixture.accounted();
     Heartbeat sentFirst = fixture.heartbeat();
-    fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_REPLY);
+    fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_RESPONSE);
 
     assertEquals(HeartbeatHandler.Freshness.SUPERSEDED, apply(sentFirst));
   }
@@ -96,7 +96,7 @@
   void aStartInAResponseHasNotEndedWhenADirectResponseLacksIt() {
     Attempt attempt = fixture.accounted().start(0, StartChannel.HEARTBEAT_RESPONSE);
 
-    fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_REPLY);
+    fixture.handler.apply(fixture.machine, fixture.heartbeat(), HeartbeatSource.DIRECT_RESPONSE);
 
     assertFalse(attempt.hasEnded());
   }
