--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -88,7 +88,7 @@
       try (Emulators emulators = new Emulators()) {
         platform = runLeader(emulators);
       }
-      WarmUp.playAll(platform, SchedulerParameters.defaults());
+      WarmUp.runAll(platform, SchedulerParameters.defaults());
       return ExitCode.OK;
     } catch (IOException | SettingsException e) {
       System.err.println("plumlever: the training run for the class-data archive failed: " + e);
@@ -171,7 +171,7 @@
 
     private void handle(String method, String path, byte[] body, Responder responder) {
       if (path.equals(ProtocolPath.COMMANDS)) {
-        services.command(machine, new String(body, StandardCharsets.UTF_8));
+        services.executeCommands(machine, new String(body, StandardCharsets.UTF_8));
         responder.send(
             HttpStatus.OK, new String(services.heartbeat(machine), StandardCharsets.UTF_8));
       } else {
@@ -193,7 +193,7 @@
           HEARTBEAT_TIMEOUT_MICROS,
           (status, response) -> {
             if (status == HttpStatus.OK) {
-              services.command(machine, new String(response, StandardCharsets.UTF_8));
+              services.executeCommands(machine, new String(response, StandardCharsets.UTF_8));
             }
             loop.after(HEARTBEAT_INTERVAL_MICROS, () -> sendHeartbeatsTo(controller));
           });
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -233,13 +233,13 @@
   }
 
   /** Remaining work of all jobs that may run, with the time left until their goals. */
-  public List<CoreDemand.Work> remainingWork() {
+  public List<CoreDemand.RemainingWork> remainingWork() {
     long nowMicros = context.loop().nowMicros();
-    List<CoreDemand.Work> works = new ArrayList<>();
+    List<CoreDemand.RemainingWork> works = new ArrayList<>();
     for (Job job : queue.unfinished()) {
       long durationMicros = times.durationMicros(job);
       works.add(
-          new CoreDemand.Work(
+          new CoreDemand.RemainingWork(
               job.spec().team(),
               job.pendingCount() + job.liveAttemptCount(),
               job.spec().cores(),
--- a/src/main/java/plumlever/sharing/CoreDemand.java
+++ b/src/main/java/plumlever/sharing/CoreDemand.java
@@ -14,7 +14,8 @@
    * @param runMicros expected duration of one task with padding, including the image fetch
    * @param leftMicros time left until the job should be done
    */
-  public record Work(String team, int tasks, double cores, long runMicros, long leftMicros) {}
+  public record RemainingWork(
+      String team, int tasks, double cores, long runMicros, long leftMicros) {}
 
   private CoreDemand() {}
 
@@ -26,9 +27,9 @@
    *
    * @param limits core limits by team, for teams that have one
    */
-  public static double coresNeeded(List<Work> works, Map<String, Double> limits) {
+  public static double coresNeeded(List<RemainingWork> works, Map<String, Double> limits) {
     Map<String, Double> byTeam = new HashMap<>();
-    for (Work work : works) {
+    for (RemainingWork work : works) {
       long sequentialRuns = Math.max(1, work.leftMicros() / Math.max(1, work.runMicros()));
       byTeam.merge(work.team(), work.tasks() * work.cores() / sequentialRuns, Double::sum);
     }
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -55,7 +55,7 @@
   }
 
   /** Runs the whole warm-up without pauses. */
-  public static void playAll(PlatformConfiguration platform, SchedulerParameters parameters) {
+  public static void runAll(PlatformConfiguration platform, SchedulerParameters parameters) {
     WarmUpTerms terms = new WarmUpTerms(platform, parameters, 0);
     boolean more = true;
     while (more) {
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -55,7 +55,7 @@
   }
 
   /** Executes the commands of a heartbeat response or a direct call on the machine. */
-  public void command(String machine, String response) {
+  public void executeCommands(String machine, String response) {
     machines.executeCommands(machine, response);
   }
 
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -131,7 +131,7 @@
               }
               if (path.equals(ProtocolPath.COMMANDS)) {
                 String machineId = services.machineAt(to.toString());
-                services.command(machineId, new String(body, StandardCharsets.UTF_8));
+                services.executeCommands(machineId, new String(body, StandardCharsets.UTF_8));
                 handler.handle(HttpStatus.OK, services.heartbeat(machineId));
               } else {
                 services.handle(method, path, body, replyTo(term, handler));
@@ -162,7 +162,7 @@
             services.heartbeat(machineId),
             (status, json, retry) -> {
               if (status == HttpStatus.OK) {
-                services.command(machineId, json);
+                services.executeCommands(machineId, json);
               }
             });
     loop.after(HEARTBEAT_MICROS, () -> heartbeat(term, machineId));
--- a/src/test/java/plumlever/sharing/SharePolicyTest.java
+++ b/src/test/java/plumlever/sharing/SharePolicyTest.java
@@ -133,8 +133,8 @@
 
   @Test
   void coresNeededCountsTasksThatCannotRunSequentiallyInTime() {
-    CoreDemand.Work urgent = new CoreDemand.Work("t", 10, 2, 30, 20);
-    CoreDemand.Work relaxed = new CoreDemand.Work("t", 12, 1, 10, 49);
+    CoreDemand.RemainingWork urgent = new CoreDemand.RemainingWork("t", 10, 2, 30, 20);
+    CoreDemand.RemainingWork relaxed = new CoreDemand.RemainingWork("t", 12, 1, 10, 49);
     assertEquals(20, CoreDemand.coresNeeded(List.of(urgent), Map.of()));
     assertEquals(3, CoreDemand.coresNeeded(List.of(relaxed), Map.of()));
     assertEquals(23, CoreDemand.coresNeeded(List.of(urgent, relaxed), Map.of()));
