--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -114,7 +114,7 @@
   }
 
   /** Records a heartbeat of the machine. */
-  public void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
+  public void recordHeartbeat(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
     contact.recordHeartbeat(heartbeat, source, nowMicros);
     preemptedAtMicros =
         heartbeat.hasPreemptionNotice()
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -81,7 +81,7 @@
   }
 
   /** True once a heartbeat that the worker sent on its own has arrived in this term. */
-  public boolean hasReported() {
+  public boolean hasSentHeartbeat() {
     return lastHeartbeatMicros >= 0;
   }
 
--- a/src/main/java/plumlever/http/CancellationHandler.java
+++ b/src/main/java/plumlever/http/CancellationHandler.java
@@ -80,7 +80,7 @@
   private void storeCancellation(String uid, long revision, UserRequest request, int attemptsLeft) {
     jobs.store()
         .transaction(
-            jobs.layout()
+            jobs.recordLayout()
                 .endJob(uid, revision, JobState.CANCELLED, jobs.loop().wallMicros(), List.of()),
             StateClient.RequestPriority.URGENT,
             result -> {
--- a/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
@@ -98,7 +98,7 @@
     List<WorkerCommand> stopCommands = stopCommands(heartbeat, endedJobs.get().uids());
     DelegateEvidence evidence =
         evidence(right.get(), heartbeat, endedJobs.get().oldestReadMicros());
-    RenewalDecision decision = renewal.answer(evidence, stopCommands, loop.nowMicros());
+    RenewalDecision decision = renewal.decide(evidence, stopCommands, loop.nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
       logRenewal(heartbeat, evidence, stopCommands);
       metrics.count("leases_renewed_for_leader");
--- a/src/main/java/plumlever/http/JobAcceptance.java
+++ b/src/main/java/plumlever/http/JobAcceptance.java
@@ -29,7 +29,7 @@
   JobAcceptance(JobServices jobs, JobResponses responses) {
     this.jobs = jobs;
     this.responses = responses;
-    this.dependencyLists = new DependencyLists(jobs.loop(), jobs.store(), jobs.layout());
+    this.dependencyLists = new DependencyLists(jobs.loop(), jobs.store(), jobs.recordLayout());
   }
 
   /** Stores the dependencies that do not fit into the job's record, then accepts the job. */
--- a/src/main/java/plumlever/http/JobServices.java
+++ b/src/main/java/plumlever/http/JobServices.java
@@ -12,11 +12,11 @@
  * @param loop the event loop that handles all requests and provides the current time
  * @param store the client of the state service
  * @param records cache of the job records in the state service
- * @param layout keys and values of the job records
+ * @param recordLayout keys and values of the job records
  */
 public record JobServices(
     EventLoop loop,
     StateClient store,
     JobRecordCache records,
-    RecordLayout layout,
+    RecordLayout recordLayout,
     Metrics metrics) {}
--- a/src/main/java/plumlever/http/SubmissionHandler.java
+++ b/src/main/java/plumlever/http/SubmissionHandler.java
@@ -70,7 +70,7 @@
       return;
     }
     Optional<RecordLayout.Acceptance> records =
-        jobs.layout().acceptJob(spec, jobs.loop().wallMicros());
+        jobs.recordLayout().acceptJob(spec, jobs.loop().wallMicros());
     if (records.isEmpty()) {
       refuseIfUnknown(uid, request, SubmissionRefusal.invalid("the submission is too long"));
     } else if (spec.hasDependencies()) {
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -82,7 +82,7 @@
 
   /** Answers a heartbeat that another shard's leader relays for this shard's tasks. */
   public void relayedHeartbeat(RelayedHeartbeat relayed, Responder out) {
-    components.sharing().answerRelayed(relayed, out);
+    components.sharing().respondToRelayed(relayed, out);
   }
 
   /** Returns whether everything that earlier leaders started is accounted for. */
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -106,7 +106,7 @@
   default void leaseExpired(Machine machine) {}
 
   /** Answers a heartbeat that the leader of the machine's shard relays for this shard's tasks. */
-  default void answerRelayed(RelayedHeartbeat relayed, Responder out) {}
+  default void respondToRelayed(RelayedHeartbeat relayed, Responder out) {}
 
   /**
    * Offers the transfer of a machine to another shard, regardless of the sharing policy.
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -145,10 +145,10 @@
 
   private void recordHeartbeat(
       Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
-    boolean firstHeartbeat = !machine.contact().hasReported();
+    boolean firstHeartbeat = !machine.contact().hasSentHeartbeat();
     boolean newPreemptionNotice =
         heartbeat.hasPreemptionNotice() && machine.preemptedAtMicros() < 0;
-    machine.recordReport(heartbeat, source, now);
+    machine.recordHeartbeat(heartbeat, source, now);
     if (firstHeartbeat && source == HeartbeatSource.WORKER) {
       placementChange.mark();
     }
@@ -208,7 +208,7 @@
     }
     endEarlierIncarnations(machine, heartbeat);
     long now = context.loop().nowMicros();
-    machine.recordReport(heartbeat, HeartbeatSource.WORKER, now);
+    machine.recordHeartbeat(heartbeat, HeartbeatSource.WORKER, now);
     LongHashSet listed = new LongHashSet();
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       listed.add(reported.attempt());
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
@@ -94,7 +94,7 @@
 
   private boolean renew(
       Heartbeat heartbeat, LeaderEvidence evidence, List<WorkerCommand> commands, Responder out) {
-    RenewalDecision decision = renewal.answer(evidence, commands, context.loop().nowMicros());
+    RenewalDecision decision = renewal.decide(evidence, commands, context.loop().nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
       out.send(HttpStatus.OK, renewed.body());
       return true;
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -147,7 +147,7 @@
     zones.clear();
     for (Machine machine : fleet.machines()) {
       boolean unaccounted = failover.unaccounted().contains(machine);
-      if (machine.contact().hasReported() || unaccounted) {
+      if (machine.contact().hasSentHeartbeat() || unaccounted) {
         ZoneCount zone = zones.computeIfAbsent(machine.zone(), name -> new ZoneCount());
         zone.machines++;
         zone.unaccounted += unaccounted ? 1 : 0;
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -109,7 +109,7 @@
   private List<Machine> candidates(Set<Machine> cordoned, long now) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
-      if (machine.contact().hasReported()
+      if (machine.contact().hasSentHeartbeat()
           && !cordoned.contains(machine)
           && !machine.returning()
           && !machine.draining()
--- a/src/main/java/plumlever/leader/machine/PartitionProbes.java
+++ b/src/main/java/plumlever/leader/machine/PartitionProbes.java
@@ -52,7 +52,7 @@
     }
     Map<String, Integer> calls = new HashMap<>();
     for (Machine machine : fleet.machines()) {
-      if (!machine.contact().hasReported() || !failureDetector.isPartitioned(machine.zone())) {
+      if (!machine.contact().hasSentHeartbeat() || !failureDetector.isPartitioned(machine.zone())) {
         continue;
       }
       if (now - machine.contact().lastSeenMicros() < REACHABLE_MICROS) {
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -63,7 +63,7 @@
     if (machine.failed()) {
       return Optional.of(ReturnReason.FAILED);
     }
-    if (!machine.contact().hasReported() && !failover.unaccounted().contains(machine)) {
+    if (!machine.contact().hasSentHeartbeat() && !failover.unaccounted().contains(machine)) {
       return reasonIf(bootsTooLong(machine, now), ReturnReason.NOT_BOOTING);
     }
     if (delaysFailover(machine, now)) {
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -371,7 +371,7 @@
   /** Returns true if the machine is in a state in which it can be offered to another shard. */
   boolean canOffer(Machine machine) {
     return owns(machine.id())
-        && machine.contact().hasReported()
+        && machine.contact().hasSentHeartbeat()
         && machine.accounted()
         && machine.endpoint() != null
         && !machine.transferring()
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -254,7 +254,7 @@
   }
 
   @Override
-  public void answerRelayed(RelayedHeartbeat relayed, Responder out) {
+  public void respondToRelayed(RelayedHeartbeat relayed, Responder out) {
     String id = relayed.heartbeat().machineId();
     Optional<TransferRecord> record =
         poolRecordsRead ? view.transfer(id).map(PoolView.Versioned::value) : Optional.empty();
--- a/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
@@ -39,7 +39,7 @@
    * would rent machines that are not needed.
    */
   private long lastHeartbeatOrTermStartMicros(Machine machine) {
-    return machine.contact().hasReported()
+    return machine.contact().hasSentHeartbeat()
         ? machine.contact().lastHeartbeatMicros()
         : failover.startedMicros();
   }
@@ -56,7 +56,8 @@
     return !machine.returning()
         && !machine.failed()
         && !machine.draining()
-        && (!machine.contact().hasReported() || machine.registration() != RegistrationState.STORED)
-        && machine.accounted() == machine.contact().hasReported();
+        && (!machine.contact().hasSentHeartbeat()
+            || machine.registration() != RegistrationState.STORED)
+        && machine.accounted() == machine.contact().hasSentHeartbeat();
   }
 }
--- a/src/main/java/plumlever/lease/LeaseRenewal.java
+++ b/src/main/java/plumlever/lease/LeaseRenewal.java
@@ -27,12 +27,12 @@
    * Returns the response to a heartbeat, with these commands, if the evidence is sufficient. The
    * caller must send the response immediately or discard it.
    */
-  public RenewalDecision answer(
+  public RenewalDecision decide(
       RenewalEvidence evidence, List<WorkerCommand> commands, long nowMicros) {
     Optional<RenewalRefusal> refusal = refusal(evidence, nowMicros);
     if (refusal.isPresent()) {
       return new RenewalDecision.Refused(refusal.get());
     }
-    return new RenewalDecision.Renewed(WorkerCommand.answer(evidence.token(), commands));
+    return new RenewalDecision.Renewed(WorkerCommand.heartbeatResponse(evidence.token(), commands));
   }
 }
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -67,7 +67,7 @@
   }
 
   /** The body of the response to a heartbeat; the response renews the worker's lease. */
-  public static String answer(long token, List<WorkerCommand> commands) {
+  public static String heartbeatResponse(long token, List<WorkerCommand> commands) {
     return body(token, 0, commands);
   }
 
--- a/src/test/java/plumlever/fleet/MachineContactTest.java
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -41,7 +41,7 @@
   void responseToDirectCallDoesNotCountAsHeartbeatSentByWorker() {
     contact.recordHeartbeat(heartbeat(1, 5), HeartbeatSource.DIRECT_RESPONSE, 10);
 
-    assertFalse(contact.hasReported());
+    assertFalse(contact.hasSentHeartbeat());
     assertEquals(0, contact.heartbeatSequenceNumber());
     assertEquals(10, contact.lastSeenMicros());
   }
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -47,9 +47,9 @@
   @Test
   void aDelegatesResponseCarriesTheDelegationsToken() {
     RenewalDecision decision =
-        renewal.answer(delegate(TOKEN - 2, NOW_MICROS + 1, NOW_MICROS), List.of(), NOW_MICROS);
+        renewal.decide(delegate(TOKEN - 2, NOW_MICROS + 1, NOW_MICROS), List.of(), NOW_MICROS);
     assertEquals(
-        WorkerCommand.answer(TOKEN, List.of()),
+        WorkerCommand.heartbeatResponse(TOKEN, List.of()),
         assertInstanceOf(RenewalDecision.Renewed.class, decision).body());
   }
 
@@ -214,7 +214,7 @@
         .that()
         .doNotHaveFullyQualifiedName(LeaseRenewal.class.getName())
         .should()
-        .callMethod(WorkerCommand.class, "answer", long.class, List.class)
+        .callMethod(WorkerCommand.class, "heartbeatResponse", long.class, List.class)
         .check(project);
   }
 }
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -124,7 +124,8 @@
   void writesHeartbeatResponse() {
     assertEquals(
         "{\"baton\":41,\"orders\":[{\"verb\":\"halt\",\"piece\":\"job-1/3\",\"try\":2,\"wind_down_s\":10.0}]}",
-        WorkerCommand.answer(41, List.of(WorkerCommand.stop(new TaskName("job-1", 3), 2, 10))));
+        WorkerCommand.heartbeatResponse(
+            41, List.of(WorkerCommand.stop(new TaskName("job-1", 3), 2, 10))));
   }
 
   @Test
@@ -139,7 +140,7 @@
     assertEquals(
         commands,
         WorkerCommand.parseResponse(
-            WorkerCommand.answer(41, commands).getBytes(StandardCharsets.UTF_8)));
+            WorkerCommand.heartbeatResponse(41, commands).getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
