--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -32,14 +32,15 @@
         List<String> zone = deployment.machinesIn("a");
         for (String other : List.of("n0", "n1", "n2", "state", "cloud")) {
           if (!other.equals(isolatedLeader)) {
-            deployment.cluster.network.cut(isolatedLeader, other, true);
+            deployment.cluster.network.setBlocked(isolatedLeader, other, true);
           }
         }
         zone.forEach(
             machineId ->
                 deployment.cluster.controllers.keySet().stream()
                     .filter(label -> !label.equals(isolatedLeader))
-                    .forEach(label -> deployment.cluster.network.cut(label, machineId, true)));
+                    .forEach(
+                        label -> deployment.cluster.network.setBlocked(label, machineId, true)));
         deployment.cluster.at(4_000_000, () -> deployment.users.cancelStartedJobs(2, 0, 0));
         deployment.cluster.runFor(FaultDeployment.LEASE_S + 12);
         boolean anotherLeads = !deployment.leaderLabel().equals(isolatedLeader);
@@ -120,7 +121,7 @@
         String cutOff = deployment.leaderLabel();
         List.of("n0", "n1", "n2", "state").stream()
             .filter(label -> !label.equals(cutOff))
-            .forEach(label -> deployment.cluster.network.cut(cutOff, label, true));
+            .forEach(label -> deployment.cluster.network.setBlocked(cutOff, label, true));
         int reporting = deployment.cluster.cloud.countWorkersSendingTo(cutOff);
         deployment.cluster.runFor(5);
         String next = deployment.leaderLabel();
@@ -265,7 +266,8 @@
                 label ->
                     held.forEach(
                         machineId ->
-                            deployment.cluster.network.cuts.put(machineId + ">" + label, true)));
+                            deployment.cluster.network.blockedLinks.put(
+                                machineId + ">" + label, true)));
         deployment.cluster.runFor(1.5);
         deployment.cluster.leader().crash(3);
         deployment.submitStream(5, 1, 4, 10);
@@ -323,13 +325,14 @@
         List<String> zoneMachines = deployment.machinesIn("a");
         zoneMachines
             .subList(0, zoneMachines.size() / 2)
-            .forEach(machineId -> deployment.cluster.network.cuts.put("*>" + machineId, true));
+            .forEach(
+                machineId -> deployment.cluster.network.blockedLinks.put("*>" + machineId, true));
         zoneMachines
             .subList(zoneMachines.size() / 2, zoneMachines.size())
             .forEach(
                 machineId -> {
-                  deployment.cluster.network.cuts.put("*>" + machineId, true);
-                  deployment.cluster.network.cuts.put(machineId + ">*", true);
+                  deployment.cluster.network.blockedLinks.put("*>" + machineId, true);
+                  deployment.cluster.network.blockedLinks.put(machineId + ">*", true);
                 });
         deployment.cluster.leader().crash(5);
         deployment.cluster.at(6_000_000, () -> deployment.users.cancelStartedJobs(2, 0, 0));
@@ -354,13 +357,13 @@
             .limit(2)
             .forEach(
                 machineId -> {
-                  deployment.cluster.network.cuts.put(machineId + ">*", true);
-                  deployment.cluster.network.cuts.put("*>" + machineId, true);
+                  deployment.cluster.network.blockedLinks.put(machineId + ">*", true);
+                  deployment.cluster.network.blockedLinks.put("*>" + machineId, true);
                   deployment.cluster.at(
                       (long) ((FaultDeployment.LEASE_S + 5) * 1e6),
                       () -> {
-                        deployment.cluster.network.cuts.remove(machineId + ">*");
-                        deployment.cluster.network.cuts.remove("*>" + machineId);
+                        deployment.cluster.network.blockedLinks.remove(machineId + ">*");
+                        deployment.cluster.network.blockedLinks.remove("*>" + machineId);
                       });
                 });
         deployment.submitStream(8, 4, 4, 8);
@@ -374,8 +377,8 @@
         boolean full =
             deployment.cluster.invariants.coresOf("red") > FaultDeployment.RED_CORE_LIMIT * 0.8;
         String unreachableMachine = deployment.machineRunning("red");
-        deployment.cluster.network.cuts.put(unreachableMachine + ">*", true);
-        deployment.cluster.network.cuts.put("*>" + unreachableMachine, true);
+        deployment.cluster.network.blockedLinks.put(unreachableMachine + ">*", true);
+        deployment.cluster.network.blockedLinks.put("*>" + unreachableMachine, true);
         deployment.cluster.leader().crash(3);
         deployment.cluster.at(1_000_000, () -> deployment.users.cancelStartedJobs(2, 0, 0));
         deployment.cluster.runFor(FaultDeployment.LEASE_S);
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -156,7 +156,7 @@
     cluster.network.heartbeatShareKeptForNextTerm = 0;
     cluster.network.extraCommandDelayMicros = 0;
     cluster.network.machinesWithLostHeartbeats.clear();
-    cluster.network.cuts.clear();
+    cluster.network.blockedLinks.clear();
     cluster.store.responseDelayMicros = 0;
     cluster.store.lateWriteShare = 0;
     cluster.store.unansweredWriteShare = 0;
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -76,8 +76,8 @@
             .map(v -> v.id)
             .findFirst()
             .orElseThrow();
-    cluster.network.cuts.put("*>" + machineId, true);
-    cluster.at((long) (seconds * 1e6), () -> cluster.network.cuts.remove("*>" + machineId));
+    cluster.network.blockedLinks.put("*>" + machineId, true);
+    cluster.at((long) (seconds * 1e6), () -> cluster.network.blockedLinks.remove("*>" + machineId));
     return machineId;
   }
 
@@ -213,7 +213,7 @@
     String isolatedLeader = cluster.leader().platform.label();
     for (String other : List.of("state", "n0", "n1", "n2")) {
       if (!other.equals(isolatedLeader)) {
-        cluster.network.cut(isolatedLeader, other, true);
+        cluster.network.setBlocked(isolatedLeader, other, true);
       }
     }
     cluster.faultsEndedAtMicros = cluster.now();
@@ -253,7 +253,11 @@
     List<JobSpec> all = submitMany(6, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
     cluster.runFor(50);
     String isolatedLeader = cluster.leader().platform.label();
-    cluster.cloud.machines.keySet().forEach(h -> cluster.network.cut(isolatedLeader, h, true));
+    cluster
+        .cloud
+        .machines
+        .keySet()
+        .forEach(h -> cluster.network.setBlocked(isolatedLeader, h, true));
     cluster.runFor(22);
     assertNotEquals(isolatedLeader, cluster.leader().platform.label(), "another controller leads");
     cluster.runFor(250);
@@ -278,9 +282,10 @@
             .map(v -> v.id)
             .toList();
     assertTrue(zoneMachines.size() >= 4, "the zone has machines");
-    zoneMachines.forEach(h -> cluster.network.cut(leader, h, true));
+    zoneMachines.forEach(h -> cluster.network.setBlocked(leader, h, true));
     cluster.at(5_000_000, () -> users.cancel(cancelled.uid()));
-    cluster.at(45_000_000, () -> zoneMachines.forEach(h -> cluster.network.cut(leader, h, false)));
+    cluster.at(
+        45_000_000, () -> zoneMachines.forEach(h -> cluster.network.setBlocked(leader, h, false)));
     cluster.runFor(60);
     long renewed =
         cluster.controllers.values().stream()
@@ -307,7 +312,7 @@
     cluster.runFor(45);
     cluster.cloud.machines.values().stream()
         .filter(v -> v.zone.equals("a") && v.worker != null)
-        .forEach(v -> cluster.network.cuts.put(v.id + ">*", true));
+        .forEach(v -> cluster.network.blockedLinks.put(v.id + ">*", true));
     cluster.runFor(48);
     assertTrue(
         cluster.leader().controller().metrics().counter("attempts_lost") > 0,
@@ -330,18 +335,22 @@
             .filter(v -> v.zone.equals("a") && v.worker != null)
             .map(v -> v.id)
             .toList();
-    zoneMachines.forEach(h -> cluster.network.cut(leader, h, true));
+    zoneMachines.forEach(h -> cluster.network.setBlocked(leader, h, true));
     cluster.cloud.outage = true;
     cluster.runFor(20);
     // From now on no controller reaches the zone.
     zoneMachines.forEach(
-        h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, true)));
+        h -> cluster.controllers.keySet().forEach(n -> cluster.network.setBlocked(n, h, true)));
     cluster.leader().crash(1);
     cluster.at(
         60_000_000,
         () ->
             zoneMachines.forEach(
-                h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, false))));
+                h ->
+                    cluster
+                        .controllers
+                        .keySet()
+                        .forEach(n -> cluster.network.setBlocked(n, h, false))));
     cluster.runFor(90);
     cluster.cloud.outage = false;
     cluster.runFor(200);
@@ -357,7 +366,7 @@
   void aStateServiceOutageMakesNoControllerUnhealthy() {
     cluster.runFor(10);
     for (String controller : List.of("n0", "n1", "n2")) {
-      cluster.network.cut(controller, "state", true);
+      cluster.network.setBlocked(controller, "state", true);
     }
     List<Integer> seen = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -273,7 +273,7 @@
         zoneMachines.add(machine.id);
       }
     }
-    zoneMachines.forEach(machine -> cluster.network.cut(leader, machine, true));
+    zoneMachines.forEach(machine -> cluster.network.setBlocked(leader, machine, true));
     cluster.runFor(25);
     Map<String, JsonNode> samples = records(version);
     assertEquals(
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -92,13 +92,13 @@
   private void setPartition(String isolatedController, Set<String> isolatedMachines, boolean on) {
     for (String other : cluster.controllers.keySet()) {
       if (!other.equals(isolatedController)) {
-        cluster.network.cut(isolatedController, other, on);
-        isolatedMachines.forEach(machine -> cluster.network.cut(other, machine, on));
+        cluster.network.setBlocked(isolatedController, other, on);
+        isolatedMachines.forEach(machine -> cluster.network.setBlocked(other, machine, on));
       }
     }
     cluster.cloud.machines.keySet().stream()
         .filter(machine -> !isolatedMachines.contains(machine))
-        .forEach(machine -> cluster.network.cut(isolatedController, machine, on));
+        .forEach(machine -> cluster.network.setBlocked(isolatedController, machine, on));
   }
 
   /** Plays the sequence up to one second before the end of the partition. */
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -150,7 +150,7 @@
     assertTrue(
         cluster.leader().actingLeader().failoverComplete(),
         "failover not complete 10 s after the end of a lease, with one zone cut off");
-    cluster.network.cuts.clear();
+    cluster.network.blockedLinks.clear();
     cluster.faultsEndedAtMicros = cluster.now();
     cluster.runFor(400);
     cluster.invariants.checkJobsServed();
@@ -267,8 +267,8 @@
             .toList();
     zoneMachines.forEach(
         h -> {
-          cluster.network.cuts.put("*>" + h, true);
-          cluster.network.cuts.put(h + ">*", true);
+          cluster.network.blockedLinks.put("*>" + h, true);
+          cluster.network.blockedLinks.put(h + ">*", true);
         });
   }
 }
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -159,7 +159,7 @@
    * others as done.
    */
   void assertAllJobsEnd(double seconds) {
-    cluster.network.cuts.clear();
+    cluster.network.blockedLinks.clear();
     cluster.store.refusedControllers.clear();
     cluster.store.controllersWithoutWatches.clear();
     cluster.faultsEndedAtMicros = cluster.now();
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -55,7 +55,7 @@
       cluster.at(0, this::injectNextFault);
       cluster.runFor(FAULT_PHASE_S);
       faultsEnabled = false;
-      cluster.network.cuts.clear();
+      cluster.network.blockedLinks.clear();
       cluster.network.heldCommandShare = 0;
       cluster.store.refusedControllers.clear();
       cluster.store.endOutage();
@@ -127,8 +127,8 @@
      * Blocks the network between a controller and another controller or a machine for this time.
      */
     private void blockTemporarily(String controller, String other, long durationMicros) {
-      cluster.network.cut(controller, other, true);
-      cluster.at(durationMicros, () -> cluster.network.cut(controller, other, false));
+      cluster.network.setBlocked(controller, other, true);
+      cluster.at(durationMicros, () -> cluster.network.setBlocked(controller, other, false));
     }
 
     /**
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -177,12 +177,12 @@
     for (SimulatedController controller : cluster.shard(shard)) {
       String label = controller.platform.label();
       switch (link) {
-        case STATE_SERVICE -> cluster.network.cut(label, "state", partitioned);
-        case MACHINE -> cluster.network.cut(label, machine, partitioned);
+        case STATE_SERVICE -> cluster.network.setBlocked(label, "state", partitioned);
+        case MACHINE -> cluster.network.setBlocked(label, machine, partitioned);
         case PEERS ->
             cluster.controllers.keySet().stream()
                 .filter(other -> !other.equals(label))
-                .forEach(other -> cluster.network.cut(label, other, partitioned));
+                .forEach(other -> cluster.network.setBlocked(label, other, partitioned));
       }
     }
   }
@@ -297,7 +297,8 @@
     cluster.store.controllersWithoutWatches.add(owner);
     cluster
         .shard(SOURCE)
-        .forEach(controller -> cluster.network.cut(controller.platform.label(), owner, true));
+        .forEach(
+            controller -> cluster.network.setBlocked(controller.platform.label(), owner, true));
     // Waits until the watches that were already open have ended.
     cluster.runFor(11);
     List<Integer> statuses = new ArrayList<>();
@@ -319,7 +320,7 @@
                 cluster
                     .controllers
                     .keySet()
-                    .forEach(other -> cluster.network.cut(one, other, false)));
+                    .forEach(other -> cluster.network.setBlocked(one, other, false)));
     pool.assertAllJobsEnd(150);
   }
 
@@ -348,7 +349,8 @@
     cluster.store.controllersWithoutWatches.add(sourceLeader.platform.label());
     cluster
         .shard(TARGET)
-        .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, true));
+        .forEach(
+            controller -> cluster.network.setBlocked(controller.platform.label(), machine, true));
     pool.transfer(SOURCE, machine, TARGET);
     cluster.runFor(12);
     assertOwnedByTarget();
@@ -365,7 +367,8 @@
     assertEquals(503, status[0], "heartbeat of a machine that may have a new owner");
     cluster
         .shard(TARGET)
-        .forEach(controller -> cluster.network.cut(controller.platform.label(), machine, false));
+        .forEach(
+            controller -> cluster.network.setBlocked(controller.platform.label(), machine, false));
     pool.assertAllJobsEnd(250);
   }
 
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -61,7 +61,7 @@
    * Cut links as {@code from>to}, where {@code *} stands for any endpoint. Requests over a cut link
    * are held until the cut ends; responses are dropped.
    */
-  final Map<String, Boolean> cuts = new HashMap<>();
+  final Map<String, Boolean> blockedLinks = new HashMap<>();
 
   /** Share of calls whose response is lost. */
   double lostAnswerShare;
@@ -126,15 +126,15 @@
   }
 
   /** Cuts the link between two endpoints in both directions, or restores it. */
-  void cut(String one, String other, boolean on) {
-    cuts.put(one + ">" + other, on);
-    cuts.put(other + ">" + one, on);
+  void setBlocked(String one, String other, boolean on) {
+    blockedLinks.put(one + ">" + other, on);
+    blockedLinks.put(other + ">" + one, on);
   }
 
   private boolean isCut(String from, String to) {
-    return cuts.getOrDefault(from + ">" + to, false)
-        || cuts.getOrDefault(from + ">*", false)
-        || cuts.getOrDefault("*>" + to, false);
+    return blockedLinks.getOrDefault(from + ">" + to, false)
+        || blockedLinks.getOrDefault(from + ">*", false)
+        || blockedLinks.getOrDefault("*>" + to, false);
   }
 
   /** Called when a new term begins: delivers the kept heartbeats to every controller. */
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -195,8 +195,8 @@
    * delivers held commands after the cut ends.
    */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
-    cluster.network.cuts.put("*>" + machineId, true);
-    cluster.at(time, () -> cluster.network.cuts.remove("*>" + machineId));
+    cluster.network.blockedLinks.put("*>" + machineId, true);
+    cluster.at(time, () -> cluster.network.blockedLinks.remove("*>" + machineId));
   }
 
   private static void cutFromStateAndPeers(
@@ -209,13 +209,13 @@
   }
 
   private static void cutLinks(SimulatedCluster cluster, String there, String back, long time) {
-    cluster.network.cuts.put(there, true);
-    cluster.network.cuts.put(back, true);
+    cluster.network.blockedLinks.put(there, true);
+    cluster.network.blockedLinks.put(back, true);
     cluster.at(
         time,
         () -> {
-          cluster.network.cuts.remove(there);
-          cluster.network.cuts.remove(back);
+          cluster.network.blockedLinks.remove(there);
+          cluster.network.blockedLinks.remove(back);
         });
   }
 
@@ -225,7 +225,7 @@
     cluster.network.repeatedShare = 0;
     cluster.network.duplicatedHeartbeatShare = 0;
     cluster.faultsEndedAtMicros = cluster.now();
-    cluster.network.cuts.clear();
+    cluster.network.blockedLinks.clear();
     cluster.store.refusedControllers.clear();
     cluster.cloud.outage = false;
     cluster.store.endOutage();
--- a/src/test/java/plumlever/sim/UnseenCancellationTest.java
+++ b/src/test/java/plumlever/sim/UnseenCancellationTest.java
@@ -121,7 +121,7 @@
     // Prevents the peers from notifying the leader of the cancellations.
     cluster.controllers.keySet().stream()
         .filter(o -> !o.equals(leader.platform.label()))
-        .forEach(o -> cluster.network.cut(leader.platform.label(), o, true));
+        .forEach(o -> cluster.network.setBlocked(leader.platform.label(), o, true));
     jobs.subList(0, 4).forEach(j -> cancelAt(anyControllerExcept(leader), j, statuses::add));
     cluster.runFor(1);
     assertEquals(List.of(200, 200, 200, 200), statuses);
--- a/src/test/java/plumlever/sim/UsersTest.java
+++ b/src/test/java/plumlever/sim/UsersTest.java
@@ -122,9 +122,9 @@
    */
   @Test
   void anUnansweredAcceptanceIsResolvedByReadingTheJobRecord() {
-    cluster.network.cuts.put("state>n0", true);
+    cluster.network.blockedLinks.put("state>n0", true);
     assertEquals(503, send("POST", "/submissions", JOB));
-    cluster.network.cuts.clear();
+    cluster.network.blockedLinks.clear();
     cluster.runFor(3);
     assertEquals(200, send("GET", "/submissions/job-1", null));
     assertEquals(200, send("POST", "/submissions", JOB));
