--- a/src/main/java/plumlever/http/CancellationHandler.java
+++ b/src/main/java/plumlever/http/CancellationHandler.java
@@ -71,7 +71,7 @@
   }
 
   private void respondEnded(String uid, JobRecordCache.JobStatus ended, UserRequest request) {
-    if (ended.endState().equals(Optional.of(JobState.CANCELLED))) {
+    if (ended.finalState().equals(Optional.of(JobState.CANCELLED))) {
       onCancelled.accept(uid);
     }
     request.send(HttpStatus.OK, responses.statusBody(uid, ended));
--- a/src/main/java/plumlever/http/JobResponses.java
+++ b/src/main/java/plumlever/http/JobResponses.java
@@ -93,8 +93,8 @@
 
   /** The response body for a job that was found. */
   String statusBody(String uid, JobRecordCache.JobStatus found) {
-    if (found.endState().isPresent()) {
-      return body(uid, found.endState().get());
+    if (found.finalState().isPresent()) {
+      return body(uid, found.finalState().get());
     }
     Optional<TaskCounts> known = counts.apply(uid);
     boolean running = known.isPresent() && known.get().running() > 0;
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -81,7 +81,7 @@
    * deleted.
    */
   private Map<Integer, Optional<ObjectNode>> nextChanges() {
-    List<ObjectNode> values = codec.write(context.recordLayout().valueBytes());
+    List<ObjectNode> values = codec.write(context.recordLayout().maxValueBytes());
     int count = Math.max(values.size(), storedCount);
     Map<Integer, Optional<ObjectNode>> changes = new LinkedHashMap<>();
     for (int n = 0; n < count && changes.size() < MAX_CHANGES; n++) {
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -143,7 +143,7 @@
           job.spec().taskCount(),
           job.spec().jobClass(),
           ageMicros / 1_000);
-      dependencies.add(job, RecordLayout.dependenciesKeys(uid, data));
+      dependencies.add(job, RecordLayout.dependencyListKeys(uid, data));
     } catch (InvalidMessageException e) {
       log.error("ignoring unreadable job record {}: {}", key, e.getMessage());
     }
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -433,7 +433,7 @@
             new TransferRecord.Offer(to, context.term().revision(), sharing.digest()),
             tasksByShard);
     int bytes = Json.write(offer.toJson()).getBytes(StandardCharsets.UTF_8).length;
-    if (bytes > context.recordLayout().valueBytes()) {
+    if (bytes > context.recordLayout().maxValueBytes()) {
       log.info("not offering machine {}: its tasks do not fit into one record", machine.id());
       return Optional.empty();
     }
--- a/src/main/java/plumlever/leader/progress/LargeJobChunks.java
+++ b/src/main/java/plumlever/leader/progress/LargeJobChunks.java
@@ -116,7 +116,7 @@
   private BitSet addTo(ProgressBatch batch, Job job, BitSet firstTasks) {
     int size =
         Math.min(
-            context.recordLayout().valueBytes(),
+            context.recordLayout().maxValueBytes(),
             job.spec().taskCount() / TASKS_PER_BYTE + BASE_BYTES);
     BitSet added = new BitSet();
     for (int first = firstTasks.nextSetBit(0);
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -115,7 +115,7 @@
 
   private RecordChunk<E> chunkWithCapacity(int bytes) {
     for (RecordChunk<E> chunk : chunks.values()) {
-      if (chunk.bytes() + bytes <= context.recordLayout().valueBytes()) {
+      if (chunk.bytes() + bytes <= context.recordLayout().maxValueBytes()) {
         return chunk;
       }
     }
@@ -166,7 +166,7 @@
   }
 
   private boolean isOversized(RecordChunk<E> chunk) {
-    return chunk.bytes() > context.recordLayout().valueBytes();
+    return chunk.bytes() > context.recordLayout().maxValueBytes();
   }
 
   /**
@@ -176,7 +176,7 @@
   private void moveExcess(RecordChunk<E> chunk) {
     Set<RecordChunk<E>> destinations = new LinkedHashSet<>();
     for (E entry : List.copyOf(chunk.entries())) {
-      if (chunk.bytesAfterMoves() <= context.recordLayout().valueBytes()) {
+      if (chunk.bytesAfterMoves() <= context.recordLayout().maxValueBytes()) {
         break;
       }
       if (!destinationByEntry.containsKey(entry)) {
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -116,7 +116,7 @@
     private int maxPartsPerTransaction() {
       return Math.min(
           layout.limits().maxOperations(),
-          Math.max(1, MAX_TRANSACTION_BYTES / layout.valueBytes()));
+          Math.max(1, MAX_TRANSACTION_BYTES / layout.maxValueBytes()));
     }
 
     private void send(Transaction transaction, Runnable applied) {
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -41,9 +41,9 @@
    * The state of a job as read from the state service.
    *
    * @param revision the revision of the record of an active job, otherwise 0
-   * @param endState the final state if the job has ended
+   * @param finalState the final state if the job has ended
    */
-  public record JobStatus(Presence presence, long revision, Optional<JobState> endState) {
+  public record JobStatus(Presence presence, long revision, Optional<JobState> finalState) {
     static final JobStatus MISSING = new JobStatus(Presence.MISSING, 0, Optional.empty());
     static final JobStatus UNAVAILABLE = new JobStatus(Presence.UNAVAILABLE, 0, Optional.empty());
 
--- a/src/main/java/plumlever/store/RecordLayout.java
+++ b/src/main/java/plumlever/store/RecordLayout.java
@@ -103,7 +103,7 @@
   }
 
   /** Returns the current maximum size of a value in bytes. */
-  public int valueBytes() {
+  public int maxValueBytes() {
     return limits.maxValueBytes();
   }
 
@@ -188,11 +188,13 @@
   public Optional<Acceptance> acceptJob(JobSpec spec, long wallMicros) {
     ObjectNode active = ActiveRecord.write(spec, wallMicros);
     Map<String, ObjectNode> parts = Map.of();
-    if (spec.hasDependencies() && bytes(active) > valueBytes()) {
-      String digest = DependencyListRecords.digest(spec.dependencies(), valueBytes());
+    if (spec.hasDependencies() && bytes(active) > maxValueBytes()) {
+      String digest = DependencyListRecords.digest(spec.dependencies(), maxValueBytes());
       parts =
           DependencyListRecords.parts(
-              DependencyListRecords.prefix(spec.uid(), digest), spec.dependencies(), valueBytes());
+              DependencyListRecords.prefix(spec.uid(), digest),
+              spec.dependencies(),
+              maxValueBytes());
       active = ActiveRecord.writeWithList(spec, wallMicros, digest, parts.size());
     }
     if (bytes(active) > configuredValueBytes) {
@@ -223,7 +225,7 @@
    * Returns the keys of the dependency list parts of the job; empty if the active record holds the
    * dependencies itself.
    */
-  public static List<String> dependenciesKeys(String uid, JsonNode activeRecord) {
+  public static List<String> dependencyListKeys(String uid, JsonNode activeRecord) {
     return ActiveRecord.dependencyListKeys(uid, activeRecord);
   }
 
@@ -317,7 +319,7 @@
 
   /** Returns how many tasks one progress chunk of a large job covers. */
   public int tasksPerChunk() {
-    return ProgressRecords.tasksPerChunk(valueBytes());
+    return ProgressRecords.tasksPerChunk(maxValueBytes());
   }
 
   /** Builds the progress chunk of a large job for a range of tasks. */
@@ -327,7 +329,7 @@
 
   /** Returns the bytes the job takes in a shared chunk, or -1 if it is too large to share one. */
   public int bytesInSharedChunk(JobSpec spec) {
-    return ProgressRecords.bytesInSharedChunk(spec, valueBytes()).orElse(-1);
+    return ProgressRecords.bytesInSharedChunk(spec, maxValueBytes()).orElse(-1);
   }
 
   /**
@@ -340,7 +342,7 @@
 
   /** Returns how many bytes the jobs of a shared chunk may take together. */
   public int sharedChunkBytes() {
-    return ProgressRecords.sharedChunkBytes(valueBytes());
+    return ProgressRecords.sharedChunkBytes(maxValueBytes());
   }
 
   /** Builds the shared chunk that holds the finished tasks of these jobs. */
--- a/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
+++ b/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
@@ -41,9 +41,9 @@
   }
 
   private void lowerValueLimit() {
-    int before = context.recordLayout().valueBytes();
+    int before = context.recordLayout().maxValueBytes();
     services.refuseValueOfSize(ContextFixture.VALUE_BYTES / 2);
-    assertNotEquals(before, context.recordLayout().valueBytes(), "the limit must have changed");
+    assertNotEquals(before, context.recordLayout().maxValueBytes(), "the limit must have changed");
   }
 
   private static int sizeOf(List<Job> jobs) {
--- a/src/test/java/plumlever/store/RecordLayoutTest.java
+++ b/src/test/java/plumlever/store/RecordLayoutTest.java
@@ -125,7 +125,7 @@
     JsonNode active = activeRecord(acceptance);
     assertTrue(Json.write(active).length() <= valueBytes);
     List<String> restored = new ArrayList<>();
-    for (String key : RecordLayout.dependenciesKeys("job-99", active)) {
+    for (String key : RecordLayout.dependencyListKeys("job-99", active)) {
       assertTrue(Json.write(acceptance.parts().get(key)).length() <= valueBytes);
       restored.addAll(RecordLayout.dependencyIds(acceptance.parts().get(key)));
     }
