--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -280,7 +280,7 @@
   QUERIES_TO_ALL_CONTROLLERS_WITH_IMMEDIATE_CANCELLATIONS(
       deployment -> {
         deployment.users.queryAllControllersOnChange = true;
-        deployment.cluster.network.lostAnswerShare = 0.05;
+        deployment.cluster.network.lostResponseShare = 0.05;
         for (int i = 0; i < 20; i++) {
           boolean cancel = i % 3 == 0;
           deployment.cluster.at(
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -150,7 +150,7 @@
    * deployment long enough for all jobs to be served.
    */
   void endFaults() {
-    cluster.network.lostAnswerShare = 0;
+    cluster.network.lostResponseShare = 0;
     cluster.network.executedLateShare = 0;
     cluster.network.duplicatedHeartbeatShare = 0;
     cluster.network.heartbeatShareKeptForNextTerm = 0;
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -188,7 +188,7 @@
                   3 + cluster.random.nextInt(20),
                   cluster.random.nextInt(5) == 0));
     }
-    cluster.network.lostAnswerShare = 0.01;
+    cluster.network.lostResponseShare = 0.01;
     cluster.network.repeatedShare = 0.02;
     cluster.network.duplicatedHeartbeatShare = 0.02;
     cluster.store.lateWriteShare = 0.02;
--- a/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
@@ -77,7 +77,7 @@
     SimulatedCluster cluster = cluster(seed);
     FakeUsers users = new FakeUsers(cluster);
     SimulationTest.submitOverTime(cluster, users, JOBS, 5);
-    cluster.network.lostAnswerShare = 0.01;
+    cluster.network.lostResponseShare = 0.01;
     cluster.network.executedLateShare = 0.005;
     cluster.network.repeatedShare = 0.02;
     cluster.network.duplicatedHeartbeatShare = 0.02;
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -64,7 +64,7 @@
   final Map<String, Boolean> blockedLinks = new HashMap<>();
 
   /** Share of calls whose response is lost. */
-  double lostAnswerShare;
+  double lostResponseShare;
 
   /** Share of calls that are executed 1 to 61 s late. */
   double executedLateShare;
@@ -181,7 +181,7 @@
       delegationChecker.onCommandsSent(to.host(), body);
     }
     boolean responseIsLost =
-        random.nextDouble() < lostAnswerShare
+        random.nextDouble() < lostResponseShare
             || (message.isCommand() && random.nextDouble() < lostCommandResponseShare);
     long delayMicros = delayMicros(message);
     Reply reply = new NetworkReply(message, responseIsLost, firstResponse);
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -85,7 +85,7 @@
     SimulatedCluster cluster = cluster(seed);
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 40, 5);
-    cluster.network.lostAnswerShare = 0.01;
+    cluster.network.lostResponseShare = 0.01;
     cluster.network.executedLateShare = 0.005;
     cluster.network.repeatedShare = 0.02;
     cluster.network.duplicatedHeartbeatShare = 0.02;
@@ -220,7 +220,7 @@
   }
 
   static void endFaults(SimulatedCluster cluster) {
-    cluster.network.lostAnswerShare = 0;
+    cluster.network.lostResponseShare = 0;
     cluster.network.executedLateShare = 0;
     cluster.network.repeatedShare = 0;
     cluster.network.duplicatedHeartbeatShare = 0;
