--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -54,20 +54,20 @@
   private final JobRecordCache jobRecords;
   private final DelegatedRenewal delegatedRenewal;
   private final RequestRouter router;
-  private final Optional<PoolRequestHandler> poolRequests;
+  private final Optional<PoolRequestHandler> poolRequestHandler;
 
   /** Creates a controller that runs leader election on the same loop as everything else. */
   public Controller(
       EventLoop loop,
-      HttpClient caller,
+      HttpClient httpClient,
       PlatformConfiguration platform,
       SchedulerParameters parameters,
       long seed) {
     this(
         loop,
-        caller,
+        httpClient,
         loop,
-        caller,
+        httpClient,
         platform,
         new OperatorSettings(parameters, Optional.empty()),
         seed,
@@ -84,16 +84,23 @@
    */
   public Controller(
       EventLoop loop,
-      HttpClient caller,
+      HttpClient httpClient,
       EventLoop electionLoop,
-      HttpClient electionCaller,
+      HttpClient electionHttpClient,
       PlatformConfiguration platform,
       OperatorSettings settings,
       long seed,
-      LoggerProvider logs) {
+      LoggerProvider loggerProvider) {
     this(
         new ControllerEnvironment(
-            loop, caller, electionLoop, electionCaller, platform, settings, seed, logs));
+            loop,
+            httpClient,
+            electionLoop,
+            electionHttpClient,
+            platform,
+            settings,
+            seed,
+            loggerProvider));
   }
 
   private Controller(ControllerEnvironment environment) {
@@ -111,7 +118,7 @@
     jobRecords = new JobRecordCache(loop, clients.store(), clients.layout(), clients.metrics());
     delegatedRenewal = new DelegatedRenewal(loop, clients.store(), election, environment.logs());
     router = createRouter();
-    poolRequests = sharing.map(pool -> new PoolRequestHandler(leadership::leader, router));
+    poolRequestHandler = sharing.map(pool -> new PoolRequestHandler(leadership::leader, router));
   }
 
   private TermContextFactory termContextFactory() {
@@ -246,7 +253,8 @@
 
   /** Handles a request of another controller. */
   public void peer(String method, String path, byte[] body, Responder out) {
-    boolean handled = poolRequests.isPresent() && poolRequests.get().handle(path, body, out);
+    boolean handled =
+        poolRequestHandler.isPresent() && poolRequestHandler.get().handle(path, body, out);
     if (!handled) {
       peers.handle(method, path, body, out);
     }
--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -142,7 +142,7 @@
 
     private final XnioWorker worker = Service.createWorker("emulators");
     private final XnioLoop loop = new XnioLoop(worker.getIoThread());
-    private final UndertowHttpClient caller =
+    private final UndertowHttpClient httpClient =
         new UndertowHttpClient(
             loop,
             worker.getIoThread(),
@@ -185,7 +185,7 @@
     }
 
     private void sendHeartbeat(Endpoint controller) {
-      caller.call(
+      httpClient.call(
           controller,
           "POST",
           ProtocolPath.HEARTBEAT,
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -120,17 +120,17 @@
     worker = createWorker("plumlever");
     electionWorker = createWorker("election");
     loop = new XnioLoop(worker.getIoThread());
-    UndertowHttpClient caller = createCaller(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
+    UndertowHttpClient httpClient = createCaller(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
     XnioLoop electionLoop = new XnioLoop(electionWorker.getIoThread());
-    UndertowHttpClient electionCaller =
+    UndertowHttpClient electionHttpClient =
         createCaller(
             electionWorker, electionLoop, MAX_ELECTION_BUFFERS, MAX_ELECTION_BUFFERS_PER_THREAD);
     controller =
         new Controller(
             loop,
-            caller,
+            httpClient,
             electionLoop,
-            electionCaller,
+            electionHttpClient,
             platform,
             settings,
             new SplittableRandom().nextLong(),
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -72,7 +72,7 @@
   }
 
   private final EventLoop loop;
-  private final HttpClient caller;
+  private final HttpClient httpClient;
   private final Endpoint endpoint;
   private final Metrics metrics;
   private final TokenBucket rateLimiter;
@@ -81,13 +81,13 @@
   /** Creates a client that stays within the cloud's rate limit. */
   public CloudClient(
       EventLoop loop,
-      HttpClient caller,
+      HttpClient httpClient,
       Endpoint endpoint,
       PlatformConfiguration.CloudLimits limits,
       Metrics metrics) {
     this.metrics = metrics;
     this.loop = loop;
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.endpoint = endpoint;
     this.rateLimiter = new TokenBucket(limits.rps() * RATE_LIMIT_FRACTION, loop.nowMicros());
   }
@@ -245,7 +245,7 @@
       return;
     }
     byte[] bytes = body == null ? null : Json.write(body).getBytes(StandardCharsets.UTF_8);
-    caller.call(
+    httpClient.call(
         endpoint,
         method,
         path,
--- a/src/main/java/plumlever/cloud/MachineTypeCatalog.java
+++ b/src/main/java/plumlever/cloud/MachineTypeCatalog.java
@@ -11,11 +11,11 @@
 /** The machine types and their prices; empty until they have been loaded. */
 public final class MachineTypeCatalog {
   private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
-  private final Map<String, Double> ownedHourly;
+  private final Map<String, Double> ownedHourlyCosts;
 
   /** Creates an empty catalog. */
   public MachineTypeCatalog(SchedulerParameters parameters) {
-    this.ownedHourly = parameters.ownedHourlyCosts();
+    this.ownedHourlyCosts = parameters.ownedHourlyCosts();
   }
 
   /**
@@ -49,7 +49,7 @@
    * configured price.
    */
   public double hourlyPrice(MachineType machineType, boolean spot) {
-    Double owned = ownedHourly.get(machineType.name());
+    Double owned = ownedHourlyCosts.get(machineType.name());
     return owned != null ? owned : machineType.hourlyPrice(spot);
   }
 
--- a/src/main/java/plumlever/cloud/MachineTypeLoader.java
+++ b/src/main/java/plumlever/cloud/MachineTypeLoader.java
@@ -36,8 +36,8 @@
       CloudClient cloud,
       StateClient store,
       MachineTypeCatalog typeCatalog,
-      LoggerProvider logs) {
-    this.log = logs.of(MachineTypeLoader.class);
+      LoggerProvider loggerProvider) {
+    this.log = loggerProvider.of(MachineTypeLoader.class);
     this.loop = loop;
     this.cloud = cloud;
     this.store = store;
--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -31,7 +31,7 @@
   }
 
   private final EventLoop loop;
-  private final HttpClient caller;
+  private final HttpClient httpClient;
   private final List<Endpoint> controllers;
   private final TaskResults results;
   private final SplittableRandom random;
@@ -40,12 +40,12 @@
 
   DrillUsers(
       EventLoop loop,
-      HttpClient caller,
+      HttpClient httpClient,
       List<Endpoint> controllers,
       TaskResults results,
       SplittableRandom random) {
     this.loop = loop;
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.controllers = controllers;
     this.results = results;
     this.random = random;
@@ -65,7 +65,7 @@
   }
 
   private void submit(String uid, String body, Endpoint controller) {
-    caller.call(
+    httpClient.call(
         controller,
         "POST",
         "/submissions",
@@ -85,7 +85,7 @@
   }
 
   private void poll(String uid) {
-    caller.call(
+    httpClient.call(
         randomController(),
         "GET",
         "/submissions/" + uid,
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -91,7 +91,7 @@
   private final Path directory;
   private final XnioWorker worker;
   private final XnioLoop loop;
-  private final UndertowHttpClient caller;
+  private final UndertowHttpClient httpClient;
   private final TaskResults results = new TaskResults();
   private final TransferStatistics transfers;
   private final StateServiceEmulator state;
@@ -123,7 +123,7 @@
                     .set(Options.WORKER_TASK_MAX_THREADS, 1)
                     .getMap());
     this.loop = new XnioLoop(worker.getIoThread());
-    this.caller =
+    this.httpClient =
         new UndertowHttpClient(
             loop, worker.getIoThread(), new DefaultByteBufferPool(false, BUFFER_BYTES, BUFFERS, 4));
     this.transfers = new TransferStatistics(loop);
@@ -212,10 +212,16 @@
       endpointByLabel.put(controller.label(), controller.userEndpoint());
       userEndpoints.add(controller.userEndpoint());
     }
-    users = new DrillUsers(loop, caller, userEndpoints, results, random);
+    users = new DrillUsers(loop, httpClient, userEndpoints, results, random);
     WorkerEmulator.Environment environment =
         new WorkerEmulator.Environment(
-            loop, caller, userEndpoints, endpointByLabel, results, HEARTBEAT_MICROS, LEASE_MICROS);
+            loop,
+            httpClient,
+            userEndpoints,
+            endpointByLabel,
+            results,
+            HEARTBEAT_MICROS,
+            LEASE_MICROS);
     for (int i = 1; i <= plan.machines(); i++) {
       String machine = String.format("i-%06d", i);
       Server server =
@@ -293,7 +299,7 @@
     }
     int to = (owner + 1 + random.nextInt(SHARDS.size() - 1)) % SHARDS.size();
     String body = Json.write(Json.object().put("machine", machine).put("to", SHARDS.get(to)));
-    caller.call(
+    httpClient.call(
         controllers.get(owner).peerEndpoint(),
         "POST",
         "/transfer",
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -63,8 +63,8 @@
    * client.
    */
   public DelegatedRenewal(
-      EventLoop loop, StateClient store, LeaderElection election, LoggerProvider logs) {
-    this.log = logs.of(DelegatedRenewal.class);
+      EventLoop loop, StateClient store, LeaderElection election, LoggerProvider loggerProvider) {
+    this.log = loggerProvider.of(DelegatedRenewal.class);
     this.loop = loop;
     this.store = store;
     this.election = election;
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -63,11 +63,11 @@
       EventLoop loop,
       StateClient store,
       ElectionListener listener,
-      LoggerProvider logs) {
+      LoggerProvider loggerProvider) {
     this.label = settings.label();
     this.loop = loop;
     this.parameters = settings.parameters();
-    Logger log = logs.of(LeaderElection.class);
+    Logger log = loggerProvider.of(LeaderElection.class);
     SplittableRandom random = new SplittableRandom(settings.seed());
     Candidate candidate = new Candidate(label, Long.toHexString(random.nextLong()));
     ElectionBackoff backoff = new ElectionBackoff(random);
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -31,7 +31,7 @@
   private long stopRequestedMicros;
 
   /** Creates an attempt in the current worker incarnation of the machine. */
-  Attempt(Job job, int task, long id, Machine machine, AttemptOrigin origin, long sentMicros) {
+  Attempt(Job job, int task, long id, Machine machine, AttemptOrigin origin, long startSentMicros) {
     this.job = job;
     this.task = task;
     this.id = id;
@@ -39,7 +39,7 @@
     this.incarnation = machine.contact().incarnation();
     this.startHeartbeatSequenceNumber = origin.heartbeatSequenceNumber();
     this.directCommandToken = origin.directCommandToken();
-    this.startSentMicros = sentMicros;
+    this.startSentMicros = startSentMicros;
   }
 
   public Job job() {
--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -47,11 +47,11 @@
    * Records a direct command that carries the current token. A delayed duplicate of the command may
    * be executed until the token is raised. At most one direct command is in flight at a time.
    *
-   * @param endsKnownMicros when the last successful read of ended jobs was sent
+   * @param endedJobsReadMicros when the last successful read of ended jobs was sent
    */
-  public void recordDirectCommand(long endsKnownMicros) {
+  public void recordDirectCommand(long endedJobsReadMicros) {
     lastCommandToken = current;
-    endedJobsReadAtLastCommandMicros = endsKnownMicros;
+    endedJobsReadAtLastCommandMicros = endedJobsReadMicros;
   }
 
   /**
--- a/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
@@ -39,7 +39,7 @@
   private final LeaseRenewal renewal;
   private final Metrics metrics;
   private final Logger log;
-  private final LogRateLimiter logBudget;
+  private final LogRateLimiter logRateLimiter;
 
   /**
    * Creates a handler that uses the given delegation.
@@ -52,14 +52,14 @@
       JobRecordCache jobs,
       LeaseRenewal renewal,
       Metrics metrics,
-      LoggerProvider logs) {
+      LoggerProvider loggerProvider) {
     this.loop = loop;
     this.delegation = delegation;
     this.jobs = jobs;
     this.renewal = renewal;
     this.metrics = metrics;
-    this.log = logs.of(DelegatedHeartbeatHandler.class);
-    this.logBudget = new LogRateLimiter(log, MAX_LOG_LINES_PER_SECOND);
+    this.log = loggerProvider.of(DelegatedHeartbeatHandler.class);
+    this.logRateLimiter = new LogRateLimiter(log, MAX_LOG_LINES_PER_SECOND);
   }
 
   /**
@@ -68,13 +68,14 @@
    * @return false if this controller may not renew the lease; no response has been sent
    */
   boolean tryRespond(Heartbeat heartbeat, Responder out) {
-    Optional<DelegatedRenewal.RenewalRight> right = delegation.renewalRight(heartbeat.zone());
+    Optional<DelegatedRenewal.RenewalRight> renewalRight =
+        delegation.renewalRight(heartbeat.zone());
     // First check the conditions that do not depend on the jobs: a refusal needs no job lookup.
-    if (right.isEmpty()
+    if (renewalRight.isEmpty()
         || renewal
-            .refusal(evidence(right.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
+            .refusal(evidence(renewalRight.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
             .isPresent()) {
-      right.ifPresent(known -> logRefusal(heartbeat, known, "before the job lookup"));
+      renewalRight.ifPresent(known -> logRefusal(heartbeat, known, "before the job lookup"));
       return false;
     }
     jobs.findEnded(
@@ -86,8 +87,9 @@
       Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> endedJobs, Responder out) {
     // The delegation may have expired during the job lookup. The lease must not be renewed if the
     // delegate can't send the stop commands for tasks of ended jobs.
-    Optional<DelegatedRenewal.RenewalRight> right = delegation.renewalRight(heartbeat.zone());
-    if (right.isEmpty()) {
+    Optional<DelegatedRenewal.RenewalRight> renewalRight =
+        delegation.renewalRight(heartbeat.zone());
+    if (renewalRight.isEmpty()) {
       refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
       return;
     }
@@ -97,7 +99,7 @@
     }
     List<WorkerCommand> stopCommands = stopCommands(heartbeat, endedJobs.get().uids());
     DelegateEvidence evidence =
-        evidence(right.get(), heartbeat, endedJobs.get().oldestReadMicros());
+        evidence(renewalRight.get(), heartbeat, endedJobs.get().oldestReadMicros());
     RenewalDecision decision = renewal.decide(evidence, stopCommands, loop.nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
       logRenewal(heartbeat, evidence, stopCommands);
@@ -110,9 +112,12 @@
   }
 
   private static DelegateEvidence evidence(
-      DelegatedRenewal.RenewalRight right, Heartbeat heartbeat, long endsKnownMicros) {
+      DelegatedRenewal.RenewalRight renewalRight, Heartbeat heartbeat, long endedJobsReadMicros) {
     return new DelegateEvidence(
-        right.token(), heartbeat.fencingToken(), right.validUntilMicros(), endsKnownMicros);
+        renewalRight.token(),
+        heartbeat.fencingToken(),
+        renewalRight.validUntilMicros(),
+        endedJobsReadMicros);
   }
 
   private static Set<String> liveJobIds(Heartbeat heartbeat) {
@@ -141,7 +146,7 @@
 
   private void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     metrics.count(refusal.counter());
-    if (logBudget.tryAcquireDebugLine(loop.nowMicros())) {
+    if (logRateLimiter.tryAcquireDebugLine(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) not renewed on behalf of the leader, machine's"
               + " fencing token {}: {}",
@@ -153,8 +158,9 @@
     out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, refusal.reason(), 1);
   }
 
-  private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.RenewalRight right, String when) {
-    if (logBudget.tryAcquireDebugLine(loop.nowMicros())) {
+  private void logRefusal(
+      Heartbeat heartbeat, DelegatedRenewal.RenewalRight renewalRight, String when) {
+    if (logRateLimiter.tryAcquireDebugLine(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) not renewed on behalf of the leader, refused {}:"
               + " machine's fencing token {}, delegation's token {}",
@@ -162,7 +168,7 @@
           heartbeat.incarnation(),
           when,
           heartbeat.fencingToken(),
-          right.token());
+          renewalRight.token());
     }
   }
 
@@ -173,7 +179,8 @@
   private void logRenewal(
       Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stopCommands) {
     boolean raises = evidence.token() > heartbeat.fencingToken();
-    if ((raises || !stopCommands.isEmpty()) && logBudget.tryAcquireDebugLine(loop.nowMicros())) {
+    if ((raises || !stopCommands.isEmpty())
+        && logRateLimiter.tryAcquireDebugLine(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) renewed on behalf of the leader: fencing token {}"
               + " replaces {}, ended jobs as of {} ms ago, stop commands {}",
--- a/src/main/java/plumlever/http/HeartbeatEndpoint.java
+++ b/src/main/java/plumlever/http/HeartbeatEndpoint.java
@@ -17,7 +17,7 @@
  */
 public final class HeartbeatEndpoint {
   private final LeaderLookup leaders;
-  private final DelegatedHeartbeatHandler delegatedHeartbeats;
+  private final DelegatedHeartbeatHandler delegatedHeartbeatHandler;
   private final Consumer<String> onHeartbeatWhileNotLeading;
   private final Metrics metrics;
 
@@ -29,11 +29,11 @@
    */
   public HeartbeatEndpoint(
       LeaderLookup leaders,
-      DelegatedHeartbeatHandler delegatedHeartbeats,
+      DelegatedHeartbeatHandler delegatedHeartbeatHandler,
       Consumer<String> onHeartbeatWhileNotLeading,
       Metrics metrics) {
     this.leaders = leaders;
-    this.delegatedHeartbeats = delegatedHeartbeats;
+    this.delegatedHeartbeatHandler = delegatedHeartbeatHandler;
     this.onHeartbeatWhileNotLeading = onHeartbeatWhileNotLeading;
     this.metrics = metrics;
   }
@@ -61,7 +61,7 @@
       return;
     }
     onHeartbeatWhileNotLeading.accept(heartbeat.machineId());
-    if (!delegatedHeartbeats.tryRespond(heartbeat, out)) {
+    if (!delegatedHeartbeatHandler.tryRespond(heartbeat, out)) {
       redirectToLeader(out);
     }
   }
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -31,7 +31,7 @@
 
   private final EventLoop loop;
   private final StateClient store;
-  private final HttpClient caller;
+  private final HttpClient httpClient;
   private final PlatformConfiguration platform;
   private final SharingSettings sharing;
 
@@ -39,12 +39,12 @@
   public JobForwarder(
       EventLoop loop,
       StateClient store,
-      HttpClient caller,
+      HttpClient httpClient,
       PlatformConfiguration platform,
       SharingSettings sharing) {
     this.loop = loop;
     this.store = store;
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.platform = platform;
     this.sharing = sharing;
   }
@@ -131,7 +131,7 @@
           RETRY_AFTER_S);
       return;
     }
-    caller.call(
+    httpClient.call(
         members.next().endpoint(),
         "POST",
         ForwardedRequest.PATH,
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -19,17 +19,17 @@
 
   private final TermContext context;
   private final Logger log;
-  private final LogRateLimiter logBudget;
+  private final LogRateLimiter logRateLimiter;
 
   /** Creates the log of one term's attempts. */
   public AttemptLog(TermContext context) {
     this.context = context;
     this.log = context.logs().of(AttemptLog.class);
-    this.logBudget = new LogRateLimiter(log, MAX_LINES_PER_SECOND);
+    this.logRateLimiter = new LogRateLimiter(log, MAX_LINES_PER_SECOND);
   }
 
   private boolean enabled() {
-    return logBudget.tryAcquireDebugLine(context.loop().nowMicros());
+    return logRateLimiter.tryAcquireDebugLine(context.loop().nowMicros());
   }
 
   /**
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -34,11 +34,11 @@
   /**
    * Creates a queue without deferred heartbeats.
    *
-   * @param socketLimit the most heartbeats that can be deferred at a time
+   * @param capacity the most heartbeats that can be deferred at a time
    */
-  public DeferredHeartbeats(EventLoop loop, int socketLimit) {
+  public DeferredHeartbeats(EventLoop loop, int capacity) {
     this.loop = loop;
-    this.capacity = socketLimit;
+    this.capacity = capacity;
   }
 
   /**
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
@@ -32,7 +32,7 @@
   private final MachineSharing sharing;
   private final LeaseRenewal renewal;
   private final Logger log;
-  private final LogRateLimiter logBudget;
+  private final LogRateLimiter logRateLimiter;
 
   /**
    * Creates a sender of responses that takes its evidence from these jobs and this view of a pool.
@@ -43,7 +43,7 @@
     this.sharing = sharing;
     this.renewal = new LeaseRenewal(new RenewalLimit(context.platform().workers()));
     this.log = context.logs().of(HeartbeatResponses.class);
-    this.logBudget = new LogRateLimiter(log, MAX_LINES_PER_SECOND);
+    this.logRateLimiter = new LogRateLimiter(log, MAX_LINES_PER_SECOND);
   }
 
   /** Returns why the machine's lease must not be renewed now, or empty if it may be renewed. */
@@ -108,7 +108,7 @@
     context.metrics().count("renewals_refused");
     context.metrics().count(refusal.counter());
     long now = context.loop().nowMicros();
-    if (logBudget.tryAcquireDebugLine(now)) {
+    if (logRateLimiter.tryAcquireDebugLine(now)) {
       log.debug(
           "lease of machine {} incarnation {} is not renewed, heartbeat token {}: {}; last read of"
               + " ended jobs sent {} ms ago",
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -189,8 +189,8 @@
    * Sets the function that estimates the cost of a task, including the image download. The
    * propagation of deadlines to dependencies uses these estimates.
    */
-  public void useTaskDurations(ToLongFunction<Job> taskCostMicros) {
-    dependencies.useTaskCosts(taskCostMicros);
+  public void useTaskDurations(ToLongFunction<Job> taskDurationMicros) {
+    dependencies.useTaskCosts(taskDurationMicros);
   }
 
   /** Recomputes the task cost estimates that the next call of {@link #propagateGoals} uses. */
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -38,7 +38,7 @@
   /** Actions deferred until all active jobs have been added, since jobs are added in any order. */
   private final List<Runnable> deferredUntilLoaded = new ArrayList<>();
 
-  private ToLongFunction<Job> taskCost = job -> 0;
+  private ToLongFunction<Job> taskDuration = job -> 0;
   private boolean readingFinalStates;
   private boolean loaded;
   private boolean closed;
@@ -135,7 +135,7 @@
    */
   private void track(Job job, List<String> dependencies) {
     List<String> unknown = graph.addJob(job.uid(), job.revision(), dependencies);
-    graph.setGoal(job.uid(), job.goal(), taskCost.applyAsLong(job));
+    graph.setGoal(job.uid(), job.goal(), taskDuration.applyAsLong(job));
     for (String name : unknown) {
       Job dependency = activeJobs.get(name);
       if (dependency == null) {
@@ -255,8 +255,8 @@
    * Sets the function that estimates the cost of a task, including the image download. The
    * estimates serve to derive the deadlines of dependencies.
    */
-  void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
-    taskCost = taskCostMicros;
+  void useTaskCosts(ToLongFunction<Job> taskDurationMicros) {
+    taskDuration = taskDurationMicros;
   }
 
   /** Recomputes the task cost estimates of all jobs in the graph. */
@@ -278,7 +278,7 @@
 
   private long taskCostOf(String uid) {
     Job job = activeJobs.get(uid);
-    return job == null ? 0 : taskCost.applyAsLong(job);
+    return job == null ? 0 : taskDuration.applyAsLong(job);
   }
 
   private void applyGoal(String uid) {
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshot.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshot.java
@@ -12,15 +12,15 @@
  * tasks. Created by {@link FleetSnapshotFactory}.
  */
 final class FleetSnapshot implements Placer.ImageFetchTimes {
-  private final MachineTypeCatalog prices;
+  private final MachineTypeCatalog typeCatalog;
   private final long nowMicros;
   private final List<PlacementCandidate> candidates = new ArrayList<>();
 
   /** Machines by candidate index. */
   private final List<Machine> machines = new ArrayList<>();
 
-  FleetSnapshot(MachineTypeCatalog prices, long nowMicros) {
-    this.prices = prices;
+  FleetSnapshot(MachineTypeCatalog typeCatalog, long nowMicros) {
+    this.typeCatalog = typeCatalog;
     this.nowMicros = nowMicros;
   }
 
@@ -43,7 +43,7 @@
     Machine machine = machines.get(candidate);
     return machine
         .images()
-        .fetchMicros(image, imageGb, prices.machineType(machine.machineType()), nowMicros);
+        .fetchMicros(image, imageGb, typeCatalog.machineType(machine.machineType()), nowMicros);
   }
 
   /** Unreserved cores on machines that are up or coming up. */
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -18,11 +18,11 @@
 /** Sends direct calls to workers and parses the responses. Makes no scheduling decisions. */
 final class WorkerCalls {
   private final Logger log;
-  private final HttpClient caller;
+  private final HttpClient httpClient;
 
   WorkerCalls(TermContext context) {
     this.log = context.logs().of(WorkerCalls.class);
-    this.caller = context.caller();
+    this.httpClient = context.caller();
   }
 
   /**
@@ -40,7 +40,7 @@
         WorkerCommand.directCall(
                 machine.tokens().current(), Math.max(1, machine.contact().incarnation()), commands)
             .getBytes(StandardCharsets.UTF_8);
-    caller.call(
+    httpClient.call(
         endpoint,
         "POST",
         ProtocolPath.COMMANDS,
@@ -71,7 +71,7 @@
       Endpoint endpoint,
       long timeoutMicros,
       Consumer<Optional<Heartbeat>> onState) {
-    caller.call(
+    httpClient.call(
         endpoint,
         "GET",
         ProtocolPath.INSPECT,
--- a/src/main/java/plumlever/metrics/Metrics.java
+++ b/src/main/java/plumlever/metrics/Metrics.java
@@ -35,8 +35,8 @@
   private final Map<String, LongSupplier> gauges = new TreeMap<>();
 
   /** Creates empty metrics. */
-  public Metrics(LoggerProvider logs) {
-    this.log = logs.of(Metrics.class);
+  public Metrics(LoggerProvider loggerProvider) {
+    this.log = loggerProvider.of(Metrics.class);
   }
 
   /** Increments the counter by one. */
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -25,7 +25,7 @@
   private record ReceivedStatus(PeerStatus status, long receivedMicros) {}
 
   private final EventLoop loop;
-  private final HttpClient caller;
+  private final HttpClient httpClient;
   private final PlatformConfiguration platform;
   private final Supplier<PeerStatus> ownStatus;
   private final Consumer<PeerStatus> listener;
@@ -40,12 +40,12 @@
    */
   public Peers(
       EventLoop loop,
-      HttpClient caller,
+      HttpClient httpClient,
       PlatformConfiguration platform,
       Supplier<PeerStatus> ownStatus,
       Consumer<PeerStatus> listener) {
     this.loop = loop;
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.platform = platform;
     this.ownStatus = ownStatus;
     this.listener = listener;
@@ -59,7 +59,7 @@
   private long sendStatus() {
     byte[] body = codec.write(ownStatus.get());
     for (PlatformConfiguration.PeerController peer : platform.peers()) {
-      caller.call(peer.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
+      httpClient.call(peer.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
     }
     return SEND_INTERVAL_MICROS;
   }
--- a/src/main/java/plumlever/scaling/CapacityHeadroom.java
+++ b/src/main/java/plumlever/scaling/CapacityHeadroom.java
@@ -12,7 +12,7 @@
  */
 public final class CapacityHeadroom {
   private final long windowMicros;
-  private final long rentalMicros;
+  private final long provisioningMicros;
   private final double deviations;
   private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
@@ -25,12 +25,12 @@
    * Creates the headroom without any arrivals.
    *
    * @param windowMicros age after which arrivals are dropped
-   * @param rentalMicros time to rent and boot a machine
+   * @param provisioningMicros time to rent and boot a machine
    * @param deviations number of standard deviations to keep free
    */
-  public CapacityHeadroom(long windowMicros, long rentalMicros, double deviations) {
+  public CapacityHeadroom(long windowMicros, long provisioningMicros, double deviations) {
     this.windowMicros = windowMicros;
-    this.rentalMicros = rentalMicros;
+    this.provisioningMicros = provisioningMicros;
     this.deviations = deviations;
   }
 
@@ -48,7 +48,7 @@
       // Reset the sum with the last arrival, so that rounding errors do not accumulate.
       sumOfSquares = arrivals.isEmpty() ? 0 : sumOfSquares - expired.cores * expired.cores;
     }
-    return deviations * Math.sqrt(Math.max(0, sumOfSquares) * rentalMicros / windowMicros);
+    return deviations * Math.sqrt(Math.max(0, sumOfSquares) * provisioningMicros / windowMicros);
   }
 
   /**
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -34,7 +34,7 @@
   /** Number of planned machines of an option at which half of the maximum surcharge applies. */
   private static final int MACHINES_FOR_HALF_SURCHARGE = 30;
 
-  private final MachineTypeCatalog prices;
+  private final MachineTypeCatalog typeCatalog;
   private final boolean costMatters;
 
   /**
@@ -42,8 +42,8 @@
    *
    * @param costMatters false if only speed matters: long startup times then raise an option's cost
    */
-  public RentalPlan(MachineTypeCatalog prices, boolean costMatters) {
-    this.prices = prices;
+  public RentalPlan(MachineTypeCatalog typeCatalog, boolean costMatters) {
+    this.typeCatalog = typeCatalog;
     this.costMatters = costMatters;
   }
 
@@ -179,7 +179,8 @@
      * serves; if 0, no machine is added.
      */
     private int addMachine(RentalOption option, JobSpec job, int tasks) {
-      IncomingMachine machine = new IncomingMachine(option, prices.machineType(option.machineType));
+      IncomingMachine machine =
+          new IncomingMachine(option, typeCatalog.machineType(option.machineType));
       int served = machine.reserve(job, tasks);
       if (served > 0) {
         machines.add(machine);
@@ -193,7 +194,7 @@
     private Optional<RentalOption> cheapest(Demand demand, int tasks) {
       RentalOption best = null;
       double leastCost = Double.MAX_VALUE;
-      for (MachineType machineType : prices.machineTypes()) {
+      for (MachineType machineType : typeCatalog.machineTypes()) {
         double share = machineType.dominantShare(demand.job);
         if (share > 1 + ROUNDING_TOLERANCE) {
           continue;
@@ -219,7 +220,7 @@
         MachineType machineType, RentalOption option, double share, int tasks) {
       int tasksPerMachine = (int) (1 / Math.max(share, MIN_SHARE) + ROUNDING_TOLERANCE);
       int tasksServed = Math.max(1, Math.min(tasks, tasksPerMachine));
-      double cost = prices.hourlyPrice(machineType, option.spot) / tasksServed;
+      double cost = typeCatalog.hourlyPrice(machineType, option.spot) / tasksServed;
       if (!costMatters) {
         cost *= 1 + machineType.startupS() / STARTUP_S_DOUBLING_COST;
       }
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -141,11 +141,11 @@
    * to rent a machine on demand. Otherwise idle machines must be kept available and only speed
    * matters.
    *
-   * @param rentalMicros the time from a rental request until the machine is up
+   * @param provisioningMicros the time from a rental request until the machine is up
    */
-  public boolean costMatters(long rentalMicros) {
+  public boolean costMatters(long provisioningMicros) {
     return objectives.stream().anyMatch(Objective::isAboutCost)
-        || objectives.stream().allMatch(objective -> objective.leavesTimeFor(rentalMicros));
+        || objectives.stream().allMatch(objective -> objective.leavesTimeFor(provisioningMicros));
   }
 
   /**
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -34,13 +34,13 @@
 
   private final EventLoop loop;
   private final StateClient store;
-  private final RecordLayout layout;
+  private final RecordLayout recordLayout;
 
   /** Creates a writer that uses the given client and record layout. */
-  public DependencyLists(EventLoop loop, StateClient store, RecordLayout layout) {
+  public DependencyLists(EventLoop loop, StateClient store, RecordLayout recordLayout) {
     this.loop = loop;
     this.store = store;
-    this.layout = layout;
+    this.recordLayout = recordLayout;
   }
 
   /**
@@ -115,8 +115,8 @@
 
     private int maxPartsPerTransaction() {
       return Math.min(
-          layout.limits().maxOperations(),
-          Math.max(1, MAX_TRANSACTION_BYTES / layout.maxValueBytes()));
+          recordLayout.limits().maxOperations(),
+          Math.max(1, MAX_TRANSACTION_BYTES / recordLayout.maxValueBytes()));
     }
 
     private void send(Transaction transaction, Runnable applied) {
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -89,7 +89,7 @@
   private final EventLoop loop;
   private final StateClient store;
   private final Metrics metrics;
-  private final RecordLayout layout;
+  private final RecordLayout recordLayout;
   private final JobFinder finder;
   private final RateLimitRetry retry;
   private final JobStateCache jobStates = new JobStateCache();
@@ -100,18 +100,19 @@
   private final Map<String, Long> activeReadMicros = new HashMap<>();
 
   /** Creates an empty cache that reads through the given client. */
-  public JobRecordCache(EventLoop loop, StateClient store, RecordLayout layout, Metrics metrics) {
+  public JobRecordCache(
+      EventLoop loop, StateClient store, RecordLayout recordLayout, Metrics metrics) {
     this.loop = loop;
     this.store = store;
     this.metrics = metrics;
-    this.layout = layout;
+    this.recordLayout = recordLayout;
     this.finder = new JobFinder(loop, store);
     this.retry = new RateLimitRetry(loop);
     this.dependencyRecords = new DependencyRecordCache(loop, store, finder, jobStates);
     this.pendingLookups =
         new LookupBatch<>(
             loop,
-            () -> PRECONDITIONS_PER_OPERATION * layout.limits().maxOperations(),
+            () -> PRECONDITIONS_PER_OPERATION * recordLayout.limits().maxOperations(),
             this::checkRevisions);
   }
 
@@ -411,7 +412,7 @@
   private void cancelWithDependency(String uid, long revision, Consumer<JobStatus> handler) {
     String dependency = dependencyRecords.failedDependencyOf(uid).orElse("unknown");
     store.transaction(
-        layout.endJob(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of()),
+        recordLayout.endJob(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of()),
         StateClient.RequestPriority.URGENT,
         result -> {
           switch (result.outcome()) {
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -162,7 +162,7 @@
   private static final String UNUSED_PREFIX = "nothing/";
 
   private final EventLoop loop;
-  private final HttpClient caller;
+  private final HttpClient httpClient;
   private final Endpoint endpoint;
   private final Metrics metrics;
   private final KeySpace keySpace;
@@ -175,23 +175,23 @@
   /** Creates a client whose keys are at the root of the state service. */
   public StateClient(
       EventLoop loop,
-      HttpClient caller,
+      HttpClient httpClient,
       Endpoint endpoint,
       PlatformConfiguration.StateLimits limits,
       Metrics metrics) {
-    this(loop, caller, endpoint, limits, metrics, KeySpace.ROOT);
+    this(loop, httpClient, endpoint, limits, metrics, KeySpace.ROOT);
   }
 
   /** Creates a client whose keys are in the given key space. */
   public StateClient(
       EventLoop loop,
-      HttpClient caller,
+      HttpClient httpClient,
       Endpoint endpoint,
       PlatformConfiguration.StateLimits limits,
       Metrics metrics,
       KeySpace keySpace) {
     this.loop = loop;
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.endpoint = endpoint;
     this.metrics = metrics;
     this.keySpace = keySpace;
@@ -393,7 +393,7 @@
     }
     byte[] bytes =
         request.body().map(body -> Json.write(body).getBytes(StandardCharsets.UTF_8)).orElse(null);
-    caller.call(
+    httpClient.call(
         endpoint,
         request.method(),
         request.path(),
--- a/src/test/java/plumlever/http/ServerTest.java
+++ b/src/test/java/plumlever/http/ServerTest.java
@@ -38,7 +38,7 @@
 
   private XnioWorker worker;
   private XnioLoop loop;
-  private UndertowHttpClient caller;
+  private UndertowHttpClient httpClient;
   private Server server;
 
   @BeforeEach
@@ -47,7 +47,7 @@
         Xnio.getInstance()
             .createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1).getMap());
     loop = new XnioLoop(worker.getIoThread());
-    caller =
+    httpClient =
         new UndertowHttpClient(
             loop, worker.getIoThread(), new DefaultByteBufferPool(false, 8192, 16, 4));
     server =
@@ -89,7 +89,7 @@
     CompletableFuture<String> done = new CompletableFuture<>();
     loop.execute(
         () ->
-            caller.call(
+            httpClient.call(
                 new Endpoint("127.0.0.1", server.port()),
                 method,
                 path,
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -55,13 +55,13 @@
    * @param reader must call back synchronously
    */
   public ContextFixture(TermContext.RecoveryReader reader) {
-    HttpClient caller =
+    HttpClient httpClient =
         (to, method, path, body, timeoutMicros, handler) -> {
           if (refusesWrites) {
             handler.handle(HttpStatus.BAD_REQUEST, new byte[0]);
           }
         };
-    StateClient store = new StateClient(loop, caller, UNUSED_ENDPOINT, LIMITS, metrics);
+    StateClient store = new StateClient(loop, httpClient, UNUSED_ENDPOINT, LIMITS, metrics);
     this.context =
         new TermContext(
             loop,
@@ -73,7 +73,7 @@
             new RecordLayout(store.limits()),
             null,
             new MachineTypeCatalog(SchedulerParameters.defaults()),
-            caller,
+            httpClient,
             metrics,
             () -> 0,
             reader,
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -120,9 +120,14 @@
   }
 
   private static LeaderEvidence leader(
-      boolean holdsTasks, long endedJobsRead, UnansweredCommands unanswered) {
+      boolean hasUnfinishedAttempts, long endedJobsRead, UnansweredCommands unanswered) {
     return new LeaderEvidence(
-        () -> true, TOKEN, holdsTasks, endedJobsRead, unanswered, ForeignTaskEvidence.NONE);
+        () -> true,
+        TOKEN,
+        hasUnfinishedAttempts,
+        endedJobsRead,
+        unanswered,
+        ForeignTaskEvidence.NONE);
   }
 
   @Test
--- a/src/test/java/plumlever/sim/LoadTestServer.java
+++ b/src/test/java/plumlever/sim/LoadTestServer.java
@@ -40,7 +40,7 @@
   private final XnioWorker worker;
   private final XnioLoop loop;
   private final SimulatedCluster cluster;
-  private final Map<String, UndertowHttpClient> callers = new HashMap<>();
+  private final Map<String, UndertowHttpClient> httpClients = new HashMap<>();
   private final Map<Endpoint, Server> listeners = new HashMap<>();
   private final FakeUsers users;
   private final double jobsPerS;
@@ -83,7 +83,7 @@
       cluster.network.services.put(
           new Endpoint("n" + i, 1),
           (from, method, path, body, reply) ->
-              callers
+              httpClients
                   .computeIfAbsent(
                       from,
                       k ->
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -375,7 +375,7 @@
   @Test
   void machinesOfShardWithoutControllersAreAdoptedAndItsJobsKept() {
     startWithRunningTasks(81, 20);
-    cluster.adoptAfterMicros = 60_000_000;
+    cluster.adoptionDelayMicros = 60_000_000;
     // The other shards must be restarted to apply the shorter adoption timeout.
     cluster.shard(TARGET).forEach(controller -> controller.crash(0.5));
     cluster.shard(THIRD).forEach(controller -> controller.crash(0.5));
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -69,7 +69,7 @@
   int maxTransfers = 8;
 
   /** Time after which other shards adopt the machines of a shard without a leader. */
-  long adoptAfterMicros = 600_000_000;
+  long adoptionDelayMicros = 600_000_000;
 
   /** The shards of the pool; empty if the deployment has a single shard. */
   private final List<SharingSettings.Shard> shards;
@@ -275,7 +275,7 @@
                 new SharingSettings(
                     1_000_000,
                     maxTransfers,
-                    adoptAfterMicros,
+                    adoptionDelayMicros,
                     shards,
                     own,
                     sharingDigestByShard.getOrDefault(own.name(), "same")));
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -116,12 +116,12 @@
       EventQueue events,
       SplittableRandom random,
       Set<String> controllers,
-      DelegationChecker delegations,
+      DelegationChecker delegationChecker,
       boolean checkDelegations) {
     this.events = events;
     this.random = random;
     this.controllers = controllers;
-    this.delegationChecker = delegations;
+    this.delegationChecker = delegationChecker;
     this.checkDelegations = checkDelegations;
   }
 
--- a/src/test/java/plumlever/store/RecordLayoutTest.java
+++ b/src/test/java/plumlever/store/RecordLayoutTest.java
@@ -24,10 +24,10 @@
 
 /** Tests of the record layout. */
 final class RecordLayoutTest {
-  private static RecordLayout layout(int valueBytes, int formerValueBytes) {
+  private static RecordLayout layout(int valueBytes, int currentValueBytes) {
     return new RecordLayout(
         new WriteLimits(
-            new PlatformConfiguration.StateLimits(100, 20, valueBytes, 4, formerValueBytes)));
+            new PlatformConfiguration.StateLimits(100, 20, valueBytes, 4, currentValueBytes)));
   }
 
   /**
@@ -37,7 +37,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1024, 2048, 4096, 16384})
   void chunksOfTheLargestJobFitTheValueLimit(int valueBytes) throws InvalidMessageException {
-    RecordLayout jobStore = layout(valueBytes, 16384);
+    RecordLayout recordLayout = layout(valueBytes, 16384);
     BitSet done = new BitSet();
     SplittableRandom random = new SplittableRandom(3);
     for (int i = 0; i < 100_000; i++) {
@@ -46,8 +46,8 @@
     done.set(99_999);
     BitSet restored = new BitSet();
     int chunks = 0;
-    for (int first = 0; first < 100_000; first += jobStore.tasksPerChunk()) {
-      JsonNode chunk = jobStore.progressChunk(done, first, jobStore.tasksPerChunk());
+    for (int first = 0; first < 100_000; first += recordLayout.tasksPerChunk()) {
+      JsonNode chunk = recordLayout.progressChunk(done, first, recordLayout.tasksPerChunk());
       assertTrue(Json.write(chunk).length() <= valueBytes);
       String key = RecordLayout.progressKey("job-1", first);
       // A chunk is read correctly whatever value size it was split by.
@@ -56,7 +56,8 @@
       chunks++;
     }
     assertEquals(done, restored);
-    assertEquals((100_000 + jobStore.tasksPerChunk() - 1) / jobStore.tasksPerChunk(), chunks);
+    assertEquals(
+        (100_000 + recordLayout.tasksPerChunk() - 1) / recordLayout.tasksPerChunk(), chunks);
   }
 
   /**
