--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -115,8 +115,10 @@
     ownStatus = createOwnStatus();
     peers = createPeers();
     peerReports = new PeerReports(peers, sharing);
-    jobRecords = new JobRecordCache(loop, clients.store(), clients.layout(), clients.metrics());
-    delegatedRenewal = new DelegatedRenewal(loop, clients.store(), election, environment.logs());
+    jobRecords =
+        new JobRecordCache(loop, clients.store(), clients.recordLayout(), clients.metrics());
+    delegatedRenewal =
+        new DelegatedRenewal(loop, clients.store(), election, environment.loggerProvider());
     router = createRouter();
     poolRequestHandler = sharing.map(pool -> new PoolRequestHandler(leadership::leader, router));
   }
@@ -147,7 +149,7 @@
         environment.electionLoop(),
         clients.electionStore(),
         leadership,
-        environment.logs());
+        environment.loggerProvider());
   }
 
   private OwnStatus createOwnStatus() {
@@ -164,7 +166,7 @@
   private Peers createPeers() {
     return new Peers(
         environment.loop(),
-        clients.caller(),
+        clients.httpClient(),
         environment.platform(),
         ownStatus::current,
         cancellations::confirmedByPeer);
@@ -186,7 +188,11 @@
     PlatformConfiguration platform = environment.platform();
     JobServices jobs =
         new JobServices(
-            environment.loop(), clients.store(), jobRecords, clients.layout(), clients.metrics());
+            environment.loop(),
+            clients.store(),
+            jobRecords,
+            clients.recordLayout(),
+            clients.metrics());
     Optional<JobForwarder> otherShards =
         environment
             .settings()
@@ -194,10 +200,10 @@
             .map(
                 pool ->
                     new JobForwarder(
-                        environment.loop(), clients.store(), clients.caller(), platform, pool));
+                        environment.loop(), clients.store(), clients.httpClient(), platform, pool));
     return new UserApi(
         jobs,
-        new SubmissionRules(platform.teams(), clients.prices()),
+        new SubmissionRules(platform.teams(), clients.typeCatalog()),
         health,
         cancellations::confirmedLocally,
         this::taskCounts,
@@ -212,7 +218,7 @@
             jobRecords,
             new LeaseRenewal(new RenewalLimit(environment.platform().workers())),
             clients.metrics(),
-            environment.logs());
+            environment.loggerProvider());
     return new HeartbeatEndpoint(
         new KnownLeader(leadership, election),
         delegated,
@@ -233,7 +239,7 @@
     StateServiceProbe probe = new StateServiceProbe(loop, clients.store());
     scope.own(election);
     election.start();
-    scope.own(clients.machineTypes().task()).start();
+    scope.own(clients.machineTypeLoader().task()).start();
     scope.own(peers.recurringTask()).start();
     scope.own(delegatedRenewal.refreshTask()).start();
     scope.own(new RecurringTask("state service probe", loop, probe::run)).start();
--- a/src/main/java/plumlever/ControllerEnvironment.java
+++ b/src/main/java/plumlever/ControllerEnvironment.java
@@ -10,18 +10,18 @@
  * The external dependencies and settings of a controller.
  *
  * @param loop the controller loop, which owns all state except that of leader election
- * @param caller sends the requests of components on {@code loop}
+ * @param httpClient sends the requests of components on {@code loop}
  * @param electionLoop the election loop, which runs leader election, so that work on {@code loop}
  *     does not delay elections or lease renewals
- * @param electionCaller sends the requests of components on {@code electionLoop}
+ * @param electionHttpClient sends the requests of components on {@code electionLoop}
  * @param electionSeed seeds the random pauses between election attempts
  */
 record ControllerEnvironment(
     EventLoop loop,
-    HttpClient caller,
+    HttpClient httpClient,
     EventLoop electionLoop,
-    HttpClient electionCaller,
+    HttpClient electionHttpClient,
     PlatformConfiguration platform,
     OperatorSettings settings,
     long electionSeed,
-    LoggerProvider logs) {}
+    LoggerProvider loggerProvider) {}
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -12,7 +12,7 @@
  * service called.
  */
 record MeteredCaller(
-    HttpClient caller, EventLoop loop, Metrics metrics, PlatformConfiguration platform)
+    HttpClient httpClient, EventLoop loop, Metrics metrics, PlatformConfiguration platform)
     implements HttpClient {
   @Override
   public void call(
@@ -23,7 +23,7 @@
       long timeoutMicros,
       ResponseHandler handler) {
     String kind = kindOf(to, path);
-    caller.call(
+    httpClient.call(
         to,
         method,
         path,
--- a/src/main/java/plumlever/ServiceClients.java
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -19,25 +19,26 @@
  */
 final class ServiceClients {
   private final Metrics metrics;
-  private final HttpClient caller;
+  private final HttpClient httpClient;
   private final StateClient store;
   private final StateClient electionStore;
-  private final RecordLayout layout;
+  private final RecordLayout recordLayout;
   private final CloudClient cloud;
-  private final MachineTypeCatalog prices;
-  private final MachineTypeLoader machineTypes;
+  private final MachineTypeCatalog typeCatalog;
+  private final MachineTypeLoader machineTypeLoader;
 
   ServiceClients(ControllerEnvironment environment) {
     PlatformConfiguration platform = environment.platform();
     Optional<SharingSettings> sharing = environment.settings().sharing();
     KeySpace keySpace =
         sharing.map(pool -> KeySpace.under(pool.ownShard().prefix())).orElse(KeySpace.ROOT);
-    this.metrics = new Metrics(environment.logs());
-    this.caller = new MeteredCaller(environment.caller(), environment.loop(), metrics, platform);
+    this.metrics = new Metrics(environment.loggerProvider());
+    this.httpClient =
+        new MeteredCaller(environment.httpClient(), environment.loop(), metrics, platform);
     this.store =
         new StateClient(
             environment.loop(),
-            caller,
+            httpClient,
             platform.state(),
             platform.stateLimits(),
             metrics,
@@ -45,18 +46,19 @@
     this.electionStore =
         new StateClient(
             environment.electionLoop(),
-            environment.electionCaller(),
+            environment.electionHttpClient(),
             platform.state(),
             platform.stateLimits(),
             metrics,
             keySpace);
-    this.layout = new RecordLayout(store.limits(), prefixesOfOtherShards(sharing));
+    this.recordLayout = new RecordLayout(store.limits(), prefixesOfOtherShards(sharing));
     this.cloud =
         new CloudClient(
-            environment.loop(), caller, platform.cloud(), platform.cloudLimits(), metrics);
-    this.prices = new MachineTypeCatalog(environment.settings().parameters());
-    this.machineTypes =
-        new MachineTypeLoader(environment.loop(), cloud, store, prices, environment.logs());
+            environment.loop(), httpClient, platform.cloud(), platform.cloudLimits(), metrics);
+    this.typeCatalog = new MachineTypeCatalog(environment.settings().parameters());
+    this.machineTypeLoader =
+        new MachineTypeLoader(
+            environment.loop(), cloud, store, typeCatalog, environment.loggerProvider());
   }
 
   private static List<String> prefixesOfOtherShards(Optional<SharingSettings> sharing) {
@@ -73,8 +75,8 @@
    * Returns the caller for the controller loop, which measures the time spent on handling
    * responses.
    */
-  HttpClient caller() {
-    return caller;
+  HttpClient httpClient() {
+    return httpClient;
   }
 
   StateClient store() {
@@ -86,20 +88,22 @@
     return electionStore;
   }
 
-  RecordLayout layout() {
-    return layout;
+  RecordLayout recordLayout() {
+    return recordLayout;
   }
 
   CloudClient cloud() {
     return cloud;
   }
 
-  /** Returns the machine types and prices; empty until {@link #machineTypes()} has read them. */
-  MachineTypeCatalog prices() {
-    return prices;
+  /**
+   * Returns the machine types and prices; empty until {@link #machineTypeLoader()} has read them.
+   */
+  MachineTypeCatalog typeCatalog() {
+    return typeCatalog;
   }
 
-  MachineTypeLoader machineTypes() {
-    return machineTypes;
+  MachineTypeLoader machineTypeLoader() {
+    return machineTypeLoader;
   }
 }
--- a/src/main/java/plumlever/TermContextFactory.java
+++ b/src/main/java/plumlever/TermContextFactory.java
@@ -23,16 +23,16 @@
         election,
         term,
         clients.store(),
-        clients.layout(),
+        clients.recordLayout(),
         clients.cloud(),
-        clients.prices(),
-        clients.caller(),
+        clients.typeCatalog(),
+        clients.httpClient(),
         clients.metrics(),
         peers::workersAtOtherControllers,
         new ElectionLoopReader(
             environment.electionLoop(), clients.electionStore(), environment.loop()),
         lateness::micros,
-        environment.logs(),
+        environment.loggerProvider(),
         platform.costMatters(parameters.provisioningMicros()),
         environment.settings().sharing());
   }
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -120,10 +120,11 @@
     worker = createWorker("plumlever");
     electionWorker = createWorker("election");
     loop = new XnioLoop(worker.getIoThread());
-    UndertowHttpClient httpClient = createCaller(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
+    UndertowHttpClient httpClient =
+        createHttpClient(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
     XnioLoop electionLoop = new XnioLoop(electionWorker.getIoThread());
     UndertowHttpClient electionHttpClient =
-        createCaller(
+        createHttpClient(
             electionWorker, electionLoop, MAX_ELECTION_BUFFERS, MAX_ELECTION_BUFFERS_PER_THREAD);
     controller =
         new Controller(
@@ -137,7 +138,7 @@
             LoggerProvider.SERVICE);
   }
 
-  private static UndertowHttpClient createCaller(
+  private static UndertowHttpClient createHttpClient(
       XnioWorker worker, XnioLoop loop, int maxBuffers, int maxBuffersPerThread) {
     return new UndertowHttpClient(
         loop,
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -44,7 +44,7 @@
   /** The dependencies and settings that all workers of a drill share. */
   record Environment(
       EventLoop loop,
-      HttpClient caller,
+      HttpClient httpClient,
       List<Endpoint> controllers,
       Map<String, Endpoint> endpointByLabel,
       TaskResults results,
@@ -134,7 +134,7 @@
     long sentMicros = lastSentMicros;
     long sentIncarnation = incarnation;
     environment
-        .caller()
+        .httpClient()
         .call(
             controller,
             "POST",
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -34,7 +34,7 @@
   /** Creates a leader for one term. The leader does nothing until it is started. */
   public Leader(TermContext context) {
     this.context = context;
-    this.log = context.logs().of(Leader.class);
+    this.log = context.loggerProvider().of(Leader.class);
     this.records = new RecoveryRead(context);
     this.deferredHeartbeats =
         new DeferredHeartbeats(context.loop(), context.platform().maxFileDescriptors());
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -31,16 +31,16 @@
  * @param store client of the state service; used by all components that read or write records
  * @param recordLayout keys and values of records; used with {@code store}
  * @param cloud rents, lists and returns machines; used by machines
- * @param prices the machine types and their prices; used by scheduling, machines, the pool,
+ * @param typeCatalog the machine types and their prices; used by scheduling, machines, the pool,
  *     failover and heartbeats
- * @param caller sends commands to workers and requests to other shards; used by scheduling and the
- *     pool
+ * @param httpClient sends commands to workers and requests to other shards; used by scheduling and
+ *     the pool
  * @param workersAtOtherControllers how many workers send heartbeats to other controllers, as
  *     reported by these controllers; advisory, used by machines
  * @param reader reads the records of earlier leaders on another thread; used by the recovery read
  * @param latenessMicros how late the loop thread has run recently, so that deferrable work can be
  *     postponed; used to pace scheduling passes and token raises, and by machines
- * @param logs provides loggers by class
+ * @param loggerProvider provides loggers by class
  * @param costMatters whether to reduce cost where the objectives leave time; used by scheduling and
  *     machines for each machine of each pass
  * @param sharing how the machines of a pool are shared, if this leader's shard belongs to a pool;
@@ -55,13 +55,13 @@
     StateClient store,
     RecordLayout recordLayout,
     CloudClient cloud,
-    MachineTypeCatalog prices,
-    HttpClient caller,
+    MachineTypeCatalog typeCatalog,
+    HttpClient httpClient,
     Metrics metrics,
     IntSupplier workersAtOtherControllers,
     RecoveryReader reader,
     LongSupplier latenessMicros,
-    LoggerProvider logs,
+    LoggerProvider loggerProvider,
     boolean costMatters,
     Optional<SharingSettings> sharing) {
 
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -59,7 +59,7 @@
   public Failover(TermContext context, Fleet fleet, Supplier<MachineSharing> sharing) {
     this.sharing = sharing;
     this.context = context;
-    this.log = context.logs().of(Failover.class);
+    this.log = context.loggerProvider().of(Failover.class);
     this.fleet = fleet;
     this.startedMicros = context.loop().nowMicros();
     context.platform().teams().forEach(t -> teams.put(t.name(), t));
@@ -203,7 +203,7 @@
     possiblyOccupiedCores = 0;
     possiblyOccupiedAccelerators = 0;
     for (Machine machine : possiblyOccupied) {
-      MachineType machineType = context.prices().machineType(machine.machineType());
+      MachineType machineType = context.typeCatalog().machineType(machine.machineType());
       if (machineType == null) {
         return false;
       }
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -24,7 +24,7 @@
   /** Creates the log of one term's attempts. */
   public AttemptLog(TermContext context) {
     this.context = context;
-    this.log = context.logs().of(AttemptLog.class);
+    this.log = context.loggerProvider().of(AttemptLog.class);
     this.logRateLimiter = new LogRateLimiter(log, MAX_LINES_PER_SECOND);
   }
 
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -32,7 +32,7 @@
       AttemptLog attemptLog,
       PlacementChange placementChange) {
     this.context = context;
-    this.log = context.logs().of(AttemptUpdates.class);
+    this.log = context.loggerProvider().of(AttemptUpdates.class);
     this.fleet = fleet;
     this.estimates = estimates;
     this.progress = progress;
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -52,7 +52,7 @@
       ProgressWriter progress,
       Supplier<MachineSharing> sharing) {
     this.context = context;
-    this.log = context.logs().of(HeartbeatHandler.class);
+    this.log = context.loggerProvider().of(HeartbeatHandler.class);
     this.jobs = jobs;
     this.failover = failover;
     this.sharing = sharing;
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
@@ -42,7 +42,7 @@
     this.jobs = jobs;
     this.sharing = sharing;
     this.renewal = new LeaseRenewal(new RenewalLimit(context.platform().workers()));
-    this.log = context.logs().of(HeartbeatResponses.class);
+    this.log = context.loggerProvider().of(HeartbeatResponses.class);
     this.logRateLimiter = new LogRateLimiter(log, MAX_LINES_PER_SECOND);
   }
 
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -84,7 +84,7 @@
   public RenewalDelegation(TermContext context, Fleet fleet) {
     this.context = context;
     this.fleet = fleet;
-    this.log = context.logs().of(RenewalDelegation.class);
+    this.log = context.loggerProvider().of(RenewalDelegation.class);
   }
 
   /** Returns whether other controllers may be renewing leases in the zone. */
--- a/src/main/java/plumlever/leader/heartbeat/ResponseDelivery.java
+++ b/src/main/java/plumlever/leader/heartbeat/ResponseDelivery.java
@@ -16,7 +16,7 @@
 
   ResponseDelivery(TermContext context, PlacementChange placementChange) {
     this.context = context;
-    this.log = context.logs().of(ResponseDelivery.class);
+    this.log = context.loggerProvider().of(ResponseDelivery.class);
     this.placementChange = placementChange;
   }
 
--- a/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
@@ -28,7 +28,7 @@
       AttemptUpdates attemptUpdates,
       PlacementChange placementChange) {
     this.context = context;
-    this.log = context.logs().of(UnknownAttempts.class);
+    this.log = context.loggerProvider().of(UnknownAttempts.class);
     this.fleet = fleet;
     this.jobs = jobs;
     this.attemptUpdates = attemptUpdates;
@@ -100,7 +100,7 @@
       machine.images().markReady(job.spec().image(), job.spec().imageGb());
       return;
     }
-    MachineType machineType = context.prices().machineType(machine.machineType());
+    MachineType machineType = context.typeCatalog().machineType(machine.machineType());
     if (machineType != null) {
       machine.images().recordUse(job.spec().image(), job.spec().imageGb(), machineType, now);
     }
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -50,7 +50,7 @@
    */
   public ActiveJobs(TermContext context, StartedJobIndex startedJobs, Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(ActiveJobs.class);
+    this.log = context.loggerProvider().of(ActiveJobs.class);
     this.startedJobs = startedJobs;
     this.onChange = onChange;
     Map<String, Job> activeView = Collections.unmodifiableMap(active);
@@ -190,12 +190,12 @@
    * propagation of deadlines to dependencies uses these estimates.
    */
   public void useTaskDurations(ToLongFunction<Job> taskDurationMicros) {
-    dependencies.useTaskCosts(taskDurationMicros);
+    dependencies.useTaskDurations(taskDurationMicros);
   }
 
   /** Recomputes the task cost estimates that the next call of {@link #propagateGoals} uses. */
   public void updateTaskDurations() {
-    dependencies.updateTaskCosts();
+    dependencies.updateTaskDurations();
   }
 
   /**
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -55,7 +55,7 @@
       DependentCancellation cancellation,
       Runnable onRelease) {
     this.context = context;
-    this.log = context.logs().of(DependencyResolver.class);
+    this.log = context.loggerProvider().of(DependencyResolver.class);
     this.activeJobs = activeJobs;
     this.cancellation = cancellation;
     this.onRelease = onRelease;
@@ -255,14 +255,14 @@
    * Sets the function that estimates the cost of a task, including the image download. The
    * estimates serve to derive the deadlines of dependencies.
    */
-  void useTaskCosts(ToLongFunction<Job> taskDurationMicros) {
+  void useTaskDurations(ToLongFunction<Job> taskDurationMicros) {
     taskDuration = taskDurationMicros;
   }
 
   /** Recomputes the task cost estimates of all jobs in the graph. */
-  void updateTaskCosts() {
+  void updateTaskDurations() {
     if (graph.size() > 0) {
-      graph.updateDurations(this::taskCostOf);
+      graph.updateDurations(this::taskDurationOf);
     }
   }
 
@@ -276,7 +276,7 @@
     }
   }
 
-  private long taskCostOf(String uid) {
+  private long taskDurationOf(String uid) {
     Job job = activeJobs.get(uid);
     return job == null ? 0 : taskDuration.applyAsLong(job);
   }
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -48,7 +48,7 @@
    * @param onStored runs after jobs have been stored in the index
    */
   public StartedJobIndex(TermContext context, Runnable onStored) {
-    this.log = context.logs().of(StartedJobIndex.class);
+    this.log = context.loggerProvider().of(StartedJobIndex.class);
     this.records = new SharedRecords<>(context, new Layout(), PAUSE_MICROS, onStored);
   }
 
--- a/src/main/java/plumlever/leader/job/StoredProgress.java
+++ b/src/main/java/plumlever/leader/job/StoredProgress.java
@@ -28,7 +28,7 @@
 
   StoredProgress(TermContext context, Map<String, Job> activeJobs) {
     this.context = context;
-    this.log = context.logs().of(StoredProgress.class);
+    this.log = context.loggerProvider().of(StoredProgress.class);
     this.activeJobs = activeJobs;
   }
 
--- a/src/main/java/plumlever/leader/machine/CloudInventory.java
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -62,9 +62,9 @@
     if (machineTypes.isEmpty()) {
       return;
     }
-    boolean first = !context.prices().isLoaded();
+    boolean first = !context.typeCatalog().isLoaded();
     machineTypesReadMicros = context.loop().nowMicros();
-    context.prices().update(machineTypes.get());
+    context.typeCatalog().update(machineTypes.get());
     if (first) {
       onChange.run();
     }
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -72,7 +72,7 @@
 
   FailureDetector(TermContext context, Fleet fleet, Failover failover) {
     this.context = context;
-    this.log = context.logs().of(FailureDetector.class);
+    this.log = context.loggerProvider().of(FailureDetector.class);
     this.fleet = fleet;
     this.failover = failover;
   }
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -58,7 +58,7 @@
       MachineRentals rentals,
       Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(FleetSizing.class);
+    this.log = context.loggerProvider().of(FleetSizing.class);
     this.fleet = fleet;
     this.pass = pass;
     this.failover = failover;
@@ -139,7 +139,7 @@
       if (any && missingCores <= 0) {
         break;
       }
-      MachineType machineType = context.prices().machineType(machine.machineType());
+      MachineType machineType = context.typeCatalog().machineType(machine.machineType());
       missingCores -= machineType == null ? 0 : machineType.cores() - coresInUse(machine);
       cordoned.remove(machine);
       any = true;
@@ -160,11 +160,11 @@
   }
 
   private double pricePerCore(Machine machine) {
-    MachineType machineType = context.prices().machineType(machine.machineType());
+    MachineType machineType = context.typeCatalog().machineType(machine.machineType());
     return machineType == null
         ? Double.MAX_VALUE
         : Math.round(
-            context.prices().hourlyPrice(machineType, machine.spot())
+            context.typeCatalog().hourlyPrice(machineType, machine.spot())
                 / machineType.cores()
                 * PRICE_STEPS);
   }
--- a/src/main/java/plumlever/leader/machine/LeaseExpiry.java
+++ b/src/main/java/plumlever/leader/machine/LeaseExpiry.java
@@ -39,7 +39,7 @@
       MachineSharing sharing,
       Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(LeaseExpiry.class);
+    this.log = context.loggerProvider().of(LeaseExpiry.class);
     this.heartbeats = heartbeats;
     this.delegation = delegation;
     this.failover = failover;
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -57,7 +57,7 @@
    */
   public MachineRegistry(TermContext context, Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(MachineRegistry.class);
+    this.log = context.loggerProvider().of(MachineRegistry.class);
     this.records = new SharedRecords<>(context, new Layout(), WRITE_INTERVAL_MICROS, onChange);
   }
 
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -71,7 +71,7 @@
       Predicate<String> isPartitioned,
       Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(MachineRentals.class);
+    this.log = context.loggerProvider().of(MachineRentals.class);
     this.fleet = fleet;
     this.pass = pass;
     this.failover = failover;
@@ -79,7 +79,7 @@
     this.isReturned = isReturned;
     this.isPartitioned = isPartitioned;
     this.onChange = onChange;
-    this.plan = new RentalPlan(context.prices(), context.costMatters());
+    this.plan = new RentalPlan(context.typeCatalog(), context.costMatters());
   }
 
   /** Returns true while at least one rental option is known to be unavailable. */
@@ -113,7 +113,7 @@
    * for them.
    */
   private boolean mayRentMore(long now) {
-    return context.prices().isLoaded()
+    return context.typeCatalog().isLoaded()
         && (failover.isComplete() || failover.isOverdue(now))
         && pass.finishedMicros() > capacityAddedMicros
         && sharing.mayRent();
@@ -160,7 +160,7 @@
       RentalPlan.RentalOption option,
       int count,
       List<RentalPlan.IncomingMachine> incomingCapacity) {
-    MachineType machineType = context.prices().machineType(option.machineType());
+    MachineType machineType = context.typeCatalog().machineType(option.machineType());
     if (machineType == null) {
       return;
     }
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -60,7 +60,7 @@
       MachineSharing sharing,
       Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(MachineReturns.class);
+    this.log = context.loggerProvider().of(MachineReturns.class);
     this.fleet = fleet;
     this.registry = registry;
     this.heartbeats = heartbeats;
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -84,7 +84,7 @@
   }
 
   private boolean bootsTooLong(Machine machine, long now) {
-    MachineType machineType = context.prices().machineType(machine.machineType());
+    MachineType machineType = context.typeCatalog().machineType(machine.machineType());
     double bootS =
         machineType == null ? BOOT_S_OF_UNKNOWN_TYPE : Math.max(machineType.startupS(), MIN_BOOT_S);
     long bootTimeoutMicros =
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -52,7 +52,7 @@
       Consumer<TransferRecord> onAdopted) {
     this.onAdopted = onAdopted;
     this.context = context;
-    this.log = context.logs().of(DeadShardAdoption.class);
+    this.log = context.loggerProvider().of(DeadShardAdoption.class);
     this.sharing = sharing;
     this.recordWatch = recordWatch;
     this.view = recordWatch.view();
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -35,7 +35,7 @@
    */
   EndedJobsWatch(TermContext context, String shardPrefix) {
     this.context = context;
-    this.log = context.logs().of(EndedJobsWatch.class);
+    this.log = context.loggerProvider().of(EndedJobsWatch.class);
     this.prefix = KeySpace.absolute(shardPrefix, RecordLayout.ACTIVE);
     this.renewalLimit = new RenewalLimit(context.platform().workers());
   }
--- a/src/main/java/plumlever/leader/pool/ForeignTasks.java
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -76,7 +76,7 @@
 
   ForeignTasks(TermContext context, SharingSettings sharing, PoolView view) {
     this.context = context;
-    this.log = context.logs().of(ForeignTasks.class);
+    this.log = context.loggerProvider().of(ForeignTasks.class);
     this.sharing = sharing;
     this.view = view;
   }
@@ -254,7 +254,7 @@
             leaseExpired,
             RelayedHeartbeat.withAttempts(heartbeat, leaseExpired ? List.of() : attempts));
     context
-        .caller()
+        .httpClient()
         .call(
             leader.get(),
             "POST",
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -45,7 +45,7 @@
       PoolView view,
       PoolWriter writer) {
     this.context = context;
-    this.log = context.logs().of(LimitSharing.class);
+    this.log = context.loggerProvider().of(LimitSharing.class);
     this.sharing = sharing;
     this.ownShard = sharing.ownShard().name();
     this.jobs = jobs;
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -74,7 +74,7 @@
       MachineTransfers transfers,
       LimitSharing limits) {
     this.context = context;
-    this.log = context.logs().of(MachineShareBalancer.class);
+    this.log = context.loggerProvider().of(MachineShareBalancer.class);
     this.sharing = sharing;
     this.ownShard = sharing.ownShard().name();
     this.fleet = fleet;
@@ -87,7 +87,7 @@
 
   /** Publishes this shard's demand and offers machines to shards with a shortage. */
   void run() {
-    if (!failover.isComplete() || !context.prices().isLoaded()) {
+    if (!failover.isComplete() || !context.typeCatalog().isLoaded()) {
       return;
     }
     long now = context.loop().nowMicros();
@@ -140,7 +140,7 @@
   private double coresOwned() {
     double cores = 0;
     for (Machine machine : fleet.machines()) {
-      MachineType machineType = context.prices().machineType(machine.machineType());
+      MachineType machineType = context.typeCatalog().machineType(machine.machineType());
       if (machineType != null && !machine.returning() && !machine.transferring()) {
         cores += machineType.cores() - machine.load().foreignTasks().cores();
       }
@@ -152,7 +152,7 @@
     double cores = 0;
     int count = 0;
     for (Machine machine : fleet.machines()) {
-      MachineType machineType = context.prices().machineType(machine.machineType());
+      MachineType machineType = context.typeCatalog().machineType(machine.machineType());
       if (machineType != null) {
         cores += machineType.cores();
         count++;
@@ -161,7 +161,7 @@
     if (count > 0) {
       return cores / count;
     }
-    return context.prices().machineTypes().stream()
+    return context.typeCatalog().machineTypes().stream()
         .mapToDouble(MachineType::cores)
         .average()
         .orElse(1);
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -84,7 +84,7 @@
       Consumer<Machine> sendToken) {
     this.sendToken = sendToken;
     this.context = context;
-    this.log = context.logs().of(MachineTransfers.class);
+    this.log = context.loggerProvider().of(MachineTransfers.class);
     this.sharing = sharing;
     this.ownShard = sharing.ownShard().name();
     this.fleet = fleet;
@@ -231,7 +231,7 @@
 
   /** Returns the assumed age of an acquired machine: as it is up, more than its boot time. */
   private long bootMicros(String machineType) {
-    MachineType known = context.prices().machineType(machineType);
+    MachineType known = context.typeCatalog().machineType(machineType);
     return known == null ? 0 : (long) (known.startupS() * BOOT_MARGIN * 1e6);
   }
 
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -43,7 +43,7 @@
 
   OwnerClaims(TermContext context, SharingSettings sharing, PoolView view, PoolWriter writer) {
     this.context = context;
-    this.log = context.logs().of(OwnerClaims.class);
+    this.log = context.loggerProvider().of(OwnerClaims.class);
     this.ownShard = sharing.ownShard().name();
     this.view = view;
     this.writer = writer;
--- a/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
+++ b/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
@@ -24,7 +24,7 @@
    * @param changed runs after records have changed
    */
   PoolRecordWatch(TermContext context, Runnable changed) {
-    this.log = context.logs().of(PoolRecordWatch.class);
+    this.log = context.loggerProvider().of(PoolRecordWatch.class);
     this.watch =
         new PrefixWatch(
             context.loop(),
--- a/src/main/java/plumlever/leader/pool/PoolSharing.java
+++ b/src/main/java/plumlever/leader/pool/PoolSharing.java
@@ -70,7 +70,7 @@
       CommandSender commands,
       Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(PoolSharing.class);
+    this.log = context.loggerProvider().of(PoolSharing.class);
     this.sharing = sharing;
     this.fleet = fleet;
     this.registry = registry;
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -37,7 +37,7 @@
 
   PoolWriter(TermContext context, PoolRecordWatch recordWatch, Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(PoolWriter.class);
+    this.log = context.loggerProvider().of(PoolWriter.class);
     this.recordWatch = recordWatch;
     this.onChange = onChange;
   }
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -42,7 +42,7 @@
       LargeJobChunks largeJobs,
       Collection<String> orphanedKeys) {
     this.context = context;
-    this.log = context.logs().of(JobCompletion.class);
+    this.log = context.loggerProvider().of(JobCompletion.class);
     this.jobs = jobs;
     this.largeJobs = largeJobs;
     this.orphanedKeys = orphanedKeys;
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -59,7 +59,7 @@
   long durationMicros(Job job) {
     double fetchMicros = 0;
     int types = 0;
-    for (MachineType machineType : context.prices().machineTypes()) {
+    for (MachineType machineType : context.typeCatalog().machineTypes()) {
       if (machineType.fetchGbPerS() > 0
           && (job.spec().machineTypes() == null
               || job.spec().machineTypes().contains(machineType.name()))) {
@@ -111,7 +111,7 @@
    * Estimates when the last task on the machine ends. Returns the current time for an idle machine.
    */
   long idleMicros(Machine machine, long nowMicros) {
-    MachineType machineType = context.prices().machineType(machine.machineType());
+    MachineType machineType = context.typeCatalog().machineType(machine.machineType());
     long idleMicros =
         machine.load().foreignTasks().tasks() > 0 ? foreignTasksEndMicros(nowMicros) : nowMicros;
     for (Attempt attempt : machine.load().attempts()) {
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
@@ -42,10 +42,10 @@
    * machine.
    */
   FleetSnapshot snapshot(long nowMicros, Set<Machine> excluded) {
-    FleetSnapshot snapshot = new FleetSnapshot(context.prices(), nowMicros);
+    FleetSnapshot snapshot = new FleetSnapshot(context.typeCatalog(), nowMicros);
     MachineShapes shapes = new MachineShapes(context);
     for (Machine machine : fleet.machines()) {
-      MachineType machineType = context.prices().machineType(machine.machineType());
+      MachineType machineType = context.typeCatalog().machineType(machine.machineType());
       if (machineType == null || excluded.contains(machine)) {
         continue;
       }
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -44,7 +44,7 @@
       RentalCriteria criteria,
       Preemption preemption,
       PassResults results) {
-    this.log = context.logs().of(JobPlacer.class);
+    this.log = context.loggerProvider().of(JobPlacer.class);
     this.context = context;
     this.startedJobs = startedJobs;
     this.goals = goals;
--- a/src/main/java/plumlever/leader/scheduling/MachineShapes.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineShapes.java
@@ -45,7 +45,7 @@
    */
   private double pricePerSecond(MachineType machineType, boolean spot) {
     return context.costMatters()
-        ? context.prices().hourlyPrice(machineType, spot) / SECONDS_PER_HOUR
+        ? context.typeCatalog().hourlyPrice(machineType, spot) / SECONDS_PER_HOUR
         : Math.max(machineType.cores(), machineType.memoryGb() / MEMORY_GB_PER_CORE);
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -43,7 +43,7 @@
 
   Preemption(TermContext context, Fleet fleet, MachineAvailability availability, JobGoals goals) {
     this.context = context;
-    this.log = context.logs().of(Preemption.class);
+    this.log = context.loggerProvider().of(Preemption.class);
     this.fleet = fleet;
     this.availability = availability;
     this.goals = goals;
@@ -123,7 +123,7 @@
       List<Option> found = new ArrayList<>();
       Zones zones = JobZones.of(job);
       for (Machine machine : fleet.machines()) {
-        MachineType machineType = context.prices().machineType(machine.machineType());
+        MachineType machineType = context.typeCatalog().machineType(machine.machineType());
         if (machineType == null || !isEligible(machine, zones)) {
           continue;
         }
--- a/src/main/java/plumlever/leader/scheduling/TaskStarter.java
+++ b/src/main/java/plumlever/leader/scheduling/TaskStarter.java
@@ -49,7 +49,7 @@
       Iterable<PlannedTasks> planned,
       StartChannel channel,
       List<WorkerCommand> commands) {
-    MachineType machineType = context.prices().machineType(machine.machineType());
+    MachineType machineType = context.typeCatalog().machineType(machine.machineType());
     if (machineType == null || !mayStartOn(machine)) {
       return List.of();
     }
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -21,8 +21,8 @@
   private final HttpClient httpClient;
 
   WorkerCalls(TermContext context) {
-    this.log = context.logs().of(WorkerCalls.class);
-    this.httpClient = context.caller();
+    this.log = context.loggerProvider().of(WorkerCalls.class);
+    this.httpClient = context.httpClient();
   }
 
   /**
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -101,7 +101,7 @@
             durationMicros(OperatorKey.STARVATION_LIMIT_S, defaults.starvationLimitMicros()),
             number(OperatorKey.HEADROOM_DEVIATIONS, defaults.headroomDeviations()),
             number(OperatorKey.SPOT_RISK_PREMIUM, defaults.spotRiskPremium()),
-            ownedHourly());
+            ownedHourlyCosts());
     if (!unreadKeys.isEmpty()) {
       throw error(unreadKeys.keySet().iterator().next() + " is unknown");
     }
@@ -117,7 +117,7 @@
     return parameters;
   }
 
-  private Map<String, Double> ownedHourly() throws SettingsException {
+  private Map<String, Double> ownedHourlyCosts() throws SettingsException {
     Object table = unreadKeys.remove(OWNED_HOURLY);
     if (table == null) {
       return Map.of();
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -96,9 +96,9 @@
     controller =
         new Controller(
             loop,
-            caller(term),
+            httpClient(term),
             loop,
-            caller(term),
+            httpClient(term),
             platform,
             new OperatorSettings(parameters, Optional.empty()),
             term,
@@ -121,7 +121,7 @@
   }
 
   /** Returns a caller that discards calls once the term is over, like a process that has ended. */
-  private HttpClient caller(int term) {
+  private HttpClient httpClient(int term) {
     return (to, method, path, body, timeout, handler) ->
         loop.after(
             LATENCY_MICROS,
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -84,9 +84,9 @@
     controller =
         new Controller(
             loop,
-            caller(ownProcessNumber, decisionThread),
+            httpClient(ownProcessNumber, decisionThread),
             electionLoop,
-            caller(ownProcessNumber, electionThread),
+            httpClient(ownProcessNumber, electionThread),
             platform,
             new OperatorSettings(SchedulerParameters.defaults(), cluster.sharing(platform.label())),
             cluster.random.nextLong(),
@@ -217,7 +217,7 @@
     }
   }
 
-  private HttpClient caller(int ownProcessNumber, Processor thread) {
+  private HttpClient httpClient(int ownProcessNumber, Processor thread) {
     return (to, method, path, body, timeoutMicros, response) -> {
       boolean direct = path.equals(ProtocolPath.COMMANDS);
       if (direct) {
--- a/src/test/java/plumlever/store/RecordLayoutTest.java
+++ b/src/test/java/plumlever/store/RecordLayoutTest.java
@@ -24,7 +24,7 @@
 
 /** Tests of the record layout. */
 final class RecordLayoutTest {
-  private static RecordLayout layout(int valueBytes, int currentValueBytes) {
+  private static RecordLayout recordLayout(int valueBytes, int currentValueBytes) {
     return new RecordLayout(
         new WriteLimits(
             new PlatformConfiguration.StateLimits(100, 20, valueBytes, 4, currentValueBytes)));
@@ -37,7 +37,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1024, 2048, 4096, 16384})
   void chunksOfTheLargestJobFitTheValueLimit(int valueBytes) throws InvalidMessageException {
-    RecordLayout recordLayout = layout(valueBytes, 16384);
+    RecordLayout recordLayout = recordLayout(valueBytes, 16384);
     BitSet done = new BitSet();
     SplittableRandom random = new SplittableRandom(3);
     for (int i = 0; i < 100_000; i++) {
@@ -51,7 +51,7 @@
       assertTrue(Json.write(chunk).length() <= valueBytes);
       String key = RecordLayout.progressKey("job-1", first);
       // A chunk is read correctly whatever value size it was split by.
-      layout(1024, 4096)
+      recordLayout(1024, 4096)
           .readProgressChunk(chunk, key.substring(key.lastIndexOf('/') + 1), restored);
       chunks++;
     }
@@ -71,7 +71,7 @@
     JsonNode record =
         Json.object().put("b", Base64.getEncoder().encodeToString(bits.toByteArray()));
     BitSet restored = new BitSet();
-    layout(2048, 4096).readProgressChunk(record, "2", restored);
+    recordLayout(2048, 4096).readProgressChunk(record, "2", restored);
     assertEquals(2 * ((4096 - 64) / 4 * 3 * 8) + 5, restored.nextSetBit(0));
     assertEquals(1, restored.cardinality());
   }
@@ -81,7 +81,7 @@
     JsonNode fromSeven = Json.object().put("f", 7).put("b", "");
     assertThrows(
         InvalidMessageException.class,
-        () -> layout(2048, 4096).readProgressChunk(fromSeven, "from-8", new BitSet()));
+        () -> recordLayout(2048, 4096).readProgressChunk(fromSeven, "from-8", new BitSet()));
   }
 
   /**
@@ -121,7 +121,7 @@
     List<String> dependencies = IntStream.range(0, 5_000).mapToObj(i -> "job-" + i * 7L).toList();
 
     RecordLayout.Acceptance acceptance =
-        layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000).orElseThrow();
+        recordLayout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000).orElseThrow();
 
     JsonNode active = activeRecord(acceptance);
     assertTrue(Json.write(active).length() <= valueBytes);
@@ -141,7 +141,7 @@
     List<String> dependencies = List.of("job-1", "job-2");
 
     RecordLayout.Acceptance acceptance =
-        layout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000).orElseThrow();
+        recordLayout(valueBytes, 16384).acceptJob(spec(dependencies), 5_000).orElseThrow();
 
     assertEquals(Map.of(), acceptance.parts());
     assertEquals(dependencies, ActiveRecord.inlineDependencies(activeRecord(acceptance)));
