--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -24,7 +24,7 @@
   private AttemptState state;
 
   private long runningSinceMicros = -1;
-  private boolean hasEnded;
+  private boolean ended;
   private ExitCause exitCause;
   private boolean stopping;
   private double gracePeriodS;
@@ -127,7 +127,7 @@
 
   /** True for a live attempt that a direct command started and no heartbeat has listed yet. */
   boolean unconfirmed() {
-    return directCommandToken != AttemptOrigin.NONE && !reported() && !hasEnded;
+    return directCommandToken != AttemptOrigin.NONE && !reported() && !ended;
   }
 
   private void confirmStart() {
@@ -138,7 +138,7 @@
 
   /** True once the attempt is proven not to run any more. */
   public boolean hasEnded() {
-    return hasEnded;
+    return ended;
   }
 
   /**
@@ -152,10 +152,10 @@
   /** Marks the attempt as ended; see {@link Fleet#endAttempt}. */
   void end(ExitCause cause) {
     confirmStart();
-    if (!hasEnded) {
+    if (!ended) {
       machine.load().recordEndedAttempt();
     }
-    hasEnded = true;
+    ended = true;
     exitCause = cause;
   }
 
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -45,7 +45,7 @@
   private final RetryBackoff backoff = new RetryBackoff();
 
   private int completedCount;
-  private boolean hasEnded;
+  private boolean ended;
   private boolean hasStarted;
   private double ratioSum;
   private int ratioCount;
@@ -249,12 +249,12 @@
    * active jobs. No task of the job may start after that.
    */
   public boolean hasEnded() {
-    return hasEnded;
+    return ended;
   }
 
   /** Marks the job as done, cancelled or no longer listed as active. */
   public void markEnded() {
-    hasEnded = true;
+    ended = true;
   }
 
   /** Marks the task as completed. Idempotent. */
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -20,7 +20,7 @@
 final class FakeUsers {
   private final SimulatedCluster cluster;
   private final Set<String> accepted = new HashSet<>();
-  private final Set<String> recordCancellation = new HashSet<>();
+  private final Set<String> cancelledJobs = new HashSet<>();
   private final Map<String, Endpoint> controllerByJob = new HashMap<>();
   private final Map<String, Long> unhealthySince = new HashMap<>();
   private int lastUidNumber;
@@ -197,7 +197,7 @@
     List<String> out = new ArrayList<>();
     for (String uid : accepted) {
       if (out.size() < count
-          && !recordCancellation.contains(uid)
+          && !cancelledJobs.contains(uid)
           && cluster.invariants.hasStarted(uid)
           && !cluster.invariants.allDone(uid)) {
         out.add(uid);
@@ -356,7 +356,7 @@
   }
 
   void cancel(String uid) {
-    recordCancellation.add(uid);
+    cancelledJobs.add(uid);
     long sentMicros = cluster.now();
     cluster.network.send(
         "user",
@@ -389,14 +389,14 @@
 
   /** Records that the test has cancelled the job without a request of an emulated user. */
   void recordCancellation(JobSpec job) {
-    recordCancellation.add(job.uid());
+    cancelledJobs.add(job.uid());
   }
 
   /**
    * Sends one cancellation to the controller, without retries; the consumer gets the status code.
    */
   void cancelAt(Endpoint controller, String uid, java.util.function.Consumer<Integer> status) {
-    recordCancellation.add(uid);
+    cancelledJobs.add(uid);
     long sentMicros = cluster.now();
     cluster.network.send(
         "user",
@@ -439,7 +439,7 @@
     java.util.ArrayDeque<String> open = new java.util.ArrayDeque<>(seen);
     while (!open.isEmpty()) {
       String next = open.poll();
-      if (recordCancellation.contains(next)) {
+      if (cancelledJobs.contains(next)) {
         return true;
       }
       JobSpec job = cluster.invariants.submitted.get(next);
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -50,7 +50,7 @@
   private boolean heartbeatDue;
   private long lastHeartbeatMicros;
   private long nextHeartbeatMicros;
-  private double announcePreemption = -1;
+  private double preemptionNoticeS = -1;
   private boolean dead;
   boolean hung;
 
@@ -110,7 +110,7 @@
   }
 
   void announcePreemption(double seconds) {
-    announcePreemption = seconds;
+    preemptionNoticeS = seconds;
     requestHeartbeat();
   }
 
@@ -327,8 +327,8 @@
             .put("tenure", incarnation)
             .put("tick", ++sequenceNumber)
             .put("baton", fencingToken);
-    if (announcePreemption >= 0) {
-      object.put("reclaim_in_s", announcePreemption);
+    if (preemptionNoticeS >= 0) {
+      object.put("reclaim_in_s", preemptionNoticeS);
     }
     ArrayNode array = object.putArray("pieces");
     for (Task task : tasks.values()) {
