--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -92,7 +92,7 @@
       stepDown("the lease expired during the election");
       return;
     }
-    log.info("elected leader for term {}", term.number());
+    log.info("now leading term {}", term.number());
     renewal.scheduleAfter(parameters.leaseRenewalIntervalMicros());
     listener.elected(term);
   }
@@ -145,7 +145,7 @@
     Term term = current;
     term.end();
     current = null;
-    log.info("leadership of term {} ended: {}", term.number(), reason);
+    log.info("no longer leading term {}: {}", term.number(), reason);
     listener.steppedDown(term);
     records.leadershipEnded();
     observer.termEnded();
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -417,7 +417,8 @@
         result -> {
           switch (result.outcome()) {
             case APPLIED -> {
-              LOG.info("job {} cancelled because its dependency {} was cancelled", uid, dependency);
+              LOG.info(
+                  "job {} is cancelled because its dependency {} was cancelled", uid, dependency);
               metrics.count("jobs_cancelled_with_dependency");
               jobEnded(uid, JobState.CANCELLED);
               handler.accept(JobStatus.ended(JobState.CANCELLED));
