--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -78,8 +78,8 @@
    * Creates a controller that runs leader election on a separate loop.
    *
    * @param loop the controller loop, which owns all state except that of leader election
-   * @param electionLoop the election loop, which runs leader election with its own caller, so that
-   *     work on {@code loop} does not delay elections or lease renewals
+   * @param electionLoop the election loop, which runs leader election with its own HTTP client, so
+   *     that work on {@code loop} does not delay elections or lease renewals
    * @param seed seeds the random pauses between election attempts
    */
   public Controller(
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -8,8 +8,8 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * A caller that measures the time this controller spends on handling responses, by the kind of
- * service called.
+ * An HTTP client that measures the time this controller spends on handling responses, by the kind
+ * of service called.
  */
 record MeteredCaller(
     HttpClient httpClient, EventLoop loop, Metrics metrics, PlatformConfiguration platform)
--- a/src/main/java/plumlever/ServiceClients.java
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -14,8 +14,8 @@
 import plumlever.store.StateClient;
 
 /**
- * A controller's clients for the state service and the cloud, with the metrics and prices they
- * share.
+ * A controller's clients for the state service and the cloud, with the metrics and machine types
+ * they share.
  */
 final class ServiceClients {
   private final Metrics metrics;
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Returns the caller for the controller loop, which measures the time spent on handling
+   * Returns the HTTP client for the controller loop, which measures the time spent on handling
    * responses.
    */
   HttpClient httpClient() {
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Answers the heartbeat if its machine belongs to another shard, or if this shard may not apply
-   * the heartbeat now.
+   * Responds to the heartbeat if its machine belongs to another shard, or if this shard may not
+   * apply the heartbeat now.
    *
    * @return true if the heartbeat has been answered
    */
@@ -105,7 +105,9 @@
   /** Called when the machine's lease has certainly expired, so that none of its tasks can run. */
   default void leaseExpired(Machine machine) {}
 
-  /** Answers a heartbeat that the leader of the machine's shard relays for this shard's tasks. */
+  /**
+   * Responds to a heartbeat that the leader of the machine's shard relays for this shard's tasks.
+   */
   default void respondToRelayed(RelayedHeartbeat relayed, Responder out) {}
 
   /**
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -186,14 +186,14 @@
   }
 
   /**
-   * Sets the function that estimates the cost of a task, including the image download. The
+   * Sets the function that estimates the duration of a task, including the image download. The
    * propagation of deadlines to dependencies uses these estimates.
    */
   public void useTaskDurations(ToLongFunction<Job> taskDurationMicros) {
     dependencies.useTaskDurations(taskDurationMicros);
   }
 
-  /** Recomputes the task cost estimates that the next call of {@link #propagateGoals} uses. */
+  /** Recomputes the task duration estimates that the next call of {@link #propagateGoals} uses. */
   public void updateTaskDurations() {
     dependencies.updateTaskDurations();
   }
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -252,14 +252,14 @@
   }
 
   /**
-   * Sets the function that estimates the cost of a task, including the image download. The
+   * Sets the function that estimates the duration of a task, including the image download. The
    * estimates serve to derive the deadlines of dependencies.
    */
   void useTaskDurations(ToLongFunction<Job> taskDurationMicros) {
     taskDuration = taskDurationMicros;
   }
 
-  /** Recomputes the task cost estimates of all jobs in the graph. */
+  /** Recomputes the task duration estimates of all jobs in the graph. */
   void updateTaskDurations() {
     if (graph.size() > 0) {
       graph.updateDurations(this::taskDurationOf);
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -38,7 +38,7 @@
   private final boolean costMatters;
 
   /**
-   * Creates a planner with the given prices.
+   * Creates a planner with the given machine types and prices.
    *
    * @param costMatters false if only speed matters: long startup times then raise an option's cost
    */
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -120,7 +120,7 @@
     return term != terms || controller == null;
   }
 
-  /** Returns a caller that discards calls once the term is over, like a process that has ended. */
+  /** Returns a client that discards calls once the term is over, like a process that has ended. */
   private HttpClient httpClient(int term) {
     return (to, method, path, body, timeout, handler) ->
         loop.after(
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -208,7 +208,7 @@
     }
   }
 
-  /** Only LeaseRenewal may build answers that renew a lease. */
+  /** Only LeaseRenewal may build responses that renew a lease. */
   @Test
   void onlyLeaseRenewalBuildsResponsesThatRenew() {
     JavaClasses project =
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -46,7 +46,10 @@
   /** Watches of this prefix report no changes; for tests of the invariant checks. */
   String prefixWithoutChanges;
 
-  /** The only controller whose watches of {@code untold} report no changes; null for all. */
+  /**
+   * The only controller whose watches of {@code prefixWithoutChanges} report no changes; null for
+   * all.
+   */
   String controllerWithoutChanges;
 
   /** A field removed from each job record that is written; for tests of the invariant checks. */
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -101,7 +101,7 @@
         .forEach(machine -> cluster.network.setBlocked(isolatedController, machine, on));
   }
 
-  /** Plays the sequence up to one second before the end of the partition. */
+  /** Runs the sequence up to one second before the end of the partition. */
   private JobSpec cancelJobDuringPartition(long seed, Runnable duringPartition) {
     createCluster(seed);
     for (int i = 0; i < 6; i++) {
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -50,7 +50,7 @@
 
   private static final int JITTER_MICROS = 2_000;
 
-  /** Interval at which delivery over a cut link is retried. */
+  /** Interval at which delivery over a blocked link is retried. */
   private static final long CUT_RETRY_MICROS = 500_000;
 
   private static final Reply NO_REPLY = (status, body) -> {};
@@ -58,8 +58,8 @@
   final Map<Endpoint, Service> services = new HashMap<>();
 
   /**
-   * Cut links as {@code from>to}, where {@code *} stands for any endpoint. Requests over a cut link
-   * are held until the cut ends; responses are dropped.
+   * Blocked links as {@code from>to}, where {@code *} stands for any endpoint. Requests over a
+   * blocked link are held until the link is unblocked; responses are dropped.
    */
   final Map<String, Boolean> blockedLinks = new HashMap<>();
 
@@ -125,7 +125,7 @@
     this.checkDelegations = checkDelegations;
   }
 
-  /** Cuts the link between two endpoints in both directions, or restores it. */
+  /** Blocks the link between two endpoints in both directions, or unblocks it. */
   void setBlocked(String one, String other, boolean on) {
     blockedLinks.put(one + ">" + other, on);
     blockedLinks.put(other + ">" + one, on);
@@ -163,7 +163,7 @@
   }
 
   /**
-   * Sends a request. A cut link holds the request and delivers it when the cut ends. The response
+   * Sends a request. A blocked link holds the request and delivers it when unblocked. The response
    * handler is called exactly once, with status 0 if no response arrives within the timeout.
    */
   void send(
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -191,8 +191,8 @@
   }
 
   /**
-   * Cuts off responses and commands to the machine, while its heartbeats still arrive. The network
-   * delivers held commands after the cut ends.
+   * Blocks responses and commands to the machine, while its heartbeats still arrive. The network
+   * delivers held commands after the links are unblocked.
    */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
     cluster.network.blockedLinks.put("*>" + machineId, true);
