--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -143,7 +143,7 @@
     cluster.runFor(5);
     cluster.leader().freeze(15);
     cluster.runFor(hangS);
-    cutZoneB(cluster);
+    blockZoneB(cluster);
     cluster.runFor(1);
     cluster.leader().crash(3);
     cluster.runFor(FakeWorker.LEASE_MICROS / 1e6 + 10);
@@ -259,7 +259,7 @@
             });
   }
 
-  private static void cutZoneB(SimulatedCluster cluster) {
+  private static void blockZoneB(SimulatedCluster cluster) {
     List<String> zoneMachines =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.zone.equals("b"))
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -51,7 +51,7 @@
   private static final int JITTER_MICROS = 2_000;
 
   /** Interval at which delivery over a blocked link is retried. */
-  private static final long CUT_RETRY_MICROS = 500_000;
+  private static final long BLOCKED_RETRY_MICROS = 500_000;
 
   private static final Reply NO_REPLY = (status, body) -> {};
 
@@ -131,7 +131,7 @@
     blockedLinks.put(other + ">" + one, on);
   }
 
-  private boolean isCut(String from, String to) {
+  private boolean isBlocked(String from, String to) {
     return blockedLinks.getOrDefault(from + ">" + to, false)
         || blockedLinks.getOrDefault(from + ">*", false)
         || blockedLinks.getOrDefault("*>" + to, false);
@@ -233,8 +233,8 @@
     events.at(
         delayMicros,
         () -> {
-          if (isCut(message.from, message.to.host())) {
-            deliver(message, reply, CUT_RETRY_MICROS);
+          if (isBlocked(message.from, message.to.host())) {
+            deliver(message, reply, BLOCKED_RETRY_MICROS);
             return;
           }
           Service service = services.get(message.to);
@@ -287,7 +287,7 @@
       events.at(
           LATENCY_MICROS,
           () -> {
-            if (!isLost && !isCut(message.to.host(), message.from)) {
+            if (!isLost && !isBlocked(message.to.host(), message.from)) {
               response.take(sent);
             }
           });
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -120,9 +120,9 @@
         cluster.at(time, () -> cluster.store.refusedControllers.remove(leader.platform.label()));
       }
       case 4 ->
-          cutLinks(cluster, leader.platform.label() + ">*", "*>" + leader.platform.label(), time);
+          blockLinks(cluster, leader.platform.label() + ">*", "*>" + leader.platform.label(), time);
       case 5 ->
-          cutLinks(
+          blockLinks(
               cluster,
               leader.platform.label() + ">state",
               "state>" + leader.platform.label(),
@@ -141,9 +141,9 @@
               .filter(v -> v.worker != null)
               .limit(2)
               .forEach(v -> makeUnreachable(cluster, v.id, 2 * time));
-      case 11 -> cutFromStateAndPeers(cluster, leader, time);
-      case 12 -> cutFromStateAndPeers(cluster, one, time);
-      case 14 -> cutFromAllMachines(cluster, leader.platform.label(), time);
+      case 11 -> blockLinksToStateAndPeers(cluster, leader, time);
+      case 12 -> blockLinksToStateAndPeers(cluster, one, time);
+      case 14 -> blockLinksToAllMachines(cluster, leader.platform.label(), time);
       case 13 -> {
         // Restarts the leader at once, then restarts a random controller during the election.
         leader.crash(0.1 + cluster.random.nextDouble() / 10);
@@ -151,7 +151,7 @@
             500_000 + cluster.random.nextLong(3_000_000),
             () -> all.get(cluster.random.nextInt(all.size())).crash(0.15));
       }
-      default -> cutFromZoneA(cluster, leader.platform.label(), time);
+      default -> blockLinksToZoneA(cluster, leader.platform.label(), time);
     }
   }
 
@@ -176,18 +176,18 @@
             });
   }
 
-  private static void cutFromAllMachines(SimulatedCluster cluster, String leader, long time) {
+  private static void blockLinksToAllMachines(SimulatedCluster cluster, String leader, long time) {
     cluster
         .cloud
         .machines
         .keySet()
-        .forEach(h -> cutLinks(cluster, h + ">" + leader, leader + ">" + h, time));
+        .forEach(h -> blockLinks(cluster, h + ">" + leader, leader + ">" + h, time));
   }
 
-  private static void cutFromZoneA(SimulatedCluster cluster, String leader, long time) {
+  private static void blockLinksToZoneA(SimulatedCluster cluster, String leader, long time) {
     cluster.cloud.machines.values().stream()
         .filter(v -> v.zone.equals("a"))
-        .forEach(v -> cutLinks(cluster, v.id + ">" + leader, leader + ">" + v.id, time));
+        .forEach(v -> blockLinks(cluster, v.id + ">" + leader, leader + ">" + v.id, time));
   }
 
   /**
@@ -199,16 +199,16 @@
     cluster.at(time, () -> cluster.network.blockedLinks.remove("*>" + machineId));
   }
 
-  private static void cutFromStateAndPeers(
+  private static void blockLinksToStateAndPeers(
       SimulatedCluster cluster, SimulatedController controller, long time) {
     String label = controller.platform.label();
-    cutLinks(cluster, label + ">state", "state>" + label, time);
+    blockLinks(cluster, label + ">state", "state>" + label, time);
     cluster.controllers.keySet().stream()
         .filter(o -> !o.equals(label))
-        .forEach(o -> cutLinks(cluster, label + ">" + o, o + ">" + label, time));
+        .forEach(o -> blockLinks(cluster, label + ">" + o, o + ">" + label, time));
   }
 
-  private static void cutLinks(SimulatedCluster cluster, String there, String back, long time) {
+  private static void blockLinks(SimulatedCluster cluster, String there, String back, long time) {
     cluster.network.blockedLinks.put(there, true);
     cluster.network.blockedLinks.put(back, true);
     cluster.at(
@@ -259,7 +259,7 @@
     cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
         .limit(1)
-        .forEach(v -> cutLinks(cluster, v.id + ">*", "*>" + v.id, 15_000_000));
+        .forEach(v -> blockLinks(cluster, v.id + ">*", "*>" + v.id, 15_000_000));
     cluster.controllers.values().stream()
         .filter(SimulatedController::leads)
         .findFirst()
@@ -329,7 +329,7 @@
     assertTrue(zoneMachines.size() >= 3, "the zone has machines");
     zoneMachines.forEach(
         h ->
-            cutLinks(
+            blockLinks(
                 cluster,
                 h + ">" + leader.platform.label(),
                 leader.platform.label() + ">" + h,
@@ -392,7 +392,7 @@
             .filter(v -> v.zone.equals("a"))
             .map(v -> v.id)
             .toList()) {
-      cutLinks(cluster, machineId + ">*", "*>" + machineId, 60_000_000);
+      blockLinks(cluster, machineId + ">*", "*>" + machineId, 60_000_000);
     }
     cluster.leader().crash(60);
     cluster.runFor(2);
