--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -21,7 +21,7 @@
 /**
  * The services and settings that the components of a leader share during one term. Every component
  * receives the whole context and uses only what it needs. All components use the loop, the term,
- * the metrics and the logs; the users of the other values are named below.
+ * the metrics and the loggers; the users of the other values are named below.
  *
  * @param loop runs all decisions of the term and provides their clock
  * @param platform limits, objectives, teams and addresses of the deployment
