--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -152,9 +152,7 @@
     }
     assertEquals(201, response.status(), response.body());
     assertEquals(
-        0,
-        cluster.store.malformedTransactions,
-        "transactions that exceed a limit of the state service");
+        0, cluster.store.malformedTransactions, "transactions over a limit of the state service");
     assertTrue(request("n2", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     cluster.leader().crash(1);
     cluster.runFor(15);
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -392,9 +392,7 @@
     cancelledJobs.add(job.uid());
   }
 
-  /**
-   * Sends one cancellation to the controller, without retries; the consumer gets the status code.
-   */
+  /** Sends one cancellation to the controller, without retries; passes on the status code. */
   void cancelAt(Endpoint controller, String uid, java.util.function.Consumer<Integer> status) {
     cancelledJobs.add(uid);
     long sentMicros = cluster.now();
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -64,8 +64,7 @@
   }
 
   /**
-   * Cuts off all messages to one machine with tasks for the given time. The machine's heartbeats
-   * still arrive.
+   * Blocks all messages to one machine with tasks for the given time, but not its heartbeats.
    *
    * @return the id of the machine
    */
@@ -140,8 +139,7 @@
     JobSpec waiting = submit(job("red", Priority.STANDARD, 10, 2, 10, false));
     cluster.runFor(45);
     makeUnreachable(500);
-    // During the cloud outage the leader can't return the machine, so a deletion can't end the
-    // wait.
+    // In the cloud outage the leader can't return the machine, so no deletion ends the wait.
     cluster.cloud.outage = true;
     cluster.leader().crash(3);
     cluster.runFor(75);
@@ -485,10 +483,7 @@
     assertEquals(List.of(), cluster.invariants.violations);
   }
 
-  /**
-   * Verifies the invariant checks: they must report status queries that go unanswered and jobs that
-   * are not served.
-   */
+  /** Verifies that the invariant checks report unanswered queries and jobs that are not served. */
   @Test
   void theCheckerReportsUnansweredQueriesAndUnservedJobs() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
