--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -208,20 +208,20 @@
   void aLeaderIsolatedWithItsWorkersIsReplacedAndClosesUserConnections() {
     List<JobSpec> all = submitMany(9, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
     cluster.runFor(50);
-    String isolatedLeader = cluster.leader().platform.label();
+    String isolated = cluster.leader().platform.label();
     for (String other : List.of("state", "n0", "n1", "n2")) {
-      if (!other.equals(isolatedLeader)) {
-        cluster.network.setBlocked(isolatedLeader, other, true);
+      if (!other.equals(isolated)) {
+        cluster.network.setBlocked(isolated, other, true);
       }
     }
     cluster.faultsEndedAtMicros = cluster.now();
     cluster.runFor(12);
-    assertNotEquals(isolatedLeader, cluster.leader().platform.label(), "another controller leads");
+    assertNotEquals(isolated, cluster.leader().platform.label(), "another controller leads");
     int[] up = new int[1];
     boolean[] closed = new boolean[1];
     cluster.network.send(
         "probe",
-        new plumlever.settings.Endpoint(isolatedLeader, 1),
+        new plumlever.settings.Endpoint(isolated, 1),
         "GET",
         "/up",
         null,
@@ -229,7 +229,7 @@
         a -> up[0] = a.status());
     cluster.network.send(
         "probe",
-        new plumlever.settings.Endpoint(isolatedLeader, 1),
+        new plumlever.settings.Endpoint(isolated, 1),
         "GET",
         "/submissions/job-000001",
         null,
@@ -250,14 +250,10 @@
   void aLeaderCutOffFromAllWorkersIsReplaced() {
     List<JobSpec> all = submitMany(6, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
     cluster.runFor(50);
-    String isolatedLeader = cluster.leader().platform.label();
-    cluster
-        .cloud
-        .machines
-        .keySet()
-        .forEach(h -> cluster.network.setBlocked(isolatedLeader, h, true));
+    String isolated = cluster.leader().platform.label();
+    cluster.cloud.machines.keySet().forEach(h -> cluster.network.setBlocked(isolated, h, true));
     cluster.runFor(22);
-    assertNotEquals(isolatedLeader, cluster.leader().platform.label(), "another controller leads");
+    assertNotEquals(isolated, cluster.leader().platform.label(), "another controller leads");
     cluster.runFor(250);
     assertDone(all.toArray(new JobSpec[0]));
   }
