--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -1,19 +1,19 @@
 package plumlever;
 
 import java.util.Optional;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.concurrent.Scope;
 import plumlever.election.DelegatedRenewal;
 import plumlever.election.ElectionSettings;
 import plumlever.election.LeaderElection;
 import plumlever.election.PoolTerms;
-import plumlever.http.Caller;
-import plumlever.http.DelegatedHeartbeats;
+import plumlever.http.DelegatedHeartbeatHandler;
 import plumlever.http.HeartbeatEndpoint;
+import plumlever.http.HttpClient;
 import plumlever.http.JobForwarder;
 import plumlever.http.JobServices;
-import plumlever.http.PoolRequests;
+import plumlever.http.PoolRequestHandler;
 import plumlever.http.RequestRouter;
 import plumlever.http.Responder;
 import plumlever.http.ServingHealth;
@@ -23,7 +23,7 @@
 import plumlever.leader.Leader;
 import plumlever.lease.LeaseRenewal;
 import plumlever.lease.RenewalLimit;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.peer.Peers;
 import plumlever.settings.OperatorSettings;
@@ -54,51 +54,58 @@
   private final JobRecordCache jobRecords;
   private final DelegatedRenewal delegatedRenewal;
   private final RequestRouter router;
-  private final Optional<PoolRequests> poolRequests;
+  private final Optional<PoolRequestHandler> poolRequestHandler;
 
   /** Creates a controller that runs leader election on the same loop as everything else. */
   public Controller(
-      Loop loop,
-      Caller caller,
+      EventLoop loop,
+      HttpClient httpClient,
       PlatformConfiguration platform,
       SchedulerParameters parameters,
       long seed) {
     this(
         loop,
-        caller,
+        httpClient,
         loop,
-        caller,
+        httpClient,
         platform,
         new OperatorSettings(parameters, Optional.empty()),
         seed,
-        Logs.SERVICE);
+        LoggerProvider.SERVICE);
   }
 
   /**
    * Creates a controller that runs leader election on a separate loop.
    *
    * @param loop the controller loop, which owns all state except that of leader election
-   * @param electionLoop the election loop, which runs leader election with its own caller, so that
-   *     work on {@code loop} does not delay elections or lease renewals
+   * @param electionLoop the election loop, which runs leader election with its own HTTP client, so
+   *     that work on {@code loop} does not delay elections or lease renewals
    * @param seed seeds the random pauses between election attempts
    */
   public Controller(
-      Loop loop,
-      Caller caller,
-      Loop electionLoop,
-      Caller electionCaller,
+      EventLoop loop,
+      HttpClient httpClient,
+      EventLoop electionLoop,
+      HttpClient electionHttpClient,
       PlatformConfiguration platform,
       OperatorSettings settings,
       long seed,
-      Logs logs) {
+      LoggerProvider loggerProvider) {
     this(
         new ControllerEnvironment(
-            loop, caller, electionLoop, electionCaller, platform, settings, seed, logs));
+            loop,
+            httpClient,
+            electionLoop,
+            electionHttpClient,
+            platform,
+            settings,
+            seed,
+            loggerProvider));
   }
 
   private Controller(ControllerEnvironment environment) {
     this.environment = environment;
-    Loop loop = environment.loop();
+    EventLoop loop = environment.loop();
     Optional<SharingSettings> sharing = environment.settings().sharing();
     clients = new ServiceClients(environment);
     lateness = new LoopLateness(loop, clients.metrics());
@@ -108,10 +115,12 @@
     ownStatus = createOwnStatus();
     peers = createPeers();
     peerReports = new PeerReports(peers, sharing);
-    jobRecords = new JobRecordCache(loop, clients.store(), clients.layout(), clients.metrics());
-    delegatedRenewal = new DelegatedRenewal(loop, clients.store(), election, environment.logs());
+    jobRecords =
+        new JobRecordCache(loop, clients.store(), clients.recordLayout(), clients.metrics());
+    delegatedRenewal =
+        new DelegatedRenewal(loop, clients.store(), election, environment.loggerProvider());
     router = createRouter();
-    poolRequests = sharing.map(pool -> new PoolRequests(leadership::leader, router));
+    poolRequestHandler = sharing.map(pool -> new PoolRequestHandler(leadership::leader, router));
   }
 
   private TermContextFactory termContextFactory() {
@@ -140,7 +149,7 @@
         environment.electionLoop(),
         clients.electionStore(),
         leadership,
-        environment.logs());
+        environment.loggerProvider());
   }
 
   private OwnStatus createOwnStatus() {
@@ -157,7 +166,7 @@
   private Peers createPeers() {
     return new Peers(
         environment.loop(),
-        clients.caller(),
+        clients.httpClient(),
         environment.platform(),
         ownStatus::current,
         cancellations::confirmedByPeer);
@@ -179,7 +188,11 @@
     PlatformConfiguration platform = environment.platform();
     JobServices jobs =
         new JobServices(
-            environment.loop(), clients.store(), jobRecords, clients.layout(), clients.metrics());
+            environment.loop(),
+            clients.store(),
+            jobRecords,
+            clients.recordLayout(),
+            clients.metrics());
     Optional<JobForwarder> otherShards =
         environment
             .settings()
@@ -187,10 +200,10 @@
             .map(
                 pool ->
                     new JobForwarder(
-                        environment.loop(), clients.store(), clients.caller(), platform, pool));
+                        environment.loop(), clients.store(), clients.httpClient(), platform, pool));
     return new UserApi(
         jobs,
-        new SubmissionRules(platform.teams(), clients.prices()),
+        new SubmissionRules(platform.teams(), clients.typeCatalog()),
         health,
         cancellations::confirmedLocally,
         this::taskCounts,
@@ -198,14 +211,14 @@
   }
 
   private HeartbeatEndpoint createHeartbeatEndpoint() {
-    DelegatedHeartbeats delegated =
-        new DelegatedHeartbeats(
+    DelegatedHeartbeatHandler delegated =
+        new DelegatedHeartbeatHandler(
             environment.loop(),
             delegatedRenewal,
             jobRecords,
             new LeaseRenewal(new RenewalLimit(environment.platform().workers())),
             clients.metrics(),
-            environment.logs());
+            environment.loggerProvider());
     return new HeartbeatEndpoint(
         new KnownLeader(leadership, election),
         delegated,
@@ -222,11 +235,11 @@
 
   /** Starts the election, the status exchange with peers, and all recurring tasks. */
   public void start() {
-    Loop loop = environment.loop();
+    EventLoop loop = environment.loop();
     StateServiceProbe probe = new StateServiceProbe(loop, clients.store());
     scope.own(election);
     election.start();
-    scope.own(clients.machineTypes().task()).start();
+    scope.own(clients.machineTypeLoader().task()).start();
     scope.own(peers.recurringTask()).start();
     scope.own(delegatedRenewal.refreshTask()).start();
     scope.own(new RecurringTask("state service probe", loop, probe::run)).start();
@@ -246,7 +259,8 @@
 
   /** Handles a request of another controller. */
   public void peer(String method, String path, byte[] body, Responder out) {
-    boolean handled = poolRequests.isPresent() && poolRequests.get().handle(path, body, out);
+    boolean handled =
+        poolRequestHandler.isPresent() && poolRequestHandler.get().handle(path, body, out);
     if (!handled) {
       peers.handle(method, path, body, out);
     }
--- a/src/main/java/plumlever/ControllerEnvironment.java
+++ b/src/main/java/plumlever/ControllerEnvironment.java
@@ -1,8 +1,8 @@
 package plumlever;
 
-import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
-import plumlever.metrics.Logs;
+import plumlever.concurrent.EventLoop;
+import plumlever.http.HttpClient;
+import plumlever.metrics.LoggerProvider;
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
 
@@ -10,18 +10,18 @@
  * The external dependencies and settings of a controller.
  *
  * @param loop the controller loop, which owns all state except that of leader election
- * @param caller sends the requests of components on {@code loop}
+ * @param httpClient sends the requests of components on {@code loop}
  * @param electionLoop the election loop, which runs leader election, so that work on {@code loop}
  *     does not delay elections or lease renewals
- * @param electionCaller sends the requests of components on {@code electionLoop}
+ * @param electionHttpClient sends the requests of components on {@code electionLoop}
  * @param electionSeed seeds the random pauses between election attempts
  */
 record ControllerEnvironment(
-    Loop loop,
-    Caller caller,
-    Loop electionLoop,
-    Caller electionCaller,
+    EventLoop loop,
+    HttpClient httpClient,
+    EventLoop electionLoop,
+    HttpClient electionHttpClient,
     PlatformConfiguration platform,
     OperatorSettings settings,
     long electionSeed,
-    Logs logs) {}
+    LoggerProvider loggerProvider) {}
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -1,18 +1,19 @@
 package plumlever;
 
-import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.concurrent.EventLoop;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.ProtocolPath;
 
 /**
- * A caller that measures the time this controller spends on handling responses, by the kind of
- * service called.
+ * An HTTP client that measures the time this controller spends on handling responses, by the kind
+ * of service called.
  */
-record MeteredCaller(Caller caller, Loop loop, Metrics metrics, PlatformConfiguration platform)
-    implements Caller {
+record MeteredCaller(
+    HttpClient httpClient, EventLoop loop, Metrics metrics, PlatformConfiguration platform)
+    implements HttpClient {
   @Override
   public void call(
       Endpoint to,
@@ -22,7 +23,7 @@
       long timeoutMicros,
       ResponseHandler handler) {
     String kind = kindOf(to, path);
-    caller.call(
+    httpClient.call(
         to,
         method,
         path,
--- a/src/main/java/plumlever/ServiceClients.java
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -3,41 +3,42 @@
 import java.util.List;
 import java.util.Optional;
 import plumlever.cloud.CloudClient;
-import plumlever.cloud.MachineTypeRefresh;
-import plumlever.cloud.PriceBook;
-import plumlever.http.Caller;
+import plumlever.cloud.MachineTypeCatalog;
+import plumlever.cloud.MachineTypeLoader;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
-import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 
 /**
- * A controller's clients for the state service and the cloud, with the metrics and prices they
- * share.
+ * A controller's clients for the state service and the cloud, with the metrics and machine types
+ * they share.
  */
 final class ServiceClients {
   private final Metrics metrics;
-  private final Caller caller;
+  private final HttpClient httpClient;
   private final StateClient store;
   private final StateClient electionStore;
-  private final JobStore layout;
+  private final RecordLayout recordLayout;
   private final CloudClient cloud;
-  private final PriceBook prices;
-  private final MachineTypeRefresh machineTypes;
+  private final MachineTypeCatalog typeCatalog;
+  private final MachineTypeLoader machineTypeLoader;
 
   ServiceClients(ControllerEnvironment environment) {
     PlatformConfiguration platform = environment.platform();
     Optional<SharingSettings> sharing = environment.settings().sharing();
     KeySpace keySpace =
         sharing.map(pool -> KeySpace.under(pool.ownShard().prefix())).orElse(KeySpace.ROOT);
-    this.metrics = new Metrics(environment.logs());
-    this.caller = new MeteredCaller(environment.caller(), environment.loop(), metrics, platform);
+    this.metrics = new Metrics(environment.loggerProvider());
+    this.httpClient =
+        new MeteredCaller(environment.httpClient(), environment.loop(), metrics, platform);
     this.store =
         new StateClient(
             environment.loop(),
-            caller,
+            httpClient,
             platform.state(),
             platform.stateLimits(),
             metrics,
@@ -45,18 +46,19 @@
     this.electionStore =
         new StateClient(
             environment.electionLoop(),
-            environment.electionCaller(),
+            environment.electionHttpClient(),
             platform.state(),
             platform.stateLimits(),
             metrics,
             keySpace);
-    this.layout = new JobStore(store.limits(), prefixesOfOtherShards(sharing));
+    this.recordLayout = new RecordLayout(store.limits(), prefixesOfOtherShards(sharing));
     this.cloud =
         new CloudClient(
-            environment.loop(), caller, platform.cloud(), platform.cloudLimits(), metrics);
-    this.prices = new PriceBook(environment.settings().parameters());
-    this.machineTypes =
-        new MachineTypeRefresh(environment.loop(), cloud, store, prices, environment.logs());
+            environment.loop(), httpClient, platform.cloud(), platform.cloudLimits(), metrics);
+    this.typeCatalog = new MachineTypeCatalog(environment.settings().parameters());
+    this.machineTypeLoader =
+        new MachineTypeLoader(
+            environment.loop(), cloud, store, typeCatalog, environment.loggerProvider());
   }
 
   private static List<String> prefixesOfOtherShards(Optional<SharingSettings> sharing) {
@@ -70,11 +72,11 @@
   }
 
   /**
-   * Returns the caller for the controller loop, which measures the time spent on handling
+   * Returns the HTTP client for the controller loop, which measures the time spent on handling
    * responses.
    */
-  Caller caller() {
-    return caller;
+  HttpClient httpClient() {
+    return httpClient;
   }
 
   StateClient store() {
@@ -86,20 +88,22 @@
     return electionStore;
   }
 
-  JobStore layout() {
-    return layout;
+  RecordLayout recordLayout() {
+    return recordLayout;
   }
 
   CloudClient cloud() {
     return cloud;
   }
 
-  /** Returns the machine types and prices; empty until {@link #machineTypes()} has read them. */
-  PriceBook prices() {
-    return prices;
+  /**
+   * Returns the machine types and prices; empty until {@link #machineTypeLoader()} has read them.
+   */
+  MachineTypeCatalog typeCatalog() {
+    return typeCatalog;
   }
 
-  MachineTypeRefresh machineTypes() {
-    return machineTypes;
+  MachineTypeLoader machineTypeLoader() {
+    return machineTypeLoader;
   }
 }
--- a/src/main/java/plumlever/StateServiceProbe.java
+++ b/src/main/java/plumlever/StateServiceProbe.java
@@ -1,7 +1,7 @@
 package plumlever;
 
-import plumlever.concurrent.Loop;
-import plumlever.store.JobStore;
+import plumlever.concurrent.EventLoop;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 
 /**
@@ -11,10 +11,10 @@
 final class StateServiceProbe {
   private static final long INTERVAL_MICROS = 1_000_000;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
 
-  StateServiceProbe(Loop loop, StateClient store) {
+  StateServiceProbe(EventLoop loop, StateClient store) {
     this.loop = loop;
     this.store = store;
   }
@@ -22,7 +22,7 @@
   /** Runs as a recurring task; returns the pause until the next probe. */
   long run() {
     if (loop.nowMicros() - store.lastServedMicros() >= INTERVAL_MICROS / 2) {
-      store.get(JobStore.CATALOG, StateClient.RequestPriority.URGENT, ignored -> {});
+      store.get(RecordLayout.CATALOG, StateClient.RequestPriority.URGENT, ignored -> {});
     }
     return INTERVAL_MICROS;
   }
--- a/src/main/java/plumlever/cli/ArchiveTrainingRun.java
+++ b/src/main/java/plumlever/cli/ArchiveTrainingRun.java
@@ -14,7 +14,7 @@
 import org.xnio.XnioWorker;
 import plumlever.http.Responder;
 import plumlever.http.Server;
-import plumlever.http.UndertowCaller;
+import plumlever.http.UndertowHttpClient;
 import plumlever.http.XnioLoop;
 import plumlever.settings.Endpoint;
 import plumlever.settings.OperatorSettings;
@@ -88,7 +88,7 @@
       try (Emulators emulators = new Emulators()) {
         platform = runLeader(emulators);
       }
-      WarmUp.playAll(platform, SchedulerParameters.defaults());
+      WarmUp.runAll(platform, SchedulerParameters.defaults());
       return ExitCode.OK;
     } catch (IOException | SettingsException e) {
       System.err.println("plumlever: the training run for the class-data archive failed: " + e);
@@ -142,8 +142,8 @@
 
     private final XnioWorker worker = Service.createWorker("emulators");
     private final XnioLoop loop = new XnioLoop(worker.getIoThread());
-    private final UndertowCaller caller =
-        new UndertowCaller(
+    private final UndertowHttpClient httpClient =
+        new UndertowHttpClient(
             loop,
             worker.getIoThread(),
             new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_BUFFERS, 1));
@@ -171,7 +171,7 @@
 
     private void handle(String method, String path, byte[] body, Responder responder) {
       if (path.equals(ProtocolPath.COMMANDS)) {
-        services.command(machine, new String(body, StandardCharsets.UTF_8));
+        services.executeCommands(machine, new String(body, StandardCharsets.UTF_8));
         responder.send(
             HttpStatus.OK, new String(services.heartbeat(machine), StandardCharsets.UTF_8));
       } else {
@@ -185,7 +185,7 @@
     }
 
     private void sendHeartbeat(Endpoint controller) {
-      caller.call(
+      httpClient.call(
           controller,
           "POST",
           ProtocolPath.HEARTBEAT,
@@ -193,7 +193,7 @@
           HEARTBEAT_TIMEOUT_MICROS,
           (status, response) -> {
             if (status == HttpStatus.OK) {
-              services.command(machine, new String(response, StandardCharsets.UTF_8));
+              services.executeCommands(machine, new String(response, StandardCharsets.UTF_8));
             }
             loop.after(HEARTBEAT_INTERVAL_MICROS, () -> sendHeartbeatsTo(controller));
           });
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -77,7 +77,7 @@
     return "connections: "
         + shared
         + " for users and workers; above "
-        + (int) (shared * Server.SCARCE_CONNECTIONS_SHARE)
+        + (int) (shared * Server.NEAR_CONNECTION_LIMIT_FRACTION)
         + ", a worker's connection is closed after each heartbeat";
   }
 
@@ -85,7 +85,7 @@
     return "state service limits, the smaller of current and announced: values of "
         + limits.valueBytes()
         + " bytes (current limit "
-        + limits.formerValueBytes()
+        + limits.currentValueBytes()
         + "), "
         + limits.transactionOps()
         + " operations per transaction, "
@@ -97,19 +97,19 @@
 
   private static String idleMachinePolicy(
       PlatformConfiguration platform, SchedulerParameters parameters) {
-    return platform.moneyMatters(parameters.rentalMicros())
+    return platform.costMatters(parameters.provisioningMicros())
         ? "cost is minimized where the objectives leave time: idle machines are returned after "
-            + seconds(parameters.idleMoneyMicros())
+            + seconds(parameters.idleTimeoutForCostMicros())
         : "idle machines are kept longer, because an objective leaves no time to rent one: they are"
             + " returned after "
-            + seconds(parameters.idleSpeedMicros());
+            + seconds(parameters.idleTimeoutForSpeedMicros());
   }
 
   private static String placementParameters(SchedulerParameters parameters) {
     return "run time padding "
-        + parameters.paddingShare()
+        + parameters.runTimePadding()
         + ", tie tolerance "
-        + parameters.tieShare()
+        + parameters.tieTolerance()
         + ", start target "
         + seconds(parameters.startTargetMicros());
   }
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -15,9 +15,9 @@
 import plumlever.Controller;
 import plumlever.concurrent.RecurringTask;
 import plumlever.http.Server;
-import plumlever.http.UndertowCaller;
+import plumlever.http.UndertowHttpClient;
 import plumlever.http.XnioLoop;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
@@ -120,26 +120,27 @@
     worker = createWorker("plumlever");
     electionWorker = createWorker("election");
     loop = new XnioLoop(worker.getIoThread());
-    UndertowCaller caller = createCaller(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
+    UndertowHttpClient httpClient =
+        createHttpClient(worker, loop, MAX_BUFFERS, MAX_BUFFERS_PER_THREAD);
     XnioLoop electionLoop = new XnioLoop(electionWorker.getIoThread());
-    UndertowCaller electionCaller =
-        createCaller(
+    UndertowHttpClient electionHttpClient =
+        createHttpClient(
             electionWorker, electionLoop, MAX_ELECTION_BUFFERS, MAX_ELECTION_BUFFERS_PER_THREAD);
     controller =
         new Controller(
             loop,
-            caller,
+            httpClient,
             electionLoop,
-            electionCaller,
+            electionHttpClient,
             platform,
             settings,
             new SplittableRandom().nextLong(),
-            Logs.SERVICE);
+            LoggerProvider.SERVICE);
   }
 
-  private static UndertowCaller createCaller(
+  private static UndertowHttpClient createHttpClient(
       XnioWorker worker, XnioLoop loop, int maxBuffers, int maxBuffersPerThread) {
-    return new UndertowCaller(
+    return new UndertowHttpClient(
         loop,
         worker.getIoThread(),
         new DefaultByteBufferPool(false, BUFFER_BYTES, maxBuffers, maxBuffersPerThread));
@@ -202,7 +203,7 @@
 
   /** Returns the maximum number of connections from users and workers together. */
   static int sharedConnections(PlatformConfiguration platform) {
-    return Math.max(MIN_SHARED_CONNECTIONS, platform.socketLimit() - RESERVED_SOCKETS);
+    return Math.max(MIN_SHARED_CONNECTIONS, platform.maxFileDescriptors() - RESERVED_SOCKETS);
   }
 
   /** Returns the port on which the controller listens for users and workers. */
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.concurrent.EventLoop;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -71,8 +71,8 @@
     }
   }
 
-  private final Loop loop;
-  private final Caller caller;
+  private final EventLoop loop;
+  private final HttpClient httpClient;
   private final Endpoint endpoint;
   private final Metrics metrics;
   private final TokenBucket rateLimiter;
@@ -80,14 +80,14 @@
 
   /** Creates a client that stays within the cloud's rate limit. */
   public CloudClient(
-      Loop loop,
-      Caller caller,
+      EventLoop loop,
+      HttpClient httpClient,
       Endpoint endpoint,
       PlatformConfiguration.CloudLimits limits,
       Metrics metrics) {
     this.metrics = metrics;
     this.loop = loop;
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.endpoint = endpoint;
     this.rateLimiter = new TokenBucket(limits.rps() * RATE_LIMIT_FRACTION, loop.nowMicros());
   }
@@ -199,7 +199,7 @@
     }
     return RentalResult.withoutMachines(
         switch (response.status()) {
-          case HttpStatus.UNAVAILABLE ->
+          case HttpStatus.SERVICE_UNAVAILABLE ->
               reportsNoCapacity(response)
                   ? RentalResult.Outcome.NO_CAPACITY
                   : RentalResult.Outcome.REFUSED;
@@ -239,20 +239,20 @@
    */
   private void send(String method, String path, JsonNode body, Consumer<Response> callback) {
     if (!rateLimiter.tryAcquire(1, loop.nowMicros())) {
-      metrics.countRefusal("cloud", HttpStatus.TOO_MANY_REQUESTS);
+      metrics.countFailedCall("cloud", HttpStatus.TOO_MANY_REQUESTS);
       loop.after(
           0, () -> callback.accept(new Response(HttpStatus.TOO_MANY_REQUESTS, Optional.empty())));
       return;
     }
     byte[] bytes = body == null ? null : Json.write(body).getBytes(StandardCharsets.UTF_8);
-    caller.call(
+    httpClient.call(
         endpoint,
         method,
         path,
         bytes,
         TIMEOUT_MICROS,
         (status, data) -> {
-          metrics.countRefusal("cloud", status);
+          metrics.countFailedCall("cloud", status);
           if (status == HttpStatus.BAD_REQUEST) {
             warnOnce(path, new String(data, StandardCharsets.UTF_8));
           }
@@ -261,7 +261,7 @@
   }
 
   private Optional<ObjectNode> parsedBody(String path, int status, byte[] data) {
-    if (data.length == 0 || (status != HttpStatus.OK && status != HttpStatus.UNAVAILABLE)) {
+    if (data.length == 0 || (status != HttpStatus.OK && status != HttpStatus.SERVICE_UNAVAILABLE)) {
       return Optional.empty();
     }
     try {
--- a/src/main/java/plumlever/cloud/PriceBook.java
+++ b/src/main/java/plumlever/cloud/MachineTypeCatalog.java
@@ -9,13 +9,13 @@
 import plumlever.wire.MachineType;
 
 /** The machine types and their prices; empty until they have been loaded. */
-public final class PriceBook {
+public final class MachineTypeCatalog {
   private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
-  private final Map<String, Double> ownedHourly;
+  private final Map<String, Double> ownedHourlyCosts;
 
   /** Creates an empty catalog. */
-  public PriceBook(SchedulerParameters parameters) {
-    this.ownedHourly = parameters.ownedHourly();
+  public MachineTypeCatalog(SchedulerParameters parameters) {
+    this.ownedHourlyCosts = parameters.ownedHourlyCosts();
   }
 
   /**
@@ -49,7 +49,7 @@
    * configured price.
    */
   public double hourlyPrice(MachineType machineType, boolean spot) {
-    Double owned = ownedHourly.get(machineType.name());
+    Double owned = ownedHourlyCosts.get(machineType.name());
     return owned != null ? owned : machineType.hourlyPrice(spot);
   }
 
--- a/src/main/java/plumlever/cloud/MachineTypeRefresh.java
+++ b/src/main/java/plumlever/cloud/MachineTypeLoader.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
-import plumlever.metrics.Logs;
-import plumlever.store.JobStore;
+import plumlever.metrics.LoggerProvider;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.InvalidMessageException;
@@ -18,22 +18,26 @@
  * service, unless it already holds machine types. If the cloud does not provide the machine types,
  * the stored ones are used.
  */
-public final class MachineTypeRefresh {
+public final class MachineTypeLoader {
   /** The delay that tells a recurring task not to run again. */
   private static final long NO_NEXT_RUN = -1;
 
   private static final long RETRY_INTERVAL_MICROS = 1_500_000;
 
   private final Logger log;
-  private final Loop loop;
+  private final EventLoop loop;
   private final CloudClient cloud;
   private final StateClient store;
-  private final PriceBook typeCatalog;
+  private final MachineTypeCatalog typeCatalog;
 
   /** Creates a loader that fills the catalog from the cloud or from the state service. */
-  public MachineTypeRefresh(
-      Loop loop, CloudClient cloud, StateClient store, PriceBook typeCatalog, Logs logs) {
-    this.log = logs.of(MachineTypeRefresh.class);
+  public MachineTypeLoader(
+      EventLoop loop,
+      CloudClient cloud,
+      StateClient store,
+      MachineTypeCatalog typeCatalog,
+      LoggerProvider loggerProvider) {
+    this.log = loggerProvider.of(MachineTypeLoader.class);
     this.loop = loop;
     this.cloud = cloud;
     this.store = store;
@@ -61,7 +65,7 @@
 
   private void readStored() {
     store.get(
-        JobStore.CATALOG,
+        RecordLayout.CATALOG,
         StateClient.RequestPriority.ORDINARY,
         stored -> {
           if (stored.found() && !typeCatalog.isLoaded()) {
@@ -85,14 +89,14 @@
 
   private void storeIfAbsent(List<MachineType> machineTypes) {
     store.get(
-        JobStore.CATALOG,
+        RecordLayout.CATALOG,
         StateClient.RequestPriority.ORDINARY,
         stored -> {
           if (stored.missing()) {
             store.transaction(
                 new Transaction()
-                    .require(JobStore.CATALOG, 0)
-                    .put(JobStore.CATALOG, MachineType.writeCatalog(machineTypes)),
+                    .require(RecordLayout.CATALOG, 0)
+                    .put(RecordLayout.CATALOG, MachineType.writeCatalog(machineTypes)),
                 StateClient.RequestPriority.ORDINARY,
                 result ->
                     log.debug(
--- a/src/main/java/plumlever/drill/DrillUsers.java
+++ b/src/main/java/plumlever/drill/DrillUsers.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.concurrent.EventLoop;
+import plumlever.http.HttpClient;
 import plumlever.settings.Endpoint;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.InvalidMessageException;
@@ -30,8 +30,8 @@
     DONE
   }
 
-  private final Loop loop;
-  private final Caller caller;
+  private final EventLoop loop;
+  private final HttpClient httpClient;
   private final List<Endpoint> controllers;
   private final TaskResults results;
   private final SplittableRandom random;
@@ -39,13 +39,13 @@
   private int tasks;
 
   DrillUsers(
-      Loop loop,
-      Caller caller,
+      EventLoop loop,
+      HttpClient httpClient,
       List<Endpoint> controllers,
       TaskResults results,
       SplittableRandom random) {
     this.loop = loop;
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.controllers = controllers;
     this.results = results;
     this.random = random;
@@ -65,7 +65,7 @@
   }
 
   private void submit(String uid, String body, Endpoint controller) {
-    caller.call(
+    httpClient.call(
         controller,
         "POST",
         "/submissions",
@@ -85,7 +85,7 @@
   }
 
   private void poll(String uid) {
-    caller.call(
+    httpClient.call(
         randomController(),
         "GET",
         "/submissions/" + uid,
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -6,8 +6,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.concurrent.EventLoop;
+import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.settings.Endpoint;
 import plumlever.wire.AttemptState;
@@ -43,8 +43,8 @@
 
   /** The dependencies and settings that all workers of a drill share. */
   record Environment(
-      Loop loop,
-      Caller caller,
+      EventLoop loop,
+      HttpClient httpClient,
       List<Endpoint> controllers,
       Map<String, Endpoint> endpointByLabel,
       TaskResults results,
@@ -52,7 +52,7 @@
       long leaseMicros) {}
 
   private final Environment environment;
-  private final Loop loop;
+  private final EventLoop loop;
   private final String machine;
   private final String zone;
   private final String endpoint;
@@ -66,7 +66,7 @@
   private boolean heartbeatInFlight;
   private boolean stateChanged;
   private long lastSentMicros;
-  private Loop.Timer timer;
+  private EventLoop.Timer timer;
   private boolean removed;
 
   WorkerEmulator(
@@ -134,7 +134,7 @@
     long sentMicros = lastSentMicros;
     long sentIncarnation = incarnation;
     environment
-        .caller()
+        .httpClient()
         .call(
             controller,
             "POST",
@@ -182,7 +182,7 @@
       stateChanged |= receivedToken > fencingToken;
       fencingToken = receivedToken;
       leaseFromMicros = Math.max(leaseFromMicros, sentMicros);
-      WorkerCommand.parseAnswer(body).forEach(this::execute);
+      WorkerCommand.parseResponse(body).forEach(this::execute);
     } catch (InvalidMessageException e) {
       environment
           .results()
@@ -204,7 +204,7 @@
           fencingToken = receivedToken;
           sendHeartbeatSoon();
         }
-        WorkerCommand.parseAnswer(body).forEach(this::execute);
+        WorkerCommand.parseResponse(body).forEach(this::execute);
       } catch (InvalidMessageException e) {
         out.error(HttpStatus.BAD_REQUEST, e.getMessage());
         return;
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.lease.DelegationRecord;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 
@@ -36,7 +36,7 @@
    * @param token the fencing token that renewals carry
    * @param validUntilMicros when the right expires unless the delegation is read again
    */
-  public record Right(long token, long validUntilMicros) {}
+  public record RenewalRight(long token, long validUntilMicros) {}
 
   /** A delegation that covers no zone. */
   private static final DelegationRecord NO_DELEGATION = new DelegationRecord(-1, Map.of());
@@ -44,7 +44,7 @@
   private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
   private final Logger log;
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final LeaderElection election;
   private DelegationRecord delegation = NO_DELEGATION;
@@ -62,8 +62,9 @@
    * Creates the delegated renewal of this controller, which reads the delegation through the given
    * client.
    */
-  public DelegatedRenewal(Loop loop, StateClient store, LeaderElection election, Logs logs) {
-    this.log = logs.of(DelegatedRenewal.class);
+  public DelegatedRenewal(
+      EventLoop loop, StateClient store, LeaderElection election, LoggerProvider loggerProvider) {
+    this.log = loggerProvider.of(DelegatedRenewal.class);
     this.loop = loop;
     this.store = store;
     this.election = election;
@@ -139,12 +140,12 @@
    * Returns the right to renew leases in the zone, if there is one. Callers must check it again
    * immediately before each use.
    */
-  public Optional<Right> rightIn(String zone) {
+  public Optional<RenewalRight> renewalRight(String zone) {
     long validUntil = readSentMicros + VALID_MICROS;
     OptionalLong token = delegation.tokenOf(zone);
     if (token.isEmpty() || election.leading() || loop.nowMicros() >= validUntil) {
       return Optional.empty();
     }
-    return Optional.of(new Right(token.getAsLong(), validUntil));
+    return Optional.of(new RenewalRight(token.getAsLong(), validUntil));
   }
 }
--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.StateClient;
@@ -35,7 +35,7 @@
   }
 
   private final Logger log;
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final SchedulerParameters parameters;
   private final LeadershipRecords records;
@@ -92,8 +92,8 @@
       stepDown("the lease expired during the election");
       return;
     }
-    log.info("elected leader for term {}", term.number());
-    renewal.runAfter(parameters.leaseRenewalMicros());
+    log.info("now leading term {}", term.number());
+    renewal.scheduleAfter(parameters.leaseRenewalIntervalMicros());
     listener.elected(term);
   }
 
@@ -113,7 +113,8 @@
     }
     listener.executeOnControllerLoop(() -> controllerLoopLastRanMicros = loop.nowMicros());
     store.renewLease(term.leaseId(), result -> renewalCompleted(term, now, result));
-    return Math.min(parameters.leaseRenewalMicros(), Math.max(1, term.mayActUntilMicros() - now));
+    return Math.min(
+        parameters.leaseRenewalIntervalMicros(), Math.max(1, term.mayActUntilMicros() - now));
   }
 
   private void renewalCompleted(Term term, long sentMicros, StateClient.RenewalResult result) {
@@ -125,7 +126,7 @@
       case ENDED -> stepDown("the state service reports that the lease has ended");
       case UNKNOWN -> {
         long leftMicros = Math.max(1, term.mayActUntilMicros() - loop.nowMicros());
-        renewal.runAfter(Math.min(ElectionBackoff.RETRY_MICROS, leftMicros));
+        renewal.scheduleAfter(Math.min(ElectionBackoff.RETRY_MICROS, leftMicros));
       }
     }
   }
@@ -144,7 +145,7 @@
     Term term = current;
     term.end();
     current = null;
-    log.info("leadership of term {} ended: {}", term.number(), reason);
+    log.info("no longer leading term {}: {}", term.number(), reason);
     listener.steppedDown(term);
     records.leadershipEnded();
     observer.termEnded();
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.Scope;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.StateClient;
 
@@ -43,7 +43,7 @@
   public static final String TERM = PREFIX + "term";
 
   private final String label;
-  private final Loop loop;
+  private final EventLoop loop;
   private final SchedulerParameters parameters;
   private final Scope scope = new Scope();
   private final LeadershipRecords records;
@@ -60,14 +60,14 @@
    */
   public LeaderElection(
       ElectionSettings settings,
-      Loop loop,
+      EventLoop loop,
       StateClient store,
       ElectionListener listener,
-      Logs logs) {
+      LoggerProvider loggerProvider) {
     this.label = settings.label();
     this.loop = loop;
     this.parameters = settings.parameters();
-    Logger log = logs.of(LeaderElection.class);
+    Logger log = loggerProvider.of(LeaderElection.class);
     SplittableRandom random = new SplittableRandom(settings.seed());
     Candidate candidate = new Candidate(label, Long.toHexString(random.nextLong()));
     ElectionBackoff backoff = new ElectionBackoff(random);
@@ -100,7 +100,7 @@
    * renews leases, or -1 if there was no announcement. The value may be out of date; it is a hint,
    * not a proof.
    */
-  public long announcedDelegation() {
+  public long announcedDelegationRevision() {
     return records.announcedDelegationRevision();
   }
 
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -61,7 +61,7 @@
   }
 
   /** Sets the address unless it is already known. */
-  public void learnEndpoint(String address) {
+  public void setEndpointIfUnknown(String address) {
     if (endpoint == null) {
       endpoint = address;
     }
@@ -114,7 +114,7 @@
   }
 
   /** Records a heartbeat of the machine. */
-  public void recordReport(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
+  public void recordHeartbeat(Heartbeat heartbeat, HeartbeatSource source, long nowMicros) {
     contact.recordHeartbeat(heartbeat, source, nowMicros);
     preemptedAtMicros =
         heartbeat.hasPreemptionNotice()
--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -8,9 +8,9 @@
 public final class MachineTokens {
   private long current;
   private long term;
-  private long lastRenewal;
+  private long lastRenewalToken;
   private long lastCommandToken = -1;
-  private long endsKnownAtLastCommandMicros;
+  private long endedJobsReadAtLastCommandMicros;
 
   /** The token in responses and commands to the machine. */
   public long current() {
@@ -47,40 +47,42 @@
    * Records a direct command that carries the current token. A delayed duplicate of the command may
    * be executed until the token is raised. At most one direct command is in flight at a time.
    *
-   * @param endsKnownMicros when the last successful read of ended jobs was sent
+   * @param endedJobsReadMicros when the last successful read of ended jobs was sent
    */
-  public void commandSent(long endsKnownMicros) {
+  public void recordDirectCommand(long endedJobsReadMicros) {
     lastCommandToken = current;
-    endsKnownAtLastCommandMicros = endsKnownMicros;
+    endedJobsReadAtLastCommandMicros = endedJobsReadMicros;
   }
 
-  /** When the read of ended jobs that was passed to the last {@link #commandSent} was sent. */
-  public long endsKnownAtLastCommandMicros() {
-    return endsKnownAtLastCommandMicros;
+  /**
+   * When the read of ended jobs that was passed to the last {@link #recordDirectCommand} was sent.
+   */
+  public long endedJobsReadAtLastCommandMicros() {
+    return endedJobsReadAtLastCommandMicros;
   }
 
   /**
    * Raises the token above that of the last direct command. Once the new token has reached the
    * machine, the machine executes no earlier direct command.
    */
-  public void voidDirectCommands() {
+  public void fenceDirectCommands() {
     raise(lastCommandToken + 1);
   }
 
   /** True if a direct command has been sent and the token has not been raised since. */
-  public boolean hasUnvoidedCommand() {
+  public boolean hasUnfencedCommand() {
     return lastCommandToken >= current;
   }
 
   /** Records that a response with the current token renews the machine's lease. */
   void recordRenewal() {
-    lastRenewal = current;
+    lastRenewalToken = current;
   }
 
   /**
    * The token in the last response that renewed the machine's lease; 0 before the first renewal.
    */
-  public long lastRenewal() {
-    return lastRenewal;
+  public long lastRenewalToken() {
+    return lastRenewalToken;
   }
 }
--- a/src/main/java/plumlever/http/DelegatedHeartbeats.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
@@ -6,14 +6,14 @@
 import java.util.Optional;
 import java.util.Set;
 import org.slf4j.Logger;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.election.DelegatedRenewal;
 import plumlever.lease.DelegateEvidence;
 import plumlever.lease.LeaseRenewal;
 import plumlever.lease.RenewalDecision;
 import plumlever.lease.RenewalRefusal;
-import plumlever.metrics.LogBudget;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LogRateLimiter;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.store.JobRecordCache;
 import plumlever.wire.AttemptState;
@@ -30,36 +30,36 @@
  * leader had sent earlier: the worker could still execute the command minutes later, after the
  * job's cancellation.
  */
-public final class DelegatedHeartbeats {
+public final class DelegatedHeartbeatHandler {
   private static final int MAX_LOG_LINES_PER_SECOND = 20;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final DelegatedRenewal delegation;
   private final JobRecordCache jobs;
   private final LeaseRenewal renewal;
   private final Metrics metrics;
   private final Logger log;
-  private final LogBudget logBudget;
+  private final LogRateLimiter logRateLimiter;
 
   /**
    * Creates a handler that uses the given delegation.
    *
    * @param jobs provides the ended jobs, whose tasks are stopped
    */
-  public DelegatedHeartbeats(
-      Loop loop,
+  public DelegatedHeartbeatHandler(
+      EventLoop loop,
       DelegatedRenewal delegation,
       JobRecordCache jobs,
       LeaseRenewal renewal,
       Metrics metrics,
-      Logs logs) {
+      LoggerProvider loggerProvider) {
     this.loop = loop;
     this.delegation = delegation;
     this.jobs = jobs;
     this.renewal = renewal;
     this.metrics = metrics;
-    this.log = logs.of(DelegatedHeartbeats.class);
-    this.logBudget = new LogBudget(log, MAX_LOG_LINES_PER_SECOND);
+    this.log = loggerProvider.of(DelegatedHeartbeatHandler.class);
+    this.logRateLimiter = new LogRateLimiter(log, MAX_LOG_LINES_PER_SECOND);
   }
 
   /**
@@ -68,13 +68,14 @@
    * @return false if this controller may not renew the lease; no response has been sent
    */
   boolean tryRespond(Heartbeat heartbeat, Responder out) {
-    Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
+    Optional<DelegatedRenewal.RenewalRight> renewalRight =
+        delegation.renewalRight(heartbeat.zone());
     // First check the conditions that do not depend on the jobs: a refusal needs no job lookup.
-    if (right.isEmpty()
+    if (renewalRight.isEmpty()
         || renewal
-            .refusal(evidence(right.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
+            .refusal(evidence(renewalRight.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
             .isPresent()) {
-      right.ifPresent(known -> logRefusal(heartbeat, known, "before the job lookup"));
+      renewalRight.ifPresent(known -> logRefusal(heartbeat, known, "before the job lookup"));
       return false;
     }
     jobs.findEnded(
@@ -86,8 +87,9 @@
       Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> endedJobs, Responder out) {
     // The delegation may have expired during the job lookup. The lease must not be renewed if the
     // delegate can't send the stop commands for tasks of ended jobs.
-    Optional<DelegatedRenewal.Right> right = delegation.rightIn(heartbeat.zone());
-    if (right.isEmpty()) {
+    Optional<DelegatedRenewal.RenewalRight> renewalRight =
+        delegation.renewalRight(heartbeat.zone());
+    if (renewalRight.isEmpty()) {
       refuse(heartbeat, RenewalRefusal.DELEGATION_OVER, out);
       return;
     }
@@ -96,8 +98,9 @@
       return;
     }
     List<WorkerCommand> stopCommands = stopCommands(heartbeat, endedJobs.get().uids());
-    DelegateEvidence evidence = evidence(right.get(), heartbeat, endedJobs.get().askedMicros());
-    RenewalDecision decision = renewal.answer(evidence, stopCommands, loop.nowMicros());
+    DelegateEvidence evidence =
+        evidence(renewalRight.get(), heartbeat, endedJobs.get().oldestReadMicros());
+    RenewalDecision decision = renewal.decide(evidence, stopCommands, loop.nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
       logRenewal(heartbeat, evidence, stopCommands);
       metrics.count("leases_renewed_for_leader");
@@ -109,9 +112,12 @@
   }
 
   private static DelegateEvidence evidence(
-      DelegatedRenewal.Right right, Heartbeat heartbeat, long endsKnownMicros) {
+      DelegatedRenewal.RenewalRight renewalRight, Heartbeat heartbeat, long endedJobsReadMicros) {
     return new DelegateEvidence(
-        right.token(), heartbeat.fencingToken(), right.validUntilMicros(), endsKnownMicros);
+        renewalRight.token(),
+        heartbeat.fencingToken(),
+        renewalRight.validUntilMicros(),
+        endedJobsReadMicros);
   }
 
   private static Set<String> liveJobIds(Heartbeat heartbeat) {
@@ -140,7 +146,7 @@
 
   private void refuse(Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     metrics.count(refusal.counter());
-    if (logBudget.allowsDebug(loop.nowMicros())) {
+    if (logRateLimiter.tryAcquireDebugLine(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) not renewed on behalf of the leader, machine's"
               + " fencing token {}: {}",
@@ -149,11 +155,12 @@
           heartbeat.fencingToken(),
           refusal.reason());
     }
-    out.retryLater(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
+    out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, refusal.reason(), 1);
   }
 
-  private void logRefusal(Heartbeat heartbeat, DelegatedRenewal.Right right, String when) {
-    if (logBudget.allowsDebug(loop.nowMicros())) {
+  private void logRefusal(
+      Heartbeat heartbeat, DelegatedRenewal.RenewalRight renewalRight, String when) {
+    if (logRateLimiter.tryAcquireDebugLine(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) not renewed on behalf of the leader, refused {}:"
               + " machine's fencing token {}, delegation's token {}",
@@ -161,7 +168,7 @@
           heartbeat.incarnation(),
           when,
           heartbeat.fencingToken(),
-          right.token());
+          renewalRight.token());
     }
   }
 
@@ -172,7 +179,8 @@
   private void logRenewal(
       Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stopCommands) {
     boolean raises = evidence.token() > heartbeat.fencingToken();
-    if ((raises || !stopCommands.isEmpty()) && logBudget.allowsDebug(loop.nowMicros())) {
+    if ((raises || !stopCommands.isEmpty())
+        && logRateLimiter.tryAcquireDebugLine(loop.nowMicros())) {
       log.debug(
           "lease of machine {} (incarnation {}) renewed on behalf of the leader: fencing token {}"
               + " replaces {}, ended jobs as of {} ms ago, stop commands {}",
@@ -180,7 +188,7 @@
           heartbeat.incarnation(),
           evidence.token(),
           heartbeat.fencingToken(),
-          (loop.nowMicros() - evidence.endsKnownMicros()) / 1_000,
+          (loop.nowMicros() - evidence.endedJobsReadMicros()) / 1_000,
           stopCommands);
     }
   }
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -5,11 +5,11 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.function.Consumer;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SharingSettings;
-import plumlever.store.JobStore;
 import plumlever.store.KeySpace;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.ForwardedRequest;
@@ -29,22 +29,22 @@
   /** A key that exists if the shard has the job. */
   private record Candidate(SharingSettings.Shard shard, String key) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
-  private final Caller caller;
+  private final HttpClient httpClient;
   private final PlatformConfiguration platform;
   private final SharingSettings sharing;
 
   /** Creates a forwarder for the other shards of this pool. */
   public JobForwarder(
-      Loop loop,
+      EventLoop loop,
       StateClient store,
-      Caller caller,
+      HttpClient httpClient,
       PlatformConfiguration platform,
       SharingSettings sharing) {
     this.loop = loop;
     this.store = store;
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.platform = platform;
     this.sharing = sharing;
   }
@@ -61,7 +61,7 @@
   private List<Candidate> candidates(String uid) {
     List<Candidate> candidates = new ArrayList<>();
     for (SharingSettings.Shard shard : sharing.otherShards()) {
-      for (String key : List.of(JobStore.activeKey(uid), JobStore.endedKey(uid))) {
+      for (String key : List.of(RecordLayout.activeKey(uid), RecordLayout.endedKey(uid))) {
         candidates.add(new Candidate(shard, KeySpace.absolute(shard.prefix(), key)));
       }
     }
@@ -126,17 +126,19 @@
       Iterator<PlatformConfiguration.PeerController> members, byte[] body, Responder out) {
     if (!members.hasNext()) {
       out.retryLater(
-          HttpStatus.UNAVAILABLE, "no controller of the job's cell can be reached", RETRY_AFTER_S);
+          HttpStatus.SERVICE_UNAVAILABLE,
+          "no controller of the job's cell can be reached",
+          RETRY_AFTER_S);
       return;
     }
-    caller.call(
+    httpClient.call(
         members.next().endpoint(),
         "POST",
         ForwardedRequest.PATH,
         body,
         TIMEOUT_MICROS,
         (status, responseBody) -> {
-          if (status == 0 || status >= HttpStatus.SERVER_ERRORS) {
+          if (status == 0 || status >= HttpStatus.MIN_SERVER_ERROR) {
             forward(members, body, out);
           } else {
             int retryAfterS = status == HttpStatus.TOO_MANY_REQUESTS ? RETRY_AFTER_S : 0;
--- a/src/main/java/plumlever/http/JobResponses.java
+++ b/src/main/java/plumlever/http/JobResponses.java
@@ -83,17 +83,18 @@
    * closed so that the user can connect to another controller.
    */
   void respondUnavailable(UserRequest request) {
-    if (health.isRefusedAlone()) {
+    if (health.onlyThisControllerRefused()) {
       metrics.count("users_sent_away");
       request.closeConnection();
     }
-    request.retryLater(HttpStatus.UNAVAILABLE, "the state service can't be reached", RETRY_AFTER_S);
+    request.retryLater(
+        HttpStatus.SERVICE_UNAVAILABLE, "the state service can't be reached", RETRY_AFTER_S);
   }
 
   /** The response body for a job that was found. */
   String statusBody(String uid, JobRecordCache.JobStatus found) {
-    if (found.endState().isPresent()) {
-      return body(uid, found.endState().get());
+    if (found.finalState().isPresent()) {
+      return body(uid, found.finalState().get());
     }
     Optional<TaskCounts> known = counts.apply(uid);
     boolean running = known.isPresent() && known.get().running() > 0;
--- a/src/main/java/plumlever/http/JobServices.java
+++ b/src/main/java/plumlever/http/JobServices.java
@@ -1,9 +1,9 @@
 package plumlever.http;
 
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.metrics.Metrics;
 import plumlever.store.JobRecordCache;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 
 /**
@@ -12,7 +12,11 @@
  * @param loop the event loop that handles all requests and provides the current time
  * @param store the client of the state service
  * @param records cache of the job records in the state service
- * @param layout keys and values of the job records
+ * @param recordLayout keys and values of the job records
  */
 public record JobServices(
-    Loop loop, StateClient store, JobRecordCache records, JobStore layout, Metrics metrics) {}
+    EventLoop loop,
+    StateClient store,
+    JobRecordCache records,
+    RecordLayout recordLayout,
+    Metrics metrics) {}
--- a/src/main/java/plumlever/http/PoolRequests.java
+++ b/src/main/java/plumlever/http/PoolRequestHandler.java
@@ -12,7 +12,7 @@
 import plumlever.wire.RelayedHeartbeat;
 
 /** Handles the requests that controllers of different shards of a pool send to each other. */
-public final class PoolRequests {
+public final class PoolRequestHandler {
   /**
    * Path for relayed heartbeats, which a shard sends to the shards whose tasks run on its machines.
    */
@@ -30,7 +30,7 @@
    * @param leader the leader in this process, if there is one
    * @param router handles user requests that controllers of other shards forward
    */
-  public PoolRequests(Supplier<Optional<Leader>> leader, RequestRouter router) {
+  public PoolRequestHandler(Supplier<Optional<Leader>> leader, RequestRouter router) {
     this.leader = leader;
     this.router = router;
   }
@@ -62,7 +62,7 @@
     if (leading.isPresent()) {
       leading.get().relayedHeartbeat(RelayedHeartbeat.parse(body), out);
     } else {
-      out.retryLater(HttpStatus.UNAVAILABLE, "does not lead", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "does not lead", 1);
     }
   }
 
@@ -74,7 +74,7 @@
     if (leading.isPresent() && leading.get().transfer(machine, Json.text(request, "to"))) {
       out.send(HttpStatus.OK, "{}");
     } else {
-      out.retryLater(HttpStatus.UNAVAILABLE, machine + " can't be given from here now", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, machine + " can't be given from here now", 1);
     }
   }
 
--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -55,21 +55,21 @@
       return;
     }
     Machine machine = findOrAddMachine(heartbeat);
-    if (fleet.tokensRunOut(machine)) {
+    if (fleet.tokensNearlyExhausted(machine)) {
       context.resignForExhaustedNumbers();
     }
     HeartbeatHandler.Freshness freshness =
         heartbeats.apply(machine, heartbeat, HeartbeatSource.WORKER);
-    if (heartbeats.getAndClearChanged()) {
+    if (heartbeats.getAndClearPlacementChanged()) {
       passes.request();
     }
     if (freshness == HeartbeatHandler.Freshness.DUPLICATE) {
       context.metrics().count("heartbeat_copies");
-      out.retryLater(HttpStatus.UNAVAILABLE, "a newer report is known", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "a newer report is known", 1);
     } else if (machine.contact().unreachable()) {
       // Every renewal sent would extend the lease in this leader's view. The lease would never be
       // considered expired, and the machine's tasks could never be started elsewhere.
-      out.retryLater(HttpStatus.UNAVAILABLE, "answers do not arrive", 1);
+      out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "answers do not arrive", 1);
     } else {
       boolean newest = freshness == HeartbeatHandler.Freshness.LATEST;
       registerIfUnregistered(machine, heartbeat);
@@ -95,7 +95,7 @@
               context.loop().nowMicros());
       fleet.add(machine);
     }
-    machine.learnEndpoint(heartbeat.endpoint());
+    machine.setEndpointIfUnknown(heartbeat.endpoint());
     return machine;
   }
 
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -34,10 +34,10 @@
   /** Creates a leader for one term. The leader does nothing until it is started. */
   public Leader(TermContext context) {
     this.context = context;
-    this.log = context.logs().of(Leader.class);
+    this.log = context.loggerProvider().of(Leader.class);
     this.records = new RecoveryRead(context);
     this.deferredHeartbeats =
-        new DeferredHeartbeats(context.loop(), context.platform().socketLimit());
+        new DeferredHeartbeats(context.loop(), context.platform().maxFileDescriptors());
     this.components = new TermComponents(context, deferredHeartbeats);
   }
 
@@ -82,7 +82,7 @@
 
   /** Answers a heartbeat that another shard's leader relays for this shard's tasks. */
   public void relayedHeartbeat(RelayedHeartbeat relayed, Responder out) {
-    components.sharing().answerRelayed(relayed, out);
+    components.sharing().respondToRelayed(relayed, out);
   }
 
   /** Returns whether everything that earlier leaders started is accounted for. */
--- a/src/main/java/plumlever/leader/TermComponents.java
+++ b/src/main/java/plumlever/leader/TermComponents.java
@@ -9,8 +9,8 @@
 import plumlever.leader.failover.Failover;
 import plumlever.leader.failover.WarmState;
 import plumlever.leader.heartbeat.DeferredHeartbeats;
-import plumlever.leader.heartbeat.HeartbeatAnswers;
 import plumlever.leader.heartbeat.HeartbeatHandler;
+import plumlever.leader.heartbeat.HeartbeatResponses;
 import plumlever.leader.heartbeat.RenewalDelegation;
 import plumlever.leader.job.ActiveJobs;
 import plumlever.leader.job.DependencyListCleanup;
@@ -24,7 +24,7 @@
 import plumlever.leader.scheduling.SchedulingPass;
 import plumlever.leader.scheduling.TaskStarter;
 import plumlever.sharing.PoolView;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 
 /**
  * The components that work for the leader during one term. Creates them, loads the records of
@@ -62,7 +62,7 @@
         new HeartbeatHandler(context, fleet, jobs, estimates, failover, progress, this::sharing);
     TaskStarter starter = new TaskStarter(context, fleet, jobs, failover);
     this.pass = new SchedulingPass(context, fleet, jobs, startedJobs, estimates, failover);
-    jobs.useTaskCosts(pass::costMicros);
+    jobs.useTaskDurations(pass::durationMicros);
     RenewalDelegation delegation = new RenewalDelegation(context, fleet);
     this.commands =
         new CommandSender(context, jobs, pass, heartbeats, starter, delegation, this::requestPass);
@@ -111,7 +111,7 @@
 
   private HeartbeatResponder createResponder(
       DeferredHeartbeats deferredHeartbeats, TaskStarter starter) {
-    HeartbeatAnswers responses = new HeartbeatAnswers(context, jobs, sharing);
+    HeartbeatResponses responses = new HeartbeatResponses(context, jobs, sharing);
     return new HeartbeatResponder(
         context,
         fleet,
@@ -150,8 +150,8 @@
 
   /** Loads the records of earlier leaders. */
   void load(RecoveryRead recoveryRead) {
-    registry.load(recoveryRead.listing(JobStore.FLEET).items(), fleet);
-    warmState.load(recoveryRead.listing(JobStore.WARM_STATE).items());
+    registry.load(recoveryRead.listing(RecordLayout.FLEET).items(), fleet);
+    warmState.load(recoveryRead.listing(RecordLayout.WARM_STATE).items());
     jobs.load(recoveryRead);
     if (sharing.inPool()) {
       sharing.poolRecordsRead(
@@ -159,7 +159,7 @@
     }
     responder.recordsLoaded();
     failover.machinesLoaded();
-    progress.takeOverStoredProgress();
+    progress.adoptStoredProgress();
   }
 
   /**
@@ -186,7 +186,7 @@
     scope.own(commands::close);
     scope.own(registry::close);
     scope.own(dependencyListCleanup::close);
-    startTask(scope, "machine records", registry::compact);
+    startTask(scope, "machine records", registry::cleanUp);
     startTask(scope, "started jobs", startedJobs::cleanUp);
     startTask(scope, "progress", progress::write);
     startTask(scope, "machines", machines::runOnce);
@@ -194,7 +194,7 @@
     startTask(scope, "token raise", tokenRaiser::run);
     scope
         .own(new RecurringTask("dependency lists", context.loop(), dependencyListCleanup::run))
-        .runAfter(DependencyListCleanup.INTERVAL_MICROS);
+        .scheduleAfter(DependencyListCleanup.INTERVAL_MICROS);
     startTask(scope, "scheduling passes", passes::run);
   }
 
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -48,17 +48,17 @@
   }
 
   /** Returns whether a machine of this shard is recorded for return to the cloud. */
-  default boolean mustReturn(String machine) {
+  default boolean isRecordedForReturn(String machine) {
     return false;
   }
 
   /**
-   * Answers the heartbeat if its machine belongs to another shard, or if this shard may not apply
-   * the heartbeat now.
+   * Responds to the heartbeat if its machine belongs to another shard, or if this shard may not
+   * apply the heartbeat now.
    *
    * @return true if the heartbeat has been answered
    */
-  default boolean answerUnlessOwn(Heartbeat heartbeat, Responder out) {
+  default boolean respondUnlessOwn(Heartbeat heartbeat, Responder out) {
     return false;
   }
 
@@ -105,8 +105,10 @@
   /** Called when the machine's lease has certainly expired, so that none of its tasks can run. */
   default void leaseExpired(Machine machine) {}
 
-  /** Answers a heartbeat that the leader of the machine's shard relays for this shard's tasks. */
-  default void answerRelayed(RelayedHeartbeat relayed, Responder out) {}
+  /**
+   * Responds to a heartbeat that the leader of the machine's shard relays for this shard's tasks.
+   */
+  default void respondToRelayed(RelayedHeartbeat relayed, Responder out) {}
 
   /**
    * Offers the transfer of a machine to another shard, regardless of the sharing policy.
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -5,23 +5,23 @@
 import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
 import plumlever.cloud.CloudClient;
-import plumlever.cloud.PriceBook;
-import plumlever.concurrent.Loop;
+import plumlever.cloud.MachineTypeCatalog;
+import plumlever.concurrent.EventLoop;
 import plumlever.election.LeaderElection;
 import plumlever.election.Term;
-import plumlever.http.Caller;
-import plumlever.metrics.Logs;
+import plumlever.http.HttpClient;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
 import plumlever.settings.SharingSettings;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 
 /**
  * The services and settings that the components of a leader share during one term. Every component
  * receives the whole context and uses only what it needs. All components use the loop, the term,
- * the metrics and the logs; the users of the other values are named below.
+ * the metrics and the loggers; the users of the other values are named below.
  *
  * @param loop runs all decisions of the term and provides their clock
  * @param platform limits, objectives, teams and addresses of the deployment
@@ -29,40 +29,40 @@
  * @param election ends the term early; used by machines and by the delegation of renewals
  * @param term the term of leadership, with its number, token and right to act
  * @param store client of the state service; used by all components that read or write records
- * @param layout keys and values of records; used with {@code store}
+ * @param recordLayout keys and values of records; used with {@code store}
  * @param cloud rents, lists and returns machines; used by machines
- * @param prices the machine types and their prices; used by scheduling, machines, the pool,
+ * @param typeCatalog the machine types and their prices; used by scheduling, machines, the pool,
  *     failover and heartbeats
- * @param caller sends commands to workers and requests to other shards; used by scheduling and the
- *     pool
- * @param workersElsewhere how many workers send heartbeats to other controllers, as reported by
- *     these controllers; advisory, used by machines
+ * @param httpClient sends commands to workers and requests to other shards; used by scheduling and
+ *     the pool
+ * @param workersAtOtherControllers how many workers send heartbeats to other controllers, as
+ *     reported by these controllers; advisory, used by machines
  * @param reader reads the records of earlier leaders on another thread; used by the recovery read
  * @param latenessMicros how late the loop thread has run recently, so that deferrable work can be
  *     postponed; used to pace scheduling passes and token raises, and by machines
- * @param logs provides loggers by class
- * @param moneyMatters whether to reduce cost where the objectives leave time; used by scheduling
- *     and machines for each machine of each pass
+ * @param loggerProvider provides loggers by class
+ * @param costMatters whether to reduce cost where the objectives leave time; used by scheduling and
+ *     machines for each machine of each pass
  * @param sharing how the machines of a pool are shared, if this leader's shard belongs to a pool;
  *     used by the recovery read, by the delegation of renewals and when the components are created
  */
 public record TermContext(
-    Loop loop,
+    EventLoop loop,
     PlatformConfiguration platform,
     SchedulerParameters parameters,
     LeaderElection election,
     Term term,
     StateClient store,
-    JobStore layout,
+    RecordLayout recordLayout,
     CloudClient cloud,
-    PriceBook prices,
-    Caller caller,
+    MachineTypeCatalog typeCatalog,
+    HttpClient httpClient,
     Metrics metrics,
-    IntSupplier workersElsewhere,
+    IntSupplier workersAtOtherControllers,
     RecoveryReader reader,
     LongSupplier latenessMicros,
-    Logs logs,
-    boolean moneyMatters,
+    LoggerProvider loggerProvider,
+    boolean costMatters,
     Optional<SharingSettings> sharing) {
 
   /** Lists keys on a thread other than the loop thread. */
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -59,7 +59,7 @@
   public Failover(TermContext context, Fleet fleet, Supplier<MachineSharing> sharing) {
     this.sharing = sharing;
     this.context = context;
-    this.log = context.logs().of(Failover.class);
+    this.log = context.loggerProvider().of(Failover.class);
     this.fleet = fleet;
     this.startedMicros = context.loop().nowMicros();
     context.platform().teams().forEach(t -> teams.put(t.name(), t));
@@ -147,7 +147,7 @@
   }
 
   /** Returns true while the machine runs tasks that this leader does not track. */
-  public boolean runsUntracked(Machine machine) {
+  public boolean runsUntrackedTasks(Machine machine) {
     return withUntrackedTasks.contains(machine);
   }
 
@@ -182,7 +182,7 @@
   }
 
   /** Returns the number of processor cores that the team's tasks may be using on all machines. */
-  public double coresHeld(String team) {
+  public double coresPossiblyInUse(String team) {
     return fleet.usage(team).cores() + (countPossiblyOccupied() ? possiblyOccupiedCores : 0);
   }
 
@@ -203,7 +203,7 @@
     possiblyOccupiedCores = 0;
     possiblyOccupiedAccelerators = 0;
     for (Machine machine : possiblyOccupied) {
-      MachineType machineType = context.prices().machineType(machine.machineType());
+      MachineType machineType = context.typeCatalog().machineType(machine.machineType());
       if (machineType == null) {
         return false;
       }
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.http.Responder;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
@@ -24,7 +24,7 @@
 
   private record Deferred(Heartbeat heartbeat, Responder out, long receivedMicros) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
 
   /** The most heartbeats deferred at a time; each deferred heartbeat holds a connection open. */
   private final int capacity;
@@ -34,11 +34,11 @@
   /**
    * Creates a queue without deferred heartbeats.
    *
-   * @param socketLimit the most heartbeats that can be deferred at a time
+   * @param capacity the most heartbeats that can be deferred at a time
    */
-  public DeferredHeartbeats(Loop loop, int socketLimit) {
+  public DeferredHeartbeats(EventLoop loop, int capacity) {
     this.loop = loop;
-    this.capacity = socketLimit;
+    this.capacity = capacity;
   }
 
   /**
@@ -88,10 +88,11 @@
 
   /** Refuses all deferred heartbeats because this controller no longer leads. */
   public void close() {
-    release((heartbeat, out) -> out.retryLater(HttpStatus.UNAVAILABLE, "not in office", 1));
+    release((heartbeat, out) -> out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "not in office", 1));
   }
 
   private static void refuse(Deferred deferred) {
-    deferred.out.retryLater(HttpStatus.UNAVAILABLE, "which jobs have ended is not known yet", 1);
+    deferred.out.retryLater(
+        HttpStatus.SERVICE_UNAVAILABLE, "which jobs have ended is not known yet", 1);
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -34,7 +34,7 @@
   private final AttemptUpdates attemptUpdates;
   private final UnknownAttempts unknownAttempts;
   private final AbsentAttempts absentAttempts;
-  private final AnswerDelivery responseDelivery;
+  private final ResponseDelivery responseDelivery;
   private final StopAndRemoveCommands stopAndRemoveCommands;
 
   /**
@@ -52,7 +52,7 @@
       ProgressWriter progress,
       Supplier<MachineSharing> sharing) {
     this.context = context;
-    this.log = context.logs().of(HeartbeatHandler.class);
+    this.log = context.loggerProvider().of(HeartbeatHandler.class);
     this.jobs = jobs;
     this.failover = failover;
     this.sharing = sharing;
@@ -62,12 +62,12 @@
     this.unknownAttempts =
         new UnknownAttempts(context, fleet, jobs, attemptUpdates, placementChange);
     this.absentAttempts = new AbsentAttempts(context, fleet, failover, attemptLog, placementChange);
-    this.responseDelivery = new AnswerDelivery(context, placementChange);
+    this.responseDelivery = new ResponseDelivery(context, placementChange);
     this.stopAndRemoveCommands = new StopAndRemoveCommands(context, jobs, sharing, attemptLog);
   }
 
   /** Returns whether an input of placement has changed since the last call; resets the flag. */
-  public boolean getAndClearChanged() {
+  public boolean getAndClearPlacementChanged() {
     return placementChange.getAndClear();
   }
 
@@ -130,8 +130,8 @@
       Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
     if (source == HeartbeatSource.WORKER
         && heartbeat.incarnation() == machine.contact().incarnation()
-        && heartbeat.sequenceNumber() > machine.contact().ownSequenceNumber()) {
-      machine.contact().recordOvertakenHeartbeat(heartbeat.sequenceNumber(), now);
+        && heartbeat.sequenceNumber() > machine.contact().heartbeatSequenceNumber()) {
+      machine.contact().recordOutOfOrderHeartbeat(heartbeat.sequenceNumber(), now);
       return Freshness.SUPERSEDED;
     }
     return Freshness.DUPLICATE;
@@ -145,10 +145,10 @@
 
   private void recordHeartbeat(
       Machine machine, Heartbeat heartbeat, HeartbeatSource source, long now) {
-    boolean firstHeartbeat = !machine.contact().hasReported();
+    boolean firstHeartbeat = !machine.contact().hasSentHeartbeat();
     boolean newPreemptionNotice =
         heartbeat.hasPreemptionNotice() && machine.preemptedAtMicros() < 0;
-    machine.recordReport(heartbeat, source, now);
+    machine.recordHeartbeat(heartbeat, source, now);
     if (firstHeartbeat && source == HeartbeatSource.WORKER) {
       placementChange.mark();
     }
@@ -208,7 +208,7 @@
     }
     endEarlierIncarnations(machine, heartbeat);
     long now = context.loop().nowMicros();
-    machine.recordReport(heartbeat, HeartbeatSource.WORKER, now);
+    machine.recordHeartbeat(heartbeat, HeartbeatSource.WORKER, now);
     LongHashSet listed = new LongHashSet();
     for (Heartbeat.AttemptStatus reported : heartbeat.attempts()) {
       listed.add(reported.attempt());
@@ -227,7 +227,7 @@
    * Ends the attempts of a direct command that the worker refused. The worker has executed none of
    * these starts and never will.
    */
-  public void startsRefused(Iterable<Attempt> refusedStarts) {
+  public void endRefusedStarts(Iterable<Attempt> refusedStarts) {
     absentAttempts.endRefused(refusedStarts);
   }
 
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatAnswers.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
@@ -15,7 +15,7 @@
 import plumlever.lease.RenewalLimit;
 import plumlever.lease.RenewalRefusal;
 import plumlever.lease.UnansweredCommands;
-import plumlever.metrics.LogBudget;
+import plumlever.metrics.LogRateLimiter;
 import plumlever.wire.Heartbeat;
 import plumlever.wire.HttpStatus;
 import plumlever.wire.WorkerCommand;
@@ -24,7 +24,7 @@
  * Sends the leader's responses to heartbeats. A response either renews the worker's lease or
  * refuses the renewal, depending on the evidence available when the response is built.
  */
-public final class HeartbeatAnswers {
+public final class HeartbeatResponses {
   private static final int MAX_LINES_PER_SECOND = 20;
 
   private final TermContext context;
@@ -32,18 +32,18 @@
   private final MachineSharing sharing;
   private final LeaseRenewal renewal;
   private final Logger log;
-  private final LogBudget logBudget;
+  private final LogRateLimiter logRateLimiter;
 
   /**
    * Creates a sender of responses that takes its evidence from these jobs and this view of a pool.
    */
-  public HeartbeatAnswers(TermContext context, ActiveJobs jobs, MachineSharing sharing) {
+  public HeartbeatResponses(TermContext context, ActiveJobs jobs, MachineSharing sharing) {
     this.context = context;
     this.jobs = jobs;
     this.sharing = sharing;
     this.renewal = new LeaseRenewal(new RenewalLimit(context.platform().workers()));
-    this.log = context.logs().of(HeartbeatAnswers.class);
-    this.logBudget = new LogBudget(log, MAX_LINES_PER_SECOND);
+    this.log = context.loggerProvider().of(HeartbeatResponses.class);
+    this.logRateLimiter = new LogRateLimiter(log, MAX_LINES_PER_SECOND);
   }
 
   /** Returns why the machine's lease must not be renewed now, or empty if it may be renewed. */
@@ -81,20 +81,20 @@
   private LeaderEvidence evidence(Machine machine, boolean holdsTasksOfActiveJobs) {
     UnansweredCommands unansweredCommands =
         machine.load().hasUnconfirmedStart()
-            ? UnansweredCommands.sentAfter(machine.tokens().endsKnownAtLastCommandMicros())
+            ? UnansweredCommands.sentAfter(machine.tokens().endedJobsReadAtLastCommandMicros())
             : UnansweredCommands.NONE;
     return new LeaderEvidence(
         context.term()::mayAct,
         machine.tokens().current(),
         holdsTasksOfActiveJobs,
-        jobs.endsKnownMicros(),
+        jobs.endedJobsReadMicros(),
         unansweredCommands,
         sharing.foreignTaskEvidence(machine));
   }
 
   private boolean renew(
       Heartbeat heartbeat, LeaderEvidence evidence, List<WorkerCommand> commands, Responder out) {
-    RenewalDecision decision = renewal.answer(evidence, commands, context.loop().nowMicros());
+    RenewalDecision decision = renewal.decide(evidence, commands, context.loop().nowMicros());
     if (decision instanceof RenewalDecision.Renewed renewed) {
       out.send(HttpStatus.OK, renewed.body());
       return true;
@@ -108,7 +108,7 @@
     context.metrics().count("renewals_refused");
     context.metrics().count(refusal.counter());
     long now = context.loop().nowMicros();
-    if (logBudget.allowsDebug(now)) {
+    if (logRateLimiter.tryAcquireDebugLine(now)) {
       log.debug(
           "lease of machine {} incarnation {} is not renewed, heartbeat token {}: {}; last read of"
               + " ended jobs sent {} ms ago",
@@ -116,8 +116,8 @@
           heartbeat.incarnation(),
           heartbeat.fencingToken(),
           refusal.reason(),
-          (now - jobs.endsKnownMicros()) / 1_000);
+          (now - jobs.endedJobsReadMicros()) / 1_000);
     }
-    out.retryLater(HttpStatus.UNAVAILABLE, refusal.reason(), 1);
+    out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, refusal.reason(), 1);
   }
 }
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -84,7 +84,7 @@
   public RenewalDelegation(TermContext context, Fleet fleet) {
     this.context = context;
     this.fleet = fleet;
-    this.log = context.logs().of(RenewalDelegation.class);
+    this.log = context.loggerProvider().of(RenewalDelegation.class);
   }
 
   /** Returns whether other controllers may be renewing leases in the zone. */
@@ -162,7 +162,7 @@
     return !delegatedZones.isEmpty()
         && !writing
         && now - delegatedMicros > ANNOUNCEMENT_TIMEOUT_MICROS
-        && context.election().announcedDelegation() != revision;
+        && context.election().announcedDelegationRevision() != revision;
   }
 
   private void delegate(Set<String> zones) {
--- a/src/main/java/plumlever/leader/heartbeat/AnswerDelivery.java
+++ b/src/main/java/plumlever/leader/heartbeat/ResponseDelivery.java
@@ -9,14 +9,14 @@
  * Determines from the heartbeats that a worker sends whether the leader's responses reach the
  * worker. Heartbeats may arrive although no response gets through in the opposite direction.
  */
-final class AnswerDelivery {
+final class ResponseDelivery {
   private final Logger log;
   private final TermContext context;
   private final PlacementChange placementChange;
 
-  AnswerDelivery(TermContext context, PlacementChange placementChange) {
+  ResponseDelivery(TermContext context, PlacementChange placementChange) {
     this.context = context;
-    this.log = context.logs().of(AnswerDelivery.class);
+    this.log = context.loggerProvider().of(ResponseDelivery.class);
     this.placementChange = placementChange;
   }
 
@@ -29,15 +29,15 @@
    */
   void evaluate(Machine machine, Heartbeat heartbeat, boolean responseLost) {
     boolean wasUnreachable = machine.contact().unreachable();
-    if (machine.tokens().lastRenewal() > heartbeat.fencingToken()) {
-      machine.contact().recordLostAnswer();
+    if (machine.tokens().lastRenewalToken() > heartbeat.fencingToken()) {
+      machine.contact().recordLostResponse();
     } else if (responseLost) {
-      machine.contact().recordLostAnswer();
+      machine.contact().recordLostResponse();
       // The next response carries the raised token. The token in the next heartbeat shows whether
       // that response arrived.
       machine.tokens().raise(machine.tokens().current() + 1);
     } else {
-      machine.contact().recordDeliveredAnswer();
+      machine.contact().recordDeliveredResponse();
     }
     if (machine.contact().unreachable() != wasUnreachable) {
       reachabilityChanged(machine, wasUnreachable);
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -16,8 +16,8 @@
 import plumlever.leader.context.TermContext;
 import plumlever.leader.record.RecoveryRead;
 import plumlever.lease.RenewalLimit;
-import plumlever.store.JobStore;
 import plumlever.store.PrefixWatch;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobState;
@@ -41,7 +41,7 @@
   private final PrefixWatch watch;
 
   /** When the latest answered read that shows which jobs have ended was sent. */
-  private long endsKnownMicros = NEVER_MICROS;
+  private long endedJobsReadMicros = NEVER_MICROS;
 
   /**
    * Creates an empty view for one term; {@link #load} fills it.
@@ -50,7 +50,7 @@
    */
   public ActiveJobs(TermContext context, StartedJobIndex startedJobs, Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(ActiveJobs.class);
+    this.log = context.loggerProvider().of(ActiveJobs.class);
     this.startedJobs = startedJobs;
     this.onChange = onChange;
     Map<String, Job> activeView = Collections.unmodifiableMap(active);
@@ -66,8 +66,8 @@
         new PrefixWatch(
             context.loop(),
             context.store(),
-            JobStore.ACTIVE,
-            renewalLimit::watchMicros,
+            RecordLayout.ACTIVE,
+            renewalLimit::watchTimeoutMicros,
             WATCH_RETRY_MICROS,
             new WatchListener());
   }
@@ -94,12 +94,12 @@
    * machine's lease expires.
    */
   public boolean mayStartOrRenew() {
-    return renewalLimit.mayRenew(context.loop().nowMicros(), endsKnownMicros);
+    return renewalLimit.mayRenew(context.loop().nowMicros(), endedJobsReadMicros);
   }
 
   /** Returns when the latest answered read that shows which jobs have ended was sent. */
-  public long endsKnownMicros() {
-    return endsKnownMicros;
+  public long endedJobsReadMicros() {
+    return endedJobsReadMicros;
   }
 
   /**
@@ -107,11 +107,11 @@
    * read.
    */
   public void load(RecoveryRead found) {
-    endsKnownMicros = found.jobsReadSentMicros();
-    StateClient.Listing jobs = found.listing(JobStore.ACTIVE);
-    startedJobs.read(found.listing(JobStore.STARTED).items());
+    endedJobsReadMicros = found.jobsReadSentMicros();
+    StateClient.Listing jobs = found.listing(RecordLayout.ACTIVE);
+    startedJobs.read(found.listing(RecordLayout.STARTED).items());
     jobs.items().forEach(item -> addJob(item.key(), item.data(), item.revision(), true));
-    found.listing(JobStore.PROGRESS).items().forEach(storedProgress::read);
+    found.listing(RecordLayout.PROGRESS).items().forEach(storedProgress::read);
     startedJobs.loadEntries(this);
     dependencies.jobsLoaded();
     watch.watchFrom(jobs.storeRevision());
@@ -129,10 +129,10 @@
       return;
     }
     try {
-      long ageMicros = context.loop().wallMicros() - JobStore.acceptedWallMicros(data);
+      long ageMicros = context.loop().wallMicros() - RecordLayout.acceptedWallMicros(data);
       Job job =
           new Job(
-              JobStore.spec(data),
+              RecordLayout.spec(data),
               revision,
               context.loop().nowMicros() - Math.max(0, ageMicros),
               existedAtTermStart && startedJobs.mayHaveStarted(uid));
@@ -143,20 +143,20 @@
           job.spec().taskCount(),
           job.spec().jobClass(),
           ageMicros / 1_000);
-      dependencies.add(job, JobStore.dependenciesKeys(uid, data));
+      dependencies.add(job, RecordLayout.dependencyListKeys(uid, data));
     } catch (InvalidMessageException e) {
       log.error("ignoring unreadable job record {}: {}", key, e.getMessage());
     }
   }
 
   private static String uidOf(String key) {
-    return key.substring(JobStore.ACTIVE.length());
+    return key.substring(RecordLayout.ACTIVE.length());
   }
 
   private void removeJob(String uid, Optional<JobState> finalState) {
     Job job = active.remove(uid);
     if (job != null) {
-      job.markOver();
+      job.markEnded();
       startedJobs.remove(job);
       log.debug("job {} has ended", uid);
     }
@@ -178,7 +178,7 @@
   public void cancellationsConfirmed(Collection<String> uids) {
     for (String uid : uids) {
       Job job = active.get(uid);
-      if (job != null && !job.over()) {
+      if (job != null && !job.hasEnded()) {
         job.confirmCancellation();
         onChange.run();
       }
@@ -186,16 +186,16 @@
   }
 
   /**
-   * Sets the function that estimates the cost of a task, including the image download. The
+   * Sets the function that estimates the duration of a task, including the image download. The
    * propagation of deadlines to dependencies uses these estimates.
    */
-  public void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
-    dependencies.useTaskCosts(taskCostMicros);
+  public void useTaskDurations(ToLongFunction<Job> taskDurationMicros) {
+    dependencies.useTaskDurations(taskDurationMicros);
   }
 
-  /** Recomputes the task cost estimates that the next call of {@link #propagateGoals} uses. */
-  public void updateTaskCosts() {
-    dependencies.updateTaskCosts();
+  /** Recomputes the task duration estimates that the next call of {@link #propagateGoals} uses. */
+  public void updateTaskDurations() {
+    dependencies.updateTaskDurations();
   }
 
   /**
@@ -226,13 +226,13 @@
       ended.removeAll(listed);
       ended.forEach(uid -> removeJob(uid, Optional.empty()));
       dependencies.resolve();
-      endsKnownMicros = sentMicros;
+      endedJobsReadMicros = sentMicros;
       onChange.run();
     }
 
     @Override
     public void changed(List<StateClient.KeyEvent> changes, long sentMicros) {
-      endsKnownMicros = sentMicros;
+      endedJobsReadMicros = sentMicros;
       for (StateClient.KeyEvent change : changes) {
         if (change.deleted()) {
           removeJob(uidOf(change.key()), Optional.empty());
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -12,7 +12,7 @@
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
 import plumlever.store.JobFinder;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.wire.JobState;
 
@@ -38,7 +38,7 @@
   /** Actions deferred until all active jobs have been added, since jobs are added in any order. */
   private final List<Runnable> deferredUntilLoaded = new ArrayList<>();
 
-  private ToLongFunction<Job> taskCost = job -> 0;
+  private ToLongFunction<Job> taskDuration = job -> 0;
   private boolean readingFinalStates;
   private boolean loaded;
   private boolean closed;
@@ -55,7 +55,7 @@
       DependentCancellation cancellation,
       Runnable onRelease) {
     this.context = context;
-    this.log = context.logs().of(DependencyResolver.class);
+    this.log = context.loggerProvider().of(DependencyResolver.class);
     this.activeJobs = activeJobs;
     this.cancellation = cancellation;
     this.onRelease = onRelease;
@@ -102,7 +102,7 @@
    * read.
    */
   private void readDependencies(Job job, List<String> listKeys, int next, List<String> names) {
-    if (closed || job.over()) {
+    if (closed || job.hasEnded()) {
       return;
     }
     if (next == listKeys.size()) {
@@ -117,7 +117,7 @@
             StateClient.RequestPriority.ORDINARY,
             result -> {
               if (result.found()) {
-                names.addAll(JobStore.names(result.item().data()));
+                names.addAll(RecordLayout.dependencyIds(result.item().data()));
                 readDependencies(job, listKeys, next + 1, names);
               } else {
                 // All parts are stored before the job record and deleted only after the job has
@@ -135,7 +135,7 @@
    */
   private void track(Job job, List<String> dependencies) {
     List<String> unknown = graph.addJob(job.uid(), job.revision(), dependencies);
-    graph.setGoal(job.uid(), job.goal(), taskCost.applyAsLong(job));
+    graph.setGoal(job.uid(), job.goal(), taskDuration.applyAsLong(job));
     for (String name : unknown) {
       Job dependency = activeJobs.get(name);
       if (dependency == null) {
@@ -185,7 +185,7 @@
 
   private void recordFinalState(String uid, JobFinder.Found found) {
     found
-        .endState()
+        .finalState()
         .ifPresent(
             finalState -> {
               unknownFinalStates.remove(uid);
@@ -252,17 +252,17 @@
   }
 
   /**
-   * Sets the function that estimates the cost of a task, including the image download. The
+   * Sets the function that estimates the duration of a task, including the image download. The
    * estimates serve to derive the deadlines of dependencies.
    */
-  void useTaskCosts(ToLongFunction<Job> taskCostMicros) {
-    taskCost = taskCostMicros;
+  void useTaskDurations(ToLongFunction<Job> taskDurationMicros) {
+    taskDuration = taskDurationMicros;
   }
 
-  /** Recomputes the task cost estimates of all jobs in the graph. */
-  void updateTaskCosts() {
+  /** Recomputes the task duration estimates of all jobs in the graph. */
+  void updateTaskDurations() {
     if (graph.size() > 0) {
-      graph.updateDurations(this::taskCostOf);
+      graph.updateDurations(this::taskDurationOf);
     }
   }
 
@@ -276,9 +276,9 @@
     }
   }
 
-  private long taskCostOf(String uid) {
+  private long taskDurationOf(String uid) {
     Job job = activeJobs.get(uid);
-    return job == null ? 0 : taskCost.applyAsLong(job);
+    return job == null ? 0 : taskDuration.applyAsLong(job);
   }
 
   private void applyGoal(String uid) {
--- a/src/main/java/plumlever/leader/machine/CloudInventory.java
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -62,9 +62,9 @@
     if (machineTypes.isEmpty()) {
       return;
     }
-    boolean first = !context.prices().isLoaded();
+    boolean first = !context.typeCatalog().isLoaded();
     machineTypesReadMicros = context.loop().nowMicros();
-    context.prices().update(machineTypes.get());
+    context.typeCatalog().update(machineTypes.get());
     if (first) {
       onChange.run();
     }
@@ -96,10 +96,10 @@
               listed.zone(),
               listed.spot(),
               now - (long) (listed.ageS() * MICROS_PER_SECOND));
-      machine.setReturning(sharing.mustReturn(listed.id()));
+      machine.setReturning(sharing.isRecordedForReturn(listed.id()));
       fleet.add(machine);
     }
-    machine.learnEndpoint(listed.endpoint());
+    machine.setEndpointIfUnknown(listed.endpoint());
     machine.recordListing(listed.failed());
   }
 
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -72,7 +72,7 @@
 
   FailureDetector(TermContext context, Fleet fleet, Failover failover) {
     this.context = context;
-    this.log = context.logs().of(FailureDetector.class);
+    this.log = context.loggerProvider().of(FailureDetector.class);
     this.fleet = fleet;
     this.failover = failover;
   }
@@ -109,7 +109,8 @@
    */
   long thresholdMicros() {
     long heartbeatMicros = context.platform().workers().heartbeatMicros();
-    return Math.max(context.parameters().silentMicros(), 2 * heartbeatMicros + heartbeatMicros / 2);
+    return Math.max(
+        context.parameters().heartbeatTimeoutMicros(), 2 * heartbeatMicros + heartbeatMicros / 2);
   }
 
   /**
@@ -137,7 +138,7 @@
     }
     return all > 0
         && silent * PERCENT >= all * MIN_SILENT_PERCENT_IF_PARTITIONED
-        && context.workersElsewhere().getAsInt() * PERCENT
+        && context.workersAtOtherControllers().getAsInt() * PERCENT
             >= all * MIN_ELSEWHERE_PERCENT_IF_PARTITIONED;
   }
 
@@ -146,7 +147,7 @@
     zones.clear();
     for (Machine machine : fleet.machines()) {
       boolean unaccounted = failover.unaccounted().contains(machine);
-      if (machine.contact().hasReported() || unaccounted) {
+      if (machine.contact().hasSentHeartbeat() || unaccounted) {
         ZoneCount zone = zones.computeIfAbsent(machine.zone(), name -> new ZoneCount());
         zone.machines++;
         zone.unaccounted += unaccounted ? 1 : 0;
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -58,7 +58,7 @@
       MachineRentals rentals,
       Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(FleetSizing.class);
+    this.log = context.loggerProvider().of(FleetSizing.class);
     this.fleet = fleet;
     this.pass = pass;
     this.failover = failover;
@@ -92,7 +92,7 @@
     }
     Set<Machine> more = new LinkedHashSet<>(cordoned);
     more.addAll(candidates.subList(0, count));
-    if (pass.canDoWithout(more)) {
+    if (pass.canRemoveMachines(more)) {
       cordoned.addAll(more);
       context.metrics().count("machines_cordoned", count);
       log.debug("cordoned {} more machines: the remaining machines suffice", count);
@@ -109,7 +109,7 @@
   private List<Machine> candidates(Set<Machine> cordoned, long now) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
-      if (machine.contact().hasReported()
+      if (machine.contact().hasSentHeartbeat()
           && !cordoned.contains(machine)
           && !machine.returning()
           && !machine.draining()
@@ -139,7 +139,7 @@
       if (any && missingCores <= 0) {
         break;
       }
-      MachineType machineType = context.prices().machineType(machine.machineType());
+      MachineType machineType = context.typeCatalog().machineType(machine.machineType());
       missingCores -= machineType == null ? 0 : machineType.cores() - coresInUse(machine);
       cordoned.remove(machine);
       any = true;
@@ -160,11 +160,11 @@
   }
 
   private double pricePerCore(Machine machine) {
-    MachineType machineType = context.prices().machineType(machine.machineType());
+    MachineType machineType = context.typeCatalog().machineType(machine.machineType());
     return machineType == null
         ? Double.MAX_VALUE
         : Math.round(
-            context.prices().hourlyPrice(machineType, machine.spot())
+            context.typeCatalog().hourlyPrice(machineType, machine.spot())
                 / machineType.cores()
                 * PRICE_STEPS);
   }
@@ -172,7 +172,7 @@
   private static double coresInUse(Machine machine) {
     double cores = 0;
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over()) {
+      if (!attempt.hasEnded()) {
         cores += attempt.job().spec().cores();
       }
     }
--- a/src/main/java/plumlever/leader/machine/LeaseExpiry.java
+++ b/src/main/java/plumlever/leader/machine/LeaseExpiry.java
@@ -39,7 +39,7 @@
       MachineSharing sharing,
       Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(LeaseExpiry.class);
+    this.log = context.loggerProvider().of(LeaseExpiry.class);
     this.heartbeats = heartbeats;
     this.delegation = delegation;
     this.failover = failover;
@@ -77,7 +77,7 @@
             + DelegatedRenewal.VALID_MICROS;
     long renewedMicros =
         Math.max(
-            Math.max(renewedByOthersMicros, machine.contact().renewedElsewhereMicros()),
+            Math.max(renewedByOthersMicros, machine.contact().formerOwnerRenewalMicros()),
             machine.contact().lastRenewalMicros());
     return renewedMicros
         + (long) (context.platform().workers().leaseMicros() * (1 + CLOCK_DRIFT))
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -71,7 +71,7 @@
       Predicate<String> isPartitioned,
       Runnable onChange) {
     this.context = context;
-    this.log = context.logs().of(MachineRentals.class);
+    this.log = context.loggerProvider().of(MachineRentals.class);
     this.fleet = fleet;
     this.pass = pass;
     this.failover = failover;
@@ -79,7 +79,7 @@
     this.isReturned = isReturned;
     this.isPartitioned = isPartitioned;
     this.onChange = onChange;
-    this.plan = new RentalPlan(context.prices(), context.moneyMatters());
+    this.plan = new RentalPlan(context.typeCatalog(), context.costMatters());
   }
 
   /** Returns true while at least one rental option is known to be unavailable. */
@@ -113,20 +113,20 @@
    * for them.
    */
   private boolean mayRentMore(long now) {
-    return context.prices().isLoaded()
+    return context.typeCatalog().isLoaded()
         && (failover.isComplete() || failover.isOverdue(now))
         && pass.finishedMicros() > capacityAddedMicros
         && sharing.mayRent();
   }
 
   private void rentPlanned(long now) {
-    List<RentalPlan.RentalRequest> rentals =
+    List<RentalPlan.PlannedRental> rentals =
         plan.plan(
             pass.demands(),
             incomingCapacity(),
             option -> isAvailable(option, now),
             MAX_MACHINES_PER_PLAN);
-    for (RentalPlan.RentalRequest rental : rentals) {
+    for (RentalPlan.PlannedRental rental : rentals) {
       if (openRequests.size() >= MAX_OPEN_REQUESTS) {
         return;
       }
@@ -160,7 +160,7 @@
       RentalPlan.RentalOption option,
       int count,
       List<RentalPlan.IncomingMachine> incomingCapacity) {
-    MachineType machineType = context.prices().machineType(option.machineType());
+    MachineType machineType = context.typeCatalog().machineType(option.machineType());
     if (machineType == null) {
       return;
     }
@@ -170,7 +170,7 @@
   }
 
   /** Creates a request whose id is unique across all terms. */
-  private RentalRequest newRequest(RentalPlan.RentalRequest rental) {
+  private RentalRequest newRequest(RentalPlan.PlannedRental rental) {
     requestCounter++;
     RentalPlan.RentalOption option = rental.option();
     return new RentalRequest(
--- a/src/main/java/plumlever/leader/machine/PartitionProbes.java
+++ b/src/main/java/plumlever/leader/machine/PartitionProbes.java
@@ -52,13 +52,13 @@
     }
     Map<String, Integer> calls = new HashMap<>();
     for (Machine machine : fleet.machines()) {
-      if (!machine.contact().hasReported() || !failureDetector.isPartitioned(machine.zone())) {
+      if (!machine.contact().hasSentHeartbeat() || !failureDetector.isPartitioned(machine.zone())) {
         continue;
       }
       if (now - machine.contact().lastSeenMicros() < REACHABLE_MICROS) {
         unreachableZones.remove(machine.zone());
       } else if (calls.merge(machine.zone(), 1, Integer::sum) <= CALLS_PER_ZONE) {
-        commands.probe(machine);
+        commands.requestState(machine);
       }
     }
     delegation.updateUnreachableZones(unreachableZones);
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -63,7 +63,7 @@
     if (machine.failed()) {
       return Optional.of(ReturnReason.FAILED);
     }
-    if (!machine.contact().hasReported() && !failover.unaccounted().contains(machine)) {
+    if (!machine.contact().hasSentHeartbeat() && !failover.unaccounted().contains(machine)) {
       return reasonIf(bootsTooLong(machine, now), ReturnReason.NOT_BOOTING);
     }
     if (delaysFailover(machine, now)) {
@@ -84,10 +84,11 @@
   }
 
   private boolean bootsTooLong(Machine machine, long now) {
-    MachineType machineType = context.prices().machineType(machine.machineType());
+    MachineType machineType = context.typeCatalog().machineType(machine.machineType());
     double bootS =
         machineType == null ? BOOT_S_OF_UNKNOWN_TYPE : Math.max(machineType.startupS(), MIN_BOOT_S);
-    long bootTimeoutMicros = (long) (bootS * MICROS_PER_SECOND * context.parameters().bootFactor());
+    long bootTimeoutMicros =
+        (long) (bootS * MICROS_PER_SECOND * context.parameters().bootTimeoutFactor());
     // After a failover, every machine has at least half of the timeout to report to the new leader.
     long sinceMicros =
         Math.max(machine.knownSinceMicros(), failover.startedMicros() - bootTimeoutMicros / 2);
@@ -139,8 +140,8 @@
    * machine that does not suit the pending tasks may occupy capacity of the cloud that they need.
    */
   private long maxIdleMicros(boolean scarce) {
-    return context.moneyMatters() || scarce
-        ? context.parameters().idleMoneyMicros()
-        : context.parameters().idleSpeedMicros();
+    return context.costMatters() || scarce
+        ? context.parameters().idleTimeoutForCostMicros()
+        : context.parameters().idleTimeoutForSpeedMicros();
   }
 }
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -52,7 +52,7 @@
       Consumer<TransferRecord> onAdopted) {
     this.onAdopted = onAdopted;
     this.context = context;
-    this.log = context.logs().of(DeadShardAdoption.class);
+    this.log = context.loggerProvider().of(DeadShardAdoption.class);
     this.sharing = sharing;
     this.recordWatch = recordWatch;
     this.view = recordWatch.view();
@@ -98,7 +98,7 @@
   private boolean isDead(SharingSettings.Shard shard) {
     long minLeaderlessMicros =
         Math.max(
-            sharing.adoptAfterMicros(),
+            sharing.adoptionDelayMicros(),
             2 * context.platform().workers().leaseMicros() + LEASE_EXPIRY_MARGIN_MICROS);
     long since = leaderlessSince.getOrDefault(shard.name(), Long.MAX_VALUE);
     return since != Long.MAX_VALUE && now() - since > minLeaderlessMicros;
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -45,7 +45,7 @@
       PoolView view,
       PoolWriter writer) {
     this.context = context;
-    this.log = context.logs().of(LimitSharing.class);
+    this.log = context.loggerProvider().of(LimitSharing.class);
     this.sharing = sharing;
     this.ownShard = sharing.ownShard().name();
     this.jobs = jobs;
@@ -94,11 +94,11 @@
   private double coresNeeded(PlatformConfiguration.Team team) {
     double pendingCores = 0;
     for (Job job : jobs.all()) {
-      if (job.spec().team().equals(team.name()) && !job.over() && !job.waitsForDependencies()) {
+      if (job.spec().team().equals(team.name()) && !job.hasEnded() && !job.waitsForDependencies()) {
         pendingCores += job.pendingCount() * job.spec().cores();
       }
     }
-    return Math.min(team.maxCores(), failover.coresHeld(team.name()) + pendingCores);
+    return Math.min(team.maxCores(), failover.coresPossiblyInUse(team.name()) + pendingCores);
   }
 
   /** Splits the limits that have no record of parts yet, and moves spare cores to other shards. */
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -84,7 +84,7 @@
       Consumer<Machine> sendToken) {
     this.sendToken = sendToken;
     this.context = context;
-    this.log = context.logs().of(MachineTransfers.class);
+    this.log = context.loggerProvider().of(MachineTransfers.class);
     this.sharing = sharing;
     this.ownShard = sharing.ownShard().name();
     this.fleet = fleet;
@@ -191,10 +191,10 @@
       // The machine was transferred away and back before this controller read either change.
       machine.tokens().startTerm(record.number());
       machine.markUnaccounted();
-      machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
+      machine.contact().recordFormerOwnerRenewal(now() + MAX_VIEW_AGE_MICROS);
       sendToken.accept(machine);
-    } else if (!machine.accounted() && machine.contact().renewedElsewhereMicros() < 0) {
-      machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
+    } else if (!machine.accounted() && machine.contact().formerOwnerRenewalMicros() < 0) {
+      machine.contact().recordFormerOwnerRenewal(now() + MAX_VIEW_AGE_MICROS);
     }
     return machine;
   }
@@ -217,7 +217,7 @@
               now() - bootMicros(details.machineType()));
     }
     machine.tokens().startTerm(record.number());
-    machine.contact().recordRenewalElsewhere(now() + MAX_VIEW_AGE_MICROS);
+    machine.contact().recordFormerOwnerRenewal(now() + MAX_VIEW_AGE_MICROS);
     fleet.add(machine);
     registry.register(machine);
     sendToken.accept(machine);
@@ -231,7 +231,7 @@
 
   /** Returns the assumed age of an acquired machine: as it is up, more than its boot time. */
   private long bootMicros(String machineType) {
-    MachineType known = context.prices().machineType(machineType);
+    MachineType known = context.typeCatalog().machineType(machineType);
     return known == null ? 0 : (long) (known.startupS() * BOOT_MARGIN * 1e6);
   }
 
@@ -268,7 +268,7 @@
       int task = foreignTask.task().number();
       boolean open =
           job != null
-              && !job.over()
+              && !job.hasEnded()
               && task < job.spec().taskCount()
               && !job.completedTasks().get(task);
       if (open && job.liveAttempt(task) == null) {
@@ -371,7 +371,7 @@
   /** Returns true if the machine is in a state in which it can be offered to another shard. */
   boolean canOffer(Machine machine) {
     return owns(machine.id())
-        && machine.contact().hasReported()
+        && machine.contact().hasSentHeartbeat()
         && machine.accounted()
         && machine.endpoint() != null
         && !machine.transferring()
@@ -381,7 +381,7 @@
         && !machine.contact().unreachable()
         && !machine.contact().commandInFlight()
         && !machine.load().hasUnconfirmedStart()
-        && !failover.runsUntracked(machine)
+        && !failover.runsUntrackedTasks(machine)
         && !steps.isInProgress(machine.id());
   }
 
@@ -433,7 +433,7 @@
             new TransferRecord.Offer(to, context.term().revision(), sharing.digest()),
             tasksByShard);
     int bytes = Json.write(offer.toJson()).getBytes(StandardCharsets.UTF_8).length;
-    if (bytes > context.layout().valueBytes()) {
+    if (bytes > context.recordLayout().maxValueBytes()) {
       log.info("not offering machine {}: its tasks do not fit into one record", machine.id());
       return Optional.empty();
     }
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -43,7 +43,7 @@
 
   OwnerClaims(TermContext context, SharingSettings sharing, PoolView view, PoolWriter writer) {
     this.context = context;
-    this.log = context.logs().of(OwnerClaims.class);
+    this.log = context.loggerProvider().of(OwnerClaims.class);
     this.ownShard = sharing.ownShard().name();
     this.view = view;
     this.writer = writer;
@@ -68,7 +68,7 @@
       unclaimedSince.remove(machine);
       return;
     }
-    if (unclaimedSince.size() > 2 * context.platform().socketLimit()) {
+    if (unclaimedSince.size() > 2 * context.platform().maxFileDescriptors()) {
       unclaimedSince.values().removeIf(since -> now - since > 2 * UNCLAIMED_MICROS);
     }
     long since = unclaimedSince.computeIfAbsent(machine, id -> now);
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -9,7 +9,7 @@
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
 import plumlever.leader.job.ActiveJobs;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.JobState;
@@ -42,7 +42,7 @@
       LargeJobChunks largeJobs,
       Collection<String> orphanedKeys) {
     this.context = context;
-    this.log = context.logs().of(JobCompletion.class);
+    this.log = context.loggerProvider().of(JobCompletion.class);
     this.jobs = jobs;
     this.largeJobs = largeJobs;
     this.orphanedKeys = orphanedKeys;
@@ -59,15 +59,15 @@
   }
 
   private void storeFinalState(Job job) {
-    if (closed || job.over()) {
+    if (closed || job.hasEnded()) {
       inProgress.remove(job);
       return;
     }
     List<String> records = largeJobs.keysOf(job);
-    int deletedCount = Math.min(records.size(), context.layout().maxDeletesAtEnd());
+    int deletedCount = Math.min(records.size(), context.recordLayout().maxDeletesAtEnd());
     Transaction transaction =
         context
-            .layout()
+            .recordLayout()
             .endJob(
                 job.uid(),
                 job.revision(),
@@ -109,11 +109,11 @@
     context
         .store()
         .get(
-            JobStore.endedKey(job.uid()),
+            RecordLayout.endedKey(job.uid()),
             StateClient.RequestPriority.URGENT,
             result -> {
               Optional<JobState> finalState =
-                  result.found() ? JobStore.finalState(result.item().data()) : Optional.empty();
+                  result.found() ? RecordLayout.finalState(result.item().data()) : Optional.empty();
               finalState.ifPresentOrElse(state -> finish(job, state), () -> retryLater(job));
             });
   }
--- a/src/main/java/plumlever/leader/progress/LargeJobChunks.java
+++ b/src/main/java/plumlever/leader/progress/LargeJobChunks.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 
 /**
  * The progress records of jobs that are too large to share a record with other jobs. Each of these
@@ -36,7 +36,7 @@
 
   LargeJobChunks(TermContext context) {
     this.context = context;
-    this.tasksPerChunk = context.layout().tasksPerChunk();
+    this.tasksPerChunk = context.recordLayout().tasksPerChunk();
   }
 
   /** Adopts the chunks that an earlier leader stored for the job. */
@@ -76,14 +76,14 @@
 
   /** Divides the tasks into smaller chunks if the value size limit has decreased. */
   void enforceValueLimit() {
-    if (context.layout().tasksPerChunk() >= tasksPerChunk) {
+    if (context.recordLayout().tasksPerChunk() >= tasksPerChunk) {
       return;
     }
-    tasksPerChunk = context.layout().tasksPerChunk();
+    tasksPerChunk = context.recordLayout().tasksPerChunk();
     Set<Job> jobs = new LinkedHashSet<>(dirty.keySet());
     jobs.addAll(keysByJob.keySet());
     dirty.clear();
-    jobs.stream().filter(job -> !job.over()).forEach(this::markAllDirty);
+    jobs.stream().filter(job -> !job.hasEnded()).forEach(this::markAllDirty);
   }
 
   /**
@@ -92,15 +92,15 @@
    * @param orphanedKeys receives the keys of their chunks
    */
   void removeEnded(Collection<String> orphanedKeys) {
-    dirty.keySet().removeIf(Job::over);
+    dirty.keySet().removeIf(Job::hasEnded);
     keysByJob
         .entrySet()
         .removeIf(
             entry -> {
-              if (entry.getKey().over()) {
+              if (entry.getKey().hasEnded()) {
                 orphanedKeys.addAll(entry.getValue());
               }
-              return entry.getKey().over();
+              return entry.getKey().hasEnded();
             });
   }
 
@@ -116,7 +116,8 @@
   private BitSet addTo(ProgressBatch batch, Job job, BitSet firstTasks) {
     int size =
         Math.min(
-            context.layout().valueBytes(), job.spec().taskCount() / TASKS_PER_BYTE + BASE_BYTES);
+            context.recordLayout().maxValueBytes(),
+            job.spec().taskCount() / TASKS_PER_BYTE + BASE_BYTES);
     BitSet added = new BitSet();
     for (int first = firstTasks.nextSetBit(0);
         first >= 0 && batch.fits(size);
@@ -128,10 +129,12 @@
   }
 
   private void put(ProgressBatch batch, Job job, int first, int size) {
-    String key = JobStore.progressKey(job.uid(), first);
+    String key = RecordLayout.progressKey(job.uid(), first);
     keysByJob.computeIfAbsent(job, j -> new LinkedHashSet<>()).add(key);
     batch.put(
-        key, size, context.layout().progressChunk(job.completedTasks(), first, tasksPerChunk));
+        key,
+        size,
+        context.recordLayout().progressChunk(job.completedTasks(), first, tasksPerChunk));
     batch.coverCompleted(job, first, tasksPerChunk);
   }
 
--- a/src/main/java/plumlever/leader/progress/SharedChunks.java
+++ b/src/main/java/plumlever/leader/progress/SharedChunks.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import plumlever.fleet.Job;
 import plumlever.leader.context.TermContext;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 
 /**
  * The progress records that small jobs share: which chunk holds which job, and which chunks have to
@@ -44,7 +44,7 @@
   }
 
   private int sizeOf(Job job) {
-    return context.layout().bytesInSharedChunk(job.spec());
+    return context.recordLayout().bytesInSharedChunk(job.spec());
   }
 
   /**
@@ -63,12 +63,12 @@
 
   private boolean fits(Chunk chunk, Job job) {
     int bytes = sizeOf(job);
-    return bytes >= 0 && chunk.bytes + bytes <= context.layout().sharedChunkBytes();
+    return bytes >= 0 && chunk.bytes + bytes <= context.recordLayout().sharedChunkBytes();
   }
 
   private void insert(Chunk chunk, Job job) {
     chunk.jobs.add(job);
-    chunk.bytes += JobStore.sizeInSharedChunk(job.spec());
+    chunk.bytes += RecordLayout.sizeInSharedChunk(job.spec());
     chunkByJob.put(job, chunk);
   }
 
@@ -84,7 +84,7 @@
 
   private Chunk chunkWithCapacity(int bytes) {
     for (Chunk chunk : chunks.values()) {
-      if (chunk.bytes + bytes <= context.layout().sharedChunkBytes()) {
+      if (chunk.bytes + bytes <= context.recordLayout().sharedChunkBytes()) {
         return chunk;
       }
     }
@@ -123,7 +123,7 @@
    */
   void splitOversized(Consumer<Job> assign) {
     for (Chunk chunk : List.copyOf(chunks.values())) {
-      if (chunk.bytes > context.layout().sharedChunkBytes()) {
+      if (chunk.bytes > context.recordLayout().sharedChunkBytes()) {
         split(chunk).forEach(assign);
       }
     }
@@ -156,9 +156,9 @@
     Iterator<Job> jobs = chunk.jobs.iterator();
     while (jobs.hasNext()) {
       Job job = jobs.next();
-      if (job.over()) {
+      if (job.hasEnded()) {
         jobs.remove();
-        chunk.bytes -= JobStore.sizeInSharedChunk(job.spec());
+        chunk.bytes -= RecordLayout.sizeInSharedChunk(job.spec());
         chunkByJob.remove(job);
       }
     }
@@ -182,8 +182,8 @@
       batch.coverAllCompleted(job);
     }
     batch.put(
-        JobStore.sharedChunkKey(chunk.number),
+        RecordLayout.sharedChunkKey(chunk.number),
         chunk.bytes,
-        context.layout().sharedChunk(doneByJob));
+        context.recordLayout().sharedChunk(doneByJob));
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -26,7 +26,7 @@
  * therefore count as possibly running until the machine reports a higher token or its incarnation
  * has ended. For the same reason, a task that is missing from a heartbeat may still start if the
  * heartbeat carries the token of the start command or a lower one (see {@link
- * plumlever.fleet.MachineTokens#voidDirectCommands}).
+ * plumlever.fleet.MachineTokens#fenceDirectCommands}).
  */
 public final class CommandSender {
   private static final long START_TIMEOUT_MICROS = 1_500_000;
@@ -99,7 +99,7 @@
         || machine.contact().commandInFlight()
         || machine.load().hasUnconfirmedStart()
         || machine.contact().incarnation() == 0
-        || !pass.hasRecordedPlan(machine)) {
+        || !pass.hasStartablePlan(machine)) {
       return;
     }
     if (!delegation.mayCommand(machine.zone())) {
@@ -117,7 +117,7 @@
 
   private void sendStarts(
       Machine machine, Endpoint endpoint, List<WorkerCommand> commands, List<Attempt> sent) {
-    machine.tokens().commandSent(jobs.endsKnownMicros());
+    machine.tokens().recordDirectCommand(jobs.endedJobsReadMicros());
     machine.contact().setCommandInFlight(true);
     startsInFlight++;
     long token = machine.tokens().current();
@@ -140,12 +140,13 @@
           response
               .heartbeat()
               .ifPresent(
-                  heartbeat -> heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY));
+                  heartbeat ->
+                      heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_RESPONSE));
           if (response instanceof WorkerResponse.Refused) {
-            heartbeats.startsRefused(sent);
+            heartbeats.endRefusedStarts(sent);
           } else if (response instanceof WorkerResponse.Unanswered) {
             context.metrics().count("direct_commands_unanswered");
-            machine.tokens().voidDirectCommands();
+            machine.tokens().fenceDirectCommands();
             attemptLog.unanswered(machine, incarnation, token, sent);
           }
           notifyPlacementChange();
@@ -191,7 +192,7 @@
     boolean incarnationChanged =
         response instanceof WorkerResponse.Refused
             && heartbeat.incarnation() != machine.contact().incarnation();
-    heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_REPLY);
+    heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_RESPONSE);
     if (incarnationChanged && !machine.accounted()) {
       // The machine refused the command because it named another incarnation. The response
       // contained
@@ -205,7 +206,7 @@
    * Requests the machine's state without sending a command, which also works in delegated zones.
    * The limits of {@link #sendToken} apply.
    */
-  public void probe(Machine machine) {
+  public void requestState(Machine machine) {
     endpointForTokenRaise(machine).ifPresent(endpoint -> inspect(machine, endpoint));
   }
 
@@ -219,7 +220,7 @@
           tokenRaiseEnded(machine);
           machine.contact().recordDirectCall(state.isPresent());
           if (state.isPresent() && !closed && context.term().mayAct()) {
-            heartbeats.apply(machine, state.get(), HeartbeatSource.DIRECT_REPLY);
+            heartbeats.apply(machine, state.get(), HeartbeatSource.DIRECT_RESPONSE);
             notifyPlacementChange();
           }
         });
@@ -253,7 +254,7 @@
   }
 
   private void notifyPlacementChange() {
-    if (heartbeats.getAndClearChanged()) {
+    if (heartbeats.getAndClearPlacementChanged()) {
       onPlacementChange.run();
     }
   }
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -59,7 +59,7 @@
   long durationMicros(Job job) {
     double fetchMicros = 0;
     int types = 0;
-    for (MachineType machineType : context.prices().machineTypes()) {
+    for (MachineType machineType : context.typeCatalog().machineTypes()) {
       if (machineType.fetchGbPerS() > 0
           && (job.spec().machineTypes() == null
               || job.spec().machineTypes().contains(machineType.name()))) {
@@ -89,7 +89,7 @@
         machineType.fetchGbPerS() > 0
             ? secondsToMicros(attempt.job().spec().imageGb() / machineType.fetchGbPerS())
             : 0;
-    return Math.max(nowMicros, attempt.sentMicros() + fetchMicros) + runMicros;
+    return Math.max(nowMicros, attempt.startSentMicros() + fetchMicros) + runMicros;
   }
 
   /**
@@ -111,11 +111,11 @@
    * Estimates when the last task on the machine ends. Returns the current time for an idle machine.
    */
   long idleMicros(Machine machine, long nowMicros) {
-    MachineType machineType = context.prices().machineType(machine.machineType());
+    MachineType machineType = context.typeCatalog().machineType(machine.machineType());
     long idleMicros =
         machine.load().foreignTasks().tasks() > 0 ? foreignTasksEndMicros(nowMicros) : nowMicros;
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over() && machineType != null) {
+      if (!attempt.hasEnded() && machineType != null) {
         idleMicros = Math.max(idleMicros, endMicros(attempt, machineType, nowMicros));
       }
     }
@@ -123,6 +123,6 @@
   }
 
   private double paddingFactor() {
-    return 1 + context.parameters().paddingShare();
+    return 1 + context.parameters().runTimePadding();
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshotFactory.java
@@ -42,10 +42,10 @@
    * machine.
    */
   FleetSnapshot snapshot(long nowMicros, Set<Machine> excluded) {
-    FleetSnapshot snapshot = new FleetSnapshot(context.prices(), nowMicros);
+    FleetSnapshot snapshot = new FleetSnapshot(context.typeCatalog(), nowMicros);
     MachineShapes shapes = new MachineShapes(context);
     for (Machine machine : fleet.machines()) {
-      MachineType machineType = context.prices().machineType(machine.machineType());
+      MachineType machineType = context.typeCatalog().machineType(machine.machineType());
       if (machineType == null || excluded.contains(machine)) {
         continue;
       }
@@ -76,7 +76,7 @@
         new PlacementCandidate(
             machine.id(), machine.zone(), shape, machine.health().slowness(), COMMAND_DELAY_MICROS);
     for (Attempt attempt : machine.load().attempts()) {
-      if (!attempt.over()) {
+      if (!attempt.hasEnded()) {
         JobSpec spec = attempt.job().spec();
         candidate.occupy(
             spec.cores(),
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -44,7 +44,7 @@
       RentalCriteria criteria,
       Preemption preemption,
       PassResults results) {
-    this.log = context.logs().of(JobPlacer.class);
+    this.log = context.loggerProvider().of(JobPlacer.class);
     this.context = context;
     this.startedJobs = startedJobs;
     this.goals = goals;
@@ -78,7 +78,7 @@
       // With this many pending jobs ahead, no capacity can be booked for the near future. Searching
       // for hundreds of pending jobs in a full fleet would take longer than the time until the next
       // urgent job arrives.
-      if (!context.moneyMatters()) {
+      if (!context.costMatters()) {
         demands.add(job, tasks, request.runMicros());
       }
       return;
@@ -192,12 +192,12 @@
      * replaced, or if only speed matters.
      */
     private boolean relaxStartGoal() {
-      if (startGoalRelaxed || !context.moneyMatters()) {
+      if (startGoalRelaxed || !context.costMatters()) {
         return false;
       }
       startGoalRelaxed = true;
       long nextStartByMicros =
-          goals.startByMicros(job, nowMicros + context.parameters().rentalMicros());
+          goals.startByMicros(job, nowMicros + context.parameters().provisioningMicros());
       if (nextStartByMicros <= request.startByMicros()) {
         return false;
       }
--- a/src/main/java/plumlever/leader/scheduling/MachineShapes.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineShapes.java
@@ -44,8 +44,8 @@
    * a task holds its share of the machine, including a necessary image fetch.
    */
   private double pricePerSecond(MachineType machineType, boolean spot) {
-    return context.moneyMatters()
-        ? context.prices().hourlyPrice(machineType, spot) / SECONDS_PER_HOUR
+    return context.costMatters()
+        ? context.typeCatalog().hourlyPrice(machineType, spot) / SECONDS_PER_HOUR
         : Math.max(machineType.cores(), machineType.memoryGb() / MEMORY_GB_PER_CORE);
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
@@ -24,8 +24,8 @@
   /** True if a machine should be rented for the task instead of waiting for the booked start. */
   boolean needsRental(Job job, Placer.Choice booked, ResourceRequest request, long nowMicros) {
     long waitMicros = booked.startMicros() - nowMicros;
-    if (!context.moneyMatters()) {
-      return waitMicros > context.parameters().rentalMicros();
+    if (!context.costMatters()) {
+      return waitMicros > context.parameters().provisioningMicros();
     }
     return !booked.feasible()
         && (rentalIsInTime(job, request, nowMicros) || waitMicros > LONG_WAIT_MICROS);
@@ -33,7 +33,7 @@
 
   /** True if the task would meet its goals on a machine rented now. */
   boolean rentalIsInTime(Job job, ResourceRequest request, long nowMicros) {
-    long upMicros = nowMicros + context.parameters().rentalMicros();
+    long upMicros = nowMicros + context.parameters().provisioningMicros();
     return upMicros <= goals.startByMicros(job, upMicros)
         && request.meetsDeadline(upMicros, request.runMicros());
   }
@@ -43,8 +43,8 @@
    * machines later.
    */
   boolean canRentStepwise(ResourceRequest request, long nowMicros) {
-    return context.moneyMatters()
+    return context.costMatters()
         && request.startByMicros() != ResourceRequest.ANY_TIME
-        && request.startByMicros() - nowMicros > 2 * context.parameters().rentalMicros();
+        && request.startByMicros() - nowMicros > 2 * context.parameters().provisioningMicros();
   }
 }
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -114,7 +114,7 @@
   private void beginPass(long nowMicros) {
     results.clear();
     if (nowMicros - costsUpdatedMicros > COST_UPDATE_MICROS) {
-      jobs.updateTaskCosts();
+      jobs.updateTaskDurations();
       costsUpdatedMicros = nowMicros;
     }
     jobs.propagateGoals();
@@ -166,7 +166,7 @@
   }
 
   /** Total cores of the pending tasks for which the last complete pass requested rentals. */
-  public double waitingCores() {
+  public double requestedCores() {
     return results.demands().requestedCores();
   }
 
@@ -183,7 +183,7 @@
   /**
    * True if a task whose job is stored as started is planned for the machine, so that it may start.
    */
-  public boolean hasRecordedPlan(Machine machine) {
+  public boolean hasStartablePlan(Machine machine) {
     return results.plannedStarts().hasStartable(machine);
   }
 
@@ -209,7 +209,7 @@
    * True if the rest of the fleet serves all pending jobs in time and covers the capacity headroom.
    * Does not change the plan.
    */
-  public boolean canDoWithout(Set<Machine> machines) {
+  public boolean canRemoveMachines(Set<Machine> machines) {
     return reduction.canRemoveMachines(machines);
   }
 
@@ -218,12 +218,12 @@
    * because capacity for possible future jobs is less important than pending jobs of another shard.
    * Does not change the plan.
    */
-  public boolean servesWaitingWithout(Set<Machine> machines) {
+  public boolean servesPendingJobsWithout(Set<Machine> machines) {
     return reduction.servesPendingJobsWithout(machines);
   }
 
   /** Estimated time in microseconds from the job's release to the end of its tasks. */
-  public long costMicros(Job job) {
+  public long durationMicros(Job job) {
     return times.durationMicros(job);
   }
 
@@ -233,13 +233,13 @@
   }
 
   /** Remaining work of all jobs that may run, with the time left until their goals. */
-  public List<CoreDemand.Work> remainingWork() {
+  public List<CoreDemand.RemainingWork> remainingWork() {
     long nowMicros = context.loop().nowMicros();
-    List<CoreDemand.Work> works = new ArrayList<>();
+    List<CoreDemand.RemainingWork> works = new ArrayList<>();
     for (Job job : queue.unfinished()) {
       long durationMicros = times.durationMicros(job);
       works.add(
-          new CoreDemand.Work(
+          new CoreDemand.RemainingWork(
               job.spec().team(),
               job.pendingCount() + job.liveAttemptCount(),
               job.spec().cores(),
--- a/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerCalls.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import plumlever.fleet.Machine;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.leader.context.TermContext;
 import plumlever.settings.Endpoint;
 import plumlever.wire.Heartbeat;
@@ -18,11 +18,11 @@
 /** Sends direct calls to workers and parses the responses. Makes no scheduling decisions. */
 final class WorkerCalls {
   private final Logger log;
-  private final Caller caller;
+  private final HttpClient httpClient;
 
   WorkerCalls(TermContext context) {
-    this.log = context.logs().of(WorkerCalls.class);
-    this.caller = context.caller();
+    this.log = context.loggerProvider().of(WorkerCalls.class);
+    this.httpClient = context.httpClient();
   }
 
   /**
@@ -37,10 +37,10 @@
       long timeoutMicros,
       Consumer<WorkerResponse> onResponse) {
     byte[] body =
-        WorkerCommand.direct(
+        WorkerCommand.directCall(
                 machine.tokens().current(), Math.max(1, machine.contact().incarnation()), commands)
             .getBytes(StandardCharsets.UTF_8);
-    caller.call(
+    httpClient.call(
         endpoint,
         "POST",
         ProtocolPath.COMMANDS,
@@ -71,7 +71,7 @@
       Endpoint endpoint,
       long timeoutMicros,
       Consumer<Optional<Heartbeat>> onState) {
-    caller.call(
+    httpClient.call(
         endpoint,
         "GET",
         ProtocolPath.INSPECT,
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.concurrent.RecurringTask;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.wire.HttpStatus;
@@ -24,8 +24,8 @@
 
   private record ReceivedStatus(PeerStatus status, long receivedMicros) {}
 
-  private final Loop loop;
-  private final Caller caller;
+  private final EventLoop loop;
+  private final HttpClient httpClient;
   private final PlatformConfiguration platform;
   private final Supplier<PeerStatus> ownStatus;
   private final Consumer<PeerStatus> listener;
@@ -39,13 +39,13 @@
    * @param listener receives each status that another controller sends
    */
   public Peers(
-      Loop loop,
-      Caller caller,
+      EventLoop loop,
+      HttpClient httpClient,
       PlatformConfiguration platform,
       Supplier<PeerStatus> ownStatus,
       Consumer<PeerStatus> listener) {
     this.loop = loop;
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.platform = platform;
     this.ownStatus = ownStatus;
     this.listener = listener;
@@ -59,7 +59,7 @@
   private long sendStatus() {
     byte[] body = codec.write(ownStatus.get());
     for (PlatformConfiguration.PeerController peer : platform.peers()) {
-      caller.call(peer.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
+      httpClient.call(peer.endpoint(), "POST", PATH, body, TIMEOUT_MICROS, (status, data) -> {});
     }
     return SEND_INTERVAL_MICROS;
   }
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Predicate;
-import plumlever.cloud.PriceBook;
+import plumlever.cloud.MachineTypeCatalog;
 import plumlever.wire.JobSpec;
 import plumlever.wire.MachineType;
 
@@ -34,16 +34,16 @@
   /** Number of planned machines of an option at which half of the maximum surcharge applies. */
   private static final int MACHINES_FOR_HALF_SURCHARGE = 30;
 
-  private final PriceBook prices;
+  private final MachineTypeCatalog typeCatalog;
   private final boolean costMatters;
 
   /**
-   * Creates a planner with the given prices.
+   * Creates a planner with the given machine types and prices.
    *
    * @param costMatters false if only speed matters: long startup times then raise an option's cost
    */
-  public RentalPlan(PriceBook prices, boolean costMatters) {
-    this.prices = prices;
+  public RentalPlan(MachineTypeCatalog typeCatalog, boolean costMatters) {
+    this.typeCatalog = typeCatalog;
     this.costMatters = costMatters;
   }
 
@@ -79,7 +79,7 @@
   }
 
   /** Number of machines to rent of one option. */
-  public record RentalRequest(RentalOption option, int count) {}
+  public record PlannedRental(RentalOption option, int count) {}
 
   /** Free resources of a machine that is coming up or planned to be rented. */
   public static final class IncomingMachine {
@@ -124,7 +124,7 @@
    * @param available false for options that the cloud recently had no capacity for
    * @param maxMachines maximum number of machines to rent
    */
-  public List<RentalRequest> plan(
+  public List<PlannedRental> plan(
       List<Demand> demands,
       List<IncomingMachine> incoming,
       Predicate<RentalOption> available,
@@ -179,7 +179,8 @@
      * serves; if 0, no machine is added.
      */
     private int addMachine(RentalOption option, JobSpec job, int tasks) {
-      IncomingMachine machine = new IncomingMachine(option, prices.machineType(option.machineType));
+      IncomingMachine machine =
+          new IncomingMachine(option, typeCatalog.machineType(option.machineType));
       int served = machine.reserve(job, tasks);
       if (served > 0) {
         machines.add(machine);
@@ -193,7 +194,7 @@
     private Optional<RentalOption> cheapest(Demand demand, int tasks) {
       RentalOption best = null;
       double leastCost = Double.MAX_VALUE;
-      for (MachineType machineType : prices.machineTypes()) {
+      for (MachineType machineType : typeCatalog.machineTypes()) {
         double share = machineType.dominantShare(demand.job);
         if (share > 1 + ROUNDING_TOLERANCE) {
           continue;
@@ -219,7 +220,7 @@
         MachineType machineType, RentalOption option, double share, int tasks) {
       int tasksPerMachine = (int) (1 / Math.max(share, MIN_SHARE) + ROUNDING_TOLERANCE);
       int tasksServed = Math.max(1, Math.min(tasks, tasksPerMachine));
-      double cost = prices.hourlyPrice(machineType, option.spot) / tasksServed;
+      double cost = typeCatalog.hourlyPrice(machineType, option.spot) / tasksServed;
       if (!costMatters) {
         cost *= 1 + machineType.startupS() / STARTUP_S_DOUBLING_COST;
       }
@@ -235,9 +236,9 @@
       return 1 + MAX_CONCENTRATION_SURCHARGE * count / (MACHINES_FOR_HALF_SURCHARGE + count);
     }
 
-    List<RentalRequest> plannedRentals() {
-      List<RentalRequest> rentals = new ArrayList<>();
-      countByOption.forEach((option, count) -> rentals.add(new RentalRequest(option, count)));
+    List<PlannedRental> plannedRentals() {
+      List<PlannedRental> rentals = new ArrayList<>();
+      countByOption.forEach((option, count) -> rentals.add(new PlannedRental(option, count)));
       return rentals;
     }
   }
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -21,7 +21,7 @@
  * @param state the address of the state service
  * @param teams the teams whose jobs are accepted
  * @param objectives the service-level objectives
- * @param socketLimit the maximum number of open file descriptors of the process
+ * @param maxFileDescriptors the maximum number of open file descriptors of the process
  */
 public record PlatformConfiguration(
     String label,
@@ -36,7 +36,7 @@
     Workers workers,
     StateLimits stateLimits,
     CloudLimits cloudLimits,
-    int socketLimit) {
+    int maxFileDescriptors) {
 
   /** Another controller of the deployment. */
   public record PeerController(String label, String zone, Endpoint endpoint) {}
@@ -104,12 +104,12 @@
    * @param writeRps write operations per second
    * @param valueBytes the maximum size of a value
    * @param transactionOps the maximum number of write operations in a transaction
-   * @param formerValueBytes the current maximum size of a value, regardless of announced limits.
+   * @param currentValueBytes the current maximum size of a value, regardless of announced limits.
    *     Earlier versions did not read announced limits and split stored records by this size, so
    *     this size is needed to read their records.
    */
   public record StateLimits(
-      double rps, double writeRps, int valueBytes, int transactionOps, int formerValueBytes) {
+      double rps, double writeRps, int valueBytes, int transactionOps, int currentValueBytes) {
     /** Creates limits for which no change is announced. */
     public StateLimits(double rps, double writeRps, int valueBytes, int transactionOps) {
       this(rps, writeRps, valueBytes, transactionOps, valueBytes);
@@ -122,7 +122,7 @@
           Math.min(writeRps, next.writeRps),
           Math.min(valueBytes, next.valueBytes),
           Math.min(transactionOps, next.transactionOps),
-          formerValueBytes);
+          currentValueBytes);
     }
   }
 
@@ -141,11 +141,11 @@
    * to rent a machine on demand. Otherwise idle machines must be kept available and only speed
    * matters.
    *
-   * @param rentalMicros the time from a rental request until the machine is up
+   * @param provisioningMicros the time from a rental request until the machine is up
    */
-  public boolean moneyMatters(long rentalMicros) {
+  public boolean costMatters(long provisioningMicros) {
     return objectives.stream().anyMatch(Objective::isAboutCost)
-        || objectives.stream().allMatch(objective -> objective.leavesTimeFor(rentalMicros));
+        || objectives.stream().allMatch(objective -> objective.leavesTimeFor(provisioningMicros));
   }
 
   /**
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import plumlever.concurrent.Loop;
+import plumlever.concurrent.EventLoop;
 import plumlever.metrics.Metrics;
 import plumlever.wire.JobState;
 
@@ -41,9 +41,9 @@
    * The state of a job as read from the state service.
    *
    * @param revision the revision of the record of an active job, otherwise 0
-   * @param endState the final state if the job has ended
+   * @param finalState the final state if the job has ended
    */
-  public record JobStatus(Presence presence, long revision, Optional<JobState> endState) {
+  public record JobStatus(Presence presence, long revision, Optional<JobState> finalState) {
     static final JobStatus MISSING = new JobStatus(Presence.MISSING, 0, Optional.empty());
     static final JobStatus UNAVAILABLE = new JobStatus(Presence.UNAVAILABLE, 0, Optional.empty());
 
@@ -64,10 +64,10 @@
   /**
    * The jobs of a query that have ended or were never accepted.
    *
-   * @param askedMicros the start of the oldest read that found one of the other jobs of the query
-   *     active
+   * @param oldestReadMicros the start of the oldest read that found one of the other jobs of the
+   *     query active
    */
-  public record EndedJobs(Set<String> uids, long askedMicros) {}
+  public record EndedJobs(Set<String> uids, long oldestReadMicros) {}
 
   /** A lookup of a job whose active record has a known revision. */
   private record Lookup(String uid, long revision, int attemptsLeft, Consumer<JobStatus> handler) {
@@ -86,10 +86,10 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(JobRecordCache.class);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StateClient store;
   private final Metrics metrics;
-  private final JobStore layout;
+  private final RecordLayout recordLayout;
   private final JobFinder finder;
   private final RateLimitRetry retry;
   private final JobStateCache jobStates = new JobStateCache();
@@ -100,18 +100,19 @@
   private final Map<String, Long> activeReadMicros = new HashMap<>();
 
   /** Creates an empty cache that reads through the given client. */
-  public JobRecordCache(Loop loop, StateClient store, JobStore layout, Metrics metrics) {
+  public JobRecordCache(
+      EventLoop loop, StateClient store, RecordLayout recordLayout, Metrics metrics) {
     this.loop = loop;
     this.store = store;
     this.metrics = metrics;
-    this.layout = layout;
+    this.recordLayout = recordLayout;
     this.finder = new JobFinder(loop, store);
     this.retry = new RateLimitRetry(loop);
     this.dependencyRecords = new DependencyRecordCache(loop, store, finder, jobStates);
     this.pendingLookups =
         new LookupBatch<>(
             loop,
-            () -> PRECONDITIONS_PER_OPERATION * layout.limits().maxOperations(),
+            () -> PRECONDITIONS_PER_OPERATION * recordLayout.limits().maxOperations(),
             this::checkRevisions);
   }
 
@@ -166,19 +167,19 @@
           if (!job.accepted()) {
             neverAccepted.add(uid);
           }
-          job.endState().ifPresent(finalState -> jobEnded(uid, finalState));
+          job.finalState().ifPresent(finalState -> jobEnded(uid, finalState));
         });
     return neverAccepted;
   }
 
   /** Returns the final state of the job if it is cached; sends no request. */
-  public Optional<JobState> knownEndState(String uid) {
+  public Optional<JobState> cachedFinalState(String uid) {
     return jobStates.finalState(uid);
   }
 
   /**
    * Finds the jobs among {@code uids} that have ended or were never accepted. The result may be a
-   * few seconds old; {@link EndedJobs#askedMicros} is the start of the oldest read used.
+   * few seconds old; {@link EndedJobs#oldestReadMicros} is the start of the oldest read used.
    *
    * @param handler receives an empty value if the state of any of the jobs could not be read
    */
@@ -411,12 +412,13 @@
   private void cancelWithDependency(String uid, long revision, Consumer<JobStatus> handler) {
     String dependency = dependencyRecords.failedDependencyOf(uid).orElse("unknown");
     store.transaction(
-        layout.endJob(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of()),
+        recordLayout.endJob(uid, revision, JobState.CANCELLED, loop.wallMicros(), List.of()),
         StateClient.RequestPriority.URGENT,
         result -> {
           switch (result.outcome()) {
             case APPLIED -> {
-              LOG.info("job {} cancelled because its dependency {} was cancelled", uid, dependency);
+              LOG.info(
+                  "job {} is cancelled because its dependency {} was cancelled", uid, dependency);
               metrics.count("jobs_cancelled_with_dependency");
               jobEnded(uid, JobState.CANCELLED);
               handler.accept(JobStatus.ended(JobState.CANCELLED));
--- a/src/main/java/plumlever/store/JobStore.java
+++ b/src/main/java/plumlever/store/RecordLayout.java
@@ -43,7 +43,7 @@
  *       the cloud is unavailable.
  * </ul>
  */
-public final class JobStore {
+public final class RecordLayout {
   /** Prefix of the records of jobs that have not ended. */
   public static final String ACTIVE = RecordKeys.ACTIVE;
 
@@ -81,7 +81,7 @@
   private final int configuredValueBytes;
 
   /** Creates the layout for a shard that does not belong to a pool. */
-  public JobStore(WriteLimits limits) {
+  public RecordLayout(WriteLimits limits) {
     this(limits, List.of());
   }
 
@@ -91,7 +91,7 @@
    * @param otherShardPrefixes key prefixes of the other shards of the pool; a job is accepted only
    *     if it exists under none of them
    */
-  public JobStore(WriteLimits limits, List<String> otherShardPrefixes) {
+  public RecordLayout(WriteLimits limits, List<String> otherShardPrefixes) {
     this.otherShardPrefixes = otherShardPrefixes;
     this.limits = limits;
     this.configuredValueBytes = limits.maxValueBytes();
@@ -103,7 +103,7 @@
   }
 
   /** Returns the current maximum size of a value in bytes. */
-  public int valueBytes() {
+  public int maxValueBytes() {
     return limits.maxValueBytes();
   }
 
@@ -151,7 +151,7 @@
   }
 
   /** Returns the number of the shared progress chunk, or -1 for any other key. */
-  public static int sharedChunkOf(String key) {
+  public static int sharedChunkNumber(String key) {
     return RecordKeys.sharedProgressNumber(key);
   }
 
@@ -164,7 +164,7 @@
    */
   public record Acceptance(Map<String, ObjectNode> parts, Transaction transaction) {
     /** Returns true if a dependency list has to be stored before the transaction. */
-    public boolean hasList() {
+    public boolean hasDependencyList() {
       return !parts.isEmpty();
     }
 
@@ -179,7 +179,7 @@
      *
      * @param anchorRevision the revision of the anchor when it was read
      */
-    public Transaction anchoredAt(long anchorRevision) {
+    public Transaction requireAnchor(long anchorRevision) {
       return transaction.require(anchor(), anchorRevision);
     }
   }
@@ -188,11 +188,13 @@
   public Optional<Acceptance> acceptJob(JobSpec spec, long wallMicros) {
     ObjectNode active = ActiveRecord.write(spec, wallMicros);
     Map<String, ObjectNode> parts = Map.of();
-    if (spec.hasDependencies() && bytes(active) > valueBytes()) {
-      String digest = DependencyListRecords.digest(spec.dependencies(), valueBytes());
+    if (spec.hasDependencies() && bytes(active) > maxValueBytes()) {
+      String digest = DependencyListRecords.digest(spec.dependencies(), maxValueBytes());
       parts =
           DependencyListRecords.parts(
-              DependencyListRecords.prefix(spec.uid(), digest), spec.dependencies(), valueBytes());
+              DependencyListRecords.prefix(spec.uid(), digest),
+              spec.dependencies(),
+              maxValueBytes());
       active = ActiveRecord.writeWithList(spec, wallMicros, digest, parts.size());
     }
     if (bytes(active) > configuredValueBytes) {
@@ -223,7 +225,7 @@
    * Returns the keys of the dependency list parts of the job; empty if the active record holds the
    * dependencies itself.
    */
-  public static List<String> dependenciesKeys(String uid, JsonNode activeRecord) {
+  public static List<String> dependencyListKeys(String uid, JsonNode activeRecord) {
     return ActiveRecord.dependencyListKeys(uid, activeRecord);
   }
 
@@ -243,7 +245,7 @@
   }
 
   /** Returns the key of the first part of the list. */
-  public static String anchorOf(DependencyListId list) {
+  public static String anchorKey(DependencyListId list) {
     return list.prefix() + 0;
   }
 
@@ -259,13 +261,13 @@
    */
   public Transaction removeDependencyList(
       Transaction transaction, DependencyListId list, long anchorRevision, List<String> keys) {
-    transaction.require(activeKey(list.uid()), 0).require(anchorOf(list), anchorRevision);
+    transaction.require(activeKey(list.uid()), 0).require(anchorKey(list), anchorRevision);
     keys.stream().limit(limits.maxOperations()).forEach(transaction::delete);
     return transaction;
   }
 
   /** Returns the ids of the jobs that a part of a dependency list contains. */
-  public static List<String> names(JsonNode part) {
+  public static List<String> dependencyIds(JsonNode part) {
     return DependencyListRecords.uids(part);
   }
 
@@ -317,7 +319,7 @@
 
   /** Returns how many tasks one progress chunk of a large job covers. */
   public int tasksPerChunk() {
-    return ProgressRecords.tasksPerChunk(valueBytes());
+    return ProgressRecords.tasksPerChunk(maxValueBytes());
   }
 
   /** Builds the progress chunk of a large job for a range of tasks. */
@@ -327,7 +329,7 @@
 
   /** Returns the bytes the job takes in a shared chunk, or -1 if it is too large to share one. */
   public int bytesInSharedChunk(JobSpec spec) {
-    return ProgressRecords.bytesInSharedChunk(spec, valueBytes()).orElse(-1);
+    return ProgressRecords.bytesInSharedChunk(spec, maxValueBytes()).orElse(-1);
   }
 
   /**
@@ -340,7 +342,7 @@
 
   /** Returns how many bytes the jobs of a shared chunk may take together. */
   public int sharedChunkBytes() {
-    return ProgressRecords.sharedChunkBytes(valueBytes());
+    return ProgressRecords.sharedChunkBytes(maxValueBytes());
   }
 
   /** Builds the shared chunk that holds the finished tasks of these jobs. */
@@ -360,6 +362,6 @@
    */
   public void readProgressChunk(JsonNode record, String name, BitSet into)
       throws InvalidMessageException {
-    ProgressRecords.readChunk(record, name, limits.formerValueBytes(), into);
+    ProgressRecords.readChunk(record, name, limits.currentValueBytes(), into);
   }
 }
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.concurrent.EventLoop;
+import plumlever.http.HttpClient;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -161,8 +161,8 @@
    */
   private static final String UNUSED_PREFIX = "nothing/";
 
-  private final Loop loop;
-  private final Caller caller;
+  private final EventLoop loop;
+  private final HttpClient httpClient;
   private final Endpoint endpoint;
   private final Metrics metrics;
   private final KeySpace keySpace;
@@ -174,24 +174,24 @@
 
   /** Creates a client whose keys are at the root of the state service. */
   public StateClient(
-      Loop loop,
-      Caller caller,
+      EventLoop loop,
+      HttpClient httpClient,
       Endpoint endpoint,
       PlatformConfiguration.StateLimits limits,
       Metrics metrics) {
-    this(loop, caller, endpoint, limits, metrics, KeySpace.ROOT);
+    this(loop, httpClient, endpoint, limits, metrics, KeySpace.ROOT);
   }
 
   /** Creates a client whose keys are in the given key space. */
   public StateClient(
-      Loop loop,
-      Caller caller,
+      EventLoop loop,
+      HttpClient httpClient,
       Endpoint endpoint,
       PlatformConfiguration.StateLimits limits,
       Metrics metrics,
       KeySpace keySpace) {
     this.loop = loop;
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.endpoint = endpoint;
     this.metrics = metrics;
     this.keySpace = keySpace;
@@ -387,20 +387,20 @@
 
   private void send(Request request, Consumer<StateResponse> handler) {
     if (!budget.tryAdmit(request.priority(), request.operations(), loop.nowMicros())) {
-      metrics.countRefusal("state", HttpStatus.TOO_MANY_REQUESTS);
+      metrics.countFailedCall("state", HttpStatus.TOO_MANY_REQUESTS);
       loop.after(0, () -> handler.accept(StateResponse.withoutBody(HttpStatus.TOO_MANY_REQUESTS)));
       return;
     }
     byte[] bytes =
         request.body().map(body -> Json.write(body).getBytes(StandardCharsets.UTF_8)).orElse(null);
-    caller.call(
+    httpClient.call(
         endpoint,
         request.method(),
         request.path(),
         bytes,
         request.timeoutMicros(),
         (status, data) -> {
-          metrics.countRefusal("state", status);
+          metrics.countFailedCall("state", status);
           availability.requestEnded(status, loop.nowMicros());
           handler.accept(toResponse(request, status, data));
         });
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.slf4j.LoggerFactory;
 import plumlever.Controller;
-import plumlever.http.Caller;
+import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.settings.Endpoint;
 import plumlever.settings.OperatorSettings;
@@ -71,7 +71,7 @@
             real.workers(),
             real.stateLimits(),
             real.cloudLimits(),
-            real.socketLimit());
+            real.maxFileDescriptors());
   }
 
   /** Runs the next event. Returns false once both terms are over. */
@@ -96,9 +96,9 @@
     controller =
         new Controller(
             loop,
-            caller(term),
+            httpClient(term),
             loop,
-            caller(term),
+            httpClient(term),
             platform,
             new OperatorSettings(parameters, Optional.empty()),
             term,
@@ -120,8 +120,8 @@
     return term != terms || controller == null;
   }
 
-  /** Returns a caller that discards calls once the term is over, like a process that has ended. */
-  private Caller caller(int term) {
+  /** Returns a client that discards calls once the term is over, like a process that has ended. */
+  private HttpClient httpClient(int term) {
     return (to, method, path, body, timeout, handler) ->
         loop.after(
             LATENCY_MICROS,
@@ -131,7 +131,7 @@
               }
               if (path.equals(ProtocolPath.COMMANDS)) {
                 String machineId = services.machineAt(to.toString());
-                services.command(machineId, new String(body, StandardCharsets.UTF_8));
+                services.executeCommands(machineId, new String(body, StandardCharsets.UTF_8));
                 handler.handle(HttpStatus.OK, services.heartbeat(machineId));
               } else {
                 services.handle(method, path, body, replyTo(term, handler));
@@ -139,7 +139,7 @@
             });
   }
 
-  private WarmUpServices.Reply replyTo(int term, Caller.ResponseHandler handler) {
+  private WarmUpServices.Reply replyTo(int term, HttpClient.ResponseHandler handler) {
     return (status, text) ->
         loop.after(
             LATENCY_MICROS,
@@ -162,7 +162,7 @@
             services.heartbeat(machineId),
             (status, json, retry) -> {
               if (status == HttpStatus.OK) {
-                services.command(machineId, json);
+                services.executeCommands(machineId, json);
               }
             });
     loop.after(HEARTBEAT_MICROS, () -> heartbeat(term, machineId));
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -62,17 +62,17 @@
    * The body of the response to a relayed heartbeat. The response goes to the shard that relayed
    * the heartbeat and not to a worker, so its fencing token is 0.
    */
-  public static String relayed(List<WorkerCommand> commands) {
+  public static String relayedResponse(List<WorkerCommand> commands) {
     return body(0, 0, commands);
   }
 
   /** The body of the response to a heartbeat; the response renews the worker's lease. */
-  public static String answer(long token, List<WorkerCommand> commands) {
+  public static String heartbeatResponse(long token, List<WorkerCommand> commands) {
     return body(token, 0, commands);
   }
 
   /** The body of a direct call, which is valid for one incarnation of the worker. */
-  public static String direct(long token, long incarnation, List<WorkerCommand> commands) {
+  public static String directCall(long token, long incarnation, List<WorkerCommand> commands) {
     return body(token, incarnation, commands);
   }
 
@@ -81,11 +81,11 @@
    *
    * @param body the message body: JSON in UTF-8
    */
-  public static List<WorkerCommand> parseAnswer(byte[] body) throws InvalidMessageException {
+  public static List<WorkerCommand> parseResponse(byte[] body) throws InvalidMessageException {
     List<WorkerCommand> commands = new ArrayList<>();
     for (JsonNode node : Json.parseObject(body).path(ProtocolField.COMMANDS)) {
       TaskName task = TaskName.of(Json.text(node, ProtocolField.TASK));
-      long attempt = Json.whole(node, ProtocolField.ATTEMPT, 0, Long.MAX_VALUE);
+      long attempt = Json.wholeNumber(node, ProtocolField.ATTEMPT, 0, Long.MAX_VALUE);
       CommandType type = CommandType.of(Json.text(node, ProtocolField.COMMAND_TYPE));
       double gracePeriodS =
           type == CommandType.STOP ? Json.amount(node, ProtocolField.GRACE_PERIOD_S, 0) : 0;
--- a/src/test/java/plumlever/cloud/CloudClientTest.java
+++ b/src/test/java/plumlever/cloud/CloudClientTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import plumlever.concurrent.Loop;
-import plumlever.metrics.Logs;
+import plumlever.concurrent.EventLoop;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -25,8 +25,8 @@
   private static final RentalRequest REQUEST = new RentalRequest("r-1-1", "small", "a", true, 2);
 
   /** An event loop with a stopped clock, which runs delayed actions immediately. */
-  private static final Loop LOOP =
-      new Loop() {
+  private static final EventLoop LOOP =
+      new EventLoop() {
         @Override
         public long nowMicros() {
           return 0;
@@ -63,7 +63,7 @@
           },
           new Endpoint("cloud", 1),
           new PlatformConfiguration.CloudLimits(10, 0),
-          new Metrics(Logs.SERVICE));
+          new Metrics(LoggerProvider.SERVICE));
 
   private void addResponse(int status, String body) {
     cannedResponses.add(new CannedResponse(status, body));
--- a/src/test/java/plumlever/election/HeldTermTest.java
+++ b/src/test/java/plumlever/election/HeldTermTest.java
@@ -10,9 +10,9 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.slf4j.helpers.NOPLogger;
-import plumlever.concurrent.ManualLoop;
-import plumlever.http.Caller;
-import plumlever.metrics.Logs;
+import plumlever.concurrent.ManualEventLoop;
+import plumlever.http.HttpClient;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -24,7 +24,7 @@
   private static final long STALL_MICROS = 11_000_000;
 
   private final SchedulerParameters parameters = SchedulerParameters.defaults();
-  private final ManualLoop loop = new ManualLoop(1_000_000_000);
+  private final ManualEventLoop loop = new ManualEventLoop(1_000_000_000);
   private final List<Term> steppedDown = new ArrayList<>();
   private final List<String> revoked = new ArrayList<>();
   private int renewalStatus = 200;
@@ -34,7 +34,7 @@
   private HeldTerm createHeldTerm() {
     PlatformConfiguration.StateLimits limits =
         new PlatformConfiguration.StateLimits(100, 40, 4096, 8);
-    Caller stateService =
+    HttpClient stateService =
         (to, method, path, body, timeoutMicros, responseHandler) -> {
           if (method.equals("DELETE")) {
             revoked.add(path);
@@ -44,7 +44,11 @@
         };
     StateClient store =
         new StateClient(
-            loop, stateService, new Endpoint("state", 1), limits, new Metrics(Logs.SERVICE));
+            loop,
+            stateService,
+            new Endpoint("state", 1),
+            limits,
+            new Metrics(LoggerProvider.SERVICE));
     LeadershipRecords records =
         new LeadershipRecords(
             NOPLogger.NOP_LOGGER, loop, new Candidate("n0", "incarnation"), false);
@@ -101,7 +105,7 @@
     Term term = begin();
     renewalStatus = 404;
 
-    loop.advance(parameters.leaseRenewalMicros());
+    loop.advance(parameters.leaseRenewalIntervalMicros());
 
     assertFalse(heldTerm.leading());
     assertEquals(List.of(term), steppedDown);
@@ -112,7 +116,7 @@
     Term term = begin();
     renewalStatus = 0;
 
-    loop.advance(parameters.leaseTtlMicros() - parameters.actMarginMicros());
+    loop.advance(parameters.leaseTtlMicros() - parameters.leaseSafetyMarginMicros());
 
     assertFalse(term.mayAct());
     assertFalse(heldTerm.leading());
--- a/src/test/java/plumlever/fleet/MachineContactTest.java
+++ b/src/test/java/plumlever/fleet/MachineContactTest.java
@@ -39,10 +39,10 @@
 
   @Test
   void responseToDirectCallDoesNotCountAsHeartbeatSentByWorker() {
-    contact.recordHeartbeat(heartbeat(1, 5), HeartbeatSource.DIRECT_REPLY, 10);
+    contact.recordHeartbeat(heartbeat(1, 5), HeartbeatSource.DIRECT_RESPONSE, 10);
 
-    assertFalse(contact.hasReported());
-    assertEquals(0, contact.ownSequenceNumber());
+    assertFalse(contact.hasSentHeartbeat());
+    assertEquals(0, contact.heartbeatSequenceNumber());
     assertEquals(10, contact.lastSeenMicros());
   }
 
@@ -50,29 +50,29 @@
   void newIncarnationResetsHeartbeatSequenceNumber() {
     contact.recordHeartbeat(heartbeat(1, 5), HeartbeatSource.WORKER, 10);
 
-    contact.recordHeartbeat(heartbeat(2, 1), HeartbeatSource.DIRECT_REPLY, 20);
+    contact.recordHeartbeat(heartbeat(2, 1), HeartbeatSource.DIRECT_RESPONSE, 20);
 
-    assertEquals(0, contact.ownSequenceNumber());
+    assertEquals(0, contact.heartbeatSequenceNumber());
   }
 
   @Test
   void twoConsecutiveLostResponsesMakeMachineUnreachable() {
-    contact.recordLostAnswer();
+    contact.recordLostResponse();
     assertFalse(contact.unreachable());
 
-    contact.recordLostAnswer();
+    contact.recordLostResponse();
     assertTrue(contact.unreachable());
   }
 
   @Test
   void deliveredResponseMakesMachineReachable() {
-    contact.recordLostAnswer();
-    contact.recordLostAnswer();
+    contact.recordLostResponse();
+    contact.recordLostResponse();
 
-    contact.recordDeliveredAnswer();
+    contact.recordDeliveredResponse();
 
     assertFalse(contact.unreachable());
-    contact.recordLostAnswer();
+    contact.recordLostResponse();
     assertFalse(contact.unreachable(), "a delivered response resets the count of lost responses");
   }
 
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 import java.util.Optional;
-import plumlever.cloud.PriceBook;
-import plumlever.concurrent.Loop;
-import plumlever.concurrent.ManualLoop;
-import plumlever.http.Caller;
-import plumlever.metrics.Logs;
+import plumlever.cloud.MachineTypeCatalog;
+import plumlever.concurrent.EventLoop;
+import plumlever.concurrent.ManualEventLoop;
+import plumlever.http.HttpClient;
+import plumlever.metrics.LoggerProvider;
 import plumlever.metrics.Metrics;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.store.Transaction;
 import plumlever.wire.HttpStatus;
@@ -19,7 +19,7 @@
 
 /**
  * A leader's context without election, term and cloud. The clock does not advance, timers never
- * fire, and requests are not answered, except for the writes refused by {@link #refuseValueOf}.
+ * fire, and requests are not answered, except for the writes refused by {@link #refuseValueOfSize}.
  */
 public final class ContextFixture {
   /** The initial limit on the size of a stored value. */
@@ -44,8 +44,8 @@
           new PlatformConfiguration.CloudLimits(6, 5_000_000),
           1000);
 
-  private final Loop loop = new ManualLoop(1_000_000_000L);
-  private final Metrics metrics = new Metrics(Logs.SERVICE);
+  private final EventLoop loop = new ManualEventLoop(1_000_000_000L);
+  private final Metrics metrics = new Metrics(LoggerProvider.SERVICE);
   private final TermContext context;
   private boolean refusesWrites;
 
@@ -55,13 +55,13 @@
    * @param reader must call back synchronously
    */
   public ContextFixture(TermContext.RecoveryReader reader) {
-    Caller caller =
+    HttpClient httpClient =
         (to, method, path, body, timeoutMicros, handler) -> {
           if (refusesWrites) {
             handler.handle(HttpStatus.BAD_REQUEST, new byte[0]);
           }
         };
-    StateClient store = new StateClient(loop, caller, UNUSED_ENDPOINT, LIMITS, metrics);
+    StateClient store = new StateClient(loop, httpClient, UNUSED_ENDPOINT, LIMITS, metrics);
     this.context =
         new TermContext(
             loop,
@@ -70,15 +70,15 @@
             null,
             null,
             store,
-            new JobStore(store.limits()),
+            new RecordLayout(store.limits()),
             null,
-            new PriceBook(SchedulerParameters.defaults()),
-            caller,
+            new MachineTypeCatalog(SchedulerParameters.defaults()),
+            httpClient,
             metrics,
             () -> 0,
             reader,
             () -> 0,
-            Logs.SERVICE,
+            LoggerProvider.SERVICE,
             false,
             Optional.empty());
   }
@@ -92,7 +92,7 @@
   }
 
   /** Makes the state service refuse a value of this size, which lowers the limit to half of it. */
-  public void refuseValueOf(int bytes) {
+  public void refuseValueOfSize(int bytes) {
     refusesWrites = true;
     context
         .store()
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -20,7 +20,7 @@
 import plumlever.leader.progress.ProgressWriter;
 import plumlever.leader.record.RecoveryRead;
 import plumlever.sim.TestJob;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.store.StateClient;
 import plumlever.wire.AttemptState;
 import plumlever.wire.ExitCause;
@@ -70,8 +70,8 @@
 
   private static StateClient.Listing listing(String prefix) {
     return new StateClient.Listing(
-        prefix.equals(JobStore.ACTIVE)
-            ? List.of(new StateClient.Item(JobStore.ACTIVE + JOB, jobRecord(), 3, 0))
+        prefix.equals(RecordLayout.ACTIVE)
+            ? List.of(new StateClient.Item(RecordLayout.ACTIVE + JOB, jobRecord(), 3, 0))
             : List.of(),
         5);
   }
@@ -85,14 +85,14 @@
   static long attemptOfEarlierTerm() {
     HeartbeatFixture earlier = new HeartbeatFixture();
     return new Fleet(TERM - 1)
-        .startAttempt(earlier.job, 0, earlier.machine, StartChannel.HEARTBEAT_ANSWER, 0)
+        .startAttempt(earlier.job, 0, earlier.machine, StartChannel.HEARTBEAT_RESPONSE, 0)
         .id();
   }
 
   /** Starts a task in the response to the last heartbeat or by direct command. */
   Attempt start(int task, StartChannel channel) {
     if (channel == StartChannel.DIRECT_COMMAND) {
-      machine.tokens().commandSent(contextFixture.nowMicros());
+      machine.tokens().recordDirectCommand(contextFixture.nowMicros());
     }
     return fleet.startAttempt(job, task, machine, channel, contextFixture.nowMicros());
   }
@@ -100,7 +100,7 @@
   /** Makes the machine accounted for by a heartbeat that lists no tasks. */
   HeartbeatFixture accounted() {
     handler.apply(machine, heartbeat(), HeartbeatSource.WORKER);
-    handler.getAndClearChanged();
+    handler.getAndClearPlacementChanged();
     return this;
   }
 
--- a/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
+++ b/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
@@ -12,7 +12,7 @@
 import plumlever.leader.context.ContextFixture;
 import plumlever.leader.context.TermContext;
 import plumlever.sim.TestJob;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.wire.JobSpec;
 
 /**
@@ -41,13 +41,13 @@
   }
 
   private void lowerValueLimit() {
-    int before = context.layout().valueBytes();
-    services.refuseValueOf(ContextFixture.VALUE_BYTES / 2);
-    assertNotEquals(before, context.layout().valueBytes(), "the limit must have changed");
+    int before = context.recordLayout().maxValueBytes();
+    services.refuseValueOfSize(ContextFixture.VALUE_BYTES / 2);
+    assertNotEquals(before, context.recordLayout().maxValueBytes(), "the limit must have changed");
   }
 
   private static int sizeOf(List<Job> jobs) {
-    return jobs.stream().mapToInt(job -> JobStore.sizeInSharedChunk(job.spec())).sum();
+    return jobs.stream().mapToInt(job -> RecordLayout.sizeInSharedChunk(job.spec())).sum();
   }
 
   @Test
@@ -74,7 +74,7 @@
 
     kept.removeAll(removed);
     assertFalse(removed.isEmpty());
-    assertTrue(sizeOf(kept) <= context.layout().sharedChunkBytes());
+    assertTrue(sizeOf(kept) <= context.recordLayout().sharedChunkBytes());
     assertTrue(kept.stream().allMatch(chunks::markDirty), "jobs that fit stay in the chunk");
     assertTrue(removed.stream().noneMatch(chunks::markDirty), "removed jobs are in no chunk");
   }
@@ -92,7 +92,7 @@
     }
 
     assertTrue(adopted.size() < SMALL_JOBS);
-    assertTrue(sizeOf(adopted) <= context.layout().sharedChunkBytes());
+    assertTrue(sizeOf(adopted) <= context.recordLayout().sharedChunkBytes());
   }
 
   @Test
@@ -100,7 +100,7 @@
     LargeJobChunks chunks = new LargeJobChunks(context);
     Job job = job(1, LARGE_JOB_TASKS);
     job.markCompleted(LARGE_JOB_TASKS - 1);
-    chunks.adopt(job, List.of(JobStore.progressKey(job.uid(), 0)));
+    chunks.adopt(job, List.of(RecordLayout.progressKey(job.uid(), 0)));
 
     chunks.enforceValueLimit();
 
@@ -112,7 +112,7 @@
     LargeJobChunks chunks = new LargeJobChunks(context);
     Job job = job(1, LARGE_JOB_TASKS);
     job.markCompleted(LARGE_JOB_TASKS - 1);
-    chunks.adopt(job, List.of(JobStore.progressKey(job.uid(), 0)));
+    chunks.adopt(job, List.of(RecordLayout.progressKey(job.uid(), 0)));
     lowerValueLimit();
 
     chunks.enforceValueLimit();
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -47,9 +47,9 @@
   @Test
   void aDelegatesResponseCarriesTheDelegationsToken() {
     RenewalDecision decision =
-        renewal.answer(delegate(TOKEN - 2, NOW_MICROS + 1, NOW_MICROS), List.of(), NOW_MICROS);
+        renewal.decide(delegate(TOKEN - 2, NOW_MICROS + 1, NOW_MICROS), List.of(), NOW_MICROS);
     assertEquals(
-        WorkerCommand.answer(TOKEN, List.of()),
+        WorkerCommand.heartbeatResponse(TOKEN, List.of()),
         assertInstanceOf(RenewalDecision.Renewed.class, decision).body());
   }
 
@@ -120,9 +120,14 @@
   }
 
   private static LeaderEvidence leader(
-      boolean holdsTasks, long endedJobsRead, UnansweredCommands unanswered) {
+      boolean hasUnfinishedAttempts, long endedJobsRead, UnansweredCommands unanswered) {
     return new LeaderEvidence(
-        () -> true, TOKEN, holdsTasks, endedJobsRead, unanswered, ForeignTaskEvidence.NONE);
+        () -> true,
+        TOKEN,
+        hasUnfinishedAttempts,
+        endedJobsRead,
+        unanswered,
+        ForeignTaskEvidence.NONE);
   }
 
   @Test
@@ -203,7 +208,7 @@
     }
   }
 
-  /** Only LeaseRenewal may build answers that renew a lease. */
+  /** Only LeaseRenewal may build responses that renew a lease. */
   @Test
   void onlyLeaseRenewalBuildsResponsesThatRenew() {
     JavaClasses project =
@@ -214,7 +219,7 @@
         .that()
         .doNotHaveFullyQualifiedName(LeaseRenewal.class.getName())
         .should()
-        .callMethod(WorkerCommand.class, "answer", long.class, List.class)
+        .callMethod(WorkerCommand.class, "heartbeatResponse", long.class, List.class)
         .check(project);
   }
 }
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -253,9 +253,9 @@
     SchedulerParameters parameters =
         operators("padding_share: 0.1\nowned_hourly:\n  rack: 0.02\n").parameters();
 
-    assertEquals(0.1, parameters.paddingShare());
-    assertEquals(0.02, parameters.ownedHourly().get("rack"));
-    assertEquals(SchedulerParameters.defaults().tieShare(), parameters.tieShare());
+    assertEquals(0.1, parameters.runTimePadding());
+    assertEquals(0.02, parameters.ownedHourlyCosts().get("rack"));
+    assertEquals(SchedulerParameters.defaults().tieTolerance(), parameters.tieTolerance());
   }
 
   @Test
@@ -286,12 +286,12 @@
 
   @Test
   void costMattersIfObjectivesLeaveTimeToRent() throws Exception {
-    assertTrue(platform(PLATFORM).moneyMatters(RENTAL_MICROS));
+    assertTrue(platform(PLATFORM).costMatters(RENTAL_MICROS));
   }
 
   @Test
   void costDoesNotMatterIfAnObjectiveLeavesNoTimeToRent() throws Exception {
-    assertFalse(platform(NO_TIME_TO_RENT).moneyMatters(RENTAL_MICROS));
+    assertFalse(platform(NO_TIME_TO_RENT).costMatters(RENTAL_MICROS));
   }
 
   @Test
@@ -301,6 +301,6 @@
             "[deployment.workers]",
             "[[deployment.objectives]]\nkind = \"price\"\n[deployment.workers]");
 
-    assertTrue(platform(text).moneyMatters(RENTAL_MICROS));
+    assertTrue(platform(text).costMatters(RENTAL_MICROS));
   }
 }
--- a/src/test/java/plumlever/sim/DependencyScenario.java
+++ b/src/test/java/plumlever/sim/DependencyScenario.java
@@ -32,7 +32,7 @@
             InvariantChecker.CANCEL_MICROS,
             limits);
     users = new FakeUsers(cluster);
-    cluster.play(5);
+    cluster.runFor(5);
   }
 
   JobSpec job(
@@ -69,15 +69,15 @@
   }
 
   void submit(JobSpec... jobs) {
-    users.pipeline(List.of(jobs), false);
+    users.submitPipeline(List.of(jobs), false);
   }
 
   String reportedStatus(JobSpec job) {
-    return cluster.invariants.lastTold.get(job.uid());
+    return cluster.invariants.lastReportedStatus.get(job.uid());
   }
 
   void assertReportedStatus(String status, JobSpec... jobs) {
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     for (JobSpec job : jobs) {
       assertEquals(status, reportedStatus(job), job.uid());
     }
@@ -99,7 +99,7 @@
             body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8),
             (s, json, retry) -> response[0] = new Response(s, json, retry));
     for (int i = 0; i < 400 && response[0] == null; i++) {
-      cluster.play(0.05);
+      cluster.runFor(0.05);
     }
     return response[0];
   }
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -20,7 +20,7 @@
 final class FakeUsers {
   private final SimulatedCluster cluster;
   private final Set<String> accepted = new HashSet<>();
-  private final Set<String> cancelled = new HashSet<>();
+  private final Set<String> cancelledJobs = new HashSet<>();
   private final Map<String, Endpoint> controllerByJob = new HashMap<>();
   private final Map<String, Long> unhealthySince = new HashMap<>();
   private int lastUidNumber;
@@ -29,10 +29,10 @@
    * After each response that shows a new job status, users query every controller within
    * milliseconds; a third of the queries repeat the submission.
    */
-  boolean closeLooks;
+  boolean queryAllControllersOnChange;
 
   /** Number of the queries to all controllers that were answered with 200. */
-  int looks;
+  int answeredQueries;
 
   private final Map<String, JobSpec> specByUid = new HashMap<>();
   private final Set<String> queriedStates = new HashSet<>();
@@ -116,7 +116,7 @@
         2_000_000,
         response -> {
           if (response.status() == 200) {
-            cluster.invariants.broken.add(
+            cluster.invariants.violations.add(
                 "invented: a controller answered 200 for a job never submitted: job-99"
                     + lastUidNumber);
           }
@@ -179,7 +179,7 @@
               cluster.at(5_000_000 + cluster.random.nextLong(30_000_000), () -> cancel(job.uid()));
             }
           } else if (status == 400 || status == 422) {
-            cluster.invariants.broken.add(
+            cluster.invariants.violations.add(
                 "refused: a valid submission was refused: " + job.uid() + " " + response.body());
           } else {
             cluster.at(1_000_000, () -> trySubmit(job, cancel));
@@ -197,8 +197,8 @@
     List<String> out = new ArrayList<>();
     for (String uid : accepted) {
       if (out.size() < count
-          && !cancelled.contains(uid)
-          && cluster.invariants.began(uid)
+          && !cancelledJobs.contains(uid)
+          && cluster.invariants.hasStarted(uid)
           && !cluster.invariants.allDone(uid)) {
         out.add(uid);
       }
@@ -226,7 +226,7 @@
    * Sets the share of jobs that users cancel and query, with repeated submissions among the
    * queries, within about 1.5 s after the job's last task has completed.
    */
-  void meetEnds(double share) {
+  void cancelAndQueryAtCompletion(double share) {
     cluster.invariants.completionListener =
         uid -> {
           if (cluster.random.nextDouble() < share && specByUid.containsKey(uid)) {
@@ -247,7 +247,7 @@
   int sendMistakenRequests() {
     int sent = 0;
     for (String uid : new ArrayList<>(accepted)) {
-      String last = cluster.invariants.lastTold.get(uid);
+      String last = cluster.invariants.lastReportedStatus.get(uid);
       JobSpec job = specByUid.get(uid);
       if ("done".equals(last)) {
         expectResponse("POST", "/submissions/" + uid + "/abort", "", 200, "\"done\"");
@@ -300,7 +300,7 @@
               && status != 503
               && status != 429
               && (status != expectedStatus || !(response.body()).contains(expectedText))) {
-            cluster.invariants.broken.add(
+            cluster.invariants.violations.add(
                 "wrong response to "
                     + method
                     + " "
@@ -330,14 +330,14 @@
                   2_000_000,
                   response -> {
                     if (response.status() == 200) {
-                      looks++;
+                      answeredQueries++;
                       checkResponse(uid, response.body(), sentMicros);
                     } else if (response.status() == 404) {
-                      cluster.invariants.toldAnywhere(uid, null, sentMicros);
+                      cluster.invariants.checkResponse(uid, null, sentMicros);
                     } else if (response.status() == 400
                         || response.status() == 422
                         || response.status() == 201) {
-                      cluster.invariants.broken.add(
+                      cluster.invariants.violations.add(
                           "repeated submission of " + uid + " got status " + response.status());
                     }
                   });
@@ -348,15 +348,15 @@
 
   private void checkResponse(String uid, String body, long sentMicros) {
     try {
-      cluster.invariants.toldAnywhere(
+      cluster.invariants.checkResponse(
           uid, Json.parseObject(body).path("status").asText(), sentMicros);
     } catch (InvalidMessageException e) {
-      cluster.invariants.broken.add("invalid status response: " + body);
+      cluster.invariants.violations.add("invalid status response: " + body);
     }
   }
 
   void cancel(String uid) {
-    cancelled.add(uid);
+    cancelledJobs.add(uid);
     long sentMicros = cluster.now();
     cluster.network.send(
         "user",
@@ -371,7 +371,7 @@
             handleStatus(uid, response.body(), sentMicros);
           } else {
             if (response.status() == 404) {
-              cluster.invariants.broken.add("forgotten: cancellation got 404 for " + uid);
+              cluster.invariants.violations.add("forgotten: cancellation got 404 for " + uid);
             }
             cluster.at(1_000_000, () -> cancel(uid));
           }
@@ -388,15 +388,13 @@
   }
 
   /** Records that the test has cancelled the job without a request of an emulated user. */
-  void cancelled(JobSpec job) {
-    cancelled.add(job.uid());
+  void recordCancellation(JobSpec job) {
+    cancelledJobs.add(job.uid());
   }
 
-  /**
-   * Sends one cancellation to the controller, without retries; the consumer gets the status code.
-   */
+  /** Sends one cancellation to the controller, without retries; passes on the status code. */
   void cancelAt(Endpoint controller, String uid, java.util.function.Consumer<Integer> status) {
-    cancelled.add(uid);
+    cancelledJobs.add(uid);
     long sentMicros = cluster.now();
     cluster.network.send(
         "user",
@@ -427,7 +425,7 @@
           if (response.status() == 200) {
             handleStatus(uid, response.body(), sentMicros);
           } else if (response.status() == 404) {
-            cluster.invariants.broken.add("forgotten: status query got 404 for " + uid);
+            cluster.invariants.violations.add("forgotten: status query got 404 for " + uid);
           }
           cluster.at(5_000_000, () -> poll(uid));
         });
@@ -439,7 +437,7 @@
     java.util.ArrayDeque<String> open = new java.util.ArrayDeque<>(seen);
     while (!open.isEmpty()) {
       String next = open.poll();
-      if (cancelled.contains(next)) {
+      if (cancelledJobs.contains(next)) {
         return true;
       }
       JobSpec job = cluster.invariants.submitted.get(next);
@@ -455,7 +453,7 @@
    * @param lastLate true if the last job is submitted only after its dependencies are done or
    *     cancelled
    */
-  void pipeline(List<JobSpec> stages, boolean lastLate) {
+  void submitPipeline(List<JobSpec> stages, boolean lastLate) {
     for (int i = 0; i < stages.size(); i++) {
       JobSpec job = stages.get(i);
       cluster.invariants.submitted.put(job.uid(), job);
@@ -469,7 +467,9 @@
                           accepted.contains(n)
                               && (!late
                                   || List.of("done", "aborted")
-                                      .contains(cluster.invariants.lastTold.getOrDefault(n, "")))));
+                                      .contains(
+                                          cluster.invariants.lastReportedStatus.getOrDefault(
+                                              n, "")))));
     }
   }
 
@@ -483,17 +483,17 @@
 
   private void handleStatus(String uid, String body, long sentMicros) {
     checkResponse(uid, body, sentMicros);
-    if (closeLooks
+    if (queryAllControllersOnChange
         && queriedStates.add(
             uid + body.contains("\"status\":\"done\"") + body.contains("\"aborted\""))) {
       queryAllControllers(uid);
     }
     try {
-      cluster.invariants.answered(uid);
-      cluster.invariants.told(
+      cluster.invariants.recordResponse(uid);
+      cluster.invariants.recordStatus(
           uid, Json.parseObject(body).path("status").asText(), cancelRequested(uid));
     } catch (InvalidMessageException e) {
-      cluster.invariants.broken.add("invalid status response: " + body);
+      cluster.invariants.violations.add("invalid status response: " + body);
     }
   }
 }
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -33,7 +33,7 @@
     for (int i = 0; i < 8; i++) {
       submit("blue", 5, 2, 30 + 20 * (i % 4), false);
     }
-    cluster.play(45);
+    cluster.runFor(45);
     assertTrue(
         cluster.invariants.starts >= 20,
         "tasks started before the faults: " + cluster.invariants.starts);
@@ -84,7 +84,7 @@
     for (int i = 0; i < 6; i++) {
       submit(team, 12, 2, 40, false);
     }
-    cluster.play(40);
+    cluster.runFor(40);
   }
 
   String leaderLabel() {
@@ -106,7 +106,7 @@
                     && v.worker.tasks.values().stream()
                         .anyMatch(
                             t ->
-                                t.on()
+                                t.isRunningOrFlushing()
                                     && cluster
                                         .invariants
                                         .submitted
@@ -121,7 +121,7 @@
   List<String> startedJobs(int limit) {
     return jobs.stream()
         .map(JobSpec::uid)
-        .filter(u -> cluster.invariants.began(u) && !cluster.invariants.allDone(u))
+        .filter(u -> cluster.invariants.hasStarted(u) && !cluster.invariants.allDone(u))
         .limit(limit)
         .toList();
   }
@@ -130,11 +130,12 @@
     return cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null)
         .flatMap(v -> v.worker.tasks.values().stream())
-        .anyMatch(t -> t.on() && t.name.startsWith(uid + "/"));
+        .anyMatch(t -> t.isRunningOrFlushing() && t.name.startsWith(uid + "/"));
   }
 
   int countReported(String status) {
-    return (int) cluster.invariants.lastTold.values().stream().filter(status::equals).count();
+    return (int)
+        cluster.invariants.lastReportedStatus.values().stream().filter(status::equals).count();
   }
 
   long metric(String name) {
@@ -149,23 +150,23 @@
    * deployment long enough for all jobs to be served.
    */
   void endFaults() {
-    cluster.network.lostAnswerShare = 0;
+    cluster.network.lostResponseShare = 0;
     cluster.network.executedLateShare = 0;
-    cluster.network.copiedHeartbeatShare = 0;
+    cluster.network.duplicatedHeartbeatShare = 0;
     cluster.network.heartbeatShareKeptForNextTerm = 0;
     cluster.network.extraCommandDelayMicros = 0;
     cluster.network.machinesWithLostHeartbeats.clear();
-    cluster.network.cuts.clear();
+    cluster.network.blockedLinks.clear();
     cluster.store.responseDelayMicros = 0;
-    cluster.store.lateWrites = 0;
-    cluster.store.unansweredWrites = 0;
-    cluster.store.refused.clear();
+    cluster.store.lateWriteShare = 0;
+    cluster.store.unansweredWriteShare = 0;
+    cluster.store.refusedControllers.clear();
     cluster.store.endOutage();
     cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null)
         .forEach(v -> v.worker.hung = false);
-    cluster.cloud.most = Math.max(cluster.cloud.most, 14);
-    cluster.calmSince = cluster.now();
-    cluster.play(260);
+    cluster.cloud.capacity = Math.max(cluster.cloud.capacity, 14);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(260);
   }
 }
