--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -57,15 +57,14 @@
   }
 
   private void assertDone(JobSpec... jobs) {
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
     for (JobSpec job : jobs) {
-      assertEquals("done", cluster.invariants.lastTold.get(job.uid()), job.uid());
+      assertEquals("done", cluster.invariants.lastReportedStatus.get(job.uid()), job.uid());
     }
   }
 
   /**
-   * Cuts off all messages to one machine with tasks for the given time. The machine's heartbeats
-   * still arrive.
+   * Blocks all messages to one machine with tasks for the given time, but not its heartbeats.
    *
    * @return the id of the machine
    */
@@ -76,8 +75,8 @@
             .map(v -> v.id)
             .findFirst()
             .orElseThrow();
-    cluster.network.cuts.put("*>" + machineId, true);
-    cluster.at((long) (seconds * 1e6), () -> cluster.network.cuts.remove("*>" + machineId));
+    cluster.network.blockedLinks.put("*>" + machineId, true);
+    cluster.at((long) (seconds * 1e6), () -> cluster.network.blockedLinks.remove("*>" + machineId));
     return machineId;
   }
 
@@ -93,7 +92,7 @@
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       jobs.add(submit(jobOfIndex.apply(i)));
-      cluster.play(pauseS);
+      cluster.runFor(pauseS);
     }
     return jobs;
   }
@@ -101,12 +100,12 @@
   @Test
   void tasksOfAnUnreachableMachineRunElsewhere() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 12, 2, 30, false));
-    cluster.play(35);
+    cluster.runFor(35);
     makeUnreachable(400);
-    cluster.play(150);
+    cluster.runFor(150);
     assertDone(job);
     JobSpec next = submit(job("blue", Priority.STANDARD, 12, 2, 10, false));
-    cluster.play(60);
+    cluster.runFor(60);
     assertDone(next);
   }
 
@@ -118,14 +117,14 @@
   @Test
   void aLeaderFrozenBeyondItsLeaseAnswersNoHeartbeat() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 40, 2, 40, false));
-    cluster.play(40);
+    cluster.runFor(40);
     SimulatedController frozenLeader = cluster.leader();
     frozenLeader.freeze(12);
-    cluster.play(11.9);
+    cluster.runFor(11.9);
     assertTrue(
         cluster.controllers.values().stream().anyMatch(m -> m != frozenLeader && m.leads()),
         "another controller leads before the frozen leader resumes");
-    cluster.play(120);
+    cluster.runFor(120);
     assertDone(job);
   }
 
@@ -138,17 +137,16 @@
   void anUnreachableMachineDelaysAFailoverOnlyBriefly() {
     JobSpec full = submit(job("red", Priority.STANDARD, 24, 2, 60, false));
     JobSpec waiting = submit(job("red", Priority.STANDARD, 10, 2, 10, false));
-    cluster.play(45);
+    cluster.runFor(45);
     makeUnreachable(500);
-    // During the cloud outage the leader can't return the machine, so a deletion can't end the
-    // wait.
+    // In the cloud outage the leader can't return the machine, so no deletion ends the wait.
     cluster.cloud.outage = true;
     cluster.leader().crash(3);
-    cluster.play(75);
+    cluster.runFor(75);
     assertTrue(
         cluster.leader().actingLeader().failoverComplete(),
         "the failover has accounted for all machines");
-    cluster.play(150);
+    cluster.runFor(150);
     assertDone(full, waiting);
   }
 
@@ -158,20 +156,20 @@
    */
   @Test
   void lateDuplicatesOfHeartbeatsChangeNothing() {
-    cluster.network.copiedHeartbeatShare = 0.5;
+    cluster.network.duplicatedHeartbeatShare = 0.5;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       cluster.at(
           i * 15_000_000L,
           () -> all.add(submit(job("blue", Priority.STANDARD, 10, 2, 20, size(all) % 2 == 0))));
     }
-    cluster.play(50);
+    cluster.runFor(50);
     cluster.leader().crash(0.2);
-    cluster.play(20);
+    cluster.runFor(20);
     cluster.cloud.machines.keySet().stream().limit(3).toList().forEach(cluster.cloud::delete);
-    cluster.play(10);
+    cluster.runFor(10);
     cluster.leader().crash(6);
-    cluster.play(250);
+    cluster.runFor(250);
     assertEquals(8, all.size());
     assertDone(all.toArray(new JobSpec[0]));
   }
@@ -183,7 +181,7 @@
   /** The second of two equal heartbeats must not renew the lease nor be answered with commands. */
   @Test
   void theLeaderRefusesADuplicateHeartbeat() {
-    cluster.play(20);
+    cluster.runFor(20);
     byte[] heartbeat =
         ("{\"host\":\"i-900000\",\"endpoint\":\"h:9\",\"flavor\":\"small\",\"site\":\"a\",\"loaners\":false,"
              + "\"tenure\":1,\"tick\":7,\"baton\":0,\"pieces\":[]}")
@@ -209,21 +207,21 @@
   @Test
   void aLeaderIsolatedWithItsWorkersIsReplacedAndClosesUserConnections() {
     List<JobSpec> all = submitMany(9, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
-    cluster.play(50);
-    String isolatedLeader = cluster.leader().platform.label();
+    cluster.runFor(50);
+    String isolated = cluster.leader().platform.label();
     for (String other : List.of("state", "n0", "n1", "n2")) {
-      if (!other.equals(isolatedLeader)) {
-        cluster.network.cut(isolatedLeader, other, true);
+      if (!other.equals(isolated)) {
+        cluster.network.setBlocked(isolated, other, true);
       }
     }
-    cluster.calmSince = cluster.now();
-    cluster.play(12);
-    assertNotEquals(isolatedLeader, cluster.leader().platform.label(), "another controller leads");
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(12);
+    assertNotEquals(isolated, cluster.leader().platform.label(), "another controller leads");
     int[] up = new int[1];
     boolean[] closed = new boolean[1];
     cluster.network.send(
         "probe",
-        new plumlever.settings.Endpoint(isolatedLeader, 1),
+        new plumlever.settings.Endpoint(isolated, 1),
         "GET",
         "/up",
         null,
@@ -231,16 +229,16 @@
         a -> up[0] = a.status());
     cluster.network.send(
         "probe",
-        new plumlever.settings.Endpoint(isolatedLeader, 1),
+        new plumlever.settings.Endpoint(isolated, 1),
         "GET",
         "/submissions/job-000001",
         null,
         5_000_000,
         a -> closed[0] = a.status() == 503 && a.connectionCloses());
-    cluster.play(5);
+    cluster.runFor(5);
     assertEquals(503, up[0], "an isolated controller must report itself unhealthy");
     assertTrue(closed[0], "the isolated controller must close its users' connections");
-    cluster.play(250);
+    cluster.runFor(250);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -251,12 +249,12 @@
   @Test
   void aLeaderCutOffFromAllWorkersIsReplaced() {
     List<JobSpec> all = submitMany(6, i -> job("blue", Priority.STANDARD, 6, 2, 60, false));
-    cluster.play(50);
-    String isolatedLeader = cluster.leader().platform.label();
-    cluster.cloud.machines.keySet().forEach(h -> cluster.network.cut(isolatedLeader, h, true));
-    cluster.play(22);
-    assertNotEquals(isolatedLeader, cluster.leader().platform.label(), "another controller leads");
-    cluster.play(250);
+    cluster.runFor(50);
+    String isolated = cluster.leader().platform.label();
+    cluster.cloud.machines.keySet().forEach(h -> cluster.network.setBlocked(isolated, h, true));
+    cluster.runFor(22);
+    assertNotEquals(isolated, cluster.leader().platform.label(), "another controller leads");
+    cluster.runFor(250);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -270,7 +268,7 @@
     List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 90, false));
     JobSpec cancelled = job("blue", Priority.STANDARD, 12, 2, 200, false);
     users.submit(cancelled, false);
-    cluster.play(45);
+    cluster.runFor(45);
     String leader = cluster.leader().platform.label();
     List<String> zoneMachines =
         cluster.cloud.machines.values().stream()
@@ -278,10 +276,11 @@
             .map(v -> v.id)
             .toList();
     assertTrue(zoneMachines.size() >= 4, "the zone has machines");
-    zoneMachines.forEach(h -> cluster.network.cut(leader, h, true));
+    zoneMachines.forEach(h -> cluster.network.setBlocked(leader, h, true));
     cluster.at(5_000_000, () -> users.cancel(cancelled.uid()));
-    cluster.at(45_000_000, () -> zoneMachines.forEach(h -> cluster.network.cut(leader, h, false)));
-    cluster.play(60);
+    cluster.at(
+        45_000_000, () -> zoneMachines.forEach(h -> cluster.network.setBlocked(leader, h, false)));
+    cluster.runFor(60);
     long renewed =
         cluster.controllers.values().stream()
             .mapToLong(m -> m.controller().metrics().counter("leases_renewed_for_leader"))
@@ -292,9 +291,9 @@
         cluster.leader().controller().metrics().counter("attempts_lost"),
         "no task attempt was lost");
     assertEquals(leader, cluster.leader().platform.label());
-    cluster.play(150);
+    cluster.runFor(150);
     assertDone(all.toArray(new JobSpec[0]));
-    assertEquals("aborted", cluster.invariants.lastTold.get(cancelled.uid()));
+    assertEquals("aborted", cluster.invariants.lastReportedStatus.get(cancelled.uid()));
   }
 
   /**
@@ -304,15 +303,15 @@
   @Test
   void tasksOfAZoneThatNoControllerReachesAreReleased() {
     List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 60, false));
-    cluster.play(45);
+    cluster.runFor(45);
     cluster.cloud.machines.values().stream()
         .filter(v -> v.zone.equals("a") && v.worker != null)
-        .forEach(v -> cluster.network.cuts.put(v.id + ">*", true));
-    cluster.play(48);
+        .forEach(v -> cluster.network.blockedLinks.put(v.id + ">*", true));
+    cluster.runFor(48);
     assertTrue(
         cluster.leader().controller().metrics().counter("attempts_lost") > 0,
         "tasks in the unreachable zone are released");
-    cluster.play(200);
+    cluster.runFor(200);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -323,28 +322,32 @@
   @Test
   void aNewLeaderWaitsForLeasesRenewedByDelegates() {
     List<JobSpec> all = submitMany(10, i -> job("blue", Priority.STANDARD, 8, 2, 60, i % 2 == 0));
-    cluster.play(45);
+    cluster.runFor(45);
     String leader = cluster.leader().platform.label();
     List<String> zoneMachines =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.zone.equals("a") && v.worker != null)
             .map(v -> v.id)
             .toList();
-    zoneMachines.forEach(h -> cluster.network.cut(leader, h, true));
+    zoneMachines.forEach(h -> cluster.network.setBlocked(leader, h, true));
     cluster.cloud.outage = true;
-    cluster.play(20);
+    cluster.runFor(20);
     // From now on no controller reaches the zone.
     zoneMachines.forEach(
-        h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, true)));
+        h -> cluster.controllers.keySet().forEach(n -> cluster.network.setBlocked(n, h, true)));
     cluster.leader().crash(1);
     cluster.at(
         60_000_000,
         () ->
             zoneMachines.forEach(
-                h -> cluster.controllers.keySet().forEach(n -> cluster.network.cut(n, h, false))));
-    cluster.play(90);
+                h ->
+                    cluster
+                        .controllers
+                        .keySet()
+                        .forEach(n -> cluster.network.setBlocked(n, h, false))));
+    cluster.runFor(90);
     cluster.cloud.outage = false;
-    cluster.play(200);
+    cluster.runFor(200);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -355,9 +358,9 @@
    */
   @Test
   void aStateServiceOutageMakesNoControllerUnhealthy() {
-    cluster.play(10);
+    cluster.runFor(10);
     for (String controller : List.of("n0", "n1", "n2")) {
-      cluster.network.cut(controller, "state", true);
+      cluster.network.setBlocked(controller, "state", true);
     }
     List<Integer> seen = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
@@ -367,7 +370,7 @@
             .router()
             .handle("GET", "/up", new byte[0], (s, json, retry) -> seen.add(s));
       }
-      cluster.play(1);
+      cluster.runFor(1);
     }
     assertEquals(List.of(200), seen.stream().distinct().toList());
   }
@@ -380,15 +383,15 @@
   void immediateRestartsStartNoTaskTwice() {
     cluster.network.repeatedShare = 0.05;
     List<JobSpec> all = submitMany(8, i -> job("blue", Priority.STANDARD, 6, 2, 40, i % 2 == 0));
-    cluster.play(40);
+    cluster.runFor(40);
     for (int round = 0; round < 6; round++) {
       cluster.leader().crash(0.15);
       for (SimulatedController controller : cluster.controllers.values()) {
         cluster.at(300_000L * (round + 1), () -> controller.crash(0.1));
       }
-      cluster.play(20);
+      cluster.runFor(20);
     }
-    cluster.play(200);
+    cluster.runFor(200);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -398,16 +401,16 @@
    */
   @Test
   void aLateDuplicateOfADirectCommandStartsNoTask() {
-    cluster.network.copiedCommandShare = 1;
+    cluster.network.duplicatedCommandShare = 1;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       JobSpec job = job("blue", Priority.STANDARD, 6, 2, 90, false);
       all.add(job);
       users.submit(job, true);
     }
-    cluster.play(240);
-    assertEquals(List.of(), cluster.invariants.broken);
-    all.forEach(j -> assertEquals("aborted", cluster.invariants.lastTold.get(j.uid())));
+    cluster.runFor(240);
+    assertEquals(List.of(), cluster.invariants.violations);
+    all.forEach(j -> assertEquals("aborted", cluster.invariants.lastReportedStatus.get(j.uid())));
   }
 
   /**
@@ -418,11 +421,11 @@
   @Test
   void anUnansweredDirectCommandHoldsItsTaskUntilTheTokenIsRaised() {
     JobSpec first = submit(job("blue", Priority.STANDARD, 8, 2, 5, false));
-    cluster.play(40);
+    cluster.runFor(40);
     assertDone(first);
     cluster.network.lostCommandResponseShare = 0.7;
     List<JobSpec> all = submitMany(6, 10, i -> job("blue", Priority.STANDARD, 10, 2, 8, false));
-    cluster.play(120);
+    cluster.runFor(120);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -434,7 +437,7 @@
   void aHeartbeatThatCrossesADirectCommandDoesNotProveItLost() {
     cluster.network.extraCommandDelayMicros = 1_200_000;
     List<JobSpec> all = submitMany(10, 8, i -> job("blue", Priority.STANDARD, 10, 2, 8, false));
-    cluster.play(120);
+    cluster.runFor(120);
     assertDone(all.toArray(new JobSpec[0]));
     assertEquals(
         0,
@@ -451,11 +454,11 @@
   @Test
   void noTaskIsRemovedWhileALateDuplicateCouldRestartIt() {
     cluster.network.extraCommandDelayMicros = 1_200_000;
-    cluster.network.copiedCommandShare = 1;
-    cluster.cloud.most = 2;
+    cluster.network.duplicatedCommandShare = 1;
+    cluster.cloud.capacity = 2;
     List<JobSpec> all =
         submitMany(30, 3, i -> job("blue", Priority.STANDARD, 3 + i % 4, 1, 3 + i % 5, false));
-    cluster.play(120);
+    cluster.runFor(120);
     assertDone(all.toArray(new JobSpec[0]));
   }
 
@@ -465,35 +468,32 @@
    */
   @Test
   void aLargeJobOfTheLowestPriorityStartsWithinFourMinutes() {
-    cluster.cloud.most = 6;
+    cluster.cloud.capacity = 6;
     for (int i = 0; i < 150; i++) {
       cluster.at(i * 2_000_000L, () -> submit(job("red", Priority.PROD, 6, 2, 20, false)));
     }
-    cluster.play(30);
+    cluster.runFor(30);
     JobSpec large = submit(job("red", Priority.IDLE, 40, 4, 20, true));
-    cluster.play(245);
-    assertTrue(cluster.invariants.began(large.uid()), "the large job has started");
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.runFor(245);
+    assertTrue(cluster.invariants.hasStarted(large.uid()), "the large job has started");
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
-  /**
-   * Verifies the invariant checks: they must report status queries that go unanswered and jobs that
-   * are not served.
-   */
+  /** Verifies that the invariant checks report unanswered queries and jobs that are not served. */
   @Test
   void theCheckerReportsUnansweredQueriesAndUnservedJobs() {
     JobSpec job = submit(job("blue", Priority.STANDARD, 4, 2, 400, false));
-    cluster.play(20);
-    assertFalse(cluster.invariants.lastTold.isEmpty());
+    cluster.runFor(20);
+    assertFalse(cluster.invariants.lastReportedStatus.isEmpty());
     cluster.controllers.values().forEach(SimulatedController::kill);
-    cluster.calmSince = cluster.now();
-    cluster.play(300);
-    cluster.invariants.checkServed();
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(300);
+    cluster.invariants.checkJobsServed();
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("forgotten")),
-        "unanswered queries must be reported: " + cluster.invariants.broken);
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("forgotten")),
+        "unanswered queries must be reported: " + cluster.invariants.violations);
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("half")),
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("half")),
         "an unserved job must be reported: " + job.uid());
   }
 }
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -26,7 +26,7 @@
 import plumlever.http.TaskCounts;
 import plumlever.peer.PeerStatus;
 import plumlever.settings.PlatformConfiguration;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
@@ -114,10 +114,10 @@
   void submissionsAreReadAsTheyWereWritten(String version) throws InvalidMessageException {
     int read = 0;
     for (Map.Entry<String, JsonNode> record : records(version).entrySet()) {
-      if (record.getKey().startsWith(JobStore.ACTIVE)) {
-        JobSpec spec = JobStore.spec(record.getValue());
+      if (record.getKey().startsWith(RecordLayout.ACTIVE)) {
+        JobSpec spec = RecordLayout.spec(record.getValue());
         assertEquals(record.getValue().path("job"), Json.parseObject(Json.write(spec.toJson())));
-        assertTrue(JobStore.acceptedWallMicros(record.getValue()) > 0);
+        assertTrue(RecordLayout.acceptedWallMicros(record.getValue()) > 0);
         read++;
       }
     }
@@ -128,11 +128,11 @@
   void endRecordsHoldTimeSinceFirstVersionWithDependencies() throws InvalidMessageException {
     Map<String, JsonNode> records = records(FIRST_WITH_DEPENDENCIES);
     JsonNode done = records.get("ended/job-000001");
-    assertEquals(JobState.DONE, JobStore.finalState(done).orElseThrow());
-    assertEquals(done.path("at_ms").asLong() * 1_000, JobStore.endedWallMicros(done));
-    assertTrue(JobStore.endedWallMicros(done) > 0);
+    assertEquals(JobState.DONE, RecordLayout.finalState(done).orElseThrow());
+    assertEquals(done.path("at_ms").asLong() * 1_000, RecordLayout.endedWallMicros(done));
+    assertTrue(RecordLayout.endedWallMicros(done) > 0);
     assertEquals(
-        JobState.CANCELLED, JobStore.finalState(records.get("ended/job-000005")).orElseThrow());
+        JobState.CANCELLED, RecordLayout.finalState(records.get("ended/job-000005")).orElseThrow());
   }
 
   /**
@@ -147,14 +147,14 @@
     // All jobs in the long list had ended, but the sample contains only a tenth of their records.
     for (String key : List.copyOf(records.keySet())) {
       if (key.startsWith("waits/")) {
-        JobStore.names(records.get(key))
+        RecordLayout.dependencyIds(records.get(key))
             .forEach(name -> records.putIfAbsent("ended/" + name, Json.object().put("s", "done")));
       }
     }
     records.remove("ended/job-000002");
-    cluster.store.rewrite("", records);
+    cluster.store.replaceAll("", records);
     cluster.cloud.outage = true;
-    cluster.play(4);
+    cluster.runFor(4);
     Job slow = job(cluster, "job-000002");
     Job next = job(cluster, "job-000003");
     Job last = job(cluster, "job-000004");
@@ -170,7 +170,7 @@
     assertTrue(queryStatus(cluster, "job-000005").contains("\"aborted\""));
     assertTrue(queryStatus(cluster, "job-000004").contains("\"pending\""));
     storeFinalState(cluster, "job-000002");
-    cluster.play(4);
+    cluster.runFor(4);
     assertFalse(
         next.waitsForDependencies() || many.waitsForDependencies(),
         "not released by the end of the last dependency");
@@ -186,12 +186,12 @@
   void progressChunksAreReadWithOriginalChunkSize() throws InvalidMessageException {
     SimulatedCluster cluster = cluster(22);
     Map<String, JsonNode> records = records(PRODUCTION, "large-progress.json");
-    cluster.store.rewrite("", records);
+    cluster.store.replaceAll("", records);
     cluster.cloud.outage = true;
-    cluster.play(4);
+    cluster.runFor(4);
     BitSet done = job(cluster, "job-000001").completedTasks();
     assertEquals(
-        FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES).get("job-000001"), done);
+        PreviousVersion.readProgress(cluster.store, CURRENT_VALUE_BYTES).get("job-000001"), done);
     // The first chunk holds 24,192 tasks: base64 of one bit for each task, in 4096 - 64 bytes.
     assertTrue(
         done.length() > 24_192, "highest completed task in the first chunk only: " + done.length());
@@ -224,7 +224,7 @@
             "/submissions/" + uid,
             new byte[0],
             (status, json, retryAfterS) -> response.append(status).append(json));
-    cluster.play(1);
+    cluster.runFor(1);
     return response.toString();
   }
 
@@ -260,12 +260,12 @@
   void delegationRecordsOfOtherVersionRenewNoLease(String version) throws InvalidMessageException {
     SimulatedCluster cluster = cluster(11);
     FakeUsers users = new FakeUsers(cluster);
-    cluster.play(5);
+    cluster.runFor(5);
     for (int i = 0; i < 10; i++) {
       users.submit(
           TestJob.job(users.nextUid()).tasks(8).cores(2).memoryGb(2).runS(90).build(), false);
     }
-    cluster.play(45);
+    cluster.runFor(45);
     String leader = cluster.leader().platform.label();
     List<String> zoneMachines = new ArrayList<>();
     for (FakeCloud.Vm machine : cluster.cloud.machines.values()) {
@@ -273,8 +273,8 @@
         zoneMachines.add(machine.id);
       }
     }
-    zoneMachines.forEach(machine -> cluster.network.cut(leader, machine, true));
-    cluster.play(25);
+    zoneMachines.forEach(machine -> cluster.network.setBlocked(leader, machine, true));
+    cluster.runFor(25);
     Map<String, JsonNode> samples = records(version);
     assertEquals(
         fields(samples.get("office/stand-in")),
@@ -292,10 +292,10 @@
     assertTrue(
         delegatedRenewals(cluster) > 5,
         "leases renewed under the present record: " + delegatedRenewals(cluster));
-    cluster.store.forge("office/mandate", samples.get("office/mandate"));
-    cluster.play(4);
+    cluster.store.overwriteSilently("office/mandate", samples.get("office/mandate"));
+    cluster.runFor(4);
     long before = delegatedRenewals(cluster);
-    cluster.play(15);
+    cluster.runFor(15);
     assertEquals(
         before, delegatedRenewals(cluster), "leases renewed under the former version's record");
   }
--- a/src/test/java/plumlever/sim/LoadTestServer.java
+++ b/src/test/java/plumlever/sim/LoadTestServer.java
@@ -15,7 +15,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import plumlever.http.Server;
-import plumlever.http.UndertowCaller;
+import plumlever.http.UndertowHttpClient;
 import plumlever.http.XnioLoop;
 import plumlever.settings.Endpoint;
 import plumlever.settings.PlatformConfiguration;
@@ -40,7 +40,7 @@
   private final XnioWorker worker;
   private final XnioLoop loop;
   private final SimulatedCluster cluster;
-  private final Map<String, UndertowCaller> callers = new HashMap<>();
+  private final Map<String, UndertowHttpClient> httpClients = new HashMap<>();
   private final Map<Endpoint, Server> listeners = new HashMap<>();
   private final FakeUsers users;
   private final double jobsPerS;
@@ -72,8 +72,8 @@
                 new PlatformConfiguration.Team("red", 0, 0, 0, 0),
                 new PlatformConfiguration.Team("blue", 0, 0, 0, 0)),
             labels);
-    cluster.cloud.most = machines;
-    cluster.workerAt =
+    cluster.cloud.capacity = machines;
+    cluster.workerEndpoint =
         id ->
             new Endpoint(
                 "127.1." + machineNumber(id) / 250 + "." + (machineNumber(id) % 250 + 1),
@@ -83,11 +83,11 @@
       cluster.network.services.put(
           new Endpoint("n" + i, 1),
           (from, method, path, body, reply) ->
-              callers
+              httpClients
                   .computeIfAbsent(
                       from,
                       k ->
-                          new UndertowCaller(
+                          new UndertowHttpClient(
                               loop,
                               worker.getIoThread(),
                               new DefaultByteBufferPool(false, 8192, 64, 4)))
@@ -132,7 +132,7 @@
   private void step() {
     long now = loop.nowMicros();
     // The simulated clock starts at 1,000 s.
-    cluster.turnTo(now - startedMicros + 1_000_000_000L);
+    cluster.advanceTo(now - startedMicros + 1_000_000_000L);
     for (submitted += jobsPerS * STEP_MICROS / 1e6; submitted >= 1; submitted--) {
       users.submit(20, 2, 20, false);
     }
@@ -234,7 +234,7 @@
         "machines "
             + server.cluster.cloud.machines.size()
             + ", violations "
-            + server.cluster.invariants.broken);
+            + server.cluster.invariants.violations);
     System.exit(0);
   }
 }
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -21,14 +21,14 @@
   @Test
   void stagesRunOneAfterTheOther() {
     List<JobSpec> stages = pipeline();
-    users.pipeline(stages, false);
-    cluster.play(10);
+    users.submitPipeline(stages, false);
+    cluster.runFor(10);
     assertEquals("pending", reportedStatus(stages.get(4)));
-    cluster.play(120);
+    cluster.runFor(120);
     assertReportedStatus("done", stages.toArray(new JobSpec[0]));
     List<JobSpec> late = pipeline();
-    users.pipeline(late, true);
-    cluster.play(120);
+    users.submitPipeline(late, true);
+    cluster.runFor(120);
     assertReportedStatus("done", late.toArray(new JobSpec[0]));
   }
 
@@ -50,7 +50,7 @@
             .build()
             .withDependencies(List.of(first.uid()));
     submit(first, large);
-    cluster.play(15);
+    cluster.runFor(15);
     JobSpec other =
         TestJob.job(users.nextUid())
             .jobClass("c1")
@@ -61,10 +61,10 @@
             .runS(5)
             .build();
     users.submit(other, false);
-    cluster.play(50);
+    cluster.runFor(50);
     assertEquals("pending", reportedStatus(large));
     assertReportedStatus("done", other);
-    cluster.play(100);
+    cluster.runFor(100);
     assertReportedStatus("done", large);
   }
 
@@ -76,15 +76,15 @@
     for (int i = 0; i < 4; i++) {
       List<JobSpec> stages = pipeline();
       jobs.addAll(stages);
-      users.pipeline(stages, i % 2 == 0);
+      users.submitPipeline(stages, i % 2 == 0);
     }
     long term = cluster.store.term();
     for (int i = 0; i < 5; i++) {
-      cluster.play(9);
+      cluster.runFor(9);
       cluster.leader().crash(backAfterS);
-      cluster.play(5);
+      cluster.runFor(5);
     }
-    cluster.play(150);
+    cluster.runFor(150);
     assertTrue(cluster.store.term() - term >= 5, "too few changes of the leader");
     assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
@@ -93,9 +93,9 @@
   @Test
   void endWithLostResponseReleasesDependents() {
     List<JobSpec> stages = pipeline();
-    cluster.store.answerLostOnce = "ended/" + stages.get(0).uid();
-    users.pipeline(stages, false);
-    cluster.play(120);
+    cluster.store.unansweredWritePrefix = "ended/" + stages.get(0).uid();
+    users.submitPipeline(stages, false);
+    cluster.runFor(120);
     assertEquals(1, cluster.store.appliedUnanswered);
     assertReportedStatus("done", stages.toArray(new JobSpec[0]));
   }
@@ -106,14 +106,14 @@
    */
   @Test
   void staleWatchesReadChainsAgain() {
-    cluster.store.remembered = 3;
+    cluster.store.retainedChanges = 3;
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       List<JobSpec> stages = pipeline();
       jobs.addAll(stages);
-      users.pipeline(stages, false);
+      users.submitPipeline(stages, false);
     }
-    cluster.play(200);
+    cluster.runFor(200);
     assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 
@@ -128,26 +128,26 @@
     }
     JobSpec last = jobs.get(299);
     assertEquals(200, request("n1", "GET", "/submissions/" + last.uid(), null).status());
-    cluster.store.requestsSeen = 0;
+    cluster.store.requestCount = 0;
     for (int i = 0; i < 10; i++) {
       assertTrue(
           request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("pending"));
     }
     assertTrue(
-        cluster.store.requestsSeen < 60,
-        "requests to the state service during ten status queries: " + cluster.store.requestsSeen);
+        cluster.store.requestCount < 60,
+        "requests to the state service during ten status queries: " + cluster.store.requestCount);
     assertTrue(
         request("n2", "POST", "/submissions/" + jobs.get(0).uid() + "/abort", "")
             .body()
             .contains("aborted"));
     assertTrue(
         request("n1", "GET", "/submissions/" + last.uid(), null).body().contains("\"aborted\""));
-    cluster.play(120);
+    cluster.runFor(120);
     assertEquals(
         0,
         cluster.store.count("active/"),
         "active records after the cancellation of the first job");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   static LongStream seeds() {
@@ -164,15 +164,15 @@
   @MethodSource("seeds")
   void randomFaultsWithPipelines(long seed) {
     deploy(4_000 + seed, new PlatformConfiguration.StateLimits(200, 25, 2048, 4, 4096));
-    cluster.store.valueBytes = seed % 2 == 0 ? 2048 : 4096;
-    cluster.store.transactionOps = seed % 2 == 0 ? 4 : 8;
-    users.closeLooks = seed % 2 == 0;
+    cluster.store.maxValueBytes = seed % 2 == 0 ? 2048 : 4096;
+    cluster.store.maxTransactionOps = seed % 2 == 0 ? 4 : 8;
+    users.queryAllControllersOnChange = seed % 2 == 0;
     List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < 14; i++) {
       List<JobSpec> stages = pipeline();
       jobs.addAll(stages);
       boolean late = i % 4 == 0;
-      cluster.at(i * 15_000_000L, () -> users.pipeline(stages, late));
+      cluster.at(i * 15_000_000L, () -> users.submitPipeline(stages, late));
       if (i % 5 == 0) {
         JobSpec jobToCancel = stages.get(cluster.random.nextInt(stages.size()));
         cluster.at(
@@ -188,31 +188,33 @@
                   3 + cluster.random.nextInt(20),
                   cluster.random.nextInt(5) == 0));
     }
-    cluster.network.lostAnswerShare = 0.01;
+    cluster.network.lostResponseShare = 0.01;
     cluster.network.repeatedShare = 0.02;
-    cluster.network.copiedHeartbeatShare = 0.02;
-    cluster.store.lateWrites = 0.02;
-    cluster.store.unansweredWrites = 0.02;
+    cluster.network.duplicatedHeartbeatShare = 0.02;
+    cluster.store.lateWriteShare = 0.02;
+    cluster.store.unansweredWriteShare = 0.02;
     for (int i = 0; i < 12; i++) {
       cluster.at(
           20_000_000L + cluster.random.nextLong(200_000_000L),
-          () -> SimulationTest.trouble(cluster));
+          () -> SimulationTest.injectRandomFault(cluster));
     }
     cluster.at(
         120_000_000,
         () -> {
-          cluster.store.valueBytes = 2048;
-          cluster.store.transactionOps = 4;
+          cluster.store.maxValueBytes = 2048;
+          cluster.store.maxTransactionOps = 4;
         });
-    cluster.play(240);
-    cluster.store.lateWrites = 0;
-    cluster.store.unansweredWrites = 0;
-    SimulationTest.calm(cluster);
-    cluster.play(300);
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.runFor(240);
+    cluster.store.lateWriteShare = 0;
+    cluster.store.unansweredWriteShare = 0;
+    SimulationTest.endFaults(cluster);
+    cluster.runFor(300);
+    cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(
-        0, cluster.store.malformed, "transactions that exceed a limit of the state service");
+        0,
+        cluster.store.malformedTransactions,
+        "transactions that exceed a limit of the state service");
     for (JobSpec job : jobs) {
       assertTrue(
           List.of("done", "aborted").contains(reportedStatus(job)),
@@ -227,11 +229,11 @@
    */
   @Test
   void withoutStoredDependenciesJobsStartTooEarly() {
-    cluster.store.lostField = "waits_on";
-    users.pipeline(pipeline(), false);
-    cluster.play(80);
+    cluster.store.removedJobField = "waits_on";
+    users.submitPipeline(pipeline(), false);
+    cluster.runFor(80);
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("too_early")),
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("too_early")),
         "the invariant check did not detect the premature start");
   }
 
@@ -241,25 +243,25 @@
     JobSpec first = idleJob(1, 300);
     JobSpec last = job(1, 10, 400, Priority.HIGH, List.of(first.uid()));
     submit(first, last);
-    cluster.play(10);
+    cluster.runFor(10);
     for (int i = 0; i < 2; i++) {
       plumlever.fleet.Job job = cluster.leader().actingLeader().job(first.uid()).orElseThrow();
-      cluster.play(1);
+      cluster.runFor(1);
       assertEquals(Priority.HIGH, job.priority());
       long remainingMicros = job.deadlineMicros() - job.acceptedMicros();
       assertTrue(
           remainingMicros > 370_000_000L && remainingMicros < 390_000_000L,
           "inherited time to the deadline (400 s less the last job), in us: " + remainingMicros);
       cluster.leader().crash(1);
-      cluster.play(15);
+      cluster.runFor(15);
     }
     assertEquals(200, request("n0", "POST", "/submissions/" + last.uid() + "/abort", "").status());
-    cluster.play(2);
+    cluster.runFor(2);
     assertEquals(
         Priority.IDLE,
         cluster.leader().actingLeader().job(first.uid()).orElseThrow().priority(),
         "priority after the cancellation of the dependent job");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /** Any number of jobs may depend on a previously accepted job. */
@@ -269,7 +271,7 @@
     assertEquals(201, submitAt("n0", root).status());
     List<JobSpec> jobs = IntStream.range(0, 120).mapToObj(i -> idleJob(1, 1, root)).toList();
     jobs.forEach(j -> users.submit(j, false));
-    cluster.play(150);
+    cluster.runFor(150);
     assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 }
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -57,10 +57,10 @@
             cancelMicros,
             new PlatformConfiguration.StateLimits(400, 60, 4096, 8),
             SHARDS);
-    cluster.cloud.most = 1;
-    cluster.cloud.provide(machines);
+    cluster.cloud.capacity = 1;
+    cluster.cloud.addRunningMachines(machines);
     users = new FakeUsers(cluster);
-    cluster.play(MACHINES_CLAIMED_AFTER_S);
+    cluster.runFor(MACHINES_CLAIMED_AFTER_S);
   }
 
   /** Submits a job with one core per task to a controller; its shard becomes the job's shard. */
@@ -113,7 +113,8 @@
     FakeCloud.Vm vm = cluster.cloud.machines.get(machine);
     return vm == null || vm.worker == null
         ? 0
-        : (int) vm.worker.tasks.values().stream().filter(FakeWorker.Task::on).count();
+        : (int)
+            vm.worker.tasks.values().stream().filter(FakeWorker.Task::isRunningOrFlushing).count();
   }
 
   FakeWorker worker(String machine) {
@@ -143,7 +144,7 @@
 
   /** Runs the action immediately before the n-th transaction on transfer records from now on. */
   void beforeTransferStep(int number, Runnable action) {
-    cluster.store.interveneBefore = "pool/transfers/";
+    cluster.store.interventionPrefix = "pool/transfers/";
     cluster.store.intervention =
         number == 1 ? action : () -> cluster.at(0, () -> beforeTransferStep(number - 1, action));
   }
@@ -158,15 +159,15 @@
    * others as done.
    */
   void assertAllJobsEnd(double seconds) {
-    cluster.network.cuts.clear();
-    cluster.store.refused.clear();
-    cluster.store.unwatched.clear();
-    cluster.calmSince = cluster.now();
-    cluster.play(seconds);
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.network.blockedLinks.clear();
+    cluster.store.refusedControllers.clear();
+    cluster.store.controllersWithoutWatches.clear();
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(seconds);
+    assertEquals(List.of(), cluster.invariants.violations);
     for (JobSpec job : jobs) {
       String expected = cluster.invariants.cancelledAt.containsKey(job.uid()) ? "aborted" : "done";
-      assertEquals(expected, cluster.invariants.lastTold.get(job.uid()), job.uid());
+      assertEquals(expected, cluster.invariants.lastReportedStatus.get(job.uid()), job.uid());
     }
     assertEquals(
         Map.of(), cluster.store.entries("pool/transfers/"), "transfer records that remain");
--- a/src/test/java/plumlever/sim/FormerVersion.java
+++ b/src/test/java/plumlever/sim/PreviousVersion.java
@@ -13,17 +13,17 @@
  * previous version knows no limits that were added later, fills shared values up to the current
  * size limit, and drops every field that it does not know.
  */
-final class FormerVersion {
+final class PreviousVersion {
   private final FakeStore store;
   private final int valueBytes;
 
-  FormerVersion(FakeStore store, int valueBytes) {
+  PreviousVersion(FakeStore store, int valueBytes) {
     this.store = store;
     this.valueBytes = valueBytes;
   }
 
   /** Rewrites the records as a leader of the previous version does in its term. */
-  void leads() {
+  void rewriteRecords() {
     rewriteStartedJobs();
     rewriteMachines();
     rewriteSharedChunks();
@@ -31,7 +31,7 @@
     store
         .entries("ended/")
         .forEach((k, v) -> ended.put(k, Json.object().put("s", v.path("s").asText())));
-    store.rewrite("ended/", ended);
+    store.replaceAll("ended/", ended);
   }
 
   private void rewriteStartedJobs() {
@@ -50,7 +50,7 @@
         bytes += uid.asText().length() + 3;
       }
     }
-    store.rewrite("begun/", records);
+    store.replaceAll("begun/", records);
   }
 
   private void rewriteMachines() {
@@ -83,7 +83,7 @@
         bytes += entryBytes;
       }
     }
-    store.rewrite("fleet/", records);
+    store.replaceAll("fleet/", records);
   }
 
   /**
@@ -115,11 +115,11 @@
       }
     }
     records.putAll(chunks);
-    store.rewrite("progress/", records);
+    store.replaceAll("progress/", records);
   }
 
   /** Returns the finished tasks of each job as the previous version would read them. */
-  static Map<String, BitSet> progressItReads(FakeStore store, int valueBytes) {
+  static Map<String, BitSet> readProgress(FakeStore store, int valueBytes) {
     Map<String, BitSet> records = new LinkedHashMap<>();
     // One bit for each task, stored as base64; 64 bytes are reserved for the rest of the value.
     int perChunk = (valueBytes - 64) / 4 * 3 * 8;
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -48,22 +48,22 @@
 
     void run() {
       cluster.at(0, this::submitNext);
-      cluster.play(40);
+      cluster.runFor(40);
       cluster.network.heldCommandShare = 0.02;
       cluster.network.heldCommandMicros = InvariantChecker.CANCEL_MICROS * 3 / 2;
-      cluster.network.copiedHeartbeatShare = 0.01;
+      cluster.network.duplicatedHeartbeatShare = 0.01;
       cluster.at(0, this::injectNextFault);
-      cluster.play(FAULT_PHASE_S);
+      cluster.runFor(FAULT_PHASE_S);
       faultsEnabled = false;
-      cluster.network.cuts.clear();
+      cluster.network.blockedLinks.clear();
       cluster.network.heldCommandShare = 0;
-      cluster.store.refused.clear();
+      cluster.store.refusedControllers.clear();
       cluster.store.endOutage();
       cluster.cloud.machines.values().stream()
           .filter(vm -> vm.worker != null)
           .forEach(vm -> vm.worker.hung = false);
-      cluster.calmSince = cluster.now();
-      cluster.play(RECOVERY_PHASE_S);
+      cluster.faultsEndedAtMicros = cluster.now();
+      cluster.runFor(RECOVERY_PHASE_S);
     }
 
     private void submitNext() {
@@ -127,8 +127,8 @@
      * Blocks the network between a controller and another controller or a machine for this time.
      */
     private void blockTemporarily(String controller, String other, long durationMicros) {
-      cluster.network.cut(controller, other, true);
-      cluster.at(durationMicros, () -> cluster.network.cut(controller, other, false));
+      cluster.network.setBlocked(controller, other, true);
+      cluster.at(durationMicros, () -> cluster.network.setBlocked(controller, other, false));
     }
 
     /**
@@ -186,9 +186,10 @@
           .filter(SimulatedController::leads)
           .forEach(
               leader -> {
-                cluster.store.refused.add(leader.platform.label());
+                cluster.store.refusedControllers.add(leader.platform.label());
                 cluster.at(
-                    durationMicros, () -> cluster.store.refused.remove(leader.platform.label()));
+                    durationMicros,
+                    () -> cluster.store.refusedControllers.remove(leader.platform.label()));
               });
     }
 
@@ -215,11 +216,11 @@
     for (long seed : seeds().toArray()) {
       Simulation simulation = new Simulation(seed);
       simulation.run();
-      if (!simulation.cluster.invariants.broken.isEmpty()) {
-        violationsBySeed.put(seed, simulation.cluster.invariants.broken.subList(0, 1));
+      if (!simulation.cluster.invariants.violations.isEmpty()) {
+        violationsBySeed.put(seed, simulation.cluster.invariants.violations.subList(0, 1));
       }
       renewed += simulation.sumOfCounter("leases_renewed_for_leader");
-      invalidated += simulation.cluster.network.delegations.invalidatedStarts;
+      invalidated += simulation.cluster.network.delegationChecker.invalidatedStarts;
       cancelled += simulation.cluster.invariants.cancelledAt.size();
       startsAfterCancel += simulation.cluster.invariants.startsAfterCancel;
     }
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -2,11 +2,11 @@
 
 import java.nio.charset.StandardCharsets;
 import plumlever.Controller;
-import plumlever.concurrent.Loop;
-import plumlever.http.Caller;
+import plumlever.concurrent.EventLoop;
+import plumlever.http.HttpClient;
 import plumlever.http.Responder;
 import plumlever.leader.Leader;
-import plumlever.metrics.Logs;
+import plumlever.metrics.LoggerProvider;
 import plumlever.settings.OperatorSettings;
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
@@ -24,7 +24,7 @@
    * True if the election has its own thread. Tests set the field to false to show the effect of a
    * shared thread.
    */
-  boolean electionApart = true;
+  boolean separateElectionThread = true;
 
   private final SimulatedCluster cluster;
   private Controller controller;
@@ -76,19 +76,21 @@
             1,
             () -> controller == null ? 0 : controller.metrics().counter("candidates_evaluated"));
     electionThread =
-        electionApart ? new Processor(cluster, cluster.costs, 2, () -> 0L) : decisionThread;
-    Loop loop = loop(ownProcessNumber, decisionThread);
-    Loop electionLoop = loop(ownProcessNumber, electionThread);
+        separateElectionThread
+            ? new Processor(cluster, cluster.costs, 2, () -> 0L)
+            : decisionThread;
+    EventLoop loop = loop(ownProcessNumber, decisionThread);
+    EventLoop electionLoop = loop(ownProcessNumber, electionThread);
     controller =
         new Controller(
             loop,
-            caller(ownProcessNumber, decisionThread),
+            httpClient(ownProcessNumber, decisionThread),
             electionLoop,
-            caller(ownProcessNumber, electionThread),
+            httpClient(ownProcessNumber, electionThread),
             platform,
             new OperatorSettings(SchedulerParameters.defaults(), cluster.sharing(platform.label())),
             cluster.random.nextLong(),
-            Logs.SERVICE);
+            LoggerProvider.SERVICE);
     serve(ownProcessNumber, controller);
     Controller started = controller;
     cluster.at(
@@ -167,8 +169,8 @@
     }
   }
 
-  private Loop loop(int ownProcessNumber, Processor thread) {
-    return new Loop() {
+  private EventLoop loop(int ownProcessNumber, Processor thread) {
+    return new EventLoop() {
       @Override
       public long nowMicros() {
         return cluster.now();
@@ -215,7 +217,7 @@
     }
   }
 
-  private Caller caller(int ownProcessNumber, Processor thread) {
+  private HttpClient httpClient(int ownProcessNumber, Processor thread) {
     return (to, method, path, body, timeoutMicros, response) -> {
       boolean direct = path.equals(ProtocolPath.COMMANDS);
       if (direct) {
@@ -272,7 +274,7 @@
   }
 
   /** Blocks the decision thread; the election thread continues. */
-  void stall(double seconds) {
+  void stallDecisions(double seconds) {
     stalledUntil = cluster.now() + (long) (seconds * 1e6);
   }
 
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -50,21 +50,21 @@
 
   private static final int JITTER_MICROS = 2_000;
 
-  /** Interval at which delivery over a cut link is retried. */
-  private static final long CUT_RETRY_MICROS = 500_000;
+  /** Interval at which delivery over a blocked link is retried. */
+  private static final long BLOCKED_RETRY_MICROS = 500_000;
 
   private static final Reply NO_REPLY = (status, body) -> {};
 
   final Map<Endpoint, Service> services = new HashMap<>();
 
   /**
-   * Cut links as {@code from>to}, where {@code *} stands for any endpoint. Requests over a cut link
-   * are held until the cut ends; responses are dropped.
+   * Blocked links as {@code from>to}, where {@code *} stands for any endpoint. Requests over a
+   * blocked link are held until the link is unblocked; responses are dropped.
    */
-  final Map<String, Boolean> cuts = new HashMap<>();
+  final Map<String, Boolean> blockedLinks = new HashMap<>();
 
   /** Share of calls whose response is lost. */
-  double lostAnswerShare;
+  double lostResponseShare;
 
   /** Share of calls that are executed 1 to 61 s late. */
   double executedLateShare;
@@ -73,7 +73,7 @@
   double repeatedShare;
 
   /** Share of direct commands of which two late duplicates are delivered. */
-  double copiedCommandShare;
+  double duplicatedCommandShare;
 
   /** Additional delivery delay of direct commands. */
   long extraCommandDelayMicros;
@@ -87,7 +87,7 @@
   double lostCommandResponseShare;
 
   /** Share of heartbeats of which a late duplicate is delivered to any controller. */
-  double copiedHeartbeatShare;
+  double duplicatedHeartbeatShare;
 
   /**
    * Share of heartbeats of which a duplicate is kept and delivered to every controller when a new
@@ -101,7 +101,7 @@
   /** Machines whose heartbeats reach no controller, while direct commands reach the machines. */
   final Set<String> machinesWithLostHeartbeats = new HashSet<>();
 
-  final DelegationChecker delegations;
+  final DelegationChecker delegationChecker;
 
   private final EventQueue events;
   private final SplittableRandom random;
@@ -116,25 +116,25 @@
       EventQueue events,
       SplittableRandom random,
       Set<String> controllers,
-      DelegationChecker delegations,
+      DelegationChecker delegationChecker,
       boolean checkDelegations) {
     this.events = events;
     this.random = random;
     this.controllers = controllers;
-    this.delegations = delegations;
+    this.delegationChecker = delegationChecker;
     this.checkDelegations = checkDelegations;
   }
 
-  /** Cuts the link between two endpoints in both directions, or restores it. */
-  void cut(String one, String other, boolean on) {
-    cuts.put(one + ">" + other, on);
-    cuts.put(other + ">" + one, on);
+  /** Blocks the link between two endpoints in both directions, or unblocks it. */
+  void setBlocked(String one, String other, boolean on) {
+    blockedLinks.put(one + ">" + other, on);
+    blockedLinks.put(other + ">" + one, on);
   }
 
-  private boolean isCut(String from, String to) {
-    return cuts.getOrDefault(from + ">" + to, false)
-        || cuts.getOrDefault(from + ">*", false)
-        || cuts.getOrDefault("*>" + to, false);
+  private boolean isBlocked(String from, String to) {
+    return blockedLinks.getOrDefault(from + ">" + to, false)
+        || blockedLinks.getOrDefault(from + ">*", false)
+        || blockedLinks.getOrDefault("*>" + to, false);
   }
 
   /** Called when a new term begins: delivers the kept heartbeats to every controller. */
@@ -163,7 +163,7 @@
   }
 
   /**
-   * Sends a request. A cut link holds the request and delivers it when the cut ends. The response
+   * Sends a request. A blocked link holds the request and delivers it when unblocked. The response
    * handler is called exactly once, with status 0 if no response arrives within the timeout.
    */
   void send(
@@ -178,14 +178,14 @@
     FirstResponse firstResponse = new FirstResponse(response);
     events.at(timeoutMicros, () -> firstResponse.take(Response.NONE));
     if (message.isCommand() && checkDelegations) {
-      delegations.sent(to.host(), body);
+      delegationChecker.onCommandsSent(to.host(), body);
     }
     boolean responseIsLost =
-        random.nextDouble() < lostAnswerShare
+        random.nextDouble() < lostResponseShare
             || (message.isCommand() && random.nextDouble() < lostCommandResponseShare);
     long delayMicros = delayMicros(message);
     Reply reply = new NetworkReply(message, responseIsLost, firstResponse);
-    if (message.isCommand() && random.nextDouble() < copiedCommandShare) {
+    if (message.isCommand() && random.nextDouble() < duplicatedCommandShare) {
       deliver(message, NO_REPLY, 4_000_000L + random.nextLong(16_000_000L));
       deliver(message, NO_REPLY, 500_000L + random.nextLong(MAX_DUPLICATE_DELAY_MICROS));
     }
@@ -219,7 +219,7 @@
     if (random.nextDouble() < heartbeatShareKeptForNextTerm) {
       heartbeatsKeptForNextTerm.add(message.body);
     }
-    if (random.nextDouble() < copiedHeartbeatShare) {
+    if (random.nextDouble() < duplicatedHeartbeatShare) {
       Endpoint any = new Endpoint("n" + random.nextInt(controllers.size()), 1);
       Endpoint to = random.nextBoolean() ? message.to : any;
       deliver(
@@ -233,8 +233,8 @@
     events.at(
         delayMicros,
         () -> {
-          if (isCut(message.from, message.to.host())) {
-            deliver(message, reply, CUT_RETRY_MICROS);
+          if (isBlocked(message.from, message.to.host())) {
+            deliver(message, reply, BLOCKED_RETRY_MICROS);
             return;
           }
           Service service = services.get(message.to);
@@ -287,7 +287,7 @@
       events.at(
           LATENCY_MICROS,
           () -> {
-            if (!isLost && !isCut(message.to.host(), message.from)) {
+            if (!isLost && !isBlocked(message.to.host(), message.from)) {
               response.take(sent);
             }
           });
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -43,12 +43,12 @@
   }
 
   static void assertAllServed(SimulatedCluster cluster, FakeUsers users, int jobs) {
-    cluster.invariants.checkServed();
-    assertEquals(List.of(), cluster.invariants.broken);
+    cluster.invariants.checkJobsServed();
+    assertEquals(List.of(), cluster.invariants.violations);
     assertEquals(jobs, users.accepted().size(), "number of accepted jobs");
     List<String> open = new ArrayList<>();
     for (String uid : users.accepted()) {
-      String status = cluster.invariants.lastTold.get(uid);
+      String status = cluster.invariants.lastReportedStatus.get(uid);
       if (!status.equals("done") && !status.equals("aborted")) {
         open.add(uid + " " + status);
       }
@@ -62,7 +62,7 @@
     SimulatedCluster cluster = cluster(1);
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 20, 3);
-    cluster.play(400);
+    cluster.runFor(400);
     assertAllServed(cluster, users, 20);
   }
 
@@ -85,20 +85,21 @@
     SimulatedCluster cluster = cluster(seed);
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 40, 5);
-    cluster.network.lostAnswerShare = 0.01;
+    cluster.network.lostResponseShare = 0.01;
     cluster.network.executedLateShare = 0.005;
     cluster.network.repeatedShare = 0.02;
-    cluster.network.copiedHeartbeatShare = 0.02;
+    cluster.network.duplicatedHeartbeatShare = 0.02;
     for (int i = 0; i < 16; i++) {
-      cluster.at(20_000_000L + cluster.random.nextLong(240_000_000L), () -> trouble(cluster));
+      cluster.at(
+          20_000_000L + cluster.random.nextLong(240_000_000L), () -> injectRandomFault(cluster));
     }
-    cluster.play(300);
-    calm(cluster);
-    cluster.play(400);
+    cluster.runFor(300);
+    endFaults(cluster);
+    cluster.runFor(400);
     assertAllServed(cluster, users, 40);
   }
 
-  static void trouble(SimulatedCluster cluster) {
+  static void injectRandomFault(SimulatedCluster cluster) {
     List<SimulatedController> all = new ArrayList<>(cluster.controllers.values());
     SimulatedController one = all.get(cluster.random.nextInt(all.size()));
     List<SimulatedController> leaders = all.stream().filter(SimulatedController::leads).toList();
@@ -115,13 +116,13 @@
         cluster.at(time / 2, cluster.store::endOutage);
       }
       case 3 -> {
-        cluster.store.refused.add(leader.platform.label());
-        cluster.at(time, () -> cluster.store.refused.remove(leader.platform.label()));
+        cluster.store.refusedControllers.add(leader.platform.label());
+        cluster.at(time, () -> cluster.store.refusedControllers.remove(leader.platform.label()));
       }
       case 4 ->
-          cutLinks(cluster, leader.platform.label() + ">*", "*>" + leader.platform.label(), time);
+          blockLinks(cluster, leader.platform.label() + ">*", "*>" + leader.platform.label(), time);
       case 5 ->
-          cutLinks(
+          blockLinks(
               cluster,
               leader.platform.label() + ">state",
               "state>" + leader.platform.label(),
@@ -140,9 +141,9 @@
               .filter(v -> v.worker != null)
               .limit(2)
               .forEach(v -> makeUnreachable(cluster, v.id, 2 * time));
-      case 11 -> cutFromStateAndPeers(cluster, leader, time);
-      case 12 -> cutFromStateAndPeers(cluster, one, time);
-      case 14 -> cutFromAllMachines(cluster, leader.platform.label(), time);
+      case 11 -> blockLinksToStateAndPeers(cluster, leader, time);
+      case 12 -> blockLinksToStateAndPeers(cluster, one, time);
+      case 14 -> blockLinksToAllMachines(cluster, leader.platform.label(), time);
       case 13 -> {
         // Restarts the leader at once, then restarts a random controller during the election.
         leader.crash(0.1 + cluster.random.nextDouble() / 10);
@@ -150,7 +151,7 @@
             500_000 + cluster.random.nextLong(3_000_000),
             () -> all.get(cluster.random.nextInt(all.size())).crash(0.15));
       }
-      default -> cutFromZoneA(cluster, leader.platform.label(), time);
+      default -> blockLinksToZoneA(cluster, leader.platform.label(), time);
     }
   }
 
@@ -170,62 +171,62 @@
         .filter(v -> v.worker != null && v.spot)
         .forEach(
             v -> {
-              v.worker.notice(8);
+              v.worker.announcePreemption(8);
               cluster.at(8_000_000, () -> cluster.cloud.delete(v.id));
             });
   }
 
-  private static void cutFromAllMachines(SimulatedCluster cluster, String leader, long time) {
+  private static void blockLinksToAllMachines(SimulatedCluster cluster, String leader, long time) {
     cluster
         .cloud
         .machines
         .keySet()
-        .forEach(h -> cutLinks(cluster, h + ">" + leader, leader + ">" + h, time));
+        .forEach(h -> blockLinks(cluster, h + ">" + leader, leader + ">" + h, time));
   }
 
-  private static void cutFromZoneA(SimulatedCluster cluster, String leader, long time) {
+  private static void blockLinksToZoneA(SimulatedCluster cluster, String leader, long time) {
     cluster.cloud.machines.values().stream()
         .filter(v -> v.zone.equals("a"))
-        .forEach(v -> cutLinks(cluster, v.id + ">" + leader, leader + ">" + v.id, time));
+        .forEach(v -> blockLinks(cluster, v.id + ">" + leader, leader + ">" + v.id, time));
   }
 
   /**
-   * Cuts off responses and commands to the machine, while its heartbeats still arrive. The network
-   * delivers held commands after the cut ends.
+   * Blocks responses and commands to the machine, while its heartbeats still arrive. The network
+   * delivers held commands after the links are unblocked.
    */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
-    cluster.network.cuts.put("*>" + machineId, true);
-    cluster.at(time, () -> cluster.network.cuts.remove("*>" + machineId));
+    cluster.network.blockedLinks.put("*>" + machineId, true);
+    cluster.at(time, () -> cluster.network.blockedLinks.remove("*>" + machineId));
   }
 
-  private static void cutFromStateAndPeers(
+  private static void blockLinksToStateAndPeers(
       SimulatedCluster cluster, SimulatedController controller, long time) {
     String label = controller.platform.label();
-    cutLinks(cluster, label + ">state", "state>" + label, time);
+    blockLinks(cluster, label + ">state", "state>" + label, time);
     cluster.controllers.keySet().stream()
         .filter(o -> !o.equals(label))
-        .forEach(o -> cutLinks(cluster, label + ">" + o, o + ">" + label, time));
+        .forEach(o -> blockLinks(cluster, label + ">" + o, o + ">" + label, time));
   }
 
-  private static void cutLinks(SimulatedCluster cluster, String there, String back, long time) {
-    cluster.network.cuts.put(there, true);
-    cluster.network.cuts.put(back, true);
+  private static void blockLinks(SimulatedCluster cluster, String there, String back, long time) {
+    cluster.network.blockedLinks.put(there, true);
+    cluster.network.blockedLinks.put(back, true);
     cluster.at(
         time,
         () -> {
-          cluster.network.cuts.remove(there);
-          cluster.network.cuts.remove(back);
+          cluster.network.blockedLinks.remove(there);
+          cluster.network.blockedLinks.remove(back);
         });
   }
 
-  static void calm(SimulatedCluster cluster) {
-    cluster.network.lostAnswerShare = 0;
+  static void endFaults(SimulatedCluster cluster) {
+    cluster.network.lostResponseShare = 0;
     cluster.network.executedLateShare = 0;
     cluster.network.repeatedShare = 0;
-    cluster.network.copiedHeartbeatShare = 0;
-    cluster.calmSince = cluster.now();
-    cluster.network.cuts.clear();
-    cluster.store.refused.clear();
+    cluster.network.duplicatedHeartbeatShare = 0;
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.network.blockedLinks.clear();
+    cluster.store.refusedControllers.clear();
     cluster.cloud.outage = false;
     cluster.store.endOutage();
     cluster
@@ -253,18 +254,18 @@
     }
     cluster.at(40_000_000, () -> users.submit(6, 1, 120, false));
     cluster.at(40_000_000, () -> users.submit(6, 1, 120, false));
-    cluster.play(70);
+    cluster.runFor(70);
     beforeTheCrash.accept(cluster);
     cluster.cloud.machines.values().stream()
         .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
         .limit(1)
-        .forEach(v -> cutLinks(cluster, v.id + ">*", "*>" + v.id, 15_000_000));
+        .forEach(v -> blockLinks(cluster, v.id + ">*", "*>" + v.id, 15_000_000));
     cluster.controllers.values().stream()
         .filter(SimulatedController::leads)
         .findFirst()
         .orElseThrow()
         .crash(5);
-    cluster.play(60);
+    cluster.runFor(60);
     return cluster;
   }
 
@@ -276,9 +277,11 @@
   void withoutTheRecordOfStartedJobsTasksRunTwice() {
     SimulatedCluster cluster =
         failoverWithAnUnreachableMachine(
-            v -> v.store.forge("begun/", Json.object().set("jobs", Json.object().arrayNode())));
+            v ->
+                v.store.overwriteSilently(
+                    "begun/", Json.object().set("jobs", Json.object().arrayNode())));
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("ran_twice")),
         "the checks must report tasks that run twice without the record of started jobs");
   }
 
@@ -291,14 +294,14 @@
     SimulatedCluster cluster =
         failoverWithAnUnreachableMachine(v -> v.store.hiddenPrefix = "fleet/");
     assertTrue(
-        cluster.invariants.broken.stream().anyMatch(b -> b.startsWith("ran_twice")),
+        cluster.invariants.violations.stream().anyMatch(b -> b.startsWith("ran_twice")),
         "the checks must report tasks that run twice without the record of machines");
   }
 
   @Test
   void withTheRecordOfMachinesNoTaskRunsTwice() {
     SimulatedCluster cluster = failoverWithAnUnreachableMachine(v -> {});
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /**
@@ -312,7 +315,7 @@
     for (int i = 0; i < 8; i++) {
       users.submit(8, 1, 100, false);
     }
-    cluster.play(60);
+    cluster.runFor(60);
     SimulatedController leader =
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
@@ -326,15 +329,15 @@
     assertTrue(zoneMachines.size() >= 3, "the zone has machines");
     zoneMachines.forEach(
         h ->
-            cutLinks(
+            blockLinks(
                 cluster,
                 h + ">" + leader.platform.label(),
                 leader.platform.label() + ">" + h,
                 16_000_000));
-    cluster.play(30);
+    cluster.runFor(30);
     assertTrue(
         cluster.cloud.machines.keySet().containsAll(zoneMachines), "no machine was returned");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /**
@@ -348,7 +351,7 @@
     for (int i = 0; i < 8; i++) {
       users.submit(8, 1, 100, false);
     }
-    cluster.play(60);
+    cluster.runFor(60);
     String gone =
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null && !v.worker.tasks.isEmpty())
@@ -361,14 +364,14 @@
         .findFirst()
         .orElseThrow()
         .crash(30);
-    cluster.play(8);
+    cluster.runFor(8);
     SimulatedController next =
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
             .findFirst()
             .orElseThrow();
     assertTrue(next.actingLeader().failoverComplete(), "the failover is complete");
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(List.of(), cluster.invariants.violations);
   }
 
   /**
@@ -383,20 +386,20 @@
       users.submit(10, 1, 5, false);
     }
     cluster.at(40_000_000, () -> users.submit(6, 1, 200, false));
-    cluster.play(60);
+    cluster.runFor(60);
     for (String machineId :
         cluster.cloud.machines.values().stream()
             .filter(v -> v.zone.equals("a"))
             .map(v -> v.id)
             .toList()) {
-      cutLinks(cluster, machineId + ">*", "*>" + machineId, 60_000_000);
+      blockLinks(cluster, machineId + ">*", "*>" + machineId, 60_000_000);
     }
     cluster.leader().crash(60);
-    cluster.play(2);
+    cluster.runFor(2);
     JobSpec late =
         TestJob.job(users.nextUid()).jobClass("c1").tasks(6).memoryGb(2).runS(60).build();
     users.submit(late, false);
-    cluster.play(16);
+    cluster.runFor(16);
     assertFalse(
         cluster.leader().actingLeader().failoverComplete(),
         "the failover must still wait for the cut-off zone");
@@ -404,11 +407,11 @@
         cluster.cloud.machines.values().stream()
             .filter(v -> v.worker != null)
             .flatMap(v -> v.worker.tasks.values().stream())
-            .anyMatch(t -> t.on() && t.name.startsWith(late.uid())),
+            .anyMatch(t -> t.isRunningOrFlushing() && t.name.startsWith(late.uid())),
         "the new job runs before the failover is complete");
-    cluster.play(300);
-    assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals("done", cluster.invariants.lastTold.get(late.uid()));
+    cluster.runFor(300);
+    assertEquals(List.of(), cluster.invariants.violations);
+    assertEquals("done", cluster.invariants.lastReportedStatus.get(late.uid()));
   }
 
   /** Two of three controllers are killed and not restarted; the third must serve all jobs. */
@@ -417,9 +420,9 @@
     SimulatedCluster cluster = cluster(31);
     FakeUsers users = new FakeUsers(cluster);
     submitOverTime(cluster, users, 15, 4);
-    cluster.play(20);
+    cluster.runFor(20);
     cluster.controllers.values().stream().skip(1).forEach(SimulatedController::kill);
-    cluster.play(400);
+    cluster.runFor(400);
     assertAllServed(cluster, users, 15);
   }
 }
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -26,7 +26,7 @@
 import plumlever.http.TaskCounts;
 import plumlever.peer.PeerStatus;
 import plumlever.settings.PlatformConfiguration;
-import plumlever.store.JobStore;
+import plumlever.store.RecordLayout;
 import plumlever.wire.InvalidMessageException;
 import plumlever.wire.JobSpec;
 import plumlever.wire.JobState;
@@ -74,19 +74,19 @@
     Set<String> kinds = new HashSet<>();
     for (Map.Entry<String, JsonNode> entry : records().entrySet()) {
       kinds.add(entry.getKey().substring(0, Math.max(0, entry.getKey().indexOf('/'))));
-      if (entry.getKey().startsWith(JobStore.ACTIVE)) {
-        JobSpec spec = JobStore.spec(entry.getValue());
+      if (entry.getKey().startsWith(RecordLayout.ACTIVE)) {
+        JobSpec spec = RecordLayout.spec(entry.getValue());
         assertEquals(
             entry.getValue().path("job"),
             Json.parseObject(Json.write(spec.toJson())),
             "specification as stored and as read");
-        assertTrue(JobStore.acceptedWallMicros(entry.getValue()) > 0);
+        assertTrue(RecordLayout.acceptedWallMicros(entry.getValue()) > 0);
         assertEquals(List.of(), spec.dependencies());
-      } else if (entry.getKey().startsWith(JobStore.ENDED)) {
-        assertTrue(JobStore.finalState(entry.getValue()).isPresent());
+      } else if (entry.getKey().startsWith(RecordLayout.ENDED)) {
+        assertTrue(RecordLayout.finalState(entry.getValue()).isPresent());
         assertEquals(
             0,
-            JobStore.endedWallMicros(entry.getValue()),
+            RecordLayout.endedWallMicros(entry.getValue()),
             "end time, which the production version does not store");
       }
     }
@@ -103,21 +103,21 @@
     SimulatedCluster cluster = cluster(1);
     Map<String, JsonNode> records = records();
     records.keySet().removeIf(k -> k.startsWith("office/leader"));
-    cluster.store.rewrite("", records);
+    cluster.store.replaceAll("", records);
     cluster.cloud.outage = true;
-    cluster.play(4);
+    cluster.runFor(4);
     for (Map.Entry<String, JsonNode> entry : records.entrySet()) {
-      if (entry.getKey().startsWith(JobStore.ACTIVE)) {
+      if (entry.getKey().startsWith(RecordLayout.ACTIVE)) {
         assertTrue(
             cluster
                 .leader()
                 .actingLeader()
-                .job(entry.getKey().substring(JobStore.ACTIVE.length()))
+                .job(entry.getKey().substring(RecordLayout.ACTIVE.length()))
                 .isPresent(),
             entry.getKey());
       }
     }
-    BitSet packed = JobStore.readSharedChunk(records.get("progress/pack/0")).get("job-000030");
+    BitSet packed = RecordLayout.readSharedChunk(records.get("progress/pack/0")).get("job-000030");
     cluster
         .leader()
         .actingLeader()
@@ -125,7 +125,7 @@
         .ifPresent(small -> assertEquals(packed, small.completedTasks()));
     Job large = cluster.leader().actingLeader().job("job-900001").orElseThrow();
     assertEquals(
-        FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES).get("job-900001"),
+        PreviousVersion.readProgress(cluster.store, CURRENT_VALUE_BYTES).get("job-900001"),
         large.completedTasks(),
         "progress read with the chunk size of the production version");
     assertTrue(large.completedCount() > 1000 && large.inherited());
@@ -149,7 +149,7 @@
               status[0] = s;
               assertTrue(json.contains(expectedBody), json);
             });
-    cluster.play(1);
+    cluster.runFor(1);
     return status[0];
   }
 
@@ -201,25 +201,25 @@
   void alternatesLeadershipWithProductionVersion(long seed) {
     SimulatedCluster cluster = cluster(300 + seed);
     FakeUsers users = new FakeUsers(cluster);
-    FormerVersion previousVersion = new FormerVersion(cluster.store, CURRENT_VALUE_BYTES);
+    PreviousVersion previousVersion = new PreviousVersion(cluster.store, CURRENT_VALUE_BYTES);
     List<JobSpec> all = submitManySmallAndOneLarge(cluster, users);
     int largest = 0;
     long limitsLoweredAtMicros = 60_000_000 + seed * 15_000_000;
     cluster.at(
         limitsLoweredAtMicros,
         () -> {
-          cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
-          cluster.store.transactionOps = 4;
+          cluster.store.maxValueBytes = ANNOUNCED_VALUE_BYTES;
+          cluster.store.maxTransactionOps = 4;
         });
     for (int turn = 0; turn < 8; turn++) {
-      cluster.play(18);
-      largest = Math.max(largest, cluster.store.largestValue);
-      if (cluster.store.valueBytes > ANNOUNCED_VALUE_BYTES && turn % 2 == (seed & 1)) {
+      cluster.runFor(18);
+      largest = Math.max(largest, cluster.store.largestValueBytes);
+      if (cluster.store.maxValueBytes > ANNOUNCED_VALUE_BYTES && turn % 2 == (seed & 1)) {
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
             .forEach(m -> m.crash(2));
-        cluster.play(0.1);
-        previousVersion.leads();
+        cluster.runFor(0.1);
+        previousVersion.rewriteRecords();
       } else {
         cluster.controllers.values().stream()
             .filter(SimulatedController::leads)
@@ -227,14 +227,14 @@
       }
       assertNoProgressMisread(cluster);
     }
-    cluster.calmSince = cluster.now();
-    cluster.play(400);
+    cluster.faultsEndedAtMicros = cluster.now();
+    cluster.runFor(400);
     assertTrue(
         largest <= ANNOUNCED_VALUE_BYTES, "largest value written by this version: " + largest);
-    assertEquals(0, cluster.store.malformed);
-    assertEquals(List.of(), cluster.invariants.broken);
+    assertEquals(0, cluster.store.malformedTransactions);
+    assertEquals(List.of(), cluster.invariants.violations);
     for (JobSpec job : all) {
-      assertEquals("done", cluster.invariants.lastTold.get(job.uid()), job.uid());
+      assertEquals("done", cluster.invariants.lastReportedStatus.get(job.uid()), job.uid());
     }
     for (JsonNode stored : cluster.store.values("fleet/")) {
       assertTrue(
@@ -246,7 +246,7 @@
   private static List<JobSpec> submitManySmallAndOneLarge(
       SimulatedCluster cluster, FakeUsers users) {
     List<JobSpec> all = new ArrayList<>();
-    cluster.cloud.most = 60;
+    cluster.cloud.capacity = 60;
     for (int i = 0; i < 110; i++) {
       JobSpec job =
           TestJob.job(users.nextUid())
@@ -276,7 +276,7 @@
 
   /** Asserts that every task which the production version would read as completed is completed. */
   private static void assertNoProgressMisread(SimulatedCluster cluster) {
-    FormerVersion.progressItReads(cluster.store, CURRENT_VALUE_BYTES)
+    PreviousVersion.readProgress(cluster.store, CURRENT_VALUE_BYTES)
         .forEach(
             (uid, done) ->
                 done.stream()
@@ -299,22 +299,22 @@
   void oversizedSharedRecordIsSplitWithoutLoss() {
     SimulatedCluster cluster = cluster(77);
     FakeUsers users = new FakeUsers(cluster);
-    cluster.cloud.most = 200;
+    cluster.cloud.capacity = 200;
     for (int i = 0; i < 60; i++) {
       users.submit(TestJob.job(users.nextUid()).tasks(14).runS(150).build(), false);
     }
-    cluster.play(60);
+    cluster.runFor(60);
     Set<String> machineIds = machineIds(cluster);
     assertTrue(machineIds.size() > 60, "recorded machines: " + machineIds.size());
     cluster.leader().crash(1);
-    cluster.play(0.05);
-    new FormerVersion(cluster.store, CURRENT_VALUE_BYTES).leads();
+    cluster.runFor(0.05);
+    new PreviousVersion(cluster.store, CURRENT_VALUE_BYTES).rewriteRecords();
     assertTrue(
         cluster.store.values("fleet/").stream()
             .anyMatch(v -> Json.write(v).length() > ANNOUNCED_VALUE_BYTES),
         "no machine record exceeds the lower size limit");
-    cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
-    cluster.store.transactionOps = 4;
+    cluster.store.maxValueBytes = ANNOUNCED_VALUE_BYTES;
+    cluster.store.maxTransactionOps = 4;
     int[] checks = new int[1];
     for (int i = 0; i < 1_200; i++) {
       cluster.at(
@@ -323,7 +323,7 @@
             Set<String> now = machineIds(cluster);
             for (String machineId : machineIds) {
               if (!now.contains(machineId) && cluster.cloud.machines.containsKey(machineId)) {
-                cluster.invariants.broken.add(machineId + " is in no machine record");
+                cluster.invariants.violations.add(machineId + " is in no machine record");
               }
             }
             checks[0]++;
@@ -331,10 +331,10 @@
     }
     // The new leader crashes during the rewrite; its successor must finish the rewrite.
     cluster.at(4_300_000, () -> cluster.leader().crash(1));
-    cluster.play(26);
+    cluster.runFor(26);
     assertEquals(1_200, checks[0]);
-    assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals(0, cluster.store.malformed);
+    assertEquals(List.of(), cluster.invariants.violations);
+    assertEquals(0, cluster.store.malformedTransactions);
     assertTrue(
         cluster.store.values("fleet/").stream()
             .allMatch(v -> Json.write(v).length() <= ANNOUNCED_VALUE_BYTES),
@@ -365,29 +365,31 @@
             InvariantChecker.CANCEL_MICROS,
             new PlatformConfiguration.StateLimits(200, 25, CURRENT_VALUE_BYTES, 8));
     FakeUsers users = new FakeUsers(cluster);
-    cluster.cloud.most = 200;
+    cluster.cloud.capacity = 200;
     List<JobSpec> all = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
       JobSpec job = TestJob.job(users.nextUid()).tasks(12).runS(40 + i).build();
       all.add(job);
       cluster.at(i * 900_000L, () -> users.submit(job, false));
     }
-    cluster.play(45);
-    assertTrue(cluster.store.largestValue > ANNOUNCED_VALUE_BYTES);
-    cluster.store.valueBytes = ANNOUNCED_VALUE_BYTES;
-    cluster.store.transactionOps = 4;
+    cluster.runFor(45);
+    assertTrue(cluster.store.largestValueBytes > ANNOUNCED_VALUE_BYTES);
+    cluster.store.maxValueBytes = ANNOUNCED_VALUE_BYTES;
+    cluster.store.maxTransactionOps = 4;
     // The deletion of a machine rewrites the record that this machine shares with dozens of others.
     cluster.cloud.machines.keySet().stream().limit(4).toList().forEach(cluster.cloud::delete);
-    cluster.play(60);
-    int refused = cluster.store.malformed;
+    cluster.runFor(60);
+    int refused = cluster.store.malformedTransactions;
     assertTrue(refused > 0 && refused < 40, "refused transactions: " + refused);
     cluster.leader().crash(2);
-    cluster.play(250);
+    cluster.runFor(250);
     assertTrue(
-        cluster.store.malformed - refused < 40,
-        "refused transactions of the new leader: " + (cluster.store.malformed - refused));
-    assertEquals(List.of(), cluster.invariants.broken);
-    all.forEach(j -> assertEquals("done", cluster.invariants.lastTold.get(j.uid()), j.uid()));
+        cluster.store.malformedTransactions - refused < 40,
+        "refused transactions of the new leader: "
+            + (cluster.store.malformedTransactions - refused));
+    assertEquals(List.of(), cluster.invariants.violations);
+    all.forEach(
+        j -> assertEquals("done", cluster.invariants.lastReportedStatus.get(j.uid()), j.uid()));
   }
 
   /**
@@ -399,10 +401,10 @@
     SimulatedCluster cluster = cluster(79);
     FakeUsers users = new FakeUsers(cluster);
     JobSpec first = TestJob.job(users.nextUid()).tasks(2).runS(5).build();
-    cluster.play(5);
+    cluster.runFor(5);
     users.submit(first, false);
-    cluster.play(40);
-    new FormerVersion(cluster.store, CURRENT_VALUE_BYTES).leads();
+    cluster.runFor(40);
+    new PreviousVersion(cluster.store, CURRENT_VALUE_BYTES).rewriteRecords();
     cluster.leader().crash(1);
     JobSpec next =
         TestJob.job(users.nextUid())
@@ -411,9 +413,9 @@
             .build()
             .withDependencies(List.of(first.uid()));
     users.submit(next, false);
-    cluster.play(60);
-    assertEquals(List.of(), cluster.invariants.broken);
-    assertEquals("done", cluster.invariants.lastTold.get(next.uid()));
-    assertEquals(JobState.DONE.wireName(), cluster.invariants.lastTold.get(first.uid()));
+    cluster.runFor(60);
+    assertEquals(List.of(), cluster.invariants.violations);
+    assertEquals("done", cluster.invariants.lastReportedStatus.get(next.uid()));
+    assertEquals(JobState.DONE.wireName(), cluster.invariants.lastReportedStatus.get(first.uid()));
   }
 }
--- a/src/test/java/plumlever/wire/WireTest.java
+++ b/src/test/java/plumlever/wire/WireTest.java
@@ -124,7 +124,8 @@
   void writesHeartbeatResponse() {
     assertEquals(
         "{\"baton\":41,\"orders\":[{\"verb\":\"halt\",\"piece\":\"job-1/3\",\"try\":2,\"wind_down_s\":10.0}]}",
-        WorkerCommand.answer(41, List.of(WorkerCommand.stop(new TaskName("job-1", 3), 2, 10))));
+        WorkerCommand.heartbeatResponse(
+            41, List.of(WorkerCommand.stop(new TaskName("job-1", 3), 2, 10))));
   }
 
   @Test
@@ -138,8 +139,8 @@
 
     assertEquals(
         commands,
-        WorkerCommand.parseAnswer(
-            WorkerCommand.answer(41, commands).getBytes(StandardCharsets.UTF_8)));
+        WorkerCommand.parseResponse(
+            WorkerCommand.heartbeatResponse(41, commands).getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
@@ -148,7 +149,7 @@
 
     assertThrows(
         InvalidMessageException.class,
-        () -> WorkerCommand.parseAnswer(body.getBytes(StandardCharsets.UTF_8)));
+        () -> WorkerCommand.parseResponse(body.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
