--- a/src/main/java/plumlever/ConfirmedCancellations.java
+++ b/src/main/java/plumlever/ConfirmedCancellations.java
@@ -13,8 +13,8 @@
  */
 final class ConfirmedCancellations {
   /**
-   * How long a cancellation is reported to the peers, so that a leader learns of it even if the
-   * state service refuses the leader's reads for all of this time.
+   * The time for which a confirmed cancellation is reported to the other controllers, so that the
+   * leader learns of it even if the state service refuses the leader's reads for that long.
    */
   private static final long REPORT_DURATION_MICROS = 20_000_000;
 
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Passes the cancellations that another controller confirmed to the leader, if the leader is in
-   * this process.
+   * If this controller leads, tells its leader which cancellations another controller has confirmed
+   * to users.
    */
   void confirmedByPeer(PeerStatus status) {
     leadership
--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -281,7 +281,7 @@
     return election.mayAct();
   }
 
-  /** Returns how late the controller loop recently ran, in microseconds. */
+  /** Returns the delay with which the controller loop recently ran its timers, in microseconds. */
   public long latenessMicros() {
     return lateness.micros();
   }
--- a/src/main/java/plumlever/ControllerHealth.java
+++ b/src/main/java/plumlever/ControllerHealth.java
@@ -14,9 +14,9 @@
  */
 final class ControllerHealth implements ServingHealth {
   /**
-   * How long the state service must refuse this controller before it can count as refused alone.
-   * Longer than any controller takes to notice an outage that affects all controllers and to report
-   * it to its peers.
+   * The time for which the state service must refuse this controller before the controller can
+   * conclude that only it is refused. This is longer than any controller takes to notice an outage
+   * that affects all controllers and to report it to its peers.
    */
   private static final long REFUSED_ALONE_AFTER_MICROS = 3_000_000;
 
@@ -54,7 +54,7 @@
 
   /**
    * Returns true if the state service serves other controllers but refuses this one or does not
-   * respond to it. A controller that has no recent status of any peer is treated as isolated: it
+   * respond to it. A controller that has no recent status of any peer is treated as refused: it
    * cannot tell whether the state service serves the others.
    */
   @Override
--- a/src/main/java/plumlever/KnownLeader.java
+++ b/src/main/java/plumlever/KnownLeader.java
@@ -6,8 +6,8 @@
 import plumlever.leader.Leader;
 
 /**
- * Looks up the leader: in this process if this controller leads, otherwise by the label known to
- * the election.
+ * Looks up the leader: in this process if this controller leads, otherwise by the leader's label in
+ * the leadership records.
  */
 record KnownLeader(Leadership leadership, LeaderElection election) implements LeaderLookup {
   @Override
--- a/src/main/java/plumlever/LoopLateness.java
+++ b/src/main/java/plumlever/LoopLateness.java
@@ -20,7 +20,10 @@
     this.metrics = metrics;
   }
 
-  /** Runs as a recurring task; returns the pause until the next tick. */
+  /**
+   * Measures how late this tick runs. Called as a recurring task; returns the pause until the next
+   * tick.
+   */
   long tick() {
     long now = loop.nowMicros();
     if (nextTickDueMicros > 0) {
@@ -32,8 +35,8 @@
   }
 
   /**
-   * Returns how late the last tick was, or how long the next tick is already overdue if that is
-   * more; 0 before the first tick.
+   * Returns how late the last tick of the controller loop ran, or how long the next tick is overdue
+   * if that is more; 0 before the first tick. In microseconds.
    */
   long micros() {
     return nextTickDueMicros == 0
--- a/src/main/java/plumlever/OwnStatus.java
+++ b/src/main/java/plumlever/OwnStatus.java
@@ -21,8 +21,8 @@
   private final ConfirmedCancellations cancellations;
 
   /**
-   * For each machine that sent a heartbeat to this controller while it did not lead, the time of
-   * the last one.
+   * For each machine that sent a heartbeat to this controller while this controller did not lead,
+   * the time of the last such heartbeat.
    */
   private final Map<String, Long> heartbeatAtMicros = new HashMap<>();
 
@@ -43,7 +43,10 @@
     this.cancellations = cancellations;
   }
 
-  /** Records that the machine sent a heartbeat to this controller while it did not lead. */
+  /**
+   * Records that the machine sent a heartbeat to this controller while this controller did not
+   * lead.
+   */
   void recordHeartbeat(String machineId) {
     heartbeatAtMicros.put(machineId, loop.nowMicros());
   }
--- a/src/main/java/plumlever/PeerReports.java
+++ b/src/main/java/plumlever/PeerReports.java
@@ -14,7 +14,10 @@
 final class PeerReports {
   private static final long STATUS_VALID_MICROS = 3_500_000;
 
-  /** Task counts are only displayed and may therefore be older. */
+  /**
+   * The time for which the task counts of a peer's status are used. Task counts are only displayed,
+   * so they may be older than other parts of the status.
+   */
   private static final long COUNTS_VALID_MICROS = 5_000_000;
 
   private final Peers peers;
@@ -25,7 +28,7 @@
     this.sharing = sharing;
   }
 
-  /** Returns the status of each peer that reported recently. */
+  /** Returns the last status of each other controller that reported recently. */
   List<PeerStatus> recent() {
     return peers.receivedWithin(STATUS_VALID_MICROS);
   }
--- a/src/main/java/plumlever/ServiceClients.java
+++ b/src/main/java/plumlever/ServiceClients.java
@@ -14,8 +14,8 @@
 import plumlever.store.StateClient;
 
 /**
- * A controller's clients for the state service and the cloud, with the metrics and machine types
- * they share.
+ * A controller's clients for the state service and the cloud, with the metrics and the machine
+ * types and prices they share.
  */
 final class ServiceClients {
   private final Metrics metrics;
--- a/src/main/java/plumlever/StateServiceProbe.java
+++ b/src/main/java/plumlever/StateServiceProbe.java
@@ -19,7 +19,10 @@
     this.store = store;
   }
 
-  /** Runs as a recurring task; returns the pause until the next probe. */
+  /**
+   * Probes the state service if necessary. Called as a recurring task; returns the pause until the
+   * next probe in microseconds.
+   */
   long run() {
     if (loop.nowMicros() - store.lastServedMicros() >= INTERVAL_MICROS / 2) {
       store.get(RecordLayout.CATALOG, StateClient.RequestPriority.URGENT, ignored -> {});
--- a/src/main/java/plumlever/cli/DrillCommand.java
+++ b/src/main/java/plumlever/cli/DrillCommand.java
@@ -20,7 +20,10 @@
   private static final int DEFAULT_SECONDS = 600;
   private static final int DEFAULT_MACHINES = 24;
 
-  /** The number of transfers that a drill of at least the default duration must reach to pass. */
+  /**
+   * The number of machine transfers between shards that a drill of at least the default duration
+   * must reach to pass.
+   */
   private static final int MIN_TRANSFERS = 12;
 
   private static final int MAX_RANDOM_SEED = 1_000_000;
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -42,9 +42,10 @@
   private static final int STOP_TIMEOUT_S = 3;
 
   /**
-   * File descriptors that are not available for connections from users and workers: calls to
-   * machines (112), kept-alive connections (48), up to 12 connections each to the state service,
-   * the cloud and two peers, connections from peers, and other files that the process has open.
+   * The number of file descriptors that are reserved for other uses than connections from users and
+   * workers: calls to machines (112), kept-alive connections (48), up to 12 connections each to the
+   * state service, the cloud and two peers, connections from peers, and other files that the
+   * process has open.
    */
   private static final int RESERVED_SOCKETS = 280;
 
@@ -53,8 +54,8 @@
   private static final long MAX_PEER_BODY_BYTES = 512 * 1024;
 
   /**
-   * A connection is closed after it has been idle for this many heartbeat intervals, but not before
-   * it has been idle for {@link #MIN_IDLE_TIMEOUT_MICROS}.
+   * The number of heartbeat intervals after which an idle connection is closed, but not before
+   * {@link #MIN_IDLE_TIMEOUT_MICROS}.
    */
   private static final int IDLE_TIMEOUT_HEARTBEATS = 3;
 
--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -50,14 +50,17 @@
    */
   private static final long PAGE_PAUSE_MICROS = 400_000;
 
-  /** Requests of the rate limit that a list read leaves for concurrent rentals and returns. */
+  /**
+   * Number of requests within the rate limit that reading a machine list leaves for concurrent
+   * rentals and returns.
+   */
   private static final double REQUESTS_RESERVED_FOR_CHANGES = 2;
 
   private static final String NO_CAPACITY_TEXT = "capacity";
 
   /**
-   * A response, with its body if the body is a JSON object and the status is one whose body is
-   * read.
+   * A response of the cloud API. The body is present only if it is a JSON object and the status is
+   * one whose body is read.
    */
   private record Response(int status, Optional<ObjectNode> body) {
     private boolean hasMachineIds() {
--- a/src/main/java/plumlever/cloud/MachineTypeLoader.java
+++ b/src/main/java/plumlever/cloud/MachineTypeLoader.java
@@ -19,7 +19,7 @@
  * the stored ones are used.
  */
 public final class MachineTypeLoader {
-  /** The delay that tells a recurring task not to run again. */
+  /** Value returned instead of a delay so that the recurring task does not run again. */
   private static final long NO_NEXT_RUN = -1;
 
   private static final long RETRY_INTERVAL_MICROS = 1_500_000;
@@ -44,7 +44,9 @@
     this.typeCatalog = typeCatalog;
   }
 
-  /** The recurring task, which retries until the machine types are known. */
+  /**
+   * Returns the recurring task that loads the machine types. The task runs until they are known.
+   */
   public RecurringTask task() {
     return new RecurringTask("machine types", loop, this::load);
   }
--- a/src/main/java/plumlever/drill/CloudEmulator.java
+++ b/src/main/java/plumlever/drill/CloudEmulator.java
@@ -15,7 +15,7 @@
  * are refused for lack of capacity.
  */
 final class CloudEmulator {
-  /** The only machine type. */
+  /** The only machine type that the emulated cloud offers. */
   static final String TYPE = "plain-4";
 
   private static final String CATALOG =
--- a/src/main/java/plumlever/drill/DrillFiles.java
+++ b/src/main/java/plumlever/drill/DrillFiles.java
@@ -7,7 +7,10 @@
 final class DrillFiles {
   private static final double MICROS_PER_S = 1e6;
 
-  /** The floors of all shards add up to at most the number of machines divided by this. */
+  /**
+   * The floors of all shards (the machines that a shard keeps in any case) add up to at most the
+   * number of machines divided by this.
+   */
   private static final int FLOOR_DIVISOR = 4;
 
   private static final String PLATFORM =
--- a/src/main/java/plumlever/drill/JobShape.java
+++ b/src/main/java/plumlever/drill/JobShape.java
@@ -30,7 +30,7 @@
       "one_zone":false,"spread":false,"loaners":true,"expect_s":25.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":120.0}
       """;
 
-  /** Returns the built-in shapes: arrays of many short tasks, and plans of a few long tasks. */
+  /** Returns the built-in shapes: a job of many short tasks and a job of a few long tasks. */
   static List<JobShape> builtIn() {
     try {
       return List.of(read(ARRAY), read(PLAN));
--- a/src/main/java/plumlever/drill/SharingDrill.java
+++ b/src/main/java/plumlever/drill/SharingDrill.java
@@ -45,7 +45,7 @@
    * @param seconds duration of the load in seconds
    * @param machines number of machines in the pool
    * @param seed seed of all random choices
-   * @param shapes files with shapes of jobs; empty for the built-in shapes
+   * @param shapes files with templates of the jobs; empty for the built-in templates
    * @param failures whether controllers are killed and paused
    * @param minTransfers minimum number of transfers for the drill to pass
    */
@@ -57,7 +57,7 @@
       boolean failures,
       int minTransfers) {}
 
-  /** A file with shapes of jobs. */
+  /** A file with templates of the jobs that a drill submits. */
   public record JobShapeFile(Path path) {}
 
   /** The result of a drill, with the lines of its report. */
@@ -284,7 +284,7 @@
     }
   }
 
-  /** Transfers the machine with the most running tasks to another shard. */
+  /** Asks the owner of the machine with the most running tasks to transfer it to another shard. */
   private void transferBusiestMachine() {
     workers.entrySet().stream()
         .max(Comparator.comparingInt(entry -> entry.getValue().running()))
--- a/src/main/java/plumlever/drill/TransferStatistics.java
+++ b/src/main/java/plumlever/drill/TransferStatistics.java
@@ -30,7 +30,7 @@
     this.loop = loop;
   }
 
-  /** Evaluates a value that was put into the state service. */
+  /** Records the start or end of a transfer if the value put into the state service shows one. */
   void onPut(String key, JsonNode value) {
     if (!key.startsWith(PREFIX)) {
       return;
@@ -74,7 +74,7 @@
     return lines.size();
   }
 
-  /** Returns the number of transfers of machines with tasks. */
+  /** Returns the number of transfers of machines that had tasks of other shards on them. */
   int withTasks() {
     return withTasks;
   }
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -190,7 +190,7 @@
     }
   }
 
-  /** Handles a direct call of a controller. */
+  /** Handles a request that a controller sends to the worker. */
   void handle(String method, String path, byte[] body, Responder out) {
     if (path.equals("/orders") && method.equals("POST")) {
       try {
--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -20,11 +20,12 @@
   private static final long PAUSE_AFTER_LOSS_MICROS = 50_000;
 
   /**
-   * How often a failed read of the leader is repeated after an election whose outcome is unknown.
+   * The maximum number of times that a failed read of the leader key is repeated after an election
+   * whose outcome is unknown.
    */
   private static final int MAX_RETRIES = 3;
 
-  /** Notified on the election loop of the outcome of attempts. */
+  /** Notified on the election loop of the outcome of this controller's election attempts. */
   interface Observer {
     /** Returns true while this controller leads; no attempt is made then. */
     boolean leading();
@@ -36,7 +37,10 @@
      */
     void electionWon(Term term, long sentMicros);
 
-    /** Called after a failed attempt and a pause, when the new leader can be read. */
+    /**
+     * Called after a failed election attempt and a pause, when the record of the new leader can be
+     * read.
+     */
     void electionLost();
   }
 
@@ -47,7 +51,7 @@
   private final LeadershipRecords records;
   private final ElectionBackoff backoff;
 
-  /** The source of terms if this controller belongs to a shard of a pool. */
+  /** Assigns the terms if this controller belongs to a shard of a pool. */
   private final Optional<PoolTerms> poolTerms;
 
   private final Observer observer;
@@ -72,25 +76,28 @@
     this.task = new RecurringTask("election attempt", loop, this::attemptElection);
   }
 
-  /** Returns true while an attempt is in progress. */
+  /** Returns true while an election attempt of this controller is in progress. */
   boolean attemptInProgress() {
     return attemptInProgress;
   }
 
-  /** Delays the next attempt by at least this pause. */
+  /** Delays this controller's next election attempt until at least this pause from now. */
   void pause(long pauseMicros) {
     notBeforeMicros = loop.nowMicros() + pauseMicros;
   }
 
   /**
-   * Schedules an attempt after a short random pause; it is made only if leadership is still vacant
-   * then.
+   * Schedules an election attempt after a short random pause; the attempt is made only if
+   * leadership is still vacant then.
    */
   void scheduleAttempt() {
     task.scheduleAfter(backoff.beforeAttemptMicros());
   }
 
-  /** Schedules an attempt after a longer random pause, because a request had no response. */
+  /**
+   * Schedules an election attempt after a longer random pause, because a request to the state
+   * service had no response.
+   */
   void scheduleRetry() {
     task.scheduleAfter(backoff.beforeRetryMicros());
   }
@@ -108,9 +115,9 @@
       return notBeforeMicros - now;
     }
     attemptInProgress = true;
-    // The transaction requires the revisions on which this decision is based. Watch events continue
-    // to arrive while the lease is created; a precondition on the newest revision could therefore
-    // depose a leader elected in the meantime.
+    // The election transaction requires the revisions of the leader and term keys as they are now.
+    // Watch events continue to arrive while the lease is created; a precondition on revisions read
+    // later could therefore depose a leader elected in the meantime.
     LeadershipRecords.Revisions seen = records.revisions();
     if (poolTerms.isEmpty()) {
       new Attempt(seen, new PoolTerms.NextTerm(records.term() + 1, 0), now).createLease();
@@ -136,7 +143,8 @@
     private final LeaderRecord record;
 
     /**
-     * When the request that creates the lease was sent. The right to act is counted from this time.
+     * The time at which the request that creates the leader's lease was sent. The time during which
+     * the leader may act is counted from it.
      */
     private final long sentMicros;
 
@@ -186,8 +194,8 @@
     }
 
     /**
-     * Resolves an unknown outcome by reading the leader key; the outcome is never assumed. If the
-     * key cannot be read, the attempt is abandoned by revoking its lease.
+     * Reads the leader key to find out whether an election transaction without a response was
+     * applied. If the key cannot be read, abandons the attempt by revoking its lease.
      */
     private void resolveOutcome(long leaseId, int retries) {
       store.get(
@@ -195,7 +203,8 @@
           StateClient.RequestPriority.URGENT,
           result -> {
             if (result.found() && LeaderRecord.read(result.item().data()).equals(record)) {
-              // The election put both keys in one transaction, so they have the same revision.
+              // The election transaction puts the leader key and the term key, so both have the
+              // same revision.
               won(leaseId, result.item().revision());
             } else if (result.found() || result.missing() || retries == 0) {
               lost(leaseId);
@@ -212,8 +221,8 @@
     }
 
     private void lost(long leaseId) {
-      // Revoking the lease makes the transaction fail if it is executed late, and deletes the
-      // leader key if the transaction was applied.
+      // Revoking the lease makes the election transaction fail if it is executed late, and deletes
+      // the leader key if the transaction was applied.
       store.revokeLease(leaseId);
       attemptInProgress = false;
       backoff.electionLost();
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -12,29 +12,32 @@
 import plumlever.store.Transaction;
 
 /**
- * The right of a follower to renew leases on behalf of a leader that cannot reach the workers of
- * some zones, while both controllers reach the state service.
+ * The right of a follower to renew the leases of workers on behalf of a leader that cannot reach
+ * the workers of some zones, while both controllers reach the state service.
  *
- * <p>The leader writes the delegation to a key attached to its own lease; the next election deletes
- * the key. A follower may use the delegation for {@link #VALID_MICROS} after it <em>sent</em> the
- * read that returned it. The leader waits for that time plus a lease before it treats the lease of
- * a machine in these zones as expired (see {@code LeaseExpiry}). It also waits for that time before
- * it sends a command to such a machine.
+ * <p>The leader stores this right as a delegation, in a key attached to its own lease; the next
+ * election deletes the key. A follower may use the delegation for {@link #VALID_MICROS} after it
+ * <em>sent</em> the read that returned it. The leader waits for that time plus the duration of a
+ * worker's lease before it treats the lease of a machine in these zones as expired (see {@code
+ * LeaseExpiry}). It also waits for that time before it sends a command to such a machine.
  *
  * <p>Used on the controller loop only.
  */
 public final class DelegatedRenewal {
-  /** How long a delegation may be used after the read that returned it was sent. */
+  /**
+   * The time for which a follower may renew leases under a delegation, counted from the sending of
+   * the read that returned the delegation.
+   */
   public static final long VALID_MICROS = 2_000_000;
 
-  /** The interval at which the delegation is read while there is one. */
+  /** The interval at which a follower reads the delegation record while it exists. */
   private static final long READ_INTERVAL_MICROS = 600_000;
 
   /**
-   * The right to renew leases in one zone.
+   * The right of a follower to renew the leases of the workers in one zone.
    *
    * @param token the fencing token that renewals carry
-   * @param validUntilMicros when the right expires unless the delegation is read again
+   * @param validUntilMicros the time at which the right expires unless the delegation is read again
    */
   public record RenewalRight(long token, long validUntilMicros) {}
 
@@ -55,13 +58,12 @@
   /** The send time of the last read that returned a delegation. */
   private long readSentMicros = NEVER_MICROS;
 
-  /** The revision of the delegation for which a renewal was last announced. */
-  private long announcedRevision = RenewalAnnouncement.NONE;
-
   /**
-   * Creates the delegated renewal of this controller, which reads the delegation through the given
-   * client.
+   * The revision of the delegation for which this controller last announced that it renews leases.
    */
+  private long announcedRevision = RenewalAnnouncement.NONE;
+
+  /** Creates an instance for this controller that reads the delegation through the given client. */
   public DelegatedRenewal(
       EventLoop loop, StateClient store, LeaderElection election, LoggerProvider loggerProvider) {
     this.log = loggerProvider.of(DelegatedRenewal.class);
@@ -87,8 +89,8 @@
           if (result.found()) {
             accept(DelegationRecord.read(result.item().data()), result.item().revision(), sent);
           } else if (result.missing()) {
-            // Only a 404 ends the delegation early. After any other failed read, it remains usable
-            // until it expires.
+            // Only status 404 (no delegation record) ends the right to renew leases early. After
+            // any other failed read, the right remains until it expires.
             delegation = NO_DELEGATION;
           }
         });
@@ -97,8 +99,8 @@
 
   private void accept(DelegationRecord read, long readRevision, long sentMicros) {
     if (readRevision < revision) {
-      // Responses may arrive out of order. The tokens in an older record may no longer be
-      // sufficient.
+      // Responses may arrive out of order, and workers may reject the tokens of an older
+      // delegation record.
       return;
     }
     if (!read.equals(delegation)) {
@@ -116,8 +118,9 @@
   }
 
   /**
-   * Announces that a lease was renewed, once per delegation. Without an announcement, the leader
-   * assumes that no other controller reaches its workers, and revokes the delegation.
+   * Announces to the leader, once per delegation, that this controller has renewed a lease. Without
+   * an announcement, the leader assumes that no other controller reaches its workers, and revokes
+   * the delegation.
    */
   public void announceRenewal() {
     if (announcedRevision == revision) {
@@ -137,8 +140,8 @@
   }
 
   /**
-   * Returns the right to renew leases in the zone, if there is one. Callers must check it again
-   * immediately before each use.
+   * Returns the right to renew the leases of the workers in the zone, if this controller has it.
+   * Callers must call this method again immediately before each renewal.
    */
   public Optional<RenewalRight> renewalRight(String zone) {
     long validUntil = readSentMicros + VALID_MICROS;
--- a/src/main/java/plumlever/election/ElectionBackoff.java
+++ b/src/main/java/plumlever/election/ElectionBackoff.java
@@ -8,7 +8,7 @@
  * only.
  */
 final class ElectionBackoff {
-  /** The shortest pause before a request is repeated. */
+  /** The shortest pause before a failed election request to the state service is repeated. */
   static final long RETRY_MICROS = 400_000;
 
   private static final int READ_JITTER_MICROS = 200_000;
@@ -16,7 +16,7 @@
   private static final int ATTEMPT_JITTER_MICROS = 250_000;
   private static final long BACKOFF_PER_LOST_ELECTION_MICROS = 150_000;
 
-  /** Further lost elections do not lengthen the pause. */
+  /** The number of lost elections after which further ones do not lengthen the pause. */
   private static final int MAX_LOST_ELECTIONS = 6;
 
   private final SplittableRandom random;
@@ -32,16 +32,16 @@
   }
 
   /**
-   * Returns the pause before the next attempt if the previous one could not start because a request
-   * had no response.
+   * Returns the pause before the next election attempt if the previous one could not start because
+   * a request had no response.
    */
   long beforeRetryMicros() {
     return RETRY_MICROS + random.nextInt(RETRY_JITTER_MICROS);
   }
 
   /**
-   * Returns the pause before an attempt after leadership has become vacant; it grows with each lost
-   * election.
+   * Returns the pause before an election attempt after leadership has become vacant; it grows with
+   * each lost election.
    */
   long beforeAttemptMicros() {
     return lostElections * BACKOFF_PER_LOST_ELECTION_MICROS + random.nextInt(ATTEMPT_JITTER_MICROS);
--- a/src/main/java/plumlever/election/ElectionContext.java
+++ b/src/main/java/plumlever/election/ElectionContext.java
@@ -9,7 +9,7 @@
  *
  * @param loop runs all of the components
  * @param store the state service client on that loop
- * @param records the known state of leadership
+ * @param records the leadership records as last read or watched
  */
 record ElectionContext(
     EventLoop loop, StateClient store, SchedulerParameters parameters, LeadershipRecords records) {}
--- a/src/main/java/plumlever/election/ElectionSettings.java
+++ b/src/main/java/plumlever/election/ElectionSettings.java
@@ -7,7 +7,7 @@
  * The settings of a candidate for leadership.
  *
  * @param label the label of the controller
- * @param poolTerms the source of terms if the controller belongs to a shard of a pool
+ * @param poolTerms assigns the terms if the controller belongs to a shard of a pool
  * @param seed seeds the random pauses and the nonce of this process
  */
 public record ElectionSettings(
--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -25,12 +25,15 @@
   /** Return value of a recurring task that runs again only when it is scheduled explicitly. */
   private static final long UNTIL_SCHEDULED = -1;
 
-  /** Notified on the election loop when a term ends. */
+  /** Notified on the election loop when a term of this controller ends. */
   interface Observer {
-    /** Called when the controller resigns: it must not attempt an election for this long. */
+    /**
+     * Called when this controller resigns leadership; it must not attempt an election during this
+     * pause.
+     */
     void attemptsPaused(long pauseMicros);
 
-    /** Called when a term has ended. */
+    /** Called when a leadership term of this controller has ended. */
     void termEnded();
   }
 
@@ -46,7 +49,9 @@
   /** The term in which this controller leads, or null. */
   private volatile Term current;
 
-  /** When the controller loop last ran; written on that loop. */
+  /**
+   * The time at which the controller loop last ran an action of this class; written on that loop.
+   */
   private volatile long controllerLoopLastRanMicros;
 
   HeldTerm(Logger log, ElectionContext context, ElectionListener listener, Observer observer) {
@@ -71,7 +76,8 @@
   }
 
   /**
-   * Returns true while this controller may act in the term it holds; may be called on any thread.
+   * Returns true while this controller holds a term and its lease allows it to act as the leader;
+   * may be called on any thread.
    */
   boolean mayAct() {
     Term term = current;
@@ -131,7 +137,10 @@
     }
   }
 
-  /** Ends the term and revokes its lease, if the term is still held. */
+  /**
+   * Ends the term and revokes its lease if this controller still holds the term, and delays this
+   * controller's next election attempt in any case.
+   */
   void resign(Term term, String reason, long pauseMicros) {
     observer.attemptsPaused(pauseMicros);
     if (current == term) {
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -26,20 +26,24 @@
   static final String PREFIX = "office/";
 
   /**
-   * Written by a controller that renews leases under a delegation, see {@link RenewalAnnouncement}.
+   * The key by which a controller announces that it renews leases of workers on behalf of the
+   * leader, see {@link RenewalAnnouncement}.
    */
   static final String RENEWAL_ANNOUNCEMENT = PREFIX + "stand-in";
 
   /**
-   * Allows the other controllers to renew leases on behalf of the leader, see {@link
-   * DelegatedRenewal}.
+   * The key by which the leader allows the other controllers to renew leases of workers on its
+   * behalf, see {@link DelegatedRenewal}.
    */
   public static final String DELEGATION = PREFIX + "mandate";
 
   /** Identifies the leader; attached to the lease of the leader. */
   public static final String LEADER = PREFIX + "leader";
 
-  /** The last term; every write of a leader requires its revision. */
+  /**
+   * The key of the last term; every write of a leader has the precondition that its revision is
+   * unchanged.
+   */
   public static final String TERM = PREFIX + "term";
 
   private final String label;
@@ -104,7 +108,10 @@
     return records.announcedDelegationRevision();
   }
 
-  /** Returns true if the last known leadership records include a delegation; a hint to read it. */
+  /**
+   * Returns true if the last known leadership records include a delegation of lease renewals, which
+   * is then worth reading.
+   */
   public boolean delegationExists() {
     return records.delegationExists();
   }
--- a/src/main/java/plumlever/election/LeadershipRecords.java
+++ b/src/main/java/plumlever/election/LeadershipRecords.java
@@ -48,7 +48,10 @@
   private volatile boolean delegationExists;
   private volatile long announcedDelegationRevision = RenewalAnnouncement.NONE;
 
-  /** True if the state service holds a pool but this controller has no sharing settings. */
+  /**
+   * True if the state service holds a pool of shards but this controller has no sharing settings;
+   * such a controller must not lead.
+   */
   private volatile boolean ineligible;
 
   /**
@@ -63,7 +66,7 @@
   }
 
   /**
-   * Replaces the known state by a complete listing.
+   * Replaces the known leadership records by a complete listing of them.
    *
    * @param leading true while this controller leads; its own term is newer than the listed term
    */
@@ -93,7 +96,10 @@
     return listing.items().stream().anyMatch(item -> item.key().equals(key));
   }
 
-  /** Updates the leader and the term from a listing; the position of the watch does not change. */
+  /**
+   * Updates the known leader and term from a listing, without changing the revision from which the
+   * watch continues.
+   */
   void refreshLeader(StateClient.Listing listing) {
     boolean leaderFound = false;
     for (StateClient.Item item : listing.items()) {
@@ -112,7 +118,7 @@
   }
 
   /**
-   * Applies the events of a watch response.
+   * Applies the changes of leadership records that a watch response reports.
    *
    * @param leading true while this controller leads; its own term is newer than that of the events
    */
@@ -134,7 +140,7 @@
       case LeaderElection.RENEWAL_ANNOUNCEMENT -> applyAnnouncement(event);
       case PoolTerms.MARKER -> applyPoolMarker(!event.deleted());
       default -> {
-        // Other keys under the prefix are ignored.
+        // Changes of other keys under the leadership prefix are ignored.
       }
     }
   }
@@ -204,17 +210,19 @@
     }
   }
 
-  /** Returns true once all records have been read. */
+  /** Returns true once all leadership records have been read. */
   boolean complete() {
     return complete;
   }
 
-  /** Returns the revision up to which changes have been applied. */
+  /**
+   * Returns the state service revision up to which changes of leadership records have been applied.
+   */
   long storeRevision() {
     return storeRevision;
   }
 
-  /** Returns the current revisions of the leader key and the term key. */
+  /** Returns the last known revisions of the leader key and the term key. */
   Revisions revisions() {
     return new Revisions(leaderRevision, termRevision);
   }
@@ -245,7 +253,10 @@
     return Optional.ofNullable(leaderLabel);
   }
 
-  /** Returns when the leader was last known to hold its key; may be called on any thread. */
+  /**
+   * Returns the time at which the leader was last known to hold the leader key; may be called on
+   * any thread.
+   */
   long leaderSeenMicros() {
     return leaderSeenMicros;
   }
@@ -255,14 +266,17 @@
     return term;
   }
 
-  /** Returns true if a delegation exists as far as is known; may be called on any thread. */
+  /**
+   * Returns true if the leader is known to have delegated lease renewals; may be called on any
+   * thread.
+   */
   boolean delegationExists() {
     return delegationExists;
   }
 
   /**
-   * Returns the revision of the delegation whose use was last announced; may be called on any
-   * thread.
+   * Returns the revision of the delegation under which another controller last announced lease
+   * renewals; may be called on any thread.
    */
   long announcedDelegationRevision() {
     return announcedDelegationRevision;
--- a/src/main/java/plumlever/election/LeadershipWatch.java
+++ b/src/main/java/plumlever/election/LeadershipWatch.java
@@ -4,14 +4,14 @@
 import plumlever.store.StateClient;
 
 /**
- * Reads the leadership records, then watches them until it is closed. Used on the election loop
- * only.
+ * Reads the leadership records, then watches them until this object is closed. Used on the election
+ * loop only.
  */
 final class LeadershipWatch implements AutoCloseable {
   /** How long the state service may hold a watch request open. */
   static final long WATCH_TIMEOUT_MICROS = 5_000_000;
 
-  /** Notified on the election loop of what was read. */
+  /** Notified on the election loop when leadership records were read. */
   interface Observer {
     /** Returns true while this controller leads. */
     boolean leading();
@@ -19,10 +19,10 @@
     /** Returns true while this controller has an election attempt in progress. */
     boolean attemptInProgress();
 
-    /** Called when the records were read or a watch response was received. */
+    /** Called when the leadership records were read or a watch response for them was received. */
     void recordsRead();
 
-    /** Called when {@link #refresh} could not read the leader. */
+    /** Called when {@link #refresh} could not read the leadership records. */
     void refreshFailed();
   }
 
@@ -41,7 +41,10 @@
     this.observer = observer;
   }
 
-  /** Reads all records and starts the watch. */
+  /**
+   * Reads all leadership records and starts to watch them; repeats the read after a pause if it
+   * fails.
+   */
   void start() {
     if (closed) {
       return;
@@ -75,8 +78,8 @@
     if (changes.expired()) {
       start();
     } else if (!changes.succeeded()) {
-      // The watch was refused or had no response. The known state may be stale, so all records are
-      // read again before any decision is based on them.
+      // The watch was refused or had no response. The known leadership records may be stale, so
+      // all of them are read again before any decision is based on them.
       loop.after(backoff.beforeReadMicros(), this::start);
     } else {
       records.apply(changes, observer.leading());
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -16,9 +16,9 @@
  */
 public final class PoolTerms {
   /**
-   * Exists at the root of the state service while it holds a pool. A controller without a sharing
-   * file that finds this key must not become leader, because it would act alongside the leaders of
-   * the shards.
+   * The key that marks that the state service holds a pool of shards. It is stored at the root,
+   * outside the prefixes of the shards. A controller without a sharing file that finds this key
+   * must not become leader, because it would act alongside the leaders of the shards.
    */
   static final String MARKER = LeaderElection.PREFIX + "pool";
 
@@ -29,8 +29,8 @@
   /**
    * The next term of a shard.
    *
-   * @param counterRevision the revision of the pool's counter from which the term was derived; 0 if
-   *     the counter does not exist yet
+   * @param counterRevision the revision of the pool's term counter from which the term was derived;
+   *     0 if the counter does not exist yet
    */
   record NextTerm(long term, long counterRevision) {}
 
@@ -39,9 +39,9 @@
   private final String leaderKey;
 
   /**
-   * Creates the source of terms for one shard of a pool.
+   * Creates an instance that assigns the terms of one shard of a pool.
    *
-   * @param counterKey the key of the pool's counter
+   * @param counterKey the key of the pool's term counter
    * @param leaderKey the key under which the leader of this shard is published to the pool
    */
   public PoolTerms(StateClient store, String counterKey, String leaderKey) {
@@ -51,7 +51,7 @@
   }
 
   /**
-   * Finds the next term, which is above all terms counted in the pool.
+   * Finds the next term of this shard, which is higher than the last term of any shard of the pool.
    *
    * @param lastTerm the last known term of this shard
    * @param handler receives the next term, or an empty value if the counter could not be read
@@ -74,7 +74,10 @@
         });
   }
 
-  /** Adds the updates of the pool's records to the election transaction. */
+  /**
+   * Adds to the election transaction the updates of the pool's term counter and of the record that
+   * publishes the shard's leader.
+   */
   Transaction addToElection(Transaction transaction, NextTerm next, String label, long leaseId) {
     ObjectNode leader = Json.object().put(LABEL, label).put(TERM, next.term());
     transaction
--- a/src/main/java/plumlever/election/RenewalAnnouncement.java
+++ b/src/main/java/plumlever/election/RenewalAnnouncement.java
@@ -7,10 +7,11 @@
 /**
  * The stored record by which a controller announces that it renews leases on behalf of the leader.
  *
- * @param delegationRevision the revision of the delegation it uses; {@link #NONE} if unreadable
+ * @param delegationRevision the revision of the leader's delegation that allows the renewals;
+ *     {@link #NONE} if unreadable
  */
 record RenewalAnnouncement(long delegationRevision) {
-  /** The revision used when there is no delegation. */
+  /** The value that stands for the revision of a delegation when there is none. */
   static final long NONE = -1;
 
   private static final String DELEGATION_REVISION = "mandate";
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -33,7 +33,7 @@
     return number;
   }
 
-  /** Returns the revision of the election transaction. */
+  /** Returns the state service revision of the transaction that elected the leader. */
   public long revision() {
     return revision;
   }
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Returns true while the leader may act. Callers must check it immediately before every response
-   * and command.
+   * Returns true while the leader may act in this term. Callers must check this immediately before
+   * every response to a user and every command to a worker.
    */
   public boolean mayAct() {
     return !ended && loop.nowMicros() < mayActUntilMicros;
@@ -59,7 +59,7 @@
     return new Transaction().require(LeaderElection.TERM, revision);
   }
 
-  /** Returns until when the leader may act, unless the term is ended earlier. */
+  /** Returns the time up to which the leader may act, unless the term is ended earlier. */
   long mayActUntilMicros() {
     return mayActUntilMicros;
   }
@@ -67,7 +67,7 @@
   /**
    * Extends the right to act after the lease was created or renewed.
    *
-   * @param sentMicros when the request for the lease was sent
+   * @param sentMicros the time at which the request that created or renewed the lease was sent
    */
   void extendFrom(long sentMicros, SchedulerParameters parameters) {
     long validMicros = ClockDrift.minElapsedMicros(parameters.leaseTtlMicros());
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -65,7 +65,10 @@
     return machine;
   }
 
-  /** The worker incarnation in which the attempt was started. */
+  /**
+   * The incarnation of the worker (a number that increases each time its lease expires) in which
+   * the attempt was started.
+   */
   public long incarnation() {
     return incarnation;
   }
@@ -79,22 +82,26 @@
   }
 
   /**
-   * Fencing token of the direct command that started the attempt, or -1 if the attempt was started
-   * in another way.
+   * Fencing token of the direct command (a command sent in a call to the worker, not in the
+   * response to a heartbeat) that started the attempt, or -1 if the attempt was started in another
+   * way.
    */
   public long directCommandToken() {
     return directCommandToken;
   }
 
-  /** True for an attempt of an earlier term that a heartbeat has listed. */
+  /**
+   * True if this leader did not start the attempt but learned of the attempt from a heartbeat or
+   * from the record of the machine's transfer to this shard.
+   */
   public boolean adopted() {
     return startHeartbeatSequenceNumber == AttemptOrigin.NONE
         && directCommandToken == AttemptOrigin.NONE;
   }
 
   /**
-   * When this leader sent the start command. For an adopted attempt, when the attempt was first
-   * reported to this leader.
+   * Time at which this leader sent the start command. For an attempt that this leader did not
+   * start, the time at which this leader learned of the attempt.
    */
   public long startSentMicros() {
     return startSentMicros;
@@ -110,7 +117,7 @@
     return state == AttemptState.RUNNING;
   }
 
-  /** When the attempt was first reported as running, or -1. */
+  /** Time at which the attempt was first reported as running, or -1 if it has not been. */
   public long runningSinceMicros() {
     return runningSinceMicros;
   }
@@ -125,7 +132,10 @@
     state = reported;
   }
 
-  /** True for a live attempt that a direct command started and no heartbeat has listed yet. */
+  /**
+   * True if a direct command started the attempt, no heartbeat has listed the attempt yet, and the
+   * attempt has not ended.
+   */
   boolean unconfirmed() {
     return directCommandToken != AttemptOrigin.NONE && !reported() && !ended;
   }
@@ -184,7 +194,7 @@
     gracePeriodS = maxGracePeriodS;
   }
 
-  /** When the stop was first requested. */
+  /** Time at which a stop of the attempt was first requested. */
   public long stopRequestedMicros() {
     return stopRequestedMicros;
   }
--- a/src/main/java/plumlever/fleet/AttemptNumbers.java
+++ b/src/main/java/plumlever/fleet/AttemptNumbers.java
@@ -7,7 +7,10 @@
 final class AttemptNumbers {
   private static final int TERM_SHIFT = 24;
 
-  /** Numbers left when a term has to end: more than the leader issues per second. */
+  /**
+   * Number of attempt numbers that are still unissued when the leader has to end its term; more
+   * than the leader issues per second.
+   */
   private static final long RESERVE = 1 << 16;
 
   private static final long MAX_COUNTER = (1L << TERM_SHIFT) - RESERVE;
@@ -20,7 +23,7 @@
   }
 
   /**
-   * @param issued how many numbers of the term have already been issued
+   * @param issued number of attempt numbers of the term that have already been issued
    */
   AttemptNumbers(long term, long issued) {
     this.term = term;
@@ -32,7 +35,7 @@
     return (term << TERM_SHIFT) | counter;
   }
 
-  /** True if few numbers of the term are left. */
+  /** True if at most {@link #RESERVE} attempt numbers of the term are left. */
   boolean nearlyExhausted() {
     return counter >= MAX_COUNTER;
   }
--- a/src/main/java/plumlever/fleet/AttemptOrigin.java
+++ b/src/main/java/plumlever/fleet/AttemptOrigin.java
@@ -5,14 +5,14 @@
  *
  * @param heartbeatSequenceNumber sequence number of the heartbeat whose response started the
  *     attempt, or {@link #NONE}
- * @param directCommandToken fencing token of the direct command that started the attempt, or {@link
- *     #NONE}
+ * @param directCommandToken fencing token of the direct command (a command sent in a call to the
+ *     worker, not in the response to a heartbeat) that started the attempt, or {@link #NONE}
  */
 record AttemptOrigin(long heartbeatSequenceNumber, long directCommandToken) {
-  /** Placeholder for a missing sequence number or token. */
+  /** Stands for the sequence number or token of an attempt that was started in another way. */
   static final long NONE = -1;
 
-  /** The origin of an attempt of an earlier term that its machine reported. */
+  /** The origin of an attempt that this leader did not start but learned of later. */
   static final AttemptOrigin ADOPTED = new AttemptOrigin(NONE, NONE);
 
   static AttemptOrigin heartbeatResponse(long sequenceNumber) {
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -29,11 +29,11 @@
   public enum State {
     /** No record of the job has been read, or the job has ended and has left the graph. */
     UNKNOWN,
-    /** Some dependency is not known to be done. */
+    /** At least one dependency of the job is not known to be done. */
     WAITING,
-    /** All dependencies are done. */
+    /** All dependencies of the job are done. */
     RELEASED,
-    /** The job or one of its dependencies is cancelled. */
+    /** The job or one of its direct or transitive dependencies is cancelled. */
     CANCELLED,
     /** The job has completed. */
     DONE
@@ -45,7 +45,8 @@
   private final GoalPropagation goalPropagation = new GoalPropagation();
 
   /**
-   * Adds a job that has not ended. Idempotent.
+   * Adds a job that has not ended, with its dependencies. Has no effect if the job has already been
+   * added.
    *
    * @param revision revision of the job's record
    * @return the dependencies that the graph does not know; the caller has to read their records and
@@ -85,7 +86,7 @@
    * Records the stored end of a job. Has no effect on a job that the graph does not hold.
    *
    * @param finalState the final state
-   * @param endedMicros when the job ended
+   * @param endedMicros time at which the job ended
    */
   public void recordEnd(String uid, JobState finalState, long endedMicros) {
     JobVertex vertex = vertices.get(uid);
@@ -131,7 +132,7 @@
     }
   }
 
-  /** The state of the job, derived from the records read so far. */
+  /** The state of the job, derived from the job records that have been read so far. */
   public State stateOf(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex == null ? State.UNKNOWN : vertex.state();
@@ -151,7 +152,10 @@
     return Optional.ofNullable(vertices.get(uid)).map(JobVertex::failedDependency);
   }
 
-  /** When the last dependency of the job ended; 0 if unknown or if the job has no dependencies. */
+  /**
+   * Time in microseconds at which the last dependency of the job ended; 0 if unknown or if the job
+   * has no dependencies.
+   */
   public long releasedMicros(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex == null ? 0 : vertex.releasedMicros();
@@ -175,14 +179,14 @@
         && vertex.dependents().stream().anyMatch(dependent -> !dependent.hasEnded());
   }
 
-  /** Returns and clears the jobs released since the last call. */
+  /** Returns the ids of the jobs released since the last call, and clears the list. */
   public List<String> drainReleased() {
     return drain(released);
   }
 
   /**
-   * Returns and clears the jobs cancelled since the last call, including those that have a
-   * cancellation record of their own.
+   * Returns the ids of the jobs cancelled since the last call, including those that have a
+   * cancellation record of their own, and clears the list.
    */
   public List<String> drainCancelled() {
     return drain(cancelled);
@@ -200,7 +204,8 @@
   }
 
   /**
-   * Sets the job's own goal. Has no effect on a job that the graph does not hold.
+   * Sets the job's own deadline and priority, without those of its dependents. Has no effect on a
+   * job that the graph does not hold.
    *
    * @param durationMicros estimated duration of the job after its release
    */
@@ -233,7 +238,8 @@
   }
 
   /**
-   * Recomputes the effective goals that are affected by changes since the last call.
+   * Recomputes the effective goals (deadlines and priorities, including those inherited from
+   * dependents) of all jobs that are affected by changes since the last call.
    *
    * @param changed receives the id of each job whose effective goal has changed
    */
@@ -242,8 +248,8 @@
   }
 
   /**
-   * The job's goal combined with the goals of its dependents; null before the first {@link
-   * #propagateGoals}.
+   * The earliest deadline and the highest priority of the job and its dependents; null before the
+   * first {@link #propagateGoals}.
    */
   public EffectiveGoal effectiveGoal(String uid) {
     JobVertex vertex = vertices.get(uid);
--- a/src/main/java/plumlever/fleet/EffectiveGoal.java
+++ b/src/main/java/plumlever/fleet/EffectiveGoal.java
@@ -6,7 +6,7 @@
  * The deadline and the priority by which a job is scheduled: the job's own, or those inherited from
  * a dependent.
  *
- * @param submittedMicros when the job that has the deadline was submitted
+ * @param submittedMicros time at which the job that has the deadline was submitted
  * @param deadlineMicros the deadline, relative to the submission; Long.MAX_VALUE for none
  * @param jobClass class of the job that has the deadline; the service-level objectives of the class
  *     define by how much the deadline may be missed
@@ -20,7 +20,7 @@
     String jobClass,
     long downstreamPathMicros,
     Priority priority) {
-  /** The time by which this job has to end; Long.MAX_VALUE if no deadline applies. */
+  /** The latest time at which this job has to end; Long.MAX_VALUE if no deadline applies. */
   public long latestEndMicros() {
     return hasDeadline() ? submittedMicros + deadlineMicros - downstreamPathMicros : Long.MAX_VALUE;
   }
@@ -30,7 +30,8 @@
   }
 
   /**
-   * The goal that the dependencies of this job inherit.
+   * Returns the deadline and the priority that the dependencies of this job inherit. The
+   * dependencies have to end earlier than this job by its estimated duration.
    *
    * @param durationMicros estimated duration of this job
    */
@@ -43,7 +44,7 @@
         priority);
   }
 
-  /** Combines the earlier deadline and the higher priority of the two goals. */
+  /** Returns a goal with the earlier deadline and the higher priority of the two goals. */
   EffectiveGoal strictest(EffectiveGoal other) {
     EffectiveGoal earlier = other.latestEndMicros() < latestEndMicros() ? other : this;
     Priority highest = other.priority.compareTo(priority) < 0 ? other.priority : priority;
--- a/src/main/java/plumlever/fleet/FencingTokens.java
+++ b/src/main/java/plumlever/fleet/FencingTokens.java
@@ -8,7 +8,10 @@
 final class FencingTokens {
   private static final int TERM_SHIFT = 20;
 
-  /** Tokens left when a term has to end: more than the leader sends to a machine per second. */
+  /**
+   * Number of fencing tokens that are still unissued for a machine when the leader has to end its
+   * term; more than the leader sends to a machine per second.
+   */
   private static final long RESERVE = 1 << 16;
 
   private static final long MAX_COUNTER = (1L << TERM_SHIFT) - RESERVE;
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -12,7 +12,7 @@
  * of each team use.
  */
 public final class Fleet {
-  /** The resources that the attempts of a team use. */
+  /** The total cores and accelerators that the live attempts of a team's jobs use. */
   public static final class TeamUsage {
     private double cores;
     private double accelerators;
@@ -81,7 +81,10 @@
     return FencingTokens.termOf(token);
   }
 
-  /** The machine of another shard with this id if it may run tasks of this shard, or null. */
+  /**
+   * Returns the machine with this id if the machine belongs to another shard and may run tasks of
+   * this shard; otherwise null.
+   */
   public Machine transferredMachine(String id) {
     return transferred.get(id);
   }
@@ -111,7 +114,10 @@
     transferred.remove(machine.id(), machine);
   }
 
-  /** Removes a machine that is gone or that is replaced by another object. */
+  /**
+   * Removes a machine of this shard that no longer exists or that another {@link Machine} object
+   * replaces.
+   */
   public void remove(Machine machine) {
     machines.remove(machine.id(), machine);
   }
@@ -128,7 +134,10 @@
     return addAttempt(new Attempt(job, task, attemptNumbers.next(), machine, origin, nowMicros));
   }
 
-  /** Adopts an attempt of an earlier term that the machine reports. */
+  /**
+   * Adds an attempt that this leader did not start, known from a heartbeat of the machine or from
+   * the record of the machine's transfer to this shard.
+   */
   public Attempt adoptAttempt(Job job, int task, long id, Machine machine, long nowMicros) {
     return addAttempt(new Attempt(job, task, id, machine, AttemptOrigin.ADOPTED, nowMicros));
   }
--- a/src/main/java/plumlever/fleet/ForeignLoad.java
+++ b/src/main/java/plumlever/fleet/ForeignLoad.java
@@ -10,6 +10,6 @@
  * @param memoryGb total memory of all foreign tasks in GB
  */
 public record ForeignLoad(int tasks, double cores, double accelerators, double memoryGb) {
-  /** No foreign tasks. */
+  /** The load of a machine that runs no tasks of other shards. */
   public static final ForeignLoad NONE = new ForeignLoad(0, 0, 0, 0);
 }
--- a/src/main/java/plumlever/fleet/GoalPropagation.java
+++ b/src/main/java/plumlever/fleet/GoalPropagation.java
@@ -11,26 +11,30 @@
  */
 final class GoalPropagation {
   /**
-   * Jobs to recompute, highest record revision first, so that a job is processed after all of its
-   * dependents.
+   * Jobs whose effective goal has to be recomputed, highest record revision first, so that a job is
+   * processed after all of its dependents.
    */
   private final PriorityQueue<JobVertex> stale =
       new PriorityQueue<>(Comparator.comparingLong(JobVertex::revision).reversed());
 
-  /** Marks the vertex's effective goal for recomputation. */
+  /**
+   * Marks the effective goal of the job for recomputation, unless the job has ended or has no goal
+   * of its own yet.
+   */
   void markStale(JobVertex vertex) {
     if (vertex.ownGoal() != null && !vertex.hasEnded()) {
       stale.add(vertex);
     }
   }
 
-  /** Marks the effective goals of all dependencies of the vertex for recomputation. */
+  /** Marks the effective goals of all dependencies of the job for recomputation. */
   void markDependenciesStale(JobVertex vertex) {
     vertex.dependencies().forEach(this::markStale);
   }
 
   /**
-   * Recomputes all stale goals, each once.
+   * Recomputes the effective goal (deadline and priority) of each job that has been marked, once
+   * per job.
    *
    * @param changed receives the id of each job whose effective goal has changed
    */
--- a/src/main/java/plumlever/fleet/HeartbeatSource.java
+++ b/src/main/java/plumlever/fleet/HeartbeatSource.java
@@ -6,8 +6,8 @@
   WORKER,
 
   /**
-   * The response to a direct call. A heartbeat in such a response does not show whether an earlier
-   * heartbeat response has reached the worker.
+   * The response to a direct call (a call from the leader to the worker). A heartbeat in such a
+   * response does not show whether an earlier heartbeat response has reached the worker.
    */
   DIRECT_RESPONSE
 }
--- a/src/main/java/plumlever/fleet/ImageCache.java
+++ b/src/main/java/plumlever/fleet/ImageCache.java
@@ -11,7 +11,7 @@
 public final class ImageCache {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** A fetch that takes longer is assumed to have been aborted. */
+  /** Time after which an unfinished image fetch is assumed to have been aborted. */
   private static final long MAX_FETCH_MICROS = 300_000_000;
 
   /**
@@ -100,7 +100,7 @@
     image.ready = true;
   }
 
-  /** The images that the machine has, with their sizes in GB. */
+  /** The images that the machine is known to have, by name, with their sizes in GB. */
   public Map<String, Double> readyImages() {
     Map<String, Double> ready = new LinkedHashMap<>();
     images.forEach(
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -39,7 +39,7 @@
 
   private final Int2ObjectHashMap<Attempt> liveAttempts = new Int2ObjectHashMap<>();
 
-  /** Tasks that ran before and have not completed. */
+  /** Tasks of which an attempt ran and ended without completing the task. */
   private final BitSet restartedTasks = new BitSet();
 
   private final RetryBackoff backoff = new RetryBackoff();
@@ -123,7 +123,7 @@
   /**
    * Releases the job because all of its dependencies are done.
    *
-   * @param endedMicros when the last dependency ended
+   * @param endedMicros time at which the last dependency ended
    */
   public void release(long endedMicros) {
     waitsForDependencies = false;
@@ -145,7 +145,9 @@
     return goal;
   }
 
-  /** Replaces the effective goal after the goal of a dependent has changed. */
+  /**
+   * Replaces the effective goal (deadline and priority) after the goal of a dependent has changed.
+   */
   public void setGoal(EffectiveGoal newGoal) {
     goal = newGoal;
   }
@@ -161,16 +163,16 @@
   }
 
   /**
-   * The time by which the job has to complete, from its own deadline or from that of a dependent;
-   * Long.MAX_VALUE if neither has a deadline.
+   * The latest time at which the job has to complete, from its own deadline or from that of a
+   * dependent; Long.MAX_VALUE if neither has a deadline.
    */
   public long deadlineMicros() {
     return goal.latestEndMicros();
   }
 
   /**
-   * True if an earlier leader may have started tasks of the job on machines that are not accounted
-   * for yet.
+   * True if an earlier leader may have started tasks of the job, including tasks that this leader
+   * does not know yet.
    */
   public boolean inherited() {
     return inherited;
@@ -319,12 +321,15 @@
     return Optional.of(liveAttempts.values().iterator().next().machine().zone());
   }
 
-  /** Records a failed attempt whose cause may be the job itself. */
+  /**
+   * Records that an attempt failed, possibly because of a fault in the job. The next attempt is
+   * delayed.
+   */
   public void recordError(long nowMicros) {
     backoff.recordError(nowMicros);
   }
 
-  /** Records a completed task, which resets the count of earlier errors. */
+  /** Records a completed task, which ends the delay and resets the count of consecutive errors. */
   public void recordSuccess() {
     backoff.recordSuccess();
   }
--- a/src/main/java/plumlever/fleet/JobVertex.java
+++ b/src/main/java/plumlever/fleet/JobVertex.java
@@ -66,7 +66,10 @@
     return failedDependency;
   }
 
-  /** When the last dependency of this job ended; 0 if unknown or if the job has no dependencies. */
+  /**
+   * Time in microseconds at which the last dependency of this job ended; 0 if unknown or if the job
+   * has no dependencies.
+   */
   long releasedMicros() {
     return releasedMicros;
   }
@@ -120,7 +123,7 @@
     releasedMicros = Math.max(releasedMicros, endedMicros);
   }
 
-  /** The goal of the job itself, without its dependents; null until set. */
+  /** The job's own deadline and priority, without those of its dependents; null until set. */
   EffectiveGoal ownGoal() {
     return ownGoal;
   }
@@ -130,7 +133,8 @@
   }
 
   /**
-   * The job's own goal, or the stricter goal inherited from its dependents; null until computed.
+   * The earliest deadline and the highest priority of the job and its dependents; null until
+   * computed.
    */
   EffectiveGoal effectiveGoal() {
     return effectiveGoal;
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -38,7 +38,8 @@
    * Creates a machine that is known by name and has not sent a heartbeat yet.
    *
    * @param endpoint the machine's address, or null while only its rental is known
-   * @param nowMicros the time from which the machine is known
+   * @param nowMicros the time at which the machine was rented or, if unknown, at which this leader
+   *     learned of the machine
    */
   public Machine(
       String id, String endpoint, String machineType, String zone, boolean spot, long nowMicros) {
@@ -82,8 +83,8 @@
   }
 
   /**
-   * When the machine was rented. If the rental time is not known, this is an estimate or the time
-   * at which this leader first learned of the machine.
+   * Time at which the machine was rented. If the rental time is not known, this is an estimate or
+   * the time at which this leader first learned of the machine.
    */
   public long knownSinceMicros() {
     return knownSinceMicros;
@@ -103,7 +104,7 @@
     return health;
   }
 
-  /** The attempts and foreign tasks that may run on the machine. */
+  /** The attempts of this shard and the tasks of other shards that may run on the machine. */
   public MachineLoad load() {
     return load;
   }
@@ -138,13 +139,17 @@
     accounted = true;
   }
 
-  /** Records a change of the owning shard, after which the tasks on the machine are unknown. */
+  /**
+   * Records that this leader does not know all tasks on the machine, because the owning shard has
+   * changed.
+   */
   public void markUnaccounted() {
     accounted = false;
   }
 
   /**
-   * When the cloud preempts the machine according to its preemption notice, or -1 without a notice.
+   * Time at which the cloud preempts the machine according to the preemption notice, or -1 without
+   * a notice.
    */
   public long preemptedAtMicros() {
     return preemptedAtMicros;
@@ -201,7 +206,7 @@
     return failed;
   }
 
-  /** The time since which the machine has been idle, or -1 if the machine is in use. */
+  /** The time at which the machine became idle, or -1 if the machine is in use. */
   public long idleSinceMicros() {
     return idleSinceMicros;
   }
@@ -209,7 +214,7 @@
   /**
    * Sets the start of the machine's idle time.
    *
-   * @param micros the time since which the machine has been idle, or -1 if the machine is in use
+   * @param micros the time at which the machine became idle, or -1 if the machine is in use
    */
   public void setIdleSince(long micros) {
     idleSinceMicros = micros;
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -12,7 +12,7 @@
   /** Number of consecutive lost responses after which a machine counts as unreachable. */
   private static final int UNREACHABLE_MIN_LOST_RESPONSES = 2;
 
-  /** A time before all others that does not overflow when a duration is added or subtracted. */
+  /** Stands for a time before all others. Adding or subtracting a duration does not overflow. */
   private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 4;
 
   private long incarnation;
@@ -27,17 +27,23 @@
   private int consecutiveLostResponses;
   private boolean unreachable;
 
-  /** The worker incarnation in the newest heartbeat; 0 before the first heartbeat. */
+  /**
+   * The worker's incarnation (a number that increases each time its lease expires) in the newest
+   * heartbeat; 0 before the first heartbeat.
+   */
   public long incarnation() {
     return incarnation;
   }
 
-  /** Raises the incarnation to the one that another leader has reported for the machine. */
+  /**
+   * Raises the worker's incarnation to at least the one that another leader has reported for the
+   * machine.
+   */
   public void raiseIncarnation(long known) {
     incarnation = Math.max(incarnation, known);
   }
 
-  /** Sequence number of the newest heartbeat in the current incarnation. */
+  /** Sequence number of the newest heartbeat in the worker's current incarnation. */
   public long sequenceNumber() {
     return sequenceNumber;
   }
@@ -85,12 +91,17 @@
     return lastHeartbeatMicros >= 0;
   }
 
-  /** When the last heartbeat that the worker sent on its own arrived. */
+  /**
+   * Time at which the last heartbeat that the worker sent on its own, not in the response to a
+   * direct call, arrived.
+   */
   public long lastHeartbeatMicros() {
     return lastHeartbeatMicros;
   }
 
-  /** When the last heartbeat arrived, including heartbeats in responses to direct calls. */
+  /**
+   * Time at which the last heartbeat arrived, including heartbeats in responses to direct calls.
+   */
   public long lastSeenMicros() {
     return lastSeenMicros;
   }
@@ -100,14 +111,14 @@
     lastRenewalMicros = nowMicros;
   }
 
-  /** When this controller last sent a response that renews the machine's lease. */
+  /** Time at which this controller last sent a response that renews the machine's lease. */
   public long lastRenewalMicros() {
     return lastRenewalMicros;
   }
 
   /**
    * The latest time at which a former owner of the machine may have renewed the machine's lease; a
-   * time in the distant past if no former owner may have renewed the lease.
+   * time in the distant past if no former owner can have renewed the lease.
    */
   public long formerOwnerRenewalMicros() {
     return formerOwnerRenewalMicros;
@@ -121,7 +132,7 @@
     formerOwnerRenewalMicros = Math.max(formerOwnerRenewalMicros, untilMicros);
   }
 
-  /** True while a direct call to the machine is in flight. */
+  /** True while a direct call (a call from the leader to the worker) is in flight. */
   public boolean commandInFlight() {
     return commandInFlight;
   }
@@ -132,7 +143,7 @@
   }
 
   /**
-   * Records the end of a direct call.
+   * Records the end of a direct call (a call from the leader to the worker).
    *
    * @param answered false if the call got no response
    */
@@ -140,7 +151,10 @@
     consecutiveFailedCalls = answered ? 0 : consecutiveFailedCalls + 1;
   }
 
-  /** The number of consecutive direct calls without a response. */
+  /**
+   * The number of consecutive direct calls (calls from the leader to the worker) without a
+   * response.
+   */
   public int consecutiveFailedCalls() {
     return consecutiveFailedCalls;
   }
@@ -158,7 +172,7 @@
     }
   }
 
-  /** Records a heartbeat that shows the content of the preceding responses. */
+  /** Records a heartbeat which shows that the preceding responses have reached the worker. */
   public void recordDeliveredResponse() {
     consecutiveLostResponses = 0;
     unreachable = false;
--- a/src/main/java/plumlever/fleet/MachineHealth.java
+++ b/src/main/java/plumlever/fleet/MachineHealth.java
@@ -5,16 +5,22 @@
  * failures.
  */
 public final class MachineHealth {
-  /** Ratios are clamped to these bounds, because a single run may be an outlier. */
+  /**
+   * Lower bound of the ratio of observed to planned run time. Ratios are clamped, because a single
+   * run may be an outlier.
+   */
   private static final double MIN_RATIO = 0.5;
 
   private static final double MAX_RATIO = 6;
   private static final double MIN_SLOWNESS = 0.8;
 
-  /** Weight of the latest run in the exponential moving average. */
+  /** Weight of the latest run in the exponential moving average of run-time ratios. */
   private static final double LAST_RUN_WEIGHT = 0.3;
 
-  /** Failures of a single job may be caused by the job itself. */
+  /**
+   * Minimum number of jobs with failed tasks for a machine to count as faulty; failures of a single
+   * job may be caused by the job itself.
+   */
   private static final int FAULTY_MIN_FAILED_JOBS = 2;
 
   private static final int FAULTY_MIN_ERRORS = 3;
--- a/src/main/java/plumlever/fleet/MachineLoad.java
+++ b/src/main/java/plumlever/fleet/MachineLoad.java
@@ -9,10 +9,13 @@
 public final class MachineLoad {
   private final Long2ObjectHashMap<Attempt> attempts = new Long2ObjectHashMap<>();
 
-  /** Number of attempts that have not ended. */
+  /** Number of attempts on the machine that have not ended. */
   private int liveAttempts;
 
-  /** Number of live attempts that a direct command started and no heartbeat has listed yet. */
+  /**
+   * Number of live attempts that a direct command (sent in a call to the worker) started and no
+   * heartbeat has listed yet.
+   */
   private int unconfirmedAttempts;
 
   private ForeignLoad foreignTasks = ForeignLoad.NONE;
@@ -33,7 +36,8 @@
   }
 
   /**
-   * Records that a heartbeat has listed an attempt started by a direct command, or that it ended.
+   * Records that an attempt started by a direct command has been listed by a heartbeat or has
+   * ended.
    */
   void recordConfirmedAttempt() {
     unconfirmedAttempts--;
@@ -57,12 +61,15 @@
     return liveAttempts;
   }
 
-  /** True if the machine is not expected to list any attempt. */
+  /** True if the heartbeats of the machine are not expected to list any attempt of this shard. */
   public boolean hasNoAttempts() {
     return attempts.isEmpty();
   }
 
-  /** True while a direct command may have started an attempt that no heartbeat has listed yet. */
+  /**
+   * True while a direct command (sent in a call to the worker) may have started an attempt that no
+   * heartbeat has listed yet.
+   */
   public boolean hasUnconfirmedStart() {
     return unconfirmedAttempts > 0;
   }
--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -12,22 +12,28 @@
   private long lastCommandToken = -1;
   private long endedJobsReadAtLastCommandMicros;
 
-  /** The token in responses and commands to the machine. */
+  /** The fencing token that responses and commands to the machine currently carry. */
   public long current() {
     return current;
   }
 
-  /** Raises the token to at least this value. The token never decreases. */
+  /** Raises the current fencing token to at least this value. The token never decreases. */
   public void raise(long token) {
     current = Math.max(current, token);
   }
 
-  /** The term, or the number of the machine's transfer, to which the tokens belong. */
+  /**
+   * The term of the leader, or the number of the machine's transfer between shards, to which the
+   * current token belongs.
+   */
   public long term() {
     return term;
   }
 
-  /** Starts a new term or transfer, which has a higher number than all earlier ones. */
+  /**
+   * Sets the term or transfer number, which must be higher than all earlier ones, and raises the
+   * token to the first token of that number.
+   */
   public void startTerm(long number) {
     term = number;
     raise(FencingTokens.firstOf(number));
@@ -44,10 +50,11 @@
   }
 
   /**
-   * Records a direct command that carries the current token. A delayed duplicate of the command may
-   * be executed until the token is raised. At most one direct command is in flight at a time.
+   * Records a direct command (a command sent in a call to the worker, not in the response to a
+   * heartbeat) that carries the current token. A delayed duplicate of the command may be executed
+   * until the token is raised. At most one direct command is in flight at a time.
    *
-   * @param endedJobsReadMicros when the last successful read of ended jobs was sent
+   * @param endedJobsReadMicros time at which the last successful read of ended jobs was sent
    */
   public void recordDirectCommand(long endedJobsReadMicros) {
     lastCommandToken = current;
@@ -55,7 +62,8 @@
   }
 
   /**
-   * When the read of ended jobs that was passed to the last {@link #recordDirectCommand} was sent.
+   * Time at which the read of ended jobs was sent that was the last successful one when the last
+   * direct command was sent.
    */
   public long endedJobsReadAtLastCommandMicros() {
     return endedJobsReadAtLastCommandMicros;
@@ -80,7 +88,8 @@
   }
 
   /**
-   * The token in the last response that renewed the machine's lease; 0 before the first renewal.
+   * The fencing token in the last response that renewed the machine's lease; 0 before the first
+   * renewal.
    */
   public long lastRenewalToken() {
     return lastRenewalToken;
--- a/src/main/java/plumlever/fleet/Registrable.java
+++ b/src/main/java/plumlever/fleet/Registrable.java
@@ -7,10 +7,10 @@
 public abstract class Registrable {
   private RegistrationState registration = RegistrationState.NONE;
 
-  /** Package-private, so that only classes of this package can be registered. */
+  /** Package-private, so that only classes of this package can extend this class. */
   Registrable() {}
 
-  /** The progress of the registration. */
+  /** Whether the state service lists this machine or job, so that tasks may be started. */
   public final RegistrationState registration() {
     return registration;
   }
--- a/src/main/java/plumlever/fleet/RetryBackoff.java
+++ b/src/main/java/plumlever/fleet/RetryBackoff.java
@@ -6,7 +6,7 @@
  * cancels it.
  */
 final class RetryBackoff {
-  /** Consecutive errors up to which the delay does not grow. */
+  /** Number of consecutive errors up to which the retry delay stays at its initial value. */
   private static final int ERRORS_WITH_INITIAL_DELAY = 2;
 
   private static final int MAX_DOUBLINGS = 6;
--- a/src/main/java/plumlever/fleet/RunTimeEstimates.java
+++ b/src/main/java/plumlever/fleet/RunTimeEstimates.java
@@ -13,7 +13,7 @@
   private static final double MAX_RATIO = 5;
   private static final long MIN_RUN_MICROS = 100_000;
 
-  /** Weight of the latest run in the exponential moving average. */
+  /** Weight of the latest run in the exponential moving average of run-time ratios. */
   private static final double LAST_RUN_WEIGHT = 0.08;
 
   private final Map<String, Double> ratios = new HashMap<>();
@@ -27,7 +27,8 @@
   }
 
   /**
-   * Sets the ratio that an earlier leader stored, unless this leader already has one for the class.
+   * Sets the ratio of actual to estimated run time that an earlier leader stored for the class,
+   * unless this leader already has a ratio for the class.
    */
   public void adoptRatio(String jobClass, double ratio) {
     ratios.putIfAbsent(jobClass, bounded(ratio));
@@ -37,12 +38,15 @@
     return Math.max(MIN_RATIO, Math.min(MAX_RATIO, ratio));
   }
 
-  /** The known ratios by job class. */
+  /** The known ratios of actual to estimated task run time, by job class. */
   public Map<String, Double> ratios() {
     return ratios;
   }
 
-  /** The moving average for the class; 1 if no run has been observed. */
+  /**
+   * Returns the moving average of actual divided by estimated task run time of the class; 1 if no
+   * ratio is known.
+   */
   public double ratio(String jobClass) {
     return ratios.getOrDefault(jobClass, 1.0);
   }
--- a/src/main/java/plumlever/http/ConnectionPool.java
+++ b/src/main/java/plumlever/http/ConnectionPool.java
@@ -63,7 +63,7 @@
   }
 
   /**
-   * Ends a call that had started.
+   * Releases the slot of a call that had started and is finished, and starts waiting calls.
    *
    * @param reusable the call's connection if another call can reuse it
    */
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Closes an idle connection. */
+  /** Removes an idle connection from the pool and closes the connection. */
   void evict(ClientConnection connection) {
     idleConnections.remove(connection);
     IoUtils.safeClose(connection);
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Machines are rented and returned all the time, so the pools of their endpoints are removed when
-   * unused.
+   * Reports the pool if it is unused, so that the pool is removed. Machines are rented and returned
+   * all the time, so pools of former endpoints would accumulate.
    */
   private void reportIfUnused() {
     if (startedCalls == 0 && idleConnections.isEmpty() && waitingCalls.isEmpty()) {
--- a/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
@@ -42,7 +42,8 @@
   private final LogRateLimiter logRateLimiter;
 
   /**
-   * Creates a handler that uses the given delegation.
+   * Creates a handler that responds while the delegation (the leader's authorization of this
+   * controller to renew leases in a zone) is valid.
    *
    * @param jobs provides the ended jobs, whose tasks are stopped
    */
@@ -63,9 +64,10 @@
   }
 
   /**
-   * Responds to the heartbeat if this controller may renew leases in the heartbeat's zone.
+   * Responds to the heartbeat if this controller is authorized to renew leases in the heartbeat's
+   * zone.
    *
-   * @return false if this controller may not renew the lease; no response has been sent
+   * @return false if this controller must not renew the lease; no response has been sent
    */
   boolean tryRespond(Heartbeat heartbeat, Responder out) {
     Optional<DelegatedRenewal.RenewalRight> renewalRight =
--- a/src/main/java/plumlever/http/HeartbeatEndpoint.java
+++ b/src/main/java/plumlever/http/HeartbeatEndpoint.java
@@ -12,8 +12,8 @@
 
 /**
  * The endpoint for heartbeats of workers. If the leader is in this process, the leader responds.
- * Otherwise this controller responds as the leader's delegate if it may, or redirects the worker to
- * the leader.
+ * Otherwise this controller responds on the leader's behalf if the leader has authorized it, or
+ * redirects the worker to the leader.
  */
 public final class HeartbeatEndpoint {
   private final LeaderLookup leaders;
@@ -38,7 +38,7 @@
     this.metrics = metrics;
   }
 
-  /** Responds to a heartbeat, immediately or after the required reads. */
+  /** Responds to a heartbeat, either immediately or after reading from the state service. */
   void handle(byte[] body, Responder out) {
     Heartbeat heartbeat;
     try {
--- a/src/main/java/plumlever/http/JobAcceptance.java
+++ b/src/main/java/plumlever/http/JobAcceptance.java
@@ -17,8 +17,8 @@
   private static final long RETRY_PAUSE_MICROS = 150_000;
 
   /**
-   * If the state service responded to this controller this recently, a refusal means that the
-   * request rate was exceeded, so the transaction is retried.
+   * Time after a response of the state service within which a refusal is taken to mean that the
+   * request rate was exceeded, so that the transaction is retried.
    */
   private static final long RECENTLY_SERVED_MICROS = 500_000;
 
@@ -32,12 +32,15 @@
     this.dependencyLists = new DependencyLists(jobs.loop(), jobs.store(), jobs.recordLayout());
   }
 
-  /** Stores the dependencies that do not fit into the job's record, then accepts the job. */
+  /**
+   * Accepts the job. Dependencies that do not fit into the job's record are first stored in a
+   * separate dependency list.
+   */
   void acceptWithDependencyList(
       JobSpec spec, RecordLayout.Acceptance records, UserRequest request) {
     if (records.hasDependencyList()) {
-      // No list is stored if the submission repeats a known job: the stored list may differ or may
-      // have been removed.
+      // No dependency list is stored if the submission repeats a known job: the stored
+      // dependency list may differ or may have been removed.
       responses.respondIfKnown(
           spec.uid(), request, () -> storeDependencyList(spec, records, request));
     } else {
@@ -76,9 +79,9 @@
             result -> {
               switch (result.outcome()) {
                 case APPLIED -> respondAccepted(spec, result.revision(), request);
-                // The record may exist, created by an earlier request or, if the outcome is
-                // unknown,
-                // by this one. The response is therefore based on a read of the record.
+                // The job's record may have been created by an earlier request or, if the
+                // outcome is unknown, by this request. The response is therefore based on a
+                // read of the record.
                 case CONFLICT, UNKNOWN -> respondFromRecord(spec.uid(), request);
                 case REFUSED -> {
                   if (attemptsLeft > 1 && recentlyServed()) {
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -26,7 +26,10 @@
   private static final int MAX_ATTEMPTS = 4;
   private static final int RETRY_AFTER_S = 1;
 
-  /** A key that exists if the shard has the job. */
+  /**
+   * One of the keys under which the state service may hold the job's record, and the shard that has
+   * the job if the key exists.
+   */
   private record Candidate(SharingSettings.Shard shard, String key) {}
 
   private final EventLoop loop;
@@ -55,8 +58,9 @@
   }
 
   /**
-   * The key of the active job comes before the key of the ended job, because the end of a job moves
-   * its record from the first key to the second.
+   * Returns the possible keys of the job in the other shards. The key of the active job comes
+   * before the key of the ended job, because the end of a job moves its record from the first key
+   * to the second.
    */
   private List<Candidate> candidates(String uid) {
     List<Candidate> candidates = new ArrayList<>();
@@ -90,8 +94,8 @@
   }
 
   /**
-   * Reads the keys one after the other. This is safe because some shard has the job and a job is
-   * never transferred to another shard.
+   * Reads the possible keys of the job one after the other until one exists. This is safe because
+   * some shard has the job and a job is never transferred to another shard.
    */
   private void readCandidates(Iterator<Candidate> candidates, Consumer<JobLocation> handler) {
     if (!candidates.hasNext()) {
--- a/src/main/java/plumlever/http/JobRequestAdmission.java
+++ b/src/main/java/plumlever/http/JobRequestAdmission.java
@@ -13,9 +13,9 @@
  */
 record JobRequestAdmission(JobRecordCache records, RequestAdmission admission) {
   /**
-   * @param kind prefix of the metrics for these requests
-   * @return empty if a response has been sent: the id is invalid, the job's final state is known,
-   *     or the request was not admitted
+   * @param kind prefix of the names of the metrics for these requests
+   * @return the admitted request; empty if a response has been sent: the id is invalid, the job's
+   *     final state is known, or the request was not admitted
    */
   Optional<UserRequest> admit(String kind, String uid, ForwardedRequest request, Responder out) {
     if (!JobSpec.validUid(uid)) {
--- a/src/main/java/plumlever/http/JobResponses.java
+++ b/src/main/java/plumlever/http/JobResponses.java
@@ -10,7 +10,9 @@
 import plumlever.wire.Json;
 import plumlever.wire.ProtocolField;
 
-/** Creates responses from the stored state of a job in this shard or in another shard. */
+/**
+ * Sends responses that are based on the stored state of a job in this shard or in another shard.
+ */
 final class JobResponses {
   static final String NO_SUCH_JOB = "no such job";
 
--- a/src/main/java/plumlever/http/LeaderLookup.java
+++ b/src/main/java/plumlever/http/LeaderLookup.java
@@ -5,7 +5,7 @@
 
 /** Finds the current leader, as far as this controller knows. Called for each heartbeat. */
 public interface LeaderLookup {
-  /** The leader in this process; empty if this controller may not act as leader. */
+  /** The leader in this process; empty if this controller must not act as leader. */
   Optional<Leader> actingLeader();
 
   /** The label of the leading controller, if a live leader is known. */
--- a/src/main/java/plumlever/http/OutgoingCall.java
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -217,7 +217,7 @@
   }
 
   /**
-   * @param reusable the connection if another call can reuse it
+   * @param reusable the connection if another call can reuse the connection; otherwise empty
    */
   private void finish(int status, byte[] data, Optional<ClientConnection> reusable) {
     if (finished) {
--- a/src/main/java/plumlever/http/PoolRequestHandler.java
+++ b/src/main/java/plumlever/http/PoolRequestHandler.java
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Handles the request if its path is a path between shards.
+   * Handles the request if the path is one for requests between the shards of a pool.
    *
-   * @return false if the path is another one; no response has been sent
+   * @return false for any other path; no response has been sent
    */
   public boolean handle(String path, byte[] body, Responder out) {
     try {
--- a/src/main/java/plumlever/http/RequestAdmission.java
+++ b/src/main/java/plumlever/http/RequestAdmission.java
@@ -25,9 +25,9 @@
   /**
    * Admits a request and counts it as open until its response is sent.
    *
-   * @param kind prefix of the metrics for these requests
-   * @return empty if the request has been refused, because too many requests are open or because
-   *     this controller lacks the sharing file
+   * @param kind prefix of the names of the metrics for these requests
+   * @return the admitted request; empty if the request has been refused, because too many requests
+   *     are open or because this controller lacks the sharing file
    */
   Optional<UserRequest> admit(String kind, ForwardedRequest request, Responder out) {
     if (health.ineligible()) {
--- a/src/main/java/plumlever/http/Server.java
+++ b/src/main/java/plumlever/http/Server.java
@@ -39,7 +39,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
   /**
-   * Large enough for all workers of a failed controller, which reconnect within one or two seconds.
+   * Maximum number of connections that wait to be accepted. Large enough for all workers of a
+   * failed controller, which reconnect within one or two seconds.
    */
   private static final int BACKLOG = 8 * 1024;
 
--- a/src/main/java/plumlever/http/SubmissionRules.java
+++ b/src/main/java/plumlever/http/SubmissionRules.java
@@ -13,8 +13,7 @@
   private final MachineTypeCatalog typeCatalog;
 
   /**
-   * Creates rules from the team limits and the machine types. The machine types may be loaded
-   * later.
+   * Creates rules from the team limits and the catalog of machine types, which may still be empty.
    */
   public SubmissionRules(List<PlatformConfiguration.Team> teams, MachineTypeCatalog typeCatalog) {
     this.teams = teams;
--- a/src/main/java/plumlever/http/UserApi.java
+++ b/src/main/java/plumlever/http/UserApi.java
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Handles a submission. The job is accepted once stored, refused, or has to be submitted again
-   * later.
+   * Handles a submission. The response says that the job has been stored and so accepted, that the
+   * job is refused, or that the user has to submit the job again later.
    */
   public void submit(byte[] body, Responder out) {
     submissions.submit(body, out);
--- a/src/main/java/plumlever/http/UserRequest.java
+++ b/src/main/java/plumlever/http/UserRequest.java
@@ -3,7 +3,7 @@
 import java.util.function.IntConsumer;
 import plumlever.wire.ForwardedRequest;
 
-/** An open user request, with its original content. */
+/** A user request that has not been responded to yet, with its original content. */
 final class UserRequest implements Responder {
   private final ForwardedRequest request;
   private final Responder out;
--- a/src/main/java/plumlever/http/XnioLoop.java
+++ b/src/main/java/plumlever/http/XnioLoop.java
@@ -58,8 +58,8 @@
   }
 
   /**
-   * The I/O thread rejects actions that become due during shutdown. They can be dropped, because no
-   * component waits for them any more.
+   * Logs an action that the I/O thread rejected because the action became due during shutdown. The
+   * action can be dropped, because no component waits for it any more.
    */
   private static void logDropped(RejectedExecutionException rejection) {
     LOG.debug("action dropped because the I/O thread is shutting down: {}", rejection.toString());
--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -44,7 +44,10 @@
     this.preemptionNotices = new PreemptionNotices(context);
   }
 
-  /** Called once the records of earlier leaders have been loaded. */
+  /**
+   * Called once the records of earlier leaders have been loaded; from now on heartbeats are
+   * applied.
+   */
   void recordsLoaded() {
     screening.recordsLoaded();
   }
@@ -100,8 +103,9 @@
   }
 
   /**
-   * Registers the machine if it has no record yet. A heartbeat with a token of an earlier term may
-   * be a delayed duplicate from a machine that no longer exists, and does not register the machine.
+   * Adds the machine to the stored record of machines if it is not there yet. A heartbeat with a
+   * token of an earlier term may be a delayed duplicate from a machine that no longer exists, and
+   * does not add it.
    */
   private void registerIfUnregistered(Machine machine, Heartbeat heartbeat) {
     if (machine.registration() == RegistrationState.NONE
--- a/src/main/java/plumlever/leader/HeartbeatScreening.java
+++ b/src/main/java/plumlever/leader/HeartbeatScreening.java
@@ -12,7 +12,10 @@
 
 /** Answers or defers the heartbeats that this leader must not act on, or must not act on yet. */
 final class HeartbeatScreening {
-  /** Pause before the next candidacy, to avoid competing with the leader of the later term. */
+  /**
+   * Time for which this controller does not stand for election after it has seen a later term, to
+   * avoid competing with the leader of the later term.
+   */
   private static final long LATER_TERM_PAUSE_MICROS = 1_000_000;
 
   private final TermContext context;
--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -80,12 +80,15 @@
     return components.sharing().offerTransfer(machine, shard);
   }
 
-  /** Answers a heartbeat that another shard's leader relays for this shard's tasks. */
+  /**
+   * Answers a relayed heartbeat: the leader of another shard owns the machine, and this shard has
+   * tasks on it.
+   */
   public void relayedHeartbeat(RelayedHeartbeat relayed, Responder out) {
     components.sharing().respondToRelayed(relayed, out);
   }
 
-  /** Returns whether everything that earlier leaders started is accounted for. */
+  /** Returns whether all tasks that earlier leaders may have left running are known. */
   public boolean failoverComplete() {
     return components.failover().isComplete();
   }
@@ -95,7 +98,10 @@
     return loaded ? Optional.ofNullable(components.jobs().get(uid)) : Optional.empty();
   }
 
-  /** Returns a job's counts of completed and running tasks, for display; empty if unknown. */
+  /**
+   * Returns a job's counts of completed and running tasks, for display; empty if this leader does
+   * not know the job.
+   */
   public Optional<TaskCounts> taskCounts(String uid) {
     return job(uid).map(Leader::taskCounts);
   }
@@ -136,7 +142,8 @@
     records.close();
     deferredHeartbeats.close();
     scope.close();
-    // If the records were never loaded, the scope does not own the jobs and does not close them.
+    // If the records were never loaded, the scope does not contain the view of active jobs and has
+    // not closed it.
     components.jobs().close();
   }
 }
--- a/src/main/java/plumlever/leader/LeaseRenewalResponder.java
+++ b/src/main/java/plumlever/leader/LeaseRenewalResponder.java
@@ -13,7 +13,10 @@
 import plumlever.wire.Heartbeat;
 import plumlever.wire.WorkerCommand;
 
-/** Renews a machine's lease and sends all commands that are due, if the evidence is sufficient. */
+/**
+ * Answers a heartbeat: renews the machine's lease and sends all commands that are due, or refuses
+ * the renewal for one of the reasons in {@link RenewalRefusal}.
+ */
 final class LeaseRenewalResponder {
   private final TermContext context;
   private final HeartbeatHandler heartbeats;
@@ -64,7 +67,8 @@
   private void refuse(Machine machine, Heartbeat heartbeat, RenewalRefusal refusal, Responder out) {
     responses.refuse(heartbeat, refusal, out);
     if (refusal == RenewalRefusal.UNANSWERED_COMMAND) {
-      // A higher token invalidates the command, so that the next heartbeat can renew the lease.
+      // A higher fencing token invalidates the unanswered command, so that the response to the next
+      // heartbeat can renew the lease.
       commands.sendToken(machine);
     }
   }
--- a/src/main/java/plumlever/leader/PreemptionNotices.java
+++ b/src/main/java/plumlever/leader/PreemptionNotices.java
@@ -16,10 +16,13 @@
   /** Time that the response to a heartbeat needs to reach the worker. */
   private static final int RESPONSE_DELIVERY_S = 1;
 
-  /** Tasks are stopped this much earlier than their checkpoint requires. */
+  /**
+   * Tasks on a machine about to be preempted are stopped this much earlier than their checkpoint
+   * requires.
+   */
   private static final int NOTICE_MARGIN_S = 2;
 
-  /** Added to the time of a checkpoint to get the grace period of the stop. */
+  /** Added to the time that a checkpoint takes to get the grace period of the stop command. */
   private static final int GRACE_MARGIN_S = 1;
 
   private final TermContext context;
--- a/src/main/java/plumlever/leader/SchedulingPasses.java
+++ b/src/main/java/plumlever/leader/SchedulingPasses.java
@@ -36,13 +36,19 @@
     requested = true;
   }
 
-  /** Sends the planned starts of jobs that had to be recorded as started first. */
+  /**
+   * Sends the planned starts of jobs that have been added to the stored index of started jobs,
+   * which has to precede the first start of a job, and requests a pass.
+   */
   void startedJobsRecorded() {
     requested = true;
     commands.dispatch(fleet);
   }
 
-  /** Runs as a recurring task; returns the pause until the next run. */
+  /**
+   * Runs a scheduling pass, or resumes one, if a pass was requested; returns the pause in
+   * microseconds until the next call.
+   */
   long run() {
     if (!requested || !context.term().mayAct()) {
       return MIN_PAUSE_MICROS;
--- a/src/main/java/plumlever/leader/TokenRaiser.java
+++ b/src/main/java/plumlever/leader/TokenRaiser.java
@@ -10,24 +10,33 @@
 import plumlever.leader.scheduling.CommandSender;
 
 /**
- * Sends raised fencing tokens to machines by direct call. Machines that are not yet accounted for
- * in a failover receive the term's token without having to send a heartbeat first. Unreachable
- * machines are called periodically, because their heartbeats are not answered.
+ * Sends raised fencing tokens to machines by direct call. During a failover, machines that may run
+ * unknown tasks of earlier leaders receive the term's token without having to send a heartbeat
+ * first. Unreachable machines are called periodically, because their heartbeats are not answered.
  */
 record TokenRaiser(TermContext context, Fleet fleet, Failover failover, CommandSender commands) {
   private static final long FAILOVER_INTERVAL_MICROS = 100_000;
   private static final long UNREACHABLE_INTERVAL_MICROS = 4_000_000;
 
-  /** Within this time after a response, the machine's next heartbeat shows the response's token. */
+  /**
+   * A machine that was sent a response less than this long ago is not called, because its next
+   * heartbeat shows whether it has seen the response's token.
+   */
   private static final long RESPONSE_SHOWS_TOKEN_MICROS = 2_000_000;
 
   /** The lateness of the loop thread above which the number of calls is limited. */
   private static final long LATENESS_THRESHOLD_MICROS = 50_000;
 
-  /** Enough concurrent calls to detect the machines that no longer exist. */
+  /**
+   * The limit on concurrent calls while the loop thread is late; enough to detect the machines that
+   * no longer exist.
+   */
   private static final int MAX_CALLS_WHILE_LATE = 6;
 
-  /** Runs as a recurring task; returns the pause until the next run. */
+  /**
+   * Calls machines that may not have seen the current fencing token; returns the pause in
+   * microseconds until the next call.
+   */
   long run() {
     long startedMicros = context.loop().nowMicros();
     if (context.term().mayAct()) {
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -15,11 +15,13 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * A leader's view of the pool that its machines belong to. The default methods are for a leader
- * without a pool: the leader owns all machines, and nothing is read or stored.
+ * The pool of shards that share machines, as seen by a leader. The default methods are for a leader
+ * whose shard belongs to no pool: the leader owns all machines, and nothing is read or stored.
  */
 public interface MachineSharing {
-  /** The view of a leader that shares no machines. */
+  /**
+   * The implementation for a leader whose shard belongs to no pool; the leader owns all machines.
+   */
   MachineSharing NONE = new MachineSharing() {};
 
   /** Returns whether this leader's shard belongs to a pool. */
@@ -36,9 +38,9 @@
   }
 
   /**
-   * Loads the records of the pool, which were read after the election.
+   * Loads the stored records of the pool, which were read after the election of this leader.
    *
-   * @param readSentMicros when the read was sent
+   * @param readSentMicros time at which the read of these records was sent
    */
   default void poolRecordsRead(StateClient.Listing pool, long readSentMicros) {}
 
@@ -53,8 +55,8 @@
   }
 
   /**
-   * Responds to the heartbeat if its machine belongs to another shard, or if this shard may not
-   * apply the heartbeat now.
+   * Responds to the heartbeat if its machine belongs to another shard, or if this shard must not
+   * apply the heartbeat yet.
    *
    * @return true if the heartbeat has been answered
    */
@@ -84,7 +86,10 @@
   /** Called when the machines have been returned and no longer exist. */
   default void machinesReturned(List<Machine> machines) {}
 
-  /** Returns whether the attempt belongs to a foreign task that may be on the machine. */
+  /**
+   * Returns whether the attempt belongs to a foreign task, that is a task of another shard, which
+   * may be on the machine.
+   */
   default boolean isForeign(Machine machine, long attempt) {
     return false;
   }
@@ -92,12 +97,18 @@
   /** Called when the leader has applied a heartbeat of one of this shard's machines. */
   default void heartbeatApplied(Machine machine, Heartbeat heartbeat) {}
 
-  /** Returns the evidence on the foreign tasks that may be on the machine. */
+  /**
+   * Returns what this leader knows about the foreign tasks (tasks of other shards) that may be on
+   * the machine, for the decision whether its lease may be renewed.
+   */
   default ForeignTaskEvidence foreignTaskEvidence(Machine machine) {
     return ForeignTaskEvidence.NONE;
   }
 
-  /** Returns the commands that the originating shards have requested for their foreign tasks. */
+  /**
+   * Returns the commands that the originating shards have requested for their foreign tasks on this
+   * machine.
+   */
   default List<WorkerCommand> foreignTaskCommands(Machine machine, Heartbeat heartbeat) {
     return List.of();
   }
@@ -134,11 +145,14 @@
     return List.of();
   }
 
-  /** Returns this shard's part of the team's limit; 0 stands for a resource without a limit. */
+  /**
+   * Returns the part of the team's resource limit that this shard may use; the shards of a pool
+   * divide each limit among themselves. 0 stands for a resource without a limit.
+   */
   default LimitParts.Part teamLimit(PlatformConfiguration.Team team) {
     return new LimitParts.Part(team.maxCores(), team.maxAccelerators());
   }
 
-  /** Called when the term has ended. Nothing is read or stored afterwards. */
+  /** Called when the leader's term has ended. Nothing is read or stored afterwards. */
   default void close() {}
 }
--- a/src/main/java/plumlever/leader/context/TermContext.java
+++ b/src/main/java/plumlever/leader/context/TermContext.java
@@ -65,7 +65,7 @@
     boolean costMatters,
     Optional<SharingSettings> sharing) {
 
-  /** Lists keys on a thread other than the loop thread. */
+  /** Lists the records of earlier leaders on a thread other than the loop thread. */
   public interface RecoveryReader {
     /**
      * Lists all keys under the prefix.
@@ -77,7 +77,7 @@
   }
 
   /**
-   * Ends the term. This controller is not a candidate again until the pause has passed.
+   * Ends the term. This controller does not stand for election again until the pause has passed.
    *
    * @param reason the reason to log
    */
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -18,16 +18,16 @@
 import plumlever.wire.MachineType;
 
 /**
- * Tracks what earlier leaders may have left running. A machine is accounted for once all tasks that
- * earlier leaders may have started on it are known, or once the machine is gone. The leader starts
- * no task of a job that an earlier leader may have started until every machine that could hold such
- * a task is accounted for. Until then, the full capacity of each machine not accounted for counts
- * against every team's limit.
+ * Tracks the tasks that earlier leaders may have left running. A machine is accounted for once all
+ * tasks that earlier leaders may have started on it are known, or once the machine is gone. The
+ * leader starts no task of a job that an earlier leader may have started until every machine that
+ * could hold such a task is accounted for. Until then, the full capacity of each machine not
+ * accounted for counts against every team's limit.
  */
 public final class Failover {
   /**
-   * By this time after the machines were loaded, nearly all reachable machines are accounted for,
-   * even in a large fleet.
+   * Time after loading the machine records within which nearly all reachable machines, even of a
+   * large fleet, have reported the tasks that earlier leaders started on them.
    */
   private static final long OVERDUE_AFTER_MICROS = 7_000_000;
 
@@ -42,7 +42,7 @@
   private final Map<String, PlatformConfiguration.Team> teams = new HashMap<>();
   private final Set<Machine> unaccounted = new LinkedHashSet<>();
 
-  /** Machines that run tasks which this leader does not track. */
+  /** Machines whose last heartbeat listed running tasks which this leader does not track. */
   private final Set<Machine> withUntrackedTasks = new LinkedHashSet<>();
 
   private boolean machinesLoaded;
@@ -65,22 +65,23 @@
     context.platform().teams().forEach(t -> teams.put(t.name(), t));
   }
 
-  /** Returns when this controller became leader. */
+  /** Returns the time at which this controller became leader. */
   public long startedMicros() {
     return startedMicros;
   }
 
   /**
-   * Returns when the machines were loaded. Lease renewals by later responses are recorded for each
-   * machine; an earlier response may have renewed the lease of any machine.
+   * Returns the time at which the machine records were loaded. This leader records each lease
+   * renewal that it sends after that time; before it, the lease of any machine may have been
+   * renewed without a record.
    */
   public long loadedMicros() {
     return loadedMicros;
   }
 
   /**
-   * Starts the reconciliation; called once all machines that may hold tasks have been added to the
-   * fleet.
+   * Starts to track which machines may run unknown tasks of earlier leaders; called once all
+   * machines that may hold tasks have been added to the fleet.
    */
   public void machinesLoaded() {
     machinesLoaded = true;
@@ -104,8 +105,9 @@
   }
 
   /**
-   * Returns true if the remaining machines are unlikely to be accounted for soon, because they are
-   * gone or behind a network partition. Plans must not rely on these machines.
+   * Returns true if the machines that may still run unknown tasks of earlier leaders are unlikely
+   * to report soon, because they are gone or behind a network partition. Plans must not rely on
+   * these machines.
    */
   public boolean isOverdue(long now) {
     return machinesLoaded && !unaccounted.isEmpty() && now - loadedMicros > OVERDUE_AFTER_MICROS;
@@ -120,7 +122,7 @@
    * Marks the machine as accounted for: all tasks that an earlier leader started on the machine are
    * known, or the machine is gone.
    *
-   * @param reason for the log
+   * @param reason why the machine is accounted for, for the log
    */
   public void markAccounted(Machine machine, String reason) {
     machine.markAccounted();
@@ -151,14 +153,17 @@
     return withUntrackedTasks.contains(machine);
   }
 
-  /** Returns true while a task of the job could be running on a machine not accounted for. */
+  /**
+   * Returns true while a task of the job could be running on a machine whose tasks of earlier
+   * leaders are not all known; no task of such a job is started.
+   */
   public boolean blocks(Job job) {
     return !machinesLoaded || (job.inherited() && !unaccounted.isEmpty());
   }
 
   /**
    * Returns how many more tasks of the job fit into its team's limit; 0 if the team or the size of
-   * a machine not accounted for is unknown.
+   * a machine that may run unknown tasks is unknown.
    */
   public int quotaHeadroom(Job job) {
     PlatformConfiguration.Team team = teams.get(job.spec().team());
@@ -190,7 +195,7 @@
    * Sums up the capacity of the machines that may be running tasks of any team. These include
    * machines with untracked tasks: an untracked task may belong to a job that ended before this
    * term, so its team is unknown. Until such tasks have ended, their machine counts like a machine
-   * not accounted for.
+   * whose tasks of earlier leaders are not known yet.
    *
    * @return false if the size of one of the machines is unknown
    */
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -14,29 +14,33 @@
 import plumlever.store.Transaction;
 
 /**
- * Stores data that the next leader would otherwise have to learn again: the images cached on each
- * machine, and the observed error of run-time estimates. A large fleet takes several values. The
- * data is advisory only: wrong or missing warm state costs time but causes no violation.
+ * Stores the warm state of a term: data that the next leader would otherwise have to learn again:
+ * the images cached on each machine, and the observed error of run-time estimates. For a large
+ * fleet, the data is split into several numbered values. The data is advisory only: wrong or
+ * missing warm state costs time but causes no violation.
  */
 public final class WarmState {
   private static final long INTERVAL_MICROS = 10_000_000;
 
   /**
-   * The interval is divided by this factor after a call that found enough changes to fill a
-   * transaction.
+   * The write interval is divided by this factor after a call that found enough changed values to
+   * fill a transaction.
    */
   private static final int BACKLOG_SPEED_UP = 4;
 
-  /** Maximum number of changes per transaction, to avoid delaying submissions. */
+  /**
+   * Maximum number of changed values per transaction. Larger transactions would delay the
+   * submission of jobs.
+   */
   private static final int MAX_CHANGES = 2;
 
   private final TermContext context;
   private final WarmStateCodec codec;
 
-  /** The last known stored values by number; empty for deleted values. */
+  /** The last known contents of the stored values by value number; empty for deleted values. */
   private final Map<Integer, Optional<ObjectNode>> storedValues = new HashMap<>();
 
-  /** Greater than the number of every value that may be stored. */
+  /** Greater than the number of every warm-state value that may be stored. */
   private int storedCount;
 
   private int nextNumber;
@@ -48,7 +52,10 @@
     this.codec = new WarmStateCodec(fleet, estimates);
   }
 
-  /** Applies the values that earlier leaders stored. The machines must already be in the fleet. */
+  /**
+   * Applies the image caches and run-time estimates that earlier leaders stored. The machines must
+   * already be in the fleet.
+   */
   public void load(List<StateClient.Item> items) {
     for (StateClient.Item item : items) {
       codec.read(item.data());
@@ -61,7 +68,8 @@
   }
 
   /**
-   * Writes some of the changed values, continuing after the values of the previous call.
+   * Writes some of the warm-state values that have changed; the next call continues with the values
+   * that follow.
    *
    * @return microseconds until the next call
    */
@@ -77,8 +85,9 @@
   }
 
   /**
-   * Returns the next values that differ from the stored ones, by number; empty for values to be
-   * deleted.
+   * Returns up to {@link #MAX_CHANGES} encoded values that differ from the stored ones, by value
+   * number; empty for a stored value to be deleted. Each call continues after the last value that
+   * the previous call compared.
    */
   private Map<Integer, Optional<ObjectNode>> nextChanges() {
     List<ObjectNode> values = codec.write(context.recordLayout().maxValueBytes());
--- a/src/main/java/plumlever/leader/failover/WarmStateCodec.java
+++ b/src/main/java/plumlever/leader/failover/WarmStateCodec.java
@@ -23,13 +23,13 @@
   private static final String MACHINES = "machines";
   private static final String RATIOS = "ratios";
 
-  /** Size of a value without machines and images. */
+  /** Bytes reserved in an encoded value besides its machines and images. */
   private static final int BASE_BYTES = 400;
 
-  /** Size of a machine besides its name and image indexes. */
+  /** Encoded size in bytes of a machine besides its name and image indexes. */
   private static final int MACHINE_BYTES = 6;
 
-  /** Size of an image besides its name. */
+  /** Encoded size in bytes of an image besides its name. */
   private static final int IMAGE_BYTES = 24;
 
   private static final int INDEX_BYTES = 4;
@@ -45,7 +45,10 @@
     this.estimates = estimates;
   }
 
-  /** Applies one value; machines that are not in the fleet are ignored. */
+  /**
+   * Applies one stored value of image caches and estimates; machines that are not in the fleet are
+   * ignored.
+   */
   void read(JsonNode value) {
     List<JsonNode> images = new ArrayList<>();
     value.path(IMAGES).forEach(images::add);
@@ -72,7 +75,10 @@
     }
   }
 
-  /** Encodes the current state into values of at most this size; returns at least one value. */
+  /**
+   * Encodes the current image caches and run-time estimates into values of at most this size;
+   * returns at least one value.
+   */
   List<ObjectNode> write(int maxBytes) {
     List<ValueBuilder> builders = new ArrayList<>();
     ValueBuilder builder = new ValueBuilder();
@@ -89,7 +95,7 @@
     return builders.stream().map(each -> each.value).toList();
   }
 
-  /** Builds one value. */
+  /** Builds one stored value from machines, their cached images and the run-time estimates. */
   private static final class ValueBuilder {
     final ObjectNode value = Json.object();
     private final ArrayNode images = value.putArray(IMAGES);
--- a/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
@@ -37,7 +37,8 @@
   }
 
   /**
-   * Ends the attempts that are not on the machine according to the heartbeat.
+   * Ends the attempts of the machine that the heartbeat does not list, if that proves that they are
+   * not on the machine.
    *
    * @param source whether the worker sent the heartbeat itself or in the response to a direct call
    * @param listed the attempts that the heartbeat lists
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -36,7 +36,7 @@
    * Logs that the start command of an attempt is sent to its machine.
    *
    * @param channel how the command is sent
-   * @param endedJobsReadMicros when the latest answered read of ended jobs was sent
+   * @param endedJobsReadMicros time at which the latest answered read of ended jobs was sent
    */
   public void started(Attempt attempt, StartChannel channel, long endedJobsReadMicros) {
     if (enabled()) {
@@ -110,7 +110,10 @@
     }
   }
 
-  /** Logs that a direct command with these starts was not answered in time. */
+  /**
+   * Logs that the start commands of these attempts, sent in a direct call to the worker, were not
+   * answered in time.
+   */
   public void unanswered(Machine machine, long incarnation, long token, List<Attempt> starts) {
     if (enabled()) {
       log.debug(
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -12,7 +12,7 @@
 import plumlever.wire.ExitCause;
 import plumlever.wire.Heartbeat;
 
-/** Applies reported states to the attempts that this leader tracks. */
+/** Updates the attempts that this leader tracks with the states that workers report. */
 final class AttemptUpdates {
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -63,7 +63,7 @@
     attempt.machine().images().markReady(job.spec().image(), job.spec().imageGb());
     context.metrics().recordDuration("start", now - job.acceptedMicros());
     if (!attempt.adopted()) {
-      // The task occupied its cores while the machine fetched the image.
+      // Until it runs, the task occupies its cores while the machine fetches the task's image.
       countCoreMillis("core_ms_fetching", job, now - attempt.startSentMicros());
     }
     attemptLog.running(attempt);
--- a/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
+++ b/src/main/java/plumlever/leader/heartbeat/DeferredHeartbeats.java
@@ -18,7 +18,8 @@
  */
 public final class DeferredHeartbeats {
   /**
-   * A worker's request times out after 4 s; the remaining time is left for the response to arrive.
+   * Limits how long a heartbeat is deferred. A worker's request times out after 4 s; the remaining
+   * time is left for the response to arrive.
    */
   private static final long MAX_WAIT_MICROS = 2_500_000;
 
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -66,7 +66,10 @@
     this.stopAndRemoveCommands = new StopAndRemoveCommands(context, jobs, sharing, attemptLog);
   }
 
-  /** Returns whether an input of placement has changed since the last call; resets the flag. */
+  /**
+   * Returns whether heartbeats have changed an input of task placement since the last call; clears
+   * the record of the change.
+   */
   public boolean getAndClearPlacementChanged() {
     return placementChange.getAndClear();
   }
@@ -252,7 +255,7 @@
 
   /**
    * Returns the stop and remove commands that every response to this heartbeat must carry,
-   * independent of the scheduling plan.
+   * independent of which tasks are planned.
    */
   public List<WorkerCommand> stopAndRemoveCommands(Machine machine, Heartbeat heartbeat) {
     return stopAndRemoveCommands.forResponse(machine, heartbeat);
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
@@ -22,7 +22,8 @@
 
 /**
  * Sends the leader's responses to heartbeats. A response either renews the worker's lease or
- * refuses the renewal, depending on the evidence available when the response is built.
+ * refuses the renewal, depending on what the leader knows, when the response is built, about the
+ * machine's tasks and about ended jobs.
  */
 public final class HeartbeatResponses {
   private static final int MAX_LINES_PER_SECOND = 20;
@@ -35,7 +36,7 @@
   private final LogRateLimiter logRateLimiter;
 
   /**
-   * Creates a sender of responses that takes its evidence from these jobs and this view of a pool.
+   * Creates a sender of responses that decides on renewals by these jobs and this view of the pool.
    */
   public HeartbeatResponses(TermContext context, ActiveJobs jobs, MachineSharing sharing) {
     this.context = context;
--- a/src/main/java/plumlever/leader/heartbeat/PlacementChange.java
+++ b/src/main/java/plumlever/leader/heartbeat/PlacementChange.java
@@ -1,6 +1,9 @@
 package plumlever.leader.heartbeat;
 
-/** Records whether a heartbeat has changed an input of placement. */
+/**
+ * Records whether a heartbeat has changed an input of task placement, such as the free capacity of
+ * a machine.
+ */
 final class PlacementChange {
   private boolean changed;
 
@@ -8,7 +11,10 @@
     changed = true;
   }
 
-  /** Returns whether there was a change since the last call, and resets the flag. */
+  /**
+   * Returns whether an input of placement has changed since the last call; clears the record of the
+   * change.
+   */
   boolean getAndClear() {
     boolean wasChanged = changed;
     changed = false;
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -22,8 +22,8 @@
  * Delegates lease renewal in zones that this leader cannot reach to the other controllers, for as
  * long as it cannot reach the zones. A delegation may be in use from the time at which it is sent
  * until its revocation is confirmed and the last read of it has expired. During that period no
- * lease in the zone is considered expired by elapsed time, and no direct command is sent to a
- * machine in the zone.
+ * lease in the zone is considered expired by elapsed time, and no direct command (one sent in a
+ * call to the worker) goes to a machine in the zone.
  *
  * <p>Each zone is delegated with a fencing token higher than every token that this leader has sent
  * to the zone. Renewals carry that token and thereby invalidate unanswered start commands. No
@@ -39,7 +39,10 @@
    */
   private static final long ANNOUNCEMENT_TIMEOUT_MICROS = 9_000_000;
 
-  /** How long a zone is not delegated again after no controller has renewed leases there. */
+  /**
+   * Time for which the renewal of leases in a zone is not delegated again after no controller has
+   * renewed leases there.
+   */
   private static final long INELIGIBILITY_MICROS = 90_000_000;
 
   /**
@@ -51,8 +54,8 @@
       DelegatedRenewal.VALID_MICROS + DelegatedRenewal.VALID_MICROS / 500;
 
   /**
-   * Limits the size of the record: it must fit the smallest limit on stored values, however long
-   * the zone names are.
+   * Maximum number of zones in the delegation record. With this many zones, the record fits the
+   * smallest limit on stored values, however long the zone names are.
    */
   private static final int MAX_ZONES = 8;
 
@@ -64,16 +67,16 @@
   private final TermContext context;
   private final Fleet fleet;
 
-  /** The token of the latest delegation of each zone. */
+  /** The fencing token of the latest delegation of lease renewal in each zone. */
   private final Map<String, Long> lastTokenByZone = new HashMap<>();
 
   /** Zones in which other controllers may be renewing leases. */
   private final Set<String> delegatedZones = new HashSet<>();
 
-  /** When the revocation of each zone's latest delegation was confirmed. */
+  /** Time at which the revocation of each zone's latest delegation was confirmed. */
   private final Map<String, Long> revokedMicros = new HashMap<>();
 
-  /** Revision of the stored record. After an election no record exists. */
+  /** Revision of the stored record of delegated zones. After an election no such record exists. */
   private long revision = NO_RECORD;
 
   private final Map<String, Long> ineligibleUntilMicros = new HashMap<>();
@@ -93,9 +96,9 @@
   }
 
   /**
-   * Returns whether direct commands may be sent to machines in the zone. They may not while another
-   * controller may renew leases there: a command could carry the same token as the renewals, and
-   * the renewals would then not invalidate the command.
+   * Returns whether direct commands (those sent in a call to the worker) may go to machines in the
+   * zone. None is sent while another controller may renew leases there: a command could carry the
+   * same token as the renewals, and the renewals would then not invalidate the command.
    */
   public boolean mayCommand(String zone) {
     return !delegatedZones.contains(zone)
@@ -103,18 +106,18 @@
   }
 
   /**
-   * Returns when the revocation of the zone's latest delegation was confirmed, or a time in the
-   * distant past if there was none.
+   * Returns the time at which the revocation of the zone's latest delegation was confirmed, or a
+   * time in the distant past if there was none.
    */
   public long revokedMicros(String zone) {
     return revokedMicros.getOrDefault(zone, DISTANT_PAST_MICROS);
   }
 
   /**
-   * Delegates renewal in the zones that are unreachable now, and revokes the delegation once no
-   * zone is left to delegate. A zone that becomes reachable stays delegated until the whole
-   * delegation is revoked, because other controllers may not yet have read the end of the zone's
-   * delegation.
+   * Delegates lease renewal to other controllers in the zones that are unreachable now, and revokes
+   * the delegation once no zone is left to delegate. A zone that becomes reachable stays delegated
+   * until the whole delegation is revoked, because other controllers may not yet have read the end
+   * of the zone's delegation.
    */
   public void updateUnreachableZones(Set<String> unreachableZones) {
     Set<String> zones = zonesToDelegate(unreachableZones);
@@ -132,9 +135,10 @@
   }
 
   /**
-   * Selects as many unreachable zones as fit into one record, preferring zones that are already
-   * delegated. Selects no zone if no other controller uses the present delegation; the delegated
-   * zones are then excluded from delegation for {@link #INELIGIBILITY_MICROS}.
+   * Selects the zones in which other controllers are to renew leases: as many unreachable zones as
+   * fit into one record, preferring zones that are already delegated. Selects no zone if no other
+   * controller uses the present delegation; the delegated zones are then excluded from delegation
+   * for {@link #INELIGIBILITY_MICROS}.
    */
   private Set<String> zonesToDelegate(Set<String> unreachableZones) {
     long now = context.loop().nowMicros();
@@ -210,9 +214,9 @@
   }
 
   /**
-   * Overwrites the record with an empty one, whatever its revision, instead of deleting it. The
-   * write raises the record's revision, so that an unanswered write of a delegation can no longer
-   * be applied.
+   * Revokes the delegation of lease renewal: overwrites its record with an empty one, whatever its
+   * revision, instead of deleting it. The write raises the record's revision, so that an unanswered
+   * write of a delegation can no longer be applied.
    */
   private void revoke() {
     write(
--- a/src/main/java/plumlever/leader/heartbeat/ResponseDelivery.java
+++ b/src/main/java/plumlever/leader/heartbeat/ResponseDelivery.java
@@ -21,7 +21,7 @@
   }
 
   /**
-   * Updates whether the machine counts as unreachable.
+   * Updates whether the machine counts as unreachable, that is whether responses fail to reach it.
    *
    * @param heartbeat a heartbeat that the worker sent, not the response to a direct call
    * @param responseLost whether the heartbeat shows that a start command was lost or that the
@@ -33,8 +33,8 @@
       machine.contact().recordLostResponse();
     } else if (responseLost) {
       machine.contact().recordLostResponse();
-      // The next response carries the raised token. The token in the next heartbeat shows whether
-      // that response arrived.
+      // The next response carries a higher fencing token. The worker's heartbeat after that
+      // response carries the same token if the response has arrived.
       machine.tokens().raise(machine.tokens().current() + 1);
     } else {
       machine.contact().recordDeliveredResponse();
--- a/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
+++ b/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
@@ -55,10 +55,11 @@
   }
 
   /**
-   * Raises the machine's token so that the response invalidates all earlier direct commands, unless
-   * a direct command is still in flight. A worker that has removed an attempt would start the
-   * attempt again on receiving a delayed duplicate of the direct command. Therefore the leader
-   * removes attempts only with a response that also invalidates these duplicates.
+   * Raises the machine's token so that the response invalidates all earlier direct commands (those
+   * sent in a call to the worker), unless such a command is still in flight. A worker that has
+   * removed an attempt would start the attempt again on receiving a delayed duplicate of the direct
+   * command. Therefore the leader removes attempts only with a response that also invalidates these
+   * duplicates.
    *
    * @return true if no earlier direct command can be executed once the response has arrived
    */
@@ -92,7 +93,10 @@
     }
   }
 
-  /** Adds the commands for attempts that the heartbeat lists and this leader does not track. */
+  /**
+   * Adds the stop and remove commands for attempts that the heartbeat lists and this leader does
+   * not track.
+   */
   private void addForUnknownAttempts(
       Machine machine, Heartbeat heartbeat, boolean mayRemove, List<WorkerCommand> commands) {
     boolean currentTerm = machine.tokens().isOfSameTerm(heartbeat.fencingToken());
@@ -103,10 +107,11 @@
       }
       Job job = jobs.get(reported.task().job());
       if (reported.state() != AttemptState.ENDED) {
-        // A heartbeat with a token of an earlier term does not account for its machine, so tasks of
-        // active jobs are not stopped. Tasks of ended jobs are stopped by the first response: it
-        // renews
-        // the machine's lease, and the machine may not receive another one.
+        // Tasks of active jobs are not stopped after a heartbeat with a token of an earlier term:
+        // such a heartbeat does not show reliably which tasks of earlier leaders run on the
+        // machine, and this leader may still adopt them. Tasks of ended jobs are stopped by the
+        // first response: it renews the machine's lease, and the machine may not receive another
+        // one.
         if (currentTerm || job == null) {
           commands.add(WorkerCommand.stop(reported.task(), reported.attempt(), 0));
         }
@@ -117,7 +122,8 @@
   }
 
   /**
-   * Does the check of {@link #isRemovable(Attempt)} for an attempt that this leader does not track.
+   * Returns whether the worker no longer needs to keep the result of an ended attempt that this
+   * leader does not track.
    *
    * @param job the attempt's job, or null if the job is not active
    */
--- a/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
@@ -37,8 +37,8 @@
 
   /**
    * Applies the reported state of an unknown attempt. A completed task counts on whichever machine
-   * it ran. A task that an earlier leader started is adopted if no other attempt of the task is
-   * live.
+   * it ran. A task that an earlier leader started is adopted (tracked like one of this leader's
+   * attempts) if no other attempt of the task is live.
    */
   void handle(Machine machine, Heartbeat.AttemptStatus reported, long now) {
     Job job = jobs.get(reported.task().job());
@@ -53,8 +53,8 @@
     } else if (mayAdopt(machine, job, reported)) {
       adopt(machine, job, reported, now);
     } else if (job.liveAttempt(task) != null) {
-      // The usual cause is a heartbeat that was delayed in the network. Otherwise the response
-      // carries a stop command, which reaches the second attempt in time.
+      // Usually a heartbeat was delayed in the network. Otherwise the task has two attempts, and
+      // the response carries a stop command that reaches the second attempt in time.
       log.info(
           "task {} is reported by machine {} but runs on machine {}",
           reported.task().wireName(),
@@ -73,9 +73,10 @@
   }
 
   /**
-   * Returns whether the reported attempt may be adopted. Only the heartbeat that accounts for a
-   * machine, the first with a token of this term, may add attempts of earlier terms: a heartbeat
-   * that was delayed until after the lease had expired lists tasks that have been killed.
+   * Returns whether the reported attempt may be adopted. Only the machine's first heartbeat with a
+   * token of this term, which shows all tasks of earlier leaders on it, may add attempts of earlier
+   * terms: a heartbeat that was delayed until after the lease had expired lists tasks that have
+   * been killed.
    */
   private boolean mayAdopt(Machine machine, Job job, Heartbeat.AttemptStatus reported) {
     int task = reported.task().number();
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -40,7 +40,7 @@
   private final RenewalLimit renewalLimit;
   private final PrefixWatch watch;
 
-  /** When the latest answered read that shows which jobs have ended was sent. */
+  /** Time at which the latest answered read that shows which jobs have ended was sent. */
   private long endedJobsReadMicros = NEVER_MICROS;
 
   /**
@@ -88,16 +88,18 @@
   }
 
   /**
-   * Returns true while the leader may start tasks and renew the leases of machines with tasks. Both
-   * are refused once the latest read of ended jobs is too old: a job may have been cancelled since
-   * that read, and the deadline by which its tasks have to be stopped could pass before the
+   * Returns true while the leader may start tasks and renew the leases of machines with tasks.
+   * Returns false once the latest read of ended jobs is too old: a job may have been cancelled
+   * since that read, and the deadline by which its tasks have to be stopped could pass before the
    * machine's lease expires.
    */
   public boolean mayStartOrRenew() {
     return renewalLimit.mayRenew(context.loop().nowMicros(), endedJobsReadMicros);
   }
 
-  /** Returns when the latest answered read that shows which jobs have ended was sent. */
+  /**
+   * Returns the time at which the latest answered read that shows which jobs have ended was sent.
+   */
   public long endedJobsReadMicros() {
     return endedJobsReadMicros;
   }
@@ -186,14 +188,14 @@
   }
 
   /**
-   * Sets the function that estimates the duration of a task, including the image download. The
-   * propagation of deadlines to dependencies uses these estimates.
+   * Sets the function that estimates the time in microseconds that a task of a job takes, including
+   * the image download. The propagation of deadlines to dependencies uses these estimates.
    */
   public void useTaskDurations(ToLongFunction<Job> taskDurationMicros) {
     dependencies.useTaskDurations(taskDurationMicros);
   }
 
-  /** Recomputes the task duration estimates that the next call of {@link #propagateGoals} uses. */
+  /** Recomputes the estimated task durations that the next call of {@link #propagateGoals} uses. */
   public void updateTaskDurations() {
     dependencies.updateTaskDurations();
   }
@@ -214,7 +216,10 @@
 
   /** Applies the changes of job records that the watch reports. */
   private final class WatchListener implements PrefixWatch.Listener {
-    /** Handles the full listing that follows missed events: jobs that are not listed have ended. */
+    /**
+     * Handles the full listing of active jobs that follows missed watch events: active jobs that
+     * are not listed have ended.
+     */
     @Override
     public void listed(StateClient.Listing listing, long sentMicros) {
       Set<String> listed = new HashSet<>();
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -29,8 +29,8 @@
   private final ActiveJobs jobs;
 
   /**
-   * When each unused list was first seen. A list whose anchor, its first value, has changed counts
-   * as a new list.
+   * Time at which each unused dependency list was first seen. A list whose anchor, its first value,
+   * has changed counts as a new list.
    */
   private final Map<UnusedList, Long> firstSeenMicros = new HashMap<>();
 
@@ -38,13 +38,14 @@
   private boolean closed;
 
   /**
-   * A stored list without an active job.
+   * A stored dependency list without an active job.
    *
-   * @param anchorRevision revision of the anchor when the list was read; 0 if the anchor is missing
+   * @param anchorRevision revision of the anchor (the first value of the list) when the list was
+   *     read; 0 if the anchor is missing
    */
   private record UnusedList(RecordLayout.DependencyListId name, long anchorRevision) {}
 
-  /** Creates a clean-up that keeps the lists of these active jobs. */
+  /** Creates a clean-up that keeps the dependency lists of these active jobs. */
   public DependencyListCleanup(TermContext context, ActiveJobs jobs) {
     this.context = context;
     this.jobs = jobs;
@@ -112,8 +113,9 @@
   }
 
   /**
-   * Removes the list in batches of one transaction each, with the anchor in the first batch. Parts
-   * that a failed transaction leaves behind are found by the next clean-up.
+   * Removes the dependency list in batches of one transaction each, with the anchor (the first
+   * value of the list) in the first batch. Parts that a failed transaction leaves behind are found
+   * by the next clean-up.
    */
   private void remove(RecordLayout.DependencyListId name, long anchorRevision, List<String> keys) {
     if (closed || keys.isEmpty()) {
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -32,7 +32,10 @@
   private final JobFinder finder;
   private final DependencyGraph graph = new DependencyGraph();
 
-  /** Dependencies that are not active and whose final state has not been read yet. */
+  /**
+   * Jobs on which active jobs depend, which are not active themselves and whose final state has not
+   * been read yet.
+   */
   private final Set<String> unknownFinalStates = new LinkedHashSet<>();
 
   /** Actions deferred until all active jobs have been added, since jobs are added in any order. */
@@ -89,7 +92,10 @@
     }
   }
 
-  /** Runs the deferred actions; called once all active jobs have been added. */
+  /**
+   * Starts to resolve the dependencies of the jobs added so far; called once all active jobs have
+   * been added.
+   */
   void jobsLoaded() {
     loaded = true;
     deferredUntilLoaded.forEach(Runnable::run);
@@ -143,7 +149,7 @@
       } else if (!dependency.waitsForDependencies()) {
         track(dependency, List.of());
       }
-      // A blocked dependency is tracked once its own dependencies are known.
+      // A blocked dependency joins the graph once its own dependencies are known.
     }
     if (!dependencies.isEmpty() && job.waitsForDependencies() && log.isDebugEnabled()) {
       log.debug("job {} waits for dependencies {}", job.uid(), graph.openDependencies(job.uid()));
@@ -154,7 +160,8 @@
     unknownFinalStates.add(uid);
     if (!readingFinalStates) {
       readingFinalStates = true;
-      // Deferred so that all dependencies found missing in the current event are read together.
+      // Deferred so that the final states of all dependencies found missing in the current event
+      // are read together.
       context.loop().after(0, this::readFinalStates);
     }
   }
@@ -208,7 +215,7 @@
       return;
     }
     // The final state is unknown here only if no live job depends on this job. In that case the
-    // value has no effect.
+    // state recorded here has no effect.
     graph.recordEnd(uid, finalState.orElse(JobState.CANCELLED), context.loop().wallMicros());
     resolve();
   }
@@ -252,14 +259,14 @@
   }
 
   /**
-   * Sets the function that estimates the duration of a task, including the image download. The
-   * estimates serve to derive the deadlines of dependencies.
+   * Sets the function that estimates the time in microseconds that a task of a job takes, including
+   * the image download. The estimates serve to derive the deadlines of dependencies.
    */
   void useTaskDurations(ToLongFunction<Job> taskDurationMicros) {
     taskDuration = taskDurationMicros;
   }
 
-  /** Recomputes the task duration estimates of all jobs in the graph. */
+  /** Recomputes the estimated task durations of all jobs in the graph. */
   void updateTaskDurations() {
     if (graph.size() > 0) {
       graph.updateDurations(this::taskDurationOf);
--- a/src/main/java/plumlever/leader/job/DependentCancellation.java
+++ b/src/main/java/plumlever/leader/job/DependentCancellation.java
@@ -25,7 +25,7 @@
   private boolean closed;
 
   /**
-   * Creates an empty queue.
+   * Creates an empty queue of jobs whose cancellation is to be stored.
    *
    * @param onStored receives the id of each job after its cancellation has been stored
    */
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -19,22 +19,23 @@
 /**
  * The stored index of jobs of which a leader may have started a task. A job is added to the index
  * before its first start command is sent. A job that a new leader does not find in the index has
- * therefore never run on any machine, and its tasks need not wait until all machines are accounted
- * for. That wait takes seconds, or up to a full lease if a zone is partitioned.
+ * therefore never run on any machine, and its tasks need not wait until all tasks that earlier
+ * leaders left running on the machines are known. That wait takes seconds, or up to a full lease if
+ * a zone is partitioned.
  */
 public final class StartedJobIndex {
   /**
-   * Minimum time between two writes of a record. Short, because the first start of each job waits
-   * for the write. Therefore only few additions share a write.
+   * Minimum time between two writes of an index record, which holds many jobs. Short, because the
+   * first start of each job waits for the write. Therefore only few additions share a write.
    */
   private static final long PAUSE_MICROS = 60_000;
 
   private static final String JOBS = "jobs";
 
-  /** An upper bound on the size of a record without jobs. */
+  /** An upper bound on the size of an index record without jobs. */
   private static final int BASE_BYTES = 32;
 
-  /** A record as an earlier leader stored it. */
+  /** A record of the index of started jobs, as an earlier leader stored it. */
   private record StoredRecord(int number, long revision, List<String> uids) {}
 
   private final Logger log;
@@ -53,8 +54,8 @@
   }
 
   /**
-   * Reads the records of earlier leaders. The records were listed after this controller had
-   * acquired its term, so no other controller can still add jobs to them.
+   * Reads the index records that earlier leaders stored. The records were listed after this
+   * controller had acquired its term, so no other controller can still add jobs to them.
    */
   void read(List<StateClient.Item> items) {
     storedRecords.clear();
@@ -80,7 +81,10 @@
     return storedRecords.isEmpty() || storedUids.contains(uid);
   }
 
-  /** Loads the index entries of active jobs; jobs that have ended leave the index. */
+  /**
+   * Marks the active jobs that the stored index of started jobs lists; jobs that have ended leave
+   * the index.
+   */
   void loadEntries(ActiveJobs jobs) {
     Map<String, Job> kept = new HashMap<>();
     for (StoredRecord record : storedRecords) {
@@ -110,7 +114,7 @@
   }
 
   /**
-   * Rewrites the records from which jobs have been removed.
+   * Rewrites the index records from which jobs have been removed.
    *
    * @return microseconds until the next call
    */
@@ -118,7 +122,7 @@
     return records.cleanUp();
   }
 
-  /** Stops all writes. */
+  /** Stops all writes of the index of started jobs. */
   public void close() {
     records.close();
   }
--- a/src/main/java/plumlever/leader/job/StoredProgress.java
+++ b/src/main/java/plumlever/leader/job/StoredProgress.java
@@ -14,8 +14,9 @@
 import plumlever.wire.InvalidMessageException;
 
 /**
- * The progress records that earlier leaders stored. Finished tasks are marked in the jobs. The
- * record that holds each job and the revision of each record are kept for the leader's own writes.
+ * Reads the progress records that earlier leaders stored, and marks the finished tasks in their
+ * jobs. The record that holds each job and the revision of each record are kept for the leader's
+ * own writes.
  */
 public final class StoredProgress {
   private final Logger log;
@@ -32,27 +33,32 @@
     this.activeJobs = activeJobs;
   }
 
-  /** Returns, for each small job, the number of the shared chunk that holds its progress. */
+  /**
+   * Returns, for each small job, the number of the shared chunk (one record for several small jobs)
+   * that holds its progress.
+   */
   public Map<Job, Integer> sharedChunkNumbers() {
     return Collections.unmodifiableMap(sharedChunkNumbers);
   }
 
-  /** Returns the revision of each shared chunk by key. */
+  /**
+   * Returns the revision of each shared chunk (one progress record for several small jobs) by key.
+   */
   public Map<String, Long> sharedChunkRevisions() {
     return Collections.unmodifiableMap(sharedChunkRevisions);
   }
 
-  /** Returns the revisions of the chunks of each large job by key. */
+  /** Returns, for each large job, the revisions of its chunks (progress records) by key. */
   public Map<Job, Map<String, Long>> chunkRevisions() {
     return Collections.unmodifiableMap(chunkRevisions);
   }
 
-  /** Returns the keys of chunks whose job has ended and which are to be deleted. */
+  /** Returns the keys of progress records whose job has ended and which are to be deleted. */
   public List<String> orphanedKeys() {
     return Collections.unmodifiableList(orphanedKeys);
   }
 
-  /** Reads one record; the active jobs must already be loaded. */
+  /** Reads one progress record; the active jobs must already be loaded. */
   void read(StateClient.Item item) {
     int sharedChunk = RecordLayout.sharedChunkNumber(item.key());
     if (sharedChunk >= 0) {
@@ -81,8 +87,8 @@
     int slash = jobAndFirstTask.lastIndexOf('/');
     Job job = slash < 0 ? null : activeJobs.get(jobAndFirstTask.substring(0, slash));
     if (job == null) {
-      // The job ended with more chunks than one transaction can delete, or the chunk was written
-      // after the job had ended.
+      // The job ended with more progress records than one transaction can delete, or this one was
+      // written after the job had ended.
       context.metrics().count("orphaned_progress_records");
       orphanedKeys.add(item.key());
       return;
--- a/src/main/java/plumlever/leader/machine/CloudInventory.java
+++ b/src/main/java/plumlever/leader/machine/CloudInventory.java
@@ -45,7 +45,10 @@
     this.onChange = onChange;
   }
 
-  /** Starts the reads that are due. */
+  /**
+   * Starts to read the cloud's list of machines and its machine types, each if its interval has
+   * passed.
+   */
   void refresh(long now) {
     if (!listing && now - listedMicros >= LIST_INTERVAL_MICROS) {
       listing = true;
@@ -103,7 +106,7 @@
     machine.recordListing(listed.failed());
   }
 
-  /** Ignores machine lists that arrive later. */
+  /** Stops the reads; machine lists that arrive later are ignored. */
   void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -34,14 +34,16 @@
   private static final int MIN_SILENT_PERCENT_IF_PARTITIONED = 70;
 
   /**
-   * Minimum number of workers that report to other controllers for the same decision, as a
-   * percentage of the machines known here.
+   * Minimum number of workers that report to other controllers for this controller to count as
+   * partitioned from the workers, as a percentage of the machines known here.
    */
   private static final int MIN_ELSEWHERE_PERCENT_IF_PARTITIONED = 40;
 
   private static final int PERCENT = 100;
 
-  /** Number of machines of one zone by state. */
+  /**
+   * Counts of the machines of one zone: all, the silent ones, and those that may run unknown tasks.
+   */
   private static final class ZoneCount {
     private int machines;
     private int silent;
@@ -53,7 +55,10 @@
       return silent >= MIN_SILENT_IN_PARTITIONED_ZONE && silent * 2 >= machines;
     }
 
-    /** Returns true if at most a third of the machines is not accounted for. */
+    /**
+     * Returns true if at most a third of the machines of the zone may still run unknown tasks of
+     * earlier leaders.
+     */
     boolean mostlyReported() {
       return unaccounted * 3 <= machines;
     }
@@ -65,7 +70,9 @@
   private final Failover failover;
   private final Map<String, ZoneCount> zones = new HashMap<>();
 
-  /** Zones that seem to be partitioned, with the time until which they count as partitioned. */
+  /**
+   * Zones that seem to be partitioned, with the time at which they stop counting as partitioned.
+   */
   private final Map<String, Long> partitionedZones = new HashMap<>();
 
   private long lastLateMicros;
@@ -77,7 +84,10 @@
     this.failover = failover;
   }
 
-  /** Records whether the event loop runs late; silence counts only from the last late cycle on. */
+  /**
+   * Records the time if the event loop runs late now. Machines count as silent at the earliest from
+   * the last such time.
+   */
   void recordLateness(long now) {
     if (context.latenessMicros().getAsLong() > MAX_LATENESS_MICROS) {
       lastLateMicros = now;
@@ -142,7 +152,10 @@
             >= all * MIN_ELSEWHERE_PERCENT_IF_PARTITIONED;
   }
 
-  /** Recounts the machines of each zone. */
+  /**
+   * Counts, for each zone, the machines that have sent a heartbeat or may run tasks of earlier
+   * leaders, and the silent ones among them.
+   */
   void countMachines(long now) {
     zones.clear();
     for (Machine machine : fleet.machines()) {
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -16,11 +16,14 @@
 import plumlever.wire.MachineType;
 
 /**
- * Cordons machines that are not needed to meet the service-level objectives, if cost matters, and
- * uncordons machines when there is demand for more capacity.
+ * Cordons machines (they receive no new tasks) that are not needed to meet the service-level
+ * objectives, if cost matters, and uncordons machines when there is demand for more capacity.
  */
 final class FleetSizing {
-  /** Age after which the minimum time that the cloud charges for a machine is used up. */
+  /**
+   * Minimum age of a machine that may be cordoned. At this age, the minimum time that the cloud
+   * charges for a machine is used up.
+   */
   static final long MIN_CHARGE_MICROS = 58_000_000;
 
   private static final long INTERVAL_MICROS = 3_000_000;
@@ -124,7 +127,10 @@
     return candidates;
   }
 
-  /** Uncordons the cheapest machines, as many as the rental demand needs, but at least one. */
+  /**
+   * Makes the cheapest cordoned machines available for placement again, as many as the rental
+   * demand needs, but at least one.
+   */
   private void uncordon(Set<Machine> cordoned, long now) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : cordoned) {
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -18,7 +18,7 @@
 public final class MachineManager {
   private static final long INTERVAL_MICROS = 500_000;
 
-  /** Pause between cycles while the leader has no right to act. */
+  /** Pause between management cycles while the leader has no right to act. */
   private static final long INACTIVE_INTERVAL_MICROS = 200_000;
 
   /** How long a leader that resigns stays out of the election. */
@@ -137,7 +137,7 @@
     }
   }
 
-  /** Takes no further action and ignores responses that arrive later. */
+  /** Stops the management of machines and ignores responses of the cloud that arrive later. */
   public void close() {
     closed = true;
     inventory.close();
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -28,22 +28,24 @@
   private static final String MACHINES = "hosts";
   private static final String KINDS = "kinds";
 
-  /** Positions in the array of a machine. */
+  /** Positions of the fields in the stored array that describes one machine. */
   private static final int MACHINE_ID = 0;
 
   private static final int MACHINE_ENDPOINT = 1;
   private static final int MACHINE_KIND = 2;
 
-  /** Positions in the array of a kind. */
+  /** Positions of the fields in the stored array that describes one kind of machine. */
   private static final int KIND_TYPE = 0;
 
   private static final int KIND_ZONE = 1;
   private static final int KIND_SPOT = 2;
 
-  /** Bytes reserved for the list of kinds in a value. */
+  /**
+   * Bytes reserved in each stored value for its list of machine kinds (type, zone and spot flag).
+   */
   private static final int KINDS_BYTES = 500;
 
-  /** Bytes of an entry in addition to the machine's id and endpoint. */
+  /** Bytes of a machine's stored array in addition to the machine's id and endpoint. */
   private static final int ENTRY_BYTES = 11;
 
   private final Logger log;
@@ -111,7 +113,8 @@
   }
 
   /**
-   * Rewrites values that list removed machines, and splits values that exceed the size limit.
+   * Rewrites stored values that list removed machines, and splits values that exceed the size
+   * limit.
    *
    * @return microseconds until the next call
    */
@@ -119,7 +122,7 @@
     return records.cleanUp();
   }
 
-  /** Stops all writes. */
+  /** Stops all writes of the machine records. */
   public void close() {
     records.close();
   }
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -28,7 +28,7 @@
   private static final int MAX_MACHINES_PER_PLAN = 300;
   private static final int MAX_OPEN_REQUESTS = 6;
 
-  /** A request whose outcome is not known yet. */
+  /** A rental request whose outcome is not known yet. */
   private static final class OpenRequest {
     private final RentalRequest request;
     private final RentalPlan.RentalOption option;
@@ -87,7 +87,10 @@
     return unavailableUntilMicros.values().stream().anyMatch(until -> until > now);
   }
 
-  /** Records that capacity was added, which may serve demands that were found earlier. */
+  /**
+   * Records the time at which capacity was added. Rental demands found earlier are no longer served
+   * by rentals, because the added capacity may serve them.
+   */
   void recordAddedCapacity(long now) {
     capacityAddedMicros = now;
   }
@@ -169,7 +172,7 @@
     }
   }
 
-  /** Creates a request whose id is unique across all terms. */
+  /** Creates a rental request whose id is unique across all terms. */
   private RentalRequest newRequest(RentalPlan.PlannedRental rental) {
     requestCounter++;
     RentalPlan.RentalOption option = rental.option();
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -90,7 +90,10 @@
     context.metrics().count("machines_returned");
   }
 
-  /** Sends the next request, unless a request is in progress or no machine is to be returned. */
+  /**
+   * Sends the next request to return machines to the cloud, unless such a request is in progress or
+   * no machine is to be returned.
+   */
   void sendNext() {
     if (inProgress) {
       return;
@@ -138,7 +141,7 @@
     onChange.run();
   }
 
-  /** Sends no further requests and ignores outcomes that arrive later. */
+  /** Sends no further requests to return machines and ignores outcomes that arrive later. */
   void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -16,16 +16,25 @@
 final class ReturnPolicy {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** Minimum time that the failover waits for each machine. */
+  /**
+   * Minimum time for which a new leader waits for a machine's first report before it returns the
+   * machine because it delays the failover.
+   */
   private static final long FAILOVER_MIN_WAIT_MICROS = 2_000_000;
 
-  /** A machine with fewer failed calls may not have been called early enough to respond. */
+  /**
+   * Minimum number of failed calls before a machine is returned because it delays the failover. A
+   * machine with fewer failed calls was possibly called too late to have responded yet.
+   */
   private static final int MIN_FAILED_CALLS = 2;
 
   /** Number of lease durations for which machines of a partitioned zone may be silent. */
   private static final int MAX_SILENT_LEASES = 2;
 
-  /** The same limit while other controllers may renew the leases of the zone. */
+  /**
+   * Number of lease durations for which machines of a partitioned zone may be silent while other
+   * controllers may renew the leases of the zone.
+   */
   private static final int MAX_SILENT_LEASES_DELEGATED = 6;
 
   private static final double BOOT_S_OF_UNKNOWN_TYPE = 60;
@@ -54,8 +63,8 @@
   }
 
   /**
-   * Returns the reason to return the machine, or empty to keep it. Also updates the time since
-   * which the machine has been idle.
+   * Returns the reason to return the machine, or empty to keep it. Also updates the time at which
+   * the machine became idle.
    *
    * @param scarce true if there is rental demand while some rental option is unavailable
    */
@@ -136,8 +145,9 @@
   }
 
   /**
-   * Returns how long a machine may be idle. If machines are scarce, the time is shorter: an idle
-   * machine that does not suit the pending tasks may occupy capacity of the cloud that they need.
+   * Returns how long a machine may be idle before it is returned to the cloud. If machines are
+   * scarce, the time is shorter: an idle machine that does not suit the pending tasks may occupy
+   * capacity of the cloud that they need.
    */
   private long maxIdleMicros(boolean scarce) {
     return context.costMatters() || scarce
--- a/src/main/java/plumlever/leader/machine/ReturnReason.java
+++ b/src/main/java/plumlever/leader/machine/ReturnReason.java
@@ -1,6 +1,6 @@
 package plumlever.leader.machine;
 
-/** Why a machine is returned to the cloud. */
+/** The reason for returning a machine to the cloud. */
 enum ReturnReason {
   /** The cloud lists the machine as stopped by itself. */
   FAILED("the cloud lists it as failed"),
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -21,7 +21,8 @@
  */
 final class DeadShardAdoption {
   /**
-   * Added to twice the lease time: covers clock drift and the time that a response is in transit.
+   * Added to twice the lease time to get the shortest time without a leader after which machines
+   * are adopted. Covers clock drift and the time that a response is in transit.
    */
   private static final long LEASE_EXPIRY_MARGIN_MICROS = 10_000_000;
 
@@ -37,8 +38,8 @@
   private final Consumer<TransferRecord> onAdopted;
 
   /**
-   * The machine's transfer record as of the transaction in flight. One field is enough because
-   * transactions run one at a time.
+   * The transfer record that results from the adoption in flight. One field is enough because
+   * transactions on the pool's records run one at a time.
    */
   private TransferRecord recordBeingTaken;
 
@@ -83,7 +84,10 @@
     }
   }
 
-  /** Updates since when each shard has had no leader; a stale view restarts the count. */
+  /**
+   * Records for each other shard the time at which it was first seen without a leader. The time is
+   * cleared if the shard has a leader or if the view of the pool is too old.
+   */
   void watchLeaders() {
     boolean fresh = now() - recordWatch.lastReadMicros() < MAX_VIEW_AGE_MICROS;
     for (SharingSettings.Shard shard : sharing.otherShards()) {
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -11,9 +11,9 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Watches the state service for the ends of another shard's jobs that have foreign tasks on this
- * shard's machines. The leases of these machines are renewed only while this leader would learn in
- * time of a cancellation that the other shard has confirmed.
+ * Watches the state service for the ends of another shard's jobs that have tasks on this shard's
+ * machines (foreign tasks). The leases of these machines are renewed only while this leader would
+ * learn in time of a cancellation that the other shard has confirmed.
  */
 final class EndedJobsWatch {
   private static final long RETRY_MICROS = 300_000;
--- a/src/main/java/plumlever/leader/pool/ForeignTasks.java
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -29,11 +29,12 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Foreign tasks: tasks of other shards on this shard's machines. Only the originating shard decides
- * about its tasks. This leader relays the machine's heartbeats to the originating shard, and sends
- * the commands from the originating shard's response to the machine with the next heartbeat
- * response. While the originating shard does not respond, its tasks keep running and the worker
- * keeps listing the ended attempts in its heartbeats.
+ * Manages foreign tasks: tasks on this shard's machines that belong to jobs of other shards, their
+ * originating shards. Only the originating shard decides about its tasks. This leader relays the
+ * machine's heartbeats to the originating shard, and sends the commands from the originating
+ * shard's response to the machine with the next heartbeat response. While the originating shard
+ * does not respond, its tasks keep running and the worker keeps listing the ended attempts in its
+ * heartbeats.
  */
 final class ForeignTasks {
   /** Path at which a controller accepts relayed heartbeats. */
@@ -82,8 +83,8 @@
   }
 
   /**
-   * Applies the transfer record of a machine that this shard owns. Originating shards are added by
-   * a transfer and removed once they have settled their tasks.
+   * Updates the foreign tasks of a machine that this shard owns from the machine's transfer record.
+   * Originating shards are added by a transfer and removed once they have settled their tasks.
    */
   void update(Machine machine, TransferRecord record) {
     MachineForeignTasks machineForeignTasks =
@@ -107,7 +108,10 @@
     }
   }
 
-  /** Forgets a machine that holds no foreign tasks any more or that this shard does not own. */
+  /**
+   * Forgets the foreign tasks of a machine that holds none any more or that this shard does not
+   * own.
+   */
   void remove(Machine machine) {
     if (foreignTasksByMachine.remove(machine.id()) != null) {
       machine.load().setForeignTasks(ForeignLoad.NONE);
@@ -298,8 +302,8 @@
   }
 
   /**
-   * Returns whether foreign tasks may be running on the machine, and the oldest time of the last
-   * read of ended jobs among their originating shards. Until the machine reports a fencing token of
+   * Returns whether foreign tasks may be running on the machine and, if so, the time up to which
+   * this leader knows which of their jobs have ended. Until the machine reports a fencing token of
    * this leader's term, all tasks from the transfer record count, even those that the heartbeats do
    * not list.
    */
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -17,9 +17,10 @@
 import plumlever.sharing.ShardDemand;
 
 /**
- * Manages this shard's part of each team's limit and moves unused cores of the part to shards that
- * need them. Cores that are being moved are subtracted from this shard's part before the
- * transaction is sent, until its outcome is known.
+ * Manages this shard's part of each team's limit (the cores and accelerators that the team may use
+ * in this shard) and moves unused cores of the part to shards that need them. Cores that are being
+ * moved are subtracted from this shard's part before the transaction is sent, until its outcome is
+ * known.
  */
 final class LimitSharing {
   private final Logger log;
@@ -32,8 +33,9 @@
   private final PoolWriter writer;
 
   /**
-   * By team, the cores of this shard's part that a transaction in flight or queued moves to another
-   * shard. 0 for a team whose limit is being split.
+   * The cores, by team, that a queued or sent transaction moves from this shard's part of the
+   * team's limit to another shard. A team whose limit is being split for the first time has an
+   * entry of 0, so that no second split is queued.
    */
   private final Map<String, Double> coresBeingMoved = new HashMap<>();
 
@@ -88,8 +90,8 @@
   }
 
   /**
-   * Returns the cores that the team's tasks may be using and those that its pending tasks request,
-   * at most the team's limit.
+   * Returns the sum of the cores that the team's tasks may be using and that its pending tasks
+   * request, but at most the team's limit.
    */
   private double coresNeeded(PlatformConfiguration.Team team) {
     double pendingCores = 0;
@@ -101,7 +103,10 @@
     return Math.min(team.maxCores(), failover.coresPossiblyInUse(team.name()) + pendingCores);
   }
 
-  /** Splits the limits that have no record of parts yet, and moves spare cores to other shards. */
+  /**
+   * Splits each team limit that is not yet split into parts for the shards, and moves cores that
+   * this shard does not need from its parts to other shards.
+   */
   void run() {
     for (PlatformConfiguration.Team team : context.platform().teams()) {
       if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -31,19 +31,22 @@
  * soonest. A machine that this shard needs for its own pending jobs is not offered.
  */
 final class MachineShareBalancer {
-  /** Minimum interval between two publications of the demand. */
+  /** Minimum interval between two publications of this shard's demand for machines. */
   private static final long PUBLISH_INTERVAL_MICROS = 2_000_000;
 
-  /** A demand that has not changed is published again after this time. */
+  /** Time after which this shard publishes its demand again although it has not changed. */
   private static final long REPUBLISH_INTERVAL_MICROS = 30_000_000;
 
-  /** How long rentals are held back while other shards have idle machines to offer. */
+  /**
+   * Time for which a shard with a shortage rents no machines while others have idle ones to offer.
+   */
   private static final long RENTAL_HOLD_MICROS = 5_000_000;
 
   /**
    * Machines offered to a shard since it last published its demand.
    *
-   * @param revision of the demand record
+   * @param revision revision of that shard's latest demand record; only offers made since are
+   *     counted
    */
   private record OfferedMachines(long revision, int machines) {}
 
@@ -120,9 +123,8 @@
   }
 
   /**
-   * Returns how many more machines of average size this shard needs. The number is the larger of
-   * two: for the tasks that the last scheduling pass could not place, and for all jobs to meet
-   * their deadlines.
+   * Returns how many more machines of average size this shard needs to run the tasks that the last
+   * scheduling pass could not place, or for all jobs to meet their deadlines, whichever is more.
    */
   private int machineShortage() {
     Map<String, Double> limitByTeam = new HashMap<>();
@@ -215,9 +217,9 @@
   }
 
   /**
-   * Returns the state that the shard last published. The machines that this shard has offered to it
-   * since are subtracted from its shortage. Returns empty if the shard has no leader or a different
-   * sharing file.
+   * Returns the machines and the shortage that the other shard last published. The machines that
+   * this shard has offered to it since are subtracted from its shortage. Returns empty if the shard
+   * has no leader or a different sharing file.
    */
   private Optional<SharePolicy.ShardState> stateOf(SharingSettings.Shard shard) {
     Optional<ShardDemand> published = view.demand(shard.name());
@@ -281,8 +283,8 @@
   }
 
   /**
-   * Returns false for the first seconds of a shortage while another shard has idle machines to
-   * offer.
+   * Returns true if this shard may rent machines. In the first seconds of a shortage it must not
+   * while another shard has idle machines to offer.
    */
   boolean mayRent() {
     if (shortageSinceMicros < 0
@@ -298,8 +300,8 @@
   }
 
   /**
-   * Returns false while any shard of the pool has a shortage: idle machines are then offered to
-   * that shard instead of being returned to the cloud.
+   * Returns true if this shard may return idle machines to the cloud. While any shard of the pool
+   * has a shortage, idle machines are offered to that shard instead.
    */
   boolean mayReturnIdle() {
     return shortageSinceMicros < 0
@@ -307,7 +309,10 @@
             .noneMatch(shard -> stateOf(shard).filter(state -> state.wanted() > 0).isPresent());
   }
 
-  /** Returns the machines that other shards have offered to this shard. */
+  /**
+   * Returns machine type, zone and spot flag of each machine that other shards have offered to this
+   * shard.
+   */
   List<RentalPlan.RentalOption> incomingMachines() {
     List<RentalPlan.RentalOption> options = new ArrayList<>();
     for (PoolView.Versioned<TransferRecord> versioned : view.transfers().values()) {
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -39,12 +39,12 @@
   private static final long OFFER_TIMEOUT_MICROS = 8_000_000;
 
   /**
-   * The owner accepts heartbeats of an offered machine only while its view of the pool is at most
-   * this old. A new owner thus knows how long the former owner may have renewed the lease.
+   * An offered machine's heartbeats are accepted only while the owner's view of the pool is at most
+   * this old, which limits how long the former owner can renew the machine's lease.
    */
   static final long MAX_VIEW_AGE_MICROS = 5_000_000;
 
-  /** An acquired machine counts as older than the boot time of its type by this factor. */
+  /** Assumed age of an acquired machine, as a multiple of the boot time of its machine type. */
   private static final double BOOT_MARGIN = 1.3;
 
   private final Logger log;
@@ -126,7 +126,7 @@
             .count();
   }
 
-  /** Reconciles machines and records; runs periodically and after every change of the records. */
+  /** Reconciles the fleet with the transfer records; runs periodically and on record changes. */
   void reconcile() {
     for (Map.Entry<String, PoolView.Versioned<TransferRecord>> entry :
         List.copyOf(view.transfers().entrySet())) {
@@ -250,7 +250,7 @@
     removeOwnShardIfSettled(machine);
   }
 
-  /** Rebuilds the machine with the attempts that an earlier leader of this shard recorded. */
+  /** Rebuilds a machine and this shard's attempts on the machine from the transfer record. */
   private Machine machineFromRecord(TransferRecord record) {
     TransferRecord.Details details = record.machine();
     Machine machine =
--- a/src/main/java/plumlever/leader/pool/OfferAcceptance.java
+++ b/src/main/java/plumlever/leader/pool/OfferAcceptance.java
@@ -24,12 +24,12 @@
   private final Function<TransferRecord, Machine> acquire;
 
   /**
-   * The transfer records of the machines as of the transaction in flight. One field is enough
-   * because transactions run one at a time.
+   * The transfer records that result from the acceptance in flight. One field is enough because
+   * transactions on the pool's records run one at a time.
    */
   private List<TransferRecord> recordsBeingTaken = List.of();
 
-  /** Number of transactions in flight or queued. */
+  /** Number of transactions that accept offers and are queued or in flight. */
   private int openTransactions;
 
   /**
@@ -116,8 +116,9 @@
   }
 
   /**
-   * Acquires the machines without foreign tasks. Machines with foreign tasks keep a transfer
-   * record, through which {@link MachineTransfers} acquires them.
+   * Adds the accepted machines without foreign tasks to the fleet. Machines with foreign tasks
+   * (tasks of other shards) keep a transfer record, through which {@link MachineTransfers} acquires
+   * them.
    */
   private void acquireWithoutForeignTasks() {
     openTransactions--;
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -25,8 +25,8 @@
  */
 final class OwnerClaims {
   /**
-   * A machine that stays without an owner for this long comes from a rental whose response never
-   * reached the renting shard.
+   * Time after which a machine without a recorded owner is claimed. Such a machine comes from a
+   * rental whose response never reached the renting shard.
    */
   private static final long UNCLAIMED_MICROS = 15_000_000;
 
@@ -53,7 +53,10 @@
     return shard + RETIRED_SUFFIX;
   }
 
-  /** Returns true for a machine that this shard has retired, under this or an earlier leader. */
+  /**
+   * Returns true if this or an earlier leader of the shard has retired the machine before its
+   * return to the cloud.
+   */
   boolean isRetired(String machine) {
     return view.holder(machine).equals(Optional.of(retiredHolder(ownShard)));
   }
@@ -112,7 +115,8 @@
   }
 
   /**
-   * Retires the machines before their return.
+   * Replaces the recorded owner of the machines by a name that no shard has, before the machines
+   * are returned to the cloud.
    *
    * @param recorded runs once the transactions of all machines have finished
    */
--- a/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
+++ b/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
@@ -21,7 +21,7 @@
   private long lastReadMicros = Long.MIN_VALUE / 4;
 
   /**
-   * @param changed runs after records have changed
+   * @param changed runs after records of the pool have changed
    */
   PoolRecordWatch(TermContext context, Runnable changed) {
     this.log = context.loggerProvider().of(PoolRecordWatch.class);
@@ -61,9 +61,10 @@
   }
 
   /**
-   * Loads the records read at the start of the term, and watches for changes from there.
+   * Loads the pool's records that were read at the start of the term, and starts to watch for later
+   * changes.
    *
-   * @param sentMicros when the read was sent
+   * @param sentMicros time at which the read was sent
    */
   void load(StateClient.Listing listing, long sentMicros) {
     applyListing(listing);
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Applies a change of a record, made by this controller's own transaction or by another's. */
+  /** Applies a change of a pool record, made by this or another controller, to the view. */
   void apply(StateClient.KeyEvent change) {
     try {
       view.apply(change.key(), change.value().orElse(null), change.revision());
@@ -95,7 +96,7 @@
   }
 
   /**
-   * Applies a read that found no record under the key.
+   * Removes the record from the view after a read found no record under the key.
    *
    * @param revisionBefore known revision of the key when the read was sent; a record with a later
    *     revision is kept
--- a/src/main/java/plumlever/leader/pool/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/pool/PoolTransaction.java
@@ -33,7 +33,7 @@
     return this;
   }
 
-  /** Adds a precondition on a key outside the pool's records. */
+  /** Adds a precondition on the revision of a key that is not a pool record. */
   PoolTransaction require(String key, long revision) {
     transaction.require(key, revision);
     return this;
@@ -53,7 +53,7 @@
     return this;
   }
 
-  /** Returns the changed values by key; null for a deleted key. */
+  /** Returns the new values that the transaction stores, by key; null for a key that it deletes. */
   Map<String, JsonNode> changedValues() {
     return changedValues;
   }
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -17,7 +17,7 @@
 final class PoolWriter {
   /** A requested change of the pool's records. */
   interface Step {
-    /** Builds the transaction from the current view; empty if the step is finished. */
+    /** Builds the transaction from the current records; empty if no change is needed any more. */
     Optional<PoolTransaction> build();
 
     /** Called when the step has ended: its transaction was applied or is not needed any more. */
@@ -42,7 +42,10 @@
     this.onChange = onChange;
   }
 
-  /** Queues the step. Returns false if the queue is full; the caller retries later. */
+  /**
+   * Queues a change of the pool's records. Returns false if the queue is full; the caller retries
+   * later.
+   */
   boolean submit(Step step) {
     if (queue.size() >= MAX_QUEUED_STEPS) {
       return false;
@@ -71,8 +74,8 @@
       return;
     }
     if (!context.term().mayAct()) {
-      // This leader may not act now. If the term is over, no step is started any more: the next
-      // leader continues from the stored records, whose state shows the remaining work.
+      // This leader has no right to act now. If its term is over, no step is started any more:
+      // the next leader continues from the stored records, whose state shows the remaining work.
       context.loop().after(RETRY_MICROS, () -> execute(step));
       return;
     }
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -26,15 +26,15 @@
   private static final int SHARED_OPERATIONS = 2;
 
   /**
-   * Limit for the total size of the transfer records in one transaction. A whole transaction may
-   * have 64 KiB.
+   * Limit for the total size of the transfer records in one transaction. A whole transaction must
+   * not exceed 64 KiB.
    */
   private static final int MAX_RECORD_BYTES = 40 * 1024;
 
   /**
    * A transaction that makes this shard the owner of machines.
    *
-   * @param records the machines' transfer records as of the transaction; records without foreign
+   * @param records the machines' transfer records after the transaction; records without foreign
    *     tasks are not stored
    */
   record Acquisition(PoolTransaction transaction, List<TransferRecord> records) {}
@@ -60,7 +60,7 @@
     return inProgress.contains(machine);
   }
 
-  /** Returns the machine's transfer record in the view, if there is one. */
+  /** Returns the machine's transfer record as last read, if there is one. */
   Optional<TransferRecord> record(String machine) {
     return view.transfer(machine).map(PoolView.Versioned::value);
   }
@@ -70,7 +70,10 @@
     return new PoolTransaction(view, context.term().requireTerm());
   }
 
-  /** Returns a transaction that stores the record, or deletes the stored one if it is settled. */
+  /**
+   * Returns a transaction that stores the machine's transfer record, or deletes the stored one if
+   * the new one has neither foreign tasks nor an offer.
+   */
   PoolTransaction replaceRecord(String machine, TransferRecord record) {
     String key = TransferRecord.keyOf(machine);
     return record.isSettled() ? transaction().delete(key) : transaction().put(key, record.toJson());
@@ -116,16 +119,20 @@
   }
 
   /**
-   * Queues a step for the machine.
+   * Queues a transaction on the pool's records for the machine. The builder runs before each
+   * attempt to send it.
    *
-   * @return false if the machine already has a step in progress or the queue is full; the caller
-   *     retries later
+   * @return false if the machine already has a transaction queued or in flight, or the queue is
+   *     full; the caller retries later
    */
   boolean step(String machine, Builder builder, Runnable finished) {
     return step(List.of(machine), builder, finished);
   }
 
-  /** Queues one step for several machines; returns false if any of them has one in progress. */
+  /**
+   * Queues one transaction for several machines. Returns false if any of them already has one
+   * queued or in flight, or the queue is full.
+   */
   boolean step(List<String> machines, Builder builder, Runnable finished) {
     if (machines.isEmpty() || machines.stream().anyMatch(inProgress::contains)) {
       return false;
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -31,7 +31,7 @@
   private boolean closed;
 
   /**
-   * Creates the writer; no job is being completed yet.
+   * Creates a writer of final states; no job is being completed yet.
    *
    * @param orphanedKeys receives the keys of records that do not fit into the transaction that
    *     stores the final state
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Stores the final state of a job whose tasks are all done, unless the write is already in
-   * progress.
+   * Stores the final state of a job whose tasks are all done, unless its final state is already
+   * being written.
    */
   void complete(Job job) {
     if (inProgress.add(job)) {
@@ -102,8 +102,9 @@
   }
 
   /**
-   * Reads the final state after a conflict. The state was stored by another controller, or by an
-   * earlier write of this leader whose response was lost.
+   * Reads the final state of the job after the transaction that was to store it found another one.
+   * That state was stored by another controller, or by an earlier write of this leader whose
+   * response was lost.
    */
   private void readFinalState(Job job) {
     context
--- a/src/main/java/plumlever/leader/progress/LargeJobChunks.java
+++ b/src/main/java/plumlever/leader/progress/LargeJobChunks.java
@@ -17,17 +17,17 @@
  * jobs has its own records, called chunks; a chunk holds the finished tasks of one range of tasks.
  */
 final class LargeJobChunks {
-  /** Each Base64 character encodes six tasks. */
+  /** Each Base64 character of the stored set of finished tasks encodes six tasks. */
   private static final int TASKS_PER_BYTE = 6;
 
-  /** Approximate size of a chunk without its tasks. */
+  /** Approximate size in bytes of a progress record without its set of finished tasks. */
   private static final int BASE_BYTES = 100;
 
   private final TermContext context;
 
   /**
-   * First tasks of the chunks to be written, because a task has finished since the last write, by
-   * job.
+   * The chunks (progress records) that have to be written because a task has finished since the
+   * last write; each chunk is identified by its job and the number of its first task.
    */
   private final Map<Job, BitSet> dirty = new LinkedHashMap<>();
 
@@ -39,7 +39,7 @@
     this.tasksPerChunk = context.recordLayout().tasksPerChunk();
   }
 
-  /** Adopts the chunks that an earlier leader stored for the job. */
+  /** Takes over the progress records that an earlier leader stored for the job. */
   void adopt(Job job, Collection<String> keys) {
     keysByJob.computeIfAbsent(job, j -> new LinkedHashSet<>()).addAll(keys);
   }
@@ -59,22 +59,27 @@
     return !dirty.isEmpty();
   }
 
-  /** Discards the scheduled writes of a complete job; its final state is stored instead. */
+  /**
+   * Discards the scheduled progress writes of a complete job; its final state is stored instead.
+   */
   void markComplete(Job job) {
     dirty.remove(job);
   }
 
-  /** Returns the keys of all stored chunks of the job. */
+  /** Returns the keys of all stored progress records of the job. */
   List<String> keysOf(Job job) {
     return List.copyOf(keysByJob.getOrDefault(job, Set.of()));
   }
 
-  /** Removes an ended job; the caller has its chunks deleted. */
+  /** Forgets a job that has ended; the caller deletes its progress records. */
   void remove(Job job) {
     keysByJob.remove(job);
   }
 
-  /** Divides the tasks into smaller chunks if the value size limit has decreased. */
+  /**
+   * Divides the tasks of large jobs into smaller progress records if the value size limit has
+   * decreased.
+   */
   void enforceValueLimit() {
     if (context.recordLayout().tasksPerChunk() >= tasksPerChunk) {
       return;
@@ -87,9 +92,9 @@
   }
 
   /**
-   * Removes jobs that have ended.
+   * Forgets the jobs that have ended.
    *
-   * @param orphanedKeys receives the keys of their chunks
+   * @param orphanedKeys receives the keys of their progress records
    */
   void removeEnded(Collection<String> orphanedKeys) {
     dirty.keySet().removeIf(Job::hasEnded);
@@ -104,7 +109,7 @@
             });
   }
 
-  /** Adds scheduled chunks to the transaction, as many as fit. */
+  /** Adds the progress records scheduled to be written to the transaction, as many as fit. */
   void addTo(ProgressBatch batch) {
     Map<Job, BitSet> added = new LinkedHashMap<>();
     dirty.forEach((job, firstTasks) -> added.put(job, addTo(batch, job, firstTasks)));
--- a/src/main/java/plumlever/leader/progress/ProgressBatch.java
+++ b/src/main/java/plumlever/leader/progress/ProgressBatch.java
@@ -19,7 +19,10 @@
  * that is written is guarded by its own revision.
  */
 final class ProgressBatch {
-  /** Leaves headroom below the request size limit of 64 KiB. */
+  /**
+   * Maximum size of the records in one transaction. Leaves room for the rest of the request below
+   * its size limit of 64 KiB.
+   */
   private static final long MAX_BYTES = 48 * 1024;
 
   private final RecordRevisions revisions;
@@ -36,17 +39,20 @@
     this.operationsLeft = context.recordLayout().limits().maxOperations();
   }
 
-  /** Returns true if one more record of this size fits. */
+  /** Returns true if one more progress record of this size fits into the transaction. */
   boolean fits(long moreBytes) {
     return operationsLeft > 0 && bytes + moreBytes <= MAX_BYTES;
   }
 
-  /** Returns true if one more record can be deleted. */
+  /** Returns true if one more delete fits into the transaction. */
   boolean canDelete() {
     return operationsLeft > 0;
   }
 
-  /** Writes a record; call only if {@link #fits} returns true. */
+  /**
+   * Adds the write of a progress record to the transaction; call only if {@link #fits} returns
+   * true.
+   */
   void put(String key, long size, JsonNode value) {
     operationsLeft--;
     bytes += size;
@@ -55,8 +61,8 @@
   }
 
   /**
-   * Deletes the record of a job that has ended. The delete is not guarded by a revision, because
-   * any later content of the record is useless as well.
+   * Adds the delete of the progress record of an ended job to the transaction. The delete is not
+   * guarded by a revision, because any later content of the record is useless as well.
    */
   void delete(String key) {
     operationsLeft--;
@@ -64,16 +70,16 @@
   }
 
   /**
-   * Registers all currently finished tasks of the job, which count as stored once the transaction
-   * is applied.
+   * Notes that the transaction stores all tasks of the job that are finished now; they count as
+   * stored once the transaction is applied.
    */
   void coverAllCompleted(Job job) {
     coveredTasks.put(job, (BitSet) job.completedTasks().clone());
   }
 
   /**
-   * Registers the currently finished tasks of a range, which count as stored once the transaction
-   * is applied.
+   * Notes that the transaction stores the tasks in this range that are finished now; they count as
+   * stored once the transaction is applied.
    */
   void coverCompleted(Job job, int firstTask, int tasks) {
     BitSet stored = coveredTasks.computeIfAbsent(job, j -> new BitSet());
@@ -85,7 +91,7 @@
     }
   }
 
-  /** Registers an action that runs if the transaction failed or its outcome is unknown. */
+  /** Adds an action to run if the transaction failed or its outcome is unknown. */
   void onFailure(Runnable action) {
     failureActions.add(action);
   }
@@ -104,7 +110,8 @@
   }
 
   /**
-   * Handles success of the transaction.
+   * Marks the tasks that the transaction has stored, and updates the known revisions of its
+   * records.
    *
    * @param revision the revision of the state service at which the transaction was applied
    */
@@ -113,7 +120,7 @@
     coveredTasks.forEach((job, done) -> job.storedTasks().or(done));
   }
 
-  /** Handles a transaction that failed or whose outcome is unknown. */
+  /** Runs the failure actions, because the transaction failed or its outcome is unknown. */
   void failed() {
     failureActions.forEach(Runnable::run);
   }
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -18,7 +18,10 @@
  * only one write is in flight at a time.
  */
 public final class ProgressWriter {
-  /** The pause between writes is divided by this factor while more records have to be written. */
+  /**
+   * The pause between two writes of progress records is divided by this factor while more records
+   * have to be written.
+   */
   private static final int BACKLOG_SPEED_UP = 8;
 
   private final TermContext context;
@@ -28,7 +31,7 @@
   private final LargeJobChunks largeJobs;
   private final JobCompletion completion;
 
-  /** Keys of records to be deleted because their job has ended. */
+  /** Keys of progress records to be deleted because their job has ended. */
   private final ArrayDeque<String> orphanedKeys = new ArrayDeque<>();
 
   private boolean writing;
@@ -45,9 +48,9 @@
   }
 
   /**
-   * Adopts the records that earlier leaders stored. If the value size limit has decreased, a shared
-   * record may no longer hold all of its jobs. The jobs that do not fit are written to other
-   * records; the old record stays unchanged until then.
+   * Takes over the progress records that earlier leaders stored. If the value size limit has
+   * decreased, a shared record may no longer hold all of its jobs. The jobs that do not fit are
+   * written to other records; the old record stays unchanged until then.
    */
   public void adoptStoredProgress() {
     StoredProgress found = jobs.storedProgress();
@@ -102,7 +105,7 @@
   }
 
   /**
-   * Writes as much as fits into one transaction, oldest changes first.
+   * Writes as many changed progress records as fit into one transaction, oldest changes first.
    *
    * @return microseconds until the next call
    */
@@ -129,7 +132,7 @@
     sharedChunks.removeEnded();
   }
 
-  /** Splits records that exceed the value size limit, which may have decreased. */
+  /** Splits progress records that exceed the value size limit, which may have decreased. */
   private void enforceValueLimits() {
     largeJobs.enforceValueLimit();
     sharedChunks.splitOversized(this::assign);
@@ -163,7 +166,7 @@
                 writing = false;
               } else {
                 // The transaction may have been executed or may still be executed. The next write
-                // is guarded by the revisions that are stored now.
+                // must therefore be guarded by the record revisions that are stored now.
                 revisions.refresh(batch.keys(), () -> writing = false);
               }
             });
@@ -173,7 +176,10 @@
     return largeJobs.isDirty() || !orphanedKeys.isEmpty() || sharedChunks.isDirty();
   }
 
-  /** Stops all writes. The next leader has to determine again which further tasks have finished. */
+  /**
+   * Stops all writes of progress. The next leader has to determine again which tasks have finished
+   * since the last write.
+   */
   public void close() {
     closed = true;
     revisions.close();
--- a/src/main/java/plumlever/leader/progress/RecordRevisions.java
+++ b/src/main/java/plumlever/leader/progress/RecordRevisions.java
@@ -12,7 +12,7 @@
  * revision.
  */
 final class RecordRevisions {
-  /** Revision that guards a record that does not exist yet. */
+  /** Revision that guards the write of a record that does not exist yet. */
   private static final long NO_RECORD = 0;
 
   private final TermContext context;
@@ -23,24 +23,25 @@
     this.context = context;
   }
 
-  /** Returns the revision that guards the next write of the record. */
+  /** Returns the revision that guards the next write of the progress record. */
   long of(String key) {
     return revisions.getOrDefault(key, NO_RECORD);
   }
 
-  /** Adds revisions that were read. */
+  /** Adds the revisions of progress records that were read, by key. */
   void putAll(Map<String, Long> read) {
     revisions.putAll(read);
   }
 
-  /** Sets the revision of all records that one transaction has written. */
+  /** Sets the known revision of all progress records that one transaction has written. */
   void written(Collection<String> keys, long revision) {
     keys.forEach(key -> revisions.put(key, revision));
   }
 
   /**
-   * Reads the revisions again, one record after the other, because an unanswered transaction may
-   * have written the records. If a record cannot be read, the known revision is kept.
+   * Reads the revisions of these progress records again, one record after the other, because an
+   * unanswered transaction may have written the records. If a record cannot be read, the known
+   * revision is kept.
    *
    * @param done runs after all reads
    */
--- a/src/main/java/plumlever/leader/progress/SharedChunks.java
+++ b/src/main/java/plumlever/leader/progress/SharedChunks.java
@@ -38,7 +38,10 @@
     this.context = context;
   }
 
-  /** Returns true if the job is small enough for a shared chunk under the current limits. */
+  /**
+   * Returns true if the job is small enough for a shared chunk (a progress record of several small
+   * jobs) under the current limits.
+   */
   boolean canShare(Job job) {
     return sizeOf(job) >= 0;
   }
@@ -48,9 +51,9 @@
   }
 
   /**
-   * Assigns the job to the chunk in which an earlier leader stored it.
+   * Assigns the job to the shared progress record in which an earlier leader stored it.
    *
-   * @return false if the job no longer fits into that chunk
+   * @return false if the job no longer fits into that record
    */
   boolean adopt(Job job, int number) {
     Chunk chunk = chunks.computeIfAbsent(number, Chunk::new);
@@ -129,7 +132,7 @@
     }
   }
 
-  /** Keeps as many jobs as fit into the chunk and returns the others. */
+  /** Removes the jobs that no longer fit into the chunk, and returns them. */
   private List<Job> split(Chunk chunk) {
     List<Job> jobs = new ArrayList<>(chunk.jobs);
     chunk.jobs.clear();
@@ -147,7 +150,7 @@
     return removed;
   }
 
-  /** Removes jobs that have ended; the next write of their chunk omits them. */
+  /** Removes jobs that have ended; the next write of their shared progress record omits them. */
   void removeEnded() {
     chunks.values().forEach(this::removeEnded);
   }
@@ -164,7 +167,9 @@
     }
   }
 
-  /** Adds scheduled chunks to the transaction, as many as fit. */
+  /**
+   * Adds the shared progress records scheduled to be written to the transaction, as many as fit.
+   */
   void addTo(ProgressBatch batch) {
     for (Chunk chunk : chunks.values()) {
       if (chunk.dirty && batch.fits(chunk.bytes)) {
--- a/src/main/java/plumlever/leader/record/RecordChunk.java
+++ b/src/main/java/plumlever/leader/record/RecordChunk.java
@@ -4,19 +4,22 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** One stored value of {@link SharedRecords}: its entries, its size and its pending changes. */
+/**
+ * One chunk, that is one stored value of {@link SharedRecords}, which holds many entries: its
+ * entries, its size and its pending changes.
+ */
 final class RecordChunk<E> {
   final int number;
   private final Set<E> entries = new LinkedHashSet<>();
   private int bytes;
 
-  /** The part of {@link #bytes} that belongs to entries being moved to other chunks. */
+  /** The bytes, included in {@link #bytes}, that belong to entries being moved to other chunks. */
   private int movingBytes;
 
-  /** Revision of the stored value; 0 if no value is stored. */
+  /** Revision of the chunk's stored value; 0 if the chunk is not stored. */
   long revision;
 
-  /** When the chunk was last sent or loaded; 0 if it was neither. */
+  /** Time at which the chunk was last sent or loaded; 0 if it was neither. */
   long writtenMicros;
 
   boolean writing;
@@ -25,7 +28,8 @@
   boolean writeDue;
 
   /**
-   * True if the stored value still holds entries that were removed; the clean-up may be delayed.
+   * True if the chunk's stored value still holds entries that were removed; the write that omits
+   * them can be delayed.
    */
   boolean cleanUpDue;
 
@@ -42,7 +46,7 @@
     return bytes;
   }
 
-  /** Returns the size of the chunk once all moves to other chunks are complete. */
+  /** Returns the size of the chunk in bytes once all moves to other chunks are complete. */
   int bytesAfterMoves() {
     return bytes - movingBytes;
   }
@@ -53,7 +57,7 @@
   }
 
   /**
-   * Removes the entry and marks the stored value for clean-up.
+   * Removes the entry from the chunk and marks the chunk's stored value to be rewritten.
    *
    * @return false if the chunk does not hold the entry
    */
--- a/src/main/java/plumlever/leader/record/RecoveryRead.java
+++ b/src/main/java/plumlever/leader/record/RecoveryRead.java
@@ -42,10 +42,10 @@
   }
 
   /**
-   * Reads all prefixes; a failed read is retried.
+   * Reads all records of earlier leaders, one listing per key prefix; a failed read is retried.
    *
    * @param onComplete runs once after all prefixes have been read, unless the reader is closed
-   *     before
+   *     earlier
    */
   public void read(Consumer<RecoveryRead> onComplete) {
     prefixes.forEach(prefix -> read(prefix, onComplete));
@@ -80,14 +80,14 @@
   }
 
   /**
-   * Returns when the read of the active jobs was sent. The listing reflects every job that ended
-   * before that time.
+   * Returns the time at which the read of the active jobs was sent. The listing of active jobs
+   * reflects every job that ended before that time.
    */
   public long jobsReadSentMicros() {
     return jobsReadSentMicros;
   }
 
-  /** Prevents the completion callback; responses to reads in flight are ignored. */
+  /** Stops the reads: later responses are ignored, and the completion callback does not run. */
   public void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -29,18 +29,23 @@
   /** Minimum time between the last write of a chunk and a write that only cleans it up. */
   private static final long CLEAN_UP_MICROS = 5_000_000;
 
-  /** Number of checks for due clean-ups within {@link #CLEAN_UP_MICROS}. */
+  /**
+   * Number of checks, within {@link #CLEAN_UP_MICROS}, for chunks that still hold removed entries.
+   */
   private static final int CHECKS_PER_CLEAN_UP = 4;
 
   private static final long RETRY_MICROS = 300_000;
   private static final long NO_RECORD = 0;
 
-  /** Defines how entries are stored. */
+  /** Defines the keys, the sizes and the contents of the stored chunks. */
   public interface Layout<E> {
     /** Returns the key of the chunk with this number. */
     String key(int number);
 
-    /** Returns the size of the entry in a chunk; must not change once the entry is registered. */
+    /**
+     * Returns the encoded size of the entry in a chunk; must not change once the entry is
+     * registered.
+     */
     int bytes(E entry);
 
     /** Returns the size of a chunk without entries. */
@@ -101,7 +106,7 @@
     chunkByEntry.put(entry, chunk);
   }
 
-  /** Stores the entry, unless the entry is already stored or being written. */
+  /** Starts to store the entry, unless it is already stored or being written. */
   public void register(E entry) {
     if (entry.registration() != RegistrationState.NONE) {
       return;
@@ -235,7 +240,7 @@
       chunk.writing = false;
       context.loop().after(RETRY_MICROS, () -> write(chunk));
     } else if (isOversized(chunk)) {
-      // The value size limit has decreased during the pause.
+      // The value size limit has decreased since this write was scheduled.
       chunk.writing = false;
       moveExcess(chunk);
     } else {
@@ -334,7 +339,7 @@
             });
   }
 
-  /** Stops all writes; the outcomes of writes in flight are ignored. */
+  /** Stops all writes of chunks; the outcomes of writes in flight are ignored. */
   public void close() {
     closed = true;
   }
