--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -18,9 +18,9 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Sends direct commands to workers: starts of planned tasks, which then need not wait for the
- * machine's next heartbeat, and empty commands that raise the fencing token of a machine with
- * unknown tasks of earlier leaders.
+ * Sends direct commands, that is commands in calls to workers and not in responses to heartbeats:
+ * starts of planned tasks, which then need not wait for the machine's next heartbeat, and empty
+ * commands that raise the fencing token of a machine with unknown tasks of earlier leaders.
  *
  * <p>A direct command may be executed after its call has timed out. Tasks of an unanswered command
  * therefore count as possibly running until the machine reports a higher token or its incarnation
@@ -158,8 +158,8 @@
    * all tasks that earlier leaders started on the machine.
    *
    * <p>Does nothing while another direct call to the machine is in flight, while the maximum number
-   * of token raises is in flight, or when the leader may not act. In a delegated zone, where
-   * commands are not allowed, the machine is only inspected.
+   * of token raises is in flight, or when the leader has no right to act. In a delegated zone,
+   * where commands are not allowed, only the machine's state is requested.
    */
   public void sendToken(Machine machine) {
     Optional<Endpoint> endpoint = endpointForTokenRaise(machine);
@@ -237,8 +237,8 @@
   }
 
   /**
-   * Returns the machine's endpoint if a token raise or an inspection may be sent now, otherwise
-   * empty.
+   * Returns the machine's endpoint if a call that raises its fencing token or requests its state
+   * may be sent now, otherwise empty.
    */
   private Optional<Endpoint> endpointForTokenRaise(Machine machine) {
     Optional<Endpoint> endpoint = endpoint(machine);
@@ -259,12 +259,15 @@
     }
   }
 
-  /** Number of token raises and inspections in flight. */
+  /** Number of calls in flight that raise a machine's fencing token or request its state. */
   public int tokenRaisesInFlight() {
     return tokenRaisesInFlight;
   }
 
-  /** Ends the term. Responses that arrive later have no effect on jobs and machines. */
+  /**
+   * Called at the end of the term. Responses to commands that arrive later have no effect on jobs
+   * and machines.
+   */
   public void close() {
     closed = true;
   }
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -17,7 +17,10 @@
    */
   private static final long DEPENDENCY_DELAY_MICROS = 1_500_000;
 
-  /** Assumed remaining run time of foreign tasks, whose estimates are not known to this shard. */
+  /**
+   * Assumed remaining run time of foreign tasks (tasks of other shards), whose estimates are not
+   * known to this shard.
+   */
   private static final long FOREIGN_TASK_REMAINING_MICROS = 60_000_000;
 
   /**
@@ -71,7 +74,10 @@
     return paddedRunMicros(job) + averageFetchMicros + DEPENDENCY_DELAY_MICROS;
   }
 
-  /** Estimates when a live attempt releases its resources on a machine of the given type. */
+  /**
+   * Estimates the time at which a live attempt releases its resources on a machine of the given
+   * type.
+   */
   long endMicros(Attempt attempt, MachineType machineType, long nowMicros) {
     if (attempt.stopping()) {
       return nowMicros + secondsToMicros(attempt.job().spec().checkpointS());
@@ -102,13 +108,17 @@
         + MIN_OVERRUN_MICROS;
   }
 
-  /** Time until which foreign tasks on a machine are assumed to hold their resources. */
+  /**
+   * Time at which the foreign tasks (tasks of other shards) on a machine are assumed to release
+   * their resources.
+   */
   long foreignTasksEndMicros(long nowMicros) {
     return nowMicros + FOREIGN_TASK_REMAINING_MICROS;
   }
 
   /**
-   * Estimates when the last task on the machine ends. Returns the current time for an idle machine.
+   * Estimates the time at which the last task on the machine ends. Returns the current time for an
+   * idle machine.
    */
   long idleMicros(Machine machine, long nowMicros) {
     MachineType machineType = context.typeCatalog().machineType(machine.machineType());
--- a/src/main/java/plumlever/leader/scheduling/FleetReduction.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetReduction.java
@@ -45,7 +45,8 @@
   }
 
   /**
-   * True if the remaining machines serve all pending jobs in time and cover the capacity headroom.
+   * True if the remaining machines serve all pending jobs in time and cover the capacity headroom
+   * (the resources kept free for future jobs).
    */
   boolean canRemoveMachines(Set<Machine> machines) {
     FleetSnapshot snapshot = snapshots.snapshot(context.loop().nowMicros(), machines);
--- a/src/main/java/plumlever/leader/scheduling/FreeCapacity.java
+++ b/src/main/java/plumlever/leader/scheduling/FreeCapacity.java
@@ -26,7 +26,7 @@
         machineType.cores(), machineType.accelerators(), machineType.memoryGb());
   }
 
-  /** Resources of the machine minus its live attempts and its foreign tasks. */
+  /** Resources of the machine minus its live attempts and the tasks of other shards on it. */
   static FreeCapacity of(Machine machine, MachineType machineType) {
     FreeCapacity free = ofEmptyMachine(machineType);
     ForeignLoad foreignTasks = machine.load().foreignTasks();
--- a/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
+++ b/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
@@ -32,7 +32,9 @@
             context.parameters().headroomDeviations());
   }
 
-  /** Forgets which jobs outside the given set have been recorded. */
+  /**
+   * Removes the jobs outside the given set from the record of jobs whose arrival has been counted.
+   */
   void retainAll(Set<Job> jobs) {
     recordedJobs.retainAll(jobs);
   }
--- a/src/main/java/plumlever/leader/scheduling/JobGoals.java
+++ b/src/main/java/plumlever/leader/scheduling/JobGoals.java
@@ -5,12 +5,13 @@
 import plumlever.leader.context.TermContext;
 
 /**
- * Computes by when the tasks of a job have to start and end, and the resulting scheduling
- * precedence.
+ * Computes the times by which the tasks of a job have to start and end, and the resulting
+ * scheduling precedence.
  */
 final class JobGoals {
   /**
-   * Time for which a job that missed its goal is scheduled after jobs that can still meet theirs.
+   * Time for which a job that missed its goal (the latest time of its start or end) is scheduled
+   * after jobs that can still meet theirs.
    */
   private static final long RECENTLY_MISSED_MICROS = 120_000_000;
 
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -10,10 +10,14 @@
 
 /**
  * Places the tasks of one job in a scheduling pass: plans starts, preempts other tasks, books
- * capacity that will be released later, and records rental demand for the remaining tasks.
+ * capacity for a later start (reserves it for this pass), and records rental demand for the
+ * remaining tasks.
  */
 final class JobPlacer {
-  /** Maximum number of tasks booked per job and pass; tasks that start at once are not counted. */
+  /**
+   * Maximum number of tasks per job and pass for which a later start is reserved on a machine.
+   * Tasks that start at once are not counted.
+   */
   private static final int MAX_BOOKED_PER_JOB = 64;
 
   private static final int MAX_PREEMPTIONS_PER_JOB = 48;
@@ -56,7 +60,7 @@
     this.demands = results.demands();
   }
 
-  /** Resets the counters for a new pass. */
+  /** Resets the number of jobs searched for without free capacity, for a new pass. */
   void clear() {
     jobsWithoutCapacity = 0;
   }
@@ -213,8 +217,9 @@
     }
 
     /**
-     * Counts a booked task and decides whether a machine should be rented for it. Returns the
-     * number of tasks that remain; 0 once the limit of booked tasks is reached.
+     * Counts a task for which a later start is reserved, and decides whether a machine should be
+     * rented for it. Returns the number of tasks that remain; 0 once the limit of booked tasks is
+     * reached.
      */
     private int book(Placer.Choice choice, int remaining) {
       boolean needsRental = criteria.needsRental(job, choice, request, nowMicros);
--- a/src/main/java/plumlever/leader/scheduling/MachineShapes.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineShapes.java
@@ -6,7 +6,10 @@
 import plumlever.placement.MachineShape;
 import plumlever.wire.MachineType;
 
-/** Caches the machine shapes of one snapshot by machine type and spot flag. */
+/**
+ * Caches the shapes (resources and price) of the machines in one snapshot by machine type and spot
+ * flag.
+ */
 final class MachineShapes {
   /** Memory that counts as much as one core when only speed matters and prices are ignored. */
   private static final double MEMORY_GB_PER_CORE = 4;
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -53,7 +53,7 @@
    * Tasks on one machine whose preemption makes room for one task.
    *
    * @param goalsMissed number of these tasks whose jobs would miss their finish goals
-   * @param readyMicros when the new task could run on the machine
+   * @param readyMicros time at which the new task could run on the machine
    */
   private record Option(
       Machine machine, List<Attempt> victims, int goalsMissed, long readyMicros) {}
--- a/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
@@ -21,7 +21,10 @@
     this.goals = goals;
   }
 
-  /** True if a machine should be rented for the task instead of waiting for the booked start. */
+  /**
+   * True if a machine should be rented for the task instead of waiting for the reserved later start
+   * on a machine of the fleet.
+   */
   boolean needsRental(Job job, Placer.Choice booked, ResourceRequest request, long nowMicros) {
     long waitMicros = booked.startMicros() - nowMicros;
     if (!context.costMatters()) {
--- a/src/main/java/plumlever/leader/scheduling/RentalDemands.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalDemands.java
@@ -12,13 +12,17 @@
   private List<RentalPlan.Demand> published = List.of();
 
   /**
-   * Number of published demands that belong to pending jobs. They precede the demand for headroom.
+   * Number of published demands that belong to pending jobs. They precede the demand for capacity
+   * headroom, which serves future jobs.
    */
   private int publishedForJobs;
 
   private long publishedMicros;
 
-  /** Starts a new collection. Published demands are kept. */
+  /**
+   * Starts to collect the rental demands of a new pass. The demands published by the last pass are
+   * kept.
+   */
   void clear() {
     collected = new ArrayList<>();
   }
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -27,8 +27,8 @@
   private static final long HEADROOM_CHECK_MICROS = 1_000_000;
 
   /**
-   * Interval between updates of the expected run times that goal propagation along dependency
-   * chains uses.
+   * Interval between updates of the expected run times that the propagation of deadlines and
+   * priorities along dependency chains uses.
    */
   private static final long COST_UPDATE_MICROS = 10_000_000;
 
@@ -136,8 +136,9 @@
   }
 
   /**
-   * Checks the headroom. If no job is pending and there is no demand, the check runs at most once
-   * per {@link #HEADROOM_CHECK_MICROS}.
+   * Returns the rental demand for capacity headroom (resources kept free for future jobs) that the
+   * fleet lacks. If no job is pending and there is no demand, the check runs at most once per
+   * {@link #HEADROOM_CHECK_MICROS}.
    */
   private Optional<RentalPlan.Demand> missingHeadroom(long nowMicros) {
     if (snapshot.isEmpty()
@@ -232,7 +233,10 @@
     return times.idleMicros(machine, context.loop().nowMicros());
   }
 
-  /** Remaining work of all jobs that may run, with the time left until their goals. */
+  /**
+   * Remaining work of all jobs that may run, with the time left until each job misses its latest
+   * time of start or end.
+   */
   public List<CoreDemand.RemainingWork> remainingWork() {
     long nowMicros = context.loop().nowMicros();
     List<CoreDemand.RemainingWork> works = new ArrayList<>();
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -10,8 +10,8 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * Service-level objectives: computes by when a job's tasks should start and be complete, from the
- * job's deadline, the objectives of its class and the default start target.
+ * Service-level objectives: computes the times by which a job's tasks should start and be complete,
+ * from the job's deadline, the objectives of its class and the default start target.
  */
 final class ServiceObjectives {
   /** Supported values of {@link PlatformConfiguration.Objective#kind}; other kinds are ignored. */
@@ -24,7 +24,10 @@
   private final Map<String, TargetTimes> startTargets = new HashMap<>();
   private final Map<String, TargetTimes> finishTargets = new HashMap<>();
 
-  /** Multiples to which a missed deadline is extended, by job class and in ascending order. */
+  /**
+   * Factors, by job class and in ascending order, by which the time from a job's submission to its
+   * deadline is multiplied once the deadline has been missed.
+   */
   private final Map<String, List<Double>> deadlineMultiples = new HashMap<>();
 
   private final long defaultStartMicros;
@@ -112,9 +115,9 @@
 
   /**
    * Returns the time by which the job should be complete: the earlier of its effective deadline and
-   * the finish objective of its class. The effective deadline includes the deadlines of dependent
-   * jobs. After a miss, the deadline is extended to the next multiple that an objective allows.
-   * Long.MAX_VALUE if there is neither.
+   * the finish objective of its class. The effective deadline takes the deadlines of dependent jobs
+   * into account. Once missed, it is extended to the next multiple that an objective allows.
+   * Long.MAX_VALUE if there is neither a deadline nor a finish objective.
    */
   long finishByMicros(Job job, long nowMicros) {
     long deadlineMicros =
--- a/src/main/java/plumlever/leader/scheduling/StartPlan.java
+++ b/src/main/java/plumlever/leader/scheduling/StartPlan.java
@@ -9,7 +9,7 @@
 import plumlever.fleet.Machine;
 import plumlever.fleet.RegistrationState;
 
-/** Tasks that the current pass planned to start at once, by machine. */
+/** Tasks that the current scheduling pass planned to start at once, by machine. */
 final class StartPlan {
   private final Map<String, Map<Job, PlannedTasks>> byMachine = new HashMap<>();
 
--- a/src/main/java/plumlever/leader/scheduling/TeamGuarantees.java
+++ b/src/main/java/plumlever/leader/scheduling/TeamGuarantees.java
@@ -25,13 +25,13 @@
     }
   }
 
-  /** Drops all jobs that are not in the given set. */
+  /** Forgets the decisions on all jobs that are not in the given set. */
   void retainAll(Set<Job> jobs) {
     covered.keySet().retainAll(jobs);
   }
 
   /**
-   * Decides for all jobs without a decision.
+   * Decides, for each job without a decision, whether it runs within its team's guaranteed cores.
    *
    * @param jobsByAge all jobs that may run, oldest first
    */
--- a/src/main/java/plumlever/leader/scheduling/TeamQuotas.java
+++ b/src/main/java/plumlever/leader/scheduling/TeamQuotas.java
@@ -27,7 +27,7 @@
       accelerators += spec.accelerators();
     }
 
-    /** Converts the planned resources into a number of tasks of the given size, rounded up. */
+    /** Returns how many tasks of the given size would use the planned resources, rounded up. */
     int asTaskCount(JobSpec spec) {
       if (spec.cores() > 0) {
         return (int) Math.ceil(cores / spec.cores() - ROUNDING_TOLERANCE);
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Resets the planned resources for a new pass. */
+  /** Resets the planned resources of all teams for a new pass. */
   void clear() {
     plannedByTeam.clear();
   }
--- a/src/main/java/plumlever/leader/scheduling/WorkerResponse.java
+++ b/src/main/java/plumlever/leader/scheduling/WorkerResponse.java
@@ -5,7 +5,7 @@
 
 /** Result of a direct call to a worker. */
 sealed interface WorkerResponse {
-  /** The worker's heartbeat, if the response contained a valid one. */
+  /** The state of the worker in the form of a heartbeat, if the response contained a valid one. */
   Optional<Heartbeat> heartbeat();
 
   /**
--- a/src/main/java/plumlever/lease/ClockDrift.java
+++ b/src/main/java/plumlever/lease/ClockDrift.java
@@ -10,13 +10,17 @@
   private ClockDrift() {}
 
   /**
-   * Returns the least time that may have passed on another clock when this time has passed here.
+   * Returns the minimum time that has passed on another clock when this time has passed on this
+   * clock.
    */
   public static long minElapsedMicros(long micros) {
     return (long) (micros * (1 - DRIFT_ALLOWANCE));
   }
 
-  /** Returns the most time that may pass here until this time has passed on another clock. */
+  /**
+   * Returns the maximum time that passes on this clock before this time has passed on another
+   * clock.
+   */
   public static long maxElapsedMicros(long micros) {
     return (long) (micros * (1 + DRIFT_ALLOWANCE));
   }
--- a/src/main/java/plumlever/lease/DelegateEvidence.java
+++ b/src/main/java/plumlever/lease/DelegateEvidence.java
@@ -4,15 +4,16 @@
 import plumlever.fleet.Fleet;
 
 /**
- * The evidence of a controller that renews leases on behalf of the leader.
+ * What a controller that renews leases on behalf of the leader knows when it decides whether to
+ * renew a machine's lease.
  *
  * @param token the delegation's token; the leader chose it higher than every token that it has sent
  *     or will send to the zone before the delegation ends, so the response invalidates all commands
  *     in flight
  * @param reportedToken the highest token that the machine has seen, according to its heartbeat
- * @param validUntilMicros when the last read of the delegation expires
- * @param endedJobsReadMicros send time of the oldest of the reads that show whether the jobs of the
- *     machine's tasks have ended
+ * @param validUntilMicros time at which the last read of the delegation expires
+ * @param endedJobsReadMicros time at which the request was sent for the oldest of the reads that
+ *     show whether the jobs of the machine's tasks have ended
  */
 public record DelegateEvidence(
     long token, long reportedToken, long validUntilMicros, long endedJobsReadMicros)
--- a/src/main/java/plumlever/lease/DelegationRecord.java
+++ b/src/main/java/plumlever/lease/DelegationRecord.java
@@ -23,7 +23,7 @@
   private static final String ZONE = "zone";
   private static final String TOKEN = "token";
 
-  /** Copies the map. */
+  /** Makes the map of tokens immutable. */
   public DelegationRecord {
     tokenByZone = Map.copyOf(tokenByZone);
   }
--- a/src/main/java/plumlever/lease/ForeignTaskEvidence.java
+++ b/src/main/java/plumlever/lease/ForeignTaskEvidence.java
@@ -1,7 +1,8 @@
 package plumlever.lease;
 
 /**
- * The evidence of a machine's owner on the foreign tasks on the machine.
+ * What the leader that owns a machine knows about the foreign tasks (tasks of other shards) on it
+ * when it decides whether to renew the machine's lease.
  *
  * @param running true if a foreign task may be running on the machine, or may still be started
  *     there by its originating shard
@@ -9,6 +10,6 @@
  *     several originating shards, the oldest of these times
  */
 public record ForeignTaskEvidence(boolean running, long endedJobsReadMicros) {
-  /** The evidence for a machine without foreign tasks. */
+  /** Stands for a machine without foreign tasks (tasks of other shards). */
   public static final ForeignTaskEvidence NONE = new ForeignTaskEvidence(false, 0);
 }
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -4,7 +4,7 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The evidence of the leader that owns the machine.
+ * What the leader that owns a machine knows when it decides whether to renew the machine's lease.
  *
  * @param mayAct whether the leader may still act according to the clock; checked when the response
  *     is built
@@ -12,9 +12,9 @@
  *     within its timeout
  * @param holdsTasksOfActiveJobs true if the heartbeat lists a task of a job that is not known to
  *     have ended
- * @param endedJobsReadMicros when the last answered read of ended jobs was sent
+ * @param endedJobsReadMicros time at which the last answered read of ended jobs was sent
  * @param unansweredCommands commands that may start tasks that the heartbeat does not list
- * @param foreignTasks evidence on the foreign tasks on the machine
+ * @param foreignTasks what is known of the tasks of other shards on the machine
  */
 public record LeaderEvidence(
     BooleanSupplier mayAct,
@@ -25,7 +25,10 @@
     ForeignTaskEvidence foreignTasks)
     implements RenewalEvidence {
 
-  /** Creates the evidence for a machine without tasks that was sent no command in this term. */
+  /**
+   * Returns the renewal evidence for a machine without tasks to which this leader has sent no
+   * command.
+   */
   public static LeaderEvidence ofIdleMachine(BooleanSupplier mayAct, long token) {
     return new LeaderEvidence(
         mayAct, token, false, 0, UnansweredCommands.NONE, ForeignTaskEvidence.NONE);
@@ -55,9 +58,10 @@
   }
 
   /**
-   * Returns whether tasks that unanswered commands may start would end within the cancellation
-   * limit. The heartbeat does not list these tasks. Therefore the lease must expire within the
-   * limit of every cancellation that was confirmed after the command was sent.
+   * Returns whether tasks that unanswered commands may start would end within the time limit for
+   * stopping the tasks of a cancelled job. The heartbeat does not list these tasks. Therefore the
+   * lease must expire within the limit of every cancellation that was confirmed after the command
+   * was sent.
    */
   private boolean unansweredCommandsEndInTime(RenewalLimit limit, long nowMicros) {
     return !unansweredCommands.exist()
--- a/src/main/java/plumlever/lease/LeaseRenewal.java
+++ b/src/main/java/plumlever/lease/LeaseRenewal.java
@@ -6,26 +6,31 @@
 
 /**
  * Builds all responses that renew a worker's lease. No other class builds them, so no lease is
- * renewed without evidence. A renewed lease extends the incarnation, in which the worker may still
- * execute commands that are in flight. The evidence therefore covers unanswered commands as well as
- * the tasks that the heartbeat lists.
+ * renewed without a check of the renewal evidence. A renewed lease extends the worker's incarnation
+ * (the period from one expiry of its lease to the next), in which the worker may still execute
+ * commands that are in flight. The evidence therefore covers unanswered commands as well as the
+ * tasks that the heartbeat lists.
  */
 public final class LeaseRenewal {
   private final RenewalLimit limit;
 
-  /** Creates a builder of responses that applies this limit. */
+  /** Creates a builder of heartbeat responses that renews leases only within this limit. */
   public LeaseRenewal(RenewalLimit limit) {
     this.limit = limit;
   }
 
-  /** Returns why renewal would be refused now, or empty if the lease may be renewed. */
+  /**
+   * Returns why renewal of the machine's lease would be refused now, or empty if the lease may be
+   * renewed.
+   */
   public Optional<RenewalRefusal> refusal(RenewalEvidence evidence, long nowMicros) {
     return evidence.refusal(limit, nowMicros);
   }
 
   /**
-   * Returns the response to a heartbeat, with these commands, if the evidence is sufficient. The
-   * caller must send the response immediately or discard it.
+   * Returns the response that renews the lease and carries these commands, or the reason if this
+   * evidence does not allow the renewal. The caller must send the response immediately or discard
+   * it.
    */
   public RenewalDecision decide(
       RenewalEvidence evidence, List<WorkerCommand> commands, long nowMicros) {
--- a/src/main/java/plumlever/lease/RenewalEvidence.java
+++ b/src/main/java/plumlever/lease/RenewalEvidence.java
@@ -3,12 +3,16 @@
 import java.util.Optional;
 
 /**
- * The evidence that justifies a lease renewal. The leader provides one kind of evidence, a
- * controller that renews leases on behalf of the leader another.
+ * What a controller knows about a machine's tasks and about ended jobs when it decides whether to
+ * renew the machine's lease. The leader provides one kind of evidence; a controller that renews
+ * leases on behalf of the leader provides another.
  */
 public sealed interface RenewalEvidence permits LeaderEvidence, DelegateEvidence {
 
-  /** Returns the token of the response. The token invalidates all commands with lower tokens. */
+  /**
+   * Returns the fencing token that the response carries. It invalidates all commands with lower
+   * tokens.
+   */
   long token();
 
   /**
--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -19,8 +19,8 @@
   private static final long EXPIRY_MARGIN_MICROS = 1_500_000;
 
   /**
-   * Ended jobs are read this many times as often as necessary, so that no lease expires because one
-   * read was lost or slow.
+   * Number of reads of ended jobs within the time for which one read allows the renewal of leases,
+   * so that no lease expires because one read was lost or slow.
    */
   private static final int READS_PER_LIMIT = 6;
 
@@ -29,7 +29,9 @@
 
   private final long maxReadAgeMicros;
 
-  /** Computes the limit from these lease and cancellation times. */
+  /**
+   * Computes the limit from the lease duration and the time within which cancelled tasks must end.
+   */
   public RenewalLimit(PlatformConfiguration.Workers workers) {
     this.maxReadAgeMicros =
         ClockDrift.minElapsedMicros(workers.cancelMicros())
@@ -41,7 +43,7 @@
    * Returns whether a heartbeat received by {@code nowMicros} may be answered with status 200,
    * which renews the lease, although its machine has tasks.
    *
-   * @param endedJobsReadMicros when the last answered read of ended jobs was sent
+   * @param endedJobsReadMicros time at which the last answered read of ended jobs was sent
    */
   public boolean mayRenew(long nowMicros, long endedJobsReadMicros) {
     return nowMicros - endedJobsReadMicros <= maxReadAgeMicros;
--- a/src/main/java/plumlever/lease/RenewalRefusal.java
+++ b/src/main/java/plumlever/lease/RenewalRefusal.java
@@ -4,7 +4,7 @@
 
 /** The reasons for not renewing a lease. Their texts are sent to workers and must not change. */
 public enum RenewalRefusal {
-  /** The controller may not act as leader, or may no longer do so. */
+  /** The controller is not the leader, or its right to act as leader has expired. */
   NOT_LEADING("not in office"),
 
   /** A task may belong to a job whose end is not known to this controller yet. */
--- a/src/main/java/plumlever/lease/package-info.java
+++ b/src/main/java/plumlever/lease/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Decides on which evidence a worker's lease is renewed.
+ * Decides whether a worker's lease is renewed, depending on what the controller knows about the
+ * machine's tasks and about ended jobs.
  *
  * <p>Responsible for the decision, for the reasons of refusals and for the stored form of a
  * delegation. {@link plumlever.lease.LeaseRenewal} builds every response that renews a lease, from
--- a/src/main/java/plumlever/metrics/LogRateLimiter.java
+++ b/src/main/java/plumlever/metrics/LogRateLimiter.java
@@ -11,8 +11,8 @@
   private static final long SECOND_MICROS = 1_000_000;
 
   /**
-   * Earlier than any time of the clock. Half of the minimum, so that subtracting this value from a
-   * time does not overflow.
+   * A time earlier than any that the clock returns. It is half of the smallest {@code long}, so
+   * that subtracting it from a time does not overflow.
    */
   private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 2;
 
@@ -22,7 +22,7 @@
   private int lines;
   private long suppressed;
 
-  /** Creates a limit for debug lines that are logged with this logger. */
+  /** Creates a rate limiter for debug lines that are logged with this logger. */
   public LogRateLimiter(Logger log, int linesPerSecond) {
     this.log = log;
     this.linesPerSecond = linesPerSecond;
--- a/src/main/java/plumlever/metrics/Metrics.java
+++ b/src/main/java/plumlever/metrics/Metrics.java
@@ -19,7 +19,7 @@
   private static final long MAX_DURATION_MICROS = 3_600_000_000L;
   private static final int SIGNIFICANT_DIGITS = 2;
 
-  /** The status that represents a call without a response. */
+  /** The HTTP status that stands for a call without a response. */
   private static final int NO_RESPONSE = 0;
 
   /** The time spent on one kind of work and the number of runs since the last summary. */
@@ -44,7 +44,7 @@
     counters.merge(name, 1L, Long::sum);
   }
 
-  /** Increments the counter by the count. */
+  /** Increments the counter with this name by the given amount. */
   public synchronized void count(String name, long count) {
     counters.merge(name, count, Long::sum);
   }
@@ -62,10 +62,9 @@
   }
 
   /**
-   * Records one run of a kind of work.
-   *
-   * @param micros the elapsed time by the clock, not the processor time, because other work waits
-   *     for the elapsed time, which is longer on a small share of a processor
+   * Adds the duration of one run to the total of the kind of work with this name. @param micros the
+   * elapsed time by the clock, not the processor time, because other work waits for the elapsed
+   * time, which is longer on a small share of a processor
    */
   public synchronized void recordWork(String name, long micros) {
     WorkTotal total = work.computeIfAbsent(name, key -> new WorkTotal());
@@ -73,7 +72,7 @@
     total.runs++;
   }
 
-  /** Registers a gauge whose value is read for each summary. */
+  /** Adds a gauge with this name, whose value is read each time that the metrics are logged. */
   public synchronized void gauge(String name, LongSupplier level) {
     gauges.put(name, level);
   }
--- a/src/main/java/plumlever/peer/PeerStatus.java
+++ b/src/main/java/plumlever/peer/PeerStatus.java
@@ -90,7 +90,8 @@
       out.writeVarLong(peerStatus.lateMicros, true);
       out.writeVarInt(peerStatus.workers, true);
       writeCounts(out, peerStatus.counts);
-      // Earlier versions read up to here and ignore the rest.
+      // The confirmed cancellations are written last, because earlier versions ignore everything
+      // after the fields above.
       writeCancellations(out, peerStatus.confirmedCancellations);
     }
 
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -51,7 +51,10 @@
     this.listener = listener;
   }
 
-  /** Returns the task that sends the status at a fixed interval. */
+  /**
+   * Returns the task that sends this controller's status to the other controllers at a fixed
+   * interval.
+   */
   public RecurringTask recurringTask() {
     return new RecurringTask("peer status", loop, this::sendStatus);
   }
@@ -64,7 +67,10 @@
     return SEND_INTERVAL_MICROS;
   }
 
-  /** Handles a request that arrived at the address for other controllers. */
+  /**
+   * Handles an HTTP request that arrived at the address on which this controller listens for other
+   * controllers.
+   */
   public void handle(String method, String path, byte[] body, Responder out) {
     if (!path.equals(PATH) || !method.equals("POST")) {
       out.error(HttpStatus.NOT_FOUND, "no such path");
@@ -93,8 +99,8 @@
   }
 
   /**
-   * Returns the last status of each controller that sent one within the last {@code micros}
-   * microseconds.
+   * Returns the last status of each other controller that sent a status within the last {@code
+   * micros} microseconds.
    */
   public List<PeerStatus> receivedWithin(long micros) {
     long oldestMicros = loop.nowMicros() - micros;
--- a/src/main/java/plumlever/placement/CandidateScores.java
+++ b/src/main/java/plumlever/placement/CandidateScores.java
@@ -22,7 +22,10 @@
   private final PlacementParameters parameters;
   private final Zones zones;
 
-  /** Time by candidate until a task runs once its capacity is free: command and image fetch. */
+  /**
+   * For each candidate, the time from the start of a placement until the task runs: the latency of
+   * the start command and the image fetch.
+   */
   private final long[] preparationMicros;
 
   private final long[] runMicros;
@@ -102,12 +105,18 @@
         : Long.MAX_VALUE;
   }
 
-  /** Returns the time at which a task would run if its capacity becomes free at the given time. */
+  /**
+   * Returns the time at which a task would run on the candidate if capacity for the task becomes
+   * free at {@code startMicros}.
+   */
   long runsAtMicros(int candidate, long startMicros) {
     return startMicros + preparationMicros[candidate];
   }
 
-  /** True if placing one more task on the candidate would be a choice of the given rank. */
+  /**
+   * True if one more task may be placed on the candidate and the placement has the given rank: the
+   * task starts now or later, and meets its times with or without padded run time.
+   */
   boolean isChoiceOfRank(int index, ChoiceRank rank) {
     PlacementCandidate candidate = candidates.get(index);
     if (!zones.allows(candidate.zone) || candidate.fitsNow(request.resources()) == rank.later) {
--- a/src/main/java/plumlever/placement/ChoiceRank.java
+++ b/src/main/java/plumlever/placement/ChoiceRank.java
@@ -1,6 +1,8 @@
 package plumlever.placement;
 
-/** Ranks of the choices that meet a task's times, best first. */
+/**
+ * Ranks of the placements on which a task meets its deadline and its latest start time, best first.
+ */
 enum ChoiceRank {
   NOW_WITH_PADDING(false, true),
   LATER_WITH_PADDING(true, true),
--- a/src/main/java/plumlever/placement/EarliestRunQueue.java
+++ b/src/main/java/plumlever/placement/EarliestRunQueue.java
@@ -17,7 +17,10 @@
     }
   }
 
-  /** Time at which a task would run on a candidate. May be outdated after a commit. */
+  /**
+   * Time at which a task would run on a candidate. The time may be outdated once another task has
+   * been placed.
+   */
   private record Run(long atMicros, int candidate) implements Comparable<Run> {
     @Override
     public int compareTo(Run run) {
@@ -33,7 +36,7 @@
     }
   }
 
-  /** Returns the candidate on which the next task would run first. */
+  /** Returns the placement of the next task on the candidate on which the task would run first. */
   Placer.Choice best() {
     while (!queue.isEmpty()) {
       Run run = queue.peek();
--- a/src/main/java/plumlever/placement/PlacementCandidate.java
+++ b/src/main/java/plumlever/placement/PlacementCandidate.java
@@ -33,7 +33,7 @@
   private final List<Release> releases = new ArrayList<>();
   private boolean releasesSorted = true;
 
-  /** Resources that are expected to become free at the given time. */
+  /** Resources of the machine that are expected to become free at the given time. */
   private record Release(long atMicros, double cores, double accelerators, double memoryGb) {}
 
   /**
@@ -140,8 +140,8 @@
   }
 
   /**
-   * Books resources that become free later. Resources released until the start are assigned to the
-   * task and are released again when the task ends.
+   * Reserves resources that become free later for a task. Resources released until the start are
+   * assigned to the task and are released again when the task ends.
    */
   void book(ResourceRequest.Resources task, long startMicros, long endMicros) {
     double coresNow = cores;
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * Chooses machines for tasks. Machines on which the task meets its times precede all others,
- * whatever the score. Among these machines, the lowest score wins: price per second times the
- * task's dominant share of the machine times the time that the task occupies the machine. Scores
- * within the tie band count as equal: busy machines are preferred, then the most free memory, then
- * the most free cores. If the task meets its times on no machine, the machine on which it would run
- * first is chosen.
+ * Chooses machines for tasks. Machines on which the task meets its deadline and its latest start
+ * time precede all others, whatever the score. Among these machines, the lowest score wins: price
+ * per second times the task's dominant share of the machine times the time that the task occupies
+ * the machine. Scores within the tie tolerance of the lowest score count as equal: busy machines
+ * are preferred, then the most free memory, then the most free cores. If the task meets its times
+ * on no machine, the machine on which it would run first is chosen.
  */
 public final class Placer {
   private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -25,7 +25,7 @@
    * Placement of one task.
    *
    * @param candidate index in the list of candidates; -1 if no candidate can ever run the task
-   * @param startMicros when capacity for the task is free
+   * @param startMicros time at which capacity for the task is free
    * @param feasible true if the task meets its times with the padded run time
    */
   public record Choice(int candidate, long startMicros, boolean feasible) {
@@ -59,8 +59,8 @@
 
   /**
    * Chooses machines for the tasks of one job, one task at a time. Each candidate is scored once.
-   * The tie band moves towards higher scores as machines fill up. Free capacity only shrinks within
-   * a search, so a rank without choices never gets choices again.
+   * Free capacity only shrinks within a search, so once no candidate has a placement of a {@link
+   * ChoiceRank}, that rank is not tried again.
    */
   public final class Search {
     private final CandidateScores scores;
@@ -119,7 +119,10 @@
     return false;
   }
 
-  /** True if a task with the given dominant share fits on an empty machine. */
+  /**
+   * True if a task with the given dominant share (the largest fraction of any single machine
+   * resource that the task needs) fits on an empty machine.
+   */
   static boolean fitsEmptyMachine(double share) {
     return share <= 1 + ROUNDING_TOLERANCE;
   }
--- a/src/main/java/plumlever/placement/ResourceRequest.java
+++ b/src/main/java/plumlever/placement/ResourceRequest.java
@@ -17,7 +17,10 @@
   /** Stands for no deadline or no latest start time. */
   public static final long ANY_TIME = Long.MAX_VALUE;
 
-  /** Share of a resource that the machine does not have. Above 1, so the task never fits. */
+  /**
+   * Dominant share of a task that needs accelerators on a machine without any. Above 1, so that the
+   * task never fits.
+   */
   private static final double UNAVAILABLE_SHARE = 2;
 
   /** Resources that the task needs on a machine. */
@@ -27,7 +30,7 @@
    * Times that the task should meet.
    *
    * @param runMicros planned run time on a machine of nominal speed
-   * @param deadlineMicros when the task should be complete, or {@link #ANY_TIME}
+   * @param deadlineMicros latest time at which the task should be complete, or {@link #ANY_TIME}
    * @param startByMicros latest start time, or {@link #ANY_TIME}
    */
   public record Timing(long runMicros, long deadlineMicros, long startByMicros) {}
@@ -77,8 +80,8 @@
   }
 
   /**
-   * Returns the dominant share: the largest share of any machine resource that the task needs.
-   * Above 1 the task never fits.
+   * Returns the dominant share: the largest fraction of any single machine resource that the task
+   * needs. If above 1, the task never fits.
    */
   double dominantShare(MachineShape shape) {
     double share = Math.max(resources.cores / shape.cores(), resources.memoryGb / shape.memoryGb());
--- a/src/main/java/plumlever/placement/TieBand.java
+++ b/src/main/java/plumlever/placement/TieBand.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * Heap of the candidates of one rank whose scores are within the tie band of the lowest score, with
- * the preferred candidate on top. Free capacity only shrinks during a search, so a candidate that
- * is not a choice of the rank never becomes one again.
+ * Heap of the candidates with placements of one {@link ChoiceRank} whose scores count as tied with
+ * the lowest score, with the preferred candidate on top. Free capacity only shrinks during a
+ * search, so a candidate without a placement of the rank never has one again.
  */
 final class TieBand {
   private static final int INITIAL_CAPACITY = 16;
@@ -15,10 +15,14 @@
   private int[] heap = new int[INITIAL_CAPACITY];
   private int size;
 
-  /** Index in the score order of the first candidate that is a choice of the rank. */
+  /**
+   * Index in {@link CandidateScores#byScore} of the first candidate with a placement of the rank.
+   */
   private int first;
 
-  /** Index in the score order after the last candidate of the tie band. */
+  /**
+   * Index in {@link CandidateScores#byScore} after the last candidate whose score counts as tied.
+   */
   private int end;
 
   private ChoiceRank rank;
@@ -29,7 +33,9 @@
     reset(rank);
   }
 
-  /** Clears the heap and starts over with the given rank. */
+  /**
+   * Clears the heap and restarts the search for placements of the given rank from the lowest score.
+   */
   void reset(ChoiceRank newRank) {
     rank = newRank;
     size = 0;
@@ -37,7 +43,7 @@
     end = 0;
   }
 
-  /** Returns the candidate for the next task, or -1 if the rank has no choices left. */
+  /** Returns the candidate for the next task, or -1 if no candidate has a placement of the rank. */
   int best() {
     int[] byScore = scores.byScore;
     while (first < byScore.length && !scores.isChoiceOfRank(byScore[first], rank)) {
--- a/src/main/java/plumlever/placement/Zones.java
+++ b/src/main/java/plumlever/placement/Zones.java
@@ -3,7 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Zone constraints of a job, with the number of its tasks that may be on machines of each zone. */
+/**
+ * Zone constraints of a job, with the number of the job's tasks in each zone, including tasks that
+ * are not certain to have ended.
+ */
 public final class Zones {
   private final boolean oneZone;
   private final int maxTasksPerZone;
--- a/src/main/java/plumlever/scaling/CapacityHeadroom.java
+++ b/src/main/java/plumlever/scaling/CapacityHeadroom.java
@@ -16,17 +16,17 @@
   private final double deviations;
   private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
-  /** Sum of the squared cores of all arrivals. */
+  /** Sum of the squared core counts of the jobs that arrived within the window. */
   private double sumOfSquares;
 
   private record Arrival(long atMicros, double cores, JobSpec job) {}
 
   /**
-   * Creates the headroom without any arrivals.
+   * Creates the computation without any recorded job arrivals.
    *
-   * @param windowMicros age after which arrivals are dropped
+   * @param windowMicros age after which job arrivals are no longer considered
    * @param provisioningMicros time to rent and boot a machine
-   * @param deviations number of standard deviations to keep free
+   * @param deviations number of standard deviations of the demand for cores to keep free
    */
   public CapacityHeadroom(long windowMicros, long provisioningMicros, double deviations) {
     this.windowMicros = windowMicros;
@@ -41,7 +41,10 @@
     sumOfSquares += cores * cores;
   }
 
-  /** Returns the cores that should be free or coming up. Drops arrivals older than the window. */
+  /**
+   * Returns the number of cores that should be free or on machines that are coming up. Drops job
+   * arrivals older than the window.
+   */
   public double requiredCores(long nowMicros) {
     while (!arrivals.isEmpty() && arrivals.peek().atMicros < nowMicros - windowMicros) {
       Arrival expired = arrivals.poll();
@@ -52,8 +55,8 @@
   }
 
   /**
-   * Returns the last arrival, as a prediction of the next one; empty if there were no recent
-   * arrivals.
+   * Returns the job that arrived last, as a prediction of the next one; empty if no job arrived
+   * recently.
    */
   public Optional<JobSpec> latestArrival() {
     return Optional.ofNullable(arrivals.peekLast()).map(Arrival::job);
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -18,20 +18,27 @@
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   /**
-   * Lower bound of a task's share of a machine. Keeps the number of tasks per machine finite for
-   * tasks that need almost no resources.
+   * Lower bound of a task's dominant share (the largest fraction of any single machine resource).
+   * Keeps the number of tasks per machine finite for tasks that need almost no resources.
    */
   private static final double MIN_SHARE = 1e-6;
 
-  /** Startup time in seconds that doubles an option's cost if only speed matters. */
+  /**
+   * Startup time in seconds that doubles the compared cost of a rental option if only speed
+   * matters.
+   */
   private static final double STARTUP_S_DOUBLING_COST = 300;
 
   /**
-   * Upper limit of the surcharge on an option for the machines of this option already in the plan.
+   * Maximum fraction by which a rental option's compared cost is raised for machines of the same
+   * option that are already in the plan.
    */
   private static final double MAX_CONCENTRATION_SURCHARGE = 0.3;
 
-  /** Number of planned machines of an option at which half of the maximum surcharge applies. */
+  /**
+   * Number of planned machines of a rental option at which half of the maximum surcharge on its
+   * cost applies.
+   */
   private static final int MACHINES_FOR_HALF_SURCHARGE = 30;
 
   private final MachineTypeCatalog typeCatalog;
@@ -81,7 +88,7 @@
   /** Number of machines to rent of one option. */
   public record PlannedRental(RentalOption option, int count) {}
 
-  /** Free resources of a machine that is coming up or planned to be rented. */
+  /** A machine that is coming up or planned to be rented, with its free resources. */
   public static final class IncomingMachine {
     private final RentalOption option;
     private double cores;
@@ -119,8 +126,8 @@
    * Chooses the machines to rent. Serves the demands in order, each with the cheapest options.
    *
    * @param demands most urgent first
-   * @param incoming machines that are coming up; demands use their capacity first, and the plan
-   *     consumes it
+   * @param incoming machines that are coming up; their free capacity is used first and is reduced
+   *     by this call
    * @param available false for options that the cloud recently had no capacity for
    * @param maxMachines maximum number of machines to rent
    */
@@ -134,7 +141,7 @@
     return builder.plannedRentals();
   }
 
-  /** State of one planning run. */
+  /** The machines and the counts of one planning run. */
   private final class PlanBuilder {
     private final List<IncomingMachine> machines;
     private final Predicate<RentalOption> available;
@@ -175,8 +182,8 @@
     }
 
     /**
-     * Adds one machine of the option to the plan. Returns the number of tasks that the machine
-     * serves; if 0, no machine is added.
+     * Adds one machine of the option to the plan if the machine can serve at least one of the
+     * tasks. Returns the number of tasks that the machine serves.
      */
     private int addMachine(RentalOption option, JobSpec job, int tasks) {
       IncomingMachine machine =
@@ -213,8 +220,8 @@
     }
 
     /**
-     * Cost of a machine divided by the number of remaining tasks that it serves. A machine that is
-     * too large for the remaining tasks is charged to them in full.
+     * Returns the compared cost of a machine divided by the number of remaining tasks that it
+     * serves. A machine that is too large for the remaining tasks is charged to them in full.
      */
     private double costPerTask(
         MachineType machineType, RentalOption option, double share, int tasks) {
@@ -228,8 +235,9 @@
     }
 
     /**
-     * Surcharge that spreads rentals over options, which limits the impact of an outage or a
-     * capacity shortage in one zone.
+     * Returns the factor by which the compared cost of the option is raised because machines of the
+     * option are already planned. This spreads rentals over options, which limits the impact of an
+     * outage or a capacity shortage in one zone.
      */
     private double concentrationFactor(RentalOption option) {
       int count = countByOption.getOrDefault(option, 0);
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -24,7 +24,10 @@
 
   private final String file;
 
-  /** Keys that have not been read yet; after reading, the unknown keys remain. */
+  /**
+   * The entries of the settings file whose keys have not been read yet. The keys left after reading
+   * are unknown.
+   */
   private final Map<String, Object> unreadKeys;
 
   private OperatorFile(String file, Map<String, Object> values) {
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -82,7 +82,10 @@
    * @param cancelMicros the time until a cancellation takes effect
    */
   public record Workers(long heartbeatMicros, long leaseMicros, long cancelMicros) {
-    /** A heartbeat is sent up to the interval divided by this number early or late. */
+    /**
+     * The heartbeat interval divided by this number is the time by which a heartbeat may be sent
+     * early or late.
+     */
     private static final int JITTER_DIVISOR = 4;
 
     /** The time allowed for the delivery of a heartbeat. */
@@ -110,12 +113,15 @@
    */
   public record StateLimits(
       double rps, double writeRps, int valueBytes, int transactionOps, int currentValueBytes) {
-    /** Creates limits for which no change is announced. */
+    /** Creates limits of the state service for which no change is announced. */
     public StateLimits(double rps, double writeRps, int valueBytes, int transactionOps) {
       this(rps, writeRps, valueBytes, transactionOps, valueBytes);
     }
 
-    /** Returns, for each limit, the smaller of this value and the announced value. */
+    /**
+     * Returns limits each of which is the smaller of this object's value and the value announced
+     * for later.
+     */
     StateLimits smallerOf(StateLimits next) {
       return new StateLimits(
           Math.min(rps, next.rps),
--- a/src/main/java/plumlever/settings/PlatformFile.java
+++ b/src/main/java/plumlever/settings/PlatformFile.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads the tables of the platform's settings file; the first error aborts reading. */
+/**
+ * Reads the tables of the platform's settings file; the first invalid or missing value aborts
+ * reading.
+ */
 final class PlatformFile {
   private static final double MAX_NUMBER = 1e9;
   private static final double MAX_DEADLINE_FACTOR = 1e6;
@@ -14,11 +17,15 @@
   private static final double MIN_FILE_DESCRIPTORS = 64;
   private static final double MAX_FILE_DESCRIPTORS = 1e7;
 
-  /** The smallest value size with which all records can be stored. */
+  /**
+   * The smallest maximum value size of the state service, in KB, with which all records can be
+   * stored.
+   */
   private static final double MIN_VALUE_KB = 1;
 
   /**
-   * An election needs three operations: it puts the leader and the term and deletes the delegation.
+   * The smallest number of operations per transaction that the state service must allow: an
+   * election puts the leader and the term and deletes the delegation of lease renewals.
    */
   private static final double MIN_TRANSACTION_OPS = 3;
 
@@ -125,7 +132,10 @@
         cloud.number(RPS, MIN_CLOUD_RPS, MAX_NUMBER), cloud.durationMicros("list_lag_s"));
   }
 
-  /** Reads the limits. A limit without an announced value keeps its current value. */
+  /**
+   * Reads the limits of the state service. A limit without an announced value keeps its current
+   * value.
+   */
   private static PlatformConfiguration.StateLimits stateLimits(TomlTable state)
       throws SettingsException {
     PlatformConfiguration.StateLimits now =
--- a/src/main/java/plumlever/settings/SharingSettings.java
+++ b/src/main/java/plumlever/settings/SharingSettings.java
@@ -36,7 +36,10 @@
   public record Shard(
       String name, String prefix, Set<String> controllers, int minMachines, double weight) {}
 
-  /** The number of write operations that a transfer needs in one state service transaction. */
+  /**
+   * The number of write operations that moving a machine between shards needs in one transaction of
+   * the state service.
+   */
   public static final int MIN_TRANSACTION_OPS = 5;
 
   /** Returns the shard with this name. */
@@ -50,7 +53,8 @@
   }
 
   /**
-   * Reads the table and validates it against the controllers of the deployment.
+   * Reads the {@code sharing} table of the operators' settings file and validates it against the
+   * controllers of the deployment.
    *
    * @param file the file name for error messages
    */
--- a/src/main/java/plumlever/settings/SharingTable.java
+++ b/src/main/java/plumlever/settings/SharingTable.java
@@ -20,8 +20,8 @@
   private static final Pattern PREFIX = Pattern.compile("[a-z][a-z0-9-]{0,30}/");
 
   /**
-   * Prefixes that no shard may have: those of the pool's records, and those of the records of a
-   * shard whose prefix is empty.
+   * Key prefixes that a shard cannot use, because the pool's records or the records of a shard with
+   * an empty prefix use them.
    */
   private static final List<String> RESERVED_PREFIXES =
       List.of(
--- a/src/main/java/plumlever/settings/TomlTable.java
+++ b/src/main/java/plumlever/settings/TomlTable.java
@@ -36,7 +36,7 @@
     return node.has(key);
   }
 
-  /** Returns a required table. */
+  /** Returns the subtable with this key, which is required. */
   TomlTable table(String key) throws SettingsException {
     JsonNode child = node.get(key);
     if (child == null || !child.isObject()) {
@@ -45,7 +45,7 @@
     return new TomlTable(file, prefix + key + ".", child);
   }
 
-  /** Returns a list of tables; empty if the key is missing. */
+  /** Returns the list of tables with this key; empty if the key is missing. */
   List<TomlTable> tables(String key) throws SettingsException {
     JsonNode list = node.get(key);
     if (list == null) {
@@ -64,7 +64,7 @@
     return tables;
   }
 
-  /** Returns a required text, which must not be blank. */
+  /** Returns the text with this key, which is required and must not be blank. */
   String text(String key) throws SettingsException {
     JsonNode value = node.get(key);
     if (value == null || !value.isTextual() || value.textValue().isBlank()) {
@@ -77,7 +77,7 @@
     return node.hasNonNull(key) ? Optional.of(text(key)) : Optional.empty();
   }
 
-  /** Returns a required number, which must be within the range. */
+  /** Returns the number with this key, which is required and must be within the range. */
   double number(String key, double min, double max) throws SettingsException {
     JsonNode value = node.get(key);
     if (value == null || !value.isNumber()) {
@@ -90,17 +90,20 @@
     return amount;
   }
 
-  /** Returns a number, which must be within the range; the default value if the key is missing. */
+  /**
+   * Returns the number with this key, which must be within the range; the default value if the key
+   * is missing.
+   */
   double number(String key, double min, double max, double defaultValue) throws SettingsException {
     return node.hasNonNull(key) ? number(key, min, max) : defaultValue;
   }
 
-  /** Returns a required duration in microseconds; the file gives it in seconds. */
+  /** Returns the duration with this required key in microseconds; the file gives it in seconds. */
   long durationMicros(String key) throws SettingsException {
     return Math.round(number(key, MIN_SECONDS, MAX_SECONDS) * MICROS_PER_SECOND);
   }
 
-  /** Returns a required address with a port. */
+  /** Returns the network address (host and port) with this key, which is required. */
   Endpoint endpoint(String key) throws SettingsException {
     return Endpoint.parse(text(key)).orElseThrow(() -> error(key, "must be ADDRESS:PORT"));
   }
--- a/src/main/java/plumlever/sharing/CoreDemand.java
+++ b/src/main/java/plumlever/sharing/CoreDemand.java
@@ -22,8 +22,8 @@
   /**
    * Returns the number of cores that must be in use all the time from now on for the jobs to meet
    * their deadlines. Tasks of a job that can run one after the other before the deadline share
-   * cores. If less time is left than one task takes, all tasks of the job must run at once. No team
-   * counts with more cores than its limit.
+   * cores. If less time is left than one task takes, all tasks of the job must run at once. The
+   * cores counted for a team never exceed the team's limit.
    *
    * @param limits core limits by team, for teams that have one
    */
--- a/src/main/java/plumlever/sharing/LimitParts.java
+++ b/src/main/java/plumlever/sharing/LimitParts.java
@@ -13,7 +13,7 @@
  * @param byShard the part of each shard
  */
 public record LimitParts(Map<String, Part> byShard) {
-  /** The cores and accelerators that one shard may use. */
+  /** The cores and accelerators of a team's limit that one shard may use. */
   public record Part(double cores, double accelerators) {
     /** A part without cores and accelerators. */
     public static final Part NONE = new Part(0, 0);
@@ -21,7 +21,7 @@
 
   private static final String PREFIX = "/pool/limits/";
 
-  /** Returns the key of the team's record. */
+  /** Returns the key of the record that holds the parts of the team's limit. */
   public static String keyOf(String team) {
     return PREFIX + team;
   }
@@ -59,7 +59,7 @@
     return new LimitParts(parts);
   }
 
-  /** Returns the shard's part. */
+  /** Returns the shard's part of the team's limit; no cores and accelerators if it has none. */
   public Part of(String shard) {
     return byShard.getOrDefault(shard, Part.NONE);
   }
@@ -78,7 +78,7 @@
     return new LimitParts(parts);
   }
 
-  /** Returns the stored form of the record. */
+  /** Returns the stored form of the parts of the team's limit. */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     ObjectNode parts = object.putObject("parts");
@@ -87,7 +87,7 @@
     return object;
   }
 
-  /** Parses a stored record. */
+  /** Parses the stored parts of a team's limit. */
   static LimitParts parse(JsonNode data) {
     Map<String, Part> parts = new TreeMap<>();
     data.path("parts")
--- a/src/main/java/plumlever/sharing/LimitPolicy.java
+++ b/src/main/java/plumlever/sharing/LimitPolicy.java
@@ -11,8 +11,8 @@
   private LimitPolicy() {}
 
   /**
-   * Returns the cores that a shard should move now. The shard that can receive the most cores is
-   * chosen; ties are broken by name.
+   * Returns the move of cores to the shard that can receive the most; empty if no whole core can be
+   * moved. Ties are broken by shard name.
    *
    * @param spare cores of the shard's part that its running and pending tasks do not need
    * @param wantedByShard cores that the other shards need beyond their parts
--- a/src/main/java/plumlever/sharing/MachineId.java
+++ b/src/main/java/plumlever/sharing/MachineId.java
@@ -8,10 +8,10 @@
  * @param number the value of the trailing digits
  */
 public record MachineId(String series, int number) {
-  /** A number of at most nine digits always fits into an int. */
+  /** Maximum number of trailing digits that are parsed: nine digits always fit into an int. */
   private static final int MAX_DIGITS = 9;
 
-  /** Splits a name; a name without trailing digits has the number 0. */
+  /** Splits a machine's name; a name without trailing digits has the number 0. */
   public static MachineId of(String name) {
     int start = name.length();
     while (start > 0
--- a/src/main/java/plumlever/sharing/OwnerRecord.java
+++ b/src/main/java/plumlever/sharing/OwnerRecord.java
@@ -18,12 +18,13 @@
  * the name under which a shard has retired machines before their return. Immutable.
  */
 public final class OwnerRecord {
-  /** A record without machines. */
+  /** An owner record without machines. */
   public static final OwnerRecord EMPTY = new OwnerRecord(new TreeMap<>());
 
   /**
-   * Size of a range. In the worst case the numbers take 512 bytes, half of the smallest value limit
-   * that a state service may have. The other half is left for Base64 and JSON.
+   * Number of machine numbers that one owner record covers. In the worst case the sets take 512
+   * bytes, half of the smallest value limit that a state service may have. The other half is left
+   * for Base64 and JSON.
    */
   private static final int RANGE = 256;
 
@@ -36,7 +37,7 @@
     this.sets = sets;
   }
 
-  /** Returns the key of the record whose range includes the machine. */
+  /** Returns the key of the owner record whose range of machine numbers includes the machine. */
   public static String keyOf(String machine) {
     MachineId id = MachineId.of(machine);
     return PREFIX + id.series() + "/" + id.number() / RANGE;
@@ -47,7 +48,7 @@
     return key.startsWith(PREFIX);
   }
 
-  /** Parses a stored record; an unknown format is rejected. */
+  /** Parses a stored owner record; an unknown format is rejected. */
   public static OwnerRecord parse(JsonNode data) throws InvalidMessageException {
     if (!(data.get(SETS) instanceof ObjectNode stored)) {
       throw new InvalidMessageException("owner record lacks its sets of machines");
@@ -68,7 +69,7 @@
     return new OwnerRecord(sets);
   }
 
-  /** Returns the stored form of the record. */
+  /** Returns the stored form of the owner record. */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     ObjectNode stored = object.putObject(SETS);
@@ -83,7 +84,10 @@
     return object;
   }
 
-  /** Returns the holder of the machine; empty if no set includes the machine. */
+  /**
+   * Returns the holder of the machine (the owning shard, or the name under which a shard has
+   * retired the machine); empty if the machine has no holder.
+   */
   public Optional<String> holder(String machine) {
     int number = MachineId.of(machine).number();
     return sets.entrySet().stream()
@@ -92,7 +96,7 @@
         .findFirst();
   }
 
-  /** Returns the record with the given holder as the only holder of the machine. */
+  /** Returns a copy of the owner record in which the given holder is the machine's only holder. */
   public OwnerRecord with(String machine, String holder) {
     Map<String, RoaringBitmap> changed = without(machine).copy();
     changed
@@ -101,7 +105,7 @@
     return new OwnerRecord(changed);
   }
 
-  /** Returns the record without a holder of the machine. */
+  /** Returns a copy of the owner record in which the machine has no holder. */
   public OwnerRecord without(String machine) {
     Map<String, RoaringBitmap> changed = copy();
     changed.values().forEach(set -> set.remove(MachineId.of(machine).number()));
@@ -115,12 +119,12 @@
     return copy;
   }
 
-  /** Returns true if no machine of the range has a holder. */
+  /** Returns true if this owner record lists no machine. */
   public boolean isEmpty() {
     return sets.isEmpty();
   }
 
-  /** Returns the number of machines of the range in the set of the holder. */
+  /** Returns the number of machines that this owner record lists for the holder. */
   public int count(String holder) {
     RoaringBitmap set = sets.get(holder);
     return set == null ? 0 : set.getCardinality();
--- a/src/main/java/plumlever/sharing/PoolView.java
+++ b/src/main/java/plumlever/sharing/PoolView.java
@@ -27,12 +27,17 @@
   /** A record and its revision in the state service. */
   public record Versioned<T>(T value, long revision) {}
 
-  /** Maximum number of deletions kept; far more than happen while a transaction is in flight. */
+  /**
+   * Maximum number of deleted keys whose revisions are kept; far more than the keys that are
+   * deleted while a transaction is in flight.
+   */
   private static final int MAX_DELETED_KEYS = 2_000;
 
   private final Map<String, Long> revisions = new HashMap<>();
 
-  /** Revisions of deletions: an older put that arrives later must not restore the key. */
+  /**
+   * Revisions at which keys were deleted: an older put that arrives later must not restore a key.
+   */
   private final Map<String, Long> deletedRevisions = new HashMap<>();
 
   private final Map<String, OwnerRecord> owners = new HashMap<>();
@@ -47,7 +52,10 @@
     return LEADERS + shard;
   }
 
-  /** Applies a change: the stored value of the key, or its deletion if {@code data} is null. */
+  /**
+   * Applies a change of a pool record: {@code data} is the stored value of the key, or null if the
+   * key was deleted. Ignores the change if the same or a newer revision of the key is known.
+   */
   public void apply(String key, JsonNode data, long revision) throws InvalidMessageException {
     if (revision <= revisions.getOrDefault(key, 0L)) {
       return;
@@ -93,7 +101,7 @@
   }
 
   /**
-   * Applies a read that found no record under the key.
+   * Removes the record from the view after a read found no record under the key.
    *
    * @param revisionBefore known revision of the key when the read was sent; a record with a later
    *     revision is kept
@@ -105,7 +113,8 @@
   }
 
   /**
-   * Applies the end of a full listing: deletes all records whose keys were not listed.
+   * Removes from the view all records whose keys are missing in a full listing of the pool's
+   * records, unless they are newer than the listing.
    *
    * @param storeRevision store revision of the listing
    */
@@ -122,17 +131,20 @@
     return deletedRevisions.containsKey(key) ? 0 : revisions.getOrDefault(key, 0L);
   }
 
-  /** Returns the holder of the machine as in {@link OwnerRecord}, if it has one. */
+  /**
+   * Returns the holder of the machine: the owning shard, or the name under which a shard has
+   * retired the machine; empty if there is none.
+   */
   public Optional<String> holder(String machine) {
     return owners(machine).holder(machine);
   }
 
-  /** Returns the owner record whose range includes the machine. */
+  /** Returns the owner record whose range of machine numbers includes the machine. */
   public OwnerRecord owners(String machine) {
     return owners.getOrDefault(OwnerRecord.keyOf(machine), OwnerRecord.EMPTY);
   }
 
-  /** Returns the number of machines that the holder owns. */
+  /** Returns the number of machines that all owner records list for the holder. */
   public int count(String holder) {
     return owners.values().stream().mapToInt(owned -> owned.count(holder)).sum();
   }
@@ -157,12 +169,12 @@
     return Optional.ofNullable(demands.get(shard));
   }
 
-  /** Returns the parts of the team's limit, if the limit has been split. */
+  /** Returns the shards' parts of the team's limit, if the limit has been split. */
   public Optional<LimitParts> limit(String team) {
     return Optional.ofNullable(limits.get(team));
   }
 
-  /** Returns the last number that was assigned from the pool's counter. */
+  /** Returns the last number from the pool's counter, which numbers terms and transfers. */
   public long counter() {
     return counter;
   }
--- a/src/main/java/plumlever/sharing/ShardDemand.java
+++ b/src/main/java/plumlever/sharing/ShardDemand.java
@@ -7,8 +7,8 @@
 import plumlever.wire.Json;
 
 /**
- * The demand that a shard's leader publishes to the other shards. The record is advisory: no
- * correctness depends on it.
+ * The demand for machines and cores that a shard's leader publishes to the other shards. The record
+ * is advisory: no correctness depends on it.
  *
  * @param machines number of machines that the shard owns, up or booting
  * @param idle number of these machines that are idle; 0 while the shard has a shortage
@@ -20,7 +20,7 @@
     int machines, int idle, int wanted, String digest, Map<String, Double> coresWanted) {
   private static final String PREFIX = "/pool/demand/";
 
-  /** Returns the key of the shard's record. */
+  /** Returns the key of the shard's demand record. */
   public static String keyOf(String shard) {
     return PREFIX + shard;
   }
@@ -33,7 +33,7 @@
     return key.substring(PREFIX.length());
   }
 
-  /** Returns the stored form of the record. */
+  /** Returns the stored form of the demand record. */
   public ObjectNode toJson() {
     ObjectNode object =
         Json.object()
@@ -46,7 +46,7 @@
     return object;
   }
 
-  /** Parses a stored record; missing fields are read as 0 or empty. */
+  /** Parses a stored demand record; missing fields are read as 0 or empty. */
   static ShardDemand parse(JsonNode data) {
     Map<String, Double> teams = new TreeMap<>();
     data.path("cores_wanted")
--- a/src/main/java/plumlever/sharing/SharePolicy.java
+++ b/src/main/java/plumlever/sharing/SharePolicy.java
@@ -7,9 +7,10 @@
 /**
  * Decides how many machines are transferred between which shards. A shard with a shortage first
  * receives idle machines of other shards. If these are not enough and the shard owns less than its
- * share by weight, shards above their share also transfer machines in use, together with the
- * running tasks. No shard transfers machines if it would then own fewer than its floor, or machines
- * in use if it would then own less than its share.
+ * share (its floor, plus its fraction by weight of the machines beyond all floors), shards above
+ * their share also transfer machines in use, together with the running tasks. No shard transfers
+ * machines if it would then own fewer than its floor (the number that it keeps in any case), or
+ * machines in use if it would then own less than its share.
  *
  * <p>The decision is deterministic: all shards compute the same plan from the same input.
  */
@@ -48,7 +49,7 @@
     return shard.floor() + Math.max(0, all - floors) * shard.weight() / weights;
   }
 
-  /** The state of a shard after the transfers decided so far. */
+  /** A shard's numbers of machines after the transfers that the plan contains so far. */
   private static final class ShardBalance {
     private final ShardState shard;
     private final double share;
@@ -79,7 +80,7 @@
   }
 
   /**
-   * Returns the transfers to start now.
+   * Returns the transfers of machines between shards that should start now.
    *
    * @param maxPerTransfer largest number of machines that one shard transfers to another
    */
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -12,8 +12,9 @@
 import plumlever.wire.Json;
 
 /**
- * The transfer record of one machine that changes its owner or that holds foreign tasks. Each
- * change of the state is one transaction with preconditions:
+ * The transfer record of one machine that changes its owner or that holds foreign tasks (tasks
+ * whose own shard, the originating shard, does not own the machine). Each change of the state is
+ * one transaction with preconditions:
  *
  * <ul>
  *   <li>{@link State#OFFERED}: the owner offers the machine to another shard. The owner stops
@@ -29,10 +30,11 @@
  * machine. A record without originating shards and without an offer is deleted; only the owner
  * record then lists the machine.
  *
- * @param incarnation incarnation of the worker when the machine was offered
+ * @param incarnation the worker's incarnation when the machine was offered; the number increases
+ *     each time that the worker's lease expires
  * @param number number from the pool's counter; the fencing tokens of the current owner have it as
  *     their term, or a higher term
- * @param tasksByShard foreign tasks by originating shard
+ * @param tasksByShard foreign tasks by the shard whose jobs they belong to
  */
 public record TransferRecord(
     State state,
@@ -79,7 +81,7 @@
   private static final String DIGEST = "digest";
   private static final String ORIGINATING_SHARDS = "homes";
 
-  /** Returns the key of the machine's record. */
+  /** Returns the key of the machine's transfer record. */
   public static String keyOf(String machine) {
     return PREFIX + machine;
   }
@@ -92,7 +94,10 @@
     return key.substring(PREFIX.length());
   }
 
-  /** Returns true if the machine may hold foreign tasks of the shard. */
+  /**
+   * Returns true if the shard has yet to settle tasks that may be on the machine while another
+   * shard owns it, or that were on a machine that is gone.
+   */
   public boolean hasTasksOf(String shard) {
     return tasksByShard.containsKey(shard) && !(state != State.GONE && owner.equals(shard));
   }
@@ -113,8 +118,8 @@
   }
 
   /**
-   * Returns the record after the new owner has acquired the machine. The new owner's tasks on the
-   * machine are removed from the record: they are not foreign tasks any more.
+   * Returns the transfer record after the new owner has acquired the machine. The new owner's tasks
+   * on the machine are removed from the record: they are not foreign tasks any more.
    */
   public TransferRecord taken(String newOwner, long newNumber) {
     Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
@@ -124,8 +129,8 @@
   }
 
   /**
-   * Returns the record after the owner has withdrawn the offer. The owner's tasks are removed from
-   * the record: they are not foreign tasks.
+   * Returns the transfer record after the owner has withdrawn the offer of the machine. The owner's
+   * tasks are removed from the record: they are not foreign tasks.
    */
   public TransferRecord withdrawn() {
     Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
@@ -134,25 +139,30 @@
         State.TAKEN, machine, incarnation, owner, number, Optional.empty(), remainingTasks);
   }
 
-  /** Returns the record after the machine was returned to the cloud. */
+  /** Returns the transfer record after the machine was returned to the cloud. */
   public TransferRecord gone() {
     return new TransferRecord(
         State.GONE, machine, incarnation, owner, number, Optional.empty(), tasksByShard);
   }
 
-  /** Returns the record without the shard's tasks, once none of them can be on the machine. */
+  /**
+   * Returns a copy of the transfer record without the shard's tasks, for use once none of them can
+   * be on the machine.
+   */
   public TransferRecord withoutTasksOf(String shard) {
     Map<String, List<ForeignTask>> remainingTasks = new TreeMap<>(tasksByShard);
     remainingTasks.remove(shard);
     return new TransferRecord(state, machine, incarnation, owner, number, offer, remainingTasks);
   }
 
-  /** Returns true if the record has neither foreign tasks nor an offer and can be deleted. */
+  /**
+   * Returns true if the transfer record has neither foreign tasks nor an offer and can be deleted.
+   */
   public boolean isSettled() {
     return tasksByShard.isEmpty() && offer.isEmpty();
   }
 
-  /** Returns the stored form of the record. */
+  /** Returns the stored form of the transfer record. */
   public ObjectNode toJson() {
     ObjectNode object =
         Json.object()
@@ -180,7 +190,7 @@
     return object;
   }
 
-  /** Parses a stored record. */
+  /** Parses a machine's stored transfer record. */
   public static TransferRecord parse(String machine, JsonNode data) throws InvalidMessageException {
     State state;
     try {
--- a/src/main/java/plumlever/store/ActiveRecord.java
+++ b/src/main/java/plumlever/store/ActiveRecord.java
@@ -10,8 +10,8 @@
 import plumlever.wire.ProtocolField;
 
 /**
- * The stored record of a job that has not ended: the submission and the location of its
- * dependencies.
+ * The stored record of a job that has not ended: the submission and either the ids of the jobs it
+ * depends on or the location of its dependency list.
  */
 final class ActiveRecord {
   private static final String SPEC = "job";
@@ -22,7 +22,7 @@
 
   private ActiveRecord() {}
 
-  /** Builds a record that holds the dependencies of the job inline. */
+  /** Builds the active record of a job whose dependencies fit the record itself. */
   static ObjectNode write(JobSpec spec, long acceptedWallMicros) {
     ObjectNode record = Json.object().put(ACCEPTED_MS, acceptedWallMicros / 1_000);
     record.set(SPEC, spec.toJson());
@@ -30,10 +30,10 @@
   }
 
   /**
-   * Builds a record without the dependencies of the job, which are stored in a separate list.
+   * Builds the active record of a job whose dependencies are stored in a separate dependency list.
    *
-   * @param digest the digest in the keys of the list
-   * @param parts the number of values that the list consists of
+   * @param digest the hash in the keys of the dependency list
+   * @param parts the number of records into which the dependency list is split
    */
   static ObjectNode writeWithList(JobSpec spec, long acceptedWallMicros, String digest, int parts) {
     ObjectNode record = write(spec.withDependencies(List.of()), acceptedWallMicros);
@@ -57,7 +57,7 @@
     return activeRecord.has(DEPENDENCY_LIST) || !dependencies(activeRecord).isEmpty();
   }
 
-  /** Returns the dependencies that the record holds inline. */
+  /** Returns the ids of the dependencies that are stored in the active record itself. */
   static List<String> inlineDependencies(JsonNode activeRecord) {
     List<String> uids = new ArrayList<>();
     dependencies(activeRecord).forEach(uid -> uids.add(uid.asText()));
@@ -68,7 +68,10 @@
     return activeRecord.path(SPEC).path(ProtocolField.DEPENDENCIES);
   }
 
-  /** Returns the keys of the dependency list parts; empty if the dependencies are stored inline. */
+  /**
+   * Returns the keys of the records that hold the dependency list of the job; empty if the active
+   * record holds the dependencies itself.
+   */
   static List<String> dependencyListKeys(String uid, JsonNode activeRecord) {
     JsonNode list = activeRecord.path(DEPENDENCY_LIST);
     String prefix = DependencyListRecords.prefix(uid, list.path(DIGEST).asText());
--- a/src/main/java/plumlever/store/DependencyListRecords.java
+++ b/src/main/java/plumlever/store/DependencyListRecords.java
@@ -14,15 +14,16 @@
 
 /**
  * The stored format of dependency lists that do not fit the active record of their job. A list is
- * split into parts; the first part is the anchor of the list.
+ * split into parts, each in a record of its own. The first part is the anchor: the other parts
+ * count as stored only while it exists.
  */
 final class DependencyListRecords {
   private static final String UIDS = "names";
 
-  /** The number of hexadecimal digits of the SHA-256 hash that the keys of a list contain. */
+  /** The number of hexadecimal digits of the SHA-256 hash in the keys of a dependency list. */
   private static final int DIGEST_LENGTH = 24;
 
-  /** The bytes of the JSON around the entries of a part. */
+  /** The bytes of JSON that a dependency list part needs in addition to its job ids. */
   private static final int PART_OVERHEAD_BYTES = 32;
 
   /** The bytes of the JSON around a job id: two quotes and a comma. */
@@ -30,19 +31,23 @@
 
   private DependencyListRecords() {}
 
-  /** Returns the key prefix of the parts of a list. */
+  /** Returns the prefix shared by the keys of all parts of a dependency list. */
   static String prefix(String uid, String digest) {
     return RecordKeys.DEPENDENCIES + uid + "/" + digest + "/";
   }
 
-  /** Returns the key prefix of the list that the given part belongs to. */
+  /**
+   * Returns the prefix shared by the keys of all parts of the dependency list that the part with
+   * this key belongs to.
+   */
   static String prefixOfPart(String key) {
     return key.substring(0, key.lastIndexOf('/') + 1);
   }
 
   /**
-   * Returns a digest of the entries of a list and of the value size by which the list is split. Two
-   * controllers that store the same list with the same value size therefore write identical values.
+   * Returns a hash of the job ids in a dependency list and of the maximum value size by which the
+   * list is split. Two controllers that store the same list with the same value size therefore
+   * write identical values.
    */
   static String digest(List<String> uids, int maxValueBytes) {
     return Hashing.sha256()
@@ -51,7 +56,10 @@
         .substring(0, DIGEST_LENGTH);
   }
 
-  /** Splits a list into parts; returns the parts by key, the anchor first. */
+  /**
+   * Splits a dependency list into parts that fit a value each; returns the parts by key, the anchor
+   * (first part) first.
+   */
   static Map<String, ObjectNode> parts(String prefix, List<String> uids, int maxValueBytes) {
     Map<String, ObjectNode> parts = new LinkedHashMap<>();
     ArrayNode part = null;
@@ -78,7 +86,8 @@
   }
 
   /**
-   * Returns the list that the key belongs to; empty if the key is not part of a dependency list.
+   * Returns the dependency list that the record with this key is a part of; empty if the key is not
+   * that of a dependency list part.
    */
   static Optional<RecordLayout.DependencyListId> listOf(String key) {
     int uidBegin = RecordKeys.DEPENDENCIES.length();
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -23,13 +23,22 @@
  * incomplete list, however late transactions are applied.
  */
 public final class DependencyLists {
-  /** The pause before the list is read again after a failed transaction. */
+  /**
+   * The pause before a dependency list is read again after a transaction that stores parts of it
+   * failed.
+   */
   private static final long RETRY_MICROS = 150_000;
 
-  /** The state service accepts transactions of up to 64 KiB; the rest is left for keys and JSON. */
+  /**
+   * The maximum total size of the values in one transaction. The state service accepts transactions
+   * of up to 64 KiB; the difference is left for keys and JSON.
+   */
   private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
-  /** A user's request times out after 5 s; the next attempt resumes where this one stopped. */
+  /**
+   * The time after which storing a dependency list is not retried. The user's request times out
+   * after 5 s, and a repeated submission resumes where this one stopped.
+   */
   private static final long MAX_ATTEMPT_MICROS = 4_000_000;
 
   private final EventLoop loop;
@@ -44,16 +53,16 @@
   }
 
   /**
-   * Stores all parts of the list.
+   * Stores all parts of the dependency list of a job that is being accepted.
    *
-   * @param handler receives the revision of the anchor once all parts are stored, or an empty value
-   *     if the list could not be stored
+   * @param handler receives the revision of the anchor (first part) once all parts are stored, or
+   *     an empty value if the list could not be stored
    */
   public void store(RecordLayout.Acceptance acceptance, Consumer<OptionalLong> handler) {
     new Attempt(acceptance, handler).readStored();
   }
 
-  /** One attempt to store one list. */
+  /** One attempt to store the dependency list of one job. */
   private final class Attempt {
     private final String anchor;
     private final Map<String, ObjectNode> parts;
@@ -66,7 +75,7 @@
       this.handler = handler;
     }
 
-    /** Reads which parts are stored, then stores the next ones. */
+    /** Reads which parts of the dependency list are stored, then stores missing parts. */
     void readStored() {
       store.list(
           DependencyListRecords.prefixOfPart(anchor),
@@ -87,8 +96,8 @@
     }
 
     /**
-     * After the anchor is stored, reads the list again: other parts count as stored only if they
-     * were read together with the anchor.
+     * Stores the anchor (first part) of the dependency list, then reads the list again: other parts
+     * count as stored only if they were read together with the anchor.
      */
     private void storeAnchor() {
       send(new Transaction().require(anchor, 0).put(anchor, parts.get(anchor)), this::readStored);
@@ -107,7 +116,8 @@
       send(
           transaction,
           () -> {
-            // Only the revision of the anchor is used, so the others may be 0.
+            // Later transactions require only the revision of the anchor, so the revisions of the
+            // other parts are recorded as 0.
             batch.forEach(key -> stored.put(key, 0L));
             storeRemainingParts(stored);
           });
--- a/src/main/java/plumlever/store/DependencyReader.java
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -21,7 +21,10 @@
  * is used for a single read.
  */
 final class DependencyReader {
-  /** After this many steps along dependency chains, all active jobs are read in one listing. */
+  /**
+   * The maximum number of steps along dependency chains that are read job by job; after that, all
+   * active jobs are read in one listing.
+   */
   private static final int MAX_STEPS = 3;
 
   private final StateClient store;
@@ -43,7 +46,7 @@
 
   /**
    * @param isComplete returns true for jobs that are in the graph with all of their dependencies
-   * @param handler receives whether everything could be read
+   * @param handler receives true if the records of all these jobs could be read
    */
   DependencyReader(
       StateClient store,
@@ -66,7 +69,10 @@
     processQueue();
   }
 
-  /** Adds the queued jobs that can be resolved without a request, and reads the others. */
+  /**
+   * Adds the queued jobs whose records are known without a request to the dependency graph, and
+   * reads the records of the others.
+   */
   private void processQueue() {
     Set<String> unresolved = new LinkedHashSet<>();
     List<StateClient.Item> withList = new ArrayList<>();
@@ -89,7 +95,8 @@
   }
 
   /**
-   * Adds the job if it can be resolved without a request; returns false if the job has to be read.
+   * Adds the job to the dependency graph if its record is known without a request; returns false if
+   * the record has to be read.
    */
   private boolean addKnown(String uid, List<StateClient.Item> withList) {
     Optional<JobState> finalState = jobStates.finalState(uid);
@@ -200,8 +207,9 @@
   }
 
   /**
-   * Returns the complete list; empty if a part is missing. A part is missing only if the job has
-   * ended since its active record was read; the next read finds its ended record.
+   * Returns the complete dependency list of a job; empty if a part is missing. A part is missing
+   * only if the job has ended since its active record was read; the next read finds its ended
+   * record.
    */
   private static Optional<List<String>> joinParts(List<String> keys, StateClient.Listing listing) {
     Map<String, List<String>> parts = new HashMap<>();
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -14,16 +14,19 @@
  * Caches the records of jobs that have dependencies. The record of a job does not change until the
  * job ends, so each record is read once, together with its direct and transitive dependencies.
  *
- * <p>After that, a single request for the jobs that ended since the previous request answers all
- * pending lookups. That request is sent after the lookups were requested. The results depend
- * neither on which controller leads nor on whether the leader's version supports dependencies.
+ * <p>After that, all pending lookups are answered by a single request, sent after them, for the
+ * jobs that ended since the previous such request. The results depend neither on which controller
+ * leads nor on whether the leader's version supports dependencies.
  */
 final class DependencyRecordCache {
-  /** The state of a job as derived from the records; at least as recent as the lookup. */
+  /**
+   * The state of a job with dependencies, derived from stored records that are at least as recent
+   * as the lookup.
+   */
   enum Resolution {
-    /** Some dependency is not known to have ended. */
+    /** The job waits for a dependency that is not known to have ended. */
     WAITING,
-    /** All dependencies are done. */
+    /** All dependencies of the job are done, so it can be scheduled. */
     RELEASED,
     /**
      * The job or one of its dependencies was cancelled; the final state of the job may not be
@@ -32,13 +35,16 @@
     CANCELLED,
     /** The job is in a final state. */
     ENDED,
-    /** The records could not be read. */
+    /** The records of the job or of its dependencies could not be read. */
     UNAVAILABLE
   }
 
   private record Lookup(String uid, int attemptsLeft, Consumer<Resolution> handler) {}
 
-  /** When the graph has more jobs than this, it is discarded; jobs are read again on demand. */
+  /**
+   * The maximum number of jobs in the dependency graph. When it is exceeded, the graph is discarded
+   * and job records are read again on demand.
+   */
   private static final int MAX_JOBS = 50_000;
 
   /** Value of {@link #storeRevision} before the first read. */
@@ -52,10 +58,13 @@
 
   private DependencyGraph graph = new DependencyGraph();
 
-  /** Jobs that are in the graph together with all direct and transitive dependencies. */
+  /**
+   * Ids of the jobs that are in the dependency graph together with all of their direct and
+   * transitive dependencies.
+   */
   private Set<String> completeJobs = new HashSet<>();
 
-  /** The graph reflects all jobs that ended up to this revision. */
+  /** The state service revision up to which the dependency graph includes all ended jobs. */
   private long storeRevision = UNKNOWN_REVISION;
 
   /**
@@ -76,14 +85,17 @@
   }
 
   /**
-   * Returns the revision of the record if the graph holds the job and all of its dependencies,
-   * otherwise 0.
+   * Returns the revision of the job's active record if the dependency graph holds the job and all
+   * of its dependencies, otherwise 0.
    */
   long revision(String uid) {
     return completeJobs.contains(uid) ? graph.revision(uid) : 0;
   }
 
-  /** Adds a job that this controller has just accepted, so that its record need not be read. */
+  /**
+   * Adds a job with dependencies that this controller has just accepted, so that its record need
+   * not be read.
+   */
   void jobAccepted(String uid, long revision, List<String> dependencies) {
     if (storeRevision >= 0) {
       graph.addJob(uid, revision, dependencies);
@@ -91,7 +103,7 @@
     }
   }
 
-  /** Records the end of a job that was learned outside this cache. */
+  /** Records the final state of a job that another component stored or read. */
   void jobEnded(String uid, JobState finalState) {
     addEndedJob(uid, finalState, 0);
     discardGraphEvents();
@@ -103,8 +115,8 @@
   }
 
   /**
-   * Discards the lists of released and cancelled jobs. Only a leader acts on them; this cache only
-   * looks up single jobs.
+   * Discards the graph's lists of jobs that became ready or were cancelled. Only a leader acts on
+   * these lists; this cache looks up single jobs.
    */
   private void discardGraphEvents() {
     graph.drainReleased();
@@ -124,8 +136,8 @@
       readMissing(batch);
       return;
     }
-    // Jobs that end after the current revision are reported by watch requests. For jobs that ended
-    // before it, the ended records are read.
+    // Jobs that end after the current revision of the state service are reported by watch
+    // requests. For jobs that ended before it, the ended records are read.
     store.storeRevision(
         now -> {
           if (now.isEmpty()) {
--- a/src/main/java/plumlever/store/EndedRecord.java
+++ b/src/main/java/plumlever/store/EndedRecord.java
@@ -16,7 +16,7 @@
   /**
    * Builds the record.
    *
-   * @param wallMicros when the final state is stored
+   * @param wallMicros the wall clock time at which the final state is stored
    */
   static ObjectNode write(JobState finalState, long wallMicros) {
     return Json.object().put(STATE, finalState.wireName()).put(ENDED_MS, wallMicros / 1_000);
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Returns when the job ended, by the clock of the controller that stored the record; 0 if an
-   * earlier version, which did not store the time, wrote the record.
+   * Returns the time at which the job ended, by the wall clock of the controller that stored the
+   * record; 0 if an earlier version, which did not store the time, wrote the record.
    */
   static long endedWallMicros(JsonNode endedRecord) {
     return endedRecord.path(ENDED_MS).asLong(0) * 1_000;
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -14,8 +14,8 @@
 
 /**
  * Reads the records of a set of jobs: few jobs with one read per key, many jobs with a listing,
- * which takes fewer requests. A job found under neither of its keys had not been accepted when the
- * first read started.
+ * which takes fewer requests. A job with neither an active nor an ended record had not been
+ * accepted when the first read started.
  */
 public final class JobFinder {
   /**
@@ -23,7 +23,7 @@
    *
    * @param active the active record if the job has been accepted and has not ended
    * @param finalState the final state if the job has ended
-   * @param endedWallMicros when the job ended, or 0 if that was not stored
+   * @param endedWallMicros the wall clock time at which the job ended, or 0 if that was not stored
    */
   public record Found(
       Optional<StateClient.Item> active, Optional<JobState> finalState, long endedWallMicros) {
@@ -46,7 +46,10 @@
     }
   }
 
-  /** Above this number of jobs, a listing takes fewer requests than single reads. */
+  /**
+   * The maximum number of jobs whose records are read one by one. For more jobs, a listing takes
+   * fewer requests.
+   */
   static final int MAX_SINGLE_READS = 24;
 
   /** The maximum number of single reads that are outstanding at the same time. */
@@ -132,7 +135,7 @@
         });
   }
 
-  /** Reads single keys, a limited number at the same time. */
+  /** Reads the records of jobs key by key, with a limited number of concurrent requests. */
   private final class SingleReads {
     private final Deque<String> remaining;
     private final Map<String, Found> found;
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -64,8 +64,8 @@
   /**
    * The jobs of a query that have ended or were never accepted.
    *
-   * @param oldestReadMicros the start of the oldest read that found one of the other jobs of the
-   *     query active
+   * @param oldestReadMicros the time at which the oldest read used started; a job of the query that
+   *     is not in {@code uids} was active at that time or later
    */
   public record EndedJobs(Set<String> uids, long oldestReadMicros) {}
 
@@ -77,7 +77,8 @@
   }
 
   /**
-   * The state service accepts this many preconditions for each operation allowed in a transaction.
+   * The number of preconditions that the state service accepts for each operation allowed in a
+   * transaction.
    */
   private static final int PRECONDITIONS_PER_OPERATION = 4;
 
@@ -116,7 +117,7 @@
             this::checkRevisions);
   }
 
-  /** Records that the job was accepted and that its record has this revision. */
+  /** Records that the job was accepted and that its active record has this revision. */
   public void jobAccepted(String uid, long revision) {
     if (revision > 0) {
       jobStates.recordActive(uid, revision);
@@ -124,7 +125,8 @@
   }
 
   /**
-   * Records that a job with dependencies was accepted and that its record has this revision.
+   * Records that a job with dependencies was accepted and that its active record has this revision,
+   * then determines the state of the job.
    *
    * @param handler receives the state of the job that follows from the states of its dependencies
    */
@@ -179,7 +181,8 @@
 
   /**
    * Finds the jobs among {@code uids} that have ended or were never accepted. The result may be a
-   * few seconds old; {@link EndedJobs#oldestReadMicros} is the start of the oldest read used.
+   * few seconds old; {@link EndedJobs#oldestReadMicros} is the time at which the oldest read used
+   * started.
    *
    * @param handler receives an empty value if the state of any of the jobs could not be read
    */
@@ -198,13 +201,16 @@
     search.allRequested();
   }
 
-  /** One call of {@link #findEnded}. */
+  /** The state of one call of {@link #findEnded}, which looks up several jobs. */
   private final class EndedSearch {
     private final long startedMicros;
     private final Consumer<Optional<EndedJobs>> handler;
     private final Set<String> ended = new HashSet<>();
 
-    /** The number of outstanding lookups, plus one until all lookups have been requested. */
+    /**
+     * The number of outstanding job lookups, plus one until all lookups of the call have been
+     * requested.
+     */
     private int pending = 1;
 
     private boolean failed;
@@ -277,7 +283,9 @@
     }
   }
 
-  /** Checks with a single transaction whether any of these records has changed. */
+  /**
+   * Checks with a single transaction whether the active record of any job in the batch has changed.
+   */
   private void checkRevisions(List<Lookup> batch) {
     Transaction transaction = new Transaction();
     Set<String> keys = new HashSet<>();
@@ -306,7 +314,7 @@
   }
 
   /**
-   * Handles one lookup of a batch in which at least one record has changed.
+   * Handles one job lookup of a batch in which the active record of at least one job has changed.
    *
    * @param changed the keys of changed records. The state service does not guarantee that the list
    *     is complete, so the lookups of all other records are repeated once.
@@ -329,9 +337,9 @@
   }
 
   /**
-   * Reads the active record first, then the ended record. A job that ends is moved from one key to
-   * the other in one transaction, so a job found under neither key had not been accepted when the
-   * first read started.
+   * Reads the active record of the job first, then its ended record. One transaction deletes the
+   * active record and puts the ended record, so a job with neither record had not been accepted
+   * when the first read started.
    */
   private void readActive(String uid, int attemptsLeft, Consumer<JobStatus> handler) {
     store.get(
@@ -393,8 +401,8 @@
           switch (resolution) {
             case WAITING -> handler.accept(JobStatus.active(revision));
             case RELEASED -> {
-              // None of its dependencies can be cancelled any more, so from now on the job is
-              // handled like a job without dependencies.
+              // All dependencies of the job are done and cannot be cancelled any more, so from now
+              // on the job is handled like a job without dependencies.
               jobStates.recordActive(uid, revision);
               handler.accept(JobStatus.active(revision));
             }
--- a/src/main/java/plumlever/store/JobStateCache.java
+++ b/src/main/java/plumlever/store/JobStateCache.java
@@ -6,15 +6,21 @@
 import java.util.OptionalLong;
 import plumlever.wire.JobState;
 
-/** A bounded in-memory cache of job states; entries that were evicted are read again. */
+/** A bounded in-memory cache of job states; a job whose state was evicted is read again. */
 final class JobStateCache {
   private static final int MAX_ENDED = 20_000;
   private static final int MAX_ACTIVE = 5_000;
 
-  /** Final states never change, so cached values are always valid. */
+  /**
+   * Final states of ended jobs by job id. Final states never change, so cached values are always
+   * valid.
+   */
   private final Cache<String, JobState> finalStates = cache(MAX_ENDED);
 
-  /** Revisions of records that were active when last read; the records may have changed since. */
+  /**
+   * Revisions of the active records of jobs, by job id, as last read; the records may have changed
+   * since.
+   */
   private final Cache<String, Long> activeRevisions = cache(MAX_ACTIVE);
 
   private static <V> Cache<String, V> cache(int maxSize) {
@@ -32,7 +38,10 @@
     activeRevisions.put(uid, revision);
   }
 
-  /** Removes the revision of an active record that has changed or was deleted. */
+  /**
+   * Removes the revision of the active record of the job, because the record has changed or was
+   * deleted.
+   */
   void evictActive(String uid) {
     activeRevisions.invalidate(uid);
   }
--- a/src/main/java/plumlever/store/KeySpace.java
+++ b/src/main/java/plumlever/store/KeySpace.java
@@ -27,23 +27,29 @@
     return prefix.isEmpty() ? ROOT : new KeySpace(prefix);
   }
 
-  /** Returns the absolute name of a key in the key space of another prefix. */
+  /**
+   * Returns the absolute form (with a leading slash) of a key in the key space with this prefix.
+   */
   public static String absolute(String prefix, String key) {
     return ABSOLUTE_PREFIX + prefix + key;
   }
 
-  /** Returns true if the key is absolute. */
+  /** Returns true if the key begins with a slash, so that no prefix is added to it. */
   static boolean isAbsolute(String key) {
     return key.startsWith(ABSOLUTE_PREFIX);
   }
 
-  /** Returns the key as it is stored. */
+  /**
+   * Returns the key under which the state service stores this key: with the prefix added, or
+   * without the leading slash if the key is absolute.
+   */
   String toStored(String key) {
     return isAbsolute(key) ? key.substring(1) : prefix + key;
   }
 
   /**
-   * Maps a stored key in a response back to the form used in the request.
+   * Converts a key under which the state service stores a record back to the form that the request
+   * used (prefix removed, or leading slash added).
    *
    * @param requestedKey the key or prefix of the request
    */
@@ -51,7 +57,10 @@
     return isAbsolute(requestedKey) ? ABSOLUTE_PREFIX + stored : stored.substring(prefix.length());
   }
 
-  /** Maps a stored key back to the form used in a transaction. */
+  /**
+   * Converts a key under which the state service stores a record back to the form used in a
+   * transaction (prefix removed, or leading slash added).
+   */
   String fromStored(String stored) {
     if (isRoot()) {
       return stored;
@@ -63,7 +72,10 @@
     return prefix.isEmpty();
   }
 
-  /** Returns a copy of the body of a transaction in which all keys are stored keys. */
+  /**
+   * Returns a copy of a transaction's body with every key replaced by the key under which the state
+   * service stores it (prefix added, or leading slash removed).
+   */
   ObjectNode toStored(ObjectNode body) {
     ObjectNode stored = Json.object();
     ArrayNode preconditions = stored.putArray(StateProtocol.PRECONDITIONS);
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -6,24 +6,21 @@
 
 /**
  * Watches all keys under a prefix until it is closed. If changes were missed, all keys are listed
- * again. A notification shows the state at the time its request was sent or later, but not
- * necessarily the state when its response arrives. Used on one loop only.
+ * again. A notification shows the keys as they were at some time after its request was sent; they
+ * may have changed again before its response arrived. Used on one loop only.
  */
 public final class PrefixWatch implements AutoCloseable {
   /** Receives the keys under the prefix and their changes. */
   public interface Listener {
     /**
-     * Called with all current keys after changes were missed.
-     *
-     * @param sentMicros when the request was sent
+     * Called with all keys under the prefix after changes were missed. @param sentMicros the time
+     * at which the listing was requested
      */
     void listed(StateClient.Listing listing, long sentMicros);
 
     /**
-     * Called with all changes since the previous call.
-     *
-     * @param changes may be empty
-     * @param sentMicros when the request was sent
+     * Called with all changes of keys under the prefix since the previous call. @param changes may
+     * be empty @param sentMicros the time at which the watch request was sent
      */
     void changed(List<StateClient.KeyEvent> changes, long sentMicros);
   }
--- a/src/main/java/plumlever/store/ProgressRecords.java
+++ b/src/main/java/plumlever/store/ProgressRecords.java
@@ -14,8 +14,8 @@
 import plumlever.wire.Json;
 
 /**
- * The stored format of the sets of finished tasks: Base64 bitmaps in chunks. A chunk belongs to one
- * large job or is shared by many small jobs.
+ * The stored format of the sets of finished tasks: Base64 bitmaps, split into records called
+ * chunks. A chunk belongs to one large job or is shared by many small jobs.
  */
 final class ProgressRecords {
   private static final String BITS = "b";
@@ -29,26 +29,37 @@
   private static final int BASE64_GROUP_BYTES = 3;
   private static final int TASKS_PER_BASE64_GROUP = BASE64_GROUP_BYTES * Byte.SIZE;
 
-  /** The bytes of the JSON around the bitmap of a chunk. */
+  /** The bytes of JSON that a progress record of a large job needs in addition to its bitmap. */
   private static final int CHUNK_OVERHEAD_BYTES = 64;
 
-  /** The bytes of the JSON around the entries of a shared chunk. */
+  /**
+   * The bytes of JSON that a shared progress record needs in addition to the entries of its jobs.
+   */
   private static final int SHARED_CHUNK_OVERHEAD_BYTES = 32;
 
-  /** The bytes of the JSON around the job id and the bitmap of an entry. */
+  /**
+   * The bytes of JSON that the entry of a job in a shared progress record needs in addition to the
+   * job id and the bitmap.
+   */
   private static final int SHARED_ENTRY_OVERHEAD_BYTES = 8;
 
-  /** A job shares a chunk only if at least this many jobs of its size would fit into it. */
+  /**
+   * A job is stored in a shared progress record only if at least this many jobs of its size would
+   * fit into the record.
+   */
   private static final int MIN_ENTRIES_OF_SHARED_CHUNK = 8;
 
   private ProgressRecords() {}
 
-  /** Returns the key of the chunk that starts at this task. */
+  /**
+   * Returns the key of the record that holds the finished tasks of a large job from this task
+   * number on.
+   */
   static String chunkKey(String uid, int firstTask) {
     return RecordKeys.PROGRESS + uid + "/" + FIRST_TASK_PREFIX + firstTask;
   }
 
-  /** Returns how many tasks one chunk of a large job covers. */
+  /** Returns the number of tasks whose completion one progress record of a large job can hold. */
   static int tasksPerChunk(int maxValueBytes) {
     return (maxValueBytes - CHUNK_OVERHEAD_BYTES)
         / BASE64_GROUP_LETTERS
@@ -56,7 +67,7 @@
         * Byte.SIZE;
   }
 
-  /** Builds the chunk of a range of tasks. */
+  /** Builds the record of which tasks in a range of a large job are finished. */
   static ObjectNode chunk(BitSet done, int firstTask, int tasks) {
     return Json.object()
         .put(FIRST_TASK, firstTask)
@@ -64,9 +75,9 @@
   }
 
   /**
-   * Adds the finished tasks of a stored chunk to {@code into}.
+   * Adds the finished tasks in a stored progress record of a large job to {@code into}.
    *
-   * @param name the last segment of the key of the chunk
+   * @param name the last segment of the key of the record
    * @param formerMaxValueBytes the value size by which earlier versions split their chunks
    */
   static void readChunk(JsonNode record, String name, int formerMaxValueBytes, BitSet into)
@@ -100,7 +111,8 @@
   }
 
   /**
-   * Returns the bytes the job takes in a shared chunk; empty if the job is too large to share one.
+   * Returns the bytes that the finished tasks of the job take in a progress record shared by many
+   * jobs; empty if the job is too large to share one.
    */
   static OptionalInt bytesInSharedChunk(JobSpec spec, int maxValueBytes) {
     int bytes = sizeInSharedChunk(spec);
@@ -110,8 +122,8 @@
   }
 
   /**
-   * Returns the bytes the job takes in a shared chunk, whether or not it is small enough to share
-   * one.
+   * Returns the bytes that the finished tasks of the job would take in a shared progress record,
+   * even if the job is too large to share one.
    */
   static int sizeInSharedChunk(JobSpec spec) {
     return spec.uid().length()
@@ -121,12 +133,12 @@
             * BASE64_GROUP_LETTERS;
   }
 
-  /** Returns how many bytes the jobs of a shared chunk may take together. */
+  /** Returns the maximum total size of the jobs in a shared progress record, in bytes. */
   static int sharedChunkBytes(int maxValueBytes) {
     return maxValueBytes - SHARED_CHUNK_OVERHEAD_BYTES;
   }
 
-  /** Builds the shared chunk of these jobs. */
+  /** Builds the shared progress record that holds the finished tasks of these jobs. */
   static ObjectNode sharedChunk(Map<String, BitSet> doneByJob) {
     ObjectNode entries = Json.object();
     doneByJob.forEach((uid, done) -> entries.put(uid, base64(done)));
@@ -135,7 +147,10 @@
     return chunk;
   }
 
-  /** Reads the finished tasks by job; a job whose bitmap is unreadable gets an empty set. */
+  /**
+   * Reads the finished tasks of each job from a shared progress record; a job whose bitmap is
+   * unreadable gets an empty set.
+   */
   static Map<String, BitSet> readSharedChunk(JsonNode record) {
     Map<String, BitSet> doneByJob = new LinkedHashMap<>();
     record
--- a/src/main/java/plumlever/store/RecordKeys.java
+++ b/src/main/java/plumlever/store/RecordKeys.java
@@ -11,7 +11,7 @@
   static final String WARM_STATE = "hints/";
   static final String CATALOG = "catalog";
 
-  /** Prefix of the progress chunks that small jobs share. */
+  /** Prefix of the keys of the records that each hold the finished tasks of many small jobs. */
   static final String SHARED_PROGRESS = PROGRESS + "pack/";
 
   private static final int NO_NUMBER = -1;
@@ -48,7 +48,10 @@
     return number(key, key.indexOf('/') + 1);
   }
 
-  /** Returns the number of a shared progress chunk, or -1 for any other key. */
+  /**
+   * Returns the number of the shared progress chunk (finished tasks of many small jobs) with this
+   * key, or -1 for any other key.
+   */
   static int sharedProgressNumber(String key) {
     return key.startsWith(SHARED_PROGRESS) ? number(key, SHARED_PROGRESS.length()) : NO_NUMBER;
   }
--- a/src/main/java/plumlever/store/RecordLayout.java
+++ b/src/main/java/plumlever/store/RecordLayout.java
@@ -68,15 +68,18 @@
   /** Prefix of the dependency lists that do not fit the active records of their jobs. */
   public static final String DEPENDENCIES = RecordKeys.DEPENDENCIES;
 
-  /** The transaction that ends a job puts the ended record and deletes the active record. */
+  /**
+   * The number of operations in the transaction that ends a job: it puts the ended record and
+   * deletes the active record.
+   */
   private static final int OPERATIONS_PER_JOB_END = 2;
 
   private final WriteLimits limits;
   private final List<String> otherShardPrefixes;
 
   /**
-   * The value size from the settings. Whether a submission is accepted is checked against this
-   * size, so that the outcome does not depend on refusals that have lowered {@link #limits}.
+   * The maximum value size from the settings. Submissions are checked against this size, so that
+   * their acceptance does not depend on refusals that have lowered {@link #limits}.
    */
   private final int configuredValueBytes;
 
@@ -117,17 +120,20 @@
     return RecordKeys.active(uid);
   }
 
-  /** Returns the key of the machine record with this number. */
+  /** Returns the key of the record with this number among those that list machines. */
   public static String machinesKey(int number) {
     return FLEET + number;
   }
 
-  /** Returns the key of the record of started jobs with this number. */
+  /** Returns the key of the record with this number among those that list started jobs. */
   public static String startedKey(int number) {
     return STARTED + number;
   }
 
-  /** Returns the key of the warm state record with this number. */
+  /**
+   * Returns the key of the record with this number among those that hold warm state (learned image
+   * and run time data).
+   */
   public static String warmStateKey(int number) {
     return WARM_STATE + number;
   }
@@ -140,17 +146,26 @@
     return RecordKeys.sharedRecordNumber(key);
   }
 
-  /** Returns the key of the progress chunk that starts at this task. */
+  /**
+   * Returns the key of the record that holds the finished tasks of a large job from this task
+   * number on.
+   */
   public static String progressKey(String uid, int firstTask) {
     return ProgressRecords.chunkKey(uid, firstTask);
   }
 
-  /** Returns the key of the shared progress chunk with this number. */
+  /**
+   * Returns the key of the shared progress chunk with this number: a record that holds the finished
+   * tasks of many small jobs.
+   */
   public static String sharedChunkKey(int sharedChunk) {
     return RecordKeys.sharedProgress(sharedChunk);
   }
 
-  /** Returns the number of the shared progress chunk, or -1 for any other key. */
+  /**
+   * Returns the number of the shared progress chunk (finished tasks of many small jobs) with this
+   * key, or -1 for any other key.
+   */
   public static int sharedChunkNumber(String key) {
     return RecordKeys.sharedProgressNumber(key);
   }
@@ -159,7 +174,8 @@
    * The writes that accept a job.
    *
    * @param parts the values to store before the transaction, by key: the parts of the dependency
-   *     list, anchor first. Empty if the dependencies fit the active record.
+   *     list, beginning with the anchor (first part). Empty if the dependencies fit the active
+   *     record.
    * @param transaction creates the active record of the job
    */
   public record Acceptance(Map<String, ObjectNode> parts, Transaction transaction) {
@@ -174,8 +190,9 @@
     }
 
     /**
-     * Returns the transaction with a precondition on the anchor of the dependency list: it fails if
-     * the list was removed after the anchor was read.
+     * Adds to the transaction the precondition that the anchor (first part) of the dependency list
+     * is unchanged: the transaction fails if the list was removed after the anchor was read.
+     * Returns the transaction.
      *
      * @param anchorRevision the revision of the anchor when it was read
      */
@@ -238,26 +255,28 @@
   public record DependencyListId(String uid, String prefix) {}
 
   /**
-   * Returns the list that the key belongs to; empty if the key is not part of a dependency list.
+   * Returns the dependency list that the record with this key is a part of; empty if the key is not
+   * that of a dependency list part.
    */
   public static Optional<DependencyListId> dependencyListOf(String key) {
     return DependencyListRecords.listOf(key);
   }
 
-  /** Returns the key of the first part of the list. */
+  /** Returns the key of the first part of the dependency list. */
   public static String anchorKey(DependencyListId list) {
     return list.prefix() + 0;
   }
 
   /**
-   * Adds the removal of a list that no job uses to a transaction. Preconditions: the job has no
-   * active record, and the anchor is unchanged. Parts that remain without an anchor do not count as
-   * stored when the list is stored again.
+   * Adds the removal of a dependency list that no job uses to a transaction. Preconditions: the job
+   * has no active record, and the anchor (first part of the list) is unchanged. Parts that remain
+   * without an anchor do not count as stored when the list is stored again.
    *
    * @param transaction the transaction that the removal is added to
-   * @param anchorRevision the revision of the anchor when it was listed, 0 if it is already removed
-   * @param keys the listed parts to delete, anchor first; as many are deleted as one transaction
-   *     can hold
+   * @param anchorRevision the revision of the anchor when the list was read, 0 if the anchor is
+   *     already removed
+   * @param keys the keys of the parts to delete, anchor first; as many are deleted as one
+   *     transaction can hold
    */
   public Transaction removeDependencyList(
       Transaction transaction, DependencyListId list, long anchorRevision, List<String> keys) {
@@ -295,8 +314,8 @@
   }
 
   /**
-   * Returns when the job ended, by the clock of the controller that stored the record; 0 if an
-   * earlier version, which did not store the time, wrote the record.
+   * Returns the time at which the job ended, by the wall clock of the controller that stored the
+   * record; 0 if an earlier version, which did not store the time, wrote the record.
    */
   public static long endedWallMicros(JsonNode endedRecord) {
     return EndedRecord.endedWallMicros(endedRecord);
@@ -312,53 +331,62 @@
     return ActiveRecord.spec(activeRecord);
   }
 
-  /** Returns when the job was accepted, by the clock of the controller that stored the record. */
+  /**
+   * Returns the time at which the job was accepted, by the wall clock of the controller that stored
+   * the record.
+   */
   public static long acceptedWallMicros(JsonNode activeRecord) {
     return ActiveRecord.acceptedWallMicros(activeRecord);
   }
 
-  /** Returns how many tasks one progress chunk of a large job covers. */
+  /** Returns the number of tasks whose completion one progress record of a large job can hold. */
   public int tasksPerChunk() {
     return ProgressRecords.tasksPerChunk(maxValueBytes());
   }
 
-  /** Builds the progress chunk of a large job for a range of tasks. */
+  /** Builds the record of which tasks in a range of a large job are finished. */
   public JsonNode progressChunk(BitSet done, int firstTask, int tasks) {
     return ProgressRecords.chunk(done, firstTask, tasks);
   }
 
-  /** Returns the bytes the job takes in a shared chunk, or -1 if it is too large to share one. */
+  /**
+   * Returns the bytes that the finished tasks of the job take in a progress record shared by many
+   * jobs, or -1 if the job is too large to share one.
+   */
   public int bytesInSharedChunk(JobSpec spec) {
     return ProgressRecords.bytesInSharedChunk(spec, maxValueBytes()).orElse(-1);
   }
 
   /**
-   * Returns the bytes the job takes in a shared chunk, whether or not it is small enough to share
-   * one.
+   * Returns the bytes that the finished tasks of the job would take in a shared progress record,
+   * even if the job is too large to share one.
    */
   public static int sizeInSharedChunk(JobSpec spec) {
     return ProgressRecords.sizeInSharedChunk(spec);
   }
 
-  /** Returns how many bytes the jobs of a shared chunk may take together. */
+  /** Returns the maximum total size of the jobs in a shared progress record, in bytes. */
   public int sharedChunkBytes() {
     return ProgressRecords.sharedChunkBytes(maxValueBytes());
   }
 
-  /** Builds the shared chunk that holds the finished tasks of these jobs. */
+  /** Builds the shared progress record that holds the finished tasks of these jobs. */
   public JsonNode sharedChunk(Map<String, BitSet> doneByJob) {
     return ProgressRecords.sharedChunk(doneByJob);
   }
 
-  /** Reads the finished tasks by job; a job whose bitmap is unreadable gets an empty set. */
+  /**
+   * Reads the finished tasks of each job from a shared progress record; a job whose bitmap is
+   * unreadable gets an empty set.
+   */
   public static Map<String, BitSet> readSharedChunk(JsonNode record) {
     return ProgressRecords.readSharedChunk(record);
   }
 
   /**
-   * Adds the finished tasks of a stored chunk to {@code into}.
+   * Adds the finished tasks in a stored progress record of a large job to {@code into}.
    *
-   * @param name the last segment of the key of the chunk
+   * @param name the last segment of the key of the record
    */
   public void readProgressChunk(JsonNode record, String name, BitSet into)
       throws InvalidMessageException {
--- a/src/main/java/plumlever/store/RequestBudget.java
+++ b/src/main/java/plumlever/store/RequestBudget.java
@@ -7,12 +7,15 @@
  * one limit for requests and one for puts and deletes.
  */
 final class RequestBudget {
-  /** The share of each limit that a controller uses, except for the writes of a leader. */
+  /**
+   * The fraction of each rate limit of the state service that one controller uses; a leader uses a
+   * larger fraction for writes.
+   */
   private static final double SHARE = 0.5;
 
   /**
-   * The leader's share of the writes. The leader writes most: ends of jobs, records of jobs and
-   * machines, and progress.
+   * The fraction of the state service's write limit that the leader uses. The leader writes most:
+   * ends of jobs, records of jobs and machines, and progress.
    */
   private static final double LEADER_WRITE_SHARE = 0.7;
 
@@ -32,7 +35,8 @@
   }
 
   /**
-   * Returns true if a request may be sent now, and charges the request in that case.
+   * Returns true if the rate limits allow the request now, and counts it against them in that case.
+   * Urgent requests are always allowed.
    *
    * @param operations the number of puts and deletes in the request
    */
--- a/src/main/java/plumlever/store/ServiceAvailability.java
+++ b/src/main/java/plumlever/store/ServiceAvailability.java
@@ -2,7 +2,10 @@
 
 import plumlever.wire.HttpStatus;
 
-/** Tracks since when the state service has served or refused this controller. */
+/**
+ * Records the time at which the state service last served this controller, and for how long it has
+ * refused this controller or not responded.
+ */
 final class ServiceAvailability {
   private static final long NOT_REFUSED = -1;
 
@@ -14,7 +17,7 @@
   }
 
   /**
-   * Records the outcome of a request.
+   * Records the outcome of a request to the state service.
    *
    * @param status the status of the response; 0 if no response arrived
    */
@@ -28,16 +31,16 @@
   }
 
   /**
-   * Returns when a response with a status other than 503 last arrived; the time of creation if none
-   * has arrived.
+   * Returns the time at which a response with a status other than 503 last arrived; the time at
+   * which this object was created if none has arrived.
    */
   long lastServedMicros() {
     return lastServedMicros;
   }
 
   /**
-   * Returns how long every request has been refused or unanswered; 0 if the last request was
-   * served.
+   * Returns how long the state service has refused or not answered every request; 0 if it served
+   * the last one.
    */
   long refusedForMicros(long nowMicros) {
     return refusedSinceMicros < 0 ? 0 : nowMicros - refusedSinceMicros;
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -87,14 +87,17 @@
    * @param storeRevision the revision up to which {@code events} are complete
    */
   public record WatchResponse(int status, long storeRevision, List<KeyEvent> events) {
-    /** Returns true if the events are complete; there may be none. */
+    /**
+     * Returns true if the watch request succeeded, so that its events are complete; there may be
+     * none.
+     */
     public boolean succeeded() {
       return status == HttpStatus.OK;
     }
 
     /**
-     * Returns true if the state service no longer has the changes since the start revision, so that
-     * all keys have to be read again.
+     * Returns true if the state service no longer has the changes since the start revision of the
+     * watch, so that all keys have to be read again.
      */
     public boolean expired() {
       return status == HttpStatus.GONE;
@@ -107,18 +110,21 @@
     RENEWED,
     /** The lease had already ended, and the keys attached to it are deleted. */
     ENDED,
-    /** No response, or a refusal. The lease may have been renewed. */
+    /** The renewal request was refused or had no response. The lease may have been renewed. */
     UNKNOWN
   }
 
-  /** How a request is handled that exceeds this controller's share of the limits. */
+  /**
+   * How a request is handled that exceeds this controller's share of the state service's rate
+   * limits.
+   */
   public enum RequestPriority {
     /**
-     * Sent regardless, and charged to later ordinary requests. Used where a refusal would do harm,
-     * as for leadership, leases, watches and final states of jobs.
+     * Sent even above the limit, and counted against the limit of later ordinary requests. Used
+     * where a refusal would do harm, as for leadership, leases, watches and final states of jobs.
      */
     URGENT,
-    /** Refused locally and immediately with status 429. */
+    /** Refused locally and immediately with status 429 if the request exceeds the limit. */
     ORDINARY
   }
 
@@ -201,7 +207,7 @@
     this.limits = new WriteLimits(limits);
   }
 
-  /** Returns the limits of a single write. */
+  /** Returns the limits of a single write: the maximum value size and number of operations. */
   public WriteLimits limits() {
     return limits;
   }
@@ -217,9 +223,9 @@
   }
 
   /**
-   * Returns how long every request has been refused or unanswered; 0 while requests are served. The
-   * duration starts with a failed request, not with the last successful one, because an idle
-   * controller sends few requests.
+   * Returns how long the state service has refused or not answered every request; 0 while requests
+   * are served. The duration starts with a failed request, not with the last successful one,
+   * because an idle controller sends few requests.
    */
   public long refusedForMicros() {
     return availability.refusedForMicros(loop.nowMicros());
@@ -339,7 +345,7 @@
   }
 
   /**
-   * Creates a lease.
+   * Creates a lease of the state service.
    *
    * @param handler receives the lease id, or an empty value if the request failed or had no
    *     response
@@ -351,7 +357,7 @@
         response -> handler.accept(responseReader.leaseId(response)));
   }
 
-  /** Renews a lease. */
+  /** Renews a lease of the state service. */
   public void renewLease(long leaseId, Consumer<RenewalResult> handler) {
     send(
         Request.urgentPost(leasePath(leaseId) + StateProtocol.RENEW_SUFFIX, Json.object()),
--- a/src/main/java/plumlever/store/StateProtocol.java
+++ b/src/main/java/plumlever/store/StateProtocol.java
@@ -1,8 +1,8 @@
 package plumlever.store;
 
 /**
- * Paths and JSON fields of the state service. Each constant is named with the term used in the
- * code; its value is the name on the wire.
+ * Paths and JSON fields of the state service. The name of a constant is the term that this project
+ * uses; its value is the name in the state service's protocol.
  */
 final class StateProtocol {
   static final String KEYS = "/keys/";
--- a/src/main/java/plumlever/store/StateResponseReader.java
+++ b/src/main/java/plumlever/store/StateResponseReader.java
@@ -16,7 +16,7 @@
   /**
    * A page of a listing.
    *
-   * @param storeRevision the revision at which the page was read
+   * @param storeRevision the revision of the state service at which the page was read
    * @param lastStoredKey the key after which the next page begins; empty for the last page
    */
   record Page(List<StateClient.Item> items, long storeRevision, Optional<String> lastStoredKey) {}
--- a/src/main/java/plumlever/store/TokenBucket.java
+++ b/src/main/java/plumlever/store/TokenBucket.java
@@ -1,8 +1,9 @@
 package plumlever.store;
 
 /**
- * A token bucket rate limiter that allows bursts of one second's worth of tokens. It reads no
- * clock: callers pass the current time, which must not decrease.
+ * A token bucket rate limiter whose capacity is the number of tokens that are refilled in one
+ * second, but at least one token. It reads no clock: callers pass the current time, which must not
+ * decrease.
  */
 public final class TokenBucket {
   private static final double MICROS_PER_S = 1_000_000;
@@ -12,7 +13,7 @@
   private double tokens;
   private long refilledMicros;
 
-  /** Creates a full bucket with a capacity of one second's worth of tokens. */
+  /** Creates a full bucket whose capacity is the number of tokens refilled in one second. */
   public TokenBucket(double perSecond, long nowMicros) {
     this.tokensPerMicro = perSecond / MICROS_PER_S;
     this.capacity = Math.max(1, perSecond);
@@ -20,7 +21,7 @@
     this.refilledMicros = nowMicros;
   }
 
-  /** Changes the refill rate and the capacity. */
+  /** Changes the refill rate and, to the same number of tokens, the capacity. */
   public void setRate(double perSecond, long nowMicros) {
     refill(nowMicros);
     tokensPerMicro = perSecond / MICROS_PER_S;
@@ -46,8 +47,8 @@
 
   /**
    * Takes tokens even if not enough are available, for requests that must be sent regardless of the
-   * rate. Until the debt, at most one second's worth of tokens, is repaid by the refill, {@link
-   * #tryAcquire} returns false.
+   * rate. The missing tokens, at most as many as are refilled in one second, become a debt; until
+   * the refill has repaid it, {@link #tryAcquire} returns false.
    */
   public void acquireOnCredit(double amount, long nowMicros) {
     refill(nowMicros);
--- a/src/main/java/plumlever/store/Transaction.java
+++ b/src/main/java/plumlever/store/Transaction.java
@@ -61,7 +61,7 @@
   private boolean hasAbsoluteKey;
 
   /**
-   * Adds a precondition.
+   * Adds the precondition that the key has a certain revision.
    *
    * @param revision the revision that the key must have; 0 if the key must not exist
    */
@@ -104,7 +104,10 @@
     hasAbsoluteKey |= KeySpace.isAbsolute(key);
   }
 
-  /** Returns true if a key of the transaction is absolute, see {@link KeySpace}. */
+  /**
+   * Returns true if a key of the transaction is absolute (begins with a slash), see {@link
+   * KeySpace}.
+   */
   boolean hasAbsoluteKey() {
     return hasAbsoluteKey;
   }
@@ -117,7 +120,7 @@
     return attachedToLease;
   }
 
-  /** Returns the number of puts and deletes. */
+  /** Returns the number of puts and deletes in this transaction. */
   public int operationCount() {
     return operations.size();
   }
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -8,9 +8,10 @@
 import plumlever.wire.Json;
 
 /**
- * The limits of a single write. They start with the smaller of the current and the announced limits
- * in the settings. They shrink when the state service refuses a write because of its size, because
- * the state service may lower its limits without notice. Used on the loop of its client only.
+ * The maximum size of a value and the maximum number of operations in one transaction of the state
+ * service. They start with the smaller of the current and the announced limits in the settings.
+ * They shrink when the state service refuses a write because of its size, because the state service
+ * may lower its limits without notice. Used on the loop of its client only.
  */
 public final class WriteLimits {
   /**
@@ -49,8 +50,9 @@
   }
 
   /**
-   * Returns the current maximum value size, regardless of announced limits and of refusals. Earlier
-   * versions, which do not support announced limits, split their records by this size.
+   * Returns the maximum value size in bytes that the settings give as the current one, not reduced
+   * by an announced limit or by refusals. Earlier versions, which do not support announced limits,
+   * split their records by this size.
    */
   int currentValueBytes() {
     return currentValueBytes;
--- a/src/main/java/plumlever/warmup/WarmUpTerms.java
+++ b/src/main/java/plumlever/warmup/WarmUpTerms.java
@@ -74,7 +74,7 @@
             real.maxFileDescriptors());
   }
 
-  /** Runs the next event. Returns false once both terms are over. */
+  /** Runs the next event of the simulation. Returns false once both simulated terms are over. */
   boolean runNextEvent() {
     if (controller == null) {
       if (terms == TERMS) {
@@ -120,7 +120,9 @@
     return term != terms || controller == null;
   }
 
-  /** Returns a client that discards calls once the term is over, like a process that has ended. */
+  /**
+   * Returns an HTTP client that discards calls once the term is over, as if its process had ended.
+   */
   private HttpClient httpClient(int term) {
     return (to, method, path, body, timeout, handler) ->
         loop.after(
--- a/src/main/java/plumlever/wire/AttemptState.java
+++ b/src/main/java/plumlever/wire/AttemptState.java
@@ -17,7 +17,7 @@
     this.wireName = wireName;
   }
 
-  /** The state's name in heartbeats. */
+  /** The name of the state in heartbeats. */
   public String wireName() {
     return wireName;
   }
--- a/src/main/java/plumlever/wire/Json.java
+++ b/src/main/java/plumlever/wire/Json.java
@@ -77,7 +77,7 @@
     return MAPPER.getFactory().createGenerator(to);
   }
 
-  /** The JSON value as text on one line. */
+  /** Encodes the JSON value as text on one line. */
   public static String write(JsonNode node) {
     try {
       return MAPPER.writeValueAsString(node);
--- a/src/main/java/plumlever/wire/MachineType.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -29,12 +29,15 @@
     List<String> zones) {
 
   /**
-   * The share returned if a task needs accelerators and the machine type has none. Every share
-   * above 1 means that the task does not fit.
+   * The dominant share returned if a task needs accelerators and the machine type has none. Every
+   * dominant share above 1 means that the task does not fit on the machine.
    */
   private static final double NO_FIT = 2;
 
-  /** Parses the cloud's list of machine types, or the output of {@link #writeCatalog}. */
+  /**
+   * Parses the cloud's list of machine types with their prices, or the output of {@link
+   * #writeCatalog}.
+   */
   public static List<MachineType> parseCatalog(ObjectNode body) throws InvalidMessageException {
     JsonNode array = body.get(ProtocolField.MACHINE_TYPES);
     if (array == null || !array.isArray()) {
--- a/src/main/java/plumlever/wire/ProtocolField.java
+++ b/src/main/java/plumlever/wire/ProtocolField.java
@@ -1,9 +1,9 @@
 package plumlever.wire;
 
 /**
- * Names of JSON fields in the messages of users, workers and the cloud. Only this class maps the
- * names on the wire to the terms of the code: the constant's name is the term of the code, and its
- * value is the name on the wire.
+ * Names of JSON fields in the messages of users, workers and the cloud. Only this class maps these
+ * field names to the names used in the source code: a constant's name is the one used in the source
+ * code, and its value is the field name.
  */
 public final class ProtocolField {
   public static final String ACCELERATORS = "accelerators";
--- a/src/main/java/plumlever/wire/ProtocolPath.java
+++ b/src/main/java/plumlever/wire/ProtocolPath.java
@@ -1,6 +1,9 @@
 package plumlever.wire;
 
-/** Request paths in the protocols of users, workers and the cloud, named by the code's terms. */
+/**
+ * Request paths in the protocols of users, workers and the cloud. A constant's name may differ from
+ * the path.
+ */
 public final class ProtocolPath {
   /** Path on a controller: receives a worker's heartbeat. */
   public static final String HEARTBEAT = "/hello";
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -5,12 +5,14 @@
 import java.util.List;
 
 /**
- * A heartbeat that the shard that owns a machine relays to the originating shard of foreign tasks
- * on the machine. The relayed heartbeat contains only the attempts of the originating shard.
+ * A heartbeat of a machine, relayed by the shard that owns the machine to another shard whose tasks
+ * are on the machine (the originating shard of these tasks). The relayed heartbeat contains only
+ * the attempts of the originating shard.
  *
  * @param owningShard the shard that owns the machine
  * @param originatingShard the shard to which the attempts in the heartbeat belong
- * @param ownershipNumber the term or transfer number in the owning shard's commands to the machine
+ * @param ownershipNumber the term of the owning shard's leader, or the ownershipNumber of the
+ *     machine's transfer between shards, to which the fencing tokens of the machine belong
  * @param leaseExpired true if the owning shard has proof that the machine's lease expired after
  *     this heartbeat
  */
@@ -56,7 +58,7 @@
         Heartbeat.parse(Json.write(heartbeat).getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** A copy of the heartbeat with these attempts. */
+  /** Returns a copy of the heartbeat that lists only these attempts. */
   public static Heartbeat withAttempts(
       Heartbeat heartbeat, List<Heartbeat.AttemptStatus> attempts) {
     return new Heartbeat(
--- a/src/main/java/plumlever/wire/TaskName.java
+++ b/src/main/java/plumlever/wire/TaskName.java
@@ -7,7 +7,7 @@
  * @param number the index of the task within the job, starting at 0
  */
 public record TaskName(String job, int number) {
-  /** Parses a name in the form of {@link #wireName}. */
+  /** Parses the name of a task in the form of {@link #wireName}. */
   public static TaskName of(String text) throws InvalidMessageException {
     int slash = text.lastIndexOf('/');
     if (slash <= 0 || slash == text.length() - 1) {
@@ -24,7 +24,7 @@
     }
   }
 
-  /** The name in messages and logs. */
+  /** The name of the task as written in messages and logs. */
   public String wireName() {
     return job + "/" + number;
   }
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -71,7 +71,10 @@
     return body(token, 0, commands);
   }
 
-  /** The body of a direct call, which is valid for one incarnation of the worker. */
+  /**
+   * The body of a direct call (a call from the leader to the worker). The commands are valid only
+   * in this incarnation of the worker, which ends when the worker's lease expires.
+   */
   public static String directCall(long token, long incarnation, List<WorkerCommand> commands) {
     return body(token, incarnation, commands);
   }
--- a/src/test/java/plumlever/architecture/DocumentedNamesTest.java
+++ b/src/test/java/plumlever/architecture/DocumentedNamesTest.java
@@ -17,7 +17,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Checks that classes and members named in the documents exist, so that renames update them. */
+/**
+ * Checks that all classes and members that the documents name exist. Fails if a rename did not
+ * update the documents.
+ */
 final class DocumentedNamesTest {
   private static final List<Path> DOCUMENTS =
       List.of(
@@ -29,7 +32,10 @@
   private static final Path SOURCES = Path.of("src");
   private static final Pattern CODE = Pattern.compile("`([^`]+)`");
 
-  /** {@code Type}, {@code Type.member} or {@code package.Type.member}. */
+  /**
+   * Matches names of code in documents: {@code Type}, {@code Type.member} or {@code
+   * package.Type.member}.
+   */
   private static final Pattern NAME =
       Pattern.compile("(?:[a-z]+\\.)*([A-Z]\\w*[a-z]\\w*)(?:\\.(\\w+))?(?:\\(\\))?");
 
--- a/src/test/java/plumlever/architecture/ProtocolWordsTest.java
+++ b/src/test/java/plumlever/architecture/ProtocolWordsTest.java
@@ -70,7 +70,10 @@
 
   private static final Pattern PROTOCOL_WORD = pattern();
 
-  /** Matches a word by itself, in a constant name, or as part of a camel-case name. */
+  /**
+   * Returns a pattern that finds a protocol word by itself, in a constant name, or as part of a
+   * camel-case name.
+   */
   private static Pattern pattern() {
     String lower = String.join("|", WORDS);
     String capitalized =
@@ -84,7 +87,10 @@
             + "|(?<![A-Za-z])(?:%s)s?(?=[A-Z])".formatted(lower));
   }
 
-  /** Ignores the keyword {@code permits} of sealed types. */
+  /**
+   * Returns true if the line contains a protocol word other than the keyword {@code permits} of
+   * sealed types.
+   */
   private static boolean containsProtocolWord(String line) {
     return PROTOCOL_WORD.matcher(line.replaceAll("\\bpermits (?=[A-Z])", "")).find();
   }
--- a/src/test/java/plumlever/architecture/package-info.java
+++ b/src/test/java/plumlever/architecture/package-info.java
@@ -1,2 +1,5 @@
-/** Tests of package dependencies, of the words used in the code, and of names in the documents. */
+/**
+ * Tests of the dependencies between packages, of protocol words outside of codecs, and of class and
+ * member names in the documents.
+ */
 package plumlever.architecture;
--- a/src/test/java/plumlever/election/HeldTermTest.java
+++ b/src/test/java/plumlever/election/HeldTermTest.java
@@ -19,7 +19,7 @@
 import plumlever.settings.SchedulerParameters;
 import plumlever.store.StateClient;
 
-/** The conditions under which a controller stops leading. */
+/** Tests the conditions under which a controller stops leading. */
 final class HeldTermTest {
   private static final long STALL_MICROS = 11_000_000;
 
--- a/src/test/java/plumlever/election/LeadershipRecordsTest.java
+++ b/src/test/java/plumlever/election/LeadershipRecordsTest.java
@@ -14,7 +14,10 @@
 import plumlever.store.StateClient;
 import plumlever.wire.Json;
 
-/** The state of leadership that a controller derives from the records it has read or watched. */
+/**
+ * Tests what a controller knows about the current leader from the records that it has read or
+ * watched.
+ */
 final class LeadershipRecordsTest {
   private static final Candidate SELF = new Candidate("n0", "this incarnation");
   private static final Candidate EARLIER_INCARNATION = new Candidate("n0", "earlier incarnation");
--- a/src/test/java/plumlever/election/TermTest.java
+++ b/src/test/java/plumlever/election/TermTest.java
@@ -8,7 +8,7 @@
 import plumlever.concurrent.ManualEventLoop;
 import plumlever.settings.SchedulerParameters;
 
-/** The duration of the right to act in a term. */
+/** Tests for how long a controller has the right to act as leader in a term. */
 final class TermTest {
   private final SchedulerParameters parameters = SchedulerParameters.defaults();
   private final ManualEventLoop loop = new ManualEventLoop(1_000_000);
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Tests of the dependency graph. One test compares the graph with a simple reference model that
- * recomputes all states and goals after each change.
+ * recomputes all job states, deadlines and priorities after each change.
  */
 final class DependencyGraphTest {
   /** The reference model: the job records as stored, without derived state. */
@@ -48,7 +48,8 @@
     }
 
     /**
-     * The earliest time required by the job's own deadline and by the deadlines of its dependents.
+     * Returns the time by which the job must end so that it meets its own deadline and leaves its
+     * dependents enough time to meet theirs.
      */
     long latestEnd(String uid) {
       long earliest = ownGoals.get(uid).latestEndMicros();
@@ -193,14 +194,16 @@
     return new EffectiveGoal(0, deadline, "c", 0, priority);
   }
 
-  /** Long enough that a recursive traversal would overflow the stack. */
+  /**
+   * Length of a chain of jobs that is long enough for a recursive traversal to overflow the stack.
+   */
   private static final int JOB_COUNT = 10_000;
 
   private static final long LAST_DEADLINE = 1_000_000;
 
   /**
-   * A chain of {@link #JOB_COUNT} jobs in which only the last job has a deadline and a high
-   * priority.
+   * Returns a chain of {@link #JOB_COUNT} dependent jobs in which only the last job has a deadline
+   * and a high priority.
    */
   private static DependencyGraph longChain() {
     DependencyGraph graph = new DependencyGraph();
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -91,7 +91,10 @@
     return loop.nowMicros();
   }
 
-  /** Makes the state service refuse a value of this size, which lowers the limit to half of it. */
+  /**
+   * Makes the state service refuse a value of this size, which lowers the limit on value sizes to
+   * half of that size.
+   */
   public void refuseValueOfSize(int bytes) {
     refusesWrites = true;
     context
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -89,7 +89,10 @@
         .id();
   }
 
-  /** Starts a task in the response to the last heartbeat or by direct command. */
+  /**
+   * Starts a task in the response to the last heartbeat or by a direct command (one sent in a call
+   * to the worker).
+   */
   Attempt start(int task, StartChannel channel) {
     if (channel == StartChannel.DIRECT_COMMAND) {
       machine.tokens().recordDirectCommand(contextFixture.nowMicros());
@@ -97,24 +100,27 @@
     return fleet.startAttempt(job, task, machine, channel, contextFixture.nowMicros());
   }
 
-  /** Makes the machine accounted for by a heartbeat that lists no tasks. */
+  /**
+   * Applies a heartbeat that lists no tasks. The machine is accounted for afterwards: the leader
+   * knows all attempts that earlier leaders may have started on it.
+   */
   HeartbeatFixture accounted() {
     handler.apply(machine, heartbeat(), HeartbeatSource.WORKER);
     handler.getAndClearPlacementChanged();
     return this;
   }
 
-  /** Returns the machine's next heartbeat, with the highest token issued for the machine. */
+  /** Returns the machine's next heartbeat, with the highest fencing token issued for it. */
   Heartbeat heartbeat(Heartbeat.AttemptStatus... attempts) {
     return heartbeatWithToken(machine.tokens().current(), attempts);
   }
 
-  /** Returns the machine's next heartbeat, with this token. */
+  /** Returns the machine's next heartbeat, with the given fencing token. */
   Heartbeat heartbeatWithToken(long token, Heartbeat.AttemptStatus... attempts) {
     return heartbeat(1, token, List.of(attempts));
   }
 
-  /** Returns the machine's first heartbeat after its lease has expired. */
+  /** Returns the first heartbeat of the worker's next incarnation, after its lease has expired. */
   Heartbeat heartbeatOfNextIncarnation() {
     return heartbeat(2, machine.tokens().current(), List.of());
   }
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * The heartbeat may have been delayed until after the lease expired; the worker has then killed
-   * the task.
+   * The heartbeat that lists the attempt may have been delayed until after the machine's lease
+   * expired. The worker has then killed the task.
    */
   @Test
   void anAttemptOfAnEarlierTermIsNotAdoptedFromAnAccountedMachine() {
@@ -120,7 +120,10 @@
     assertTrue(attempt.hasEnded());
   }
 
-  /** Direct starts end as well: the worker rejects commands for an earlier incarnation. */
+  /**
+   * A task started by a direct call to the worker has ended as well: the worker rejects commands
+   * for an earlier incarnation.
+   */
   @Test
   void aNewIncarnationEndsAllAttemptsOfEarlierOnes() {
     Attempt running = fixture.accounted().start(0, StartChannel.HEARTBEAT_RESPONSE);
--- a/src/test/java/plumlever/leader/heartbeat/package-info.java
+++ b/src/test/java/plumlever/leader/heartbeat/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the main package of the same name, without I/O and with a manually set clock. */
+/** Tests of the leader's heartbeat handling, without I/O and with a manually set clock. */
 package plumlever.leader.heartbeat;
--- a/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
+++ b/src/test/java/plumlever/leader/progress/ProgressLimitsTest.java
@@ -16,7 +16,8 @@
 import plumlever.wire.JobSpec;
 
 /**
- * Tests how progress records are divided after the state service has lowered its value size limit.
+ * Tests that records of job progress fit the value size limit after the state service has lowered
+ * the limit.
  */
 final class ProgressLimitsTest {
   private static final int SMALL_JOBS = 40;
--- a/src/test/java/plumlever/leader/progress/package-info.java
+++ b/src/test/java/plumlever/leader/progress/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the package of the same name, without I/O. */
+/** Tests of the leader's records of task progress, without I/O. */
 package plumlever.leader.progress;
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -24,7 +24,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.WorkerCommand;
 
-/** Tests that leases are renewed by one class only, and only with sufficient evidence. */
+/** Tests that only one class renews workers' leases, and under which conditions it refuses to. */
 final class LeaseRenewalTest {
   private static final long LEASE_MICROS = 26_000_000;
   private static final long CANCEL_MICROS = 56_000_000;
@@ -89,7 +89,10 @@
     assertEquals(Optional.empty(), refusal(LeaderEvidence.ofIdleMachine(() -> true, TOKEN)));
   }
 
-  /** The worker may still start the command's task although the heartbeat does not list it. */
+  /**
+   * A worker may yet start the task of an unanswered command although its heartbeat does not list
+   * the task.
+   */
   @Test
   void anUnansweredCommandCanPreventRenewalAlthoughNoTaskIsListed() {
     assertEquals(
@@ -208,7 +211,7 @@
     }
   }
 
-  /** Only LeaseRenewal may build responses that renew a lease. */
+  /** Only {@code LeaseRenewal} may build heartbeat responses that renew a lease. */
   @Test
   void onlyLeaseRenewalBuildsResponsesThatRenew() {
     JavaClasses project =
--- a/src/test/java/plumlever/lease/package-info.java
+++ b/src/test/java/plumlever/lease/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the evidence on which leases are renewed. */
+/** Tests of the conditions under which workers' leases are renewed. */
 package plumlever.lease;
--- a/src/test/java/plumlever/placement/PlacerTest.java
+++ b/src/test/java/plumlever/placement/PlacerTest.java
@@ -125,7 +125,10 @@
         random.nextInt(3) > 0);
   }
 
-  /** A search that continues after each commit must return the same choice as a new search. */
+  /**
+   * A search that continues after each committed placement must return the same choice as a new
+   * search.
+   */
   @Test
   void continuedSearchMatchesNewSearch() {
     SplittableRandom random = new SplittableRandom(11);
--- a/src/test/java/plumlever/sharing/SharePolicyTest.java
+++ b/src/test/java/plumlever/sharing/SharePolicyTest.java
@@ -14,7 +14,9 @@
 import plumlever.sharing.SharePolicy.PlannedTransfer;
 import plumlever.sharing.SharePolicy.ShardState;
 
-/** Compares the policy with a simple reference implementation and checks its guarantees. */
+/**
+ * Compares {@link SharePolicy} with a simple reference implementation and checks its guarantees.
+ */
 final class SharePolicyTest {
   private static ShardState random(String name, SplittableRandom random) {
     int machines = random.nextInt(40);
--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -15,10 +15,12 @@
 import plumlever.wire.ProtocolField;
 
 /**
- * Checks the invariants on which the correctness of delegated renewal depends; the protocol itself
- * does not require them. No direct start is sent into a zone while a delegation of the zone may be
- * in use. No lease is renewed under a delegation while a direct start is in flight that the renewal
- * does not invalidate.
+ * Checks two invariants on which the correctness of delegated renewal depends, the renewal of
+ * worker leases by controllers other than the leader in zones that the leader has named in its
+ * delegation record. The protocol itself does not require these invariants. No direct start (a
+ * start command sent in a call to the worker, not in the response to a heartbeat) is sent into a
+ * zone while a delegation of the zone may be in use. No lease is renewed under a delegation while a
+ * direct start is in flight that the renewal does not invalidate.
  */
 final class DelegationChecker {
   /** A direct start command that has not arrived at its machine. */
@@ -27,19 +29,28 @@
   private final SimulatedCluster cluster;
   private final List<Start> startsInFlight = new ArrayList<>();
 
-  /** Until when controllers may use a delegation of each zone. */
+  /**
+   * By zone, the simulated time in microseconds up to which a delegation of the zone may be in use;
+   * {@code Long.MAX_VALUE} while the delegation record names the zone.
+   */
   private final Map<String, Long> delegatedUntilMicros = new HashMap<>();
 
   private long term = -1;
 
-  /** Number of renewals that invalidated a start in flight. */
+  /**
+   * Number of times that a renewal under a delegation invalidated a direct start in flight by
+   * carrying a higher fencing token.
+   */
   int invalidatedStarts;
 
   DelegationChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  /** Called when the state service has stored a delegation record. */
+  /**
+   * Updates the zones that may be delegated; called when the state service has stored a delegation
+   * record.
+   */
   void onDelegationStored(JsonNode data) {
     DelegationRecord record = DelegationRecord.read(data);
     if (record.term() != term) {
@@ -58,7 +69,10 @@
     }
   }
 
-  /** Called when direct commands are sent to a machine. */
+  /**
+   * Called when direct commands are sent to a machine; records a violation if they start tasks
+   * while the machine's zone may be delegated.
+   */
   void onCommandsSent(String machine, String body) {
     if (!body.contains("\"run\"")) {
       return;
@@ -76,12 +90,18 @@
     }
   }
 
-  /** Called when direct commands have arrived at the machine, which executes or refuses them. */
+  /**
+   * Called when direct commands have arrived at the machine, which executes or refuses them; its
+   * start commands are then no longer in flight.
+   */
   void onCommandsArrived(String machine, String body) {
     startsInFlight.removeIf(start -> start.machine.equals(machine) && start.body.equals(body));
   }
 
-  /** Called when a worker has accepted a renewal from a controller that does not lead. */
+  /**
+   * Called when a worker has accepted a lease renewal from a controller that does not lead; records
+   * a violation for each direct start in flight that the renewal does not invalidate.
+   */
   void onDelegatedRenewal(String machine, long incarnation, long token) {
     for (Start start : startsInFlight) {
       if (start.machine.equals(machine) && start.incarnation == incarnation) {
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -250,8 +250,8 @@
 
   /**
    * A stage shared by two pipelines inherits the earlier deadline and the higher priority. After
-   * the cancellation of the urgent pipeline the stage has deadline and priority of the other
-   * pipeline.
+   * the cancellation of the urgent pipeline the stage has the deadline and the priority of the
+   * other pipeline.
    */
   @Test
   void sharedStageInheritsEarliestDeadline() {
@@ -288,7 +288,8 @@
     JobSpec waitingJob = jobWithLongList(longJob);
     assertEquals(201, submitAt("n0", endingJob).status());
     assertEquals(201, submitAt("n1", waitingJob).status());
-    // Lists left behind by submissions that were never accepted, with and without the anchor part.
+    // Adds parts of two dependency lists whose submissions were never accepted, one list with and
+    // one without its first part, the anchor.
     Map<String, JsonNode> lists = new TreeMap<>(cluster.store.entries("waits/"));
     int waitingListParts = cluster.store.count("waits/" + waitingJob.uid() + "/");
     for (int i = 0; i < 9; i++) {
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -50,7 +50,7 @@
                 openBody + ",\"waits_on\":[\"" + known.uid() + "\",\"job-777\"]}")
             .status(),
         "one known and one unknown dependency");
-    // A dependency that cannot be read must not be refused as unknown.
+    // During the outage the dependency cannot be looked up, so it must not be refused as unknown.
     cluster.store.outage = true;
     Response response =
         request("n1", "POST", "/submissions", openBody + ",\"waits_on\":[\"job-777\"]}");
@@ -115,7 +115,8 @@
       cluster.runFor(0.3);
     }
     cluster.runFor(60);
-    // The list names the ended jobs, one running job, and as many stored ends as the body holds.
+    // The dependency list names the jobs that have run, one running job, and as many jobs with only
+    // a stored record of their end as fit into the request body.
     JobSpec running = idleJob(1, 60);
     users.submit(running, false);
     cluster.runFor(10);
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -43,16 +43,16 @@
   int malformedTransactions;
   int requestCount;
 
-  /** Watches of this prefix report no changes; for tests of the invariant checks. */
+  /** Key prefix whose watches report no changes, or null; for tests of the invariant checks. */
   String prefixWithoutChanges;
 
-  /**
-   * The only controller whose watches of {@code prefixWithoutChanges} report no changes; null for
-   * all.
-   */
+  /** The only controller that sees no changes under {@code prefixWithoutChanges}; null for all. */
   String controllerWithoutChanges;
 
-  /** A field removed from each job record that is written; for tests of the invariant checks. */
+  /**
+   * Name of a field that is removed from each job record when the record is written, or null; for
+   * tests of the invariant checks.
+   */
   String removedJobField;
 
   /**
@@ -61,29 +61,34 @@
    */
   int retainedChanges = 10_000;
 
-  /** The next transaction that puts a key under this prefix is applied but not answered. */
+  /**
+   * Key prefix or null; the next transaction that puts a key under the prefix is applied but not
+   * answered.
+   */
   String unansweredWritePrefix;
 
   /**
-   * {@code intervention} runs right before the next transaction that puts a key under this prefix.
+   * Key prefix or null; {@code intervention} runs right before the next transaction that puts a key
+   * under the prefix.
    */
   String interventionPrefix;
 
   Runnable intervention;
 
   /**
-   * Share of transactions with changes that are not answered. The store applies them 2 to 12 s
-   * later if it has received a newer transaction of the same controller, and drops them otherwise.
+   * Share of transactions with changes that are not answered and not applied at once. The store
+   * applies them 2 to 12 s later if it has received a newer transaction of the same controller, and
+   * drops them otherwise.
    */
   double lateWriteShare;
 
   /** Share of transactions with changes that are applied immediately but not answered. */
   double unansweredWriteShare;
 
-  /** Number of transactions applied after a newer one of the same controller. */
+  /** Number of transactions that the store applied after a newer one of the same controller. */
   int appliedAfterNewer;
 
-  /** Number of transactions applied immediately but not answered. */
+  /** Number of transactions that the store applied immediately but did not answer. */
   int appliedUnanswered;
 
   /** Additional delay of each response. */
@@ -92,16 +97,22 @@
   private final Map<String, Long> newestTransactionByController = new HashMap<>();
   private long transactionsReceived;
 
-  /** Listings of keys under this prefix are never answered. */
+  /** Key prefix or null; requests that list the keys under the prefix are never answered. */
   String unansweredListingPrefix;
 
   /** Number of requests of each controller that were answered 503. */
   final Map<String, Integer> refusals = new HashMap<>();
 
-  /** Transactions are applied without checking preconditions; for tests of the invariant checks. */
+  /**
+   * True if transactions are applied without checking their preconditions; for tests of the
+   * invariant checks.
+   */
   boolean ignorePreconditions;
 
-  /** Listings of this prefix return no keys; for tests of the invariant checks. */
+  /**
+   * Key prefix or null; requests that list the keys under the prefix return no keys; for tests of
+   * the invariant checks.
+   */
   String hiddenPrefix;
 
   FakeStore(SimulatedCluster cluster) {
@@ -156,7 +167,7 @@
   /** Highest number of requests in one second so far. */
   int maxRequestsPerSecond;
 
-  /** Highest number of puts and drops in one second so far. */
+  /** Highest number of key changes (puts and deletions) in one second so far. */
   int maxChangesPerSecond;
 
   int largestValueBytes;
@@ -176,12 +187,15 @@
     maxChangesPerSecond = Math.max(maxChangesPerSecond, changesThisSecond);
   }
 
-  /** Replaces all values under the prefix without a new revision and without notifying watches. */
+  /**
+   * Sets every key under the prefix to the given value, without a new revision and without
+   * notifying watches.
+   */
   void overwriteSilently(String prefix, JsonNode data) {
     keys.replaceAll((k, e) -> k.startsWith(prefix) ? new Entry(data, e.revision, e.leaseId) : e);
   }
 
-  /** When the last leader was elected. */
+  /** Simulated time in microseconds at which the last leader was elected. */
   long termStartMicros;
 
   /** Returns the term of the last leader elected. */
@@ -202,7 +216,10 @@
     return out;
   }
 
-  /** Replaces all keys under the prefix with a new revision and notifies watches. */
+  /**
+   * Replaces all keys under the prefix by the given ones, with a new revision, and notifies
+   * watches.
+   */
   void replaceAll(String prefix, Map<String, JsonNode> values) {
     storeRevision++;
     for (String key : entries(prefix).keySet()) {
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -26,12 +26,12 @@
   private int lastUidNumber;
 
   /**
-   * After each response that shows a new job status, users query every controller within
-   * milliseconds; a third of the queries repeat the submission.
+   * True if users query every controller within milliseconds of each response that shows a new job
+   * status; a third of these queries repeat the submission.
    */
   boolean queryAllControllersOnChange;
 
-  /** Number of the queries to all controllers that were answered with 200. */
+  /** Number of status queries sent to all controllers at once that were answered with 200. */
   int answeredQueries;
 
   private final Map<String, JobSpec> specByUid = new HashMap<>();
@@ -223,8 +223,8 @@
   }
 
   /**
-   * Sets the share of jobs that users cancel and query, with repeated submissions among the
-   * queries, within about 1.5 s after the job's last task has completed.
+   * Makes users cancel this share of jobs within 1.5 s after the job's last task has completed, and
+   * then query all controllers, with repeated submissions among the queries.
    */
   void cancelAndQueryAtCompletion(double share) {
     cluster.invariants.completionListener =
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -345,7 +345,7 @@
     return object;
   }
 
-  /** Returns the heartbeat that the worker would send now. */
+  /** Returns the body of the heartbeat that the worker would send now. */
   byte[] statusBytes() {
     return Json.write(status()).getBytes(java.nio.charset.StandardCharsets.UTF_8);
   }
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -15,9 +15,9 @@
 import plumlever.wire.Priority;
 
 /**
- * Tests faults that a later addition to the protocol allows: unreachable machines, duplicated
- * heartbeats and direct commands, and partitions; and tests the delegated renewal of leases. Each
- * fault is tested alone and together with the faults that make it worse.
+ * Tests faults that a later addition to the protocol allows: unreachable machines, partitions, and
+ * duplicated heartbeats and direct commands (calls to workers); and tests delegated lease renewal.
+ * Each fault is tested alone and together with the faults that make it worse.
  */
 final class FaultTest {
   private static final double RED_CORE_LIMIT = 48;
@@ -130,8 +130,8 @@
 
   /**
    * Heartbeats of a machine arrive, but nothing reaches the machine. If a new leader answered the
-   * heartbeats, the failover would never account for the machine, and every inherited job would
-   * wait.
+   * heartbeats, it would never be certain which tasks earlier leaders have started on the machine,
+   * and every inherited job would wait.
    */
   @Test
   void anUnreachableMachineDelaysAFailoverOnlyBriefly() {
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -144,7 +144,8 @@
     SimulatedCluster cluster = cluster(21);
     Map<String, JsonNode> records = records(FIRST_WITH_DEPENDENCIES);
     records.remove("office/leader");
-    // All jobs in the long list had ended, but the sample contains only a tenth of their records.
+    // All jobs in the long dependency list had ended, but the sample contains only a tenth of the
+    // records of their ends.
     for (String key : List.copyOf(records.keySet())) {
       if (key.startsWith("waits/")) {
         RecordLayout.dependencyIds(records.get(key))
@@ -251,9 +252,10 @@
 
   /**
    * The delegation record of a former version contains no fencing token. A lease renewed under that
-   * record could prolong an incarnation in which a cancelled start command may still arrive, so no
-   * lease is renewed under the record. A former version finds no zones in the present record and
-   * renews no lease either. In both cases the leases lapse, which is safe.
+   * record could prolong a worker incarnation (the period between two expirations of the worker's
+   * lease) in which a cancelled start command may still arrive, so no lease is renewed under the
+   * record. A former version finds no zones in the present record and renews no lease either. In
+   * both cases the leases lapse, which is safe.
    */
   @ParameterizedTest
   @ValueSource(strings = {PRODUCTION, FIRST_WITH_DEPENDENCIES})
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -14,7 +14,7 @@
 
 /**
  * Guards against tasks that start after the cancellation limit because a network partition delayed
- * their direct start commands.
+ * their direct start commands (sent in calls to the workers, not in heartbeat responses).
  *
  * <p>Sequence: two zones are partitioned a few milliseconds after the leader has sent direct starts
  * of a job to machines in both zones, and the network holds the commands for the other zone. The
@@ -23,12 +23,12 @@
  * about a minute. Then the held commands arrive. Before the fix, two machines started tasks 57 s
  * after the cancellation, in a deployment with a cancellation limit of 56 s.
  *
- * <p>Cause: an unanswered command is invalidated only by a higher token or by the end of the
- * incarnation. The leader had raised the token only in its own memory. The renewing controller
- * responded with the token reported by the machine and stopped only the listed tasks, so the
- * machine received no higher token and its incarnation did not end. The late starts therefore
- * carried the term's first token and were accepted in incarnations as old as the partition, while
- * the stops for reachable machines had been sent with the next token.
+ * <p>Cause: an unanswered command is invalidated only by a higher fencing token or by the end of
+ * the worker's incarnation, when its lease expires. The leader had raised the token only in its own
+ * memory. The renewing controller responded with the token reported by the machine and stopped only
+ * the listed tasks, so the machine received no higher token and its incarnation did not end. The
+ * late starts therefore carried the term's first token and were accepted in incarnations as old as
+ * the partition, while the stops for reachable machines had been sent with the next token.
  */
 final class HeldStartTest {
   private static final double PARTITION_S = 62;
@@ -101,7 +101,10 @@
         .forEach(machine -> cluster.network.setBlocked(isolatedController, machine, on));
   }
 
-  /** Runs the sequence up to one second before the end of the partition. */
+  /**
+   * Runs the sequence described at the class up to one second before the end of the partition, and
+   * returns the cancelled job.
+   */
   private JobSpec cancelJobDuringPartition(long seed, Runnable duringPartition) {
     createCluster(seed);
     for (int i = 0; i < 6; i++) {
@@ -165,7 +168,8 @@
   }
 
   /**
-   * The leader that sent the starts fails while they are held; its delegation ends with its term.
+   * The leader that sent the direct starts fails while the network holds them; the leader's
+   * delegation ends with its term.
    */
   @ParameterizedTest
   @ValueSource(longs = {221, 222, 223, 224})
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -60,13 +60,19 @@
 
   private final Map<String, Long> completedAt = new HashMap<>();
 
-  /** When each job's final state was first reported to a user by any controller. */
+  /**
+   * By job, the simulated time in microseconds at which a controller first reported the job's final
+   * state to a user.
+   */
   private final Map<String, Long> finalStateAt = new HashMap<>();
 
   private final Map<String, String> finalState = new HashMap<>();
   private final Set<String> acceptedJobs = new HashSet<>();
 
-  /** When each job was first seen to wait although a suitable machine has free capacity. */
+  /**
+   * By job, the simulated time in microseconds at which the job was first seen to wait although a
+   * suitable machine has free capacity.
+   */
   private final Map<String, Long> waitingSince = new HashMap<>();
 
   /** Longest time that a job may wait while a suitable machine has free capacity. */
@@ -101,7 +107,10 @@
     }
   }
 
-  /** Checks a start command that a machine executes, before the machine fetches the image. */
+  /**
+   * Called when a machine executes a start command, before it fetches the image; records a
+   * violation if the job's cancellation was confirmed more than {@link #CANCEL_MICROS} ago.
+   */
   void commandedToStart(String task, FakeWorker worker) {
     Long cancelled = cancelledAt.get(job(task));
     if (cancelled != null && cluster.now() > cancelled + CANCEL_MICROS) {
@@ -340,7 +349,10 @@
     return null;
   }
 
-  /** Returns when the job was submitted and all its dependencies were done, whichever is later. */
+  /**
+   * Returns the simulated time in microseconds at which the job was submitted and all its
+   * dependencies were done, whichever is later; a far future time if a dependency is not done.
+   */
   private long readyMicros(JobSpec job) {
     long from = submittedAt.getOrDefault(job.uid(), 0L);
     for (String name : job.dependencies()) {
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -94,7 +94,7 @@
     cluster.runFor(10);
     long candidates =
         cluster.leader().controller().metrics().counter("candidates_evaluated") - before;
-    // Successive passes are at least 150 ms apart.
+    // Successive scheduling passes are at least 150 ms apart.
     long passes = 10_000_000 / 150_000;
     assertTrue(
         candidates > 0 && candidates < passes * cluster.cloud.machines.size() * 30,
@@ -158,8 +158,8 @@
     jobs.forEach(
         j -> assertEquals("done", cluster.invariants.lastReportedStatus.get(j.uid()), j.uid()));
     assertStateServiceLimitsKept(cluster);
-    // One socket for each worker, plus calls in flight. The zones of the users' own deployment have
-    // room for 300 sockets more.
+    // At most one socket for each worker, plus calls in flight. The zones of the users' own
+    // deployment have room for 300 sockets more.
     assertTrue(
         cluster.maxSocketsInUse <= 1_600 + 112, "sockets in use: " + cluster.maxSocketsInUse);
     long candidates = counterTotal(cluster, "candidates_evaluated");
@@ -213,8 +213,8 @@
     assertTrue(
         cluster.store.largestValueBytes <= 4_096,
         "largest value: " + cluster.store.largestValueBytes);
-    // The simulated state service allows 200 requests and 25 changes a second, with a burst of one
-    // second.
+    // The settings limit the controllers to 200 requests and 25 changes a second; the rate limiters
+    // allow bursts of one second's worth.
     assertTrue(
         cluster.store.maxRequestsPerSecond <= 250,
         "requests in the busiest second: " + cluster.store.maxRequestsPerSecond);
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -142,7 +142,9 @@
         });
   }
 
-  /** Runs the action immediately before the n-th transaction on transfer records from now on. */
+  /**
+   * Runs the action immediately before the n-th transaction from now that puts a transfer record.
+   */
   void beforeTransferStep(int number, Runnable action) {
     cluster.store.interventionPrefix = "pool/transfers/";
     cluster.store.intervention =
--- a/src/test/java/plumlever/sim/PreviousVersion.java
+++ b/src/test/java/plumlever/sim/PreviousVersion.java
@@ -87,9 +87,10 @@
   }
 
   /**
-   * Rewrites the shared chunks of progress records, which are stored under {@code progress/pack/}.
-   * The shared chunks are filled up to the value limit and numbered from 0. Chunks of single jobs
-   * stay unchanged, because the previous version can't read them.
+   * Rewrites the shared chunks of progress records, which hold the progress of several jobs each
+   * and are stored under {@code progress/pack/}. The shared chunks are filled up to the value limit
+   * and numbered from 0. Chunks of single jobs stay unchanged, because the previous version can't
+   * read them.
    */
   private void rewriteSharedChunks() {
     Map<String, JsonNode> records = new LinkedHashMap<>();
@@ -118,10 +119,14 @@
     store.replaceAll("progress/", records);
   }
 
-  /** Returns the finished tasks of each job as the previous version would read them. */
+  /**
+   * Returns the completed tasks by job id, as the previous version would read them from the stored
+   * progress records.
+   */
   static Map<String, BitSet> readProgress(FakeStore store, int valueBytes) {
     Map<String, BitSet> records = new LinkedHashMap<>();
-    // One bit for each task, stored as base64; 64 bytes are reserved for the rest of the value.
+    // Number of tasks in one chunk: one bit for each task, stored as base64; 64 bytes are reserved
+    // for the rest of the value.
     int perChunk = (valueBytes - 64) / 4 * 3 * 8;
     store
         .entries("progress/")
--- a/src/test/java/plumlever/sim/Processor.java
+++ b/src/test/java/plumlever/sim/Processor.java
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Elapsed time of each kind of work. Measured with 6.1% of a core in the users' benchmark with
-   * simulated machines, see docs/limits.md.
+   * Simulated time that a work item of each kind takes. Measured with 6.1% of a core in the users'
+   * benchmark with simulated machines, see docs/limits.md.
    *
    * @param startMicros time from the start of the process until the first work item runs
    * @param coldFactor cost factor of the first work items
--- a/src/test/java/plumlever/sim/RenewalSoakTest.java
+++ b/src/test/java/plumlever/sim/RenewalSoakTest.java
@@ -124,7 +124,8 @@
     }
 
     /**
-     * Blocks the network between a controller and another controller or a machine for this time.
+     * Blocks the network between a controller and another controller or a machine for the given
+     * duration.
      */
     private void blockTemporarily(String controller, String other, long durationMicros) {
       cluster.network.setBlocked(controller, other, true);
--- a/src/test/java/plumlever/sim/SharingBenchmark.java
+++ b/src/test/java/plumlever/sim/SharingBenchmark.java
@@ -31,7 +31,7 @@
   private static final int TASKS_PER_JOB = 400;
   private static final double CORES_PER_MACHINE = 7;
 
-  /** Cores that one shard requests in its phase, as a fraction of the cores of all machines. */
+  /** Cores that one shard requests in its phase, as a multiple of the cores of all machines. */
   private static final double LOAD_FACTOR = 1.5;
 
   private final SimulatedCluster cluster;
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -42,7 +42,7 @@
     assertEquals(TARGET, pool.ownerOf(machine), "owner of the machine in the state service");
   }
 
-  /** An event of a task while its machine is transferred. */
+  /** An event that happens to a task while the task's machine is transferred. */
   enum TaskEvent {
     SAVES_CHECKPOINT((pool, machine) -> pool.worker(machine).checkpointOne(4)),
     COMPLETES((pool, machine) -> pool.worker(machine).endOne("done")),
@@ -345,7 +345,8 @@
   void sourceLeaderWithoutPoolUpdatesRefusesHeartbeats() {
     startWithRunningTasks(80, 60);
     SimulatedController sourceLeader = cluster.leader(SOURCE);
-    // The open watch receives the offer; later watches of this leader receive no response.
+    // The watch that is already open receives the offer of the machine; later watches of this
+    // leader receive no response.
     cluster.store.controllersWithoutWatches.add(sourceLeader.platform.label());
     cluster
         .shard(TARGET)
@@ -403,9 +404,9 @@
   }
 
   /**
-   * Both controllers of the owning shard restart without a sharing file while foreign tasks run on
-   * the shard's machines. They must not lead. They cannot know the jobs of the other shards, so
-   * they must not report such a job as unknown.
+   * Both controllers of the owning shard restart without a sharing file while tasks of other shards
+   * run on the shard's machines. They must not lead. They cannot know the jobs of the other shards,
+   * so they must not report such a job as unknown.
    */
   @Test
   void controllersWithoutSharingFileNeitherLeadNorServeUsers() {
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -42,20 +42,21 @@
   final Map<String, SimulatedController> controllers = new LinkedHashMap<>();
 
   /**
-   * Highest number of sockets in use at one controller so far: connections of its workers and open
-   * direct calls.
+   * Highest number of sockets in use at one controller so far: connections from workers and open
+   * calls to workers.
    */
   int maxSocketsInUse;
 
-  /** Processor costs of the controllers' work; null if work costs no time. */
+  /** Simulated processing times of the controllers' work; null if work takes no time. */
   Processor.Costs costs;
 
-  /** Maps a machine id to the endpoint at which the machine's worker receives direct calls. */
+  /** Maps a machine id to the endpoint at which the machine's worker receives calls. */
   Function<String, Endpoint> workerEndpoint = id -> new Endpoint(id, 9);
 
   /**
-   * When all injected faults ended. From then on queries about jobs must be answered in time, and
-   * no job may wait for long while a suitable machine has free capacity.
+   * Simulated time in microseconds at which all injected faults ended. From then on queries about
+   * jobs must be answered in time, and no job may wait for long while a suitable machine has free
+   * capacity.
    */
   long faultsEndedAtMicros = Long.MAX_VALUE;
 
@@ -231,10 +232,11 @@
   }
 
   /**
-   * Checks that a controller renews a worker lease only in the latest term. A delegate may use an
-   * earlier term for {@link DelegatedRenewal#VALID_MICROS} after a new term began, because the
-   * delegation that it read stays valid that long. No rule of the protocol states this, but the
-   * proof of the rules depends on it.
+   * Checks that a controller renews a worker lease only in the latest term. A controller to which
+   * the leader of an earlier term delegated renewals may renew leases for {@link
+   * DelegatedRenewal#VALID_MICROS} after a new term began, because the delegation that it read
+   * stays valid that long. No rule of the protocol states this, but the proof of the rules depends
+   * on it.
    */
   void checkRenewal(String response, boolean asLeader) {
     try {
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -15,7 +15,7 @@
 
 /** A controller process on the simulated clock, which can be killed, restarted and frozen. */
 final class SimulatedController {
-  /** Wall-clock time at simulated time 0. */
+  /** Wall-clock time at simulated time 0, in microseconds since the Unix epoch. */
   private static final long WALL_MICROS = 1_700_000_000_000_000L;
 
   final PlatformConfiguration platform;
@@ -268,17 +268,17 @@
     }
   }
 
-  /** Sets the cost factor of the decision thread. */
+  /** Sets the factor by which work items on the decision thread take longer than normal. */
   void slowDown(double times) {
     decisionThread.setSlowdown(times);
   }
 
-  /** Blocks the decision thread; the election thread continues. */
+  /** Blocks the decision thread for the given time; the election thread continues. */
   void stallDecisions(double seconds) {
     stalledUntil = cluster.now() + (long) (seconds * 1e6);
   }
 
-  /** Freezes the whole process while its clocks continue. */
+  /** Freezes the whole process for the given time while its clocks continue. */
   void freeze(double seconds) {
     frozenUntil = cluster.now() + (long) (seconds * 1e6);
   }
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -59,20 +59,23 @@
 
   /**
    * Blocked links as {@code from>to}, where {@code *} stands for any endpoint. Requests over a
-   * blocked link are held until the link is unblocked; responses are dropped.
+   * blocked link are held until the link is restored; responses are dropped.
    */
   final Map<String, Boolean> blockedLinks = new HashMap<>();
 
-  /** Share of calls whose response is lost. */
+  /** Share of requests whose response is lost. */
   double lostResponseShare;
 
-  /** Share of calls that are executed 1 to 61 s late. */
+  /** Share of requests that are executed 1 to 61 s late. */
   double executedLateShare;
 
-  /** Share of calls that are executed a second time later. */
+  /** Share of requests that are executed a second time later. */
   double repeatedShare;
 
-  /** Share of direct commands of which two late duplicates are delivered. */
+  /**
+   * Share of direct commands (sent in calls to workers, not in heartbeat responses) of which two
+   * late duplicates are delivered.
+   */
   double duplicatedCommandShare;
 
   /** Additional delivery delay of direct commands. */
@@ -95,7 +98,7 @@
    */
   double heartbeatShareKeptForNextTerm;
 
-  /** Number of kept heartbeats sent to controllers at the beginning of a term. */
+  /** Number of heartbeat duplicates kept for a new term that were sent to controllers. */
   int keptHeartbeatsDelivered;
 
   /** Machines whose heartbeats reach no controller, while direct commands reach the machines. */
@@ -125,7 +128,7 @@
     this.checkDelegations = checkDelegations;
   }
 
-  /** Blocks the link between two endpoints in both directions, or unblocks it. */
+  /** Blocks the link between two endpoints in both directions, or unblocks the link. */
   void setBlocked(String one, String other, boolean on) {
     blockedLinks.put(one + ">" + other, on);
     blockedLinks.put(other + ">" + one, on);
@@ -137,7 +140,9 @@
         || blockedLinks.getOrDefault("*>" + to, false);
   }
 
-  /** Called when a new term begins: delivers the kept heartbeats to every controller. */
+  /**
+   * Called when a new term begins: delivers the heartbeats kept for that time to every controller.
+   */
   void deliverKeptHeartbeats() {
     List<String> heartbeats = new ArrayList<>(heartbeatsKeptForNextTerm);
     heartbeatsKeptForNextTerm.clear();
@@ -163,8 +168,9 @@
   }
 
   /**
-   * Sends a request. A blocked link holds the request and delivers it when unblocked. The response
-   * handler is called exactly once, with status 0 if no response arrives within the timeout.
+   * Sends a request. A blocked link holds the request and delivers it when the link is restored.
+   * The response handler is called exactly once, with status 0 if no response arrives within the
+   * timeout.
    */
   void send(
       String from,
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -66,7 +66,10 @@
     assertAllServed(cluster, users, 20);
   }
 
-  /** Twelve seeds by default; {@code -Dplumlever.first=F -Dplumlever.seeds=N} selects others. */
+  /**
+   * Returns twelve seeds and one seed of a regression by default; {@code -Dplumlever.first=F
+   * -Dplumlever.seeds=N} selects others.
+   */
   static LongStream seeds() {
     long first = Long.getLong("plumlever.first", 2);
     LongStream range = LongStream.range(first, first + Integer.getInteger("plumlever.seeds", 12));
@@ -145,7 +148,7 @@
       case 12 -> blockLinksToStateAndPeers(cluster, one, time);
       case 14 -> blockLinksToAllMachines(cluster, leader.platform.label(), time);
       case 13 -> {
-        // Restarts the leader at once, then restarts a random controller during the election.
+        // Restarts the leader within 0.2 s, then restarts a random controller during the election.
         leader.crash(0.1 + cluster.random.nextDouble() / 10);
         cluster.at(
             500_000 + cluster.random.nextLong(3_000_000),
@@ -191,8 +194,8 @@
   }
 
   /**
-   * Blocks responses and commands to the machine, while its heartbeats still arrive. The network
-   * delivers held commands after the links are unblocked.
+   * Drops responses and holds back commands to the machine for the given time, while its heartbeats
+   * still arrive. The network delivers the held commands afterwards.
    */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
     cluster.network.blockedLinks.put("*>" + machineId, true);
--- a/src/test/java/plumlever/sim/UnseenCancellationTest.java
+++ b/src/test/java/plumlever/sim/UnseenCancellationTest.java
@@ -107,8 +107,8 @@
 
   /**
    * The leader keeps leadership, because its leader lease is renewed, but its watches are never
-   * answered and its peers cannot reach it. Only the bound on worker lease renewals can end the
-   * cancelled tasks in time.
+   * answered and its peers cannot reach it. The cancelled tasks can end in time only because the
+   * leader must stop renewing worker leases once its view of ended jobs is too old.
    *
    * @param assumedCancelMicros time limit of a cancellation that the controllers assume
    */
@@ -139,8 +139,8 @@
   }
 
   /**
-   * Verifies that the invariant check detects a missing bound: a leader that assumes a limit of one
-   * hour for a cancellation keeps renewing the leases.
+   * Verifies that the invariant check detects cancelled tasks that run too long: a leader that
+   * assumes a limit of one hour for a cancellation keeps renewing the leases.
    */
   @Test
   void withoutBoundCancelledTasksOutliveTimeLimit() {
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -292,8 +292,8 @@
   }
 
   /**
-   * A stored value that exceeds the current size limit is split into several records. Every entry
-   * of the value must be in at least one record at any time.
+   * A stored value that exceeds the current size limit is split into several records. At any time,
+   * every entry of the former value must be in at least one record.
    */
   @Test
   void oversizedSharedRecordIsSplitWithoutLoss() {
--- a/src/test/java/plumlever/store/RecordLayoutTest.java
+++ b/src/test/java/plumlever/store/RecordLayoutTest.java
@@ -22,7 +22,7 @@
 import plumlever.wire.Json;
 import plumlever.wire.Priority;
 
-/** Tests of the record layout. */
+/** Tests how jobs' dependency lists and progress are divided into records of the state service. */
 final class RecordLayoutTest {
   private static RecordLayout recordLayout(int valueBytes, int currentValueBytes) {
     return new RecordLayout(
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Earlier versions numbered their chunks and split them by the current value limit in their
-   * settings, regardless of the announced limit.
+   * Earlier versions numbered the chunks of a job's progress and split them by the current value
+   * limit in their settings, regardless of the announced limit.
    */
   @Test
   void readsTheChunksOfEarlierVersions() throws InvalidMessageException {
@@ -85,8 +85,8 @@
   }
 
   /**
-   * An earlier version parses the last segment of a chunk's key as the chunk number. That segment
-   * of the current keys must not parse as a number, so that an earlier version skips them.
+   * An earlier version parses the last segment of a progress chunk's key as the chunk number. That
+   * segment of the current keys must not parse as a number, so that an earlier version skips them.
    */
   @Test
   void earlierVersionsSkipCurrentChunks() {
--- a/src/test/java/plumlever/store/RequestBudgetTest.java
+++ b/src/test/java/plumlever/store/RequestBudgetTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import plumlever.settings.PlatformConfiguration;
 
-/** A controller uses only its share of the state service's limits. */
+/** Tests that a controller uses only its share of the state service's limits on request rates. */
 final class RequestBudgetTest {
   private static final int REQUESTS_PER_S = 100;
   private static final int WRITES_PER_S = 20;
--- a/src/test/java/plumlever/store/TokenBucketTest.java
+++ b/src/test/java/plumlever/store/TokenBucketTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The token bucket keeps requests within a rate. */
+/** Tests that the token bucket keeps the rate of requests within a limit. */
 final class TokenBucketTest {
   private static final long SECOND_MICROS = 1_000_000;
 
--- a/src/test/java/plumlever/store/WriteLimitsTest.java
+++ b/src/test/java/plumlever/store/WriteLimitsTest.java
@@ -9,8 +9,8 @@
 import plumlever.wire.Json;
 
 /**
- * The limits are lowered after refused writes, because the state service may lower its limits
- * without notice.
+ * Tests that a controller lowers its limits on the size of writes after refused writes, because the
+ * state service may lower its limits without notice.
  */
 final class WriteLimitsTest {
   private static final int VALUE_BYTES = 16384;
