--- a/src/main/java/plumlever/leader/HeartbeatResponder.java
+++ b/src/main/java/plumlever/leader/HeartbeatResponder.java
@@ -70,8 +70,9 @@
       context.metrics().count("heartbeat_copies");
       out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "a newer report is known", 1);
     } else if (machine.contact().unreachable()) {
-      // Every renewal sent would extend the lease in this leader's view. The lease would never be
-      // considered expired, and the machine's tasks could never be started elsewhere.
+      // The machine sends heartbeats but does not receive the responses, so the renewal is
+      // refused. Every renewal sent would extend the lease in this leader's view. The lease would
+      // never be considered expired, and the machine's tasks could never be started elsewhere.
       out.retryLater(HttpStatus.SERVICE_UNAVAILABLE, "answers do not arrive", 1);
     } else {
       boolean newest = freshness == HeartbeatHandler.Freshness.LATEST;
--- a/src/main/java/plumlever/leader/PlannedStarts.java
+++ b/src/main/java/plumlever/leader/PlannedStarts.java
@@ -11,8 +11,8 @@
 record PlannedStarts(SchedulingPass pass, TaskStarter starter) {
   /**
    * Adds the commands that start the planned tasks. Adds none if the machine or the jobs of the
-   * tasks are not recorded yet, or while an earlier command may have started an attempt that no
-   * heartbeat has listed yet.
+   * tasks are not stored yet in the records of machines and of started jobs, or while an earlier
+   * command may have started an attempt that no heartbeat has listed yet.
    */
   void addTo(List<WorkerCommand> commands, Machine machine) {
     if (pass.hasPlan(machine)
--- a/src/main/java/plumlever/leader/TermComponents.java
+++ b/src/main/java/plumlever/leader/TermComponents.java
@@ -163,8 +163,8 @@
   }
 
   /**
-   * Ends the jobs whose tasks are all complete. An earlier leader may have stored the completion of
-   * a job's last task but not the end of the job.
+   * Stores the end of the jobs whose tasks are all complete. An earlier leader may have stored the
+   * completion of a job's last task but not the end of the job.
    */
   void endCompleteJobs() {
     jobs.all()
--- a/src/main/java/plumlever/leader/TokenRaiser.java
+++ b/src/main/java/plumlever/leader/TokenRaiser.java
@@ -19,17 +19,20 @@
   private static final long UNREACHABLE_INTERVAL_MICROS = 4_000_000;
 
   /**
-   * A machine that was sent a response less than this long ago is not called, because its next
-   * heartbeat shows whether it has seen the response's token.
+   * A machine is not called within this time after a heartbeat response was sent to it, because its
+   * next heartbeat shows whether it has seen the response's token.
    */
   private static final long RESPONSE_SHOWS_TOKEN_MICROS = 2_000_000;
 
-  /** The lateness of the loop thread above which the number of calls is limited. */
+  /**
+   * The lateness of the loop thread above which the number of concurrent calls to workers is
+   * limited.
+   */
   private static final long LATENESS_THRESHOLD_MICROS = 50_000;
 
   /**
-   * The limit on concurrent calls while the loop thread is late; enough to detect the machines that
-   * no longer exist.
+   * The limit on concurrent calls to workers while the loop thread is late; enough to detect the
+   * machines that no longer exist.
    */
   private static final int MAX_CALLS_WHILE_LATE = 6;
 
@@ -51,8 +54,8 @@
 
   private void sendToUnaccounted() {
     long now = context.loop().nowMicros();
-    // Machines that did not respond come last. Otherwise dozens of machines behind a network
-    // partition would be called repeatedly and no other machine would be called.
+    // Machines that did not respond to earlier calls are called last. Otherwise dozens of machines
+    // behind a network partition would be called repeatedly and no other machine would be called.
     List<Machine> unaccounted = new ArrayList<>(failover.unaccounted());
     unaccounted.sort(
         Comparator.comparingInt(machine -> machine.contact().consecutiveFailedCalls()));
@@ -68,9 +71,10 @@
   }
 
   /**
-   * Returns the limit on concurrent calls. While the loop thread is late, calls are limited in
-   * favor of heartbeats: both provide the same information, and every machine that works sends a
-   * heartbeat within seconds.
+   * Returns the maximum number of concurrent calls that raise fencing tokens. While the loop thread
+   * is late, the number is low so that heartbeats are handled first: a heartbeat and the response
+   * to a call both list the tasks of the machine, and every working machine sends a heartbeat
+   * within seconds.
    */
   private int maxCalls() {
     return context.latenessMicros().getAsLong() > LATENESS_THRESHOLD_MICROS
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -42,7 +42,7 @@
   private final Map<String, PlatformConfiguration.Team> teams = new HashMap<>();
   private final Set<Machine> unaccounted = new LinkedHashSet<>();
 
-  /** Machines whose last heartbeat listed running tasks which this leader does not track. */
+  /** Machines whose last heartbeat listed running tasks that this leader does not track. */
   private final Set<Machine> withUntrackedTasks = new LinkedHashSet<>();
 
   private boolean machinesLoaded;
@@ -154,8 +154,8 @@
   }
 
   /**
-   * Returns true while a task of the job could be running on a machine whose tasks of earlier
-   * leaders are not all known; no task of such a job is started.
+   * Returns true while a task of the job could be running on a machine that may still run unknown
+   * tasks of earlier leaders; no task of such a job is started.
    */
   public boolean blocks(Job job) {
     return !machinesLoaded || (job.inherited() && !unaccounted.isEmpty());
@@ -192,10 +192,9 @@
   }
 
   /**
-   * Sums up the capacity of the machines that may be running tasks of any team. These include
-   * machines with untracked tasks: an untracked task may belong to a job that ended before this
-   * term, so its team is unknown. Until such tasks have ended, their machine counts like a machine
-   * whose tasks of earlier leaders are not known yet.
+   * Sums up the capacity of the machines that may be running tasks of unknown teams. A machine on
+   * which a task runs that this leader does not track counts as a whole: the job of the task may
+   * have ended before this term, so its team is unknown.
    *
    * @return false if the size of one of the machines is unknown
    */
--- a/src/main/java/plumlever/leader/failover/WarmState.java
+++ b/src/main/java/plumlever/leader/failover/WarmState.java
@@ -16,31 +16,34 @@
 /**
  * Stores the warm state of a term: data that the next leader would otherwise have to learn again:
  * the images cached on each machine, and the observed error of run-time estimates. For a large
- * fleet, the data is split into several numbered values. The data is advisory only: wrong or
+ * fleet, the data is split into several numbered records. The data is advisory only: wrong or
  * missing warm state costs time but causes no violation.
  */
 public final class WarmState {
   private static final long INTERVAL_MICROS = 10_000_000;
 
   /**
-   * The write interval is divided by this factor after a call that found enough changed values to
-   * fill a transaction.
+   * The interval between writes of warm state is divided by this factor after a write that filled a
+   * transaction, because more changed records may be waiting.
    */
   private static final int BACKLOG_SPEED_UP = 4;
 
   /**
-   * Maximum number of changed values per transaction. Larger transactions would delay the
-   * submission of jobs.
+   * Maximum number of changed warm-state records per transaction. Larger transactions would delay
+   * the submission of jobs.
    */
   private static final int MAX_CHANGES = 2;
 
   private final TermContext context;
   private final WarmStateCodec codec;
 
-  /** The last known contents of the stored values by value number; empty for deleted values. */
+  /**
+   * The last known contents of the stored warm-state records by record number; empty for deleted
+   * records.
+   */
   private final Map<Integer, Optional<ObjectNode>> storedValues = new HashMap<>();
 
-  /** Greater than the number of every warm-state value that may be stored. */
+  /** Upper bound (exclusive) of the numbers of the warm-state records that may be stored. */
   private int storedCount;
 
   private int nextNumber;
@@ -68,8 +71,8 @@
   }
 
   /**
-   * Writes some of the warm-state values that have changed; the next call continues with the values
-   * that follow.
+   * Writes some of the warm-state records whose contents have changed; the next call continues with
+   * the record numbers that follow.
    *
    * @return microseconds until the next call
    */
@@ -85,9 +88,9 @@
   }
 
   /**
-   * Returns up to {@link #MAX_CHANGES} encoded values that differ from the stored ones, by value
-   * number; empty for a stored value to be deleted. Each call continues after the last value that
-   * the previous call compared.
+   * Returns the new contents of up to {@link #MAX_CHANGES} warm-state records that differ from the
+   * stored records, by record number; empty contents for a record to be deleted. Each call
+   * continues after the last record that the previous call compared.
    */
   private Map<Integer, Optional<ObjectNode>> nextChanges() {
     List<ObjectNode> values = codec.write(context.recordLayout().maxValueBytes());
--- a/src/main/java/plumlever/leader/failover/WarmStateCodec.java
+++ b/src/main/java/plumlever/leader/failover/WarmStateCodec.java
@@ -15,15 +15,16 @@
 import plumlever.wire.Json;
 
 /**
- * Encodes image caches and estimates into one or more values, and decodes these values. The first
- * value holds the estimates. Each value lists its images once; machines refer to images by index.
+ * Encodes the cached images of each machine and the run-time estimates into one or more JSON
+ * records, and decodes these records. The first record holds the estimates. Each record lists its
+ * images once; machines refer to images by index.
  */
 final class WarmStateCodec {
   private static final String IMAGES = "images";
   private static final String MACHINES = "machines";
   private static final String RATIOS = "ratios";
 
-  /** Bytes reserved in an encoded value besides its machines and images. */
+  /** Bytes reserved in an encoded record for everything except its machines and images. */
   private static final int BASE_BYTES = 400;
 
   /** Encoded size in bytes of a machine besides its name and image indexes. */
@@ -46,8 +47,8 @@
   }
 
   /**
-   * Applies one stored value of image caches and estimates; machines that are not in the fleet are
-   * ignored.
+   * Applies one stored record of cached images and run-time estimates; machines that are not in the
+   * fleet are ignored.
    */
   void read(JsonNode value) {
     List<JsonNode> images = new ArrayList<>();
@@ -76,8 +77,8 @@
   }
 
   /**
-   * Encodes the current image caches and run-time estimates into values of at most this size;
-   * returns at least one value.
+   * Encodes the current image caches and run-time estimates into records of at most this size;
+   * returns at least one record.
    */
   List<ObjectNode> write(int maxBytes) {
     List<ValueBuilder> builders = new ArrayList<>();
@@ -95,7 +96,7 @@
     return builders.stream().map(each -> each.value).toList();
   }
 
-  /** Builds one stored value from machines, their cached images and the run-time estimates. */
+  /** Builds one stored record from machines, their cached images and the run-time estimates. */
   private static final class ValueBuilder {
     final ObjectNode value = Json.object();
     private final ArrayNode images = value.putArray(IMAGES);
@@ -114,7 +115,7 @@
      * Adds the machine with its cached images.
      *
      * @param ready sizes of the images in GB by name
-     * @return false if the machine does not fit into the value
+     * @return false if the record would exceed {@code maxBytes}; the machine is then not added
      */
     boolean add(Machine machine, Map<String, Double> ready, int maxBytes) {
       int size = sizeOf(machine, ready);
@@ -142,8 +143,8 @@
     }
 
     /**
-     * Returns the encoded size of an image name. Users choose the names, and escaping may make a
-     * name several times as long.
+     * Returns the encoded size of an image name. Users choose the names, and JSON escaping may make
+     * a name several times as long.
      */
     private static int jsonBytes(String image) {
       return Json.write(TextNode.valueOf(image)).getBytes(StandardCharsets.UTF_8).length;
--- a/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/AbsentAttempts.java
@@ -13,8 +13,8 @@
 
 /**
  * Ends attempts that are proven not to be on their machine. Only three things count as proof: a
- * heartbeat that would have to list the attempt but does not, a later incarnation of the worker, or
- * a refused command.
+ * heartbeat that would have to list the attempt but does not, a later incarnation of the worker (a
+ * new one begins when its lease has expired), or a refused command.
  */
 final class AbsentAttempts {
   private final TermContext context;
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Ends the attempts of the machine that the heartbeat does not list, if that proves that they are
-   * not on the machine.
+   * Ends the attempts that the heartbeat does not list, as far as this proves that they are not on
+   * the machine.
    *
    * @param source whether the worker sent the heartbeat itself or in the response to a direct call
    * @param listed the attempts that the heartbeat lists
@@ -68,9 +68,9 @@
 
   /**
    * Returns whether a heartbeat that does not list the attempt proves that the attempt neither runs
-   * on the machine nor can still start there. The worker executes or drops a command in a response
-   * before it sends its next heartbeat. The worker may execute a direct command late, until it has
-   * seen a higher token.
+   * on the machine nor can still start there. A command in a heartbeat response is executed or
+   * dropped before the worker sends its next heartbeat. A direct command (one sent in a call to the
+   * worker) may be executed late, until the worker has seen a higher token.
    */
   private static boolean provesAbsence(
       Heartbeat heartbeat, HeartbeatSource source, Attempt attempt) {
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Ends the attempts of incarnations before this one. A worker that starts a new incarnation has
-   * killed the tasks of its earlier incarnations.
+   * Ends the attempts that were started in earlier incarnations of the worker than the given one. A
+   * worker that starts a new incarnation has killed the tasks of its earlier incarnations.
    */
   void endIncarnationsBefore(Machine machine, long incarnation) {
     if (fleet.transferredMachine(machine.id()) != machine) {
--- a/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptUpdates.java
@@ -63,7 +63,8 @@
     attempt.machine().images().markReady(job.spec().image(), job.spec().imageGb());
     context.metrics().recordDuration("start", now - job.acceptedMicros());
     if (!attempt.adopted()) {
-      // Until it runs, the task occupies its cores while the machine fetches the task's image.
+      // Counts the time before the task runs: the task occupies its cores while the machine
+      // fetches the task's image.
       countCoreMillis("core_ms_fetching", job, now - attempt.startSentMicros());
     }
     attemptLog.running(attempt);
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatHandler.java
@@ -20,7 +20,7 @@
 
 /**
  * Applies the heartbeats that the leader receives during one term. For each heartbeat, checks
- * whether it is newer than the last heartbeat of its machine, and passes the reported attempt
+ * whether the heartbeat is newer than the last one of its machine, and passes the reported attempt
  * states to the components that track attempts. Every state change caused by a heartbeat is made
  * through this class.
  */
@@ -79,8 +79,8 @@
     /** The heartbeat is newer than every heartbeat received before from its machine. */
     LATEST,
     /**
-     * The worker still waits for the response to the heartbeat, but a response to a direct call,
-     * which arrived first, has newer content.
+     * The worker still waits for the response to the heartbeat, but the leader has already received
+     * newer content from the worker, in the response to a direct call.
      */
     SUPERSEDED,
     /**
@@ -227,8 +227,8 @@
   }
 
   /**
-   * Ends the attempts of a direct command that the worker refused. The worker has executed none of
-   * these starts and never will.
+   * Ends attempts whose start commands the worker refused. The commands were sent in a call to the
+   * worker, not in the response to a heartbeat. The worker has not executed them and never will.
    */
   public void endRefusedStarts(Iterable<Attempt> refusedStarts) {
     absentAttempts.endRefused(refusedStarts);
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -73,7 +73,9 @@
   /** Zones in which other controllers may be renewing leases. */
   private final Set<String> delegatedZones = new HashSet<>();
 
-  /** Time at which the revocation of each zone's latest delegation was confirmed. */
+  /**
+   * Time at which the revocation of each zone's latest delegation of lease renewal was confirmed.
+   */
   private final Map<String, Long> revokedMicros = new HashMap<>();
 
   /** Revision of the stored record of delegated zones. After an election no such record exists. */
@@ -83,7 +85,10 @@
   private long delegatedMicros;
   private boolean writing;
 
-  /** Creates the delegations of one term; no zone is delegated at first. */
+  /**
+   * Creates the component that delegates lease renewal during one term; no zone is delegated at
+   * first.
+   */
   public RenewalDelegation(TermContext context, Fleet fleet) {
     this.context = context;
     this.fleet = fleet;
@@ -136,8 +141,8 @@
 
   /**
    * Selects the zones in which other controllers are to renew leases: as many unreachable zones as
-   * fit into one record, preferring zones that are already delegated. Selects no zone if no other
-   * controller uses the present delegation; the delegated zones are then excluded from delegation
+   * fit into one record, preferring zones that are already delegated. If no other controller has
+   * used the present delegation, selects no zone, and excludes the delegated zones from delegation
    * for {@link #INELIGIBILITY_MICROS}.
    */
   private Set<String> zonesToDelegate(Set<String> unreachableZones) {
@@ -187,8 +192,8 @@
         result -> {
           switch (result.outcome()) {
             case APPLIED -> revision = result.revision();
-            // The delegation was not written and cannot be written later, because a key that the
-            // transaction requires has changed.
+            // The transaction was not applied and cannot be applied later, because a key that it
+            // requires to be unchanged has changed. So the delegation is not in use.
             case CONFLICT -> {
               delegatedZones.retainAll(previousZones);
               revision = UNKNOWN_REVISION;
--- a/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
+++ b/src/main/java/plumlever/leader/heartbeat/UnknownAttempts.java
@@ -53,8 +53,9 @@
     } else if (mayAdopt(machine, job, reported)) {
       adopt(machine, job, reported, now);
     } else if (job.liveAttempt(task) != null) {
-      // Usually a heartbeat was delayed in the network. Otherwise the task has two attempts, and
-      // the response carries a stop command that reaches the second attempt in time.
+      // The attempt is not adopted. Usually the heartbeat that lists it was delayed in the
+      // network. Otherwise the task has two attempts, and the response carries a stop command that
+      // reaches the second attempt in time.
       log.info(
           "task {} is reported by machine {} but runs on machine {}",
           reported.task().wireName(),
--- a/src/main/java/plumlever/leader/job/ActiveJobs.java
+++ b/src/main/java/plumlever/leader/job/ActiveJobs.java
@@ -40,7 +40,7 @@
   private final RenewalLimit renewalLimit;
   private final PrefixWatch watch;
 
-  /** Time at which the latest answered read that shows which jobs have ended was sent. */
+  /** Send time of the latest answered request that read which jobs have ended. */
   private long endedJobsReadMicros = NEVER_MICROS;
 
   /**
@@ -97,16 +97,14 @@
     return renewalLimit.mayRenew(context.loop().nowMicros(), endedJobsReadMicros);
   }
 
-  /**
-   * Returns the time at which the latest answered read that shows which jobs have ended was sent.
-   */
+  /** Returns the send time of the latest answered request that read which jobs have ended. */
   public long endedJobsReadMicros() {
     return endedJobsReadMicros;
   }
 
   /**
-   * Adds all jobs that the new leader has read, and watches for changes after the revision of that
-   * read.
+   * Adds all jobs that the new leader has read, and watches the job records for changes after the
+   * revision of that read.
    */
   public void load(RecoveryRead found) {
     endedJobsReadMicros = found.jobsReadSentMicros();
--- a/src/main/java/plumlever/leader/job/DependencyListCleanup.java
+++ b/src/main/java/plumlever/leader/job/DependencyListCleanup.java
@@ -114,8 +114,8 @@
 
   /**
    * Removes the dependency list in batches of one transaction each, with the anchor (the first
-   * value of the list) in the first batch. Parts that a failed transaction leaves behind are found
-   * by the next clean-up.
+   * value of the list) in the first batch. If a transaction fails, the next clean-up removes the
+   * remaining values of the list.
    */
   private void remove(RecordLayout.DependencyListId name, long anchorRevision, List<String> keys) {
     if (closed || keys.isEmpty()) {
--- a/src/main/java/plumlever/leader/job/DependencyResolver.java
+++ b/src/main/java/plumlever/leader/job/DependencyResolver.java
@@ -38,7 +38,10 @@
    */
   private final Set<String> unknownFinalStates = new LinkedHashSet<>();
 
-  /** Actions deferred until all active jobs have been added, since jobs are added in any order. */
+  /**
+   * Actions deferred until all active jobs have been added, because a job may be added before the
+   * jobs on which it depends.
+   */
   private final List<Runnable> deferredUntilLoaded = new ArrayList<>();
 
   private ToLongFunction<Job> taskDuration = job -> 0;
@@ -104,8 +107,8 @@
   }
 
   /**
-   * Reads the dependency list of a job part by part. The job stays blocked until all parts are
-   * read.
+   * Reads the stored dependency list of a job, one value after the other. The job stays blocked
+   * until all values of the list are read.
    */
   private void readDependencies(Job job, List<String> listKeys, int next, List<String> names) {
     if (closed || job.hasEnded()) {
@@ -149,7 +152,8 @@
       } else if (!dependency.waitsForDependencies()) {
         track(dependency, List.of());
       }
-      // A blocked dependency joins the graph once its own dependencies are known.
+      // Nothing to do for a blocked dependency: it is added to the graph once its own dependencies
+      // are known.
     }
     if (!dependencies.isEmpty() && job.waitsForDependencies() && log.isDebugEnabled()) {
       log.debug("job {} waits for dependencies {}", job.uid(), graph.openDependencies(job.uid()));
@@ -160,8 +164,8 @@
     unknownFinalStates.add(uid);
     if (!readingFinalStates) {
       readingFinalStates = true;
-      // Deferred so that the final states of all dependencies found missing in the current event
-      // are read together.
+      // Reads the final states after the current event, so that those of all dependencies that
+      // this event adds are read together.
       context.loop().after(0, this::readFinalStates);
     }
   }
@@ -183,8 +187,9 @@
             found.get().forEach(this::recordFinalState);
             resolve();
           }
-          // A dependency that is neither active here nor ended was accepted a moment ago; the watch
-          // has not reported it yet.
+          // Reads again later if a final state is still unknown. A dependency that has not ended
+          // and is not an active job of this leader was accepted a moment ago, and the watch has
+          // not reported it yet.
           boolean retry = found.isEmpty() || !unknownFinalStates.isEmpty();
           context.loop().after(retry ? RETRY_MICROS : 0, this::readFinalStates);
         });
@@ -214,8 +219,8 @@
       queueFinalStateRead(uid);
       return;
     }
-    // The final state is unknown here only if no live job depends on this job. In that case the
-    // state recorded here has no effect.
+    // If the final state is unknown, no active job depends on this job, so the state that is
+    // recorded instead has no effect.
     graph.recordEnd(uid, finalState.orElse(JobState.CANCELLED), context.loop().wallMicros());
     resolve();
   }
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -25,8 +25,8 @@
  */
 public final class StartedJobIndex {
   /**
-   * Minimum time between two writes of an index record, which holds many jobs. Short, because the
-   * first start of each job waits for the write. Therefore only few additions share a write.
+   * Minimum time between two writes of a record of the index of started jobs. The time is short
+   * because the first start of each job waits for the write.
    */
   private static final long PAUSE_MICROS = 60_000;
 
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Returns true if an earlier leader may have started a task of the job. Without any index record,
-   * this is assumed for every job.
+   * Returns true if an earlier leader may have started a task of the job. If no record of the index
+   * is stored, returns true for every job.
    */
   boolean mayHaveStarted(String uid) {
     return storedRecords.isEmpty() || storedUids.contains(uid);
@@ -100,9 +100,10 @@
   }
 
   /**
-   * Adds the job to the stored index, once there is capacity for one of its tasks. No task is
-   * started until the write is acknowledged. Jobs are not added earlier because jobs wait for a
-   * long time in a full fleet, and only jobs in the index have to wait for the end of a failover.
+   * Adds the job to the stored index of started jobs, once there is capacity for one of its tasks.
+   * No task is started until the write is acknowledged. Jobs are not added earlier because jobs
+   * wait for a long time in a full fleet, and only jobs in the index have to wait for the end of a
+   * failover.
    */
   public void register(Job job) {
     records.register(job);
--- a/src/main/java/plumlever/leader/job/StoredProgress.java
+++ b/src/main/java/plumlever/leader/job/StoredProgress.java
@@ -87,8 +87,8 @@
     int slash = jobAndFirstTask.lastIndexOf('/');
     Job job = slash < 0 ? null : activeJobs.get(jobAndFirstTask.substring(0, slash));
     if (job == null) {
-      // The job ended with more progress records than one transaction can delete, or this one was
-      // written after the job had ended.
+      // The progress record has no active job: the job had more progress records than one
+      // transaction can delete when it ended, or the record was written after the job had ended.
       context.metrics().count("orphaned_progress_records");
       orphanedKeys.add(item.key());
       return;
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -42,13 +42,14 @@
   private static final int PERCENT = 100;
 
   /**
-   * Counts of the machines of one zone: all, the silent ones, and those that may run unknown tasks.
+   * Counts of the machines of one zone: all machines, the silent machines, and the machines that
+   * may still run unknown tasks of earlier leaders.
    */
   private static final class ZoneCount {
     private int machines;
     private int silent;
 
-    /** Machines that may still run unknown tasks of earlier leaders. */
+    /** Number of machines of the zone that may still run unknown tasks of earlier leaders. */
     private int unaccounted;
 
     boolean isPartitioned() {
@@ -85,8 +86,8 @@
   }
 
   /**
-   * Records the time if the event loop runs late now. Machines count as silent at the earliest from
-   * the last such time.
+   * Records the present time if the event loop runs late. The silence of a machine is counted from
+   * the last recorded time at the earliest.
    */
   void recordLateness(long now) {
     if (context.latenessMicros().getAsLong() > MAX_LATENESS_MICROS) {
--- a/src/main/java/plumlever/leader/machine/FleetSizing.java
+++ b/src/main/java/plumlever/leader/machine/FleetSizing.java
@@ -34,7 +34,7 @@
    */
   private static final double PRICE_STEPS = 400;
 
-  /** At most 1/10 of the candidates is cordoned at a time. */
+  /** At most 1/10 of the machines that may be cordoned is cordoned at a time. */
   private static final int MAX_STEP_DIVISOR = 10;
 
   private final Logger log;
--- a/src/main/java/plumlever/leader/machine/LeaseExpiry.java
+++ b/src/main/java/plumlever/leader/machine/LeaseExpiry.java
@@ -69,9 +69,10 @@
     if (delegation.isDelegated(machine.zone())) {
       return Long.MAX_VALUE;
     }
-    // Renewals by this leader are recorded. An earlier leader may have renewed the lease until this
-    // leader loaded the machines. A delegate may have renewed the lease for VALID_MICROS after the
-    // end of its delegation, since its last read of the delegation stays valid for that time.
+    // Latest time at which another controller may have renewed the lease; this leader does not see
+    // those renewals. An earlier leader may have renewed it until this leader loaded the machines,
+    // a delegate until its delegation was revoked. VALID_MICROS is added because a delegate may
+    // keep using a delegation for that long after it sent its last read of it.
     long renewedByOthersMicros =
         Math.max(failover.loadedMicros(), delegation.revokedMicros(machine.zone()))
             + DelegatedRenewal.VALID_MICROS;
--- a/src/main/java/plumlever/leader/machine/MachineManager.java
+++ b/src/main/java/plumlever/leader/machine/MachineManager.java
@@ -21,7 +21,7 @@
   /** Pause between management cycles while the leader has no right to act. */
   private static final long INACTIVE_INTERVAL_MICROS = 200_000;
 
-  /** How long a leader that resigns stays out of the election. */
+  /** Time for which a controller does not stand for election after it resigned as leader. */
   private static final long RESIGNATION_PAUSE_MICROS = 10_000_000;
 
   private final TermContext context;
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Stores the machine if its endpoint is known. No task is started on the machine until the write
-   * is acknowledged.
+   * Adds the machine to the stored machine records if its endpoint is known. No task is started on
+   * the machine until the write is acknowledged.
    */
   public void register(Machine machine) {
     if (machine.endpoint() != null) {
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Rewrites stored values that list removed machines, and splits values that exceed the size
-   * limit.
+   * Rewrites stored machine records that list removed machines, and splits records that exceed the
+   * size limit.
    *
    * @return microseconds until the next call
    */
--- a/src/main/java/plumlever/leader/machine/MachineRentals.java
+++ b/src/main/java/plumlever/leader/machine/MachineRentals.java
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Records the time at which capacity was added. Rental demands found earlier are no longer served
-   * by rentals, because the added capacity may serve them.
+   * Records that capacity was added at the given time. No machines are rented for demands that were
+   * found before that time, because the added capacity may serve them.
    */
   void recordAddedCapacity(long now) {
     capacityAddedMicros = now;
--- a/src/main/java/plumlever/leader/machine/MachineReturns.java
+++ b/src/main/java/plumlever/leader/machine/MachineReturns.java
@@ -22,8 +22,8 @@
  */
 final class MachineReturns {
   /**
-   * Number of ids kept. The ids prevent a delayed duplicate of a heartbeat from adding a returned
-   * machine to the fleet again.
+   * Maximum number of ids of returned machines that are kept. The ids prevent a delayed duplicate
+   * of a heartbeat from adding a returned machine to the fleet again.
    */
   private static final int MAX_RETURNED_IDS = 20_000;
 
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Schedules the return of the machine: no more tasks are started on the machine, and a later
-   * request includes it.
+   * Schedules the return of the machine: no more tasks are started on it, and one of the next
+   * requests to the cloud returns it.
    */
   void schedule(Machine machine, ReturnReason reason) {
     log.info(
--- a/src/main/java/plumlever/leader/machine/PartitionProbes.java
+++ b/src/main/java/plumlever/leader/machine/PartitionProbes.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Calls machines of partitioned zones, and requests delegation for the zones in which no machine
-   * can be reached.
+   * Calls machines of partitioned zones, and requests that lease renewal is delegated to other
+   * controllers for the zones in which no machine can be reached.
    */
   void probe(long now) {
     Set<String> unreachableZones = new HashSet<>();
