--- a/src/main/java/plumlever/leader/Leader.java
+++ b/src/main/java/plumlever/leader/Leader.java
@@ -142,8 +142,8 @@
     records.close();
     deferredHeartbeats.close();
     scope.close();
-    // If the records were never loaded, the scope does not contain the view of active jobs and has
-    // not closed it.
+    // Closes the view of active jobs here too: the scope closes it only if the records of earlier
+    // leaders were loaded.
     components.jobs().close();
   }
 }
--- a/src/main/java/plumlever/leader/SchedulingPasses.java
+++ b/src/main/java/plumlever/leader/SchedulingPasses.java
@@ -62,7 +62,8 @@
       return RESUME_PAUSE_MICROS;
     }
     requested = false;
-    // If the thread is late, heartbeats and requests are queued and must be handled first.
+    // The pause is longer if the loop thread is late, because queued heartbeats and requests must
+    // be handled first.
     long pause = PAUSE_FACTOR * Math.max(pass.spentMicros(), context.latenessMicros().getAsLong());
     return Math.max(MIN_PAUSE_MICROS, Math.min(MAX_PAUSE_MICROS, pause));
   }
--- a/src/main/java/plumlever/leader/context/MachineSharing.java
+++ b/src/main/java/plumlever/leader/context/MachineSharing.java
@@ -30,8 +30,9 @@
   }
 
   /**
-   * Returns whether a token of a later term proves that this term has ended. The shards of a pool
-   * number their terms from one counter, so in a pool the later term may belong to another shard.
+   * Returns whether a heartbeat with a token of a later term proves that this leader's term has
+   * ended. In a pool it does not: the shards of a pool number their terms from one counter, so the
+   * later term may belong to another shard.
    */
   default boolean laterTermEndsThisOne() {
     return !inPool();
@@ -49,7 +50,7 @@
     return true;
   }
 
-  /** Returns whether a machine of this shard is recorded for return to the cloud. */
+  /** Returns whether the stored records of the pool mark the machine for return to the cloud. */
   default boolean isRecordedForReturn(String machine) {
     return false;
   }
@@ -113,7 +114,10 @@
     return List.of();
   }
 
-  /** Called when the machine's lease has certainly expired, so that none of its tasks can run. */
+  /**
+   * Called when the machine's lease has certainly expired, so that none of the tasks on it can
+   * still be running.
+   */
   default void leaseExpired(Machine machine) {}
 
   /**
--- a/src/main/java/plumlever/leader/failover/Failover.java
+++ b/src/main/java/plumlever/leader/failover/Failover.java
@@ -162,8 +162,8 @@
   }
 
   /**
-   * Returns how many more tasks of the job fit into its team's limit; 0 if the team or the size of
-   * a machine that may run unknown tasks is unknown.
+   * Returns how many more tasks of the job fit into the resource limit of its team; 0 if the team
+   * or the size of a machine that may run unknown tasks is unknown.
    */
   public int quotaHeadroom(Job job) {
     PlatformConfiguration.Team team = teams.get(job.spec().team());
@@ -192,9 +192,9 @@
   }
 
   /**
-   * Sums up the capacity of the machines that may be running tasks of unknown teams. A machine on
-   * which a task runs that this leader does not track counts as a whole: the job of the task may
-   * have ended before this term, so its team is unknown.
+   * Sums up the capacity of the machines that may be running tasks of unknown teams. These are the
+   * machines that may still run unknown tasks of earlier leaders, and the machines that run tasks
+   * which this leader does not track; the jobs of the latter may have ended before this term.
    *
    * @return false if the size of one of the machines is unknown
    */
--- a/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
+++ b/src/main/java/plumlever/leader/heartbeat/AttemptLog.java
@@ -11,8 +11,9 @@
 
 /**
  * Logs the lifecycle of each attempt, for searches by job or machine. Lines name the task, the
- * attempt, the machine, the incarnation and, except for reported states, the token. Lines are
- * logged at debug level only, with a limit on lines per second.
+ * attempt, the machine, the incarnation of the worker (the period from one expiry of its lease to
+ * the next) and, except for reported states, the token. Lines are logged at debug level only, with
+ * a limit on lines per second.
  */
 public final class AttemptLog {
   private static final int MAX_LINES_PER_SECOND = 200;
@@ -36,7 +37,8 @@
    * Logs that the start command of an attempt is sent to its machine.
    *
    * @param channel how the command is sent
-   * @param endedJobsReadMicros time at which the latest answered read of ended jobs was sent
+   * @param endedJobsReadMicros send time of the latest answered request that read which jobs have
+   *     ended
    */
   public void started(Attempt attempt, StartChannel channel, long endedJobsReadMicros) {
     if (enabled()) {
--- a/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
+++ b/src/main/java/plumlever/leader/heartbeat/HeartbeatResponses.java
@@ -36,7 +36,8 @@
   private final LogRateLimiter logRateLimiter;
 
   /**
-   * Creates a sender of responses that decides on renewals by these jobs and this view of the pool.
+   * Creates a sender of responses that uses the given jobs and the given view of the pool to decide
+   * on lease renewals.
    */
   public HeartbeatResponses(TermContext context, ActiveJobs jobs, MachineSharing sharing) {
     this.context = context;
--- a/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
+++ b/src/main/java/plumlever/leader/heartbeat/RenewalDelegation.java
@@ -163,9 +163,9 @@
   }
 
   /**
-   * Returns whether no other controller has announced in time that it reaches workers in the
-   * delegated zones. The leases of these workers then expire, and this leader detects the expiry
-   * only in zones that are not delegated.
+   * Returns whether no other controller has announced within {@link #ANNOUNCEMENT_TIMEOUT_MICROS}
+   * that it renews leases in the delegated zones. The delegation then has to end: the leases there
+   * expire, and this leader detects the expiry only in zones that are not delegated.
    */
   private boolean hasNoDelegate(long now) {
     return !delegatedZones.isEmpty()
@@ -193,7 +193,8 @@
           switch (result.outcome()) {
             case APPLIED -> revision = result.revision();
             // The transaction was not applied and cannot be applied later, because a key that it
-            // requires to be unchanged has changed. So the delegation is not in use.
+            // requires to be unchanged has changed. So the zones that it was to add are not
+            // delegated.
             case CONFLICT -> {
               delegatedZones.retainAll(previousZones);
               revision = UNKNOWN_REVISION;
--- a/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
+++ b/src/main/java/plumlever/leader/heartbeat/StopAndRemoveCommands.java
@@ -36,9 +36,7 @@
     this.attemptLog = attemptLog;
   }
 
-  /**
-   * Returns the commands for a response to this heartbeat, in a list that the caller may extend.
-   */
+  /** Returns the stop and remove commands for a response to this heartbeat, in a mutable list. */
   List<WorkerCommand> forResponse(Machine machine, Heartbeat heartbeat) {
     long now = context.loop().nowMicros();
     List<WorkerCommand> commands = new ArrayList<>();
--- a/src/main/java/plumlever/leader/job/DependentCancellation.java
+++ b/src/main/java/plumlever/leader/job/DependentCancellation.java
@@ -91,8 +91,8 @@
                 return;
               }
               if (result.outcome() == Transaction.Outcome.CONFLICT) {
-                // A controller that was asked about the job has already stored its final state; the
-                // watch will report the change.
+                // Another controller, on a status query for the job, has already stored its final
+                // state. The job needs no write, and the watch will report the change.
                 queue.remove(job.uid());
               }
               context.loop().after(RETRY_MICROS, this::run);
--- a/src/main/java/plumlever/leader/job/StartedJobIndex.java
+++ b/src/main/java/plumlever/leader/job/StartedJobIndex.java
@@ -26,7 +26,7 @@
 public final class StartedJobIndex {
   /**
    * Minimum time between two writes of a record of the index of started jobs. The time is short
-   * because the first start of each job waits for the write.
+   * because the first start of each job waits for the write; therefore few jobs share a write.
    */
   private static final long PAUSE_MICROS = 60_000;
 
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Marks the active jobs that the stored index of started jobs lists; jobs that have ended leave
-   * the index.
+   * Marks the active jobs that the stored index of started jobs lists, and drops jobs that have
+   * ended from the index.
    */
   void loadEntries(ActiveJobs jobs) {
     Map<String, Job> kept = new HashMap<>();
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -165,9 +165,9 @@
         ZoneCount zone = zones.computeIfAbsent(machine.zone(), name -> new ZoneCount());
         zone.machines++;
         zone.unaccounted += unaccounted ? 1 : 0;
-        // One missed heartbeat suffices here. The machines of a partitioned zone become silent one
-        // after the other; when the first one reaches the threshold, each of the others has missed
-        // at least one heartbeat.
+        // Counts a machine as silent after one missed heartbeat. The machines of a partitioned
+        // zone become silent one after the other; when the first one reaches the threshold, each
+        // of the others has missed at least one heartbeat.
         if (silentMicros(machine, now) > context.platform().workers().missedHeartbeatMicros()) {
           zone.silent++;
         }
--- a/src/main/java/plumlever/leader/machine/MachineRegistry.java
+++ b/src/main/java/plumlever/leader/machine/MachineRegistry.java
@@ -20,8 +20,9 @@
  * The stored record of the machines that may hold tasks. A machine is added to the record before
  * any task is started on it.
  *
- * <p>Format: each value lists machines as arrays of id, endpoint and index into the list of kinds
- * of the value. A kind is an array of machine type, zone and whether the machine is a spot machine.
+ * <p>Format: each stored record lists machines as arrays of id, endpoint and index into the list of
+ * machine kinds of the same record. A kind is an array of machine type, zone and whether the
+ * machine is a spot machine.
  */
 public final class MachineRegistry {
   private static final long WRITE_INTERVAL_MICROS = 250_000;
--- a/src/main/java/plumlever/leader/machine/ReturnPolicy.java
+++ b/src/main/java/plumlever/leader/machine/ReturnPolicy.java
@@ -98,7 +98,8 @@
         machineType == null ? BOOT_S_OF_UNKNOWN_TYPE : Math.max(machineType.startupS(), MIN_BOOT_S);
     long bootTimeoutMicros =
         (long) (bootS * MICROS_PER_SECOND * context.parameters().bootTimeoutFactor());
-    // After a failover, every machine has at least half of the timeout to report to the new leader.
+    // Time from which the boot timeout is counted. After a failover, every machine has at least
+    // half of the timeout to report to the new leader.
     long sinceMicros =
         Math.max(machine.knownSinceMicros(), failover.startedMicros() - bootTimeoutMicros / 2);
     return now - sinceMicros > bootTimeoutMicros;
@@ -119,8 +120,8 @@
   }
 
   /**
-   * Returns true if a silent machine counts as gone. Many silent machines in one zone indicate a
-   * partition, during which they may still run tasks.
+   * Returns true if a silent machine counts as gone. In a zone that seems to be partitioned, it
+   * counts as gone only after several lease durations, because it may still run tasks.
    */
   private boolean isGone(Machine machine, long now) {
     int leases =
@@ -145,9 +146,9 @@
   }
 
   /**
-   * Returns how long a machine may be idle before it is returned to the cloud. If machines are
-   * scarce, the time is shorter: an idle machine that does not suit the pending tasks may occupy
-   * capacity of the cloud that they need.
+   * Returns how long a machine may be idle before it is returned to the cloud. The time is shorter
+   * if a rental option is unavailable: an idle machine that does not suit the pending tasks may
+   * occupy capacity of the cloud that they need.
    */
   private long maxIdleMicros(boolean scarce) {
     return context.costMatters() || scarce
--- a/src/main/java/plumlever/leader/machine/ReturnReason.java
+++ b/src/main/java/plumlever/leader/machine/ReturnReason.java
@@ -6,7 +6,10 @@
   FAILED("the cloud lists it as failed"),
   /** The machine has been booting for far longer than its type takes. */
   NOT_BOOTING("it did not boot in time"),
-  /** The pending tasks of inherited jobs still wait for this machine and few others in its zone. */
+  /**
+   * Pending tasks of jobs from earlier terms wait until it is known which tasks this machine runs;
+   * most of its zone has already reported.
+   */
   DELAYS_FAILOVER("it delays the failover"),
   /**
    * The machine has not reported for longer than allowed. The limit is higher while its zone seems
--- a/src/main/java/plumlever/leader/progress/JobCompletion.java
+++ b/src/main/java/plumlever/leader/progress/JobCompletion.java
@@ -102,9 +102,9 @@
   }
 
   /**
-   * Reads the final state of the job after the transaction that was to store it found another one.
-   * That state was stored by another controller, or by an earlier write of this leader whose
-   * response was lost.
+   * Reads the stored final state of the job after the transaction that was to store it found a
+   * final state already stored. It was stored by another controller, or by an earlier write of this
+   * leader whose response was lost.
    */
   private void readFinalState(Job job) {
     context
--- a/src/main/java/plumlever/leader/progress/LargeJobChunks.java
+++ b/src/main/java/plumlever/leader/progress/LargeJobChunks.java
@@ -44,17 +44,19 @@
     keysByJob.computeIfAbsent(job, j -> new LinkedHashSet<>()).addAll(keys);
   }
 
-  /** Schedules the chunk that contains the finished task to be written. */
+  /** Schedules the progress record (chunk) that covers the finished task to be written. */
   void markDirty(Job job, int task) {
     dirty.computeIfAbsent(job, j -> new BitSet()).set(task / tasksPerChunk * tasksPerChunk);
   }
 
-  /** Schedules all chunks with finished tasks to be written. */
+  /**
+   * Schedules all progress records (chunks) of the job that contain finished tasks to be written.
+   */
   void markAllDirty(Job job) {
     job.completedTasks().stream().forEach(task -> markDirty(job, task));
   }
 
-  /** Returns true if any chunk has to be written. */
+  /** Returns true if any progress record of a large job has to be written. */
   boolean isDirty() {
     return !dirty.isEmpty();
   }
--- a/src/main/java/plumlever/leader/progress/ProgressBatch.java
+++ b/src/main/java/plumlever/leader/progress/ProgressBatch.java
@@ -20,8 +20,8 @@
  */
 final class ProgressBatch {
   /**
-   * Maximum size of the records in one transaction. Leaves room for the rest of the request below
-   * its size limit of 64 KiB.
+   * Maximum total size in bytes of the progress records in one transaction. A request is limited to
+   * 64 KiB; the difference is left for the rest of the request.
    */
   private static final long MAX_BYTES = 48 * 1024;
 
@@ -70,16 +70,16 @@
   }
 
   /**
-   * Notes that the transaction stores all tasks of the job that are finished now; they count as
-   * stored once the transaction is applied.
+   * Notes that the transaction stores the completion of all tasks of the job that are finished now;
+   * they count as stored once the transaction is applied.
    */
   void coverAllCompleted(Job job) {
     coveredTasks.put(job, (BitSet) job.completedTasks().clone());
   }
 
   /**
-   * Notes that the transaction stores the tasks in this range that are finished now; they count as
-   * stored once the transaction is applied.
+   * Notes that the transaction stores the completion of those tasks in the range that are finished
+   * now; they count as stored once the transaction is applied.
    */
   void coverCompleted(Job job, int firstTask, int tasks) {
     BitSet stored = coveredTasks.computeIfAbsent(job, j -> new BitSet());
--- a/src/main/java/plumlever/leader/progress/ProgressWriter.java
+++ b/src/main/java/plumlever/leader/progress/ProgressWriter.java
@@ -12,10 +12,10 @@
 
 /**
  * Stores finished tasks in batches, and the final state of a job immediately. Small jobs share
- * records because the limit on changes is the tightest limit of the state service. Losing stored
- * progress is safe: a completed task that is started again ends immediately. Nevertheless each
- * record is guarded by its own revision, so that a delayed write cannot overwrite a newer one, and
- * only one write is in flight at a time.
+ * progress records because the limit on changes is the tightest limit of the state service. Losing
+ * stored progress is safe: a completed task that is started again ends immediately. Nevertheless
+ * each record is guarded by its own revision, so that a delayed write cannot overwrite a newer one,
+ * and only one write is in flight at a time.
  */
 public final class ProgressWriter {
   /**
@@ -177,8 +177,8 @@
   }
 
   /**
-   * Stops all writes of progress. The next leader has to determine again which tasks have finished
-   * since the last write.
+   * Stops all writes of progress. The next leader does not find the tasks that finished after the
+   * last write in the records and has to determine them again.
    */
   public void close() {
     closed = true;
--- a/src/main/java/plumlever/leader/progress/RecordRevisions.java
+++ b/src/main/java/plumlever/leader/progress/RecordRevisions.java
@@ -12,7 +12,7 @@
  * revision.
  */
 final class RecordRevisions {
-  /** Revision that guards the write of a record that does not exist yet. */
+  /** Revision that a write requires of a progress record that does not exist yet. */
   private static final long NO_RECORD = 0;
 
   private final TermContext context;
@@ -23,12 +23,15 @@
     this.context = context;
   }
 
-  /** Returns the revision that guards the next write of the progress record. */
+  /**
+   * Returns the revision that the stored progress record must have for the next write to be
+   * applied.
+   */
   long of(String key) {
     return revisions.getOrDefault(key, NO_RECORD);
   }
 
-  /** Adds the revisions of progress records that were read, by key. */
+  /** Adds the revisions of progress records that earlier leaders stored, by record key. */
   void putAll(Map<String, Long> read) {
     revisions.putAll(read);
   }
--- a/src/main/java/plumlever/leader/progress/SharedChunks.java
+++ b/src/main/java/plumlever/leader/progress/SharedChunks.java
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Assigns the job to a chunk with capacity and schedules the chunk to be written; call only if
-   * {@link #canShare} returns true.
+   * Assigns the job to a shared progress record that has room for it, and schedules the record to
+   * be written; call only if {@link #canShare} returns true.
    */
   void add(Job job) {
     Chunk chunk = chunkWithCapacity(sizeOf(job));
@@ -101,7 +101,7 @@
   }
 
   /**
-   * Schedules the job's chunk to be written.
+   * Schedules the shared progress record (chunk) of the job to be written.
    *
    * @return false if no chunk holds the job
    */
@@ -114,13 +114,14 @@
     return true;
   }
 
-  /** Returns true if any chunk has to be written. */
+  /** Returns true if any shared progress record has to be written. */
   boolean isDirty() {
     return chunks.values().stream().anyMatch(chunk -> chunk.dirty);
   }
 
   /**
-   * Removes jobs from chunks that exceed the value size limit, which may have decreased.
+   * Removes jobs from shared progress records that exceed the value size limit, which may have
+   * decreased.
    *
    * @param assign assigns a removed job to another record
    */
@@ -132,7 +133,7 @@
     }
   }
 
-  /** Removes the jobs that no longer fit into the chunk, and returns them. */
+  /** Removes the jobs that no longer fit into the shared progress record, and returns them. */
   private List<Job> split(Chunk chunk) {
     List<Job> jobs = new ArrayList<>(chunk.jobs);
     chunk.jobs.clear();
--- a/src/main/java/plumlever/leader/record/RecordChunk.java
+++ b/src/main/java/plumlever/leader/record/RecordChunk.java
@@ -13,13 +13,19 @@
   private final Set<E> entries = new LinkedHashSet<>();
   private int bytes;
 
-  /** The bytes, included in {@link #bytes}, that belong to entries being moved to other chunks. */
+  /**
+   * Total size of the entries that are being moved to other chunks; still included in {@link
+   * #bytes}.
+   */
   private int movingBytes;
 
   /** Revision of the chunk's stored value; 0 if the chunk is not stored. */
   long revision;
 
-  /** Time at which the chunk was last sent or loaded; 0 if it was neither. */
+  /**
+   * Time at which the chunk was last sent to the state service or loaded from it; 0 if neither has
+   * happened.
+   */
   long writtenMicros;
 
   boolean writing;
--- a/src/main/java/plumlever/leader/record/SharedRecords.java
+++ b/src/main/java/plumlever/leader/record/SharedRecords.java
@@ -15,10 +15,11 @@
 import plumlever.store.Transaction;
 
 /**
- * Stores many entries per value, called a chunk, because the limit on changes is the tightest limit
- * of the state service. Each write is guarded by the term and by the chunk's own revision, so a
- * delayed write cannot overwrite a newer write of this leader or of a later leader. An entry counts
- * as stored only after a write that contains it has been acknowledged.
+ * Stores many entries in each value of the state service, called a chunk, because the limit on
+ * changes is the tightest limit of the state service. Each write is guarded by the term and by the
+ * chunk's own revision, so a delayed write cannot overwrite a newer write of this leader or of a
+ * later leader. An entry counts as stored only after a write that contains it has been
+ * acknowledged.
  *
  * <p>If the value size limit has decreased, a chunk may be larger than the limit. An oversized
  * chunk is never written as it is. The entries that do not fit are first written to other chunks,
@@ -26,11 +27,12 @@
  * procedure is interrupted, each entry is in one or two chunks, never in none.
  */
 public final class SharedRecords<E extends Registrable> {
-  /** Minimum time between the last write of a chunk and a write that only cleans it up. */
+  /** Minimum time between the last write of a chunk and a write that only omits removed entries. */
   private static final long CLEAN_UP_MICROS = 5_000_000;
 
   /**
-   * Number of checks, within {@link #CLEAN_UP_MICROS}, for chunks that still hold removed entries.
+   * Number of times within {@link #CLEAN_UP_MICROS} that the chunks are checked for removed entries
+   * that are still stored.
    */
   private static final int CHECKS_PER_CLEAN_UP = 4;
 
@@ -138,7 +140,7 @@
    * chunk or by a clean-up.
    */
   public void remove(E entry) {
-    // The entry may be registered again later, and must not count as stored then.
+    // Resets the state of the entry: if it is registered again later, it must not count as stored.
     entry.setRegistration(RegistrationState.NONE);
     RecordChunk<E> destination = destinationByEntry.remove(entry);
     RecordChunk<E> chunk = chunkByEntry.remove(entry);
@@ -240,7 +242,8 @@
       chunk.writing = false;
       context.loop().after(RETRY_MICROS, () -> write(chunk));
     } else if (isOversized(chunk)) {
-      // The value size limit has decreased since this write was scheduled.
+      // The chunk is not written, because it exceeds the value size limit, which has decreased
+      // since the write was scheduled.
       chunk.writing = false;
       moveExcess(chunk);
     } else {
@@ -320,8 +323,8 @@
   }
 
   /**
-   * Reads the chunk's stored revision to guard the next write, because the transaction may have
-   * been executed or may still be executed.
+   * Reads the stored revision of the chunk, which the next write requires, because the unanswered
+   * transaction may have been executed or may still be executed.
    */
   private void refreshRevision(RecordChunk<E> chunk) {
     context
--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -204,7 +204,7 @@
 
   /**
    * Requests the machine's state without sending a command, which also works in delegated zones.
-   * The limits of {@link #sendToken} apply.
+   * Does nothing in the cases in which {@link #sendToken} does nothing.
    */
   public void requestState(Machine machine) {
     endpointForTokenRaise(machine).ifPresent(endpoint -> inspect(machine, endpoint));
--- a/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
+++ b/src/main/java/plumlever/leader/scheduling/ExpectedTimes.java
@@ -24,8 +24,8 @@
   private static final long FOREIGN_TASK_REMAINING_MICROS = 60_000_000;
 
   /**
-   * An attempt that has exceeded its estimate is expected to run for another 1/5 of its run time so
-   * far.
+   * An attempt that has run for longer than its estimated run time is expected to run for another
+   * 1/5 of its run time so far.
    */
   private static final long OVERRUN_DIVISOR = 5;
 
@@ -49,15 +49,15 @@
     return estimates.runMicros(job);
   }
 
-  /** Estimated run time with the safety margin for estimation errors. */
+  /** Estimated run time of one task of the job, with a safety margin for estimation errors. */
   long paddedRunMicros(Job job) {
     return (long) (estimates.runMicros(job) * paddingFactor());
   }
 
   /**
    * Estimated time from a job's release to the end of its tasks: padded run time, average image
-   * fetch time and dependency delay. Dependencies of the job have to end this long before the job's
-   * own latest end.
+   * fetch time and dependency delay. The dependencies of the job have to end this long before the
+   * time by which the job itself has to end.
    */
   long durationMicros(Job job) {
     double fetchMicros = 0;
--- a/src/main/java/plumlever/leader/scheduling/FleetReduction.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetReduction.java
@@ -14,8 +14,8 @@
  */
 final class FleetReduction {
   /**
-   * Limit on the trial placements per job. A job with more pending tasks counts as not served,
-   * which keeps the machines in the fleet.
+   * Limit on the trial placements per job. A job with more pending tasks counts as not served in
+   * time, so that the machines stay in the fleet.
    */
   private static final int MAX_TRIAL_TASKS_PER_JOB = 64;
 
--- a/src/main/java/plumlever/leader/scheduling/FleetSnapshot.java
+++ b/src/main/java/plumlever/leader/scheduling/FleetSnapshot.java
@@ -46,7 +46,7 @@
         .fetchMicros(image, imageGb, typeCatalog.machineType(machine.machineType()), nowMicros);
   }
 
-  /** Unreserved cores on machines that are up or coming up. */
+  /** Returns the number of cores that are not reserved on the machines that are up or coming up. */
   double spareCores() {
     double cores = 0;
     for (PlacementCandidate candidate : candidates) {
--- a/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
+++ b/src/main/java/plumlever/leader/scheduling/HeadroomDemand.java
@@ -54,15 +54,17 @@
   }
 
   /**
-   * True if the spare cores of the machines that are up or coming up cover the required headroom.
+   * True if the spare cores of the machines that are up or coming up cover the capacity headroom
+   * (the cores to be kept free for future jobs).
    */
   boolean isCoveredBy(FleetSnapshot snapshot) {
     return snapshot.spareCores() >= headroom.requiredCores(snapshot.nowMicros());
   }
 
   /**
-   * Rental demand for the part of the headroom that spare cores do not cover. Empty if the headroom
-   * is covered or there were no recent arrivals.
+   * Returns the rental demand for the part of the capacity headroom (resources kept free for future
+   * jobs) that spare cores do not cover. Empty if the headroom is covered or no jobs arrived
+   * recently.
    */
   Optional<RentalPlan.Demand> uncoveredDemand(FleetSnapshot snapshot) {
     double missingCores = headroom.requiredCores(snapshot.nowMicros()) - snapshot.spareCores();
--- a/src/main/java/plumlever/leader/scheduling/JobGoals.java
+++ b/src/main/java/plumlever/leader/scheduling/JobGoals.java
@@ -22,7 +22,8 @@
   private static final long RESTART_MICROS = 60_000_000;
 
   /**
-   * A task that has exceeded its estimate is assumed to need at least 1/10 of the estimate more.
+   * A task that has run for longer than its estimated run time is assumed to need at least 1/10 of
+   * the estimate more.
    */
   private static final long MIN_REMAINING_DIVISOR = 10;
 
@@ -51,8 +52,9 @@
   }
 
   /**
-   * Latest time at which the job's next task has to run. Start objectives do not apply to tasks
-   * that have run before.
+   * Returns the time by which the job's next task must be running for the job to meet its finish
+   * goal and, if some task of the job has never been started, its start goal. Long.MAX_VALUE if
+   * there is no limit.
    */
   long latestStartMicros(Job job, long nowMicros) {
     long finishByMicros = finishByMicros(job, nowMicros);
@@ -64,8 +66,9 @@
   }
 
   /**
-   * Time left until the job misses its goal for start or end, whichever comes first; negative after
-   * a miss.
+   * Time left until the job can no longer end as its finish goal and its start goal require,
+   * whichever is earlier; negative after that. A start goal requires the end {@code durationMicros}
+   * later.
    *
    * @param durationMicros estimated time from the job's release to the end of its tasks
    */
--- a/src/main/java/plumlever/leader/scheduling/JobPlacer.java
+++ b/src/main/java/plumlever/leader/scheduling/JobPlacer.java
@@ -23,8 +23,8 @@
   private static final int MAX_PREEMPTIONS_PER_JOB = 48;
 
   /**
-   * Maximum number of jobs per pass that are searched for although no machine has free capacity for
-   * their tasks.
+   * Maximum number of jobs per pass for which a placement search is run although no machine has
+   * free capacity for their tasks now.
    */
   private static final int MAX_SEARCHED_WITHOUT_CAPACITY = 24;
 
@@ -60,7 +60,7 @@
     this.demands = results.demands();
   }
 
-  /** Resets the number of jobs searched for without free capacity, for a new pass. */
+  /** Resets, for a new pass, the number of jobs for which no machine had free capacity. */
   void clear() {
     jobsWithoutCapacity = 0;
   }
@@ -79,9 +79,9 @@
     }
     if (!Placer.hasFreeCapacityNow(request, snapshot.candidates(), zones)
         && ++jobsWithoutCapacity > MAX_SEARCHED_WITHOUT_CAPACITY) {
-      // With this many pending jobs ahead, no capacity can be booked for the near future. Searching
-      // for hundreds of pending jobs in a full fleet would take longer than the time until the next
-      // urgent job arrives.
+      // Skips the placement search. With this many pending jobs ahead, no capacity can be booked
+      // for the near future, and searching for hundreds of pending jobs in a full fleet would take
+      // longer than the time until the next urgent job arrives.
       if (!context.costMatters()) {
         demands.add(job, tasks, request.runMicros());
       }
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Returns how many tasks the team's quota allows. If the quota does not allow a single task of a
-   * starving job, the resources of one task are reserved in the quota.
+   * Returns how many more tasks of the job the team's quota allows. If the quota does not allow a
+   * single task of a starving job, the resources of one task are reserved in the quota.
    */
   private int tasksWithinQuota(Job job, long nowMicros) {
     int tasks = quotas.headroomTasks(job);
@@ -191,9 +191,9 @@
 
     /**
      * Restarts the search with the next start objective that a machine rented now can meet. Called
-     * when the fleet cannot meet the current objective. Returns false if a rented machine can still
-     * meet the current objective, if there is no later objective, if the objective was already
-     * replaced, or if only speed matters.
+     * when the fleet cannot meet the current start objective. Returns false, without a change, if
+     * there is no later objective that applies, if the objective was already replaced, or if only
+     * speed matters.
      */
     private boolean relaxStartGoal() {
       if (startGoalRelaxed || !context.costMatters()) {
--- a/src/main/java/plumlever/leader/scheduling/JobZones.java
+++ b/src/main/java/plumlever/leader/scheduling/JobZones.java
@@ -8,7 +8,7 @@
 final class JobZones {
   private JobZones() {}
 
-  /** Returns the job's zone constraints, with the zones of all its live attempts. */
+  /** Returns the job's zone constraints together with the zones in which its live attempts run. */
   static Zones of(Job job) {
     if (!job.spec().oneZone() && !job.spec().spread()) {
       return Zones.unrestricted();
--- a/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
@@ -18,7 +18,7 @@
   /**
    * True if tasks may start on the machine now. Machines with a missed heartbeat are excluded
    * because they may have failed. Machines with an unanswered direct command are excluded because
-   * the command may have been executed.
+   * the command (sent in a call to the worker) may have started tasks.
    */
   boolean acceptsTasks(Machine machine, long nowMicros) {
     return machine.registration() == RegistrationState.STORED
@@ -34,9 +34,9 @@
 
   /**
    * Time of the machine's last heartbeat in this term, or the start of the term if there was none.
-   * After a failover, the leader accounts for machines by direct calls before their own heartbeats
-   * arrive. Without this fallback the fleet would appear to have no free capacity, and the leader
-   * would rent machines that are not needed.
+   * After a failover, the leader learns the tasks of machines by calling them, before their own
+   * heartbeats arrive. Without the start of the term as a substitute, the fleet would appear to
+   * have no free capacity, and the leader would rent machines that are not needed.
    */
   private long lastHeartbeatOrTermStartMicros(Machine machine) {
     return machine.contact().hasSentHeartbeat()
--- a/src/main/java/plumlever/leader/scheduling/MachineShapes.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineShapes.java
@@ -11,7 +11,10 @@
  * flag.
  */
 final class MachineShapes {
-  /** Memory that counts as much as one core when only speed matters and prices are ignored. */
+  /**
+   * Gigabytes of memory that count as much as one core in the size of a machine, which replaces the
+   * price when only speed matters.
+   */
   private static final double MEMORY_GB_PER_CORE = 4;
 
   private static final double SECONDS_PER_HOUR = 3600;
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -27,12 +27,16 @@
   private static final long MIN_RUN_MICROS = 35_000_000;
 
   /**
-   * Time until freed capacity is known: the stop command goes out with the next heartbeat response,
-   * and the heartbeat after that response reports the result.
+   * Time from the decision to preempt until the leader knows that the capacity is free: the stop
+   * command goes out with the next heartbeat response, and the heartbeat after that response
+   * reports the result.
    */
   private static final long COMMAND_MICROS = 3_000_000;
 
-  /** Margin between the end of a task's checkpoint and the end of its grace period. */
+  /**
+   * Margin in seconds between the expected end of a task's checkpoint and the end of its grace
+   * period.
+   */
   private static final double STOP_MARGIN_S = 2;
 
   private final Logger log;
@@ -115,8 +119,8 @@
      * and ready time.
      */
     private List<Option> options() {
-      // No job has a lower priority. Most pending jobs in a full fleet are of idle priority, so
-      // this check avoids most searches.
+      // Returns no option for a job of idle priority, because no job has a lower priority. Most
+      // pending jobs in a full fleet are of idle priority, so this check avoids most searches.
       if (job.priority() == Priority.IDLE) {
         return List.of();
       }
@@ -189,7 +193,8 @@
           continue;
         }
         if (attempt.stopping()) {
-          // Capacity on this machine is already being freed for another task.
+          // No task of the machine is selected, because capacity on it is already being freed for
+          // another task.
           return List.of();
         }
         free.reserve(attempt.job().spec());
--- a/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalCriteria.java
@@ -8,8 +8,8 @@
 /** Decides whether to rent a machine for a task that the current fleet cannot serve in time. */
 final class RentalCriteria {
   /**
-   * Waiting time beyond which a machine is rented even if the task misses its goal on a rented
-   * machine too.
+   * A task that would miss its goals even on a rented machine still gets one if it would otherwise
+   * wait longer than this for the machine on which it is booked.
    */
   private static final long LONG_WAIT_MICROS = 120_000_000;
 
--- a/src/main/java/plumlever/leader/scheduling/RentalDemands.java
+++ b/src/main/java/plumlever/leader/scheduling/RentalDemands.java
@@ -12,8 +12,8 @@
   private List<RentalPlan.Demand> published = List.of();
 
   /**
-   * Number of published demands that belong to pending jobs. They precede the demand for capacity
-   * headroom, which serves future jobs.
+   * Number of published rental demands that belong to pending jobs. They precede the demand for
+   * capacity headroom, which serves future jobs.
    */
   private int publishedForJobs;
 
@@ -33,7 +33,8 @@
   }
 
   /**
-   * Ends the pass: publishes the collected demands, followed by the demand for missing headroom.
+   * Ends the pass: publishes the collected demands, followed by the demand for missing capacity
+   * headroom (resources kept free for future jobs).
    */
   void publish(Optional<RentalPlan.Demand> headroom, long nowMicros) {
     publishedForJobs = collected.size();
@@ -42,12 +43,12 @@
     publishedMicros = nowMicros;
   }
 
-  /** Demands of the last complete pass, most urgent first. */
+  /** Rental demands of the last complete scheduling pass, most urgent first. */
   List<RentalPlan.Demand> published() {
     return published;
   }
 
-  /** Time at which the last complete pass ended; 0 before the first. */
+  /** Time at which the last complete scheduling pass ended; 0 before the first pass has ended. */
   long publishedMicros() {
     return publishedMicros;
   }
--- a/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
+++ b/src/main/java/plumlever/leader/scheduling/SchedulingPass.java
@@ -151,7 +151,10 @@
         snapshot.orElseGet(() -> snapshots.snapshot(nowMicros, cordoned)));
   }
 
-  /** Duration of the last complete pass, excluding pauses between its parts. */
+  /**
+   * Duration in microseconds of the last complete scheduling pass, excluding the pauses between its
+   * parts.
+   */
   public long spentMicros() {
     return spentMicros;
   }
@@ -199,8 +202,8 @@
   }
 
   /**
-   * Cordoned machines, which the rest of the fleet can replace. They receive no new tasks and are
-   * returned when they become idle. The caller modifies the set.
+   * Returns the live set of cordoned machines, which callers modify. Cordoned machines are not
+   * needed: they receive no new tasks and are returned to the cloud when they become idle.
    */
   public Set<Machine> cordoned() {
     return cordoned;
--- a/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
+++ b/src/main/java/plumlever/leader/scheduling/ServiceObjectives.java
@@ -14,7 +14,10 @@
  * from the job's deadline, the objectives of its class and the default start target.
  */
 final class ServiceObjectives {
-  /** Supported values of {@link PlatformConfiguration.Objective#kind}; other kinds are ignored. */
+  /**
+   * Kinds of objectives ({@link PlatformConfiguration.Objective#kind}) that this class supports;
+   * objectives of other kinds are ignored.
+   */
   private static final String START_KIND = "wait";
 
   private static final String FINISH_KIND = "finished";
@@ -90,7 +93,8 @@
 
   /**
    * Returns the time by which the job should start: the earliest start objective that is not missed
-   * yet. Long.MAX_VALUE for a job that has a deadline but no start objective.
+   * yet. For a job whose class has no start objective: the default start target or, if the job has
+   * a deadline, Long.MAX_VALUE.
    */
   long startByMicros(Job job, boolean withinGuarantee, long nowMicros) {
     long classMicros = classStartByMicros(job, nowMicros);
@@ -116,8 +120,9 @@
   /**
    * Returns the time by which the job should be complete: the earlier of its effective deadline and
    * the finish objective of its class. The effective deadline takes the deadlines of dependent jobs
-   * into account. Once missed, it is extended to the next multiple that an objective allows.
-   * Long.MAX_VALUE if there is neither a deadline nor a finish objective.
+   * into account. Once the deadline is missed, the next factor that an objective of the class
+   * allows multiplies the time from submission to deadline. Long.MAX_VALUE if there is neither a
+   * deadline nor a finish objective.
    */
   long finishByMicros(Job job, long nowMicros) {
     long deadlineMicros =
--- a/src/main/java/plumlever/leader/scheduling/TeamQuotas.java
+++ b/src/main/java/plumlever/leader/scheduling/TeamQuotas.java
@@ -27,7 +27,9 @@
       accelerators += spec.accelerators();
     }
 
-    /** Returns how many tasks of the given size would use the planned resources, rounded up. */
+    /**
+     * Returns the planned resources of the team as a number of tasks of the given size, rounded up.
+     */
     int asTaskCount(JobSpec spec) {
       if (spec.cores() > 0) {
         return (int) Math.ceil(cores / spec.cores() - ROUNDING_TOLERANCE);
--- a/src/main/java/plumlever/lease/ClockDrift.java
+++ b/src/main/java/plumlever/lease/ClockDrift.java
@@ -10,15 +10,15 @@
   private ClockDrift() {}
 
   /**
-   * Returns the minimum time that has passed on another clock when this time has passed on this
-   * clock.
+   * Returns the minimum time that has passed on another clock when the given time has passed on
+   * this clock.
    */
   public static long minElapsedMicros(long micros) {
     return (long) (micros * (1 - DRIFT_ALLOWANCE));
   }
 
   /**
-   * Returns the maximum time that passes on this clock before this time has passed on another
+   * Returns the maximum time that can pass on this clock while the given time passes on another
    * clock.
    */
   public static long maxElapsedMicros(long micros) {
--- a/src/main/java/plumlever/lease/DelegationRecord.java
+++ b/src/main/java/plumlever/lease/DelegationRecord.java
@@ -11,8 +11,8 @@
 /**
  * The stored record of the leader's delegation of lease renewal. Earlier versions of the software
  * would renew leases without invalidating commands. These versions read a field with another name
- * than {@code zones}, so this record delegates nothing to them. Records that they have written hold
- * no tokens and delegate nothing here.
+ * than {@code zones}, so this record delegates nothing to them. Records that those versions have
+ * written hold no tokens and delegate nothing to this version.
  *
  * @param term the leader's term
  * @param tokenByZone the token that renewals in each delegated zone carry
--- a/src/main/java/plumlever/lease/LeaderEvidence.java
+++ b/src/main/java/plumlever/lease/LeaderEvidence.java
@@ -26,7 +26,7 @@
     implements RenewalEvidence {
 
   /**
-   * Returns the renewal evidence for a machine without tasks to which this leader has sent no
+   * Returns what the leader knows about a machine without tasks to which this leader has sent no
    * command.
    */
   public static LeaderEvidence ofIdleMachine(BooleanSupplier mayAct, long token) {
@@ -58,10 +58,10 @@
   }
 
   /**
-   * Returns whether tasks that unanswered commands may start would end within the time limit for
-   * stopping the tasks of a cancelled job. The heartbeat does not list these tasks. Therefore the
-   * lease must expire within the limit of every cancellation that was confirmed after the command
-   * was sent.
+   * Returns whether the tasks that unanswered commands may start would end in time if their jobs
+   * were cancelled. The heartbeat does not list these tasks, so they are only certain to end when
+   * the lease expires. The time limit is counted from the sending of the last read of ended jobs
+   * that was answered before the commands were sent.
    */
   private boolean unansweredCommandsEndInTime(RenewalLimit limit, long nowMicros) {
     return !unansweredCommands.exist()
--- a/src/main/java/plumlever/lease/LeaseRenewal.java
+++ b/src/main/java/plumlever/lease/LeaseRenewal.java
@@ -8,8 +8,8 @@
  * Builds all responses that renew a worker's lease. No other class builds them, so no lease is
  * renewed without a check of the renewal evidence. A renewed lease extends the worker's incarnation
  * (the period from one expiry of its lease to the next), in which the worker may still execute
- * commands that are in flight. The evidence therefore covers unanswered commands as well as the
- * tasks that the heartbeat lists.
+ * commands that are in flight. The check therefore covers unanswered commands as well as the tasks
+ * that the heartbeat lists.
  */
 public final class LeaseRenewal {
   private final RenewalLimit limit;
--- a/src/main/java/plumlever/lease/RenewalLimit.java
+++ b/src/main/java/plumlever/lease/RenewalLimit.java
@@ -13,14 +13,14 @@
  */
 public final class RenewalLimit {
   /**
-   * Added to the lease duration before the lease is considered certainly expired. Covers a response
-   * in flight and a late timer of the worker.
+   * Time after the end of the lease duration at which the lease has certainly expired. Covers a
+   * response in flight and a late timer of the worker.
    */
   private static final long EXPIRY_MARGIN_MICROS = 1_500_000;
 
   /**
-   * Number of reads of ended jobs within the time for which one read allows the renewal of leases,
-   * so that no lease expires because one read was lost or slow.
+   * One read of ended jobs allows the renewal of leases for some time; this many reads fit into
+   * that time, so that no lease expires because one read was lost or slow.
    */
   private static final int READS_PER_LIMIT = 6;
 
@@ -30,7 +30,8 @@
   private final long maxReadAgeMicros;
 
   /**
-   * Computes the limit from the lease duration and the time within which cancelled tasks must end.
+   * Computes the maximum age of the last read of ended jobs from the lease duration and the time
+   * within which cancelled tasks must end.
    */
   public RenewalLimit(PlatformConfiguration.Workers workers) {
     this.maxReadAgeMicros =
