--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -194,9 +194,8 @@
             && heartbeat.incarnation() != machine.contact().incarnation();
     heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_RESPONSE);
     if (incarnationChanged && !machine.accounted()) {
-      // The machine refused the command because it named another incarnation. The response
-      // contained
-      // the current incarnation, so the command is sent again.
+      // Sends the command again with the current incarnation, which the response contained: the
+      // machine refused the command because it named another incarnation.
       sendToken(machine);
     }
     notifyPlacementChange();
--- a/src/main/java/plumlever/leader/scheduling/Preemption.java
+++ b/src/main/java/plumlever/leader/scheduling/Preemption.java
@@ -143,9 +143,8 @@
           Comparator.comparingInt(Option::goalsMissed)
               .thenComparingInt(option -> option.victims.size())
               .thenComparingLong(Option::readyMicros));
-      // The zone constraints were checked for a single additional task, so a job with such
-      // constraints
-      // preempts for at most one task per pass.
+      // The zone constraints were checked for a single additional task, so a job with zone
+      // constraints preempts for at most one task per pass.
       return job.spec().oneZone() || job.spec().spread()
           ? found.subList(0, Math.min(1, found.size()))
           : found;
