--- a/src/main/java/plumlever/leader/scheduling/CommandSender.java
+++ b/src/main/java/plumlever/leader/scheduling/CommandSender.java
@@ -194,9 +194,8 @@
             && heartbeat.incarnation() != machine.contact().incarnation();
     heartbeats.apply(machine, heartbeat, HeartbeatSource.DIRECT_RESPONSE);
     if (incarnationChanged && !machine.accounted()) {
-      // The machine refused the command because it named another incarnation. The response
-      // contained
-      // the current incarnation, so the command is sent again.
+      // Sends the command again with the current incarnation, which the response contained: the
+      // machine refused the command because it named another incarnation.
       sendToken(machine);
     }
     notifyPlacementChange();
@@ -204,7 +203,7 @@
 
   /**
    * Requests the machine's state without sending a command, which also works in delegated zones.
-   * The limits of {@link #sendToken} apply.
+   * Does nothing in the cases in which {@link #sendToken} does nothing.
    */
   public void requestState(Machine machine) {
     endpointForTokenRaise(machine).ifPresent(endpoint -> inspect(machine, endpoint));
