--- a/src/main/java/plumlever/store/DependencyListRecords.java
+++ b/src/main/java/plumlever/store/DependencyListRecords.java
@@ -13,9 +13,9 @@
 import plumlever.wire.Json;
 
 /**
- * The stored format of dependency lists that do not fit the active record of their job. A list is
- * split into parts, each in a record of its own. The first part is the anchor: the other parts
- * count as stored only while it exists.
+ * The stored format of dependency lists (ids of the jobs that a job depends on) that do not fit the
+ * active record of their job. A dependency list is split into parts, each in a record of its own.
+ * The first part is the anchor: the other parts count as stored only while the anchor exists.
  */
 final class DependencyListRecords {
   private static final String UIDS = "names";
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Returns the prefix shared by the keys of all parts of the dependency list that the part with
-   * this key belongs to.
+   * Given the key of one part of a dependency list, returns the prefix shared by the keys of all
+   * parts of that list.
    */
   static String prefixOfPart(String key) {
     return key.substring(0, key.lastIndexOf('/') + 1);
@@ -46,8 +46,8 @@
 
   /**
    * Returns a hash of the job ids in a dependency list and of the maximum value size by which the
-   * list is split. Two controllers that store the same list with the same value size therefore
-   * write identical values.
+   * list is split. Two controllers that split the same list by the same value size therefore write
+   * the same records.
    */
   static String digest(List<String> uids, int maxValueBytes) {
     return Hashing.sha256()
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Splits a dependency list into parts that fit a value each; returns the parts by key, the anchor
-   * (first part) first.
+   * Splits a dependency list into parts, each small enough for one record. Returns the parts by
+   * key, beginning with the anchor (first part).
    */
   static Map<String, ObjectNode> parts(String prefix, List<String> uids, int maxValueBytes) {
     Map<String, ObjectNode> parts = new LinkedHashMap<>();
@@ -78,7 +78,7 @@
     return parts;
   }
 
-  /** Returns the ids of the jobs that a part of a list contains. */
+  /** Returns the job ids that this part of a dependency list contains. */
   static List<String> uids(JsonNode part) {
     List<String> uids = new ArrayList<>();
     part.path(UIDS).forEach(uid -> uids.add(uid.asText()));
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Returns the dependency list that the record with this key is a part of; empty if the key is not
-   * that of a dependency list part.
+   * Returns the id of the dependency list that this key belongs to; empty if this is not the key of
+   * a part of a dependency list.
    */
   static Optional<RecordLayout.DependencyListId> listOf(String key) {
     int uidBegin = RecordKeys.DEPENDENCIES.length();
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -11,16 +11,16 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Stores dependency lists that do not fit the active record of their job. A list is split into
- * values whose keys contain a digest of the list, so a repeated submission resumes where the
- * previous attempt stopped.
+ * Stores dependency lists that do not fit the active record of their job. A dependency list is
+ * split into parts, each stored under a key of its own. The keys contain a digest of the list, so a
+ * repeated submission resumes where the previous attempt stopped.
  *
- * <p>The first value is the <em>anchor</em> of the list. A value counts as stored only if it was
- * read together with the anchor. Every further value is written on the condition that the anchor
- * exists. The active record is written on the condition that the anchor is unchanged ({@link
- * RecordLayout.Acceptance#requireAnchor}). The removal of an unused list deletes the anchor first
- * ({@link RecordLayout#removeDependencyList}). An active record therefore never refers to an
- * incomplete list, however late transactions are applied.
+ * <p>The first part is the <em>anchor</em> of the list. A part counts as stored only if it was read
+ * together with the anchor. Every further part is written on the condition that the anchor exists.
+ * The active record is written on the condition that the anchor is unchanged ({@link
+ * RecordLayout.Acceptance#requireAnchor}). The removal of an unused list deletes the anchor before
+ * the other parts ({@link RecordLayout#removeDependencyList}). An active record therefore never
+ * refers to an incomplete list, however late transactions are applied.
  */
 public final class DependencyLists {
   /**
@@ -30,14 +30,15 @@
   private static final long RETRY_MICROS = 150_000;
 
   /**
-   * The maximum total size of the values in one transaction. The state service accepts transactions
-   * of up to 64 KiB; the difference is left for keys and JSON.
+   * The maximum total size of the dependency list parts that one transaction stores. The state
+   * service accepts transactions of up to 64 KiB; the remaining 16 KiB are for keys and JSON.
    */
   private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
   /**
-   * The time after which storing a dependency list is not retried. The user's request times out
-   * after 5 s, and a repeated submission resumes where this one stopped.
+   * Failed writes of a dependency list are retried for at most this long after the first attempt
+   * began. The user's request times out after 5 s, and a repeated submission stores only the
+   * missing parts.
    */
   private static final long MAX_ATTEMPT_MICROS = 4_000_000;
 
@@ -96,8 +97,8 @@
     }
 
     /**
-     * Stores the anchor (first part) of the dependency list, then reads the list again: other parts
-     * count as stored only if they were read together with the anchor.
+     * Stores the anchor (first part) of the dependency list, then reads the list again, because
+     * other parts count as stored only if they were read together with the anchor.
      */
     private void storeAnchor() {
       send(new Transaction().require(anchor, 0).put(anchor, parts.get(anchor)), this::readStored);
--- a/src/main/java/plumlever/store/DependencyReader.java
+++ b/src/main/java/plumlever/store/DependencyReader.java
@@ -17,13 +17,14 @@
 import plumlever.wire.JobState;
 
 /**
- * Adds jobs to a dependency graph together with all direct and transitive dependencies. An instance
- * is used for a single read.
+ * Reads jobs with all their direct and transitive dependencies from the state service and adds them
+ * to a dependency graph. Each instance is used only once.
  */
 final class DependencyReader {
   /**
-   * The maximum number of steps along dependency chains that are read job by job; after that, all
-   * active jobs are read in one listing.
+   * The maximum number of rounds in which jobs are read one by one; each round reads the
+   * dependencies that the previous one found. If jobs are still missing after that, all active jobs
+   * are listed.
    */
   private static final int MAX_STEPS = 3;
 
@@ -37,16 +38,18 @@
   private final Consumer<Boolean> handler;
 
   /**
-   * All active jobs by id. Empty until they are listed, which is done when reading single jobs
-   * would take more requests.
+   * The active records of all jobs, by job id. Empty unless they were listed because reading job by
+   * job would take too many requests.
    */
   private Optional<Map<String, StateClient.Item>> allActive = Optional.empty();
 
   private int steps;
 
   /**
-   * @param isComplete returns true for jobs that are in the graph with all of their dependencies
-   * @param handler receives true if the records of all these jobs could be read
+   * @param isComplete returns true for a job that is already in the graph with all of its
+   *     dependencies
+   * @param handler receives true if the records of all requested jobs and their dependencies could
+   *     be read
    */
   DependencyReader(
       StateClient store,
@@ -70,8 +73,8 @@
   }
 
   /**
-   * Adds the queued jobs whose records are known without a request to the dependency graph, and
-   * reads the records of the others.
+   * Adds the queued jobs to the dependency graph. Sends requests only for jobs whose records are
+   * not known yet.
    */
   private void processQueue() {
     Set<String> unresolved = new LinkedHashSet<>();
@@ -95,8 +98,8 @@
   }
 
   /**
-   * Adds the job to the dependency graph if its record is known without a request; returns false if
-   * the record has to be read.
+   * Adds the job to the dependency graph if its record was read before; returns false if the record
+   * has to be requested from the state service.
    */
   private boolean addKnown(String uid, List<StateClient.Item> withList) {
     Optional<JobState> finalState = jobStates.finalState(uid);
@@ -179,7 +182,7 @@
     }
   }
 
-  /** Reads the dependency lists that do not fit the active records, one job after the other. */
+  /** Reads the separately stored dependency lists of these jobs, one job after the other. */
   private void readLists(List<StateClient.Item> jobs) {
     if (jobs.isEmpty()) {
       if (queue.isEmpty()) {
@@ -207,9 +210,8 @@
   }
 
   /**
-   * Returns the complete dependency list of a job; empty if a part is missing. A part is missing
-   * only if the job has ended since its active record was read; the next read finds its ended
-   * record.
+   * Joins the parts of a dependency list; empty if a part is missing. This happens only if the job
+   * ended after its active record was read; the next read of the job finds its ended record.
    */
   private static Optional<List<String>> joinParts(List<String> keys, StateClient.Listing listing) {
     Map<String, List<String>> parts = new HashMap<>();
--- a/src/main/java/plumlever/store/DependencyRecordCache.java
+++ b/src/main/java/plumlever/store/DependencyRecordCache.java
@@ -14,9 +14,9 @@
  * Caches the records of jobs that have dependencies. The record of a job does not change until the
  * job ends, so each record is read once, together with its direct and transitive dependencies.
  *
- * <p>After that, all pending lookups are answered by a single request, sent after them, for the
- * jobs that ended since the previous such request. The results depend neither on which controller
- * leads nor on whether the leader's version supports dependencies.
+ * <p>Later lookups are collected and answered by a single request for the jobs that ended since the
+ * previous such request. The cache uses only stored records, so it works whichever controller
+ * leads, even if the leader's version does not support dependencies.
  */
 final class DependencyRecordCache {
   /**
@@ -24,7 +24,7 @@
    * as the lookup.
    */
   enum Resolution {
-    /** The job waits for a dependency that is not known to have ended. */
+    /** The job waits for at least one dependency that has not ended, as far as the records show. */
     WAITING,
     /** All dependencies of the job are done, so it can be scheduled. */
     RELEASED,
@@ -42,12 +42,15 @@
   private record Lookup(String uid, int attemptsLeft, Consumer<Resolution> handler) {}
 
   /**
-   * The maximum number of jobs in the dependency graph. When it is exceeded, the graph is discarded
-   * and job records are read again on demand.
+   * The maximum number of jobs in the dependency graph, to limit memory. A larger graph is
+   * discarded, and job records are read again on demand.
    */
   private static final int MAX_JOBS = 50_000;
 
-  /** Value of {@link #storeRevision} before the first read. */
+  /**
+   * Value of {@link #storeRevision} while the dependency graph is new and no revision has been
+   * read.
+   */
   private static final long UNKNOWN_REVISION = -1;
 
   private final StateClient store;
@@ -64,7 +67,10 @@
    */
   private Set<String> completeJobs = new HashSet<>();
 
-  /** The state service revision up to which the dependency graph includes all ended jobs. */
+  /**
+   * The revision of the state service up to which all ended jobs have been recorded in the
+   * dependency graph.
+   */
   private long storeRevision = UNKNOWN_REVISION;
 
   /**
@@ -79,7 +85,10 @@
     this.pendingLookups = new LookupBatch<>(loop, () -> Integer.MAX_VALUE, this::resolveAll);
   }
 
-  /** Returns the dependency whose cancellation cancelled this job, if there is one. */
+  /**
+   * If this job was cancelled because one of its dependencies was cancelled, returns the id of that
+   * dependency.
+   */
   Optional<String> failedDependencyOf(String uid) {
     return graph.failedDependencyOf(uid);
   }
@@ -115,15 +124,18 @@
   }
 
   /**
-   * Discards the graph's lists of jobs that became ready or were cancelled. Only a leader acts on
-   * these lists; this cache looks up single jobs.
+   * Clears the graph's lists of jobs that became ready or were cancelled since the last call, so
+   * that they do not grow. Only a leader acts on these lists, and it uses a graph of its own.
    */
   private void discardGraphEvents() {
     graph.drainReleased();
     graph.drainCancelled();
   }
 
-  /** Determines the state of a job that has, or had, dependencies. */
+  /**
+   * Queues a lookup of the state of a job that has, or had, dependencies; the handler receives the
+   * result.
+   */
   void lookUp(String uid, Consumer<Resolution> handler) {
     pendingLookups.add(new Lookup(uid, RateLimitRetry.MAX_ATTEMPTS, handler));
   }
@@ -136,8 +148,8 @@
       readMissing(batch);
       return;
     }
-    // Jobs that end after the current revision of the state service are reported by watch
-    // requests. For jobs that ended before it, the ended records are read.
+    // Later watch requests start from the revision that is read here and report the jobs that end
+    // after it. For jobs that ended before it, the ended records are read.
     store.storeRevision(
         now -> {
           if (now.isEmpty()) {
@@ -150,8 +162,8 @@
   }
 
   /**
-   * Reads the requested jobs and their dependencies that are not in the graph yet, then the jobs
-   * that have ended since the previous request.
+   * Reads the records of the looked-up jobs and of their dependencies unless they are in the graph
+   * already, then requests the jobs that ended since the previous such request.
    */
   private void readMissing(List<Lookup> batch) {
     Set<String> incomplete = new LinkedHashSet<>();
@@ -178,7 +190,10 @@
         .read(incomplete);
   }
 
-  /** Requests all jobs that have ended since the previous request, then completes the lookups. */
+  /**
+   * Requests all jobs that have ended since the previous such request, then calls the handlers of
+   * the lookups.
+   */
   private void readNewlyEndedJobs(List<Lookup> batch) {
     DependencyGraph targetGraph = graph;
     store.watch(
--- a/src/main/java/plumlever/store/EndedRecord.java
+++ b/src/main/java/plumlever/store/EndedRecord.java
@@ -14,7 +14,7 @@
   private EndedRecord() {}
 
   /**
-   * Builds the record.
+   * Builds the ended record, which stores the final state of a job.
    *
    * @param wallMicros the wall clock time at which the final state is stored
    */
--- a/src/main/java/plumlever/store/JobFinder.java
+++ b/src/main/java/plumlever/store/JobFinder.java
@@ -13,13 +13,13 @@
 import plumlever.wire.JobState;
 
 /**
- * Reads the records of a set of jobs: few jobs with one read per key, many jobs with a listing,
- * which takes fewer requests. A job with neither an active nor an ended record had not been
- * accepted when the first read started.
+ * Reads the active and ended records of a set of jobs. A few jobs are read key by key; for many
+ * jobs, all records are listed, which takes fewer requests. A job with neither an active nor an
+ * ended record had not been accepted when the first read started.
  */
 public final class JobFinder {
   /**
-   * The record of a job.
+   * What the state service has stored about a job.
    *
    * @param active the active record if the job has been accepted and has not ended
    * @param finalState the final state if the job has ended
@@ -52,7 +52,7 @@
    */
   static final int MAX_SINGLE_READS = 24;
 
-  /** The maximum number of single reads that are outstanding at the same time. */
+  /** The maximum number of concurrent requests while jobs are read one by one. */
   private static final int MAX_READS_AT_ONCE = 6;
 
   private final StateClient store;
@@ -65,7 +65,7 @@
   }
 
   /**
-   * Reads the records of these jobs.
+   * Reads the active or ended records of these jobs.
    *
    * @param handler receives the record of each job, or an empty value if the records could not be
    *     read
--- a/src/main/java/plumlever/store/JobRecordCache.java
+++ b/src/main/java/plumlever/store/JobRecordCache.java
@@ -62,10 +62,11 @@
   }
 
   /**
-   * The jobs of a query that have ended or were never accepted.
+   * The result of {@link #findEnded}: those of the requested jobs that have ended or were never
+   * accepted.
    *
-   * @param oldestReadMicros the time at which the oldest read used started; a job of the query that
-   *     is not in {@code uids} was active at that time or later
+   * @param oldestReadMicros the start time of the oldest read that the result is based on; a
+   *     requested job that is not in {@code uids} was active at that time or later
    */
   public record EndedJobs(Set<String> uids, long oldestReadMicros) {}
 
@@ -77,12 +78,14 @@
   }
 
   /**
-   * The number of preconditions that the state service accepts for each operation allowed in a
-   * transaction.
+   * The state service accepts this many times as many preconditions as operations in a transaction.
    */
   private static final int PRECONDITIONS_PER_OPERATION = 4;
 
-  /** How long {@link #findEnded} treats a job as active after a read that showed it as active. */
+  /**
+   * The time for which {@link #findEnded} assumes that a job is still active, counted from the
+   * start of the last lookup that found the job active.
+   */
   private static final long ACTIVE_VALID_MICROS = 3_000_000;
 
   private static final Logger LOG = LoggerFactory.getLogger(JobRecordCache.class);
@@ -97,7 +100,7 @@
   private final DependencyRecordCache dependencyRecords;
   private final LookupBatch<Lookup> pendingLookups;
 
-  /** For each job that a lookup found active, the time at which the lookup was started. */
+  /** For each job that {@link #findEnded} found active, the time at which that search started. */
   private final Map<String, Long> activeReadMicros = new HashMap<>();
 
   /** Creates an empty cache that reads through the given client. */
@@ -180,9 +183,9 @@
   }
 
   /**
-   * Finds the jobs among {@code uids} that have ended or were never accepted. The result may be a
-   * few seconds old; {@link EndedJobs#oldestReadMicros} is the time at which the oldest read used
-   * started.
+   * Finds the jobs among {@code uids} that have ended or were never accepted. Some jobs may be
+   * assumed active from a read that is up to a few seconds old; {@link EndedJobs#oldestReadMicros}
+   * is the start time of the oldest read used.
    *
    * @param handler receives an empty value if the state of any of the jobs could not be read
    */
@@ -208,8 +211,8 @@
     private final Set<String> ended = new HashSet<>();
 
     /**
-     * The number of outstanding job lookups, plus one until all lookups of the call have been
-     * requested.
+     * The number of outstanding job lookups. It also counts one for the caller until the caller has
+     * requested all lookups, so that the search cannot complete before.
      */
     private int pending = 1;
 
@@ -314,7 +317,8 @@
   }
 
   /**
-   * Handles one job lookup of a batch in which the active record of at least one job has changed.
+   * Repeats one lookup of a batch after the state service reported that active records of jobs in
+   * the batch have changed.
    *
    * @param changed the keys of changed records. The state service does not guarantee that the list
    *     is complete, so the lookups of all other records are repeated once.
--- a/src/main/java/plumlever/store/JobStateCache.java
+++ b/src/main/java/plumlever/store/JobStateCache.java
@@ -12,8 +12,8 @@
   private static final int MAX_ACTIVE = 5_000;
 
   /**
-   * Final states of ended jobs by job id. Final states never change, so cached values are always
-   * valid.
+   * The final states of ended jobs, by job id. A final state never changes, so a cached one is
+   * always valid.
    */
   private final Cache<String, JobState> finalStates = cache(MAX_ENDED);
 
--- a/src/main/java/plumlever/store/KeySpace.java
+++ b/src/main/java/plumlever/store/KeySpace.java
@@ -6,9 +6,10 @@
 import plumlever.wire.Json;
 
 /**
- * Maps the keys used by this controller to stored keys, which are under a prefix or at the root. A
- * key that begins with a slash is absolute: the slash is removed and no prefix is added. Absolute
- * keys name records that the shards of a pool share.
+ * Maps the keys used in this controller to the keys under which the state service stores records,
+ * by adding the prefix of this controller's shard. A key that begins with a slash is absolute: the
+ * slash is removed and no prefix is added. Absolute keys name records that the shards of a pool
+ * share.
  */
 public final class KeySpace {
   /** The key space without a prefix. */
@@ -22,7 +23,10 @@
     this.prefix = prefix;
   }
 
-  /** Returns the key space of this prefix, which ends with a slash or is empty. */
+  /**
+   * Returns the key space whose keys are stored under this prefix. The prefix ends with a slash or
+   * is empty.
+   */
   public static KeySpace under(String prefix) {
     return prefix.isEmpty() ? ROOT : new KeySpace(prefix);
   }
--- a/src/main/java/plumlever/store/LookupBatch.java
+++ b/src/main/java/plumlever/store/LookupBatch.java
@@ -7,7 +7,8 @@
 import plumlever.concurrent.EventLoop;
 
 /**
- * Collects lookups for a short time so that a single request serves all of them.
+ * Collects lookups for a short time so that a single request to the state service serves all of
+ * them.
  *
  * @param <L> the type of a lookup
  */
@@ -20,8 +21,9 @@
   private List<L> collected = new ArrayList<>();
 
   /**
-   * @param maxSize the batch size at which the request is sent without further delay
-   * @param sendBatch sends the request for a batch, which is never empty
+   * @param maxSize the number of collected lookups at which the request is sent without waiting
+   *     longer
+   * @param sendBatch sends one request for the collected lookups; called with at least one lookup
    */
   LookupBatch(EventLoop loop, IntSupplier maxSize, Consumer<List<L>> sendBatch) {
     this.loop = loop;
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -6,8 +6,8 @@
 
 /**
  * Watches all keys under a prefix until it is closed. If changes were missed, all keys are listed
- * again. A notification shows the keys as they were at some time after its request was sent; they
- * may have changed again before its response arrived. Used on one loop only.
+ * again. The listener receives the keys as they were at some time after the request was sent; they
+ * may have changed again before the response arrived. Used on one loop only.
  */
 public final class PrefixWatch implements AutoCloseable {
   /** Receives the keys under the prefix and their changes. */
@@ -19,8 +19,9 @@
     void listed(StateClient.Listing listing, long sentMicros);
 
     /**
-     * Called with all changes of keys under the prefix since the previous call. @param changes may
-     * be empty @param sentMicros the time at which the watch request was sent
+     * Called with all changes of keys under the prefix since the previous call of a method of this
+     * listener. @param changes may be empty @param sentMicros the time at which the watch request
+     * was sent
      */
     void changed(List<StateClient.KeyEvent> changes, long sentMicros);
   }
@@ -35,7 +36,7 @@
   private boolean closed;
 
   /**
-   * Creates a watch that has not started.
+   * Creates a watch that sends no request until it is started.
    *
    * @param waitMicros how long the state service may hold a watch request open
    * @param retryMicros the pause after a request that was refused or had no response
@@ -55,7 +56,10 @@
     this.listener = listener;
   }
 
-  /** Starts the watch; reports the changes after this revision. */
+  /**
+   * Starts the watch. The listener is told all changes made after this revision of the state
+   * service.
+   */
   public void watchFrom(long revision) {
     storeRevision = revision;
     watch();
--- a/src/main/java/plumlever/store/ProgressRecords.java
+++ b/src/main/java/plumlever/store/ProgressRecords.java
@@ -14,8 +14,9 @@
 import plumlever.wire.Json;
 
 /**
- * The stored format of the sets of finished tasks: Base64 bitmaps, split into records called
- * chunks. A chunk belongs to one large job or is shared by many small jobs.
+ * The stored format of the progress of jobs: the finished tasks of each job as a Base64 bitmap with
+ * one bit per task. Each record is called a chunk. It holds a range of tasks of one large job or
+ * all tasks of many small jobs.
  */
 final class ProgressRecords {
   private static final String BITS = "b";
@@ -44,16 +45,16 @@
   private static final int SHARED_ENTRY_OVERHEAD_BYTES = 8;
 
   /**
-   * A job is stored in a shared progress record only if at least this many jobs of its size would
-   * fit into the record.
+   * The progress of a job is stored together with that of other jobs only if at least this many
+   * jobs of its size fit into one record.
    */
   private static final int MIN_ENTRIES_OF_SHARED_CHUNK = 8;
 
   private ProgressRecords() {}
 
   /**
-   * Returns the key of the record that holds the finished tasks of a large job from this task
-   * number on.
+   * Returns the key of the progress record of a large job whose range of tasks begins with this
+   * task number.
    */
   static String chunkKey(String uid, int firstTask) {
     return RecordKeys.PROGRESS + uid + "/" + FIRST_TASK_PREFIX + firstTask;
@@ -67,7 +68,7 @@
         * Byte.SIZE;
   }
 
-  /** Builds the record of which tasks in a range of a large job are finished. */
+  /** Builds a progress record of a large job: a bitmap of the finished tasks in the given range. */
   static ObjectNode chunk(BitSet done, int firstTask, int tasks) {
     return Json.object()
         .put(FIRST_TASK, firstTask)
@@ -75,10 +76,12 @@
   }
 
   /**
-   * Adds the finished tasks in a stored progress record of a large job to {@code into}.
+   * Reads a progress record of a large job and adds the numbers of the finished tasks to {@code
+   * into}.
    *
    * @param name the last segment of the key of the record
-   * @param formerMaxValueBytes the value size by which earlier versions split their chunks
+   * @param formerMaxValueBytes the maximum value size by which earlier versions split the bitmap
+   *     into records; needed to read such records
    */
   static void readChunk(JsonNode record, String name, int formerMaxValueBytes, BitSet into)
       throws InvalidMessageException {
@@ -111,8 +114,8 @@
   }
 
   /**
-   * Returns the bytes that the finished tasks of the job take in a progress record shared by many
-   * jobs; empty if the job is too large to share one.
+   * Returns the number of bytes that the bitmap of finished tasks of the job takes in a progress
+   * record shared by many jobs; empty if the job is too large to share one.
    */
   static OptionalInt bytesInSharedChunk(JobSpec spec, int maxValueBytes) {
     int bytes = sizeInSharedChunk(spec);
@@ -122,8 +125,9 @@
   }
 
   /**
-   * Returns the bytes that the finished tasks of the job would take in a shared progress record,
-   * even if the job is too large to share one.
+   * Returns the number of bytes that the bitmap of finished tasks of the job would take in a
+   * progress record shared by many jobs. Also valid for a job that is too large to be stored in
+   * one.
    */
   static int sizeInSharedChunk(JobSpec spec) {
     return spec.uid().length()
@@ -133,12 +137,18 @@
             * BASE64_GROUP_LETTERS;
   }
 
-  /** Returns the maximum total size of the jobs in a shared progress record, in bytes. */
+  /**
+   * Returns the maximum total size, in bytes, of the jobs' entries in a progress record that many
+   * jobs share.
+   */
   static int sharedChunkBytes(int maxValueBytes) {
     return maxValueBytes - SHARED_CHUNK_OVERHEAD_BYTES;
   }
 
-  /** Builds the shared progress record that holds the finished tasks of these jobs. */
+  /**
+   * Builds the progress record shared by these jobs, which holds the finished tasks of each of
+   * them.
+   */
   static ObjectNode sharedChunk(Map<String, BitSet> doneByJob) {
     ObjectNode entries = Json.object();
     doneByJob.forEach((uid, done) -> entries.put(uid, base64(done)));
@@ -148,8 +158,8 @@
   }
 
   /**
-   * Reads the finished tasks of each job from a shared progress record; a job whose bitmap is
-   * unreadable gets an empty set.
+   * Reads the finished tasks of each job from a progress record shared by many jobs. If the bitmap
+   * of a job is unreadable, none of its tasks counts as finished.
    */
   static Map<String, BitSet> readSharedChunk(JsonNode record) {
     Map<String, BitSet> doneByJob = new LinkedHashMap<>();
--- a/src/main/java/plumlever/store/RateLimitRetry.java
+++ b/src/main/java/plumlever/store/RateLimitRetry.java
@@ -4,11 +4,11 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * Retries requests that were refused by a rate limit, after a short pause. Any other failure is
+ * Retries requests that a rate limit refused, after a short pause. By default, any other failure is
  * reported immediately, so that users do not wait during an outage.
  */
 final class RateLimitRetry {
-  /** The maximum number of times that a request is sent. */
+  /** The maximum number of times that a request is sent, including the first. */
   static final int MAX_ATTEMPTS = 4;
 
   private static final long PAUSE_MICROS = 150_000;
--- a/src/main/java/plumlever/store/RecordKeys.java
+++ b/src/main/java/plumlever/store/RecordKeys.java
@@ -1,6 +1,6 @@
 package plumlever.store;
 
-/** The keys of the records in the state service and the numbers in them. */
+/** Builds and parses the keys of the records in the state service. */
 final class RecordKeys {
   static final String ACTIVE = "active/";
   static final String ENDED = "ended/";
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Returns the number after the first slash in the key of a record that several jobs or machines
-   * share, or -1 if the key has no such number.
+   * For a key of the form {@code TYPE/N} of a record that lists several jobs or machines, returns
+   * the record number N; -1 for a key of another form.
    */
   static int sharedRecordNumber(String key) {
     return number(key, key.indexOf('/') + 1);
--- a/src/main/java/plumlever/store/RecordLayout.java
+++ b/src/main/java/plumlever/store/RecordLayout.java
@@ -13,9 +13,10 @@
 import plumlever.wire.Json;
 
 /**
- * The layout of the records in the state service, as used by other packages. Each stored format is
- * implemented by a class of its own ({@link ActiveRecord}, {@link EndedRecord}, {@link
- * ProgressRecords}, {@link DependencyListRecords}); the keys are defined in {@link RecordKeys}.
+ * The layout of the records in the state service; other packages access records through this class.
+ * Each stored format is implemented by a class of its own ({@link ActiveRecord}, {@link
+ * EndedRecord}, {@link ProgressRecords}, {@link DependencyListRecords}); the keys are defined in
+ * {@link RecordKeys}.
  *
  * <ul>
  *   <li>{@code active/ID}: the submission of a job that has not ended. Creating this record accepts
@@ -78,8 +79,9 @@
   private final List<String> otherShardPrefixes;
 
   /**
-   * The maximum value size from the settings. Submissions are checked against this size, so that
-   * their acceptance does not depend on refusals that have lowered {@link #limits}.
+   * The maximum value size from the settings, in bytes. Whether a submission is small enough is
+   * decided by this size and not by {@link #limits}, which shrink when the state service refuses a
+   * write.
    */
   private final int configuredValueBytes;
 
@@ -100,7 +102,10 @@
     this.configuredValueBytes = limits.maxValueBytes();
   }
 
-  /** Returns the limits of a single write; they shrink when a write is refused as too large. */
+  /**
+   * Returns the limits of a single transaction. They shrink when the state service refuses a
+   * transaction as too large.
+   */
   public WriteLimits limits() {
     return limits;
   }
@@ -120,35 +125,38 @@
     return RecordKeys.active(uid);
   }
 
-  /** Returns the key of the record with this number among those that list machines. */
+  /** Returns the key of a record of machines that may hold tasks; these records are numbered. */
   public static String machinesKey(int number) {
     return FLEET + number;
   }
 
-  /** Returns the key of the record with this number among those that list started jobs. */
+  /**
+   * Returns the key of a record of jobs of which a leader may have started tasks; these records are
+   * numbered.
+   */
   public static String startedKey(int number) {
     return STARTED + number;
   }
 
   /**
-   * Returns the key of the record with this number among those that hold warm state (learned image
-   * and run time data).
+   * Returns the key of a record of warm state (learned image and run time data); these records are
+   * numbered.
    */
   public static String warmStateKey(int number) {
     return WARM_STATE + number;
   }
 
   /**
-   * Returns the number after the first slash in the key of a record that several jobs or machines
-   * share, or -1 if the key has no such number.
+   * For a key of the form {@code TYPE/N} of a record that lists several jobs or machines, returns
+   * the record number N; -1 for a key of another form.
    */
   public static int sharedRecordNumber(String key) {
     return RecordKeys.sharedRecordNumber(key);
   }
 
   /**
-   * Returns the key of the record that holds the finished tasks of a large job from this task
-   * number on.
+   * Returns the key of the progress record of a large job whose range of tasks begins with this
+   * task number.
    */
   public static String progressKey(String uid, int firstTask) {
     return ProgressRecords.chunkKey(uid, firstTask);
@@ -173,13 +181,16 @@
   /**
    * The writes that accept a job.
    *
-   * @param parts the values to store before the transaction, by key: the parts of the dependency
-   *     list, beginning with the anchor (first part). Empty if the dependencies fit the active
-   *     record.
+   * @param parts the parts of the dependency list by key, beginning with the anchor (first part);
+   *     they have to be stored before the transaction is sent. Empty if the dependencies fit the
+   *     active record.
    * @param transaction creates the active record of the job
    */
   public record Acceptance(Map<String, ObjectNode> parts, Transaction transaction) {
-    /** Returns true if a dependency list has to be stored before the transaction. */
+    /**
+     * Returns true if the dependencies do not fit the active record, so that a dependency list has
+     * to be stored before the job is accepted.
+     */
     public boolean hasDependencyList() {
       return !parts.isEmpty();
     }
@@ -201,7 +212,10 @@
     }
   }
 
-  /** Builds the records of a job to be accepted; empty if the active record would be too large. */
+  /**
+   * Builds the writes that accept the job; empty if the active record would exceed the maximum
+   * value size.
+   */
   public Optional<Acceptance> acceptJob(JobSpec spec, long wallMicros) {
     ObjectNode active = ActiveRecord.write(spec, wallMicros);
     Map<String, ObjectNode> parts = Map.of();
@@ -255,8 +269,8 @@
   public record DependencyListId(String uid, String prefix) {}
 
   /**
-   * Returns the dependency list that the record with this key is a part of; empty if the key is not
-   * that of a dependency list part.
+   * Returns the id of the dependency list that this key belongs to; empty if this is not the key of
+   * a part of a dependency list.
    */
   public static Optional<DependencyListId> dependencyListOf(String key) {
     return DependencyListRecords.listOf(key);
@@ -268,9 +282,10 @@
   }
 
   /**
-   * Adds the removal of a dependency list that no job uses to a transaction. Preconditions: the job
-   * has no active record, and the anchor (first part of the list) is unchanged. Parts that remain
-   * without an anchor do not count as stored when the list is stored again.
+   * Adds operations to the transaction that delete a dependency list that no job uses.
+   * Preconditions: the job has no active record, and the anchor (first part of the list) is
+   * unchanged. Parts that do not fit the transaction remain, but without an anchor they do not
+   * count as stored.
    *
    * @param transaction the transaction that the removal is added to
    * @param anchorRevision the revision of the anchor when the list was read, 0 if the anchor is
@@ -308,7 +323,7 @@
     return transaction;
   }
 
-  /** Returns how many additional records the transaction that ends a job can delete. */
+  /** Returns how many obsolete records of a job the transaction that ends the job can delete. */
   public int maxDeletesAtEnd() {
     return Math.max(0, limits.maxOperations() - OPERATIONS_PER_JOB_END);
   }
@@ -344,47 +359,55 @@
     return ProgressRecords.tasksPerChunk(maxValueBytes());
   }
 
-  /** Builds the record of which tasks in a range of a large job are finished. */
+  /** Builds a progress record of a large job: a bitmap of the finished tasks in the given range. */
   public JsonNode progressChunk(BitSet done, int firstTask, int tasks) {
     return ProgressRecords.chunk(done, firstTask, tasks);
   }
 
   /**
-   * Returns the bytes that the finished tasks of the job take in a progress record shared by many
-   * jobs, or -1 if the job is too large to share one.
+   * Returns the number of bytes that the bitmap of finished tasks of the job takes in a progress
+   * record shared by many jobs, or -1 if the job is too large to share one.
    */
   public int bytesInSharedChunk(JobSpec spec) {
     return ProgressRecords.bytesInSharedChunk(spec, maxValueBytes()).orElse(-1);
   }
 
   /**
-   * Returns the bytes that the finished tasks of the job would take in a shared progress record,
-   * even if the job is too large to share one.
+   * Returns the number of bytes that the bitmap of finished tasks of the job would take in a
+   * progress record shared by many jobs. Also valid for a job that is too large to be stored in
+   * one.
    */
   public static int sizeInSharedChunk(JobSpec spec) {
     return ProgressRecords.sizeInSharedChunk(spec);
   }
 
-  /** Returns the maximum total size of the jobs in a shared progress record, in bytes. */
+  /**
+   * Returns the maximum total size, in bytes, of the jobs' entries in a progress record that many
+   * jobs share.
+   */
   public int sharedChunkBytes() {
     return ProgressRecords.sharedChunkBytes(maxValueBytes());
   }
 
-  /** Builds the shared progress record that holds the finished tasks of these jobs. */
+  /**
+   * Builds the progress record shared by these jobs, which holds the finished tasks of each of
+   * them.
+   */
   public JsonNode sharedChunk(Map<String, BitSet> doneByJob) {
     return ProgressRecords.sharedChunk(doneByJob);
   }
 
   /**
-   * Reads the finished tasks of each job from a shared progress record; a job whose bitmap is
-   * unreadable gets an empty set.
+   * Reads the finished tasks of each job from a progress record shared by many jobs. If the bitmap
+   * of a job is unreadable, none of its tasks counts as finished.
    */
   public static Map<String, BitSet> readSharedChunk(JsonNode record) {
     return ProgressRecords.readSharedChunk(record);
   }
 
   /**
-   * Adds the finished tasks in a stored progress record of a large job to {@code into}.
+   * Reads a progress record of a large job and adds the numbers of the finished tasks to {@code
+   * into}.
    *
    * @param name the last segment of the key of the record
    */
--- a/src/main/java/plumlever/store/RequestBudget.java
+++ b/src/main/java/plumlever/store/RequestBudget.java
@@ -8,14 +8,14 @@
  */
 final class RequestBudget {
   /**
-   * The fraction of each rate limit of the state service that one controller uses; a leader uses a
-   * larger fraction for writes.
+   * The fraction of each rate limit of the state service that one controller may use; a leader may
+   * use a larger fraction of the write limit.
    */
   private static final double SHARE = 0.5;
 
   /**
-   * The fraction of the state service's write limit that the leader uses. The leader writes most:
-   * ends of jobs, records of jobs and machines, and progress.
+   * The fraction of the state service's write limit that the leader may use. The leader writes
+   * most: ends of jobs, records of jobs and machines, and progress.
    */
   private static final double LEADER_WRITE_SHARE = 0.7;
 
@@ -29,14 +29,17 @@
     this.writes = new TokenBucket(writesPerSecond * SHARE, nowMicros);
   }
 
-  /** Sets whether this controller leads, which determines its share of the writes. */
+  /**
+   * Sets whether this controller leads; a leader may use a larger fraction of the state service's
+   * write limit.
+   */
   void setLeading(boolean leading, long nowMicros) {
     writes.setRate(writesPerSecond * (leading ? LEADER_WRITE_SHARE : SHARE), nowMicros);
   }
 
   /**
-   * Returns true if the rate limits allow the request now, and counts it against them in that case.
-   * Urgent requests are always allowed.
+   * Returns true if this controller's share of the rate limits allows the request now, and then
+   * counts the request against that share. Urgent requests are always allowed.
    *
    * @param operations the number of puts and deletes in the request
    */
--- a/src/main/java/plumlever/store/ServiceAvailability.java
+++ b/src/main/java/plumlever/store/ServiceAvailability.java
@@ -31,16 +31,16 @@
   }
 
   /**
-   * Returns the time at which a response with a status other than 503 last arrived; the time at
-   * which this object was created if none has arrived.
+   * Returns the time at which the state service last responded with a status other than 503; the
+   * creation time of this object if it never did.
    */
   long lastServedMicros() {
     return lastServedMicros;
   }
 
   /**
-   * Returns how long the state service has refused or not answered every request; 0 if it served
-   * the last one.
+   * Returns for how long, in microseconds, the state service has refused every request of this
+   * controller or not responded; 0 if it served the last request.
    */
   long refusedForMicros(long nowMicros) {
     return refusedSinceMicros < 0 ? 0 : nowMicros - refusedSinceMicros;
