--- a/src/main/java/plumlever/ConfirmedCancellations.java
+++ b/src/main/java/plumlever/ConfirmedCancellations.java
@@ -7,9 +7,10 @@
 import plumlever.peer.PeerStatus;
 
 /**
- * Jobs whose cancellation was recently confirmed to a user. The leader learns of each confirmed
- * cancellation directly, either in this process or over the peer link. It then stops the tasks of
- * the job even while the state service refuses the leader's reads.
+ * Records the jobs whose cancellation this controller recently confirmed to a user, and tells the
+ * leader of them: by a call if the leader is in this process, otherwise in the status sent to the
+ * other controllers. The leader can then stop the tasks of such a job even while the state service
+ * refuses its reads.
  */
 final class ConfirmedCancellations {
   /**
@@ -29,15 +30,18 @@
     this.leadership = leadership;
   }
 
-  /** Records that this controller is confirming the cancellation of the job to a user. */
+  /**
+   * Records that this controller confirms the cancellation of the job to a user, and tells the
+   * leader if it runs in this process.
+   */
   void confirmedLocally(String uid) {
     confirmedAtMicros.put(uid, loop.nowMicros());
     leadership.leader().ifPresent(leader -> leader.jobCancelled(uid));
   }
 
   /**
-   * If this controller leads, tells its leader which cancellations another controller has confirmed
-   * to users.
+   * Handles the status of another controller: if this controller leads, tells its leader which
+   * cancellations the other controller has confirmed to users.
    */
   void confirmedByPeer(PeerStatus status) {
     leadership
--- a/src/main/java/plumlever/Controller.java
+++ b/src/main/java/plumlever/Controller.java
@@ -276,7 +276,7 @@
     return clients.metrics();
   }
 
-  /** Returns true while this controller leads and its lease allows it to act. */
+  /** Returns true while this controller leads and the leader's lease allows it to act. */
   public boolean mayAct() {
     return election.mayAct();
   }
--- a/src/main/java/plumlever/ControllerHealth.java
+++ b/src/main/java/plumlever/ControllerHealth.java
@@ -14,9 +14,9 @@
  */
 final class ControllerHealth implements ServingHealth {
   /**
-   * The time for which the state service must refuse this controller before the controller can
-   * conclude that only it is refused. This is longer than any controller takes to notice an outage
-   * that affects all controllers and to report it to its peers.
+   * The state service must have refused this controller for this long before the controller
+   * concludes that the others are still served. This is longer than any controller takes to notice
+   * an outage that affects all controllers and to report it to its peers.
    */
   private static final long REFUSED_ALONE_AFTER_MICROS = 3_000_000;
 
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Returns true if this controller runs so late that users wait for seconds while another
-   * controller runs on time. This happens, for example, to a leader that receives the heartbeats of
-   * hundreds of workers.
+   * Returns true if the controller loop runs so late that users wait for seconds, while the loop of
+   * another controller runs on time. This happens, for example, to a leader that receives the
+   * heartbeats of hundreds of workers.
    */
   private boolean isLateAlone() {
     return lateness.micros() >= LATE_THRESHOLD_MICROS
--- a/src/main/java/plumlever/KnownLeader.java
+++ b/src/main/java/plumlever/KnownLeader.java
@@ -6,8 +6,8 @@
 import plumlever.leader.Leader;
 
 /**
- * Looks up the leader: in this process if this controller leads, otherwise by the leader's label in
- * the leadership records.
+ * Finds the current leader: the leader object if this controller leads, otherwise the label of the
+ * leading controller from the leadership records.
  */
 record KnownLeader(Leadership leadership, LeaderElection election) implements LeaderLookup {
   @Override
--- a/src/main/java/plumlever/LoopLateness.java
+++ b/src/main/java/plumlever/LoopLateness.java
@@ -4,8 +4,8 @@
 import plumlever.metrics.Metrics;
 
 /**
- * Measures how late the controller loop runs. A tick is due at a fixed interval; its delay shows
- * whether the controller gets enough processor time.
+ * Measures how late the controller loop runs. A timer is due at a fixed interval; how late it fires
+ * shows whether the controller gets enough processor time.
  */
 final class LoopLateness {
   private static final long TICK_INTERVAL_MICROS = 500_000;
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Measures how late this tick runs. Called as a recurring task; returns the pause until the next
-   * tick.
+   * Records how late this run of the recurring task is; returns the pause until the next run, in
+   * microseconds.
    */
   long tick() {
     long now = loop.nowMicros();
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Returns how late the last tick of the controller loop ran, or how long the next tick is overdue
-   * if that is more; 0 before the first tick. In microseconds.
+   * Returns how late the controller loop runs, in microseconds: how late the last tick ran or how
+   * long the next one is overdue, whichever is more; 0 before the first tick.
    */
   long micros() {
     return nextTickDueMicros == 0
--- a/src/main/java/plumlever/MeteredCaller.java
+++ b/src/main/java/plumlever/MeteredCaller.java
@@ -8,8 +8,8 @@
 import plumlever.wire.ProtocolPath;
 
 /**
- * An HTTP client that measures the time this controller spends on handling responses, by the kind
- * of service called.
+ * An HTTP client that adds the time spent on handling responses to the metrics, separately for each
+ * kind of called service.
  */
 record MeteredCaller(
     HttpClient httpClient, EventLoop loop, Metrics metrics, PlatformConfiguration platform)
--- a/src/main/java/plumlever/PeerReports.java
+++ b/src/main/java/plumlever/PeerReports.java
@@ -15,8 +15,8 @@
   private static final long STATUS_VALID_MICROS = 3_500_000;
 
   /**
-   * The time for which the task counts of a peer's status are used. Task counts are only displayed,
-   * so they may be older than other parts of the status.
+   * The maximum age of a peer's status whose task counts are used. Task counts are only displayed,
+   * so they may be older than other reported data.
    */
   private static final long COUNTS_VALID_MICROS = 5_000_000;
 
--- a/src/main/java/plumlever/TermContextFactory.java
+++ b/src/main/java/plumlever/TermContextFactory.java
@@ -6,7 +6,7 @@
 import plumlever.settings.PlatformConfiguration;
 import plumlever.settings.SchedulerParameters;
 
-/** Creates the context that a leader uses during one term. */
+/** Creates the objects and settings that a leader uses during one term. */
 record TermContextFactory(
     ControllerEnvironment environment,
     ServiceClients clients,
--- a/src/main/java/plumlever/cli/Check.java
+++ b/src/main/java/plumlever/cli/Check.java
@@ -13,7 +13,9 @@
 
   private Check() {}
 
-  /** Returns the report as several lines, without a line break after the last line. */
+  /**
+   * Returns the report on these settings as several lines, without a line break after the last one.
+   */
   static String describe(PlatformConfiguration platform, OperatorSettings settings) {
     SchedulerParameters parameters = settings.parameters();
     return String.join(
--- a/src/main/java/plumlever/cli/DrillCommand.java
+++ b/src/main/java/plumlever/cli/DrillCommand.java
@@ -14,7 +14,7 @@
 
 /** The command {@code plumlever drill NAME}: runs a drill and prints whether the drill passed. */
 final class DrillCommand {
-  /** The first argument of the command line. */
+  /** The first command-line argument, which selects this command. */
   static final String NAME = "drill";
 
   private static final int DEFAULT_SECONDS = 600;
--- a/src/main/java/plumlever/cli/Main.java
+++ b/src/main/java/plumlever/cli/Main.java
@@ -17,7 +17,10 @@
 public final class Main {
   private static final String NAME = "plumlever";
 
-  /** An option that the help omits: the build uses it to create the class-data archive. */
+  /**
+   * The command-line option with which the build creates the class-data archive; not shown in the
+   * help.
+   */
   private static final String TRAINING_RUN = "--rehearse-start";
 
   private static final String CONFIG = "config";
--- a/src/main/java/plumlever/cli/Service.java
+++ b/src/main/java/plumlever/cli/Service.java
@@ -36,7 +36,7 @@
   private static final int MAX_ELECTION_BUFFERS_PER_THREAD = 1;
   private static final long BYTES_PER_MB = 1024 * 1024;
 
-  /** The time allowed on shutdown for sending the request that revokes the leader's lease. */
+  /** On shutdown, the time to wait for the request that revokes the leader's lease to be sent. */
   private static final long LEASE_REVOCATION_MICROS = 100_000;
 
   private static final int STOP_TIMEOUT_S = 3;
@@ -54,8 +54,8 @@
   private static final long MAX_PEER_BODY_BYTES = 512 * 1024;
 
   /**
-   * The number of heartbeat intervals after which an idle connection is closed, but not before
-   * {@link #MIN_IDLE_TIMEOUT_MICROS}.
+   * An idle connection is closed after this many heartbeat intervals, but not before {@link
+   * #MIN_IDLE_TIMEOUT_MICROS}.
    */
   private static final int IDLE_TIMEOUT_HEARTBEATS = 3;
 
@@ -202,7 +202,7 @@
                 .getMap());
   }
 
-  /** Returns the maximum number of connections from users and workers together. */
+  /** Returns the maximum total number of open connections from users and workers. */
   static int sharedConnections(PlatformConfiguration platform) {
     return Math.max(MIN_SHARED_CONNECTIONS, platform.maxFileDescriptors() - RESERVED_SOCKETS);
   }
--- a/src/main/java/plumlever/concurrent/EventLoop.java
+++ b/src/main/java/plumlever/concurrent/EventLoop.java
@@ -25,7 +25,7 @@
 
   /** A scheduled action that can be cancelled. */
   interface Timer {
-    /** Cancels the action; has no effect if the action has already run. */
+    /** Prevents the scheduled action from running; has no effect if the action has already run. */
     void cancel();
   }
 }
--- a/src/main/java/plumlever/concurrent/RecurringTask.java
+++ b/src/main/java/plumlever/concurrent/RecurringTask.java
@@ -8,7 +8,7 @@
   /** The action to repeat. */
   public interface Action {
     /**
-     * Performs one run.
+     * Runs the action once.
      *
      * @return the delay until the next run in microseconds; negative if the next run should wait
      *     for a call of {@link #scheduleAfter}
@@ -37,7 +37,7 @@
     this.action = action;
   }
 
-  /** Schedules the first run without delay. */
+  /** Schedules the first run without delay and returns this task. */
   public RecurringTask start() {
     scheduleAfter(0);
     return this;
--- a/src/main/java/plumlever/concurrent/Scope.java
+++ b/src/main/java/plumlever/concurrent/Scope.java
@@ -5,7 +5,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Owns closeable children and closes them in the reverse order of their registration. */
+/**
+ * Owns closeable objects, its children, and closes them in the reverse order of their registration.
+ */
 public final class Scope implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Scope.class);
 
@@ -13,8 +15,8 @@
   private boolean closed;
 
   /**
-   * Registers the child to be closed when the scope is closed. If the scope is already closed, the
-   * child is closed immediately.
+   * Adds an object that is closed when this scope is closed; if the scope is already closed, the
+   * object is closed immediately. Returns the object.
    */
   public <T extends AutoCloseable> T own(T child) {
     if (closed) {
--- a/src/main/java/plumlever/election/Candidacy.java
+++ b/src/main/java/plumlever/election/Candidacy.java
@@ -10,18 +10,21 @@
 
 /**
  * Decides when this controller attempts to become leader, and handles the outcome of each attempt.
- * At most one attempt is in progress. Used on the election loop only.
+ * Makes at most one attempt at a time. Used on the election loop only.
  */
 final class Candidacy implements AutoCloseable {
-  /** Return value of a recurring task that runs again only when it is scheduled explicitly. */
+  /**
+   * Returned by the recurring task of election attempts: it runs again only when an attempt is
+   * scheduled.
+   */
   private static final long UNTIL_SCHEDULED = -1;
 
-  /** The pause after a lost election, before the new leader is read. */
+  /** The pause between a lost election and the read of the new leader's record. */
   private static final long PAUSE_AFTER_LOSS_MICROS = 50_000;
 
   /**
-   * The maximum number of times that a failed read of the leader key is repeated after an election
-   * whose outcome is unknown.
+   * If the election transaction had no response, the leader key is read to learn the outcome. A
+   * failed read of it is repeated at most this many times.
    */
   private static final int MAX_RETRIES = 3;
 
@@ -51,7 +54,7 @@
   private final LeadershipRecords records;
   private final ElectionBackoff backoff;
 
-  /** Assigns the terms if this controller belongs to a shard of a pool. */
+  /** Assigns the terms of this controller's shard; empty if the shard belongs to no pool. */
   private final Optional<PoolTerms> poolTerms;
 
   private final Observer observer;
@@ -81,7 +84,7 @@
     return attemptInProgress;
   }
 
-  /** Delays this controller's next election attempt until at least this pause from now. */
+  /** Ensures that this controller makes no election attempt before this pause has passed. */
   void pause(long pauseMicros) {
     notBeforeMicros = loop.nowMicros() + pauseMicros;
   }
@@ -115,9 +118,9 @@
       return notBeforeMicros - now;
     }
     attemptInProgress = true;
-    // The election transaction requires the revisions of the leader and term keys as they are now.
-    // Watch events continue to arrive while the lease is created; a precondition on revisions read
-    // later could therefore depose a leader elected in the meantime.
+    // The revisions of the leader and term keys are saved now, as preconditions of the election
+    // transaction. Revisions taken after the lease was created could include another leader elected
+    // in the meantime, and the transaction would then depose that leader.
     LeadershipRecords.Revisions seen = records.revisions();
     if (poolTerms.isEmpty()) {
       new Attempt(seen, new PoolTerms.NextTerm(records.term() + 1, 0), now).createLease();
@@ -143,8 +146,8 @@
     private final LeaderRecord record;
 
     /**
-     * The time at which the request that creates the leader's lease was sent. The time during which
-     * the leader may act is counted from it.
+     * The send time of the request that creates the leader's lease. If elected, the leader may act
+     * for a limited time counted from then.
      */
     private final long sentMicros;
 
@@ -194,7 +197,7 @@
     }
 
     /**
-     * Reads the leader key to find out whether an election transaction without a response was
+     * Reads the leader key to find out whether the election transaction, which had no response, was
      * applied. If the key cannot be read, abandons the attempt by revoking its lease.
      */
     private void resolveOutcome(long leaseId, int retries) {
@@ -203,8 +206,8 @@
           StateClient.RequestPriority.URGENT,
           result -> {
             if (result.found() && LeaderRecord.read(result.item().data()).equals(record)) {
-              // The election transaction puts the leader key and the term key, so both have the
-              // same revision.
+              // The election transaction puts both the leader key and the term key, so the revision
+              // of the leader key is also that of the term key.
               won(leaseId, result.item().revision());
             } else if (result.found() || result.missing() || retries == 0) {
               lost(leaseId);
--- a/src/main/java/plumlever/election/Candidate.java
+++ b/src/main/java/plumlever/election/Candidate.java
@@ -1,7 +1,7 @@
 package plumlever.election;
 
 /**
- * A candidate for leadership: one incarnation of a controller. After a restart the process is a
+ * A candidate for leadership: one run of a controller process. After a restart, the controller is a
  * different candidate with the same label.
  *
  * @param label the label of the controller
--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -12,14 +12,15 @@
 import plumlever.store.Transaction;
 
 /**
- * The right of a follower to renew the leases of workers on behalf of a leader that cannot reach
- * the workers of some zones, while both controllers reach the state service.
+ * Lets a follower (a controller that does not lead) renew the leases of workers for the leader if
+ * the leader cannot reach the workers of some zones. Both controllers must reach the state service.
  *
- * <p>The leader stores this right as a delegation, in a key attached to its own lease; the next
- * election deletes the key. A follower may use the delegation for {@link #VALID_MICROS} after it
- * <em>sent</em> the read that returned it. The leader waits for that time plus the duration of a
- * worker's lease before it treats the lease of a machine in these zones as expired (see {@code
- * LeaseExpiry}). It also waits for that time before it sends a command to such a machine.
+ * <p>The leader gives this right by storing a delegation record. Its key is attached to the
+ * leader's own lease and is deleted by the next election. A follower may use the delegation for
+ * {@link #VALID_MICROS} after it <em>sent</em> the read that returned it. The leader waits for that
+ * time plus the duration of a worker's lease before it treats the lease of a machine in these zones
+ * as expired (see {@code LeaseExpiry}). It also waits for that time before it sends a command to
+ * such a machine.
  *
  * <p>Used on the controller loop only.
  */
@@ -30,7 +31,7 @@
    */
   public static final long VALID_MICROS = 2_000_000;
 
-  /** The interval at which a follower reads the delegation record while it exists. */
+  /** The interval at which a follower reads the delegation record while the record exists. */
   private static final long READ_INTERVAL_MICROS = 600_000;
 
   /**
@@ -41,7 +42,7 @@
    */
   public record RenewalRight(long token, long validUntilMicros) {}
 
-  /** A delegation that covers no zone. */
+  /** The value used while no delegation record exists: it covers no zone. */
   private static final DelegationRecord NO_DELEGATION = new DelegationRecord(-1, Map.of());
 
   private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
@@ -52,18 +53,24 @@
   private final LeaderElection election;
   private DelegationRecord delegation = NO_DELEGATION;
 
-  /** The revision of the newest delegation that was read. */
+  /** The revision of the newest delegation record that was read. */
   private long revision = RenewalAnnouncement.NONE;
 
-  /** The send time of the last read that returned a delegation. */
+  /**
+   * The send time of the last read that returned a delegation record; the right to renew leases is
+   * valid for {@link #VALID_MICROS} from then.
+   */
   private long readSentMicros = NEVER_MICROS;
 
   /**
-   * The revision of the delegation for which this controller last announced that it renews leases.
+   * The revision of the delegation record under which this controller last announced to the leader
+   * that it renews leases.
    */
   private long announcedRevision = RenewalAnnouncement.NONE;
 
-  /** Creates an instance for this controller that reads the delegation through the given client. */
+  /**
+   * Creates an instance that reads the delegation record of the leader through the given client.
+   */
   public DelegatedRenewal(
       EventLoop loop, StateClient store, LeaderElection election, LoggerProvider loggerProvider) {
     this.log = loggerProvider.of(DelegatedRenewal.class);
@@ -72,7 +79,10 @@
     this.election = election;
   }
 
-  /** Returns the task that reads the delegation at a fixed interval while there is one. */
+  /**
+   * Returns the recurring task that reads the delegation record while the record exists and this
+   * controller does not lead.
+   */
   public RecurringTask refreshTask() {
     return new RecurringTask("delegation refresh", loop, this::refresh);
   }
@@ -89,8 +99,8 @@
           if (result.found()) {
             accept(DelegationRecord.read(result.item().data()), result.item().revision(), sent);
           } else if (result.missing()) {
-            // Only status 404 (no delegation record) ends the right to renew leases early. After
-            // any other failed read, the right remains until it expires.
+            // Status 404 means that the delegation record was deleted, so the right to renew leases
+            // ends at once. After any other failed read, the right remains valid until it expires.
             delegation = NO_DELEGATION;
           }
         });
@@ -99,8 +109,8 @@
 
   private void accept(DelegationRecord read, long readRevision, long sentMicros) {
     if (readRevision < revision) {
-      // Responses may arrive out of order, and workers may reject the tokens of an older
-      // delegation record.
+      // This response is older than one already handled. It is ignored, because workers may reject
+      // the tokens of an older delegation record.
       return;
     }
     if (!read.equals(delegation)) {
@@ -118,9 +128,9 @@
   }
 
   /**
-   * Announces to the leader, once per delegation, that this controller has renewed a lease. Without
-   * an announcement, the leader assumes that no other controller reaches its workers, and revokes
-   * the delegation.
+   * Announces to the leader, once per delegation record, that this controller renews leases. If no
+   * controller announces this, the leader assumes that none reaches its workers and revokes the
+   * delegation.
    */
   public void announceRenewal() {
     if (announcedRevision == revision) {
@@ -140,8 +150,9 @@
   }
 
   /**
-   * Returns the right to renew the leases of the workers in the zone, if this controller has it.
-   * Callers must call this method again immediately before each renewal.
+   * Returns the right to renew the leases of the workers in the zone; empty if this controller does
+   * not have that right now. Must be called immediately before each renewal, because the right
+   * expires.
    */
   public Optional<RenewalRight> renewalRight(String zone) {
     long validUntil = readSentMicros + VALID_MICROS;
--- a/src/main/java/plumlever/election/ElectionBackoff.java
+++ b/src/main/java/plumlever/election/ElectionBackoff.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The pauses before election requests are repeated. The pauses contain random jitter so that
- * candidates that failed at the same time do not retry at the same time. Used on the election loop
+ * Computes the pauses before election requests. The pauses contain random jitter so that
+ * controllers that failed at the same time do not retry at the same time. Used on the election loop
  * only.
  */
 final class ElectionBackoff {
@@ -16,7 +16,10 @@
   private static final int ATTEMPT_JITTER_MICROS = 250_000;
   private static final long BACKOFF_PER_LOST_ELECTION_MICROS = 150_000;
 
-  /** The number of lost elections after which further ones do not lengthen the pause. */
+  /**
+   * Each lost election in a row lengthens the pause before the next attempt, up to this number of
+   * lost elections.
+   */
   private static final int MAX_LOST_ELECTIONS = 6;
 
   private final SplittableRandom random;
@@ -26,14 +29,14 @@
     this.random = random;
   }
 
-  /** Returns the pause before the leadership records are read again. */
+  /** Returns the pause before the leadership records are read again after a failed read. */
   long beforeReadMicros() {
     return RETRY_MICROS + random.nextInt(READ_JITTER_MICROS);
   }
 
   /**
-   * Returns the pause before the next election attempt if the previous one could not start because
-   * a request had no response.
+   * Returns the pause before the next election attempt after the previous attempt failed because a
+   * request had no response.
    */
   long beforeRetryMicros() {
     return RETRY_MICROS + random.nextInt(RETRY_JITTER_MICROS);
--- a/src/main/java/plumlever/election/ElectionContext.java
+++ b/src/main/java/plumlever/election/ElectionContext.java
@@ -5,7 +5,7 @@
 import plumlever.store.StateClient;
 
 /**
- * The dependencies shared by the components of an election.
+ * The objects that all components of leader election use.
  *
  * @param loop runs all of the components
  * @param store the state service client on that loop
--- a/src/main/java/plumlever/election/HeldTerm.java
+++ b/src/main/java/plumlever/election/HeldTerm.java
@@ -8,8 +8,8 @@
 import plumlever.store.StateClient;
 
 /**
- * The term that this controller holds, if any. Renews the lease of the term. Ends the term when the
- * renewal fails, when the controller loop has stalled, or when the controller resigns.
+ * The term in which this controller leads, if it leads. Renews the lease of the term. Ends the term
+ * when the renewal fails, when the controller loop has stalled, or when the controller resigns.
  *
  * <p>Threads: everything runs on the election loop, except {@link #current()}, {@link #leading()}
  * and {@link #mayAct()}, which may be called on any thread, and the time of the last run of the
@@ -17,19 +17,22 @@
  */
 final class HeldTerm implements AutoCloseable {
   /**
-   * A leader whose controller loop has been stalled for this long resigns. The limit is far above
-   * any delay that a leader is expected to recover from.
+   * A leader resigns if its controller loop has run nothing for this long. The limit is far above
+   * any delay from which a leader is expected to recover.
    */
   private static final long STALL_TIMEOUT_MICROS = 10_000_000;
 
-  /** Return value of a recurring task that runs again only when it is scheduled explicitly. */
+  /**
+   * Returned by the recurring task of lease renewal: it runs again only when a renewal is
+   * scheduled.
+   */
   private static final long UNTIL_SCHEDULED = -1;
 
   /** Notified on the election loop when a term of this controller ends. */
   interface Observer {
     /**
-     * Called when this controller resigns leadership; it must not attempt an election during this
-     * pause.
+     * Called when this controller resigns leadership. The observer must make no election attempt
+     * during this pause, so that another controller is elected.
      */
     void attemptsPaused(long pauseMicros);
 
@@ -50,7 +53,8 @@
   private volatile Term current;
 
   /**
-   * The time at which the controller loop last ran an action of this class; written on that loop.
+   * The time at which the controller loop last ran the action by which this class detects that the
+   * loop has stalled; written on the controller loop.
    */
   private volatile long controllerLoopLastRanMicros;
 
@@ -85,7 +89,7 @@
   }
 
   /**
-   * Starts the term of an election that this controller has won.
+   * Starts a term after this controller has won an election.
    *
    * @param sentMicros the send time of the request that created the lease of the term
    */
@@ -138,8 +142,8 @@
   }
 
   /**
-   * Ends the term and revokes its lease if this controller still holds the term, and delays this
-   * controller's next election attempt in any case.
+   * Ends the term and revokes its lease, unless the term has ended already. In any case, delays
+   * this controller's next election attempt by the given pause.
    */
   void resign(Term term, String reason, long pauseMicros) {
     observer.attemptsPaused(pauseMicros);
--- a/src/main/java/plumlever/election/LeaderElection.java
+++ b/src/main/java/plumlever/election/LeaderElection.java
@@ -12,8 +12,9 @@
 /**
  * Elects the leader among the controllers. The leader holds a key that is attached to a lease of
  * the state service; the transaction that creates the key also increments the term. The time during
- * which a leader may act is counted from when its last successful renewal was <em>sent</em>. It
- * therefore ends before the state service can expire the lease and admit another leader.
+ * which a leader may act is counted from the <em>sending</em> of its last successful lease renewal,
+ * and the state service counts the lease from the later arrival. The leader therefore stops acting
+ * before the lease can expire and another leader can be elected.
  *
  * <p>The election runs on a separate loop, so that scheduling passes, heartbeat load and class
  * loading do not delay renewals or elections. A leader whose controller loop has stalled resigns.
@@ -37,12 +38,15 @@
    */
   public static final String DELEGATION = PREFIX + "mandate";
 
-  /** Identifies the leader; attached to the lease of the leader. */
+  /**
+   * The key of the record of the current leader; attached to the leader's lease, so that it is
+   * deleted when the lease ends.
+   */
   public static final String LEADER = PREFIX + "leader";
 
   /**
-   * The key of the last term; every write of a leader has the precondition that its revision is
-   * unchanged.
+   * The key of the record of the last term. Every write of a leader requires that this record is
+   * unchanged since the leader was elected.
    */
   public static final String TERM = PREFIX + "term";
 
@@ -89,7 +93,10 @@
     loop.execute(watch::start);
   }
 
-  /** Returns true while this controller holds a term, whether or not it may still act in it. */
+  /**
+   * Returns true while this controller holds a term, even if the leader's lease no longer allows it
+   * to act.
+   */
   public boolean leading() {
     return heldTerm.leading();
   }
@@ -100,26 +107,25 @@
   }
 
   /**
-   * Returns the revision of the delegation under which another controller has announced that it
-   * renews leases, or -1 if there was no announcement. The value may be out of date; it is a hint,
-   * not a proof.
+   * Returns the revision of the delegation record for which another controller last announced that
+   * it renews leases; -1 if none did. The value may be out of date.
    */
   public long announcedDelegationRevision() {
     return records.announcedDelegationRevision();
   }
 
   /**
-   * Returns true if the last known leadership records include a delegation of lease renewals, which
-   * is then worth reading.
+   * Returns true if the last known leadership records include a delegation record, by which the
+   * leader lets other controllers renew leases.
    */
   public boolean delegationExists() {
     return records.delegationExists();
   }
 
   /**
-   * Returns true if the state service holds a pool of shards but this controller has no sharing
-   * file. Such a controller neither takes part in elections nor serves users, because it would
-   * treat the machines of the whole pool as its own.
+   * Returns true if this controller must neither lead nor serve users: the state service contains
+   * the marker of a pool of shards, but this controller has no sharing settings. It would treat the
+   * machines of the whole pool as its own.
    */
   public boolean ineligible() {
     return records.ineligible();
@@ -131,8 +137,8 @@
   }
 
   /**
-   * Returns the label of the leader if it was seen recently; never this controller's own label
-   * while it does not lead.
+   * Returns the label of the controller that leads, if it was recently known to lead. Never returns
+   * this controller's own label while this controller does not lead.
    */
   public Optional<String> leaderLabel() {
     boolean seenRecently =
@@ -146,7 +152,7 @@
   /**
    * Ends the term immediately and delays the next attempt, so that another controller is elected.
    *
-   * @param term the term to end; nothing is resigned if it is no longer held
+   * @param term the term to end; has no effect on a term that has ended already
    * @param reason the reason for the log
    */
   public void resign(Term term, String reason, long pauseMicros) {
@@ -154,7 +160,7 @@
     loop.execute(() -> heldTerm.resign(term, reason, pauseMicros));
   }
 
-  /** Connects the components of the election; used on the election loop only. */
+  /** Passes events between the components of leader election; used on the election loop only. */
   private final class Coordinator
       implements LeadershipWatch.Observer, HeldTerm.Observer, Candidacy.Observer {
     @Override
--- a/src/main/java/plumlever/election/LeaderRecord.java
+++ b/src/main/java/plumlever/election/LeaderRecord.java
@@ -7,7 +7,7 @@
 /**
  * The stored value of the leader key.
  *
- * @param candidate the elected candidate; unreadable fields are empty
+ * @param candidate the elected candidate; a field that is missing or unreadable is empty
  * @param term the term of the leader
  */
 record LeaderRecord(Candidate candidate, long term) {
--- a/src/main/java/plumlever/election/LeadershipRecords.java
+++ b/src/main/java/plumlever/election/LeadershipRecords.java
@@ -24,8 +24,8 @@
   private static final long UNKNOWN_REVISION = -1;
 
   /**
-   * The revisions on which the decision to attempt an election is based, and which the election
-   * transaction requires.
+   * The revisions of the leader key and the term key when this controller decided to attempt an
+   * election. The election transaction requires that they are unchanged.
    *
    * @param leader the revision of the leader key, 0 if it does not exist
    * @param term the revision of the term key, 0 if it does not exist
@@ -49,8 +49,8 @@
   private volatile long announcedDelegationRevision = RenewalAnnouncement.NONE;
 
   /**
-   * True if the state service holds a pool of shards but this controller has no sharing settings;
-   * such a controller must not lead.
+   * True if this controller must not lead: the state service contains the marker of a pool of
+   * shards, but this controller has no sharing settings.
    */
   private volatile boolean ineligible;
 
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Updates the known leader and term from a listing, without changing the revision from which the
-   * watch continues.
+   * Updates the known leader and term from a listing of the leadership records. The watch still
+   * continues from the revision before.
    */
   void refreshLeader(StateClient.Listing listing) {
     boolean leaderFound = false;
@@ -228,17 +228,17 @@
   }
 
   /**
-   * Returns true if a leader key exists, or may exist, that does not belong to this incarnation of
-   * this controller.
+   * Returns true if another controller, or an earlier run of this controller, may hold the leader
+   * key.
    */
   boolean ledByAnother() {
     return leaderRevision != ABSENT_KEY_REVISION && !isOwnLeaderKey();
   }
 
   /**
-   * Returns true if leadership is vacant, provided that this controller does not lead. A leader key
-   * with the label of this controller was written by an earlier incarnation of its process. That
-   * process has ended, so leadership is vacant.
+   * Returns true if no controller leads; call only while this controller does not lead. A leader
+   * key with the label of this controller was then written before this process started, by a
+   * process that has ended, so leadership is vacant.
    */
   boolean leadershipVacant() {
     return leaderRevision == ABSENT_KEY_REVISION || candidate.label().equals(leaderLabel);
@@ -267,24 +267,24 @@
   }
 
   /**
-   * Returns true if the leader is known to have delegated lease renewals; may be called on any
-   * thread.
+   * Returns true if a delegation record is known, by which the leader lets other controllers renew
+   * leases; may be called on any thread.
    */
   boolean delegationExists() {
     return delegationExists;
   }
 
   /**
-   * Returns the revision of the delegation under which another controller last announced lease
-   * renewals; may be called on any thread.
+   * Returns the revision of the delegation record for which another controller last announced that
+   * it renews leases; may be called on any thread.
    */
   long announcedDelegationRevision() {
     return announcedDelegationRevision;
   }
 
   /**
-   * Returns true if the state service holds a pool but this controller has no sharing settings; may
-   * be called on any thread.
+   * Returns true if this controller must not lead, because the state service contains the marker of
+   * a pool of shards but this controller has no sharing settings. May be called on any thread.
    */
   boolean ineligible() {
     return ineligible;
--- a/src/main/java/plumlever/election/LeadershipWatch.java
+++ b/src/main/java/plumlever/election/LeadershipWatch.java
@@ -19,7 +19,7 @@
     /** Returns true while this controller has an election attempt in progress. */
     boolean attemptInProgress();
 
-    /** Called when the leadership records were read or a watch response for them was received. */
+    /** Called after the known leadership records were updated by a read or by a watch response. */
     void recordsRead();
 
     /** Called when {@link #refresh} could not read the leadership records. */
@@ -78,8 +78,8 @@
     if (changes.expired()) {
       start();
     } else if (!changes.succeeded()) {
-      // The watch was refused or had no response. The known leadership records may be stale, so
-      // all of them are read again before any decision is based on them.
+      // The watch was refused or had no response, so the known leadership records may be stale.
+      // After a pause, all of them are read again and a new watch is started.
       loop.after(backoff.beforeReadMicros(), this::start);
     } else {
       records.apply(changes, observer.leading());
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Reads the leader and the term without interrupting the watch. */
+  /** Reads the records of the leader and the term once more, while the watch continues. */
   void refresh() {
     store.list(
         LeaderElection.PREFIX,
--- a/src/main/java/plumlever/election/PoolTerms.java
+++ b/src/main/java/plumlever/election/PoolTerms.java
@@ -9,16 +9,16 @@
 import plumlever.wire.Json;
 
 /**
- * Assigns terms from a counter that all shards of a pool share. Shared terms order the commands
- * that two shards send to the same machine, and make attempt numbers unique in the pool. The
- * transaction of an election also increments the counter and publishes the leader to the other
- * shards.
+ * Assigns terms from a counter that all shards of a pool share, so that no two leaders in the pool
+ * have the same term. The terms order the commands that two shards send to the same machine, and
+ * make attempt numbers unique in the pool. The transaction of an election also increments the
+ * counter and publishes the leader to the other shards.
  */
 public final class PoolTerms {
   /**
-   * The key that marks that the state service holds a pool of shards. It is stored at the root,
-   * outside the prefixes of the shards. A controller without a sharing file that finds this key
-   * must not become leader, because it would act alongside the leaders of the shards.
+   * The key of the marker of a pool of shards, stored at the root, outside the prefixes of the
+   * shards. A controller without sharing settings that finds this key must not become leader,
+   * because it would act alongside the leaders of the shards.
    */
   static final String MARKER = LeaderElection.PREFIX + "pool";
 
@@ -27,7 +27,7 @@
   private static final String TERM = "term";
 
   /**
-   * The next term of a shard.
+   * The term that a shard's next leader will have.
    *
    * @param counterRevision the revision of the pool's term counter from which the term was derived;
    *     0 if the counter does not exist yet
--- a/src/main/java/plumlever/election/RenewalAnnouncement.java
+++ b/src/main/java/plumlever/election/RenewalAnnouncement.java
@@ -7,11 +7,11 @@
 /**
  * The stored record by which a controller announces that it renews leases on behalf of the leader.
  *
- * @param delegationRevision the revision of the leader's delegation that allows the renewals;
- *     {@link #NONE} if unreadable
+ * @param delegationRevision the revision of the delegation record by which the leader allowed the
+ *     renewals; {@link #NONE} if unreadable
  */
 record RenewalAnnouncement(long delegationRevision) {
-  /** The value that stands for the revision of a delegation when there is none. */
+  /** Used in place of the revision of a delegation record if no such record is known. */
   static final long NONE = -1;
 
   private static final String DELEGATION_REVISION = "mandate";
--- a/src/main/java/plumlever/election/Term.java
+++ b/src/main/java/plumlever/election/Term.java
@@ -38,7 +38,7 @@
     return revision;
   }
 
-  /** Returns the lease that the leader key is attached to. */
+  /** Returns the id of the lease to which the leader key is attached. */
   public long leaseId() {
     return leaseId;
   }
@@ -59,13 +59,16 @@
     return new Transaction().require(LeaderElection.TERM, revision);
   }
 
-  /** Returns the time up to which the leader may act, unless the term is ended earlier. */
+  /**
+   * Returns the time, by the monotonic clock, at which the right to act expires unless the lease is
+   * renewed or the term ends earlier.
+   */
   long mayActUntilMicros() {
     return mayActUntilMicros;
   }
 
   /**
-   * Extends the right to act after the lease was created or renewed.
+   * Extends the leader's right to act after its lease was created or renewed.
    *
    * @param sentMicros the time at which the request that created or renewed the lease was sent
    */
@@ -76,7 +79,7 @@
             mayActUntilMicros, sentMicros + validMicros - parameters.leaseSafetyMarginMicros());
   }
 
-  /** Ends the right to act permanently. */
+  /** Ends the term: the right to act in it is lost for good. */
   void end() {
     ended = true;
   }
--- a/src/main/java/plumlever/election/TermRecord.java
+++ b/src/main/java/plumlever/election/TermRecord.java
@@ -5,7 +5,8 @@
 import plumlever.wire.Json;
 
 /**
- * The stored record of the last term, either of one shard or of all shards of a pool.
+ * The stored record of the last term: in the term key, the last term of a shard; in the term
+ * counter of a pool, the last term of any of its shards.
  *
  * @param number the number of the term; 0 if unreadable
  */
--- a/src/main/java/plumlever/metrics/LoggerProvider.java
+++ b/src/main/java/plumlever/metrics/LoggerProvider.java
@@ -8,7 +8,7 @@
  * from the log lines of the service.
  */
 public interface LoggerProvider {
-  /** The loggers of the service itself. */
+  /** Provides the loggers used by the running service (not by the JVM warm-up). */
   LoggerProvider SERVICE = LoggerFactory::getLogger;
 
   /** Returns the logger of the class. */
--- a/src/main/java/plumlever/metrics/Metrics.java
+++ b/src/main/java/plumlever/metrics/Metrics.java
@@ -39,7 +39,7 @@
     this.log = loggerProvider.of(Metrics.class);
   }
 
-  /** Increments the counter by one. */
+  /** Increments the counter with this name by one. */
   public synchronized void count(String name) {
     counters.merge(name, 1L, Long::sum);
   }
@@ -49,12 +49,14 @@
     counters.merge(name, count, Long::sum);
   }
 
-  /** Returns the value of the counter since startup; 0 for a counter that was never incremented. */
+  /**
+   * Returns the value of the counter with this name since startup; 0 if it was never incremented.
+   */
   public synchronized long counter(String name) {
     return counters.getOrDefault(name, 0L);
   }
 
-  /** Records the duration of one operation in a histogram. */
+  /** Adds the duration of one operation to the histogram with this name. */
   public synchronized void recordDuration(String name, long micros) {
     durations
         .computeIfAbsent(name, key -> new Histogram(1, MAX_DURATION_MICROS, SIGNIFICANT_DIGITS))
@@ -62,9 +64,10 @@
   }
 
   /**
-   * Adds the duration of one run to the total of the kind of work with this name. @param micros the
-   * elapsed time by the clock, not the processor time, because other work waits for the elapsed
-   * time, which is longer on a small share of a processor
+   * Adds the duration of one run to the total of the kind of work with this name.
+   *
+   * @param micros the elapsed time by the clock, not the processor time: other work is delayed by
+   *     the elapsed time, which is longer on a small share of a processor
    */
   public synchronized void recordWork(String name, long micros) {
     WorkTotal total = work.computeIfAbsent(name, key -> new WorkTotal());
@@ -94,8 +97,8 @@
   }
 
   /**
-   * Logs one line with the gauges, the counters, and the durations and work since the last summary.
-   * Logs nothing if no counter and no duration was ever recorded.
+   * Logs one line with the current gauges, the counters since startup, and the durations and work
+   * totals since the last such line. Logs nothing if no counter and no duration was ever recorded.
    */
   public synchronized void logSummary() {
     if (!log.isInfoEnabled() || (counters.isEmpty() && durations.isEmpty())) {
--- a/src/main/java/plumlever/peer/PeerStatus.java
+++ b/src/main/java/plumlever/peer/PeerStatus.java
@@ -15,11 +15,13 @@
  * The status that a controller reports to its peers. Advisory only: correctness must not depend on
  * it.
  *
- * @param storeRefusedMicros how long the state service has refused the sender; 0 while it is served
+ * @param storeRefusedMicros for how long the state service has refused the sender or not responded;
+ *     0 if it served the last request
  * @param lateMicros how late the sender's controller loop recently ran
  * @param workers the number of workers that recently sent heartbeats to the sender while it did not
  *     lead
- * @param counts finished and running tasks by job, reported by a leader, for display
+ * @param counts by job, the numbers of finished and running tasks, for display; only a leader
+ *     reports them
  * @param confirmedCancellations jobs whose cancellation the sender recently confirmed to users. The
  *     leader stops their tasks even while the state service refuses the leader's reads.
  */
@@ -41,7 +43,7 @@
     private static final int MAX_BYTES = 256 * 1024;
     private static final int INITIAL_BUFFER_BYTES = 4 * 1024;
 
-    /** The Kryo type id in the encoding; earlier versions expect the same id. */
+    /** The Kryo type id that precedes an encoded status. Earlier versions expect this id. */
     private static final int REGISTRATION_ID = 100;
 
     private final Kryo kryo = new Kryo();
@@ -90,8 +92,8 @@
       out.writeVarLong(peerStatus.lateMicros, true);
       out.writeVarInt(peerStatus.workers, true);
       writeCounts(out, peerStatus.counts);
-      // The confirmed cancellations are written last, because earlier versions ignore everything
-      // after the fields above.
+      // The confirmed cancellations are written last, because earlier versions do not know this
+      // field and ignore everything after the fields before.
       writeCancellations(out, peerStatus.confirmedCancellations);
     }
 
@@ -145,7 +147,10 @@
       return counts;
     }
 
-    /** Reads the confirmed cancellations; messages of earlier versions end before this field. */
+    /**
+     * Reads the ids of jobs whose cancellation the sender confirmed; empty for messages of earlier
+     * versions, which end before this field.
+     */
     private static List<String> readCancellations(Input in) {
       List<String> uids = new ArrayList<>();
       if (in.position() < in.limit()) {
--- a/src/main/java/plumlever/peer/Peers.java
+++ b/src/main/java/plumlever/peer/Peers.java
@@ -14,8 +14,8 @@
 import plumlever.wire.HttpStatus;
 
 /**
- * The links between controllers. Each controller sends its status to the others, over HTTP with
- * Kryo bodies.
+ * Exchanges status messages with the other controllers. Each controller sends its status to all
+ * others at a fixed interval, over HTTP with Kryo bodies.
  */
 public final class Peers {
   private static final String PATH = "/peer";
@@ -33,7 +33,7 @@
   private final Map<String, ReceivedStatus> receivedByLabel = new HashMap<>();
 
   /**
-   * Creates the links to the other controllers of the platform.
+   * Prepares the exchange of status messages with the other controllers of the deployment.
    *
    * @param ownStatus provides the status that is sent
    * @param listener receives each status that another controller sends
--- a/src/main/java/plumlever/settings/Endpoint.java
+++ b/src/main/java/plumlever/settings/Endpoint.java
@@ -23,8 +23,8 @@
     }
   }
 
-  // Written by hand: the methods that the compiler generates for a record link method handles at
-  // their first use, which slows down a cold start.
+  // Overrides the method that the compiler generates for a record. The generated one links method
+  // handles at its first use, which slows down a cold start.
   @Override
   public boolean equals(Object object) {
     return object instanceof Endpoint endpoint
--- a/src/main/java/plumlever/settings/OperatorFile.java
+++ b/src/main/java/plumlever/settings/OperatorFile.java
@@ -25,8 +25,8 @@
   private final String file;
 
   /**
-   * The entries of the settings file whose keys have not been read yet. The keys left after reading
-   * are unknown.
+   * The entries of the settings file that have not been read yet. Entries that are left at the end
+   * have unknown keys, which is an error.
    */
   private final Map<String, Object> unreadKeys;
 
--- a/src/main/java/plumlever/settings/OperatorKey.java
+++ b/src/main/java/plumlever/settings/OperatorKey.java
@@ -29,7 +29,7 @@
     this.max = max;
   }
 
-  /** Returns the name of the key in the operators' settings file. */
+  /** Returns the name of this key as written in the operators' settings file. */
   String text() {
     return text;
   }
--- a/src/main/java/plumlever/settings/PlatformConfiguration.java
+++ b/src/main/java/plumlever/settings/PlatformConfiguration.java
@@ -54,9 +54,11 @@
    *
    * @param kind the measured quantity, such as the deadline or the wait until the start
    * @param jobClass the class of the jobs that the objective applies to; null for all jobs
-   * @param withinS the time within which tasks must start, in seconds
-   * @param deadlineFactor the maximum duration of a job, as a multiple of the job's deadline
-   * @param share the fraction of the jobs that must meet the objective
+   * @param withinS the time target in seconds: within this time after release, the job must start
+   *     (kind "wait") or finish (kind "finished"), for example; 0 if not given
+   * @param deadlineFactor for kind "deadline": the job must finish within this multiple of its
+   *     deadline, both counted from its submission; 1 if not given
+   * @param share the fraction of the jobs that must meet the objective; 1 if not given
    */
   public record Objective(
       String kind, String jobClass, double withinS, double deadlineFactor, double share) {
@@ -83,16 +85,17 @@
    */
   public record Workers(long heartbeatMicros, long leaseMicros, long cancelMicros) {
     /**
-     * The heartbeat interval divided by this number is the time by which a heartbeat may be sent
-     * early or late.
+     * A worker may send a heartbeat early or late by up to the heartbeat interval divided by this
+     * number.
      */
     private static final int JITTER_DIVISOR = 4;
 
-    /** The time allowed for the delivery of a heartbeat. */
+    /** The time allowed for a heartbeat to arrive after it was sent. */
     private static final long DELIVERY_MARGIN_MICROS = 2_000_000;
 
     /**
-     * Returns the time since the last heartbeat after which the next heartbeat counts as missed.
+     * Returns how long after the last heartbeat of a worker the next one counts as missed if none
+     * has arrived.
      */
     public long missedHeartbeatMicros() {
       return heartbeatMicros + heartbeatMicros / JITTER_DIVISOR + DELIVERY_MARGIN_MICROS;
@@ -100,8 +103,8 @@
   }
 
   /**
-   * The limits of the state service: for each limit, the smaller of the current value and the value
-   * announced for later, because the announced limits take effect without notice.
+   * The limits of the state service. Each is the smaller of the current value and the value
+   * announced for later, because an announced limit may take effect at any time.
    *
    * @param rps requests per second
    * @param writeRps write operations per second
@@ -119,8 +122,8 @@
     }
 
     /**
-     * Returns limits each of which is the smaller of this object's value and the value announced
-     * for later.
+     * Combines these limits with the limits announced for later by taking the smaller value of
+     * each.
      */
     StateLimits smallerOf(StateLimits next) {
       return new StateLimits(
@@ -141,11 +144,10 @@
   public record CloudLimits(double rps, long listLagMicros) {}
 
   /**
-   * Returns true if scheduling should minimize cost as far as the objectives leave time for it.
-   * This is the case if an objective is about cost. The platform may omit cost objectives from the
-   * file, so it is also the case if every objective for the wait until the start leaves enough time
-   * to rent a machine on demand. Otherwise idle machines must be kept available and only speed
-   * matters.
+   * Returns true if scheduling should minimize cost, false if only speed matters. Cost matters if
+   * an objective is about cost, or if every objective for the wait until the start leaves enough
+   * time to rent a machine on demand. The second rule exists because the platform may omit cost
+   * objectives from the file. If neither rule applies, idle machines must be kept available.
    *
    * @param provisioningMicros the time from a rental request until the machine is up
    */
--- a/src/main/java/plumlever/settings/PlatformFile.java
+++ b/src/main/java/plumlever/settings/PlatformFile.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Reads the tables of the platform's settings file; the first invalid or missing value aborts
- * reading.
+ * Reads the platform's settings file. The first value that is invalid or missing is reported as an
+ * error.
  */
 final class PlatformFile {
   private static final double MAX_NUMBER = 1e9;
@@ -18,14 +18,14 @@
   private static final double MAX_FILE_DESCRIPTORS = 1e7;
 
   /**
-   * The smallest maximum value size of the state service, in KB, with which all records can be
-   * stored.
+   * The smallest accepted setting of the state service's maximum value size, in KB. With a smaller
+   * size, not all records can be stored.
    */
   private static final double MIN_VALUE_KB = 1;
 
   /**
-   * The smallest number of operations per transaction that the state service must allow: an
-   * election puts the leader and the term and deletes the delegation of lease renewals.
+   * The state service must allow at least this many operations per transaction: an election puts
+   * the records of the leader and the term and deletes the delegation record.
    */
   private static final double MIN_TRANSACTION_OPS = 3;
 
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Reads the limits of the state service. A limit without an announced value keeps its current
-   * value.
+   * Reads the limits of the state service. If no later value is announced for a limit, the current
+   * value is used.
    */
   private static PlatformConfiguration.StateLimits stateLimits(TomlTable state)
       throws SettingsException {
--- a/src/main/java/plumlever/settings/SchedulerParameters.java
+++ b/src/main/java/plumlever/settings/SchedulerParameters.java
@@ -18,21 +18,21 @@
  * @param leaseSafetyMarginMicros the leader stops acting this long before its lease can expire,
  *     because timers may fire late
  * @param progressWriteIntervalMicros the interval between writes of task progress
- * @param passBudgetMicros the maximum duration of a scheduling pass before pending requests are
- *     handled
- * @param heartbeatTimeoutMicros a machine without a heartbeat for this long is called directly; the
- *     machine is returned if the rest of its zone still sends heartbeats
+ * @param passBudgetMicros the time after which a scheduling pass is interrupted to handle pending
+ *     requests
+ * @param heartbeatTimeoutMicros if a machine has sent no heartbeat for this long, the leader calls
+ *     its worker; the machine is returned if the rest of its zone still sends heartbeats
  * @param idleTimeoutForCostMicros the idle time after which a machine is returned if cost matters
  * @param idleTimeoutForSpeedMicros the idle time after which a machine is returned if only speed
  *     matters
- * @param bootTimeoutFactor the controller gives up a machine that boots for longer than its nominal
- *     startup time multiplied by this factor
+ * @param bootTimeoutFactor the boot timeout of a machine, as a multiple of the nominal startup time
+ *     of its type; a machine that boots for longer is returned
  * @param provisioningMicros the approximate time from a rental request until the machine is up
  * @param starvationLimitMicros a job that has waited for this long without any task started is
  *     scheduled before all other jobs, regardless of priority, to prevent starvation
  * @param headroomDeviations the idle capacity that is kept for work that must start sooner than a
- *     machine can be rented, in standard deviations of the work submitted during a rental; 0 for no
- *     idle capacity
+ *     machine can be rented, as a number of standard deviations of the work submitted in the time
+ *     that a rental takes; 0 keeps none
  * @param spotRiskPremium the fraction added to the cost of a spot machine for a task without
  *     checkpoints, if only speed matters, because the loss of one task delays the whole job
  * @param ownedHourlyCosts the hourly cost that operators set for owned machine types, by type name
--- a/src/main/java/plumlever/settings/SharingSettings.java
+++ b/src/main/java/plumlever/settings/SharingSettings.java
@@ -30,15 +30,15 @@
    * @param prefix the prefix of the shard's keys in the state service
    * @param controllers the labels of the shard's controllers
    * @param minMachines the number of machines that the shard always keeps
-   * @param weight the shard's weight in the division of the machines that exceed the sum of {@code
+   * @param weight the shard's relative share of the machines beyond the sum of all shards' {@code
    *     minMachines}
    */
   public record Shard(
       String name, String prefix, Set<String> controllers, int minMachines, double weight) {}
 
   /**
-   * The number of write operations that moving a machine between shards needs in one transaction of
-   * the state service.
+   * The state service must allow at least this many operations per transaction, because the
+   * transaction that moves a machine between shards needs them.
    */
   public static final int MIN_TRANSACTION_OPS = 5;
 
--- a/src/main/java/plumlever/settings/SharingTable.java
+++ b/src/main/java/plumlever/settings/SharingTable.java
@@ -20,8 +20,8 @@
   private static final Pattern PREFIX = Pattern.compile("[a-z][a-z0-9-]{0,30}/");
 
   /**
-   * Key prefixes that a shard cannot use, because the pool's records or the records of a shard with
-   * an empty prefix use them.
+   * Prefixes that must not be configured as the key prefix of a shard, because records of the pool
+   * or of a shard with an empty prefix are stored under them.
    */
   private static final List<String> RESERVED_PREFIXES =
       List.of(
@@ -58,7 +58,7 @@
   private static final double MIN_ADOPT_S = 60;
   private static final double MAX_ADOPT_S = 1e6;
 
-  /** Passed instead of a default value if the key is required. */
+  /** Passed in place of a default value to state that the key is required. */
   private static final double REQUIRED = -1;
 
   private static final double MICROS_PER_SECOND = 1e6;
@@ -70,7 +70,10 @@
   /** The labels of all controllers of the deployment. */
   private final Set<String> controllers = new HashSet<>();
 
-  /** The name of the shard of each controller, for the shards read so far. */
+  /**
+   * For each controller label in the shards read so far, the name of its shard. Used to reject a
+   * controller that is listed in two shards.
+   */
   private final Map<String, String> shardOfController = new LinkedHashMap<>();
 
   /**
--- a/src/main/java/plumlever/settings/TomlTable.java
+++ b/src/main/java/plumlever/settings/TomlTable.java
@@ -13,7 +13,10 @@
 
   private final String file;
 
-  /** The prefix of key names in errors: empty for the root, else the table's path and a dot. */
+  /**
+   * Added before key names in error messages: the path of this table and a dot; empty for the root
+   * table.
+   */
   private final String prefix;
 
   private final JsonNode node;
--- a/src/main/java/plumlever/store/PrefixWatch.java
+++ b/src/main/java/plumlever/store/PrefixWatch.java
@@ -13,15 +13,18 @@
   /** Receives the keys under the prefix and their changes. */
   public interface Listener {
     /**
-     * Called with all keys under the prefix after changes were missed. @param sentMicros the time
-     * at which the listing was requested
+     * Called with all keys under the prefix after changes were missed.
+     *
+     * @param sentMicros the time at which the listing was requested
      */
     void listed(StateClient.Listing listing, long sentMicros);
 
     /**
      * Called with all changes of keys under the prefix since the previous call of a method of this
-     * listener. @param changes may be empty @param sentMicros the time at which the watch request
-     * was sent
+     * listener.
+     *
+     * @param changes the changes; may be empty
+     * @param sentMicros the time at which the watch request was sent
      */
     void changed(List<StateClient.KeyEvent> changes, long sentMicros);
   }
--- a/src/main/java/plumlever/store/StateClient.java
+++ b/src/main/java/plumlever/store/StateClient.java
@@ -19,16 +19,16 @@
 import plumlever.wire.Json;
 
 /**
- * The client of the state service. It enforces this controller's share of the request limits: an
- * ordinary request over the limit is refused locally and immediately. An unreadable response is
- * treated like a missing one.
+ * The client of the state service. This controller may use only a share of the service's rate
+ * limits: an ordinary request that exceeds the share is not sent and fails immediately. An
+ * unreadable response is treated like a missing one.
  *
  * <p>Threads: all methods are called on the loop that the client was created with, and all handlers
  * run on that loop.
  */
 public final class StateClient {
   /**
-   * A key with its value.
+   * A stored key with its value.
    *
    * @param data the value
    * @param leaseId the lease that the key is attached to; 0 if none
@@ -59,7 +59,10 @@
     }
   }
 
-  /** All keys under a prefix, and a revision from which later changes can be watched. */
+  /**
+   * All keys under a prefix, and the revision of the state service from which later changes can be
+   * watched.
+   */
   public record Listing(List<Item> items, long storeRevision) {}
 
   /**
@@ -82,13 +85,13 @@
   /**
    * The result of a watch request.
    *
-   * @param status 200; 410 if the start revision was too old; any other status means that the
-   *     changes are unknown
+   * @param status 200 if the changes were returned; 410 if the state service no longer has all
+   *     changes since the start revision; after any other status the changes are unknown
    * @param storeRevision the revision up to which {@code events} are complete
    */
   public record WatchResponse(int status, long storeRevision, List<KeyEvent> events) {
     /**
-     * Returns true if the watch request succeeded, so that its events are complete; there may be
+     * Returns true if the watch request succeeded. Its events are then complete, but there may be
      * none.
      */
     public boolean succeeded() {
@@ -120,11 +123,12 @@
    */
   public enum RequestPriority {
     /**
-     * Sent even above the limit, and counted against the limit of later ordinary requests. Used
-     * where a refusal would do harm, as for leadership, leases, watches and final states of jobs.
+     * Sent even if the share is exceeded, and counted, so that later ordinary requests are refused
+     * earlier. Used where a refusal would do harm: for leadership, leases, watches and final states
+     * of jobs.
      */
     URGENT,
-    /** Refused locally and immediately with status 429 if the request exceeds the limit. */
+    /** Not sent if the share is exceeded; the request then fails immediately with status 429. */
     ORDINARY
   }
 
@@ -163,7 +167,8 @@
   private static final int PAGE_SIZE = 500;
 
   /**
-   * A prefix under which no key is ever stored: a listing of it returns only the store revision.
+   * A prefix under which no key is ever stored. Listing it is a cheap way to read the current
+   * revision of the state service.
    */
   private static final String UNUSED_PREFIX = "nothing/";
 
@@ -178,7 +183,7 @@
   private final WriteLimits limits;
   private final UnexpectedResponses unexpectedResponses = new UnexpectedResponses(LOG);
 
-  /** Creates a client whose keys are at the root of the state service. */
+  /** Creates a client that uses keys without a prefix. */
   public StateClient(
       EventLoop loop,
       HttpClient httpClient,
@@ -188,7 +193,7 @@
     this(loop, httpClient, endpoint, limits, metrics, KeySpace.ROOT);
   }
 
-  /** Creates a client whose keys are in the given key space. */
+  /** Creates a client that adds the prefix of the given key space to its keys. */
   public StateClient(
       EventLoop loop,
       HttpClient httpClient,
@@ -217,15 +222,15 @@
     budget.setLeading(leading, loop.nowMicros());
   }
 
-  /** Returns when a response with a status other than 503 last arrived. */
+  /** Returns the time at which the state service last responded with a status other than 503. */
   public long lastServedMicros() {
     return availability.lastServedMicros();
   }
 
   /**
-   * Returns how long the state service has refused or not answered every request; 0 while requests
-   * are served. The duration starts with a failed request, not with the last successful one,
-   * because an idle controller sends few requests.
+   * Returns for how long the state service has refused every request or not responded; 0 if it
+   * served the last request. The duration is counted from the first failed request and not from the
+   * last successful one, because an idle controller sends few requests.
    */
   public long refusedForMicros() {
     return availability.refusedForMicros(loop.nowMicros());
@@ -302,7 +307,7 @@
   }
 
   /**
-   * Reads the current revision of the store.
+   * Reads the current revision of the state service.
    *
    * @param handler receives an empty value if the revision could not be read
    */
@@ -315,8 +320,8 @@
   }
 
   /**
-   * Sends a transaction. Without a response, it may have been applied or may still be applied
-   * later.
+   * Sends a transaction. If no response arrives, the transaction may have been applied, or may
+   * still be applied later.
    */
   public void transaction(
       Transaction transaction, RequestPriority priority, Consumer<Transaction.Result> handler) {
@@ -335,9 +340,9 @@
   }
 
   /**
-   * Returns true if the refusal indicates that the write is too large. A rejection as malformed
-   * (400) does not count if the transaction attaches a key to a lease: it may also mean that the
-   * lease has ended.
+   * Returns true if this status means that the transaction was refused because it is too large.
+   * Status 400 (malformed) means this only if the transaction attaches no key to a lease; otherwise
+   * the lease may have ended.
    */
   private static boolean indicatesTooLarge(int status, Transaction transaction) {
     return status == HttpStatus.PAYLOAD_TOO_LARGE
@@ -374,7 +379,7 @@
   }
 
   /**
-   * Requests the changes under a prefix since a revision.
+   * Requests the changes of keys under a prefix that were made after a revision.
    *
    * @param waitMicros how long the state service may hold the request open until the first change
    */
--- a/src/main/java/plumlever/store/StateProtocol.java
+++ b/src/main/java/plumlever/store/StateProtocol.java
@@ -1,8 +1,8 @@
 package plumlever.store;
 
 /**
- * Paths and JSON fields of the state service. The name of a constant is the term that this project
- * uses; its value is the name in the state service's protocol.
+ * Paths and JSON fields of the state service's protocol. Constants are named by the terms used in
+ * this project; their values are the names that the protocol uses.
  */
 final class StateProtocol {
   static final String KEYS = "/keys/";
--- a/src/main/java/plumlever/store/StateResponseReader.java
+++ b/src/main/java/plumlever/store/StateResponseReader.java
@@ -17,7 +17,8 @@
    * A page of a listing.
    *
    * @param storeRevision the revision of the state service at which the page was read
-   * @param lastStoredKey the key after which the next page begins; empty for the last page
+   * @param lastStoredKey the last key of this page, after which the next page begins; empty for the
+   *     last page
    */
   record Page(List<StateClient.Item> items, long storeRevision, Optional<String> lastStoredKey) {}
 
@@ -70,12 +71,12 @@
         node.path(StateProtocol.LEASE_ID).asLong(0));
   }
 
-  /** Reads the revision of the whole store. */
+  /** Returns the revision of the state service at which it responded; empty if missing. */
   OptionalLong storeRevision(StateResponse response) {
     return integer(response, StateProtocol.STORE_REVISION);
   }
 
-  /** Reads the id of a lease that was created. */
+  /** Returns the id of the lease that the state service created; empty if missing. */
   OptionalLong leaseId(StateResponse response) {
     return integer(response, StateProtocol.LEASE_ID);
   }
--- a/src/main/java/plumlever/store/TokenBucket.java
+++ b/src/main/java/plumlever/store/TokenBucket.java
@@ -21,7 +21,9 @@
     this.refilledMicros = nowMicros;
   }
 
-  /** Changes the refill rate and, to the same number of tokens, the capacity. */
+  /**
+   * Changes the refill rate, and sets the capacity to the number of tokens refilled in one second.
+   */
   public void setRate(double perSecond, long nowMicros) {
     refill(nowMicros);
     tokensPerMicro = perSecond / MICROS_PER_S;
@@ -29,13 +31,19 @@
     tokens = Math.min(tokens, capacity);
   }
 
-  /** Returns true if this many tokens, or a full bucket if the amount is larger, are available. */
+  /**
+   * Returns true if this many tokens are available. For an amount above the capacity, a full bucket
+   * is enough.
+   */
   public boolean canAcquire(double amount, long nowMicros) {
     refill(nowMicros);
     return tokens >= Math.min(amount, capacity);
   }
 
-  /** Takes tokens if enough are available; otherwise takes none and returns false. */
+  /**
+   * Takes this many tokens and returns true if enough are available; otherwise takes none and
+   * returns false.
+   */
   public boolean tryAcquire(double amount, long nowMicros) {
     refill(nowMicros);
     if (tokens < amount) {
--- a/src/main/java/plumlever/store/Transaction.java
+++ b/src/main/java/plumlever/store/Transaction.java
@@ -19,8 +19,8 @@
     /** A precondition did not hold; nothing was changed. */
     CONFLICT,
     /**
-     * Certainly not applied: the transaction was rejected by a limit, during an outage or as
-     * malformed.
+     * Not applied, now or later: the transaction was refused because of a limit, an outage or a
+     * malformed request.
      */
     REFUSED,
     /** No response: the transaction may have been applied, or may still be applied later. */
--- a/src/main/java/plumlever/store/UnexpectedResponses.java
+++ b/src/main/java/plumlever/store/UnexpectedResponses.java
@@ -4,7 +4,10 @@
 import java.util.Set;
 import org.slf4j.Logger;
 
-/** Logs unreadable responses and rejections as malformed (400), once per kind of request. */
+/**
+ * Logs responses that cannot be read or that reject a request as malformed (400); only the first
+ * one for each kind of request, to keep the log short.
+ */
 final class UnexpectedResponses {
   private final Logger log;
   private final Set<String> loggedKinds = new HashSet<>();
--- a/src/main/java/plumlever/store/WriteLimits.java
+++ b/src/main/java/plumlever/store/WriteLimits.java
@@ -9,9 +9,9 @@
 
 /**
  * The maximum size of a value and the maximum number of operations in one transaction of the state
- * service. They start with the smaller of the current and the announced limits in the settings.
- * They shrink when the state service refuses a write because of its size, because the state service
- * may lower its limits without notice. Used on the loop of its client only.
+ * service. Each limit starts as the smaller of the current value and the value announced for later
+ * in the settings. The state service may lower its limits without notice, so they shrink whenever
+ * it refuses a transaction as too large. Used on the loop of its client only.
  */
 public final class WriteLimits {
   /**
@@ -29,7 +29,7 @@
   private int maxValueBytes;
   private int maxOperations;
 
-  /** Creates the limits from the settings. */
+  /** Creates the limits with the initial values that the settings give. */
   public WriteLimits(PlatformConfiguration.StateLimits settings) {
     this.maxValueBytes = settings.valueBytes();
     this.maxOperations = settings.transactionOps();
@@ -50,17 +50,17 @@
   }
 
   /**
-   * Returns the maximum value size in bytes that the settings give as the current one, not reduced
-   * by an announced limit or by refusals. Earlier versions, which do not support announced limits,
-   * split their records by this size.
+   * Returns the maximum value size, in bytes, that the settings name as current, even if the
+   * settings announce a lower limit or the state service has refused a write. Earlier versions
+   * split progress records by this size, so it is needed to read their records.
    */
   int currentValueBytes() {
     return currentValueBytes;
   }
 
   /**
-   * Lowers the limits after a transaction was rejected as malformed or too large. The size is the
-   * only possible cause, so later transactions are made smaller.
+   * Lowers the limits after the state service refused this transaction as too large: to half of its
+   * number of operations and half of the size of its largest value, but not below the minimums.
    */
   void lowerAfterRefusal(Transaction transaction) {
     int largestValue = largestValueBytes(transaction);
