--- a/src/main/java/plumlever/cloud/CloudClient.java
+++ b/src/main/java/plumlever/cloud/CloudClient.java
@@ -41,18 +41,18 @@
   private static final long TIMEOUT_MICROS = 4_000_000;
   private static final int MACHINES_PER_PAGE = 500;
 
-  /** Fraction of the cloud's rate limit that this client uses. */
+  /** Fraction of the cloud's rate limit up to which this client sends requests. */
   private static final double RATE_LIMIT_FRACTION = 0.8;
 
   /**
-   * Delay before the next page of a machine list if reading the page now would exceed the rate
-   * limit. A list of thousands of machines has more pages than the rate limit allows at once.
+   * Delay before the next page of a machine list is requested if requesting it now would exceed the
+   * rate limit. A list of thousands of machines has more pages than the rate limit allows at once.
    */
   private static final long PAGE_PAUSE_MICROS = 400_000;
 
   /**
-   * Number of requests within the rate limit that reading a machine list leaves for concurrent
-   * rentals and returns.
+   * Number of requests below the rate limit that are kept available for rentals and returns while a
+   * machine list is read.
    */
   private static final double REQUESTS_RESERVED_FOR_CHANGES = 2;
 
@@ -60,7 +60,7 @@
 
   /**
    * A response of the cloud API. The body is present only if it is a JSON object and the status is
-   * one whose body is read.
+   * one for which the body is read.
    */
   private record Response(int status, Optional<ObjectNode> body) {
     private boolean hasMachineIds() {
--- a/src/main/java/plumlever/cloud/MachineTypeLoader.java
+++ b/src/main/java/plumlever/cloud/MachineTypeLoader.java
@@ -14,12 +14,12 @@
 import plumlever.wire.MachineType;
 
 /**
- * Loads the machine types once, from the cloud. The machine types are then stored in the state
- * service, unless it already holds machine types. If the cloud does not provide the machine types,
- * the stored ones are used.
+ * Loads the machine types once. They come from the cloud and are then stored in the state service,
+ * unless it already holds machine types. If the cloud does not provide them, the machine types in
+ * the state service are used.
  */
 public final class MachineTypeLoader {
-  /** Value returned instead of a delay so that the recurring task does not run again. */
+  /** Return value of the recurring task, in place of a delay, that ends its repetition. */
   private static final long NO_NEXT_RUN = -1;
 
   private static final long RETRY_INTERVAL_MICROS = 1_500_000;
@@ -45,7 +45,8 @@
   }
 
   /**
-   * Returns the recurring task that loads the machine types. The task runs until they are known.
+   * Returns the recurring task that loads the machine types. The task repeats until the machine
+   * types are known.
    */
   public RecurringTask task() {
     return new RecurringTask("machine types", loop, this::load);
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Sequence number of the heartbeat whose response started the attempt, or -1 if the attempt was
-   * started in another way.
+   * Sequence number of the heartbeat whose response contained the start command, or -1 if the
+   * attempt was not started by a heartbeat response.
    */
   public long startHeartbeatSequenceNumber() {
     return startHeartbeatSequenceNumber;
@@ -83,16 +83,16 @@
 
   /**
    * Fencing token of the direct command (a command sent in a call to the worker, not in the
-   * response to a heartbeat) that started the attempt, or -1 if the attempt was started in another
-   * way.
+   * response to a heartbeat) that started the attempt, or -1 if no direct command started the
+   * attempt.
    */
   public long directCommandToken() {
     return directCommandToken;
   }
 
   /**
-   * True if this leader did not start the attempt but learned of the attempt from a heartbeat or
-   * from the record of the machine's transfer to this shard.
+   * True if this leader did not start the attempt, but learned about it from a heartbeat or from
+   * the record of the machine's transfer to this shard.
    */
   public boolean adopted() {
     return startHeartbeatSequenceNumber == AttemptOrigin.NONE
@@ -117,7 +117,7 @@
     return state == AttemptState.RUNNING;
   }
 
-  /** Time at which the attempt was first reported as running, or -1 if it has not been. */
+  /** Time at which a heartbeat first reported the attempt as running, or -1 if none has. */
   public long runningSinceMicros() {
     return runningSinceMicros;
   }
@@ -180,9 +180,9 @@
   }
 
   /**
-   * Requests a stop of the attempt. Every heartbeat response to the machine contains the stop
-   * command until the machine reports the attempt as ended. A repeated request can only shorten the
-   * grace period.
+   * Requests a stop of the attempt. Every heartbeat response to the machine then contains the stop
+   * command until the machine reports that the attempt has ended. A repeated request can only
+   * shorten the grace period.
    */
   public void requestStop(double maxGracePeriodS, long nowMicros) {
     if (stopping) {
@@ -194,7 +194,9 @@
     gracePeriodS = maxGracePeriodS;
   }
 
-  /** Time at which a stop of the attempt was first requested. */
+  /**
+   * Time at which a stop of the attempt was first requested; meaningful only if {@link #stopping}.
+   */
   public long stopRequestedMicros() {
     return stopRequestedMicros;
   }
--- a/src/main/java/plumlever/fleet/AttemptNumbers.java
+++ b/src/main/java/plumlever/fleet/AttemptNumbers.java
@@ -8,8 +8,9 @@
   private static final int TERM_SHIFT = 24;
 
   /**
-   * Number of attempt numbers that are still unissued when the leader has to end its term; more
-   * than the leader issues per second.
+   * The leader ends its term when only this many attempt numbers of the term are left, because the
+   * counter would otherwise run into the numbers of the next term. More than a leader issues in a
+   * second.
    */
   private static final long RESERVE = 1 << 16;
 
--- a/src/main/java/plumlever/fleet/AttemptOrigin.java
+++ b/src/main/java/plumlever/fleet/AttemptOrigin.java
@@ -9,10 +9,13 @@
  *     worker, not in the response to a heartbeat) that started the attempt, or {@link #NONE}
  */
 record AttemptOrigin(long heartbeatSequenceNumber, long directCommandToken) {
-  /** Stands for the sequence number or token of an attempt that was started in another way. */
+  /**
+   * Value of the sequence number or of the token if the attempt was not started by a heartbeat
+   * response or by a direct command, respectively.
+   */
   static final long NONE = -1;
 
-  /** The origin of an attempt that this leader did not start but learned of later. */
+  /** The origin of an attempt that this leader did not start but learned about later. */
   static final AttemptOrigin ADOPTED = new AttemptOrigin(NONE, NONE);
 
   static AttemptOrigin heartbeatResponse(long sequenceNumber) {
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -99,8 +99,8 @@
     } else if (!vertex.isCancelled()) {
       cancel(vertex, uid);
     }
-    // The graph does not need an ended job any more. If a later job depends on the ended job, the
-    // record of the ended job is read again.
+    // The graph does not need the ended job any more. If a later job depends on the ended job, the
+    // caller reads the ended job's record again.
     vertices.remove(uid, vertex);
   }
 
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Time in microseconds at which the last dependency of the job ended; 0 if unknown or if the job
-   * has no dependencies.
+   * Time in microseconds at which the last dependency of the job ended; 0 if that time is unknown
+   * or if the job has no dependencies.
    */
   public long releasedMicros(String uid) {
     JobVertex vertex = vertices.get(uid);
@@ -179,14 +179,14 @@
         && vertex.dependents().stream().anyMatch(dependent -> !dependent.hasEnded());
   }
 
-  /** Returns the ids of the jobs released since the last call, and clears the list. */
+  /** Returns the ids of the jobs released since the last call of this method, and forgets them. */
   public List<String> drainReleased() {
     return drain(released);
   }
 
   /**
-   * Returns the ids of the jobs cancelled since the last call, including those that have a
-   * cancellation record of their own, and clears the list.
+   * Returns the ids of the jobs cancelled since the last call of this method, and forgets them.
+   * Includes jobs that have a cancellation record of their own.
    */
   public List<String> drainCancelled() {
     return drain(cancelled);
@@ -238,8 +238,8 @@
   }
 
   /**
-   * Recomputes the effective goals (deadlines and priorities, including those inherited from
-   * dependents) of all jobs that are affected by changes since the last call.
+   * Recomputes the effective goal (the earliest deadline and the highest priority of a job and its
+   * dependents) of each job affected by changes since the last call.
    *
    * @param changed receives the id of each job whose effective goal has changed
    */
--- a/src/main/java/plumlever/fleet/EffectiveGoal.java
+++ b/src/main/java/plumlever/fleet/EffectiveGoal.java
@@ -31,7 +31,7 @@
 
   /**
    * Returns the deadline and the priority that the dependencies of this job inherit. The
-   * dependencies have to end earlier than this job by its estimated duration.
+   * dependencies must end at the latest when this job has to start to meet the deadline.
    *
    * @param durationMicros estimated duration of this job
    */
--- a/src/main/java/plumlever/fleet/FencingTokens.java
+++ b/src/main/java/plumlever/fleet/FencingTokens.java
@@ -9,8 +9,9 @@
   private static final int TERM_SHIFT = 20;
 
   /**
-   * Number of fencing tokens that are still unissued for a machine when the leader has to end its
-   * term; more than the leader sends to a machine per second.
+   * The leader ends its term when only this many fencing tokens of the term are left for a machine,
+   * because the counter would otherwise run into the tokens of the next term. More than a leader
+   * sends to a machine in a second.
    */
   private static final long RESERVE = 1 << 16;
 
@@ -26,7 +27,10 @@
     return token >>> TERM_SHIFT;
   }
 
-  /** True if the token is close to the first token of the next term. */
+  /**
+   * True if so few tokens are left before the first token of the next term that the leader must end
+   * its term.
+   */
   static boolean nearlyExhausted(long token, long term) {
     return token >= firstOf(term) + MAX_COUNTER;
   }
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -76,7 +76,10 @@
     return FencingTokens.firstOf(term);
   }
 
-  /** The term, or the number of the machine's transfer, to which a fencing token belongs. */
+  /**
+   * Returns the high bits of a fencing token: the term in which it was issued or, after the machine
+   * was transferred between shards, the number of that transfer.
+   */
   public static long termOf(long token) {
     return FencingTokens.termOf(token);
   }
@@ -97,8 +100,8 @@
   /**
    * Transfers the machine to another shard. Tasks of this shard may still run on the machine.
    *
-   * @param number the number of the transfer; its tokens are higher than any token that this shard
-   *     has issued for the machine
+   * @param number the number of the transfer, which becomes the high bits of the machine's fencing
+   *     tokens; these tokens are higher than any that this shard has issued for the machine
    */
   public void transferOut(Machine machine, long number) {
     machines.remove(machine.id(), machine);
@@ -122,7 +125,10 @@
     machines.remove(machine.id(), machine);
   }
 
-  /** Starts an attempt. From now on the attempt may run on the machine. */
+  /**
+   * Creates an attempt whose start command is about to be sent. From now on the task may run on the
+   * machine.
+   */
   public Attempt startAttempt(
       Job job, int task, Machine machine, StartChannel channel, long nowMicros) {
     AttemptOrigin origin =
@@ -143,16 +149,16 @@
   }
 
   /**
-   * True when the attempt numbers come close to those of the next term, which happens when a term
-   * lasts for days with thousands of machines.
+   * True if few attempt numbers of this term are left, which happens when a term lasts for days
+   * with thousands of machines.
    */
   public boolean attemptNumbersNearlyExhausted() {
     return attemptNumbers.nearlyExhausted();
   }
 
   /**
-   * True when the machine's fencing tokens come close to those of the next term. Each direct
-   * command raises the token.
+   * True if few fencing tokens of this term are left for the machine. Each direct command (a
+   * command sent in a call to the worker) raises the token.
    */
   public boolean tokensNearlyExhausted(Machine machine) {
     return machine.tokens().nearlyExhausted();
--- a/src/main/java/plumlever/fleet/GoalPropagation.java
+++ b/src/main/java/plumlever/fleet/GoalPropagation.java
@@ -11,8 +11,8 @@
  */
 final class GoalPropagation {
   /**
-   * Jobs whose effective goal has to be recomputed, highest record revision first, so that a job is
-   * processed after all of its dependents.
+   * Queue of jobs whose effective goal (deadline and priority) has to be recomputed. The highest
+   * record revision comes first, so that a job is processed after all of its dependents.
    */
   private final PriorityQueue<JobVertex> stale =
       new PriorityQueue<>(Comparator.comparingLong(JobVertex::revision).reversed());
@@ -42,8 +42,8 @@
     JobVertex previous = null;
     while (!stale.isEmpty()) {
       JobVertex vertex = stale.poll();
-      // A vertex that was marked several times is in the queue several times, and the queue
-      // returns its entries one after the other.
+      // A job that was marked several times is in the queue several times; its entries follow one
+      // another.
       if (vertex == previous || vertex.hasEnded()) {
         continue;
       }
--- a/src/main/java/plumlever/fleet/ImageCache.java
+++ b/src/main/java/plumlever/fleet/ImageCache.java
@@ -15,8 +15,8 @@
   private static final long MAX_FETCH_MICROS = 300_000_000;
 
   /**
-   * The remaining time of a running fetch is at least the full fetch time divided by this number,
-   * because the actual rate of the fetch is not known.
+   * The estimated remaining time of a running fetch is never less than the full fetch time divided
+   * by this number, because the actual rate of the fetch is not known.
    */
   private static final int MIN_REMAINING_DIVISOR = 10;
 
@@ -28,7 +28,7 @@
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
   /**
-   * The estimated time for which a task would have to wait for the image.
+   * Estimates how long a task would have to wait for the image on this machine.
    *
    * @param gb size of the image
    * @param type type of the machine
@@ -38,7 +38,7 @@
     if (image != null && image.ready || type.fetchGbPerS() <= 0) {
       return 0;
     }
-    // Concurrent fetches may share the fetch rate.
+    // Concurrent fetches may share the fetch rate, so the fetch time is multiplied by their number.
     long fullFetchMicros =
         (long) (gb / type.fetchGbPerS() * MICROS_PER_SECOND)
             * (1 + countOtherFetches(name, nowMicros));
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -34,7 +34,7 @@
   /** The subset of {@link #completedTasks} that is stored in the state service. */
   private final BitSet storedTasks = new BitSet();
 
-  /** Tasks that have not completed and have no live attempt. */
+  /** Tasks that have not completed and have no live attempt (an attempt that has not ended). */
   private final BitSet pendingTasks = new BitSet();
 
   private final Int2ObjectHashMap<Attempt> liveAttempts = new Int2ObjectHashMap<>();
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Revision of the record that accepted the job. The transaction that ends the job is conditional
-   * on this revision.
+   * Revision of the record that accepted the job. The transaction that ends the job has the
+   * precondition that the record still has this revision.
    */
   public long revision() {
     return revision;
@@ -131,8 +131,8 @@
   }
 
   /**
-   * Start of the job's waiting time: the release time if the job has dependencies, otherwise the
-   * time of acceptance.
+   * Time from which the job's waiting time counts: the release time if the job has dependencies,
+   * otherwise the time of acceptance.
    */
   public long releasedMicros() {
     return releasedMicros;
@@ -184,8 +184,8 @@
   }
 
   /**
-   * The completed tasks that the state service holds. Code that stores or reads progress records
-   * adds to this set.
+   * The completed tasks that are stored in the state service. The returned set is live: code that
+   * stores or reads progress records adds tasks to it.
    */
   public BitSet storedTasks() {
     return storedTasks;
@@ -278,7 +278,7 @@
     hasStarted = true;
   }
 
-  /** Adds a live attempt. From now on its task may be on a machine. */
+  /** Adds a live attempt of this job. From now on the attempt's task may be on a machine. */
   void addAttempt(Attempt attempt) {
     pendingTasks.clear(attempt.task());
     liveAttempts.put(attempt.task(), attempt);
@@ -303,8 +303,8 @@
   }
 
   /**
-   * True if the task ran before. The run time of its next attempt is then not the run time of the
-   * whole task.
+   * True if an attempt of the task ran before and ended without completing the task. The run time
+   * of the next attempt is then not the run time of the whole task.
    */
   public boolean restarted(int task) {
     return restartedTasks.get(task);
@@ -322,19 +322,25 @@
   }
 
   /**
-   * Records that an attempt failed, possibly because of a fault in the job. The next attempt is
-   * delayed.
+   * Records that an attempt of the job failed, possibly because of a fault in the job, and delays
+   * the next attempt.
    */
   public void recordError(long nowMicros) {
     backoff.recordError(nowMicros);
   }
 
-  /** Records a completed task, which ends the delay and resets the count of consecutive errors. */
+  /**
+   * Records that a task of the job completed, which ends the retry delay and resets the count of
+   * consecutive errors.
+   */
   public void recordSuccess() {
     backoff.recordSuccess();
   }
 
-  /** The earliest time at which the next attempt may start after errors; 0 if there is no delay. */
+  /**
+   * The earliest time at which the job's next attempt may start after errors; 0 if there is no
+   * delay.
+   */
   public long retryNotBeforeMicros() {
     return backoff.retryNotBeforeMicros();
   }
--- a/src/main/java/plumlever/fleet/JobVertex.java
+++ b/src/main/java/plumlever/fleet/JobVertex.java
@@ -74,7 +74,7 @@
     return releasedMicros;
   }
 
-  /** Records that the record of this job has been read and that the job has not ended. */
+  /** Records that the job's record has been read: the job was accepted and has not ended. */
   void markAccepted(long recordRevision) {
     state = DependencyGraph.State.WAITING;
     revision = recordRevision;
@@ -109,7 +109,7 @@
   }
 
   /**
-   * Records that an open dependency is done.
+   * Records that one dependency, open until now, is done.
    *
    * @return true if no other dependency is open
    */
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Time at which the machine was rented. If the rental time is not known, this is an estimate or
-   * the time at which this leader first learned of the machine.
+   * Time at which the machine was rented. If the rental time is unknown, an estimate of it or the
+   * time at which this leader learned about the machine.
    */
   public long knownSinceMicros() {
     return knownSinceMicros;
@@ -129,19 +129,24 @@
     tokens.recordRenewal();
   }
 
-  /** True once all attempts that an earlier leader may have started on the machine are known. */
+  /**
+   * True if this leader knows all attempts that an earlier leader may have started on the machine.
+   */
   public boolean accounted() {
     return accounted;
   }
 
-  /** Records that all attempts that an earlier leader may have started on the machine are known. */
+  /**
+   * Records that this leader knows all attempts that an earlier leader may have started on the
+   * machine.
+   */
   public void markAccounted() {
     accounted = true;
   }
 
   /**
-   * Records that this leader does not know all tasks on the machine, because the owning shard has
-   * changed.
+   * Records that this leader does not know all tasks on the machine, because the machine now
+   * belongs to another shard than before.
    */
   public void markUnaccounted() {
     accounted = false;
@@ -156,14 +161,14 @@
   }
 
   /**
-   * True if nothing more is started on the machine, because the machine is faulty or about to be
-   * preempted.
+   * True if nothing more must be started on the machine, because the machine is faulty or about to
+   * be preempted.
    */
   public boolean draining() {
     return draining || preemptedAtMicros >= 0;
   }
 
-  /** Drains a faulty machine: nothing more is started on it. */
+  /** Marks the machine as faulty, so that nothing more is started on it. */
   public void drain() {
     draining = true;
   }
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -9,10 +9,16 @@
  * <p>Times are in microseconds of this controller's monotonic clock; -1 means never in this term.
  */
 public final class MachineContact {
-  /** Number of consecutive lost responses after which a machine counts as unreachable. */
+  /**
+   * Number of consecutive lost responses (responses of the leader to heartbeats) after which a
+   * machine counts as unreachable.
+   */
   private static final int UNREACHABLE_MIN_LOST_RESPONSES = 2;
 
-  /** Stands for a time before all others. Adding or subtracting a duration does not overflow. */
+  /**
+   * A time before all other times, far enough from the limits of the type that adding or
+   * subtracting a duration does not overflow.
+   */
   private static final long DISTANT_PAST_MICROS = Long.MIN_VALUE / 4;
 
   private long incarnation;
@@ -36,8 +42,8 @@
   }
 
   /**
-   * Raises the worker's incarnation to at least the one that another leader has reported for the
-   * machine.
+   * Raises the worker's incarnation (a number that increases each time its lease expires) to at
+   * least the given one, which another leader has reported for the machine.
    */
   public void raiseIncarnation(long known) {
     incarnation = Math.max(incarnation, known);
@@ -77,8 +83,8 @@
   }
 
   /**
-   * Records a heartbeat that arrived after the response to a direct call, although the machine sent
-   * the heartbeat first.
+   * Records a heartbeat that the machine sent before it responded to a direct call (a call from the
+   * leader to the worker), but that arrived after this response.
    */
   public void recordOutOfOrderHeartbeat(long lateSequenceNumber, long nowMicros) {
     heartbeatSequenceNumber = lateSequenceNumber;
@@ -117,16 +123,16 @@
   }
 
   /**
-   * The latest time at which a former owner of the machine may have renewed the machine's lease; a
-   * time in the distant past if no former owner can have renewed the lease.
+   * The latest time at which a former owner (a shard that owned the machine earlier) may have
+   * renewed the machine's lease; a time in the distant past if no former owner can have renewed it.
    */
   public long formerOwnerRenewalMicros() {
     return formerOwnerRenewalMicros;
   }
 
   /**
-   * Records that a former owner of the machine may have renewed the machine's lease up to this
-   * time.
+   * Records that a former owner (a shard that owned the machine earlier) may have renewed the
+   * machine's lease up to the given time.
    */
   public void recordFormerOwnerRenewal(long untilMicros) {
     formerOwnerRenewalMicros = Math.max(formerOwnerRenewalMicros, untilMicros);
@@ -160,10 +166,10 @@
   }
 
   /**
-   * Records a heartbeat that shows neither the command nor the token of an earlier response. After
-   * two consecutive heartbeats of this kind the machine counts as unreachable: it gets neither work
-   * nor lease renewals until a heartbeat shows the token. Otherwise each response would postpone
-   * the time at which the machine's lease is certain to have expired.
+   * Records that a heartbeat shows neither the command nor the token of an earlier response, so the
+   * response was lost. After two consecutive lost responses, the machine counts as unreachable and
+   * gets neither work nor lease renewals until a heartbeat shows the token. Otherwise each response
+   * would postpone the time at which the machine's lease is certain to have expired.
    */
   public void recordLostResponse() {
     consecutiveLostResponses++;
--- a/src/main/java/plumlever/fleet/MachineHealth.java
+++ b/src/main/java/plumlever/fleet/MachineHealth.java
@@ -6,8 +6,8 @@
  */
 public final class MachineHealth {
   /**
-   * Lower bound of the ratio of observed to planned run time. Ratios are clamped, because a single
-   * run may be an outlier.
+   * Lower bound for the ratio of observed to planned run time of a single run. Ratios are clamped,
+   * because a single run may be an outlier.
    */
   private static final double MIN_RATIO = 0.5;
 
@@ -18,8 +18,8 @@
   private static final double LAST_RUN_WEIGHT = 0.3;
 
   /**
-   * Minimum number of jobs with failed tasks for a machine to count as faulty; failures of a single
-   * job may be caused by the job itself.
+   * Number of different jobs that must have failed tasks on a machine before the machine counts as
+   * faulty. Failures of a single job may be caused by the job itself.
    */
   private static final int FAULTY_MIN_FAILED_JOBS = 2;
 
@@ -31,8 +31,8 @@
   private int failedJobs;
 
   /**
-   * Exponential moving average of observed run time divided by planned run time; 1 at nominal
-   * speed.
+   * Exponential moving average of observed run time divided by planned run time of the tasks on
+   * this machine; 1 at nominal speed, higher if the machine is slower.
    */
   public double slowness() {
     return slowness;
@@ -58,7 +58,7 @@
     return failedJobs >= FAULTY_MIN_FAILED_JOBS && consecutiveErrors >= FAULTY_MIN_ERRORS;
   }
 
-  /** Records a completed task, which resets the count of earlier errors. */
+  /** Records that a task completed on the machine, which resets the machine's count of errors. */
   public void recordSuccess() {
     consecutiveErrors = 0;
     failedJobs = 0;
--- a/src/main/java/plumlever/fleet/MachineLoad.java
+++ b/src/main/java/plumlever/fleet/MachineLoad.java
@@ -20,7 +20,10 @@
 
   private ForeignLoad foreignTasks = ForeignLoad.NONE;
 
-  /** The attempts that the machine may still list, including attempts that have ended. */
+  /**
+   * This shard's attempts that the machine's heartbeats may list, including attempts that have
+   * ended.
+   */
   public Iterable<Attempt> attempts() {
     return attempts.values();
   }
--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -31,20 +31,23 @@
   }
 
   /**
-   * Sets the term or transfer number, which must be higher than all earlier ones, and raises the
-   * token to the first token of that number.
+   * Sets the high bits of the machine's tokens to a new term or transfer number, which must be
+   * higher than all earlier ones, and raises the token to the first token with these high bits.
    */
   public void startTerm(long number) {
     term = number;
     raise(FencingTokens.firstOf(number));
   }
 
-  /** True if the token belongs to the current term, so that this leader issued it. */
+  /**
+   * True if the reported token was issued by this leader: it belongs to the same term or transfer
+   * as the current token.
+   */
   public boolean isOfSameTerm(long reportedToken) {
     return FencingTokens.termOf(reportedToken) == term;
   }
 
-  /** True if few tokens of the current term are left. */
+  /** True if few fencing tokens of the current term are left for the machine. */
   boolean nearlyExhausted() {
     return FencingTokens.nearlyExhausted(current, term);
   }
@@ -62,22 +65,25 @@
   }
 
   /**
-   * Time at which the read of ended jobs was sent that was the last successful one when the last
-   * direct command was sent.
+   * Time at which the last successful read of the ended jobs before the last direct command (a
+   * command sent in a call to the worker) was sent.
    */
   public long endedJobsReadAtLastCommandMicros() {
     return endedJobsReadAtLastCommandMicros;
   }
 
   /**
-   * Raises the token above that of the last direct command. Once the new token has reached the
-   * machine, the machine executes no earlier direct command.
+   * Raises the token above that of the last direct command (a command sent in a call to the
+   * worker). Once the machine has received the new token, it executes no earlier direct command.
    */
   public void fenceDirectCommands() {
     raise(lastCommandToken + 1);
   }
 
-  /** True if a direct command has been sent and the token has not been raised since. */
+  /**
+   * True if a direct command (a command sent in a call to the worker) has been sent and the token
+   * has not been raised since, so that a delayed duplicate could still be executed.
+   */
   public boolean hasUnfencedCommand() {
     return lastCommandToken >= current;
   }
--- a/src/main/java/plumlever/fleet/RegistrationState.java
+++ b/src/main/java/plumlever/fleet/RegistrationState.java
@@ -5,7 +5,7 @@
  * whose tasks may be on a machine.
  */
 public enum RegistrationState {
-  /** No record lists the machine or job, and no write is in progress. */
+  /** No stored record lists the machine or job, and no write of such a record is in progress. */
   NONE,
   /** A record that lists the machine or job is being written; the outcome is not known yet. */
   WRITING,
--- a/src/main/java/plumlever/fleet/RetryBackoff.java
+++ b/src/main/java/plumlever/fleet/RetryBackoff.java
@@ -29,7 +29,7 @@
     retryNotBeforeMicros = 0;
   }
 
-  /** The earliest time at which the next attempt may start; 0 if there is no delay. */
+  /** The earliest time at which the job's next attempt may start; 0 if there is no delay. */
   long retryNotBeforeMicros() {
     return retryNotBeforeMicros;
   }
--- a/src/main/java/plumlever/fleet/RunTimeEstimates.java
+++ b/src/main/java/plumlever/fleet/RunTimeEstimates.java
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Sets the ratio of actual to estimated run time that an earlier leader stored for the class,
-   * unless this leader already has a ratio for the class.
+   * Takes over the ratio of actual to estimated run time that an earlier leader stored for the
+   * class. Has no effect if this leader already has a ratio for the class.
    */
   public void adoptRatio(String jobClass, double ratio) {
     ratios.putIfAbsent(jobClass, bounded(ratio));
@@ -51,7 +51,7 @@
     return ratios.getOrDefault(jobClass, 1.0);
   }
 
-  /** The estimated run time of a task of the job on a machine of nominal speed. */
+  /** Estimates the run time of a task of the job on a machine of nominal speed, in microseconds. */
   public long runMicros(Job job) {
     double ratio = job.runTimeRatio(ratio(job.spec().jobClass()));
     return Math.max(MIN_RUN_MICROS, (long) (job.spec().expectedRunS() * MICROS_PER_SECOND * ratio));
--- a/src/main/java/plumlever/http/CancellationHandler.java
+++ b/src/main/java/plumlever/http/CancellationHandler.java
@@ -23,8 +23,7 @@
   private final Consumer<String> onCancelled;
 
   /**
-   * @param onCancelled receives the id of each job for which a user gets a response that confirms
-   *     the cancellation
+   * @param onCancelled receives the id of each job whose cancellation has been confirmed to a user
    */
   CancellationHandler(
       JobServices jobs,
@@ -87,8 +86,8 @@
               switch (result.outcome()) {
                 case APPLIED -> respondCancelled(uid, request);
                 case REFUSED -> responses.respondUnavailable(request);
-                // The outcome is a conflict or unknown: read the record again, because the stored
-                // state decides.
+                // The cancellation conflicted with another change of the job, or its outcome is
+                // unknown. Read the job's record again, because the stored state decides.
                 default -> cancel(uid, request, attemptsLeft - 1);
               }
             });
--- a/src/main/java/plumlever/http/ConnectionPool.java
+++ b/src/main/java/plumlever/http/ConnectionPool.java
@@ -21,7 +21,8 @@
   private int startedCalls;
 
   /**
-   * @param onUnused called when the pool has no open call, no idle connection and no waiting call
+   * @param onUnused called when the pool has no idle connection, no call in progress and no waiting
+   *     call
    */
   ConnectionPool(
       Endpoint endpoint, IdleConnections allIdleConnections, Consumer<ConnectionPool> onUnused) {
@@ -49,7 +50,7 @@
     }
   }
 
-  /** Takes an idle connection that is still open, for a call that has started. */
+  /** Takes an open idle connection out of the pool for a call; empty if the pool has none. */
   Optional<ClientConnection> takeIdle() {
     ClientConnection connection;
     while ((connection = idleConnections.poll()) != null) {
@@ -63,7 +64,8 @@
   }
 
   /**
-   * Releases the slot of a call that had started and is finished, and starts waiting calls.
+   * Ends a call that had started, so that it no longer counts towards the pool's limit, and starts
+   * waiting calls.
    *
    * @param reusable the call's connection if another call can reuse it
    */
@@ -97,8 +99,9 @@
   }
 
   /**
-   * Reports the pool if it is unused, so that the pool is removed. Machines are rented and returned
-   * all the time, so pools of former endpoints would accumulate.
+   * Calls the handler for unused pools if this pool is unused, so that the pool is removed.
+   * Machines are rented and returned all the time, so the pools of their endpoints would otherwise
+   * accumulate.
    */
   private void reportIfUnused() {
     if (startedCalls == 0 && idleConnections.isEmpty() && waitingCalls.isEmpty()) {
--- a/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
@@ -22,13 +22,14 @@
 import plumlever.wire.WorkerCommand;
 
 /**
- * Responds to heartbeats on behalf of a leader that can't reach the workers of their zone. A
- * delegate renews leases and stops tasks of ended jobs, but starts nothing.
+ * Responds to heartbeats on behalf of a leader that cannot reach the workers of a zone. The
+ * delegate (the controller that responds) renews leases and stops tasks of ended jobs, but starts
+ * nothing.
  *
- * <p>The response carries the fencing token that the leader stored with the delegation. A response
- * that only repeated the token of the heartbeat would not invalidate a start command that the
- * leader had sent earlier: the worker could still execute the command minutes later, after the
- * job's cancellation.
+ * <p>The response carries the fencing token that the leader stored with the delegation. This token
+ * invalidates start commands that the leader sent earlier. If the response only repeated the token
+ * of the heartbeat, the worker could still execute such a command minutes later, after the job's
+ * cancellation.
  */
 public final class DelegatedHeartbeatHandler {
   private static final int MAX_LOG_LINES_PER_SECOND = 20;
@@ -72,7 +73,8 @@
   boolean tryRespond(Heartbeat heartbeat, Responder out) {
     Optional<DelegatedRenewal.RenewalRight> renewalRight =
         delegation.renewalRight(heartbeat.zone());
-    // First check the conditions that do not depend on the jobs: a refusal needs no job lookup.
+    // Check the conditions that do not depend on the jobs first, so that no jobs are looked up for
+    // a heartbeat that is refused anyway.
     if (renewalRight.isEmpty()
         || renewal
             .refusal(evidence(renewalRight.get(), heartbeat, loop.nowMicros()), loop.nowMicros())
@@ -87,8 +89,9 @@
 
   private void respondWithEndedJobs(
       Heartbeat heartbeat, Optional<JobRecordCache.EndedJobs> endedJobs, Responder out) {
-    // The delegation may have expired during the job lookup. The lease must not be renewed if the
-    // delegate can't send the stop commands for tasks of ended jobs.
+    // Check the delegation again, because it may have expired during the job lookup. Without the
+    // result of the lookup, the lease must not be renewed, because the response could not stop the
+    // tasks of ended jobs.
     Optional<DelegatedRenewal.RenewalRight> renewalRight =
         delegation.renewalRight(heartbeat.zone());
     if (renewalRight.isEmpty()) {
@@ -175,8 +178,8 @@
   }
 
   /**
-   * Logs a renewal that raises the token or stops tasks. Other renewals change nothing for the
-   * worker and are not logged.
+   * Logs a lease renewal that raises the fencing token or stops tasks. Other renewals change
+   * nothing for the worker and are not logged.
    */
   private void logRenewal(
       Heartbeat heartbeat, DelegateEvidence evidence, List<WorkerCommand> stopCommands) {
--- a/src/main/java/plumlever/http/HeartbeatEndpoint.java
+++ b/src/main/java/plumlever/http/HeartbeatEndpoint.java
@@ -50,8 +50,8 @@
     }
     metrics.count("heartbeats");
     if (out.nearConnectionLimit()) {
-      // User requests have priority for connections: a worker can open a new connection for each
-      // heartbeat.
+      // Close the worker's connection after this response, because user requests have priority for
+      // connections. A worker can open a new connection for each heartbeat.
       metrics.count("heartbeats_closed_crowded");
       out.closeConnection();
     }
--- a/src/main/java/plumlever/http/IdleConnections.java
+++ b/src/main/java/plumlever/http/IdleConnections.java
@@ -8,8 +8,8 @@
 /** The idle connections in the pools of all endpoints, oldest first. */
 final class IdleConnections {
   /**
-   * Maximum number of idle connections in all pools. With a thousand machines to call, more idle
-   * connections could use up all sockets.
+   * Maximum number of idle connections in the pools of all endpoints. There can be a thousand
+   * machines to call, and more idle connections could use up all sockets.
    */
   private static final int MAX_IDLE = 48;
 
--- a/src/main/java/plumlever/http/JobAcceptance.java
+++ b/src/main/java/plumlever/http/JobAcceptance.java
@@ -17,8 +17,8 @@
   private static final long RETRY_PAUSE_MICROS = 150_000;
 
   /**
-   * Time after a response of the state service within which a refusal is taken to mean that the
-   * request rate was exceeded, so that the transaction is retried.
+   * A refused transaction is retried if the state service has responded within this time before,
+   * because the refusal is then taken to mean that the request rate was exceeded.
    */
   private static final long RECENTLY_SERVED_MICROS = 500_000;
 
@@ -39,8 +39,8 @@
   void acceptWithDependencyList(
       JobSpec spec, RecordLayout.Acceptance records, UserRequest request) {
     if (records.hasDependencyList()) {
-      // No dependency list is stored if the submission repeats a known job: the stored
-      // dependency list may differ or may have been removed.
+      // Check first whether the job is already known. If so, no dependency list must be stored,
+      // because the stored one may differ or may have been removed.
       responses.respondIfKnown(
           spec.uid(), request, () -> storeDependencyList(spec, records, request));
     } else {
@@ -79,9 +79,8 @@
             result -> {
               switch (result.outcome()) {
                 case APPLIED -> respondAccepted(spec, result.revision(), request);
-                // The job's record may have been created by an earlier request or, if the
-                // outcome is unknown, by this request. The response is therefore based on a
-                // read of the record.
+                // An earlier request or, if the outcome is unknown, this request may have created
+                // the job's record. Respond with what a read of the record shows.
                 case CONFLICT, UNKNOWN -> respondFromRecord(spec.uid(), request);
                 case REFUSED -> {
                   if (attemptsLeft > 1 && recentlyServed()) {
--- a/src/main/java/plumlever/http/JobForwarder.java
+++ b/src/main/java/plumlever/http/JobForwarder.java
@@ -26,10 +26,7 @@
   private static final int MAX_ATTEMPTS = 4;
   private static final int RETRY_AFTER_S = 1;
 
-  /**
-   * One of the keys under which the state service may hold the job's record, and the shard that has
-   * the job if the key exists.
-   */
+  /** A key that may hold the job's record, and the shard that has the job if the key exists. */
   private record Candidate(SharingSettings.Shard shard, String key) {}
 
   private final EventLoop loop;
@@ -52,7 +49,7 @@
     this.sharing = sharing;
   }
 
-  /** Finds the other shard that has the job. */
+  /** Searches the other shards for the job and passes the result to the handler. */
   void find(String uid, Consumer<JobLocation> handler) {
     find(candidates(uid), MAX_ATTEMPTS, handler);
   }
@@ -94,8 +91,9 @@
   }
 
   /**
-   * Reads the possible keys of the job one after the other until one exists. This is safe because
-   * some shard has the job and a job is never transferred to another shard.
+   * Reads the keys one after the other until one exists, and reports its shard. Separate reads are
+   * safe here, because some shard is known to have the job and a job is never transferred to
+   * another shard.
    */
   private void readCandidates(Iterator<Candidate> candidates, Consumer<JobLocation> handler) {
     if (!candidates.hasNext()) {
--- a/src/main/java/plumlever/http/JobRequestAdmission.java
+++ b/src/main/java/plumlever/http/JobRequestAdmission.java
@@ -8,8 +8,8 @@
 import plumlever.wire.JobState;
 
 /**
- * Admits requests for a single job. Responds immediately to requests that need no read of the state
- * service.
+ * Admits requests for a single job (status and cancellation). Responds at once to a request whose
+ * response needs no read of the state service.
  */
 record JobRequestAdmission(JobRecordCache records, RequestAdmission admission) {
   /**
--- a/src/main/java/plumlever/http/JobResponses.java
+++ b/src/main/java/plumlever/http/JobResponses.java
@@ -40,7 +40,7 @@
   /**
    * Responds with the state of the job if the job was ever accepted.
    *
-   * @param whenUnknown responds if the job was never accepted
+   * @param whenUnknown called instead of a response if the job was never accepted
    */
   void respondIfKnown(String uid, UserRequest request, Runnable whenUnknown) {
     records.lookUp(
@@ -55,9 +55,10 @@
   }
 
   /**
-   * Lets another shard respond for a job that this shard does not have.
+   * Forwards the request to the other shard that has the job, which responds.
    *
-   * @param whenUnknown responds if no shard has the job
+   * @param whenUnknown called instead of a response if no other shard has the job, or if the
+   *     request was itself forwarded
    */
   void respondFromOtherShard(String uid, UserRequest request, Runnable whenUnknown) {
     if (jobForwarder.isEmpty() || request.isForwarded()) {
@@ -80,9 +81,9 @@
   }
 
   /**
-   * Responds that the state service is unavailable. A user's requests stay on one connection, and
-   * so on one controller. If the state service refuses only this controller, the connection is
-   * closed so that the user can connect to another controller.
+   * Responds that the state service is unavailable. If the state service refuses only this
+   * controller, also closes the connection, so that the user's next requests go to another
+   * controller.
    */
   void respondUnavailable(UserRequest request) {
     if (health.onlyThisControllerRefused()) {
@@ -103,7 +104,7 @@
     return body(uid, running ? JobState.RUNNING : JobState.PENDING, known);
   }
 
-  /** The response body for a job in this state, without task counts. */
+  /** Returns the response body for a job in the given state, without task counts. */
   static String body(String uid, JobState state) {
     return body(uid, state, Optional.empty());
   }
--- a/src/main/java/plumlever/http/LeaderLookup.java
+++ b/src/main/java/plumlever/http/LeaderLookup.java
@@ -5,9 +5,12 @@
 
 /** Finds the current leader, as far as this controller knows. Called for each heartbeat. */
 public interface LeaderLookup {
-  /** The leader in this process; empty if this controller must not act as leader. */
+  /** Returns the leader in this process; empty if this process has none that is allowed to act. */
   Optional<Leader> actingLeader();
 
-  /** The label of the leading controller, if a live leader is known. */
+  /**
+   * Returns the label (configured name) of the controller that leads; empty if no live leader is
+   * known.
+   */
   Optional<String> leaderLabel();
 }
--- a/src/main/java/plumlever/http/OutgoingCall.java
+++ b/src/main/java/plumlever/http/OutgoingCall.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Starts the call. The pool calls this method once the endpoint has fewer started calls than the
-   * limit.
+   * Starts the call. The pool calls this method when the number of calls in progress to the
+   * endpoint is below the limit.
    */
   void start() {
     started = true;
@@ -90,8 +90,8 @@
 
   private void handleConnection(ClientConnection opened) {
     if (finished) {
-      // The call timed out while the connection was being opened. The pool has already released the
-      // call's slot, so the connection can't be returned to the pool.
+      // The call timed out while the connection was being opened, and the pool no longer counts it.
+      // The connection cannot be returned to the pool and is closed.
       IoUtils.safeClose(opened);
     } else {
       send(opened);
@@ -211,7 +211,7 @@
     abandon();
   }
 
-  /** Finishes the call without a response. Whether the server executes the request is not known. */
+  /** Ends the call without a response. The server may or may not execute the request. */
   void abandon() {
     finish(0, EMPTY_BODY, Optional.empty());
   }
--- a/src/main/java/plumlever/http/PoolRequestHandler.java
+++ b/src/main/java/plumlever/http/PoolRequestHandler.java
@@ -56,7 +56,10 @@
     return true;
   }
 
-  /** Handles a heartbeat relayed by the leader of another shard. */
+  /**
+   * Handles a heartbeat that the leader of another shard relayed because tasks of this shard are on
+   * the machine.
+   */
   private void handleRelayedHeartbeat(byte[] body, Responder out) throws InvalidMessageException {
     Optional<Leader> leading = leader.get();
     if (leading.isPresent()) {
--- a/src/main/java/plumlever/http/RequestAdmission.java
+++ b/src/main/java/plumlever/http/RequestAdmission.java
@@ -27,7 +27,8 @@
    *
    * @param kind prefix of the names of the metrics for these requests
    * @return the admitted request; empty if the request has been refused, because too many requests
-   *     are open or because this controller lacks the sharing file
+   *     are open or because this controller has no sharing settings although the machines belong to
+   *     a pool of shards
    */
   Optional<UserRequest> admit(String kind, ForwardedRequest request, Responder out) {
     if (health.ineligible()) {
--- a/src/main/java/plumlever/http/RequestRouter.java
+++ b/src/main/java/plumlever/http/RequestRouter.java
@@ -66,8 +66,8 @@
   }
 
   /**
-   * @param path the path after the job prefix: a job id, optionally followed by the cancellation
-   *     suffix
+   * @param path the part of the request path after the common prefix of all job paths: a job id,
+   *     optionally followed by the cancellation suffix
    */
   private void routeJob(String method, String path, Responder out) {
     if (path.endsWith(ProtocolPath.CANCEL_SUFFIX)) {
--- a/src/main/java/plumlever/http/Responder.java
+++ b/src/main/java/plumlever/http/Responder.java
@@ -15,8 +15,8 @@
   void send(int status, String json, int retryAfterS);
 
   /**
-   * True for a request that a controller of another shard forwarded. A forwarded request must not
-   * be forwarded again.
+   * True if a controller of another shard forwarded the request. Such a request must not be
+   * forwarded again.
    */
   default boolean isForwarded() {
     return false;
--- a/src/main/java/plumlever/http/Server.java
+++ b/src/main/java/plumlever/http/Server.java
@@ -33,14 +33,17 @@
 
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Fraction of the connection limit above which the server is near the limit. */
+  /**
+   * The server counts as near its connection limit if more than this fraction of the limit is in
+   * use.
+   */
   public static final double NEAR_CONNECTION_LIMIT_FRACTION = 0.9;
 
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
   /**
-   * Maximum number of connections that wait to be accepted. Large enough for all workers of a
-   * failed controller, which reconnect within one or two seconds.
+   * Maximum number of connections that the operating system holds until the server accepts them.
+   * Large enough for all workers of a failed controller, which reconnect within one or two seconds.
    */
   private static final int BACKLOG = 8 * 1024;
 
@@ -102,8 +105,8 @@
   }
 
   /**
-   * The port in use, which is chosen by the operating system if the listener was configured with
-   * port 0.
+   * The port on which the server listens. If the configured port is 0, the operating system chooses
+   * it.
    */
   public int port() {
     return ((InetSocketAddress) undertow.getListenerInfo().get(0).getAddress()).getPort();
--- a/src/main/java/plumlever/http/ServingHealth.java
+++ b/src/main/java/plumlever/http/ServingHealth.java
@@ -12,8 +12,8 @@
   boolean onlyThisControllerRefused();
 
   /**
-   * True if this controller must not respond to requests for the jobs in the state service, because
-   * the state service holds a pool of shards and this controller lacks the sharing file.
+   * True if this controller must not serve the jobs in the state service: the state service holds a
+   * pool of shards, but this controller has no sharing settings.
    */
   boolean ineligible();
 }
--- a/src/main/java/plumlever/http/SubmissionHandler.java
+++ b/src/main/java/plumlever/http/SubmissionHandler.java
@@ -85,9 +85,10 @@
   }
 
   /**
-   * Refuses the job unless all of its dependencies were accepted. An accepted job stays accepted,
-   * so the transaction needs no precondition on the dependencies. If a dependency is cancelled
-   * concurrently, the cancellation is found in the dependencies' records after this job is stored.
+   * Refuses the job unless all of its dependencies were accepted. The transaction that stores the
+   * job needs no precondition on the dependencies, because an accepted job stays accepted. A
+   * concurrent cancellation of a dependency is found when the dependencies' records are read after
+   * this job is stored.
    */
   private void checkDependencies(
       JobSpec spec, RecordLayout.Acceptance records, UserRequest request) {
--- a/src/main/java/plumlever/http/SubmissionRefusal.java
+++ b/src/main/java/plumlever/http/SubmissionRefusal.java
@@ -21,7 +21,7 @@
     return new SubmissionRefusal(HttpStatus.UNPROCESSABLE, reason, 0);
   }
 
-  /** The submission is valid, but it is not known yet whether its job can run. */
+  /** The submission is valid, but it cannot be determined yet whether its job can ever run. */
   static SubmissionRefusal undecided(String reason) {
     return new SubmissionRefusal(HttpStatus.SERVICE_UNAVAILABLE, reason, RETRY_AFTER_S);
   }
--- a/src/main/java/plumlever/http/SubmissionRules.java
+++ b/src/main/java/plumlever/http/SubmissionRules.java
@@ -40,7 +40,10 @@
     return Optional.empty();
   }
 
-  /** A limit of 0 means that the resource is unlimited. */
+  /**
+   * True if a task of the job needs more than the team's limit. A limit of 0 means that the
+   * resource is unlimited.
+   */
   private static boolean exceedsLimit(JobSpec spec, PlatformConfiguration.Team team) {
     return (team.maxCores() > 0 && spec.cores() > team.maxCores())
         || (team.maxAccelerators() > 0 && spec.accelerators() > team.maxAccelerators());
--- a/src/main/java/plumlever/http/UserRequest.java
+++ b/src/main/java/plumlever/http/UserRequest.java
@@ -3,7 +3,7 @@
 import java.util.function.IntConsumer;
 import plumlever.wire.ForwardedRequest;
 
-/** A user request that has not been responded to yet, with its original content. */
+/** A user request with its original content, to which no response has been sent yet. */
 final class UserRequest implements Responder {
   private final ForwardedRequest request;
   private final Responder out;
@@ -18,7 +18,7 @@
     this.onResponse = onResponse;
   }
 
-  /** The request in the form in which it is forwarded to another shard. */
+  /** Returns the request in the form in which it can be forwarded to another shard. */
   ForwardedRequest request() {
     return request;
   }
--- a/src/main/java/plumlever/http/XnioLoop.java
+++ b/src/main/java/plumlever/http/XnioLoop.java
@@ -58,16 +58,16 @@
   }
 
   /**
-   * Logs an action that the I/O thread rejected because the action became due during shutdown. The
-   * action can be dropped, because no component waits for it any more.
+   * Logs that the I/O thread rejected an action that became due during shutdown. The action can be
+   * dropped, because no component waits for it any more.
    */
   private static void logDropped(RejectedExecutionException rejection) {
     LOG.debug("action dropped because the I/O thread is shutting down: {}", rejection.toString());
   }
 
   /**
-   * An action that is due immediately. The I/O thread has no timer for the action that could be
-   * removed, so a flag marks the action as cancelled.
+   * An action that is due immediately. The I/O thread offers no way to remove such an action, so
+   * cancellation sets a flag.
    */
   private static final class CancellableAction implements Runnable, Timer {
     private final Runnable action;
--- a/src/main/java/plumlever/placement/CandidateScores.java
+++ b/src/main/java/plumlever/placement/CandidateScores.java
@@ -23,8 +23,8 @@
   private final Zones zones;
 
   /**
-   * For each candidate, the time from the start of a placement until the task runs: the latency of
-   * the start command and the image fetch.
+   * For each candidate, the time from the start of the placement until the task runs: the latency
+   * of the start command plus the time to fetch the image.
    */
   private final long[] preparationMicros;
 
@@ -65,8 +65,8 @@
                 * share
                 * riskFactor(candidate)
                 * (preparationMicros[i] + runMicros[i]);
-        // Scores are never negative, so the bits of a float sort like its value. The low half of
-        // the key holds the candidate's index.
+        // The key sorts by score: scores are never negative, so the bits of a float have the same
+        // order as its value. The low half of the key holds the index of the candidate.
         sortKeys[count++] = (long) Float.floatToIntBits((float) score[i]) << Integer.SIZE | i;
       }
     }
@@ -106,16 +106,17 @@
   }
 
   /**
-   * Returns the time at which a task would run on the candidate if capacity for the task becomes
-   * free at {@code startMicros}.
+   * Returns the time at which a task starts to run on the candidate if capacity for the task
+   * becomes free at {@code startMicros}.
    */
   long runsAtMicros(int candidate, long startMicros) {
     return startMicros + preparationMicros[candidate];
   }
 
   /**
-   * True if one more task may be placed on the candidate and the placement has the given rank: the
-   * task starts now or later, and meets its times with or without padded run time.
+   * True if one more task may be placed on the candidate with a placement of the given rank. The
+   * rank says whether the task starts now or later, and whether it meets its deadline and latest
+   * start time with padded or with unpadded run time.
    */
   boolean isChoiceOfRank(int index, ChoiceRank rank) {
     PlacementCandidate candidate = candidates.get(index);
@@ -128,8 +129,9 @@
     }
     double padding = rank.padded ? parameters.runTimePadding() : 0;
     long runsAtMicros = startMicros + preparationMicros[index];
-    // Running tasks may release capacity later than estimated, so time for renting a machine must
-    // remain. Capacity of a machine that is coming up does not depend on other tasks.
+    // Running tasks may end later than estimated. The margin leaves time to rent a machine in that
+    // case. Capacity that is free as soon as a machine is up does not depend on other tasks, so it
+    // needs no margin.
     if (padding > 0 && rank.later && startMicros > candidate.upMicros()) {
       runsAtMicros += parameters.rentalMarginMicros();
     }
--- a/src/main/java/plumlever/placement/ChoiceRank.java
+++ b/src/main/java/plumlever/placement/ChoiceRank.java
@@ -1,8 +1,6 @@
 package plumlever.placement;
 
-/**
- * Ranks of the placements on which a task meets its deadline and its latest start time, best first.
- */
+/** Ranks of placements that meet the task's deadline and latest start time, best rank first. */
 enum ChoiceRank {
   NOW_WITH_PADDING(false, true),
   LATER_WITH_PADDING(true, true),
@@ -12,7 +10,10 @@
   /** True if the task has to wait until capacity becomes free. */
   final boolean later;
 
-  /** True if the task meets its times even with the padded run time. */
+  /**
+   * True if the task meets its deadline and latest start time even with the padded run time (the
+   * estimate plus a safety margin).
+   */
   final boolean padded;
 
   ChoiceRank(boolean later, boolean padded) {
--- a/src/main/java/plumlever/placement/EarliestRunQueue.java
+++ b/src/main/java/plumlever/placement/EarliestRunQueue.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Orders candidates by the earliest time at which a task would run. Used for tasks that no
- * candidate can serve in time.
+ * Orders candidates by the earliest time at which a task would run. Used for tasks that meet their
+ * deadline and latest start time on no candidate.
  */
 final class EarliestRunQueue {
   private final CandidateScores scores;
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Time at which a task would run on a candidate. The time may be outdated once another task has
-   * been placed.
+   * A candidate and the time at which a task would run on it. The time may be outdated once another
+   * task has been placed on the candidate.
    */
   private record Run(long atMicros, int candidate) implements Comparable<Run> {
     @Override
--- a/src/main/java/plumlever/placement/MachineShape.java
+++ b/src/main/java/plumlever/placement/MachineShape.java
@@ -1,9 +1,10 @@
 package plumlever.placement;
 
 /**
- * Properties shared by all machines of one type. Spot machines have a shape of their own.
+ * Properties that all machines of one type share. The spot machines of a type have a shape of their
+ * own.
  *
- * @param pricePerS price per second; a measure of machine size if only speed matters
+ * @param pricePerS price per second or, if only speed matters, a measure of the machine's size
  */
 public record MachineShape(
     String machineType,
--- a/src/main/java/plumlever/placement/PlacementCandidate.java
+++ b/src/main/java/plumlever/placement/PlacementCandidate.java
@@ -17,13 +17,13 @@
   /** Factor by which tasks run longer than on a machine of nominal speed. */
   final double slowness;
 
-  /** Latency of a command to the machine. */
+  /** Latency of a start command to the machine, in microseconds. */
   final long commandDelayMicros;
 
-  /** True if any task is on the machine. */
+  /** True if a task is on the machine. */
   boolean busy;
 
-  /** Resources that are free now. */
+  /** Cores of the machine that are free now. */
   double cores;
 
   double accelerators;
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Subtracts the resources of a task until its end. Used for tasks on the machine and for new
-   * tasks.
+   * Subtracts the resources of a task from the free resources until the task ends. Used for tasks
+   * that are on the machine and for newly placed tasks.
    */
   public void occupy(
       double taskCores, double taskAccelerators, double taskMemoryGb, long endMicros) {
@@ -72,7 +72,7 @@
     addRelease(new Release(endMicros, taskCores, taskAccelerators, taskMemoryGb));
   }
 
-  /** Marks the machine as coming up: its free resources are released at the given time. */
+  /** Marks the machine as still starting up: its resources become free only at the given time. */
   public void markComingUp(long atMicros) {
     upMicros = atMicros;
     addRelease(new Release(atMicros, cores, accelerators, memoryGb));
@@ -81,13 +81,14 @@
     memoryGb = 0;
   }
 
-  /** Time at which the machine comes up; Long.MIN_VALUE if the machine is up. */
+  /** Time at which the machine will have started up; Long.MIN_VALUE if it is up already. */
   long upMicros() {
     return upMicros;
   }
 
   /**
-   * Unreserved cores, now or, for a machine that is coming up, at the time when the machine is up.
+   * Returns the number of free cores now or, for a machine that is still starting up, at the time
+   * at which the machine is up.
    */
   public double spareCores() {
     double spare = cores;
@@ -99,7 +100,7 @@
     return spare;
   }
 
-  /** Starts a task now that ends at the given time. */
+  /** Subtracts the resources of a task that starts now and ends at the given time. */
   void start(ResourceRequest.Resources task, long endMicros) {
     occupy(task.cores(), task.accelerators(), task.memoryGb(), endMicros);
   }
@@ -118,7 +119,10 @@
         && freeAccelerators + ROUNDING_TOLERANCE >= task.accelerators();
   }
 
-  /** Returns the earliest time at which the task fits; Long.MAX_VALUE if the task never fits. */
+  /**
+   * Returns the earliest time at which the machine has enough free resources for the task;
+   * Long.MAX_VALUE if it never has.
+   */
   long earliestStartMicros(ResourceRequest.Resources task, long nowMicros) {
     if (fitsNow(task)) {
       return nowMicros;
@@ -132,7 +136,8 @@
       freeAccelerators += release.accelerators;
       freeMemoryGb += release.memoryGb;
       if (fits(task, freeCores, freeAccelerators, freeMemoryGb)) {
-        // Resources whose release is due but not reported yet are not free now.
+        // The expected release time has passed, but the release has not been reported yet, so the
+        // resources do not count as free now.
         return Math.max(nowMicros + 1, release.atMicros);
       }
     }
@@ -140,8 +145,8 @@
   }
 
   /**
-   * Reserves resources that become free later for a task. Resources released until the start are
-   * assigned to the task and are released again when the task ends.
+   * Reserves resources for a task that starts at a later time. Resources that become free until
+   * that time are assigned to the task, and become free again when the task ends.
    */
   void book(ResourceRequest.Resources task, long startMicros, long endMicros) {
     double coresNow = cores;
@@ -151,8 +156,8 @@
     double coresAtStart = cores - task.cores();
     double acceleratorsAtStart = accelerators - task.accelerators();
     double memoryGbAtStart = memoryGb - task.memoryGb();
-    // Resources that are free now remain available if the booked task does not need them. All other
-    // resources are unavailable until the start.
+    // Until the booked task starts, other tasks can use only those resources that are free now and
+    // that the booked task does not need.
     cores = Math.min(coresNow, coresAtStart);
     accelerators = Math.min(acceleratorsNow, acceleratorsAtStart);
     memoryGb = Math.min(memoryGbNow, memoryGbAtStart);
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -31,13 +31,16 @@
   public record Choice(int candidate, long startMicros, boolean feasible) {
     static final Choice NONE = new Choice(-1, Long.MAX_VALUE, false);
 
-    /** False if no candidate can run the task now or later. */
+    /** False if no candidate can ever run the task. */
     public boolean exists() {
       return candidate >= 0;
     }
   }
 
-  /** Image fetch time by candidate; 0 if the machine has the image. */
+  /**
+   * Provides the time for which a task would wait for its image on a candidate; 0 if the machine
+   * has the image.
+   */
   public interface ImageFetchTimes {
     /** Returns the fetch time in microseconds of an image of the given size. */
     long micros(int candidate, String image, double imageGb);
@@ -103,8 +106,8 @@
   }
 
   /**
-   * True if some candidate has free capacity for one task now. Cheaper than a search, which also
-   * computes scores and times.
+   * True if some candidate has free capacity for one task now. Needs less computation than a
+   * search, which also computes scores and times.
    */
   public static boolean hasFreeCapacityNow(
       ResourceRequest request, List<PlacementCandidate> candidates, Zones zones) {
--- a/src/main/java/plumlever/placement/ResourceRequest.java
+++ b/src/main/java/plumlever/placement/ResourceRequest.java
@@ -14,12 +14,12 @@
     Timing timing,
     MachineConstraints constraints) {
 
-  /** Stands for no deadline or no latest start time. */
+  /** Value of a deadline or latest start time that is not set. */
   public static final long ANY_TIME = Long.MAX_VALUE;
 
   /**
-   * Dominant share of a task that needs accelerators on a machine without any. Above 1, so that the
-   * task never fits.
+   * Dominant share (the largest fraction of any single machine resource that a task needs) returned
+   * if the task needs accelerators and the machine has none. Above 1, so that the task never fits.
    */
   private static final double UNAVAILABLE_SHARE = 2;
 
@@ -27,7 +27,7 @@
   public record Resources(double cores, double accelerators, double memoryGb) {}
 
   /**
-   * Times that the task should meet.
+   * The planned run time of a task and the times that the task should meet.
    *
    * @param runMicros planned run time on a machine of nominal speed
    * @param deadlineMicros latest time at which the task should be complete, or {@link #ANY_TIME}
@@ -64,12 +64,18 @@
     return timing.runMicros;
   }
 
-  /** True if a task with the given start and duration meets its start time and its deadline. */
+  /**
+   * True if a task that starts at the given time and runs for the given duration meets its latest
+   * start time and its deadline.
+   */
   public boolean meetsTimes(long startMicros, long taskMicros) {
     return startMicros <= timing.startByMicros && meetsDeadline(startMicros, taskMicros);
   }
 
-  /** True if a task with the given start and duration meets its deadline or has none. */
+  /**
+   * True if a task that starts at the given time and runs for the given duration meets its
+   * deadline, or if the task has no deadline.
+   */
   public boolean meetsDeadline(long startMicros, long taskMicros) {
     return timing.deadlineMicros == ANY_TIME || startMicros + taskMicros <= timing.deadlineMicros;
   }
@@ -80,8 +86,8 @@
   }
 
   /**
-   * Returns the dominant share: the largest fraction of any single machine resource that the task
-   * needs. If above 1, the task never fits.
+   * Returns the dominant share: the largest fraction of any single resource of the machine that the
+   * task needs. A task whose dominant share is above 1 does not fit on the machine.
    */
   double dominantShare(MachineShape shape) {
     double share = Math.max(resources.cores / shape.cores(), resources.memoryGb / shape.memoryGb());
--- a/src/main/java/plumlever/placement/TieBand.java
+++ b/src/main/java/plumlever/placement/TieBand.java
@@ -3,9 +3,10 @@
 import java.util.Arrays;
 
 /**
- * Heap of the candidates with placements of one {@link ChoiceRank} whose scores count as tied with
- * the lowest score, with the preferred candidate on top. Free capacity only shrinks during a
- * search, so a candidate without a placement of the rank never has one again.
+ * Heap of the candidates whose scores count as equal to the lowest score, with the preferred
+ * candidate on top. Contains only candidates with a placement of one {@link ChoiceRank}. Free
+ * capacity only shrinks during a search, so a candidate that has no placement of the rank never
+ * gets one.
  */
 final class TieBand {
   private static final int INITIAL_CAPACITY = 16;
@@ -16,12 +17,14 @@
   private int size;
 
   /**
-   * Index in {@link CandidateScores#byScore} of the first candidate with a placement of the rank.
+   * Index in {@link CandidateScores#byScore} of the candidate with the lowest score among those
+   * that have a placement of the current rank.
    */
   private int first;
 
   /**
-   * Index in {@link CandidateScores#byScore} after the last candidate whose score counts as tied.
+   * Index in {@link CandidateScores#byScore} just after the last candidate whose score counts as
+   * equal to the lowest one.
    */
   private int end;
 
@@ -34,7 +37,8 @@
   }
 
   /**
-   * Clears the heap and restarts the search for placements of the given rank from the lowest score.
+   * Empties the heap and starts again with the candidate of the lowest score, for placements of the
+   * given rank.
    */
   void reset(ChoiceRank newRank) {
     rank = newRank;
@@ -43,7 +47,10 @@
     end = 0;
   }
 
-  /** Returns the candidate for the next task, or -1 if no candidate has a placement of the rank. */
+  /**
+   * Returns the preferred candidate for the next task, or -1 if no candidate has a placement of the
+   * current rank.
+   */
   int best() {
     int[] byScore = scores.byScore;
     while (first < byScore.length && !scores.isChoiceOfRank(byScore[first], rank)) {
--- a/src/main/java/plumlever/placement/Zones.java
+++ b/src/main/java/plumlever/placement/Zones.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Zone constraints of a job, with the number of the job's tasks in each zone, including tasks that
- * are not certain to have ended.
+ * The zone constraints of a job, and the number of the job's tasks in each zone. Tasks for which
+ * there is no proof that they have ended are counted too.
  */
 public final class Zones {
   private final boolean oneZone;
@@ -28,7 +28,7 @@
     return new Zones(false, Integer.MAX_VALUE);
   }
 
-  /** Counts one task of the job in the zone. */
+  /** Counts one more task of the job in the zone. */
   public void add(String zone) {
     tasksByZone.merge(zone, 1, Integer::sum);
   }
--- a/src/main/java/plumlever/scaling/CapacityHeadroom.java
+++ b/src/main/java/plumlever/scaling/CapacityHeadroom.java
@@ -5,10 +5,10 @@
 import plumlever.wire.JobSpec;
 
 /**
- * Computes how many cores to keep free for jobs whose start objective is shorter than the time to
- * rent a machine. Running tasks release about as many cores as arriving jobs need on average. The
- * headroom covers the deviation from this average during the time to rent and boot a machine. No
- * I/O and no clock.
+ * Computes how many cores to keep free for jobs that have to start sooner than a machine can be
+ * rented. Running tasks release about as many cores as arriving jobs need on average. The headroom
+ * (the cores to keep free) covers the deviation from this average during the time to rent and boot
+ * a machine. No I/O and no clock.
  */
 public final class CapacityHeadroom {
   private final long windowMicros;
@@ -16,7 +16,7 @@
   private final double deviations;
   private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
-  /** Sum of the squared core counts of the jobs that arrived within the window. */
+  /** Sum of the squares of the core counts of the jobs that arrived within the window. */
   private double sumOfSquares;
 
   private record Arrival(long atMicros, double cores, JobSpec job) {}
@@ -42,13 +42,13 @@
   }
 
   /**
-   * Returns the number of cores that should be free or on machines that are coming up. Drops job
-   * arrivals older than the window.
+   * Returns the number of cores that should be free, on machines that are up or still starting up.
+   * Removes job arrivals that are older than the window.
    */
   public double requiredCores(long nowMicros) {
     while (!arrivals.isEmpty() && arrivals.peek().atMicros < nowMicros - windowMicros) {
       Arrival expired = arrivals.poll();
-      // Reset the sum with the last arrival, so that rounding errors do not accumulate.
+      // When no arrival remains, the sum is set to 0, so that rounding errors do not accumulate.
       sumOfSquares = arrivals.isEmpty() ? 0 : sumOfSquares - expired.cores * expired.cores;
     }
     return deviations * Math.sqrt(Math.max(0, sumOfSquares) * provisioningMicros / windowMicros);
--- a/src/main/java/plumlever/wire/AttemptState.java
+++ b/src/main/java/plumlever/wire/AttemptState.java
@@ -6,7 +6,7 @@
   FETCHING("pulling"),
   /** The task is running. */
   RUNNING("running"),
-  /** The attempt received a stop command and is saving its work. */
+  /** The attempt has received a stop command and saves its work. */
   SAVING("flushing"),
   /** The attempt has ended; the worker reports it until a remove command arrives. */
   ENDED("ended");
--- a/src/main/java/plumlever/wire/ExitCause.java
+++ b/src/main/java/plumlever/wire/ExitCause.java
@@ -10,7 +10,7 @@
   ERROR("error"),
   /** The worker refused the start: the machine lacks free resources. */
   FULL("full"),
-  /** The worker refused the start: another attempt of the task is on the machine. */
+  /** The worker refused the start: another attempt of the same task is on the machine. */
   IN_USE("in_use"),
   /** The worker refused the start: the job or task does not exist. */
   NO_SUCH("no_such"),
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -234,8 +234,9 @@
   }
 
   /**
-   * True if a single task may run on a machine of this type, zone and kind. The rules that concern
-   * several tasks, {@code oneZone} and {@code spread}, are not checked.
+   * True if a single task of the job may run on a machine of this type and zone, and of this kind
+   * (spot or on-demand). Does not check the rules that concern several tasks, {@code oneZone} and
+   * {@code spread}.
    */
   public boolean allows(String machineType, String machineZone, boolean spot) {
     return (machineTypes == null || machineTypes.contains(machineType))
--- a/src/main/java/plumlever/wire/Json.java
+++ b/src/main/java/plumlever/wire/Json.java
@@ -67,12 +67,12 @@
     return object;
   }
 
-  /** A parser for frequent messages, which are read field by field without a tree. */
+  /** Returns a parser for messages that are read field by field, without building a tree. */
   static JsonParser parser(byte[] text) throws IOException {
     return MAPPER.getFactory().createParser(text);
   }
 
-  /** A generator for frequent messages, which are written field by field without a tree. */
+  /** Returns a generator for messages that are written field by field, without building a tree. */
   static JsonGenerator generator(Writer to) throws IOException {
     return MAPPER.getFactory().createGenerator(to);
   }
--- a/src/main/java/plumlever/wire/MachineType.java
+++ b/src/main/java/plumlever/wire/MachineType.java
@@ -29,8 +29,9 @@
     List<String> zones) {
 
   /**
-   * The dominant share returned if a task needs accelerators and the machine type has none. Every
-   * dominant share above 1 means that the task does not fit on the machine.
+   * Value of the dominant share (the largest fraction of any single resource of the machine that a
+   * task uses) if a task needs accelerators and the machine type has none. A task fits only if its
+   * dominant share is at most 1.
    */
   private static final double NO_FIT = 2;
 
--- a/src/main/java/plumlever/wire/RelayedHeartbeat.java
+++ b/src/main/java/plumlever/wire/RelayedHeartbeat.java
@@ -5,14 +5,15 @@
 import java.util.List;
 
 /**
- * A heartbeat of a machine, relayed by the shard that owns the machine to another shard whose tasks
- * are on the machine (the originating shard of these tasks). The relayed heartbeat contains only
- * the attempts of the originating shard.
+ * A heartbeat of a machine, relayed by the shard that owns the machine to the originating shard
+ * (another shard whose tasks are on the machine). Contains only the attempts of the originating
+ * shard.
  *
  * @param owningShard the shard that owns the machine
  * @param originatingShard the shard to which the attempts in the heartbeat belong
- * @param ownershipNumber the term of the owning shard's leader, or the ownershipNumber of the
- *     machine's transfer between shards, to which the fencing tokens of the machine belong
+ * @param ownershipNumber the high bits of the machine's fencing tokens: the term of the owning
+ *     shard's leader or, after the machine was transferred between shards, the number of that
+ *     transfer
  * @param leaseExpired true if the owning shard has proof that the machine's lease expired after
  *     this heartbeat
  */
--- a/src/main/java/plumlever/wire/TaskName.java
+++ b/src/main/java/plumlever/wire/TaskName.java
@@ -1,7 +1,7 @@
 package plumlever.wire;
 
 /**
- * The name of a task, such as {@code job-000412/3}.
+ * The name of a task: the job id and the index of the task, such as {@code job-000412/3}.
  *
  * @param job the id of the task's job
  * @param number the index of the task within the job, starting at 0
--- a/src/main/java/plumlever/wire/WorkerCommand.java
+++ b/src/main/java/plumlever/wire/WorkerCommand.java
@@ -59,8 +59,8 @@
   }
 
   /**
-   * The body of the response to a relayed heartbeat. The response goes to the shard that relayed
-   * the heartbeat and not to a worker, so its fencing token is 0.
+   * Returns the body of the response to a relayed heartbeat. The response goes to the shard that
+   * relayed the heartbeat, not to a worker, so its fencing token is 0.
    */
   public static String relayedResponse(List<WorkerCommand> commands) {
     return body(0, 0, commands);
