--- a/src/main/java/plumlever/cloud/RentalResult.java
+++ b/src/main/java/plumlever/cloud/RentalResult.java
@@ -9,7 +9,7 @@
  *     were rented
  */
 public record RentalResult(Outcome outcome, List<String> machineIds) {
-  /** What the response tells about whether machines were rented. */
+  /** Says whether machines were rented, as far as the response of the cloud shows. */
   public enum Outcome {
     /** The cloud executed the request. */
     RENTED,
--- a/src/main/java/plumlever/cloud/ReturnOutcome.java
+++ b/src/main/java/plumlever/cloud/ReturnOutcome.java
@@ -4,6 +4,8 @@
 public enum ReturnOutcome {
   /** The machines have been returned. */
   RETURNED,
-  /** The state of the machines is not known. The caller has to repeat the request. */
+  /**
+   * It is not known whether the machines have been returned. The caller has to repeat the request.
+   */
   UNKNOWN
 }
--- a/src/main/java/plumlever/fleet/Attempt.java
+++ b/src/main/java/plumlever/fleet/Attempt.java
@@ -60,7 +60,7 @@
     return id;
   }
 
-  /** The machine on which the attempt was started. */
+  /** The machine to which the attempt's start command was sent. */
   public Machine machine() {
     return machine;
   }
@@ -107,7 +107,7 @@
     return startSentMicros;
   }
 
-  /** True once a heartbeat has listed the attempt. */
+  /** True once a heartbeat of the machine has listed the attempt. */
   public boolean reported() {
     return state != null;
   }
@@ -122,7 +122,7 @@
     return runningSinceMicros;
   }
 
-  /** Records the state that a heartbeat shows for the attempt. */
+  /** Records the state of the attempt that a heartbeat of the machine reports. */
   public void recordState(AttemptState reported, long nowMicros) {
     if (reported == AttemptState.RUNNING && runningSinceMicros < 0) {
       runningSinceMicros = nowMicros;
--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -83,9 +83,10 @@
   }
 
   /**
-   * Records the stored end of a job. Has no effect on a job that the graph does not hold.
+   * Records that a job's record shows that the job has ended. Has no effect on a job that the graph
+   * does not hold.
    *
-   * @param finalState the final state
+   * @param finalState the final state in the record
    * @param endedMicros time at which the job ended
    */
   public void recordEnd(String uid, JobState finalState, long endedMicros) {
@@ -138,7 +139,10 @@
     return vertex == null ? State.UNKNOWN : vertex.state();
   }
 
-  /** The revision of the job's record; 0 if the graph does not hold the job. */
+  /**
+   * Returns the revision of the job's record in the state service; 0 if the graph does not hold the
+   * job.
+   */
   public long revision(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex == null ? 0 : vertex.revision();
@@ -172,7 +176,7 @@
             .toList();
   }
 
-  /** True if some job that has not ended depends on this job. */
+  /** True if at least one job that has not ended depends on this job. */
   public boolean hasLiveDependents(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex != null
@@ -204,8 +208,8 @@
   }
 
   /**
-   * Sets the job's own deadline and priority, without those of its dependents. Has no effect on a
-   * job that the graph does not hold.
+   * Sets the job's own goal (deadline and priority), without what the job inherits from its
+   * dependents. Has no effect on a job that the graph does not hold.
    *
    * @param durationMicros estimated duration of the job after its release
    */
--- a/src/main/java/plumlever/fleet/EffectiveGoal.java
+++ b/src/main/java/plumlever/fleet/EffectiveGoal.java
@@ -20,7 +20,10 @@
     String jobClass,
     long downstreamPathMicros,
     Priority priority) {
-  /** The latest time at which this job has to end; Long.MAX_VALUE if no deadline applies. */
+  /**
+   * The latest time at which the job with this goal has to end; Long.MAX_VALUE if it has no
+   * deadline, own or inherited.
+   */
   public long latestEndMicros() {
     return hasDeadline() ? submittedMicros + deadlineMicros - downstreamPathMicros : Long.MAX_VALUE;
   }
@@ -44,7 +47,7 @@
         priority);
   }
 
-  /** Returns a goal with the earlier deadline and the higher priority of the two goals. */
+  /** Returns a goal with the earlier of the two deadlines and the higher of the two priorities. */
   EffectiveGoal strictest(EffectiveGoal other) {
     EffectiveGoal earlier = other.latestEndMicros() < latestEndMicros() ? other : this;
     Priority highest = other.priority.compareTo(priority) < 0 ? other.priority : priority;
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -12,7 +12,7 @@
  * of each team use.
  */
 public final class Fleet {
-  /** The total cores and accelerators that the live attempts of a team's jobs use. */
+  /** The total cores and accelerators that the tasks of a team's jobs use or may still use. */
   public static final class TeamUsage {
     private double cores;
     private double accelerators;
@@ -38,7 +38,7 @@
 
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** Machines of other shards that may run tasks of this shard. */
+  /** Machines that belong to other shards but may still run tasks of this shard, by machine id. */
   private final Map<String, Machine> transferred = new LinkedHashMap<>();
 
   private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
@@ -71,7 +71,10 @@
     machines.put(machine.id(), machine);
   }
 
-  /** The lowest fencing token of a term. A leader raises the token of each machine separately. */
+  /**
+   * Returns the lowest fencing token of a term. The leader raises the token of each machine
+   * separately.
+   */
   public static long firstToken(long term) {
     return FencingTokens.firstOf(term);
   }
@@ -164,7 +167,7 @@
     return machine.tokens().nearlyExhausted();
   }
 
-  /** True if a leader of an earlier term issued this attempt number. */
+  /** True if a leader of an earlier term, not this leader, issued this attempt number. */
   public boolean isOfEarlierTerm(long attemptId) {
     return attemptNumbers.isOfEarlierTerm(attemptId);
   }
--- a/src/main/java/plumlever/fleet/GoalPropagation.java
+++ b/src/main/java/plumlever/fleet/GoalPropagation.java
@@ -18,8 +18,8 @@
       new PriorityQueue<>(Comparator.comparingLong(JobVertex::revision).reversed());
 
   /**
-   * Marks the effective goal of the job for recomputation, unless the job has ended or has no goal
-   * of its own yet.
+   * Marks the job's effective goal (deadline and priority, own or inherited from dependents) for
+   * recomputation, unless the job has ended or has no goal of its own yet.
    */
   void markStale(JobVertex vertex) {
     if (vertex.ownGoal() != null && !vertex.hasEnded()) {
--- a/src/main/java/plumlever/fleet/ImageCache.java
+++ b/src/main/java/plumlever/fleet/ImageCache.java
@@ -112,7 +112,7 @@
     return ready;
   }
 
-  /** Records that the machine aborts the fetch because no task is waiting for the image. */
+  /** Records that the machine aborts fetching the image because no task is waiting for it. */
   public void cancelFetch(String name) {
     Image image = images.get(name);
     if (image != null && !image.ready) {
--- a/src/main/java/plumlever/fleet/Job.java
+++ b/src/main/java/plumlever/fleet/Job.java
@@ -51,7 +51,7 @@
   private int ratioCount;
 
   /**
-   * Creates a job without any known attempt.
+   * Creates a job for which no attempts are known yet.
    *
    * @param revision revision of the record that accepted the job
    * @param inherited true if an earlier leader may have started tasks of the job
@@ -95,8 +95,8 @@
   }
 
   /**
-   * True while some dependency is not done. Until then no task of the job may start, and the job
-   * does not count as demand for machines.
+   * True while at least one dependency of the job is not done. Until then, no task of the job may
+   * start, and the job does not count as demand for machines.
    */
   public boolean waitsForDependencies() {
     return waitsForDependencies;
--- a/src/main/java/plumlever/fleet/JobVertex.java
+++ b/src/main/java/plumlever/fleet/JobVertex.java
@@ -61,7 +61,10 @@
     return revision;
   }
 
-  /** The job whose cancellation caused the cancellation of this job, or null. */
+  /**
+   * The id of the job whose cancellation caused the cancellation of this job; null if this job is
+   * not cancelled.
+   */
   String failedDependency() {
     return failedDependency;
   }
--- a/src/main/java/plumlever/fleet/Machine.java
+++ b/src/main/java/plumlever/fleet/Machine.java
@@ -95,7 +95,7 @@
     return tokens;
   }
 
-  /** The communication state between the machine and this leader. */
+  /** The times and sequence numbers of the messages between the machine and this leader. */
   public MachineContact contact() {
     return contact;
   }
@@ -217,9 +217,9 @@
   }
 
   /**
-   * Sets the start of the machine's idle time.
+   * Sets the time at which the machine became idle.
    *
-   * @param micros the time at which the machine became idle, or -1 if the machine is in use
+   * @param micros that time, or -1 if the machine is in use
    */
   public void setIdleSince(long micros) {
     idleSinceMicros = micros;
--- a/src/main/java/plumlever/fleet/MachineContact.java
+++ b/src/main/java/plumlever/fleet/MachineContact.java
@@ -49,7 +49,10 @@
     incarnation = Math.max(incarnation, known);
   }
 
-  /** Sequence number of the newest heartbeat in the worker's current incarnation. */
+  /**
+   * Sequence number of the newest heartbeat in the worker's current incarnation (a number that
+   * increases each time the worker's lease expires).
+   */
   public long sequenceNumber() {
     return sequenceNumber;
   }
@@ -178,7 +181,10 @@
     }
   }
 
-  /** Records a heartbeat which shows that the preceding responses have reached the worker. */
+  /**
+   * Records that a heartbeat shows that the earlier responses have reached the worker, so that the
+   * machine does not count as unreachable.
+   */
   public void recordDeliveredResponse() {
     consecutiveLostResponses = 0;
     unreachable = false;
--- a/src/main/java/plumlever/fleet/MachineLoad.java
+++ b/src/main/java/plumlever/fleet/MachineLoad.java
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Records that an attempt started by a direct command has been listed by a heartbeat or has
-   * ended.
+   * Records that a heartbeat has listed an attempt that a direct command (sent in a call to the
+   * worker) started, or that such an attempt has ended.
    */
   void recordConfirmedAttempt() {
     unconfirmedAttempts--;
--- a/src/main/java/plumlever/fleet/MachineTokens.java
+++ b/src/main/java/plumlever/fleet/MachineTokens.java
@@ -12,7 +12,7 @@
   private long lastCommandToken = -1;
   private long endedJobsReadAtLastCommandMicros;
 
-  /** The fencing token that responses and commands to the machine currently carry. */
+  /** The fencing token that messages of the leader to the machine currently carry. */
   public long current() {
     return current;
   }
--- a/src/main/java/plumlever/fleet/Registrable.java
+++ b/src/main/java/plumlever/fleet/Registrable.java
@@ -10,7 +10,10 @@
   /** Package-private, so that only classes of this package can extend this class. */
   Registrable() {}
 
-  /** Whether the state service lists this machine or job, so that tasks may be started. */
+  /**
+   * Whether a record in the state service lists this machine or job. Tasks may be started only once
+   * it does.
+   */
   public final RegistrationState registration() {
     return registration;
   }
--- a/src/main/java/plumlever/fleet/RunTimeEstimates.java
+++ b/src/main/java/plumlever/fleet/RunTimeEstimates.java
@@ -18,7 +18,10 @@
 
   private final Map<String, Double> ratios = new HashMap<>();
 
-  /** Adds the ratio of a task's run time to the run time that the job's owner estimated. */
+  /**
+   * Includes the run of one task in the average of its job class: the ratio of its actual run time
+   * to the run time that the job's owner estimated.
+   */
   public void observeRatio(String jobClass, double ratio) {
     ratios.merge(
         jobClass,
--- a/src/main/java/plumlever/http/ConnectionPool.java
+++ b/src/main/java/plumlever/http/ConnectionPool.java
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Starts the call now or when a connection becomes available. Fails the call if the queue is
-   * full.
+   * Starts the call now or, if the pool's connections are all in use, later. Fails the call if the
+   * queue of waiting calls is full.
    */
   void submit(OutgoingCall call) {
     if (startedCalls < MAX_CONNECTIONS) {
--- a/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
+++ b/src/main/java/plumlever/http/DelegatedHeartbeatHandler.java
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Responds to the heartbeat if this controller is authorized to renew leases in the heartbeat's
-   * zone.
+   * Responds to the heartbeat if the leader has authorized this controller to renew leases in the
+   * worker's zone.
    *
    * @return false if this controller must not renew the lease; no response has been sent
    */
--- a/src/main/java/plumlever/http/IdleConnections.java
+++ b/src/main/java/plumlever/http/IdleConnections.java
@@ -17,8 +17,8 @@
       new LinkedHashMap<>();
 
   /**
-   * Adds an idle connection of the pool. If there are too many idle connections, the oldest is
-   * closed.
+   * Adds an idle connection of the pool. If there are then more than {@link #MAX_IDLE}, closes the
+   * oldest one.
    */
   void add(ClientConnection connection, ConnectionPool pool) {
     poolByConnection.put(connection, pool);
--- a/src/main/java/plumlever/http/JobAcceptance.java
+++ b/src/main/java/plumlever/http/JobAcceptance.java
@@ -9,8 +9,8 @@
 import plumlever.wire.JobState;
 
 /**
- * Accepts jobs. The response is 201 only after the transaction that creates the job's record has
- * been applied.
+ * Accepts jobs. Responds with status 201 only after the transaction that creates the job's record
+ * has been applied.
  */
 final class JobAcceptance {
   private static final int MAX_ATTEMPTS = 4;
--- a/src/main/java/plumlever/http/LeaderLookup.java
+++ b/src/main/java/plumlever/http/LeaderLookup.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import plumlever.leader.Leader;
 
-/** Finds the current leader, as far as this controller knows. Called for each heartbeat. */
+/**
+ * Finds the current leader, as far as this controller knows it. The methods are called for each
+ * heartbeat.
+ */
 public interface LeaderLookup {
   /** Returns the leader in this process; empty if this process has none that is allowed to act. */
   Optional<Leader> actingLeader();
--- a/src/main/java/plumlever/http/ServingHealth.java
+++ b/src/main/java/plumlever/http/ServingHealth.java
@@ -1,6 +1,8 @@
 package plumlever.http;
 
-/** Whether this controller can serve user requests. Called for each request. */
+/**
+ * Tells whether this controller can serve user requests. The methods are called for each request.
+ */
 public interface ServingHealth {
   /** True if this controller can serve user requests. */
   boolean canTakeRequests();
--- a/src/main/java/plumlever/http/SubmissionRules.java
+++ b/src/main/java/plumlever/http/SubmissionRules.java
@@ -20,7 +20,10 @@
     this.typeCatalog = typeCatalog;
   }
 
-  /** The reason why the job can't be accepted; empty if the job is acceptable. */
+  /**
+   * Returns why the job cannot be accepted now: its team is unknown, a task exceeds the limit of
+   * the team, or no known machine type can run a task. Empty if the job can be accepted.
+   */
   Optional<SubmissionRefusal> refusal(JobSpec spec) {
     Optional<PlatformConfiguration.Team> team =
         teams.stream().filter(known -> known.name().equals(spec.team())).findFirst();
--- a/src/main/java/plumlever/placement/CandidateScores.java
+++ b/src/main/java/plumlever/placement/CandidateScores.java
@@ -89,7 +89,8 @@
   }
 
   /**
-   * Returns the earliest time at which the task fits on the candidate, ignoring zone constraints.
+   * Returns the earliest time at which the candidate has enough free resources for one task,
+   * ignoring the zone constraints.
    */
   long earliestStartMicros(int candidate) {
     return candidates.get(candidate).earliestStartMicros(request.resources(), nowMicros);
@@ -138,7 +139,10 @@
     return request.meetsTimes(runsAtMicros, (long) (runMicros[index] * (1 + padding)));
   }
 
-  /** Starts one task on the chosen candidate, or books capacity if the task starts later. */
+  /**
+   * Subtracts the resources of one task from the chosen candidate's capacity, now or, if the task
+   * starts later, from its start time.
+   */
   void commit(Placer.Choice choice) {
     int index = choice.candidate();
     PlacementCandidate candidate = candidates.get(index);
--- a/src/main/java/plumlever/placement/EarliestRunQueue.java
+++ b/src/main/java/plumlever/placement/EarliestRunQueue.java
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Returns the placement of the next task on the candidate on which the task would run first. */
+  /** Returns the placement of the next task on the candidate where the task would run earliest. */
   Placer.Choice best() {
     while (!queue.isEmpty()) {
       Run run = queue.peek();
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -22,11 +22,12 @@
   }
 
   /**
-   * Placement of one task.
+   * The machine and the start time chosen for one task.
    *
    * @param candidate index in the list of candidates; -1 if no candidate can ever run the task
    * @param startMicros time at which capacity for the task is free
-   * @param feasible true if the task meets its times with the padded run time
+   * @param feasible true if the task meets its deadline and latest start time even with the padded
+   *     run time
    */
   public record Choice(int candidate, long startMicros, boolean feasible) {
     static final Choice NONE = new Choice(-1, Long.MAX_VALUE, false);
@@ -94,8 +95,8 @@
     }
 
     /**
-     * Commits the last choice that {@link #next} returned: starts the task now or books it for
-     * later.
+     * Commits the last choice that {@link #next} returned: subtracts the task's resources from the
+     * candidate's capacity from the task's start time on.
      */
     public void commit(Choice choice) {
       scores.commit(choice);
--- a/src/main/java/plumlever/placement/ResourceRequest.java
+++ b/src/main/java/plumlever/placement/ResourceRequest.java
@@ -54,12 +54,12 @@
     }
   }
 
-  /** Latest start time, or {@link #ANY_TIME}. */
+  /** Latest time at which the task should start, or {@link #ANY_TIME}. */
   public long startByMicros() {
     return timing.startByMicros;
   }
 
-  /** Planned run time on a machine of nominal speed. */
+  /** Planned run time of the task on a machine of nominal speed, in microseconds. */
   public long runMicros() {
     return timing.runMicros;
   }
--- a/src/main/java/plumlever/scaling/CapacityHeadroom.java
+++ b/src/main/java/plumlever/scaling/CapacityHeadroom.java
@@ -34,7 +34,10 @@
     this.deviations = deviations;
   }
 
-  /** Records the arrival of a job that cannot wait for a rental. Calls must be in time order. */
+  /**
+   * Records that a job arrived that has to start sooner than a machine can be rented. Calls must be
+   * in time order.
+   */
   public void recordArrival(long atMicros, JobSpec job) {
     double cores = job.taskCount() * job.cores();
     arrivals.add(new Arrival(atMicros, cores, job));
--- a/src/main/java/plumlever/scaling/RentalPlan.java
+++ b/src/main/java/plumlever/scaling/RentalPlan.java
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Number of machines to rent of one option. */
+  /** A rental option and the number of machines to rent of it. */
   public record PlannedRental(RentalOption option, int count) {}
 
   /** A machine that is coming up or planned to be rented, with its free resources. */
--- a/src/main/java/plumlever/wire/AttemptState.java
+++ b/src/main/java/plumlever/wire/AttemptState.java
@@ -22,7 +22,7 @@
     return wireName;
   }
 
-  /** The state with this name in heartbeats. */
+  /** Returns the attempt state that has this name in heartbeats. */
   public static AttemptState of(String name) throws InvalidMessageException {
     for (AttemptState state : values()) {
       if (state.wireName.equals(name)) {
--- a/src/main/java/plumlever/wire/ExitCause.java
+++ b/src/main/java/plumlever/wire/ExitCause.java
@@ -28,7 +28,9 @@
     return wireName;
   }
 
-  /** The cause with this name in heartbeats; {@link #OTHER} if the name is unknown. */
+  /**
+   * Returns the exit cause that has this name in heartbeats; {@link #OTHER} if the name is unknown.
+   */
   public static ExitCause of(String name) {
     for (ExitCause cause : values()) {
       if (cause.wireName.equals(name)) {
--- a/src/main/java/plumlever/wire/Heartbeat.java
+++ b/src/main/java/plumlever/wire/Heartbeat.java
@@ -77,7 +77,7 @@
         || (incarnation == otherIncarnation && sequenceNumber > otherSequenceNumber);
   }
 
-  /** The heartbeat in the form that workers send. */
+  /** Returns the heartbeat as JSON, in the form that workers send. */
   ObjectNode toJson() {
     ObjectNode object =
         Json.object()
--- a/src/main/java/plumlever/wire/HeartbeatReader.java
+++ b/src/main/java/plumlever/wire/HeartbeatReader.java
@@ -12,7 +12,9 @@
  * fields are skipped.
  */
 final class HeartbeatReader {
-  /** Marks a number that has not been read yet; all numbers in a heartbeat are at least 0. */
+  /**
+   * Value of a numeric field that has not been read yet. All numbers in a heartbeat are at least 0.
+   */
   private static final long MISSING = -1;
 
   private final JsonParser parser;
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -165,7 +165,7 @@
     return List.copyOf(uids);
   }
 
-  /** A copy of the job with these dependencies. */
+  /** Returns a copy of the job with these dependencies in place of its own. */
   public JobSpec withDependencies(List<String> uids) {
     return new JobSpec(
         uid,
@@ -195,7 +195,10 @@
     return !dependencies.isEmpty();
   }
 
-  /** The job in the form of a submission, as stored in the state service. */
+  /**
+   * Returns the job as JSON in the form of a submission, which is also the form stored in the state
+   * service.
+   */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     object
--- a/src/main/java/plumlever/wire/Json.java
+++ b/src/main/java/plumlever/wire/Json.java
@@ -39,7 +39,7 @@
 
   private Json() {}
 
-  /** An empty object. */
+  /** Returns a new, empty JSON object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
--- a/src/main/java/plumlever/wire/Priority.java
+++ b/src/main/java/plumlever/wire/Priority.java
@@ -22,7 +22,7 @@
     return wireName;
   }
 
-  /** The priority with this name in submissions. */
+  /** Returns the priority that has this name in submissions. */
   public static Priority of(String name) throws InvalidMessageException {
     for (Priority priority : values()) {
       if (priority.wireName.equals(name)) {
