--- a/src/main/java/plumlever/fleet/DependencyGraph.java
+++ b/src/main/java/plumlever/fleet/DependencyGraph.java
@@ -83,9 +83,10 @@
   }
 
   /**
-   * Records the stored end of a job. Has no effect on a job that the graph does not hold.
+   * Records that a job's record shows that the job has ended. Has no effect on a job that the graph
+   * does not hold.
    *
-   * @param finalState the final state
+   * @param finalState the final state in the record
    * @param endedMicros time at which the job ended
    */
   public void recordEnd(String uid, JobState finalState, long endedMicros) {
@@ -99,8 +100,8 @@
     } else if (!vertex.isCancelled()) {
       cancel(vertex, uid);
     }
-    // The graph does not need an ended job any more. If a later job depends on the ended job, the
-    // record of the ended job is read again.
+    // The graph does not need the ended job any more. If a later job depends on the ended job, the
+    // caller reads the ended job's record again.
     vertices.remove(uid, vertex);
   }
 
@@ -138,7 +139,10 @@
     return vertex == null ? State.UNKNOWN : vertex.state();
   }
 
-  /** The revision of the job's record; 0 if the graph does not hold the job. */
+  /**
+   * Returns the revision of the job's record in the state service; 0 if the graph does not hold the
+   * job.
+   */
   public long revision(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex == null ? 0 : vertex.revision();
@@ -153,8 +157,8 @@
   }
 
   /**
-   * Time in microseconds at which the last dependency of the job ended; 0 if unknown or if the job
-   * has no dependencies.
+   * Time in microseconds at which the last dependency of the job ended; 0 if that time is unknown
+   * or if the job has no dependencies.
    */
   public long releasedMicros(String uid) {
     JobVertex vertex = vertices.get(uid);
@@ -172,21 +176,21 @@
             .toList();
   }
 
-  /** True if some job that has not ended depends on this job. */
+  /** True if at least one job that has not ended depends on this job. */
   public boolean hasLiveDependents(String uid) {
     JobVertex vertex = vertices.get(uid);
     return vertex != null
         && vertex.dependents().stream().anyMatch(dependent -> !dependent.hasEnded());
   }
 
-  /** Returns the ids of the jobs released since the last call, and clears the list. */
+  /** Returns the ids of the jobs released since the last call of this method, and forgets them. */
   public List<String> drainReleased() {
     return drain(released);
   }
 
   /**
-   * Returns the ids of the jobs cancelled since the last call, including those that have a
-   * cancellation record of their own, and clears the list.
+   * Returns the ids of the jobs cancelled since the last call of this method, and forgets them.
+   * Includes jobs that have a cancellation record of their own.
    */
   public List<String> drainCancelled() {
     return drain(cancelled);
@@ -204,8 +208,8 @@
   }
 
   /**
-   * Sets the job's own deadline and priority, without those of its dependents. Has no effect on a
-   * job that the graph does not hold.
+   * Sets the job's own goal (deadline and priority), without what the job inherits from its
+   * dependents. Has no effect on a job that the graph does not hold.
    *
    * @param durationMicros estimated duration of the job after its release
    */
@@ -238,8 +242,8 @@
   }
 
   /**
-   * Recomputes the effective goals (deadlines and priorities, including those inherited from
-   * dependents) of all jobs that are affected by changes since the last call.
+   * Recomputes the effective goal (the earliest deadline and the highest priority of a job and its
+   * dependents) of each job affected by changes since the last call.
    *
    * @param changed receives the id of each job whose effective goal has changed
    */
--- a/src/main/java/plumlever/fleet/Fleet.java
+++ b/src/main/java/plumlever/fleet/Fleet.java
@@ -12,7 +12,7 @@
  * of each team use.
  */
 public final class Fleet {
-  /** The total cores and accelerators that the live attempts of a team's jobs use. */
+  /** The total cores and accelerators that the tasks of a team's jobs use or may still use. */
   public static final class TeamUsage {
     private double cores;
     private double accelerators;
@@ -38,7 +38,7 @@
 
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** Machines of other shards that may run tasks of this shard. */
+  /** Machines that belong to other shards but may still run tasks of this shard, by machine id. */
   private final Map<String, Machine> transferred = new LinkedHashMap<>();
 
   private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
@@ -71,12 +71,18 @@
     machines.put(machine.id(), machine);
   }
 
-  /** The lowest fencing token of a term. A leader raises the token of each machine separately. */
+  /**
+   * Returns the lowest fencing token of a term. The leader raises the token of each machine
+   * separately.
+   */
   public static long firstToken(long term) {
     return FencingTokens.firstOf(term);
   }
 
-  /** The term, or the number of the machine's transfer, to which a fencing token belongs. */
+  /**
+   * Returns the high bits of a fencing token: the term in which it was issued or, after the machine
+   * was transferred between shards, the number of that transfer.
+   */
   public static long termOf(long token) {
     return FencingTokens.termOf(token);
   }
@@ -97,8 +103,8 @@
   /**
    * Transfers the machine to another shard. Tasks of this shard may still run on the machine.
    *
-   * @param number the number of the transfer; its tokens are higher than any token that this shard
-   *     has issued for the machine
+   * @param number the number of the transfer, which becomes the high bits of the machine's fencing
+   *     tokens; these tokens are higher than any that this shard has issued for the machine
    */
   public void transferOut(Machine machine, long number) {
     machines.remove(machine.id(), machine);
@@ -122,7 +128,10 @@
     machines.remove(machine.id(), machine);
   }
 
-  /** Starts an attempt. From now on the attempt may run on the machine. */
+  /**
+   * Creates an attempt whose start command is about to be sent. From now on the task may run on the
+   * machine.
+   */
   public Attempt startAttempt(
       Job job, int task, Machine machine, StartChannel channel, long nowMicros) {
     AttemptOrigin origin =
@@ -143,22 +152,22 @@
   }
 
   /**
-   * True when the attempt numbers come close to those of the next term, which happens when a term
-   * lasts for days with thousands of machines.
+   * True if few attempt numbers of this term are left, which happens when a term lasts for days
+   * with thousands of machines.
    */
   public boolean attemptNumbersNearlyExhausted() {
     return attemptNumbers.nearlyExhausted();
   }
 
   /**
-   * True when the machine's fencing tokens come close to those of the next term. Each direct
-   * command raises the token.
+   * True if few fencing tokens of this term are left for the machine. Each direct command (a
+   * command sent in a call to the worker) raises the token.
    */
   public boolean tokensNearlyExhausted(Machine machine) {
     return machine.tokens().nearlyExhausted();
   }
 
-  /** True if a leader of an earlier term issued this attempt number. */
+  /** True if a leader of an earlier term, not this leader, issued this attempt number. */
   public boolean isOfEarlierTerm(long attemptId) {
     return attemptNumbers.isOfEarlierTerm(attemptId);
   }
--- a/src/main/java/plumlever/fleet/JobVertex.java
+++ b/src/main/java/plumlever/fleet/JobVertex.java
@@ -61,7 +61,10 @@
     return revision;
   }
 
-  /** The job whose cancellation caused the cancellation of this job, or null. */
+  /**
+   * The id of the job whose cancellation caused the cancellation of this job; null if this job is
+   * not cancelled.
+   */
   String failedDependency() {
     return failedDependency;
   }
@@ -74,7 +77,7 @@
     return releasedMicros;
   }
 
-  /** Records that the record of this job has been read and that the job has not ended. */
+  /** Records that the job's record has been read: the job was accepted and has not ended. */
   void markAccepted(long recordRevision) {
     state = DependencyGraph.State.WAITING;
     revision = recordRevision;
@@ -109,7 +112,7 @@
   }
 
   /**
-   * Records that an open dependency is done.
+   * Records that one dependency, open until now, is done.
    *
    * @return true if no other dependency is open
    */
--- a/src/main/java/plumlever/fleet/RunTimeEstimates.java
+++ b/src/main/java/plumlever/fleet/RunTimeEstimates.java
@@ -18,7 +18,10 @@
 
   private final Map<String, Double> ratios = new HashMap<>();
 
-  /** Adds the ratio of a task's run time to the run time that the job's owner estimated. */
+  /**
+   * Includes the run of one task in the average of its job class: the ratio of its actual run time
+   * to the run time that the job's owner estimated.
+   */
   public void observeRatio(String jobClass, double ratio) {
     ratios.merge(
         jobClass,
@@ -27,8 +30,8 @@
   }
 
   /**
-   * Sets the ratio of actual to estimated run time that an earlier leader stored for the class,
-   * unless this leader already has a ratio for the class.
+   * Takes over the ratio of actual to estimated run time that an earlier leader stored for the
+   * class. Has no effect if this leader already has a ratio for the class.
    */
   public void adoptRatio(String jobClass, double ratio) {
     ratios.putIfAbsent(jobClass, bounded(ratio));
@@ -51,7 +54,7 @@
     return ratios.getOrDefault(jobClass, 1.0);
   }
 
-  /** The estimated run time of a task of the job on a machine of nominal speed. */
+  /** Estimates the run time of a task of the job on a machine of nominal speed, in microseconds. */
   public long runMicros(Job job) {
     double ratio = job.runTimeRatio(ratio(job.spec().jobClass()));
     return Math.max(MIN_RUN_MICROS, (long) (job.spec().expectedRunS() * MICROS_PER_SECOND * ratio));
--- a/src/main/java/plumlever/http/IdleConnections.java
+++ b/src/main/java/plumlever/http/IdleConnections.java
@@ -8,8 +8,8 @@
 /** The idle connections in the pools of all endpoints, oldest first. */
 final class IdleConnections {
   /**
-   * Maximum number of idle connections in all pools. With a thousand machines to call, more idle
-   * connections could use up all sockets.
+   * Maximum number of idle connections in the pools of all endpoints. There can be a thousand
+   * machines to call, and more idle connections could use up all sockets.
    */
   private static final int MAX_IDLE = 48;
 
@@ -17,8 +17,8 @@
       new LinkedHashMap<>();
 
   /**
-   * Adds an idle connection of the pool. If there are too many idle connections, the oldest is
-   * closed.
+   * Adds an idle connection of the pool. If there are then more than {@link #MAX_IDLE}, closes the
+   * oldest one.
    */
   void add(ClientConnection connection, ConnectionPool pool) {
     poolByConnection.put(connection, pool);
--- a/src/main/java/plumlever/http/ServingHealth.java
+++ b/src/main/java/plumlever/http/ServingHealth.java
@@ -1,6 +1,8 @@
 package plumlever.http;
 
-/** Whether this controller can serve user requests. Called for each request. */
+/**
+ * Tells whether this controller can serve user requests. The methods are called for each request.
+ */
 public interface ServingHealth {
   /** True if this controller can serve user requests. */
   boolean canTakeRequests();
@@ -12,8 +14,8 @@
   boolean onlyThisControllerRefused();
 
   /**
-   * True if this controller must not respond to requests for the jobs in the state service, because
-   * the state service holds a pool of shards and this controller lacks the sharing file.
+   * True if this controller must not serve the jobs in the state service: the state service holds a
+   * pool of shards, but this controller has no sharing settings.
    */
   boolean ineligible();
 }
--- a/src/main/java/plumlever/http/SubmissionRules.java
+++ b/src/main/java/plumlever/http/SubmissionRules.java
@@ -20,7 +20,10 @@
     this.typeCatalog = typeCatalog;
   }
 
-  /** The reason why the job can't be accepted; empty if the job is acceptable. */
+  /**
+   * Returns why the job cannot be accepted now: its team is unknown, a task exceeds the limit of
+   * the team, or no known machine type can run a task. Empty if the job can be accepted.
+   */
   Optional<SubmissionRefusal> refusal(JobSpec spec) {
     Optional<PlatformConfiguration.Team> team =
         teams.stream().filter(known -> known.name().equals(spec.team())).findFirst();
@@ -40,7 +43,10 @@
     return Optional.empty();
   }
 
-  /** A limit of 0 means that the resource is unlimited. */
+  /**
+   * True if a task of the job needs more than the team's limit. A limit of 0 means that the
+   * resource is unlimited.
+   */
   private static boolean exceedsLimit(JobSpec spec, PlatformConfiguration.Team team) {
     return (team.maxCores() > 0 && spec.cores() > team.maxCores())
         || (team.maxAccelerators() > 0 && spec.accelerators() > team.maxAccelerators());
--- a/src/main/java/plumlever/placement/Placer.java
+++ b/src/main/java/plumlever/placement/Placer.java
@@ -22,22 +22,26 @@
   }
 
   /**
-   * Placement of one task.
+   * The machine and the start time chosen for one task.
    *
    * @param candidate index in the list of candidates; -1 if no candidate can ever run the task
    * @param startMicros time at which capacity for the task is free
-   * @param feasible true if the task meets its times with the padded run time
+   * @param feasible true if the task meets its deadline and latest start time even with the padded
+   *     run time
    */
   public record Choice(int candidate, long startMicros, boolean feasible) {
     static final Choice NONE = new Choice(-1, Long.MAX_VALUE, false);
 
-    /** False if no candidate can run the task now or later. */
+    /** False if no candidate can ever run the task. */
     public boolean exists() {
       return candidate >= 0;
     }
   }
 
-  /** Image fetch time by candidate; 0 if the machine has the image. */
+  /**
+   * Provides the time for which a task would wait for its image on a candidate; 0 if the machine
+   * has the image.
+   */
   public interface ImageFetchTimes {
     /** Returns the fetch time in microseconds of an image of the given size. */
     long micros(int candidate, String image, double imageGb);
@@ -91,8 +95,8 @@
     }
 
     /**
-     * Commits the last choice that {@link #next} returned: starts the task now or books it for
-     * later.
+     * Commits the last choice that {@link #next} returned: subtracts the task's resources from the
+     * candidate's capacity from the task's start time on.
      */
     public void commit(Choice choice) {
       scores.commit(choice);
@@ -103,8 +107,8 @@
   }
 
   /**
-   * True if some candidate has free capacity for one task now. Cheaper than a search, which also
-   * computes scores and times.
+   * True if some candidate has free capacity for one task now. Needs less computation than a
+   * search, which also computes scores and times.
    */
   public static boolean hasFreeCapacityNow(
       ResourceRequest request, List<PlacementCandidate> candidates, Zones zones) {
--- a/src/main/java/plumlever/wire/AttemptState.java
+++ b/src/main/java/plumlever/wire/AttemptState.java
@@ -6,7 +6,7 @@
   FETCHING("pulling"),
   /** The task is running. */
   RUNNING("running"),
-  /** The attempt received a stop command and is saving its work. */
+  /** The attempt has received a stop command and saves its work. */
   SAVING("flushing"),
   /** The attempt has ended; the worker reports it until a remove command arrives. */
   ENDED("ended");
@@ -22,7 +22,7 @@
     return wireName;
   }
 
-  /** The state with this name in heartbeats. */
+  /** Returns the attempt state that has this name in heartbeats. */
   public static AttemptState of(String name) throws InvalidMessageException {
     for (AttemptState state : values()) {
       if (state.wireName.equals(name)) {
--- a/src/main/java/plumlever/wire/JobSpec.java
+++ b/src/main/java/plumlever/wire/JobSpec.java
@@ -165,7 +165,7 @@
     return List.copyOf(uids);
   }
 
-  /** A copy of the job with these dependencies. */
+  /** Returns a copy of the job with these dependencies in place of its own. */
   public JobSpec withDependencies(List<String> uids) {
     return new JobSpec(
         uid,
@@ -195,7 +195,10 @@
     return !dependencies.isEmpty();
   }
 
-  /** The job in the form of a submission, as stored in the state service. */
+  /**
+   * Returns the job as JSON in the form of a submission, which is also the form stored in the state
+   * service.
+   */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     object
@@ -234,8 +237,9 @@
   }
 
   /**
-   * True if a single task may run on a machine of this type, zone and kind. The rules that concern
-   * several tasks, {@code oneZone} and {@code spread}, are not checked.
+   * True if a single task of the job may run on a machine of this type and zone, and of this kind
+   * (spot or on-demand). Does not check the rules that concern several tasks, {@code oneZone} and
+   * {@code spread}.
    */
   public boolean allows(String machineType, String machineZone, boolean spot) {
     return (machineTypes == null || machineTypes.contains(machineType))
