--- a/src/main/java/plumlever/drill/DrillFiles.java
+++ b/src/main/java/plumlever/drill/DrillFiles.java
@@ -8,8 +8,8 @@
   private static final double MICROS_PER_S = 1e6;
 
   /**
-   * The floors of all shards (the machines that a shard keeps in any case) add up to at most the
-   * number of machines divided by this.
+   * The floors of all shards (the number of machines that a shard keeps in any case) add up to at
+   * most the pool's number of machines divided by this.
    */
   private static final int FLOOR_DIVISOR = 4;
 
--- a/src/main/java/plumlever/drill/TaskResults.java
+++ b/src/main/java/plumlever/drill/TaskResults.java
@@ -29,7 +29,7 @@
   /**
    * Records the start of a task on a machine.
    *
-   * @return duration of the task; 0 if the task has completed before: its result is already stored
+   * @return duration of the task; 0 if an earlier attempt has already stored the task's result
    */
   long recordStart(String task, String machine) {
     starts.merge(task, 1, Integer::sum);
--- a/src/main/java/plumlever/drill/TransferStatistics.java
+++ b/src/main/java/plumlever/drill/TransferStatistics.java
@@ -30,7 +30,10 @@
     this.loop = loop;
   }
 
-  /** Records the start or end of a transfer if the value put into the state service shows one. */
+  /**
+   * Records the start or end of a machine's transfer if the put into the state service is of a
+   * record that shows one.
+   */
   void onPut(String key, JsonNode value) {
     if (!key.startsWith(PREFIX)) {
       return;
--- a/src/main/java/plumlever/drill/WorkerEmulator.java
+++ b/src/main/java/plumlever/drill/WorkerEmulator.java
@@ -28,7 +28,7 @@
   private static final long FETCH_MICROS = 300_000;
   private static final long LEASE_CHECK_MICROS = 200_000;
 
-  /** An attempt of a task on this machine, in any state. */
+  /** An attempt to run a task on this machine, whether running or ended. */
   private static final class Task {
     private final String name;
     private final long attempt;
--- a/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
+++ b/src/main/java/plumlever/leader/pool/DeadShardAdoption.java
@@ -21,8 +21,8 @@
  */
 final class DeadShardAdoption {
   /**
-   * Added to twice the lease time to get the shortest time without a leader after which machines
-   * are adopted. Covers clock drift and the time that a response is in transit.
+   * A shard's machines are not adopted before it has had no leader for twice the lease time plus
+   * this margin. The margin covers clock drift and the time that a response is in transit.
    */
   private static final long LEASE_EXPIRY_MARGIN_MICROS = 10_000_000;
 
@@ -38,8 +38,8 @@
   private final Consumer<TransferRecord> onAdopted;
 
   /**
-   * The transfer record that results from the adoption in flight. One field is enough because
-   * transactions on the pool's records run one at a time.
+   * The transfer record of the adopted machine as the transaction in flight stores it. One field is
+   * enough because transactions on the pool's records run one at a time.
    */
   private TransferRecord recordBeingTaken;
 
--- a/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
+++ b/src/main/java/plumlever/leader/pool/EndedJobsWatch.java
@@ -67,17 +67,17 @@
   }
 
   /**
-   * Returns the time of the last read of ended jobs: the send time of the latest answered read that
-   * shows which of the watched jobs have ended. The time lies in the distant past while a watched
-   * job has not been read yet.
+   * Returns the time at which the latest answered read was sent that shows which watched jobs have
+   * ended. While a watched job has not been read yet, returns a time in the distant past.
    */
   long endedJobsReadMicros() {
     return jobsToRead.isEmpty() ? lastReadMicros : Long.MIN_VALUE / 4;
   }
 
   /**
-   * Reads the current store revision before the jobs: the watch covers jobs that end after that
-   * revision, and the reads of the single jobs cover those that ended earlier.
+   * Reads the current revision of the state service before the jobs are read. The watch starts at
+   * this revision and shows the jobs that end later; the reads of the jobs show those that ended
+   * before.
    */
   private void readStoreRevision() {
     if (closed) {
--- a/src/main/java/plumlever/leader/pool/ForeignTasks.java
+++ b/src/main/java/plumlever/leader/pool/ForeignTasks.java
@@ -45,7 +45,10 @@
 
   /** The foreign tasks of one originating shard on one machine. */
   private static final class TasksOfShard {
-    /** All attempts that the originating shard may have on the machine, including ended ones. */
+    /**
+     * The originating shard's attempts that may be on the machine, by attempt number. Includes
+     * ended attempts that the worker still lists.
+     */
     private final Map<Long, ForeignTask> tasks = new LinkedHashMap<>();
 
     private boolean callInFlight;
@@ -83,8 +86,9 @@
   }
 
   /**
-   * Updates the foreign tasks of a machine that this shard owns from the machine's transfer record.
-   * Originating shards are added by a transfer and removed once they have settled their tasks.
+   * Updates the foreign tasks (tasks of other shards) of a machine that this shard owns from the
+   * machine's transfer record. Shards that the record newly lists are added with their tasks;
+   * shards that it lists no more are removed.
    */
   void update(Machine machine, TransferRecord record) {
     MachineForeignTasks machineForeignTasks =
@@ -109,8 +113,8 @@
   }
 
   /**
-   * Forgets the foreign tasks of a machine that holds none any more or that this shard does not
-   * own.
+   * Deletes from memory what is known of the machine's foreign tasks. Called when none of them is
+   * left or another shard owns the machine.
    */
   void remove(Machine machine) {
     if (foreignTasksByMachine.remove(machine.id()) != null) {
@@ -151,7 +155,10 @@
             .anyMatch(foreignTasks -> foreignTasks.tasks.containsKey(attempt));
   }
 
-  /** Updates the foreign tasks from a heartbeat of the machine and relays the heartbeat. */
+  /**
+   * Updates the machine's foreign tasks from its heartbeat and relays the heartbeat to the
+   * originating shards, whose jobs the tasks belong to.
+   */
   void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
     if (machineForeignTasks == null) {
@@ -204,8 +211,8 @@
   }
 
   /**
-   * Tells the originating shards that the machine's lease has expired: the worker has killed all of
-   * its tasks.
+   * Tells the shards whose tasks ran on the machine that the machine's lease has expired and that
+   * its worker has therefore killed all tasks.
    */
   void leaseExpired(Machine machine) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
@@ -302,10 +309,9 @@
   }
 
   /**
-   * Returns whether foreign tasks may be running on the machine and, if so, the time up to which
-   * this leader knows which of their jobs have ended. Until the machine reports a fencing token of
-   * this leader's term, all tasks from the transfer record count, even those that the heartbeats do
-   * not list.
+   * Returns whether tasks of other shards may be running on the machine and, if so, the send time
+   * of the last read that shows which of their jobs have ended. Until the machine reports a fencing
+   * token of this leader's term, tasks that its heartbeats do not list count as running.
    */
   ForeignTaskEvidence evidence(Machine machine) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
@@ -328,8 +334,9 @@
   }
 
   /**
-   * Returns the commands for the machine's foreign tasks: those that the originating shards sent,
-   * and a stop for each running task whose job has ended according to the state service.
+   * Returns the commands for the tasks of other shards on the machine: the commands that those
+   * shards sent, and a stop for each running task whose job has ended according to the state
+   * service.
    */
   List<WorkerCommand> commands(Machine machine, Heartbeat heartbeat) {
     MachineForeignTasks machineForeignTasks = foreignTasksByMachine.get(machine.id());
--- a/src/main/java/plumlever/leader/pool/LimitSharing.java
+++ b/src/main/java/plumlever/leader/pool/LimitSharing.java
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Returns this shard's part of the team's limit without the cores that are being moved away; 0
-   * for a resource without a limit.
+   * Returns this shard's part of the team's limit on cores and accelerators, without the cores that
+   * are being moved to other shards. 0 means that the resource has no limit.
    */
   LimitParts.Part limit(PlatformConfiguration.Team team) {
     if (team.maxCores() <= 0 && team.maxAccelerators() <= 0) {
@@ -77,7 +77,7 @@
     return Math.max(part, Double.MIN_VALUE);
   }
 
-  /** Returns by team the cores that this shard needs beyond its part of the team's limit. */
+  /** Returns, by team, how many cores this shard needs beyond its part of the team's limit. */
   Map<String, Double> coresWanted() {
     Map<String, Double> wanted = new TreeMap<>();
     for (PlatformConfiguration.Team team : context.platform().teams()) {
--- a/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
+++ b/src/main/java/plumlever/leader/pool/MachineShareBalancer.java
@@ -38,15 +38,17 @@
   private static final long REPUBLISH_INTERVAL_MICROS = 30_000_000;
 
   /**
-   * Time for which a shard with a shortage rents no machines while others have idle ones to offer.
+   * Time from the start of a shortage in which this shard rents no machines if another shard has
+   * idle machines to offer.
    */
   private static final long RENTAL_HOLD_MICROS = 5_000_000;
 
   /**
-   * Machines offered to a shard since it last published its demand.
+   * The number of machines that this shard has offered to another shard since that shard last
+   * published its demand.
    *
-   * @param revision revision of that shard's latest demand record; only offers made since are
-   *     counted
+   * @param revision revision of the other shard's demand record when the offers were made; with a
+   *     newer record, the count starts again
    */
   private record OfferedMachines(long revision, int machines) {}
 
@@ -283,8 +285,9 @@
   }
 
   /**
-   * Returns true if this shard may rent machines. In the first seconds of a shortage it must not
-   * while another shard has idle machines to offer.
+   * Returns true if this shard is allowed to rent machines. In the first {@link
+   * #RENTAL_HOLD_MICROS} of a shortage, rentals are not allowed while another shard has idle
+   * machines to offer.
    */
   boolean mayRent() {
     if (shortageSinceMicros < 0
@@ -300,8 +303,8 @@
   }
 
   /**
-   * Returns true if this shard may return idle machines to the cloud. While any shard of the pool
-   * has a shortage, idle machines are offered to that shard instead.
+   * Returns true if this shard is allowed to return idle machines to the cloud: no shard of the
+   * pool has a shortage of machines.
    */
   boolean mayReturnIdle() {
     return shortageSinceMicros < 0
--- a/src/main/java/plumlever/leader/pool/MachineTransfers.java
+++ b/src/main/java/plumlever/leader/pool/MachineTransfers.java
@@ -39,8 +39,8 @@
   private static final long OFFER_TIMEOUT_MICROS = 8_000_000;
 
   /**
-   * An offered machine's heartbeats are accepted only while the owner's view of the pool is at most
-   * this old, which limits how long the former owner can renew the machine's lease.
+   * The owner accepts heartbeats of an offered machine only if its view of the pool's records is at
+   * most this old. This limits how long a former owner can renew the machine's lease.
    */
   static final long MAX_VIEW_AGE_MICROS = 5_000_000;
 
@@ -64,7 +64,7 @@
   private final Consumer<Machine> sendToken;
   private final Map<String, Long> offeredMicros = new HashMap<>();
 
-  /** Machines of other shards that are known to hold no task of this shard any more. */
+  /** Machines that this shard transferred away and that hold none of its tasks any more. */
   private final Set<String> machinesWithoutOwnTasks = new HashSet<>();
 
   private boolean digestMismatchLogged;
@@ -154,7 +154,7 @@
     offerAcceptance.acceptOffers();
   }
 
-  /** Releases a machine transferred without foreign tasks, for which no transfer record is kept. */
+  /** Removes from the fleet a machine that another shard acquired without a transfer record. */
   private void releaseWithoutRecord(String id) {
     Machine machine = fleet.machine(id);
     offeredMicros.remove(id);
@@ -179,9 +179,7 @@
     }
   }
 
-  /**
-   * Adds the machine to the fleet if missing; its fencing tokens get at least the record's term.
-   */
+  /** Adds the machine to the fleet if missing; raises its tokens' term to the record's number. */
   Machine acquire(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine == null) {
@@ -229,7 +227,7 @@
     return machine;
   }
 
-  /** Returns the assumed age of an acquired machine: as it is up, more than its boot time. */
+  /** Returns the assumed age of an acquired machine, which has booted: more than its boot time. */
   private long bootMicros(String machineType) {
     MachineType known = context.typeCatalog().machineType(machineType);
     return known == null ? 0 : (long) (known.startupS() * BOOT_MARGIN * 1e6);
@@ -291,7 +289,7 @@
         machine.load().liveAttempts());
   }
 
-  /** Drops a machine that another shard now owns and that holds no task of this shard. */
+  /** Removes from the fleet a machine of another shard that runs no task of this shard. */
   private void releaseIfNotOwned(TransferRecord record) {
     Machine machine = fleet.machine(record.machine().id());
     if (machine != null && !owns(machine.id())) {
@@ -368,7 +366,7 @@
         });
   }
 
-  /** Returns true if the machine is in a state in which it can be offered to another shard. */
+  /** Returns true if the machine can be offered to another shard in its current state. */
   boolean canOffer(Machine machine) {
     return owns(machine.id())
         && machine.contact().hasSentHeartbeat()
--- a/src/main/java/plumlever/leader/pool/OfferAcceptance.java
+++ b/src/main/java/plumlever/leader/pool/OfferAcceptance.java
@@ -24,8 +24,8 @@
   private final Function<TransferRecord, Machine> acquire;
 
   /**
-   * The transfer records that result from the acceptance in flight. One field is enough because
-   * transactions on the pool's records run one at a time.
+   * The transfer records as the transaction in flight stores them when it accepts offers. One field
+   * is enough because transactions on the pool's records run one at a time.
    */
   private List<TransferRecord> recordsBeingTaken = List.of();
 
@@ -51,7 +51,10 @@
     return view.holder(machine).equals(Optional.of(ownShard));
   }
 
-  /** Accepts all open offers to this shard, with as many machines per transaction as fit. */
+  /**
+   * Accepts all open offers of machines to this shard. Each transaction accepts as many as its
+   * limits on size and operations allow.
+   */
   void acceptOffers() {
     // Offers that arrive while a transaction is queued are accepted together in the next one.
     if (openTransactions > 0) {
@@ -87,9 +90,9 @@
   }
 
   /**
-   * Builds the transaction that accepts the offers. All machines must have the same owner. Only
-   * offers of the same term of the owner's leader are accepted: one precondition on the revision of
-   * the owner's term record covers all of them.
+   * Builds the transaction that accepts the offers of the machines, which must all have the same
+   * owner. The accepted offers are of a single term of the owner's leader, so that one precondition
+   * on the revision of the owner's term record covers them all.
    */
   private Optional<PoolTransaction> buildTransaction(List<String> machines) {
     List<TransferRecord> offered =
--- a/src/main/java/plumlever/leader/pool/OwnerClaims.java
+++ b/src/main/java/plumlever/leader/pool/OwnerClaims.java
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Returns true if this or an earlier leader of the shard has retired the machine before its
-   * return to the cloud.
+   * Returns true if a leader of this shard has retired the machine: the owner record names no shard
+   * as its owner, because the machine is to be returned to the cloud.
    */
   boolean isRetired(String machine) {
     return view.holder(machine).equals(Optional.of(retiredHolder(ownShard)));
@@ -84,7 +84,7 @@
   }
 
   /**
-   * Records this shard as the owner of those machines that have none.
+   * Records this shard as the owner of each given machine that has no owner.
    *
    * @param claimed called for each of the machines that this shard owns afterwards
    */
@@ -154,8 +154,8 @@
   }
 
   /**
-   * Removes returned machines from the owner records, and marks their transfer records as gone so
-   * that the originating shards of foreign tasks learn of the return.
+   * Removes machines that were returned to the cloud from the owner records. Stores in their
+   * transfer records that they are gone, so that other shards end their tasks' attempts on them.
    */
   void recordReturned(List<Machine> machines) {
     for (List<String> group : groupByRecord(machines.stream().map(Machine::id).toList()).values()) {
@@ -212,9 +212,10 @@
   }
 
   /**
-   * Builds the transaction that changes the holder of machines in one owner record.
+   * Builds the transaction that changes the holder (the recorded owner) of machines that one owner
+   * record covers.
    *
-   * @param holder new holder of the machines, null to remove them from the record
+   * @param holder new holder of the machines; null to remove the machines from the owner record
    */
   private Optional<PoolTransaction> buildChange(List<String> machines, String holder) {
     if (machines.isEmpty()) {
--- a/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
+++ b/src/main/java/plumlever/leader/pool/PoolRecordWatch.java
@@ -55,7 +55,10 @@
     return view;
   }
 
-  /** Returns the send time of the latest answered read: the view is at least that recent. */
+  /**
+   * Returns the time at which the latest answered read of the pool's records was sent. The view of
+   * the records is at least that recent.
+   */
   long lastReadMicros() {
     return lastReadMicros;
   }
--- a/src/main/java/plumlever/leader/pool/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/pool/PoolTransaction.java
@@ -9,8 +9,8 @@
 import plumlever.store.Transaction;
 
 /**
- * A transaction on records of the pool. Every changed record has a precondition on the revision in
- * the view, so a transaction that is applied late can't overwrite a newer change.
+ * A transaction on records of the pool. It is applied only if each record that it changes still has
+ * the revision known to this leader, so a delayed transaction cannot overwrite a newer change.
  */
 final class PoolTransaction {
   private final PoolView view;
--- a/src/main/java/plumlever/leader/pool/PoolWriter.java
+++ b/src/main/java/plumlever/leader/pool/PoolWriter.java
@@ -17,7 +17,10 @@
 final class PoolWriter {
   /** A requested change of the pool's records. */
   interface Step {
-    /** Builds the transaction from the current records; empty if no change is needed any more. */
+    /**
+     * Builds the transaction from the pool's current records; returns empty if no change is needed
+     * any more.
+     */
     Optional<PoolTransaction> build();
 
     /** Called when the step has ended: its transaction was applied or is not needed any more. */
@@ -112,7 +115,10 @@
             });
   }
 
-  /** Rereads the records that the transaction depends on, to find out whether it was applied. */
+  /**
+   * Rereads the pool's records that the transaction depends on, to find out whether the transaction
+   * was applied.
+   */
   private void reread(Step step, PoolTransaction transaction, Transaction.Outcome outcome) {
     log.debug("transaction on pool records ended as {}, rereading its preconditions", outcome);
     List<String> keys = new ArrayList<>(transaction.requiredKeys());
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -14,14 +14,14 @@
 
 /** Sends the transactions of transfers, with at most one in flight or queued per machine. */
 final class TransferSteps {
-  /** Builds the next transaction of a machine; empty if there is none to send. */
+  /** Builds a machine's next transaction on the pool's records; returns empty if none is needed. */
   interface Builder {
     Optional<PoolTransaction> build();
   }
 
   /**
-   * Operations of an acquisition that all its machines share: the changes of the pool's counter and
-   * of the owner record.
+   * Number of operations in an acquiring transaction that do not depend on the number of machines:
+   * the changes of the pool's counter and of the owner record.
    */
   private static final int SHARED_OPERATIONS = 2;
 
@@ -60,7 +60,7 @@
     return inProgress.contains(machine);
   }
 
-  /** Returns the machine's transfer record as last read, if there is one. */
+  /** Returns the machine's transfer record as last read; empty if the machine has none. */
   Optional<TransferRecord> record(String machine) {
     return view.transfer(machine).map(PoolView.Versioned::value);
   }
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Returns a transaction that stores the machine's transfer record, or deletes the stored one if
-   * the new one has neither foreign tasks nor an offer.
+   * Returns a transaction that stores the machine's new transfer record, or deletes the stored
+   * record if the new record has neither foreign tasks (tasks of other shards) nor an offer.
    */
   PoolTransaction replaceRecord(String machine, TransferRecord record) {
     String key = TransferRecord.keyOf(machine);
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Queues one transaction for several machines. Returns false if any of them already has one
-   * queued or in flight, or the queue is full.
+   * Queues one transaction on the pool's records for several machines. Returns false if one of the
+   * machines already has a transaction queued or in flight, or if the queue is full.
    */
   boolean step(List<String> machines, Builder builder, Runnable finished) {
     if (machines.isEmpty() || machines.stream().anyMatch(inProgress::contains)) {
--- a/src/main/java/plumlever/sharing/CoreDemand.java
+++ b/src/main/java/plumlever/sharing/CoreDemand.java
@@ -12,7 +12,7 @@
    * @param tasks number of running and pending tasks
    * @param cores cores of one task
    * @param runMicros expected duration of one task with padding, including the image fetch
-   * @param leftMicros time left until the job should be done
+   * @param leftMicros time from now until the job should be done
    */
   public record RemainingWork(
       String team, int tasks, double cores, long runMicros, long leftMicros) {}
--- a/src/main/java/plumlever/sharing/ForeignTask.java
+++ b/src/main/java/plumlever/sharing/ForeignTask.java
@@ -6,7 +6,7 @@
 import plumlever.wire.TaskName;
 
 /**
- * An attempt of one shard on a machine that another shard owns.
+ * An attempt to run a task of one shard on a machine that another shard owns.
  *
  * @param attempt number of the attempt, unique in the pool
  * @param cores cores that the attempt uses on the machine
--- a/src/main/java/plumlever/sharing/LimitParts.java
+++ b/src/main/java/plumlever/sharing/LimitParts.java
@@ -59,7 +59,7 @@
     return new LimitParts(parts);
   }
 
-  /** Returns the shard's part of the team's limit; no cores and accelerators if it has none. */
+  /** Returns the shard's part of the team's limit; {@link Part#NONE} if the shard has no part. */
   public Part of(String shard) {
     return byShard.getOrDefault(shard, Part.NONE);
   }
--- a/src/main/java/plumlever/sharing/PoolView.java
+++ b/src/main/java/plumlever/sharing/PoolView.java
@@ -36,7 +36,8 @@
   private final Map<String, Long> revisions = new HashMap<>();
 
   /**
-   * Revisions at which keys were deleted: an older put that arrives later must not restore a key.
+   * The revision of each key's deletion, so that an older put that arrives after the deletion does
+   * not restore the record.
    */
   private final Map<String, Long> deletedRevisions = new HashMap<>();
 
@@ -126,14 +127,17 @@
     }
   }
 
-  /** Returns the revision of the key for use in a precondition; 0 if there is no record. */
+  /**
+   * Returns the last known revision of the record under the key, for use in a precondition; 0 if
+   * there is no record.
+   */
   public long revisionOf(String key) {
     return deletedRevisions.containsKey(key) ? 0 : revisions.getOrDefault(key, 0L);
   }
 
   /**
-   * Returns the holder of the machine: the owning shard, or the name under which a shard has
-   * retired the machine; empty if there is none.
+   * Returns the holder of the machine: the owning shard, or the name that a shard records in place
+   * of its own when it retires the machine. Empty if no owner record lists the machine.
    */
   public Optional<String> holder(String machine) {
     return owners(machine).holder(machine);
@@ -144,12 +148,15 @@
     return owners.getOrDefault(OwnerRecord.keyOf(machine), OwnerRecord.EMPTY);
   }
 
-  /** Returns the number of machines that all owner records list for the holder. */
+  /**
+   * Returns the number of machines whose holder (owning shard, or name for retired machines) is the
+   * given one, over all owner records.
+   */
   public int count(String holder) {
     return owners.values().stream().mapToInt(owned -> owned.count(holder)).sum();
   }
 
-  /** Returns the machine's transfer record, if there is one. */
+  /** Returns the machine's transfer record and its revision; empty if the machine has none. */
   public Optional<Versioned<TransferRecord>> transfer(String machine) {
     return Optional.ofNullable(transfers.get(machine));
   }
@@ -159,22 +166,31 @@
     return Collections.unmodifiableMap(transfers);
   }
 
-  /** Returns the label of the shard's leader, if it has one. */
+  /**
+   * Returns the label (configured name) of the controller that leads the shard; empty if no leader
+   * is known.
+   */
   public Optional<String> leader(String shard) {
     return Optional.ofNullable(leaders.get(shard));
   }
 
-  /** Returns the demand that the shard last published, if any. */
+  /**
+   * Returns the demand for machines and cores that the shard last published; empty if it has
+   * published none.
+   */
   public Optional<ShardDemand> demand(String shard) {
     return Optional.ofNullable(demands.get(shard));
   }
 
-  /** Returns the shards' parts of the team's limit, if the limit has been split. */
+  /** Returns the shards' parts of the team's limit; empty if the limit has not been split. */
   public Optional<LimitParts> limit(String team) {
     return Optional.ofNullable(limits.get(team));
   }
 
-  /** Returns the last number from the pool's counter, which numbers terms and transfers. */
+  /**
+   * Returns the last known value of the pool's counter, from which terms of leaders and transfers
+   * of machines get their numbers.
+   */
   public long counter() {
     return counter;
   }
--- a/src/main/java/plumlever/sharing/SharePolicy.java
+++ b/src/main/java/plumlever/sharing/SharePolicy.java
@@ -49,7 +49,7 @@
     return shard.floor() + Math.max(0, all - floors) * shard.weight() / weights;
   }
 
-  /** A shard's numbers of machines after the transfers that the plan contains so far. */
+  /** The machine counts of one shard after the transfers that are planned so far. */
   private static final class ShardBalance {
     private final ShardState shard;
     private final double share;
--- a/src/main/java/plumlever/sharing/TransferRecord.java
+++ b/src/main/java/plumlever/sharing/TransferRecord.java
@@ -32,8 +32,8 @@
  *
  * @param incarnation the worker's incarnation when the machine was offered; the number increases
  *     each time that the worker's lease expires
- * @param number number from the pool's counter; the fencing tokens of the current owner have it as
- *     their term, or a higher term
+ * @param number number from the pool's counter; the current owner's fencing tokens for the machine
+ *     have this number or a higher one as their term
  * @param tasksByShard foreign tasks by the shard whose jobs they belong to
  */
 public record TransferRecord(
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Returns true if the shard has yet to settle tasks that may be on the machine while another
-   * shard owns it, or that were on a machine that is gone.
+   * Returns true if the transfer record lists the shard's tasks, and another shard owns the machine
+   * or the machine is gone. The shard must then settle these tasks.
    */
   public boolean hasTasksOf(String shard) {
     return tasksByShard.containsKey(shard) && !(state != State.GONE && owner.equals(shard));
--- a/src/main/java/plumlever/warmup/WarmUp.java
+++ b/src/main/java/plumlever/warmup/WarmUp.java
@@ -24,7 +24,10 @@
   private static final long MIN_PAUSE_MICROS = 30_000;
   private static final long BUSY_PAUSE_MICROS = 500_000;
 
-  /** The warm-up pauses while the event loop runs its tasks later than due by more than this. */
+  /**
+   * The warm-up pauses while the event loop runs its actions more than this time after they are
+   * due.
+   */
   private static final long MAX_LATENESS_MICROS = 60_000;
 
   private final EventLoop loop;
--- a/src/test/java/plumlever/architecture/ProtocolWordsTest.java
+++ b/src/test/java/plumlever/architecture/ProtocolWordsTest.java
@@ -31,8 +31,8 @@
           "piece", "reap", "site", "tenure", "touch", "urgency");
 
   /**
-   * Files that may contain protocol words: codecs, emulators of other services and workers, and
-   * tests of encoded messages.
+   * Files that may contain the words from {@link #WORDS}, because they encode or decode messages
+   * and records: codecs, emulators of other services and workers, and tests of encoded messages.
    */
   private static final Set<String> CODECS =
       Set.of(
@@ -63,16 +63,16 @@
           "test/java/plumlever/wire/WireTest.java");
 
   /**
-   * Files in which protocol words are not yet replaced. Remove the entry of a file once its words
-   * are replaced; do not add entries.
+   * Files outside the codecs that still use a word from {@link #WORDS} instead of the established
+   * term. Do not add files.
    */
   private static final Set<String> PENDING_FILES = Set.of();
 
   private static final Pattern PROTOCOL_WORD = pattern();
 
   /**
-   * Returns a pattern that finds a protocol word by itself, in a constant name, or as part of a
-   * camel-case name.
+   * Returns a pattern that finds a word from {@link #WORDS} by itself, in a constant name, or as
+   * part of a camel-case name.
    */
   private static Pattern pattern() {
     String lower = String.join("|", WORDS);
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Returns true if the line contains a protocol word other than the keyword {@code permits} of
-   * sealed types.
+   * Returns true if the line contains a word from {@link #WORDS} other than in the keyword {@code
+   * permits} of sealed types.
    */
   private static boolean containsProtocolWord(String line) {
     return PROTOCOL_WORD.matcher(line.replaceAll("\\bpermits (?=[A-Z])", "")).find();
--- a/src/test/java/plumlever/fleet/DependencyGraphTest.java
+++ b/src/test/java/plumlever/fleet/DependencyGraphTest.java
@@ -23,7 +23,10 @@
  * recomputes all job states, deadlines and priorities after each change.
  */
 final class DependencyGraphTest {
-  /** The reference model: the job records as stored, without derived state. */
+  /**
+   * A slow model of the dependency graph for comparison: it keeps only the job records and derives
+   * all states, deadlines and priorities anew on each call.
+   */
   private static final class ReferenceModel {
     final Map<String, List<String>> dependencies = new HashMap<>();
     final Map<String, JobState> ended = new HashMap<>();
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatFixture.java
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Applies a heartbeat that lists no tasks. The machine is accounted for afterwards: the leader
-   * knows all attempts that earlier leaders may have started on it.
+   * Applies a heartbeat that lists no tasks, so that the leader knows all attempts that earlier
+   * leaders may have started on the machine.
    */
   HeartbeatFixture accounted() {
     handler.apply(machine, heartbeat(), HeartbeatSource.WORKER);
@@ -120,7 +120,10 @@
     return heartbeat(1, token, List.of(attempts));
   }
 
-  /** Returns the first heartbeat of the worker's next incarnation, after its lease has expired. */
+  /**
+   * Returns the worker's first heartbeat after its lease has expired; its incarnation number is
+   * higher by one.
+   */
   Heartbeat heartbeatOfNextIncarnation() {
     return heartbeat(2, machine.tokens().current(), List.of());
   }
--- a/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
+++ b/src/test/java/plumlever/leader/heartbeat/HeartbeatHandlerTest.java
@@ -60,8 +60,9 @@
   }
 
   /**
-   * The heartbeat that lists the attempt may have been delayed until after the machine's lease
-   * expired. The worker has then killed the task.
+   * Once the leader knows all attempts on a machine, an unknown attempt in a heartbeat is not
+   * adopted. The heartbeat may be an old one that was delayed until the lease expired and the
+   * worker killed the task.
    */
   @Test
   void anAttemptOfAnEarlierTermIsNotAdoptedFromAnAccountedMachine() {
@@ -90,7 +91,8 @@
   }
 
   /**
-   * The response to a direct call does not show whether a heartbeat response in flight will arrive.
+   * A start command sent in a heartbeat response may still arrive after the worker has answered a
+   * direct call (one from the leader to the worker).
    */
   @Test
   void aStartInAResponseHasNotEndedWhenADirectResponseLacksIt() {
@@ -121,8 +123,8 @@
   }
 
   /**
-   * A task started by a direct call to the worker has ended as well: the worker rejects commands
-   * for an earlier incarnation.
+   * A worker whose lease expired kills its tasks, begins a new incarnation and rejects commands for
+   * earlier ones. So an attempt whose start command is unanswered has ended as well.
    */
   @Test
   void aNewIncarnationEndsAllAttemptsOfEarlierOnes() {
--- a/src/test/java/plumlever/lease/LeaseRenewalTest.java
+++ b/src/test/java/plumlever/lease/LeaseRenewalTest.java
@@ -90,8 +90,8 @@
   }
 
   /**
-   * A worker may yet start the task of an unanswered command although its heartbeat does not list
-   * the task.
+   * Heartbeats may not list a task whose start command is unanswered, yet the worker may still
+   * start the task.
    */
   @Test
   void anUnansweredCommandCanPreventRenewalAlthoughNoTaskIsListed() {
@@ -144,10 +144,9 @@
   }
 
   /**
-   * Compares renewals with a reference model. A task that may be on the machine (listed, started by
-   * an unanswered command, or foreign) may belong to a job that was cancelled right after the last
-   * read of ended jobs. If the lease is renewed, the task must end within the limit of that
-   * cancellation.
+   * Compares renewals with a reference model on random input. A job may have been cancelled right
+   * after the last read of ended jobs. A renewed lease must expire less than {@code CANCEL_MICROS}
+   * after that read if a task of the job may be on the machine.
    */
   @Test
   void aLeadersRenewalAgreesWithTheReferenceModel() {
--- a/src/test/java/plumlever/settings/SettingsTest.java
+++ b/src/test/java/plumlever/settings/SettingsTest.java
@@ -125,8 +125,8 @@
   }
 
   /**
-   * For each limit, the smaller of the current and the announced value applies from startup. A
-   * limit without an announced value stays at the current value.
+   * For each limit of the state service, the smaller of the current and the announced value applies
+   * from startup. A limit without an announced value stays at the current value.
    */
   @ParameterizedTest
   @CsvSource(
--- a/src/test/java/plumlever/store/TokenBucketTest.java
+++ b/src/test/java/plumlever/store/TokenBucketTest.java
@@ -10,8 +10,8 @@
   private static final long SECOND_MICROS = 1_000_000;
 
   /**
-   * Returns how many tokens are taken in the second from {@code beginMicros}, with 100 tries of one
-   * token each.
+   * Returns how many tokens the bucket gives out in the second after {@code beginMicros}, when one
+   * token is requested every 10 ms.
    */
   private static int tokensTakenWithinSecond(TokenBucket bucket, long beginMicros) {
     int taken = 0;
--- a/src/test/java/plumlever/store/WriteLimitsTest.java
+++ b/src/test/java/plumlever/store/WriteLimitsTest.java
@@ -62,8 +62,8 @@
   }
 
   /**
-   * A transaction that is rejected as malformed does not lower the limits if it is attached to a
-   * lease, because the cause may be that the lease has ended.
+   * Distinguishes writes attached to a lease. If such a write is rejected as malformed, the size
+   * limits stay as they are, because the cause may be that the lease has ended.
    */
   @Test
   void onlyPutsWithALeaseAttachATransactionToALease() {
