--- a/src/main/java/plumlever/drill/StateServiceEmulator.java
+++ b/src/main/java/plumlever/drill/StateServiceEmulator.java
@@ -55,17 +55,17 @@
     loop.after(EXPIRY_CHECK_MICROS, this::expire);
   }
 
-  /** Returns the number of requests so far. */
+  /** Returns the number of requests that the emulator has received so far. */
   long requests() {
     return requests;
   }
 
-  /** Returns the number of puts and deletions so far. */
+  /** Returns the number of puts and deletions of keys so far. */
   long changesMade() {
     return changesMade;
   }
 
-  /** Returns the total size in bytes of the values under the prefix. */
+  /** Returns the total size in bytes of the stored values whose keys begin with the prefix. */
   long bytesUnder(String prefix) {
     return entries.tailMap(prefix, true).entrySet().stream()
         .takeWhile(entry -> entry.getKey().startsWith(prefix))
@@ -73,7 +73,7 @@
         .sum();
   }
 
-  /** Returns the values under the prefix by key. */
+  /** Returns the stored values whose keys begin with the prefix, by key. */
   Map<String, JsonNode> under(String prefix) {
     Map<String, JsonNode> found = new TreeMap<>();
     entries
--- a/src/main/java/plumlever/drill/TransferStatistics.java
+++ b/src/main/java/plumlever/drill/TransferStatistics.java
@@ -77,7 +77,7 @@
     return lines.size();
   }
 
-  /** Returns the number of transfers of machines that had tasks of other shards on them. */
+  /** Returns the number of transfers in which the machine had tasks of other shards on it. */
   int withTasks() {
     return withTasks;
   }
--- a/src/main/java/plumlever/leader/pool/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/pool/PoolTransaction.java
@@ -53,7 +53,7 @@
     return this;
   }
 
-  /** Returns the new values that the transaction stores, by key; null for a key that it deletes. */
+  /** Returns the records that the transaction stores, by key; null for a key that it deletes. */
   Map<String, JsonNode> changedValues() {
     return changedValues;
   }
--- a/src/main/java/plumlever/leader/pool/TransferSteps.java
+++ b/src/main/java/plumlever/leader/pool/TransferSteps.java
@@ -65,7 +65,10 @@
     return view.transfer(machine).map(PoolView.Versioned::value);
   }
 
-  /** Returns an empty transaction that fails if this leader's term is over. */
+  /**
+   * Returns a transaction without changes yet, which the state service rejects if this leader's
+   * term is over.
+   */
   PoolTransaction transaction() {
     return new PoolTransaction(view, context.term().requireTerm());
   }
@@ -119,8 +122,8 @@
   }
 
   /**
-   * Queues a transaction on the pool's records for the machine. The builder runs before each
-   * attempt to send it.
+   * Queues a transaction on the pool's records for the machine. The builder is called before each
+   * attempt to send, so that the transaction fits the current records.
    *
    * @return false if the machine already has a transaction queued or in flight, or the queue is
    *     full; the caller retries later
--- a/src/main/java/plumlever/warmup/WarmUpLoop.java
+++ b/src/main/java/plumlever/warmup/WarmUpLoop.java
@@ -19,7 +19,7 @@
     this.wallStartMicros = wallStartMicros;
   }
 
-  /** Runs the next event that is due by the given time; returns false if there is none. */
+  /** Runs the next event if it is due at the given time or earlier; otherwise returns false. */
   boolean runNextEvent(long untilMicros) {
     Event event = events.peek();
     if (event == null || event.dueMicros > untilMicros) {
--- a/src/main/java/plumlever/warmup/WarmUpServices.java
+++ b/src/main/java/plumlever/warmup/WarmUpServices.java
@@ -54,7 +54,10 @@
     return machines.heartbeat(machine);
   }
 
-  /** Executes the commands of a heartbeat response or a direct call on the machine. */
+  /**
+   * Executes the commands from a heartbeat response, or from a direct call to the worker, on the
+   * machine.
+   */
   public void executeCommands(String machine, String response) {
     machines.executeCommands(machine, response);
   }
--- a/src/test/java/plumlever/store/RecordLayoutTest.java
+++ b/src/test/java/plumlever/store/RecordLayoutTest.java
@@ -50,7 +50,7 @@
       JsonNode chunk = recordLayout.progressChunk(done, first, recordLayout.tasksPerChunk());
       assertTrue(Json.write(chunk).length() <= valueBytes);
       String key = RecordLayout.progressKey("job-1", first);
-      // A chunk is read correctly whatever value size it was split by.
+      // A progress chunk is readable with another value size limit than it was written with.
       recordLayout(1024, 4096)
           .readProgressChunk(chunk, key.substring(key.lastIndexOf('/') + 1), restored);
       chunks++;
