--- a/src/main/java/plumlever/drill/TransferStatistics.java
+++ b/src/main/java/plumlever/drill/TransferStatistics.java
@@ -30,7 +30,10 @@
     this.loop = loop;
   }
 
-  /** Records the start or end of a transfer if the value put into the state service shows one. */
+  /**
+   * Records the start or end of a machine's transfer if the put into the state service is of a
+   * record that shows one.
+   */
   void onPut(String key, JsonNode value) {
     if (!key.startsWith(PREFIX)) {
       return;
@@ -74,7 +77,7 @@
     return lines.size();
   }
 
-  /** Returns the number of transfers of machines that had tasks of other shards on them. */
+  /** Returns the number of transfers in which the machine had tasks of other shards on it. */
   int withTasks() {
     return withTasks;
   }
