--- a/src/test/java/plumlever/sim/DelegationChecker.java
+++ b/src/test/java/plumlever/sim/DelegationChecker.java
@@ -15,15 +15,19 @@
 import plumlever.wire.ProtocolField;
 
 /**
- * Checks two invariants on which the correctness of delegated renewal depends, the renewal of
- * worker leases by controllers other than the leader in zones that the leader has named in its
- * delegation record. The protocol itself does not require these invariants. No direct start (a
- * start command sent in a call to the worker, not in the response to a heartbeat) is sent into a
- * zone while a delegation of the zone may be in use. No lease is renewed under a delegation while a
- * direct start is in flight that the renewal does not invalidate.
+ * Checks delegated renewal: controllers other than the leader renew worker leases in the zones that
+ * the leader names in its delegation record. The protocol does not state the two invariants checked
+ * here, but the correctness of delegated renewal depends on them:
+ *
+ * <ul>
+ *   <li>While a delegation of a zone may be in use, no direct start is sent into the zone. A direct
+ *       start is a start command sent in a call to the worker, not in the response to a heartbeat.
+ *   <li>While a direct start is in flight, a delegated renewal of the machine's lease must carry a
+ *       higher fencing token, which invalidates the direct start.
+ * </ul>
  */
 final class DelegationChecker {
-  /** A direct start command that has not arrived at its machine. */
+  /** A start command that was sent in a call to a worker and has not yet arrived at the machine. */
   private record Start(String machine, long token, long incarnation, String body) {}
 
   private final SimulatedCluster cluster;
@@ -38,8 +42,8 @@
   private long term = -1;
 
   /**
-   * Number of times that a renewal under a delegation invalidated a direct start in flight by
-   * carrying a higher fencing token.
+   * Number of direct starts in flight that a lease renewal by a controller other than the leader
+   * invalidated by carrying a higher fencing token.
    */
   int invalidatedStarts;
 
@@ -48,13 +52,13 @@
   }
 
   /**
-   * Updates the zones that may be delegated; called when the state service has stored a delegation
-   * record.
+   * Updates {@link #delegatedUntilMicros} when the state service has stored a delegation record. A
+   * zone that the record no longer names may be in use for another {@code VALID_MICROS}.
    */
   void onDelegationStored(JsonNode data) {
     DelegationRecord record = DelegationRecord.read(data);
     if (record.term() != term) {
-      // An election deletes the previous leader's delegation.
+      // The delegation record of the previous leader was deleted by the election of this leader.
       delegatedUntilMicros.clear();
       term = record.term();
     }
@@ -70,8 +74,9 @@
   }
 
   /**
-   * Called when direct commands are sent to a machine; records a violation if they start tasks
-   * while the machine's zone may be delegated.
+   * Called when commands are sent in a call to a worker, not in the response to a heartbeat.
+   * Records a violation if the commands start tasks and a controller other than the leader may
+   * renew leases in the machine's zone.
    */
   void onCommandsSent(String machine, String body) {
     if (!body.contains("\"run\"")) {
@@ -91,16 +96,17 @@
   }
 
   /**
-   * Called when direct commands have arrived at the machine, which executes or refuses them; its
-   * start commands are then no longer in flight.
+   * Called when a worker receives commands that were sent in a call, and executes or refuses them.
+   * Removes their start commands from the direct starts in flight.
    */
   void onCommandsArrived(String machine, String body) {
     startsInFlight.removeIf(start -> start.machine.equals(machine) && start.body.equals(body));
   }
 
   /**
-   * Called when a worker has accepted a lease renewal from a controller that does not lead; records
-   * a violation for each direct start in flight that the renewal does not invalidate.
+   * Called when a worker has accepted a lease renewal from a controller that does not lead. Records
+   * a violation for each direct start in flight to this incarnation of the worker whose fencing
+   * token is not lower than the token of the renewal.
    */
   void onDelegatedRenewal(String machine, long incarnation, long token) {
     for (Start start : startsInFlight) {
--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -22,8 +22,8 @@
   private static final List<String> CONTROLLERS = List.of("n0", "n1", "n2");
 
   /**
-   * Time within which unused dependency lists are removed: a list must have been unused for 900 s,
-   * and the clean-up runs every 300 s.
+   * Time within which the clean-up removes an unused dependency list. A list must have been unused
+   * for 900 s, and the clean-up runs every 300 s.
    */
   private static final double REMOVED_WITHIN_S = 1_600;
 
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Returns a job with so many dependencies that the list does not fit into the job record. All
-   * dependencies but {@code running} have ended.
+   * Returns a job whose dependency list is too long to be stored in the job record. All
+   * dependencies except {@code running} have ended.
    */
   private JobSpec jobWithLongList(JobSpec running) {
     Map<String, JsonNode> ended = new TreeMap<>(cluster.store.entries("ended/"));
@@ -203,7 +203,10 @@
         cluster.invariants.hasStarted(joined.uid()) || cluster.invariants.hasStarted(last.uid()));
   }
 
-  /** The transaction that stores the cancellation is applied, but its response is lost. */
+  /**
+   * The cancellation must reach all dependents even if the state service applies the transaction
+   * that stores the cancellation but its response is lost.
+   */
   @Test
   void cancellationWithLostResponseReachesWholeChain() {
     JobSpec root = idleJob(1, 400);
@@ -288,8 +291,8 @@
     JobSpec waitingJob = jobWithLongList(longJob);
     assertEquals(201, submitAt("n0", endingJob).status());
     assertEquals(201, submitAt("n1", waitingJob).status());
-    // Adds parts of two dependency lists whose submissions were never accepted, one list with and
-    // one without its first part, the anchor.
+    // Adds parts of two dependency lists whose submissions were never accepted. Only one of the two
+    // lists includes its first part, the anchor.
     Map<String, JsonNode> lists = new TreeMap<>(cluster.store.entries("waits/"));
     int waitingListParts = cluster.store.count("waits/" + waitingJob.uid() + "/");
     for (int i = 0; i < 9; i++) {
@@ -343,9 +346,9 @@
   }
 
   /**
-   * Parts of a stored dependency list that are found without the first part, the anchor, may be
-   * removed at any time. A submission must treat the found parts as missing and store the whole
-   * list.
+   * Tests a submission that finds parts of its dependency list in the state service without the
+   * first part, the anchor. Such parts may be removed at any time, so the submission must store the
+   * whole list again.
    */
   @Test
   void listPartsWithoutAnchorAreIgnored() {
@@ -370,7 +373,10 @@
     assertTrue(request("n2", "GET", "/submissions/" + job.uid(), null).body().contains("\"done\""));
   }
 
-  /** A repeated submission of a known job stores nothing, even with other dependencies. */
+  /**
+   * Submitting a known job again stores nothing, even if the new submission names other
+   * dependencies.
+   */
   @Test
   void repeatedSubmissionWithOtherDependenciesStoresNothing() {
     deployWithSmallValues();
--- a/src/test/java/plumlever/sim/DependencyCancellationTest.java
+++ b/src/test/java/plumlever/sim/DependencyCancellationTest.java
@@ -116,8 +116,8 @@
   }
 
   /**
-   * The state service fails immediately after the cancellation of the root job is confirmed, for
-   * longer than the time limit of a cancellation.
+   * The state service fails immediately after the cancellation of the root job is confirmed. The
+   * outage lasts longer than the time within which a cancelled job's tasks must end.
    */
   @Test
   void outageAfterCancellationOfRoot() {
@@ -170,8 +170,8 @@
   }
 
   /**
-   * Verifies that the invariant check detects orphaned jobs: controllers that are not notified of
-   * ended jobs report a job as pending after its root job was cancelled.
+   * Verifies that the invariant checks report dependents that stay pending after their root job was
+   * cancelled. In this test, the controllers are not notified of ended jobs.
    */
   @Test
   void withoutNotificationsDependentsAreOrphaned() {
--- a/src/test/java/plumlever/sim/DependencySubmissionTest.java
+++ b/src/test/java/plumlever/sim/DependencySubmissionTest.java
@@ -78,7 +78,8 @@
   }
 
   /**
-   * A submission and the cancellation of its dependency reach two controllers within milliseconds.
+   * A job is submitted at one controller and its dependency is cancelled at another controller
+   * within milliseconds.
    */
   @Test
   void submissionRacesWithCancellationOfDependency() {
@@ -99,8 +100,8 @@
   }
 
   /**
-   * Submits a dependency list of the largest size that fits a request body, with low limits for
-   * value sizes and for the operations and preconditions of a transaction.
+   * Submits the longest dependency list that fits into a request body. The state service has low
+   * limits for value sizes and for the operations and preconditions of a transaction.
    */
   @Test
   void largestDependencyListIsAccepted() {
@@ -115,8 +116,8 @@
       cluster.runFor(0.3);
     }
     cluster.runFor(60);
-    // The dependency list names the jobs that have run, one running job, and as many jobs with only
-    // a stored record of their end as fit into the request body.
+    // The dependency list names the jobs that have run, one running job, and as many ended jobs as
+    // fit into the request body. Of these ended jobs, only a record of the end is stored.
     JobSpec running = idleJob(1, 60);
     users.submit(running, false);
     cluster.runFor(10);
--- a/src/test/java/plumlever/sim/FakeCloud.java
+++ b/src/test/java/plumlever/sim/FakeCloud.java
@@ -158,7 +158,7 @@
     return out.put("more", more);
   }
 
-  /** Adds machines that are already running, for deployments that start with machines. */
+  /** Adds machines that already run, without requests to the cloud. */
   void addRunningMachines(int count) {
     for (int i = 0; i < count; i++) {
       String id = String.format("i-%06d", ++lastMachineNumber);
@@ -215,7 +215,7 @@
 
   /**
    * True if the cloud can rent out another machine of the requested type, zone and spot setting.
-   * The capacity is split evenly among the eight such combinations.
+   * Each of the eight combinations of these three properties gets an eighth of the capacity.
    */
   private boolean hasCapacity(ObjectNode object) {
     long rented =
--- a/src/test/java/plumlever/sim/FakeStore.java
+++ b/src/test/java/plumlever/sim/FakeStore.java
@@ -56,8 +56,8 @@
   String removedJobField;
 
   /**
-   * Number of changes that the store keeps for watches. A watch that starts at an older revision is
-   * answered 410, and the controller has to list the keys again.
+   * Number of recent key changes that the store keeps for watches. A watch from an older revision
+   * is answered 410, and the controller has to list the keys again.
    */
   int retainedChanges = 10_000;
 
@@ -122,7 +122,7 @@
 
   void endOutage() {
     outage = false;
-    // The outage must not expire leases: each lease is extended by its full TTL.
+    // Leases must not expire because of the outage, so each lease gets its full TTL from now.
     leaseTtl.forEach((p, ttl) -> leaseEnds.computeIfPresent(p, (k, end) -> cluster.now() + ttl));
   }
 
--- a/src/test/java/plumlever/sim/FakeUsers.java
+++ b/src/test/java/plumlever/sim/FakeUsers.java
@@ -31,7 +31,7 @@
    */
   boolean queryAllControllersOnChange;
 
-  /** Number of status queries sent to all controllers at once that were answered with 200. */
+  /** Number of 200 responses to status queries that users sent to all controllers at once. */
   int answeredQueries;
 
   private final Map<String, JobSpec> specByUid = new HashMap<>();
@@ -223,8 +223,8 @@
   }
 
   /**
-   * Makes users cancel this share of jobs within 1.5 s after the job's last task has completed, and
-   * then query all controllers, with repeated submissions among the queries.
+   * Makes users cancel the given share of jobs within 1.5 s after the job's last task has
+   * completed. The users then query all controllers; some of the queries repeat the submission.
    */
   void cancelAndQueryAtCompletion(double share) {
     cluster.invariants.completionListener =
@@ -392,7 +392,7 @@
     cancelledJobs.add(job.uid());
   }
 
-  /** Sends one cancellation to the controller, without retries; passes on the status code. */
+  /** Sends one cancellation without retries; {@code status} receives the response's status code. */
   void cancelAt(Endpoint controller, String uid, java.util.function.Consumer<Integer> status) {
     cancelledJobs.add(uid);
     long sentMicros = cluster.now();
--- a/src/test/java/plumlever/sim/FakeWorker.java
+++ b/src/test/java/plumlever/sim/FakeWorker.java
@@ -118,8 +118,8 @@
     if (dead) {
       return;
     }
-    // A worker ends its tasks when its lease expires. A hung worker does so too: it may continue
-    // only within its lease.
+    // A worker ends its tasks when its lease expires. This also holds for a hung worker, whose
+    // tasks continue only until the lease expires.
     if (cluster.now() - leaseStartMicros > LEASE_MICROS) {
       tasks.values().forEach(t -> cluster.invariants.taskEnded(t.name, this));
       tasks.clear();
@@ -259,8 +259,8 @@
 
   private void fetchAndStart(String name, long attempt) {
     if (removedAttempts.contains(attempt)) {
-      // No rule of the protocol forbids a start command for a removed attempt, but a start command
-      // that arrives so late can lead to the violation of a rule.
+      // The protocol has no rule against a start command for an attempt that was already removed.
+      // It is reported all the same, because it can lead to the violation of a rule.
       cluster.invariants.violations.add("restarted after the attempt was removed: " + name);
     }
     cluster.invariants.commandedToStart(name, this);
--- a/src/test/java/plumlever/sim/FaultCombination.java
+++ b/src/test/java/plumlever/sim/FaultCombination.java
@@ -8,8 +8,9 @@
 import plumlever.wire.Priority;
 
 /**
- * Combinations of two simultaneous faults from the operators' list. The scenario of each
- * combination returns a condition that is true if both faults took effect.
+ * Combinations of two simultaneous faults, chosen from the list of faults that operators have
+ * named. The scenario of each combination returns a condition that is true if both faults took
+ * effect.
  */
 enum FaultCombination {
   SLOW_STATE_SERVICE_THEN_A_LONG_OUTAGE(
@@ -429,7 +430,7 @@
     /**
      * Injects the faults and runs the deployment until all jobs should be served.
      *
-     * @return tells, when evaluated after the run, whether the faults took effect together
+     * @return a condition to evaluate after the run; true if the two faults took effect together
      */
     BooleanSupplier run(FaultDeployment deployment);
   }
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -14,10 +14,10 @@
 import plumlever.wire.JobSpec;
 
 /**
- * Tests combinations of simultaneous faults from the operators' list. Each test injects the faults,
- * shows that the faults took effect, and checks that no rule was violated and all jobs were served.
- * The longest combination, cancellations that the leader cannot learn of, has its own test ({@link
- * UnseenCancellationTest}).
+ * Tests combinations of simultaneous faults, chosen from the list of faults that operators have
+ * named. Each test injects the faults, shows that they took effect, and checks that no rule of the
+ * protocol was violated and that all jobs were served. Cancellations that the leader cannot learn
+ * of are tested in {@link UnseenCancellationTest}, because they take longest.
  */
 final class FaultCombinationTest {
   @ParameterizedTest
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Seeds that each draw three fault combinations; {@code -Dplumlever.first=F -Dplumlever.seeds=N}
-   * selects others.
+   * Returns the seeds to run; each seed draws three fault combinations. {@code -Dplumlever.first=F
+   * -Dplumlever.seeds=N} selects N seeds from seed F.
    */
   static Stream<Long> seeds() {
     long first = Long.getLong("plumlever.first", 1);
@@ -57,7 +57,7 @@
           FaultCombination.values()[
               deployment.cluster.random.nextInt(FaultCombination.values().length)];
       combination.scenario.run(deployment);
-      // The next combination begins, so the checks for a deployment without faults are off again.
+      // Turns off the checks that apply after all faults have ended; the next faults follow.
       deployment.cluster.faultsEndedAtMicros = Long.MAX_VALUE;
     }
     deployment.endFaults();
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Verifies the invariant checks: if the state service applies late transactions without checking
-   * their preconditions, rules are violated, and the checks must report the violations.
+   * Verifies that the invariant checks report violations if the state service applies late
+   * transactions without checking their preconditions.
    */
   @Test
   void withoutPreconditionsLateTransactionsViolateRules() {
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Verifies the invariant checks: a response that is older than an earlier response of another
-   * controller must be reported.
+   * Verifies that the invariant checks report a response to a user that is older than an earlier
+   * response of another controller.
    */
   @Test
   void theCheckerReportsAnOlderResponse() {
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Verifies the invariant checks: a job that waits although a suitable machine has free capacity
-   * must be reported.
+   * Verifies that the invariant checks report a job that waits although a suitable machine has free
+   * capacity.
    */
   @Test
   void theCheckerReportsAJobThatWaitsDespiteFreeCapacity() {
--- a/src/test/java/plumlever/sim/FaultDeployment.java
+++ b/src/test/java/plumlever/sim/FaultDeployment.java
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Submits more jobs of the team than its limit allows to run at once, and lets 40 s pass. */
+  /** Submits jobs of the team that together need more cores than its limit, and runs for 40 s. */
   void submitBeyondLimit(String team) {
     for (int i = 0; i < 6; i++) {
       submit(team, 12, 2, 40, false);
@@ -146,8 +146,8 @@
   }
 
   /**
-   * Ends all injected faults, turns on the checks for a deployment without faults, and runs the
-   * deployment long enough for all jobs to be served.
+   * Ends all injected faults, turns on the checks that apply once no faults are injected, and runs
+   * the deployment long enough for all jobs to be served.
    */
   void endFaults() {
     cluster.network.lostResponseShare = 0;
--- a/src/test/java/plumlever/sim/FaultTest.java
+++ b/src/test/java/plumlever/sim/FaultTest.java
@@ -15,9 +15,9 @@
 import plumlever.wire.Priority;
 
 /**
- * Tests faults that a later addition to the protocol allows: unreachable machines, partitions, and
- * duplicated heartbeats and direct commands (calls to workers); and tests delegated lease renewal.
- * Each fault is tested alone and together with the faults that make it worse.
+ * Tests unreachable machines, network partitions, duplicated heartbeats, duplicated direct commands
+ * (sent in calls to workers, not in heartbeat responses), and delegated lease renewal. Each fault
+ * is tested alone and together with the faults that make it worse.
  */
 final class FaultTest {
   private static final double RED_CORE_LIMIT = 48;
@@ -64,7 +64,7 @@
   }
 
   /**
-   * Blocks all messages to one machine with tasks for the given time, but not its heartbeats.
+   * Blocks all messages to one machine with tasks for the given time; its heartbeats still arrive.
    *
    * @return the id of the machine
    */
@@ -129,9 +129,9 @@
   }
 
   /**
-   * Heartbeats of a machine arrive, but nothing reaches the machine. If a new leader answered the
-   * heartbeats, it would never be certain which tasks earlier leaders have started on the machine,
-   * and every inherited job would wait.
+   * A machine's heartbeats arrive, but nothing reaches the machine. A new leader must not answer
+   * the heartbeats: otherwise it could never know which tasks earlier leaders have started on the
+   * machine, and every inherited job would wait.
    */
   @Test
   void anUnreachableMachineDelaysAFailoverOnlyBriefly() {
@@ -259,9 +259,9 @@
   }
 
   /**
-   * The leader loses a zone for more than twice the lease time, while the other controllers still
-   * reach the zone and the state service. The other controllers must renew the leases of the zone's
-   * machines as delegates. A job cancelled during the partition must still end in the zone.
+   * The leader is cut off from a zone for more than twice the lease time. The other controllers
+   * reach the zone and must renew the leases of its machines on the leader's behalf. A job
+   * cancelled during the partition must still end in the zone.
    */
   @Test
   void delegatesRenewLeasesBehindAPartition() {
@@ -297,8 +297,8 @@
   }
 
   /**
-   * No controller reaches a zone. Delegated renewal must not delay the restart of the zone's tasks
-   * elsewhere by much.
+   * No controller reaches a zone. The leader's delegation of lease renewal to other controllers
+   * must not noticeably delay the restart of the zone's tasks elsewhere.
    */
   @Test
   void tasksOfAZoneThatNoControllerReachesAreReleased() {
@@ -316,8 +316,8 @@
   }
 
   /**
-   * The leader crashes while delegates renew worker leases for it. The successor must wait until
-   * the renewed leases have expired before it considers the machines lost.
+   * The leader crashes while other controllers renew worker leases on its behalf. The successor
+   * must not consider the machines lost before the renewed leases have expired.
    */
   @Test
   void aNewLeaderWaitsForLeasesRenewedByDelegates() {
@@ -414,9 +414,9 @@
   }
 
   /**
-   * Most responses to direct commands are lost, so the leader does not know whether the tasks were
-   * started. The tasks must stay assigned until the worker has a higher fencing token and would
-   * refuse the commands.
+   * Most responses to direct commands are lost, so the leader does not know which tasks started.
+   * The tasks must stay assigned until the worker has a higher fencing token and would refuse the
+   * commands.
    */
   @Test
   void anUnansweredDirectCommandHoldsItsTaskUntilTheTokenIsRaised() {
--- a/src/test/java/plumlever/sim/FormatSamplesTest.java
+++ b/src/test/java/plumlever/sim/FormatSamplesTest.java
@@ -144,8 +144,8 @@
     SimulatedCluster cluster = cluster(21);
     Map<String, JsonNode> records = records(FIRST_WITH_DEPENDENCIES);
     records.remove("office/leader");
-    // All jobs in the long dependency list had ended, but the sample contains only a tenth of the
-    // records of their ends.
+    // All jobs in the long dependency list had ended, but the sample contains the end records of
+    // only a tenth of these jobs.
     for (String key : List.copyOf(records.keySet())) {
       if (key.startsWith("waits/")) {
         RecordLayout.dependencyIds(records.get(key))
@@ -180,8 +180,8 @@
 
   /**
    * The production version splits the progress of a large job into chunks whose size follows from
-   * its value limit. With another chunk size, the bits of later chunks would be read as other
-   * tasks.
+   * its limit for value sizes. If this version assumed another chunk size, it would attribute the
+   * bits of later chunks to the wrong tasks.
    */
   @Test
   void progressChunksAreReadWithOriginalChunkSize() throws InvalidMessageException {
@@ -193,7 +193,8 @@
     BitSet done = job(cluster, "job-000001").completedTasks();
     assertEquals(
         PreviousVersion.readProgress(cluster.store, CURRENT_VALUE_BYTES).get("job-000001"), done);
-    // The first chunk holds 24,192 tasks: base64 of one bit for each task, in 4096 - 64 bytes.
+    // The first chunk covers 24,192 tasks: one bit for each task, stored as base64 in 4096 - 64
+    // bytes.
     assertTrue(
         done.length() > 24_192, "highest completed task in the first chunk only: " + done.length());
   }
@@ -251,10 +252,10 @@
   }
 
   /**
-   * The delegation record of a former version contains no fencing token. A lease renewed under that
-   * record could prolong a worker incarnation (the period between two expirations of the worker's
-   * lease) in which a cancelled start command may still arrive, so no lease is renewed under the
-   * record. A former version finds no zones in the present record and renews no lease either. In
+   * This version renews no lease under the delegation record of a former version, because that
+   * record contains no fencing token. Such a renewal could prolong a worker incarnation (the period
+   * between two expirations of the worker's lease) in which a cancelled start command may still
+   * arrive. A former version finds no zones in the present record and renews no lease either. In
    * both cases the leases lapse, which is safe.
    */
   @ParameterizedTest
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Runs the sequence described at the class up to one second before the end of the partition, and
-   * returns the cancelled job.
+   * Runs the sequence that the class comment describes, up to one second before the end of the
+   * partition, and returns the cancelled job.
    */
   private JobSpec cancelJobDuringPartition(long seed, Runnable duringPartition) {
     createCluster(seed);
@@ -168,8 +168,8 @@
   }
 
   /**
-   * The leader that sent the direct starts fails while the network holds them; the leader's
-   * delegation ends with its term.
+   * The leader that sent the direct starts crashes while the network holds the commands. The
+   * leader's delegation of lease renewal ends with its term.
    */
   @ParameterizedTest
   @ValueSource(longs = {221, 222, 223, 224})
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -14,15 +14,15 @@
  * users. Each violation is recorded under the name of the violated rule.
  */
 final class InvariantChecker {
-  /** Time within which the tasks of a job must end after its cancellation was confirmed. */
+  /** Time within which the tasks of a job must end, counted from the confirmed cancellation. */
   static final long CANCEL_MICROS = 40_000_000;
 
   /** Longest allowed time without an answered query about a job after all faults have ended. */
   static final long ANSWER_MICROS = 75_000_000;
 
   /**
-   * Time within which the largest jobs of a class must start after they were submitted and their
-   * dependencies were done.
+   * Time within which the largest jobs of a job class must start. The time counts from the
+   * submission of the job or from the end of its last dependency, whichever is later.
    */
   static final long START_MICROS = 240_000_000;
 
@@ -50,8 +50,8 @@
   int starts;
 
   /**
-   * Number of task starts after the cancellation of the job was confirmed. The protocol allows
-   * these starts if the tasks end within {@link #CANCEL_MICROS} of the confirmation.
+   * Number of tasks that started after the cancellation of their job was confirmed. The protocol
+   * allows such starts if the tasks end within {@link #CANCEL_MICROS} of the confirmation.
    */
   int startsAfterCancel;
 
@@ -70,8 +70,8 @@
   private final Set<String> acceptedJobs = new HashSet<>();
 
   /**
-   * By job, the simulated time in microseconds at which the job was first seen to wait although a
-   * suitable machine has free capacity.
+   * By job, the simulated time in microseconds at which a check first found the job waiting
+   * although a suitable machine had free capacity.
    */
   private final Map<String, Long> waitingSince = new HashMap<>();
 
@@ -238,9 +238,9 @@
   }
 
   /**
-   * Checks that at least half of the jobs of each class and of each team, and half of the largest
-   * jobs of each class, are done, and that the largest jobs started within {@link #START_MICROS}.
-   * Cancelled jobs do not count.
+   * Checks that at least half of the jobs of each job class and of each team are done, and half of
+   * the largest jobs of each class. Also checks that the largest jobs started within {@link
+   * #START_MICROS}. Cancelled jobs do not count.
    */
   void checkJobsServed() {
     Map<String, List<JobSpec>> groups = new HashMap<>();
@@ -350,8 +350,9 @@
   }
 
   /**
-   * Returns the simulated time in microseconds at which the job was submitted and all its
-   * dependencies were done, whichever is later; a far future time if a dependency is not done.
+   * Returns the simulated time in microseconds at which the job could start: when it was submitted
+   * or when its last dependency was done, whichever is later. Returns a far future time if a
+   * dependency is not done.
    */
   private long readyMicros(JobSpec job) {
     long from = submittedAt.getOrDefault(job.uid(), 0L);
@@ -421,7 +422,10 @@
     return false;
   }
 
-  /** Checks and records a job status that a user received. */
+  /**
+   * Records a job status that a user received, and a violation if the status contradicts the
+   * completed tasks, the cancellations or an earlier final status.
+   */
   void recordStatus(String uid, String status, boolean userCancelled) {
     String before = lastReportedStatus.get(uid);
     if (status.equals("done") && !allDone(uid)) {
--- a/src/test/java/plumlever/sim/LargeDeploymentTest.java
+++ b/src/test/java/plumlever/sim/LargeDeploymentTest.java
@@ -13,9 +13,9 @@
 import plumlever.wire.Priority;
 
 /**
- * Deployments with hundreds of machines and thousands of tasks, under controller crashes, mass
- * preemptions and outages. The bounds are deterministic counts, which do not depend on the speed of
- * the test machine.
+ * Runs deployments with hundreds of machines and thousands of tasks under controller crashes, mass
+ * preemptions and outages. The asserted bounds are counts of events, which do not depend on the
+ * speed of the test machine.
  */
 final class LargeDeploymentTest {
   private static final int JOBS = 90;
@@ -158,8 +158,8 @@
     jobs.forEach(
         j -> assertEquals("done", cluster.invariants.lastReportedStatus.get(j.uid()), j.uid()));
     assertStateServiceLimitsKept(cluster);
-    // At most one socket for each worker, plus calls in flight. The zones of the users' own
-    // deployment have room for 300 sockets more.
+    // A controller uses at most one socket for each worker, plus sockets for calls in flight. The
+    // users' own deployment allows 300 sockets more.
     assertTrue(
         cluster.maxSocketsInUse <= 1_600 + 112, "sockets in use: " + cluster.maxSocketsInUse);
     long candidates = counterTotal(cluster, "candidates_evaluated");
@@ -193,8 +193,8 @@
     assertTrue(machines > 450, "rented machines: " + machines);
     assertTrue(
         cluster.store.count("fleet/") <= 14, "machine records: " + cluster.store.count("fleet/"));
-    // The hint records list the cached images of most machines for a new leader, in as many values
-    // as needed.
+    // The hint records tell a new leader which images most machines have cached. They are split
+    // into as many values as needed.
     Set<String> hinted = new HashSet<>();
     cluster
         .store
@@ -213,8 +213,8 @@
     assertTrue(
         cluster.store.largestValueBytes <= 4_096,
         "largest value: " + cluster.store.largestValueBytes);
-    // The settings limit the controllers to 200 requests and 25 changes a second; the rate limiters
-    // allow bursts of one second's worth.
+    // The settings limit the controllers to 200 requests and 25 changes a second. The rate limiters
+    // also allow a burst of as many requests and changes as one second allows.
     assertTrue(
         cluster.store.maxRequestsPerSecond <= 250,
         "requests in the busiest second: " + cluster.store.maxRequestsPerSecond);
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -68,7 +68,7 @@
     assertReportedStatus("done", large);
   }
 
-  /** The leader changes repeatedly while stages wait and while a stage ends. */
+  /** The leader changes repeatedly while jobs of the chain wait and while one of them ends. */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 4})
   void chainContinuesAcrossLeaderChanges(double backAfterS) {
@@ -89,7 +89,10 @@
     assertReportedStatus("done", jobs.toArray(new JobSpec[0]));
   }
 
-  /** The transaction that stores the end of a dependency is applied, but its response is lost. */
+  /**
+   * The state service applies the transaction that stores the end of a dependency, but its response
+   * is lost. The dependents must be released all the same.
+   */
   @Test
   void endWithLostResponseReleasesDependents() {
     List<JobSpec> stages = pipeline();
@@ -224,8 +227,8 @@
   }
 
   /**
-   * Verifies that the invariant check detects premature starts: job records that lose their
-   * dependencies make jobs start too early.
+   * Verifies that the invariant checks report jobs that start before their dependencies are done.
+   * In this test, the stored job records lose their dependencies.
    */
   @Test
   void withoutStoredDependenciesJobsStartTooEarly() {
--- a/src/test/java/plumlever/sim/PoolScenario.java
+++ b/src/test/java/plumlever/sim/PoolScenario.java
@@ -43,7 +43,8 @@
   }
 
   /**
-   * @param cancelMicros time limit of a cancellation that the controllers assume
+   * @param cancelMicros time within which the controllers have to end the tasks of a cancelled job,
+   *     according to their settings
    */
   PoolScenario(long seed, double redLimit, int machines, long cancelMicros) {
     cluster =
@@ -143,7 +144,8 @@
   }
 
   /**
-   * Runs the action immediately before the n-th transaction from now that puts a transfer record.
+   * Runs the action immediately before a transaction that writes a machine transfer record: the
+   * next such transaction if {@code number} is 1, the one after it if 2, and so on.
    */
   void beforeTransferStep(int number, Runnable action) {
     cluster.store.interventionPrefix = "pool/transfers/";
--- a/src/test/java/plumlever/sim/PreviousVersion.java
+++ b/src/test/java/plumlever/sim/PreviousVersion.java
@@ -9,9 +9,9 @@
 import plumlever.wire.Json;
 
 /**
- * Rewrites the stored records as a leader of the previous version would have left them. The
- * previous version knows no limits that were added later, fills shared values up to the current
- * size limit, and drops every field that it does not know.
+ * Rewrites the stored records as a leader of the previous version would have left them. That
+ * version ignores the limits that were added later, fills records shared by several jobs or
+ * machines up to the current size limit, and drops every field that it does not know.
  */
 final class PreviousVersion {
   private final FakeStore store;
@@ -120,7 +120,7 @@
   }
 
   /**
-   * Returns the completed tasks by job id, as the previous version would read them from the stored
+   * Returns, by job id, the completed tasks that the previous version would read from the stored
    * progress records.
    */
   static Map<String, BitSet> readProgress(FakeStore store, int valueBytes) {
@@ -147,7 +147,8 @@
                 BitSet into = records.computeIfAbsent(rest.substring(0, slash), u -> new BitSet());
                 BitSet.valueOf(v.path("b").binaryValue()).stream().forEach(i -> into.set(from + i));
               } catch (NumberFormatException e) {
-                // The previous version logs the malformed key and assumes no progress.
+                // The previous version logs the malformed key and assumes that no task is
+                // completed.
               } catch (java.io.IOException e) {
                 throw new AssertionError(e);
               }
--- a/src/test/java/plumlever/sim/Processor.java
+++ b/src/test/java/plumlever/sim/Processor.java
@@ -4,9 +4,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Models one thread of a controller with a small share of a processor. Work items wait in a queue,
- * and each item occupies the thread for its cost in simulated time. Items cost far more until the
- * process is warm. Without costs every item runs immediately.
+ * Models one thread of a controller that gets a small share of a processor. Work items queue, and
+ * each occupies the thread for its cost in simulated time. Items cost far more in a process that
+ * has just started, until it has done some work. Without costs every item runs immediately.
  */
 final class Processor {
   /** Kinds of work items, which differ in cost. */
@@ -22,9 +22,9 @@
    * benchmark with simulated machines, see docs/limits.md.
    *
    * @param startMicros time from the start of the process until the first work item runs
-   * @param coldFactor cost factor of the first work items
-   * @param warmAfterMicros amount of work after which items have their normal cost; the factor
-   *     decreases linearly until then
+   * @param coldFactor factor by which the first work items of a process cost more than normal
+   * @param warmAfterMicros amount of work after which items have their normal cost; until then the
+   *     cost factor decreases linearly from {@code coldFactor}
    */
   record Costs(
       long heartbeatMicros,
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -299,7 +299,7 @@
         .shard(SOURCE)
         .forEach(
             controller -> cluster.network.setBlocked(controller.platform.label(), owner, true));
-    // Waits until the watches that were already open have ended.
+    // Waits until the watches that were open before the fault have ended.
     cluster.runFor(11);
     List<Integer> statuses = new ArrayList<>();
     pool.cancel("n1", job, statuses::add);
@@ -377,7 +377,7 @@
   void machinesOfShardWithoutControllersAreAdoptedAndItsJobsKept() {
     startWithRunningTasks(81, 20);
     cluster.adoptionDelayMicros = 60_000_000;
-    // The other shards must be restarted to apply the shorter adoption timeout.
+    // Restarts the controllers of the other shards, so that they apply the shorter adoption delay.
     cluster.shard(TARGET).forEach(controller -> controller.crash(0.5));
     cluster.shard(THIRD).forEach(controller -> controller.crash(0.5));
     List<SimulatedController> stopped = cluster.shard(SOURCE);
@@ -469,7 +469,7 @@
     cluster.store.interventionPrefix = "pool/limits/";
     cluster.store.intervention =
         () -> {
-          // Only the source leader does not learn that the cores now belong to another shard.
+          // The source leader alone does not learn that the cores were moved to another shard.
           cluster.store.unansweredWritePrefix = "pool/limits/";
           cluster.store.prefixWithoutChanges = "pool/";
           cluster.store.controllerWithoutChanges = cluster.leader(SOURCE).platform.label();
--- a/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingRandomFaultsTest.java
@@ -23,7 +23,8 @@
   private static final int JOBS = 40;
 
   /**
-   * Returns the seeds; {@code -Dplumlever.pool.first=F -Dplumlever.pool.seeds=N} selects others.
+   * Returns the seeds to run; {@code -Dplumlever.pool.first=F -Dplumlever.pool.seeds=N} selects N
+   * seeds from seed F.
    */
   static LongStream seeds() {
     long first = Long.getLong("plumlever.pool.first", 1);
@@ -114,9 +115,9 @@
   }
 
   /**
-   * Returns the number of writes of the pool's counter, which numbers both the machine transfers
-   * and the leaders' terms. The metrics of the controllers can't be used: a controller that
-   * restarts loses its metrics.
+   * Returns the number of machine transfers and leader terms so far: the number of writes of the
+   * counter that numbers both. The metrics of the controllers cannot be used, because a controller
+   * loses its metrics when it restarts.
    */
   private static int transferAndTermCount(SimulatedCluster cluster) {
     return cluster.store.changesOf("pool/term");
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -61,8 +61,8 @@
   long faultsEndedAtMicros = Long.MAX_VALUE;
 
   /**
-   * Digest of the sharing file by shard, for shards whose controllers start with a different
-   * sharing file; the value "none" means without a sharing file.
+   * By shard, the digest of the sharing file with which the shard's controllers start, if it
+   * differs from the other shards; "none" if the controllers start without a sharing file.
    */
   final Map<String, String> sharingDigestByShard = new HashMap<>();
 
@@ -86,8 +86,9 @@
   }
 
   /**
-   * @param cancelMicros the cancellation deadline in the controllers' settings; tests of the
-   *     invariant checks set a value other than {@link InvariantChecker#CANCEL_MICROS}
+   * @param cancelMicros time within which the tasks of a cancelled job have to end, in the
+   *     controllers' settings; tests of the invariant checks set a value other than {@link
+   *     InvariantChecker#CANCEL_MICROS}
    */
   SimulatedCluster(
       long seed,
@@ -197,12 +198,14 @@
     events.at(delayMicros, action);
   }
 
-  /** Advances the clock by the given time and checks the rules after every event. */
+  /**
+   * Advances the clock by the given time and checks the rules of the protocol after every event.
+   */
   public void runFor(double seconds) {
     events.runUntil(now() + (long) (seconds * 1e6), this::checkAfterEvent);
   }
 
-  /** Runs all events that are due by the given time, without the checks after every event. */
+  /** Runs all events that are due by the given time, without checking the rules of the protocol. */
   void advanceTo(long micros) {
     events.runUntil(micros, number -> {});
   }
--- a/src/test/java/plumlever/sim/SimulatedController.java
+++ b/src/test/java/plumlever/sim/SimulatedController.java
@@ -21,8 +21,8 @@
   final PlatformConfiguration platform;
 
   /**
-   * True if the election has its own thread. Tests set the field to false to show the effect of a
-   * shared thread.
+   * True if the election runs on a thread of its own. Tests set the field to false to show what
+   * happens if the election shares the thread of the other decisions.
    */
   boolean separateElectionThread = true;
 
@@ -30,8 +30,8 @@
   private Controller controller;
 
   /**
-   * Number of process starts and ends. Actions and responses that belong to an earlier process are
-   * dropped.
+   * Number of process starts and ends so far, which identifies the running process. Actions and
+   * responses of an earlier process are dropped.
    */
   private int processNumber;
 
@@ -268,7 +268,7 @@
     }
   }
 
-  /** Sets the factor by which work items on the decision thread take longer than normal. */
+  /** Makes every work item on the decision thread take {@code times} times as long as normal. */
   void slowDown(double times) {
     decisionThread.setSlowdown(times);
   }
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -59,7 +59,7 @@
 
   /**
    * Blocked links as {@code from>to}, where {@code *} stands for any endpoint. Requests over a
-   * blocked link are held until the link is restored; responses are dropped.
+   * blocked link are held until the link is restored; responses over the link are dropped.
    */
   final Map<String, Boolean> blockedLinks = new HashMap<>();
 
@@ -78,7 +78,7 @@
    */
   double duplicatedCommandShare;
 
-  /** Additional delivery delay of direct commands. */
+  /** Additional delivery delay of direct commands (sent in calls to workers). */
   long extraCommandDelayMicros;
 
   /** Share of direct commands that are held back for up to {@link #heldCommandMicros}. */
@@ -98,7 +98,7 @@
    */
   double heartbeatShareKeptForNextTerm;
 
-  /** Number of heartbeat duplicates kept for a new term that were sent to controllers. */
+  /** Number of heartbeat duplicates, kept until a new term began, that were sent to controllers. */
   int keptHeartbeatsDelivered;
 
   /** Machines whose heartbeats reach no controller, while direct commands reach the machines. */
@@ -141,7 +141,8 @@
   }
 
   /**
-   * Called when a new term begins: delivers the heartbeats kept for that time to every controller.
+   * Delivers the heartbeat duplicates kept for a new term to every controller. Called when a new
+   * term begins.
    */
   void deliverKeptHeartbeats() {
     List<String> heartbeats = new ArrayList<>(heartbeatsKeptForNextTerm);
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -67,14 +67,14 @@
   }
 
   /**
-   * Returns twelve seeds and one seed of a regression by default; {@code -Dplumlever.first=F
-   * -Dplumlever.seeds=N} selects others.
+   * Returns the seeds to run: by default twelve seeds and one seed that once showed a fault. {@code
+   * -Dplumlever.first=F -Dplumlever.seeds=N} selects N seeds from seed F.
    */
   static LongStream seeds() {
     long first = Long.getLong("plumlever.first", 2);
     LongStream range = LongStream.range(first, first + Integer.getInteger("plumlever.seeds", 12));
-    // Regression, seed 395: a heartbeat delayed beyond the worker's lease restored a lost task, so
-    // that a one-zone job ran in two zones.
+    // Seed 395 guards against a fixed fault: a heartbeat delayed beyond the worker's lease restored
+    // a lost task, so that a job restricted to one zone ran in two zones.
     return first == 2 ? LongStream.concat(range, LongStream.of(395)) : range;
   }
 
@@ -194,8 +194,8 @@
   }
 
   /**
-   * Drops responses and holds back commands to the machine for the given time, while its heartbeats
-   * still arrive. The network delivers the held commands afterwards.
+   * Drops responses to the machine and holds back commands to the machine for the given time; the
+   * machine's heartbeats still arrive. The network delivers the held commands afterwards.
    */
   private static void makeUnreachable(SimulatedCluster cluster, String machineId, long time) {
     cluster.network.blockedLinks.put("*>" + machineId, true);
@@ -273,8 +273,8 @@
   }
 
   /**
-   * Verifies the invariant checks: a new leader that reads an empty record of started jobs starts
-   * some tasks a second time, and the checks must report them.
+   * Verifies that the invariant checks report tasks started twice. In this test, a new leader reads
+   * an empty record of started jobs and therefore starts some tasks again.
    */
   @Test
   void withoutTheRecordOfStartedJobsTasksRunTwice() {
@@ -289,8 +289,8 @@
   }
 
   /**
-   * Verifies the invariant checks: a new leader that cannot read which machines may hold tasks
-   * starts some tasks a second time, and the checks must report them.
+   * Verifies that the invariant checks report tasks started twice. In this test, a new leader
+   * cannot read which machines may hold tasks and therefore starts some tasks again.
    */
   @Test
   void withoutTheRecordOfMachinesTasksRunTwice() {
--- a/src/test/java/plumlever/sim/SlowProcessorTest.java
+++ b/src/test/java/plumlever/sim/SlowProcessorTest.java
@@ -58,8 +58,8 @@
 
   /**
    * Crashes all controllers together, so that all workers reconnect to the first controller that
-   * restarts, and returns the percentage of the following 20 s in which some controller may act as
-   * the leader.
+   * restarts. Returns the percentage of a period of 20 s, from 10 s after the crash, in which some
+   * controller may act as the leader.
    */
   private static int leadershipPercentAfterCrashOfAll(SimulatedCluster cluster) {
     cluster.runFor(100);
@@ -163,9 +163,9 @@
   }
 
   /**
-   * A leader whose event processing is seconds late reports itself unhealthy, so that the load
-   * balancer sends users to the other controllers. If all controllers are late, all keep accepting
-   * users.
+   * A leader that processes events seconds late must report itself unhealthy, so that the load
+   * balancer sends users to the other controllers. If all controllers are late, all of them must
+   * keep accepting users.
    */
   @Test
   void lateControllerReportsUnhealthy() {
@@ -214,8 +214,8 @@
   }
 
   /**
-   * A leader whose decision thread stalls for much longer loses leadership. Decisions of the former
-   * term must not take effect in a later term of the same controller.
+   * The leader's decision thread stalls for so long that the leader loses leadership. Decisions of
+   * the former term must not take effect in a later term of the same controller.
    */
   @Test
   void leaderWithStalledDecisionsStepsDown() {
--- a/src/test/java/plumlever/sim/UnseenCancellationTest.java
+++ b/src/test/java/plumlever/sim/UnseenCancellationTest.java
@@ -17,8 +17,8 @@
 
 /**
  * Jobs are cancelled through another controller while the leader cannot learn of the cancellation.
- * The tasks of the cancelled jobs must still end within the time limit of a cancellation (rules 49
- * and 50 of docs/design.md).
+ * The tasks of the cancelled jobs must still end within the time limit that starts when a
+ * cancellation is confirmed (rules 49 and 50 of docs/design.md).
  */
 final class UnseenCancellationTest {
   private SimulatedCluster cluster;
@@ -107,10 +107,11 @@
 
   /**
    * The leader keeps leadership, because its leader lease is renewed, but its watches are never
-   * answered and its peers cannot reach it. The cancelled tasks can end in time only because the
-   * leader must stop renewing worker leases once its view of ended jobs is too old.
+   * answered and its peers cannot reach it. The cancelled tasks end in time only if the leader
+   * stops renewing worker leases once its view of ended jobs is too old.
    *
-   * @param assumedCancelMicros time limit of a cancellation that the controllers assume
+   * @param assumedCancelMicros time within which the controllers assume that the tasks of a
+   *     cancelled job have to end
    */
   private void cancelWithoutWatches(long assumedCancelMicros) {
     deploy(75, assumedCancelMicros);
@@ -139,8 +140,8 @@
   }
 
   /**
-   * Verifies that the invariant check detects cancelled tasks that run too long: a leader that
-   * assumes a limit of one hour for a cancellation keeps renewing the leases.
+   * Verifies that the invariant checks report cancelled tasks that run too long. In this test, the
+   * leader assumes a time limit of one hour for a cancellation and keeps renewing worker leases.
    */
   @Test
   void withoutBoundCancelledTasksOutliveTimeLimit() {
--- a/src/test/java/plumlever/sim/UpgradeTest.java
+++ b/src/test/java/plumlever/sim/UpgradeTest.java
@@ -192,9 +192,9 @@
 
   /**
    * Leaders of the production version and of this version alternate. The production version fills
-   * values up to the current size limit. The limits of the state service are lowered at a time that
-   * depends on the seed. No task may be lost or started twice, and this version must keep within
-   * the announced lower limits from the start.
+   * values up to the current size limit. At a time that depends on the seed, the limits of the
+   * state service are lowered as announced in the settings. No task may be lost or started twice,
+   * and this version must keep within the announced limits from the start.
    */
   @ParameterizedTest
   @MethodSource("seeds")
@@ -376,7 +376,7 @@
     assertTrue(cluster.store.largestValueBytes > ANNOUNCED_VALUE_BYTES);
     cluster.store.maxValueBytes = ANNOUNCED_VALUE_BYTES;
     cluster.store.maxTransactionOps = 4;
-    // The deletion of a machine rewrites the record that this machine shares with dozens of others.
+    // Each deletion of a machine rewrites a record that the machine shares with dozens of others.
     cluster.cloud.machines.keySet().stream().limit(4).toList().forEach(cluster.cloud::delete);
     cluster.runFor(60);
     int refused = cluster.store.malformedTransactions;
