--- a/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
+++ b/src/test/java/plumlever/sim/DependencyAcceptanceTest.java
@@ -164,9 +164,9 @@
   }
 
   /**
-   * Cancels one branch of a diamond of dependencies. Immediately afterwards, status queries,
-   * repeated submissions and cancellations at every controller must return the cancelled state for
-   * the dependents. The other branch must complete.
+   * Cancels one branch of a diamond: two jobs depend on the same job, and a fourth job on both.
+   * Immediately afterwards, status queries, repeated submissions and cancellations at every
+   * controller must return the cancelled state for the dependents. The other branch must complete.
    */
   @Test
   void onlyDependentsOfCancelledJobAreCancelled() {
--- a/src/test/java/plumlever/sim/FourThousandMachinesTest.java
+++ b/src/test/java/plumlever/sim/FourThousandMachinesTest.java
@@ -11,9 +11,9 @@
 import plumlever.settings.PlatformConfiguration;
 
 /**
- * Verifies that no fixed limit prevents a fleet of more than 4,000 machines. All machines are
- * listed within the request rate of the cloud, recorded in the state service, and taken over by the
- * next leader, which receives heartbeats before the jobs are read.
+ * Verifies that no fixed limit prevents a fleet of more than 4,000 machines. The controllers list
+ * all machines within the request rate of the cloud and record them in the state service. The next
+ * leader takes over all machines, although their heartbeats arrive before it has read the jobs.
  */
 final class FourThousandMachinesTest {
   private static final int MACHINES = 4_200;
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Blocks or restores the network between two sides: the isolated controller and machines on one
-   * side, all other controllers and machines on the other.
+   * Blocks or restores the network between two sides. The isolated controller and the isolated
+   * machines are on one side, all other controllers and machines on the other.
    */
   private void setPartition(String isolatedController, Set<String> isolatedMachines, boolean on) {
     for (String other : cluster.controllers.keySet()) {
--- a/src/test/java/plumlever/sim/InvariantChecker.java
+++ b/src/test/java/plumlever/sim/InvariantChecker.java
@@ -290,9 +290,9 @@
   }
 
   /**
-   * Checks a response that a user got from any controller. A response must not be older than what
-   * any user knew when the query was sent: a final state must not change, and an accepted job must
-   * not be unknown. The check includes queries sent to all controllers at the same time.
+   * Checks the job status that a user got from any controller. The status must not be older than
+   * what any user knew when the query was sent: a final state must not change, and an accepted job
+   * must not be unknown. The check includes queries sent to all controllers at the same time.
    *
    * @param status the reported job status, or null for a 404
    */
--- a/src/test/java/plumlever/sim/PipelinesTest.java
+++ b/src/test/java/plumlever/sim/PipelinesTest.java
@@ -33,8 +33,8 @@
   }
 
   /**
-   * A job that waits for its dependencies uses none of its team's limit, and no machines are kept
-   * on standby for the job.
+   * A job that waits for its dependencies must not use up its team's core limit, and must not cause
+   * machines to be kept on standby.
    */
   @Test
   void waitingJobUsesNoLimitAndNoStandbyMachines() {
--- a/src/test/java/plumlever/sim/SharingBenchmark.java
+++ b/src/test/java/plumlever/sim/SharingBenchmark.java
@@ -16,10 +16,10 @@
 import plumlever.wire.Json;
 
 /**
- * Benchmark of machine sharing on simulated machines, not a test. The load shifts from shard to
- * shard. The benchmark runs with three shards that share machines ({@code shared}), with three
- * shards that keep their machines ({@code fixed}), or with one shard that owns all machines ({@code
- * one}). See docs/sharing.md for results.
+ * Benchmark of machine sharing between shards on simulated machines; not a test. The shards get
+ * load one after the other. The benchmark runs with three shards that share machines ({@code
+ * shared}), with three shards that keep their machines ({@code fixed}), or with one shard that owns
+ * all machines ({@code one}). See docs/sharing.md for results.
  *
  * <p>Arguments: number of machines, mode ({@code shared}, {@code fixed} or {@code one}), and
  * optionally the limit of concurrent transfers per shard.
@@ -31,7 +31,10 @@
   private static final int TASKS_PER_JOB = 400;
   private static final double CORES_PER_MACHINE = 7;
 
-  /** Cores that one shard requests in its phase, as a multiple of the cores of all machines. */
+  /**
+   * Cores that the jobs of one shard need while that shard has the load, as a multiple of the cores
+   * of all machines.
+   */
   private static final double LOAD_FACTOR = 1.5;
 
   private final SimulatedCluster cluster;
@@ -57,7 +60,10 @@
     users = new FakeUsers(cluster);
   }
 
-  /** Prevents transfers: shards with different sharing files do not transfer machines. */
+  /**
+   * Prevents machine transfers by giving each shard a different sharing file: shards transfer
+   * machines only if their sharing files are equal.
+   */
   private void disableSharing() {
     for (SharingSettings.Shard shard : PoolScenario.SHARDS) {
       cluster.sharingDigestByShard.put(shard.name(), shard.name());
--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -277,12 +277,13 @@
   }
 
   /**
-   * The originating shard confirms a cancellation that the leader of the owning shard does not
-   * learn of, although this leader keeps renewing the machine's lease. For longer than the time
-   * limit of a cancellation, the watches of the owning leader receive no response, and a partition
-   * separates the owning leader from the originating shard.
+   * A job is cancelled in its own shard, while its tasks run on a machine that another shard owns.
+   * The leader of the owning shard does not learn of the cancellation, but renews the machine's
+   * lease. For longer than the time limit of a cancellation, this leader's watches receive no
+   * response, and it is partitioned from the job's shard.
    *
-   * @param assumedCancelMicros time limit of a cancellation that the controllers assume
+   * @param assumedCancelMicros time within which the controllers assume that the tasks of a
+   *     cancelled job have to end
    */
   private void cancelBeforeLongPartition(long assumedCancelMicros) {
     pool = new PoolScenario(79, 0, 9, assumedCancelMicros);
@@ -325,8 +326,8 @@
   }
 
   /**
-   * Verifies that the invariant check detects a missing bound on lease renewals: with an assumed
-   * time limit of one hour for a cancellation, the owning leader keeps renewing the lease.
+   * Verifies that the invariant checks report a missing bound on lease renewals. The owning leader
+   * assumes a limit of one hour for a cancellation, so it keeps renewing the lease.
    */
   @Test
   void withoutBoundForeignTasksOutliveCancellation() {
@@ -456,8 +457,8 @@
 
   /**
    * A leader stops using cores of its part of a team limit before it sends the transaction that
-   * moves them to another shard. The leader must not use them again if it receives neither the
-   * response to the transaction nor the change through its watch.
+   * moves the cores to another shard. The leader must not use these cores again if it receives
+   * neither the response to the transaction nor the change through its watch.
    */
   @Test
   void coresMovedWithoutResponseAreNotUsed() {
--- a/src/test/java/plumlever/sim/SimulatedCluster.java
+++ b/src/test/java/plumlever/sim/SimulatedCluster.java
@@ -220,8 +220,8 @@
   }
 
   /**
-   * Checks that at most one controller of each shard acts as leader. No rule of the protocol states
-   * this, but the proof of the rules depends on it.
+   * Checks that at most one controller of each shard acts as leader. This is not a rule of the
+   * protocol, but the proof that the rules hold depends on it.
    */
   private void checkOneLeader() {
     Set<String> acting = new HashSet<>();
@@ -235,11 +235,11 @@
   }
 
   /**
-   * Checks that a controller renews a worker lease only in the latest term. A controller to which
-   * the leader of an earlier term delegated renewals may renew leases for {@link
+   * Checks that a worker lease is renewed only in the latest term. The exception is a controller to
+   * which the leader of an earlier term delegated renewals: it may renew leases for {@link
    * DelegatedRenewal#VALID_MICROS} after a new term began, because the delegation that it read
-   * stays valid that long. No rule of the protocol states this, but the proof of the rules depends
-   * on it.
+   * stays valid that long. This is not a rule of the protocol, but the proof that the rules hold
+   * depends on it.
    */
   void checkRenewal(String response, boolean asLeader) {
     try {
--- a/src/test/java/plumlever/sim/SimulatedNetwork.java
+++ b/src/test/java/plumlever/sim/SimulatedNetwork.java
@@ -81,12 +81,15 @@
   /** Additional delivery delay of direct commands (sent in calls to workers). */
   long extraCommandDelayMicros;
 
-  /** Share of direct commands that are held back for up to {@link #heldCommandMicros}. */
+  /**
+   * Share of direct commands (sent in calls to workers) that the network delivers late, by up to
+   * {@link #heldCommandMicros}.
+   */
   double heldCommandShare;
 
   long heldCommandMicros;
 
-  /** Share of direct commands whose response is lost. */
+  /** Share of direct commands (sent in calls to workers) whose response is lost. */
   double lostCommandResponseShare;
 
   /** Share of heartbeats of which a late duplicate is delivered to any controller. */
--- a/src/test/java/plumlever/sim/SimulationTest.java
+++ b/src/test/java/plumlever/sim/SimulationTest.java
@@ -378,8 +378,9 @@
   }
 
   /**
-   * While a zone is cut off, a failover takes as long as a lease. Jobs that no earlier leader
-   * started must not wait for the failover, and the new leader rents machines for them.
+   * While a zone is cut off, a new leader needs as long as a lease to learn which tasks still run.
+   * Jobs that no earlier leader started must not wait for this, and the new leader rents machines
+   * for them.
    */
   @Test
   void newJobsDoNotWaitForAFailoverDelayedByACutOffZone() {
