--- a/src/test/java/plumlever/sim/SharingFaultsTest.java
+++ b/src/test/java/plumlever/sim/SharingFaultsTest.java
@@ -277,12 +277,13 @@
   }
 
   /**
-   * The originating shard confirms a cancellation that the leader of the owning shard does not
-   * learn of, although this leader keeps renewing the machine's lease. For longer than the time
-   * limit of a cancellation, the watches of the owning leader receive no response, and a partition
-   * separates the owning leader from the originating shard.
+   * A job is cancelled in its own shard, while its tasks run on a machine that another shard owns.
+   * The leader of the owning shard does not learn of the cancellation, but renews the machine's
+   * lease. For longer than the time limit of a cancellation, this leader's watches receive no
+   * response, and it is partitioned from the job's shard.
    *
-   * @param assumedCancelMicros time limit of a cancellation that the controllers assume
+   * @param assumedCancelMicros time within which the controllers assume that the tasks of a
+   *     cancelled job have to end
    */
   private void cancelBeforeLongPartition(long assumedCancelMicros) {
     pool = new PoolScenario(79, 0, 9, assumedCancelMicros);
@@ -299,7 +300,7 @@
         .shard(SOURCE)
         .forEach(
             controller -> cluster.network.setBlocked(controller.platform.label(), owner, true));
-    // Waits until the watches that were already open have ended.
+    // Waits until the watches that were open before the fault have ended.
     cluster.runFor(11);
     List<Integer> statuses = new ArrayList<>();
     pool.cancel("n1", job, statuses::add);
@@ -325,8 +326,8 @@
   }
 
   /**
-   * Verifies that the invariant check detects a missing bound on lease renewals: with an assumed
-   * time limit of one hour for a cancellation, the owning leader keeps renewing the lease.
+   * Verifies that the invariant checks report a missing bound on lease renewals. The owning leader
+   * assumes a limit of one hour for a cancellation, so it keeps renewing the lease.
    */
   @Test
   void withoutBoundForeignTasksOutliveCancellation() {
@@ -377,7 +378,7 @@
   void machinesOfShardWithoutControllersAreAdoptedAndItsJobsKept() {
     startWithRunningTasks(81, 20);
     cluster.adoptionDelayMicros = 60_000_000;
-    // The other shards must be restarted to apply the shorter adoption timeout.
+    // Restarts the controllers of the other shards, so that they apply the shorter adoption delay.
     cluster.shard(TARGET).forEach(controller -> controller.crash(0.5));
     cluster.shard(THIRD).forEach(controller -> controller.crash(0.5));
     List<SimulatedController> stopped = cluster.shard(SOURCE);
@@ -456,8 +457,8 @@
 
   /**
    * A leader stops using cores of its part of a team limit before it sends the transaction that
-   * moves them to another shard. The leader must not use them again if it receives neither the
-   * response to the transaction nor the change through its watch.
+   * moves the cores to another shard. The leader must not use these cores again if it receives
+   * neither the response to the transaction nor the change through its watch.
    */
   @Test
   void coresMovedWithoutResponseAreNotUsed() {
@@ -469,7 +470,7 @@
     cluster.store.interventionPrefix = "pool/limits/";
     cluster.store.intervention =
         () -> {
-          // Only the source leader does not learn that the cores now belong to another shard.
+          // The source leader alone does not learn that the cores were moved to another shard.
           cluster.store.unansweredWritePrefix = "pool/limits/";
           cluster.store.prefixWithoutChanges = "pool/";
           cluster.store.controllerWithoutChanges = cluster.leader(SOURCE).platform.label();
