--- a/src/main/java/plumlever/election/DelegatedRenewal.java
+++ b/src/main/java/plumlever/election/DelegatedRenewal.java
@@ -109,8 +109,8 @@
 
   private void accept(DelegationRecord read, long readRevision, long sentMicros) {
     if (readRevision < revision) {
-      // This response is older than one already handled. It is ignored, because workers may reject
-      // the tokens of an older delegation record.
+      // A newer response has already been handled. Ignore this one: it may carry an older
+      // delegation record, whose tokens workers may reject.
       return;
     }
     if (!read.equals(delegation)) {
--- a/src/main/java/plumlever/leader/machine/FailureDetector.java
+++ b/src/main/java/plumlever/leader/machine/FailureDetector.java
@@ -43,13 +43,16 @@
 
   /**
    * Counts of the machines of one zone: all machines, the silent machines, and the machines that
-   * may still run unknown tasks of earlier leaders.
+   * may still run tasks that earlier leaders started and this leader does not know of.
    */
   private static final class ZoneCount {
     private int machines;
     private int silent;
 
-    /** Number of machines of the zone that may still run unknown tasks of earlier leaders. */
+    /**
+     * Number of machines of the zone that may still run tasks that earlier leaders started and this
+     * leader does not know of.
+     */
     private int unaccounted;
 
     boolean isPartitioned() {
@@ -57,8 +60,8 @@
     }
 
     /**
-     * Returns true if at most a third of the machines of the zone may still run unknown tasks of
-     * earlier leaders.
+     * Returns true if at most a third of the machines of the zone may still run tasks that earlier
+     * leaders started and this leader does not know of.
      */
     boolean mostlyReported() {
       return unaccounted * 3 <= machines;
--- a/src/main/java/plumlever/leader/pool/PoolTransaction.java
+++ b/src/main/java/plumlever/leader/pool/PoolTransaction.java
@@ -58,7 +58,7 @@
     return changedValues;
   }
 
-  /** Returns the keys of the pool's records that have a precondition. */
+  /** Returns the keys of the pool's records on which this transaction has a precondition. */
   Set<String> requiredKeys() {
     return requiredKeys;
   }
--- a/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
+++ b/src/main/java/plumlever/leader/scheduling/MachineAvailability.java
@@ -49,8 +49,8 @@
    * registration is not stored yet.
    */
   boolean isComingUp(Machine machine, long nowMicros) {
-    // A machine whose tasks of earlier leaders are still unknown by now is probably gone or
-    // partitioned, so placement must not rely on it.
+    // The machine should by now have reported the tasks that earlier leaders started on it. It is
+    // probably gone or partitioned, so placement must not rely on it.
     if (failover.isOverdue(nowMicros) && failover.unaccounted().contains(machine)) {
       return false;
     }
--- a/src/main/java/plumlever/leader/scheduling/StartPlan.java
+++ b/src/main/java/plumlever/leader/scheduling/StartPlan.java
@@ -37,7 +37,10 @@
     return byMachine.containsKey(machine.id());
   }
 
-  /** True if the machine has a planned task whose job is stored as started. */
+  /**
+   * Returns true if a task planned on the machine may be started now, that is, if its job is
+   * already recorded as started in the state service.
+   */
   boolean hasStartable(Machine machine) {
     for (PlannedTasks planned : on(machine)) {
       if (planned.job().registration() == RegistrationState.STORED) {
--- a/src/main/java/plumlever/store/DependencyLists.java
+++ b/src/main/java/plumlever/store/DependencyLists.java
@@ -24,7 +24,7 @@
  */
 public final class DependencyLists {
   /**
-   * The pause before a dependency list is read again after a transaction that stores parts of it
+   * Delay before a dependency list is read again if a transaction storing parts of the list has
    * failed.
    */
   private static final long RETRY_MICROS = 150_000;
--- a/src/test/java/plumlever/leader/context/ContextFixture.java
+++ b/src/test/java/plumlever/leader/context/ContextFixture.java
@@ -18,8 +18,9 @@
 import plumlever.wire.Json;
 
 /**
- * A leader's context without election, term and cloud. The clock does not advance, timers never
- * fire, and requests are not answered, except for the writes refused by {@link #refuseValueOfSize}.
+ * A leader's context for unit tests, with no election, term or cloud. The clock does not advance,
+ * timers never fire, and requests are not answered, except for the writes refused by {@link
+ * #refuseValueOfSize}.
  */
 public final class ContextFixture {
   /** The initial limit on the size of a stored value. */
--- a/src/test/java/plumlever/sim/FaultCombinationTest.java
+++ b/src/test/java/plumlever/sim/FaultCombinationTest.java
@@ -57,7 +57,8 @@
           FaultCombination.values()[
               deployment.cluster.random.nextInt(FaultCombination.values().length)];
       combination.scenario.run(deployment);
-      // Turns off the checks that apply after all faults have ended; the next faults follow.
+      // More faults follow, so the checks that apply only after all faults have ended are turned
+      // off.
       deployment.cluster.faultsEndedAtMicros = Long.MAX_VALUE;
     }
     deployment.endFaults();
@@ -82,8 +83,9 @@
   }
 
   /**
-   * Verifies that the invariant checks report a response to a user that is older than an earlier
-   * response of another controller.
+   * Verifies that the invariant checks report a violation if a user queries a job after its final
+   * state was reported and the response shows an earlier state, or does not know the job. A query
+   * sent before that report may return the earlier state.
    */
   @Test
   void theCheckerReportsAnOlderResponse() {
--- a/src/test/java/plumlever/sim/HeldStartTest.java
+++ b/src/test/java/plumlever/sim/HeldStartTest.java
@@ -102,8 +102,12 @@
   }
 
   /**
-   * Runs the sequence that the class comment describes, up to one second before the end of the
-   * partition, and returns the cancelled job.
+   * Submits a job, partitions the network as soon as the leader sends the job's first direct
+   * starts, and cancels the job during the partition. Returns the cancelled job one second before
+   * the partition ends.
+   *
+   * @param duringPartition runs {@link #LEADER_CHANGE_AFTER_MICROS} (14 s) after the partition
+   *     begins
    */
   private JobSpec cancelJobDuringPartition(long seed, Runnable duringPartition) {
     createCluster(seed);
